--- /dev/null
+++ b/golden_test.go
@@ -0,0 +1,246 @@
+package ivyfold
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	gohash "hash"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// goldenEvents is the least number of events that the golden stream has to go through.
+const goldenEvents = 1_000_000
+
+// actionDigest hashes every action that follows from a stream of events. It writes the values of the actions one by
+// one, so a renamed field or type leaves the hash as it is and a changed decision does not.
+type actionDigest struct {
+	sum    gohash.Hash
+	events int
+}
+
+func newActionDigest() *actionDigest { return &actionDigest{sum: sha256.New()} }
+
+func (a *actionDigest) observe(now time.Duration, actions []Action) {
+	a.events++
+	a.number(uint64(now))
+	a.number(uint64(len(actions)))
+	for _, action := range actions {
+		a.number(uint64(action.Kind))
+		a.number(uint64(count(action.On)))
+		a.number(uint64(action.Job))
+		a.number(uint64(action.Worker))
+		a.number(uint64(action.Attempt))
+		a.number(uint64(action.Token))
+		a.number(uint64(action.Peer))
+		a.number(uint64(action.Timeout))
+		a.number(uint64(action.Delay))
+		a.number(uint64(action.RetryAfter))
+		a.number(uint64(len(action.Data)))
+		a.sum.Write(action.Data)
+	}
+}
+
+func (a *actionDigest) number(value uint64) {
+	var buffer [8]byte
+	binary.LittleEndian.PutUint64(buffer[:], value)
+	a.sum.Write(buffer[:])
+}
+
+func (a *actionDigest) String() string { return hex.EncodeToString(a.sum.Sum(nil)[:16]) }
+
+// TestGoldenActionStream holds the actions of a long stream of events of all kinds, at many settings, against the
+// hash that was recorded before the decision module was taken apart. The hash is never edited to get a pass.
+func TestGoldenActionStream(t *testing.T) {
+	const want = "c02a95d8a10fdab65c71ae5ca6fe7e9f"
+	digest := newActionDigest()
+	reports := func(s *Settings) {
+		s.ReportByWord, s.ParallelTries, s.Report = true, false, Report{0, -1, 1, -1, -1, -1}
+	}
+	for seed, change := range []func(*Settings){
+		func(*Settings) {}, reports, shared, few,
+		func(s *Settings) { s.DrainClose, s.FullUnproven = 300*time.Millisecond, true },
+		func(s *Settings) {
+			s.Discovery, s.MaxAttempts, s.RetryAfter, s.MaxRetryAfter = Push, 0, true, time.Second
+		},
+	} {
+		s := site()
+		change(&s)
+		goldenPlay(t, digest, uint64(seed), s, 4000)
+	}
+	for seed := uint64(100); digest.events < goldenEvents; seed++ {
+		goldenPlay(t, digest, seed, random(rand.New(rand.NewPCG(seed, 5))), 4000)
+	}
+	if got := digest.String(); got != want {
+		t.Errorf("the actions of %d events have the hash %s, recorded is %s", digest.events, got, want)
+	}
+}
+
+// goldenPlay feeds one dispatcher a seeded stream of events, legal and absurd ones, and digests what it does.
+func goldenPlay(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
+	p := &goldenPlayer{d: must(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
+		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: fleet(24)}
+	p.feed(Event{Kind: EventList, List: ListCached, Entries: p.workers})
+	for range steps {
+		p.step()
+	}
+}
+
+type goldenTimer struct {
+	at    time.Duration
+	token uint32
+}
+
+// goldenPlayer is the world of one dispatcher: its clock, timers, open jobs and workers, all drawn from one source.
+type goldenPlayer struct {
+	d       *Dispatcher
+	digest  *actionDigest
+	rng     *rand.Rand
+	now     time.Duration
+	nextJob JobID
+	classes int
+	jobs    []JobID // open, in the order of their arrival
+	open    map[JobID][]WorkerID
+	timers  []goldenTimer
+	workers []Entry
+}
+
+func (p *goldenPlayer) feed(ev Event) {
+	actions := p.d.Handle(p.now, &ev, nil)
+	p.digest.observe(p.now, actions)
+	for _, action := range actions {
+		switch action.Kind {
+		case Send:
+			p.open[action.Job] = append(p.open[action.Job], action.Worker)
+		case Refuse, Fail:
+			p.forget(action.Job)
+		case SetTimer:
+			p.timers = append(p.timers, goldenTimer{at: p.now + action.Delay, token: action.Token})
+		}
+	}
+}
+
+func (p *goldenPlayer) forget(id JobID) {
+	delete(p.open, id)
+	for i, job := range p.jobs {
+		if job == id {
+			p.jobs = append(p.jobs[:i:i], p.jobs[i+1:]...)
+			return
+		}
+	}
+}
+
+func (p *goldenPlayer) step() {
+	for range p.rng.IntN(3) {
+		p.arrive()
+	}
+	for range 1 + len(p.jobs)/4 {
+		if len(p.jobs) > 0 {
+			p.progress(p.jobs[p.rng.IntN(len(p.jobs))])
+		}
+	}
+	switch p.rng.IntN(40) {
+	case 0:
+		p.changeList()
+	case 1:
+		p.absurd()
+	}
+	p.advance(time.Duration(1+p.rng.IntN(15)) * time.Millisecond)
+}
+
+func (p *goldenPlayer) arrive() {
+	p.nextJob++
+	p.jobs = append(p.jobs, p.nextJob)
+	p.feed(Event{Kind: EventJob, Job: p.nextJob, Class: p.rng.IntN(p.classes), Tenant: p.rng.IntN(8) - 1,
+		Key: uint64(p.rng.IntN(2)) * p.rng.Uint64N(60), Slots: float64(1 + p.rng.IntN(3)), Repeat: p.rng.IntN(10) == 0,
+		Deadline: p.now + time.Duration(20+p.rng.IntN(4000))*time.Millisecond})
+}
+
+// progress tells something of one of the job's attempts, ended ones too: the module has to pass over these.
+func (p *goldenPlayer) progress(id JobID) {
+	sent := p.open[id]
+	if len(sent) == 0 {
+		if p.rng.IntN(20) == 0 {
+			p.feed(Event{Kind: EventGone, Job: id})
+			p.forget(id)
+		}
+		return
+	}
+	attempt := p.rng.IntN(len(sent))
+	about := Event{Job: id, Attempt: attempt, Worker: sent[attempt]}
+	switch chance := p.rng.IntN(100); {
+	case chance < 35:
+		about.Kind, about.Note = EventNote, NoteStarted
+	case chance < 40:
+		about.Kind, about.Note, about.Value = EventNote, NoteProgress, p.rng.Float64()
+	case chance < 42:
+		about.Kind = EventStarted
+	case chance < 75:
+		about.Kind, about.Outcome, about.Closed, about.Load = EventOutcome, OK, true, p.load()
+	case chance < 95:
+		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+p.rng.IntN(7)), p.load()
+	case chance < 97:
+		about.Kind = EventGone
+	default:
+		return
+	}
+	p.feed(about)
+	if about.Kind == EventGone || about.Kind == EventOutcome && about.Closed {
+		p.forget(id)
+	}
+}
+
+func (p *goldenPlayer) load() Load {
+	load := Load{N: p.rng.IntN(5)}
+	for i := range load.Values {
+		load.Values[i] = float64(p.rng.IntN(6))
+	}
+	return load
+}
+
+func (p *goldenPlayer) changeList() {
+	e := &p.workers[p.rng.IntN(len(p.workers))]
+	if e.State = State(p.rng.IntN(3)); e.State == Ready && p.rng.IntN(2) == 0 {
+		e.Started = p.now
+	}
+	switch p.rng.IntN(5) {
+	case 0:
+		p.feed(Event{Kind: EventList, List: ListFailed})
+	case 1:
+		p.feed(Event{Kind: EventList, List: ListFull, Entries: append([]Entry(nil), p.workers...)})
+	case 2:
+		p.feed(Event{Kind: EventList, List: ListCached, Entries: append([]Entry(nil), p.workers[:12]...)})
+	default:
+		p.feed(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
+	}
+}
+
+// absurd feeds what no host should say: unknown jobs, timers and workers, and values that mean nothing.
+func (p *goldenPlayer) absurd() {
+	for _, ev := range []Event{
+		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
+		{Kind: EventNote, Job: p.nextJob, Attempt: 99, Note: NoteStarted},
+		{Kind: EventTimer, Token: 1 << 30},
+		{Kind: EventProbed, Worker: 13, Outcome: OK},
+		{Kind: EventPeerNote, From: 3, Data: []byte("note")},
+		{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 13, Kind: 200, Zone: -4, Weight: math.NaN(), State: Ready}}},
+		{Kind: EventJob, Job: p.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
+	} {
+		p.feed(ev)
+	}
+}
+
+func (p *goldenPlayer) advance(by time.Duration) {
+	p.now += by
+	timers := p.timers
+	p.timers = nil
+	for _, timer := range timers {
+		if timer.at > p.now {
+			p.timers = append(p.timers, timer)
+			continue
+		}
+		p.feed(Event{Kind: EventTimer, Token: timer.token})
+	}
+}
