--- a/cmd/gladepick-ledger/main.go
+++ b/cmd/gladepick-ledger/main.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/ledger"
+	"gladepick/internal/ledger"
 )
 
 // defaultSpans is how many spans of time are told of each day.
--- a/cmd/gladepick-plus/main.go
+++ b/cmd/gladepick-plus/main.go
@@ -11,14 +11,14 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/config"
-	"ivyfold/internal/config/document"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/keep"
-	"ivyfold/internal/node"
-	"ivyfold/internal/peers"
+	"gladepick/internal/capture"
+	"gladepick/internal/cli"
+	"gladepick/internal/config"
+	"gladepick/internal/config/document"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/keep"
+	"gladepick/internal/node"
+	"gladepick/internal/peers"
 )
 
 func main() { cli.Main(run) }
--- a/cmd/gladepick-plus/main_test.go
+++ b/cmd/gladepick-plus/main_test.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"testing"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/standin"
+	"gladepick/internal/capture"
+	"gladepick/internal/cli"
+	"gladepick/internal/standin"
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/gladepick-plus/plan.go
+++ b/cmd/gladepick-plus/plan.go
@@ -23,12 +23,12 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/config/document"
-	"ivyfold/internal/model"
-	"ivyfold/internal/plan"
-	"ivyfold/internal/report"
+	"gladepick/internal/capture"
+	"gladepick/internal/cli"
+	"gladepick/internal/config/document"
+	"gladepick/internal/model"
+	"gladepick/internal/plan"
+	"gladepick/internal/report"
 )
 
 // questions are what plan can be asked.
--- a/cmd/gladepick-plus/schema.go
+++ b/cmd/gladepick-plus/schema.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/cli"
-	"ivyfold/internal/config/document"
+	"gladepick/internal/cli"
+	"gladepick/internal/config/document"
 )
 
 func schemaCommand() *cobra.Command {
--- a/cmd/gladepick-system/demo.go
+++ b/cmd/gladepick-system/demo.go
@@ -13,10 +13,10 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/network"
-	"ivyfold/internal/operatorcli"
-	"ivyfold/internal/systemnode"
-	"ivyfold/internal/systemnode/demo"
+	"gladepick/internal/network"
+	"gladepick/internal/operatorcli"
+	"gladepick/internal/systemnode"
+	"gladepick/internal/systemnode/demo"
 )
 
 // Defaults of the demonstration. With them a front and a store may be lost, and a store can be retired.
--- a/cmd/gladepick-system/main.go
+++ b/cmd/gladepick-system/main.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/operatorcli"
+	"gladepick/internal/operatorcli"
 )
 
 const programName = "gladepick-system"
--- a/cmd/gladepick-system/main_test.go
+++ b/cmd/gladepick-system/main_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/operatorcli"
+	"gladepick/internal/operatorcli"
 )
 
 // outcome is what a command line has led to.
--- a/cmd/gladepick-system/process.go
+++ b/cmd/gladepick-system/process.go
@@ -9,11 +9,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network"
-	"ivyfold/internal/operatorcli"
-	"ivyfold/internal/settings"
-	"ivyfold/internal/systemnode"
+	"gladepick/internal/journal"
+	"gladepick/internal/network"
+	"gladepick/internal/operatorcli"
+	"gladepick/internal/settings"
+	"gladepick/internal/systemnode"
 )
 
 // process is a front or a store.
--- a/cmd/gladepick/agent.go
+++ b/cmd/gladepick/agent.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/config"
-	"ivyfold/internal/snmp"
+	"gladepick/internal/agent"
+	"gladepick/internal/cli"
+	"gladepick/internal/config"
+	"gladepick/internal/snmp"
 )
 
 func agentCommand() *cobra.Command {
--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/lease"
+	"gladepick/internal/agent"
+	"gladepick/internal/cli"
+	"gladepick/internal/lease"
 )
 
 func leasesCommand() *cobra.Command {
--- a/cmd/gladepick/main.go
+++ b/cmd/gladepick/main.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/cli"
-	"ivyfold/internal/node"
+	"gladepick/internal/cli"
+	"gladepick/internal/node"
 )
 
 func main() { cli.Main(run) }
--- a/cmd/gladepick/main_test.go
+++ b/cmd/gladepick/main_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/cli"
-	"ivyfold/internal/standin"
+	"gladepick/internal/cli"
+	"gladepick/internal/standin"
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/cli"
-	"ivyfold/internal/peers"
+	"gladepick/internal/agent"
+	"gladepick/internal/cli"
+	"gladepick/internal/peers"
 )
 
 func membersCommand() *cobra.Command {
--- a/cmd/gladepick/question.go
+++ b/cmd/gladepick/question.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/config"
+	"gladepick/internal/agent"
+	"gladepick/internal/config"
 )
 
 // question makes a command ask the agent what its name says.
--- a/cmd/gladepick/reload.go
+++ b/cmd/gladepick/reload.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"ivyfold/internal/cli"
+	"gladepick/internal/cli"
 )
 
 func reloadCommand() *cobra.Command {
--- a/cmd/ivyfold-sim/main.go
+++ b/cmd/ivyfold-sim/main.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"ivyfold/internal/wire"
+	"gladepick/internal/wire"
 )
 
 func main() {
--- a/example_test.go
+++ b/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // A host owns the clock and the connections: it hands events in and carries out the actions that come back.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,8 +24,8 @@
 	"text/tabwriter"
 	"time"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // State is what an instance does. The numbers are the MIB's.
--- a/internal/amqp/amqp.go
+++ b/internal/amqp/amqp.go
@@ -23,10 +23,10 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/portal"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/portal"
 )
 
 // The answer's type property, one for each verdict and one for messages that are no job.
--- a/internal/amqp/attempts.go
+++ b/internal/amqp/attempts.go
@@ -11,10 +11,10 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
 )
 
 // Send publishes an attempt to its worker's queue.
--- a/internal/amqp/ledger.go
+++ b/internal/amqp/ledger.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/dispatch"
+	"gladepick/internal/dispatch"
 )
 
 // ledger remembers, for a while and in bounded memory, what became of each key.
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -19,7 +19,7 @@
 
 const (
 	moduleRoot = "../.."
-	moduleName = "ivyfold"
+	moduleName = "gladepick"
 	handbook   = "docs/architecture.md"
 )
 
@@ -164,22 +164,22 @@
 // TestForbiddenImportsAreFound checks the rules themselves by imports that must not be.
 func TestForbiddenImportsAreFound(t *testing.T) {
 	forbidden := []importLine{
-		{from: "internal/messagestore", path: "ivyfold/internal/controlplane"},
-		{from: "internal/messagestore", path: "ivyfold/internal/ingress"},
-		{from: "internal/messagestore", path: "ivyfold/internal/delivery"},
-		{from: "internal/delivery", path: "ivyfold/internal/messagestore"},
-		{from: "internal/ingress", path: "ivyfold/internal/messagestore"},
-		{from: "internal/controlplane", path: "ivyfold/internal/systemnode"},
-		{from: "internal/rpc", path: "ivyfold/internal/cluster"},
-		{from: "internal/journal", path: "ivyfold/internal/rpc"},
-		{from: "internal/network", path: "ivyfold/internal/rpc"},
-		{from: "internal/controlplane/replication", path: "ivyfold/internal/cluster"},
-		{from: "internal/systemnode", path: "ivyfold/internal/operatorcli"},
-		{from: "internal/systemnode", path: "ivyfold/internal/replica"},
-		{from: "internal/capacity", path: "ivyfold/cmd/gladepick-system"},
+		{from: "internal/messagestore", path: "gladepick/internal/controlplane"},
+		{from: "internal/messagestore", path: "gladepick/internal/ingress"},
+		{from: "internal/messagestore", path: "gladepick/internal/delivery"},
+		{from: "internal/delivery", path: "gladepick/internal/messagestore"},
+		{from: "internal/ingress", path: "gladepick/internal/messagestore"},
+		{from: "internal/controlplane", path: "gladepick/internal/systemnode"},
+		{from: "internal/rpc", path: "gladepick/internal/cluster"},
+		{from: "internal/journal", path: "gladepick/internal/rpc"},
+		{from: "internal/network", path: "gladepick/internal/rpc"},
+		{from: "internal/controlplane/replication", path: "gladepick/internal/cluster"},
+		{from: "internal/systemnode", path: "gladepick/internal/operatorcli"},
+		{from: "internal/systemnode", path: "gladepick/internal/replica"},
+		{from: "internal/capacity", path: "gladepick/cmd/gladepick-system"},
 		{from: "internal/controlplane", path: "go.etcd.io/raft/v3"},
-		{from: ".", path: "ivyfold/internal/cluster"},
-		{from: "internal/keep", path: "ivyfold/internal/cluster"},
+		{from: ".", path: "gladepick/internal/cluster"},
+		{from: "internal/keep", path: "gladepick/internal/cluster"},
 	}
 	for _, line := range forbidden {
 		assert.Check(t, len(problemsOf(line)) > 0, "%s may import %s", line.from, line.path)
--- a/internal/architecture/packages_test.go
+++ b/internal/architecture/packages_test.go
@@ -144,7 +144,7 @@
 			needed[comesWith] = true
 		}
 	}
-	if !built.Standard && !strings.HasPrefix(built.ImportPath, "ivyfold") {
+	if !built.Standard && !strings.HasPrefix(built.ImportPath, "gladepick") {
 		needed[certificatesPackage] = true
 	}
 }
--- a/internal/capacity/control_bench_test.go
+++ b/internal/capacity/control_bench_test.go
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 // BenchmarkTable encodes and reads cluster tables of several sizes, with two replicas a partition.
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/delivery"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
-	"ivyfold/internal/messagestore"
-	"ivyfold/internal/network"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/delivery"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore"
+	"gladepick/internal/network"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/standin"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/standin"
 )
 
 // yes is a floor on which every job is served at once.
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -19,9 +19,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 var verdicts = map[dispatch.Verdict]string{dispatch.Served: "served", dispatch.Refused: "refused", dispatch.Failed: "failed"}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -22,10 +22,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/standin"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/standin"
 )
 
 // recorder is one that writes to dir, and feeds it jobs by hand.
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -9,9 +9,9 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/configuration"
+	"gladepick/internal/journal"
+	"gladepick/internal/rpc"
 )
 
 // LeaseDuration is how long a lease runs after the request that renewed it was sent.
--- a/internal/cluster/agent_discovery.go
+++ b/internal/cluster/agent_discovery.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"gladepick/internal/ctxtime"
 	"hash/fnv"
-	"ivyfold/internal/ctxtime"
 	"slices"
 	"sync"
 	"time"
--- a/internal/cluster/agent_sync.go
+++ b/internal/cluster/agent_sync.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/ctxtime"
+	"gladepick/internal/configuration"
+	"gladepick/internal/ctxtime"
 )
 
 const (
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -13,10 +13,10 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network/simulated"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/rpc"
 )
 
 const port = 7240
--- a/internal/cluster/corefile.go
+++ b/internal/cluster/corefile.go
@@ -5,7 +5,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/journal"
+	"gladepick/internal/journal"
 )
 
 // coreFile is the file in which a process with a disk remembers the members of the control group.
--- a/internal/cluster/packing_test.go
+++ b/internal/cluster/packing_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 func TestPackedBodiesComeBack(t *testing.T) {
--- a/internal/cluster/types_test.go
+++ b/internal/cluster/types_test.go
@@ -5,7 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // TestSharesStayWithinTheWhole checks that the parts of all stores never add up to more than the whole, and that a
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,8 +19,8 @@
 	"strings"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/wire"
+	"gladepick"
+	"gladepick/internal/wire"
 )
 
 // Limits holds every size, count and time that the parts work with. It is
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/standin"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/standin"
 )
 
 func write(t *testing.T, name, text string) string {
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // derive fills Limits from what the platform grants and the settings say.
--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -23,7 +23,7 @@
 	"golang.org/x/text/language"
 	"golang.org/x/text/message"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 //go:embed schemas/*.json
--- a/internal/config/document/document_test.go
+++ b/internal/config/document/document_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/model"
+	"gladepick/internal/config"
+	"gladepick/internal/model"
 )
 
 func TestDocumentErrorsNameThePlace(t *testing.T) {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -13,7 +13,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // decodeTOML reads an operator's file strictly: a key that nobody reads is an error that names it.
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -9,7 +9,7 @@
 	"bytes"
 	"sync"
 
-	"ivyfold/internal/configuration/configurationpb"
+	"gladepick/internal/configuration/configurationpb"
 )
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative configurationpb/configuration.proto
--- a/internal/configuration/items.go
+++ b/internal/configuration/items.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"ivyfold/internal/configuration/configurationpb"
+	"gladepick/internal/configuration/configurationpb"
 )
 
 // Names of the wire that are used in more than one place.
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"ivyfold/internal/configuration/configurationpb"
+	"gladepick/internal/configuration/configurationpb"
 )
 
 // Limits that hold where the operator states none, or 0.
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -1,7 +1,7 @@
 package configuration
 
 import (
-	"ivyfold/internal/configuration/configurationpb"
+	"gladepick/internal/configuration/configurationpb"
 )
 
 // Names of the wire that only an update has.
--- a/internal/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/rpc"
 )
 
 // handlePartitionAsk changes a replica group as its primary wishes.
--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/capacity_bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // BenchmarkLeaseTable renews, passes on and reads the leases of stores, per lease.
--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -6,7 +6,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // change is one record of the replicated log. Exactly one field is set. The JSON line of the record is followed by the
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 const (
--- a/internal/controlplane/digest.go
+++ b/internal/controlplane/digest.go
@@ -12,7 +12,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // largestExactInteger is the largest integer up to which a float64 holds every integer.
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/journal"
+	"gladepick/internal/journal"
 )
 
 const (
--- a/internal/controlplane/draft.go
+++ b/internal/controlplane/draft.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // draft is a cluster table in the making. It starts as a copy of the current one; what differs at the end is proposed.
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -10,9 +10,9 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane/replication"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/controlplane/group.go
+++ b/internal/controlplane/group.go
@@ -8,7 +8,7 @@
 import (
 	"context"
 
-	"ivyfold/internal/controlplane/replication"
+	"gladepick/internal/controlplane/replication"
 )
 
 // group is what the control plane needs of the replicated group.
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane/replication"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
 )
 
 // standInGroup is a replicated group of one: what is proposed is in force at once.
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -9,7 +9,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 const (
--- a/internal/controlplane/leases_test.go
+++ b/internal/controlplane/leases_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // Numbers of answers to heartbeats.
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -13,8 +13,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane/replication"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
 )
 
 const (
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/controlplane/replication"
+	"gladepick/internal/controlplane/replication"
 )
 
 const (
--- a/internal/controlplane/members_test.go
+++ b/internal/controlplane/members_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane/replication"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
 )
 
 func coreNode(name, disk string) nodeStatus {
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -10,10 +10,10 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/controlplane/replication"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/rpc"
 )
 
 // Paths of the operator's API.
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -9,8 +9,8 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 // order is an operator's call that replaces or updates the configuration.
--- a/internal/controlplane/outage.go
+++ b/internal/controlplane/outage.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 const (
--- a/internal/controlplane/packing.go
+++ b/internal/controlplane/packing.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // bodyPacker compresses what leads to the current configuration, once for all processes that ask for the same.
--- a/internal/controlplane/packing_test.go
+++ b/internal/controlplane/packing_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // TestBodiesAreCompressedOnce checks that all who ask for the same step get the same compressed bytes.
--- a/internal/controlplane/placement_random_test.go
+++ b/internal/controlplane/placement_random_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // TestPlacementComesToRestAfterAnyFault plays random changes of the stores, one loss at a time. After each the
--- a/internal/controlplane/placement_test.go
+++ b/internal/controlplane/placement_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/rpc"
 )
 
 // placementWorld drives the planning functions as the manager does, without a group.
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -11,12 +11,12 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/controlplane/replication"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/journal"
+	"gladepick/internal/network"
+	"gladepick/internal/rpc"
 )
 
 // roleCheckInterval bounds how late a loop that works only at the primary notices that its process has become it.
--- a/internal/controlplane/rebalance.go
+++ b/internal/controlplane/rebalance.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 const (
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // repairsAtOnce bounds the views that one step changes, so that the loss of a zone does not hold up the primary of the
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -7,7 +7,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/rpc"
+	"gladepick/internal/rpc"
 )
 
 // checkTarget refuses a call that is meant for another disk at the same address.
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"ivyfold/internal/ctxtime"
+	"gladepick/internal/ctxtime"
 	"slices"
 
 	"github.com/gravitational/trace"
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network/simulated"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/journal"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/rpc"
 )
 
 const testPort = 7000
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/ctxtime"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/ctxtime"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/controlplane/replication/explorer_model_test.go
+++ b/internal/controlplane/replication/explorer_model_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"ivyfold/internal/modelcheck"
+	"gladepick/internal/modelcheck"
 )
 
 // The model is the group's protocol without time, disks and connections: what processes do upon calls, in any order.
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/modelcheck"
+	"gladepick/internal/modelcheck"
 )
 
 // TestExplore goes through the protocol's states. EXPLORE_STATES sets how many.
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/rpc"
+	"gladepick/internal/rpc"
 )
 
 // Group is this process's part in the replicated group.
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/rpc"
+	"gladepick/internal/rpc"
 )
 
 // alignRetry is the pause after a failed attempt to bring a peer up to date.
--- a/internal/controlplane/replication/presence.go
+++ b/internal/controlplane/replication/presence.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"ivyfold/internal/rpc"
+	"gladepick/internal/rpc"
 )
 
 // presence is what a backup knows of the primary's life.
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/journal"
+	"gladepick/internal/journal"
 )
 
 // compactAfterBytes is how much is logged, beyond twice the size of the last snapshot, before the next is written.
--- a/internal/controlplane/replication/types.go
+++ b/internal/controlplane/replication/types.go
@@ -16,8 +16,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/journal"
+	"gladepick/internal/rpc"
 )
 
 // ErrNotPrimary means that this process does not lead the group at present; what was asked for was surely not done.
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/journal"
+	"gladepick/internal/journal"
 )
 
 // witnessFile is the name of the file that holds a witness's record.
--- a/internal/controlplane/replication/witness_test.go
+++ b/internal/controlplane/replication/witness_test.go
@@ -5,7 +5,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/journal"
+	"gladepick/internal/journal"
 )
 
 func reopen(t *testing.T, disk *journal.Memory) *witness {
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"strings"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // retireState is the body of the answer to a question about a retiring store.
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -7,8 +7,8 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 const (
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // delivererMemory is how long after the end of its lease a store still counts for the ceilings of services: what it
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -8,9 +8,9 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane/replication"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/rpc"
 )
 
 // longestSyncWait bounds how long the answer to a sync is held back.
--- a/internal/controlplane/workerhistory.go
+++ b/internal/controlplane/workerhistory.go
@@ -1,6 +1,6 @@
 package controlplane
 
-import "ivyfold/internal/cluster"
+import "gladepick/internal/cluster"
 
 const (
 	// historyLength bounds the changes of the list of workers that are kept for processes that hold an older version.
--- a/internal/controlplane/workerhistory_test.go
+++ b/internal/controlplane/workerhistory_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 func listOf(count, draining int) []cluster.Worker {
--- a/internal/controlplane/workerlist.go
+++ b/internal/controlplane/workerlist.go
@@ -12,9 +12,9 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/network"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/network"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/controlplane/workerread.go
+++ b/internal/controlplane/workerread.go
@@ -11,7 +11,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 const (
--- a/internal/delivery/apply.go
+++ b/internal/delivery/apply.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold"
-	"ivyfold/internal/configuration"
+	"gladepick"
+	"gladepick/internal/configuration"
 )
 
 // applyConfiguration takes a newer configuration. Messages whose route is gone end, unless an attempt is out.
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
 )
 
 const (
--- a/internal/delivery/capacity_bench_test.go
+++ b/internal/delivery/capacity_bench_test.go
@@ -9,9 +9,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/network"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/network"
 )
 
 // BenchmarkTurn is one turn of the loop with nothing to do, by the number of services. Every event leads to one.
--- a/internal/delivery/decider.go
+++ b/internal/delivery/decider.go
@@ -5,8 +5,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold"
-	"ivyfold/internal/configuration"
+	"gladepick"
+	"gladepick/internal/configuration"
 )
 
 const (
--- a/internal/delivery/destination.go
+++ b/internal/delivery/destination.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 const (
--- a/internal/delivery/destinations.go
+++ b/internal/delivery/destinations.go
@@ -6,9 +6,9 @@
 	"slices"
 	"sync"
 
-	"ivyfold"
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 // staticPrefix marks the ids of static endpoints, which are on no list.
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -14,10 +14,10 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
-	"ivyfold/internal/network"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
+	"gladepick/internal/network"
 )
 
 // Owner keeps the messages that an Engine delivers. Its methods are never called with locks of the engine held.
--- a/internal/delivery/engine_test.go
+++ b/internal/delivery/engine_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 func TestDeliversTheRequestAsItCame(t *testing.T) {
--- a/internal/delivery/internal_test.go
+++ b/internal/delivery/internal_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
 )
 
 func TestTargetsAreWrittenAsTheyCame(t *testing.T) {
--- a/internal/delivery/lane.go
+++ b/internal/delivery/lane.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"ivyfold/internal/configuration"
+	"gladepick/internal/configuration"
 )
 
 // lane holds the entries of one route that may run, but for those that are parked or with a decider.
--- a/internal/delivery/loop.go
+++ b/internal/delivery/loop.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/message"
+	"gladepick"
+	"gladepick/internal/message"
 )
 
 const (
--- a/internal/delivery/mailbox.go
+++ b/internal/delivery/mailbox.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
 )
 
 // event is something that the loop is told.
--- a/internal/delivery/partitions_test.go
+++ b/internal/delivery/partitions_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 func TestPausedPartitions(t *testing.T) {
--- a/internal/delivery/queue.go
+++ b/internal/delivery/queue.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 // placement says where an entry is kept.
--- a/internal/delivery/random_test.go
+++ b/internal/delivery/random_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
 )
 
 // trouble plays random faults on a world, and knows what may not happen meanwhile.
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/configuration"
+	"gladepick/internal/configuration"
 )
 
 // service is what the loop keeps of one service.
--- a/internal/delivery/standin_test.go
+++ b/internal/delivery/standin_test.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // arrival is a request at a worker.
--- a/internal/delivery/verdict.go
+++ b/internal/delivery/verdict.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // verdict is what an attempt says about its message.
--- a/internal/delivery/workers_test.go
+++ b/internal/delivery/workers_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
 )
 
 func TestServiceThatIsDownAndBack(t *testing.T) {
--- a/internal/delivery/world_test.go
+++ b/internal/delivery/world_test.go
@@ -13,11 +13,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/delivery"
-	"ivyfold/internal/message"
-	"ivyfold/internal/network/simulated"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/delivery"
+	"gladepick/internal/message"
+	"gladepick/internal/network/simulated"
 )
 
 const (
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // Core runs the module. Make it with New and start it with Run.
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync/atomic"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // Counters is what the program counts. All may be read at any time.
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // Verdict is the kind of a final answer.
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // seat is what the core knows of one listed worker. leaving is read by the floor just before a send.
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -25,8 +25,8 @@
 	"syscall"
 	"time"
 
-	"ivyfold/internal/membership"
-	"ivyfold/internal/membership/world"
+	"gladepick/internal/membership"
+	"gladepick/internal/membership/world"
 )
 
 // Step is one thing that is done to some nodes at a time.
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/peers"
-	"ivyfold/internal/standin"
+	"gladepick/internal/peers"
+	"gladepick/internal/standin"
 )
 
 const (
@@ -40,7 +40,7 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "gladepick")
-	out, err := exec.Command("go", "build", "-o", dir+"/", "ivyfold/cmd/gladepick", "ivyfold/cmd/gladepick-plus").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "gladepick/cmd/gladepick", "gladepick/cmd/gladepick-plus").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
--- a/internal/faults/promises.go
+++ b/internal/faults/promises.go
@@ -24,7 +24,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 // Trial is set up by its exported fields and read after the play.
--- a/internal/faults/promises_test.go
+++ b/internal/faults/promises_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 const window = 6 * time.Second
--- a/internal/floor/answer.go
+++ b/internal/floor/answer.go
@@ -12,9 +12,9 @@
 	"os"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // said is what a worker's answer came to.
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // Floor is the workers' side of the program.
--- a/internal/floor/floor_test.go
+++ b/internal/floor/floor_test.go
@@ -16,11 +16,11 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/standin"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/standin"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/floor/link.go
+++ b/internal/floor/link.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/dispatch"
 )
 
 // link is one connection to a worker. It is either idle, in the pool, or held by one attempt.
--- a/internal/floor/load.go
+++ b/internal/floor/load.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // figures gathers a load report; one that lacks a figure is none.
--- a/internal/ingress/control.go
+++ b/internal/ingress/control.go
@@ -7,7 +7,7 @@
 
 	"github.com/gorilla/mux"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // maxOperatorBodyBytes bounds the body of an operator's call.
--- a/internal/ingress/control_test.go
+++ b/internal/ingress/control_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // fakeControl records calls, and answers as the test says.
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"ivyfold/internal/ctxtime"
+	"gladepick/internal/ctxtime"
 	"net"
 	"net/http"
 	"sync"
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -17,10 +17,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
-	"ivyfold/internal/network"
-	"ivyfold/internal/network/simulated"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
+	"gladepick/internal/network"
+	"gladepick/internal/network/simulated"
 )
 
 const (
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
 )
 
 // Messages keeps messages and knows how they ended.
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -8,7 +8,7 @@
 
 	"github.com/gorilla/mux"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 // Paths of the questions about a message; its ID follows.
--- a/internal/ingress/status_test.go
+++ b/internal/ingress/status_test.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 func TestState(t *testing.T) {
--- a/internal/ingress/submission.go
+++ b/internal/ingress/submission.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/message"
+	"gladepick/internal/configuration"
+	"gladepick/internal/message"
 )
 
 // Bounds of the time that keeping a message may take, from the moment its header has been read.
--- a/internal/ingress/submission_test.go
+++ b/internal/ingress/submission_test.go
@@ -13,7 +13,7 @@
 	"github.com/gravitational/trace"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 func TestMessageIsKept(t *testing.T) {
--- a/internal/keep/floors.go
+++ b/internal/keep/floors.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // floors stands before the floors: attempts of jobs that are kept wait for their intents.
--- a/internal/keep/jobs.go
+++ b/internal/keep/jobs.go
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/lease"
-	"ivyfold/internal/membership"
-	"ivyfold/internal/replica"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/lease"
+	"gladepick/internal/membership"
+	"gladepick/internal/replica"
 )
 
 // job is what of a client's try is copied, so that a successor can run it.
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -21,13 +21,13 @@
 	"syscall"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/lease"
-	"ivyfold/internal/membership"
-	"ivyfold/internal/peers"
-	"ivyfold/internal/replica"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/lease"
+	"gladepick/internal/membership"
+	"gladepick/internal/peers"
+	"gladepick/internal/replica"
 )
 
 // Membership is what tells who is there.
--- a/internal/keep/links.go
+++ b/internal/keep/links.go
@@ -19,8 +19,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/replica"
+	"gladepick/internal/config"
+	"gladepick/internal/replica"
 )
 
 // hello is the first frame of a connection, and comes again with each change of what it says.
--- a/internal/keep/links_test.go
+++ b/internal/keep/links_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/replica"
+	"gladepick/internal/config"
+	"gladepick/internal/replica"
 )
 
 func linksOf(t *testing.T, name string, peers ...config.Peer) (*links, chan []byte) {
--- a/internal/keep/machine.go
+++ b/internal/keep/machine.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivyfold/internal/lease"
+	"gladepick/internal/lease"
 )
 
 // machine is a lease table as the replica wants it.
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ivyfold/internal/lease"
+	"gladepick/internal/lease"
 )
 
 const (
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold/internal/lease"
+	"gladepick/internal/lease"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -15,8 +15,8 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold/internal/membership"
-	"ivyfold/internal/membership/world"
+	"gladepick/internal/membership"
+	"gladepick/internal/membership/world"
 )
 
 // drama is what happens in a stretch, without the faults that the explorer adds.
--- a/internal/membership/measure_test.go
+++ b/internal/membership/measure_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/membership"
-	"ivyfold/internal/membership/world"
+	"gladepick/internal/membership"
+	"gladepick/internal/membership/world"
 )
 
 // played is a world of n members of a kind that all know each other from the start.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/membership"
-	"ivyfold/internal/membership/world"
+	"gladepick/internal/membership"
+	"gladepick/internal/membership/world"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/membership/world/audit.go
+++ b/internal/membership/world/audit.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"ivyfold/internal/membership"
+	"gladepick/internal/membership"
 )
 
 // Audit names what breaks a promise: two views of one number, a life that came back, a living and connected member taken
--- a/internal/membership/world/baseline.go
+++ b/internal/membership/world/baseline.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"ivyfold/internal/membership"
+	"gladepick/internal/membership"
 )
 
 // Baseline is one member of either kind. Members are known by number: who is in the world is given from the start.
--- a/internal/membership/world/world.go
+++ b/internal/membership/world/world.go
@@ -12,7 +12,7 @@
 	"net/netip"
 	"time"
 
-	"ivyfold/internal/membership"
+	"gladepick/internal/membership"
 )
 
 // Member is what is played: the machine, or a baseline.
--- a/internal/messagestore/client.go
+++ b/internal/messagestore/client.go
@@ -13,10 +13,10 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/ctxtime"
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/ctxtime"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
 )
 
 // A client that waits 800 ms hears of a message that could not be kept with time left to come back.
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -8,9 +8,9 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/ctxtime"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/ctxtime"
+	"gladepick/internal/rpc"
 )
 
 // Drain hands every partition that the store leads to another store: deliveries stop, those that are out end, their
--- a/internal/messagestore/explorer_model_test.go
+++ b/internal/messagestore/explorer_model_test.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math/bits"
 
-	"ivyfold/internal/modelcheck"
+	"gladepick/internal/modelcheck"
 )
 
 // The model is one partition with its stores and the control plane's table, without time, connections and processes:
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/modelcheck"
+	"gladepick/internal/modelcheck"
 )
 
 // TestExplorePartition goes through the states of a partition. EXPLORE_STATES sets how many.
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/fencing_test.go
@@ -12,9 +12,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 // promote gives a table in which other stores lead a partition to one machine only.
--- a/internal/messagestore/gate.go
+++ b/internal/messagestore/gate.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold/internal/cluster"
+	"gladepick/internal/cluster"
 )
 
 // gate tells whether deliveries of a partition may start. The delivery engine looks at it without the store's lock.
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -12,11 +12,11 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
-	"ivyfold/internal/network/simulated"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/rpc"
 )
 
 const (
--- a/internal/messagestore/index.go
+++ b/internal/messagestore/index.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
 )
 
 // entry is what the index holds of one message.
--- a/internal/messagestore/maintain.go
+++ b/internal/messagestore/maintain.go
@@ -7,8 +7,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
 )
 
 // wakeMaintenance has the background work look at once.
--- a/internal/messagestore/messages.go
+++ b/internal/messagestore/messages.go
@@ -1,6 +1,6 @@
 package messagestore
 
-import "ivyfold/internal/message"
+import "gladepick/internal/message"
 
 // The calls that a store answers.
 const (
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 // errStepDown ends a write whose partition is led elsewhere now: its outcome is not known here.
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 func (s *Store) handleState(_ context.Context, call *rpc.Call) (any, []byte, error) {
--- a/internal/messagestore/record.go
+++ b/internal/messagestore/record.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"ivyfold/internal/message"
+	"gladepick/internal/message"
 )
 
 // recordKind tells what a record says.
--- a/internal/messagestore/replicate.go
+++ b/internal/messagestore/replicate.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/rpc"
 )
 
 // peer sends records to one backup's disk, in order, one call at a time; what gathers meanwhile goes in the next.
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -7,10 +7,10 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 // errCopyIncomplete means that a part of a copy did not reach the backup.
--- a/internal/messagestore/roles.go
+++ b/internal/messagestore/roles.go
@@ -3,8 +3,8 @@
 import (
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
 )
 
 // ApplyTable takes a new cluster table in: it makes this store the primary of partitions, or a backup, or neither.
--- a/internal/messagestore/roles_test.go
+++ b/internal/messagestore/roles_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap/zaptest/observer"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/rpc"
 )
 
 // tableLedBy returns a table of some partitions, each with one store only.
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -13,10 +13,10 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
 )
 
 // Engine delivers the messages of the partitions that the store leads.
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -12,9 +12,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/message"
+	"gladepick/internal/cluster"
+	"gladepick/internal/journal"
+	"gladepick/internal/message"
 )
 
 func TestMessageIsKeptAndDelivered(t *testing.T) {
--- a/internal/model/arrivals.go
+++ b/internal/model/arrivals.go
@@ -9,7 +9,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // request is what one client wants, over all its tries.
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // Streams of random numbers: what one part draws changes nothing for the others, so that two fleets meet the same
--- a/internal/model/describe.go
+++ b/internal/model/describe.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // Range is a least and a most figure, in JSON two numbers or one that is both.
--- a/internal/model/node.go
+++ b/internal/model/node.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // past is where a module's clock starts, as in the core: workers that started before have times above zero.
--- a/internal/model/worker.go
+++ b/internal/model/worker.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // worker is one machine.
--- a/internal/network/simulated/network.go
+++ b/internal/network/simulated/network.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/network"
+	"gladepick/internal/network"
 )
 
 const (
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/portal"
-	"ivyfold/internal/roster"
-	"ivyfold/internal/standin"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/portal"
+	"gladepick/internal/roster"
+	"gladepick/internal/standin"
 )
 
 const bound = 10 * time.Second // for what must come; a test that fails waits so long
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,13 +14,13 @@
 	"syscall"
 	"time"
 
-	"ivyfold/internal/amqp"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/peers"
-	"ivyfold/internal/portal"
-	"ivyfold/internal/roster"
+	"gladepick/internal/amqp"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/peers"
+	"gladepick/internal/portal"
+	"gladepick/internal/roster"
 )
 
 // Record puts an observer on the core before it runs, and gives what ends it once the core has ended.
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -13,7 +13,7 @@
 
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/ctxtime"
+	"gladepick/internal/ctxtime"
 )
 
 const (
--- a/internal/operatorcli/command_test.go
+++ b/internal/operatorcli/command_test.go
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/systemnode/inspection"
+	"gladepick/internal/systemnode/inspection"
 )
 
 const sampleConfiguration = `{"version":3,"routes":[{"name":"r","host":"a.example","path-prefix":"/","route-type":"async",` +
--- a/internal/operatorcli/configuration.go
+++ b/internal/operatorcli/configuration.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/configuration"
+	"gladepick/internal/configuration"
 )
 
 // Paths of the configuration's calls.
--- a/internal/operatorcli/inspection.go
+++ b/internal/operatorcli/inspection.go
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/systemnode/inspection"
+	"gladepick/internal/systemnode/inspection"
 )
 
 func registerInspection(application *kingpin.Application, out io.Writer, commands Commands) {
--- a/internal/operatorcli/settings.go
+++ b/internal/operatorcli/settings.go
@@ -7,7 +7,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"ivyfold/internal/settings"
+	"gladepick/internal/settings"
 )
 
 func registerSettings(application *kingpin.Application, out io.Writer, commands Commands) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,8 +21,8 @@
 
 	"golang.org/x/time/rate"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/membership"
+	"gladepick/internal/config"
+	"gladepick/internal/membership"
 )
 
 // Status is what an operator is shown. Its JSON form is that of GET /members.
--- a/internal/plan/breaks.go
+++ b/internal/plan/breaks.go
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // Relief is what lifting one limit does where the goal breaks.
--- a/internal/plan/fit.go
+++ b/internal/plan/fit.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"slices"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
 )
 
 // Figure is one thing that was fitted.
--- a/internal/plan/fit_arrivals.go
+++ b/internal/plan/fit_arrivals.go
@@ -11,8 +11,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
 )
 
 // arrivals fits rates, mixes and bursts.
--- a/internal/plan/fit_clients.go
+++ b/internal/plan/fit_clients.go
@@ -8,8 +8,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
 )
 
 // repeats fits what clients do after a refusal or a failure.
--- a/internal/plan/fit_machines.go
+++ b/internal/plan/fit_machines.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
 )
 
 // way is from a dispatcher to a zone.
--- a/internal/plan/fit_test.go
+++ b/internal/plan/fit_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
 )
 
 // recorded makes the rows of a day whose truth is known: 60 jobs a second, then 90 from second 60 on; univ-gaspesie
--- a/internal/plan/goal.go
+++ b/internal/plan/goal.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // Goal is what a fleet must reach: every clause of it.
--- a/internal/plan/losses.go
+++ b/internal/plan/losses.go
@@ -2,7 +2,7 @@
 
 package plan
 
-import "ivyfold/internal/model"
+import "gladepick/internal/model"
 
 // Loss is what losing a zone costs, as a share of the worth asked.
 type Loss struct {
--- a/internal/plan/needs.go
+++ b/internal/plan/needs.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // Needs answers how many workers the goal needs.
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // Options say how sure answers must be and how long the search may go on.
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"testing"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // yard is one zone's machines of one kind, half loaded.
--- a/internal/portal/door.go
+++ b/internal/portal/door.go
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 // stage is where a client's connection stands.
--- a/internal/portal/portal.go
+++ b/internal/portal/portal.go
@@ -22,9 +22,9 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // Portal serves clients over HTTP/1.1.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/replica"
+	"gladepick/internal/replica"
 )
 
 // list is the machine that is copied: every command it was given, in order.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -18,7 +18,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"ivyfold/internal/plan"
+	"gladepick/internal/plan"
 )
 
 // Page is what a page shows.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"ivyfold/internal/plan"
+	"gladepick/internal/plan"
 )
 
 // A page holds the text, escaped, and both plots in both forms; what fails leaves no page behind.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -20,8 +20,8 @@
 	"sync"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // Roster watches discovery.
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/network"
+	"gladepick/internal/network"
 )
 
 const (
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"ivyfold/internal/network"
+	"gladepick/internal/network"
 )
 
 // dialResult is how one try of a dial ended.
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/network"
+	"gladepick/internal/network"
 )
 
 // losingNetwork loses the first dials: nobody ever answers them.
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"ivyfold/internal/network"
+	"gladepick/internal/network"
 )
 
 // Pool keeps one client for each address.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/network"
-	"ivyfold/internal/network/simulated"
+	"gladepick/internal/network"
+	"gladepick/internal/network/simulated"
 )
 
 const (
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -11,10 +11,10 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network"
-	"ivyfold/internal/settings"
-	"ivyfold/internal/systemnode"
+	"gladepick/internal/journal"
+	"gladepick/internal/network"
+	"gladepick/internal/settings"
+	"gladepick/internal/systemnode"
 )
 
 const (
--- a/internal/snmp/snmp.go
+++ b/internal/snmp/snmp.go
@@ -18,9 +18,9 @@
 
 	"github.com/gosnmp/gosnmp"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
+	"gladepick/internal/agent"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
 )
 
 // Base is the MIB's root: below the enterprise number that RFC 5612 sets aside for documentation. An operator with a
--- a/internal/snmp/snmp_test.go
+++ b/internal/snmp/snmp_test.go
@@ -21,10 +21,10 @@
 	"github.com/gosnmp/gosnmp"
 	"pgregory.net/rapid"
 
-	"ivyfold/internal/agent"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/snmp"
+	"gladepick/internal/agent"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/snmp"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/standin/broker_test.go
+++ b/internal/standin/broker_test.go
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/dispatch"
 )
 
 // A client leaves just when its job has been given to a queue's floor: nothing is published.
--- a/internal/standin/clients_test.go
+++ b/internal/standin/clients_test.go
@@ -15,7 +15,7 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // A client that goes away ends its job: nothing is sent again. The worker works on, so its slot and connection stay
--- a/internal/standin/discovery_test.go
+++ b/internal/standin/discovery_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/config"
+	"gladepick"
+	"gladepick/internal/config"
 )
 
 // Nothing new goes to a worker once it drains, and a watch that breaks or goes silent is asked for again.
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"ivyfold/internal/model"
+	"gladepick/internal/model"
 )
 
 // Fleet is a described fleet at work on loopback.
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -12,9 +12,9 @@
 	"sync"
 	"testing"
 
-	"ivyfold/internal/capture"
-	"ivyfold/internal/model"
-	"ivyfold/internal/plan"
+	"gladepick/internal/capture"
+	"gladepick/internal/model"
+	"gladepick/internal/plan"
 )
 
 // truth is the fleet that stands on loopback: what the planner is not told of it, it must find in a capture.
--- a/internal/standin/fleet_troubles.go
+++ b/internal/standin/fleet_troubles.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 // tell lets every dispatcher's discovery say a worker's state, each after a delay of its own.
--- a/internal/standin/fronts_test.go
+++ b/internal/standin/fronts_test.go
@@ -14,7 +14,7 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/standin/herd_test.go
+++ b/internal/standin/herd_test.go
@@ -15,10 +15,10 @@
 	"testing/synctest"
 	"time"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/roster"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/roster"
 )
 
 // crowd is many dispatchers round one discovery and a few workers, all on one network in memory.
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"ivyfold/internal/config"
-	"ivyfold/internal/model"
+	"gladepick/internal/config"
+	"gladepick/internal/model"
 )
 
 // machine is one worker.
--- a/internal/standin/payouts_test.go
+++ b/internal/standin/payouts_test.go
@@ -16,11 +16,11 @@
 
 	"pgregory.net/rapid"
 
-	"ivyfold"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/roster"
+	"gladepick"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/roster"
 )
 
 // payouts is a dispatcher of that kind, with workers in two zones.
--- a/internal/standin/redelivery_test.go
+++ b/internal/standin/redelivery_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"ivyfold"
-	"ivyfold/internal/dispatch"
+	"gladepick"
+	"gladepick/internal/dispatch"
 )
 
 // A broker delivers an enrol again when its channel drops while the job is out: one send, one answer.
--- a/internal/standin/rig_test.go
+++ b/internal/standin/rig_test.go
@@ -15,13 +15,13 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"ivyfold"
-	desk "ivyfold/internal/amqp"
-	"ivyfold/internal/config"
-	"ivyfold/internal/dispatch"
-	"ivyfold/internal/floor"
-	"ivyfold/internal/portal"
-	"ivyfold/internal/roster"
+	"gladepick"
+	desk "gladepick/internal/amqp"
+	"gladepick/internal/config"
+	"gladepick/internal/dispatch"
+	"gladepick/internal/floor"
+	"gladepick/internal/portal"
+	"gladepick/internal/roster"
 )
 
 const (
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -22,7 +22,7 @@
 	"testing"
 	"time"
 
-	"ivyfold/internal/config"
+	"gladepick/internal/config"
 )
 
 // Net is a network in memory. An address that nobody listens on refuses; one in Silent never answers.
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -15,11 +15,11 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/controlplane"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network"
-	"ivyfold/internal/operatorcli"
-	"ivyfold/internal/systemnode"
+	"gladepick/internal/controlplane"
+	"gladepick/internal/journal"
+	"gladepick/internal/network"
+	"gladepick/internal/operatorcli"
+	"gladepick/internal/systemnode"
 )
 
 // What the system knows of at its start.
--- a/internal/systemnode/demo/demo_test.go
+++ b/internal/systemnode/demo/demo_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/controlplane"
-	"ivyfold/internal/network/simulated"
-	"ivyfold/internal/systemnode/inspection"
+	"gladepick/internal/controlplane"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/systemnode/inspection"
 )
 
 const (
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -10,13 +10,13 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
-	"ivyfold/internal/controlplane"
-	"ivyfold/internal/ingress"
-	"ivyfold/internal/message"
-	"ivyfold/internal/messagestore"
-	"ivyfold/internal/systemnode/inspection"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane"
+	"gladepick/internal/ingress"
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore"
+	"gladepick/internal/systemnode/inspection"
 )
 
 // Front is a front process: it takes clients' messages, and on machines that have a disk it may be a member of the
--- a/internal/systemnode/inspection/handler.go
+++ b/internal/systemnode/inspection/handler.go
@@ -10,8 +10,8 @@
 
 	"github.com/gorilla/mux"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/cluster"
+	"gladepick/internal/rpc"
 )
 
 // Paths of the read-only calls.
--- a/internal/systemnode/inspection/handler_test.go
+++ b/internal/systemnode/inspection/handler_test.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/network/simulated"
-	"ivyfold/internal/rpc"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/rpc"
 )
 
 var sampleCounter = Metric{Name: "sample_total", Kind: Counter, Help: "A sample."}
--- a/internal/systemnode/inspection/view.go
+++ b/internal/systemnode/inspection/view.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 // Snapshots are what a process knows of the system. A cluster.Agent is one.
--- a/internal/systemnode/inspection/view_test.go
+++ b/internal/systemnode/inspection/view_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/configuration"
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
 )
 
 // fakeSnapshots are snapshots that the test sets.
--- a/internal/systemnode/metrics.go
+++ b/internal/systemnode/metrics.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"ivyfold/internal/ingress"
-	"ivyfold/internal/systemnode/inspection"
+	"gladepick/internal/ingress"
+	"gladepick/internal/systemnode/inspection"
 )
 
 // Metrics of every process.
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -15,12 +15,12 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane"
-	"ivyfold/internal/journal"
-	"ivyfold/internal/network"
-	"ivyfold/internal/rpc"
-	"ivyfold/internal/settings"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane"
+	"gladepick/internal/journal"
+	"gladepick/internal/network"
+	"gladepick/internal/rpc"
+	"gladepick/internal/settings"
 )
 
 // Options configure a process.
--- a/internal/systemnode/settingsfile.go
+++ b/internal/systemnode/settingsfile.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 	"github.com/gravitational/trace"
 
-	"ivyfold/internal/settings"
+	"gladepick/internal/settings"
 )
 
 // Keys of the settings file that take effect while the process runs.
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"ivyfold/internal/settings"
+	"gladepick/internal/settings"
 )
 
 // settingsTarget is what takes new settings over while the process runs.
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -9,10 +9,10 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"ivyfold/internal/cluster"
-	"ivyfold/internal/controlplane"
-	"ivyfold/internal/delivery"
-	"ivyfold/internal/messagestore"
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane"
+	"gladepick/internal/delivery"
+	"gladepick/internal/messagestore"
 )
 
 // Store is a store process: it keeps messages and delivers those of the partitions that it leads.
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -12,7 +12,7 @@
 	"math"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 const (
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -9,7 +9,7 @@
 	"runtime/debug"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // Machine is what the host needs of a decision module's instance.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // pairs is the settings text, with the first error met while reading values.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"ivyfold"
+	"gladepick"
 )
 
 // batch builds frames for the tests.
