--- a/internal/amqp/amqp.go
+++ b/internal/amqp/amqp.go
@@ -23,8 +23,8 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 	"gladepick/internal/portal"
 )
@@ -196,7 +196,7 @@
 			d.hear(m)
 		case r, ok := <-returned:
 			if a := d.resolve(r.CorrelationId); ok && a != nil { // no queue took it: no worker can have seen it
-				a.End(ivyfold.ConnectFailed, ivyfold.Load{}, nil)
+				a.End(decision.ConnectFailed, decision.Load{}, nil)
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 	d.pending = map[string]*dispatch.Attempt{}
 	d.mu.Unlock()
 	for _, a := range lost {
-		a.End(ivyfold.Reset, ivyfold.Load{}, nil)
+		a.End(decision.Reset, decision.Load{}, nil)
 	}
 }
 
@@ -235,7 +235,7 @@
 		return
 	}
 	effect := d.node.Module.Classes[j.Class].Effect
-	keyed := effect != ivyfold.Safe && !(d.Kept && effect == ivyfold.Keyed)
+	keyed := effect != decision.Safe && !(d.Kept && effect == decision.Keyed)
 	name := m.Type + "\x00" + j.Key
 	if j.Key == "" {
 		name = "\x00" + j.ID
--- a/internal/amqp/attempts.go
+++ b/internal/amqp/attempts.go
@@ -11,8 +11,8 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 	"gladepick/internal/floor"
 )
@@ -26,7 +26,7 @@
 func (d *Desk) carry(a *dispatch.Attempt) {
 	id := a.Job.ID + "#" + strconv.FormatUint(d.sends.Add(1), 36)
 	if !a.MayStart() {
-		a.End(ivyfold.Moot, ivyfold.Load{}, nil)
+		a.End(decision.Moot, decision.Load{}, nil)
 		return
 	}
 	d.mu.Lock()
@@ -36,7 +36,7 @@
 	}
 	d.mu.Unlock()
 	if s == nil {
-		a.End(ivyfold.ConnectFailed, ivyfold.Load{}, nil)
+		a.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
 	left := strconv.FormatInt(max(time.Until(a.Until).Milliseconds(), 1), 10)
@@ -45,18 +45,18 @@
 		Headers: amqp.Table{"x-request-id": a.Job.ID, "x-target": a.Job.Target}, Body: a.Job.Body})
 	if err != nil {
 		if a := d.resolve(id); a != nil {
-			o := ivyfold.Reset // part of it, or all, may have gone out
+			o := decision.Reset // part of it, or all, may have gone out
 			if errors.Is(err, amqp.ErrClosed) {
-				o = ivyfold.ConnectFailed // the channel was closed before anything was written
+				o = decision.ConnectFailed // the channel was closed before anything was written
 			}
-			a.End(o, ivyfold.Load{}, nil)
+			a.End(o, decision.Load{}, nil)
 		}
 		return
 	}
 	a.Whole()
 	context.AfterFunc(a.Ctx, func() {
 		if a := d.resolve(id); a != nil { // given up: what comes later finds nobody waiting
-			a.End(ivyfold.Cancelled, ivyfold.Load{}, nil)
+			a.End(decision.Cancelled, decision.Load{}, nil)
 		}
 	})
 }
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -19,8 +19,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 )
 
@@ -130,7 +130,7 @@
 	}
 }
 
-func (r *Recorder) attempt(a *dispatch.Attempt, u under, took int64, outcome string, l *ivyfold.Load) {
+func (r *Recorder) attempt(a *dispatch.Attempt, u under, took int64, outcome string, l *decision.Load) {
 	s := &r.node.Module.Report
 	row := Attempt{Node: r.node.Name, Boot: r.boot, Job: u.job, Attempt: int32(a.Number()), Class: word(r.node.Classes, a.Job.Class),
 		Worker: a.Worker.ID, Kind: a.Worker.Kind, Zone: a.Worker.Zone, Sent: u.sent, Started: u.started, Ended: took, Outcome: outcome,
@@ -251,7 +251,7 @@
 func (r *Recorder) Close(ctx context.Context) error {
 	r.once.Do(func() {
 		for a, u := range r.attempts {
-			r.attempt(a, u, -1, "open", &ivyfold.Load{})
+			r.attempt(a, u, -1, "open", &decision.Load{})
 		}
 		close(r.stop)
 	})
@@ -263,7 +263,7 @@
 	}
 }
 
-func figure(l *ivyfold.Load, at int) float64 {
+func figure(l *decision.Load, at int) float64 {
 	if at < 0 || at >= min(l.N, len(l.Values)) {
 		return nan
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 	"strings"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 	"gladepick/internal/wire"
 )
 
@@ -184,7 +184,7 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Known                   Roster
-	Module                  ivyfold.Settings
+	Module                  decision.Settings
 	Classes, Tenants        []string
 	Zones, Kinds            []string
 	LoadFields              []string // as workers word them, in the module's order
--- a/internal/config/derive.go
+++ b/internal/config/derive.go
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // derive fills Limits from what the platform grants and the settings say.
-func derive(cores float64, memory, sockets int, s *ivyfold.Settings) (Limits, error) {
+func derive(cores float64, memory, sockets int, s *decision.Settings) (Limits, error) {
 	switch {
 	case !(cores > 0 && cores <= 1024):
 		return Limits{}, fmt.Errorf("limits.cores: %v is out of range", cores)
@@ -65,7 +65,7 @@
 		l.RosterSilent = max(min(l.RosterSilent, s.AskWithin/2), 2500*time.Millisecond)
 		l.RosterRetryMax = min(l.RosterRetryMax, s.AskWithin/3)
 	}
-	if s.Discovery == ivyfold.Push && s.DrainGrace > 0 {
+	if s.Discovery == decision.Push && s.DrainGrace > 0 {
 		// The agent on this machine answers at once or not at all, and what it holds counts as told: a call that it left
 		// without an answer while discovery was down may not outlast the grace of a drain told at its return.
 		l.RosterCall, l.RosterSilent = max(l.DrainGrace/4, 50*time.Millisecond), min(l.RosterSilent, 2500*time.Millisecond)
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -13,7 +13,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // decodeTOML reads an operator's file strictly: a key that nobody reads is an error that names it.
@@ -209,7 +209,7 @@
 		return bad("crash_on", "%d is not 1 or more", c.CrashOn)
 	}
 	for i, x := range n.Module.Classes {
-		if need := p.Skew + x.Window/10; x.Effect == ivyfold.Keyed && x.Window > 0 && need > x.Window/2 {
+		if need := p.Skew + x.Window/10; x.Effect == decision.Keyed && x.Window > 0 && need > x.Window/2 {
 			return bad("skew_ms", "%d: class %s may be repeated for %v only, which clocks so far apart leave no room in", c.SkewMs, n.Classes[i], x.Window)
 		}
 	}
--- a/admission.go
+++ b/internal/decision/admission.go
@@ -1,6 +1,6 @@
 // Admission: which jobs are let in, held or turned away.
 
-package ivyfold
+package decision
 
 import (
 	"math"
--- a/attempts.go
+++ b/internal/decision/attempts.go
@@ -1,6 +1,6 @@
 // Attempts: the gate for sends, retries, outcomes and overdue answers.
 
-package ivyfold
+package decision
 
 import "slices"
 
--- a/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -1,6 +1,6 @@
 // What a decision and a change of the list cost, by the number of workers. Fleets of 2,000 are beyond any scored day.
 
-package ivyfold
+package decision
 
 import (
 	"fmt"
--- a/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -1,6 +1,6 @@
 // The state of a dispatcher and the entry for events. docs/design.md tells when each exception acts.
 
-package ivyfold
+package decision
 
 import (
 	"cmp"
--- a/forecast.go
+++ b/internal/decision/forecast.go
@@ -1,6 +1,6 @@
 // Forecasts: how long a job would take at a worker, and whether it is worth that.
 
-package ivyfold
+package decision
 
 import "math"
 
--- a/further_rules_test.go
+++ b/internal/decision/further_rules_test.go
@@ -1,4 +1,4 @@
-package ivyfold
+package decision
 
 import (
 	"math"
--- a/learning.go
+++ b/internal/decision/learning.go
@@ -1,6 +1,6 @@
 // Learning: slots, times and load of workers, from starts, reports and full queues.
 
-package ivyfold
+package decision
 
 import (
 	"cmp"
--- a/picking.go
+++ b/internal/decision/picking.go
@@ -1,6 +1,6 @@
 // Picking: which worker gets a job.
 
-package ivyfold
+package decision
 
 import (
 	"cmp"
--- a/workers.go
+++ b/internal/decision/workers.go
@@ -1,6 +1,6 @@
 // The listed workers: lists, the pools that tenants share, and what cold workers get.
 
-package ivyfold
+package decision
 
 import (
 	"cmp"
--- a/internal/delivery/apply.go
+++ b/internal/delivery/apply.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"gladepick"
 	"gladepick/internal/configuration"
+	"gladepick/internal/decision"
 )
 
 // applyConfiguration takes a newer configuration. Messages whose route is gone end, unless an attempt is out.
@@ -186,7 +186,7 @@
 }
 
 // sameList tells whether a list says what the module knows already, and keeps it.
-func (d *decider) sameList(entries []ivyfold.Entry) bool {
+func (d *decider) sameList(entries []decision.Entry) bool {
 	if d.listed != nil && slices.Equal(d.listed, entries) {
 		return true
 	}
--- a/internal/delivery/decider.go
+++ b/internal/delivery/decider.go
@@ -5,8 +5,8 @@
 
 	"go.uber.org/zap"
 
-	"gladepick"
 	"gladepick/internal/configuration"
+	"gladepick/internal/decision"
 )
 
 const (
@@ -22,24 +22,24 @@
 // decider is the host of one decision module: it tells the module what happens and carries out its actions.
 type decider struct {
 	service *service
-	module  *ivyfold.Dispatcher
+	module  *decision.Dispatcher
 	classes map[string]int // by route name
-	jobs    map[ivyfold.JobID]*job
-	lastID  ivyfold.JobID
-	pending []ivyfold.Event
-	actions []ivyfold.Action
-	listed  []ivyfold.Entry // the last whole list, unless it has changed since
+	jobs    map[decision.JobID]*job
+	lastID  decision.JobID
+	pending []decision.Event
+	actions []decision.Action
+	listed  []decision.Entry // the last whole list, unless it has changed since
 	busy    bool
 }
 
 // job is a message that the decision module has.
 type job struct {
-	id       ivyfold.JobID
+	id       decision.JobID
 	entry    *entry
 	route    *configuration.Route
 	sends    int
-	worker   ivyfold.WorkerID // of the last send
-	hasToken bool             // a send is paid for
+	worker   decision.WorkerID // of the last send
+	hasToken bool              // a send is paid for
 	flying   bool
 	near     bool    // offered to the own zone's workers only
 	last     verdict // of the last attempt
@@ -47,11 +47,11 @@
 
 // newDecider makes a decision module for a service as it is now.
 func newDecider(s *service) (*decider, error) {
-	module, err := ivyfold.New(moduleSettings(s.routes), s.engine.random.Uint64())
+	module, err := decision.New(moduleSettings(s.routes), s.engine.random.Uint64())
 	if err != nil {
 		return nil, err
 	}
-	made := &decider{service: s, module: module, jobs: make(map[ivyfold.JobID]*job), classes: make(map[string]int)}
+	made := &decider{service: s, module: module, jobs: make(map[decision.JobID]*job), classes: make(map[string]int)}
 	for i, route := range s.routes {
 		made.classes[route.Name] = i
 	}
@@ -60,16 +60,16 @@
 }
 
 // moduleSettings are the decision module's settings for a service's routes.
-func moduleSettings(routes []*configuration.Route) ivyfold.Settings {
-	settings := ivyfold.Settings{
+func moduleSettings(routes []*configuration.Route) decision.Settings {
+	settings := decision.Settings{
 		Dispatchers: 1,
 		Zone:        ownZone,
 		Kinds:       oneKindOfWorker,
-		Tenants:     make([]ivyfold.TenantSettings, tenantCount),
-		Discovery:   ivyfold.Push,
+		Tenants:     make([]decision.TenantSettings, tenantCount),
+		Discovery:   decision.Push,
 		ConnIdle:    longestIdleTime,
 		MaxAttempts: sendsOfJob,
-		Report:      ivyfold.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1},
+		Report:      decision.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1},
 		Tick:        deciderTick,
 	}
 	for _, route := range routes {
@@ -86,11 +86,11 @@
 
 // classSettings describes a route's messages. The aim also tells the module after how long a silence to doubt a
 // worker, so it is no shorter than an attempt may take.
-func classSettings(route *configuration.Route) ivyfold.ClassSettings {
-	return ivyfold.ClassSettings{
+func classSettings(route *configuration.Route) decision.ClassSettings {
+	return decision.ClassSettings{
 		Aim:      max(route.TargetStart, route.Timeout, shortestAim),
 		Deadline: jobTimeouts * max(route.TargetStart, route.Timeout, shortestAim),
-		Effect:   ivyfold.Safe,
+		Effect:   decision.Safe,
 		Worth:    1,
 		Kind:     -1,
 		Priority: route.Priority,
@@ -102,8 +102,8 @@
 
 // listAll tells the module of all destinations.
 func (d *decider) listAll() {
-	event := ivyfold.Event{Kind: ivyfold.EventList, List: ivyfold.ListFull}
-	event.Entries = make([]ivyfold.Entry, 0, len(d.service.destinations))
+	event := decision.Event{Kind: decision.EventList, List: decision.ListFull}
+	event.Entries = make([]decision.Entry, 0, len(d.service.destinations))
 	for _, to := range d.service.destinations {
 		event.Entries = append(event.Entries, to.entry())
 	}
@@ -114,7 +114,7 @@
 
 // listChanged tells the module of some destinations.
 func (d *decider) listChanged(changed []*destination) {
-	event := ivyfold.Event{Kind: ivyfold.EventList, List: ivyfold.ListDelta}
+	event := decision.Event{Kind: decision.EventList, List: decision.ListDelta}
 	for _, to := range changed {
 		event.Entries = append(event.Entries, to.entry())
 	}
@@ -158,7 +158,7 @@
 
 // withdraw takes a job that the module holds away from it.
 func (d *decider) withdraw(held *job) {
-	d.handle(&ivyfold.Event{Kind: ivyfold.EventGone, Job: held.id})
+	d.handle(&decision.Event{Kind: decision.EventGone, Job: held.id})
 	delete(d.jobs, held.id)
 }
 
@@ -177,8 +177,8 @@
 	d.lastID++
 	j.id, j.sends = d.lastID, 0
 	d.jobs[j.id] = j
-	d.handle(&ivyfold.Event{
-		Kind: ivyfold.EventJob, Job: j.id, Class: d.class(j), Tenant: tenantOf(j.route.Name), Slots: 1,
+	d.handle(&decision.Event{
+		Kind: decision.EventJob, Job: j.id, Class: d.class(j), Tenant: tenantOf(j.route.Name), Slots: 1,
 		Deadline: now + jobTimeouts*max(j.route.TargetStart, j.route.Timeout, shortestAim),
 	})
 }
@@ -187,7 +187,7 @@
 func (d *decider) holds(j *job) bool { return d.jobs[j.id] == j && !j.flying }
 
 // handle gives the module an event and carries out what follows, in order. Events that arise meanwhile come after it.
-func (d *decider) handle(event *ivyfold.Event) {
+func (d *decider) handle(event *decision.Event) {
 	d.pending = append(d.pending, *event)
 	if d.busy {
 		return
@@ -205,19 +205,19 @@
 	d.busy = false
 }
 
-func (d *decider) carryOut(action *ivyfold.Action) {
+func (d *decider) carryOut(action *decision.Action) {
 	switch action.Kind {
-	case ivyfold.Send:
+	case decision.Send:
 		if j := d.jobs[action.Job]; j != nil {
 			d.send(j, action.Worker)
 		}
-	case ivyfold.Refuse, ivyfold.Fail:
+	case decision.Refuse, decision.Fail:
 		if j := d.jobs[action.Job]; j != nil && j.near {
 			d.offerAnywhere(j)
 		} else if j != nil {
 			d.giveBack(j, action.RetryAfter)
 		}
-	case ivyfold.SetTimer:
+	case decision.SetTimer:
 		due := d.service.engine.now() + action.Delay
 		d.service.engine.timers.add(timer{due: due, decider: d, token: action.Token})
 	default: // the settings rule the others out
@@ -227,16 +227,16 @@
 }
 
 // send starts an attempt if nothing is against it, else tells the module why there is none.
-func (d *decider) send(j *job, to ivyfold.WorkerID) {
+func (d *decider) send(j *job, to decision.WorkerID) {
 	j.sends++
 	j.worker = to
 	engine := d.service.engine
 	target := engine.destinations.byNumber[to]
 	switch {
 	case target == nil || !target.ready():
-		d.report(j, ivyfold.Moot, false)
+		d.report(j, decision.Moot, false)
 	case target.flying >= target.limit:
-		d.report(j, ivyfold.Full, false)
+		d.report(j, decision.Full, false)
 	case j.entry.orphan || !engine.mayDeliver(j.entry):
 		d.decline(j)
 	case !j.hasToken && !d.service.bucket.take(engine.now()):
@@ -253,14 +253,14 @@
 
 // decline takes a job back from the module, as its message may not be sent now.
 func (d *decider) decline(j *job) {
-	d.report(j, ivyfold.Moot, true)
+	d.report(j, decision.Moot, true)
 	d.giveBack(j, 0)
 }
 
 // report tells the module how the last send of a job ended, and whether the job has ended with it.
-func (d *decider) report(j *job, outcome ivyfold.Outcome, closed bool) {
-	d.handle(&ivyfold.Event{
-		Kind: ivyfold.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, Closed: closed,
+func (d *decider) report(j *job, outcome decision.Outcome, closed bool) {
+	d.handle(&decision.Event{
+		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, Closed: closed,
 	})
 }
 
--- a/internal/delivery/destination.go
+++ b/internal/delivery/destination.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/decision"
 )
 
 const (
@@ -27,7 +27,7 @@
 type destination struct {
 	worker  cluster.Worker
 	static  bool
-	number  ivyfold.WorkerID
+	number  decision.WorkerID
 	zone    int
 	leaving atomic.Bool // it drains, has left or is another worker than expected: nothing may be sent to it
 
@@ -93,11 +93,11 @@
 }
 
 // entry is the destination as the decision module's list has it.
-func (d *destination) entry() ivyfold.Entry {
-	state := ivyfold.Ready
+func (d *destination) entry() decision.Entry {
+	state := decision.Ready
 	if !d.ready() {
-		state = ivyfold.Draining
+		state = decision.Draining
 	}
-	return ivyfold.Entry{Worker: d.number, Started: d.renewed, Zone: d.zone,
+	return decision.Entry{Worker: d.number, Started: d.renewed, Zone: d.zone,
 		Weight: float64(max(d.worker.Capacity, 1)), State: state}
 }
--- a/internal/delivery/destinations.go
+++ b/internal/delivery/destinations.go
@@ -6,9 +6,9 @@
 	"slices"
 	"sync"
 
-	"gladepick"
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/decision"
 )
 
 // staticPrefix marks the ids of static endpoints, which are on no list.
@@ -23,7 +23,7 @@
 	latest []cluster.Worker
 	byID   map[string]*destination
 
-	byNumber map[ivyfold.WorkerID]*destination
+	byNumber map[decision.WorkerID]*destination
 }
 
 func newDestinations(options Options) *destinations {
@@ -31,7 +31,7 @@
 		dial:     newDialer(options),
 		zones:    map[string]int{options.Zone: 0},
 		byID:     make(map[string]*destination),
-		byNumber: make(map[ivyfold.WorkerID]*destination),
+		byNumber: make(map[decision.WorkerID]*destination),
 	}
 }
 
@@ -170,8 +170,8 @@
 }
 
 // numberOf makes the decision module's number of a worker from its id, alike in all processes.
-func numberOf(id string) ivyfold.WorkerID {
+func numberOf(id string) decision.WorkerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id)) // never fails
-	return ivyfold.WorkerID(hash.Sum32())
+	return decision.WorkerID(hash.Sum32())
 }
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -2,8 +2,8 @@
 //
 // An Engine keeps the messages that have not ended, in order by due time and by order key. One goroutine, the loop,
 // owns all of that state; the exported methods post typed events to it and return at once. Which worker takes a
-// message, and whether a message is tried again at once, is decided by the package ivyfold: the loop keeps one
-// ivyfold.Dispatcher per service and carries out its actions. Attempts run in goroutines of their own.
+// message, and whether a message is tried again at once, is decided by the package decision: the loop keeps one
+// decision.Dispatcher per service and carries out its actions. Attempts run in goroutines of their own.
 package delivery
 
 import (
--- a/internal/delivery/loop.go
+++ b/internal/delivery/loop.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 	"gladepick/internal/message"
 )
 
@@ -40,7 +40,7 @@
 		if !found {
 			break
 		}
-		expired.decider.handle(&ivyfold.Event{Kind: ivyfold.EventTimer, Token: expired.token})
+		expired.decider.handle(&decision.Event{Kind: decision.EventTimer, Token: expired.token})
 		e.agenda.touch(expired.decider.service)
 	}
 	e.unpark(now)
--- a/internal/delivery/verdict.go
+++ b/internal/delivery/verdict.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // verdict is what an attempt says about its message.
@@ -55,25 +55,25 @@
 }
 
 // moduleOutcome is the verdict in the decision module's terms.
-func (v verdict) moduleOutcome(ended bool) ivyfold.Outcome {
+func (v verdict) moduleOutcome(ended bool) decision.Outcome {
 	switch v {
 	case verdictCompleted, verdictRejected:
-		return ivyfold.OK
+		return decision.OK
 	case verdictFailed:
 		if ended {
-			return ivyfold.OK
+			return decision.OK
 		}
-		return ivyfold.Error
+		return decision.Error
 	case verdictFull, verdictThrottled:
-		return ivyfold.Full
+		return decision.Full
 	case verdictUncertain:
-		return ivyfold.Reset
+		return decision.Reset
 	case verdictTimedOut, verdictOverdue:
-		return ivyfold.TimedOut
+		return decision.TimedOut
 	case verdictUnreachable:
-		return ivyfold.ConnectFailed
+		return decision.ConnectFailed
 	default:
-		return ivyfold.Moot
+		return decision.Moot
 	}
 }
 
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 )
 
 // Core runs the module. Make it with New and start it with Run.
@@ -28,7 +28,7 @@
 
 	lim     config.Limits
 	node    *config.Node
-	module  *ivyfold.Dispatcher
+	module  *decision.Dispatcher
 	floor   Floor
 	queues  Floor
 	roster  Asker
@@ -36,11 +36,11 @@
 	over    chan struct{}
 	birth   time.Time
 	timers  timers
-	jobs    map[ivyfold.JobID]*Job
-	last    ivyfold.JobID
+	jobs    map[decision.JobID]*Job
+	last    decision.JobID
 	set     uint64 // timers set so far
-	seats   map[ivyfold.WorkerID]*seat
-	byName  map[string]ivyfold.WorkerID
+	seats   map[decision.WorkerID]*seat
+	byName  map[string]decision.WorkerID
 	fixed   []config.Worker
 	open    atomic.Int64
 	workers atomic.Pointer[[3]int] // by state
@@ -60,13 +60,13 @@
 
 // New makes a core for a node. queues serves the fixed workers and may be nil where there are none.
 func New(n *config.Node, counters *Counters, floor, queues Floor, roster Asker, fixed []config.Worker) (*Core, error) {
-	m, err := ivyfold.New(n.Module, n.Seed)
+	m, err := decision.New(n.Module, n.Seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{Counters: counters, lim: n.Limits, node: n, module: m, floor: floor, queues: queues, roster: roster, fixed: fixed,
 		mail: make(chan func(), n.Limits.Mailbox), over: make(chan struct{}), birth: time.Now(),
-		jobs: map[ivyfold.JobID]*Job{}, seats: map[ivyfold.WorkerID]*seat{}, byName: map[string]ivyfold.WorkerID{},
+		jobs: map[decision.JobID]*Job{}, seats: map[decision.WorkerID]*seat{}, byName: map[string]decision.WorkerID{},
 		ids: map[string]bool{}}
 	c.workers.Store(&[3]int{})
 	return c, nil
@@ -75,7 +75,7 @@
 // Run owns the module until ctx ends. The list known from before comes first.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.over)
-	c.list(ivyfold.ListCached, c.node.Known.Workers)
+	c.list(decision.ListCached, c.node.Known.Workers)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
@@ -152,7 +152,7 @@
 			return
 		}
 		c.at(j.until, func() { c.overdue(j) })
-		c.handle(&ivyfold.Event{Kind: ivyfold.EventJob, Job: j.number, Class: j.Class, Tenant: j.Tenant, Key: j.Subject,
+		c.handle(&decision.Event{Kind: decision.EventJob, Job: j.number, Class: j.Class, Tenant: j.Tenant, Key: j.Subject,
 			Deadline: j.until, Slots: j.Slots, Memory: j.Memory, Repeat: j.Repeat})
 	})
 	return nil
@@ -183,7 +183,7 @@
 				}
 			}
 			c.see(Moment{Sight: SawLeft, Job: j})
-			c.handle(&ivyfold.Event{Kind: ivyfold.EventGone, Job: j.number})
+			c.handle(&decision.Event{Kind: decision.EventGone, Job: j.number})
 			c.forget(j)
 		}
 	})
@@ -196,19 +196,19 @@
 func (c *Core) Workers() [3]int { return *c.workers.Load() }
 
 // Listed passes on what the roster says.
-func (c *Core) Listed(kind ivyfold.ListKind, workers []config.Worker) {
+func (c *Core) Listed(kind decision.ListKind, workers []config.Worker) {
 	c.post(func() { c.list(kind, workers) })
 }
 
-func (c *Core) end(a *Attempt, o ivyfold.Outcome, load ivyfold.Load, result []byte) {
+func (c *Core) end(a *Attempt, o decision.Outcome, load decision.Load, result []byte) {
 	if a.ended { // it was overdue and has been told as such; a late answer changes nothing
 		return
 	}
 	switch {
-	case a.recalled && o != ivyfold.OK:
-		o = ivyfold.Cancelled
-	case a.expired && o == ivyfold.Cancelled:
-		o = ivyfold.TimedOut
+	case a.recalled && o != decision.OK:
+		o = decision.Cancelled
+	case a.expired && o == decision.Cancelled:
+		o = decision.TimedOut
 	}
 	a.ended = true
 	a.cancel()
@@ -219,10 +219,10 @@
 	if j.Ended != nil {
 		j.Ended(a, o)
 	}
-	if o == ivyfold.OK && !j.answered {
+	if o == decision.OK && !j.answered {
 		c.reply(j, Answer{Verdict: Served, Result: result})
 	}
-	c.handle(&ivyfold.Event{Kind: ivyfold.EventOutcome, Job: j.number, Attempt: a.number, Worker: a.seat.number,
+	c.handle(&decision.Event{Kind: decision.EventOutcome, Job: j.number, Attempt: a.number, Worker: a.seat.number,
 		Outcome: o, Closed: j.answered, Load: load})
 	c.forget(j)
 }
@@ -234,13 +234,13 @@
 	}
 	for _, a := range j.tries {
 		if !a.ended {
-			c.end(a, ivyfold.TimedOut, ivyfold.Load{}, nil)
+			c.end(a, decision.TimedOut, decision.Load{}, nil)
 		}
 	}
 	if !j.answered { // guards against a module that lets a deadline pass with nothing out
 		log.Printf("job %s: no answer at its deadline; failed", j.ID)
 		c.reply(j, Answer{Verdict: Failed})
-		c.handle(&ivyfold.Event{Kind: ivyfold.EventGone, Job: j.number})
+		c.handle(&decision.Event{Kind: decision.EventGone, Job: j.number})
 		c.forget(j)
 	}
 }
@@ -286,37 +286,37 @@
 }
 
 // handle gives the module one event and carries out what follows, in order.
-func (c *Core) handle(ev *ivyfold.Event) {
+func (c *Core) handle(ev *decision.Event) {
 	for _, a := range c.module.Handle(c.now(), ev, nil) {
 		switch a.Kind {
-		case ivyfold.Send:
+		case decision.Send:
 			c.send(c.jobs[a.Job], a)
-		case ivyfold.Refuse, ivyfold.Fail:
+		case decision.Refuse, decision.Fail:
 			if j := c.jobs[a.Job]; j != nil {
 				answer := Answer{Verdict: Refused, RetryAfter: a.RetryAfter}
-				if a.Kind == ivyfold.Fail {
+				if a.Kind == decision.Fail {
 					answer = Answer{Verdict: Failed}
 				}
 				c.reply(j, answer)
 				c.forget(j)
 			}
-		case ivyfold.Cancel:
+		case decision.Cancel:
 			if j := c.jobs[a.Job]; j != nil && a.Attempt < len(j.tries) {
 				j.tries[a.Attempt].recalled = true
 				j.tries[a.Attempt].cancel()
 			}
-		case ivyfold.SetTimer:
+		case decision.SetTimer:
 			token := a.Token
-			c.at(c.now()+a.Delay, func() { c.handle(&ivyfold.Event{Kind: ivyfold.EventTimer, Token: token}) })
-		case ivyfold.Watch:
+			c.at(c.now()+a.Delay, func() { c.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
+		case decision.Watch:
 			c.roster.Watch(a.On)
-		case ivyfold.Fetch: // a new watch brings the whole list where it is needed
+		case decision.Fetch: // a new watch brings the whole list where it is needed
 			c.roster.Watch(true)
-		case ivyfold.Close:
+		case decision.Close:
 			if s := c.seats[a.Worker]; s != nil {
 				c.floorOf(s).CloseIdle(s.Worker)
 			}
-		case ivyfold.Log:
+		case decision.Log:
 			log.Printf("module: %s", a.Data)
 		default: // probes and notes to peers are ruled out here, and the settings say so
 			log.Printf("module asked for action %d, which this deployment does not allow", a.Kind)
@@ -331,7 +331,7 @@
 	return c.floor
 }
 
-func (c *Core) send(j *Job, act ivyfold.Action) {
+func (c *Core) send(j *Job, act decision.Action) {
 	if j == nil {
 		return
 	}
@@ -345,13 +345,13 @@
 	second := j.out > 0 && !c.node.Module.ParallelTries
 	j.tries = append(j.tries, a)
 	j.out++
-	if a.seat == nil || a.seat.state != ivyfold.Ready || second || j.over.Load() || left <= 0 {
+	if a.seat == nil || a.seat.state != decision.Ready || second || j.over.Load() || left <= 0 {
 		// Guards the rules on drains, on one attempt at a time and on clients that left against a module that forgets
 		// them or does not know yet. The module is told afterwards, not from within its own actions.
 		if a.seat == nil {
 			a.seat = &seat{number: act.Worker}
 		}
-		c.at(c.now(), func() { c.end(a, ivyfold.Moot, ivyfold.Load{}, nil) })
+		c.at(c.now(), func() { c.end(a, decision.Moot, decision.Load{}, nil) })
 		return
 	}
 	a.Worker = a.seat.Worker
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync/atomic"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // Counters is what the program counts. All may be read at any time.
@@ -15,7 +15,7 @@
 	Taken, Served, Refused, Failed, Left, Overflow atomic.Int64 // jobs
 	Malformed                                      atomic.Int64 // messages of clients
 	Sent                                           atomic.Int64 // attempts
-	Outcomes                                       [ivyfold.Moot + 1]atomic.Int64
+	Outcomes                                       [decision.Moot + 1]atomic.Int64
 	Dialled, Reused                                atomic.Int64 // worker connections
 	RosterChanges, RosterFailed                    atomic.Int64
 	Redelivered                                    atomic.Int64 // AMQP deliveries that joined or got a remembered outcome
@@ -34,7 +34,7 @@
 	"roster_failed", "redelivered", "open", "workers_ready", "workers_draining", "workers_gone", "captured", "capture_lost"}
 
 // OutcomeName is the word that the counters have for an outcome.
-func OutcomeName(o ivyfold.Outcome) string { return CountNames[firstOutcome+int(o-ivyfold.OK)] }
+func OutcomeName(o decision.Outcome) string { return CountNames[firstOutcome+int(o-decision.OK)] }
 
 // firstOutcome is where the outcomes begin in CountNames.
 const firstOutcome = 8
@@ -44,11 +44,11 @@
 	k, w := c.Counters, c.Workers()
 	values := []int64{k.Taken.Load(), k.Served.Load(), k.Refused.Load(), k.Failed.Load(), k.Left.Load(), k.Overflow.Load(),
 		k.Malformed.Load(), k.Sent.Load()}
-	for o := ivyfold.OK; o <= ivyfold.Moot; o++ {
+	for o := decision.OK; o <= decision.Moot; o++ {
 		values = append(values, k.Outcomes[o].Load())
 	}
 	values = append(values, k.Dialled.Load(), k.Reused.Load(), k.RosterChanges.Load(), k.RosterFailed.Load(),
-		k.Redelivered.Load(), c.open.Load(), int64(w[ivyfold.Ready]), int64(w[ivyfold.Draining]), int64(w[ivyfold.Gone]),
+		k.Redelivered.Load(), c.open.Load(), int64(w[decision.Ready]), int64(w[decision.Draining]), int64(w[decision.Gone]),
 		k.Captured.Load(), k.CaptureLost.Load())
 	out := make([]Count, len(values))
 	for i, v := range values {
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 )
 
 // Verdict is the kind of a final answer.
@@ -52,9 +52,9 @@
 	// MayStart is asked just before an attempt's first byte, on any goroutine, and Ended told of each outcome that the
 	// module gets, on the core's: both for jobs that are kept elsewhere too (internal/keep). nil: nobody asks.
 	MayStart func() bool
-	Ended    func(a *Attempt, o ivyfold.Outcome)
+	Ended    func(a *Attempt, o decision.Outcome)
 
-	number   ivyfold.JobID
+	number   decision.JobID
 	until    time.Duration // when waiting for workers ends
 	tries    []*Attempt
 	out      int // attempts that have no outcome yet
@@ -115,8 +115,8 @@
 	At      time.Duration // on the core's clock
 	Job     *Job          // of an attempt too
 	Attempt *Attempt
-	Outcome ivyfold.Outcome
-	Load    ivyfold.Load
+	Outcome decision.Outcome
+	Load    decision.Load
 	Answer  Answer
 }
 
@@ -138,19 +138,19 @@
 func (a *Attempt) Whole() { a.whole.Store(true) }
 
 // Note passes on that the job has started at the worker, or how far it is.
-func (a *Attempt) Note(kind ivyfold.NoteKind, share float64) {
+func (a *Attempt) Note(kind decision.NoteKind, share float64) {
 	a.core.post(func() {
 		if !a.ended {
-			if kind == ivyfold.NoteStarted {
+			if kind == decision.NoteStarted {
 				a.core.see(Moment{Sight: SawStarted, Job: a.Job, Attempt: a})
 			}
-			a.core.handle(&ivyfold.Event{Kind: ivyfold.EventNote, Job: a.Job.number, Attempt: a.number,
+			a.core.handle(&decision.Event{Kind: decision.EventNote, Job: a.Job.number, Attempt: a.number,
 				Worker: a.seat.number, Note: kind, Value: share})
 		}
 	})
 }
 
 // End passes on how the attempt ended. Its connection must be closed or clean by then: another send may follow.
-func (a *Attempt) End(o ivyfold.Outcome, load ivyfold.Load, result []byte) {
+func (a *Attempt) End(o decision.Outcome, load decision.Load, result []byte) {
 	a.core.post(func() { a.core.end(a, o, load, result) })
 }
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -9,26 +9,26 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 )
 
 // seat is what the core knows of one listed worker. leaving is read by the floor just before a send.
 type seat struct {
 	config.Worker
-	number  ivyfold.WorkerID
+	number  decision.WorkerID
 	started time.Duration
-	state   ivyfold.State
+	state   decision.State
 	leaving atomic.Bool
 }
 
 // list turns lines of the roster into the module's entries.
-func (c *Core) list(kind ivyfold.ListKind, workers []config.Worker) {
-	ev := ivyfold.Event{Kind: ivyfold.EventList, List: kind}
+func (c *Core) list(kind decision.ListKind, workers []config.Worker) {
+	ev := decision.Event{Kind: decision.EventList, List: kind}
 	switch kind {
-	case ivyfold.ListFailed:
+	case decision.ListFailed:
 		c.Counters.RosterFailed.Add(1)
-	case ivyfold.ListDelta:
+	case decision.ListDelta:
 		c.Counters.RosterChanges.Add(1)
 	default:
 		c.Counters.RosterChanges.Add(1)
@@ -39,18 +39,18 @@
 		}
 		for _, s := range c.seats { // who is missing has left
 			if !there[s.ID] {
-				s.state = ivyfold.Gone
+				s.state = decision.Gone
 				s.leaving.Store(true)
 			}
 		}
 	}
 	for _, w := range workers {
 		if s := c.sit(w); s != nil {
-			ev.Entries = append(ev.Entries, ivyfold.Entry{Worker: s.number, Started: s.started, Cell: w.Cell,
+			ev.Entries = append(ev.Entries, decision.Entry{Worker: s.number, Started: s.started, Cell: w.Cell,
 				Zone: s.zone(c.node), Kind: s.kind(c.node), Weight: w.Weight, State: s.state})
 		}
 	}
-	held := map[ivyfold.WorkerID]bool{}
+	held := map[decision.WorkerID]bool{}
 	for _, j := range c.jobs {
 		for _, a := range j.tries {
 			held[a.seat.number] = held[a.seat.number] || !a.ended
@@ -58,7 +58,7 @@
 	}
 	var count [3]int
 	for id, s := range c.seats {
-		if s.state == ivyfold.Gone && !held[id] {
+		if s.state == decision.Gone && !held[id] {
 			delete(c.seats, id)
 			delete(c.byName, s.ID)
 			continue
@@ -71,13 +71,13 @@
 
 // sit brings one line of the roster into the table; nil where it cannot be used.
 func (c *Core) sit(w config.Worker) *seat {
-	state, ok := map[string]ivyfold.State{"ready": ivyfold.Ready, "draining": ivyfold.Draining, "gone": ivyfold.Gone}[w.State]
+	state, ok := map[string]decision.State{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[w.State]
 	if !ok {
-		state = ivyfold.Draining // an unknown state is none to send to
+		state = decision.Draining // an unknown state is none to send to
 	}
 	id, known := c.byName[w.ID]
 	if !known {
-		if state == ivyfold.Gone || len(c.seats) >= c.lim.Workers {
+		if state == decision.Gone || len(c.seats) >= c.lim.Workers {
 			return nil
 		}
 		for id = number(w.ID); c.seats[id] != nil; id++ {
@@ -85,7 +85,7 @@
 		c.byName[w.ID] = id
 	}
 	s := c.seats[id]
-	if s == nil || state == ivyfold.Ready && s.leaving.Load() {
+	if s == nil || state == decision.Ready && s.leaving.Load() {
 		// An attempt under way to the process that left must go on seeing that it left.
 		fresh := &seat{number: id}
 		if s != nil {
@@ -106,7 +106,7 @@
 		w.Address, w.Zone, w.Kind, w.Queue = s.Address, s.Zone, s.Kind, s.Queue
 	}
 	s.Worker, s.state = w, state
-	s.leaving.Store(state != ivyfold.Ready)
+	s.leaving.Store(state != decision.Ready)
 	return s
 }
 
@@ -115,15 +115,15 @@
 
 // number makes the module's id from a worker's name, alike at all dispatchers and after restarts: the pools hang
 // on it. Names end in eight hexadecimal digits; others are hashed.
-func number(name string) ivyfold.WorkerID {
+func number(name string) decision.WorkerID {
 	if at := strings.LastIndexByte(name, '-'); at >= 0 && len(name)-at == 9 {
 		if v, err := strconv.ParseUint(name[at+1:], 16, 32); err == nil {
-			return ivyfold.WorkerID(v)
+			return decision.WorkerID(v)
 		}
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	return ivyfold.WorkerID(h.Sum32())
+	return decision.WorkerID(h.Sum32())
 }
 
 // Subject makes the module's key from the words that say what a job is about.
--- a/internal/floor/answer.go
+++ b/internal/floor/answer.go
@@ -12,15 +12,15 @@
 	"os"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 )
 
 // said is what a worker's answer came to.
 type said struct {
-	outcome ivyfold.Outcome
-	load    ivyfold.Load
+	outcome decision.Outcome
+	load    decision.Load
 	result  []byte
 	clean   bool          // the connection may serve again
 	rest    io.Reader     // what still has to be read before it does
@@ -38,7 +38,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		s := said{outcome: ivyfold.Error, clean: !resp.Close, rest: resp.Body, length: resp.ContentLength, load: f.loadLine(resp.Header.Get("X-Server-Load"))}
+		s := said{outcome: decision.Error, clean: !resp.Close, rest: resp.Body, length: resp.ContentLength, load: f.loadLine(resp.Header.Get("X-Server-Load"))}
 		if resp.StatusCode == http.StatusOK {
 			return f.lines(a, l, resp, s)
 		}
@@ -48,7 +48,7 @@
 		switch resp.StatusCode {
 		case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 			if resp.Header.Get("X-Not-Processed") == "1" {
-				s.outcome = ivyfold.Full
+				s.outcome = decision.Full
 			}
 		}
 		return s
@@ -56,14 +56,14 @@
 }
 
 // broke names the outcome of an attempt whose request went out whole and whose answer broke off.
-func broke(a *dispatch.Attempt, err error) ivyfold.Outcome {
+func broke(a *dispatch.Attempt, err error) decision.Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && a.Ctx.Err() != nil:
-		return ivyfold.Cancelled
+		return decision.Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return ivyfold.TimedOut
+		return decision.TimedOut
 	}
-	return ivyfold.Reset
+	return decision.Reset
 }
 
 // Line is one line of a worker's answer.
@@ -95,13 +95,13 @@
 			continue
 		}
 		s.outcome, s.load, s.result = o, load, result
-		s.clean = s.clean && o != ivyfold.Reset // after a break or a foreign line nothing on it can be trusted
+		s.clean = s.clean && o != decision.Reset // after a break or a foreign line nothing on it can be trusted
 		if s.length = -1; body.over {
 			s.rest = nil
 		}
 		return s
 	}
-	s.outcome, s.clean, s.rest = ivyfold.Reset, false, nil
+	s.outcome, s.clean, s.rest = decision.Reset, false, nil
 	if err := in.Err(); err != nil {
 		s.outcome = broke(a, err)
 	}
@@ -109,34 +109,34 @@
 }
 
 // Read takes one line of a worker's answer to an attempt, whatever wire brought it. The outcome is 0 until the last.
-func Read(n *config.Node, a *dispatch.Attempt, text []byte) (ivyfold.Outcome, ivyfold.Load, []byte) {
+func Read(n *config.Node, a *dispatch.Attempt, text []byte) (decision.Outcome, decision.Load, []byte) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil || l.ID != a.Job.ID {
 		// Cut off, or the answer to something else: nothing is proved, and nothing of it goes to the client.
-		return ivyfold.Reset, ivyfold.Load{}, nil
+		return decision.Reset, decision.Load{}, nil
 	}
 	load := loadObject(n, l.Load)
 	switch l.State {
 	case "started":
-		a.Note(ivyfold.NoteStarted, 0)
+		a.Note(decision.NoteStarted, 0)
 	case "running":
-		a.Note(ivyfold.NoteProgress, l.Share)
+		a.Note(decision.NoteProgress, l.Share)
 	case "done":
 		if len(l.Result) == 0 { // done without a result: there is none to give to the client
-			return ivyfold.Error, load, nil
+			return decision.Error, load, nil
 		}
 		result := []byte(l.Result)
 		var plain string
 		if json.Unmarshal(l.Result, &plain) == nil {
 			result = []byte(plain)
 		}
-		return ivyfold.OK, load, result
+		return decision.OK, load, result
 	case "failed":
-		return ivyfold.Error, load, nil
+		return decision.Error, load, nil
 	case "returned":
-		return ivyfold.Full, load, nil
+		return decision.Full, load, nil
 	case "lost":
-		return ivyfold.Reset, load, nil
+		return decision.Reset, load, nil
 	}
-	return 0, ivyfold.Load{}, nil
+	return 0, decision.Load{}, nil
 }
--- a/internal/floor/floor.go
+++ b/internal/floor/floor.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 )
 
@@ -67,12 +67,12 @@
 func (f *Floor) carry(a *dispatch.Attempt) {
 	l, o := f.link(a)
 	if l == nil {
-		a.End(o, ivyfold.Load{}, nil)
+		a.End(o, decision.Load{}, nil)
 		return
 	}
 	if !a.MayStart() { // the worker was told off, or the client left, while it came up: nothing has been written
 		f.keep(a.Worker.Address, l, 0)
-		a.End(ivyfold.Moot, ivyfold.Load{}, nil)
+		a.End(decision.Moot, decision.Load{}, nil)
 		return
 	}
 	l.SetDeadline(a.Until)
@@ -82,7 +82,7 @@
 	request := f.request(a)
 	if n, err := l.Write(request); n < len(request) || err != nil {
 		l.Close() // before its last byte a request is none: it cannot have run
-		a.End(ivyfold.ConnectFailed, ivyfold.Load{}, nil)
+		a.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
 	a.Whole()
--- a/internal/floor/link.go
+++ b/internal/floor/link.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 )
 
@@ -63,7 +63,7 @@
 }
 
 // link gives a connection that is up and quiet, or the outcome that no connection means.
-func (f *Floor) link(a *dispatch.Attempt) (*link, ivyfold.Outcome) {
+func (f *Floor) link(a *dispatch.Attempt) (*link, decision.Outcome) {
 	for {
 		f.mu.Lock()
 		links := f.idle[a.Worker.Address]
@@ -87,7 +87,7 @@
 	if f.open >= f.lim.FloorConns {
 		if spare = f.oldest(); spare == nil {
 			f.mu.Unlock()
-			return nil, ivyfold.Moot
+			return nil, decision.Moot
 		}
 	}
 	f.open++ // counted before it is up: a descriptor is held from the first moment
@@ -104,7 +104,7 @@
 		f.mu.Lock()
 		f.open--
 		f.mu.Unlock()
-		return nil, ivyfold.ConnectFailed
+		return nil, decision.ConnectFailed
 	}
 	f.counters.Dialled.Add(1)
 	l := &link{Conn: conn, floor: f}
--- a/internal/floor/load.go
+++ b/internal/floor/load.go
@@ -7,12 +7,12 @@
 	"strconv"
 	"strings"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 )
 
 // figures gathers a load report; one that lacks a figure is none.
-func figures(n *config.Node, each func(put func(word string, v float64))) (l ivyfold.Load) {
+func figures(n *config.Node, each func(put func(word string, v float64))) (l decision.Load) {
 	found := 0
 	each(func(word string, v float64) {
 		if i := n.Figure(word); i >= 0 && i < len(l.Values) {
@@ -27,7 +27,7 @@
 }
 
 // loadLine reads a report as a header has it: TEXT name=value, name=value.
-func (f *Floor) loadLine(text string) ivyfold.Load {
+func (f *Floor) loadLine(text string) decision.Load {
 	return figures(f.node, func(put func(string, float64)) {
 		for part := range strings.FieldsFuncSeq(text, func(r rune) bool { return r == ' ' || r == ',' }) {
 			if name, value, ok := strings.Cut(part, "="); ok {
@@ -39,10 +39,10 @@
 	})
 }
 
-func loadObject(n *config.Node, text json.RawMessage) ivyfold.Load {
+func loadObject(n *config.Node, text json.RawMessage) decision.Load {
 	var object map[string]any
 	if len(text) == 0 || json.Unmarshal(text, &object) != nil {
-		return ivyfold.Load{}
+		return decision.Load{}
 	}
 	return figures(n, func(put func(string, float64)) {
 		for name, v := range object {
--- a/internal/keep/floors.go
+++ b/internal/keep/floors.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 	"gladepick/internal/dispatch"
 )
 
@@ -37,14 +37,14 @@
 func (k *Keeper) ask(a *dispatch.Attempt, floor dispatch.Floor) {
 	e := k.inners[a.Job]
 	if e == nil {
-		a.End(ivyfold.Moot, ivyfold.Load{}, nil)
+		a.End(decision.Moot, decision.Load{}, nil)
 		return
 	}
 	place := uint32(0)
 	switch k.node.Module.Classes[a.Job.Class].Group {
-	case ivyfold.GroupZone:
+	case decision.GroupZone:
 		place = uint32(config.Index(k.node.Zones, a.Worker.Zone) + 1)
-	case ivyfold.GroupCell:
+	case decision.GroupCell:
 		place = uint32(a.Worker.Cell + 1)
 	}
 	e.asked[a.Number()] = wish{a, floor}
--- a/internal/model/day.go
+++ b/internal/model/day.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // Streams of random numbers: what one part draws changes nothing for the others, so that two fleets meet the same
@@ -174,7 +174,7 @@
 			each(t.AtS, func(w *worker) {
 				if w.drains = w.up; w.drains {
 					for _, n := range d.nodes {
-						n.learns(w, ivyfold.Draining, d.RosterS.Draw(d.net))
+						n.learns(w, decision.Draining, d.RosterS.Draw(d.net))
 					}
 				}
 			})
--- a/internal/model/worker.go
+++ b/internal/model/worker.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // worker is one machine.
 type worker struct {
 	d       *day
-	id      ivyfold.WorkerID
+	id      decision.WorkerID
 	k, zone int
 	kind    *Kind
 	speed   float64
@@ -56,7 +56,7 @@
 
 type snapshot struct {
 	at   time.Duration
-	load ivyfold.Load
+	load decision.Load
 }
 
 // ends is a heap of running attempts by the service at which they are done.
@@ -76,7 +76,7 @@
 
 func (d *day) addWorker(kind, zone int) {
 	k := &d.Kinds[kind]
-	id := ivyfold.WorkerID(uint32(len(d.workers)+1) * 2654435761)
+	id := decision.WorkerID(uint32(len(d.workers)+1) * 2654435761)
 	w := &worker{d: d, id: id, k: kind, kind: k, zone: zone, speed: k.Speed.Draw(d.draw), up: true, warm: true,
 		every: sec(d.ReportEveryS.Draw(d.draw)), delay: sec(d.ReportDelayS.Draw(d.draw))}
 	d.workers = append(d.workers, w)
@@ -150,7 +150,7 @@
 		if w.silent {
 			w.mute = append(w.mute, a)
 		} else {
-			a.back(ivyfold.Reset, nil)
+			a.back(decision.Reset, nil)
 		}
 		return
 	}
@@ -160,7 +160,7 @@
 	if q := a.try.request; q.key != 0 {
 		if r := w.d.repeats(q); r != nil {
 			if r.done {
-				a.back(ivyfold.OK, w)
+				a.back(decision.OK, w)
 			} else {
 				r.dups = append(r.dups, a)
 			}
@@ -177,7 +177,7 @@
 	default:
 		w.d.res.Kinds[w.k].Full++
 		w.d.forget(a.try.request)
-		a.back(ivyfold.Full, w)
+		a.back(decision.Full, w)
 	}
 }
 
@@ -222,7 +222,7 @@
 	a.started = true
 	a.finish = w.each + a.work
 	heap.Push(&w.running, a)
-	a.note(ivyfold.NoteStarted, 0)
+	a.note(decision.NoteStarted, 0)
 	a.runsOn()
 }
 
@@ -231,7 +231,7 @@
 	a.w.d.at(progress, func() {
 		if a.started && !a.ended && a.w.up && a.process == a.w.process {
 			a.w.count()
-			a.note(ivyfold.NoteProgress, min(max(1-(a.finish-a.w.each)/a.work, 0), 1))
+			a.note(decision.NoteProgress, min(max(1-(a.finish-a.w.each)/a.work, 0), 1))
 			a.runsOn()
 		}
 	})
@@ -242,12 +242,12 @@
 	w.done++
 	w.d.res.Kinds[w.k].Done++
 	w.d.res.Worked += a.work
-	a.back(ivyfold.OK, w)
+	a.back(decision.OK, w)
 	if q := a.try.request; q.key != 0 {
 		if r := w.d.ran[q.key]; r != nil {
 			r.done, r.at = true, w.d.now
 			for _, dup := range r.dups {
-				dup.back(ivyfold.OK, w)
+				dup.back(decision.OK, w)
 			}
 			r.dups = nil
 		}
@@ -287,7 +287,7 @@
 			if silent {
 				w.mute = append(w.mute, a)
 			} else {
-				a.back(ivyfold.Reset, nil)
+				a.back(decision.Reset, nil)
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 		if silent {
 			delay = w.d.SilentS
 		}
-		n.learns(w, ivyfold.Gone, delay.Draw(w.d.net))
+		n.learns(w, decision.Gone, delay.Draw(w.d.net))
 	}
 }
 
@@ -313,12 +313,12 @@
 	w.born, w.counted, w.each = w.d.now, w.d.now, 0
 	w.views = 0
 	for _, a := range w.mute {
-		a.back(ivyfold.Reset, nil)
+		a.back(decision.Reset, nil)
 	}
 	w.mute = nil
 	for _, n := range w.d.nodes {
 		n.cut(w)
-		n.learns(w, ivyfold.Ready, w.d.RosterS.Draw(w.d.net))
+		n.learns(w, decision.Ready, w.d.RosterS.Draw(w.d.net))
 	}
 }
 
@@ -329,7 +329,7 @@
 
 func (w *worker) look() {
 	if w.up {
-		w.view[w.views%len(w.view)] = snapshot{w.d.now, ivyfold.Load{N: reportFields, Values: [4]float64{
+		w.view[w.views%len(w.view)] = snapshot{w.d.now, decision.Load{N: reportFields, Values: [4]float64{
 			float64(w.kind.Slots - len(w.running)), 0, float64(w.done) / w.every.Seconds(), float64(len(w.waiting))}}}
 		w.views++
 		w.done = 0
@@ -338,11 +338,11 @@
 }
 
 // seen is the newest report that has had the time to come through.
-func (w *worker) seen() ivyfold.Load {
+func (w *worker) seen() decision.Load {
 	for i := w.views - 1; i >= 0 && i > w.views-len(w.view); i-- {
 		if s := w.view[i%len(w.view)]; w.d.now-s.at >= w.delay+w.d.late {
 			return s.load
 		}
 	}
-	return ivyfold.Load{}
+	return decision.Load{}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -20,14 +20,14 @@
 	"sync"
 	"time"
 
-	"gladepick"
 	"gladepick/internal/config"
+	"gladepick/internal/decision"
 )
 
 // Roster watches discovery.
 type Roster struct {
 	// Listed gets what discovery says, and ListFailed once for each call that ends.
-	Listed func(ivyfold.ListKind, []config.Worker)
+	Listed func(decision.ListKind, []config.Worker)
 	// Dial opens a connection; tests put their own in its place.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -49,7 +49,7 @@
 // New makes a roster; the list that the node knows gives the version to go on from.
 func New(n *config.Node) *Roster {
 	r := &Roster{node: n, address: n.Discovery, lim: n.Limits, generation: n.Known.Generation, asked: make(chan struct{}, 1),
-		pushed: n.Module.Discovery == ivyfold.Push,
+		pushed: n.Module.Discovery == decision.Push,
 		moved:  make(chan struct{}, 1), hangUp: func(error) {}, Dial: (&net.Dialer{Timeout: n.Limits.RosterCall, KeepAlive: -1}).DialContext}
 	// Each call has a connection of its own: nothing is left for a library to send again.
 	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: n.Limits.RosterConns,
@@ -107,7 +107,7 @@
 func (r *Roster) Run(ctx context.Context) {
 	first := r.asked
 	if address, _, _ := r.called(r.hangUp); address == "" { // no discovery: the list is what the operator's file says
-		r.Listed(ivyfold.ListFull, nil)
+		r.Listed(decision.ListFull, nil)
 		first = nil
 	} else if r.pushed { // the module waits for lists that come unasked
 		r.Watch(true)
@@ -129,7 +129,7 @@
 			return
 		}
 		log.Printf("the watch on the roster has ended: %v", err)
-		r.Listed(ivyfold.ListFailed, nil)
+		r.Listed(decision.ListFailed, nil)
 		// Spread, lest all dispatchers call together when discovery comes back: it takes calls in turn. The module asks
 		// again by itself, but later than a drain may wait that was told meanwhile.
 		after := pause/2 + rand.N(pause)
@@ -221,7 +221,7 @@
 		}
 		// What stands whole in an object that broke off has been told all the same. Who is not in it has not left.
 		if told := whole(rest); len(told) > 0 {
-			r.Listed(ivyfold.ListDelta, told)
+			r.Listed(decision.ListDelta, told)
 		}
 		return up, err
 	}
@@ -257,7 +257,7 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	kind, generation, workers := ivyfold.ListDelta, list.Generation, make([]config.Worker, 0, len(list.Workers))
+	kind, generation, workers := decision.ListDelta, list.Generation, make([]config.Worker, 0, len(list.Workers))
 	for _, entry := range list.Workers {
 		var w config.Worker
 		if err := json.Unmarshal(entry, &w); err != nil || w.ID == "" {
@@ -290,7 +290,7 @@
 		})
 		leavers()
 	case list.Reset:
-		kind = ivyfold.ListFull
+		kind = decision.ListFull
 	}
 	if *newest = max(*newest, generation); !r.reached(*newest, moves) { // an old address has no say any more
 		return errMoved
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,5 @@
 // Package wire turns the frames and settings text of the simulator's wire into
-// the types of package ivyfold and back, and hosts the instances. It decides
+// the types of package decision and back, and hosts the instances. It decides
 // nothing.
 package wire
 
@@ -12,7 +12,7 @@
 	"math"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 const (
@@ -116,14 +116,14 @@
 	return f.tail[off : off+n], nil
 }
 
-var outcomes = map[uint16]ivyfold.Outcome{
-	10: ivyfold.OK, 20: ivyfold.Error, 30: ivyfold.Full, 40: ivyfold.TimedOut,
-	50: ivyfold.ConnectFailed, 60: ivyfold.Reset, 70: ivyfold.Cancelled, 80: ivyfold.Moot,
+var outcomes = map[uint16]decision.Outcome{
+	10: decision.OK, 20: decision.Error, 30: decision.Full, 40: decision.TimedOut,
+	50: decision.ConnectFailed, 60: decision.Reset, 70: decision.Cancelled, 80: decision.Moot,
 }
 
-var listKinds = [...]ivyfold.ListKind{ivyfold.ListFailed, ivyfold.ListCached, ivyfold.ListDelta, ivyfold.ListFull}
+var listKinds = [...]decision.ListKind{decision.ListFailed, decision.ListCached, decision.ListDelta, decision.ListFull}
 
-var states = [...]ivyfold.State{ivyfold.Gone, ivyfold.Ready, ivyfold.Draining}
+var states = [...]decision.State{decision.Gone, decision.Ready, decision.Draining}
 
 // duration reads a time that must lie in the range of the module's clock.
 func duration(b []byte) time.Duration {
@@ -134,7 +134,7 @@
 	return float64(math.Float32frombits(binary.LittleEndian.Uint32(b)))
 }
 
-func outcome(b []byte) (ivyfold.Outcome, error) {
+func outcome(b []byte) (decision.Outcome, error) {
 	code := binary.LittleEndian.Uint16(b)
 	o, ok := outcomes[code]
 	if !ok {
@@ -143,8 +143,8 @@
 	return o, nil
 }
 
-func load(b []byte) (ivyfold.Load, error) {
-	var l ivyfold.Load
+func load(b []byte) (decision.Load, error) {
+	var l decision.Load
 	l.N = int(b[0])
 	if l.N > len(l.Values) {
 		return l, fmt.Errorf("load report of %d values, at most %d are possible", l.N, len(l.Values))
@@ -156,20 +156,20 @@
 }
 
 // entries reads the lines of a page.
-func entries(b []byte) ([]ivyfold.Entry, error) {
-	out := make([]ivyfold.Entry, 0, len(b)/entryLen)
+func entries(b []byte) ([]decision.Entry, error) {
+	out := make([]decision.Entry, 0, len(b)/entryLen)
 	for i := 0; len(b) >= entryLen; i, b = i+1, b[entryLen:] {
 		if int(b[14]) >= len(states) {
 			return nil, fmt.Errorf("entry %d: unknown state %d", i, b[14])
 		}
-		out = append(out, ivyfold.Entry{
+		out = append(out, decision.Entry{
 			Started: duration(b),
 			Cell:    int(binary.LittleEndian.Uint16(b[8:])),
 			Weight:  float(b[10:]),
 			State:   states[b[14]],
 			Zone:    int(b[15]),
 			Kind:    int(b[16]),
-			Worker:  ivyfold.WorkerID(binary.LittleEndian.Uint32(b[17:])),
+			Worker:  decision.WorkerID(binary.LittleEndian.Uint32(b[17:])),
 		})
 	}
 	return out, nil
@@ -177,51 +177,51 @@
 
 // decode reads one traffic record. The codes that concern the host itself
 // (context, page, configure, stop, fleet) are not its business.
-func (f *frame) decode(code uint16, rec []byte, ev *ivyfold.Event) (err error) {
+func (f *frame) decode(code uint16, rec []byte, ev *decision.Event) (err error) {
 	le := binary.LittleEndian
-	*ev = ivyfold.Event{}
+	*ev = decision.Event{}
 	switch code {
 	case evDemand:
 		flags := rec[42]
-		*ev = ivyfold.Event{
-			Kind: ivyfold.EventJob, Job: ivyfold.JobID(le.Uint32(rec[2:])),
+		*ev = decision.Event{
+			Kind: decision.EventJob, Job: decision.JobID(le.Uint32(rec[2:])),
 			Class: int(le.Uint16(rec[6:])), Tenant: int(le.Uint16(rec[8:])), Key: le.Uint64(rec[10:]),
 			Deadline: duration(rec[18:]), Hint: duration(rec[26:]),
 			Slots: float(rec[34:]), Memory: float(rec[38:]),
 			HasHint: flags&1 != 0, Repeat: flags&2 != 0,
 		}
 	case evVerdict:
-		*ev = ivyfold.Event{
-			Kind: ivyfold.EventOutcome, Job: ivyfold.JobID(le.Uint32(rec[2:])), Closed: rec[6] != 0,
+		*ev = decision.Event{
+			Kind: decision.EventOutcome, Job: decision.JobID(le.Uint32(rec[2:])), Closed: rec[6] != 0,
 			Attempt: int(le.Uint16(rec[13:])), Took: duration(rec[15:]),
-			Worker: ivyfold.WorkerID(le.Uint32(rec[23:])),
+			Worker: decision.WorkerID(le.Uint32(rec[23:])),
 		}
 		if ev.Outcome, err = outcome(rec[11:]); err == nil {
 			ev.Load, err = load(rec[27:])
 		}
 	case evHealth:
-		*ev = ivyfold.Event{
-			Kind: ivyfold.EventProbed, Worker: ivyfold.WorkerID(le.Uint32(rec[2:])), Took: duration(rec[6:]),
+		*ev = decision.Event{
+			Kind: decision.EventProbed, Worker: decision.WorkerID(le.Uint32(rec[2:])), Took: duration(rec[6:]),
 		}
 		if ev.Outcome, err = outcome(rec[14:]); err == nil {
 			ev.Load, err = load(rec[16:])
 		}
 	case evNote:
-		*ev = ivyfold.Event{
-			Kind: ivyfold.EventNote, Job: ivyfold.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
-			Worker: ivyfold.WorkerID(le.Uint32(rec[8:])), Note: ivyfold.NoteKind(rec[12]), Value: float(rec[13:]),
+		*ev = decision.Event{
+			Kind: decision.EventNote, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
+			Worker: decision.WorkerID(le.Uint32(rec[8:])), Note: decision.NoteKind(rec[12]), Value: float(rec[13:]),
 		}
 	case evOpened:
-		*ev = ivyfold.Event{
-			Kind: ivyfold.EventStarted, Job: ivyfold.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
-			Worker: ivyfold.WorkerID(le.Uint32(rec[8:])), Took: duration(rec[12:]),
+		*ev = decision.Event{
+			Kind: decision.EventStarted, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
+			Worker: decision.WorkerID(le.Uint32(rec[8:])), Took: duration(rec[12:]),
 		}
 	case evCancelled:
-		*ev = ivyfold.Event{Kind: ivyfold.EventGone, Job: ivyfold.JobID(le.Uint32(rec[2:]))}
+		*ev = decision.Event{Kind: decision.EventGone, Job: decision.JobID(le.Uint32(rec[2:]))}
 	case evWake:
-		*ev = ivyfold.Event{Kind: ivyfold.EventTimer, Token: le.Uint32(rec[2:])}
+		*ev = decision.Event{Kind: decision.EventTimer, Token: le.Uint32(rec[2:])}
 	case evPeer:
-		*ev = ivyfold.Event{Kind: ivyfold.EventPeerNote, From: int(le.Uint32(rec[2:]))}
+		*ev = decision.Event{Kind: decision.EventPeerNote, From: int(le.Uint32(rec[2:]))}
 		var data []byte
 		if data, err = f.slice(rec, 6, 1); err == nil {
 			ev.Data = bytes.Clone(data) // the frame's buffer is reused
@@ -261,43 +261,43 @@
 }
 
 // encode adds one action of an instance.
-func (p *reply) encode(a *ivyfold.Action) error {
+func (p *reply) encode(a *decision.Action) error {
 	le := binary.LittleEndian
 	switch a.Kind {
-	case ivyfold.Send:
+	case decision.Send:
 		rec := p.record(acForward)
 		le.PutUint32(rec[2:], uint32(a.Job))
 		le.PutUint32(rec[6:], uint32(a.Worker))
 		le.PutUint64(rec[10:], uint64(a.Timeout))
-	case ivyfold.Refuse:
+	case decision.Refuse:
 		rec := p.record(acBounce)
 		le.PutUint32(rec[2:], uint32(a.Job))
 		le.PutUint64(rec[6:], uint64(a.RetryAfter))
-	case ivyfold.Fail:
+	case decision.Fail:
 		le.PutUint32(p.record(acFailed)[2:], uint32(a.Job))
-	case ivyfold.Cancel:
+	case decision.Cancel:
 		rec := p.record(acRecall)
 		le.PutUint32(rec[2:], uint32(a.Job))
 		le.PutUint16(rec[6:], uint16(a.Attempt))
-	case ivyfold.SetTimer:
+	case decision.SetTimer:
 		rec := p.record(acNotify)
 		le.PutUint32(rec[2:], a.Token)
 		le.PutUint64(rec[6:], uint64(min(max(a.Delay, 0), maxTimer)))
-	case ivyfold.Watch:
+	case decision.Watch:
 		if rec := p.record(acObserve); a.On {
 			rec[2] = 1
 		}
-	case ivyfold.Fetch:
+	case decision.Fetch:
 		p.record(acRefresh)
-	case ivyfold.Probe:
+	case decision.Probe:
 		le.PutUint32(p.record(acTest)[2:], uint32(a.Worker))
-	case ivyfold.Close:
+	case decision.Close:
 		le.PutUint32(p.record(acClose)[2:], uint32(a.Worker))
-	case ivyfold.Tell:
+	case decision.Tell:
 		rec := p.record(acPeer)
 		le.PutUint16(rec[2:], uint16(a.Peer)) // Everyone is all bits set
 		p.blob(rec, 4, a.Data)
-	case ivyfold.Log:
+	case decision.Log:
 		p.blob(p.record(acPrint), 2, a.Data)
 	default:
 		return fmt.Errorf("unknown action kind %d", a.Kind)
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -9,26 +9,26 @@
 	"runtime/debug"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // Machine is what the host needs of a decision module's instance.
 type Machine interface {
-	Handle(now time.Duration, ev *ivyfold.Event, acts []ivyfold.Action) []ivyfold.Action
+	Handle(now time.Duration, ev *decision.Event, acts []decision.Action) []decision.Action
 }
 
 // Host runs the instances of one adapter process. Nothing is shared between
 // them but the pages of worker lists, which nobody changes.
 type Host struct {
-	// New makes an instance; it is ivyfold.New but in tests.
-	New func(ivyfold.Settings, uint64) (Machine, error)
+	// New makes an instance; it is decision.New but in tests.
+	New func(decision.Settings, uint64) (Machine, error)
 	// Errors gets the stack of a panic; nil drops it.
 	Errors io.Writer
 
 	instances map[uint16]Machine
-	pages     [lists][]ivyfold.Entry
+	pages     [lists][]decision.Entry
 	known     [lists]bool
-	acts      []ivyfold.Action
+	acts      []decision.Action
 	out       reply
 }
 
@@ -36,7 +36,7 @@
 // and the place in it; nothing is written for a frame that is malformed.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	if h.New == nil {
-		h.New = func(s ivyfold.Settings, seed uint64) (Machine, error) { return ivyfold.New(s, seed) }
+		h.New = func(s decision.Settings, seed uint64) (Machine, error) { return decision.New(s, seed) }
 	}
 	h.instances = make(map[uint16]Machine)
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
@@ -85,7 +85,7 @@
 		if !chosen {
 			return fail(fmt.Errorf("event before any context"))
 		}
-		var ev ivyfold.Event
+		var ev decision.Event
 		switch code {
 		case evConfigure:
 			if err := h.configure(f, rec, inst); err != nil {
@@ -99,8 +99,8 @@
 			if int(rec[2]) >= len(listKinds) {
 				return fail(fmt.Errorf("unknown list kind %d", rec[2]))
 			}
-			ev = ivyfold.Event{Kind: ivyfold.EventList, List: listKinds[rec[2]]}
-			if ev.List != ivyfold.ListFailed {
+			ev = decision.Event{Kind: decision.EventList, List: listKinds[rec[2]]}
+			if ev.List != decision.ListFailed {
 				number := binary.LittleEndian.Uint32(rec[7:])
 				if number >= lists || !h.known[number] {
 					return fail(fmt.Errorf("list number %d has no page", number))
@@ -135,7 +135,7 @@
 }
 
 // handle passes one event on and turns a panic into its text.
-func (h *Host) handle(m Machine, now time.Duration, ev *ivyfold.Event) (fault string) {
+func (h *Host) handle(m Machine, now time.Duration, ev *decision.Event) (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"gladepick"
+	"gladepick/internal/decision"
 )
 
 // pairs is the settings text, with the first error met while reading values.
@@ -107,7 +107,7 @@
 // ParseSettings reads the path=value lines of a configure event. Unknown keys
 // are passed over and missing ones leave zero values; a value that cannot be
 // read is an error that names its key.
-func ParseSettings(text string) (ivyfold.Settings, error) {
+func ParseSettings(text string) (decision.Settings, error) {
 	p := &pairs{m: make(map[string]string)}
 	for line := range strings.Lines(text) {
 		if key, value, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
@@ -117,9 +117,9 @@
 	const most = 1 << 16
 	classes, tenants := int(p.within("classes.count", 0, 0, most)), int(p.within("tenants.count", 0, 0, most))
 	if p.err != nil {
-		return ivyfold.Settings{}, p.err
+		return decision.Settings{}, p.err
 	}
-	s := ivyfold.Settings{
+	s := decision.Settings{
 		Self:          p.int("position", 0, 0),
 		Dispatchers:   p.int("balancers", 0, 0),
 		Zone:          p.int("zone", 0, 0),
@@ -154,7 +154,7 @@
 		Tick:          p.span("round"),
 	}
 	if p.mode("discovery", "automatic", "subscribe") == "subscribe" {
-		s.Discovery = ivyfold.Ask
+		s.Discovery = decision.Ask
 	}
 	if s.Zones > 0 && s.Zone >= s.Zones {
 		p.bad("zone", fmt.Sprintf("below %d, the number of zones", s.Zones))
@@ -162,7 +162,7 @@
 	kinds, priorities, stretches := p.list("specifics.class_kind"), p.list("specifics.class_priority"), p.list("specifics.class_stretch")
 	for i := range classes {
 		at := fmt.Sprintf("classes.%d.", i)
-		c := ivyfold.ClassSettings{
+		c := decision.ClassSettings{
 			Aim:      p.span(at + "aim"),
 			Stretch:  p.within(at+"aim_stretch", 0, 0, 1e6),
 			Deadline: p.span(at + "deadline"),
@@ -176,15 +176,15 @@
 		}
 		switch p.mode(at+"effect", "free", "guarded", "single_shot") { // not stated: it must never run twice
 		case "free":
-			c.Effect = ivyfold.Safe
+			c.Effect = decision.Safe
 		case "guarded":
-			c.Effect = ivyfold.Keyed
+			c.Effect = decision.Keyed
 		}
 		switch p.mode(at+"group", "all", "zone", "cell") { // not stated: the narrowest
 		case "all":
-			c.Group = ivyfold.GroupAll
+			c.Group = decision.GroupAll
 		case "zone":
-			c.Group = ivyfold.GroupZone
+			c.Group = decision.GroupZone
 		}
 		// A list is one value a class; the last serves for the rest.
 		for _, f := range []struct {
@@ -209,7 +209,7 @@
 	}
 	for i := range tenants {
 		at := fmt.Sprintf("tenants.%d.", i)
-		s.Tenants = append(s.Tenants, ivyfold.TenantSettings{
+		s.Tenants = append(s.Tenants, decision.TenantSettings{
 			Share: p.within(at+"portion", 0, 0, 1e6), PerSec: p.within(at+"allowance_per_s", 0, 0, 1e12),
 		})
 	}
@@ -217,8 +217,8 @@
 }
 
 // report finds the places of the values that the module can use.
-func report(p *pairs) ivyfold.Report {
-	r := ivyfold.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1}
+func report(p *pairs) decision.Report {
+	r := decision.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1}
 	for i, name := range p.list("report.fields") {
 		switch name {
 		case "x0":
