--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,8 @@
 build:
 	mkdir -p bin
 	go build -ldflags=-linkmode=external -o bin/ ./cmd/...
+	for link in gladepick-full:gladepick-plus gladepick-sim:ivyfold-sim gladepick-benchreport:gladepick-ledger; do \
+	  ln -sf "$${link%%:*}" "bin/$${link##*:}"; done # the former names go on working
 
 lint:
 	@unformatted="$$(gofmt -l .)"; test -z "$$unformatted" || { echo "gofmt would change: $$unformatted" >&2; exit 1; }
@@ -21,15 +23,15 @@
 # that receive from expired timers at the same moment corrupt it (SIGSEGV in its stack depot; eight
 # goroutines that each make a timer of 0 s and receive without waiting end so within a second). The detector finds races by
 # their order, so one processor is enough for it.
-SYNCTEST_PACKAGES = $$(grep -rl --include=*_test.go '"testing/synctest"' . | xargs -n 1 dirname | sort -u | grep -v -e /internal/faults)
-OTHER_PACKAGES = $$(go list ./... | grep -v -e /internal/faults -e /internal/lease -e /internal/replica | \
+SYNCTEST_PACKAGES = $$(grep -rl --include=*_test.go '"testing/synctest"' . | xargs -n 1 dirname | sort -u | grep -v -e /internal/dispatcher/faultinjection)
+OTHER_PACKAGES = $$(go list ./... | grep -v -e /internal/dispatcher/faultinjection -e /internal/dispatcher/lease -e /internal/dispatcher/raftgroup | \
 	grep -v -x -F "$$(go list $(SYNCTEST_PACKAGES))")
 test: lint build
 	go test -race -count=1 -timeout 10m $(OTHER_PACKAGES)
 	go test -race -cpu 1 -count=1 -timeout 25m $(SYNCTEST_PACKAGES)
 	go test -count=1 -timeout 10m $(SYNCTEST_PACKAGES)
-	go test -count=1 -timeout 5m ./internal/lease ./internal/replica
-	go test -count=1 -timeout 5m ./internal/faults
+	go test -count=1 -timeout 5m ./internal/dispatcher/lease ./internal/dispatcher/raftgroup
+	go test -count=1 -timeout 5m ./internal/dispatcher/faultinjection
 
 # One dispatcher, as the NODE_ variables say.
 run: build
@@ -38,17 +40,17 @@
 # Long measurements; their results stand in the docs. What they start ends with them.
 .PHONY: bench-capture bench-model bench-plan
 bench-capture:
-	go test ./internal/capture -run '^$$' -bench BenchmarkCapture -benchtime 40x
-	CAPTURE_KILLS=100 go test ./internal/capture -run '^TestKilledInMidWrite$$' -v -count=1 -timeout 10m | grep kills
+	go test ./internal/dispatcher/capture -run '^$$' -bench BenchmarkCapture -benchtime 40x
+	CAPTURE_KILLS=100 go test ./internal/dispatcher/capture -run '^TestKilledInMidWrite$$' -v -count=1 -timeout 10m | grep kills
 
 # Events a second and simulated over real time, by size of the fleet; the profile says where the time goes.
 bench-model:
-	go test ./internal/model -run '^$$' -bench BenchmarkModel -benchtime 3x -timeout 20m -cpuprofile bin/model.prof -o bin/model.test
+	go test ./internal/dispatcher/fleetsim -run '^$$' -bench BenchmarkModel -benchtime 3x -timeout 20m -cpuprofile bin/model.prof -o bin/model.test
 	go tool pprof -top -cum -nodecount 25 bin/model.test bin/model.prof
 
 # Predictions against days on loopback sockets, in real time.
 bench-plan: build
-	PLAN_BENCH=1 go test ./internal/standin -run '^TestPredictions$$' -count=1 -v -timeout 20m
+	PLAN_BENCH=1 go test ./internal/dispatcher/testenv -run '^TestPredictions$$' -count=1 -v -timeout 20m
 
 # The membership: tables of sizes and protocols in virtual time, and each 50th of all pairs of faults in the explorer.
 .PHONY: membership faults
@@ -57,15 +59,15 @@
 MEMBERSHIP_STOPS ?= 3s
 MEMBERSHIP_PAIRS ?= 50
 membership:
-	MEMBERSHIP_SECONDS=$(MEMBERSHIP_SECONDS) MEMBERSHIP_SIZES=$(MEMBERSHIP_SIZES) MEMBERSHIP_STOPS=$(MEMBERSHIP_STOPS) go test ./internal/membership -run TestMeasure -count=1 -v -timeout 60m
-	MEMBERSHIP_PAIRS=$(MEMBERSHIP_PAIRS) go test ./internal/membership -run TestEveryPlaceOfAFault -count=1 -v -timeout 60m
+	MEMBERSHIP_SECONDS=$(MEMBERSHIP_SECONDS) MEMBERSHIP_SIZES=$(MEMBERSHIP_SIZES) MEMBERSHIP_STOPS=$(MEMBERSHIP_STOPS) go test ./internal/dispatcher/membership -run TestMeasure -count=1 -v -timeout 60m
+	MEMBERSHIP_PAIRS=$(MEMBERSHIP_PAIRS) go test ./internal/dispatcher/membership -run TestEveryPlaceOfAFault -count=1 -v -timeout 60m
 
 # Real processes with faults between them. FAULTS_KINDS=a,b FAULTS_SIZES=5,9 FAULTS_SEEDS=n choose the set, FAULTS_FILE a
 # timeline of one's own, FAULTS_AT_ONCE how many are played side by side.
 FAULTS_SIZES ?= 5
 FAULTS_SEEDS ?= 3
 faults:
-	FAULTS_KINDS=$(FAULTS_KINDS) FAULTS_SIZES=$(FAULTS_SIZES) FAULTS_SEEDS=$(FAULTS_SEEDS) FAULTS_FILE=$(FAULTS_FILE) FAULTS_AT_ONCE=$(FAULTS_AT_ONCE) go test ./internal/faults -run TestLongSet -count=1 -v -parallel 64 -timeout 60m
+	FAULTS_KINDS=$(FAULTS_KINDS) FAULTS_SIZES=$(FAULTS_SIZES) FAULTS_SEEDS=$(FAULTS_SEEDS) FAULTS_FILE=$(FAULTS_FILE) FAULTS_AT_ONCE=$(FAULTS_AT_ONCE) go test ./internal/dispatcher/faultinjection -run TestLongSet -count=1 -v -parallel 64 -timeout 60m
 
 # Jobs taken for keeps, on real processes with clients, workers and faults: PROMISES_KINDS, PROMISES_SIZES, PROMISES_SEEDS and
 # PROMISES_JOBS choose the set. `make leases` goes through every order of one promise as far as LEASE_STATES, and LEASE_WALKS walks.
@@ -76,9 +78,9 @@
 LEASE_STATES ?= 400000
 LEASE_WALKS ?= 100000
 promises:
-	PROMISES_KINDS=$(PROMISES_KINDS) PROMISES_SIZES=$(PROMISES_SIZES) PROMISES_SEEDS=$(PROMISES_SEEDS) PROMISES_JOBS=$(PROMISES_JOBS) FAULTS_AT_ONCE=$(FAULTS_AT_ONCE) go test ./internal/faults -run TestPromisesLongSet -count=1 -v -parallel 64 -timeout 60m
+	PROMISES_KINDS=$(PROMISES_KINDS) PROMISES_SIZES=$(PROMISES_SIZES) PROMISES_SEEDS=$(PROMISES_SEEDS) PROMISES_JOBS=$(PROMISES_JOBS) FAULTS_AT_ONCE=$(FAULTS_AT_ONCE) go test ./internal/dispatcher/faultinjection -run TestPromisesLongSet -count=1 -v -parallel 64 -timeout 60m
 leases:
-	LEASE_STATES=$(LEASE_STATES) LEASE_WALKS=$(LEASE_WALKS) go test ./internal/lease -count=1 -v -timeout 60m
+	LEASE_STATES=$(LEASE_STATES) LEASE_WALKS=$(LEASE_WALKS) go test ./internal/dispatcher/lease -count=1 -v -timeout 60m
 
 # The protocols of the control group and of partitions, all of them within some bounds; docs/replication.md has the table.
 .PHONY: explore
--- a/cmd/gladepick-ledger/main.go
+++ b/cmd/gladepick-benchreport/main.go
@@ -1,4 +1,4 @@
-// Command gladepick-ledger says where the worth of measured days was lost. It reads the reports that the bench writes with
+// Command gladepick-benchreport says where the worth of measured days was lost. It reads the reports that the bench writes with
 // --report.
 package main
 
@@ -13,9 +13,12 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/gravitational/trace"
 
-	"gladepick/internal/ledger"
+	"gladepick/internal/benchreport"
+	"gladepick/internal/programname"
 )
 
+const formerName, currentName = "gladepick-ledger", "gladepick-benchreport"
+
 // defaultSpans is how many spans of time are told of each day.
 const defaultSpans = 4
 
@@ -34,20 +37,21 @@
 }
 
 func main() {
+	programname.WarnIfFormer(os.Stderr, os.Args[0], formerName, currentName)
 	parsed, err := parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "gladepick-ledger:", err)
+		fmt.Fprintln(os.Stderr, currentName+":", err)
 		os.Exit(exitUsage)
 	}
 	if err := run(parsed, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "gladepick-ledger:", trace.UserMessage(err))
+		fmt.Fprintln(os.Stderr, currentName+":", trace.UserMessage(err))
 		os.Exit(exitFailed)
 	}
 }
 
 func parse(args []string) (arguments, error) {
 	var parsed arguments
-	application := kingpin.New("gladepick-ledger", "Say where the worth of measured days was lost.")
+	application := kingpin.New(currentName, "Say where the worth of measured days was lost.")
 	application.Arg("report", "A report of a day, or several.").Required().ExistingFilesVar(&parsed.reports)
 	application.Flag("spans", "Spans of time to tell of each day, the worst first.").
 		Default(fmt.Sprint(defaultSpans)).IntVar(&parsed.spans)
@@ -59,8 +63,8 @@
 
 // result is what is printed as JSON.
 type result struct {
-	Days  []*ledger.Ledger `json:"days"`
-	Means []ledger.Mean    `json:"means,omitempty"` // of several days
+	Days  []*benchreport.Ledger `json:"days"`
+	Means []benchreport.Mean    `json:"means,omitempty"` // of several days
 }
 
 func run(parsed arguments, out io.Writer) error {
@@ -69,7 +73,7 @@
 		return trace.Wrap(err)
 	}
 	if parsed.plot != "" {
-		if err := ledger.Plot(parsed.plot, made.Days); err != nil {
+		if err := benchreport.Plot(parsed.plot, made.Days); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -84,15 +88,15 @@
 func read(parsed arguments) (*result, error) {
 	made := &result{}
 	for _, path := range parsed.reports {
-		report, err := ledger.Read(path)
+		report, err := benchreport.Read(path)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-		made.Days = append(made.Days, ledger.Of(name, report, max(parsed.spans, 0)))
+		made.Days = append(made.Days, benchreport.Of(name, report, max(parsed.spans, 0)))
 	}
 	if len(made.Days) > 1 {
-		made.Means = ledger.MeansOf(made.Days)
+		made.Means = benchreport.MeansOf(made.Days)
 	}
 	return made, nil
 }
@@ -107,5 +111,5 @@
 	if len(r.Means) == 0 {
 		return nil
 	}
-	return trace.Wrap(ledger.PrintMeans(out, r.Means))
+	return trace.Wrap(benchreport.PrintMeans(out, r.Means))
 }
--- a/cmd/gladepick-plus/main.go
+++ b/cmd/gladepick-full/main.go
@@ -1,4 +1,4 @@
-// Command gladepick-plus is the part of gladepick that needs large libraries. It
+// Command gladepick-full is the part of gladepick that needs large libraries. It
 // is not called by hand: gladepick hands over to it, for a dispatcher that is
 // recorded or takes jobs for keeps (without arguments) and for the commands plan and schema. This file
 // owns that hand-over. It must never decide anything about a job.
@@ -11,21 +11,27 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/cli"
-	"gladepick/internal/config"
-	"gladepick/internal/config/document"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/keep"
-	"gladepick/internal/node"
-	"gladepick/internal/peers"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/config/document"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/durablejobs"
+	"gladepick/internal/dispatcher/instance"
+	"gladepick/internal/dispatcher/membership/transport"
+	"gladepick/internal/programname"
 )
 
-func main() { cli.Main(run) }
+const formerName, currentName = "gladepick-plus", "gladepick-full"
+
+func main() {
+	programname.WarnIfFormer(os.Stderr, os.Args[0], formerName, currentName)
+	cli.Main(run)
+}
 
 func run(args []string, out io.Writer) error {
 	if len(args) == 0 {
-		return node.Run(record, keeper)
+		return instance.Run(record, keeper)
 	}
 	return cli.Run(cli.Root(&cobra.Command{Use: "gladepick", Short: "The commands of gladepick that need large libraries"}, planCommand(), schemaCommand()), args, out)
 }
@@ -47,4 +53,6 @@
 }
 
 // keeper makes jobs be taken for keeps.
-func keeper(n *config.Node, members *peers.Peers) (node.Keeper, error) { return keep.New(n, members) }
+func keeper(n *config.Node, members *transport.Peers) (instance.Keeper, error) {
+	return durablejobs.New(n, members)
+}
--- a/cmd/gladepick-plus/main_test.go
+++ b/cmd/gladepick-full/main_test.go
@@ -15,13 +15,13 @@
 	"syscall"
 	"testing"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/cli"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv("GLADEPICK_AS_PROGRAM") != "" { // this same file plays bin/gladepick-plus
+	if os.Getenv("GLADEPICK_AS_PROGRAM") != "" { // this same file plays bin/gladepick-full
 		main()
 	}
 	os.Exit(m.Run())
@@ -37,7 +37,7 @@
 	l.Close()
 	dir := t.TempDir()
 	conf, good, bad := filepath.Join(dir, "node.json"), filepath.Join(dir, "capture.json"), filepath.Join(dir, "bad.json")
-	os.WriteFile(conf, []byte(`{"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":`+standin.Settings+`}`), 0o600)
+	os.WriteFile(conf, []byte(`{"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":`+testenv.Settings+`}`), 0o600)
 	os.WriteFile(good, fmt.Appendf(nil, `{"dir":%q}`, dir), 0o600)
 	os.WriteFile(bad, []byte("{\"dir\":\"/\",\n\"rotate_s\":0}"), 0o600)
 	start := func(record string) (*exec.Cmd, *bufio.Scanner) {
--- a/cmd/gladepick-plus/plan.go
+++ b/cmd/gladepick-full/plan.go
@@ -23,12 +23,12 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/cli"
-	"gladepick/internal/config/document"
-	"gladepick/internal/model"
-	"gladepick/internal/plan"
-	"gladepick/internal/report"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/config/document"
+	"gladepick/internal/dispatcher/fleetsim"
+	"gladepick/internal/dispatcher/planner"
+	"gladepick/internal/dispatcher/planner/report"
 )
 
 // questions are what plan can be asked.
@@ -36,22 +36,22 @@
 
 // answers is all that plan prints; what was not asked or not reached is left out.
 type answers struct {
-	Goal         string       `json:"goal"`
-	Seed         uint64       `json:"seed"`
-	Breaks       *plan.Breaks `json:"breaks,omitempty"`
-	Needs        *plan.Needs  `json:"needs,omitempty"`
-	Zones        []plan.Loss  `json:"zones,omitempty"`
-	Fit          *plan.Fit    `json:"fit,omitempty"`
-	Extrapolates []string     `json:"extrapolates,omitempty"`
-	Days         int          `json:"days"`
-	Stopped      bool         `json:"stopped,omitempty"`
+	Goal         string          `json:"goal"`
+	Seed         uint64          `json:"seed"`
+	Breaks       *planner.Breaks `json:"breaks,omitempty"`
+	Needs        *planner.Needs  `json:"needs,omitempty"`
+	Zones        []planner.Loss  `json:"zones,omitempty"`
+	Fit          *planner.Fit    `json:"fit,omitempty"`
+	Extrapolates []string        `json:"extrapolates,omitempty"`
+	Days         int             `json:"days"`
+	Stopped      bool            `json:"stopped,omitempty"`
 }
 
 func planCommand() *cobra.Command {
 	var fleet, load, output, page string
 	var asked, captures []string
 	var times float64
-	var o plan.Options
+	var o planner.Options
 	c := &cobra.Command{
 		Use:   "plan GOAL",
 		Short: "Answer what breaks first, how many workers a goal needs, and what losing a zone costs",
@@ -77,7 +77,7 @@
 			if output != "table" && output != "json" {
 				return cli.Misuse("plan: --output %s: there are table and json", output)
 			}
-			goal, err := plan.ParseGoal(args[0])
+			goal, err := planner.ParseGoal(args[0])
 			if err != nil {
 				return cli.Misuse("%w", err)
 			}
@@ -91,7 +91,7 @@
 			if l.Times = cmp.Or(l.Times, 1) * times; !(l.Times > 0) {
 				return cli.Misuse("plan: --times %v is not above 0", times)
 			}
-			p, err := plan.New(f, l, goal, o)
+			p, err := planner.New(f, l, goal, o)
 			if err != nil {
 				return cli.Misuse("%w", err)
 			}
@@ -120,8 +120,8 @@
 
 // describe reads the descriptions and fills in from captures what they leave out: of the fleet what it does not say, of
 // the load the classes' work and the universities' shares, or all of it.
-func describe(fleet, load string, captures []string) (*model.Fleet, *model.Load, *plan.Fit, error) {
-	f, l := &model.Fleet{}, &model.Load{}
+func describe(fleet, load string, captures []string) (*fleetsim.Fleet, *fleetsim.Load, *planner.Fit, error) {
+	f, l := &fleetsim.Fleet{}, &fleetsim.Load{}
 	err := document.Read(fleet, "fleet", f)
 	if load != "" {
 		err = errors.Join(err, document.Read(load, "load", l))
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	fit, err := plan.FitCapture(set, f)
+	fit, err := planner.FitCapture(set, f)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -146,7 +146,7 @@
 		if len(l.Universities) == 0 {
 			l.Universities = fit.Load.Universities
 		}
-		if l.Retries == (model.Retries{}) {
+		if l.Retries == (fleetsim.Retries{}) {
 			l.Retries = fit.Load.Retries
 		}
 	}
@@ -154,7 +154,7 @@
 }
 
 // search asks the questions in turn. Ctrl-C ends the search, and what is known by then is printed.
-func (a *answers) search(out io.Writer, p *plan.Planner, asked []string, output, page string) error {
+func (a *answers) search(out io.Writer, p *planner.Planner, asked []string, output, page string) error {
 	ctx, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer release()
 	p.Stop = func() bool { return ctx.Err() != nil }
@@ -179,7 +179,7 @@
 			a.Zones, err = p.Losses()
 		}
 	}
-	if a.Days = p.DaysPlayed(); err == nil || errors.Is(err, plan.ErrStopped) {
+	if a.Days = p.DaysPlayed(); err == nil || errors.Is(err, planner.ErrStopped) {
 		a.Stopped = err != nil
 		text := a.table(p.Fleet)
 		if output == "json" {
@@ -200,11 +200,11 @@
 }
 
 // table is what a person reads first.
-func (a *answers) table(f *model.Fleet) string {
+func (a *answers) table(f *fleetsim.Fleet) string {
 	var out strings.Builder
 	w := tabwriter.NewWriter(&out, 0, 8, 2, ' ', 0)
 	say := func(format string, v ...any) { fmt.Fprintf(w, format+"\n", v...) }
-	findings := func(all []plan.Finding) {
+	findings := func(all []planner.Finding) {
 		for _, x := range all {
 			holds := map[bool]string{true: "holds", false: "FAILS"}[x.Holds]
 			with := ""
@@ -293,7 +293,7 @@
 	return out.String()
 }
 
-func classNames(f *model.Fleet) (out []string) {
+func classNames(f *fleetsim.Fleet) (out []string) {
 	for _, c := range f.Classes {
 		out = append(out, c.Name)
 	}
--- a/cmd/gladepick-plus/schema.go
+++ b/cmd/gladepick-full/schema.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/cli"
-	"gladepick/internal/config/document"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/config/document"
 )
 
 func schemaCommand() *cobra.Command {
--- a/cmd/gladepick-system/process.go
+++ b/cmd/gladepick-system/process.go
@@ -9,11 +9,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"gladepick/internal/journal"
 	"gladepick/internal/network"
 	"gladepick/internal/operatorcli"
 	"gladepick/internal/settings"
 	"gladepick/internal/systemnode"
+	"gladepick/internal/wal"
 )
 
 // process is a front or a store.
@@ -88,7 +88,7 @@
 	}
 	reserveDiskThreads(file.Settings.DataDir != "")
 	if file.Settings.DataDir != "" {
-		if options.FS, err = journal.Directory(file.Settings.DataDir); err != nil {
+		if options.FS, err = wal.Directory(file.Settings.DataDir); err != nil {
 			return err
 		}
 	}
--- a/cmd/gladepick/agent.go
+++ b/cmd/gladepick/agent.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/cli"
-	"gladepick/internal/config"
-	"gladepick/internal/snmp"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/snmp"
 )
 
 func agentCommand() *cobra.Command {
--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/cli"
-	"gladepick/internal/lease"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/lease"
 )
 
 func leasesCommand() *cobra.Command {
--- a/cmd/gladepick/main.go
+++ b/cmd/gladepick/main.go
@@ -2,7 +2,7 @@
 // arguments it runs one dispatcher, as the NODE_ variables say; with them it is
 // a command line with one file a command. Start and memory of a dispatcher are
 // those of the platform, so what needs large libraries (recording, planning, promises) is
-// another program, gladepick-plus, which must lie beside this one and takes over
+// another program, gladepick-full, which must lie beside this one and takes over
 // where it is needed. This file owns the tree of commands. It must never decide
 // anything about a job, a worker or a message.
 package main
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/cli"
-	"gladepick/internal/node"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/instance"
 )
 
 func main() { cli.Main(run) }
@@ -27,20 +27,20 @@
 	case len(args) > 0:
 		return cli.Run(root(), args, out)
 	case os.Getenv("NODE_CAPTURE") != "" || os.Getenv("NODE_PROMISES") != "":
-		return plus(nil)
+		return runFull(nil)
 	}
-	return node.Run(nil, nil) // the dispatcher waits for no command line
+	return instance.Run(nil, nil) // the dispatcher waits for no command line
 }
 
-// plus lets gladepick-plus take this process over, with these arguments.
-func plus(args []string) error {
+// runFull lets gladepick-full take this process over, with these arguments.
+func runFull(args []string) error {
 	here, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(here), "gladepick-plus")
+	path := filepath.Join(filepath.Dir(here), "gladepick-full")
 	err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
-	return errors.Join(errors.New("recording, planning and taking jobs for keeps need gladepick-plus beside this program"), &os.PathError{Op: "exec", Path: path, Err: err})
+	return errors.Join(errors.New("recording, planning and taking jobs for keeps need gladepick-full beside this program"), &os.PathError{Op: "exec", Path: path, Err: err})
 }
 
 // root is the whole tree of commands.
@@ -57,12 +57,12 @@
 	}, agentCommand(), statusCommand(), countersCommand(), drainCommand(), startCommand(), reloadCommand(), membersCommand(), leasesCommand(), planCommand(), schemaCommand())
 }
 
-// elsewhere is a command that gladepick-plus has: it reads its own flags and gives its own help.
+// elsewhere is a command that gladepick-full has: it reads its own flags and gives its own help.
 func elsewhere(c *cobra.Command) *cobra.Command {
 	c.DisableFlagParsing = true
-	c.RunE = func(c *cobra.Command, args []string) error { return plus(append([]string{c.Name()}, args...)) }
+	c.RunE = func(c *cobra.Command, args []string) error { return runFull(append([]string{c.Name()}, args...)) }
 	c.SetHelpFunc(func(c *cobra.Command, _ []string) {
-		if err := plus([]string{c.Name(), "--help"}); err != nil {
+		if err := runFull([]string{c.Name(), "--help"}); err != nil {
 			c.PrintErrln("gladepick:", err)
 		}
 	})
--- a/cmd/gladepick/main_test.go
+++ b/cmd/gladepick/main_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/cli"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 func TestMain(m *testing.M) {
@@ -99,7 +99,7 @@
 
 func settings(t *testing.T, more string) string {
 	path := filepath.Join(t.TempDir(), "node.json")
-	if err := os.WriteFile(path, []byte(`{"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":`+standin.Settings+more+`}`), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(`{"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":`+testenv.Settings+more+`}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -406,8 +406,8 @@
 		{cli.Failed, "no such file", []string{"agent", "no such file"}},
 		{cli.Failed, "the agent at 127.0.0.1:1", []string{"status", "-agent", "127.0.0.1:1"}},
 		{cli.Failed, "the agent at 127.0.0.1:1", []string{"counters", "-agent=127.0.0.1:1", "n0"}},
-		{cli.Failed, "need gladepick-plus beside this program", []string{"plan", "service >= 0.9"}},
-		{cli.Failed, "gladepick-plus", []string{"schema"}},
+		{cli.Failed, "need gladepick-full beside this program", []string{"plan", "service >= 0.9"}},
+		{cli.Failed, "gladepick-full", []string{"schema"}},
 		{cli.Done, "", []string{"help"}},
 		{cli.Done, "", []string{"-help"}},
 		{cli.Done, "", []string{"completion", "bash"}},
--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/cli"
-	"gladepick/internal/peers"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/cli"
+	"gladepick/internal/dispatcher/membership/transport"
 )
 
 func membersCommand() *cobra.Command {
@@ -58,7 +58,7 @@
 			fmt.Fprintf(out, "%s\n", text)
 			continue
 		}
-		var s peers.Status
+		var s transport.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return fmt.Errorf("members %s at %s: %w", name, address, err)
 		}
--- a/cmd/gladepick/question.go
+++ b/cmd/gladepick/question.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/config"
 )
 
 // question makes a command ask the agent what its name says.
--- a/cmd/gladepick/reload.go
+++ b/cmd/gladepick/reload.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/spf13/cobra"
 
-	"gladepick/internal/cli"
+	"gladepick/internal/dispatcher/cli"
 )
 
 func reloadCommand() *cobra.Command {
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -95,8 +95,8 @@
 // problemsOf returns what is wrong with an import.
 func problemsOf(line importLine) []string {
 	var problems []string
-	if strings.HasPrefix(line.path, majorityLog) && line.from != "internal/replica" {
-		problems = append(problems, fmt.Sprintf("%s: %s is for internal/replica alone", line.place, line.path))
+	if strings.HasPrefix(line.path, majorityLog) && line.from != "internal/dispatcher/raftgroup" {
+		problems = append(problems, fmt.Sprintf("%s: %s is for internal/dispatcher/raftgroup alone", line.place, line.path))
 	}
 	to, ours := line.folder()
 	if !ours || to == line.from {
@@ -171,15 +171,15 @@
 		{from: "internal/ingress", path: "gladepick/internal/messagestore"},
 		{from: "internal/controlplane", path: "gladepick/internal/systemnode"},
 		{from: "internal/rpc", path: "gladepick/internal/cluster"},
-		{from: "internal/journal", path: "gladepick/internal/rpc"},
+		{from: "internal/wal", path: "gladepick/internal/rpc"},
 		{from: "internal/network", path: "gladepick/internal/rpc"},
 		{from: "internal/controlplane/replication", path: "gladepick/internal/cluster"},
 		{from: "internal/systemnode", path: "gladepick/internal/operatorcli"},
-		{from: "internal/systemnode", path: "gladepick/internal/replica"},
+		{from: "internal/systemnode", path: "gladepick/internal/dispatcher/raftgroup"},
 		{from: "internal/capacity", path: "gladepick/cmd/gladepick-system"},
 		{from: "internal/controlplane", path: "go.etcd.io/raft/v3"},
 		{from: "internal/decision", path: "gladepick/internal/cluster"},
-		{from: "internal/keep", path: "gladepick/internal/cluster"},
+		{from: "internal/dispatcher/durablejobs", path: "gladepick/internal/cluster"},
 	}
 	for _, line := range forbidden {
 		assert.Check(t, len(problemsOf(line)) > 0, "%s may import %s", line.from, line.path)
--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -14,6 +14,8 @@
 	planeIngress  plane = "ingress"
 	planeAssembly plane = "assembly"
 	planeTools    plane = "tools"
+	// planeCommon holds what the programs of every plane may use.
+	planeCommon plane = "common"
 	// planeDispatcher is the dispatcher without stores, bin/gladepick, with its planner and its simulator.
 	planeDispatcher plane = "dispatcher"
 )
@@ -26,7 +28,7 @@
 	"internal/configuration":                 planePlumbing,
 	"internal/configuration/configurationpb": planePlumbing,
 	"internal/ctxtime":                       planePlumbing,
-	"internal/journal":                       planePlumbing,
+	"internal/wal":                           planePlumbing,
 	"internal/message":                       planePlumbing,
 	"internal/modelcheck":                    planePlumbing,
 	"internal/network":                       planePlumbing,
@@ -41,49 +43,51 @@
 	"internal/delivery":                 planeDelivery,
 	"internal/ingress":                  planeIngress,
 	"internal/systemnode":               planeAssembly,
+	"internal/programname":              planeCommon,
 
-	"cmd/gladepick-ledger":     planeTools,
-	"cmd/gladepick-system":     planeTools,
-	"internal/architecture":    planeTools,
-	"internal/capacity":        planeTools,
-	"internal/ledger":          planeTools,
-	"internal/operatorcli":     planeTools,
-	"internal/simcluster":      planeTools,
-	"internal/systemnode/demo": planeTools,
+	"cmd/gladepick-benchreport": planeTools,
+	"cmd/gladepick-system":      planeTools,
+	"internal/architecture":     planeTools,
+	"internal/capacity":         planeTools,
+	"internal/benchreport":      planeTools,
+	"internal/operatorcli":      planeTools,
+	"internal/simcluster":       planeTools,
+	"internal/systemnode/demo":  planeTools,
 
-	"cmd/gladepick":             planeDispatcher,
-	"cmd/gladepick-plus":        planeDispatcher,
-	"cmd/ivyfold-sim":           planeDispatcher,
-	"internal/agent":            planeDispatcher,
-	"internal/amqp":             planeDispatcher,
-	"internal/capture":          planeDispatcher,
-	"internal/cli":              planeDispatcher,
-	"internal/config":           planeDispatcher,
-	"internal/config/document":  planeDispatcher,
-	"internal/dispatch":         planeDispatcher,
-	"internal/faults":           planeDispatcher,
-	"internal/floor":            planeDispatcher,
-	"internal/keep":             planeDispatcher,
-	"internal/lease":            planeDispatcher,
-	"internal/membership":       planeDispatcher,
-	"internal/membership/world": planeDispatcher,
-	"internal/model":            planeDispatcher,
-	"internal/node":             planeDispatcher,
-	"internal/peers":            planeDispatcher,
-	"internal/plan":             planeDispatcher,
-	"internal/portal":           planeDispatcher,
-	"internal/replica":          planeDispatcher,
-	"internal/report":           planeDispatcher,
-	"internal/roster":           planeDispatcher,
-	"internal/snmp":             planeDispatcher,
-	"internal/standin":          planeDispatcher,
-	"internal/wire":             planeDispatcher,
+	"cmd/gladepick":                             planeDispatcher,
+	"cmd/gladepick-full":                        planeDispatcher,
+	"cmd/gladepick-sim":                         planeDispatcher,
+	"internal/dispatcher/agent":                 planeDispatcher,
+	"internal/dispatcher/amqp":                  planeDispatcher,
+	"internal/dispatcher/capture":               planeDispatcher,
+	"internal/dispatcher/cli":                   planeDispatcher,
+	"internal/dispatcher/config":                planeDispatcher,
+	"internal/dispatcher/config/document":       planeDispatcher,
+	"internal/dispatcher/dispatch":              planeDispatcher,
+	"internal/dispatcher/faultinjection":        planeDispatcher,
+	"internal/dispatcher/workerhttp":            planeDispatcher,
+	"internal/dispatcher/durablejobs":           planeDispatcher,
+	"internal/dispatcher/lease":                 planeDispatcher,
+	"internal/dispatcher/membership":            planeDispatcher,
+	"internal/dispatcher/membership/simulation": planeDispatcher,
+	"internal/dispatcher/fleetsim":              planeDispatcher,
+	"internal/dispatcher/instance":              planeDispatcher,
+	"internal/dispatcher/membership/transport":  planeDispatcher,
+	"internal/dispatcher/planner":               planeDispatcher,
+	"internal/dispatcher/clienthttp":            planeDispatcher,
+	"internal/dispatcher/raftgroup":             planeDispatcher,
+	"internal/dispatcher/planner/report":        planeDispatcher,
+	"internal/dispatcher/discovery":             planeDispatcher,
+	"internal/dispatcher/snmp":                  planeDispatcher,
+	"internal/dispatcher/testenv":               planeDispatcher,
+	"internal/dispatcher/simadapter":            planeDispatcher,
 }
 
 // mayImport lists the other planes that a plane may import. Its own packages it may import always.
 var mayImport = map[plane][]plane{
 	planeDecision:   {},
 	planePlumbing:   {},
+	planeCommon:     {},
 	planeControl:    {planePlumbing},
 	planeStorage:    {planePlumbing},
 	planeDelivery:   {planePlumbing, planeDecision},
@@ -98,24 +102,24 @@
 	"internal/configuration":                 {"internal/configuration/configurationpb"},
 	"internal/configuration/configurationpb": {},
 	"internal/ctxtime":                       {},
-	"internal/journal":                       {},
+	"internal/wal":                           {},
 	"internal/message":                       {},
 	"internal/modelcheck":                    {},
 	"internal/network":                       {},
 	"internal/network/simulated":             {"internal/network"},
 	"internal/rpc":                           {"internal/network"},
 	"internal/settings":                      {},
-	"internal/controlplane/replication":      {"internal/ctxtime", "internal/journal", "internal/modelcheck", "internal/rpc"},
+	"internal/controlplane/replication":      {"internal/ctxtime", "internal/wal", "internal/modelcheck", "internal/rpc"},
 }
 
 // majorityLog is the library that replicates a log by majority. The control state has another form of replication,
-// primary-backup with witnesses, so only the dispatcher's internal/replica may use it.
+// primary-backup with witnesses, so only the dispatcher's internal/dispatcher/raftgroup may use it.
 const majorityLog = "go.etcd.io/raft"
 
 // planeAllows tells whether the rules of the planes let one package import another.
 func planeAllows(from, to string) bool {
 	source, target := planeOf[from], planeOf[to]
-	return source == target || slices.Contains(mayImport[source], target)
+	return source == target || target == planeCommon || slices.Contains(mayImport[source], target)
 }
 
 // packageAllows tells whether the rules of the packages at the bottom let one package import another.
--- a/internal/ledger/plot.go
+++ b/internal/benchreport/plot.go
@@ -1,4 +1,4 @@
-package ledger
+package benchreport
 
 import (
 	"github.com/gravitational/trace"
--- a/internal/ledger/print.go
+++ b/internal/benchreport/print.go
@@ -1,4 +1,4 @@
-package ledger
+package benchreport
 
 import (
 	"fmt"
--- a/internal/ledger/report.go
+++ b/internal/benchreport/report.go
@@ -1,7 +1,7 @@
-// Package ledger says where the worth of measured days was lost: by the parts that a day's worth is made of, by kinds of
+// Package benchreport says where the worth of measured days was lost: by the parts that a day's worth is made of, by kinds of
 // requests, by spans of time with the disruptions that fell into them, and by prices. It reads the reports that the bench
 // writes with --report.
-package ledger
+package benchreport
 
 import (
 	"encoding/json"
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -15,11 +15,11 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/delivery"
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
 	"gladepick/internal/messagestore"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 const (
@@ -134,7 +134,7 @@
 type storePair struct {
 	client  *messagestore.Client
 	table   *cluster.Table
-	disks   []journal.FS
+	disks   []wal.FS
 	pool    *rpc.Pool
 	syncs   atomic.Int64
 	written atomic.Int64
@@ -164,7 +164,7 @@
 }
 
 func (p *storePair) start(b *testing.B, number int) *messagestore.Store {
-	disk, err := journal.Directory(b.TempDir())
+	disk, err := wal.Directory(b.TempDir())
 	assert.NilError(b, err)
 	p.disks = append(p.disks, countingDisk{FS: disk, pair: p})
 	listener, err := network.TCP{}.Listen(benchPort)
@@ -188,17 +188,17 @@
 
 // countingDisk counts what is written and synced.
 type countingDisk struct {
-	journal.FS
+	wal.FS
 	pair *storePair
 }
 
-func (d countingDisk) Create(name string) (journal.File, error) {
+func (d countingDisk) Create(name string) (wal.File, error) {
 	file, err := d.FS.Create(name)
 	return countingFile{File: file, pair: d.pair}, err
 }
 
 type countingFile struct {
-	journal.File
+	wal.File
 	pair *storePair
 }
 
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/configuration"
-	"gladepick/internal/journal"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // LeaseDuration is how long a lease runs after the request that renewed it was sent.
@@ -24,7 +24,7 @@
 	Server       *rpc.Server // gets the handlers that every process serves; may be nil
 	Seeds        []string    // control addresses of the seeds, "ip:port"
 	InternalPort int         // port of the internal RPC server on every machine
-	Disk         journal.FS  // where the members of the control group are remembered; may be nil
+	Disk         wal.FS      // where the members of the control group are remembered; may be nil
 	Register     bool        // announce the process at the seeds until the control group is known (first start only)
 	Logger       *zap.Logger
 }
--- a/internal/cluster/corefile.go
+++ b/internal/cluster/corefile.go
@@ -5,15 +5,15 @@
 
 	"github.com/gravitational/trace"
 
-	"gladepick/internal/journal"
+	"gladepick/internal/wal"
 )
 
 // coreFile is the file in which a process with a disk remembers the members of the control group.
 const coreFile = "core"
 
 // loadCore returns the members remembered, or none.
-func loadCore(disk journal.FS) []CoreEntry {
-	data, err := journal.LoadFile(disk, coreFile)
+func loadCore(disk wal.FS) []CoreEntry {
+	data, err := wal.LoadFile(disk, coreFile)
 	if err != nil {
 		return nil
 	}
@@ -24,10 +24,10 @@
 	return core
 }
 
-func saveCore(disk journal.FS, core []CoreEntry) error {
+func saveCore(disk wal.FS, core []CoreEntry) error {
 	data, err := json.Marshal(core)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(journal.SaveFile(disk, coreFile, data))
+	return trace.Wrap(wal.SaveFile(disk, coreFile, data))
 }
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gladepick/internal/journal"
+	"gladepick/internal/wal"
 )
 
 const (
@@ -17,8 +17,8 @@
 )
 
 // DiskID returns the random id of a disk. It is drawn when the disk is first used.
-func DiskID(disk journal.FS) (string, error) {
-	known, err := journal.LoadFile(disk, diskIDFile)
+func DiskID(disk wal.FS) (string, error) {
+	known, err := wal.LoadFile(disk, diskIDFile)
 	if err == nil {
 		return string(known), nil
 	}
@@ -30,5 +30,5 @@
 		return "", trace.Wrap(err)
 	}
 	id := hex.EncodeToString(random)
-	return id, trace.Wrap(journal.SaveFile(disk, diskIDFile, []byte(id)))
+	return id, trace.Wrap(wal.SaveFile(disk, diskIDFile, []byte(id)))
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -14,9 +14,9 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane/replication"
-	"gladepick/internal/journal"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // roleCheckInterval bounds how late a loop that works only at the primary notices that its process has become it.
@@ -28,9 +28,9 @@
 	Network   network.Network
 	Pool      *rpc.Pool
 	Server    *rpc.Server
-	FS        journal.FS // nil without a disk
-	Bootstrap bool       // this is the first start of the whole system
-	Tolerated int        // how many losses of disks the system must bear
+	FS        wal.FS // nil without a disk
+	Bootstrap bool   // this is the first start of the whole system
+	Tolerated int    // how many losses of disks the system must bear
 	// ToleratedZones is how many lost zones it must bear.
 	ToleratedZones int
 	Seeds          []string // control addresses, "ip:port"
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -10,7 +10,7 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"gladepick/internal/journal"
+	"gladepick/internal/wal"
 )
 
 // compactAfterBytes is how much is logged, beyond twice the size of the last snapshot, before the next is written.
@@ -23,7 +23,7 @@
 type replica struct {
 	machine StateMachine
 	logger  *zap.Logger
-	log     *journal.Log
+	log     *wal.Log
 
 	// snapshots is held while a snapshot is made and written; it is taken before mu.
 	snapshots gate
@@ -44,7 +44,7 @@
 
 func openReplica(options Options) (*replica, error) {
 	r := &replica{machine: options.StateMachine, logger: options.Logger, snapshots: newGate(), outcomes: map[uint64]error{}}
-	log, err := journal.Open(journal.Options{FS: options.FS, Logger: options.Logger}, r.restore, r.replay)
+	log, err := wal.Open(wal.Options{FS: options.FS, Logger: options.Logger}, r.restore, r.replay)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // replay takes a record from the log on disk. The entry says up to where the log was committed when it was made.
-func (r *replica) replay(_ journal.Position, record []byte) error {
+func (r *replica) replay(_ wal.Position, record []byte) error {
 	decoded, err := decodeEntry(append([]byte(nil), record...))
 	if err != nil {
 		return trace.Wrap(err)
@@ -253,7 +253,7 @@
 	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
 }
 
-func (r *replica) beginInstall(epoch uint64, from image) (*journal.Snapshot, error) {
+func (r *replica) beginInstall(epoch uint64, from image) (*wal.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if epoch < r.epoch || r.isAhead(epoch, from) {
@@ -319,7 +319,7 @@
 		return errDetached
 	}
 	data, _, err := r.encodeImage()
-	var snapshot *journal.Snapshot
+	var snapshot *wal.Snapshot
 	if err == nil {
 		snapshot, err = r.log.BeginSnapshot()
 	}
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -8,7 +8,7 @@
 
 	"github.com/gravitational/trace"
 
-	"gladepick/internal/journal"
+	"gladepick/internal/wal"
 )
 
 // witnessFile is the name of the file that holds a witness's record.
@@ -35,15 +35,15 @@
 
 // witness keeps the record on disk. A change is durable before it can be seen.
 type witness struct {
-	fs      journal.FS
+	fs      wal.FS
 	writing gate // held while the file is written
 	current atomic.Pointer[witnessRecord]
 }
 
-func openWitness(fileSystem journal.FS) (*witness, error) {
+func openWitness(fileSystem wal.FS) (*witness, error) {
 	w := &witness{fs: fileSystem, writing: newGate()}
 	record := &witnessRecord{}
-	data, err := journal.LoadFile(fileSystem, witnessFile)
+	data, err := wal.LoadFile(fileSystem, witnessFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
@@ -94,7 +94,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := journal.SaveFile(w.fs, witnessFile, data); err != nil {
+	if err := wal.SaveFile(w.fs, witnessFile, data); err != nil {
 		return trace.Wrap(err)
 	}
 	w.current.Store(record)
--- a/internal/controlplane/replication/witness_test.go
+++ b/internal/controlplane/replication/witness_test.go
@@ -5,10 +5,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"gladepick/internal/journal"
+	"gladepick/internal/wal"
 )
 
-func reopen(t *testing.T, disk *journal.Memory) *witness {
+func reopen(t *testing.T, disk *wal.Memory) *witness {
 	t.Helper()
 	disk.PowerLoss()
 	opened, err := openWitness(disk.Mount())
@@ -18,7 +18,7 @@
 
 func TestWitnessKeepsItsWordThroughPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
-		disk := journal.NewMemory(seed)
+		disk := wal.NewMemory(seed)
 		w := reopen(t, disk)
 		promised, err := w.promise(3, "a")
 		assert.Assert(t, err == nil && promised)
@@ -44,7 +44,7 @@
 }
 
 func TestWitnessWithoutDiskSpaceGivesNoWord(t *testing.T) {
-	disk := journal.NewMemory(1)
+	disk := wal.NewMemory(1)
 	w := reopen(t, disk)
 	disk.SetFull(true)
 	_, err := w.promise(1, "a")
--- a/internal/agent/agent.go
+++ b/internal/dispatcher/agent/agent.go
@@ -24,8 +24,8 @@
 	"text/tabwriter"
 	"time"
 
-	"gladepick/internal/config"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // State is what an instance does. The numbers are the MIB's.
--- a/internal/amqp/amqp.go
+++ b/internal/dispatcher/amqp/amqp.go
@@ -23,10 +23,10 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/portal"
+	"gladepick/internal/dispatcher/clienthttp"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // The answer's type property, one for each verdict and one for messages that are no job.
@@ -279,17 +279,17 @@
 func (d *Desk) read(m *amqp.Delivery) (*dispatch.Job, error) {
 	text := func(key string) string { s, _ := m.Headers[key].(string); return s }
 	j := &dispatch.Job{ID: m.CorrelationId, Key: m.MessageId, Target: "/" + m.Type, Body: m.Body, Repeat: text("x-retried") == "1"}
-	if j.ID == "" || !portal.Plain(j.ID) || !portal.Plain(j.Key) || !portal.Plain(m.Type) {
+	if j.ID == "" || !clienthttp.Plain(j.ID) || !clienthttp.Plain(j.Key) || !clienthttp.Plain(m.Type) {
 		return nil, errors.New("correlation-id is missing, or it, message-id or type cannot pass on as it is")
 	}
 	if int64(len(m.Body)) > d.lim.Body {
 		return nil, fmt.Errorf("a body holds %d bytes at most", d.lim.Body)
 	}
-	if err := portal.Admit(d.node, j, m.Type, text("x-tenant-id")); err != nil {
+	if err := clienthttp.Admit(d.node, j, m.Type, text("x-tenant-id")); err != nil {
 		return nil, err
 	}
 	if subject := text("x-subject"); subject != "" {
-		if !portal.Plain(subject) || strings.ContainsAny(subject, "/?#") {
+		if !clienthttp.Plain(subject) || strings.ContainsAny(subject, "/?#") {
 			return nil, errors.New("x-subject cannot pass on as it is")
 		}
 		j.Target += "/" + subject
@@ -305,7 +305,7 @@
 		}
 	}
 	var err error
-	if j.Patience, err = portal.Patience(m.Expiration, time.Millisecond, d.lim.MostPatience); err != nil {
+	if j.Patience, err = clienthttp.Patience(m.Expiration, time.Millisecond, d.lim.MostPatience); err != nil {
 		return nil, fmt.Errorf("expiration: %w", err)
 	}
 	if !m.Timestamp.IsZero() { // it counts from when the client sent it; the stamp has whole seconds only
--- a/internal/amqp/attempts.go
+++ b/internal/dispatcher/amqp/attempts.go
@@ -11,10 +11,10 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 // Send publishes an attempt to its worker's queue.
@@ -85,7 +85,7 @@
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		if o, load, result := floor.Read(d.node, a, []byte(line)); o != 0 {
+		if o, load, result := workerhttp.Read(d.node, a, []byte(line)); o != 0 {
 			if d.resolve(m.CorrelationId) != nil {
 				a.End(o, load, result)
 			}
--- a/internal/amqp/ledger.go
+++ b/internal/dispatcher/amqp/ledger.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // ledger remembers, for a while and in bounded memory, what became of each key.
--- a/internal/capture/bench_test.go
+++ b/internal/dispatcher/capture/bench_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 // yes is a floor on which every job is served at once.
@@ -32,9 +32,9 @@
 	const jobs, window = 5000, 32
 	var known []config.Worker
 	for i := range 12 {
-		known = append(known, standin.Listing(fmt.Sprintf("s-%08x", i), "127.0.0.1:1", "ready"))
+		known = append(known, testenv.Listing(fmt.Sprintf("s-%08x", i), "127.0.0.1:1", "ready"))
 	}
-	n := standin.Node(b, known, "")
+	n := testenv.Node(b, known, "")
 	n.Capture = &config.Capture{Dir: b.TempDir(), RotateMB: 64, RotateS: 300, GroupS: 10}
 	cpu := func() time.Duration {
 		var u syscall.Rusage
--- a/internal/capture/capture.go
+++ b/internal/dispatcher/capture/capture.go
@@ -19,9 +19,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 var verdicts = map[dispatch.Verdict]string{dispatch.Served: "served", dispatch.Refused: "refused", dispatch.Failed: "failed"}
--- a/internal/capture/capture_test.go
+++ b/internal/dispatcher/capture/capture_test.go
@@ -22,10 +22,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 // recorder is one that writes to dir, and feeds it jobs by hand.
@@ -36,7 +36,7 @@
 }
 
 func record(t testing.TB, dir string, change func(*Recorder)) *feeder {
-	n := *standin.Node(t, nil, "")
+	n := *testenv.Node(t, nil, "")
 	n.Capture = &config.Capture{Dir: dir, RotateMB: 64, RotateS: 300, GroupS: 10, Salt: "s"}
 	f := &feeder{at: time.Hour}
 	f.Recorder = NewRecorder(&n, &f.count, func() (time.Duration, time.Time) { return time.Hour, time.Now() })
@@ -50,7 +50,7 @@
 // job goes through the recorder with one attempt, as the core would show it.
 func (f *feeder) job(i int) {
 	j := &dispatch.Job{Class: i % 2, Tenant: i % 3, Slots: 1, Subject: uint64(i % 5), Patience: 5 * time.Second, Repeat: i%4 == 0}
-	a := &dispatch.Attempt{Job: j, Worker: standin.Listing("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
+	a := &dispatch.Attempt{Job: j, Worker: testenv.Listing("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
 	see := func(s dispatch.Sight, after time.Duration, m dispatch.Moment) {
 		f.at += after
 		m.Sight, m.At, m.Job = s, f.at, j
--- a/internal/portal/door.go
+++ b/internal/dispatcher/clienthttp/door.go
@@ -9,7 +9,7 @@
 // connection waiting unseen, close one on a request that was read, word an
 // answer to a job, or change a byte that it lets pass.
 
-package portal
+package clienthttp
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 // stage is where a client's connection stands.
--- a/internal/portal/guest.go
+++ b/internal/dispatcher/clienthttp/guest.go
@@ -1,6 +1,6 @@
 // A guest: one client connection, its stages, times and ends.
 
-package portal
+package clienthttp
 
 import (
 	"context"
--- a/internal/portal/notice.go
+++ b/internal/dispatcher/clienthttp/notice.go
@@ -1,6 +1,6 @@
 // The reading of a request's head, and the answer to what cannot be read.
 
-package portal
+package clienthttp
 
 import (
 	"bytes"
--- a/internal/portal/portal.go
+++ b/internal/dispatcher/clienthttp/portal.go
@@ -1,9 +1,9 @@
-// Package portal is the front for clients that speak the platform's HTTP/1.1
+// Package clienthttp is the front for clients that speak the platform's HTTP/1.1
 // protocol. It checks what they send, makes a Job of it and writes the one
 // answer that the core gives. It must never send anything to a worker, choose
 // an answer of its own for a job that the core has taken, or keep a given-up
 // job waiting.
-package portal
+package clienthttp
 
 import (
 	"context"
@@ -22,9 +22,9 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // Portal serves clients over HTTP/1.1.
--- a/internal/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"gladepick/internal/decision"
-	"gladepick/internal/wire"
+	"gladepick/internal/dispatcher/simadapter"
 )
 
 // Limits holds every size, count and time that the parts work with. It is
@@ -271,7 +271,7 @@
 	var lines strings.Builder
 	flatten(&lines, "", f.Settings)
 	var err error
-	if n.Module, err = wire.ParseSettings(lines.String()); err != nil {
+	if n.Module, err = simadapter.ParseSettings(lines.String()); err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %s: %w", getenv("NODE_CONFIG"), err)
 	}
 	if n.Classes, err = names(f.Settings, "classes"); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 func write(t *testing.T, name, text string) string {
@@ -26,7 +26,7 @@
 }
 
 const whole = `{"name":"n1","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
- "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":0,"reset":true,"instances":[]},"settings":` + standin.Settings + `}`
+ "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":0,"reset":true,"instances":[]},"settings":` + testenv.Settings + `}`
 
 func load(t *testing.T, text string, more map[string]string) (*config.Node, error) {
 	path := write(t, "node.json", text)
@@ -172,7 +172,7 @@
 	if err != nil || !n.Members.Learn || len(n.Members.Peers) != 2 || n.Members.Listen.String() != "127.0.0.1:7946" {
 		t.Errorf("%v: %+v", err, n)
 	}
-	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": "../../deploy/members.toml"}); err != nil || len(n.Members.Peers) != 2 {
+	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": "../../../deploy/members.toml"}); err != nil || len(n.Members.Peers) != 2 {
 		t.Errorf("the file that is shipped: %v", err)
 	}
 }
@@ -221,7 +221,7 @@
 			t.Errorf("%+v", n.Promises)
 		}
 	}
-	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": "../../deploy/promises.toml", "NODE_NAME": "n0"}); err != nil || len(n.Promises.Peers) != 2 {
+	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": "../../../deploy/promises.toml", "NODE_NAME": "n0"}); err != nil || len(n.Promises.Peers) != 2 {
 		t.Errorf("the file that is shipped: %v", err)
 	}
 }
@@ -245,7 +245,7 @@
 			t.Errorf("%s: wanted an error that names %q: %v", k.to, k.key, err)
 		}
 	}
-	for _, path := range []string{"../../deploy/agent.toml"} {
+	for _, path := range []string{"../../../deploy/agent.toml"} {
 		if _, err := config.LoadAgent(path); err != nil {
 			t.Error(err)
 		}
--- a/internal/config/document/document.go
+++ b/internal/dispatcher/config/document/document.go
@@ -23,7 +23,7 @@
 	"golang.org/x/text/language"
 	"golang.org/x/text/message"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 //go:embed schemas/*.json
--- a/internal/config/document/document_test.go
+++ b/internal/dispatcher/config/document/document_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"gladepick/internal/config"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 func TestDocumentErrorsNameThePlace(t *testing.T) {
@@ -48,7 +48,7 @@
 // Descriptions, whole and spoilt, either keep to their schema or are refused with the file's name.
 func FuzzDescriptions(f *testing.F) {
 	for i, name := range []string{"fleet", "load"} {
-		whole, err := os.ReadFile("../../../deploy/" + name + ".json")
+		whole, err := os.ReadFile("../../../../deploy/" + name + ".json")
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -59,9 +59,9 @@
 		f.Add(i == 0, whole[:len(whole)/2])
 	}
 	f.Fuzz(func(t *testing.T, fleet bool, text []byte) {
-		schema, into := "load", any(new(model.Load))
+		schema, into := "load", any(new(fleetsim.Load))
 		if fleet {
-			schema, into = "fleet", new(model.Fleet)
+			schema, into = "fleet", new(fleetsim.Fleet)
 		}
 		if err := Parse("x.json", text, schema, into); err != nil && !strings.HasPrefix(err.Error(), "x.json:") {
 			t.Errorf("%q: %v does not name the file", text, err)
--- a/internal/roster/roster.go
+++ b/internal/dispatcher/discovery/roster.go
@@ -1,9 +1,9 @@
-// Package roster keeps the watch on discovery's list of workers. It owns the
+// Package discovery keeps the watch on discovery's list of workers. It owns the
 // one call that is under way, the address it goes to, the version last heard of
 // there, and the watchdog that ends a watch gone silent. The first call comes when the module asks, or at once where lists
 // are pushed: there nobody asks. After a broken one this package calls again by itself, ever more rarely. It must never
 // have two calls out, judge a worker, or hide that a call has failed.
-package roster
+package discovery
 
 import (
 	"bytes"
@@ -20,8 +20,8 @@
 	"sync"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Roster watches discovery.
--- a/internal/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Core runs the module. Make it with New and start it with Run.
--- a/internal/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -16,10 +16,10 @@
 
 	"pgregory.net/rapid"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
@@ -97,11 +97,11 @@
 	names := []string{"s-00000001", "s-00000002", "s-00000003", "s-00000004"}
 	listing := func(state string) (out []config.Worker) {
 		for i, name := range names {
-			out = append(out, standin.Listing(name, fmt.Sprint("127.0.1.", i, ":5000"), state))
+			out = append(out, testenv.Listing(name, fmt.Sprint("127.0.1.", i, ":5000"), state))
 		}
 		return out
 	}
-	node := standin.Node(t, listing("ready"), "")
+	node := testenv.Node(t, listing("ready"), "")
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
 			h := &hall{t: rt, sent: map[string]int{}, answers: map[string][]dispatch.Answer{}, jobs: map[string]*dispatch.Job{},
@@ -158,7 +158,7 @@
 				case 4: // the roster says something
 					name := rapid.SampledFrom(names).Draw(rt, "worker")
 					state := rapid.SampledFrom([]string{"ready", "draining", "gone", "odd"}).Draw(rt, "state")
-					w := standin.Listing(name, "127.0.1.9:5000", state)
+					w := testenv.Listing(name, "127.0.1.9:5000", state)
 					w.StartedAtMs = rapid.SampledFrom([]int64{0, time.Now().UnixMilli(), time.Now().UnixMilli() + 5000, -1}).Draw(rt, "start")
 					h.apart(synctest.Wait)
 					h.state[name] = state
@@ -207,9 +207,9 @@
 // The machine's calendar may step and a list may say the same start again: the module must not see a restart in it.
 func TestStartsAreConvertedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := standin.Listing("s-00000001", "127.0.1.1:5000", "ready")
+		w := testenv.Listing("s-00000001", "127.0.1.1:5000", "ready")
 		w.StartedAtMs = time.Now().Add(-2 * time.Second).UnixMilli()
-		node := standin.Node(t, []config.Worker{w}, "")
+		node := testenv.Node(t, []config.Worker{w}, "")
 		h := &hall{sent: map[string]int{}, state: map[string]string{"s-00000001": "ready"}}
 		core, err := dispatch.New(node, new(dispatch.Counters), h, nil, h, nil)
 		if err != nil {
@@ -241,7 +241,7 @@
 // Beyond the limit on open jobs nothing is taken: the front refuses by itself, and nobody is sent anything.
 func TestOpenJobsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		node := *standin.Node(t, nil, "")
+		node := *testenv.Node(t, nil, "")
 		node.Limits.OpenJobs = 2
 		h := &hall{sent: map[string]int{}}
 		core, err := dispatch.New(&node, new(dispatch.Counters), h, nil, h, nil)
--- a/internal/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Verdict is the kind of a final answer.
--- a/internal/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // seat is what the core knows of one listed worker. leaving is read by the floor just before a send.
--- a/internal/keep/floors.go
+++ b/internal/dispatcher/durablejobs/floors.go
@@ -1,13 +1,13 @@
 // Attempts of kept jobs: what may start, and when.
 
-package keep
+package durablejobs
 
 import (
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // floors stands before the floors: attempts of jobs that are kept wait for their intents.
--- a/internal/keep/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -1,6 +1,6 @@
 // Kept jobs from being taken to being forgotten.
 
-package keep
+package durablejobs
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/lease"
-	"gladepick/internal/membership"
-	"gladepick/internal/replica"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/lease"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/raftgroup"
 )
 
 // job is what of a client's try is copied, so that a successor can run it.
@@ -311,11 +311,11 @@
 	k.links.greet(k.host.Charter(), k.leaving.Load())
 	v, life, joined, quorum := k.members.View(ctx)
 	k.view, k.life, quorum = v, life, joined && quorum
-	var there []replica.Member
+	var there []raftgroup.Member
 	for i := range v.Members {
 		r := &v.Members[i]
 		if r.Name == k.node.Name {
-			there = append(there, replica.Member{Place: k.links.self(), Zone: r.Zone, Charter: k.host.Charter(), Leaving: k.leaving.Load()})
+			there = append(there, raftgroup.Member{Place: k.links.self(), Zone: r.Zone, Charter: k.host.Charter(), Leaving: k.leaving.Load()})
 		} else if m, ok := k.links.met(r.Name); ok {
 			m.Zone = r.Zone
 			there = append(there, m)
--- a/internal/keep/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -1,11 +1,11 @@
-// Package keep takes jobs for keeps. It stands between the fronts and the core, and
+// Package durablejobs takes jobs for keeps. It stands between the fronts and the core, and
 // between the core and the floors: a keyed job reaches the core once its promise stands
 // on a quorum of copies, an attempt reaches a worker once its intent does, a client
 // gets an outcome once that does. One goroutine owns the holds (internal/lease) and this
 // dispatcher's copies (internal/replica); links.go carries their frames. This file also
 // takes over what dead dispatchers held. It must never decide which worker takes a job,
 // whether one is let in, or what a class allows: the module and the lease tables do.
-package keep
+package durablejobs
 
 import (
 	"cmp"
@@ -21,13 +21,13 @@
 	"syscall"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/lease"
-	"gladepick/internal/membership"
-	"gladepick/internal/peers"
-	"gladepick/internal/replica"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/lease"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/membership/transport"
+	"gladepick/internal/dispatcher/raftgroup"
 )
 
 // Membership is what tells who is there.
@@ -62,7 +62,7 @@
 	conf    *config.Promises
 	lim     config.Limits
 	members Membership
-	host    *replica.Host
+	host    *raftgroup.Host
 	links   *links
 	birth   time.Time
 	over    chan struct{}
@@ -82,7 +82,7 @@
 	away    map[string]time.Duration // owners that are not in the view, since when
 	seizing map[int]bool
 	tidied  time.Duration
-	record  *peers.Record
+	record  *transport.Record
 	crash   map[string]int
 	ready   atomic.Bool
 	leaving atomic.Bool
@@ -101,13 +101,13 @@
 		founders = append(founders, p.Name)
 	}
 	var err error
-	k.host, err = replica.New(replica.Config{Self: replica.Place{Name: n.Name, Copy: copy}, Founders: founders, Groups: c.Groups, Copies: c.Copies,
-		Machine: func(int) replica.Machine { return &machine{lease.New()} }, Seed: n.Seed ^ copy}, k.now())
+	k.host, err = raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: n.Name, Copy: copy}, Founders: founders, Groups: c.Groups, Copies: c.Copies,
+		Machine: func(int) raftgroup.Machine { return &machine{lease.New()} }, Seed: n.Seed ^ copy}, k.now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Path, err)
 	}
 	if c.Events != "" {
-		if k.record, err = peers.OpenRecord(c.Events); err != nil {
+		if k.record, err = transport.OpenRecord(c.Events); err != nil {
 			return nil, fmt.Errorf("%s: key promises.events: %w", c.Path, err)
 		}
 	}
@@ -153,7 +153,7 @@
 	k.core = core
 	close(k.started)
 	defer close(k.over)
-	go k.links.run(ctx, func(from replica.Place, data []byte) {
+	go k.links.run(ctx, func(from raftgroup.Place, data []byte) {
 		k.post(func() { k.do(k.host.Hear(k.now(), from, data)) })
 	})
 	beat := time.NewTicker(10 * time.Millisecond)
@@ -183,7 +183,7 @@
 }
 
 // do carries out what the host wants.
-func (k *Keeper) do(acts *replica.Actions) {
+func (k *Keeper) do(acts *raftgroup.Actions) {
 	for _, o := range acts.Send {
 		k.links.send(o.To, o.Data)
 	}
--- a/internal/keep/links.go
+++ b/internal/dispatcher/durablejobs/links.go
@@ -3,7 +3,7 @@
 // hears. What finds no room or no connection is dropped, as Raft bears; a peer that is
 // slow holds nobody else up. It must never wait for a peer on the keeper's goroutine.
 
-package keep
+package durablejobs
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gladepick/internal/config"
-	"gladepick/internal/replica"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/raftgroup"
 )
 
 // hello is the first frame of a connection, and comes again with each change of what it says.
@@ -71,14 +71,14 @@
 	return l, nil
 }
 
-func (l *links) self() replica.Place { return replica.Place{Name: l.me.Name, Copy: l.me.Copy} }
+func (l *links) self() raftgroup.Place { return raftgroup.Place{Name: l.me.Name, Copy: l.me.Copy} }
 
 // met is what a peer last said of itself.
-func (l *links) met(name string) (replica.Member, bool) {
+func (l *links) met(name string) (raftgroup.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h, ok := l.seen[name]
-	return replica.Member{Place: replica.Place{Name: h.Name, Copy: h.Copy}, Charter: h.Charter, Leaving: h.Leaving}, ok
+	return raftgroup.Member{Place: raftgroup.Place{Name: h.Name, Copy: h.Copy}, Charter: h.Charter, Leaving: h.Leaving}, ok
 }
 
 // greet lets the peers know what has changed here.
@@ -106,7 +106,7 @@
 }
 
 // send puts a frame on its way.
-func (l *links) send(to replica.Place, data []byte) {
+func (l *links) send(to raftgroup.Place, data []byte) {
 	k := l.out[to.Name]
 	if k == nil || len(data) > l.lim.CopyFrame {
 		l.dropped.Add(1)
@@ -140,7 +140,7 @@
 }
 
 // run carries until ctx ends.
-func (l *links) run(ctx context.Context, hear func(replica.Place, []byte)) {
+func (l *links) run(ctx context.Context, hear func(raftgroup.Place, []byte)) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer context.AfterFunc(ctx, func() { l.listen.Close() })()
@@ -209,9 +209,9 @@
 }
 
 // read takes in what a peer says, until it ends or says what cannot be.
-func (l *links) read(c net.Conn, hear func(replica.Place, []byte)) error {
+func (l *links) read(c net.Conn, hear func(raftgroup.Place, []byte)) error {
 	in := bufio.NewReaderSize(c, 64<<10)
-	var from replica.Place
+	var from raftgroup.Place
 	head := make([]byte, 5)
 	c.SetReadDeadline(time.Now().Add(2 * l.lim.CopyDial)) // strangers say who they are, and soon
 	for {
@@ -234,7 +234,7 @@
 		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.out[h.Name] == nil || h.Copy == 0 || from.Copy != 0 && h.Copy != from.Copy {
 			return errors.New("a hello that cannot be")
 		}
-		from = replica.Place{Name: h.Name, Copy: h.Copy}
+		from = raftgroup.Place{Name: h.Name, Copy: h.Copy}
 		c.SetReadDeadline(time.Time{})
 		l.mu.Lock()
 		if h.Start >= l.seen[h.Name].Start {
--- a/internal/keep/links_test.go
+++ b/internal/dispatcher/durablejobs/links_test.go
@@ -1,6 +1,6 @@
 // The carrier against peers that say what cannot be, and a keeper's settings.
 
-package keep
+package durablejobs
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
-	"gladepick/internal/replica"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/raftgroup"
 )
 
 func linksOf(t *testing.T, name string, peers ...config.Peer) (*links, chan []byte) {
@@ -27,7 +27,7 @@
 	heard := make(chan []byte, 16)
 	done := make(chan bool)
 	go func() {
-		l.run(ctx, func(_ replica.Place, data []byte) { heard <- data })
+		l.run(ctx, func(_ raftgroup.Place, data []byte) { heard <- data })
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
@@ -87,9 +87,9 @@
 func TestPeerThatIsNotThere(t *testing.T) {
 	l, _ := linksOf(t, "a", config.Peer{Name: "b", At: netip.MustParseAddrPort("127.0.0.1:1")})
 	for range 40 {
-		l.send(replica.Place{Name: "b", Copy: 1}, make([]byte, 100<<10))
+		l.send(raftgroup.Place{Name: "b", Copy: 1}, make([]byte, 100<<10))
 	}
-	l.send(replica.Place{Name: "nobody", Copy: 1}, []byte("x"))
+	l.send(raftgroup.Place{Name: "nobody", Copy: 1}, []byte("x"))
 	k := l.out["b"]
 	k.mu.Lock()
 	held := k.held
--- a/internal/keep/machine.go
+++ b/internal/dispatcher/durablejobs/machine.go
@@ -1,6 +1,6 @@
 // The replicated table of leases and its commands.
 
-package keep
+package durablejobs
 
 import (
 	"log/slog"
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"gladepick/internal/lease"
+	"gladepick/internal/dispatcher/lease"
 )
 
 // machine is a lease table as the replica wants it.
--- a/internal/faults/faults.go
+++ b/internal/dispatcher/faultinjection/faults.go
@@ -1,10 +1,10 @@
-// Package faults plays real processes of the dispatcher on loopback with faults put
+// Package faultinjection plays real processes of the dispatcher on loopback with faults put
 // between them. It starts them, joins each pair by a relay that drops, delays, doubles
 // and cuts by direction, sends signals by process id, follows a timeline, and reads the
 // processes' own records afterwards. It owns what it started and ends nothing else; it
 // must never judge by a clock: safety is read from the records, liveness from what
 // stands there after a quiet stretch.
-package faults
+package faultinjection
 
 import (
 	"bufio"
@@ -25,8 +25,8 @@
 	"syscall"
 	"time"
 
-	"gladepick/internal/membership"
-	"gladepick/internal/membership/world"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/membership/simulation"
 )
 
 // Step is one thing that is done to some nodes at a time.
@@ -98,7 +98,7 @@
 	deaf   []atomic.Bool
 	relays [][]*net.UDPConn
 	wait   sync.WaitGroup
-	world  *world.World
+	world  *simulation.World
 }
 
 type node struct {
@@ -115,7 +115,7 @@
 	Detected []time.Duration // from a kill until all that were up had it for failed
 	Views    int
 	Agreed   bool
-	World    *world.World
+	World    *simulation.World
 }
 
 // Run plays a timeline to its end. Everything it started has ended when it returns.
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	p.line = line
-	p.world = world.New(line.Nodes, 3, line.Seed)
+	p.world = simulation.New(line.Nodes, 3, line.Seed)
 	p.world.Bear = p.Bear - p.Period
 	p.cuts, p.deaf = make([]atomic.Bool, line.Nodes*line.Nodes), make([]atomic.Bool, line.Nodes)
 	defer p.end()
@@ -442,7 +442,7 @@
 			if json.Unmarshal(in.Bytes(), &l) != nil {
 				continue // a line that a kill cut off
 			}
-			e := world.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
+			e := simulation.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
 			switch {
 			case l.Start > 0:
 				life, w.Life = l.Start, l.Start
@@ -471,6 +471,6 @@
 		}
 		f.Close()
 	}
-	slices.SortStableFunc(p.world.Record, func(a, b world.Entry) int { return int(a.At - b.At) })
+	slices.SortStableFunc(p.world.Record, func(a, b simulation.Entry) int { return int(a.At - b.At) })
 	return nil
 }
--- a/internal/faults/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -1,7 +1,7 @@
 // Real processes with faults between them. CI plays a short, fixed part; `make faults` the long set, by the variables
 // FAULTS_KINDS, FAULTS_SIZES, FAULTS_SEEDS and FAULTS_FILE. A verdict comes from the processes' own records.
 
-package faults
+package faultinjection
 
 import (
 	"cmp"
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/peers"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/membership/transport"
+	"gladepick/internal/dispatcher/testenv"
 )
 
 const (
@@ -28,7 +28,7 @@
 	bear   = 1200 * time.Millisecond
 )
 
-var settings = strings.Replace(standin.Settings, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
+var settings = strings.Replace(testenv.Settings, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
 
 // program builds the dispatcher once for all tests.
 var program = sync.OnceValues(func() (string, error) {
@@ -40,7 +40,7 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "gladepick")
-	out, err := exec.Command("go", "build", "-o", dir+"/", "gladepick/cmd/gladepick", "gladepick/cmd/gladepick-plus").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "gladepick/cmd/gladepick", "gladepick/cmd/gladepick-full").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -117,7 +117,7 @@
 	p.Look = func() {
 		from := fmt.Sprintf("127.%d.0.1:5000", host)
 		text, err := exec.Command(path, "members", "--from", from, "--output", "json").Output()
-		var s peers.Status
+		var s transport.Status
 		if err == nil {
 			err = json.Unmarshal(text, &s)
 		}
--- a/internal/faults/kinds.go
+++ b/internal/dispatcher/faultinjection/kinds.go
@@ -1,4 +1,4 @@
-package faults
+package faultinjection
 
 import (
 	"math/rand/v2"
--- a/internal/faults/promises.go
+++ b/internal/dispatcher/faultinjection/promises.go
@@ -4,7 +4,7 @@
 // from that record: no key takes effect twice, no two clients are told different
 // outcomes, and after the quiet stretch every key has one.
 
-package faults
+package faultinjection
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Trial is set up by its exported fields and read after the play.
--- a/internal/faults/promises_test.go
+++ b/internal/dispatcher/faultinjection/promises_test.go
@@ -1,7 +1,7 @@
 // Promises between real processes: clients with keys, workers that forget, dispatchers that die with their memories.
 // CI plays a short, fixed part; `make promises` the long set, by PROMISES_KINDS, PROMISES_SIZES, PROMISES_SEEDS.
 
-package faults
+package faultinjection
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 const window = 6 * time.Second
--- a/internal/model/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -1,6 +1,6 @@
 // The clients of a day: arrivals, retries and ends of requests.
 
-package model
+package fleetsim
 
 import (
 	"math"
--- a/internal/model/day.go
+++ b/internal/dispatcher/fleetsim/day.go
@@ -2,7 +2,7 @@
 // queues and connections, the network, the roster and the clients. What the
 // dispatchers do stands in node.go.
 
-package model
+package fleetsim
 
 import (
 	"container/heap"
--- a/internal/model/describe.go
+++ b/internal/dispatcher/fleetsim/describe.go
@@ -1,10 +1,10 @@
-// Package model plays days of a fleet in virtual time, round the real decision
+// Package fleetsim plays days of a fleet in virtual time, round the real decision
 // module: one instance a dispatcher, told what the core would tell it, and
 // workers, networks, rosters and clients that are models. This file holds the
 // descriptions of a fleet and of a load, with their defaults and checks. The
 // package must never do I/O, read a clock or start a goroutine; the same day
 // and seed give the same result to the last bit.
-package model
+package fleetsim
 
 import (
 	"encoding/json"
--- a/internal/model/model_test.go
+++ b/internal/dispatcher/fleetsim/model_test.go
@@ -1,6 +1,6 @@
 // These tests hold the model against theory where there is one, and against
 // the rules on random days: the module must keep them, the model must see it.
-package model
+package fleetsim
 
 import (
 	"encoding/json"
--- a/internal/model/node.go
+++ b/internal/dispatcher/fleetsim/node.go
@@ -2,7 +2,7 @@
 // it, in virtual time. It holds itself to the core's promises and counts where
 // one is broken.
 
-package model
+package fleetsim
 
 import (
 	"slices"
--- a/internal/model/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -1,7 +1,7 @@
 // What a day came to: the service score as the brief counts it, and what
 // stood in the way of more.
 
-package model
+package fleetsim
 
 import (
 	"math"
--- a/internal/model/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -1,6 +1,6 @@
 // The workers of a day: slots, queues, warming up, failing.
 
-package model
+package fleetsim
 
 import (
 	"container/heap"
--- a/internal/node/endings_test.go
+++ b/internal/dispatcher/instance/endings_test.go
@@ -2,7 +2,7 @@
 // is under way, over loopback sockets: a dispatcher's parts stand between a
 // discovery, workers and clients that do nothing before the test's word. Each
 // wait is for a sign that must come, and has a bound that only a failure meets.
-package node_test
+package instance_test
 
 import (
 	"bufio"
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/portal"
-	"gladepick/internal/roster"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/clienthttp"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/discovery"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 const bound = 10 * time.Second // for what must come; a test that fails waits so long
@@ -33,9 +33,9 @@
 	t      *testing.T
 	node   *config.Node
 	core   *dispatch.Core
-	floor  *floor.Floor
-	portal *portal.Portal
-	watch  *roster.Roster
+	floor  *workerhttp.Floor
+	portal *clienthttp.Portal
+	watch  *discovery.Roster
 	here   string
 	calls  chan *call    // that have come to discovery
 	work   chan net.Conn // that have come to the workers, all at one address
@@ -69,7 +69,7 @@
 // set makes the surroundings and the parts; change has the last word on the node.
 func set(t *testing.T, change func(*config.Node)) *rig {
 	r := &rig{t: t, calls: make(chan *call, 64), work: make(chan net.Conn, 64), dials: make(chan *dial, 64)}
-	discovery, workers := listen(t), listen(t)
+	discoveryListener, workers := listen(t), listen(t)
 	var mu sync.Mutex
 	var open []net.Conn
 	keep := func(c net.Conn) { mu.Lock(); open = append(open, c); mu.Unlock() }
@@ -82,7 +82,7 @@
 	})
 	go func() {
 		for {
-			c, err := discovery.Accept()
+			c, err := discoveryListener.Accept()
 			if err != nil {
 				return
 			}
@@ -106,15 +106,15 @@
 	}()
 	var known []config.Worker
 	for i := range 3 { // one machine plays all: where a job goes does not matter, how often does
-		known = append(known, standin.Listing(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
+		known = append(known, testenv.Listing(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
 	}
-	r.node = standin.Node(t, known, "")
-	r.node.Discovery = discovery.Addr().String()
+	r.node = testenv.Node(t, known, "")
+	r.node.Discovery = discoveryListener.Addr().String()
 	if change != nil {
 		change(r.node)
 	}
 	counters := new(dispatch.Counters)
-	r.floor, r.watch = floor.New(r.node, counters), roster.New(r.node)
+	r.floor, r.watch = workerhttp.New(r.node, counters), discovery.New(r.node)
 	straight := r.floor.Dial
 	r.floor.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		if !r.hold {
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	r.watch.Listed = r.core.Listed
-	r.portal = portal.New(r.node, r.core)
+	r.portal = clienthttp.New(r.node, r.core)
 	return r
 }
 
@@ -881,7 +881,7 @@
 	if got := second.hears(); got != "503 refused: try again later" || r.count("dialled") != 1 {
 		t.Errorf("with no connection to spare: %s; %s", got, r.core.Line())
 	}
-	more := append([]config.Worker{standin.Listing("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
+	more := append([]config.Worker{testenv.Listing("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
 	r.core.Listed(decision.ListDelta, more)
 	r.until("the list", func() bool { return r.count("roster_changes") == 2 })
 	if n := r.core.Workers(); n != [3]int{0, 3, 0} {
--- a/internal/node/node.go
+++ b/internal/dispatcher/instance/node.go
@@ -1,7 +1,7 @@
-// Package node runs one dispatcher: it wires its parts together, listens to
+// Package instance runs one dispatcher: it wires its parts together, listens to
 // signals and sees it out. It must never decide anything about a job, nor need
 // anything of a command line.
-package node
+package instance
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"syscall"
 	"time"
 
-	"gladepick/internal/amqp"
-	"gladepick/internal/config"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/peers"
-	"gladepick/internal/portal"
-	"gladepick/internal/roster"
+	"gladepick/internal/dispatcher/amqp"
+	"gladepick/internal/dispatcher/clienthttp"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/discovery"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/membership/transport"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 // Record puts an observer on the core before it runs, and gives what ends it once the core has ended.
@@ -36,7 +36,7 @@
 }
 
 // Keep makes a keeper for a node whose operator's file asks for one.
-type Keep func(*config.Node, *peers.Peers) (Keeper, error)
+type Keep func(*config.Node, *transport.Peers) (Keeper, error)
 
 // Run runs one dispatcher until SIGTERM has been served. record and keep may be nil.
 func Run(record Record, keep Keep) error {
@@ -52,7 +52,7 @@
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 
-	list := roster.New(n)
+	list := discovery.New(n)
 	counters := new(dispatch.Counters)
 	var desk *amqp.Desk
 	var queues dispatch.Floor
@@ -61,17 +61,17 @@
 		desk = amqp.New(n, counters)
 		queues, fixed = desk, desk.Workers()
 	}
-	var members *peers.Peers
+	var members *transport.Peers
 	if n.Members != nil {
-		if members, err = peers.New(n); err != nil {
+		if members, err = transport.New(n); err != nil {
 			return err
 		}
 	}
-	var floors dispatch.Floor = floor.New(n, counters)
+	var floors dispatch.Floor = workerhttp.New(n, counters)
 	var keeper Keeper
 	if n.Promises != nil {
 		if keep == nil {
-			return errors.New("NODE_PROMISES: this program cannot keep promises: gladepick-plus can")
+			return errors.New("NODE_PROMISES: this program cannot keep promises: gladepick-full can")
 		}
 		if keeper, err = keep(n, members); err != nil {
 			return err
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	front := portal.New(n, core)
+	front := clienthttp.New(n, core)
 	var jobs dispatch.Taker = core
 	if members != nil {
 		front.Members = func(ctx context.Context) (any, bool) { return members.Status(ctx) }
@@ -168,7 +168,7 @@
 }
 
 // reload reads the configuration again and carries over what may change while jobs are open.
-func reload(n *config.Node, list *roster.Roster) {
+func reload(n *config.Node, list *discovery.Roster) {
 	later, err := config.Reload(os.Getenv)
 	if err != nil {
 		log.Printf("reload: the old settings stay: %v", err)
--- a/internal/lease/explore_test.go
+++ b/internal/dispatcher/lease/explore_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gladepick/internal/lease"
+	"gladepick/internal/dispatcher/lease"
 )
 
 const (
--- a/internal/lease/lease_test.go
+++ b/internal/dispatcher/lease/lease_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"gladepick/internal/lease"
+	"gladepick/internal/dispatcher/lease"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -15,26 +15,26 @@
 
 	"pgregory.net/rapid"
 
-	"gladepick/internal/membership"
-	"gladepick/internal/membership/world"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/membership/simulation"
 )
 
 // drama is what happens in a stretch, without the faults that the explorer adds.
 type drama struct {
 	name string
-	do   func(w *world.World)
+	do   func(w *simulation.World)
 }
 
 var dramas = []drama{
-	{"nothing", func(*world.World) {}},
-	{"a kill", func(w *world.World) { w.Kill(w.Nodes[1]) }},
-	{"a kill and a start", func(w *world.World) {
+	{"nothing", func(*simulation.World) {}},
+	{"a kill", func(w *simulation.World) { w.Kill(w.Nodes[1]) }},
+	{"a kill and a start", func(w *simulation.World) {
 		w.Kill(w.Nodes[1])
 		w.At(w.Now+700*time.Millisecond, func() { w.Start(w.Nodes[1]) })
 	}},
-	{"a short stop", func(w *world.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
-	{"a long stop", func(w *world.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
-	{"a leave", func(w *world.World) {
+	{"a short stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
+	{"a long stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
+	{"a leave", func(w *simulation.World) {
 		w.Tell(w.Nodes[1], membership.Event{Kind: membership.Leave})
 		w.At(w.Now+2500*time.Millisecond, func() { w.Kill(w.Nodes[1]) })
 	}},
@@ -46,17 +46,17 @@
 	what int // a mischief, or beyond them a stop of 2 s of member what-Mischiefs
 }
 
-const faults = int(world.Mischiefs) + 3
+const faults = int(simulation.Mischiefs) + 3
 
 // explored plays a drama with some faults; it gives how many datagrams the stretch had, and a sum of the record.
 func explored(d drama, list []fault) (datagrams int, sum uint64, bad []string) {
-	w := world.New(3, 3, 1)
+	w := simulation.New(3, 3, 1)
 	for _, x := range w.Nodes {
 		w.Start(x)
 	}
 	w.Run(5 * time.Second)
 	first := -1
-	w.Meddle = func(nth int, _, _ *world.Node) world.Mischief {
+	w.Meddle = func(nth int, _, _ *simulation.Node) simulation.Mischief {
 		if first < 0 {
 			first = nth
 		}
@@ -64,14 +64,14 @@
 		for _, f := range list {
 			if f.nth != nth-first {
 				continue
-			} else if f.what < int(world.Mischiefs) {
-				return world.Mischief(f.what)
+			} else if f.what < int(simulation.Mischiefs) {
+				return simulation.Mischief(f.what)
 			}
-			if x := w.Nodes[f.what-int(world.Mischiefs)]; x.Up {
+			if x := w.Nodes[f.what-int(simulation.Mischiefs)]; x.Up {
 				w.Stop(x, 2*time.Second)
 			}
 		}
-		return world.Nothing
+		return simulation.Nothing
 	}
 	d.do(w)
 	w.Run(w.Now + 8*time.Second)
@@ -153,12 +153,12 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "members")
-		w := world.New(n, 1+n/3, rapid.Uint64().Draw(t, "seed"))
+		w := simulation.New(n, 1+n/3, rapid.Uint64().Draw(t, "seed"))
 		for _, x := range w.Nodes {
 			w.Start(x)
 		}
 		w.Run(8 * time.Second)
-		var hurt []*world.Node
+		var hurt []*simulation.Node
 		heal := func() {
 			w.Cut = nil
 			for _, x := range hurt {
@@ -195,11 +195,11 @@
 				w.Tell(x, membership.Event{Kind: membership.Say, Facts: membership.Facts{Weight: 2}})
 			case "cut": // who is not on the side with more than half of the latest view may be taken for failed
 				heal()
-				side := map[*world.Node]bool{}
+				side := map[*simulation.Node]bool{}
 				for _, y := range w.Nodes {
 					side[y] = rapid.Bool().Draw(t, "side")
 				}
-				w.Cut = func(from, to *world.Node) bool { return side[from] != side[to] }
+				w.Cut = func(from, to *simulation.Node) bool { return side[from] != side[to] }
 				var last membership.View
 				for _, y := range w.Nodes {
 					if y.Up {
@@ -255,10 +255,10 @@
 
 // Whatever comes in, a machine neither panics nor sends more than a bounded answer.
 func FuzzHeard(f *testing.F) {
-	w := world.New(3, 1, 1)
+	w := simulation.New(3, 1, 1)
 	var seen [][]byte
 	make_ := w.Make
-	w.Make = func(n *world.Node, seed uint64) (world.Member, error) {
+	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		m, err := make_(n, seed)
 		return spy{m, &seen}, err
 	}
@@ -275,7 +275,7 @@
 	}
 	f.Add([]byte{1, 0x8d})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := world.New(3, 1, 1)
+		w := simulation.New(3, 1, 1)
 		for _, x := range w.Nodes {
 			w.Start(x)
 		}
@@ -292,7 +292,7 @@
 
 // spy keeps what a member hears.
 type spy struct {
-	world.Member
+	simulation.Member
 	seen *[][]byte
 }
 
--- a/internal/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/membership"
-	"gladepick/internal/membership/world"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/membership/simulation"
 )
 
 // played is a world of n members of a kind that all know each other from the start.
-func played(kind string, n int, seed uint64, bear time.Duration) *world.World {
-	w := world.New(n, 3, seed)
+func played(kind string, n int, seed uint64, bear time.Duration) *simulation.World {
+	w := simulation.New(n, 3, seed)
 	w.Quiet = true
 	var all []membership.Record
 	for i, x := range w.Nodes {
@@ -27,9 +27,9 @@
 	}
 	slices.SortFunc(all, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
 	first := membership.Viewed(all)
-	w.Make = func(x *world.Node, seed uint64) (world.Member, error) {
+	w.Make = func(x *simulation.Node, seed uint64) (simulation.Member, error) {
 		if kind != "views" {
-			return world.NewBaseline(w, x, seed, kind == "heartbeats", 500*time.Millisecond, bear), nil
+			return simulation.NewBaseline(w, x, seed, kind == "heartbeats", 500*time.Millisecond, bear), nil
 		}
 		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, At: x.Addr, Life: x.Life, Seed: seed, Seeds: w.Seeds(5), Bear: bear}, w.Now)
 		if err == nil && w.Now < time.Second {
--- a/internal/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/membership"
-	"gladepick/internal/membership/world"
+	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/dispatcher/membership/simulation"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
 // up is a world of n nodes that have found each other.
-func up(t *testing.T, n, zones int, seed uint64) *world.World {
+func up(t *testing.T, n, zones int, seed uint64) *simulation.World {
 	t.Helper()
-	w := world.New(n, zones, seed)
+	w := simulation.New(n, zones, seed)
 	for i, x := range w.Nodes {
 		w.At(time.Duration(i)*20*time.Millisecond, func() { w.Start(x) })
 	}
@@ -29,7 +29,7 @@
 	return w
 }
 
-func audit(t *testing.T, w *world.World) {
+func audit(t *testing.T, w *simulation.World) {
 	t.Helper()
 	for i, f := range w.Audit() {
 		if i < 10 {
@@ -39,7 +39,7 @@
 }
 
 // settle runs a quiet stretch, after which all that are up must have one view of themselves.
-func settle(t *testing.T, w *world.World) {
+func settle(t *testing.T, w *simulation.World) {
 	t.Helper()
 	w.Run(w.Now + 30*time.Second)
 	if id, ok := w.Agreed(); !ok {
@@ -83,36 +83,36 @@
 
 func TestNobodyThereIsTakenForFailed(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(w *world.World){
-		"loss":   func(w *world.World) { w.Loss = 0.2 },
-		"loss30": func(w *world.World) { w.Loss = 0.3 },
-		"delays": func(w *world.World) {
+	for name, trouble := range map[string]func(w *simulation.World){
+		"loss":   func(w *simulation.World) { w.Loss = 0.2 },
+		"loss30": func(w *simulation.World) { w.Loss = 0.3 },
+		"delays": func(w *simulation.World) {
 			w.Delay, w.Double = [2]time.Duration{time.Millisecond, 500 * time.Millisecond}, 0.2
 		},
-		"pauses": func(w *world.World) {
+		"pauses": func(w *simulation.World) {
 			w.Loss = 0.05
 			for i := range 60 {
 				x := w.Nodes[i*5%len(w.Nodes)]
 				w.At(w.Now+time.Duration(i)*2*time.Second, func() { w.Stop(x, []time.Duration{500 * time.Millisecond, 3 * time.Second}[i%2]) })
 			}
 		},
-		"all stopped in turns": func(w *world.World) {
+		"all stopped in turns": func(w *simulation.World) {
 			for i := range 4 * len(w.Nodes) {
 				x := w.Nodes[i%len(w.Nodes)]
 				w.At(w.Now+time.Duration(i)*700*time.Millisecond, func() { w.Stop(x, 2500*time.Millisecond) })
 			}
 		},
-		"one way": func(w *world.World) {
+		"one way": func(w *simulation.World) {
 			a, b := w.Nodes[0], w.Nodes[1]
-			w.Cut = func(from, to *world.Node) bool { return from == a && to == b }
+			w.Cut = func(from, to *simulation.Node) bool { return from == a && to == b }
 		},
-		"one link": func(w *world.World) {
+		"one link": func(w *simulation.World) {
 			a, b := w.Nodes[0], w.Nodes[1]
-			w.Cut = func(from, to *world.Node) bool { return from == a && to == b || from == b && to == a }
+			w.Cut = func(from, to *simulation.Node) bool { return from == a && to == b || from == b && to == a }
 		},
-		"a bad member": func(w *world.World) { // half of what it sends and gets is lost
+		"a bad member": func(w *simulation.World) { // half of what it sends and gets is lost
 			n := 0
-			w.Cut = func(from, to *world.Node) bool { n++; return (from == w.Nodes[2] || to == w.Nodes[2]) && n%2 == 0 }
+			w.Cut = func(from, to *simulation.Node) bool { n++; return (from == w.Nodes[2] || to == w.Nodes[2]) && n%2 == 0 }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 func TestAChain(t *testing.T) {
 	t.Parallel()
 	w := up(t, 5, 1, 3)
-	w.Cut = func(from, to *world.Node) bool {
+	w.Cut = func(from, to *simulation.Node) bool {
 		i, k := slices.Index(w.Nodes, from), slices.Index(w.Nodes, to)
 		return i-k > 1 || k-i > 1
 	}
@@ -154,11 +154,11 @@
 	t.Parallel()
 	for _, small := range []int{1, 2} {
 		w := up(t, 5, 1, uint64(small))
-		side := func(n *world.Node) bool { return slices.Index(w.Nodes, n) < small }
+		side := func(n *simulation.Node) bool { return slices.Index(w.Nodes, n) < small }
 		for _, n := range w.Nodes[:small] {
 			w.Hurt(n)
 		}
-		w.Cut = func(from, to *world.Node) bool { return side(from) != side(to) }
+		w.Cut = func(from, to *simulation.Node) bool { return side(from) != side(to) }
 		began := w.Now
 		w.Run(w.Now + 20*time.Second)
 		for i, n := range w.Nodes {
@@ -268,8 +268,8 @@
 
 func TestSeedsThatAreDead(t *testing.T) {
 	t.Parallel()
-	w := world.New(4, 1, 8)
-	w.Make = func(n *world.Node, seed uint64) (world.Member, error) {
+	w := simulation.New(4, 1, 8)
+	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, At: n.Addr, Life: n.Life, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
 	}
 	w.Start(w.Nodes[2])
@@ -315,7 +315,7 @@
 		}
 	}
 	settle(t, w)
-	w = world.New(100, 3, 11)
+	w = simulation.New(100, 3, 11)
 	for i, x := range w.Nodes {
 		w.At(time.Duration(max(i-2, 0))*100*time.Millisecond, func() { w.Start(x) })
 	}
@@ -382,8 +382,8 @@
 	t.Parallel()
 	for seed := range uint64(12) {
 		w := up(t, 9, 4, 100+seed)
-		side := func(n *world.Node) bool { return slices.Contains([]int{1, 4, 6, 7, 8}, slices.Index(w.Nodes, n)) }
-		w.Cut = func(from, to *world.Node) bool { return side(from) != side(to) }
+		side := func(n *simulation.Node) bool { return slices.Contains([]int{1, 4, 6, 7, 8}, slices.Index(w.Nodes, n)) }
+		w.Cut = func(from, to *simulation.Node) bool { return side(from) != side(to) }
 		w.Run(w.Now + 20*time.Millisecond)
 		w.Tell(w.Nodes[7], membership.Event{Kind: membership.Leave})
 		w.Run(w.Now + 2200*time.Millisecond)
--- a/internal/membership/world/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -2,14 +2,14 @@
 // reads the record and the troubles that the play itself brought, and judges nothing by
 // the clock of the machine it runs on.
 
-package world
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"gladepick/internal/membership"
+	"gladepick/internal/dispatcher/membership"
 )
 
 // Audit names what breaks a promise: two views of one number, a life that came back, a living and connected member taken
--- a/internal/membership/world/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -2,7 +2,7 @@
 // relays, suspicion for a fixed time, gossip on the probes) and heartbeats of all to all with a fixed time-out. They are
 // for comparison only and take part in no program.
 
-package world
+package simulation
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"gladepick/internal/membership"
+	"gladepick/internal/dispatcher/membership"
 )
 
 // Baseline is one member of either kind. Members are known by number: who is in the world is given from the start.
--- a/internal/membership/world/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -1,9 +1,9 @@
-// Package world plays members in virtual time: datagrams with loss, delay, doubles
+// Package simulation plays members in virtual time: datagrams with loss, delay, doubles
 // and cuts by direction, members that are stopped, killed and started again. It is
 // for measuring and testing the membership at sizes that processes don't reach. It
 // owns the clock and the network of the play, and the record that the auditor reads;
 // it must never look into a member, nor help one with what it could not know.
-package world
+package simulation
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"net/netip"
 	"time"
 
-	"gladepick/internal/membership"
+	"gladepick/internal/dispatcher/membership"
 )
 
 // Member is what is played: the machine, or a baseline.
--- a/internal/peers/peers.go
+++ b/internal/dispatcher/membership/transport/peers.go
@@ -1,10 +1,10 @@
-// Package peers carries the membership over UDP. One goroutine owns the state
+// Package transport carries the membership over UDP. One goroutine owns the state
 // machine, its clock and its socket's sending side; another reads datagrams and
 // drops at once what comes from nobody known, beyond a small budget. It writes the
 // operator's record of events and answers what the state is. It must never decide
 // who is there (internal/membership does), send anything on behalf of a job, or
 // let a flood of datagrams cost more than its limits say.
-package peers
+package transport
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 
 	"golang.org/x/time/rate"
 
-	"gladepick/internal/config"
-	"gladepick/internal/membership"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/membership"
 )
 
 // Status is what an operator is shown. Its JSON form is that of GET /members.
--- a/internal/plan/breaks.go
+++ b/internal/dispatcher/planner/breaks.go
@@ -1,6 +1,6 @@
 // Where a fleet breaks, and what would relieve it.
 
-package plan
+package planner
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Relief is what lifting one limit does where the goal breaks.
@@ -91,7 +91,7 @@
 	return out, nil
 }
 
-func busy(f *model.Fleet, days []*model.Result) (out []string) {
+func busy(f *fleetsim.Fleet, days []*fleetsim.Result) (out []string) {
 	for i, k := range f.Kinds {
 		sum, full := 0.0, 0
 		for _, r := range days {
@@ -106,65 +106,65 @@
 }
 
 // lifts are the limits that can be lifted one at a time.
-func lifts(f *model.Fleet) map[string]func(*model.Fleet, *model.Load) {
-	kinds := func(change func(*model.Kind)) func(*model.Fleet, *model.Load) {
-		return func(f *model.Fleet, _ *model.Load) {
+func lifts(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
+	kinds := func(change func(*fleetsim.Kind)) func(*fleetsim.Fleet, *fleetsim.Load) {
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.Kinds = slices.Clone(f.Kinds)
 			for i := range f.Kinds {
 				change(&f.Kinds[i])
 			}
 		}
 	}
-	dispatchers := func(change func(*model.Dispatchers)) func(*model.Fleet, *model.Load) {
-		return func(f *model.Fleet, _ *model.Load) {
+	dispatchers := func(change func(*fleetsim.Dispatchers)) func(*fleetsim.Fleet, *fleetsim.Load) {
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.Dispatchers = slices.Clone(f.Dispatchers)
 			for i := range f.Dispatchers {
 				change(&f.Dispatchers[i])
 			}
 		}
 	}
-	return map[string]func(*model.Fleet, *model.Load){
-		"slots of the workers": func(f *model.Fleet, _ *model.Load) {
+	return map[string]func(*fleetsim.Fleet, *fleetsim.Load){
+		"slots of the workers": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.Workers = slices.Clone(f.Workers)
 			for i := range f.Workers {
 				f.Workers[i].Count = int(math.Ceil(1.5 * float64(f.Workers[i].Count)))
 			}
 		},
-		"the running time itself":         kinds(func(k *model.Kind) { k.Speed[0] *= 2; k.Speed[1] *= 2; k.Cores /= 2 }),
-		"waiting rooms of the workers":    kinds(func(k *model.Kind) { k.Queue = max(10*k.Queue, 10) }),
-		"connections that workers accept": kinds(func(k *model.Kind) { k.Connections = 1 << 30 }),
-		"the cost of new connections":     kinds(func(k *model.Kind) { k.ConnectionMs = 0 }),
-		"the cold budget after a start": func(f *model.Fleet, l *model.Load) {
-			kinds(func(k *model.Kind) { k.ColdShare = 1 })(f, l)
+		"the running time itself":         kinds(func(k *fleetsim.Kind) { k.Speed[0] *= 2; k.Speed[1] *= 2; k.Cores /= 2 }),
+		"waiting rooms of the workers":    kinds(func(k *fleetsim.Kind) { k.Queue = max(10*k.Queue, 10) }),
+		"connections that workers accept": kinds(func(k *fleetsim.Kind) { k.Connections = 1 << 30 }),
+		"the cost of new connections":     kinds(func(k *fleetsim.Kind) { k.ConnectionMs = 0 }),
+		"the cold budget after a start": func(f *fleetsim.Fleet, l *fleetsim.Load) {
+			kinds(func(k *fleetsim.Kind) { k.ColdShare = 1 })(f, l)
 			f.Cold.Share = 1
 		},
-		"open jobs of the dispatchers":      dispatchers(func(d *model.Dispatchers) { d.OpenJobs = 1 << 30 }),
-		"worker connections of dispatchers": dispatchers(func(d *model.Dispatchers) { d.Connections = 1 << 30 }),
-		"clients' repeats":                  func(_ *model.Fleet, l *model.Load) { l.Retries.Most = 0 },
-		"the roster's delay": func(f *model.Fleet, _ *model.Load) {
-			f.RosterS, f.SilentS = model.Range{1e-3, 1e-3}, model.Range{1e-3, 1e-3}
+		"open jobs of the dispatchers":      dispatchers(func(d *fleetsim.Dispatchers) { d.OpenJobs = 1 << 30 }),
+		"worker connections of dispatchers": dispatchers(func(d *fleetsim.Dispatchers) { d.Connections = 1 << 30 }),
+		"clients' repeats":                  func(_ *fleetsim.Fleet, l *fleetsim.Load) { l.Retries.Most = 0 },
+		"the roster's delay": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.RosterS, f.SilentS = fleetsim.Range{1e-3, 1e-3}, fleetsim.Range{1e-3, 1e-3}
 		},
-		"the age of load reports": func(f *model.Fleet, _ *model.Load) {
-			f.ReportEveryS, f.ReportDelayS = model.Range{0.02, 0.02}, model.Range{1e-3, 1e-3}
+		"the age of load reports": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.ReportEveryS, f.ReportDelayS = fleetsim.Range{0.02, 0.02}, fleetsim.Range{1e-3, 1e-3}
 		},
 		"the pools of universities by label": onePool,
 	}
 }
 
 // onePool takes the labels away: without a share no university gets a pool of its own. The load keeps its mix.
-func onePool(f *model.Fleet, l *model.Load) {
+func onePool(f *fleetsim.Fleet, l *fleetsim.Load) {
 	mixed := len(l.Universities) > 0
 	f.Universities = slices.Clone(f.Universities)
 	for i := range f.Universities {
 		u := &f.Universities[i]
 		if !mixed {
-			l.Universities = append(l.Universities, model.Source{Name: u.Name, Share: u.Share})
+			l.Universities = append(l.Universities, fleetsim.Source{Name: u.Name, Share: u.Share})
 		}
 		u.Share = 0
 	}
 }
 
-func (p *Planner) reliefs(f *model.Fleet, l *model.Load, slack float64) (out []Relief, err error) {
+func (p *Planner) reliefs(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []Relief, err error) {
 	all := lifts(f)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		p.note("what gives relief: %s", name)
--- a/internal/plan/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -1,7 +1,7 @@
 // Fitting: what captures tell of the load and of the machines, how sure that
 // is, and what they do not tell.
 
-package plan
+package planner
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"fmt"
 	"slices"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Figure is one thing that was fitted.
@@ -23,12 +23,12 @@
 
 // Fit is what captures tell.
 type Fit struct {
-	Load     *model.Load `json:"load"`
-	Figures  []Figure    `json:"figures"`
-	Warnings []string    `json:"warnings"`
-	Peak     float64     `json:"peak"` // most jobs in a second, repeats left out
+	Load     *fleetsim.Load `json:"load"`
+	Figures  []Figure       `json:"figures"`
+	Warnings []string       `json:"warnings"`
+	Peak     float64        `json:"peak"` // most jobs in a second, repeats left out
 
-	speed       map[string]model.Range
+	speed       map[string]fleetsim.Range
 	slots       map[string]int
 	queue       map[string]int
 	same, cross float64 // milliseconds one way
@@ -43,11 +43,11 @@
 }
 
 // FitCapture fits captures of any number of dispatchers to a fleet, whose speeds, where it gives some, are the yardstick.
-func FitCapture(s *capture.Set, f *model.Fleet) (*Fit, error) {
+func FitCapture(s *capture.Set, f *fleetsim.Fleet) (*Fit, error) {
 	if len(s.Tries) == 0 {
 		return nil, errors.New("the captures hold no tries")
 	}
-	x := &Fit{Load: &model.Load{Times: 1}, speed: map[string]model.Range{}, slots: map[string]int{}, queue: map[string]int{}, ways: map[way]float64{}}
+	x := &Fit{Load: &fleetsim.Load{Times: 1}, speed: map[string]fleetsim.Range{}, slots: map[string]int{}, queue: map[string]int{}, ways: map[way]float64{}}
 	x.Warnings = append(x.Warnings, s.Notes...)
 	if s.Lost > 0 {
 		x.warn("%d rows could not be kept by the recorders: rates are that much too low", s.Lost)
@@ -62,12 +62,12 @@
 }
 
 // Fill gives a copy of the fleet with what it leaves out put in from the capture, as far as that is known.
-func (x *Fit) Fill(f *model.Fleet) *model.Fleet {
+func (x *Fit) Fill(f *fleetsim.Fleet) *fleetsim.Fleet {
 	out := *f
 	out.Kinds = slices.Clone(f.Kinds)
 	for i := range out.Kinds {
 		k := &out.Kinds[i]
-		if r, ok := x.speed[k.Name]; ok && k.Speed == (model.Range{}) {
+		if r, ok := x.speed[k.Name]; ok && k.Speed == (fleetsim.Range{}) {
 			k.Speed = r
 		}
 		if n := x.slots[k.Name]; n > 0 && k.Slots == 0 {
@@ -82,7 +82,7 @@
 }
 
 // Extrapolates tells where a plan leaves what the capture has seen.
-func (x *Fit) Extrapolates(l *model.Load) (out []string) {
+func (x *Fit) Extrapolates(l *fleetsim.Load) (out []string) {
 	peak := 0.0
 	for _, p := range l.Rate {
 		peak = max(peak, p.PerSec*max(l.Times, 1))
--- a/internal/plan/fit_clients.go
+++ b/internal/dispatcher/planner/fit_clients.go
@@ -1,6 +1,6 @@
 // Fitting what clients do after a refusal or a failure.
 
-package plan
+package planner
 
 import (
 	"math"
@@ -8,8 +8,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // repeats fits what clients do after a refusal or a failure.
@@ -50,7 +50,7 @@
 	switch {
 	case bad < 20:
 		x.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", bad)
-		*r = model.Retries{Most: 1, WaitMs: 50, Honours: true}
+		*r = fleetsim.Retries{Most: 1, WaitMs: 50, Honours: true}
 		return
 	case repeats > 0:
 		r.Most = max(int(math.Round(float64(repeats)/float64(bad))), 1)
--- a/internal/plan/fit_machines.go
+++ b/internal/dispatcher/planner/fit_machines.go
@@ -1,6 +1,6 @@
 // Fitting workers: running times, speeds, slots, waiting rooms and the ways to them.
 
-package plan
+package planner
 
 import (
 	"cmp"
@@ -12,15 +12,15 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // way is from a dispatcher to a zone.
 type way struct{ node, zone string }
 
 // running fits a class's running time and each kind's speed: the logarithm of a time is the class's less the worker's.
-func (x *Fit) running(attempts []capture.Attempt, f *model.Fleet) {
+func (x *Fit) running(attempts []capture.Attempt, f *fleetsim.Fleet) {
 	type row struct {
 		class  int
 		worker string
@@ -98,7 +98,7 @@
 		sort.Float64s(left)
 		dev := stat.StdDev(left, nil)
 		mean := math.Exp(mu[c] + shift + dev*dev/2)
-		at := slices.IndexFunc(x.Load.Classes, func(w model.Work) bool { return w.Name == f.Classes[c].Name })
+		at := slices.IndexFunc(x.Load.Classes, func(w fleetsim.Work) bool { return w.Name == f.Classes[c].Name })
 		if at >= 0 {
 			x.Load.Classes[at].Ms, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(dev*dev)-1)
 		}
@@ -130,7 +130,7 @@
 		} else {
 			x.warn("one machine of %s was seen: how they differ is not known", k)
 		}
-		x.speed[k] = model.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
+		x.speed[k] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
 		x.figure("speed of "+k, math.Exp(mean), 1.96*math.Exp(mean)*math.Sqrt(noise/float64(len(all))+between*between/float64(len(all))), jobs)
 	}
 	for _, k := range f.Kinds {
--- a/internal/plan/fit_test.go
+++ b/internal/dispatcher/planner/fit_test.go
@@ -1,4 +1,4 @@
-package plan
+package planner
 
 import (
 	"math"
@@ -6,15 +6,15 @@
 	"strings"
 	"testing"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // recorded makes the rows of a day whose truth is known: 60 jobs a second, then 90 from second 60 on; univ-gaspesie
 // sends five times its part from 80 to 90; std-2c is of speed 1, fast-3c of 1.6; clients repeat once after 40 ms.
-func recorded() (*capture.Set, *model.Fleet) {
+func recorded() (*capture.Set, *fleetsim.Fleet) {
 	f, _ := yard()
-	f.Kinds = append(f.Kinds, model.Kind{Name: "fast-3c", Cores: 3})
+	f.Kinds = append(f.Kinds, fleetsim.Kind{Name: "fast-3c", Cores: 3})
 	f.Kinds[0].Slots = 0
 	rng := rand.New(rand.NewPCG(11, 12))
 	s := &capture.Set{}
@@ -117,7 +117,7 @@
 		t.Errorf("slots: %d and %d", full.Kinds[0].Slots, fast.Slots)
 	}
 	near("the speed of fast-3c", (full.Kinds[1].Speed[0]+full.Kinds[1].Speed[1])/2, 1.6, 0.06)
-	if full.Kinds[0].Speed != (model.Range{1, 1}) || f.Kinds[1].Slots != 0 {
+	if full.Kinds[0].Speed != (fleetsim.Range{1, 1}) || f.Kinds[1].Slots != 0 {
 		t.Errorf("what the fleet gives was changed: %+v", full.Kinds[0])
 	}
 	near("one way within a zone", full.SameZoneMs, 1, 0.2)
@@ -129,12 +129,12 @@
 			t.Errorf("%+v", w)
 		}
 	}
-	beyond := &model.Load{Rate: []model.Point{{AtS: 0, PerSec: 900}}}
+	beyond := &fleetsim.Load{Rate: []fleetsim.Point{{AtS: 0, PerSec: 900}}}
 	if said := x.Extrapolates(beyond); len(said) != 1 || !strings.Contains(said[0], "900 jobs a second") || len(x.Extrapolates(l)) != 0 {
 		t.Errorf("%v, %v", said, x.Extrapolates(l))
 	}
 	// The fitted load can be planned for.
-	if _, err := model.Play(x.Fill(f), l, 1, nil); err != nil {
+	if _, err := fleetsim.Play(x.Fill(f), l, 1, nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -148,7 +148,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		return strings.Join(append(x.Warnings, x.Extrapolates(&model.Load{Rate: x.Load.Rate, Bursts: []model.Burst{{}}})...), "; ")
+		return strings.Join(append(x.Warnings, x.Extrapolates(&fleetsim.Load{Rate: x.Load.Rate, Bursts: []fleetsim.Burst{{}}})...), "; ")
 	}
 	for says, change := range map[string]func(*capture.Set){
 		"hold no tries":                              func(s *capture.Set) { s.Tries = nil },
--- a/internal/plan/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -1,9 +1,9 @@
-// Package plan answers what breaks first, how many workers a goal needs, and
+// Package planner answers what breaks first, how many workers a goal needs, and
 // what losing a zone costs, by playing days of the model. This file is the
 // language in which goals are written. The package must never do I/O or read a
 // clock; what it finds hangs on the descriptions and the seed alone, not on
 // how many cores it is given.
-package plan
+package planner
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Goal is what a fleet must reach: every clause of it.
@@ -100,7 +100,7 @@
 }
 
 // Check holds a goal's names against a fleet.
-func (g *Goal) Check(f *model.Fleet) error {
+func (g *Goal) Check(f *fleetsim.Fleet) error {
 	for _, c := range g.Clauses {
 		for _, t := range c.Tests {
 			if t.Of != "" && classOf(f, t.Of) < 0 && universityOf(f, t.Of) < 0 {
@@ -121,16 +121,16 @@
 	return nil
 }
 
-func classOf(f *model.Fleet, name string) int {
-	return slices.IndexFunc(f.Classes, func(c model.Class) bool { return c.Name == name })
+func classOf(f *fleetsim.Fleet, name string) int {
+	return slices.IndexFunc(f.Classes, func(c fleetsim.Class) bool { return c.Name == name })
 }
 
-func universityOf(f *model.Fleet, name string) int {
-	return slices.IndexFunc(f.Universities, func(u model.University) bool { return u.Name == name })
+func universityOf(f *fleetsim.Fleet, name string) int {
+	return slices.IndexFunc(f.Universities, func(u fleetsim.University) bool { return u.Name == name })
 }
 
 // of measures a day. Of a day without such jobs every measure is perfect.
-func (t *Test) of(f *model.Fleet, r *model.Result) float64 {
+func (t *Test) of(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	tally := &r.Whole
 	if i := classOf(f, t.Of); i >= 0 {
 		tally = &r.Classes[i]
@@ -157,7 +157,7 @@
 }
 
 // slack is how far a day lies on the good side of the bound, below zero if on the bad one.
-func (t *Test) slack(f *model.Fleet, r *model.Result) float64 {
+func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	if t.Op == ">=" {
 		return t.of(f, r) - t.Value
 	}
@@ -173,7 +173,7 @@
 }
 
 // when is the time that a condition lasts: a third of the day, from its first third on, where nothing else is said.
-func (c *Condition) when(l *model.Load) (at, span float64) {
+func (c *Condition) when(l *fleetsim.Load) (at, span float64) {
 	if c.For > 0 {
 		return c.At, c.For
 	}
@@ -181,22 +181,22 @@
 }
 
 // apply puts a clause's conditions into copies of the descriptions.
-func (c *Clause) apply(f model.Fleet, l model.Load) (*model.Fleet, *model.Load) {
+func (c *Clause) apply(f fleetsim.Fleet, l fleetsim.Load) (*fleetsim.Fleet, *fleetsim.Load) {
 	f.Troubles, l.Bursts = slices.Clone(f.Troubles), slices.Clone(l.Bursts)
 	l.Times = cmp.Or(l.Times, 1)
 	for _, w := range c.With {
 		at, span := w.when(&l)
 		switch {
 		case w.Zone != "":
-			f.Troubles = append(f.Troubles, model.Trouble{What: "zone_lost", Zone: w.Zone, AtS: at, ForS: span})
+			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "zone_lost", Zone: w.Zone, AtS: at, ForS: span})
 		case w.Dead > 0:
-			f.Troubles = append(f.Troubles, model.Trouble{What: "deaths", Part: w.Dead / 100, AtS: at, ForS: span})
+			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "deaths", Part: w.Dead / 100, AtS: at, ForS: span})
 		case w.Shared > 0:
-			f.Troubles = append(f.Troubles, model.Trouble{What: "shared", Part: w.Shared / 100, Takes: 0.55, OnS: 2.5, OffS: 2.5, AtS: at, ForS: span})
+			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "shared", Part: w.Shared / 100, Takes: 0.55, OnS: 2.5, OffS: 2.5, AtS: at, ForS: span})
 		case w.Who == "load":
 			l.Times *= w.Times
 		default:
-			l.Bursts = append(l.Bursts, model.Burst{University: w.Who, Times: w.Times, AtS: at, ForS: span})
+			l.Bursts = append(l.Bursts, fleetsim.Burst{University: w.Who, Times: w.Times, AtS: at, ForS: span})
 		}
 	}
 	return &f, &l
--- a/internal/plan/losses.go
+++ b/internal/dispatcher/planner/losses.go
@@ -1,8 +1,8 @@
 // What losing a zone costs.
 
-package plan
+package planner
 
-import "gladepick/internal/model"
+import "gladepick/internal/dispatcher/fleetsim"
 
 // Loss is what losing a zone costs, as a share of the worth asked.
 type Loss struct {
@@ -39,7 +39,7 @@
 				return out, err
 			}
 			loss := Loss{Zone: zone, Spares: spares, Seconds: make([]float64, len(whole[0].Seconds))}
-			diff := func(of func(*model.Result) model.Tally) Estimate {
+			diff := func(of func(*fleetsim.Result) fleetsim.Tally) Estimate {
 				var x []float64
 				for i := range whole {
 					a, b := of(whole[i]), of(lost[i])
@@ -47,8 +47,8 @@
 				}
 				return p.estimate(x)
 			}
-			window := func(from, to float64) func(*model.Result) model.Tally {
-				return func(r *model.Result) (t model.Tally) {
+			window := func(from, to float64) func(*fleetsim.Result) fleetsim.Tally {
+				return func(r *fleetsim.Result) (t fleetsim.Tally) {
 					for i, s := range r.Seconds {
 						if float64(i) >= from && float64(i) < to {
 							t.Asked += s.Asked
@@ -58,13 +58,13 @@
 					return t
 				}
 			}
-			loss.Worth = diff(func(r *model.Result) model.Tally { return r.Whole })
+			loss.Worth = diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Whole })
 			loss.During, loss.After = diff(window(at, at+span)), diff(window(at+span, at+span+10))
 			for i := range f.Classes {
-				loss.Classes = append(loss.Classes, diff(func(r *model.Result) model.Tally { return r.Classes[i] }))
+				loss.Classes = append(loss.Classes, diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Classes[i] }))
 			}
 			for i := range f.Universities {
-				loss.Universities = append(loss.Universities, diff(func(r *model.Result) model.Tally { return r.Universities[i] }))
+				loss.Universities = append(loss.Universities, diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Universities[i] }))
 			}
 			for i := range loss.Seconds {
 				for d := range whole {
--- a/internal/plan/needs.go
+++ b/internal/dispatcher/planner/needs.go
@@ -1,27 +1,27 @@
 // What a fleet needs: the cheapest that meets the goal.
 
-package plan
+package planner
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Needs answers how many workers the goal needs.
 type Needs struct {
-	Reached  bool           `json:"reached"`
-	Workers  []model.Group  `json:"workers"`
-	Count    int            `json:"count"`
-	Cost     float64        `json:"cost"`
-	CostNow  float64        `json:"cost_now"`
-	Findings []Finding      `json:"findings"`
-	Why      []Relief       `json:"why,omitempty"` // what would give relief where no number of workers does
-	Limits   map[string]int `json:"limits"`        // the least that the goal needs with these workers
-	Curve    []Sample       `json:"curve"`         // service against workers
-	Fleets   int            `json:"fleets"`        // that were looked at
+	Reached  bool             `json:"reached"`
+	Workers  []fleetsim.Group `json:"workers"`
+	Count    int              `json:"count"`
+	Cost     float64          `json:"cost"`
+	CostNow  float64          `json:"cost_now"`
+	Findings []Finding        `json:"findings"`
+	Why      []Relief         `json:"why,omitempty"` // what would give relief where no number of workers does
+	Limits   map[string]int   `json:"limits"`        // the least that the goal needs with these workers
+	Curve    []Sample         `json:"curve"`         // service against workers
+	Fleets   int              `json:"fleets"`        // that were looked at
 }
 
 // Sample is a fleet that was looked at.
@@ -33,7 +33,7 @@
 }
 
 // prices are what a machine of each kind costs.
-func prices(f *model.Fleet) map[string]float64 {
+func prices(f *fleetsim.Fleet) map[string]float64 {
 	of := map[string]float64{}
 	for _, k := range f.Kinds {
 		of[k.Name] = cmp.Or(k.Cost, 1)
@@ -41,7 +41,7 @@
 	return of
 }
 
-func cost(f *model.Fleet) (workers int, cost float64) {
+func cost(f *fleetsim.Fleet) (workers int, cost float64) {
 	of := prices(f)
 	for _, g := range f.Workers {
 		workers += g.Count
@@ -51,7 +51,7 @@
 }
 
 // scaled is a fleet of some times the workers, each group rounded up.
-func scaled(f *model.Fleet, x float64) *model.Fleet {
+func scaled(f *fleetsim.Fleet, x float64) *fleetsim.Fleet {
 	out := *f
 	out.Workers = slices.Clone(f.Workers)
 	for i := range out.Workers {
@@ -66,7 +66,7 @@
 	out := &Needs{Limits: map[string]int{}}
 	base := p.usual(true)
 	_, out.CostNow = cost(p.usual(false))
-	try := func(f *model.Fleet) (*evaluation, error) {
+	try := func(f *fleetsim.Fleet) (*evaluation, error) {
 		n, c := cost(f)
 		p.note("how many: %d workers at a cost of %.4g", n, c)
 		before := len(p.cache)
@@ -77,21 +77,21 @@
 		}
 		return e, err
 	}
-	keep := func(f *model.Fleet, e *evaluation) {
+	keep := func(f *fleetsim.Fleet, e *evaluation) {
 		out.Reached, out.Findings = true, e.findings
 		out.Workers = nil
 		for _, g := range f.Workers {
-			at := slices.IndexFunc(out.Workers, func(o model.Group) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
+			at := slices.IndexFunc(out.Workers, func(o fleetsim.Group) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
 			if at >= 0 {
 				out.Workers[at].Count += g.Count
 			} else if g.Count > 0 {
-				out.Workers = append(out.Workers, model.Group{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
+				out.Workers = append(out.Workers, fleetsim.Group{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
 			}
 		}
 		out.Count, out.Cost = cost(f)
 	}
 	low, high := 0.0, 1.0
-	var best *model.Fleet
+	var best *fleetsim.Fleet
 	for {
 		f := scaled(base, high)
 		e, err := try(f)
@@ -148,8 +148,8 @@
 }
 
 // neighbours are fleets a step cheaper, the cheapest first: a machine less, or one kind for another in a zone.
-func neighbours(f *model.Fleet, price map[string]float64) (out []*model.Fleet) {
-	with := func(change func([]model.Group)) {
+func neighbours(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
+	with := func(change func([]fleetsim.Group)) {
 		n := *f
 		n.Workers = slices.Clone(f.Workers)
 		change(n.Workers)
@@ -159,14 +159,14 @@
 		if g.Count == 0 {
 			continue
 		}
-		with(func(w []model.Group) { w[i].Count-- })
+		with(func(w []fleetsim.Group) { w[i].Count-- })
 		for k, other := range f.Workers {
 			if other.Zone == g.Zone && price[other.Kind] < price[g.Kind] {
-				with(func(w []model.Group) { w[i].Count--; w[k].Count++ })
+				with(func(w []fleetsim.Group) { w[i].Count--; w[k].Count++ })
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *model.Fleet) int {
+	slices.SortStableFunc(out, func(a, b *fleetsim.Fleet) int {
 		_, x := cost(a)
 		_, y := cost(b)
 		return cmp.Compare(x, y)
@@ -175,23 +175,23 @@
 }
 
 // limits finds the least open jobs, worker connections and attempts with which the goal still holds.
-func (p *Planner) limits(f *model.Fleet, out *Needs) error {
+func (p *Planner) limits(f *fleetsim.Fleet, out *Needs) error {
 	for _, limit := range []struct {
 		name string
 		most int
-		set  func(*model.Fleet, int)
+		set  func(*fleetsim.Fleet, int)
 	}{
-		{"open_jobs", 4096, func(f *model.Fleet, v int) {
+		{"open_jobs", 4096, func(f *fleetsim.Fleet, v int) {
 			for i := range f.Dispatchers {
 				f.Dispatchers[i].OpenJobs = v
 			}
 		}},
-		{"worker_connections", 4096, func(f *model.Fleet, v int) {
+		{"worker_connections", 4096, func(f *fleetsim.Fleet, v int) {
 			for i := range f.Dispatchers {
 				f.Dispatchers[i].Connections = v
 			}
 		}},
-		{"attempts", 8, func(f *model.Fleet, v int) { f.Attempts = v }},
+		{"attempts", 8, func(f *fleetsim.Fleet, v int) { f.Attempts = v }},
 	} {
 		low, high := 0, limit.most
 		for high-low > max(high/16, 1) {
--- a/internal/plan/plan.go
+++ b/internal/dispatcher/planner/plan.go
@@ -2,7 +2,7 @@
 // the same clients meet every fleet. A batch is as large as it is, however
 // many cores play it, and a verdict stands as soon as it is sure enough.
 
-package plan
+package planner
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Options say how sure answers must be and how long the search may go on.
@@ -39,8 +39,8 @@
 
 // Planner searches for one fleet, load and goal.
 type Planner struct {
-	Fleet *model.Fleet
-	Load  *model.Load
+	Fleet *fleetsim.Fleet
+	Load  *fleetsim.Load
 	Goal  *Goal
 	Options
 	days  atomic.Int64
@@ -48,7 +48,7 @@
 }
 
 // New checks what belongs together.
-func New(f *model.Fleet, l *model.Load, g *Goal, o Options) (*Planner, error) {
+func New(f *fleetsim.Fleet, l *fleetsim.Load, g *Goal, o Options) (*Planner, error) {
 	if err := g.Check(f); err != nil {
 		return nil, err
 	}
@@ -70,8 +70,8 @@
 func (p *Planner) stopped() bool { return p.Stop != nil && p.Stop() }
 
 // play plays some days of one description, each with its seed.
-func (p *Planner) play(f *model.Fleet, l *model.Load, first, count int) ([]*model.Result, error) {
-	out, errs := make([]*model.Result, count), make([]error, count)
+func (p *Planner) play(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
+	out, errs := make([]*fleetsim.Result, count), make([]error, count)
 	var all sync.WaitGroup
 	room := make(chan bool, p.Cores)
 	for i := range count {
@@ -79,7 +79,7 @@
 		room <- true
 		go func() {
 			defer func() { <-room; all.Done() }()
-			if out[i], errs[i] = model.Play(f, l, p.Seed*1_000_003+uint64(first+i), p.Stop); errs[i] == nil {
+			if out[i], errs[i] = fleetsim.Play(f, l, p.Seed*1_000_003+uint64(first+i), p.Stop); errs[i] == nil {
 				p.days.Add(1)
 				if p.Played != nil {
 					p.Played(1)
@@ -137,7 +137,7 @@
 
 // evaluate plays days until each test is surely held or one surely is not, or the days are up: what is not sure by
 // then does not hold.
-func (p *Planner) evaluate(f *model.Fleet, l *model.Load) (*evaluation, error) {
+func (p *Planner) evaluate(f *fleetsim.Fleet, l *fleetsim.Load) (*evaluation, error) {
 	id := fmt.Sprintf("%v|%v", *f, *l)
 	if e := p.cache[id]; e != nil {
 		return e, nil
@@ -145,7 +145,7 @@
 	e := &evaluation{holds: true, slack: math.Inf(1)}
 	for i, c := range p.Goal.Clauses {
 		cf, cl := c.apply(*f, *l)
-		var days []*model.Result
+		var days []*fleetsim.Result
 		for {
 			more, err := p.play(cf, cl, len(days), min(batch, p.Options.Days-len(days)))
 			if err != nil {
@@ -212,13 +212,13 @@
 }
 
 // usual is the fleet without its spare machines, or with them.
-func (p *Planner) usual(spares bool) *model.Fleet {
+func (p *Planner) usual(spares bool) *fleetsim.Fleet {
 	f := *p.Fleet
-	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g model.Group) bool { return g.Spare && !spares })
+	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g fleetsim.Group) bool { return g.Spare && !spares })
 	return &f
 }
 
-func (p *Planner) times(x float64) *model.Load {
+func (p *Planner) times(x float64) *fleetsim.Load {
 	l := *p.Load
 	l.Times = cmp.Or(l.Times, 1) * x
 	return &l
--- a/internal/plan/plan_test.go
+++ b/internal/dispatcher/planner/plan_test.go
@@ -1,6 +1,6 @@
 // These tests set fleets up so that it is known what must break, how many
 // workers are needed and what cannot be reached, and hold the planner to it.
-package plan
+package planner
 
 import (
 	"encoding/json"
@@ -10,26 +10,26 @@
 	"sync/atomic"
 	"testing"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // yard is one zone's machines of one kind, half loaded.
-func yard() (*model.Fleet, *model.Load) {
-	f := &model.Fleet{
+func yard() (*fleetsim.Fleet, *fleetsim.Load) {
+	f := &fleetsim.Fleet{
 		Zones:       []string{"montreal", "sherbrooke"},
 		CrossZoneMs: 5,
-		Kinds:       []model.Kind{{Name: "std-2c", Cores: 2, Speed: model.Range{1, 1}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1}},
-		Workers:     []model.Group{{Kind: "std-2c", Zone: "montreal", Count: 4}, {Kind: "std-2c", Zone: "sherbrooke", Count: 4}},
-		Dispatchers: []model.Dispatchers{{Zone: "montreal", Count: 1, OpenJobs: 1000, Connections: 1000}},
-		Classes: []model.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
+		Kinds:       []fleetsim.Kind{{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{1, 1}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1}},
+		Workers:     []fleetsim.Group{{Kind: "std-2c", Zone: "montreal", Count: 4}, {Kind: "std-2c", Zone: "sherbrooke", Count: 4}},
+		Dispatchers: []fleetsim.Dispatchers{{Zone: "montreal", Count: 1, OpenJobs: 1000, Connections: 1000}},
+		Classes: []fleetsim.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
 			{Name: "enrol", Effect: "keyed", WindowS: 7.5, AimS: 0.15, Stretch: 2.5, DeadlineS: 5, Worth: 8, LateWorth: 0.2}},
-		Universities: []model.University{{Name: "univ-laurentie", Share: 0.6, PerSecS: 0}, {Name: "univ-gaspesie", Share: 0.4, PerSecS: 0}},
+		Universities: []fleetsim.University{{Name: "univ-laurentie", Share: 0.6, PerSecS: 0}, {Name: "univ-gaspesie", Share: 0.4, PerSecS: 0}},
 	}
-	l := &model.Load{Seconds: 10, Rate: []model.Point{{AtS: 0, PerSec: 70}}, Classes: []model.Work{{Name: "seat-check", Share: 0.8, Ms: 100, CV: 0.5}, {Name: "enrol", Share: 0.2, Ms: 80, CV: 0.5}}}
+	l := &fleetsim.Load{Seconds: 10, Rate: []fleetsim.Point{{AtS: 0, PerSec: 70}}, Classes: []fleetsim.Work{{Name: "seat-check", Share: 0.8, Ms: 100, CV: 0.5}, {Name: "enrol", Share: 0.2, Ms: 80, CV: 0.5}}}
 	return f, l
 }
 
-func planner(t testing.TB, f *model.Fleet, l *model.Load, goal string, o Options) *Planner {
+func planner(t testing.TB, f *fleetsim.Fleet, l *fleetsim.Load, goal string, o Options) *Planner {
 	t.Helper()
 	g, err := ParseGoal(goal)
 	if err != nil {
@@ -44,25 +44,25 @@
 
 // What was made scarce is what breaks first.
 func TestTheScarceResourceIsNamed(t *testing.T) {
-	for first, set := range map[string]func(*model.Fleet, *model.Load){
-		"slots of the workers":         func(f *model.Fleet, l *model.Load) {},
-		"open jobs of the dispatchers": func(f *model.Fleet, l *model.Load) { f.Dispatchers[0].OpenJobs = 10 },
-		"worker connections of dispatchers": func(f *model.Fleet, l *model.Load) {
+	for first, set := range map[string]func(*fleetsim.Fleet, *fleetsim.Load){
+		"slots of the workers":         func(f *fleetsim.Fleet, l *fleetsim.Load) {},
+		"open jobs of the dispatchers": func(f *fleetsim.Fleet, l *fleetsim.Load) { f.Dispatchers[0].OpenJobs = 10 },
+		"worker connections of dispatchers": func(f *fleetsim.Fleet, l *fleetsim.Load) {
 			f.Dispatchers[0].Connections = 9
 		},
-		"connections that workers accept": func(f *model.Fleet, l *model.Load) { f.Kinds[0].Connections = 1 },
-		"the cost of new connections": func(f *model.Fleet, l *model.Load) {
+		"connections that workers accept": func(f *fleetsim.Fleet, l *fleetsim.Load) { f.Kinds[0].Connections = 1 },
+		"the cost of new connections": func(f *fleetsim.Fleet, l *fleetsim.Load) {
 			f.Kinds[0].ConnectionMs, f.ConnIdleS = 400, 0.05
 		},
-		"the running time itself": func(f *model.Fleet, l *model.Load) {
+		"the running time itself": func(f *fleetsim.Fleet, l *fleetsim.Load) {
 			f.Classes[0].AimS, f.Classes[1].AimS, f.Classes[0].Stretch, f.Classes[1].Stretch = 0.5, 0.5, 0, 0
 			f.Workers[0].Count, f.Workers[1].Count = 100, 100
 			l.Classes[0].Ms, l.Classes[1].Ms, l.Rate[0].PerSec = 430, 430, 20
 		},
-		"the cold budget after a start": func(f *model.Fleet, l *model.Load) {
-			f.Kinds[0].ColdShare, f.Kinds[0].WarmS, f.Cold = 0.05, 12, model.Cold{Share: 0.05, WarmS: 12, Multiple: 3, SpanS: 1}
-			f.RosterS = model.Range{0.1, 0.1}
-			f.Troubles = []model.Trouble{{What: "deaths", Part: 1, AtS: 3, ForS: 0.05}}
+		"the cold budget after a start": func(f *fleetsim.Fleet, l *fleetsim.Load) {
+			f.Kinds[0].ColdShare, f.Kinds[0].WarmS, f.Cold = 0.05, 12, fleetsim.Cold{Share: 0.05, WarmS: 12, Multiple: 3, SpanS: 1}
+			f.RosterS = fleetsim.Range{0.1, 0.1}
+			f.Troubles = []fleetsim.Trouble{{What: "deaths", Part: 1, AtS: 3, ForS: 0.05}}
 			l.Rate[0].PerSec = 60
 		},
 	} {
@@ -83,8 +83,8 @@
 // The mix found holds the goal, and none that is a step cheaper does.
 func TestTheCheapestMix(t *testing.T) {
 	f, l := yard()
-	f.Kinds = append(f.Kinds, model.Kind{Name: "fast-2c", Cores: 2, Speed: model.Range{2, 2}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1.5})
-	f.Workers = append(f.Workers, model.Group{Kind: "fast-2c", Zone: "montreal", Count: 1}, model.Group{Kind: "fast-2c", Zone: "sherbrooke", Count: 1})
+	f.Kinds = append(f.Kinds, fleetsim.Kind{Name: "fast-2c", Cores: 2, Speed: fleetsim.Range{2, 2}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1.5})
+	f.Workers = append(f.Workers, fleetsim.Group{Kind: "fast-2c", Zone: "montreal", Count: 1}, fleetsim.Group{Kind: "fast-2c", Zone: "sherbrooke", Count: 1})
 	p := planner(t, f, l, "service >= 0.95 and late(enrol) <= 5%", Options{Days: 6})
 	n, err := p.Needs()
 	if err != nil || !n.Reached {
@@ -113,12 +113,12 @@
 
 // A goal that no number of workers meets is said to be one, with what stands in its way.
 func TestGoalsOutOfReach(t *testing.T) {
-	for why, set := range map[string]func(*model.Fleet, *model.Load){
-		"the running time itself": func(f *model.Fleet, l *model.Load) {
+	for why, set := range map[string]func(*fleetsim.Fleet, *fleetsim.Load){
+		"the running time itself": func(f *fleetsim.Fleet, l *fleetsim.Load) {
 			f.Classes[0].Stretch, f.Classes[1].Stretch = 0, 0
 			l.Classes[0].Ms, l.Classes[1].Ms, l.Rate[0].PerSec = 140, 140, 10
 		},
-		"open jobs of the dispatchers": func(f *model.Fleet, l *model.Load) { f.Dispatchers[0].OpenJobs = 4 },
+		"open jobs of the dispatchers": func(f *fleetsim.Fleet, l *fleetsim.Load) { f.Dispatchers[0].OpenJobs = 4 },
 	} {
 		f, l := yard()
 		set(f, l)
@@ -133,7 +133,7 @@
 func TestWhatAZoneCosts(t *testing.T) {
 	f, l := yard()
 	f.Workers[0].Count = 7
-	f.Workers = append(f.Workers, model.Group{Kind: "std-2c", Zone: "sherbrooke", Count: 4, Spare: true})
+	f.Workers = append(f.Workers, fleetsim.Group{Kind: "std-2c", Zone: "sherbrooke", Count: 4, Spare: true})
 	all, err := planner(t, f, l, "service >= 0.9", Options{Days: 6}).Losses()
 	if err != nil || len(all) != 4 {
 		t.Fatal(err, len(all))
--- a/internal/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -18,15 +18,15 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"gladepick/internal/plan"
+	"gladepick/internal/dispatcher/planner"
 )
 
 // Page is what a page shows.
 type Page struct {
 	Goal  string
 	Text  string // the table that a person reads first
-	Needs *plan.Needs
-	Zones []plan.Loss
+	Needs *planner.Needs
+	Zones []planner.Loss
 }
 
 // picture is a plot in both forms.
@@ -120,7 +120,7 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Service score against workers", "workers", "score"
 	all := slices.Clone(page.Needs.Curve)
-	slices.SortStableFunc(all, func(a, b plan.Sample) int { return a.Workers - b.Workers })
+	slices.SortStableFunc(all, func(a, b planner.Sample) int { return a.Workers - b.Workers })
 	for i, holds := range []bool{true, false} {
 		var c curve
 		for _, s := range all {
--- a/internal/replica/charter.go
+++ b/internal/dispatcher/raftgroup/charter.go
@@ -1,6 +1,6 @@
 // The charter: which copies hold which group, and how it changes.
 
-package replica
+package raftgroup
 
 import (
 	"cmp"
--- a/internal/replica/proposals.go
+++ b/internal/dispatcher/raftgroup/proposals.go
@@ -1,6 +1,6 @@
 // Proposals and questions: the way of a command to its group's leader, and of the answer back.
 
-package replica
+package raftgroup
 
 import (
 	"errors"
--- a/internal/replica/raft.go
+++ b/internal/dispatcher/raftgroup/raft.go
@@ -1,6 +1,6 @@
 // The raft group of one copy: frames, logs, snapshots and applied commands.
 
-package replica
+package raftgroup
 
 import (
 	"errors"
--- a/internal/replica/replica.go
+++ b/internal/dispatcher/raftgroup/replica.go
@@ -1,4 +1,4 @@
-// Package replica keeps copies of state machines on several dispatchers. A Host is one
+// Package raftgroup keeps copies of state machines on several dispatchers. A Host is one
 // dispatcher's part: placement groups, each a Raft group (go.etcd.io/raft) on a few of
 // them. Like the membership it has no I/O, clock or goroutine: frames, times and who is
 // there go in, frames and results come out. This file owns who holds a copy of what,
@@ -6,7 +6,7 @@
 // command to its group's leader and back. It must never let a copy vote with a memory
 // that it hasn't got: each memory is a Place of its own, each seat in a group has a
 // number that is given once, and nothing starts with a seat that it had before.
-package replica
+package raftgroup
 
 import (
 	"cmp"
--- a/internal/replica/replica_test.go
+++ b/internal/dispatcher/raftgroup/replica_test.go
@@ -2,7 +2,7 @@
 // their memory, stopped, and started again. Raft draws its election times from the system's randomness, so that two runs
 // differ in their order; what must hold is looked at in every copy and at every step, and does not hang on the order.
 
-package replica_test
+package raftgroup_test
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/replica"
+	"gladepick/internal/dispatcher/raftgroup"
 )
 
 // list is the machine that is copied: every command it was given, in order.
@@ -46,8 +46,8 @@
 }
 
 type host struct {
-	*replica.Host
-	place   replica.Place
+	*raftgroup.Host
+	place   raftgroup.Place
 	zone    string
 	up      bool
 	stopped time.Duration
@@ -56,7 +56,7 @@
 }
 
 type mail struct {
-	from replica.Place
+	from raftgroup.Place
 	data []byte
 }
 
@@ -114,7 +114,7 @@
 func newPlay(t *testing.T, n int, seed uint64) *play {
 	p := &play{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, stands: map[int][]string{}, told: map[string]int{}}
 	for i := range n {
-		p.hosts = append(p.hosts, &host{place: replica.Place{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
+		p.hosts = append(p.hosts, &host{place: raftgroup.Place{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
 		p.start(i)
 	}
 	p.every(10*time.Millisecond, func() {
@@ -164,8 +164,8 @@
 		names = append(names, fmt.Sprintf("n%d", k))
 	}
 	var err error
-	h.Host, err = replica.New(replica.Config{Self: h.place, Founders: names[:5], Groups: 4, Compact: 40, Seed: p.rng.Uint64(),
-		Machine: func(g int) replica.Machine { return &list{play: p, group: g} }}, p.now)
+	h.Host, err = raftgroup.New(raftgroup.Config{Self: h.place, Founders: names[:5], Groups: 4, Compact: 40, Seed: p.rng.Uint64(),
+		Machine: func(g int) raftgroup.Machine { return &list{play: p, group: g} }}, p.now)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -178,17 +178,17 @@
 		if !h.up || p.now < h.stopped {
 			continue
 		}
-		var there []replica.Member
+		var there []raftgroup.Member
 		for k, x := range p.hosts {
 			if x.up && !p.cut[[2]int{i, k}] && !p.cut[[2]int{k, i}] {
-				there = append(there, replica.Member{Place: x.place, Zone: x.zone, Charter: x.Charter(), Leaving: x.leaving})
+				there = append(there, raftgroup.Member{Place: x.place, Zone: x.zone, Charter: x.Charter(), Leaving: x.leaving})
 			}
 		}
 		p.do(h, h.See(p.now, there, 2*len(there) > len(p.hosts)))
 	}
 }
 
-func (p *play) do(h *host, acts *replica.Actions) {
+func (p *play) do(h *host, acts *raftgroup.Actions) {
 	from := slices.Index(p.hosts, h)
 	for _, o := range acts.Send {
 		to := slices.IndexFunc(p.hosts, func(x *host) bool { return x.place.Name == o.To.Name })
@@ -214,7 +214,7 @@
 	}
 }
 
-var asks = map[uint64]func(replica.Result){}
+var asks = map[uint64]func(raftgroup.Result){}
 
 // load brings commands in at random hosts, one each few milliseconds.
 func (p *play) load(for_ time.Duration) {
@@ -233,7 +233,7 @@
 		word := fmt.Sprintf("c%d", p.asked)
 		g := h.Group(word)
 		token, acts := h.Propose(p.now, g, []byte(word), p.now+2*time.Second)
-		asks[token] = func(r replica.Result) {
+		asks[token] = func(r raftgroup.Result) {
 			if r.Err != nil {
 				p.unsure++
 			} else {
@@ -379,27 +379,27 @@
 // Files that name different dispatchers can found two fleets. What one of them sends is never taken in by the other: its copies
 // would take the place of those that are there.
 func TestAnotherFoundingIsNotHeard(t *testing.T) {
-	make_ := func(name string, founders ...string) *replica.Host {
-		h, err := replica.New(replica.Config{Self: replica.Place{Name: name, Copy: uint64(name[0])}, Founders: founders, Groups: 1, Seed: 1,
-			Machine: func(g int) replica.Machine { return &list{play: &play{stands: map[int][]string{}}} }}, 0)
+	make_ := func(name string, founders ...string) *raftgroup.Host {
+		h, err := raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: name, Copy: uint64(name[0])}, Founders: founders, Groups: 1, Seed: 1,
+			Machine: func(g int) raftgroup.Machine { return &list{play: &play{stands: map[int][]string{}}} }}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return h
 	}
-	member := func(h *replica.Host, name string) replica.Member {
-		return replica.Member{Place: replica.Place{Name: name, Copy: uint64(name[0])}, Charter: h.Charter()}
+	member := func(h *raftgroup.Host, name string) raftgroup.Member {
+		return raftgroup.Member{Place: raftgroup.Place{Name: name, Copy: uint64(name[0])}, Charter: h.Charter()}
 	}
 	a, alone := make_("a", "a", "b"), make_("b", "b")
-	alone.See(0, []replica.Member{member(alone, "b")}, true)
-	if a.See(0, []replica.Member{member(a, "a"), {Place: replica.Place{Name: "b", Copy: 'b'}}}, true); a.Charter() == 0 || alone.Charter() == 0 || a.Charter() == alone.Charter() {
+	alone.See(0, []raftgroup.Member{member(alone, "b")}, true)
+	if a.See(0, []raftgroup.Member{member(a, "a"), {Place: raftgroup.Place{Name: "b", Copy: 'b'}}}, true); a.Charter() == 0 || alone.Charter() == 0 || a.Charter() == alone.Charter() {
 		t.Fatalf("foundings %x and %x", a.Charter(), alone.Charter())
 	}
 	was, frames, notices := fmt.Sprint(alone.Status()), 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		for _, o := range a.Tick(now).Send {
 			frames++
-			notices += len(alone.Hear(now, replica.Place{Name: "a", Copy: 'a'}, o.Data).Notices)
+			notices += len(alone.Hear(now, raftgroup.Place{Name: "a", Copy: 'a'}, o.Data).Notices)
 		}
 	}
 	if got := fmt.Sprint(alone.Status()); frames == 0 || notices != 1 || got != was {
--- a/internal/wire/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -1,7 +1,7 @@
-// Package wire turns the frames and settings text of the simulator's wire into
+// Package simadapter turns the frames and settings text of the simulator's wire into
 // the types of package decision and back, and hosts the instances. It decides
 // nothing.
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/wire/host.go
+++ b/internal/dispatcher/simadapter/host.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bufio"
--- a/internal/snmp/snmp.go
+++ b/internal/dispatcher/snmp/snmp.go
@@ -18,9 +18,9 @@
 
 	"github.com/gosnmp/gosnmp"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/config"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // Base is the MIB's root: below the enterprise number that RFC 5612 sets aside for documentation. An operator with a
--- a/internal/snmp/snmp_test.go
+++ b/internal/dispatcher/snmp/snmp_test.go
@@ -21,10 +21,10 @@
 	"github.com/gosnmp/gosnmp"
 	"pgregory.net/rapid"
 
-	"gladepick/internal/agent"
-	"gladepick/internal/config"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/snmp"
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/snmp"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
@@ -288,7 +288,7 @@
 
 // The MIB names every counter, in the order that the agent numbers them by.
 func TestMIBNamesEveryCounter(t *testing.T) {
-	text, err := os.ReadFile("../../mibs/GLADEPICK-MIB.txt")
+	text, err := os.ReadFile("../../../mibs/GLADEPICK-MIB.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/broker.go
+++ b/internal/dispatcher/testenv/broker.go
@@ -1,4 +1,4 @@
-package standin
+package testenv
 
 import (
 	"bytes"
--- a/internal/standin/broker_test.go
+++ b/internal/dispatcher/testenv/broker_test.go
@@ -1,6 +1,6 @@
 // The front at the broker, and what its connection goes through.
 
-package standin
+package testenv
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // A client leaves just when its job has been given to a queue's floor: nothing is published.
--- a/internal/standin/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -1,6 +1,6 @@
 // What clients' connections go through.
 
-package standin
+package testenv
 
 import (
 	"context"
--- a/internal/standin/discovery_test.go
+++ b/internal/dispatcher/testenv/discovery_test.go
@@ -1,6 +1,6 @@
 // Lists of workers and the watches that bring them.
 
-package standin
+package testenv
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Nothing new goes to a worker once it drains, and a watch that breaks or goes silent is asked for again.
--- a/internal/standin/fleet.go
+++ b/internal/dispatcher/testenv/fleet.go
@@ -4,7 +4,7 @@
 // the program itself, one process each. It follows the model's description of a
 // fleet, and shares with the model only how requests are drawn and counted.
 
-package standin
+package testenv
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 	"sync/atomic"
 	"time"
 
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // Fleet is a described fleet at work on loopback.
 type Fleet struct {
-	desc    *model.Fleet
-	load    *model.Load
+	desc    *fleetsim.Fleet
+	load    *fleetsim.Load
 	seed    uint64
 	program string
 	dir     string // of configurations and captures
@@ -51,13 +51,13 @@
 
 // PlayOnSockets plays a day and gives its book. program is the dispatcher, dir holds what it is told, and its captures
 // below capture-N. host is a number from 1 to 250 that no other day has just now.
-func PlayOnSockets(desc *model.Fleet, load *model.Load, seed uint64, program, dir string, host int) (*model.Result, error) {
+func PlayOnSockets(desc *fleetsim.Fleet, load *fleetsim.Load, seed uint64, program, dir string, host int) (*fleetsim.Result, error) {
 	f := &Fleet{desc: desc.Filled(), load: load, seed: seed, program: program, dir: dir, host: host, past: map[string]chan bool{}}
-	book, err := model.NewBook(desc, load)
+	book, err := fleetsim.NewBook(desc, load)
 	if err != nil {
 		return nil, err
 	}
-	next, err := model.Arrivals(desc, load, seed)
+	next, err := fleetsim.Arrivals(desc, load, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 }
 
 // client makes a request and repeats it as the load says; it tells whether it was served, and when after its arrival.
-func (f *Fleet) client(client *http.Client, a model.Arrival, n int) (bool, time.Duration) {
+func (f *Fleet) client(client *http.Client, a fleetsim.Arrival, n int) (bool, time.Duration) {
 	c, u := f.desc.Classes[a.Class], f.desc.Universities[a.University]
 	came := time.Now()
 	until := came.Add(dur(c.DeadlineS))
--- a/internal/standin/fleet_start.go
+++ b/internal/dispatcher/testenv/fleet_start.go
@@ -1,6 +1,6 @@
 // Starting and ending a fleet: workers, discovery, and a process for each dispatcher.
 
-package standin
+package testenv
 
 import (
 	"encoding/json"
--- a/internal/standin/fleet_test.go
+++ b/internal/dispatcher/testenv/fleet_test.go
@@ -1,4 +1,4 @@
-package standin
+package testenv
 
 import (
 	"cmp"
@@ -12,87 +12,87 @@
 	"sync"
 	"testing"
 
-	"gladepick/internal/capture"
-	"gladepick/internal/model"
-	"gladepick/internal/plan"
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
+	"gladepick/internal/dispatcher/planner"
 )
 
 // truth is the fleet that stands on loopback: what the planner is not told of it, it must find in a capture.
-func truth(fast, std, slow int) *model.Fleet {
+func truth(fast, std, slow int) *fleetsim.Fleet {
 	zones := []string{"montreal", "quebec-city", "sherbrooke"}
-	f := &model.Fleet{
+	f := &fleetsim.Fleet{
 		Zones: zones, SameZoneMs: 0.3, CrossZoneMs: 14, Jitter: 0.15,
-		Kinds: []model.Kind{
-			{Name: "fast-3c", Cores: 3, Speed: model.Range{1.45, 1.75}, Slots: 3, Queue: 36, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2000, Cost: 3},
-			{Name: "std-2c", Cores: 2, Speed: model.Range{0.88, 1.08}, Slots: 2, Queue: 24, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 1400, Cost: 1.3},
-			{Name: "slow-4c", Cores: 4, Speed: model.Range{0.53, 0.67}, Slots: 4, Queue: 50, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2800, Cost: 1.6}},
-		Dispatchers: []model.Dispatchers{{Zone: "montreal", Count: 2, Share: 1.5}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
-		Classes: []model.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
+		Kinds: []fleetsim.Kind{
+			{Name: "fast-3c", Cores: 3, Speed: fleetsim.Range{1.45, 1.75}, Slots: 3, Queue: 36, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2000, Cost: 3},
+			{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{0.88, 1.08}, Slots: 2, Queue: 24, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 1400, Cost: 1.3},
+			{Name: "slow-4c", Cores: 4, Speed: fleetsim.Range{0.53, 0.67}, Slots: 4, Queue: 50, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2800, Cost: 1.6}},
+		Dispatchers: []fleetsim.Dispatchers{{Zone: "montreal", Count: 2, Share: 1.5}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
+		Classes: []fleetsim.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
 			{Name: "enrol", Effect: "keyed", WindowS: 7.5, AimS: 0.15, Stretch: 2.5, DeadlineS: 5, Worth: 8, LateWorth: 0.2}},
 	}
 	for _, u := range []struct {
 		name  string
 		share float64
 	}{{"univ-laurentie", 0.3}, {"univ-saint-fleuve", 0.16}, {"univ-estrie-nord", 0.13}, {"univ-outaouais-ouest", 0.11}, {"univ-mauricie", 0.11}, {"univ-bas-fleuve", 0.08}, {"univ-gaspesie", 0.06}, {"univ-abitibi-lac", 0.05}} {
-		f.Universities = append(f.Universities, model.University{Name: u.name, Share: u.share, PerSecS: 150 * u.share})
+		f.Universities = append(f.Universities, fleetsim.University{Name: u.name, Share: u.share, PerSecS: 150 * u.share})
 	}
 	for i, n := range []int{fast, std, slow} {
 		for z, zone := range zones {
-			f.Workers = append(f.Workers, model.Group{Kind: f.Kinds[i].Name, Zone: zone, Count: (n + 2 - z) / 3})
+			f.Workers = append(f.Workers, fleetsim.Group{Kind: f.Kinds[i].Name, Zone: zone, Count: (n + 2 - z) / 3})
 		}
 	}
 	return f
 }
 
-func traffic(seconds, perSec float64) *model.Load {
-	return &model.Load{Seconds: seconds, Rate: []model.Point{{AtS: 0, PerSec: perSec}}, Retries: model.Retries{Most: 1, WaitMs: 30, Honours: true},
-		Classes: []model.Work{{Name: "seat-check", Share: 0.8, Ms: 200, CV: 1}, {Name: "enrol", Share: 0.2, Ms: 140, CV: 1}}}
+func traffic(seconds, perSec float64) *fleetsim.Load {
+	return &fleetsim.Load{Seconds: seconds, Rate: []fleetsim.Point{{AtS: 0, PerSec: perSec}}, Retries: fleetsim.Retries{Most: 1, WaitMs: 30, Honours: true},
+		Classes: []fleetsim.Work{{Name: "seat-check", Share: 0.8, Ms: 200, CV: 1}, {Name: "enrol", Share: 0.2, Ms: 140, CV: 1}}}
 }
 
 // scenario is a day to predict.
 type scenario struct {
 	name  string
-	fleet *model.Fleet
-	load  *model.Load
+	fleet *fleetsim.Fleet
+	load  *fleetsim.Load
 }
 
 func scenarios(seconds float64) (out []scenario) {
-	add := func(name string, fast, std, slow int, perSec float64, change func(*model.Fleet, *model.Load)) {
+	add := func(name string, fast, std, slow int, perSec float64, change func(*fleetsim.Fleet, *fleetsim.Load)) {
 		f, l := truth(fast, std, slow), traffic(seconds, perSec)
 		change(f, l)
 		out = append(out, scenario{name, f, l})
 	}
-	trouble := func(t model.Trouble) func(*model.Fleet, *model.Load) {
+	trouble := func(t fleetsim.Trouble) func(*fleetsim.Fleet, *fleetsim.Load) {
 		t.AtS, t.ForS = 0.3*seconds, 0.35*seconds
-		return func(f *model.Fleet, _ *model.Load) { f.Troubles = []model.Trouble{t} }
-	}
-	add("12 workers, calm", 4, 4, 4, 110, func(*model.Fleet, *model.Load) {})
-	add("12 workers, busy", 4, 4, 4, 160, func(*model.Fleet, *model.Load) {})
-	add("12 workers, overload", 4, 4, 4, 230, func(*model.Fleet, *model.Load) {})
-	add("montreal lost and back cold", 4, 4, 4, 120, trouble(model.Trouble{What: "deaths", Zone: "montreal", Part: 1}))
-	add("25 % dead at once", 4, 4, 4, 130, trouble(model.Trouble{What: "deaths", Part: 0.25}))
-	add("univ-laurentie times 5", 4, 4, 4, 100, func(_ *model.Fleet, l *model.Load) {
-		l.Bursts = []model.Burst{{University: "univ-laurentie", Times: 5, AtS: 0.3 * seconds, ForS: 0.35 * seconds}}
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) { f.Troubles = []fleetsim.Trouble{t} }
+	}
+	add("12 workers, calm", 4, 4, 4, 110, func(*fleetsim.Fleet, *fleetsim.Load) {})
+	add("12 workers, busy", 4, 4, 4, 160, func(*fleetsim.Fleet, *fleetsim.Load) {})
+	add("12 workers, overload", 4, 4, 4, 230, func(*fleetsim.Fleet, *fleetsim.Load) {})
+	add("montreal lost and back cold", 4, 4, 4, 120, trouble(fleetsim.Trouble{What: "deaths", Zone: "montreal", Part: 1}))
+	add("25 % dead at once", 4, 4, 4, 130, trouble(fleetsim.Trouble{What: "deaths", Part: 0.25}))
+	add("univ-laurentie times 5", 4, 4, 4, 100, func(_ *fleetsim.Fleet, l *fleetsim.Load) {
+		l.Bursts = []fleetsim.Burst{{University: "univ-laurentie", Times: 5, AtS: 0.3 * seconds, ForS: 0.35 * seconds}}
 	})
-	add("half the machines shared", 4, 4, 4, 120, trouble(model.Trouble{What: "shared", Part: 0.5, Takes: 0.7, OnS: 2.5, OffS: 1.5}))
-	add("25 % drained and restarted", 4, 4, 4, 130, trouble(model.Trouble{What: "drain", Part: 0.25}))
-	add("reports 3 s late", 4, 4, 4, 150, trouble(model.Trouble{What: "reports_late", Takes: 3}))
-	add("mostly slow workers", 2, 1, 9, 130, func(*model.Fleet, *model.Load) {})
-	add("a dispatcher with a third", 4, 4, 4, 150, func(f *model.Fleet, _ *model.Load) {
+	add("half the machines shared", 4, 4, 4, 120, trouble(fleetsim.Trouble{What: "shared", Part: 0.5, Takes: 0.7, OnS: 2.5, OffS: 1.5}))
+	add("25 % drained and restarted", 4, 4, 4, 130, trouble(fleetsim.Trouble{What: "drain", Part: 0.25}))
+	add("reports 3 s late", 4, 4, 4, 150, trouble(fleetsim.Trouble{What: "reports_late", Takes: 3}))
+	add("mostly slow workers", 2, 1, 9, 130, func(*fleetsim.Fleet, *fleetsim.Load) {})
+	add("a dispatcher with a third", 4, 4, 4, 150, func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 		f.Dispatchers[2].Share = 3
 	})
 	return out
 }
 
 // hidden is a fleet as an operator would describe it: speeds of one kind as the yardstick, the rest left out.
-func hidden(f *model.Fleet) *model.Fleet {
+func hidden(f *fleetsim.Fleet) *fleetsim.Fleet {
 	out := *f
 	out.Kinds = slices.Clone(f.Kinds)
 	out.SameZoneMs, out.CrossZoneMs, out.Jitter = 0, 0, 0
 	for i := range out.Kinds {
 		k := &out.Kinds[i]
 		if k.Slots, k.Queue = 0, 0; i > 0 {
-			k.Speed = model.Range{}
+			k.Speed = fleetsim.Range{}
 		}
 	}
 	return &out
@@ -105,7 +105,7 @@
 	if os.Getenv("PLAN_BENCH") == "" {
 		t.Skip("real time on real sockets: make bench-plan")
 	}
-	program, err := filepath.Abs(cmp.Or(os.Getenv("PLAN_PROGRAM"), "../../bin/gladepick"))
+	program, err := filepath.Abs(cmp.Or(os.Getenv("PLAN_PROGRAM"), "../../../bin/gladepick"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fit, err := plan.FitCapture(set, hidden(calm))
+	fit, err := planner.FitCapture(set, hidden(calm))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	}
 	only := os.Getenv("PLAN_ONLY")
 	all := slices.DeleteFunc(scenarios(seconds), func(s scenario) bool { return only != "" && !strings.Contains(s.name, only) })
-	measured := make([][seeds]*model.Result, len(all))
+	measured := make([][seeds]*fleetsim.Result, len(all))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	room := make(chan bool, lanes) // each day has addresses of its own: a closed port may be held for a moment by a process that just forks
@@ -172,7 +172,7 @@
 		const days = 12
 		var whole, class, worst float64
 		for d := range uint64(days) {
-			r, err := model.Play(told, &load, 5000+d, nil)
+			r, err := fleetsim.Play(told, &load, 5000+d, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/standin/fleet_troubles.go
+++ b/internal/dispatcher/testenv/fleet_troubles.go
@@ -1,13 +1,13 @@
 // What goes wrong in a fleet, as its description says.
 
-package standin
+package testenv
 
 import (
 	"encoding/json"
 	"math/rand/v2"
 	"time"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 // tell lets every dispatcher's discovery say a worker's state, each after a delay of its own.
--- a/internal/standin/fronts_test.go
+++ b/internal/dispatcher/testenv/fronts_test.go
@@ -1,7 +1,7 @@
 // These tests drive both fronts against the stand-ins, in time that the test
 // itself moves on. They own no rule: what a job must come to is said case by
 // case, and what must hold for all jobs is checked in the yard.
-package standin
+package testenv
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
--- a/internal/standin/herd_test.go
+++ b/internal/dispatcher/testenv/herd_test.go
@@ -1,7 +1,7 @@
 // Many dispatchers round one discovery that takes its callers one after the other: what each does for itself when it
 // starts, is killed, loses its watch or is turned away must not add up to a storm, nor cost anybody a job.
 
-package standin
+package testenv
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"testing/synctest"
 	"time"
 
-	"gladepick/internal/config"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/roster"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/discovery"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 // crowd is many dispatchers round one discovery and a few workers, all on one network in memory.
@@ -40,7 +40,7 @@
 	n := Node(c.t, c.known, "")
 	n.Seed, n.Module.Self, n.Module.Dispatchers = uint64(i*1000+life), i, len(c.calls)
 	counters := new(dispatch.Counters)
-	f, watch := floor.New(n, counters), roster.New(n)
+	f, watch := workerhttp.New(n, counters), discovery.New(n)
 	f.Dial = c.net.Dial
 	watch.Dial = func(ctx context.Context, _, address string) (net.Conn, error) {
 		c.mu.Lock()
--- a/internal/standin/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -1,6 +1,6 @@
 // A worker of a fleet: its connections and its answers.
 
-package standin
+package testenv
 
 import (
 	"bufio"
@@ -14,15 +14,15 @@
 	"sync"
 	"time"
 
-	"gladepick/internal/config"
-	"gladepick/internal/model"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/fleetsim"
 )
 
 // machine is one worker.
 type machine struct {
 	f       *Fleet
 	id      string
-	kind    model.Kind
+	kind    fleetsim.Kind
 	zone    string
 	speed   float64
 	mu      sync.Mutex
--- a/internal/standin/machine_load.go
+++ b/internal/dispatcher/testenv/machine_load.go
@@ -1,6 +1,6 @@
 // A worker's load reports, as it sends them with its answers.
 
-package standin
+package testenv
 
 import (
 	"fmt"
--- a/internal/standin/machine_service.go
+++ b/internal/dispatcher/testenv/machine_service.go
@@ -1,6 +1,6 @@
 // The service time of a worker's jobs: slots, waiting room, cold start and shared cores.
 
-package standin
+package testenv
 
 import (
 	"container/heap"
--- a/internal/standin/payouts_test.go
+++ b/internal/dispatcher/testenv/payouts_test.go
@@ -1,7 +1,7 @@
 // The second deployment's ways through a whole dispatcher: a class that must never run twice, a key that is known in one
 // zone only, cancels that stop the work, lists that are pushed.
 
-package standin
+package testenv
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 
 	"pgregory.net/rapid"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/roster"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/discovery"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 // payouts is a dispatcher of that kind, with workers in two zones.
@@ -45,7 +45,7 @@
 	srv := &http.Server{Handler: &Roster{Changes: make(chan string), Whole: config.Roster{Generation: 8, Reset: true, Workers: known}}}
 	go srv.Serve(c.Listen("127.0.0.1:8500"))
 	counters := new(dispatch.Counters)
-	f, watch := floor.New(n, counters), roster.New(n)
+	f, watch := workerhttp.New(n, counters), discovery.New(n)
 	f.Dial = c.Dial
 	watch.Dial = dialContext(c)
 	core, err := dispatch.New(n, counters, f, nil, watch, nil)
--- a/internal/standin/redelivery_test.go
+++ b/internal/dispatcher/testenv/redelivery_test.go
@@ -1,6 +1,6 @@
 // What a job comes to that is delivered or asked for again.
 
-package standin
+package testenv
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"time"
 
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // A broker delivers an enrol again when its channel drops while the job is out: one send, one answer.
--- a/internal/standin/rig_test.go
+++ b/internal/dispatcher/testenv/rig_test.go
@@ -1,6 +1,6 @@
 // The surroundings of the tests: a dispatcher, its workers, discovery, broker and clients, in moved time.
 
-package standin
+package testenv
 
 import (
 	"bufio"
@@ -15,13 +15,13 @@
 
 	amqp "github.com/rabbitmq/amqp091-go"
 
-	desk "gladepick/internal/amqp"
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/portal"
-	"gladepick/internal/roster"
+	desk "gladepick/internal/dispatcher/amqp"
+	"gladepick/internal/dispatcher/clienthttp"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/discovery"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 const (
@@ -38,11 +38,11 @@
 	yard   *Yard
 	broker *Broker
 	list   *Roster
-	watch  *roster.Roster
+	watch  *discovery.Roster
 	node   *config.Node
 	core   *dispatch.Core
-	floor  *floor.Floor
-	portal *portal.Portal
+	floor  *workerhttp.Floor
+	portal *clienthttp.Portal
 	desk   *desk.Desk
 	stop   func()
 	client *http.Client
@@ -136,9 +136,9 @@
 		n.Limits.PortalConns, n.Limits.PortalFresh = r.spare, r.spare/3
 	}
 	counters := new(dispatch.Counters)
-	r.node, r.floor = n, floor.New(n, counters)
+	r.node, r.floor = n, workerhttp.New(n, counters)
 	r.floor.Dial = r.net.Dial
-	watch := roster.New(n)
+	watch := discovery.New(n)
 	watch.Dial = dialContext(r.net)
 	var queues dispatch.Floor
 	var fixed []config.Worker
@@ -164,7 +164,7 @@
 		}
 		go r.desk.Run(ctx)
 	}
-	r.portal = portal.New(n, r.core)
+	r.portal = clienthttp.New(n, r.core)
 	l := r.net.Listen(here)
 	go r.portal.Serve(l)
 	r.stop = func() {
--- a/internal/standin/standin.go
+++ b/internal/dispatcher/testenv/standin.go
@@ -1,10 +1,10 @@
-// Package standin plays the systems around the dispatcher for tests: workers
+// Package testenv plays the systems around the dispatcher for tests: workers
 // and discovery over HTTP/1.1, a broker and queue workers over AMQP 0-9-1, all
 // written from their public specifications on a network in memory; and, in
 // fleet.go alone, a whole fleet on loopback sockets for long measurements. Only
 // tests import it. It must never open an address off loopback, nor judge more
 // than the rules that a worker can see for itself.
-package standin
+package testenv
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 	"testing"
 	"time"
 
-	"gladepick/internal/config"
+	"gladepick/internal/dispatcher/config"
 )
 
 // Net is a network in memory. An address that nobody listens on refuses; one in Silent never answers.
--- a/internal/floor/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -1,6 +1,6 @@
 // Reading a worker's answer, line by line.
 
-package floor
+package workerhttp
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"os"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // said is what a worker's answer came to.
--- a/internal/floor/chunks.go
+++ b/internal/dispatcher/workerhttp/chunks.go
@@ -1,6 +1,6 @@
 // Reading a chunked body that ends where its last chunk does.
 
-package floor
+package workerhttp
 
 import (
 	"bufio"
--- a/internal/floor/floor.go
+++ b/internal/dispatcher/workerhttp/floor.go
@@ -1,9 +1,9 @@
-// Package floor carries attempts to workers over HTTP/1.1 connections of its
+// Package workerhttp carries attempts to workers over HTTP/1.1 connections of its
 // own. It owns those connections: it opens, keeps, counts and closes them,
 // writes each request once and reads the answer line by line. It must never
 // send anything a second time, put a second request on a busy connection, say
 // that an attempt never ran unless that is proved, or choose a worker.
-package floor
+package workerhttp
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // Floor is the workers' side of the program.
--- a/internal/floor/floor_test.go
+++ b/internal/dispatcher/workerhttp/floor_test.go
@@ -1,6 +1,6 @@
 // These tests model what a worker connection can be (none, busy, idle, closed
 // by the other end, with bytes pending) and check random steps against it.
-package floor_test
+package workerhttp_test
 
 import (
 	"bufio"
@@ -16,11 +16,11 @@
 
 	"pgregory.net/rapid"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
-	"gladepick/internal/floor"
-	"gladepick/internal/standin"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
+	"gladepick/internal/dispatcher/workerhttp"
 )
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
@@ -33,7 +33,7 @@
 
 // bench is a floor under a core that has one worker, so that each job is one send to it or none.
 type bench struct {
-	floor    *floor.Floor
+	floor    *workerhttp.Floor
 	core     *dispatch.Core
 	counters *dispatch.Counters
 	stop     func()
@@ -41,7 +41,7 @@
 
 func set(t testing.TB, n *config.Node, dial func(context.Context, string) (net.Conn, error)) *bench {
 	b := &bench{counters: new(dispatch.Counters)}
-	b.floor = floor.New(n, b.counters)
+	b.floor = workerhttp.New(n, b.counters)
 	if dial != nil {
 		b.floor.Dial = dial
 	}
@@ -63,7 +63,7 @@
 }
 
 func TestConnectionStates(t *testing.T) {
-	n := standin.Node(t, []config.Worker{standin.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	type word struct {
 		verdict dispatch.Verdict
 		outcome decision.Outcome
@@ -85,7 +85,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			world, yard := &standin.Net{}, &standin.Yard{}
+			world, yard := &testenv.Net{}, &testenv.Yard{}
 			l := world.Listen(address)
 			go yard.Worker(l, "s-00000001")
 			b := set(t, n, world.Dial)
@@ -117,7 +117,7 @@
 					if sent != 1 || a.Verdict != w.verdict || b.counters.Outcomes[w.outcome].Load() != before+1 {
 						rt.Errorf("%s: answer %v after %d sends; %s", name, a, sent, b.core.Line())
 					}
-					if a.Verdict == dispatch.Served && string(a.Result) != standin.Result(id) {
+					if a.Verdict == dispatch.Served && string(a.Result) != testenv.Result(id) {
 						rt.Errorf("%s: the result is %q", name, a.Result)
 					}
 				}
@@ -142,10 +142,10 @@
 
 // A connection that never comes up, or is refused, proves that nothing ran.
 func TestNoConnection(t *testing.T) {
-	n := standin.Node(t, []config.Worker{standin.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			world := &standin.Net{Silent: map[string]bool{address: silent}}
+			world := &testenv.Net{Silent: map[string]bool{address: silent}}
 			b := set(t, n, world.Dial)
 			began := time.Now()
 			a := b.serve("n1", "done")
@@ -165,7 +165,7 @@
 
 // The request breaks before its last byte: it never ran.
 func TestBreakWhileWriting(t *testing.T) {
-	n := standin.Node(t, []config.Worker{standin.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
 		b := set(t, n, func(context.Context, string) (net.Conn, error) {
 			here, there := net.Pipe()
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := standin.Node(t, []config.Worker{standin.Listing("s-00000001", l.Addr().String(), "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", l.Addr().String(), "ready")}, "")
 	b := set(t, n, nil)
 	defer b.stop()
 	conns := make(chan net.Conn)
@@ -241,8 +241,8 @@
 
 // A worker may be told off while the connection to it comes up: nothing is written to it then, and the job never ran.
 func TestDrainWhileConnecting(t *testing.T) {
-	w := standin.Listing("s-00000001", address, "ready")
-	n := standin.Node(t, []config.Worker{w}, "")
+	w := testenv.Listing("s-00000001", address, "ready")
+	n := testenv.Node(t, []config.Worker{w}, "")
 	synctest.Test(t, func(t *testing.T) {
 		written := false
 		var b *bench
--- a/internal/floor/link.go
+++ b/internal/dispatcher/workerhttp/link.go
@@ -1,6 +1,6 @@
 // Connections to workers: opening, pooling and closing them.
 
-package floor
+package workerhttp
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"time"
 
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatch"
+	"gladepick/internal/dispatcher/dispatch"
 )
 
 // link is one connection to a worker. It is either idle, in the pool, or held by one attempt.
--- a/internal/floor/load.go
+++ b/internal/dispatcher/workerhttp/load.go
@@ -1,14 +1,14 @@
 // Load reports, from a header or from a line of an answer.
 
-package floor
+package workerhttp
 
 import (
 	"encoding/json"
 	"strconv"
 	"strings"
 
-	"gladepick/internal/config"
 	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
 )
 
 // figures gathers a load report; one that lacks a figure is none.
--- a/internal/messagestore/index.go
+++ b/internal/messagestore/index.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
+	"gladepick/internal/wal"
 )
 
 // entry is what the index holds of one message.
 type entry struct {
 	message  *message.Message // nil once a completed message's details are not needed any more
-	position journal.Position // of the accepted record, whose bytes hold the body
+	position wal.Position     // of the accepted record, whose bytes hold the body
 	body     []byte           // only while the store leads the partition and the message has not ended
 	failures int
 	outcome  message.Outcome // State is Queued until the message has ended
@@ -79,7 +79,7 @@
 }
 
 // apply takes a record into the index. The position is where the record stands in this store's log.
-func (p *partition) apply(r *record, position journal.Position) {
+func (p *partition) apply(r *record, position wal.Position) {
 	p.epoch = max(p.epoch, r.Epoch)
 	switch r.Kind {
 	case recordAccepted:
@@ -95,7 +95,7 @@
 	}
 }
 
-func (p *partition) applyAccepted(r *record, position journal.Position) {
+func (p *partition) applyAccepted(r *record, position wal.Position) {
 	p.last = max(p.last, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
 		found.position = position
--- a/internal/messagestore/maintain.go
+++ b/internal/messagestore/maintain.go
@@ -7,8 +7,8 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
+	"gladepick/internal/wal"
 )
 
 // wakeMaintenance has the background work look at once.
@@ -189,7 +189,7 @@
 type snapshotEntry struct {
 	ID       string           `json:"id"`
 	Message  *message.Message `json:"message,omitempty"`
-	Position journal.Position `json:"position"`
+	Position wal.Position     `json:"position"`
 	Failures int              `json:"failures,omitempty"`
 	Outcome  message.Outcome  `json:"outcome"`
 	EndedAt  time.Time        `json:"endedAt,omitzero"`
@@ -245,7 +245,7 @@
 }
 
 // replay takes a record of the log in.
-func (s *Store) replay(position journal.Position, data []byte) error {
+func (s *Store) replay(position wal.Position, data []byte) error {
 	decoded, _, err := decodeRecord(data)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // errStepDown ends a write whose partition is led elsewhere now: its outcome is not known here.
@@ -102,7 +102,7 @@
 }
 
 func (s *Store) addPending(
-	p *partition, accepted *message.Message, position journal.Position, line, body []byte,
+	p *partition, accepted *message.Message, position wal.Position, line, body []byte,
 ) *pendingWrite {
 	added := &entry{
 		message: accepted, position: position, outcome: message.Outcome{State: message.Queued},
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // errCopyIncomplete means that a part of a copy did not reach the backup.
@@ -276,7 +276,7 @@
 	return response, nil, nil
 }
 
-func (s *Store) positionOf(e *entry) journal.Position {
+func (s *Store) positionOf(e *entry) wal.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return e.position
--- a/internal/messagestore/roles_test.go
+++ b/internal/messagestore/roles_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // tableLedBy returns a table of some partitions, each with one store only.
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zapcore.InfoLevel)
 		store, err := Open(Options{
-			Name: "a", DiskID: "disk-a", FS: journal.NewMemory(1).Mount(), Server: rpc.NewServer(zap.NewNop()),
+			Name: "a", DiskID: "disk-a", FS: wal.NewMemory(1).Mount(), Server: rpc.NewServer(zap.NewNop()),
 			Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.New(core), Copies: 1,
 		})
 		assert.NilError(t, err)
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 // Engine delivers the messages of the partitions that the store leads.
@@ -42,7 +42,7 @@
 type Options struct {
 	Name       string
 	DiskID     string
-	FS         journal.FS
+	FS         wal.FS
 	Pool       *rpc.Pool
 	Server     *rpc.Server
 	Control    Control
@@ -56,7 +56,7 @@
 // Store keeps messages.
 type Store struct {
 	options Options
-	log     *journal.Log
+	log     *wal.Log
 	logger  *zap.Logger
 
 	mu         sync.Mutex
@@ -87,8 +87,8 @@
 		wake:       make(chan struct{}, 1),
 	}
 	s.context, s.cancel = context.WithCancel(context.Background())
-	log, err := journal.Open(
-		journal.Options{FS: options.FS, Logger: options.Logger, SegmentBytes: segmentBytes(options.DiskBytes)},
+	log, err := wal.Open(
+		wal.Options{FS: options.FS, Logger: options.Logger, SegmentBytes: segmentBytes(options.DiskBytes)},
 		s.restore, s.replay,
 	)
 	if err != nil {
@@ -153,7 +153,7 @@
 }
 
 // readBody reads a message's body from the log.
-func (s *Store) readBody(position journal.Position) ([]byte, error) {
+func (s *Store) readBody(position wal.Position) ([]byte, error) {
 	data, err := s.log.Read(position)
 	if err != nil {
 		return nil, trace.Wrap(err, "reading a message's body")
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/message"
+	"gladepick/internal/wal"
 )
 
 func TestMessageIsKeptAndDelivered(t *testing.T) {
@@ -404,7 +404,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded, _, err := decodeRecord(data)
 		if err == nil {
-			newPartition(0).apply(decoded, journal.Position{})
+			newPartition(0).apply(decoded, wal.Position{})
 		}
 	})
 }
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -19,9 +19,9 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/journal"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
 )
 
 const (
@@ -194,7 +194,7 @@
 	machine := &Machine{Name: name, Zone: zone, cluster: c, class: class}
 	machine.ip = fmt.Sprintf("10.1.0.%d", len(c.Machines)+1)
 	if disk {
-		machine.disk = journal.NewMemory(c.random.uint64())
+		machine.disk = wal.NewMemory(c.random.uint64())
 		machine.disk.SetSyncDelay(time.Millisecond)
 	}
 	for _, other := range c.Machines {
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -11,10 +11,10 @@
 
 	"go.uber.org/zap"
 
-	"gladepick/internal/journal"
 	"gladepick/internal/network"
 	"gladepick/internal/settings"
 	"gladepick/internal/systemnode"
+	"gladepick/internal/wal"
 )
 
 const (
@@ -52,8 +52,8 @@
 	cluster   *Cluster
 	class     string
 	ip        string
-	disk      *journal.Memory // nil without a disk
-	bootstrap bool            // its next start is the first of the whole system
+	disk      *wal.Memory // nil without a disk
+	bootstrap bool        // its next start is the first of the whole system
 
 	removed atomic.Bool // for good
 	mutex   sync.Mutex
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -16,10 +16,10 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/controlplane"
-	"gladepick/internal/journal"
 	"gladepick/internal/network"
 	"gladepick/internal/operatorcli"
 	"gladepick/internal/systemnode"
+	"gladepick/internal/wal"
 )
 
 // What the system knows of at its start.
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	disk, err := journal.Directory(data)
+	disk, err := wal.Directory(data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -17,17 +17,17 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane"
-	"gladepick/internal/journal"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 	"gladepick/internal/settings"
+	"gladepick/internal/wal"
 )
 
 // Options configure a process.
 type Options struct {
 	Settings *settings.Settings
 	Network  network.Network
-	FS       journal.FS // the data directory, nil without a disk
+	FS       wal.FS // the data directory, nil without a disk
 	Logger   *zap.Logger
 	Seed     uint64
 	// SettingsFile is watched for changes. It may be nil.
--- a/internal/journal/interrupted_test.go
+++ b/internal/wal/interrupted_test.go
@@ -0,0 +1,61 @@
+package wal
+
+// interruptedFS calls a function, such as the disk's PowerLoss, after a number of changes.
+type interruptedFS struct {
+	FS
+	interrupt func()
+	remaining int
+}
+
+func (i *interruptedFS) step() {
+	if i.remaining == 0 {
+		i.interrupt()
+	}
+	i.remaining--
+}
+
+func (i *interruptedFS) Create(name string) (File, error) {
+	i.step()
+	file, err := i.FS.Create(name)
+	return &interruptedFile{File: file, fs: i}, err
+}
+
+func (i *interruptedFS) Open(name string) (File, error) {
+	file, err := i.FS.Open(name)
+	return &interruptedFile{File: file, fs: i}, err
+}
+
+func (i *interruptedFS) Rename(from, to string) error {
+	i.step()
+	return i.FS.Rename(from, to)
+}
+
+func (i *interruptedFS) Remove(name string) error {
+	i.step()
+	return i.FS.Remove(name)
+}
+
+func (i *interruptedFS) SyncDir() error {
+	i.step()
+	return i.FS.SyncDir()
+}
+
+type interruptedFile struct {
+	File
+	fs *interruptedFS
+}
+
+func (f *interruptedFile) WriteAt(data []byte, offset int64) (int, error) {
+	f.fs.step()
+	return f.File.WriteAt(data, offset)
+}
+
+func (f *interruptedFile) Truncate(size int64) error {
+	f.fs.step()
+	return f.File.Truncate(size)
+}
+
+func (f *interruptedFile) Sync() error {
+	f.fs.step()
+	return f.File.Sync()
+}
--- a/internal/journal/memory_file.go
+++ b/internal/wal/memory_file.go
@@ -0,0 +1,237 @@
+package wal
+
+import (
+	"io"
+	"io/fs"
+	"math/rand/v2"
+	"slices"
+	"syscall"
+	"time"
+)
+
+// memoryInode is the contents of a file on a simulated disk. The disk's mutex guards it.
+type memoryInode struct {
+	current []byte       // as the programs see it
+	durable []byte       // as of the last sync
+	pending []dataChange // what leads from durable to current, in order
+	synced  int          // count of changes that were made durable
+}
+
+// dataChange is a write, or a truncation where data is nil.
+type dataChange struct {
+	offset int64 // of the write, or the size after the truncation
+	data   []byte
+}
+
+// apply carries the change out on a file's contents.
+func (c dataChange) apply(contents []byte) []byte {
+	if c.data == nil {
+		return resize(contents, c.offset)
+	}
+	end := c.offset + int64(len(c.data))
+	if end > int64(len(contents)) {
+		contents = resize(contents, end)
+	}
+	copy(contents[c.offset:], c.data)
+	return contents
+}
+
+// resize cuts contents or extends them by zeros.
+func resize(contents []byte, size int64) []byte {
+	if size <= int64(len(contents)) {
+		return contents[:size]
+	}
+	grown := slices.Grow(contents, int(size)-len(contents))
+	old := len(contents)
+	grown = grown[:size]
+	clear(grown[old:])
+	return grown
+}
+
+func (i *memoryInode) change(change dataChange) {
+	i.current = change.apply(i.current)
+	i.pending = append(i.pending, change)
+}
+
+func (i *memoryInode) write(offset int64, data []byte) {
+	if len(data) == 0 {
+		return
+	}
+	copied := append(make([]byte, 0, len(data)), data...)
+	i.change(dataChange{offset: offset, data: copied})
+}
+
+func (i *memoryInode) truncate(size int64) {
+	i.change(dataChange{offset: size})
+}
+
+// changeCount returns how many changes the contents have seen, durable or not.
+func (i *memoryInode) changeCount() int { return i.synced + len(i.pending) }
+
+// sync makes all changes up to a count durable.
+func (i *memoryInode) sync(upTo int) {
+	count := max(upTo-i.synced, 0)
+	for _, change := range i.pending[:count] {
+		i.durable = change.apply(i.durable)
+	}
+	i.pending = append([]dataChange(nil), i.pending[count:]...)
+	i.synced += count
+}
+
+// losePower keeps each change that is not durable whole, in part or not at all.
+func (i *memoryInode) losePower(random *rand.Rand) {
+	for _, change := range i.pending {
+		if damaged, kept := change.damage(random); kept {
+			i.durable = damaged.apply(i.durable)
+		}
+	}
+	i.synced = i.changeCount()
+	i.pending = nil
+	i.current = slices.Clone(i.durable)
+}
+
+// fate is what a loss of power does to a change that is not durable.
+type fate int
+
+const (
+	fateKept fate = iota
+	fateLost
+	fateTorn       // the write's beginning is kept
+	fateHoled      // a part of the write is zeros
+	countFates int = iota
+)
+
+// damage returns what a loss of power leaves of the change, and false where it leaves nothing.
+func (c dataChange) damage(random *rand.Rand) (dataChange, bool) {
+	drawn := fate(random.IntN(countFates))
+	if drawn == fateLost {
+		return dataChange{}, false
+	}
+	if drawn == fateKept || len(c.data) == 0 {
+		return c, true
+	}
+	cut := random.IntN(len(c.data))
+	if drawn == fateTorn {
+		return dataChange{offset: c.offset, data: c.data[:cut]}, true
+	}
+	holed := slices.Clone(c.data)
+	clear(holed[cut : cut+1+random.IntN(len(holed)-cut)])
+	return dataChange{offset: c.offset, data: holed}, true
+}
+
+// memoryFile is an open file of a simulated disk.
+type memoryFile struct {
+	mount  *memoryMount
+	inode  *memoryInode
+	closed bool
+}
+
+// check returns why the file can't be used, or nil. The disk is locked.
+func (f *memoryFile) check() error {
+	if f.closed {
+		return fs.ErrClosed
+	}
+	return nil
+}
+
+func (f *memoryFile) ReadAt(buffer []byte, offset int64) (int, error) {
+	if err := f.mount.enter(); err != nil {
+		return 0, err
+	}
+	defer f.mount.leave()
+	if err := f.check(); err != nil {
+		return 0, err
+	}
+	if offset >= int64(len(f.inode.current)) {
+		return 0, io.EOF
+	}
+	count := copy(buffer, f.inode.current[offset:])
+	if count < len(buffer) {
+		return count, io.EOF
+	}
+	return count, nil
+}
+
+func (f *memoryFile) WriteAt(data []byte, offset int64) (int, error) {
+	if err := f.mount.awaitAnswer(); err != nil {
+		return 0, err
+	}
+	defer f.mount.leave()
+	if err := f.check(); err != nil {
+		return 0, err
+	}
+	if f.mount.memory.full {
+		written := f.mount.memory.random.IntN(len(data) + 1)
+		f.inode.write(offset, data[:written])
+		return written, syscall.ENOSPC
+	}
+	f.inode.write(offset, data)
+	return len(data), nil
+}
+
+func (f *memoryFile) Truncate(size int64) error {
+	if err := f.mount.enter(); err != nil {
+		return err
+	}
+	defer f.mount.leave()
+	if err := f.check(); err != nil {
+		return err
+	}
+	f.inode.truncate(size)
+	return nil
+}
+
+// Sync makes durable what was written before the call.
+func (f *memoryFile) Sync() error {
+	if err := f.mount.awaitAnswer(); err != nil {
+		return err
+	}
+	covered := f.inode.changeCount()
+	delay := f.mount.memory.syncDelay
+	f.mount.leave()
+	if delay > 0 {
+		time.Sleep(delay)
+	}
+	if err := f.mount.awaitAnswer(); err != nil {
+		return err
+	}
+	defer f.mount.leave()
+	if err := f.check(); err != nil {
+		return err
+	}
+	f.inode.sync(covered)
+	f.mount.memory.persistCreation(f.inode)
+	f.mount.memory.syncs++
+	return nil
+}
+
+// persistCreation makes the name durable under which a file was created.
+func (m *Memory) persistCreation(inode *memoryInode) {
+	remaining := m.changes[:0]
+	for _, change := range m.changes {
+		if change.kind == nameCreated && change.inode == inode {
+			change.apply(m.durable)
+			continue
+		}
+		remaining = append(remaining, change)
+	}
+	m.changes = remaining
+}
+
+func (f *memoryFile) Size() (int64, error) {
+	if err := f.mount.enter(); err != nil {
+		return 0, err
+	}
+	defer f.mount.leave()
+	return int64(len(f.inode.current)), f.check()
+}
+
+func (f *memoryFile) Close() error {
+	f.mount.memory.mutex.Lock()
+	defer f.mount.memory.mutex.Unlock()
+	if f.closed {
+		return fs.ErrClosed
+	}
+	f.closed = true
+	return nil
+}
--- a/internal/journal/memory_test.go
+++ b/internal/wal/memory_test.go
@@ -0,0 +1,37 @@
+package wal
+
+import (
+	"io/fs"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestMemoryKeepsWhatCrashesMayNotTake(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		disk := NewMemory(1)
+		file, err := disk.Create("file")
+		assert.NilError(t, err)
+		_, err = file.WriteAt([]byte("contents"), 0)
+		assert.NilError(t, err)
+		disk.Crash()
+		assert.ErrorIs(t, file.Sync(), ErrPowerLost)
+		assert.Equal(t, string(readFile(t, disk, "file")), "contents")
+
+		mount := disk.Mount()
+		file, err = mount.Open("file")
+		assert.NilError(t, err)
+		disk.SetSyncDelay(time.Second)
+		assert.NilError(t, file.Sync())
+		disk.PowerLoss()
+		assert.Equal(t, string(readFile(t, disk, "file")), "contents")
+		_, err = mount.Create("another")
+		assert.ErrorIs(t, err, ErrPowerLost)
+
+		disk.Wipe()
+		_, err = disk.Open("file")
+		assert.ErrorIs(t, err, fs.ErrNotExist)
+	})
+}
--- a/internal/journal/open.go
+++ b/internal/wal/open.go
@@ -0,0 +1,240 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/gravitational/trace"
+	"go.uber.org/zap"
+)
+
+const (
+	segmentPrefix  = "segment-"
+	snapshotPrefix = "snapshot-"
+	firstSegment   = 1
+)
+
+func segmentName(number uint64) string  { return fmt.Sprintf("%s%020d", segmentPrefix, number) }
+func snapshotName(number uint64) string { return fmt.Sprintf("%s%020d", snapshotPrefix, number) }
+
+func parseSegmentName(name string) (uint64, bool)  { return parseName(name, segmentPrefix) }
+func parseSnapshotName(name string) (uint64, bool) { return parseName(name, snapshotPrefix) }
+
+func parseName(name, prefix string) (uint64, bool) {
+	digits, found := strings.CutPrefix(name, prefix)
+	if !found {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(digits, 10, 64)
+	return number, err == nil
+}
+
+// RestoreFunc takes the data of a snapshot. It may keep the slice.
+type RestoreFunc = func(snapshot []byte) error
+
+// ReplayFunc takes one record. The slice is reused after the call returns: nobody may keep it or a part of it.
+type ReplayFunc = func(position Position, record []byte) error
+
+// Open opens the log in a directory, or begins one. It first hands the newest valid snapshot, if there is one, to
+// restore, and then every record that the snapshot does not cover to replay, in order. The record slice that replay
+// gets is reused after each call: nobody may keep it.
+//
+// In the last segment the replay ends before the first record that is torn or damaged, and the rest of that segment is
+// cut off. A crash leaves no damage in an earlier segment and no gap between segments; Open returns ErrDamaged there.
+// All that has been replayed is durable when Open returns.
+func Open(options Options, restore RestoreFunc, replay ReplayFunc) (*Log, error) {
+	l := &Log{fs: options.FS, segmentBytes: options.SegmentBytes, logger: options.Logger}
+	if l.segmentBytes <= 0 {
+		l.segmentBytes = defaultSegmentBytes
+	}
+	if l.logger == nil {
+		l.logger = zap.NewNop()
+	}
+	if err := l.load(restore, replay); err != nil {
+		return nil, trace.Wrap(errors.Join(err, l.closeFiles()))
+	}
+	return l, nil
+}
+
+// load brings the log and its owner to the state that the disk holds.
+func (l *Log) load(restore RestoreFunc, replay ReplayFunc) error {
+	names, err := l.fs.List()
+	if err != nil {
+		return err
+	}
+	if err := l.removeTemporaries(names); err != nil {
+		return err
+	}
+	if err := l.restoreSnapshot(names, restore); err != nil {
+		return err
+	}
+	if err := l.listSegments(names); err != nil {
+		return err
+	}
+	if err := l.replaySegments(replay); err != nil {
+		return err
+	}
+	return l.fs.SyncDir()
+}
+
+// removeTemporaries removes snapshots that were not finished.
+func (l *Log) removeTemporaries(names []string) error {
+	for _, name := range names {
+		stem, isTemporary := strings.CutSuffix(name, temporarySuffix)
+		if _, isSnapshot := parseSnapshotName(stem); !isTemporary || !isSnapshot {
+			continue
+		}
+		if err := l.fs.Remove(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// restoreSnapshot hands over the newest snapshot that is valid.
+func (l *Log) restoreSnapshot(names []string, restore RestoreFunc) error {
+	for _, number := range slices.Backward(numbersOf(names, parseSnapshotName)) {
+		data, err := LoadFile(l.fs, snapshotName(number))
+		if errors.Is(err, ErrDamaged) {
+			l.logger.Error("snapshot damaged", zap.Uint64("snapshot", number))
+			l.damagedSnapshot = max(l.damagedSnapshot, number)
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		l.snapshotNumber = number
+		l.snapshotBytes = fileHeaderSize + int64(len(data))
+		return restore(data)
+	}
+	return nil
+}
+
+// numbersOf returns the numbers of those names that a parser knows, in ascending order.
+func numbersOf(names []string, parse func(string) (uint64, bool)) []uint64 {
+	var numbers []uint64
+	for _, name := range names {
+		if number, ok := parse(name); ok {
+			numbers = append(numbers, number)
+		}
+	}
+	slices.Sort(numbers)
+	return numbers
+}
+
+// listSegments fills the list of segments, so that the last one is the one that takes new records. It checks that none
+// is missing among those that have to be replayed.
+func (l *Log) listSegments(names []string) error {
+	expected := max(l.snapshotNumber, firstSegment)
+	for _, number := range numbersOf(names, parseSegmentName) {
+		if number > expected {
+			return fmt.Errorf("%w: segment %d is missing", ErrDamaged, expected)
+		}
+		if number == expected {
+			expected++
+		}
+		if err := l.addSegment(number); err != nil {
+			return err
+		}
+	}
+	if expected < l.damagedSnapshot {
+		return fmt.Errorf("%w: snapshot %d, and its segments are gone", ErrDamaged, l.damagedSnapshot)
+	}
+	if len(l.segments) == 0 || l.tail().number < max(l.snapshotNumber, firstSegment) {
+		l.segments = append(l.segments, &segment{number: expected})
+	}
+	return nil
+}
+
+func (l *Log) addSegment(number uint64) error {
+	file, err := l.fs.Open(segmentName(number))
+	if err != nil {
+		return err
+	}
+	size, err := file.Size()
+	if err != nil {
+		return errors.Join(err, file.Close())
+	}
+	added := &segment{number: number, size: size}
+	l.segments = append(l.segments, added)
+	if number < l.snapshotNumber {
+		return file.Close()
+	}
+	added.file = file
+	return nil
+}
+
+// replaySegments replays all segments that the snapshot does not cover.
+func (l *Log) replaySegments(replay ReplayFunc) error {
+	for _, each := range l.segments {
+		if each.number < l.snapshotNumber || each.file == nil {
+			continue
+		}
+		end, err := l.replaySegment(each, replay)
+		if err != nil {
+			return err
+		}
+		if each != l.tail() && end != each.size {
+			return fmt.Errorf("%w: segment %d at offset %d", ErrDamaged, each.number, end)
+		}
+		if each == l.tail() {
+			return l.resumeSegment(each, end)
+		}
+	}
+	return nil
+}
+
+// replaySegment replays the valid records of one segment and returns where they end.
+func (l *Log) replaySegment(from *segment, replay ReplayFunc) (end int64, err error) {
+	reader := newSegmentReader(from.file, from.size)
+	err = reader.readHeader(from.number)
+	for err == nil {
+		var record []byte
+		record, err = reader.next()
+		if err != nil {
+			break
+		}
+		length := int32(len(record))
+		position := Position{Segment: from.number, Offset: reader.offset - int64(length), Length: length}
+		if err := replay(position, record); err != nil {
+			return reader.offset, err
+		}
+	}
+	if errors.Is(err, io.EOF) {
+		return reader.offset, nil
+	}
+	if errors.Is(err, errTorn) {
+		l.reportTorn(from, reader)
+		return reader.offset, nil
+	}
+	return reader.offset, err
+}
+
+func (l *Log) reportTorn(in *segment, reader *segmentReader) {
+	fields := []zap.Field{
+		zap.Uint64("segment", in.number),
+		zap.Int64("offset", reader.offset),
+		zap.Int64("bytes", in.size-reader.offset),
+	}
+	if reader.validRecordFollows() {
+		l.logger.Error("damaged record with valid ones behind it", fields...)
+		return
+	}
+	l.logger.Warn("torn end of segment", fields...)
+}
+
+// resumeSegment prepares the last segment for new records behind its last valid one.
+func (l *Log) resumeSegment(last *segment, end int64) error {
+	if end != last.size {
+		if err := last.file.Truncate(end); err != nil {
+			return err
+		}
+		last.size = end
+	}
+	l.active = activeSegment{segment: last, file: last.file}
+	return last.file.Sync()
+}
