--- a/internal/journal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -0,0 +1,135 @@
+package wal
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+
+	"github.com/gravitational/trace"
+)
+
+// Snapshot is a snapshot that has been begun: what it has to cover is fixed, its data is still to come.
+type Snapshot struct {
+	log    *Log
+	number uint64 // the first segment it does not cover
+}
+
+// BeginSnapshot begins a snapshot that covers all records appended before this call; later ones go to a new segment.
+// It does no I/O, so that a caller may hold its own lock during this call and write the data without it.
+func (l *Log) BeginSnapshot() (*Snapshot, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if err := l.usable(); err != nil {
+		return nil, trace.Wrap(err)
+	}
+	tail := l.tail()
+	if tail.size > 0 {
+		tail = l.rollSegment()
+	}
+	return &Snapshot{log: l, number: tail.number}, nil
+}
+
+// Commit makes the snapshot durable and removes older ones. A snapshot that is older than the newest one is dropped.
+func (s *Snapshot) Commit(data []byte) error {
+	l := s.log
+	if err := l.Sync(context.Background()); err != nil {
+		return trace.Wrap(err)
+	}
+	l.snapshotMutex.Lock()
+	defer l.snapshotMutex.Unlock()
+	if s.number < l.newestSnapshot() {
+		return nil
+	}
+	if err := SaveFile(l.fs, snapshotName(s.number), data); err != nil {
+		return trace.Wrap(err)
+	}
+	l.mutex.Lock()
+	l.snapshotNumber = s.number
+	l.snapshotBytes = fileHeaderSize + int64(len(data))
+	l.mutex.Unlock()
+	return trace.Wrap(removeSnapshots(l.fs, s.number))
+}
+
+// WriteSnapshot durably writes a snapshot that covers all records appended before this call, and removes older
+// snapshots. Records appended afterwards go to a new segment. Older segments stay: their records can still be read by
+// their positions, until RemoveSegments. Use BeginSnapshot where no lock may be held during the I/O.
+func (l *Log) WriteSnapshot(data []byte) error {
+	snapshot, err := l.BeginSnapshot()
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	return trace.Wrap(snapshot.Commit(data))
+}
+
+func (l *Log) newestSnapshot() uint64 {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.snapshotNumber
+}
+
+// removeSnapshots removes all snapshots below a number.
+func removeSnapshots(disk FS, below uint64) error {
+	names, err := disk.List()
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	for _, name := range names {
+		number, isSnapshot := parseSnapshotName(name)
+		if !isSnapshot || number >= below {
+			continue
+		}
+		if err := disk.Remove(name); err != nil {
+			return trace.Wrap(err)
+		}
+	}
+	return nil
+}
+
+// RemoveSegments removes the segments below a number, as far as the newest snapshot covers them.
+func (l *Log) RemoveSegments(before uint64) error {
+	numbers, err := l.removable(before)
+	if err != nil || len(numbers) == 0 {
+		return trace.Wrap(err)
+	}
+	for _, number := range numbers {
+		err := l.fs.Remove(segmentName(number))
+		if err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return trace.Wrap(err)
+		}
+		if err := l.forgetSegment(number); err != nil {
+			return trace.Wrap(err)
+		}
+	}
+	return trace.Wrap(l.fs.SyncDir())
+}
+
+func (l *Log) removable(before uint64) ([]uint64, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if err := l.usable(); err != nil {
+		return nil, err
+	}
+	var numbers []uint64
+	for _, each := range l.segments {
+		if each.number < min(before, l.snapshotNumber) {
+			numbers = append(numbers, each.number)
+		}
+	}
+	return numbers, nil
+}
+
+func (l *Log) forgetSegment(number uint64) error {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for i, each := range l.segments {
+		if each.number != number {
+			continue
+		}
+		l.segments = append(l.segments[:i:i], l.segments[i+1:]...)
+		if each.file != nil {
+			return each.file.Close()
+		}
+		return nil
+	}
+	return nil
+}
