--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -152,7 +152,7 @@
 	for _, store := range stores {
 		store.ApplyTable(pair.table)
 	}
-	pair.client = messagestore.NewClient("a", pair.pool, func() *cluster.Table { return pair.table }, func(cluster.Report) {})
+	pair.client = messagestore.NewClient("a", pair.pool, func() *cluster.Table { return pair.table }, func(cluster.FailureReport) {})
 	return pair
 }
 
@@ -224,14 +224,16 @@
 // steadyControl is a control plane that is always there.
 type steadyControl struct{}
 
-func (steadyControl) PartitionAsk(context.Context, cluster.PartitionAsk) error { return nil }
-func (steadyControl) Report(context.Context, cluster.Report) error             { return nil }
-func (steadyControl) LeaseRemaining() time.Duration                            { return time.Second }
+func (steadyControl) RequestPartitionChange(context.Context, cluster.PartitionRequest) error {
+	return nil
+}
+func (steadyControl) ReportFailure(context.Context, cluster.FailureReport) error { return nil }
+func (steadyControl) LeaseRemaining() time.Duration                              { return time.Second }
 
 // idleOwner is never asked.
 type idleOwner struct{}
 
-func (idleOwner) Body(*message.Message) ([]byte, error)   { return nil, message.ErrUnknown }
+func (idleOwner) Body(*message.Message) ([]byte, error)   { return nil, message.ErrNotFound }
 func (idleOwner) MayDeliver(int) bool                     { return false }
 func (idleOwner) Failed(*message.Message, int)            {}
 func (idleOwner) Ended(*message.Message, message.Outcome) {}
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -158,11 +158,11 @@
 
 func (a *Agent) handlePing(context.Context, *rpc.Call) (any, []byte, error) {
 	info := a.options.Info()
-	return PingAnswer{Name: info.Name, Incarnation: info.Incarnation}, nil, nil
+	return PingResponse{Name: info.Name, Incarnation: info.Incarnation}, nil, nil
 }
 
 func (a *Agent) handleCore(context.Context, *rpc.Call) (any, []byte, error) {
-	return CoreAnswer{Core: a.Core()}, nil, nil
+	return CoreResponse{Core: a.Core()}, nil, nil
 }
 
 func (a *Agent) notify() {
--- a/internal/cluster/agent_calls.go
+++ b/internal/cluster/agent_calls.go
@@ -22,9 +22,9 @@
 
 // The calls that are made again at the next member where an answer is lost.
 const (
-	repeatableOperator     rpc.Repeatable = MethodOperator     // orders name the version they build on, and their digests are kept
-	repeatablePartitionAsk rpc.Repeatable = MethodPartitionAsk // asks name the epoch they build on
-	repeatableReport       rpc.Repeatable = MethodReport       // the control plane looks for itself
+	repeatableOperator     rpc.Idempotent = MethodOperator         // orders name the version they build on, and their digests are kept
+	repeatablePartitionAsk rpc.Idempotent = MethodPartitionRequest // asks name the epoch they build on
+	repeatableReport       rpc.Idempotent = MethodFailureReport    // the control plane looks for itself
 )
 
 // ErrNoPrimary means that no primary of the control group could be found in time. Nothing was done.
@@ -35,28 +35,28 @@
 
 // Operator passes a call of the operator's API on to the control group's primary. Repeating such a call is safe, so it
 // is sent again where an answer is lost.
-func (a *Agent) Operator(ctx context.Context, call OperatorCall, body []byte) (OperatorAnswer, []byte, error) {
-	var answer OperatorAnswer
+func (a *Agent) Operator(ctx context.Context, call OperatorCall, body []byte) (OperatorResponse, []byte, error) {
+	var answer OperatorResponse
 	answerBody, err := a.callPrimary(ctx, repeatableOperator, call, body, &answer)
 	return answer, answerBody, trace.Wrap(err)
 }
 
-// PartitionAsk asks the control plane for a change of a replica group that this process leads. An error of the code
+// RequestPartitionChange asks the control plane for a change of a replica group that this process leads. An error of the code
 // rpc.CodeConflict means that the caller's view is not the current one.
-func (a *Agent) PartitionAsk(ctx context.Context, ask PartitionAsk) error {
+func (a *Agent) RequestPartitionChange(ctx context.Context, ask PartitionRequest) error {
 	_, err := a.callPrimary(ctx, repeatablePartitionAsk, ask, nil, nil)
 	return trace.Wrap(err)
 }
 
-// Report tells the control plane that a process could not be reached.
-func (a *Agent) Report(ctx context.Context, report Report) error {
+// FailureReport tells the control plane that a process could not be reached.
+func (a *Agent) ReportFailure(ctx context.Context, report FailureReport) error {
 	_, err := a.callPrimary(ctx, repeatableReport, report, nil, nil)
 	return trace.Wrap(err)
 }
 
 // callPrimary makes a call at the control group's primary, wherever that is, again and again until one answers clearly.
 func (a *Agent) callPrimary(
-	ctx context.Context, method rpc.Repeatable, params any, body []byte, result any,
+	ctx context.Context, method rpc.Idempotent, params any, body []byte, result any,
 ) ([]byte, error) {
 	extra := min(time.Duration(len(body)/bytesPerExtraMS)*time.Millisecond, extraTimeLimit)
 	ctx, cancel := context.WithTimeout(ctx, primaryTimeout+extra)
--- a/internal/cluster/agent_discovery.go
+++ b/internal/cluster/agent_discovery.go
@@ -49,7 +49,7 @@
 }
 
 func (a *Agent) askSeed(ctx context.Context, seed string) []CoreEntry {
-	var answer CoreAnswer
+	var answer CoreResponse
 	method, params := MethodCore, any(struct{}{})
 	if a.options.Register {
 		method, params = MethodRegister, a.options.Info()
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -100,7 +100,7 @@
 func (w *world) serve(m *member) {
 	m.response.WorkersAgeMS = -1
 	m.server.Handle(cluster.MethodCore, func(context.Context, *rpc.Call) (any, []byte, error) {
-		return cluster.CoreAnswer{Core: w.core()}, nil, nil
+		return cluster.CoreResponse{Core: w.core()}, nil, nil
 	})
 	m.server.Handle(cluster.MethodSync, func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 		var request cluster.SyncRequest
@@ -123,10 +123,10 @@
 		if m.failure != nil {
 			return nil, nil, m.failure
 		}
-		return cluster.OperatorAnswer{Status: http.StatusOK}, []byte(m.ip), nil
+		return cluster.OperatorResponse{Status: http.StatusOK}, []byte(m.ip), nil
 	}
 	m.server.Handle(cluster.MethodOperator, primary)
-	m.server.Handle(cluster.MethodPartitionAsk, primary)
+	m.server.Handle(cluster.MethodPartitionRequest, primary)
 }
 
 func configurationOf(version int) string {
@@ -268,7 +268,7 @@
 	run(t, 1, func(t *testing.T, w *world) {
 		time.Sleep(time.Second)
 		w.members[0].set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeConflict} })
-		err := w.agent.PartitionAsk(t.Context(), cluster.PartitionAsk{})
+		err := w.agent.RequestPartitionChange(t.Context(), cluster.PartitionRequest{})
 		assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
 	})
 }
--- a/internal/cluster/discovery.go
+++ b/internal/cluster/discovery.go
@@ -9,21 +9,21 @@
 
 // Names of the calls by which processes find each other.
 const (
-	MethodRegister = "cluster.register" // NodeInfo -> CoreAnswer, at a seed: announces a process before the founding
-	MethodCore     = "cluster.core"     // empty -> CoreAnswer, at any process: the members of the control group it knows
-	MethodAnnounce = "cluster.announce" // CoreAnswer -> empty, at a seed: a member of the control group names the members
-	MethodPing     = "node.ping"        // empty -> PingAnswer, at any process
+	MethodRegister = "cluster.register" // NodeInfo -> CoreResponse, at a seed: announces a process before the founding
+	MethodCore     = "cluster.core"     // empty -> CoreResponse, at any process: the members of the control group it knows
+	MethodAnnounce = "cluster.announce" // CoreResponse -> empty, at a seed: a member of the control group names the members
+	MethodPing     = "node.ping"        // empty -> PingResponse, at any process
 )
 
-// CoreAnswer lists the members of the control group as the answering process knows them; none before the founding.
-type CoreAnswer struct {
+// CoreResponse lists the members of the control group as the answering process knows them; none before the founding.
+type CoreResponse struct {
 	Core []CoreEntry `json:"core,omitempty"`
 	// Bootstrap tells that the answering process takes part in the first start: as a seed it may lead the founding.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 }
 
-// PingAnswer tells which process answers at an address.
-type PingAnswer struct {
+// PingResponse tells which process answers at an address.
+type PingResponse struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"incarnation"`
 }
--- a/internal/cluster/types.go
+++ b/internal/cluster/types.go
@@ -17,7 +17,7 @@
 	DiskID      string `json:"diskId,omitempty"`  // drawn at random when the data directory was first used; empty without a disk
 	Core        bool   `json:"core,omitempty"`    // it may become a member of the control group
 	Store       bool   `json:"store,omitempty"`   // it keeps messages
-	Leaving     bool   `json:"leaving,omitempty"` // it has been told to stop and wants to hand over
+	Draining    bool   `json:"leaving,omitempty"` // it has been told to stop and wants to hand over
 	DiskFailing bool   `json:"diskFailing,omitempty"`
 }
 
@@ -28,7 +28,7 @@
 const (
 	StoreActive   StoreState = "active"   // takes partitions
 	StoreDown     StoreState = "down"     // its lease has run out
-	StoreLeaving  StoreState = "leaving"  // a planned stop: primaries move away
+	StoreDraining StoreState = "leaving"  // a planned stop: primaries move away
 	StoreRetiring StoreState = "retiring" // the operator wants it emptied
 	StoreRetired  StoreState = "retired"  // it holds nothing any more
 )
@@ -41,8 +41,8 @@
 	DiskID      string     `json:"diskId"`
 	Incarnation string     `json:"incarnation"`
 	State       StoreState `json:"state"`
-	// Silent tells that it does not answer although its lease still runs: what can go elsewhere should.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive tells that it does not answer although its lease still runs: what can go elsewhere should.
+	Unresponsive bool `json:"silent,omitempty"`
 }
 
 // Replica is a member of a partition's replica group.
@@ -58,8 +58,8 @@
 	ID       int       `json:"id"`
 	Epoch    uint64    `json:"epoch"`
 	Replicas []Replica `json:"replicas"`
-	// Wanted names the store that is to lead the partition. The primary hands over to it once it is synced.
-	Wanted string `json:"wanted,omitempty"`
+	// PreferredPrimary names the store that is to lead the partition. The primary hands over to it once it is synced.
+	PreferredPrimary string `json:"wanted,omitempty"`
 }
 
 // Primary returns the replica that leads the partition, and false where the partition has none.
@@ -96,7 +96,7 @@
 	Stores     []StoreEntry `json:"stores"`     // by name
 	Partitions []Partition  `json:"partitions"` // index and ID agree
 	Copies     int          `json:"copies"`     // how many disks hold a message before it is acknowledged
-	// Deliverers is how many stores deliver now or may still do so. Rate ceilings are divided by Shares.
+	// Deliverers is how many stores deliver now or may still do so. Rate ceilings are divided by LimitDivisor.
 	Deliverers int `json:"deliverers"`
 }
 
@@ -124,9 +124,9 @@
 	return len(leaders)
 }
 
-// Shares returns by how much a store's part of a limit for all stores is to be divided: partitions are counted, so the
+// LimitDivisor returns by how much a store's part of a limit for all stores is to be divided: partitions are counted, so the
 // parts of all stores together stay within the limit, whichever of them lead more than others.
-func (t *Table) Shares(store string) int {
+func (t *Table) LimitDivisor(store string) int {
 	led := 0
 	for _, partition := range t.Partitions {
 		if primary, found := partition.Primary(); found && primary.Store == store {
@@ -194,21 +194,21 @@
 
 // Names of the control plane's calls. See the package controlplane.
 const (
-	MethodSync         = "control.sync"          // SyncRequest -> SyncResponse, at any fresh core member
-	MethodReport       = "control.report"        // Report -> empty, at any core member
-	MethodOperator     = "control.operator"      // OperatorCall with the body -> OperatorAnswer with the body
-	MethodPartitionAsk = "control.partition.ask" // PartitionAsk -> empty: a primary asks for a change of its group
+	MethodSync             = "control.sync"          // SyncRequest -> SyncResponse, at any fresh core member
+	MethodFailureReport    = "control.report"        // FailureReport -> empty, at any core member
+	MethodOperator         = "control.operator"      // OperatorCall with the body -> OperatorResponse with the body
+	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty: a primary asks for a change of its group
 )
 
-// Report tells the control plane that a process could not be reached. The control plane looks for itself.
-type Report struct {
+// FailureReport tells the control plane that a process could not be reached. The control plane looks for itself.
+type FailureReport struct {
 	Node    string `json:"node"`    // the name of the process that seems dead
 	Address string `json:"address"` // where it was tried
 	Refused bool   `json:"refused"` // the connection was refused or reset, rather than silent
 }
 
-// PartitionAsk is a primary's wish to change its replica group. It is refused unless the epoch is the current one.
-type PartitionAsk struct {
+// PartitionRequest is a primary's wish to change its replica group. It is refused unless the epoch is the current one.
+type PartitionRequest struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
 	Store     string `json:"store"` // the asking primary
@@ -230,7 +230,7 @@
 	Base   string `json:"base,omitempty"` // the header X-If-Base-Version, as it came
 }
 
-// OperatorAnswer is the answer to an OperatorCall.
-type OperatorAnswer struct {
+// OperatorResponse is the answer to an OperatorCall.
+type OperatorResponse struct {
 	Status int `json:"status"`
 }
--- a/internal/cluster/types_test.go
+++ b/internal/cluster/types_test.go
@@ -20,11 +20,11 @@
 	}
 	sum := 0.0
 	for _, store := range []string{"a", "b", "c"} {
-		sum += 1 / float64(table.Shares(store))
+		sum += 1 / float64(table.LimitDivisor(store))
 	}
 	assert.Assert(t, sum <= 1)
 	assert.Assert(t, sum > 0.8)
-	assert.Assert(t, table.Shares("a") < table.Shares("b"))
-	assert.Equal(t, table.Shares("d"), 64)
-	assert.Equal(t, (&cluster.Table{}).Shares("a"), 1)
+	assert.Assert(t, table.LimitDivisor("a") < table.LimitDivisor("b"))
+	assert.Equal(t, table.LimitDivisor("d"), 64)
+	assert.Equal(t, (&cluster.Table{}).LimitDivisor("a"), 1)
 }
--- a/internal/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -11,7 +11,7 @@
 
 // handlePartitionAsk changes a replica group as its primary wishes.
 func (p *Plane) handlePartitionAsk(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-	var ask cluster.PartitionAsk
+	var ask cluster.PartitionRequest
 	if err := call.Decode(&ask); err != nil {
 		return nil, nil, err
 	}
@@ -26,7 +26,7 @@
 }
 
 // grant changes the draft as a partition's primary asks.
-func (d *draft) grant(ask *cluster.PartitionAsk) error {
+func (d *draft) grant(ask *cluster.PartitionRequest) error {
 	if ask.Partition < 0 || ask.Partition >= len(d.partitions) {
 		return &rpc.Error{Code: rpc.CodeNotFound, Message: fmt.Sprintf("no partition %d", ask.Partition)}
 	}
@@ -36,7 +36,7 @@
 		return &rpc.Error{Code: rpc.CodeConflict, Message: "another view is the current one"}
 	}
 	partition.Replicas = slices.Clone(partition.Replicas)
-	wishes := []func(*cluster.Partition, *cluster.PartitionAsk) error{d.grantSynced, d.grantDrop, d.grantHandover}
+	wishes := []func(*cluster.Partition, *cluster.PartitionRequest) error{d.grantSynced, d.grantDrop, d.grantHandover}
 	for _, grantWish := range wishes {
 		if err := grantWish(&partition, ask); err != nil {
 			return err
@@ -47,7 +47,7 @@
 }
 
 // grantSynced marks a backup as whole. The view stays the same, and so does its epoch.
-func (d *draft) grantSynced(partition *cluster.Partition, ask *cluster.PartitionAsk) error {
+func (d *draft) grantSynced(partition *cluster.Partition, ask *cluster.PartitionRequest) error {
 	if ask.Synced == "" {
 		return nil
 	}
@@ -60,7 +60,7 @@
 }
 
 // grantDrop replaces a backup that does not answer its primary.
-func (d *draft) grantDrop(partition *cluster.Partition, ask *cluster.PartitionAsk) error {
+func (d *draft) grantDrop(partition *cluster.Partition, ask *cluster.PartitionRequest) error {
 	if ask.Drop == "" {
 		return nil
 	}
@@ -79,7 +79,7 @@
 }
 
 // grantHandover makes another replica the primary. The asker stays as the last backup, unless it is to be emptied.
-func (d *draft) grantHandover(partition *cluster.Partition, ask *cluster.PartitionAsk) error {
+func (d *draft) grantHandover(partition *cluster.Partition, ask *cluster.PartitionRequest) error {
 	if !ask.Handover {
 		return nil
 	}
@@ -93,7 +93,7 @@
 	if !d.retiring(asker) || d.syncedCopies(partition.Replicas) < d.copies {
 		partition.Replicas = append(partition.Replicas, asker)
 	}
-	partition.Wanted = ""
+	partition.PreferredPrimary = ""
 	partition.Epoch++
 	return nil
 }
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -208,8 +208,8 @@
 		down := w.machine("store-1")
 		down.kill()
 		reporter := w.machine("store-0")
-		report := cluster.Report{Node: down.name, Address: fmt.Sprintf("%s:%d", down.ip, internalPort), Refused: true}
-		assert.NilError(t, reporter.agent().Report(t.Context(), report))
+		report := cluster.FailureReport{Node: down.name, Address: fmt.Sprintf("%s:%d", down.ip, internalPort), Refused: true}
+		assert.NilError(t, reporter.agent().ReportFailure(t.Context(), report))
 		took := w.eventually(400*time.Millisecond, "no partition is led by the store", func() bool {
 			return leads(reporter.agent().Table(), "store-1") == 0
 		})
@@ -226,10 +226,10 @@
 		for _, m := range w.machines {
 			w.network.Cut(cut.ip, m.ip)
 		}
-		report := cluster.Report{Node: cut.name, Address: fmt.Sprintf("%s:%d", cut.ip, internalPort)}
-		assert.NilError(t, reporter.agent().Report(t.Context(), report))
+		report := cluster.FailureReport{Node: cut.name, Address: fmt.Sprintf("%s:%d", cut.ip, internalPort)}
+		assert.NilError(t, reporter.agent().ReportFailure(t.Context(), report))
 		took := w.eventually(300*time.Millisecond, "the store is marked", func() bool {
-			return reporter.agent().Table().Store(cut.name).Silent
+			return reporter.agent().Table().Store(cut.name).Unresponsive
 		})
 		t.Logf("marked after %v", took)
 		assert.Assert(t, leads(reporter.agent().Table(), cut.name) > 0, "its lease still runs")
@@ -237,7 +237,7 @@
 			w.network.Heal(cut.ip, m.ip)
 		}
 		w.eventually(2*time.Second, "the mark is taken back", func() bool {
-			return !reporter.agent().Table().Store(cut.name).Silent
+			return !reporter.agent().Table().Store(cut.name).Unresponsive
 		})
 	})
 }
@@ -248,8 +248,8 @@
 		time.Sleep(2 * time.Second)
 		reporter := w.machine("store-0")
 		revision := reporter.agent().Table().Revision
-		report := cluster.Report{Node: "store-1", Address: fmt.Sprintf("%s:%d", w.machine("store-1").ip, internalPort), Refused: true}
-		assert.NilError(t, reporter.agent().Report(t.Context(), report))
+		report := cluster.FailureReport{Node: "store-1", Address: fmt.Sprintf("%s:%d", w.machine("store-1").ip, internalPort), Refused: true}
+		assert.NilError(t, reporter.agent().ReportFailure(t.Context(), report))
 		time.Sleep(time.Second)
 		assert.Equal(t, reporter.agent().Table().Revision, revision)
 	})
@@ -364,7 +364,7 @@
 		}
 		for _, m := range killed {
 			address := fmt.Sprintf("%s:%d", m.ip, internalPort)
-			assert.NilError(t, reporter.Report(t.Context(), cluster.Report{Node: m.name, Address: address, Refused: true}))
+			assert.NilError(t, reporter.ReportFailure(t.Context(), cluster.FailureReport{Node: m.name, Address: address, Refused: true}))
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, m := range killed {
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -85,8 +85,8 @@
 	return f.answer(f.core()), nil, nil
 }
 
-func (f *founding) answer(core []cluster.CoreEntry) cluster.CoreAnswer {
-	return cluster.CoreAnswer{Core: core, Bootstrap: f.plane.options.Bootstrap}
+func (f *founding) answer(core []cluster.CoreEntry) cluster.CoreResponse {
+	return cluster.CoreResponse{Core: core, Bootstrap: f.plane.options.Bootstrap}
 }
 
 // core returns the members of the group as this process knows them.
@@ -109,7 +109,7 @@
 
 // handleAnnounce remembers the members of the group. After a restart a process without a disk knows nothing else.
 func (f *founding) handleAnnounce(_ context.Context, call *rpc.Call) (any, []byte, error) {
-	var announced cluster.CoreAnswer
+	var announced cluster.CoreResponse
 	if err := call.Decode(&announced); err != nil {
 		return nil, nil, err
 	}
@@ -146,7 +146,7 @@
 			continue
 		}
 		wait.Go(func() {
-			announced := cluster.CoreAnswer{Core: core}
+			announced := cluster.CoreResponse{Core: core}
 			_, _ = f.plane.options.Pool.Get(seed).Call(ctx, cluster.MethodAnnounce, announced, nil, nil)
 		})
 	}
@@ -204,10 +204,10 @@
 }
 
 // ask asks a process for the members of the group and remembers them.
-func (f *founding) ask(ctx context.Context, address string) (cluster.CoreAnswer, error) {
+func (f *founding) ask(ctx context.Context, address string) (cluster.CoreResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedProbeTimeout)
 	defer cancel()
-	var answer cluster.CoreAnswer
+	var answer cluster.CoreResponse
 	_, err := f.plane.options.Pool.Get(address).Call(ctx, cluster.MethodCore, struct{}{}, nil, &answer)
 	if err == nil && len(answer.Core) > 0 {
 		f.setFounded(answer.Core)
@@ -250,7 +250,7 @@
 	f.mutex.Lock()
 	candidates := make([]cluster.NodeInfo, 0, len(f.registered))
 	for _, info := range f.registered {
-		if info.Core && info.DiskID != "" && !info.Leaving {
+		if info.Core && info.DiskID != "" && !info.Draining {
 			candidates = append(candidates, info)
 		}
 	}
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -153,7 +153,7 @@
 		Disk: agentDisk,
 		Info: func() cluster.NodeInfo {
 			now := info
-			now.Leaving = m.leaving.Load()
+			now.Draining = m.leaving.Load()
 			return now
 		},
 		Pool: pool, Server: server, Seeds: m.world.seeds, InternalPort: internalPort,
@@ -213,18 +213,18 @@
 	if len(partition.Replicas) == 0 || partition.Replicas[0].Store != m.name {
 		return
 	}
-	ask := cluster.PartitionAsk{Partition: partition.ID, Epoch: partition.Epoch, Store: m.name}
+	ask := cluster.PartitionRequest{Partition: partition.ID, Epoch: partition.Epoch, Store: m.name}
 	for _, replica := range partition.Replicas[1:] {
 		if !replica.Synced {
 			ask.Synced = replica.Store
 		}
-		if replica.Synced && replica.Store == partition.Wanted {
+		if replica.Synced && replica.Store == partition.PreferredPrimary {
 			ask.Handover = true
 		}
 	}
 	ask.Handover = ask.Handover || m.leaving.Load()
 	if ask.Synced != "" || ask.Handover {
-		_ = agent.PartitionAsk(ctx, ask)
+		_ = agent.RequestPartitionChange(ctx, ask)
 	}
 }
 
--- a/internal/controlplane/leases_test.go
+++ b/internal/controlplane/leases_test.go
@@ -127,7 +127,7 @@
 	leases.renew(storeInfo("a", "1"), now.Add(time.Millisecond))
 	assert.Equal(t, news, 1)
 	leaving := storeInfo("a", "1")
-	leaving.Leaving = true
+	leaving.Draining = true
 	leases.renew(leaving, now.Add(2*time.Millisecond))
 	assert.Equal(t, news, 2)
 }
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -157,7 +157,7 @@
 		m.plane.leases.grant(cluster.NodeInfo{
 			Name: entry.Name, Class: "store", Zone: entry.Zone, Address: entry.Address,
 			Incarnation: entry.Incarnation, DiskID: entry.DiskID, Store: true,
-			Leaving: entry.State == cluster.StoreLeaving,
+			Draining: entry.State == cluster.StoreDraining,
 		}, now)
 	}
 }
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -118,7 +118,7 @@
 	}
 	var joining *replication.Member
 	for name, node := range nodes {
-		if !node.recent || !node.info.Core || node.info.DiskID == "" || node.info.Leaving || node.info.DiskFailing {
+		if !node.recent || !node.info.Core || node.info.DiskID == "" || node.info.Draining || node.info.DiskFailing {
 			continue
 		}
 		candidate := replication.Member{Name: name, Address: node.info.Address, DiskID: node.info.DiskID}
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return cluster.OperatorAnswer{Status: result.status}, result.body, nil
+	return cluster.OperatorResponse{Status: result.status}, result.body, nil
 }
 
 // failedOrder turns a failure of the group into an answer. An order that surely was not taken goes to the primary.
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -166,8 +166,8 @@
 	counts := make(map[string]int, len(d.stores))
 	for _, partition := range d.partitions {
 		switch primary, found := partition.Primary(); {
-		case partition.Wanted != "":
-			counts[partition.Wanted]++
+		case partition.PreferredPrimary != "":
+			counts[partition.PreferredPrimary]++
 		case found:
 			counts[primary.Store]++
 		}
--- a/internal/controlplane/placement_random_test.go
+++ b/internal/controlplane/placement_random_test.go
@@ -47,7 +47,7 @@
 	case 1:
 		w.start(victim, w.nodes[victim].info.Zone, fmt.Sprintf("disk-%s-%d", victim, step))
 	case 2:
-		w.change(victim, func(info *cluster.NodeInfo) { info.Leaving = true })
+		w.change(victim, func(info *cluster.NodeInfo) { info.Draining = true })
 	case 3:
 		w.change(victim, func(info *cluster.NodeInfo) { info.DiskFailing = true })
 	case 4:
@@ -60,7 +60,7 @@
 func (w *placementWorld) dropSome(random *rand.Rand) {
 	for id := range w.current.table.Partitions {
 		if random.IntN(4) == 0 {
-			w.ask(cluster.PartitionAsk{Drop: w.current.table.Partitions[id].Replicas[1].Store}, id)
+			w.ask(cluster.PartitionRequest{Drop: w.current.table.Partitions[id].Replicas[1].Store}, id)
 		}
 	}
 }
--- a/internal/controlplane/placement_test.go
+++ b/internal/controlplane/placement_test.go
@@ -127,24 +127,24 @@
 		}
 		for _, replica := range partition.Replicas[1:] {
 			if !replica.Synced && w.nodes[replica.Store].live {
-				w.ask(cluster.PartitionAsk{Synced: replica.Store}, partition.ID)
+				w.ask(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
 			}
 		}
 		latest := w.current.table.Partitions[partition.ID]
-		position := latest.Find(latest.Wanted)
+		position := latest.Find(latest.PreferredPrimary)
 		if position > 0 && latest.Replicas[position].Synced {
-			w.ask(cluster.PartitionAsk{Handover: true}, partition.ID)
+			w.ask(cluster.PartitionRequest{Handover: true}, partition.ID)
 		}
 	}
 }
 
 // ask fills in the partition's primary and epoch.
-func (w *placementWorld) ask(ask cluster.PartitionAsk, id int) {
+func (w *placementWorld) ask(ask cluster.PartitionRequest, id int) {
 	w.t.Helper()
 	assert.NilError(w.t, w.tryAsk(ask, id))
 }
 
-func (w *placementWorld) tryAsk(ask cluster.PartitionAsk, id int) error {
+func (w *placementWorld) tryAsk(ask cluster.PartitionRequest, id int) error {
 	partition := w.current.table.Partitions[id]
 	ask.Partition, ask.Epoch, ask.Store = id, partition.Epoch, partition.Replicas[0].Store
 	return w.plan(func(draft *draft) error { return draft.grant(&ask) })
@@ -166,7 +166,7 @@
 	assert.Assert(w.t, draft.whole())
 	for _, partition := range w.current.table.Partitions {
 		assert.Equal(w.t, len(partition.Replicas), w.copies, "partition %d: %s", partition.ID, storesOf(partition))
-		assert.Equal(w.t, partition.Wanted, "")
+		assert.Equal(w.t, partition.PreferredPrimary, "")
 	}
 }
 
@@ -287,11 +287,11 @@
 func TestLeavingStoreHandsOverAndStaysAsBackup(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c")
 	assert.NilError(t, world.plan())
-	world.change("a", func(info *cluster.NodeInfo) { info.Leaving = true })
+	world.change("a", func(info *cluster.NodeInfo) { info.Draining = true })
 	assert.NilError(t, world.plan())
 	for id, partition := range world.current.table.Partitions {
 		if partition.Replicas[0].Store == "a" {
-			world.ask(cluster.PartitionAsk{Handover: true}, id)
+			world.ask(cluster.PartitionRequest{Handover: true}, id)
 			after := world.current.table.Partitions[id]
 			assert.Equal(t, after.Find("a"), len(after.Replicas)-1)
 			assert.Equal(t, after.Epoch, partition.Epoch+1)
@@ -303,9 +303,9 @@
 func TestHandoverNeedsALivingSyncedBackup(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b")
 	assert.NilError(t, world.plan())
-	world.change("a", func(info *cluster.NodeInfo) { info.Leaving = true })
-	world.change("b", func(info *cluster.NodeInfo) { info.Leaving = true })
-	err := world.tryAsk(cluster.PartitionAsk{Handover: true}, 0)
+	world.change("a", func(info *cluster.NodeInfo) { info.Draining = true })
+	world.change("b", func(info *cluster.NodeInfo) { info.Draining = true })
+	err := world.tryAsk(cluster.PartitionRequest{Handover: true}, 0)
 	assert.Equal(t, rpc.CodeOf(err), rpc.CodeUnavailable)
 }
 
@@ -313,7 +313,7 @@
 	world := newPlacementWorld(t, 2, "a", "b", "c")
 	assert.NilError(t, world.plan())
 	partition := world.current.table.Partitions[0]
-	ask := cluster.PartitionAsk{Partition: 0, Epoch: partition.Epoch + 1, Store: partition.Replicas[0].Store, Handover: true}
+	ask := cluster.PartitionRequest{Partition: 0, Epoch: partition.Epoch + 1, Store: partition.Replicas[0].Store, Handover: true}
 	err := world.plan(func(draft *draft) error { return draft.grant(&ask) })
 	assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
 	ask.Epoch, ask.Store = partition.Epoch, partition.Replicas[1].Store
@@ -326,7 +326,7 @@
 	assert.NilError(t, world.plan())
 	partition := world.current.table.Partitions[0]
 	dropped := partition.Replicas[1].Store
-	world.ask(cluster.PartitionAsk{Drop: dropped}, 0)
+	world.ask(cluster.PartitionRequest{Drop: dropped}, 0)
 	after := world.current.table.Partitions[0]
 	assert.Equal(t, after.Find(dropped), -1)
 	assert.Equal(t, len(after.Replicas), 2)
@@ -338,7 +338,7 @@
 	world := newPlacementWorld(t, 2, "a", "b")
 	assert.NilError(t, world.plan())
 	partition := world.current.table.Partitions[0]
-	err := world.tryAsk(cluster.PartitionAsk{Drop: partition.Replicas[1].Store}, 0)
+	err := world.tryAsk(cluster.PartitionRequest{Drop: partition.Replicas[1].Store}, 0)
 	assert.Equal(t, rpc.CodeOf(err), rpc.CodeUnavailable)
 }
 
@@ -516,9 +516,9 @@
 	assert.NilError(t, world.plan())
 	partition := world.current.table.Partitions[0]
 	ready := partition.Replicas[2].Store
-	world.ask(cluster.PartitionAsk{Handover: true, Ready: []string{ready}}, 0)
+	world.ask(cluster.PartitionRequest{Handover: true, Ready: []string{ready}}, 0)
 	assert.Equal(t, world.current.table.Partitions[0].Replicas[0].Store, ready)
-	err := world.tryAsk(cluster.PartitionAsk{Handover: true, Ready: []string{"d"}}, 0)
+	err := world.tryAsk(cluster.PartitionRequest{Handover: true, Ready: []string{"d"}}, 0)
 	if world.current.table.Partitions[0].Find("d") < 0 {
 		assert.Assert(t, err != nil, "it holds no copy")
 	}
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -139,9 +139,9 @@
 	server := p.options.Server
 	server.Handle(cluster.MethodSync, p.handleSync)
 	server.Handle(methodRenew, p.handleRenew)
-	server.Handle(cluster.MethodReport, p.handleReport)
+	server.Handle(cluster.MethodFailureReport, p.handleReport)
 	server.Handle(cluster.MethodOperator, p.handleOperator)
-	server.Handle(cluster.MethodPartitionAsk, p.handlePartitionAsk)
+	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionAsk)
 	server.Handle(methodWorkers, p.reader.handleWorkers)
 	server.Handle(methodFound, p.founding.handleFound)
 }
--- a/internal/controlplane/rebalance.go
+++ b/internal/controlplane/rebalance.go
@@ -28,7 +28,7 @@
 func (d *draft) movesUnderway() int {
 	count := 0
 	for _, partition := range d.partitions {
-		if partition.Wanted != "" {
+		if partition.PreferredPrimary != "" {
 			count++
 		}
 	}
@@ -58,7 +58,7 @@
 	for i := range d.partitions {
 		partition := &d.partitions[i]
 		primary, found := partition.Primary()
-		if !found || primary.Store != from || partition.Wanted != "" {
+		if !found || primary.Store != from || partition.PreferredPrimary != "" {
 			continue
 		}
 		if d.mayLead(partition, to) {
@@ -78,7 +78,7 @@
 
 // wish returns a partition's view with another store wanted as its primary.
 func (d *draft) wish(partition cluster.Partition, to string) cluster.Partition {
-	partition.Wanted = to
+	partition.PreferredPrimary = to
 	if partition.Find(to) >= 0 {
 		return partition
 	}
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/repair.go
@@ -61,7 +61,7 @@
 
 // settled tells whether a replica group is as it should be.
 func (d *draft) settled(partition cluster.Partition) bool {
-	if partition.Wanted != "" || len(partition.Replicas) != d.copies {
+	if partition.PreferredPrimary != "" || len(partition.Replicas) != d.copies {
 		return false
 	}
 	return d.stayingCopies(partition.Replicas) == d.copies
@@ -106,7 +106,7 @@
 			}
 			continue
 		}
-		if replica.Store == partition.Wanted {
+		if replica.Store == partition.PreferredPrimary {
 			return i
 		}
 		if best < 0 {
@@ -189,7 +189,7 @@
 	for i := 1; i < len(partition.Replicas); i++ {
 		replica := partition.Replicas[i]
 		rest := slices.Delete(slices.Clone(partition.Replicas), i, i+1)
-		if replica.Store == partition.Wanted || d.syncedCopies(rest) < d.copies {
+		if replica.Store == partition.PreferredPrimary || d.syncedCopies(rest) < d.copies {
 			continue
 		}
 		if rank := d.surplusRank(replica, load); best < 0 || rank > bestRank {
@@ -214,15 +214,15 @@
 // to be emptied.
 func (d *draft) chooseWanted(partition *cluster.Partition) {
 	primary := partition.Replicas[0]
-	if partition.Wanted != "" && !d.mayLead(partition, partition.Wanted) {
-		partition.Wanted = ""
+	if partition.PreferredPrimary != "" && !d.mayLead(partition, partition.PreferredPrimary) {
+		partition.PreferredPrimary = ""
 	}
-	if partition.Wanted != "" || !d.retiring(primary) {
+	if partition.PreferredPrimary != "" || !d.retiring(primary) {
 		return
 	}
 	for _, replica := range partition.Replicas[1:] {
 		if replica.Synced && d.mayLead(partition, replica.Store) {
-			partition.Wanted = replica.Store
+			partition.PreferredPrimary = replica.Store
 			return
 		}
 	}
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -23,7 +23,7 @@
 // the address any more, or another process answers, the lease ends at once; a process that says nothing is marked as
 // silent until it renews its lease. Many report the same process; those that come when that is known change nothing.
 func (p *Plane) handleReport(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-	var report cluster.Report
+	var report cluster.FailureReport
 	if err := call.Decode(&report); err != nil {
 		return nil, nil, err
 	}
@@ -61,7 +61,7 @@
 	defer cancel()
 	client := p.options.Pool.Get(info.Address)
 	for range pingTries {
-		var answer cluster.PingAnswer
+		var answer cluster.PingResponse
 		_, err := client.Call(ctx, cluster.MethodPing, struct{}{}, nil, &answer)
 		switch {
 		case err == nil && answer.Name == info.Name && answer.Incarnation == info.Incarnation:
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -98,7 +98,7 @@
 func (d *draft) activeStoresBeside(store string) int {
 	count := 0
 	for _, entry := range d.stores {
-		takesPart := entry.State == cluster.StoreActive || entry.State == cluster.StoreLeaving
+		takesPart := entry.State == cluster.StoreActive || entry.State == cluster.StoreDraining
 		if entry.Name != store && takesPart {
 			count++
 		}
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -30,7 +30,7 @@
 		entry.Address = node.info.Address
 		entry.DiskID = node.info.DiskID
 		entry.Incarnation = node.info.Incarnation
-		entry.Silent = node.silent
+		entry.Unresponsive = node.silent
 	}
 	for i := range d.stores {
 		d.stores[i].State = d.stateOf(&d.stores[i])
@@ -43,7 +43,7 @@
 	d.aliveDisks = make(map[string]string, len(d.stores))
 	for _, entry := range d.stores {
 		switch entry.State {
-		case cluster.StoreActive, cluster.StoreLeaving, cluster.StoreRetiring:
+		case cluster.StoreActive, cluster.StoreDraining, cluster.StoreRetiring:
 			d.aliveDisks[entry.Name] = entry.DiskID
 		}
 	}
@@ -59,8 +59,8 @@
 		return cluster.StoreDown
 	case job != nil:
 		return cluster.StoreRetiring
-	case node.info.Leaving:
-		return cluster.StoreLeaving
+	case node.info.Draining:
+		return cluster.StoreDraining
 	}
 	return cluster.StoreActive
 }
--- a/internal/delivery/world_test.go
+++ b/internal/delivery/world_test.go
@@ -212,7 +212,7 @@
 	defer o.mutex.Unlock()
 	body, found := o.bodies[m.ID]
 	if !found {
-		return nil, message.ErrNoBody
+		return nil, message.ErrBodyNotFound
 	}
 	return []byte(body), nil
 }
--- a/internal/ingress/control_test.go
+++ b/internal/ingress/control_test.go
@@ -18,14 +18,14 @@
 type fakeControl struct {
 	calls  []cluster.OperatorCall
 	bodies []string
-	answer cluster.OperatorAnswer
+	answer cluster.OperatorResponse
 	body   []byte
 	err    error
 }
 
 func (c *fakeControl) Operator(
 	_ context.Context, call cluster.OperatorCall, body []byte,
-) (cluster.OperatorAnswer, []byte, error) {
+) (cluster.OperatorResponse, []byte, error) {
 	c.calls = append(c.calls, call)
 	c.bodies = append(c.bodies, string(body))
 	return c.answer, c.body, c.err
@@ -40,7 +40,7 @@
 		{http.MethodGet, "/api/retire/store-a-1/read", ""},
 	}
 	for _, test := range cases {
-		control := &fakeControl{answer: cluster.OperatorAnswer{Status: http.StatusConflict}, body: []byte(`{}`)}
+		control := &fakeControl{answer: cluster.OperatorResponse{Status: http.StatusConflict}, body: []byte(`{}`)}
 		request := httptest.NewRequest(test.method, test.path, strings.NewReader(test.body))
 		request.Header.Set(headerBaseVersion, "5")
 		recorder := serve(NewControlHandler(Options{Control: control}), request)
@@ -78,7 +78,7 @@
 }
 
 func TestOperatorBodyLimit(t *testing.T) {
-	control := &fakeControl{answer: cluster.OperatorAnswer{Status: http.StatusOK}}
+	control := &fakeControl{answer: cluster.OperatorResponse{Status: http.StatusOK}}
 	handler := NewControlHandler(Options{Control: control})
 	whole := make([]byte, maxOperatorBodyBytes)
 	for _, length := range []int64{int64(len(whole)), -1} {
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -29,7 +29,7 @@
 
 // Control carries the operator's calls to the control group's primary.
 type Control interface {
-	Operator(ctx context.Context, call cluster.OperatorCall, body []byte) (cluster.OperatorAnswer, []byte, error)
+	Operator(ctx context.Context, call cluster.OperatorCall, body []byte) (cluster.OperatorResponse, []byte, error)
 }
 
 // Defaults of the options.
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -78,23 +78,23 @@
 
 func (f *Front) state(ctx context.Context, id string) (message.Outcome, error) {
 	if !isMessageID(id) {
-		return message.Outcome{}, message.ErrUnknown
+		return message.Outcome{}, message.ErrNotFound
 	}
 	return f.options.Messages.State(ctx, id)
 }
 
 func (f *Front) body(ctx context.Context, id string) ([]byte, error) {
 	if !isMessageID(id) {
-		return nil, message.ErrUnknown
+		return nil, message.ErrNotFound
 	}
 	return f.options.Messages.Body(ctx, id)
 }
 
 func statusError(err error) *requestError {
 	switch {
-	case errors.Is(err, message.ErrUnknown):
+	case errors.Is(err, message.ErrNotFound):
 		return errUnknownMessage
-	case errors.Is(err, message.ErrNoBody):
+	case errors.Is(err, message.ErrBodyNotFound):
 		return errNoBody
 	default:
 		return errNoAnswer
--- a/internal/ingress/status_test.go
+++ b/internal/ingress/status_test.go
@@ -50,8 +50,8 @@
 		err    error
 		status int
 	}{
-		{trace.Wrap(message.ErrUnknown), http.StatusNotFound},
-		{trace.Wrap(message.ErrNoBody), http.StatusNotFound},
+		{trace.Wrap(message.ErrNotFound), http.StatusNotFound},
+		{trace.Wrap(message.ErrBodyNotFound), http.StatusNotFound},
 		{errors.New("cut off"), http.StatusServiceUnavailable},
 	}
 	for _, test := range cases {
--- a/internal/ingress/submission.go
+++ b/internal/ingress/submission.go
@@ -115,7 +115,7 @@
 	switch {
 	case err == nil:
 		return id, nil
-	case errors.Is(err, message.ErrNotKept):
+	case errors.Is(err, message.ErrNotStored):
 		return "", errNotKept
 	default:
 		return "", errMaybeKept
--- a/internal/ingress/submission_test.go
+++ b/internal/ingress/submission_test.go
@@ -154,8 +154,8 @@
 		status     int
 		retryAfter string
 	}{
-		{trace.Wrap(message.ErrNotKept), http.StatusServiceUnavailable, retryAfter},
-		{fmt.Errorf("%w: no primary", message.ErrNotKept), http.StatusServiceUnavailable, retryAfter},
+		{trace.Wrap(message.ErrNotStored), http.StatusServiceUnavailable, retryAfter},
+		{fmt.Errorf("%w: no primary", message.ErrNotStored), http.StatusServiceUnavailable, retryAfter},
 		{errors.New("answer lost"), http.StatusBadGateway, ""},
 		{io.ErrUnexpectedEOF, http.StatusBadGateway, ""},
 	}
@@ -183,7 +183,7 @@
 	for _, test := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			front, messages := newTestFront(t)
-			messages.putErr = message.ErrNotKept
+			messages.putErr = message.ErrNotStored
 			request := newRequest(http.MethodPost, "/plain/1", "x")
 			request.Header.Set(headerDeadline, test.deadline)
 			recorder := serve(front.Handler(), request)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -46,11 +46,11 @@
 	RetentionMS int64   `json:"retentionMs"`
 }
 
-// ErrNotKept means that a message surely is not kept and will never run: its client may send it again.
-var ErrNotKept = errors.New("message not kept")
+// ErrNotStored means that a message surely is not kept and will never run: its client may send it again.
+var ErrNotStored = errors.New("message not kept")
 
-// ErrUnknown means that nothing is known of a message.
-var ErrUnknown = errors.New("unknown message")
+// ErrNotFound means that nothing is known of a message.
+var ErrNotFound = errors.New("unknown message")
 
-// ErrNoBody means that a message's body is not kept any more.
-var ErrNoBody = errors.New("message body not kept")
+// ErrBodyNotFound means that a message's body is not kept any more.
+var ErrBodyNotFound = errors.New("message body not kept")
--- a/internal/messagestore/client.go
+++ b/internal/messagestore/client.go
@@ -37,7 +37,7 @@
 	zone   string
 	pool   *rpc.Pool
 	table  func() *cluster.Table
-	report func(report cluster.Report)
+	report func(report cluster.FailureReport)
 
 	mu       sync.Mutex
 	answers  answerTimes          // of puts, by all stores
@@ -49,7 +49,7 @@
 }
 
 // NewClient returns a client of the stores that a table lists. Stores that can't be reached are reported.
-func NewClient(zone string, pool *rpc.Pool, table func() *cluster.Table, report func(cluster.Report)) *Client {
+func NewClient(zone string, pool *rpc.Pool, table func() *cluster.Table, report func(cluster.FailureReport)) *Client {
 	return &Client{
 		zone: zone, pool: pool, table: table, report: report,
 		suspects: make(map[string]time.Time), heard: make(map[string]time.Time),
@@ -144,7 +144,7 @@
 	if sent {
 		return errors.New("no answer from the stores")
 	}
-	return trace.Wrap(message.ErrNotKept)
+	return trace.Wrap(message.ErrNotStored)
 }
 
 // pause waits before the next try, and tells whether there is time for one.
@@ -166,7 +166,7 @@
 	if entry == nil {
 		return trace.Wrap(rpc.ErrNotSent)
 	}
-	if entry.Silent && !place.sent {
+	if entry.Unresponsive && !place.sent {
 		return trace.Wrap(errSilent)
 	}
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
@@ -237,7 +237,7 @@
 	c.suspects[entry.Name] = time.Now().Add(suspectFor)
 	c.mu.Unlock()
 	if time.Now().After(last) {
-		c.report(cluster.Report{Node: entry.Name, Address: entry.Address, Refused: refused})
+		c.report(cluster.FailureReport{Node: entry.Name, Address: entry.Address, Refused: refused})
 	}
 }
 
@@ -280,7 +280,7 @@
 		if !found || entry == nil || len(view.Replicas) < table.Copies {
 			continue
 		}
-		if entry.Zone == c.zone && entry.State == cluster.StoreActive && view.Wanted == "" {
+		if entry.Zone == c.zone && entry.State == cluster.StoreActive && view.PreferredPrimary == "" {
 			c.near = append(c.near, view.ID)
 		} else {
 			c.far = append(c.far, view.ID)
@@ -299,7 +299,7 @@
 		id := candidates[(first+i)%len(candidates)]
 		primary, _ := table.Partitions[id].Primary()
 		entry := table.Store(primary.Store)
-		if now.After(c.suspects[primary.Store]) && entry != nil && !entry.Silent {
+		if now.After(c.suspects[primary.Store]) && entry != nil && !entry.Unresponsive {
 			return id, true
 		}
 	}
@@ -329,8 +329,8 @@
 // Body asks for a message's body.
 func (c *Client) Body(ctx context.Context, id string) ([]byte, error) {
 	body, err := c.query(ctx, methodBody, id, nil)
-	if errors.Is(err, message.ErrUnknown) {
-		return nil, trace.Wrap(message.ErrNoBody)
+	if errors.Is(err, message.ErrNotFound) {
+		return nil, trace.Wrap(message.ErrBodyNotFound)
 	}
 	return body, err
 }
@@ -339,11 +339,11 @@
 func (c *Client) query(ctx context.Context, method, id string, result any) ([]byte, error) {
 	partition, err := partitionOf(id)
 	if err != nil {
-		return nil, trace.Wrap(message.ErrUnknown)
+		return nil, trace.Wrap(message.ErrNotFound)
 	}
 	for {
 		body, err := c.queryOnce(ctx, method, partition, id, result)
-		if err == nil || errors.Is(err, message.ErrUnknown) || !c.pause(ctx) {
+		if err == nil || errors.Is(err, message.ErrNotFound) || !c.pause(ctx) {
 			return body, err
 		}
 	}
@@ -355,7 +355,7 @@
 		return nil, errors.New("no cluster table yet")
 	}
 	if partition >= len(table.Partitions) {
-		return nil, trace.Wrap(message.ErrUnknown)
+		return nil, trace.Wrap(message.ErrNotFound)
 	}
 	last := errors.New("the partition has no replica")
 	for _, replica := range table.Partitions[partition].Replicas {
@@ -370,7 +370,7 @@
 			return body, nil
 		}
 		if rpc.CodeOf(err) == rpc.CodeNotFound {
-			return nil, trace.Wrap(message.ErrUnknown)
+			return nil, trace.Wrap(message.ErrNotFound)
 		}
 		last = err
 	}
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -40,7 +40,7 @@
 		for _, orderKey := range []string{"", "key"} {
 			took, err := h.putWithin(orderKey)
 			assert.Assert(t, err != nil)
-			assert.Assert(t, !errors.Is(err, message.ErrNotKept), "a store may have it")
+			assert.Assert(t, !errors.Is(err, message.ErrNotStored), "a store may have it")
 			assert.Assert(t, took < earlyLimit, "%v", took)
 		}
 		for _, m := range h.machines {
@@ -60,7 +60,7 @@
 		})
 		for _, orderKey := range []string{"", "key"} {
 			took, err := h.putWithin(orderKey)
-			assert.Assert(t, errors.Is(err, message.ErrNotKept))
+			assert.Assert(t, errors.Is(err, message.ErrNotStored))
 			assert.Assert(t, took < earlyLimit, "%v", took)
 		}
 	})
@@ -99,7 +99,7 @@
 		setSilent := func(silent bool, stores ...string) {
 			h.update(func(table *cluster.Table) {
 				for _, store := range stores {
-					table.Store(store).Silent = silent
+					table.Store(store).Unresponsive = silent
 				}
 			})
 		}
@@ -111,7 +111,7 @@
 		}
 		setSilent(true, "b")
 		took, err := h.putWithin("key")
-		assert.Assert(t, errors.Is(err, message.ErrNotKept))
+		assert.Assert(t, errors.Is(err, message.ErrNotStored))
 		assert.Assert(t, took < time.Millisecond, "%v", took)
 		setSilent(false, "a", "b")
 		_, err = h.putWithin("key")
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -117,7 +117,7 @@
 	if still, complete := s.readyBackups(p, epoch); !complete || !slices.Equal(still, ready) {
 		return handoverRefused
 	}
-	ask := cluster.PartitionAsk{Partition: id, Epoch: epoch, Handover: true}
+	ask := cluster.PartitionRequest{Partition: id, Epoch: epoch, Handover: true}
 	for _, backup := range ready {
 		ask.Ready = append(ask.Ready, backup.replica.Store)
 	}
@@ -135,7 +135,7 @@
 }
 
 // askHandover asks the control plane for a new primary.
-func (s *Store) askHandover(ask cluster.PartitionAsk) handoverOutcome {
+func (s *Store) askHandover(ask cluster.PartitionRequest) handoverOutcome {
 	err := s.ask(ask)
 	if err != nil {
 		s.logger.Info("handing a partition over", zap.Int("partition", ask.Partition), zap.Error(err))
@@ -176,8 +176,8 @@
 // followWish hands a partition over when the control plane wishes for another primary that is synced. The caller holds
 // the lock.
 func (s *Store) followWish(p *partition) {
-	place := p.view.Find(p.view.Wanted)
-	if p.moving || p.view.Wanted == "" || place <= 0 || !p.view.Replicas[place].Synced {
+	place := p.view.Find(p.view.PreferredPrimary)
+	if p.moving || p.view.PreferredPrimary == "" || place <= 0 || !p.view.Replicas[place].Synced {
 		return
 	}
 	p.moving = true
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/fencing_test.go
@@ -98,7 +98,7 @@
 		})
 		synced := make(chan bool, 16)
 		h.mu.Lock()
-		h.onAsk = func(ask cluster.PartitionAsk) {
+		h.onAsk = func(ask cluster.PartitionRequest) {
 			if ask.Partition == partition && ask.Synced == added {
 				synced <- holdsAll(target.store, partition, ids)
 			}
@@ -160,7 +160,7 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeUnavailable)
 		_, err := h.state("0-1")
-		assert.Assert(t, err != nil && !errors.Is(err, message.ErrUnknown))
+		assert.Assert(t, err != nil && !errors.Is(err, message.ErrNotFound))
 		h.network.Heal(h.machines["a"].ip, h.machines["b"].ip)
 	})
 }
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -86,8 +86,8 @@
 	table    *cluster.Table
 	leases   atomic.Bool
 	refusing bool // asks are refused
-	asks     []cluster.PartitionAsk
-	onAsk    func(ask cluster.PartitionAsk) // called with each ask; may be nil
+	asks     []cluster.PartitionRequest
+	onAsk    func(ask cluster.PartitionRequest) // called with each ask; may be nil
 }
 
 func newHarness(t *testing.T, names ...string) *harness {
@@ -216,7 +216,7 @@
 }
 
 // PartitionAsk implements Control as the control plane does.
-func (h *harness) PartitionAsk(_ context.Context, ask cluster.PartitionAsk) error {
+func (h *harness) RequestPartitionChange(_ context.Context, ask cluster.PartitionRequest) error {
 	h.mu.Lock()
 	h.asks = append(h.asks, ask)
 	view := h.table.Partitions[ask.Partition]
@@ -264,7 +264,7 @@
 	})
 }
 
-func (h *harness) Report(context.Context, cluster.Report) error { return nil }
+func (h *harness) ReportFailure(context.Context, cluster.FailureReport) error { return nil }
 
 // machineControl is the control plane as one machine sees it.
 type machineControl struct {
@@ -280,7 +280,7 @@
 }
 
 func (h *harness) client() *Client {
-	return NewClient("z0", h.clients, h.currentTable, func(cluster.Report) {})
+	return NewClient("z0", h.clients, h.currentTable, func(cluster.FailureReport) {})
 }
 
 // put hands a message in and returns its ID.
--- a/internal/messagestore/replicate.go
+++ b/internal/messagestore/replicate.go
@@ -162,8 +162,8 @@
 	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(s.context, askTimeout)
 		defer cancel()
-		report := cluster.Report{Node: store, Address: address, Refused: refused}
-		if err := s.options.Control.Report(ctx, report); err != nil {
+		report := cluster.FailureReport{Node: store, Address: address, Refused: refused}
+		if err := s.options.Control.ReportFailure(ctx, report); err != nil {
 			s.logger.Debug("reporting a store", zap.String("store", store), zap.Error(err))
 		}
 	})
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -72,18 +72,18 @@
 
 // askDrop asks the control plane to replace a backup that holds up writes.
 func (s *Store) askDrop(p *partition, epoch uint64, replica cluster.Replica) {
-	err := s.ask(cluster.PartitionAsk{Partition: p.id, Epoch: epoch, Drop: replica.Store})
+	err := s.ask(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Drop: replica.Store})
 	if err != nil {
 		s.logger.Info("asking for another backup", zap.Int("partition", p.id),
 			zap.String("backup", replica.Store), zap.Error(err))
 	}
 }
 
-func (s *Store) ask(ask cluster.PartitionAsk) error {
+func (s *Store) ask(ask cluster.PartitionRequest) error {
 	ask.Store = s.options.Name
 	ctx, cancel := context.WithTimeout(s.context, askTimeout)
 	defer cancel()
-	return s.options.Control.PartitionAsk(ctx, ask)
+	return s.options.Control.RequestPartitionChange(ctx, ask)
 }
 
 // resync copies to a backup what it lacks, and tells the control plane where the backup was not synced before.
@@ -108,7 +108,7 @@
 	if replica.Synced {
 		return nil
 	}
-	return s.ask(cluster.PartitionAsk{Partition: p.id, Epoch: epoch, Synced: replica.Store})
+	return s.ask(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Synced: replica.Store})
 }
 
 // copyFailed tells whether a record was not taken since the copy to a backup began. The last one may have been.
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -30,10 +30,10 @@
 
 // Control is the control plane as a store sees it.
 type Control interface {
-	// PartitionAsk asks for a change of a replica group that this store leads.
-	PartitionAsk(ctx context.Context, ask cluster.PartitionAsk) error
-	// Report tells that a process can't be reached.
-	Report(ctx context.Context, report cluster.Report) error
+	// RequestPartitionChange asks for a change of a replica group that this store leads.
+	RequestPartitionChange(ctx context.Context, ask cluster.PartitionRequest) error
+	// FailureReport tells that a process can't be reached.
+	ReportFailure(ctx context.Context, report cluster.FailureReport) error
 	// LeaseRemaining returns for how long this process's lease surely still runs; 0 where it does not.
 	LeaseRemaining() time.Duration
 }
@@ -142,7 +142,7 @@
 	found := s.partition(m.Partition).entries[m.ID]
 	if found == nil {
 		s.mu.Unlock()
-		return nil, trace.Wrap(message.ErrUnknown)
+		return nil, trace.Wrap(message.ErrNotFound)
 	}
 	body, position := found.body, found.position
 	s.mu.Unlock()
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -37,7 +37,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, outcome, message.Outcome{State: message.Completed, Stamp: "s1"})
 		_, err = h.body(id)
-		assert.Assert(t, errors.Is(err, message.ErrNoBody))
+		assert.Assert(t, errors.Is(err, message.ErrBodyNotFound))
 	})
 }
 
@@ -66,7 +66,7 @@
 		defer h.close()
 		for _, id := range []string{"0-12", "ff-12", "nonsense"} {
 			_, err := h.state(id)
-			assert.Assert(t, errors.Is(err, message.ErrUnknown), id)
+			assert.Assert(t, errors.Is(err, message.ErrNotFound), id)
 		}
 	})
 }
@@ -80,7 +80,7 @@
 		}
 		time.Sleep(time.Second)
 		_, err := h.put("r", "", "x")
-		assert.Assert(t, errors.Is(err, message.ErrNotKept))
+		assert.Assert(t, errors.Is(err, message.ErrNotStored))
 	})
 }
 
@@ -263,7 +263,7 @@
 		leader.engine.inFlight.Store(1)
 		h.update(func(table *cluster.Table) {
 			view := &table.Partitions[partition]
-			view.Wanted = view.Replicas[1].Store
+			view.PreferredPrimary = view.Replicas[1].Store
 		})
 		time.Sleep(time.Second)
 		assert.Equal(t, h.leader(id), leader)
@@ -393,7 +393,7 @@
 		assert.Equal(t, outcome.State, message.DeadLetter)
 		time.Sleep(30 * time.Second)
 		_, err = h.state(id)
-		assert.Assert(t, errors.Is(err, message.ErrUnknown))
+		assert.Assert(t, errors.Is(err, message.ErrNotFound))
 	})
 }
 
@@ -410,10 +410,10 @@
 }
 
 // handovers returns the asks for a handover that the control plane has had.
-func (h *harness) handovers() []cluster.PartitionAsk {
+func (h *harness) handovers() []cluster.PartitionRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(h.asks), func(ask cluster.PartitionAsk) bool { return !ask.Handover })
+	return slices.DeleteFunc(slices.Clone(h.asks), func(ask cluster.PartitionRequest) bool { return !ask.Handover })
 }
 
 // A backup may be synced by the word of the control plane before its primary knows. What the primary did not wait for may
--- a/internal/rpc/api.go
+++ b/internal/rpc/api.go
@@ -11,10 +11,10 @@
 // carried out.
 var ErrLost = errors.New("rpc: answer lost")
 
-// Repeatable names a method whose call may be made again, here or at another process, after its answer was lost: the
+// Idempotent names a method whose call may be made again, here or at another process, after its answer was lost: the
 // handler recognises a repeat, or is fenced by a version or an epoch in the call. docs/system.md says which and why.
 // What repeats calls takes this type, so that no other call is repeated by accident.
-type Repeatable string
+type Idempotent string
 
 // Code classifies a failure that the called process reported.
 type Code string
--- a/internal/simcluster/helpers_test.go
+++ b/internal/simcluster/helpers_test.go
@@ -38,7 +38,7 @@
 		c.t.Logf("%v: store %s: %s", c.recorder.now(), store.Name, store.State)
 	}
 	for _, partition := range table.Partitions {
-		c.t.Logf("partition %d, epoch %d: %v, wanted %q", partition.ID, partition.Epoch, partition.Replicas, partition.Wanted)
+		c.t.Logf("partition %d, epoch %d: %v, wanted %q", partition.ID, partition.Epoch, partition.Replicas, partition.PreferredPrimary)
 	}
 }
 
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -71,7 +71,7 @@
 
 func (f *Front) announce() cluster.NodeInfo {
 	info := f.info
-	info.Leaving = f.leaving.Load()
+	info.Draining = f.leaving.Load()
 	return info
 }
 
@@ -80,7 +80,7 @@
 	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer f.close()
 	defer stop()
-	f.stores = messagestore.NewClient(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.Report) {
+	f.stores = messagestore.NewClient(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.FailureReport) {
 		f.report(alive, report)
 	})
 	f.agent.Subscribe(f.changed)
--- a/internal/systemnode/inspection/view.go
+++ b/internal/systemnode/inspection/view.go
@@ -149,7 +149,7 @@
 }
 
 func newPartition(view cluster.Partition) Partition {
-	partition := Partition{ID: view.ID, Epoch: view.Epoch, Synced: []string{}, Copying: []string{}, Wanted: view.Wanted}
+	partition := Partition{ID: view.ID, Epoch: view.Epoch, Synced: []string{}, Copying: []string{}, Wanted: view.PreferredPrimary}
 	primary, found := view.Primary()
 	if !found {
 		return partition
--- a/internal/systemnode/inspection/view_test.go
+++ b/internal/systemnode/inspection/view_test.go
@@ -55,7 +55,7 @@
 		},
 		Partitions: []cluster.Partition{
 			{ID: 0, Epoch: 1, Replicas: []cluster.Replica{replicaOf("1"), replicaOf("2")}},
-			{ID: 1, Epoch: 2, Replicas: []cluster.Replica{replicaOf("2"), copyingOf("1")}, Wanted: "store-1"},
+			{ID: 1, Epoch: 2, Replicas: []cluster.Replica{replicaOf("2"), copyingOf("1")}, PreferredPrimary: "store-1"},
 			{ID: 2, Epoch: 3},
 			{ID: 3, Epoch: 4, Replicas: []cluster.Replica{replicaOf("1"), replicaOf("3")}},
 			{ID: 4, Epoch: 5, Replicas: []cluster.Replica{replicaOf("3"), replicaOf("1")}},
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -110,11 +110,11 @@
 }
 
 // report passes on that a process can't be reached.
-func (n *node) report(ctx context.Context, report cluster.Report) {
+func (n *node) report(ctx context.Context, report cluster.FailureReport) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		if err := n.agent.Report(ctx, report); err != nil {
+		if err := n.agent.ReportFailure(ctx, report); err != nil {
 			n.logger.Debug("reporting a process", zap.String("node", report.Node), zap.Error(err))
 		}
 	}()
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -76,7 +76,7 @@
 
 func (s *Store) announce() cluster.NodeInfo {
 	info := s.info
-	info.Leaving = s.leaving.Load()
+	info.Draining = s.leaving.Load()
 	info.DiskFailing = s.messages.DiskFailing()
 	return info
 }
@@ -123,7 +123,7 @@
 	}
 	if table := s.agent.Table(); table != nil {
 		s.leaders.Store(int64(table.Leaders()))
-		s.engine.SetDeliverers(table.Shares(s.info.Name))
+		s.engine.SetDeliverers(table.LimitDivisor(s.info.Name))
 		s.messages.ApplyTable(table)
 	}
 }
