--- a/internal/decision/actions_test.go
+++ b/internal/decision/actions_test.go
@@ -12,7 +12,7 @@
 // meant to leave the behaviour alone must leave them alone; one that is meant to change it records the new ones.
 func TestActionsOfLongPlayStayTheSame(t *testing.T) {
 	reports := func(s *Settings) {
-		s.ReportByWord, s.ParallelTries, s.Report = true, false, Report{0, -1, 1, -1, -1, -1}
+		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
 	}
 	for _, tc := range []struct {
 		name   string
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -14,8 +14,8 @@
 func (d *Dispatcher) admit(ev *Event) {
 	j := &job{Event: ev.clean(&d.set)}
 	c := d.class(j)
-	d.jobs[ev.Job], j.dueAt = j, d.now+c.Aim
-	hold := (c.Aim + seconds(max(c.Stretch-1, 0)*d.run[j.Class])) >> (1 + count(d.sees)) // others take some
+	d.jobs[ev.Job], j.dueAt = j, d.now+c.LatencyTarget
+	hold := (c.LatencyTarget + seconds(max(c.Stretch-1, 0)*d.run[j.Class])) >> (1 + count(d.sees)) // others take some
 	j.heldUntil = min(d.now+hold, j.Deadline-2*d.tick)
 	if j.excess = d.over(j); j.excess && d.rng.Float64() > d.spare || d.rng.Float64() > max(d.let, leastSpare) {
 		d.reject(j)
@@ -34,8 +34,8 @@
 	fade := d.decay(d.lastArrival, memory)
 	for i, t := range d.set.Tenants {
 		d.arrivalRate[i] *= fade
-		if d.answerRate[i] *= fade; t.PerSec > 0 {
-			part = append(part, d.answerRate[i]/t.PerSec)
+		if d.answerRate[i] *= fade; t.RatePerSecond > 0 {
+			part = append(part, d.answerRate[i]/t.RatePerSecond)
 		}
 	}
 	for kind := range d.served {
@@ -45,7 +45,7 @@
 	if slices.Sort(part); len(part) < 3 || part[len(part)/2] == 0 {
 		return false
 	}
-	rate, due := d.arrivalRate[j.Tenant], excessFactor*part[len(part)/2]*d.set.Tenants[j.Tenant].PerSec
+	rate, due := d.arrivalRate[j.Tenant], excessFactor*part[len(part)/2]*d.set.Tenants[j.Tenant].RatePerSecond
 	return rate > due+sigmas*math.Sqrt(due+1) && d.rng.Float64()*rate > due
 }
 
@@ -63,7 +63,7 @@
 
 // reject is the gate for final answers: a refusal only where a further try is harmless, else a failure.
 func (d *Dispatcher) reject(j *job) {
-	kind, c, back := Refuse, d.class(j), d.tick.Seconds()*(0.5+d.rng.Float64())/max(d.let, leastSpare)
+	kind, c, back := Reject, d.class(j), d.tick.Seconds()*(0.5+d.rng.Float64())/max(d.let, leastSpare)
 	if !c.harmless() && slices.ContainsFunc(j.attempts, func(t *attempt) bool { return !t.neverRan }) {
 		kind, back = Fail, 0
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -25,70 +25,72 @@
 )
 
 // Effect says what repeating a job of a class does.
-type Effect uint8
+type Idempotency uint8
 
 // The effect classes.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // repeats are dropped inside a group, for a while
-	Safe                 // may be repeated at will
+	NotIdempotent Idempotency = iota // must never run twice
+	Deduplicated                     // repeats are dropped inside a group, for a while
+	Idempotent                       // may be repeated at will
 )
 
 // Group is the set of workers that drops repeats of a Keyed job.
-type Group uint8
+type DedupScope uint8
 
 // The groups of a Keyed class.
 const (
-	GroupCell Group = iota // workers of one cell
-	GroupZone              // workers of one zone
-	GroupAll               // all workers
+	DedupByCell DedupScope = iota // workers of one cell
+	DedupByZone                   // workers of one zone
+	DedupByAll                    // all workers
 )
 
 // ClassSettings describes one class of job.
 type ClassSettings struct {
-	Aim      time.Duration // an answer within it earns the full worth
-	Stretch  float64       // the aim grows by this multiple of the job's own running time
-	Deadline time.Duration // the client's patience over all its tries
-	Effect   Effect
-	Group    Group         // Keyed only
-	Window   time.Duration // Keyed only: how long repeats are remembered
-	Worth    float64       // worth of one job in time
-	Late     float64       // share of the worth that a late answer still earns
-	Kind     int           // the worker kind it needs, -1 for any
-	BoundTo  []int         // the only kinds it may be sent to, as entries number them; empty for any
-	Zones    []int         // the only zones it may be sent to; empty for any
-	Priority int           // the workers' own queue priority
-	Stream   bool          // the answer streams; Started events arrive
+	LatencyTarget time.Duration // an answer within it earns the full worth
+	Stretch       float64       // the aim grows by this multiple of the job's own running time
+	Deadline      time.Duration // the client's patience over all its tries
+	Idempotency   Idempotency
+	DedupScope    DedupScope    // Keyed only
+	DedupWindow   time.Duration // Keyed only: how long repeats are remembered
+	Value         float64       // worth of one job in time
+	LateValue     float64       // share of the worth that a late answer still earns
+	WorkerKind    int           // the worker kind it needs, -1 for any
+	AllowedKinds  []int         // the only kinds it may be sent to, as entries number them; empty for any
+	AllowedZones  []int         // the only zones it may be sent to; empty for any
+	Priority      int           // the workers' own queue priority
+	Stream        bool          // the answer streams; Started events arrive
 }
 
 // bound tells whether only some workers are open to the class.
-func (c *ClassSettings) bound() bool { return c.Kind >= 0 || len(c.BoundTo) > 0 || len(c.Zones) > 0 }
+func (c *ClassSettings) bound() bool {
+	return c.WorkerKind >= 0 || len(c.AllowedKinds) > 0 || len(c.AllowedZones) > 0
+}
 
 // harmless tells whether a job of the class may be tried again anywhere, whatever became of its attempts.
 func (c *ClassSettings) harmless() bool {
-	return c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll
+	return c.Idempotency == Idempotent || c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
 }
 
 // TenantSettings describes one tenant.
 type TenantSettings struct {
-	Share  float64 // share of the service
-	PerSec float64 // jobs a second within the share, over all dispatchers; 0 if unknown
+	Share         float64 // share of the service
+	RatePerSecond float64 // jobs a second within the share, over all dispatchers; 0 if unknown
 }
 
 // Report names the position of the load report values, -1 where absent.
-type Report struct {
+type LoadReportLayout struct {
 	FreeSlots, FreeMemory, Queue, InFlight, Util, Errors int
 }
 
 // Waiting is the slots that a worker has promised beyond those it has, as far as it reports them: below zero where
 // some are free. An absurd value counts as a long queue.
-func (r Report) Waiting(l *Load) float64 {
+func (r LoadReportLayout) QueuedSlots(l *Load) float64 {
 	wait := 0.0
 	for _, f := range []struct {
 		at   int
 		sign float64
 	}{{r.FreeSlots, -1}, {r.Queue, 1}} {
-		if f.at >= 0 && f.at < min(l.N, len(l.Values)) {
+		if f.at >= 0 && f.at < min(l.Count, len(l.Values)) {
 			wait += f.sign * l.Values[f.at]
 		}
 	}
@@ -99,8 +101,8 @@
 }
 
 // Slots is how many slots a worker has, as far as it reports it: known while some are free, 0 otherwise.
-func (r Report) Slots(l *Load) float64 {
-	n := min(l.N, len(l.Values))
+func (r LoadReportLayout) TotalSlots(l *Load) float64 {
+	n := min(l.Count, len(l.Values))
 	if r.FreeSlots < 0 || r.InFlight < 0 || r.FreeSlots >= n || r.InFlight >= n || !(l.Values[r.FreeSlots] > 0) {
 		return 0
 	}
@@ -112,8 +114,8 @@
 
 // The discovery modes.
 const (
-	Push Discovery = iota // changes arrive unprompted
-	Ask                   // only after Watch or Fetch
+	DiscoveryPush Discovery = iota // changes arrive unprompted
+	DiscoveryPoll                  // only after Watch or Fetch
 )
 
 // Settings are what a dispatcher is told at its start. The zero value of a
@@ -127,36 +129,36 @@
 	Kinds       int // number of worker kinds
 	Zones       int // number of zones; 0 if unknown
 
-	Discovery    Discovery
-	AskWithin    time.Duration // longest silence towards discovery without a watch
-	DrainGrace   time.Duration // sends to a leaving worker must stop within it
-	AnswerGrace  time.Duration // an answer counts for this long after the deadline
-	ColdShare    float64       // a worker starts at this share of its capacity or more
-	WarmAfter    time.Duration // and is warm after this at the latest
-	FallMultiple float64       // pushed beyond this multiple of its present capacity
-	FallSpan     time.Duration // for this long, a cold worker falls over
-	DrainClose   time.Duration // idle connections to a draining worker must be closed within it; 0 = no such rule
-	FullUnproven bool          // Full does not prove that the attempt never ran
-
-	ConnIdle      time.Duration // idle connections are closed after it; 0 = not stated
-	MaxAttempts   int           // sends for a job; 0 = no limit stated
-	ParallelTries bool          // two attempts of a job may be out together
-	Cancel        bool          // Cancel actions are allowed
-	Probes        bool          // Probe actions are allowed
-	Peers         bool          // Tell actions are allowed
-	RetryAfter    bool          // clients are told how long to stay away
-	MaxRetryAfter time.Duration
-
-	CrossZone    float64
-	WorthByWork  bool          // a job's worth grows with its running time
-	OverWorth    float64       // worth of traffic beyond a tenant's share, as a fraction
-	TailPart     float64       // part of the goal that goes by how few of a class miss their aim in any few seconds
-	BorneMisses  float64       // the share of misses that it bears in full
-	TellsStart   bool          // workers tell when a job starts
-	Progress     time.Duration // workers tell progress this often; 0 = never
-	Report       Report
-	ReportByWord bool // reports come with outcomes
-	Tick         time.Duration
+	Discovery           Discovery
+	MaxDiscoverySilence time.Duration // longest silence towards discovery without a watch
+	DrainGrace          time.Duration // sends to a leaving worker must stop within it
+	AnswerGrace         time.Duration // an answer counts for this long after the deadline
+	SlowStartShare      float64       // a worker starts at this share of its capacity or more
+	SlowStartDuration   time.Duration // and is warm after this at the latest
+	OverloadMultiple    float64       // pushed beyond this multiple of its present capacity
+	OverloadSpan        time.Duration // for this long, a cold worker falls over
+	DrainCloseWithin    time.Duration // idle connections to a draining worker must be closed within it; 0 = no such rule
+	RejectionUnproven   bool          // Full does not prove that the attempt never ran
+
+	ConnIdle         time.Duration // idle connections are closed after it; 0 = not stated
+	MaxAttempts      int           // sends for a job; 0 = no limit stated
+	ParallelAttempts bool          // two attempts of a job may be out together
+	Cancel           bool          // Cancel actions are allowed
+	HealthChecks     bool          // Probe actions are allowed
+	PeerMessages     bool          // Tell actions are allowed
+	RetryAfter       bool          // clients are told how long to stay away
+	MaxRetryAfter    time.Duration
+
+	CrossZoneCost    float64
+	ValueByWork      bool          // a job's worth grows with its running time
+	OverQuotaValue   float64       // worth of traffic beyond a tenant's share, as a fraction
+	TailWeight       float64       // part of the goal that goes by how few of a class miss their aim in any few seconds
+	ToleratedMisses  float64       // the share of misses that it bears in full
+	ReportsStart     bool          // workers tell when a job starts
+	ProgressInterval time.Duration // workers tell progress this often; 0 = never
+	Report           LoadReportLayout
+	ReportsLoad      bool // reports come with outcomes
+	Tick             time.Duration
 }
 
 // EventKind tells which fields of an Event count.
@@ -164,15 +166,15 @@
 
 // The events.
 const (
-	EventList     EventKind = iota + 1 // List, Entries
-	EventJob                           // Job, Class, Tenant, Key, Deadline, Hint, Slots, Memory, Repeat
-	EventStarted                       // Job, Attempt, Worker: a streamed answer has begun
-	EventNote                          // Job, Attempt, Worker, Note, Value
-	EventOutcome                       // Job, Attempt, Worker, Outcome, Closed, Took, Load
-	EventGone                          // Job: the client has left
-	EventTimer                         // Token
-	EventProbed                        // Worker, Outcome, Took, Load
-	EventPeerNote                      // From, Data
+	EventList          EventKind = iota + 1 // List, Entries
+	EventJob                                // Job, Class, Tenant, Key, Deadline, Hint, Slots, Memory, Repeat
+	EventStreamStarted                      // Job, Attempt, Worker: a streamed answer has begun
+	EventJobProgress                        // Job, Attempt, Worker, Note, Value
+	EventOutcome                            // Job, Attempt, Worker, Outcome, Closed, Took, Load
+	EventClientLeft                         // Job: the client has left
+	EventTimer                              // Token
+	EventHealthChecked                      // Worker, Outcome, Took, Load
+	EventPeerMessage                        // From, Data
 )
 
 // ListKind says how a list of workers is to be read.
@@ -226,26 +228,26 @@
 const (
 	OK            Outcome = iota + 1
 	Error                 // it may have run
-	Full                  // turned away unseen: it never ran
+	Rejected              // turned away unseen: it never ran
 	TimedOut              // it may have run or may run still
 	ConnectFailed         // no connection: it never ran
 	Reset                 // connection lost: it may have run
 	Cancelled             // it may have run
-	Moot                  // never issued
+	NeverSent             // never issued
 )
 
 // NoteKind tells what an EventNote says.
-type NoteKind uint8
+type ProgressKind uint8
 
 // The notes.
 const (
-	NoteStarted  NoteKind = iota + 1 // the job has started
-	NoteProgress                     // Value is the share done
+	JobStarted  ProgressKind = iota + 1 // the job has started
+	JobAdvanced                         // Value is the share done
 )
 
 // Load is a worker's report: N values in the order of Settings.Report.
 type Load struct {
-	N      int
+	Count  int
 	Values [4]float64
 }
 
@@ -254,9 +256,9 @@
 	Kind     EventKind
 	List     ListKind
 	Outcome  Outcome
-	Note     NoteKind
-	Closed   bool // the job has ended, with this outcome or before
-	Repeat   bool // marked by the client as a repeat of an earlier try
+	Progress ProgressKind
+	JobEnded bool // the job has ended, with this outcome or before
+	Retry    bool // marked by the client as a repeat of an earlier try
 	HasHint  bool
 	Job      JobID
 	Worker   WorkerID
@@ -268,7 +270,7 @@
 	Hint     time.Duration
 	Slots    float64
 	Memory   float64
-	Took     time.Duration
+	Duration time.Duration
 	Value    float64
 	Load     Load
 	Token    uint32
@@ -282,21 +284,21 @@
 
 // The actions.
 const (
-	Send     ActionKind = iota + 1 // Job, Worker, Timeout
-	Refuse                         // Job, RetryAfter: trying again is harmless
-	Fail                           // Job: no promise about what it did
-	Cancel                         // Job, Attempt
-	SetTimer                       // Token, Delay
-	Watch                          // On
-	Fetch                          // ask for the whole list once
-	Probe                          // Worker
-	Close                          // Worker: close idle connections
-	Tell                           // Peer, Data
-	Log                            // Data
+	Send        ActionKind = iota + 1 // Job, Worker, Timeout
+	Reject                            // Job, RetryAfter: trying again is harmless
+	Fail                              // Job: no promise about what it did
+	Cancel                            // Job, Attempt
+	SetTimer                          // Token, Delay
+	Watch                             // On
+	Fetch                             // ask for the whole list once
+	HealthCheck                       // Worker
+	CloseIdle                         // Worker: close idle connections
+	SendPeer                          // Peer, Data
+	Log                               // Data
 )
 
 // Everyone as the Peer of a Tell reaches every other dispatcher.
-const Everyone = -1
+const AllPeers = -1
 
 // Action is one thing that the host is to do, now and in order.
 type Action struct {
@@ -322,30 +324,30 @@
 		{"Dispatchers", s.Dispatchers >= 0},
 		{"Kinds", s.Kinds >= 0 && s.Kinds <= MaxKinds},
 		{"MaxAttempts", s.MaxAttempts >= 0},
-		{"AskWithin", s.AskWithin >= 0},
+		{"MaxDiscoverySilence", s.MaxDiscoverySilence >= 0},
 		{"DrainGrace", s.DrainGrace >= 0},
-		{"WarmAfter", s.WarmAfter >= 0},
-		{"FallSpan", s.FallSpan >= 0},
-		{"DrainClose", s.DrainClose >= 0},
+		{"SlowStartDuration", s.SlowStartDuration >= 0},
+		{"OverloadSpan", s.OverloadSpan >= 0},
+		{"DrainCloseWithin", s.DrainCloseWithin >= 0},
 		{"Zones", s.Zones >= 0},
 		{"ConnIdle", s.ConnIdle >= 0},
 		{"MaxRetryAfter", s.MaxRetryAfter >= 0},
-		{"TailPart", s.TailPart >= 0},
-		{"BorneMisses", s.BorneMisses >= 0},
-		{"ColdShare", s.ColdShare >= 0 && s.ColdShare <= 1},
-		{"FallMultiple", s.FallMultiple >= 0 && s.FallMultiple <= math.MaxFloat32},
+		{"TailWeight", s.TailWeight >= 0},
+		{"ToleratedMisses", s.ToleratedMisses >= 0},
+		{"SlowStartShare", s.SlowStartShare >= 0 && s.SlowStartShare <= 1},
+		{"OverloadMultiple", s.OverloadMultiple >= 0 && s.OverloadMultiple <= math.MaxFloat32},
 	} {
 		if !c.ok {
 			return s, fmt.Errorf("decision: setting %s is out of range", c.name)
 		}
 	}
 	for i, c := range s.Classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 || !(c.Worth >= 0) || !(c.Stretch >= 0) || c.Kind < -1 {
+		if c.LatencyTarget < 0 || c.Deadline < 0 || c.DedupWindow < 0 || !(c.Value >= 0) || !(c.Stretch >= 0) || c.WorkerKind < -1 {
 			return s, fmt.Errorf("decision: setting Classes[%d] is out of range", i)
 		}
 	}
 	for i, t := range s.Tenants {
-		if !(t.Share >= 0 && t.Share <= math.MaxFloat32) || !(t.PerSec >= 0 && t.PerSec <= math.MaxFloat32) {
+		if !(t.Share >= 0 && t.Share <= math.MaxFloat32) || !(t.RatePerSecond >= 0 && t.RatePerSecond <= math.MaxFloat32) {
 			return s, fmt.Errorf("decision: setting Tenants[%d] is out of range", i)
 		}
 	}
@@ -354,7 +356,7 @@
 	}
 	s.Kinds, s.Dispatchers = max(s.Kinds, 1), max(s.Dispatchers, 1)
 	if len(s.Classes) == 0 { // nothing is known of the jobs: the careful reading
-		s.Classes = []ClassSettings{{Effect: Unsafe, Worth: 1, Kind: -1}}
+		s.Classes = []ClassSettings{{Idempotency: NotIdempotent, Value: 1, WorkerKind: -1}}
 	}
 	// Jobs of tenants that are not listed count as those of one more, without a share.
 	s.Tenants = append(slices.Clip(s.Tenants), TenantSettings{})
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -14,7 +14,7 @@
 
 func (d *Dispatcher) fit(w *worker, j *job) bool {
 	return w.State == Ready && d.now >= w.fullTill &&
-		(!w.suspect || d.now >= w.retryAt && d.class(j).Effect == Safe) &&
+		(!w.suspect || d.now >= w.retryAt && d.class(j).Idempotency == Idempotent) &&
 		(w.pace <= slowFactor || d.rng.Float64()*w.pace <= 1) && d.allowed(j, w) &&
 		(w.fails == 0 || d.class(j).harmless() || d.rng.Float64() > errorAversion*w.fails*d.decay(w.failed, memory))
 }
@@ -23,7 +23,7 @@
 func (d *Dispatcher) mayTry(j *job) bool {
 	return !j.ended && (d.set.MaxAttempts == 0 || len(j.attempts) < d.set.MaxAttempts) &&
 		d.now < j.Deadline && !slices.ContainsFunc(j.attempts, func(t *attempt) bool {
-		return !t.done && !d.set.ParallelTries || !t.neverRan && d.class(j).Effect == Unsafe
+		return !t.done && !d.set.ParallelAttempts || !t.neverRan && d.class(j).Idempotency == NotIdempotent
 	})
 }
 
@@ -35,9 +35,9 @@
 
 // permitted keeps placement: a bound class goes to no other worker, and to none of unknown kind or zone.
 func (c *ClassSettings) permitted(w *worker) bool {
-	return !c.bound() || !w.misplaced && (c.Kind < 0 || c.Kind == w.Kind) &&
-		(len(c.BoundTo) == 0 || slices.Contains(c.BoundTo, w.Kind)) &&
-		(len(c.Zones) == 0 || slices.Contains(c.Zones, w.Zone))
+	return !c.bound() || !w.misplaced && (c.WorkerKind < 0 || c.WorkerKind == w.Kind) &&
+		(len(c.AllowedKinds) == 0 || slices.Contains(c.AllowedKinds, w.Kind)) &&
+		(len(c.AllowedZones) == 0 || slices.Contains(c.AllowedZones, w.Zone))
 }
 
 // mayRetryAt tells whether the attempts so far leave this worker to j.
@@ -45,8 +45,8 @@
 	c := d.class(j)
 	return !slices.ContainsFunc(j.attempts, func(t *attempt) bool {
 		return t.w == w || // it has had its chance, or still has it
-			!t.neverRan && c.Effect == Keyed && (float64(d.now-t.sent) > usableWindow*float64(c.Window) ||
-				c.Group == GroupZone && t.w.Zone != w.Zone || c.Group == GroupCell && t.w.Cell != w.Cell)
+			!t.neverRan && c.Idempotency == Deduplicated && (float64(d.now-t.sent) > usableWindow*float64(c.DedupWindow) ||
+				c.DedupScope == DedupByZone && t.w.Zone != w.Zone || c.DedupScope == DedupByCell && t.w.Cell != w.Cell)
 	})
 }
 
@@ -83,7 +83,7 @@
 
 func (d *Dispatcher) outcome(ev *Event, j *job, t *attempt) {
 	o := ev.Outcome // some prove that it never ran
-	t.done, t.neverRan = true, o == Full && !d.set.FullUnproven || o == ConnectFailed || o == Moot
+	t.done, t.neverRan = true, o == Rejected && !d.set.RejectionUnproven || o == ConnectFailed || o == NeverSent
 	d.hold(t.w, -j.Slots)
 	d.learnReport(t.w, &ev.Load)
 	t.w.running -= float64(min(t.started, 1)) // if it had begun
@@ -92,7 +92,7 @@
 	}
 	d.shut(t.w)
 	d.applyOutcome(j, t, o)
-	if j.ended || ev.Closed || o == OK {
+	if j.ended || ev.JobEnded || o == OK {
 		d.finish(j)
 	} else if !j.inFlight() && d.mayTry(j) && !j.excess && !t.cancelled {
 		d.try(j)
@@ -122,7 +122,7 @@
 		d.spare = min(d.spare+excessRecovery, 1)
 		d.answerRate[j.Tenant]++
 		d.sendHeld(w)
-	case Full:
+	case Rejected:
 		w.lastHeard = d.now
 		d.busy(j, w, len(j.attempts) > 1 || j.excess && j.Key == 0) // a key's full worker says little of the pool
 	case Error:
@@ -152,11 +152,11 @@
 	d.looked, d.open = d.now, slices.DeleteFunc(d.open, func(j *job) bool { return d.jobs[j.Job] != j })
 	for _, j := range d.open {
 		for _, t := range j.attempts {
-			usual := max(seconds(suspectAfter*d.answerTime[j.Class]), 2*d.tick, d.set.Progress)
+			usual := max(seconds(suspectAfter*d.answerTime[j.Class]), 2*d.tick, d.set.ProgressInterval)
 			if t.done {
 				continue
-			} else if slack := max(d.class(j).Stretch-1, 0)*d.run[j.Class] - d.wait(t.w, j.Slots); d.set.TellsStart &&
-				d.class(j).Late == 0 && d.now > j.dueAt+seconds(max(slack, 0)) {
+			} else if slack := max(d.class(j).Stretch-1, 0)*d.run[j.Class] - d.wait(t.w, j.Slots); d.set.ReportsStart &&
+				d.class(j).LateValue == 0 && d.now > j.dueAt+seconds(max(slack, 0)) {
 				d.cancelOpen(j, true) // it is worth nothing any more, or less than its place in the queue
 			} else if d.now-max(t.sent, t.w.lastHeard, d.awake) > usual && !t.w.suspect {
 				t.w.suspect, t.w.retryAt = true, d.now+suspectRetry
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -80,15 +80,15 @@
 		workers: make(map[WorkerID]*worker), jobs: make(map[JobID]*job), shares: []float64{0}, spare: leastSpare,
 		callToken: closeToken, let: 1, unit: 1}
 	for _, c := range d.set.Classes {
-		d.answerTime, d.run = append(d.answerTime, c.Aim.Seconds()/2), append(d.run, max(c.Aim.Seconds()/2, minRun))
-		d.tick = min(d.tick, max(cmp.Or(c.Aim, time.Second)/looksPerAim, s.Tick, time.Millisecond))
+		d.answerTime, d.run = append(d.answerTime, c.LatencyTarget.Seconds()/2), append(d.run, max(c.LatencyTarget.Seconds()/2, minRun))
+		d.tick = min(d.tick, max(cmp.Or(c.LatencyTarget, time.Second)/looksPerAim, s.Tick, time.Millisecond))
 	}
 	kinds := func(v float64) []float64 { return slices.Repeat([]float64{v}, d.set.Kinds) }
 	d.ready, d.slotCount, d.slow, d.served = kinds(0), kinds(0), kinds(1), kinds(0)
 	d.meanRun, d.tried, d.usual = slices.Min(d.run), kinds(0), slices.Concat(kinds(0), kinds(0))
 	d.arrivalRate, d.answerRate = make([]float64, len(s.Tenants)), make([]float64, len(s.Tenants))
-	d.sees = s.ReportByWord && s.TellsStart && s.Report.FreeSlots >= 0 && s.Report.Queue >= 0
-	d.wide = d.sees && (s.Dispatchers >= sharedFrom || s.CrossZone >= dearCrossing)
+	d.sees = s.ReportsLoad && s.ReportsStart && s.Report.FreeSlots >= 0 && s.Report.Queue >= 0
+	d.wide = d.sees && (s.Dispatchers >= sharedFrom || s.CrossZoneCost >= dearCrossing)
 	d.usualAt = make([]time.Duration, 2*d.set.Kinds)
 	d.labelTenants()
 	d.rebuild()
@@ -108,13 +108,13 @@
 		d.updateList(ev)
 	case ev.Kind == EventJob && j == nil:
 		d.admit(ev)
-	case (ev.Kind == EventNote || ev.Kind == EventStarted) && t != nil:
-		if t.w.lastHeard, t.w.suspect = d.now, false; ev.Note == NoteStarted && t.started == 0 {
+	case (ev.Kind == EventJobProgress || ev.Kind == EventStreamStarted) && t != nil:
+		if t.w.lastHeard, t.w.suspect = d.now, false; ev.Progress == JobStarted && t.started == 0 {
 			d.start(j, t)
 		}
 	case ev.Kind == EventOutcome && t != nil:
 		d.outcome(ev, j, t)
-	case ev.Kind == EventGone && j != nil:
+	case ev.Kind == EventClientLeft && j != nil:
 		if j.held, j.ended = false, true; !d.sees || !j.inFlight() { // else it works on there and holds its slot
 			d.finish(j)
 		}
@@ -122,12 +122,12 @@
 		d.checkOpenJobs()
 	case ev.Kind == EventTimer && ev.Token == closeToken:
 		for _, w := range d.order {
-			w.shut = w.shut && d.now-w.broke > d.set.DrainClose
+			w.shut = w.shut && d.now-w.broke > d.set.DrainCloseWithin
 			d.shut(w)
 		}
 	case ev.Kind == EventTimer && ev.Token == d.callToken && !d.watching:
 		d.acts = append(d.acts, Action{Kind: Watch, On: true})
-		d.scheduleCall(d.set.AskWithin) // in case no answer ever comes
+		d.scheduleCall(d.set.MaxDiscoverySilence) // in case no answer ever comes
 	}
 	return d.acts
 }
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -13,7 +13,7 @@
 		Dispatchers: 2,
 		Kinds:       1,
 		Classes: []decision.ClassSettings{{
-			Aim: 300 * time.Millisecond, Deadline: 5 * time.Second, Effect: decision.Safe, Worth: 1, Kind: -1,
+			LatencyTarget: 300 * time.Millisecond, Deadline: 5 * time.Second, Idempotency: decision.Idempotent, Value: 1, WorkerKind: -1,
 		}},
 		MaxAttempts: 3,
 	}, 42)
@@ -26,7 +26,7 @@
 	for _, ev := range []decision.Event{
 		{Kind: decision.EventList, List: decision.ListFull, Entries: []decision.Entry{{Worker: 7, State: decision.Ready}}},
 		{Kind: decision.EventJob, Job: 1, Slots: 1, Deadline: now + 5*time.Second},
-		{Kind: decision.EventOutcome, Job: 1, Worker: 7, Outcome: decision.OK, Closed: true},
+		{Kind: decision.EventOutcome, Job: 1, Worker: 7, Outcome: decision.OK, JobEnded: true},
 	} {
 		acts = d.Handle(now, &ev, acts[:0])
 		for _, a := range acts {
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -66,7 +66,7 @@
 					}
 					// The rest finds every worker full: strain.
 					for n := 0; !c.jobs[id].answered && n < len(c.jobs[id].sends); n++ {
-						c.outcome(id, n, Full)
+						c.outcome(id, n, Rejected)
 					}
 				}
 			}
@@ -91,10 +91,10 @@
 		started bool
 		want    bool
 	}{{0, false, true}, {0, true, false}, {0.5, false, false}} {
-		c := ready(t, 24, func(s *Settings) { s.Classes[1].Late = tc.late })
+		c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = tc.late })
 		c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 		if tc.started {
-			c.event(Event{Kind: EventNote, Job: 1, Note: NoteStarted})
+			c.event(Event{Kind: EventJobProgress, Job: 1, Progress: JobStarted})
 		}
 		got := false
 		for range 60 {
@@ -142,7 +142,7 @@
 		for _, a := range d.Handle(time.Second, &Event{Kind: EventList, List: ListCached, Entries: fleet(4)}, nil) {
 			if a.Kind == SetTimer {
 				at[a.Delay.Truncate(100*time.Millisecond)]++
-				if a.Delay > site().AskWithin {
+				if a.Delay > site().MaxDiscoverySilence {
 					t.Errorf("first call after %v, later than the limit", a.Delay)
 				}
 			}
@@ -179,19 +179,19 @@
 			if to == cold.Worker {
 				return OK
 			}
-			return Full
+			return Rejected
 		})
 		// A warm worker takes a twelfth of 20 jobs a second from here; cold it surely does a fifth of that.
-		limit := c.s.FallMultiple * c.s.ColdShare * 20 / 12 * c.s.FallSpan.Seconds()
+		limit := c.s.OverloadMultiple * c.s.SlowStartShare * 20 / 12 * c.s.OverloadSpan.Seconds()
 		n := 0
 		for _, at := range c.cold[cold.Worker] {
-			if at < start+c.s.FallSpan {
+			if at < start+c.s.OverloadSpan {
 				n++
 			}
 		}
 		if float64(n) > limit {
 			t.Errorf("%d dispatchers: %d jobs to a cold worker within %v, over its part of the budget, %.1f",
-				dispatchers, n, c.s.FallSpan, limit)
+				dispatchers, n, c.s.OverloadSpan, limit)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 		for _, job := range ids(c.jobs) {
 			for n := 0; n < len(c.jobs[job].sends); n++ {
 				if !c.jobs[job].sends[n].done {
-					c.outcome(job, n, []Outcome{OK, Full, OK, Reset}[int(id)%4])
+					c.outcome(job, n, []Outcome{OK, Rejected, OK, Reset}[int(id)%4])
 				}
 			}
 			if c.jobs[job].answered {
@@ -341,7 +341,7 @@
 			to := c.jobs[id].sends[0].to.Worker
 			met[to] = true
 			c.advance(tc.wait)
-			c.event(Event{Kind: EventNote, Job: id, Worker: to, Note: NoteStarted})
+			c.event(Event{Kind: EventJobProgress, Job: id, Worker: to, Progress: JobStarted})
 			c.outcome(id, 0, OK)
 			c.advance(1500 * time.Millisecond)
 		}
@@ -355,7 +355,7 @@
 // turned most away while large ones had room.
 func TestKindsAreWeighedByTheirSlots(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) {
-		s.Report = Report{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
+		s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
 	})
 	large := 0
 	for id := JobID(1); id <= 2000; id++ {
@@ -364,12 +364,12 @@
 		if id > 1000 && to.Kind == 1 {
 			large++
 		}
-		load := Load{N: 2, Values: [4]float64{1, float64(1 + 6*to.Kind)}} // two slots, or eight
+		load := Load{Count: 2, Values: [4]float64{1, float64(1 + 6*to.Kind)}} // two slots, or eight
 		if id%7 == 0 {
 			load.Values[0] = []float64{math.NaN(), math.Inf(1), -4}[id%3]
 		}
 		c.advance(50 * time.Millisecond)
-		c.event(Event{Kind: EventOutcome, Job: id, Worker: to.Worker, Outcome: OK, Closed: true, Load: load})
+		c.event(Event{Kind: EventOutcome, Job: id, Worker: to.Worker, Outcome: OK, JobEnded: true, Load: load})
 	}
 	if large < 700 || large > 900 {
 		t.Errorf("workers with four fifths of the slots got %d of 1000 jobs", large)
@@ -384,7 +384,7 @@
 		kinds := map[int]bool{}
 		for n := 0; n < len(c.jobs[id].sends); n++ {
 			kinds[c.jobs[id].sends[n].to.Kind] = true
-			c.outcome(id, n, Full)
+			c.outcome(id, n, Rejected)
 		}
 		if len(kinds) != 2 {
 			t.Errorf("key %d met kinds %v", id, kinds)
@@ -404,7 +404,7 @@
 		if late {
 			c.advance(200 * time.Millisecond)
 		}
-		c.event(Event{Kind: EventNote, Job: 1, Worker: to, Note: NoteStarted})
+		c.event(Event{Kind: EventJobProgress, Job: 1, Worker: to, Progress: JobStarted})
 		if left := c.d.workers[to].fullTill > c.now; left != late || (c.d.spare < 1) != late {
 			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.d.spare)
 		}
@@ -414,7 +414,7 @@
 // Queues long enough to take everything hid an overload: nothing was refused and nearly all came late. Where more than a
 // fifth of the starts comes after the whole aim, part of all jobs is refused at once, and no more of them once starts are prompt.
 func TestLateStartsShedJobs(t *testing.T) {
-	c := ready(t, 24, func(s *Settings) { s.Classes[1].Late = 0.5 })
+	c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
 	id := JobID(0)
 	part := func(late int) float64 { // every so manieth start is late
 		refused := 0
@@ -431,7 +431,7 @@
 			if n%late == 0 {
 				c.advance(310 * time.Millisecond)
 			}
-			c.event(Event{Kind: EventNote, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Note: NoteStarted})
+			c.event(Event{Kind: EventJobProgress, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Progress: JobStarted})
 			c.outcome(id, 0, OK)
 			c.advance(20 * time.Millisecond)
 		}
@@ -453,7 +453,7 @@
 // full a job is held, goes to the first slot that is freed, and is refused at once when it can only wait for long.
 func TestReportsAndStartsShowWhoIsFull(t *testing.T) {
 	c := ready(t, 8, func(s *Settings) {
-		s.ReportByWord, s.ParallelTries, s.Dispatchers, s.Report = true, false, 1, Report{0, -1, 1, -1, -1, -1}
+		s.ReportsLoad, s.ParallelAttempts, s.Dispatchers, s.Report = true, false, 1, LoadReportLayout{0, -1, 1, -1, -1, -1}
 	})
 	id := JobID(0)
 	job := func() (sends []sent) {
@@ -467,8 +467,8 @@
 		if len(s) == 0 {
 			continue
 		}
-		c.event(Event{Kind: EventNote, Job: id, Worker: s[0].to.Worker, Note: NoteStarted})
-		if c.load = (Load{N: 2, Values: [4]float64{3, 0.01 * float64(id%7)}}); s[0].to.Worker == full {
+		c.event(Event{Kind: EventJobProgress, Job: id, Worker: s[0].to.Worker, Progress: JobStarted})
+		if c.load = (Load{Count: 2, Values: [4]float64{3, 0.01 * float64(id%7)}}); s[0].to.Worker == full {
 			c.load.Values[0], c.load.Values[1] = 0, 2+c.load.Values[1]
 		}
 		c.advance(100 * time.Millisecond)
@@ -495,7 +495,7 @@
 		t.Fatalf("with all full: job %d is not held, %v are out", held, at)
 	}
 	c.load = Load{}
-	c.event(Event{Kind: EventNote, Job: at[freed][0], Worker: freed, Note: NoteStarted})
+	c.event(Event{Kind: EventJobProgress, Job: at[freed][0], Worker: freed, Progress: JobStarted})
 	c.outcome(at[freed][0], 0, OK)
 	if s := c.jobs[held].sends; len(s) != 1 || s[0].to.Worker != freed {
 		t.Errorf("a slot is free at %d, the held job went to %v", freed, s)
@@ -520,8 +520,8 @@
 // What a worker last reported comes again with every answer until it reports anew: counted each time, a moment that was
 // long over outweighed all else.
 func TestARepeatedReportCountsOnce(t *testing.T) {
-	c := ready(t, 4, func(s *Settings) { s.ReportByWord, s.Report = true, Report{0, -1, 1, -1, -1, -1} })
-	w, l := c.d.order[0], Load{N: 2, Values: [4]float64{0, 5}}
+	c := ready(t, 4, func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
+	w, l := c.d.order[0], Load{Count: 2, Values: [4]float64{0, 5}}
 	c.d.learnReport(w, &l)
 	if once := w.others; once <= 0 {
 		t.Errorf("a full worker's report says that others hold %v", once)
@@ -537,8 +537,8 @@
 // A slot that is freed goes to the held job that is worth most for its time, and that one may wait longer at a worker.
 func TestWorthierHeldJobGoesFirst(t *testing.T) {
 	c := ready(t, 8, func(s *Settings) {
-		s.ReportByWord, s.ParallelTries, s.Report = true, false, Report{0, -1, 1, -1, -1, -1}
-		s.Classes[4].Worth = 8
+		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
+		s.Classes[4].Value = 8
 	})
 	id := JobID(0)
 	held := func(class int) JobID {
@@ -607,7 +607,7 @@
 		work, limit := 0.0, 0.0
 		for seed := range uint64(n) {
 			s := site()
-			s.Dispatchers, s.FallMultiple, s.FallSpan, s.ColdShare = n, 1.5, time.Second, 0.16
+			s.Dispatchers, s.OverloadMultiple, s.OverloadSpan, s.SlowStartShare = n, 1.5, time.Second, 0.16
 			d := must(t, s, seed)
 			d.now, d.run[0], d.run[1], d.served[0], d.ready[0] = time.Minute, 0.9, 0.15, 2.5, 10
 			w := &worker{Entry: Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready}, pace: 1}
@@ -617,7 +617,7 @@
 				d.now += 100 * time.Millisecond
 				d.warm(w, long)
 			}
-			limit += s.FallMultiple * d.coldShare(w) * d.served[0] / memory.Seconds() / d.ready[0]
+			limit += s.OverloadMultiple * d.coldShare(w) * d.served[0] / memory.Seconds() / d.ready[0]
 			for range 10 { // within one span everybody wants to send there
 				for d.warm(w, short) {
 					w.hasTurn = false
@@ -638,7 +638,7 @@
 func TestJobsThatSeemToTakeNoTime(t *testing.T) {
 	for _, measure := range []int{0, 1} {
 		s := site()
-		s.Report, s.ReportByWord = Report{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
 		d, now := must(t, s, 1), time.Minute
 		list := fleet(12)
 		for i := range list {
@@ -658,9 +658,9 @@
 			if sent == nil {
 				t.Fatalf("kind %d: job %d was not sent with all workers idle", measure, id)
 			}
-			d.Handle(now, &Event{Kind: EventNote, Note: NoteStarted, Job: id, Worker: sent.Worker}, nil)
+			d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: id, Worker: sent.Worker}, nil)
 			d.Handle(now, &Event{Kind: EventOutcome, Job: id, Worker: sent.Worker, Outcome: OK,
-				Load: Load{N: 4, Values: [4]float64{2, 0, 0, 0}}}, nil)
+				Load: Load{Count: 4, Values: [4]float64{2, 0, 0, 0}}}, nil)
 		}
 		learned(t, d)
 	}
@@ -696,8 +696,8 @@
 func TestLearnedFiguresStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := site()
-		s.Report, s.ReportByWord = Report{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
-		s.Classes[0].Aim, s.Classes[1].Worth = time.Duration(rapid.IntRange(0, 1).Draw(rt, "aim"))*time.Second, 0
+		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		s.Classes[0].LatencyTarget, s.Classes[1].Value = time.Duration(rapid.IntRange(0, 1).Draw(rt, "aim"))*time.Second, 0
 		d, now := must(t, s, 1), time.Minute
 		kind := rapid.IntRange(0, 2).Draw(rt, "kinds at work")
 		list := fleet(6)
@@ -718,10 +718,10 @@
 			acts := d.Handle(now, &Event{Kind: EventJob, Job: id, Class: int(id) % len(s.Classes), Slots: figure}, nil)
 			for n := 0; n < len(acts); n++ {
 				if a := acts[n]; a.Kind == Send {
-					d.Handle(now, &Event{Kind: EventNote, Note: NoteStarted, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker}, nil)
+					d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker}, nil)
 					now += span
-					d.Handle(now, &Event{Kind: EventOutcome, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker, Outcome: OK, Closed: true,
-						Load: Load{N: 4, Values: [4]float64{figure, 0, 0, figure}}}, nil)
+					d.Handle(now, &Event{Kind: EventOutcome, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker, Outcome: OK, JobEnded: true,
+						Load: Load{Count: 4, Values: [4]float64{figure, 0, 0, figure}}}, nil)
 				}
 			}
 		}
@@ -731,8 +731,8 @@
 
 // shared sets a deployment up in which 80 dispatchers share the workers, which report free slots and queues.
 func shared(s *Settings) {
-	s.Dispatchers, s.ReportByWord, s.ParallelTries, s.Report = 80, true, false, Report{0, -1, 1, -1, -1, -1}
-	s.ColdShare, s.WarmAfter, s.FallMultiple, s.FallSpan = 0.3, 9*time.Second, 3, time.Second
+	s.Dispatchers, s.ReportsLoad, s.ParallelAttempts, s.Report = 80, true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
+	s.SlowStartShare, s.SlowStartDuration, s.OverloadMultiple, s.OverloadSpan = 0.3, 9*time.Second, 3, time.Second
 }
 
 // work is how a worker takes a job: how long until it starts and until it is done, and what it then reports.
@@ -747,8 +747,8 @@
 		if c.arrive(id, int(id)%5) {
 			w := at(id, c.jobs[id].sends[0].to)
 			c.advance(w.way)
-			c.event(Event{Kind: EventNote, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Note: NoteStarted})
-			c.load = Load{N: 2, Values: [4]float64{w.free, w.queue + 0.01*float64(id%7)}}
+			c.event(Event{Kind: EventJobProgress, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Progress: JobStarted})
+			c.load = Load{Count: 2, Values: [4]float64{w.free, w.queue + 0.01*float64(id%7)}}
 			c.advance(w.run)
 			c.outcome(id, 0, OK)
 		}
@@ -822,9 +822,9 @@
 				} else if a.Worker == cold.Worker {
 					sends = append(sends, now-cold.Started)
 				}
-				d.Handle(now, &Event{Kind: EventNote, Job: id, Worker: a.Worker, Note: NoteStarted}, nil)
-				d.Handle(now+run, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, Closed: true,
-					Load: Load{N: 2, Values: [4]float64{slots * float64(count(queue == 0 || id < 3)), queue*float64(count(id >= 3)) + 0.01*float64(id)}}}, nil)
+				d.Handle(now, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
+				d.Handle(now+run, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, JobEnded: true,
+					Load: Load{Count: 2, Values: [4]float64{slots * float64(count(queue == 0 || id < 3)), queue*float64(count(id >= 3)) + 0.01*float64(id)}}}, nil)
 			}
 		}
 	}
@@ -869,7 +869,7 @@
 // A connection that has to be made takes several times the way to another zone. How long each way takes is learned from
 // the quicker starts, and of workers alike the one that answers sooner is taken.
 func TestTheWayToAWorkerCounts(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].Aim = 200 * time.Millisecond })
+	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LatencyTarget = 200 * time.Millisecond })
 	near := 0
 	c.serve(400, func(id JobID, w Entry) work {
 		some := time.Duration(id%3) * 20 * time.Millisecond // some wait a little
@@ -904,7 +904,7 @@
 // Once a job's first try was longer ago than its aim, or its client leaves sooner than a worker can answer, it earns next
 // to nothing: on a join day 1,258 of 2,180 jobs that ran out of time had under half a second and kept later ones waiting.
 func TestWhatCanEarnLittleGivesWay(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].Late = 0.2 })
+	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LateValue = 0.2 })
 	run := time.Duration(c.d.run[0] * float64(time.Second))
 	for id, tc := range []struct {
 		held     float64
@@ -917,7 +917,7 @@
 			c.d.usual[k], c.d.slotCount[k/2] = tc.held, 4
 		}
 		job := JobID(id + 1)
-		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Repeat: tc.repeat, Deadline: c.now + tc.patience})
+		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
 		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent {
 			t.Errorf("others hold %v of 4 slots, %v left, repeat %v: sent %v", tc.held, tc.patience, tc.repeat, sent)
 		}
@@ -927,7 +927,7 @@
 // Late answers are worth little and keep later jobs waiting: with all kinds busy, two thirds of the jobs of some seconds
 // came late where a fifth had to be refused. What is likely late is refused at once, what is worth most goes through.
 func TestLikelyLateJobsAreRefused(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[4].Worth = 20 })
+	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[4].Value = 20 })
 	for id, tc := range []struct {
 		held  float64
 		class int
@@ -977,7 +977,7 @@
 // grows with the work and one class must never run twice.
 func few(s *Settings) {
 	shared(s)
-	s.Dispatchers, s.CrossZone, s.WorthByWork, s.Progress = 4, 0.08, true, 2*time.Second
+	s.Dispatchers, s.CrossZoneCost, s.ValueByWork, s.ProgressInterval = 4, 0.08, true, 2*time.Second
 }
 
 // With four dispatchers zones were hardly looked at: own-zone workers only broke ties, and with a slow kind beside a fast
@@ -988,7 +988,7 @@
 		from, too int
 	}{{0.08, 285, 300}, {0.01, 0, 200}} { // a third of the workers are near
 		near := 0
-		ready(t, 60, func(s *Settings) { few(s); s.CrossZone = tc.price }).serve(400, func(id JobID, w Entry) work {
+		ready(t, 60, func(s *Settings) { few(s); s.CrossZoneCost = tc.price }).serve(400, func(id JobID, w Entry) work {
 			near += count(w.Zone == 0 && id > 100)
 			return work{way: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
 		})
@@ -1011,7 +1011,7 @@
 			c.advance(10 * time.Millisecond)
 			w.others, w.othersAt = queue, c.now
 		}
-		waited := c.now - came - c.s.Classes[1].Aim
+		waited := c.now - came - c.s.Classes[1].LatencyTarget
 		if late := waited - slack; queue == 0 && late.Abs() > 60*time.Millisecond || queue > 0 && waited > 60*time.Millisecond {
 			t.Errorf("queue %v: dropped %v after its aim, its own time leaves it %v", queue, waited, slack)
 		}
@@ -1023,7 +1023,7 @@
 func TestWorthByWorkIsDenseAlike(t *testing.T) {
 	for byWork, want := range map[bool]float64{true: 1.25, false: 2.5} {
 		s := site()
-		s.WorthByWork, s.Classes[0].Worth, s.Classes[1].Worth = byWork, 10, 8
+		s.ValueByWork, s.Classes[0].Value, s.Classes[1].Value = byWork, 10, 8
 		s.Classes[2], s.Classes[3], s.Classes[4] = s.Classes[1], s.Classes[1], s.Classes[1]
 		d := must(t, s, 1)
 		d.run = []float64{0.4, 0.8, 0.8, 0.8, 0.8}
@@ -1044,8 +1044,8 @@
 			c.event(Event{Kind: EventJob, Job: id, Class: class, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
 			for k := 0; k < len(c.jobs[id].sends); k++ {
 				c.advance(20 * time.Millisecond)
-				c.event(Event{Kind: EventNote, Job: id, Attempt: k, Worker: c.jobs[id].sends[k].to.Worker, Note: NoteStarted})
-				c.load = Load{N: 2, Values: [4]float64{4, 0.01 * float64(id%7)}}
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: k, Worker: c.jobs[id].sends[k].to.Worker, Progress: JobStarted})
+				c.load = Load{Count: 2, Values: [4]float64{4, 0.01 * float64(id%7)}}
 				if c.jobs[id].sends[k].to.Worker == bad {
 					failed++
 					c.outcome(id, k, Error)
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -29,21 +29,21 @@
 	use := (w.out + d.others(w)) / room
 	use /= math.Pow(1+use*use*use*use, 0.25) // what is at work, of what is held
 	gain, way, served := (c.Stretch*d.unit-slow)*d.run[j.Class], *d.wayTo(w), room*(1-use)/(d.meanRun*slow)
-	left := c.Aim.Seconds() - way // a job's own running time is as good as exponential
+	left := c.LatencyTarget.Seconds() - way // a job's own running time is as good as exponential
 	late := math.Exp(-max(left+max(gain, 0), 0) / max(-gain, minRun))
 	waits := math.Pow(use, math.Sqrt(2*room+2)-1) / (1 + max(gain, 0)*served)
 	waits *= math.Exp(-max(left+min(gain, 0), 0) * served)
-	return [2]float64{late + (1-late)*waits + delayPrice*way + d.set.CrossZone*float64(count(!d.near(w))), waits}
+	return [2]float64{late + (1-late)*waits + delayPrice*way + d.set.CrossZoneCost*float64(count(!d.near(w))), waits}
 }
 
 // acceptableRisk is the chance of being late by waiting at which a job is refused, by what it may still earn.
 func (d *Dispatcher) acceptableRisk(w *worker, j *job) float64 {
 	c, left := d.class(j), (j.Deadline - d.now).Seconds()
 	v := d.density(j) * (1 - math.Exp(-max(left-*d.wayTo(w), 0)/(d.run[j.Class]*d.slow[w.Kind])))
-	if j.Repeat && c.Deadline > 0 && left+c.Aim.Seconds() < c.Deadline.Seconds() {
-		v *= c.Late // its first try came too long ago
+	if j.Retry && c.Deadline > 0 && left+c.LatencyTarget.Seconds() < c.Deadline.Seconds() {
+		v *= c.LateValue // its first try came too long ago
 	}
-	tooLate := min(lossAccepted/max(1-c.Late, lossAccepted), 1)
+	tooLate := min(lossAccepted/max(1-c.LateValue, lossAccepted), 1)
 	return max(1-(1-tooLate)/v, tooLate*min(v, 1))
 }
 
@@ -52,11 +52,11 @@
 
 // density is how much more a job is worth for its running time than those of the least such class.
 func (d *Dispatcher) density(j *job) float64 {
-	least, fixed := math.Inf(1), float64(count(!d.set.WorthByWork)) // else it is as dense in a long job
+	least, fixed := math.Inf(1), float64(count(!d.set.ValueByWork)) // else it is as dense in a long job
 	for i, c := range d.set.Classes {
-		least = min(least, c.Worth/math.Pow(d.run[i], fixed))
+		least = min(least, c.Value/math.Pow(d.run[i], fixed))
 	}
-	return max(min(d.class(j).Worth/math.Pow(d.run[j.Class], fixed)/least, maxDensity), 1)
+	return max(min(d.class(j).Value/math.Pow(d.run[j.Class], fixed)/least, maxDensity), 1)
 }
 
 // others is how many slots others hold at a worker; the longer nothing was learned there, what its kind says.
--- a/internal/decision/further_rules_test.go
+++ b/internal/decision/further_rules_test.go
@@ -14,12 +14,12 @@
 		change func(*Settings)
 		ok     func(Entry) bool
 	}{
-		"kind":          {func(s *Settings) { s.Classes[0].BoundTo = []int{1} }, func(e Entry) bool { return e.Kind == 1 }},
-		"zone":          {func(s *Settings) { s.Classes[0].Zones = []int{2} }, func(e Entry) bool { return e.Zone == 2 }},
-		"unknown kind":  {func(s *Settings) { s.Classes[0].BoundTo = []int{7} }, func(Entry) bool { return false }},
-		"empty":         {func(s *Settings) { s.Classes[0].BoundTo, s.Classes[0].Zones = []int{}, []int{} }, func(Entry) bool { return true }},
-		"class's kind":  {func(s *Settings) { s.Classes[0].Kind = 1 }, func(e Entry) bool { return e.Kind == 1 }},
-		"kind and need": {func(s *Settings) { s.Classes[0].BoundTo, s.Classes[0].Kind = []int{0}, 1 }, func(Entry) bool { return false }},
+		"kind":          {func(s *Settings) { s.Classes[0].AllowedKinds = []int{1} }, func(e Entry) bool { return e.Kind == 1 }},
+		"zone":          {func(s *Settings) { s.Classes[0].AllowedZones = []int{2} }, func(e Entry) bool { return e.Zone == 2 }},
+		"unknown kind":  {func(s *Settings) { s.Classes[0].AllowedKinds = []int{7} }, func(Entry) bool { return false }},
+		"empty":         {func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[0].AllowedZones = []int{}, []int{} }, func(Entry) bool { return true }},
+		"class's kind":  {func(s *Settings) { s.Classes[0].WorkerKind = 1 }, func(e Entry) bool { return e.Kind == 1 }},
+		"kind and need": {func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[0].WorkerKind = []int{0}, 1 }, func(Entry) bool { return false }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, keys := range []uint64{0, 1} {
@@ -45,7 +45,7 @@
 							}
 							if !c.jobs[open].sends[n].done {
 								met++
-								c.outcome(open, n, Full)
+								c.outcome(open, n, Rejected)
 							}
 						}
 					}
@@ -71,10 +71,10 @@
 		again    bool
 		refusals bool
 	}{
-		{Full, 1, false, false}, {ConnectFailed, 1, true, true}, {Moot, 1, true, true},
-		{Full, 0, true, true}, {Full, 2, true, false}, {Full, 4, true, true},
+		{Rejected, 1, false, false}, {ConnectFailed, 1, true, true}, {NeverSent, 1, true, true},
+		{Rejected, 0, true, true}, {Rejected, 2, true, false}, {Rejected, 4, true, true},
 	} {
-		c := ready(t, 24, func(s *Settings) { s.FullUnproven, s.MaxAttempts = true, 2 })
+		c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts = true, 2 })
 		c.event(Event{Kind: EventJob, Job: 1, Class: tc.class, Slots: 1, Deadline: c.now + 4*time.Second})
 		c.outcome(1, 0, tc.outcome)
 		j := c.jobs[1]
@@ -88,7 +88,7 @@
 			c.outcome(1, 1, tc.outcome)
 		}
 		last := c.d.acts[len(c.d.acts)-1].Kind
-		if !j.answered || (last == Refuse) != tc.refusals {
+		if !j.answered || (last == Reject) != tc.refusals {
 			t.Errorf("outcome %d, class %d: answered %v with action %d", tc.outcome, tc.class, j.answered, last)
 		}
 	}
@@ -96,12 +96,12 @@
 
 // The group's window counts from the earliest attempt that may have run, however often it was turned away since.
 func TestWindowCountsFromTheFirstUnproven(t *testing.T) {
-	c := ready(t, 24, func(s *Settings) { s.FullUnproven, s.MaxAttempts, s.Classes[4].Late = true, 0, 0.5 })
+	c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
 	c.event(Event{Kind: EventJob, Job: 1, Class: 4, Slots: 1, Deadline: c.now + 5*time.Second})
 	start := c.now
 	for n := 0; n < len(c.jobs[1].sends); n++ {
 		c.advance(350 * time.Millisecond)
-		c.outcome(1, n, Full)
+		c.outcome(1, n, Rejected)
 	}
 	if last := c.jobs[1].sends[len(c.jobs[1].sends)-1].at - start; last > 2*time.Second || last < time.Second {
 		t.Errorf("last attempt %v after the first, window 2 s", last)
@@ -110,7 +110,7 @@
 
 func (c *checker) closes(id WorkerID) (n int) {
 	for _, a := range c.d.acts {
-		if a.Kind == Close && a.Worker == id {
+		if a.Kind == CloseIdle && a.Worker == id {
 			n++
 		}
 	}
@@ -123,7 +123,7 @@
 func TestIdleConnectionsAreClosedOnDrains(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
 		for _, limit := range []time.Duration{0, 800 * time.Millisecond} {
-			c := ready(t, 24, func(s *Settings) { s.DrainClose = limit })
+			c := ready(t, 24, func(s *Settings) { s.DrainCloseWithin = limit })
 			want := map[bool]int{true: 1}[limit > 0]
 			c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 			to := c.jobs[1].sends[0].to
@@ -165,11 +165,11 @@
 func TestLeftWorkersAbsurdReportsAndJumps(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		c := ready(t, 24, func(s *Settings) {
-			s.DrainClose, s.FullUnproven, s.Probes, s.ReportByWord = 300*time.Millisecond, true, asks, true
-			s.Dispatchers, s.ConnIdle, s.Classes[0].BoundTo = 40, time.Minute, []int{0}
-			s.Report = Report{FreeSlots: 0, InFlight: 1, Queue: 2, FreeMemory: -1, Util: -1, Errors: -1}
+			s.DrainCloseWithin, s.RejectionUnproven, s.HealthChecks, s.ReportsLoad = 300*time.Millisecond, true, asks, true
+			s.Dispatchers, s.ConnIdle, s.Classes[0].AllowedKinds = 40, time.Minute, []int{0}
+			s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: 2, FreeMemory: -1, Util: -1, Errors: -1}
 			for i := range s.Classes {
-				s.Classes[i].Deadline, s.Classes[i].Window = time.Hour, time.Hour
+				s.Classes[i].Deadline, s.Classes[i].DedupWindow = time.Hour, time.Hour
 			}
 		})
 		list := fleet(24)
@@ -182,19 +182,19 @@
 				e.State = State(id / 20 % 3)
 				c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
 			}
-			load := Load{N: 4, Values: [4]float64{absurd[id%6], absurd[id/6%6], absurd[id/36%6], 1}}
+			load := Load{Count: 4, Values: [4]float64{absurd[id%6], absurd[id/6%6], absurd[id/36%6], 1}}
 			for _, e := range list[:3] {
-				c.event(Event{Kind: EventProbed, Worker: e.Worker, Outcome: OK, Load: load})
+				c.event(Event{Kind: EventHealthChecked, Worker: e.Worker, Outcome: OK, Load: load})
 			}
 			for n := range c.jobs[id].sends {
 				to := c.jobs[id].sends[n].to.Worker
-				c.event(Event{Kind: EventNote, Job: id, Attempt: n, Worker: to, Note: NoteProgress, Value: absurd[id%6]})
-				c.event(Event{Kind: EventNote, Job: id, Attempt: n, Worker: to, Note: NoteStarted})
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobAdvanced, Value: absurd[id%6]})
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobStarted})
 				if o := Outcome(1 + id%8); !c.jobs[id].sends[n].done {
 					c.event(Event{Kind: EventOutcome, Job: id, Attempt: n, Worker: to, Outcome: o, Load: load,
-						Closed: o == OK || c.jobs[id].answered})
+						JobEnded: o == OK || c.jobs[id].answered})
 				}
-				c.event(Event{Kind: EventNote, Job: id, Attempt: n, Worker: to, Note: NoteProgress, Value: 2})
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobAdvanced, Value: 2})
 			}
 			if id%50 == 0 && len(c.idle) == 0 {
 				c.advance(7 * time.Second)
@@ -218,8 +218,8 @@
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + time.Hour})
 			for range 60 {
 				for _, a := range slices.Clone(c.d.acts) {
-					if a.Kind == Probe {
-						c.event(Event{Kind: EventProbed, Worker: a.Worker, Outcome: OK, Load: Load{N: 3, Values: [4]float64{2, 0, 0}}})
+					if a.Kind == HealthCheck {
+						c.event(Event{Kind: EventHealthChecked, Worker: a.Worker, Outcome: OK, Load: Load{Count: 3, Values: [4]float64{2, 0, 0}}})
 					}
 				}
 				if c.d.acts = nil; len(c.jobs[id].sends) > 0 || c.jobs[id].answered {
@@ -229,7 +229,7 @@
 			}
 			if len(c.jobs[id].sends) > 0 {
 				served++
-				c.event(Event{Kind: EventNote, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Note: NoteStarted})
+				c.event(Event{Kind: EventJobProgress, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Progress: JobStarted})
 				c.outcome(id, 0, OK)
 			}
 		}
--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -57,13 +57,13 @@
 	const want = "c02a95d8a10fdab65c71ae5ca6fe7e9f"
 	digest := newActionDigest()
 	reports := func(s *Settings) {
-		s.ReportByWord, s.ParallelTries, s.Report = true, false, Report{0, -1, 1, -1, -1, -1}
+		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
 	}
 	for seed, change := range []func(*Settings){
 		func(*Settings) {}, reports, shared, few,
-		func(s *Settings) { s.DrainClose, s.FullUnproven = 300*time.Millisecond, true },
+		func(s *Settings) { s.DrainCloseWithin, s.RejectionUnproven = 300*time.Millisecond, true },
 		func(s *Settings) {
-			s.Discovery, s.MaxAttempts, s.RetryAfter, s.MaxRetryAfter = Push, 0, true, time.Second
+			s.Discovery, s.MaxAttempts, s.RetryAfter, s.MaxRetryAfter = DiscoveryPush, 0, true, time.Second
 		},
 	} {
 		s := site()
@@ -114,7 +114,7 @@
 		switch action.Kind {
 		case Send:
 			p.open[action.Job] = append(p.open[action.Job], action.Worker)
-		case Refuse, Fail:
+		case Reject, Fail:
 			p.forget(action.Job)
 		case SetTimer:
 			p.timers = append(p.timers, goldenTimer{at: p.now + action.Delay, token: action.Token})
@@ -154,7 +154,7 @@
 	p.nextJob++
 	p.jobs = append(p.jobs, p.nextJob)
 	p.feed(Event{Kind: EventJob, Job: p.nextJob, Class: p.rng.IntN(p.classes), Tenant: p.rng.IntN(8) - 1,
-		Key: uint64(p.rng.IntN(2)) * p.rng.Uint64N(60), Slots: float64(1 + p.rng.IntN(3)), Repeat: p.rng.IntN(10) == 0,
+		Key: uint64(p.rng.IntN(2)) * p.rng.Uint64N(60), Slots: float64(1 + p.rng.IntN(3)), Retry: p.rng.IntN(10) == 0,
 		Deadline: p.now + time.Duration(20+p.rng.IntN(4000))*time.Millisecond})
 }
 
@@ -163,7 +163,7 @@
 	sent := p.open[id]
 	if len(sent) == 0 {
 		if p.rng.IntN(20) == 0 {
-			p.feed(Event{Kind: EventGone, Job: id})
+			p.feed(Event{Kind: EventClientLeft, Job: id})
 			p.forget(id)
 		}
 		return
@@ -172,28 +172,28 @@
 	about := Event{Job: id, Attempt: attempt, Worker: sent[attempt]}
 	switch chance := p.rng.IntN(100); {
 	case chance < 35:
-		about.Kind, about.Note = EventNote, NoteStarted
+		about.Kind, about.Progress = EventJobProgress, JobStarted
 	case chance < 40:
-		about.Kind, about.Note, about.Value = EventNote, NoteProgress, p.rng.Float64()
+		about.Kind, about.Progress, about.Value = EventJobProgress, JobAdvanced, p.rng.Float64()
 	case chance < 42:
-		about.Kind = EventStarted
+		about.Kind = EventStreamStarted
 	case chance < 75:
-		about.Kind, about.Outcome, about.Closed, about.Load = EventOutcome, OK, true, p.load()
+		about.Kind, about.Outcome, about.JobEnded, about.Load = EventOutcome, OK, true, p.load()
 	case chance < 95:
 		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+p.rng.IntN(7)), p.load()
 	case chance < 97:
-		about.Kind = EventGone
+		about.Kind = EventClientLeft
 	default:
 		return
 	}
 	p.feed(about)
-	if about.Kind == EventGone || about.Kind == EventOutcome && about.Closed {
+	if about.Kind == EventClientLeft || about.Kind == EventOutcome && about.JobEnded {
 		p.forget(id)
 	}
 }
 
 func (p *goldenPlayer) load() Load {
-	load := Load{N: p.rng.IntN(5)}
+	load := Load{Count: p.rng.IntN(5)}
 	for i := range load.Values {
 		load.Values[i] = float64(p.rng.IntN(6))
 	}
@@ -221,10 +221,10 @@
 func (p *goldenPlayer) absurd() {
 	for _, ev := range []Event{
 		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
-		{Kind: EventNote, Job: p.nextJob, Attempt: 99, Note: NoteStarted},
+		{Kind: EventJobProgress, Job: p.nextJob, Attempt: 99, Progress: JobStarted},
 		{Kind: EventTimer, Token: 1 << 30},
-		{Kind: EventProbed, Worker: 13, Outcome: OK},
-		{Kind: EventPeerNote, From: 3, Data: []byte("note")},
+		{Kind: EventHealthChecked, Worker: 13, Outcome: OK},
+		{Kind: EventPeerMessage, From: 3, Data: []byte("note")},
 		{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 13, Kind: 200, Zone: -4, Weight: math.NaN(), State: Ready}}},
 		{Kind: EventJob, Job: p.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
 	} {
--- a/internal/decision/learning.go
+++ b/internal/decision/learning.go
@@ -29,7 +29,7 @@
 
 // start learns from when a job began: a worker that begins it at once had room, one that is late had none.
 func (d *Dispatcher) start(j *job, t *attempt) {
-	w, aim, took := t.w, d.class(j).Aim, (d.now - t.sent).Seconds()
+	w, aim, took := t.w, d.class(j).LatencyTarget, (d.now - t.sent).Seconds()
 	t.started, w.startedAtOnce, w.running = d.now, d.now-t.sent <= d.tick, w.running+1
 	if d.let = min(d.let+lateStartShed/4, 1); !d.sees && d.now-t.sent > aim/2 { // as good as full
 		d.busy(j, w, true)
@@ -48,8 +48,8 @@
 
 // learnReport learns from a load report how many slots a worker has, and what others hold.
 func (d *Dispatcher) learnReport(w *worker, l *Load) {
-	r, n, room := d.set.Report, min(l.N, len(l.Values)), &d.slotCount[w.Kind]
-	if slots := r.Slots(l); slots > 0 && slots < math.MaxInt32 {
+	r, n, room := d.set.Report, min(l.Count, len(l.Values)), &d.slotCount[w.Kind]
+	if slots := r.TotalSlots(l); slots > 0 && slots < math.MaxInt32 {
 		*room += max(sampleWeight, 1-*room) * (slots - *room)
 	}
 	if !d.sees || r.FreeSlots >= n || r.Queue >= n || *l == w.lastReport {
@@ -59,7 +59,7 @@
 	if free := math.Round(l.Values[r.FreeSlots]); free > *room && free < math.MaxInt32 {
 		*room = free
 	}
-	held := max(d.slots(w.Kind)+r.Waiting(l)-w.pastSlots, 0)
+	held := max(d.slots(w.Kind)+r.QueuedSlots(l)-w.pastSlots, 0)
 	d.learn(w, d.others(w)+learn*(held-d.others(w)), held)
 }
 
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -12,18 +12,18 @@
 
 // site is a deployment made up for the tests.
 func site() Settings {
-	class := func(e Effect, g Group) ClassSettings {
-		return ClassSettings{Aim: 300 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Effect: e, Group: g,
-			Window: 2 * time.Second, Worth: 1, Kind: -1}
+	class := func(e Idempotency, g DedupScope) ClassSettings {
+		return ClassSettings{LatencyTarget: 300 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second, Idempotency: e, DedupScope: g,
+			DedupWindow: 2 * time.Second, Value: 1, WorkerKind: -1}
 	}
 	return Settings{
-		Dispatchers: 4, Kinds: 2, Discovery: Ask, AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
-		ColdShare: 0.2, WarmAfter: 20 * time.Second, FallMultiple: 4, FallSpan: 1500 * time.Millisecond,
-		MaxAttempts: 3, ParallelTries: true, Cancel: true, TellsStart: true, Progress: time.Second,
-		Classes: []ClassSettings{class(Safe, 0), class(Unsafe, 0), class(Keyed, GroupZone), class(Keyed, GroupCell),
-			class(Keyed, GroupAll)},
-		Tenants: []TenantSettings{{Share: 0.4, PerSec: 40}, {Share: 0.2, PerSec: 20}, {Share: 0.2, PerSec: 20},
-			{Share: 0.1, PerSec: 10}, {Share: 0.1, PerSec: 10}},
+		Dispatchers: 4, Kinds: 2, Discovery: DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+		SlowStartShare: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 4, OverloadSpan: 1500 * time.Millisecond,
+		MaxAttempts: 3, ParallelAttempts: true, Cancel: true, ReportsStart: true, ProgressInterval: time.Second,
+		Classes: []ClassSettings{class(Idempotent, 0), class(NotIdempotent, 0), class(Deduplicated, DedupByZone), class(Deduplicated, DedupByCell),
+			class(Deduplicated, DedupByAll)},
+		Tenants: []TenantSettings{{Share: 0.4, RatePerSecond: 40}, {Share: 0.2, RatePerSecond: 20}, {Share: 0.2, RatePerSecond: 20},
+			{Share: 0.1, RatePerSecond: 10}, {Share: 0.1, RatePerSecond: 10}},
 	}
 }
 
@@ -91,8 +91,8 @@
 	case EventOutcome:
 		if j := c.jobs[ev.Job]; j != nil && ev.Attempt < len(j.sends) && !j.sends[ev.Attempt].done {
 			s := &j.sends[ev.Attempt]
-			s.done, s.never = true, ev.Outcome == ConnectFailed || ev.Outcome == Moot ||
-				ev.Outcome == Full && !c.s.FullUnproven
+			s.done, s.never = true, ev.Outcome == ConnectFailed || ev.Outcome == NeverSent ||
+				ev.Outcome == Rejected && !c.s.RejectionUnproven
 			c.mayIdle(s.to.Worker)
 			j.answered = j.answered || ev.Outcome == OK
 		}
@@ -147,14 +147,14 @@
 		if j == nil || a.Attempt >= len(j.sends) {
 			c.t.Fatalf("%v: cancel of attempt %d of job %d, never made", c.now, a.Attempt, a.Job)
 		}
-	case Close:
-		if _, ok := c.idle[a.Worker]; !ok && c.s.DrainClose == 0 {
+	case CloseIdle:
+		if _, ok := c.idle[a.Worker]; !ok && c.s.DrainCloseWithin == 0 {
 			c.t.Fatalf("%v: closing at worker %d without cause", c.now, a.Worker)
 		}
 		delete(c.idle, a.Worker)
 	case Send:
 		c.send(a, j)
-	case Refuse, Fail:
+	case Reject, Fail:
 		if j == nil || j.answered {
 			c.t.Fatalf("%v: answer for job %d, which is not owed one", c.now, a.Job)
 		}
@@ -163,8 +163,8 @@
 			c.t.Fatalf("%v: answer for job %d after its deadline %v", c.now, a.Job, j.deadline)
 		}
 		class := c.s.Classes[j.class]
-		if a.Kind == Refuse && slices.ContainsFunc(j.sends, func(s sent) bool { return !s.never }) &&
-			(class.Effect == Unsafe || class.Effect == Keyed && class.Group != GroupAll) {
+		if a.Kind == Reject && slices.ContainsFunc(j.sends, func(s sent) bool { return !s.never }) &&
+			(class.Idempotency == NotIdempotent || class.Idempotency == Deduplicated && class.DedupScope != DedupByAll) {
 			c.t.Fatalf("%v: job %d refused though it may have run", c.now, a.Job)
 		}
 	}
@@ -182,22 +182,22 @@
 		c.t.Fatalf("%v: job %d has had its %d attempts", c.now, a.Job, c.s.MaxAttempts)
 	}
 	class := c.s.Classes[j.class]
-	if len(class.BoundTo) > 0 && !slices.Contains(class.BoundTo, to.Kind) ||
-		len(class.Zones) > 0 && !slices.Contains(class.Zones, to.Zone) {
+	if len(class.AllowedKinds) > 0 && !slices.Contains(class.AllowedKinds, to.Kind) ||
+		len(class.AllowedZones) > 0 && !slices.Contains(class.AllowedZones, to.Zone) {
 		c.t.Fatalf("%v: job %d of class %d sent to kind %d in zone %d", c.now, a.Job, j.class, to.Kind, to.Zone)
 	}
 	for _, s := range j.sends {
 		zone, cell := s.to.Zone == to.Zone, s.to.Cell == to.Cell
 		switch {
 		case s.never:
-		case !s.done && !c.s.ParallelTries:
+		case !s.done && !c.s.ParallelAttempts:
 			c.t.Fatalf("%v: job %d has two attempts out", c.now, a.Job)
-		case class.Effect == Unsafe, class.Effect == Keyed && (c.now-s.at > class.Window ||
-			class.Group == GroupZone && !zone || class.Group == GroupCell && !cell):
+		case class.Idempotency == NotIdempotent, class.Idempotency == Deduplicated && (c.now-s.at > class.DedupWindow ||
+			class.DedupScope == DedupByZone && !zone || class.DedupScope == DedupByCell && !cell):
 			c.t.Fatalf("%v: job %d of class %d sent again outside what its class allows", c.now, a.Job, j.class)
 		}
 	}
-	if to.Started > 0 && c.now < to.Started+c.s.WarmAfter {
+	if to.Started > 0 && c.now < to.Started+c.s.SlowStartDuration {
 		c.cold[a.Worker] = append(c.cold[a.Worker], c.now)
 	}
 	j.sends = append(j.sends, sent{to: to, at: c.now})
@@ -207,7 +207,7 @@
 func (c *checker) advance(by time.Duration) {
 	c.now += by
 	for id, at := range c.idle {
-		if c.s.DrainClose > 0 && c.now > at+c.s.DrainClose {
+		if c.s.DrainCloseWithin > 0 && c.now > at+c.s.DrainCloseWithin {
 			c.t.Fatalf("%v: idle connections to worker %d, draining, stand open since %v", c.now, id, at)
 		}
 	}
@@ -226,7 +226,7 @@
 func (c *checker) outcome(id JobID, attempt int, o Outcome) {
 	j := c.jobs[id]
 	c.event(Event{Kind: EventOutcome, Job: id, Attempt: attempt, Worker: j.sends[attempt].to.Worker, Outcome: o,
-		Closed: j.answered || o == OK, Load: c.load})
+		JobEnded: j.answered || o == OK, Load: c.load})
 }
 
 // play runs a seeded sequence of legal events with scripted outcomes and returns what was done.
@@ -250,19 +250,19 @@
 				case c.now >= j.deadline:
 					c.outcome(job, i, TimedOut)
 				case o < 25:
-					if s.ReportByWord {
-						c.load = Load{N: 2, Values: [4]float64{float64(rng.IntN(4)), float64(rng.IntN(5))}}
+					if s.ReportsLoad {
+						c.load = Load{Count: 2, Values: [4]float64{float64(rng.IntN(4)), float64(rng.IntN(5))}}
 					}
 					c.outcome(job, i, OK)
 				case o < 40:
 					c.outcome(job, i, Outcome(int(Error)+rng.IntN(7)))
 				case o < 50:
-					c.event(Event{Kind: EventNote, Job: job, Attempt: i, Worker: j.sends[i].to.Worker, Note: NoteStarted})
+					c.event(Event{Kind: EventJobProgress, Job: job, Attempt: i, Worker: j.sends[i].to.Worker, Progress: JobStarted})
 				}
 			}
 			if !j.answered && rng.IntN(300) == 0 {
 				j.answered = true
-				c.event(Event{Kind: EventGone, Job: job})
+				c.event(Event{Kind: EventClientLeft, Job: job})
 			}
 			if !j.answered && c.now > j.deadline+20*time.Millisecond {
 				t.Fatalf("seed %d, %v: job %d got no answer by %v", seed, c.now, job, j.deadline)
@@ -305,22 +305,22 @@
 	variants := map[string]func(*Settings){
 		"plain":            func(*Settings) {},
 		"keys":             func(*Settings) {},
-		"no parallel":      func(s *Settings) { s.ParallelTries = false },
+		"no parallel":      func(s *Settings) { s.ParallelAttempts = false },
 		"no cancel":        func(s *Settings) { s.Cancel = false },
-		"push, many tries": func(s *Settings) { s.Discovery, s.MaxAttempts = Push, 0 },
+		"push, many tries": func(s *Settings) { s.Discovery, s.MaxAttempts = DiscoveryPush, 0 },
 		"no tenants":       func(s *Settings) { s.Tenants = nil },
-		"bound":            func(s *Settings) { s.Classes[0].BoundTo, s.Classes[1].Zones = []int{1}, []int{0, 2} },
-		"full unproven":    func(s *Settings) { s.FullUnproven = true },
-		"closing":          func(s *Settings) { s.DrainClose = 300 * time.Millisecond },
+		"bound":            func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[1].AllowedZones = []int{1}, []int{0, 2} },
+		"full unproven":    func(s *Settings) { s.RejectionUnproven = true },
+		"closing":          func(s *Settings) { s.DrainCloseWithin = 300 * time.Millisecond },
 		"all at once": func(s *Settings) {
-			s.Classes[0].BoundTo, s.FullUnproven, s.DrainClose = []int{0}, true, 200*time.Millisecond
-			s.Probes, s.Report.FreeSlots, s.Cancel, s.ReportByWord = true, 0, false, true
+			s.Classes[0].AllowedKinds, s.RejectionUnproven, s.DrainCloseWithin = []int{0}, true, 200*time.Millisecond
+			s.HealthChecks, s.Report.FreeSlots, s.Cancel, s.ReportsLoad = true, 0, false, true
 		},
 		"many share": shared,
 		"few, dear":  few,
-		"probes":     func(s *Settings) { s.Probes, s.Report.FreeSlots = true, 0 },
+		"probes":     func(s *Settings) { s.HealthChecks, s.Report.FreeSlots = true, 0 },
 		"reports": func(s *Settings) {
-			s.ReportByWord, s.ParallelTries, s.Report = true, false, Report{0, -1, 1, -1, -1, -1}
+			s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
 		},
 	}
 	for name, change := range variants {
@@ -349,15 +349,15 @@
 	}
 	s := Settings{
 		Dispatchers: 1 + rng.IntN(300)>>rng.IntN(9), Kinds: 1 + rng.IntN(4), Zones: rng.IntN(6), Zone: rng.IntN(3),
-		Discovery: Discovery(rng.IntN(2)), AskWithin: ms(1000, 20000), DrainGrace: ms(100, 3000), AnswerGrace: 8 * time.Millisecond,
-		ColdShare: 0.1 + 0.8*rng.Float64(), WarmAfter: ms(1000, 20000), FallMultiple: 2 + 3*rng.Float64(), FallSpan: ms(300, 3000),
-		FullUnproven: flip(), ConnIdle: ms(0, 30000), MaxAttempts: rng.IntN(5), ParallelTries: flip(), Cancel: flip(), Probes: flip(),
-		Peers: flip(), RetryAfter: flip(), MaxRetryAfter: ms(0, 2000), CrossZone: 0.1 * rng.Float64() * float64(rng.IntN(2)),
-		WorthByWork: flip(), OverWorth: rng.Float64(), TellsStart: flip(), Progress: ms(0, 2000), ReportByWord: flip(),
-		Report: Report{-1, -1, -1, -1, -1, -1}, Tick: ms(1, 10),
+		Discovery: Discovery(rng.IntN(2)), MaxDiscoverySilence: ms(1000, 20000), DrainGrace: ms(100, 3000), AnswerGrace: 8 * time.Millisecond,
+		SlowStartShare: 0.1 + 0.8*rng.Float64(), SlowStartDuration: ms(1000, 20000), OverloadMultiple: 2 + 3*rng.Float64(), OverloadSpan: ms(300, 3000),
+		RejectionUnproven: flip(), ConnIdle: ms(0, 30000), MaxAttempts: rng.IntN(5), ParallelAttempts: flip(), Cancel: flip(), HealthChecks: flip(),
+		PeerMessages: flip(), RetryAfter: flip(), MaxRetryAfter: ms(0, 2000), CrossZoneCost: 0.1 * rng.Float64() * float64(rng.IntN(2)),
+		ValueByWork: flip(), OverQuotaValue: rng.Float64(), ReportsStart: flip(), ProgressInterval: ms(0, 2000), ReportsLoad: flip(),
+		Report: LoadReportLayout{-1, -1, -1, -1, -1, -1}, Tick: ms(1, 10),
 	}
 	if flip() {
-		s.DrainClose = ms(100, 1000)
+		s.DrainCloseWithin = ms(100, 1000)
 	}
 	at := rng.Perm(4)
 	for i, field := range []*int{&s.Report.FreeSlots, &s.Report.Queue, &s.Report.InFlight, &s.Report.Util} {
@@ -366,18 +366,18 @@
 		}
 	}
 	for range 1 + rng.IntN(4) {
-		c := ClassSettings{Aim: ms(0, 1000), Stretch: 3 * rng.Float64(), Deadline: ms(500, 12000), Effect: Effect(rng.IntN(3)),
-			Group: Group(rng.IntN(3)), Window: ms(0, 20000), Worth: 10 * rng.Float64(), Late: rng.Float64() * float64(rng.IntN(2)), Kind: -1}
+		c := ClassSettings{LatencyTarget: ms(0, 1000), Stretch: 3 * rng.Float64(), Deadline: ms(500, 12000), Idempotency: Idempotency(rng.IntN(3)),
+			DedupScope: DedupScope(rng.IntN(3)), DedupWindow: ms(0, 20000), Value: 10 * rng.Float64(), LateValue: rng.Float64() * float64(rng.IntN(2)), WorkerKind: -1}
 		if rng.IntN(6) == 0 {
-			c.BoundTo = []int{rng.IntN(s.Kinds)}
+			c.AllowedKinds = []int{rng.IntN(s.Kinds)}
 		}
 		if rng.IntN(6) == 0 {
-			c.Zones = []int{rng.IntN(3), rng.IntN(3)}
+			c.AllowedZones = []int{rng.IntN(3), rng.IntN(3)}
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for range rng.IntN(9) {
-		s.Tenants = append(s.Tenants, TenantSettings{Share: rng.Float64(), PerSec: 30 * rng.Float64()})
+		s.Tenants = append(s.Tenants, TenantSettings{Share: rng.Float64(), RatePerSecond: 30 * rng.Float64()})
 	}
 	return s
 }
@@ -391,7 +391,7 @@
 		s := random(rand.New(rand.NewPCG(seed, 2)))
 		for _, line := range play(t, seed, s, seed%2, 600) {
 			sends += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Send)))
-			answers += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Refuse)) || strings.Contains(line, fmt.Sprintf("{Kind:%d ", Fail)))
+			answers += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Reject)) || strings.Contains(line, fmt.Sprintf("{Kind:%d ", Fail)))
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d: %+v", seed, s)
@@ -409,9 +409,9 @@
 		want    [5]string // by class of site()
 	}{
 		{OK, [5]string{done, done, done, done, done}},
-		{Full, [5]string{again, again, again, again, again}},
+		{Rejected, [5]string{again, again, again, again, again}},
 		{ConnectFailed, [5]string{again, again, again, again, again}},
-		{Moot, [5]string{again, again, again, again, again}},
+		{NeverSent, [5]string{again, again, again, again, again}},
 		{Error, [5]string{again, fail, again, again, again}},
 		{Reset, [5]string{again, fail, again, again, again}},
 		{TimedOut, [5]string{again, fail, again, again, again}},
@@ -443,7 +443,7 @@
 
 // At the deadline a job that may have run is failed, or refused where repeating is harmless, at once.
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
-	for class, want := range []ActionKind{Refuse, Fail, Fail, Fail, Refuse} {
+	for class, want := range []ActionKind{Reject, Fail, Fail, Fail, Reject} {
 		c := newChecker(t, site(), 1)
 		c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
 		c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + time.Second})
@@ -465,7 +465,7 @@
 		}
 	}
 	s := site()
-	s.Classes[0].Kind = 1
+	s.Classes[0].WorkerKind = 1
 	c := newChecker(t, s, 1)
 	c.event(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Worker: 1, Kind: 0, State: Ready}}})
 	c.event(Event{Kind: EventJob, Job: 1, Slots: 1, Deadline: c.now + time.Second})
@@ -476,7 +476,7 @@
 
 func TestMissingSettingsWork(t *testing.T) {
 	c := newChecker(t, Settings{}, 1)
-	c.s.Classes = []ClassSettings{{Effect: Unsafe}}
+	c.s.Classes = []ClassSettings{{Idempotency: NotIdempotent}}
 	c.event(Event{Kind: EventJob, Job: 1, Tenant: 9, Deadline: c.now + time.Second})
 	c.event(Event{Kind: EventList, List: ListDelta, Entries: fleet(3)})
 	c.event(Event{Kind: EventJob, Job: 2, Deadline: c.now + time.Second})
@@ -487,14 +487,14 @@
 
 func TestSettingsThatCannotWorkAreNamed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"ColdShare":   func(s *Settings) { s.ColdShare = math.NaN() },
-		"WarmAfter":   func(s *Settings) { s.WarmAfter = -1 },
-		"Kinds":       func(s *Settings) { s.Kinds = MaxKinds + 1 },
-		"MaxAttempts": func(s *Settings) { s.MaxAttempts = -1 },
-		"Classes[1]":  func(s *Settings) { s.Classes[1].Aim = -1 },
-		"DrainClose":  func(s *Settings) { s.DrainClose = -1 },
-		"BorneMisses": func(s *Settings) { s.BorneMisses = -0.1 },
-		"Tenants[2]":  func(s *Settings) { s.Tenants[2].Share = math.Inf(1) },
+		"SlowStartShare":    func(s *Settings) { s.SlowStartShare = math.NaN() },
+		"SlowStartDuration": func(s *Settings) { s.SlowStartDuration = -1 },
+		"Kinds":             func(s *Settings) { s.Kinds = MaxKinds + 1 },
+		"MaxAttempts":       func(s *Settings) { s.MaxAttempts = -1 },
+		"Classes[1]":        func(s *Settings) { s.Classes[1].LatencyTarget = -1 },
+		"DrainCloseWithin":  func(s *Settings) { s.DrainCloseWithin = -1 },
+		"ToleratedMisses":   func(s *Settings) { s.ToleratedMisses = -0.1 },
+		"Tenants[2]":        func(s *Settings) { s.Tenants[2].Share = math.Inf(1) },
 	} {
 		s := site()
 		change(&s)
@@ -508,23 +508,23 @@
 func TestContradictoryNews(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
-		"outcome twice":         {{Kind: EventOutcome, Job: 1, Outcome: Full}, {Kind: EventOutcome, Job: 1, Outcome: OK}},
-		"unknown job":           {{Kind: EventOutcome, Job: 99, Outcome: OK}, {Kind: EventGone, Job: 98}},
-		"attempt never made":    {{Kind: EventOutcome, Job: 1, Attempt: 7, Outcome: OK}, {Kind: EventNote, Job: 1, Attempt: -1}},
+		"outcome twice":         {{Kind: EventOutcome, Job: 1, Outcome: Rejected}, {Kind: EventOutcome, Job: 1, Outcome: OK}},
+		"unknown job":           {{Kind: EventOutcome, Job: 99, Outcome: OK}, {Kind: EventClientLeft, Job: 98}},
+		"attempt never made":    {{Kind: EventOutcome, Job: 1, Attempt: 7, Outcome: OK}, {Kind: EventJobProgress, Job: 1, Attempt: -1}},
 		"same job twice":        {{Kind: EventJob, Job: 1, Deadline: time.Hour}},
 		"absurd job":            {{Kind: EventJob, Job: 2, Slots: nan, Memory: math.Inf(-1), Deadline: time.Minute + time.Second}},
-		"absurd report":         {{Kind: EventProbed, Worker: 13, Load: Load{N: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}}},
-		"unknown worker probed": {{Kind: EventProbed, Worker: 4, Outcome: OK}},
+		"absurd report":         {{Kind: EventHealthChecked, Worker: 13, Load: Load{Count: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}}},
+		"unknown worker probed": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
 		"stray timer":           {{Kind: EventTimer, Token: 4e9}},
-		"garbled peer":          {{Kind: EventPeerNote, From: -3, Data: []byte{0xff}}},
+		"garbled peer":          {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
 		"absurd kind":           {{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}}},
 		"started in the future": {{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Started: time.Hour, State: Ready}}}},
 		"gone and answering": {{Kind: EventList, List: ListFull},
-			{Kind: EventNote, Job: 1, Note: NoteStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, Closed: true}},
+			{Kind: EventJobProgress, Job: 1, Progress: JobStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, JobEnded: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := site()
-			s.Probes, s.Peers, s.Report.FreeSlots = true, true, 0
+			s.HealthChecks, s.PeerMessages, s.Report.FreeSlots = true, true, 0
 			c := newChecker(t, s, 1)
 			c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
 			c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 2*time.Second})
--- a/internal/decision/workers.go
+++ b/internal/decision/workers.go
@@ -16,9 +16,9 @@
 const longAgo = math.MinInt64 / 2 // before any event
 
 func (d *Dispatcher) updateList(ev *Event) {
-	ask, failed := d.set.Discovery == Ask, ev.List == ListFailed
+	ask, failed := d.set.Discovery == DiscoveryPoll, ev.List == ListFailed
 	if d.watching = ask && !failed && ev.List != ListCached; ask && !d.watching {
-		d.scheduleCall(d.set.AskWithin << count(failed)) // four times the silence is allowed then
+		d.scheduleCall(d.set.MaxDiscoverySilence << count(failed)) // four times the silence is allowed then
 	}
 	if failed {
 		return
@@ -50,12 +50,12 @@
 // shut closes idle connections to a draining worker: at the notice and after outcomes, late ones once more.
 func (d *Dispatcher) shut(w *worker) {
 	was := w.shut
-	if w.shut = d.set.DrainClose > 0 && w.State == Draining; was || !w.shut { // a later drain counts anew
+	if w.shut = d.set.DrainCloseWithin > 0 && w.State == Draining; was || !w.shut { // a later drain counts anew
 		return
 	}
-	d.acts = append(d.acts, Action{Kind: Close, Worker: w.Worker})
-	if d.now-w.broke < d.set.DrainClose/2 {
-		d.acts = append(d.acts, Action{Kind: SetTimer, Token: closeToken, Delay: d.set.DrainClose / 2})
+	d.acts = append(d.acts, Action{Kind: CloseIdle, Worker: w.Worker})
+	if d.now-w.broke < d.set.DrainCloseWithin/2 {
+		d.acts = append(d.acts, Action{Kind: SetTimer, Token: closeToken, Delay: d.set.DrainCloseWithin / 2})
 	}
 }
 
@@ -101,15 +101,15 @@
 
 // coldShare is the part of its capacity that a worker surely has; 1 when warm.
 func (d *Dispatcher) coldShare(w *worker) float64 {
-	if age := d.now - w.Started; w.Started > 0 && age < d.set.WarmAfter {
-		return d.set.ColdShare + (1-d.set.ColdShare)*float64(max(age, 0))/float64(d.set.WarmAfter)
+	if age := d.now - w.Started; w.Started > 0 && age < d.set.SlowStartDuration {
+		return d.set.SlowStartShare + (1-d.set.SlowStartShare)*float64(max(age, 0))/float64(d.set.SlowStartDuration)
 	}
 	return 1
 }
 
 // warm tells whether j may go to a cold worker: by chance, all together what a warm one bears x cold share.
 func (d *Dispatcher) warm(w *worker, j *job) bool {
-	n, span, multiple := float64(d.set.Dispatchers), d.set.FallSpan.Seconds(), d.set.FallMultiple
+	n, span, multiple := float64(d.set.Dispatchers), d.set.OverloadSpan.Seconds(), d.set.OverloadMultiple
 	share := d.coldShare(w)
 	cost := max(j.Slots*d.run[j.Class]*d.slow[w.Kind], 1e-3)
 	known := memory.Seconds() * (1 - d.decay(d.firstList, memory))
--- a/internal/delivery/decider.go
+++ b/internal/delivery/decider.go
@@ -66,10 +66,10 @@
 		Zone:        ownZone,
 		Kinds:       oneKindOfWorker,
 		Tenants:     make([]decision.TenantSettings, tenantCount),
-		Discovery:   decision.Push,
+		Discovery:   decision.DiscoveryPush,
 		ConnIdle:    longestIdleTime,
 		MaxAttempts: sendsOfJob,
-		Report:      decision.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1},
+		Report:      decision.LoadReportLayout{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1},
 		Tick:        deciderTick,
 	}
 	for _, route := range routes {
@@ -78,7 +78,7 @@
 	}
 	for _, anywhere := range settings.Classes[:len(routes)] {
 		near := anywhere
-		near.Zones = []int{ownZone}
+		near.AllowedZones = []int{ownZone}
 		settings.Classes = append(settings.Classes, near)
 	}
 	return settings
@@ -88,12 +88,12 @@
 // worker, so it is no shorter than an attempt may take.
 func classSettings(route *configuration.Route) decision.ClassSettings {
 	return decision.ClassSettings{
-		Aim:      max(route.TargetStart, route.Timeout, shortestAim),
-		Deadline: jobTimeouts * max(route.TargetStart, route.Timeout, shortestAim),
-		Effect:   decision.Safe,
-		Worth:    1,
-		Kind:     -1,
-		Priority: route.Priority,
+		LatencyTarget: max(route.TargetStart, route.Timeout, shortestAim),
+		Deadline:      jobTimeouts * max(route.TargetStart, route.Timeout, shortestAim),
+		Idempotency:   decision.Idempotent,
+		Value:         1,
+		WorkerKind:    -1,
+		Priority:      route.Priority,
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // withdraw takes a job that the module holds away from it.
 func (d *decider) withdraw(held *job) {
-	d.handle(&decision.Event{Kind: decision.EventGone, Job: held.id})
+	d.handle(&decision.Event{Kind: decision.EventClientLeft, Job: held.id})
 	delete(d.jobs, held.id)
 }
 
@@ -211,7 +211,7 @@
 		if j := d.jobs[action.Job]; j != nil {
 			d.send(j, action.Worker)
 		}
-	case decision.Refuse, decision.Fail:
+	case decision.Reject, decision.Fail:
 		if j := d.jobs[action.Job]; j != nil && j.near {
 			d.offerAnywhere(j)
 		} else if j != nil {
@@ -234,9 +234,9 @@
 	target := engine.destinations.byNumber[to]
 	switch {
 	case target == nil || !target.ready():
-		d.report(j, decision.Moot, false)
+		d.report(j, decision.NeverSent, false)
 	case target.flying >= target.limit:
-		d.report(j, decision.Full, false)
+		d.report(j, decision.Rejected, false)
 	case j.entry.orphan || !engine.mayDeliver(j.entry):
 		d.decline(j)
 	case !j.hasToken && !d.service.bucket.take(engine.now()):
@@ -253,14 +253,14 @@
 
 // decline takes a job back from the module, as its message may not be sent now.
 func (d *decider) decline(j *job) {
-	d.report(j, decision.Moot, true)
+	d.report(j, decision.NeverSent, true)
 	d.giveBack(j, 0)
 }
 
 // report tells the module how the last send of a job ended, and whether the job has ended with it.
 func (d *decider) report(j *job, outcome decision.Outcome, closed bool) {
 	d.handle(&decision.Event{
-		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, Closed: closed,
+		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, JobEnded: closed,
 	})
 }
 
--- a/internal/delivery/verdict.go
+++ b/internal/delivery/verdict.go
@@ -65,7 +65,7 @@
 		}
 		return decision.Error
 	case verdictFull, verdictThrottled:
-		return decision.Full
+		return decision.Rejected
 	case verdictUncertain:
 		return decision.Reset
 	case verdictTimedOut, verdictOverdue:
@@ -73,7 +73,7 @@
 	case verdictUnreachable:
 		return decision.ConnectFailed
 	default:
-		return decision.Moot
+		return decision.NeverSent
 	}
 }
 
--- a/internal/dispatcher/amqp/amqp.go
+++ b/internal/dispatcher/amqp/amqp.go
@@ -234,8 +234,8 @@
 		go d.settle(p, typeMalformed, amqp.Table{"reason": err.Error()}, nil)
 		return
 	}
-	effect := d.node.Module.Classes[j.Class].Effect
-	keyed := effect != decision.Safe && !(d.Kept && effect == decision.Keyed)
+	effect := d.node.Module.Classes[j.Class].Idempotency
+	keyed := effect != decision.Idempotent && !(d.Kept && effect == decision.Deduplicated)
 	name := m.Type + "\x00" + j.Key
 	if j.Key == "" {
 		name = "\x00" + j.ID
--- a/internal/dispatcher/amqp/attempts.go
+++ b/internal/dispatcher/amqp/attempts.go
@@ -26,7 +26,7 @@
 func (d *Desk) carry(a *dispatch.Attempt) {
 	id := a.Job.ID + "#" + strconv.FormatUint(d.sends.Add(1), 36)
 	if !a.MayStart() {
-		a.End(decision.Moot, decision.Load{}, nil)
+		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
 	d.mu.Lock()
--- a/internal/dispatcher/capture/bench_test.go
+++ b/internal/dispatcher/capture/bench_test.go
@@ -21,8 +21,8 @@
 func (yes) Watch(bool)              {}
 func (yes) Send(a *dispatch.Attempt) {
 	go func() {
-		a.Note(decision.NoteStarted, 0)
-		a.End(decision.OK, decision.Load{N: 4, Values: [4]float64{2, 0, 10, 0}}, nil)
+		a.Note(decision.JobStarted, 0)
+		a.End(decision.OK, decision.Load{Count: 4, Values: [4]float64{2, 0, 10, 0}}, nil)
 	}()
 }
 
--- a/internal/dispatcher/capture/capture.go
+++ b/internal/dispatcher/capture/capture.go
@@ -264,7 +264,7 @@
 }
 
 func figure(l *decision.Load, at int) float64 {
-	if at < 0 || at >= min(l.N, len(l.Values)) {
+	if at < 0 || at >= min(l.Count, len(l.Values)) {
 		return nan
 	}
 	return l.Values[at]
--- a/internal/dispatcher/capture/capture_test.go
+++ b/internal/dispatcher/capture/capture_test.go
@@ -68,7 +68,7 @@
 		return // its attempt is still out
 	}
 	see(dispatch.SawAnswered, 30*time.Millisecond, dispatch.Moment{Answer: dispatch.Answer{Verdict: dispatch.Served}})
-	see(dispatch.SawEnded, 0, dispatch.Moment{Attempt: a, Outcome: decision.OK, Load: decision.Load{N: 4, Values: [4]float64{2, 0.5, 10, 3}}})
+	see(dispatch.SawEnded, 0, dispatch.Moment{Attempt: a, Outcome: decision.OK, Load: decision.Load{Count: 4, Values: [4]float64{2, 0.5, 10, 3}}})
 }
 
 func (f *feeder) end(t testing.TB) {
--- a/internal/dispatcher/clienthttp/portal.go
+++ b/internal/dispatcher/clienthttp/portal.go
@@ -338,7 +338,7 @@
 	if j.Tenant = config.Index(n.Tenants, tenant); j.Tenant < 0 && len(n.Tenants) > 0 {
 		return fmt.Errorf("university %q is unknown", tenant)
 	}
-	if n.Module.Classes[j.Class].Effect == decision.Keyed && j.Key == "" {
+	if n.Module.Classes[j.Class].Idempotency == decision.Deduplicated && j.Key == "" {
 		return fmt.Errorf("a job of class %q needs a key", class)
 	}
 	if len(j.Key) > 256 {
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	m, l := n.Module, n.Limits
-	if n.Name != "n2" || n.Seed != 0x8c1f30d27a5be964 || len(m.Classes) != 2 || m.Classes[1].Effect != decision.Keyed ||
-		m.Classes[1].Group != decision.GroupAll || m.Classes[1].Stretch != 2.5 || m.Classes[1].Window != 7500*time.Millisecond ||
-		m.Classes[0].Kind != -1 || m.Tenants[1].PerSec != 17 || m.Discovery != decision.Ask || m.Kinds != 2 || !m.TellsStart ||
-		m.Report.Queue != 3 || !m.ReportByWord || m.MaxAttempts != 3 || m.Progress != time.Second {
+	if n.Name != "n2" || n.Seed != 0x8c1f30d27a5be964 || len(m.Classes) != 2 || m.Classes[1].Idempotency != decision.Deduplicated ||
+		m.Classes[1].DedupScope != decision.DedupByAll || m.Classes[1].Stretch != 2.5 || m.Classes[1].DedupWindow != 7500*time.Millisecond ||
+		m.Classes[0].WorkerKind != -1 || m.Tenants[1].RatePerSecond != 17 || m.Discovery != decision.DiscoveryPoll || m.Kinds != 2 || !m.ReportsStart ||
+		m.Report.Queue != 3 || !m.ReportsLoad || m.MaxAttempts != 3 || m.ProgressInterval != time.Second {
 		t.Errorf("settings: %+v", m)
 	}
 	if n.Figure("q") != 3 || n.Figure("queue") != 3 || n.Figure("eps") != 1 || n.Figure("other") != -1 {
@@ -279,7 +279,7 @@
 		text := strings.ReplaceAll(whole, `"deadline":5000000000`, fmt.Sprintf(`"deadline":%d`, k.deadline.Nanoseconds()))
 		text = strings.Replace(text, `"ask_within":10000000000`, fmt.Sprintf(`"ask_within":%d`, k.ask.Nanoseconds()), 1)
 		n, err := load(t, text, nil)
-		if err != nil || n.Module.AskWithin != k.ask || n.Module.Classes[0].Deadline != k.deadline {
+		if err != nil || n.Module.MaxDiscoverySilence != k.ask || n.Module.Classes[0].Deadline != k.deadline {
 			t.Fatalf("%+v: %+v, %v", k, n, err)
 		}
 		if l := n.Limits; l.RosterSilent < 2500*time.Millisecond || l.RosterSilent > 3*time.Second || l.LastAnswer != k.last {
--- a/internal/dispatcher/config/derive.go
+++ b/internal/dispatcher/config/derive.go
@@ -60,12 +60,12 @@
 	if s.DrainGrace > 0 {
 		l.DrainGrace = s.DrainGrace - s.DrainGrace/5
 	}
-	if s.AskWithin > 0 { // a watch must be known to be broken well before its silence counts as told
+	if s.MaxDiscoverySilence > 0 { // a watch must be known to be broken well before its silence counts as told
 		// but never sooner than its lines come, one in 2 s
-		l.RosterSilent = max(min(l.RosterSilent, s.AskWithin/2), 2500*time.Millisecond)
-		l.RosterRetryMax = min(l.RosterRetryMax, s.AskWithin/3)
+		l.RosterSilent = max(min(l.RosterSilent, s.MaxDiscoverySilence/2), 2500*time.Millisecond)
+		l.RosterRetryMax = min(l.RosterRetryMax, s.MaxDiscoverySilence/3)
 	}
-	if s.Discovery == decision.Push && s.DrainGrace > 0 {
+	if s.Discovery == decision.DiscoveryPush && s.DrainGrace > 0 {
 		// The agent on this machine answers at once or not at all, and what it holds counts as told: a call that it left
 		// without an answer while discovery was down may not outlast the grace of a drain told at its return.
 		l.RosterCall, l.RosterSilent = max(l.DrainGrace/4, 50*time.Millisecond), min(l.RosterSilent, 2500*time.Millisecond)
@@ -74,7 +74,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		l.Remember, longest = max(l.Remember, c.Window), max(longest, c.Deadline)
+		l.Remember, longest = max(l.Remember, c.DedupWindow), max(longest, c.Deadline)
 	}
 	if longest == 0 || longest > 3*time.Second { // the platform takes it so
 		longest = 3 * time.Second
--- a/internal/dispatcher/config/members.go
+++ b/internal/dispatcher/config/members.go
@@ -77,7 +77,7 @@
 
 // loadMembers reads the operator's file for the membership. It needs the settings' permission too: neither alone turns it on.
 func loadMembers(path string, n *Node, f *nodeFile) (*Members, error) {
-	if !n.Module.Peers {
+	if !n.Module.PeerMessages {
 		return nil, fmt.Errorf("NODE_MEMBERS: %s: the settings forbid talk among dispatchers (limits.peers is not true); start without the variable", path)
 	}
 	var t struct {
@@ -154,7 +154,7 @@
 // that carries more than notes: where the platform itself carries datagrams for them, it is said to be the only one.
 func loadPromises(path string, n *Node, f *nodeFile) (*Promises, error) {
 	switch {
-	case !n.Module.Peers:
+	case !n.Module.PeerMessages:
 		return nil, fmt.Errorf("NODE_PROMISES: %s: the settings forbid talk among dispatchers (limits.peers is not true); start without the variable", path)
 	case f.PeerAt != "":
 		return nil, fmt.Errorf("NODE_PROMISES: %s: this platform carries notes between dispatchers (peer_listen), and no other path leads from one to another; start without the variable", path)
@@ -209,8 +209,8 @@
 		return bad("crash_on", "%d is not 1 or more", c.CrashOn)
 	}
 	for i, x := range n.Module.Classes {
-		if need := p.Skew + x.Window/10; x.Effect == decision.Keyed && x.Window > 0 && need > x.Window/2 {
-			return bad("skew_ms", "%d: class %s may be repeated for %v only, which clocks so far apart leave no room in", c.SkewMs, n.Classes[i], x.Window)
+		if need := p.Skew + x.DedupWindow/10; x.Idempotency == decision.Deduplicated && x.DedupWindow > 0 && need > x.DedupWindow/2 {
+			return bad("skew_ms", "%d: class %s may be repeated for %v only, which clocks so far apart leave no room in", c.SkewMs, n.Classes[i], x.DedupWindow)
 		}
 	}
 	for i, x := range c.Peers {
--- a/internal/dispatcher/discovery/roster.go
+++ b/internal/dispatcher/discovery/roster.go
@@ -49,7 +49,7 @@
 // New makes a roster; the list that the node knows gives the version to go on from.
 func New(n *config.Node) *Roster {
 	r := &Roster{node: n, address: n.Discovery, lim: n.Limits, generation: n.Known.Generation, asked: make(chan struct{}, 1),
-		pushed: n.Module.Discovery == decision.Push,
+		pushed: n.Module.Discovery == decision.DiscoveryPush,
 		moved:  make(chan struct{}, 1), hangUp: func(error) {}, Dial: (&net.Dialer{Timeout: n.Limits.RosterCall, KeepAlive: -1}).DialContext}
 	// Each call has a connection of its own: nothing is left for a library to send again.
 	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: n.Limits.RosterConns,
--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -153,7 +153,7 @@
 		}
 		c.at(j.until, func() { c.overdue(j) })
 		c.handle(&decision.Event{Kind: decision.EventJob, Job: j.number, Class: j.Class, Tenant: j.Tenant, Key: j.Subject,
-			Deadline: j.until, Slots: j.Slots, Memory: j.Memory, Repeat: j.Repeat})
+			Deadline: j.until, Slots: j.Slots, Memory: j.Memory, Retry: j.Repeat})
 	})
 	return nil
 }
@@ -183,7 +183,7 @@
 				}
 			}
 			c.see(Moment{Sight: SawLeft, Job: j})
-			c.handle(&decision.Event{Kind: decision.EventGone, Job: j.number})
+			c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
 			c.forget(j)
 		}
 	})
@@ -223,7 +223,7 @@
 		c.reply(j, Answer{Verdict: Served, Result: result})
 	}
 	c.handle(&decision.Event{Kind: decision.EventOutcome, Job: j.number, Attempt: a.number, Worker: a.seat.number,
-		Outcome: o, Closed: j.answered, Load: load})
+		Outcome: o, JobEnded: j.answered, Load: load})
 	c.forget(j)
 }
 
@@ -240,7 +240,7 @@
 	if !j.answered { // guards against a module that lets a deadline pass with nothing out
 		log.Printf("job %s: no answer at its deadline; failed", j.ID)
 		c.reply(j, Answer{Verdict: Failed})
-		c.handle(&decision.Event{Kind: decision.EventGone, Job: j.number})
+		c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
 		c.forget(j)
 	}
 }
@@ -291,7 +291,7 @@
 		switch a.Kind {
 		case decision.Send:
 			c.send(c.jobs[a.Job], a)
-		case decision.Refuse, decision.Fail:
+		case decision.Reject, decision.Fail:
 			if j := c.jobs[a.Job]; j != nil {
 				answer := Answer{Verdict: Refused, RetryAfter: a.RetryAfter}
 				if a.Kind == decision.Fail {
@@ -312,7 +312,7 @@
 			c.roster.Watch(a.On)
 		case decision.Fetch: // a new watch brings the whole list where it is needed
 			c.roster.Watch(true)
-		case decision.Close:
+		case decision.CloseIdle:
 			if s := c.seats[a.Worker]; s != nil {
 				c.floorOf(s).CloseIdle(s.Worker)
 			}
@@ -342,7 +342,7 @@
 	}
 	a.Until = time.Now().Add(left)
 	a.Ctx, a.cancel = context.WithCancel(context.Background())
-	second := j.out > 0 && !c.node.Module.ParallelTries
+	second := j.out > 0 && !c.node.Module.ParallelAttempts
 	j.tries = append(j.tries, a)
 	j.out++
 	if a.seat == nil || a.seat.state != decision.Ready || second || j.over.Load() || left <= 0 {
@@ -351,7 +351,7 @@
 		if a.seat == nil {
 			a.seat = &seat{number: act.Worker}
 		}
-		c.at(c.now(), func() { c.end(a, decision.Moot, decision.Load{}, nil) })
+		c.at(c.now(), func() { c.end(a, decision.NeverSent, decision.Load{}, nil) })
 		return
 	}
 	a.Worker = a.seat.Worker
--- a/internal/dispatcher/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -144,7 +144,7 @@
 						a := h.out[i]
 						h.out = append(h.out[:i], h.out[i+1:]...)
 						if rapid.Bool().Draw(rt, "started") {
-							a.Note(decision.NoteStarted, 0)
+							a.Note(decision.JobStarted, 0)
 						}
 						o := decision.Outcome(rapid.IntRange(int(decision.OK), int(decision.Reset)).Draw(rt, "outcome"))
 						a.End(o, decision.Load{}, []byte(a.Job.ID))
--- a/internal/dispatcher/dispatch/counters.go
+++ b/internal/dispatcher/dispatch/counters.go
@@ -15,7 +15,7 @@
 	Taken, Served, Refused, Failed, Left, Overflow atomic.Int64 // jobs
 	Malformed                                      atomic.Int64 // messages of clients
 	Sent                                           atomic.Int64 // attempts
-	Outcomes                                       [decision.Moot + 1]atomic.Int64
+	Outcomes                                       [decision.NeverSent + 1]atomic.Int64
 	Dialled, Reused                                atomic.Int64 // worker connections
 	RosterChanges, RosterFailed                    atomic.Int64
 	Redelivered                                    atomic.Int64 // AMQP deliveries that joined or got a remembered outcome
@@ -44,7 +44,7 @@
 	k, w := c.Counters, c.Workers()
 	values := []int64{k.Taken.Load(), k.Served.Load(), k.Refused.Load(), k.Failed.Load(), k.Left.Load(), k.Overflow.Load(),
 		k.Malformed.Load(), k.Sent.Load()}
-	for o := decision.OK; o <= decision.Moot; o++ {
+	for o := decision.OK; o <= decision.NeverSent; o++ {
 		values = append(values, k.Outcomes[o].Load())
 	}
 	values = append(values, k.Dialled.Load(), k.Reused.Load(), k.RosterChanges.Load(), k.RosterFailed.Load(),
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -138,14 +138,14 @@
 func (a *Attempt) Whole() { a.whole.Store(true) }
 
 // Note passes on that the job has started at the worker, or how far it is.
-func (a *Attempt) Note(kind decision.NoteKind, share float64) {
+func (a *Attempt) Note(kind decision.ProgressKind, share float64) {
 	a.core.post(func() {
 		if !a.ended {
-			if kind == decision.NoteStarted {
+			if kind == decision.JobStarted {
 				a.core.see(Moment{Sight: SawStarted, Job: a.Job, Attempt: a})
 			}
-			a.core.handle(&decision.Event{Kind: decision.EventNote, Job: a.Job.number, Attempt: a.number,
-				Worker: a.seat.number, Note: kind, Value: share})
+			a.core.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.Job.number, Attempt: a.number,
+				Worker: a.seat.number, Progress: kind, Value: share})
 		}
 	})
 }
--- a/internal/dispatcher/durablejobs/floors.go
+++ b/internal/dispatcher/durablejobs/floors.go
@@ -37,14 +37,14 @@
 func (k *Keeper) ask(a *dispatch.Attempt, floor dispatch.Floor) {
 	e := k.inners[a.Job]
 	if e == nil {
-		a.End(decision.Moot, decision.Load{}, nil)
+		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
 	place := uint32(0)
-	switch k.node.Module.Classes[a.Job.Class].Group {
-	case decision.GroupZone:
+	switch k.node.Module.Classes[a.Job.Class].DedupScope {
+	case decision.DedupByZone:
 		place = uint32(config.Index(k.node.Zones, a.Worker.Zone) + 1)
-	case decision.GroupCell:
+	case decision.DedupByCell:
 		place = uint32(a.Worker.Cell + 1)
 	}
 	e.asked[a.Number()] = wish{a, floor}
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -95,7 +95,7 @@
 	now, key := k.wall(), k.node.Classes[j.Class]+"/"+j.Key
 	room := min(k.lim.LeaseRoom, j.Patience/4)
 	left := j.Patience - room
-	terms := lease.Terms{Again: (class.Window - class.Window*3/10 - k.conf.Skew).Milliseconds(), Bound: class.Group != decision.GroupAll,
+	terms := lease.Terms{Again: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.Skew).Milliseconds(), Bound: class.DedupScope != decision.DedupByAll,
 		Until: now + left.Milliseconds(), Keep: k.conf.Keep.Milliseconds(), Most: max(k.conf.Most/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
 	tenant := ""
 	if j.Tenant >= 0 && j.Tenant < len(k.node.Tenants) {
@@ -111,7 +111,7 @@
 
 // fresh is how long after its intent a send may begin, in ms: what the class's window leaves above Terms.Again.
 func (k *Keeper) fresh(class *decision.ClassSettings) int64 {
-	return max((class.Window/5 - k.conf.Skew/2).Milliseconds(), 20)
+	return max((class.DedupWindow/5 - k.conf.Skew/2).Milliseconds(), 20)
 }
 
 func (k *Keeper) add(e *entry, h *lease.Hold) {
@@ -139,7 +139,7 @@
 		case lease.Moot:
 			if t, ok := e.asked[a.Attempt]; ok {
 				delete(e.asked, a.Attempt)
-				t.End(decision.Moot, decision.Load{}, nil)
+				t.End(decision.NeverSent, decision.Load{}, nil)
 			}
 		case lease.Tell:
 			verdict := dispatch.Served
@@ -191,7 +191,7 @@
 	e.sendBy.Store(0)
 	for n, t := range e.asked {
 		delete(e.asked, n)
-		t.End(decision.Moot, decision.Load{}, nil)
+		t.End(decision.NeverSent, decision.Load{}, nil)
 	}
 	if e.looking != 0 {
 		k.host.Drop(e.looking)
@@ -265,7 +265,7 @@
 	}
 	inner.MayStart = func() bool { return int64(k.now()) < e.sendBy.Load() }
 	inner.Ended = func(a *dispatch.Attempt, o decision.Outcome) {
-		never := o == decision.Full && !k.node.Module.FullUnproven || o == decision.ConnectFailed || o == decision.Moot
+		never := o == decision.Rejected && !k.node.Module.RejectionUnproven || o == decision.ConnectFailed || o == decision.NeverSent
 		n := a.Number()
 		k.post(func() {
 			if delete(e.asked, n); e.granted[n] && e.inner == inner {
--- a/internal/dispatcher/durablejobs/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -210,7 +210,9 @@
 func (k *Keeper) owner() string { return k.node.Name + "." + strconv.FormatUint(k.life, 10) }
 
 // kept tells whether jobs of a class are taken for keeps.
-func (k *Keeper) kept(class int) bool { return k.node.Module.Classes[class].Effect == decision.Keyed }
+func (k *Keeper) kept(class int) bool {
+	return k.node.Module.Classes[class].Idempotency == decision.Deduplicated
+}
 
 // Farewell gives up what this dispatcher has: its open jobs end, and others get its copies. It waits for both as long as ctx
 // lasts, or until nobody is there to get them.
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -125,7 +125,7 @@
 func (b *Book) request(a Arrival) *request {
 	c := &b.s.Classes[a.Class]
 	q := &request{class: a.Class, tenant: a.University, work: a.Work, came: a.At, until: a.At + sec(c.DeadlineS), left: b.s.load.Retries.Most}
-	if b.number++; effects[c.Effect] == decision.Keyed {
+	if b.number++; effects[c.Effect] == decision.Deduplicated {
 		q.key = b.number
 	}
 	q.within = b.buckets[q.tenant].take(a.At, b.s.Universities[q.tenant].PerSecS)
--- a/internal/dispatcher/fleetsim/describe.go
+++ b/internal/dispatcher/fleetsim/describe.go
@@ -385,7 +385,7 @@
 	return s, err
 }
 
-var effects = map[string]decision.Effect{"safe": decision.Safe, "keyed": decision.Keyed, "unsafe": decision.Unsafe}
+var effects = map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.Deduplicated, "unsafe": decision.NotIdempotent}
 
 func sec(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 func ms(v float64) time.Duration  { return time.Duration(v * float64(time.Millisecond)) }
@@ -397,18 +397,18 @@
 func (s *site) settings(self, count, zone int) decision.Settings {
 	out := decision.Settings{
 		Self: self, Dispatchers: count, Zone: zone, Kinds: len(s.Kinds), Zones: len(s.Zones),
-		Discovery: decision.Ask, AskWithin: 10 * time.Second, DrainGrace: sec(s.DrainGraceS), AnswerGrace: 8 * time.Millisecond,
-		ColdShare: s.Cold.Share, WarmAfter: sec(s.Cold.WarmS), FallMultiple: s.Cold.Multiple, FallSpan: sec(s.Cold.SpanS),
-		ConnIdle: sec(s.ConnIdleS), MaxAttempts: s.Attempts, Cancel: true, MaxRetryAfter: 2 * time.Second, OverWorth: s.OverWorth,
-		TellsStart: true, Progress: progress, ReportByWord: true, Tick: 2 * time.Millisecond,
-		Report: decision.Report{FreeSlots: 0, FreeMemory: -1, Queue: 3, InFlight: -1, Util: -1, Errors: 1},
+		Discovery: decision.DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: sec(s.DrainGraceS), AnswerGrace: 8 * time.Millisecond,
+		SlowStartShare: s.Cold.Share, SlowStartDuration: sec(s.Cold.WarmS), OverloadMultiple: s.Cold.Multiple, OverloadSpan: sec(s.Cold.SpanS),
+		ConnIdle: sec(s.ConnIdleS), MaxAttempts: s.Attempts, Cancel: true, MaxRetryAfter: 2 * time.Second, OverQuotaValue: s.OverWorth,
+		ReportsStart: true, ProgressInterval: progress, ReportsLoad: true, Tick: 2 * time.Millisecond,
+		Report: decision.LoadReportLayout{FreeSlots: 0, FreeMemory: -1, Queue: 3, InFlight: -1, Util: -1, Errors: 1},
 	}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, decision.ClassSettings{Aim: sec(c.AimS), Stretch: c.Stretch, Deadline: sec(c.DeadlineS),
-			Effect: effects[c.Effect], Group: decision.GroupAll, Window: sec(c.WindowS), Worth: c.Worth, Late: c.LateWorth, Kind: -1})
+		out.Classes = append(out.Classes, decision.ClassSettings{LatencyTarget: sec(c.AimS), Stretch: c.Stretch, Deadline: sec(c.DeadlineS),
+			Idempotency: effects[c.Effect], DedupScope: decision.DedupByAll, DedupWindow: sec(c.WindowS), Value: c.Worth, LateValue: c.LateWorth, WorkerKind: -1})
 	}
 	for _, u := range s.Universities {
-		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, PerSec: u.PerSecS})
+		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, RatePerSecond: u.PerSecS})
 	}
 	return out
 }
--- a/internal/dispatcher/fleetsim/node.go
+++ b/internal/dispatcher/fleetsim/node.go
@@ -131,9 +131,9 @@
 			if t != nil {
 				n.send(t, a)
 			}
-		case decision.Refuse, decision.Fail:
+		case decision.Reject, decision.Fail:
 			if t != nil {
-				n.answer(t, map[decision.ActionKind]verdict{decision.Refuse: refused, decision.Fail: failed}[a.Kind], a.RetryAfter)
+				n.answer(t, map[decision.ActionKind]verdict{decision.Reject: refused, decision.Fail: failed}[a.Kind], a.RetryAfter)
 			}
 		case decision.Cancel:
 			if t != nil && a.Attempt < len(t.sends) {
@@ -169,7 +169,7 @@
 	t := &try{request: q, node: n, id: n.last, until: n.d.now + patience - min(40*time.Millisecond, patience/4)}
 	n.jobs[t.id] = t
 	n.d.at(t.until-n.d.now, func() { n.overdue(t) })
-	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: past + t.until, Slots: 1, Repeat: repeat})
+	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: past + t.until, Slots: 1, Retry: repeat})
 }
 
 // client is the final answer of a try at the client.
@@ -228,7 +228,7 @@
 	t.out++
 	if s == nil || s.state != decision.Ready || t.answered {
 		n.d.res.Broken["sent to a worker that is not ready"]++
-		n.d.at(0, func() { n.ends(a, decision.Moot, decision.Load{}) })
+		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
 	a.w, a.process, a.work = s.w, s.w.process, t.work
@@ -244,7 +244,7 @@
 	n.d.res.Dialled++
 	if n.links >= n.lim.Connections && !n.spare() {
 		n.d.res.NoLink++
-		n.d.at(0, func() { n.ends(a, decision.Moot, decision.Load{}) })
+		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
 	trip := time.Duration(2 * n.d.Trips * float64(hop))
@@ -263,7 +263,7 @@
 		a.work += a.w.kind.ConnectionMs / 1000
 		n.d.at(trip, func() {
 			if s.state != decision.Ready { // told off while the connection came up
-				n.ends(a, decision.Moot, decision.Load{})
+				n.ends(a, decision.NeverSent, decision.Load{})
 				return
 			}
 			n.d.at(hop, func() { a.w.arrive(a) })
@@ -322,11 +322,11 @@
 }
 
 // note carries a worker's note to the dispatcher.
-func (a *attempt) note(kind decision.NoteKind, share float64) {
+func (a *attempt) note(kind decision.ProgressKind, share float64) {
 	n := a.try.node
 	n.d.at(n.d.hop(a.w.zone, n.zone), func() {
 		if !a.over && !a.lost {
-			n.handle(&decision.Event{Kind: decision.EventNote, Job: a.try.id, Attempt: a.number, Worker: a.w.id, Note: kind, Value: share})
+			n.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.try.id, Attempt: a.number, Worker: a.w.id, Progress: kind, Value: share})
 		}
 	})
 }
@@ -355,9 +355,9 @@
 	t.out--
 	n.d.res.Outcomes[o]++
 	if a.w != nil {
-		if s := n.byID[a.w.id]; (o == decision.OK || o == decision.Full) && a.process == a.w.process && a.w.up {
+		if s := n.byID[a.w.id]; (o == decision.OK || o == decision.Rejected) && a.process == a.w.process && a.w.up {
 			n.keep(s)
-		} else if o != decision.Moot && o != decision.ConnectFailed || a.fresh {
+		} else if o != decision.NeverSent && o != decision.ConnectFailed || a.fresh {
 			n.drop(a.w, a.process)
 		}
 	}
@@ -368,6 +368,6 @@
 	if a.w != nil {
 		id = a.w.id
 	}
-	n.handle(&decision.Event{Kind: decision.EventOutcome, Job: t.id, Attempt: a.number, Worker: id, Outcome: o, Closed: t.answered, Load: load})
+	n.handle(&decision.Event{Kind: decision.EventOutcome, Job: t.id, Attempt: a.number, Worker: id, Outcome: o, JobEnded: t.answered, Load: load})
 	n.forget(t)
 }
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -177,7 +177,7 @@
 	default:
 		w.d.res.Kinds[w.k].Full++
 		w.d.forget(a.try.request)
-		a.back(decision.Full, w)
+		a.back(decision.Rejected, w)
 	}
 }
 
@@ -222,7 +222,7 @@
 	a.started = true
 	a.finish = w.each + a.work
 	heap.Push(&w.running, a)
-	a.note(decision.NoteStarted, 0)
+	a.note(decision.JobStarted, 0)
 	a.runsOn()
 }
 
@@ -231,7 +231,7 @@
 	a.w.d.at(progress, func() {
 		if a.started && !a.ended && a.w.up && a.process == a.w.process {
 			a.w.count()
-			a.note(decision.NoteProgress, min(max(1-(a.finish-a.w.each)/a.work, 0), 1))
+			a.note(decision.JobAdvanced, min(max(1-(a.finish-a.w.each)/a.work, 0), 1))
 			a.runsOn()
 		}
 	})
@@ -329,7 +329,7 @@
 
 func (w *worker) look() {
 	if w.up {
-		w.view[w.views%len(w.view)] = snapshot{w.d.now, decision.Load{N: reportFields, Values: [4]float64{
+		w.view[w.views%len(w.view)] = snapshot{w.d.now, decision.Load{Count: reportFields, Values: [4]float64{
 			float64(w.kind.Slots - len(w.running)), 0, float64(w.done) / w.every.Seconds(), float64(len(w.waiting))}}}
 		w.views++
 		w.done = 0
--- a/internal/dispatcher/instance/endings_test.go
+++ b/internal/dispatcher/instance/endings_test.go
@@ -289,13 +289,13 @@
 // A client that leaves while the connection for its job comes up: nothing is written to it, whatever the class; the
 // connection serves the next job.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	for _, effect := range []decision.Effect{decision.Safe, decision.Keyed, decision.Unsafe} {
-		r := set(t, func(n *config.Node) { n.Module.Classes[0].Effect, n.Limits.Connect = effect, bound })
+	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.Deduplicated, decision.NotIdempotent} {
+		r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.Connect = effect, bound })
 		r.hold = true
 		r.start()
 		c := r.client()
 		text := job("g1")
-		if effect == decision.Keyed {
+		if effect == decision.Deduplicated {
 			text = strings.Replace(text, "Content-Length", "Idempotency-Key: k\r\nContent-Length", 1)
 		}
 		c.says(text)
@@ -782,10 +782,10 @@
 // read: it is answered then, and nothing more of it goes out. One that may have run is never called harmless where it may
 // not run twice.
 func TestTimeEndsOnTheWay(t *testing.T) {
-	for _, effect := range []decision.Effect{decision.Safe, decision.Unsafe} {
-		want := map[decision.Effect]string{decision.Safe: "503 refused: try again later", decision.Unsafe: "502 the job failed"}[effect]
+	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
+		want := map[decision.Idempotency]string{decision.Idempotent: "503 refused: try again later", decision.NotIdempotent: "502 the job failed"}[effect]
 		for _, at := range []string{"connecting", "writing", "reading"} {
-			r := set(t, func(n *config.Node) { n.Module.Classes[0].Effect, n.Limits.Connect = effect, bound })
+			r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.Connect = effect, bound })
 			// Its time ends in the core and at the dial at one instant. The dial's word would be that it never ran, and a
 			// refusal is right then for either class: so the core's alone is asked for here.
 			r.hold, r.deaf = true, true
@@ -902,7 +902,7 @@
 	r := set(t, nil)
 	in, goOn := make(chan bool), make(chan struct{})
 	r.core.Observer = seen(func(m *dispatch.Moment) {
-		if m.Sight == dispatch.SawEnded && m.Outcome == decision.Full {
+		if m.Sight == dispatch.SawEnded && m.Outcome == decision.Rejected {
 			in <- true
 			<-goOn
 		}
@@ -966,7 +966,7 @@
 // Spoilt answers, for a class that may be repeated and one that may not: nothing goes to the wrong client, nothing that
 // may have run is sent again where that is not allowed.
 func TestSpoiltAnswers(t *testing.T) {
-	for _, effect := range []decision.Effect{decision.Safe, decision.Unsafe} {
+	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
 		for name, text := range map[string]string{
 			"an answer that never ends":          lines + strings.Repeat(chunk(`{"id":"a2","from":"w","state":"running","share":0.5}`+"\n"), 8000),
 			"a line that never ends":             lines + "fffffff\r\n" + strings.Repeat("x", 400<<10),
@@ -976,7 +976,7 @@
 			"the wrong id":                       lines + done("a9") + "0\r\n\r\n",
 			"the answer of the job before again": lines + done("a1") + "0\r\n\r\n",
 		} {
-			r := set(t, func(n *config.Node) { n.Module.Classes[0].Effect = effect }).start()
+			r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency = effect }).start()
 			c := r.client()
 			c.says(job("a1"))
 			w := take(t, "the worker's side", r.work)
@@ -993,7 +993,7 @@
 			w.SetWriteDeadline(time.Now().Add(bound))
 			io.WriteString(w, text) // cut short where the dispatcher closes first
 			w.Close()
-			if effect == decision.Safe {
+			if effect == decision.Idempotent {
 				again := take(t, "another connection ("+name+")", r.work)
 				if id := r.request(again); id != "a2" {
 					t.Errorf("%s: then %s came", name, id)
@@ -1015,7 +1015,9 @@
 	for status, first := range map[string]string{
 		"503 Service Unavailable\r\nX-Not-Processed: 1": "", "500 Internal Server Error": "502 the job failed", "400 Bad Request": "502 the job failed",
 	} {
-		r := set(t, func(n *config.Node) { n.Module.Classes[0].Effect, n.Limits.LateAnswer = decision.Unsafe, bound }).start()
+		r := set(t, func(n *config.Node) {
+			n.Module.Classes[0].Idempotency, n.Limits.LateAnswer = decision.NotIdempotent, bound
+		}).start()
 		c := r.client()
 		c.says(job("n1"))
 		w := take(t, "the worker's side", r.work)
@@ -1044,7 +1046,7 @@
 
 // A result whose connection is reset right behind it counts.
 func TestResetBehindAResult(t *testing.T) {
-	r := set(t, func(n *config.Node) { n.Module.Classes[0].Effect = decision.Unsafe }).start()
+	r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency = decision.NotIdempotent }).start()
 	c := r.client()
 	c.says(job("r1"))
 	w := take(t, "the worker's side", r.work)
@@ -1155,7 +1157,7 @@
 		} {
 			r := set(t, func(n *config.Node) {
 				if pushed {
-					n.Module.Discovery = decision.Push
+					n.Module.Discovery = decision.DiscoveryPush
 				}
 				n.Limits.RosterCall, n.Limits.RosterSilent, n.Limits.RosterRetry = 300*time.Millisecond, 300*time.Millisecond, 20*time.Millisecond
 			}).start()
@@ -1183,7 +1185,7 @@
 		} {
 			r := set(t, func(n *config.Node) {
 				if pushed {
-					n.Module.Discovery = decision.Push
+					n.Module.Discovery = decision.DiscoveryPush
 				}
 				n.Limits.RosterCall, n.Limits.RosterSilent, n.Limits.RosterRetry = time.Hour, time.Hour, time.Hour
 			}).start()
--- a/internal/dispatcher/simadapter/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -117,8 +117,8 @@
 }
 
 var outcomes = map[uint16]decision.Outcome{
-	10: decision.OK, 20: decision.Error, 30: decision.Full, 40: decision.TimedOut,
-	50: decision.ConnectFailed, 60: decision.Reset, 70: decision.Cancelled, 80: decision.Moot,
+	10: decision.OK, 20: decision.Error, 30: decision.Rejected, 40: decision.TimedOut,
+	50: decision.ConnectFailed, 60: decision.Reset, 70: decision.Cancelled, 80: decision.NeverSent,
 }
 
 var listKinds = [...]decision.ListKind{decision.ListFailed, decision.ListCached, decision.ListDelta, decision.ListFull}
@@ -145,11 +145,11 @@
 
 func load(b []byte) (decision.Load, error) {
 	var l decision.Load
-	l.N = int(b[0])
-	if l.N > len(l.Values) {
-		return l, fmt.Errorf("load report of %d values, at most %d are possible", l.N, len(l.Values))
+	l.Count = int(b[0])
+	if l.Count > len(l.Values) {
+		return l, fmt.Errorf("load report of %d values, at most %d are possible", l.Count, len(l.Values))
 	}
-	for i := range l.N {
+	for i := range l.Count {
 		l.Values[i] = float(b[1+4*i:])
 	}
 	return l, nil
@@ -188,12 +188,12 @@
 			Class: int(le.Uint16(rec[6:])), Tenant: int(le.Uint16(rec[8:])), Key: le.Uint64(rec[10:]),
 			Deadline: duration(rec[18:]), Hint: duration(rec[26:]),
 			Slots: float(rec[34:]), Memory: float(rec[38:]),
-			HasHint: flags&1 != 0, Repeat: flags&2 != 0,
+			HasHint: flags&1 != 0, Retry: flags&2 != 0,
 		}
 	case evVerdict:
 		*ev = decision.Event{
-			Kind: decision.EventOutcome, Job: decision.JobID(le.Uint32(rec[2:])), Closed: rec[6] != 0,
-			Attempt: int(le.Uint16(rec[13:])), Took: duration(rec[15:]),
+			Kind: decision.EventOutcome, Job: decision.JobID(le.Uint32(rec[2:])), JobEnded: rec[6] != 0,
+			Attempt: int(le.Uint16(rec[13:])), Duration: duration(rec[15:]),
 			Worker: decision.WorkerID(le.Uint32(rec[23:])),
 		}
 		if ev.Outcome, err = outcome(rec[11:]); err == nil {
@@ -201,27 +201,27 @@
 		}
 	case evHealth:
 		*ev = decision.Event{
-			Kind: decision.EventProbed, Worker: decision.WorkerID(le.Uint32(rec[2:])), Took: duration(rec[6:]),
+			Kind: decision.EventHealthChecked, Worker: decision.WorkerID(le.Uint32(rec[2:])), Duration: duration(rec[6:]),
 		}
 		if ev.Outcome, err = outcome(rec[14:]); err == nil {
 			ev.Load, err = load(rec[16:])
 		}
 	case evNote:
 		*ev = decision.Event{
-			Kind: decision.EventNote, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
-			Worker: decision.WorkerID(le.Uint32(rec[8:])), Note: decision.NoteKind(rec[12]), Value: float(rec[13:]),
+			Kind: decision.EventJobProgress, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
+			Worker: decision.WorkerID(le.Uint32(rec[8:])), Progress: decision.ProgressKind(rec[12]), Value: float(rec[13:]),
 		}
 	case evOpened:
 		*ev = decision.Event{
-			Kind: decision.EventStarted, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
-			Worker: decision.WorkerID(le.Uint32(rec[8:])), Took: duration(rec[12:]),
+			Kind: decision.EventStreamStarted, Job: decision.JobID(le.Uint32(rec[2:])), Attempt: int(le.Uint16(rec[6:])),
+			Worker: decision.WorkerID(le.Uint32(rec[8:])), Duration: duration(rec[12:]),
 		}
 	case evCancelled:
-		*ev = decision.Event{Kind: decision.EventGone, Job: decision.JobID(le.Uint32(rec[2:]))}
+		*ev = decision.Event{Kind: decision.EventClientLeft, Job: decision.JobID(le.Uint32(rec[2:]))}
 	case evWake:
 		*ev = decision.Event{Kind: decision.EventTimer, Token: le.Uint32(rec[2:])}
 	case evPeer:
-		*ev = decision.Event{Kind: decision.EventPeerNote, From: int(le.Uint32(rec[2:]))}
+		*ev = decision.Event{Kind: decision.EventPeerMessage, From: int(le.Uint32(rec[2:]))}
 		var data []byte
 		if data, err = f.slice(rec, 6, 1); err == nil {
 			ev.Data = bytes.Clone(data) // the frame's buffer is reused
@@ -269,7 +269,7 @@
 		le.PutUint32(rec[2:], uint32(a.Job))
 		le.PutUint32(rec[6:], uint32(a.Worker))
 		le.PutUint64(rec[10:], uint64(a.Timeout))
-	case decision.Refuse:
+	case decision.Reject:
 		rec := p.record(acBounce)
 		le.PutUint32(rec[2:], uint32(a.Job))
 		le.PutUint64(rec[6:], uint64(a.RetryAfter))
@@ -289,11 +289,11 @@
 		}
 	case decision.Fetch:
 		p.record(acRefresh)
-	case decision.Probe:
+	case decision.HealthCheck:
 		le.PutUint32(p.record(acTest)[2:], uint32(a.Worker))
-	case decision.Close:
+	case decision.CloseIdle:
 		le.PutUint32(p.record(acClose)[2:], uint32(a.Worker))
-	case decision.Tell:
+	case decision.SendPeer:
 		rec := p.record(acPeer)
 		le.PutUint16(rec[2:], uint16(a.Peer)) // Everyone is all bits set
 		p.blob(rec, 4, a.Data)
--- a/internal/dispatcher/simadapter/settings.go
+++ b/internal/dispatcher/simadapter/settings.go
@@ -120,41 +120,41 @@
 		return decision.Settings{}, p.err
 	}
 	s := decision.Settings{
-		Self:          p.int("position", 0, 0),
-		Dispatchers:   p.int("balancers", 0, 0),
-		Zone:          p.int("zone", 0, 0),
-		Kinds:         len(p.list("kinds")),
-		Zones:         len(p.list("zones")),
-		AskWithin:     p.span("invariants.ask_within"),
-		DrainGrace:    p.span("invariants.drain_grace"),
-		AnswerGrace:   p.span("invariants.grace_to_answer"),
-		ColdShare:     p.within("invariants.cold_from", 0, 0, 1),
-		WarmAfter:     p.span("invariants.warm_after"),
-		FallMultiple:  p.within("invariants.fall_multiple", 0, 0, 1e6),
-		FallSpan:      p.span("invariants.fall"),
-		DrainClose:    p.span("invariants.drain_close"),
-		FullUnproven:  p.flag("invariants.full_unproven"),
-		TailPart:      p.float("goal.tail_part", 0),
-		BorneMisses:   p.float("goal.borne_misses", 0),
-		ConnIdle:      p.span("limits.conn_idle"),
-		MaxAttempts:   p.int("limits.max_attempts", 0, 0),
-		ParallelTries: p.flag("limits.parallel_tries"),
-		Cancel:        p.flag("limits.cancelling"),
-		Probes:        p.flag("limits.probes"),
-		Peers:         p.flag("limits.peers"),
-		RetryAfter:    p.flag("limits.retry_after"),
-		MaxRetryAfter: p.span("limits.max_retry_after"),
-		CrossZone:     p.within("deductions.cross_zone", 0, 0, 1e6),
-		WorthByWork:   p.mode("worth_by", "request", "work") == "work",
-		OverWorth:     p.within("over_share_worth", 1, 0, 1e6),
-		TellsStart:    p.flag("specifics.tells_start"),
-		Progress:      p.span("specifics.progress"),
-		Report:        report(p),
-		ReportByWord:  p.mode("report.how", "piggyback", "pull", "silent") == "piggyback",
-		Tick:          p.span("round"),
+		Self:                p.int("position", 0, 0),
+		Dispatchers:         p.int("balancers", 0, 0),
+		Zone:                p.int("zone", 0, 0),
+		Kinds:               len(p.list("kinds")),
+		Zones:               len(p.list("zones")),
+		MaxDiscoverySilence: p.span("invariants.ask_within"),
+		DrainGrace:          p.span("invariants.drain_grace"),
+		AnswerGrace:         p.span("invariants.grace_to_answer"),
+		SlowStartShare:      p.within("invariants.cold_from", 0, 0, 1),
+		SlowStartDuration:   p.span("invariants.warm_after"),
+		OverloadMultiple:    p.within("invariants.fall_multiple", 0, 0, 1e6),
+		OverloadSpan:        p.span("invariants.fall"),
+		DrainCloseWithin:    p.span("invariants.drain_close"),
+		RejectionUnproven:   p.flag("invariants.full_unproven"),
+		TailWeight:          p.float("goal.tail_part", 0),
+		ToleratedMisses:     p.float("goal.borne_misses", 0),
+		ConnIdle:            p.span("limits.conn_idle"),
+		MaxAttempts:         p.int("limits.max_attempts", 0, 0),
+		ParallelAttempts:    p.flag("limits.parallel_tries"),
+		Cancel:              p.flag("limits.cancelling"),
+		HealthChecks:        p.flag("limits.probes"),
+		PeerMessages:        p.flag("limits.peers"),
+		RetryAfter:          p.flag("limits.retry_after"),
+		MaxRetryAfter:       p.span("limits.max_retry_after"),
+		CrossZoneCost:       p.within("deductions.cross_zone", 0, 0, 1e6),
+		ValueByWork:         p.mode("worth_by", "request", "work") == "work",
+		OverQuotaValue:      p.within("over_share_worth", 1, 0, 1e6),
+		ReportsStart:        p.flag("specifics.tells_start"),
+		ProgressInterval:    p.span("specifics.progress"),
+		Report:              report(p),
+		ReportsLoad:         p.mode("report.how", "piggyback", "pull", "silent") == "piggyback",
+		Tick:                p.span("round"),
 	}
 	if p.mode("discovery", "automatic", "subscribe") == "subscribe" {
-		s.Discovery = decision.Ask
+		s.Discovery = decision.DiscoveryPoll
 	}
 	if s.Zones > 0 && s.Zone >= s.Zones {
 		p.bad("zone", fmt.Sprintf("below %d, the number of zones", s.Zones))
@@ -163,35 +163,35 @@
 	for i := range classes {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := decision.ClassSettings{
-			Aim:      p.span(at + "aim"),
-			Stretch:  p.within(at+"aim_stretch", 0, 0, 1e6),
-			Deadline: p.span(at + "deadline"),
-			Window:   p.span(at + "window"),
-			Worth:    p.within(at+"value", 1, 0, 1e12),
-			Late:     p.within(at+"late_value", 0, 0, 1),
-			Stream:   p.flag(at + "stream"),
-			Kind:     -1,
-			BoundTo:  p.numbers(at + "bound_to"),
-			Zones:    p.numbers(at + "zones_open"),
+			LatencyTarget: p.span(at + "aim"),
+			Stretch:       p.within(at+"aim_stretch", 0, 0, 1e6),
+			Deadline:      p.span(at + "deadline"),
+			DedupWindow:   p.span(at + "window"),
+			Value:         p.within(at+"value", 1, 0, 1e12),
+			LateValue:     p.within(at+"late_value", 0, 0, 1),
+			Stream:        p.flag(at + "stream"),
+			WorkerKind:    -1,
+			AllowedKinds:  p.numbers(at + "bound_to"),
+			AllowedZones:  p.numbers(at + "zones_open"),
 		}
 		switch p.mode(at+"effect", "free", "guarded", "single_shot") { // not stated: it must never run twice
 		case "free":
-			c.Effect = decision.Safe
+			c.Idempotency = decision.Idempotent
 		case "guarded":
-			c.Effect = decision.Keyed
+			c.Idempotency = decision.Deduplicated
 		}
 		switch p.mode(at+"group", "all", "zone", "cell") { // not stated: the narrowest
 		case "all":
-			c.Group = decision.GroupAll
+			c.DedupScope = decision.DedupByAll
 		case "zone":
-			c.Group = decision.GroupZone
+			c.DedupScope = decision.DedupByZone
 		}
 		// A list is one value a class; the last serves for the rest.
 		for _, f := range []struct {
 			list []string
 			set  func(float64)
 		}{
-			{kinds, func(v float64) { c.Kind = int(v) }},
+			{kinds, func(v float64) { c.WorkerKind = int(v) }},
 			{priorities, func(v float64) { c.Priority = int(v) }},
 			{stretches, func(v float64) { c.Stretch = v }},
 		} {
@@ -210,15 +210,15 @@
 	for i := range tenants {
 		at := fmt.Sprintf("tenants.%d.", i)
 		s.Tenants = append(s.Tenants, decision.TenantSettings{
-			Share: p.within(at+"portion", 0, 0, 1e6), PerSec: p.within(at+"allowance_per_s", 0, 0, 1e12),
+			Share: p.within(at+"portion", 0, 0, 1e6), RatePerSecond: p.within(at+"allowance_per_s", 0, 0, 1e12),
 		})
 	}
 	return s, p.err
 }
 
 // report finds the places of the values that the module can use.
-func report(p *pairs) decision.Report {
-	r := decision.Report{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1}
+func report(p *pairs) decision.LoadReportLayout {
+	r := decision.LoadReportLayout{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1}
 	for i, name := range p.list("report.fields") {
 		switch name {
 		case "x0":
--- a/internal/dispatcher/simadapter/wire_test.go
+++ b/internal/dispatcher/simadapter/wire_test.go
@@ -111,9 +111,9 @@
 		{Kind: decision.EventJob, Job: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x203b6db90, Hint: 12 * time.Millisecond,
 			Slots: 2, HasHint: true},
 		{Kind: decision.EventTimer, Token: 77},
-		{Kind: decision.EventOutcome, Job: 0x5d3a91c4, Closed: true, Outcome: decision.OK, Took: 0x11a49a0, Worker: 0x03124a07,
-			Load: decision.Load{N: 2, Values: [4]float64{float64(float32(0.4)), 3}}},
-		{Kind: decision.EventPeerNote, From: 9, Data: []byte("two w")},
+		{Kind: decision.EventOutcome, Job: 0x5d3a91c4, JobEnded: true, Outcome: decision.OK, Duration: 0x11a49a0, Worker: 0x03124a07,
+			Load: decision.Load{Count: 2, Values: [4]float64{float64(float32(0.4)), 3}}},
+		{Kind: decision.EventPeerMessage, From: 9, Data: []byte("two w")},
 	}
 	if !reflect.DeepEqual(m.seen, want) {
 		t.Errorf("decoded\n%+v, want\n%+v", m.seen, want)
@@ -155,13 +155,13 @@
 			Timeout: 80 * time.Millisecond},
 		"42004d0000000065cd1d0000000000000000000000000000":         {Kind: decision.SetTimer, Token: 77, Delay: 500 * time.Millisecond},
 		"430007000000000000000000000000000000000000000000":         {Kind: decision.Fail, Job: 7},
-		"4a000700000040420f000000000000000000000000000000":         {Kind: decision.Refuse, Job: 7, RetryAfter: time.Millisecond},
+		"4a000700000040420f000000000000000000000000000000":         {Kind: decision.Reject, Job: 7, RetryAfter: time.Millisecond},
 		"490007000000020000000000000000000000000000000000":         {Kind: decision.Cancel, Job: 7, Attempt: 2},
 		"440001000000000000000000000000000000000000000000":         {Kind: decision.Watch, On: true},
 		"450000000000000000000000000000000000000000000000":         {Kind: decision.Fetch},
-		"4d0009000000000000000000000000000000000000000000":         {Kind: decision.Probe, Worker: 9},
-		"470009000000000000000000000000000000000000000000":         {Kind: decision.Close, Worker: 9},
-		"4b00ffff000000000400000000000000000000000000000068692037": {Kind: decision.Tell, Peer: decision.Everyone, Data: []byte("hi 7")},
+		"4d0009000000000000000000000000000000000000000000":         {Kind: decision.HealthCheck, Worker: 9},
+		"470009000000000000000000000000000000000000000000":         {Kind: decision.CloseIdle, Worker: 9},
+		"4b00ffff000000000400000000000000000000000000000068692037": {Kind: decision.SendPeer, Peer: decision.AllPeers, Data: []byte("hi 7")},
 		"4800000000000200000000000000000000000000000000006869":     {Kind: decision.Log, Data: []byte("hi")},
 	} {
 		var p reply
@@ -278,13 +278,13 @@
 		t.Fatal(err)
 	}
 	c := s.Classes
-	if s.Dispatchers != 4 || s.Kinds != 2 || s.Discovery != decision.Ask || s.Report.Queue != 1 || s.Report.Util != -1 ||
-		s.Tenants[0].Share != 0.5 || len(c) != 2 || c[0].Aim != 300*time.Millisecond || c[0].Effect != decision.Safe || c[0].Kind != -1 ||
-		c[1].Effect != decision.Keyed || c[1].Group != decision.GroupZone || c[1].Kind != 1 || c[1].Stretch != 2.5 || c[1].Worth != 1 {
+	if s.Dispatchers != 4 || s.Kinds != 2 || s.Discovery != decision.DiscoveryPoll || s.Report.Queue != 1 || s.Report.Util != -1 ||
+		s.Tenants[0].Share != 0.5 || len(c) != 2 || c[0].LatencyTarget != 300*time.Millisecond || c[0].Idempotency != decision.Idempotent || c[0].WorkerKind != -1 ||
+		c[1].Idempotency != decision.Deduplicated || c[1].DedupScope != decision.DedupByZone || c[1].WorkerKind != 1 || c[1].Stretch != 2.5 || c[1].Value != 1 {
 		t.Errorf("read %+v", s)
 	}
-	if s.Zones != 3 || s.DrainClose != 800*time.Millisecond || !s.FullUnproven || s.TailPart != 0.3 || s.BorneMisses != 0.02 || !s.WorthByWork ||
-		!slices.Equal(c[0].BoundTo, []int{1}) || len(c[0].Zones) > 0 || !slices.Equal(c[1].Zones, []int{0, 2}) || len(c[1].BoundTo) > 0 {
+	if s.Zones != 3 || s.DrainCloseWithin != 800*time.Millisecond || !s.RejectionUnproven || s.TailWeight != 0.3 || s.ToleratedMisses != 0.02 || !s.ValueByWork ||
+		!slices.Equal(c[0].AllowedKinds, []int{1}) || len(c[0].AllowedZones) > 0 || !slices.Equal(c[1].AllowedZones, []int{0, 2}) || len(c[1].AllowedKinds) > 0 {
 		t.Errorf("read %+v", s)
 	}
 	for _, bad := range []string{"invariants.full_unproven=perhaps", "classes.count=-1", "classes.count=99999999", "limits.peers=maybe", "invariants.cold_from=NaN"} {
--- a/internal/dispatcher/testenv/broker_test.go
+++ b/internal/dispatcher/testenv/broker_test.go
@@ -36,7 +36,7 @@
 			t.Error("an answer came")
 		}
 		time.Sleep(time.Minute)
-		if c := r.core.Counters; len(r.yard.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.Moot].Load() != 1 || r.core.Open() != 0 {
+		if c := r.core.Counters; len(r.yard.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.NeverSent].Load() != 1 || r.core.Open() != 0 {
 			t.Errorf("published %v; %s", r.yard.Sent("p1"), r.core.Line())
 		}
 	})
--- a/internal/dispatcher/testenv/fronts_test.go
+++ b/internal/dispatcher/testenv/fronts_test.go
@@ -68,11 +68,11 @@
 						t.Errorf("%s: refused without a time to come back", k.id)
 					}
 					class := r.node.Module.Classes[config.Index(r.node.Classes, k.class)]
-					asked += class.Worth
-					if aim := class.Aim + time.Duration(class.Stretch*float64(k.runs())); c.verdict == "served" && c.took <= aim {
-						earned += class.Worth
+					asked += class.Value
+					if aim := class.LatencyTarget + time.Duration(class.Stretch*float64(k.runs())); c.verdict == "served" && c.took <= aim {
+						earned += class.Value
 					} else if c.verdict == "served" {
-						earned += class.Worth * class.Late
+						earned += class.Value * class.LateValue
 					}
 					if c.took >= k.wait {
 						t.Errorf("%s: answered after %v, its client had left after %v", k.id, c.took, k.wait)
--- a/internal/dispatcher/testenv/payouts_test.go
+++ b/internal/dispatcher/testenv/payouts_test.go
@@ -38,10 +38,10 @@
 	}
 	n := Node(t, known, "")
 	m := &n.Module
-	m.Discovery, m.CrossZone, m.WorthByWork, m.Dispatchers, m.ParallelTries = decision.Push, 0.08, true, 4, true
-	m.Classes[0] = decision.ClassSettings{Aim: 300 * time.Millisecond, Stretch: 2.5, Deadline: 6 * time.Second, Effect: decision.Unsafe, Worth: 10, Kind: -1}
-	m.Classes[1] = decision.ClassSettings{Aim: 250 * time.Millisecond, Stretch: 2.5, Deadline: 12 * time.Second, Effect: decision.Keyed, Group: decision.GroupZone,
-		Window: 20 * time.Second, Worth: 8, Kind: -1}
+	m.Discovery, m.CrossZoneCost, m.ValueByWork, m.Dispatchers, m.ParallelAttempts = decision.DiscoveryPush, 0.08, true, 4, true
+	m.Classes[0] = decision.ClassSettings{LatencyTarget: 300 * time.Millisecond, Stretch: 2.5, Deadline: 6 * time.Second, Idempotency: decision.NotIdempotent, Value: 10, WorkerKind: -1}
+	m.Classes[1] = decision.ClassSettings{LatencyTarget: 250 * time.Millisecond, Stretch: 2.5, Deadline: 12 * time.Second, Idempotency: decision.Deduplicated, DedupScope: decision.DedupByZone,
+		DedupWindow: 20 * time.Second, Value: 8, WorkerKind: -1}
 	srv := &http.Server{Handler: &Roster{Changes: make(chan string), Whole: config.Roster{Generation: 8, Reset: true, Workers: known}}}
 	go srv.Serve(c.Listen("127.0.0.1:8500"))
 	counters := new(dispatch.Counters)
--- a/internal/dispatcher/testenv/rig_test.go
+++ b/internal/dispatcher/testenv/rig_test.go
@@ -130,7 +130,7 @@
 	r.list.mu.Unlock()
 	n := Node(r.t, listed, text)
 	if r.pushed {
-		n.Module.Discovery = decision.Push
+		n.Module.Discovery = decision.DiscoveryPush
 	}
 	if r.spare > 0 {
 		n.Limits.PortalConns, n.Limits.PortalFresh = r.spare, r.spare/3
--- a/internal/dispatcher/workerhttp/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -48,7 +48,7 @@
 		switch resp.StatusCode {
 		case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 			if resp.Header.Get("X-Not-Processed") == "1" {
-				s.outcome = decision.Full
+				s.outcome = decision.Rejected
 			}
 		}
 		return s
@@ -118,9 +118,9 @@
 	load := loadObject(n, l.Load)
 	switch l.State {
 	case "started":
-		a.Note(decision.NoteStarted, 0)
+		a.Note(decision.JobStarted, 0)
 	case "running":
-		a.Note(decision.NoteProgress, l.Share)
+		a.Note(decision.JobAdvanced, l.Share)
 	case "done":
 		if len(l.Result) == 0 { // done without a result: there is none to give to the client
 			return decision.Error, load, nil
@@ -134,7 +134,7 @@
 	case "failed":
 		return decision.Error, load, nil
 	case "returned":
-		return decision.Full, load, nil
+		return decision.Rejected, load, nil
 	case "lost":
 		return decision.Reset, load, nil
 	}
--- a/internal/dispatcher/workerhttp/floor.go
+++ b/internal/dispatcher/workerhttp/floor.go
@@ -72,7 +72,7 @@
 	}
 	if !a.MayStart() { // the worker was told off, or the client left, while it came up: nothing has been written
 		f.keep(a.Worker.Address, l, 0)
-		a.End(decision.Moot, decision.Load{}, nil)
+		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
 	l.SetDeadline(a.Until)
--- a/internal/dispatcher/workerhttp/floor_test.go
+++ b/internal/dispatcher/workerhttp/floor_test.go
@@ -73,8 +73,8 @@
 		"done":      {dispatch.Served, decision.OK, true},
 		"done-odd":  {dispatch.Served, decision.OK, true},
 		"failed":    {dispatch.Refused, decision.Error, true},
-		"returned":  {dispatch.Refused, decision.Full, true},
-		"503":       {dispatch.Refused, decision.Full, true},
+		"returned":  {dispatch.Refused, decision.Rejected, true},
+		"503":       {dispatch.Refused, decision.Rejected, true},
 		"500":       {dispatch.Refused, decision.Error, true},
 		"503-maybe": {dispatch.Refused, decision.Error, true},
 		"break":     {dispatch.Refused, decision.Reset, false},
@@ -260,7 +260,7 @@
 		a := b.serve("d1", "done")
 		b.floor.CloseIdle(w)
 		synctest.Wait()
-		if a.Verdict != dispatch.Refused || written || b.counters.Outcomes[decision.Moot].Load() != 1 {
+		if a.Verdict != dispatch.Refused || written || b.counters.Outcomes[decision.NeverSent].Load() != 1 {
 			t.Errorf("%v, written %v; %s", a, written, b.core.Line())
 		}
 		b.stop()
--- a/internal/dispatcher/workerhttp/link.go
+++ b/internal/dispatcher/workerhttp/link.go
@@ -87,7 +87,7 @@
 	if f.open >= f.lim.FloorConns {
 		if spare = f.oldest(); spare == nil {
 			f.mu.Unlock()
-			return nil, decision.Moot
+			return nil, decision.NeverSent
 		}
 	}
 	f.open++ // counted before it is up: a descriptor is held from the first moment
--- a/internal/dispatcher/workerhttp/load.go
+++ b/internal/dispatcher/workerhttp/load.go
@@ -21,7 +21,7 @@
 		}
 	})
 	if want := min(len(n.LoadFields), len(l.Values)); want > 0 && found == 1<<want-1 {
-		l.N = want
+		l.Count = want
 	}
 	return l
 }
