--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -15,7 +15,8 @@
 	j := &job{Event: ev.clean(&d.set)}
 	c := d.class(j)
 	d.jobs[ev.Job], j.dueAt = j, d.now+c.LatencyTarget
-	hold := (c.LatencyTarget + seconds(max(c.Stretch-1, 0)*d.run[j.Class])) >> (1 + count(d.sees)) // others take some
+	target := c.LatencyTarget + seconds(max(c.Stretch-1, 0)*d.run[j.Class])
+	hold := target >> (1 + count(d.sees)) // others take some
 	j.heldUntil = min(d.now+hold, j.Deadline-2*d.tick)
 	if j.excess = d.over(j); j.excess && d.rng.Float64() > d.spare || d.rng.Float64() > max(d.let, leastSpare) {
 		d.reject(j)
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -45,8 +45,9 @@
 	c := d.class(j)
 	return !slices.ContainsFunc(j.attempts, func(t *attempt) bool {
 		return t.w == w || // it has had its chance, or still has it
-			!t.neverRan && c.Idempotency == Deduplicated && (float64(d.now-t.sent) > usableWindow*float64(c.DedupWindow) ||
-				c.DedupScope == DedupByZone && t.w.Zone != w.Zone || c.DedupScope == DedupByCell && t.w.Cell != w.Cell)
+			!t.neverRan && c.Idempotency == Deduplicated &&
+				(float64(d.now-t.sent) > usableWindow*float64(c.DedupWindow) ||
+					c.DedupScope == DedupByZone && t.w.Zone != w.Zone || c.DedupScope == DedupByCell && t.w.Cell != w.Cell)
 	})
 }
 
@@ -155,7 +156,9 @@
 			usual := max(seconds(suspectAfter*d.answerTime[j.Class]), 2*d.tick, d.set.ProgressInterval)
 			if t.done {
 				continue
-			} else if slack := max(d.class(j).Stretch-1, 0)*d.run[j.Class] - d.wait(t.w, j.Slots); d.set.ReportsStart &&
+			}
+			slack := max(d.class(j).Stretch-1, 0)*d.run[j.Class] - d.wait(t.w, j.Slots)
+			if d.set.ReportsStart &&
 				d.class(j).LateValue == 0 && d.now > j.dueAt+seconds(max(slack, 0)) {
 				d.cancelOpen(j, true) // it is worth nothing any more, or less than its place in the queue
 			} else if d.now-max(t.sent, t.w.lastHeard, d.awake) > usual && !t.w.suspect {
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -80,7 +80,8 @@
 		workers: make(map[WorkerID]*worker), jobs: make(map[JobID]*job), shares: []float64{0}, spare: leastSpare,
 		callToken: closeToken, let: 1, unit: 1}
 	for _, c := range d.set.Classes {
-		d.answerTime, d.run = append(d.answerTime, c.LatencyTarget.Seconds()/2), append(d.run, max(c.LatencyTarget.Seconds()/2, minRun))
+		guess := c.LatencyTarget.Seconds() / 2
+		d.answerTime, d.run = append(d.answerTime, guess), append(d.run, max(guess, minRun))
 		d.tick = min(d.tick, max(cmp.Or(c.LatencyTarget, time.Second)/looksPerAim, s.Tick, time.Millisecond))
 	}
 	kinds := func(v float64) []float64 { return slices.Repeat([]float64{v}, d.set.Kinds) }
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -14,6 +14,11 @@
 	return lack / d.slots(w.Kind) * d.meanRun * d.slow[w.Kind] * w.pace / d.coldShare(w)
 }
 
+// longestWait is for how many seconds a job may wait at a worker, by its value.
+func (d *Dispatcher) longestWait(j *job) float64 {
+	return maxWaitOfAim * d.class(j).LatencyTarget.Seconds() * d.density(j)
+}
+
 // slots is how many a worker has: one surely; a kind that is full from the start may never show more.
 func (d *Dispatcher) slots(kind int) float64 { return max(d.slotCount[kind], 1) }
 
@@ -33,7 +38,8 @@
 	late := math.Exp(-max(left+max(gain, 0), 0) / max(-gain, minRun))
 	waits := math.Pow(use, math.Sqrt(2*room+2)-1) / (1 + max(gain, 0)*served)
 	waits *= math.Exp(-max(left+min(gain, 0), 0) * served)
-	return [2]float64{late + (1-late)*waits + delayPrice*way + d.set.CrossZoneCost*float64(count(!d.near(w))), waits}
+	crossing := d.set.CrossZoneCost * float64(count(!d.near(w)))
+	return [2]float64{late + (1-late)*waits + delayPrice*way + crossing, waits}
 }
 
 // acceptableRisk is the chance of being late by waiting at which a job is refused, by what it may still earn.
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -48,7 +48,7 @@
 			best = nil
 		}
 	}
-	if best != nil && !d.wide && d.wait(best, j.Slots) > maxWaitOfAim*d.class(j).LatencyTarget.Seconds()*d.density(j) {
+	if best != nil && !d.wide && d.wait(best, j.Slots) > d.longestWait(j) {
 		best = nil
 	}
 	return best, ready
