--- /dev/null
+++ b/internal/architecture/links_test.go
@@ -0,0 +1,90 @@
+package architecture_test
+
+import (
+	"fmt"
+	"io/fs"
+	"net/url"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+var (
+	markdownLink    = regexp.MustCompile(`\]\(([^()\s]+)\)`)
+	markdownHeading = regexp.MustCompile(`(?m)^#+ +(.+)$`)
+	notInAnchor     = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
+)
+
+// anchorOf returns the anchor of a heading, as the usual renderers make it.
+func anchorOf(heading string) string {
+	text := notInAnchor.ReplaceAllString(strings.ToLower(strings.TrimSpace(heading)), "")
+	return strings.ReplaceAll(text, " ", "-")
+}
+
+// markdownPages returns the pages of the module: those at its root and in docs and deploy.
+func markdownPages(t *testing.T) []string {
+	t.Helper()
+	pages, err := filepath.Glob(filepath.Join(moduleRoot, "*.md"))
+	assert.NilError(t, err)
+	for _, folder := range []string{"docs", "deploy"} {
+		err := filepath.WalkDir(filepath.Join(moduleRoot, folder), func(name string, entry fs.DirEntry, err error) error {
+			if err == nil && !entry.IsDir() && strings.HasSuffix(name, ".md") {
+				pages = append(pages, name)
+			}
+			return err
+		})
+		assert.NilError(t, err)
+	}
+	return pages
+}
+
+// TestLinksOfPagesLeadSomewhere checks that every relative link of a page names a file, and a heading of it where it has
+// an anchor.
+func TestLinksOfPagesLeadSomewhere(t *testing.T) {
+	var problems []string
+	for _, page := range markdownPages(t) {
+		text, err := os.ReadFile(page)
+		assert.NilError(t, err)
+		for _, match := range markdownLink.FindAllStringSubmatch(string(text), -1) {
+			if problem := problemOfLink(page, match[1]); problem != "" {
+				problems = append(problems, fmt.Sprintf("%s: %s: %s", page, match[1], problem))
+			}
+		}
+	}
+	assert.Equal(t, strings.Join(problems, "\n"), "")
+}
+
+// problemOfLink returns what is wrong with a link of a page, or nothing.
+func problemOfLink(page, link string) string {
+	parsed, err := url.Parse(link)
+	if err != nil {
+		return err.Error()
+	}
+	if parsed.Scheme != "" {
+		return ""
+	}
+	target := page
+	if parsed.Path != "" {
+		target = filepath.Join(filepath.Dir(page), filepath.FromSlash(parsed.Path))
+	}
+	text, err := os.ReadFile(target)
+	if info, statErr := os.Stat(target); statErr == nil && info.IsDir() {
+		return ""
+	}
+	if err != nil {
+		return "no such file"
+	}
+	if parsed.Fragment == "" {
+		return ""
+	}
+	for _, heading := range markdownHeading.FindAllStringSubmatch(string(text), -1) {
+		if anchorOf(heading[1]) == parsed.Fragment {
+			return ""
+		}
+	}
+	return "no such heading"
+}
--- a/internal/cluster/agent_discovery.go
+++ b/internal/cluster/agent_discovery.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"gladepick/internal/ctxtime"
 	"hash/fnv"
 	"slices"
 	"sync"
 	"time"
+
+	"gladepick/internal/ctxtime"
 )
 
 const (
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"errors"
-	"gladepick/internal/ctxtime"
 	"slices"
 
 	"github.com/gravitational/trace"
+
+	"gladepick/internal/ctxtime"
 )
 
 // parkedBatch is a batch whose changes are committed but on too few disks to be acknowledged.
--- a/internal/dispatcher/agent/agent.go
+++ b/internal/dispatcher/agent/agent.go
@@ -40,6 +40,7 @@
 	Waiting                   // its process ended by itself; a restart is due
 )
 
+// String returns the state's name.
 func (s State) String() string {
 	return [...]string{"", "starting", "up", "draining", "drained", "waiting"}[s]
 }
--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -28,7 +28,9 @@
 	Err  error
 }
 
+// Error returns the text of the error that ends the program.
 func (e *Exit) Error() string { return e.Err.Error() }
+// Unwrap returns the error that ends the program.
 func (e *Exit) Unwrap() error { return e.Err }
 
 // Misuse is an error in how a command was called.
--- a/internal/dispatcher/clienthttp/portal.go
+++ b/internal/dispatcher/clienthttp/portal.go
@@ -87,6 +87,7 @@
 	return p.door.farewell(ctx)
 }
 
+// ServeHTTP answers one request of a client, or one of the questions that operators and the platform ask.
 func (p *Portal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	rc.SetWriteDeadline(time.Now().Add(2 * p.lim.ReadHead))
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -6,7 +6,7 @@
 // replaced, and the one place where a send, an answer or a repeat is let through. It
 // must never let two owners act under one epoch, an outcome change, or a send pass that
 // the class of the job forbids. It chooses no worker and refuses nobody for load: the
-// decision module does. docs/promises.md has the tables.
+// decision module does. docs/durable-jobs-design.md has the tables.
 package lease
 
 import (
@@ -31,6 +31,7 @@
 	Ended           // its outcome stands, for good
 )
 
+// String returns the name of the value.
 func (s State) String() string {
 	return [...]string{"forgotten", "taken", "sent", "loose", "ended"}[min(s, Ended)]
 }
@@ -101,6 +102,7 @@
 	Done                    // Seize, Forget: Moved records were moved or forgotten
 )
 
+// String returns the name of the value.
 func (w Word) String() string {
 	return [...]string{"none", "granted", "joined", "known", "fenced", "barred", "full", "done"}[min(w, Done)]
 }
--- a/internal/dispatcher/lease/lease_test.go
+++ b/internal/dispatcher/lease/lease_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// What a successor may do, by class and time: the table of docs/promises.md.
+// What a successor may do, by class and time: the table of docs/durable-jobs-design.md.
 func TestWhatASuccessorMayDo(t *testing.T) {
 	for _, k := range []struct {
 		again    int64
--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -22,6 +22,7 @@
 	Failed
 )
 
+// String returns the name of the value.
 func (s State) String() string {
 	return [...]string{"none", "alive", "suspect", "unknown", "left", "failed"}[min(s, Failed)]
 }
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -4,7 +4,7 @@
 // I/O, clock or goroutine, and the same events always give the same actions. This
 // file owns what is known of each member: probes, accusations, the inquiry of a
 // member's jury, refutation, leaving, lives. It must never take somebody for failed:
-// that is said by a view (view.go) and by nothing else. docs/membership.md has the
+// that is said by a view (view.go) and by nothing else. docs/membership-design.md has the
 // options weighed and the table of states.
 package membership
 
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -1,4 +1,4 @@
-// Long measurements in virtual time, outside CI: `make membership` prints the tables of docs/membership.md.
+// Long measurements in virtual time, outside CI: `make membership` prints the tables of docs/membership-design.md.
 
 package membership_test
 
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -93,6 +93,7 @@
 	return v.Digest > w.Digest
 }
 
+// String returns the view's number with its hash.
 func (v ViewID) String() string {
 	return fmt.Sprintf("%d.%d-%08x", v.Epoch, v.Number, uint32(v.Digest))
 }
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -164,6 +164,7 @@
 	return t.Value - t.of(f, r)
 }
 
+// String returns the goal as it is written on the command line.
 func (t *Test) String() string {
 	of := ""
 	if t.Of != "" {
--- a/internal/dispatcher/planner/plan.go
+++ b/internal/dispatcher/planner/plan.go
@@ -104,6 +104,7 @@
 	Days  int     `json:"days"`
 }
 
+// String returns the mean and half the width of its interval.
 func (e Estimate) String() string { return fmt.Sprintf("%.3f ± %.3f", e.Mean, e.Reach) }
 
 // estimate is the mean of some days with its two-sided interval.
--- a/internal/dispatcher/raftgroup/replica.go
+++ b/internal/dispatcher/raftgroup/replica.go
@@ -28,6 +28,7 @@
 	Copy uint64
 }
 
+// String returns the dispatcher's name and the number of its copy.
 func (p Place) String() string { return fmt.Sprintf("%s.%x", p.Name, p.Copy) }
 
 // Member is somebody who is there, as the membership's view and his own word say.
--- a/internal/dispatcher/testenv/fleet_test.go
+++ b/internal/dispatcher/testenv/fleet_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestPredictions plays a calm day of 8 workers on sockets, fits its capture, predicts days of other fleets, loads and
-// troubles, plays those on sockets too, and prints the table that docs/planner.md shows. It takes minutes of real
+// troubles, plays those on sockets too, and prints the table that docs/planner-design.md shows. It takes minutes of real
 // time: `make bench-plan` runs it, CI does not.
 func TestPredictions(t *testing.T) {
 	if os.Getenv("PLAN_BENCH") == "" {
--- a/internal/dispatcher/testenv/standin.go
+++ b/internal/dispatcher/testenv/standin.go
@@ -333,6 +333,7 @@
 	return append([]string(nil), r.calls...)
 }
 
+// ServeHTTP answers one request.
 func (r *Roster) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	r.calls = append(r.calls, req.URL.String())
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"gladepick/internal/ctxtime"
 	"net"
 	"net/http"
 	"sync"
@@ -11,6 +10,8 @@
 
 	"github.com/gorilla/mux"
 	"github.com/gravitational/trace"
+
+	"gladepick/internal/ctxtime"
 )
 
 // drainPollInterval is the pause between two looks at the connections that are left at the end of a drain.
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -144,6 +144,7 @@
 	Problem string `json:"problem"`
 }
 
+// String returns the problem behind its place.
 func (f Finding) String() string {
 	if f.Place == "" {
 		return f.Problem
