--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -43,6 +43,7 @@
 	"internal/delivery":                 planeDelivery,
 	"internal/ingress":                  planeIngress,
 	"internal/systemnode":               planeAssembly,
+	"internal/priorityqueue":            planeCommon,
 	"internal/programname":              planeCommon,
 
 	"cmd/gladepick-benchreport": planeTools,
--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -30,6 +30,7 @@
 
 // Error returns the text of the error that ends the program.
 func (e *Exit) Error() string { return e.Err.Error() }
+
 // Unwrap returns the error that ends the program.
 func (e *Exit) Unwrap() error { return e.Err }
 
--- a/internal/dispatcher/fleetsim/day.go
+++ b/internal/dispatcher/fleetsim/day.go
@@ -5,12 +5,12 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"math"
 	"math/rand/v2"
 	"time"
 
 	"gladepick/internal/decision"
+	"gladepick/internal/priorityqueue"
 )
 
 // Streams of random numbers: what one part draws changes nothing for the others, so that two fleets meet the same
@@ -30,26 +30,15 @@
 	do  func()
 }
 
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
-}
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*e = old[:len(old)-1]
-	return last
+// Before tells whether the event comes first; events of one moment come in the order in which they were set.
+func (e event) Before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
 type day struct {
 	*site
 	now     time.Duration
-	queue   events
+	queue   priorityqueue.Queue[event]
 	seq     uint64
 	net     *rand.Rand
 	draw    *rand.Rand
@@ -66,7 +55,7 @@
 // at lets something happen after a while.
 func (d *day) at(after time.Duration, do func()) {
 	d.seq++
-	heap.Push(&d.queue, event{d.now + max(after, 0), d.seq, do})
+	d.queue.Push(event{d.now + max(after, 0), d.seq, do})
 }
 
 func stream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
@@ -136,7 +125,7 @@
 
 // step lets the next thing happen.
 func (d *day) step() {
-	e := heap.Pop(&d.queue).(event)
+	e := d.queue.Pop()
 	d.now = e.at
 	e.do()
 	d.res.Events++
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -3,12 +3,12 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"math"
 	"slices"
 	"time"
 
 	"gladepick/internal/decision"
+	"gladepick/internal/priorityqueue"
 )
 
 // worker is one machine.
@@ -29,7 +29,7 @@
 	each    float64 // service that every running job has got
 	counted time.Duration
 	plan    int // the planned next end; older ones are void
-	running ends
+	running priorityqueue.Queue[*attempt]
 	waiting []*attempt
 	mute    []*attempt // lost without a word: reset once it is back
 	conns   int
@@ -59,20 +59,8 @@
 	load decision.Load
 }
 
-// ends is a heap of running attempts by the service at which they are done.
-type ends []*attempt
-
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, k int) bool { return e[i].finish < e[k].finish }
-func (e ends) Swap(i, k int)      { e[i], e[k] = e[k], e[i] }
-func (e *ends) Push(v any)        { *e = append(*e, v.(*attempt)) }
-func (e *ends) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	old[len(old)-1] = nil
-	*e = old[:len(old)-1]
-	return last
-}
+// Before orders running attempts by the service at which they are done.
+func (a *attempt) Before(other *attempt) bool { return a.finish < other.finish }
 
 func (d *day) addWorker(kind, zone int) {
 	k := &d.Kinds[kind]
@@ -137,7 +125,7 @@
 			w.warm = true
 		}
 		for len(w.running) > 0 && w.running[0].finish <= w.each+1e-9 {
-			w.finish(heap.Pop(&w.running).(*attempt))
+			w.finish(w.running.Pop())
 		}
 		w.next()
 		w.replan()
@@ -221,7 +209,7 @@
 func (w *worker) start(a *attempt) {
 	a.started = true
 	a.finish = w.each + a.work
-	heap.Push(&w.running, a)
+	w.running.Push(a)
 	a.note(decision.JobStarted, 0)
 	a.runsOn()
 }
--- a/internal/dispatcher/lease/export_test.go
+++ b/internal/dispatcher/lease/export_test.go
@@ -1,12 +1,14 @@
 package lease
 
+import "slices"
+
 import "maps"
 
 // Clone copies a table, so that an explorer can go on from one state in several ways. Records are copied, what they point to is
 // never changed in place.
 func (t *Table) Clone() *Table {
 	out := New()
-	out.last, out.dues = t.last, append(dues(nil), t.dues...)
+	out.last, out.dues = t.last, slices.Clone(t.dues)
 	for k, r := range t.records {
 		c := *r
 		out.records[k] = &c
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -11,12 +11,13 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"errors"
 	"fmt"
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"gladepick/internal/priorityqueue"
 )
 
 // State is how far a promise is.
@@ -163,7 +164,7 @@
 	records map[string]*Record
 	owned   map[string]map[string]bool // keys of open records, by owner
 	last    uint64                     // epoch given: none comes twice, lest a late command of one counts in another
-	dues    dues                       // when records that are over may go; some have been taken again since
+	dues    priorityqueue.Queue[due]   // when records that are over may go; some have been taken again since
 }
 
 type due struct {
@@ -171,27 +172,16 @@
 	key string
 }
 
-// dues is a heap: by time, then by key, so that the order is the same at all copies whatever way they came to the set.
-type dues []due
-
-func (d dues) Len() int { return len(d) }
-func (d dues) Less(i, k int) bool {
-	return d[i].at < d[k].at || d[i].at == d[k].at && d[i].key < d[k].key
-}
-func (d dues) Swap(i, k int) { d[i], d[k] = d[k], d[i] }
-func (d *dues) Push(v any)   { *d = append(*d, v.(due)) }
-func (d *dues) Pop() any {
-	old := *d
-	last := old[len(old)-1]
-	*d = old[:len(old)-1]
-	return last
+// Before orders by time, then by key, so that the order is the same at all replicas whatever way they came to the set.
+func (d due) Before(other due) bool {
+	return d.at < other.at || d.at == other.at && d.key < other.key
 }
 
 // due is when a record that is over may go.
 func (r *Record) due() int64 { return max(r.At, r.Terms.Until) + r.Terms.Keep }
 
 // rest notes that a record is over.
-func (t *Table) rest(r *Record) { heap.Push(&t.dues, due{r.due(), r.Key}) }
+func (t *Table) rest(r *Record) { t.dues.Push(due{r.due(), r.Key}) }
 
 // New makes an empty table.
 func New() *Table { return &Table{records: map[string]*Record{}, owned: map[string]map[string]bool{}} }
@@ -396,7 +386,7 @@
 			out.More = true
 			break
 		}
-		if heap.Pop(&t.dues); over {
+		if t.dues.Pop(); over {
 			delete(t.records, d.key)
 			out.Moved++
 		}
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -6,13 +6,13 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
 	"time"
 
 	"gladepick/internal/dispatcher/membership"
+	"gladepick/internal/priorityqueue"
 )
 
 // Member is what is played: the machine, or a baseline.
@@ -86,7 +86,7 @@
 	Bear   time.Duration                          // stops of up to this are no reason to take a member for failed
 
 	rng    *rand.Rand
-	queue  events
+	queue  priorityqueue.Queue[event]
 	order  uint64
 	mails  int
 	byAddr map[netip.AddrPort]*Node
@@ -102,20 +102,9 @@
 	do    func()
 }
 
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].order < e[k].order
-}
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*e = old[:len(old)-1]
-	return last
+// Before tells whether the event comes first; events of one moment come in the order in which they were set.
+func (e event) Before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
 // New makes a world of n nodes in some zones. Nobody is up yet.
@@ -143,7 +132,7 @@
 func (w *World) push(e event) {
 	w.order++
 	e.order = w.order
-	heap.Push(&w.queue, e)
+	w.queue.Push(e)
 }
 
 // At does something at a time.
@@ -211,7 +200,7 @@
 // Run plays until a time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
+		e := w.queue.Pop()
 		w.Now = max(w.Now, e.at)
 		switch n := e.node; {
 		case e.do != nil:
--- a/internal/dispatcher/raftgroup/replica_test.go
+++ b/internal/dispatcher/raftgroup/replica_test.go
@@ -5,7 +5,6 @@
 package raftgroup_test
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -13,6 +12,7 @@
 	"time"
 
 	"gladepick/internal/dispatcher/raftgroup"
+	"gladepick/internal/priorityqueue"
 )
 
 // list is the machine that is copied: every command it was given, in order.
@@ -66,26 +66,16 @@
 	do    func()
 }
 
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].order < e[k].order
-}
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
+// Before tells whether the event comes first; events of one moment come in the order in which they were set.
+func (e event) Before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
 type play struct {
 	t      *testing.T
 	rng    *rand.Rand
 	now    time.Duration
-	queue  events
+	queue  priorityqueue.Queue[event]
 	order  int
 	hosts  []*host
 	loss   float64
@@ -134,7 +124,7 @@
 
 func (p *play) at(d time.Duration, do func()) {
 	p.order++
-	heap.Push(&p.queue, event{p.now + d, p.order, do})
+	p.queue.Push(event{p.now + d, p.order, do})
 }
 
 func (p *play) every(d time.Duration, do func()) {
@@ -144,7 +134,7 @@
 func (p *play) run(d time.Duration) {
 	until := p.now + d
 	for p.queue[0].at <= until {
-		e := heap.Pop(&p.queue).(event)
+		e := p.queue.Pop()
 		p.now = e.at
 		e.do()
 	}
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -16,6 +16,7 @@
 
 	"gladepick/internal/dispatcher/config"
 	"gladepick/internal/dispatcher/fleetsim"
+	"gladepick/internal/priorityqueue"
 )
 
 // machine is one worker.
@@ -32,7 +33,7 @@
 	taken   float64
 	each    float64
 	counted time.Time
-	running piles
+	running priorityqueue.Queue[*piece]
 	waiting []*piece
 	timer   *time.Timer
 	ports   []net.Listener
--- a/internal/dispatcher/testenv/machine_service.go
+++ b/internal/dispatcher/testenv/machine_service.go
@@ -3,7 +3,6 @@
 package testenv
 
 import (
-	"container/heap"
 	"time"
 )
 
@@ -13,18 +12,8 @@
 	stage        chan time.Time // started, then done; closed without if the machine died
 }
 
-type piles []*piece
-
-func (p piles) Len() int           { return len(p) }
-func (p piles) Less(i, k int) bool { return p[i].finish < p[k].finish }
-func (p piles) Swap(i, k int)      { p[i], p[k] = p[k], p[i] }
-func (p *piles) Push(v any)        { *p = append(*p, v.(*piece)) }
-func (p *piles) Pop() any {
-	old := *p
-	last := old[len(old)-1]
-	*p = old[:len(old)-1]
-	return last
-}
+// Before orders running jobs by the service at which they are done.
+func (p *piece) Before(other *piece) bool { return p.finish < other.finish }
 
 // rate is the service a second of each running job.
 func (m *machine) rate(at time.Time) float64 {
@@ -43,7 +32,7 @@
 	}
 	m.counted = now
 	for len(m.running) > 0 && m.running[0].finish <= m.each+1e-7 {
-		p := heap.Pop(&m.running).(*piece)
+		p := m.running.Pop()
 		p.stage <- now
 		m.done++
 	}
@@ -72,7 +61,7 @@
 
 func (m *machine) begin(p *piece, now time.Time) {
 	p.finish = m.each + p.work
-	heap.Push(&m.running, p)
+	m.running.Push(p)
 	p.stage <- now
 }
 
