--- /dev/null
+++ b/internal/controlplane/decision_trace_test.go
@@ -0,0 +1,280 @@
+package controlplane
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"io"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/rpc"
+)
+
+const (
+	traceSteps     = 4000
+	traceTick      = 100 * time.Millisecond
+	traceStores    = 11
+	traceZones     = 4
+	traceTolerated = 1
+)
+
+// TestDecisionsStayTheSame plays a seeded sequence of faults and requests on a clock of its own, and hashes the record of
+// every change of the table that the manager decides on, and the answer to every request. The hashes were recorded once.
+// A change of one means that some decision is another one now: the hash is never edited to fit a change of the code.
+func TestDecisionsStayTheSame(t *testing.T) {
+	for _, sequence := range []struct {
+		name          string
+		copies, zones int
+		seed          uint64
+		hash          string
+	}{
+		{name: "two copies in two zones", copies: 2, zones: 2, seed: 1, hash: "8aaf08450a1dbf88d9a05486eab8d15483d0270db5e492216d6cafab92dc0273"},
+		{name: "three copies in two zones", copies: 3, zones: 2, seed: 2, hash: "016832afd9fbe8cf252450d6a279b530d44265a1e4749e36ea98db85dc599a10"},
+		{name: "three copies in one zone", copies: 3, zones: 1, seed: 3, hash: "230aa2b2a15389af25ee481ae7881c7f53f88f0a26ba7553830ba95596498a7e"},
+		{name: "two copies in one zone", copies: 2, zones: 1, seed: 4, hash: "c0eb6231f7d5d93fdf329e0878ca873efb5780c41638a03ec9bd5d1b263f9f2d"},
+	} {
+		t.Run(sequence.name, func(t *testing.T) {
+			trace := newDecisionTrace(t, sequence.copies, sequence.zones, sequence.seed)
+			for range traceSteps {
+				trace.step()
+			}
+			t.Logf("%d changes of the table; outcomes: %v", trace.changes, trace.outcomes)
+			assert.Equal(t, hex.EncodeToString(trace.hash.Sum(nil)), sequence.hash)
+		})
+	}
+}
+
+// traceStore is a store of a decision trace.
+type traceStore struct {
+	info    cluster.NodeInfo
+	running bool
+	frozen  bool // it runs and says nothing
+	starts  int
+}
+
+// decisionTrace drives the table's manager without a group, goroutines and the clock.
+type decisionTrace struct {
+	t        *testing.T
+	random   *rand.Rand
+	now      time.Time
+	plane    *Plane
+	role     replication.Role
+	stores   []*traceStore
+	hash     hash.Hash
+	changes  int
+	outcomes map[string]int
+}
+
+func newDecisionTrace(t *testing.T, copies, zones int, seed uint64) *decisionTrace {
+	plane := &Plane{
+		options: Options{Tolerated: copies - 1, ToleratedZones: zones - 1},
+		state:   newStateMachine(),
+	}
+	plane.manager = newManager(plane)
+	plane.leases = newLeaseTable(plane.manager.nudge)
+	trace := &decisionTrace{
+		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), plane: plane,
+		hash: sha256.New(), outcomes: map[string]int{},
+	}
+	trace.role = replication.Role{Primary: true, View: replication.View{Primary: "disk-m0", Members: coreMembers()}}
+	for i := range traceStores {
+		trace.stores = append(trace.stores, &traceStore{info: cluster.NodeInfo{
+			Name: fmt.Sprintf("store-%02d", i), Class: "store", Zone: fmt.Sprintf("zone-%d", i%traceZones),
+			Address: fmt.Sprintf("10.0.1.%d:7240", i), DiskID: fmt.Sprintf("disk-%02d", i), Store: true,
+		}})
+	}
+	for _, store := range trace.stores[:traceStores-3] {
+		trace.start(store)
+	}
+	plane.manager.begin(trace.now)
+	return trace
+}
+
+func coreMembers() []replication.Member {
+	var members []replication.Member
+	for i := range 3 {
+		members = append(members, replication.Member{
+			Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.0.%d:7240", i), DiskID: fmt.Sprintf("disk-m%d", i),
+		})
+	}
+	return members
+}
+
+// step lets a tick pass, in which leases are renewed and at most one thing happens, and has the manager decide.
+func (d *decisionTrace) step() {
+	d.now = d.now.Add(traceTick)
+	for _, store := range d.stores {
+		if store.running && !store.frozen && d.random.IntN(3) == 0 {
+			d.plane.leases.renew(store.info, d.now)
+		}
+	}
+	for _, member := range d.role.View.Members {
+		if d.random.IntN(6) == 0 {
+			d.plane.leases.renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
+		}
+	}
+	if d.random.IntN(12) == 0 {
+		d.disturb(d.stores[d.random.IntN(len(d.stores))])
+	}
+	d.decide(d.request())
+}
+
+// disturb changes one store, or who leads the control group.
+func (d *decisionTrace) disturb(store *traceStore) {
+	switch action := d.random.IntN(16); {
+	case !store.running:
+		switch action {
+		case 0, 1, 2:
+			store.info.DiskID = fmt.Sprintf("disk-%s-%d", store.info.Name, store.starts)
+		case 3:
+			store.info.Zone = fmt.Sprintf("zone-%d", d.random.IntN(traceZones))
+		}
+		d.start(store)
+	case action <= 2: // it ends, and its machine says so
+		store.running = false
+		d.plane.leases.refuse(store.info, d.now)
+	case action == 3: // it ends, and nothing tells so before its lease has run out
+		store.running = false
+	case action == 4: // some end together
+		for _, other := range d.stores {
+			if other.info.Zone == store.info.Zone && other.running {
+				other.running = false
+				d.plane.leases.refuse(other.info, d.now)
+			}
+		}
+	case action <= 6:
+		store.frozen = !store.frozen
+		d.plane.leases.suspect(store.info, d.now)
+	case action <= 8:
+		store.info.Draining = !store.info.Draining
+		d.plane.leases.renew(store.info, d.now)
+	case action == 9:
+		store.info.DiskFailing = !store.info.DiskFailing
+		d.plane.leases.renew(store.info, d.now)
+	case action == 10: // another member leads
+		d.role.View.Primary = d.role.View.Members[d.random.IntN(len(d.role.View.Members))].DiskID
+		d.plane.manager.begin(d.now)
+	default: // it starts anew with what it held
+		d.start(store)
+	}
+}
+
+func (d *decisionTrace) start(store *traceStore) {
+	store.starts++
+	store.running, store.frozen = true, false
+	store.info.Draining, store.info.DiskFailing = false, false
+	store.info.Incarnation = fmt.Sprintf("life-%d", store.starts)
+	d.plane.leases.renew(store.info, d.now)
+}
+
+// traceRequest is a request for a change of the table. Its answer goes into the hash.
+type traceRequest func(*draft) string
+
+// request returns the requests of this step: those of an operator, or those of some partitions' primaries.
+func (d *decisionTrace) request() []traceRequest {
+	switch d.random.IntN(60) {
+	case 0:
+		name := d.stores[d.random.IntN(len(d.stores))].info.Name
+		return []traceRequest{func(draft *draft) string { return describeRetire(draft, name) }}
+	case 1:
+		name := d.stores[d.random.IntN(len(d.stores))].info.Name
+		return []traceRequest{func(draft *draft) string { return describeError(d.plane, draft.resumeRetire(name)) }}
+	case 2:
+		return []traceRequest{func(draft *draft) string { return describeRetire(draft, "no-store") }}
+	}
+	var requests []traceRequest
+	for _, partition := range d.plane.state.current.Load().table.Partitions {
+		if d.random.IntN(4) != 0 || len(partition.Replicas) == 0 {
+			continue
+		}
+		request := d.partitionRequest(partition)
+		if request == nil {
+			continue
+		}
+		requests = append(requests, func(draft *draft) string { return describeError(d.plane, draft.grant(request)) })
+	}
+	return requests
+}
+
+// partitionRequest returns what the primary of a partition asks for, or nil. Some requests are wrong.
+func (d *decisionTrace) partitionRequest(partition cluster.Partition) *cluster.PartitionRequest {
+	request := &cluster.PartitionRequest{Partition: partition.ID, Epoch: partition.Epoch, Store: partition.Replicas[0].Store}
+	backup := partition.Replicas[d.random.IntN(len(partition.Replicas))]
+	for _, replica := range partition.Replicas {
+		if !replica.Synced && d.random.IntN(3) > 0 {
+			request.Synced = replica.Store
+		}
+	}
+	preferred := partition.Find(partition.PreferredPrimary)
+	request.Handover = preferred > 0 && partition.Replicas[preferred].Synced
+	switch d.random.IntN(120) {
+	case 0:
+		request.Drop = backup.Store
+	case 1:
+		request.Handover = true
+	case 2:
+		request.Handover, request.Ready = true, []string{backup.Store}
+	case 3:
+		request.Epoch++
+	case 4:
+		request.Partition += 1000
+	case 5:
+		request.Synced = "no-store"
+	case 6:
+		request.Store = backup.Store
+	case 7:
+		request.Drop, request.Synced = backup.Store, backup.Store
+	}
+	if request.Synced == "" && request.Drop == "" && !request.Handover {
+		return nil
+	}
+	return request
+}
+
+// decide has the manager take requests and decide, and puts the change into force.
+func (d *decisionTrace) decide(requests []traceRequest) {
+	manager, current := d.plane.manager, d.plane.state.current.Load()
+	draft := newDraft(current, d.plane.leases.statuses(d.now), d.plane.redundancy())
+	draft.updateStores()
+	manager.holdForRestarts(draft, d.now)
+	for _, request := range requests {
+		answer := request(draft)
+		d.outcomes[answer[:min(len(answer), 11)]]++
+		_, _ = io.WriteString(d.hash, answer+"\n")
+	}
+	manager.plan(draft, d.role, d.now)
+	decided := draft.diff(current)
+	if decided == nil {
+		return
+	}
+	d.changes++
+	decided.ID = fmt.Sprintf("trace-%d", d.changes)
+	record, err := (&change{Table: decided}).encode()
+	assert.NilError(d.t, err)
+	_, _ = d.hash.Write(record)
+	assert.NilError(d.t, d.plane.state.Apply(record))
+	assert.Equal(d.t, d.plane.state.current.Load().changeID, decided.ID)
+}
+
+// describeRetire orders that a store is to be emptied and tells the answer.
+func describeRetire(draft *draft, store string) string {
+	return fmt.Sprintf("retire %d", draft.startRetire(store, 2*traceTolerated+1).status)
+}
+
+// describeError tells what the caller of a partition request would be told.
+func describeError(plane *Plane, err error) string {
+	if err == nil {
+		return "granted"
+	}
+	err = plane.callError(err)
+	codes := []rpc.Code{rpc.CodeNotFound, rpc.CodeConflict, rpc.CodeUnavailable}
+	return fmt.Sprintf("refused %d %v", slices.Index(codes, rpc.CodeOf(err)), err)
+}
