--- /dev/null
+++ b/internal/message/golden_test.go
@@ -0,0 +1,59 @@
+package message_test
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/message"
+)
+
+// The golden files under testdata are what stores have on disk and what processes send to each other. Every later version
+// must write the same bytes, and read these. They are made by the flag -update and never edited.
+
+// completeMessage has a value in every field.
+func completeMessage() message.Message {
+	return message.Message{
+		ID:            "7-1c",
+		Partition:     7,
+		Sequence:      1<<64 - 1,
+		Route:         "r-orders",
+		Host:          "Shop.example:8080",
+		Method:        "POST",
+		Target:        "/orders/a%2Fb//c;x?q=1&q=%20<>",
+		RequestID:     "request \"ü\"",
+		OrderKey:      "key",
+		ContentType:   "text/x",
+		ConfigVersion: 12,
+		DueAt:         time.Date(2026, 3, 4, 5, 6, 7, 890_000_001, time.UTC),
+		ExpiresAt:     time.Date(2026, 3, 4, 5, 7, 37, 0, time.FixedZone("", 2*60*60)),
+	}
+}
+
+func TestGoldenJSON(t *testing.T) {
+	assertGolden(t, "message.json", completeMessage())
+	assertGolden(t, "message-empty.json", message.Message{})
+	assertGolden(t, "submission.json", message.Submission{Message: completeMessage(), DelayMS: 1500, RetentionMS: 90_000})
+	assertGolden(t, "submission-empty.json", message.Submission{})
+	assertGolden(t, "outcome-completed.json", message.Outcome{State: message.Completed, Stamp: "3e.1"})
+	assertGolden(t, "outcome-dead-letter.json", message.Outcome{State: message.DeadLetter})
+	assertGolden(t, "outcome-queued.json", message.Outcome{State: message.Queued})
+}
+
+// assertGolden checks the encoding of a value, and that the golden file is read and written again byte for byte.
+func assertGolden[Value any](t *testing.T, file string, value Value) {
+	t.Helper()
+	encoded, err := json.Marshal(value)
+	assert.NilError(t, err)
+	golden.AssertBytes(t, encoded, file)
+
+	var read Value
+	assert.NilError(t, json.Unmarshal(golden.Get(t, file), &read))
+	assert.DeepEqual(t, read, value)
+	again, err := json.Marshal(read)
+	assert.NilError(t, err)
+	golden.AssertBytes(t, again, file)
+}
