--- /dev/null
+++ b/internal/systemnode/demo/golden_test.go
@@ -0,0 +1,63 @@
+package demo
+
+import (
+	"bytes"
+	"context"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/controlplane"
+	"gladepick/internal/network/simulated"
+	"gladepick/internal/systemnode/inspection"
+)
+
+// TestMetricsKeepTheirNames compares the names, kinds, help texts and labels of all metrics of a front and of a store
+// with those of earlier versions. Operators' dashboards and alerts depend on them.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	golden.NormalizeCRLFToLF = false
+	synctest.Test(t, func(t *testing.T) {
+		world := simulated.New(1)
+		options := Options{
+			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: world.Host,
+			Logger: func(string) (*zap.Logger, error) { return zap.NewNop(), nil },
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		ready := make(chan Addresses, 1)
+		ended := make(chan error, 1)
+		go func() { ended <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
+		control := (<-ready).Control[0]
+		client := controlplane.NewPlatformClient(world.Host(hostIP))
+		time.Sleep(deliveryTime)
+
+		var transcript bytes.Buffer
+		for _, target := range []string{"", "?node=store-2"} {
+			request := newRequest(t, http.MethodGet, control, inspection.PathMetrics+target, "")
+			_, _, text := call(t, client, request)
+			transcript.WriteString("GET " + inspection.PathMetrics + target + "\n")
+			for line := range strings.Lines(text) {
+				transcript.WriteString(withoutValue(line))
+			}
+		}
+		golden.Assert(t, transcript.String(), "metrics.golden")
+
+		client.CloseIdleConnections()
+		cancel()
+		assert.NilError(t, <-ended)
+		time.Sleep(connectionsEnd)
+	})
+}
+
+// withoutValue returns a line of the exposition format without the value of a sample.
+func withoutValue(line string) string {
+	if strings.HasPrefix(line, "#") {
+		return line
+	}
+	return line[:strings.LastIndexByte(line, ' ')] + "\n"
+}
