--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -12,28 +12,45 @@
 	"gladepick/internal/modelcheck"
 )
 
+// explorerStates is how many states of a partition are gone through where EXPLORE_STATES sets no other number.
+const explorerStates = 150_000
+
+// explorerCase is a search and what it comes to with explorerStates. The numbers change only with the model.
+type explorerCase struct {
+	limits   modelLimits
+	states   int
+	depth    int
+	complete bool
+}
+
 // TestExplorePartition goes through the states of a partition. EXPLORE_STATES sets how many.
 func TestExplorePartition(t *testing.T) {
-	cases := map[string]modelLimits{
-		"two copies, a failover":                       {stores: 3, copies: 2, messages: 1, views: 2},
-		"two copies, two changes of the view":          {stores: 3, copies: 2, messages: 1, views: 3},
-		"two copies, a restart":                        {stores: 3, copies: 2, messages: 1, views: 3, crashes: 1},
-		"two copies, two lost disks, one by one":       {stores: 3, copies: 2, messages: 1, views: 5, losses: 2},
-		"three copies, a lost disk":                    {stores: 4, copies: 3, messages: 1, views: 3, losses: 1},
-		"two copies, a disk lost early":                {stores: 3, copies: 2, messages: 1, views: 3, losses: 1, losesEarly: true},
-		"two copies, a dropped backup and a lost disk": {stores: 3, copies: 2, messages: 1, views: 4, losses: 1},
-		"two copies, two messages":                     {stores: 3, copies: 2, messages: 2, views: 3},
-		"two copies, a store is emptied":               {stores: 4, copies: 2, messages: 1, views: 4, retires: true},
-		"two copies, emptied, then a lost disk":        {stores: 4, copies: 2, messages: 1, views: 5, retires: true, losses: 1},
-		"two copies, a handover":                       {stores: 3, copies: 2, messages: 1, views: 3, hands: true},
+	cases := map[string]explorerCase{
+		"two copies, a failover":                       {modelLimits{stores: 3, copies: 2, messages: 1, views: 2}, 39162, 20, true},
+		"two copies, two changes of the view":          {modelLimits{stores: 3, copies: 2, messages: 1, views: 3}, 150000, 14, false},
+		"two copies, a restart":                        {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, crashes: 1}, 150000, 12, false},
+		"two copies, two lost disks, one by one":       {modelLimits{stores: 3, copies: 2, messages: 1, views: 5, losses: 2}, 150000, 11, false},
+		"three copies, a lost disk":                    {modelLimits{stores: 4, copies: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
+		"two copies, a disk lost early":                {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1, losesEarly: true}, 150000, 12, false},
+		"two copies, a dropped backup and a lost disk": {modelLimits{stores: 3, copies: 2, messages: 1, views: 4, losses: 1}, 150000, 11, false},
+		"two copies, two messages":                     {modelLimits{stores: 3, copies: 2, messages: 2, views: 3}, 150000, 12, false},
+		"two copies, a store is emptied":               {modelLimits{stores: 4, copies: 2, messages: 1, views: 4, retires: true}, 150000, 10, false},
+		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, copies: 2, messages: 1, views: 5, retires: true, losses: 1}, 150000, 9, false},
+		"two copies, a handover":                       {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, hands: true}, 150000, 12, false},
 	}
-	for name, limits := range cases {
+	bound := modelcheck.Bound("EXPLORE_STATES", explorerStates)
+	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			searched := &partitionModel{rules: storeRules(limits), limits: limits}
-			found := modelcheck.Explore(searched, modelcheck.Bound("EXPLORE_STATES", 150_000))
+			searched := &partitionModel{rules: storeRules(each.limits), limits: each.limits}
+			found := modelcheck.Explore(searched, bound)
 			t.Logf("%d states, depth %d, complete: %v", found.States, found.Depth, found.Complete)
 			assert.Equal(t, found.Violation, "", "%q", found.Trace)
+			if bound == explorerStates {
+				assert.Equal(t, found.States, each.states)
+				assert.Equal(t, found.Depth, each.depth)
+				assert.Equal(t, found.Complete, each.complete)
+			}
 		})
 	}
 }
@@ -53,6 +70,7 @@
 type mutation struct {
 	limits modelLimits
 	mutate func(rules *modelRules)
+	states int // after which it is found; the number changes only with the model
 }
 
 // mutationStates is how many states a mutation has to be found in.
@@ -65,44 +83,50 @@
 	mutations := map[string]mutation{
 		"a store is promoted while the former one's lease runs": {failover, func(rules *modelRules) {
 			rules.mayPromote = func(*modelStore) bool { return true }
-		}},
+		}, 36},
 		"a lease comes without the newest table": {failover, func(rules *modelRules) {
 			rules.renews = func(*modelState, int) {}
-		}},
-		"a refusal counts as a grant":                     {failover, func(rules *modelRules) { rules.grantOnRefusal = true }},
-		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.deliversAtOnce = true }},
+		}, 197},
+		"a refusal counts as a grant":                     {failover, func(rules *modelRules) { rules.grantOnRefusal = true }, 198},
+		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.deliversAtOnce = true }, 172},
 		"a backup counts as synced before it is whole": {twice, func(rules *modelRules) {
 			rules.maySync = func(messageSet, messageSet) bool { return true }
-		}},
+		}, 4511},
 		"one disk is enough": {failover, func(rules *modelRules) {
 			rules.committed = func(*partitionView, storeSet) bool { return true }
-		}},
+		}, 15},
 		"another disk at the address confirms": {
 			modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1, losesEarly: true},
 			func(rules *modelRules) {
 				rules.isTarget = func(*partitionView, *modelState, int) bool { return true }
 				rules.maySync = func(held, noted messageSet) bool { return noted.contains(held) }
 			},
+			38577,
 		},
 		"a store is taken away before others are whole": {
 			modelLimits{stores: 4, copies: 2, messages: 1, views: 4, retires: true},
 			func(rules *modelRules) { rules.mayComplete = func(*modelState, int) bool { return true } },
+			336,
 		},
 		"a disk is lost as soon as a living backup was dropped": {
 			modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1},
 			func(rules *modelRules) { rules.dropsUnnoticed = true },
+			53,
 		},
 		"a backup that was away counts with what it confirmed before": {
 			modelLimits{stores: 3, copies: 2, messages: 1, views: 5},
 			func(rules *modelRules) { rules.keepsAcks = true },
+			414516,
 		},
 		"a successor's successor knows nothing of grants": {
 			modelLimits{stores: 3, copies: 2, messages: 1, views: 4},
 			func(rules *modelRules) { rules.keepsGrants = true },
+			23669,
 		},
 		"deliveries go on after a handover without a clear answer": {
 			modelLimits{stores: 3, copies: 2, messages: 1, views: 2, hands: true},
 			func(rules *modelRules) { rules.resumesBlindly = true },
+			410,
 		},
 	}
 	for name, each := range mutations {
@@ -112,6 +136,7 @@
 			each.mutate(&mutant.rules)
 			found := modelcheck.Explore(mutant, mutationStates)
 			assert.Assert(t, found.Violation != "", "not found in %d states", found.States)
+			assert.Equal(t, found.States, each.states)
 			t.Logf("%d states: %s by %q", found.States, found.Violation, found.Trace)
 		})
 	}
--- /dev/null
+++ b/internal/messagestore/golden_test.go
@@ -0,0 +1,371 @@
+package messagestore
+
+import (
+	"cmp"
+	"encoding/json"
+	"os"
+	"path"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/message"
+	"gladepick/internal/rpc"
+	"gladepick/internal/wal"
+)
+
+// The files under testdata/golden were written by the version before which nothing is promised. Every later version has
+// to read them with the recorded result, and to write the same steps as the same bytes. They are made by
+//
+//	go test ./internal/messagestore -run TestGolden -update
+//
+// and may change only where data of earlier versions goes on being read.
+
+var goldenTime = time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC)
+
+// goldenMessage returns a message with all its fields.
+func goldenMessage() *message.Message {
+	return &message.Message{
+		ID: "1-00000000000000ab", Partition: 1, Sequence: 3<<epochShift + 7, Route: "orders", Host: "example.org",
+		Method: "POST", Target: "/orders?id=7&x=%20", RequestID: "request-1", OrderKey: "customer-9",
+		ContentType: "application/json", ConfigVersion: 12, DueAt: goldenTime, ExpiresAt: goldenTime.Add(time.Hour),
+	}
+}
+
+// TestGoldenRecords encodes a record of each kind as the recorded bytes, and decodes them.
+func TestGoldenRecords(t *testing.T) {
+	cases := map[string]struct {
+		record record
+		body   string
+	}{
+		"accepted": {record{Kind: recordAccepted, Partition: 1, Epoch: 3, Message: goldenMessage()}, "the body\n\x00\xff"},
+		"accepted-with-failures": {
+			record{Kind: recordAccepted, Partition: 1, Epoch: 3, Message: goldenMessage(), Failures: 2}, "",
+		},
+		"accepted-with-little": {record{Kind: recordAccepted, Message: &message.Message{ID: "0-1"}}, "x"},
+		"failed":               {record{Kind: recordFailed, Partition: 1, Epoch: 3, ID: "1-00000000000000ab", Failures: 2}, ""},
+		"ended-completed": {record{
+			Kind: recordEnded, Partition: 1, Epoch: 3, ID: "1-00000000000000ab",
+			Outcome: &message.Outcome{State: message.Completed, Stamp: "stamp"}, EndedAt: goldenTime,
+		}, ""},
+		"ended-dead-letter": {record{
+			Kind: recordEnded, Partition: 1, Epoch: 3, ID: "1-00000000000000ab",
+			Outcome: &message.Outcome{State: message.DeadLetter}, EndedAt: goldenTime,
+		}, ""},
+		"epoch":  {record{Kind: recordEpoch, Partition: 1, Epoch: 3}, ""},
+		"forget": {record{Kind: recordForget, Partition: 1, Epoch: 3}, ""},
+	}
+	for name, each := range cases {
+		t.Run(name, func(t *testing.T) {
+			line, err := each.record.encode()
+			assert.NilError(t, err)
+			file := path.Join("golden", "records", name)
+			golden.AssertBytes(t, append(line, each.body...), file)
+			decoded, body, err := decodeRecord(golden.Get(t, file))
+			assert.NilError(t, err)
+			assert.DeepEqual(t, *decoded, each.record)
+			assert.Equal(t, string(body), each.body)
+		})
+	}
+}
+
+// TestGoldenCalls encodes the parameters and results of each call as the recorded bytes, and decodes them.
+func TestGoldenCalls(t *testing.T) {
+	checkCall(t, "put", putRequest{message.Submission{Message: *goldenMessage(), DelayMS: 1500, RetentionMS: 90_000}})
+	checkCall(t, "put-with-little", putRequest{})
+	checkCall(t, "query", queryRequest{Partition: 1, ID: "1-00000000000000ab"})
+	checkCall(t, "state", message.Outcome{State: message.Completed, Stamp: "stamp"})
+	checkCall(t, "state-queued", message.Outcome{State: message.Queued})
+	checkCall(t, "replicate", replicateRequest{
+		From: "store-a", Target: "disk-b", WantsGrant: true, GrantsMS: 700,
+		Records: []replicateItem{{Partition: 1, Epoch: 3, Length: 120}, {Partition: 2, Epoch: 4}},
+	})
+	checkCall(t, "replicate-with-little", replicateRequest{From: "store-a", Target: "disk-b"})
+	checkCall(t, "replicated", replicateResponse{Refused: []int{1, 2}})
+	checkCall(t, "replicated-all", replicateResponse{})
+	checkCall(t, "inventory", inventoryRequest{Target: "disk-b", Partition: 1, Epoch: 3})
+	checkCall(t, "inventory-answer", inventoryResponse{Live: []string{"1-1", "1-2"}, Ended: []string{"1-3"}})
+	checkCall(t, "inventory-empty", inventoryResponse{})
+	checkCall(t, "outcome", outcomeRequest{Partition: 1, ID: "1-1", Outcome: message.Outcome{State: message.DeadLetter}})
+
+	methods := []string{methodPut, methodState, methodBody, methodReplicate, methodInventory, methodOutcome}
+	golden.AssertBytes(t, []byte(strings.Join(methods, "\n")+"\n"), path.Join("golden", "calls", "methods"))
+}
+
+func checkCall[Message any](t *testing.T, name string, value Message) {
+	t.Run(name, func(t *testing.T) {
+		encoded, err := json.Marshal(value)
+		assert.NilError(t, err)
+		file := path.Join("golden", "calls", name+".json")
+		golden.AssertBytes(t, encoded, file)
+		var decoded Message
+		assert.NilError(t, json.Unmarshal(golden.Get(t, file), &decoded))
+		assert.DeepEqual(t, decoded, value)
+	})
+}
+
+// goldenEntry is what a store holds of a message.
+type goldenEntry struct {
+	ID       string           `json:"id"`
+	Message  *message.Message `json:"message"`
+	Position wal.Position     `json:"position"`
+	Failures int              `json:"failures"`
+	Outcome  message.Outcome  `json:"outcome"`
+	EndedAt  time.Time        `json:"endedAt"`
+	Body     string           `json:"body"` // where it may still be asked for
+}
+
+// goldenPartition is what a store holds of a partition.
+type goldenPartition struct {
+	ID      int           `json:"id"`
+	Epoch   uint64        `json:"epoch"`
+	Last    uint64        `json:"last"`
+	Entries []goldenEntry `json:"entries"`
+}
+
+// goldenState is what a store holds after it was opened, and what it delivers when it leads again.
+type goldenState struct {
+	Partitions []goldenPartition `json:"partitions"`
+	Submitted  []string          `json:"submitted"`
+}
+
+// useUTC has times be encoded alike on all machines.
+func useUTC(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC
+	t.Cleanup(func() { time.Local = local })
+}
+
+func openGoldenStore(t *testing.T, disk *wal.Memory) (*Store, *testEngine) {
+	t.Helper()
+	store, err := Open(Options{
+		Name: "a", DiskID: "disk-a", FS: disk.Mount(), Server: rpc.NewServer(zap.NewNop()),
+		Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.NewNop(), Copies: 1,
+		StatusFor: time.Hour, CacheBytes: 1 << 20,
+	})
+	assert.NilError(t, err)
+	engine := &testEngine{}
+	store.Start(engine)
+	return store, engine
+}
+
+// putGolden hands a message in.
+func putGolden(t *testing.T, store *Store, partition int, id, body string) {
+	t.Helper()
+	submission := message.Submission{DelayMS: 250, RetentionMS: 90_000, Message: message.Message{
+		Partition: partition, ID: id, Route: "orders", Host: "example.org", Method: "POST", Target: "/" + id, RequestID: "r-" + id,
+	}}
+	params, err := json.Marshal(putRequest{submission})
+	assert.NilError(t, err)
+	_, _, err = store.handlePut(t.Context(), &rpc.Call{Method: methodPut, Params: params, Body: []byte(body)})
+	assert.NilError(t, err)
+	time.Sleep(10 * time.Millisecond)
+}
+
+func submittedTo(t *testing.T, engine *testEngine, id string) *message.Message {
+	t.Helper()
+	engine.mu.Lock()
+	defer engine.mu.Unlock()
+	for _, m := range engine.submitted {
+		if m.ID == id {
+			return m
+		}
+	}
+	t.Fatalf("message %s was not submitted", id)
+	return nil
+}
+
+// writeGoldenStore has a store lead two partitions: messages that wait, with and without failed attempts, that were
+// completed, and that are dead letters.
+func writeGoldenStore(t *testing.T, disk *wal.Memory) {
+	store, engine := openGoldenStore(t, disk)
+	store.ApplyTable(tableLedBy(1, "a", "a"))
+	putGolden(t, store, 0, "0-0000000000000001", "first body")
+	putGolden(t, store, 1, "1-0000000000000002", "")
+	putGolden(t, store, 0, "0-0000000000000003", strings.Repeat("long body ", 40))
+	putGolden(t, store, 1, "1-0000000000000004", "fails\n\x00")
+	putGolden(t, store, 0, "0-0000000000000005", "ends as a dead letter")
+	store.Failed(submittedTo(t, engine, "1-0000000000000004"), 1)
+	store.Failed(submittedTo(t, engine, "0-0000000000000005"), 1)
+	store.Failed(submittedTo(t, engine, "1-0000000000000004"), 2)
+	store.Ended(submittedTo(t, engine, "0-0000000000000001"), message.Outcome{State: message.Completed, Stamp: "stamp-1"})
+	time.Sleep(time.Second)
+	store.Ended(submittedTo(t, engine, "0-0000000000000005"), message.Outcome{State: message.DeadLetter})
+	assert.NilError(t, store.Close())
+}
+
+// writeGoldenSnapshot goes on with a snapshot of the index, a table under a higher epoch, and more messages.
+func writeGoldenSnapshot(t *testing.T, disk *wal.Memory) {
+	writeGoldenStore(t, disk)
+	store, engine := openGoldenStore(t, disk)
+	store.ApplyTable(tableLedBy(2, "a", "a"))
+	assert.NilError(t, store.writeSnapshot())
+	putGolden(t, store, 0, "0-0000000000000006", "behind the snapshot")
+	store.Ended(submittedTo(t, engine, "1-0000000000000002"), message.Outcome{State: message.Completed})
+	assert.NilError(t, store.Close())
+}
+
+func readWholeFile(t *testing.T, disk wal.FS, name string) []byte {
+	t.Helper()
+	file, err := disk.Open(name)
+	assert.NilError(t, err)
+	size, err := file.Size()
+	assert.NilError(t, err)
+	data := make([]byte, size)
+	_, err = file.ReadAt(data, 0)
+	assert.NilError(t, err)
+	assert.NilError(t, file.Close())
+	return data
+}
+
+// loadGoldenDisk returns a disk with the recorded files.
+func loadGoldenDisk(t *testing.T, folder string) *wal.Memory {
+	t.Helper()
+	disk := wal.NewMemory(1)
+	entries, err := os.ReadDir(golden.Path(folder))
+	assert.NilError(t, err)
+	for _, entry := range entries {
+		file, err := disk.Create(entry.Name())
+		assert.NilError(t, err)
+		_, err = file.WriteAt(golden.Get(t, path.Join(folder, entry.Name())), 0)
+		assert.NilError(t, err)
+		assert.NilError(t, file.Close())
+	}
+	return disk
+}
+
+// snapshotOf decodes a snapshot of the index, whose partitions and entries stand in no particular order.
+func snapshotOf(t *testing.T, disk wal.FS, name string) []snapshotPartition {
+	t.Helper()
+	data, err := wal.LoadFile(disk, name)
+	assert.NilError(t, err)
+	var all []snapshotPartition
+	assert.NilError(t, json.Unmarshal(data, &all))
+	slices.SortFunc(all, func(a, b snapshotPartition) int { return cmp.Compare(a.ID, b.ID) })
+	for _, one := range all {
+		slices.SortFunc(one.Entries, func(a, b snapshotEntry) int { return cmp.Compare(a.ID, b.ID) })
+	}
+	return all
+}
+
+// compareGoldenDisk compares what was written with the recorded files: segments byte by byte, snapshots by what they hold.
+func compareGoldenDisk(t *testing.T, written *wal.Memory, folder string) {
+	t.Helper()
+	names, err := written.List()
+	assert.NilError(t, err)
+	for _, name := range names {
+		if strings.HasPrefix(name, "segment-") || golden.FlagUpdate() {
+			golden.AssertBytes(t, readWholeFile(t, written, name), path.Join(folder, name))
+		}
+	}
+	recorded := loadGoldenDisk(t, folder)
+	recordedNames, err := recorded.List()
+	assert.NilError(t, err)
+	slices.Sort(names)
+	slices.Sort(recordedNames)
+	assert.DeepEqual(t, names, recordedNames)
+	for _, name := range names {
+		if strings.HasPrefix(name, "snapshot-") {
+			assert.DeepEqual(t, snapshotOf(t, written, name), snapshotOf(t, recorded, name))
+		}
+	}
+}
+
+// stateOfStore tells what a store holds.
+func stateOfStore(t *testing.T, store *Store) []goldenPartition {
+	t.Helper()
+	var all []goldenPartition
+	for id, p := range store.partitions {
+		one := goldenPartition{ID: id, Epoch: p.epoch, Last: p.last}
+		for id, each := range p.entries {
+			held := goldenEntry{
+				ID: id, Message: each.message, Position: each.position, Failures: each.failures, Outcome: each.outcome,
+				EndedAt: each.endedAt,
+			}
+			if each.needsBody() {
+				body, err := store.readBody(each.position)
+				assert.NilError(t, err)
+				held.Body = string(body)
+			}
+			one.Entries = append(one.Entries, held)
+		}
+		slices.SortFunc(one.Entries, func(a, b goldenEntry) int { return cmp.Compare(a.ID, b.ID) })
+		all = append(all, one)
+	}
+	slices.SortFunc(all, func(a, b goldenPartition) int { return cmp.Compare(a.ID, b.ID) })
+	return all
+}
+
+// TestGoldenStores writes the directory of a store again, and opens the recorded one with the recorded result.
+func TestGoldenStores(t *testing.T) {
+	cases := map[string]func(t *testing.T, disk *wal.Memory){
+		"log":      writeGoldenStore,
+		"snapshot": writeGoldenSnapshot,
+	}
+	for name, write := range cases {
+		t.Run(name, func(t *testing.T) {
+			useUTC(t)
+			synctest.Test(t, func(t *testing.T) {
+				disk := wal.NewMemory(1)
+				write(t, disk)
+				folder := path.Join("golden", "stores", name, "files")
+				compareGoldenDisk(t, disk, folder)
+
+				store, engine := openGoldenStore(t, loadGoldenDisk(t, folder))
+				state := goldenState{Partitions: stateOfStore(t, store)}
+				store.ApplyTable(tableLedBy(3, "a", "a"))
+				state.Submitted = engine.ids()
+				assert.NilError(t, store.Close())
+				encoded, err := json.MarshalIndent(state, "", "  ")
+				assert.NilError(t, err)
+				golden.AssertBytes(t, encoded, path.Join("golden", "stores", name, "state.json"))
+			})
+		})
+	}
+}
+
+// TestGoldenSnapshot encodes a snapshot of the index as the recorded bytes, and restores a store from them.
+func TestGoldenSnapshot(t *testing.T) {
+	snapshot := []snapshotPartition{
+		{ID: 0, Epoch: 2, Last: 2<<epochShift + 5, Entries: []snapshotEntry{
+			{ID: "0-1", Position: wal.Position{Segment: 1, Offset: 32, Length: 99}, Outcome: message.Outcome{
+				State: message.Completed, Stamp: "stamp",
+			}, EndedAt: goldenTime},
+			{ID: "0-2", Message: goldenMessage(), Position: wal.Position{Segment: 2, Offset: 400, Length: 9}, Failures: 1,
+				Outcome: message.Outcome{State: message.DeadLetter}, EndedAt: goldenTime},
+		}},
+		{ID: 1, Epoch: 3, Entries: []snapshotEntry{{
+			ID: "1-1", Message: goldenMessage(), Position: wal.Position{Segment: 1, Offset: 150, Length: 77},
+			Outcome: message.Outcome{State: message.Queued},
+		}}},
+		{ID: 2},
+	}
+	encoded, err := json.Marshal(snapshot)
+	assert.NilError(t, err)
+	file := path.Join("golden", "snapshot.json")
+	golden.AssertBytes(t, encoded, file)
+
+	store := &Store{partitions: make(map[int]*partition)}
+	assert.NilError(t, store.restore(golden.Get(t, file)))
+	assert.Equal(t, len(store.partitions), len(snapshot))
+	for _, one := range snapshot {
+		p := store.partitions[one.ID]
+		assert.Equal(t, p.epoch, one.Epoch)
+		assert.Equal(t, p.last, one.Last)
+		assert.Equal(t, len(p.entries), len(one.Entries))
+		for _, want := range one.Entries {
+			got := p.entries[want.ID]
+			assert.DeepEqual(t, got.message, want.Message)
+			assert.Equal(t, got.position, want.Position)
+			assert.Equal(t, got.failures, want.Failures)
+			assert.Equal(t, got.outcome, want.Outcome)
+			assert.Assert(t, got.endedAt.Equal(want.EndedAt))
+		}
+	}
+}
