--- a/internal/cluster/agent_calls.go
+++ b/internal/cluster/agent_calls.go
@@ -116,10 +116,10 @@
 		return true
 	case code == rpc.CodeNotLeader:
 		s.follow(err)
-	case code == rpc.CodeUnavailable || code == rpc.CodeUnknown:
+	case code == rpc.CodeUnavailable || code == rpc.CodeUnknownMethod:
 	case code != "":
 		return true
-	case errors.Is(err, rpc.ErrLost):
+	case errors.Is(err, rpc.ErrResponseLost):
 		s.outcome = ErrOutcomeUnknown
 	}
 	return false
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -20,13 +20,13 @@
 // decode reads a JSON object into a message. It is stricter than protojson, which takes strings for numbers.
 func decode(value []byte, message proto.Message, place string) Findings {
 	if !isKind(value, '{') {
-		return Findings{{Place: place, Problem: "must be an object"}}
+		return Findings{{Path: place, Problem: "must be an object"}}
 	}
 	if findings := checkTypes(value, message.ProtoReflect().Descriptor(), place); len(findings) > 0 {
 		return findings
 	}
 	if err := decoder.Unmarshal(value, message); err != nil {
-		return Findings{{Place: place, Problem: plainText(err)}}
+		return Findings{{Path: place, Problem: plainText(err)}}
 	}
 	return checkFigures(message.ProtoReflect(), place)
 }
@@ -56,7 +56,7 @@
 		return checkType(value, field, place)
 	}
 	if !isKind(value, '[') {
-		return Findings{{Place: place, Problem: "must be a list"}}
+		return Findings{{Path: place, Problem: "must be a list"}}
 	}
 	var findings Findings
 	for i, element := range elements(value) {
@@ -91,7 +91,7 @@
 	if problem == "" {
 		return nil
 	}
-	return Findings{{Place: place, Problem: problem}}
+	return Findings{{Path: place, Problem: problem}}
 }
 
 // checkFigures finds the figures of a message that are negative.
--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -26,13 +26,13 @@
 		},
 		{
 			Name: "r-orders", Host: "Shop.example", PathPrefix: "/orders/", Service: "ledger", Type: "async",
-			Timeout: 600 * time.Millisecond, TargetLatency: 80 * time.Millisecond, TargetStart: 700 * time.Millisecond,
+			Timeout: 600 * time.Millisecond, LatencyTarget: 80 * time.Millisecond, StartTarget: 700 * time.Millisecond,
 			Retention: 45 * time.Second, Priority: 1, MaxAttempts: 6, Ordered: true,
 		},
 	})
 	assert.DeepEqual(t, table.Services(), []*Service{
 		{Name: "ledger", HealthCheck: "/health", Protocol: "h1", MaxConnections: 130, Deduplicates: true},
-		{Name: "mailer", Protocol: "h1", StaticEndpoint: "127.0.0.3:8043", MaxConnections: 26, RatePerSecond: 39.5},
+		{Name: "mailer", Protocol: "h1", StaticEndpoint: "127.0.0.3:8043", MaxConnections: 26, RateLimitPerSecond: 39.5},
 	})
 }
 
--- a/internal/configuration/finding.go
+++ b/internal/configuration/finding.go
@@ -10,18 +10,18 @@
 
 // Finding is one thing that is wrong in a configuration or an update.
 type Finding struct {
-	// Place tells where, as in `routes[3] "r-x" timeout-ms`.
-	Place string
+	// Path tells where, as in `routes[3] "r-x" timeout-ms`.
+	Path string
 	// Problem tells what, as in "must be above 0".
 	Problem string
 }
 
 // String returns the place and the problem.
 func (f Finding) String() string {
-	if f.Place == "" {
+	if f.Path == "" {
 		return f.Problem
 	}
-	return f.Place + ": " + f.Problem
+	return f.Path + ": " + f.Problem
 }
 
 // Findings is everything that is wrong in a configuration or an update. It is an error.
@@ -45,7 +45,7 @@
 
 // add appends a finding.
 func (f *Findings) add(place, problem string) {
-	*f = append(*f, Finding{Place: place, Problem: problem})
+	*f = append(*f, Finding{Path: place, Problem: problem})
 }
 
 // asError returns nil where nothing was found.
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -34,8 +34,8 @@
 			"service":           route.Service,
 			"route-type":        route.Type,
 			"timeout-ms":        route.Timeout,
-			"target-latency-ms": route.TargetLatency,
-			"target-start-ms":   route.TargetStart,
+			"target-latency-ms": route.LatencyTarget,
+			"target-start-ms":   route.StartTarget,
 			"retention-s":       route.Retention,
 			"priority":          route.Priority,
 			"max-attempts":      route.MaxAttempts,
@@ -50,7 +50,7 @@
 			"protocol":        service.Protocol,
 			"static-endpoint": service.StaticEndpoint,
 			"max-connections": service.MaxConnections,
-			"rate-per-s":      service.RatePerSecond,
+			"rate-per-s":      service.RateLimitPerSecond,
 			"dedup":           service.Deduplicates,
 		})
 	}
@@ -170,6 +170,6 @@
 	assert.Assert(t, errors.As(err, &findings), "%v", err)
 	fmt.Fprintf(report, "%s %q\n", kind, text)
 	for _, finding := range findings {
-		fmt.Fprintf(report, "    place %q, problem %q, text %q\n", finding.Place, finding.Problem, finding.String())
+		fmt.Fprintf(report, "    place %q, problem %q, text %q\n", finding.Path, finding.Problem, finding.String())
 	}
 }
--- a/internal/configuration/items.go
+++ b/internal/configuration/items.go
@@ -55,7 +55,7 @@
 // read returns the items of a JSON array.
 func (r itemReader[Value]) read(array []byte, place string) ([]item[Value], Findings) {
 	if !isKind(array, '[') {
-		return nil, Findings{{Place: place, Problem: "must be a list"}}
+		return nil, Findings{{Path: place, Problem: "must be a list"}}
 	}
 	values := elements(array)
 	items := make([]item[Value], 0, len(values))
@@ -67,7 +67,7 @@
 		}
 		read, found := r.parse(raw)
 		for _, finding := range found {
-			findings.add(join(itemPlace(place, i, nameOf(raw)), finding.Place), finding.Problem)
+			findings.add(join(itemPlace(place, i, nameOf(raw)), finding.Path), finding.Problem)
 		}
 		items = append(items, read)
 	}
@@ -108,8 +108,8 @@
 		Service:       message.GetService(),
 		Type:          orDefault(message.RouteType, defaultRouteType),
 		Timeout:       duration(message.GetTimeoutMs(), time.Millisecond),
-		TargetLatency: duration(message.GetTargetLatencyMs(), time.Millisecond),
-		TargetStart:   duration(message.GetTargetStartMs(), time.Millisecond),
+		LatencyTarget: duration(message.GetTargetLatencyMs(), time.Millisecond),
+		StartTarget:   duration(message.GetTargetStartMs(), time.Millisecond),
 		Retention:     duration(orDefault(message.RetentionS, defaultRetention.Seconds()), time.Second),
 		Priority:      integer(message.GetPriority()),
 		MaxAttempts:   integer(orDefault(message.MaxAttempts, defaultMaxAttempts)),
@@ -158,13 +158,13 @@
 		findings.add("static-endpoint", "must be host:port")
 	}
 	service := &Service{
-		Name:           message.GetName(),
-		HealthCheck:    message.GetHealthCheck(),
-		Protocol:       orDefault(message.Protocol, defaultProtocol),
-		StaticEndpoint: message.GetStaticEndpoint(),
-		MaxConnections: integer(message.GetMaxConnections()),
-		RatePerSecond:  message.GetRatePerS(),
-		Deduplicates:   message.GetDedup(),
+		Name:               message.GetName(),
+		HealthCheck:        message.GetHealthCheck(),
+		Protocol:           orDefault(message.Protocol, defaultProtocol),
+		StaticEndpoint:     message.GetStaticEndpoint(),
+		MaxConnections:     integer(message.GetMaxConnections()),
+		RateLimitPerSecond: message.GetRatePerS(),
+		Deduplicates:       message.GetDedup(),
 	}
 	return item[*Service]{name: service.Name, raw: raw, value: service}, findings
 }
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -24,8 +24,8 @@
 	Service       string
 	Type          string
 	Timeout       time.Duration // for one delivery
-	TargetLatency time.Duration // for the acknowledgement
-	TargetStart   time.Duration // for the start of a run
+	LatencyTarget time.Duration // for the acknowledgement
+	StartTarget   time.Duration // for the start of a run
 	Retention     time.Duration
 	Priority      int // 0 is the highest
 	MaxAttempts   int
@@ -34,13 +34,13 @@
 
 // Service describes a group of workers. It must not be changed.
 type Service struct {
-	Name           string
-	HealthCheck    string
-	Protocol       string
-	StaticEndpoint string  // host:port of the single endpoint; empty where the workers are discovered
-	MaxConnections int     // of one worker, across all callers; 0 where none is stated
-	RatePerSecond  float64 // 0 where there is no ceiling
-	Deduplicates   bool
+	Name               string
+	HealthCheck        string
+	Protocol           string
+	StaticEndpoint     string  // host:port of the single endpoint; empty where the workers are discovered
+	MaxConnections     int     // of one worker, across all callers; 0 where none is stated
+	RateLimitPerSecond float64 // 0 where there is no ceiling
+	Deduplicates       bool
 }
 
 // Limits bounds what a client may send.
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	if !isKind(value, '{') {
-		return Findings{{Place: fieldUpsert, Problem: "must be an object"}}
+		return Findings{{Path: fieldUpsert, Problem: "must be an object"}}
 	}
 	upsert := members(value)
 	findings := checkDuplicates(upsert)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -224,7 +224,7 @@
 		cut := w.machine("store-1")
 		reporter := w.machine("store-0")
 		for _, m := range w.machines {
-			w.network.Cut(cut.ip, m.ip)
+			w.network.Isolate(cut.ip, m.ip)
 		}
 		report := cluster.FailureReport{Node: cut.name, Address: fmt.Sprintf("%s:%d", cut.ip, internalPort)}
 		assert.NilError(t, reporter.agent().ReportFailure(t.Context(), report))
--- a/internal/controlplane/faults_test.go
+++ b/internal/controlplane/faults_test.go
@@ -61,7 +61,7 @@
 		cut := w.primary()
 		for _, other := range w.machines {
 			if other != cut {
-				w.network.Cut(cut.ip, other.ip)
+				w.network.Isolate(cut.ip, other.ip)
 			}
 		}
 		time.Sleep(time.Second + cluster.LeaseDuration) // a primary serves no longer than its own lease runs
@@ -210,7 +210,7 @@
 func (w *world) isolate(victim *machine, duration time.Duration) {
 	for _, other := range w.machines {
 		if other != victim {
-			w.network.Cut(victim.ip, other.ip)
+			w.network.Isolate(victim.ip, other.ip)
 		}
 	}
 	time.Sleep(duration)
@@ -232,15 +232,15 @@
 			member := w.backupOf()
 			for _, other := range w.machines {
 				if other != member && other != store && other.core {
-					w.network.Cut(store.ip, other.ip)
+					w.network.Isolate(store.ip, other.ip)
 				}
 			}
 			time.Sleep(3*time.Second + time.Duration(seed)*70*time.Millisecond)
 			assert.Assert(t, store.agent().LeaseValid(), "the store renews at the member that it reaches")
 			for _, other := range w.machines {
 				if other != member && other != store {
-					w.network.Cut(store.ip, other.ip)
-					w.network.Cut(member.ip, other.ip)
+					w.network.Isolate(store.ip, other.ip)
+					w.network.Isolate(member.ip, other.ip)
 				}
 			}
 			w.eventually(5*time.Second, "another store leads", func() bool {
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -66,7 +66,7 @@
 	}
 	findings := make([]findingBody, len(found))
 	for i, finding := range found {
-		findings[i] = findingBody{Place: finding.Place, Problem: finding.Problem}
+		findings[i] = findingBody{Place: finding.Path, Problem: finding.Problem}
 	}
 	return errorAnswer(http.StatusBadRequest, "the configuration is invalid", findings...)
 }
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -218,7 +218,7 @@
 }
 
 // isolate cuts a set of nodes from all others.
-func (c *cluster) isolate(cut ...*node) { c.eachBorder(cut, c.network.Cut) }
+func (c *cluster) isolate(cut ...*node) { c.eachBorder(cut, c.network.Isolate) }
 
 func (c *cluster) rejoin(cut ...*node) { c.eachBorder(cut, c.network.Heal) }
 
--- a/internal/controlplane/replication/log_test.go
+++ b/internal/controlplane/replication/log_test.go
@@ -52,7 +52,7 @@
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		deaf := c.nodes[1]
-		c.network.CutOneWay(leader.ip, deaf.ip)
+		c.network.IsolateOneWay(leader.ip, deaf.ip)
 		for i := range 10 {
 			leader.mustPropose(fmt.Sprint(i))
 			time.Sleep(500 * time.Millisecond)
@@ -68,7 +68,7 @@
 		old := c.awaitPrimary(time.Second)
 		companion := c.nodes[1]
 		for _, each := range c.nodes[2:] {
-			c.network.Cut(old.ip, each.ip)
+			c.network.Isolate(old.ip, each.ip)
 		}
 		next := c.awaitOtherPrimary(3*time.Second, old)
 		next.mustPropose("a")
--- a/internal/controlplane/replication/random_test.go
+++ b/internal/controlplane/replication/random_test.go
@@ -97,7 +97,7 @@
 	case 5, 6:
 		f.wipe(victim)
 	case 7:
-		f.c.network.CutOneWay(victim.ip, other.ip)
+		f.c.network.IsolateOneWay(victim.ip, other.ip)
 	case 8:
 		f.c.isolate(victim, other)
 	case 9:
--- a/internal/delivery/apply.go
+++ b/internal/delivery/apply.go
@@ -62,7 +62,7 @@
 		s.retireDecider()
 	}
 	s.definition, s.routes, s.signature = definition, routes, signature
-	s.bucket.setCeiling(s.engine.now(), definition.RatePerSecond, s.engine.deliverers)
+	s.bucket.setCeiling(s.engine.now(), definition.RateLimitPerSecond, s.engine.deliverers)
 }
 
 // retireDecider has the decider's open attempts end there. Messages that wait in it go back to their lanes.
@@ -158,7 +158,7 @@
 	e.deliverers = count
 	now := e.now()
 	for _, s := range e.services {
-		s.bucket.setCeiling(now, s.definition.RatePerSecond, count)
+		s.bucket.setCeiling(now, s.definition.RateLimitPerSecond, count)
 	}
 	e.touchAll()
 }
--- a/internal/delivery/decider.go
+++ b/internal/delivery/decider.go
@@ -88,8 +88,8 @@
 // worker, so it is no shorter than an attempt may take.
 func classSettings(route *configuration.Route) decision.ClassSettings {
 	return decision.ClassSettings{
-		LatencyTarget: max(route.TargetStart, route.Timeout, shortestAim),
-		Deadline:      jobTimeouts * max(route.TargetStart, route.Timeout, shortestAim),
+		LatencyTarget: max(route.StartTarget, route.Timeout, shortestAim),
+		Deadline:      jobTimeouts * max(route.StartTarget, route.Timeout, shortestAim),
 		Idempotency:   decision.Idempotent,
 		Value:         1,
 		WorkerKind:    -1,
@@ -179,7 +179,7 @@
 	d.jobs[j.id] = j
 	d.handle(&decision.Event{
 		Kind: decision.EventJob, Job: j.id, Class: d.class(j), Tenant: tenantOf(j.route.Name), Slots: 1,
-		Deadline: now + jobTimeouts*max(j.route.TargetStart, j.route.Timeout, shortestAim),
+		Deadline: now + jobTimeouts*max(j.route.StartTarget, j.route.Timeout, shortestAim),
 	})
 }
 
--- a/internal/delivery/internal_test.go
+++ b/internal/delivery/internal_test.go
@@ -99,7 +99,7 @@
 func TestLateMessagesRankByTheirFollowers(t *testing.T) {
 	q := newQueue()
 	l := newLane("r")
-	l.route = &configuration.Route{Name: "r", TargetStart: time.Second}
+	l.route = &configuration.Route{Name: "r", StartTarget: time.Second}
 	sequence := uint64(0)
 	submit := func(key string, due time.Duration) {
 		sequence++
--- a/internal/delivery/lane.go
+++ b/internal/delivery/lane.go
@@ -100,7 +100,7 @@
 func (l *lane) empty() bool { return len(l.waiting.entries)+l.dueCount() == 0 }
 
 // wanted is by when an entry in a lane with a route should start.
-func (en *entry) wanted() time.Duration { return en.due + en.lane.route.TargetStart }
+func (en *entry) wanted() time.Duration { return en.due + en.lane.route.StartTarget }
 
 // entryHeap is a heap of entries that know their place in it.
 type entryHeap struct {
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -263,7 +263,7 @@
 
 // throttle keeps messages back after a worker said that it gets too many: from all workers where they share a ceiling.
 func (s *service) throttle(d *destination, now time.Duration) {
-	if s.definition.RatePerSecond > 0 || d.static {
+	if s.definition.RateLimitPerSecond > 0 || d.static {
 		s.window.throttled(now, s.engine.random)
 		return
 	}
--- a/internal/delivery/workers_test.go
+++ b/internal/delivery/workers_test.go
@@ -73,7 +73,7 @@
 		w.addWorker("i-2", "s", "10.0.1.2")
 		w.configure()
 		w.listAll()
-		w.network.Cut(storeIP, "10.0.1.2")
+		w.network.Isolate(storeIP, "10.0.1.2")
 		for i := range 40 {
 			w.submit(fmt.Sprint("m", i), "r")
 			time.Sleep(50 * time.Millisecond)
--- a/internal/ingress/control.go
+++ b/internal/ingress/control.go
@@ -24,7 +24,7 @@
 
 // controlHandler passes the operator's calls on to the control plane.
 type controlHandler struct {
-	control Control
+	control ControlPlane
 }
 
 // NewControlHandler returns the handler of the operator's listener.
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -101,12 +101,12 @@
 	}
 }
 
-// Drain ends the front's work. The front stops being ready at once. For Options.DrainAccept it still accepts
+// Drain ends the front's work. The front stops being ready at once. For Options.DrainAcceptDuration it still accepts
 // connections, and every answer tells its client that the connection closes. After that it accepts none, closes those
 // without a request, and waits until the others have got their answers or the context ends.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
-	ctxtime.Sleep(ctx, f.options.DrainAccept)
+	ctxtime.Sleep(ctx, f.options.DrainAcceptDuration)
 	f.closeListener()
 
 	ticker := time.NewTicker(drainPollInterval)
--- a/internal/ingress/status.go
+++ b/internal/ingress/status.go
@@ -48,7 +48,7 @@
 
 // serveState answers with a message's state.
 func (f *Front) serveState(w http.ResponseWriter, r *http.Request) {
-	f.counters.StatusCalls.Add(1)
+	f.counters.MessageQueries.Add(1)
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 
@@ -63,7 +63,7 @@
 
 // serveBody answers with a message's body.
 func (f *Front) serveBody(w http.ResponseWriter, r *http.Request) {
-	f.counters.StatusCalls.Add(1)
+	f.counters.MessageQueries.Add(1)
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 
--- a/internal/ingress/submission.go
+++ b/internal/ingress/submission.go
@@ -162,9 +162,9 @@
 func (f *Front) countFailure(failure *requestError) {
 	switch failure.Status {
 	case http.StatusServiceUnavailable:
-		f.counters.Refused.Add(1)
+		f.counters.Rejected.Add(1)
 	case http.StatusBadGateway:
-		f.counters.Unknown.Add(1)
+		f.counters.OutcomeUnknown.Add(1)
 	case http.StatusNotFound:
 		f.counters.NoRoute.Add(1)
 	default:
--- a/internal/messagestore/client.go
+++ b/internal/messagestore/client.go
@@ -188,7 +188,7 @@
 		return nil
 	case errors.Is(err, rpc.ErrNotSent):
 		c.suspect(entry, ctx.Err() == nil)
-	case errors.Is(err, rpc.ErrLost):
+	case errors.Is(err, rpc.ErrResponseLost):
 		place.sent = true
 		place.silent = ctx.Err() != nil && !c.heardSince(entry, started)
 		c.suspect(entry, ctx.Err() == nil)
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -35,7 +35,7 @@
 		defer h.close()
 		h.mustPut("before", "key", "x") // both are connected
 		for _, m := range h.machines {
-			h.network.Cut("10.0.1.1", m.ip)
+			h.network.Isolate("10.0.1.1", m.ip)
 		}
 		for _, orderKey := range []string{"", "key"} {
 			took, err := h.putWithin(orderKey)
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/fencing_test.go
@@ -156,7 +156,7 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeNotFound, "its backup grants a lease")
 		h.refuseAsks()
-		h.network.Cut(h.machines["a"].ip, h.machines["b"].ip)
+		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeUnavailable)
 		_, err := h.state("0-1")
@@ -195,7 +195,7 @@
 		time.Sleep(2*time.Second + 310*time.Millisecond)
 		assert.Assert(t, former.store.MayDeliver(0), "by a lease from its backup")
 		h.refuseAsks()
-		h.network.Cut(former.ip, h.machines["b"].ip)
+		h.network.Isolate(former.ip, h.machines["b"].ip)
 		h.promote("b", 0, "b", "c")
 		time.Sleep(50 * time.Millisecond)
 		table := *h.machines["b"].store.table
@@ -273,7 +273,7 @@
 		c.ApplyTable(with(2))
 		time.Sleep(time.Second)
 
-		h.network.Cut(h.machines["a"].ip, h.machines["b"].ip)
+		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		accepted := make(chan error, 1)
 		go func() {
 			submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
--- a/internal/messagestore/replicate.go
+++ b/internal/messagestore/replicate.go
@@ -144,7 +144,7 @@
 	ctx, cancel := context.WithTimeout(d.store.context, limit)
 	defer cancel()
 	_, err := d.store.options.Pool.Get(entry.Address).Call(ctx, method, request, body, response)
-	if errors.Is(err, rpc.ErrNotSent) || errors.Is(err, rpc.ErrLost) {
+	if errors.Is(err, rpc.ErrNotSent) || errors.Is(err, rpc.ErrResponseLost) {
 		if ctx.Err() == nil {
 			ended := time.Now()
 			d.ended.Store(&ended)
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -292,7 +292,7 @@
 		assert.Assert(t, leader.store.MayDeliver(partition))
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
 		h.refuseAsks()
-		h.network.Cut(leader.ip, h.machines[backup].ip)
+		h.network.Isolate(leader.ip, h.machines[backup].ip)
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, !leader.store.MayDeliver(partition))
 		h.network.Heal(leader.ip, h.machines[backup].ip)
@@ -453,7 +453,7 @@
 		leader := h.leader(id)
 		ended := h.messageOf(id)
 		backup := h.machines[h.currentTable().Partitions[ended.Partition].Replicas[1].Store]
-		h.network.Cut(leader.ip, backup.ip)
+		h.network.Isolate(leader.ip, backup.ip)
 		leader.store.Ended(ended, message.Outcome{State: message.Completed, Stamp: "s"})
 		time.Sleep(20 * time.Millisecond)
 		time.AfterFunc(replicateTimeout-10*time.Millisecond, func() { h.network.Heal(leader.ip, backup.ip) })
--- a/internal/network/simulated/network.go
+++ b/internal/network/simulated/network.go
@@ -53,22 +53,22 @@
 	n.link(b, a).delay = delay
 }
 
-// Cut silently stops all traffic between two hosts. What is sent is held until Heal.
-func (n *Network) Cut(a, b string) {
+// Isolate silently stops all traffic between two hosts. What is sent is held until Heal.
+func (n *Network) Isolate(a, b string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.link(a, b).cut = true
 	n.link(b, a).cut = true
 }
 
-// CutOneWay silently stops the traffic in one direction. What is sent is held until Heal.
-func (n *Network) CutOneWay(from, to string) {
+// IsolateOneWay silently stops the traffic in one direction. What is sent is held until Heal.
+func (n *Network) IsolateOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.link(from, to).cut = true
 }
 
-// Heal ends Cut and CutOneWay between two hosts, in both directions.
+// Heal ends Isolate and IsolateOneWay between two hosts, in both directions.
 func (n *Network) Heal(a, b string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -88,8 +88,8 @@
 	n.host(ip).stop()
 }
 
-// Reset resets a part of a host's connections, at both ends. Its process and its listeners go on.
-func (n *Network) Reset(ip string, part float64) {
+// ResetConnections resets a part of a host's connections, at both ends. Its process and its listeners go on.
+func (n *Network) ResetConnections(ip string, part float64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for open := range n.host(ip).connections {
--- a/internal/network/simulated/network_test.go
+++ b/internal/network/simulated/network_test.go
@@ -146,7 +146,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := New(7)
 		client, server := pair(t, network)
-		network.CutOneWay(hostA, hostB)
+		network.IsolateOneWay(hostA, hostB)
 		writeString(t, client, "held")
 		writeString(t, server, "passes")
 		assert.Equal(t, readString(t, client, 6), "passes")
@@ -162,7 +162,7 @@
 func TestDialHangsOverCutLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(8)
-		network.Cut(hostA, hostB)
+		network.Isolate(hostA, hostB)
 		started := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
@@ -177,7 +177,7 @@
 		network := New(8)
 		listener, err := network.Host(hostB).Listen(portB)
 		assert.NilError(t, err)
-		network.CutOneWay(hostB, hostA)
+		network.IsolateOneWay(hostB, hostA)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = network.Host(hostA).Dial(ctx, portB)
@@ -284,7 +284,7 @@
 		for range 3 {
 			assert.Equal(t, post(t, client, "ping"), "ping")
 		}
-		network.Cut(hostA, hostB)
+		network.Isolate(hostA, hostB)
 		_, err = client.Get("http://" + portB)
 		var timeout net.Error
 		assert.Assert(t, errors.As(err, &timeout) && timeout.Timeout(), "got %v", err)
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -49,7 +49,7 @@
 // are passed unencoded. The body must not be changed afterwards.
 //
 // The error is an *Error where the called process reported it, is ErrNotSent where the call surely did not reach it, and
-// ErrLost where that is not known.
+// ErrResponseLost where that is not known.
 func (c *Client) Call(
 	ctx context.Context, method string, params any, body []byte, result any,
 ) (answerBody []byte, err error) {
@@ -70,7 +70,7 @@
 	}
 	if result != nil && len(received.result) > 0 {
 		if err := json.Unmarshal(received.result, result); err != nil {
-			return nil, fmt.Errorf("%w: %s at %s: unreadable result: %w", ErrLost, method, c.address, err)
+			return nil, fmt.Errorf("%w: %s at %s: unreadable result: %w", ErrResponseLost, method, c.address, err)
 		}
 	}
 	return received.body, nil
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -84,7 +84,7 @@
 		return received, nil
 	case <-ctx.Done():
 		c.abandon(id)
-		return answer{}, fmt.Errorf("%w: %w", ErrLost, ctx.Err())
+		return answer{}, fmt.Errorf("%w: %w", ErrResponseLost, ctx.Err())
 	case <-c.done:
 	}
 	select {
@@ -93,7 +93,7 @@
 	default:
 	}
 	if c.writer.began(position) {
-		return answer{}, fmt.Errorf("%w: %w", ErrLost, c.failure)
+		return answer{}, fmt.Errorf("%w: %w", ErrResponseLost, c.failure)
 	}
 	return answer{}, fmt.Errorf("%w: %w", ErrNotSent, c.failure)
 }
--- a/internal/rpc/failures_test.go
+++ b/internal/rpc/failures_test.go
@@ -22,7 +22,7 @@
 
 func TestHangingDialIsNotSent(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
 		assert.ErrorIs(t, err, ErrNotSent)
@@ -53,7 +53,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := f.client.Call(ctx, "hang", nil, nil, nil)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrResponseLost)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		f.assertDoubles(t)
 	})
@@ -74,7 +74,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		f.network.Kill(serverIP)
-		assert.ErrorIs(t, <-failed, ErrLost)
+		assert.ErrorIs(t, <-failed, ErrResponseLost)
 		assert.ErrorIs(t, <-ended, context.Canceled)
 		f.server.Close()
 		f.start(t)
@@ -85,7 +85,7 @@
 func TestFramesQueuedBehindStalledWriteAreNotSent(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		first, second := make(chan error, 1), make(chan error, 1)
 		go func() {
 			_, err := f.client.Call(t.Context(), "echo", nil, make([]byte, 200<<10), nil)
@@ -96,7 +96,7 @@
 			_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
 			second <- err
 		}()
-		assert.ErrorIs(t, <-first, ErrLost)
+		assert.ErrorIs(t, <-first, ErrResponseLost)
 		assert.ErrorIs(t, <-second, ErrNotSent)
 	})
 }
@@ -104,7 +104,7 @@
 func TestLongQueueMakesSendersWait(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		for range 3 {
 			go func() { _, _ = f.client.Call(t.Context(), "echo", nil, make([]byte, 400<<10), nil) }()
 		}
@@ -120,10 +120,10 @@
 func TestSilentPeerIsGivenUp(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrResponseLost)
 		elapsed := time.Since(started)
 		assert.Assert(t, elapsed >= silenceLimit && elapsed <= 2*silenceLimit, "took %v", elapsed)
 		f.network.Heal(clientIP, serverIP)
@@ -134,7 +134,7 @@
 func TestSilenceIsNoticedThoughCallsAreGivenUpEarlier(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -143,7 +143,7 @@
 			if errors.Is(err, ErrNotSent) {
 				break
 			}
-			assert.ErrorIs(t, err, ErrLost)
+			assert.ErrorIs(t, err, ErrResponseLost)
 			assert.Assert(t, time.Since(started) < 3*silenceLimit)
 		}
 	})
@@ -154,7 +154,7 @@
 		f.assertDoubles(t)
 		f.network.PowerOff(serverIP)
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrResponseLost)
 		f.server.Close()
 		f.network.PowerOn(serverIP)
 		f.start(t)
@@ -174,7 +174,7 @@
 func TestCutShorterThanTheLimitLosesNothing(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		time.AfterFunc(time.Second, func() { f.network.Heal(clientIP, serverIP) })
 		started := time.Now()
 		f.assertDoubles(t)
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -56,7 +56,7 @@
 	{name: "error-invalid", method: "fail", params: CodeInvalid, code: CodeInvalid},
 	{name: "error-conflict", method: "fail", params: CodeConflict, body: goldenBody, code: CodeConflict},
 	{name: "error-internal", method: "break", code: CodeInternal},
-	{name: "error-unknown-method", method: "absent", code: CodeUnknown},
+	{name: "error-unknown-method", method: "absent", code: CodeUnknownMethod},
 }
 
 // startGolden starts a server with the methods of the golden calls.
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -167,7 +167,7 @@
 			return func() {}, nil, nil
 		})
 		for method, code := range map[string]Code{
-			"moved": CodeNotLeader, "broken": CodeInternal, "unencodable": CodeInternal, "absent": CodeUnknown,
+			"moved": CodeNotLeader, "broken": CodeInternal, "unencodable": CodeInternal, "absent": CodeUnknownMethod,
 		} {
 			body, err := f.client.Call(t.Context(), method, nil, nil, nil)
 			assert.Equal(t, CodeOf(err), code, "%s: %v", method, err)
@@ -187,7 +187,7 @@
 	run(t, func(t *testing.T, f *fixture) {
 		var result []string
 		_, err := f.client.Call(t.Context(), "double", number{Value: 1}, nil, &result)
-		assert.ErrorIs(t, err, ErrLost)
+		assert.ErrorIs(t, err, ErrResponseLost)
 	})
 }
 
@@ -208,7 +208,7 @@
 			run(t, func(t *testing.T, f *fixture) {
 				time.AfterFunc(time.Second, func() { closeOne(f) })
 				_, err := f.client.Call(t.Context(), "hang", nil, nil, nil)
-				assert.ErrorIs(t, err, ErrLost)
+				assert.ErrorIs(t, err, ErrResponseLost)
 				_, err = f.client.Call(t.Context(), "double", number{}, nil, nil)
 				assert.ErrorIs(t, err, ErrNotSent)
 			})
@@ -218,7 +218,7 @@
 
 func TestCloseEndsDial(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		f.network.Cut(clientIP, serverIP)
+		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		time.AfterFunc(100*time.Millisecond, f.client.Close)
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -25,10 +25,10 @@
 
 // Call is a call as the server received it. The handler may keep its parts.
 type Call struct {
-	Method string
-	Params json.RawMessage
-	Body   []byte
-	Remote string // the caller's address
+	Method        string
+	Params        json.RawMessage
+	Body          []byte
+	RemoteAddress string // the caller's address
 }
 
 // Decode reads the call's parameters. It fails with CodeInvalid.
--- a/internal/rpc/serverconnection.go
+++ b/internal/rpc/serverconnection.go
@@ -77,7 +77,7 @@
 		c.end()
 		return err
 	}
-	call := &Call{Method: request.Method, Params: request.Params, Body: body, Remote: c.remote}
+	call := &Call{Method: request.Method, Params: request.Params, Body: body, RemoteAddress: c.remote}
 	c.server.dispatch(job{connection: c, id: request.ID, call: call})
 	return nil
 }
@@ -109,7 +109,7 @@
 func (c *serverConnection) call(call *Call) (result any, body []byte, err error) {
 	handler := c.server.handler(call.Method)
 	if handler == nil {
-		return nil, nil, &Error{Code: CodeUnknown, Message: call.Method}
+		return nil, nil, &Error{Code: CodeUnknownMethod, Message: call.Method}
 	}
 	return handler(c.ctx, call)
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -32,7 +32,7 @@
 		"data-dir":          s.DataDir,
 		"discovery":         s.Discovery,
 		"entry":             s.Entry,
-		"heartbeat-ms":      s.Heartbeat,
+		"heartbeat-ms":      s.HeartbeatInterval,
 		"contracts":         s.Contracts,
 		"zones":             s.Zones,
 		"listen-addrs": map[string]any{
@@ -71,8 +71,8 @@
 			"callback-s":        bounds.Callback,
 			"visibility-ms":     bounds.Visibility,
 			"early-ms":          bounds.Early,
-			"ceiling-window-s":  bounds.CeilingWindow,
-			"ceiling-overshoot": bounds.CeilingOvershoot,
+			"ceiling-window-s":  bounds.RateLimitWindow,
+			"ceiling-overshoot": bounds.RateLimitOvershoot,
 		},
 		"cloud": map[string]any{
 			"address":    s.Cloud.Address,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,28 +28,28 @@
 
 // Settings is what a process is told at its start. It must not be changed after it was loaded.
 type Settings struct {
-	Node            string   // the machine's name
-	Role            string   // the program's role
-	Class           string   // the machine's class
-	Serves          []string // the parties that may call the role
-	IP              string
-	Zone            string
-	Region          string
-	InternalPorts   PortRange
-	Seeds           []string // control addresses of a few machines
-	Bootstrap       bool     // the first start of the whole system
-	CountsForQuorum bool     // the machine counts in the tolerance of faults
-	DataDir         string   // empty where the machine has no disk
-	Discovery       string
-	Entry           string
-	Heartbeat       time.Duration
-	Contracts       []string
-	Zones           map[string]string // region by zone
-	ListenAddresses ListenAddresses
-	Limits          Limits
-	FaultTolerance  FaultTolerance
-	Bounds          Bounds
-	Cloud           Cloud
+	Node              string   // the machine's name
+	Role              string   // the program's role
+	Class             string   // the machine's class
+	Serves            []string // the parties that may call the role
+	IP                string
+	Zone              string
+	Region            string
+	InternalPorts     PortRange
+	Seeds             []string // control addresses of a few machines
+	Bootstrap         bool     // the first start of the whole system
+	CountsForQuorum   bool     // the machine counts in the tolerance of faults
+	DataDir           string   // empty where the machine has no disk
+	Discovery         string
+	Entry             string
+	HeartbeatInterval time.Duration
+	Contracts         []string
+	Zones             map[string]string // region by zone
+	ListenAddresses   ListenAddresses
+	Limits            Limits
+	FaultTolerance    FaultTolerance
+	Bounds            Bounds
+	Cloud             Cloud
 }
 
 // PortRange is a range of ports, both ends included.
@@ -84,25 +84,25 @@
 
 // Bounds holds the figures of the rules that are in force.
 type Bounds struct {
-	SeedLag          time.Duration
-	ReuseAfter       time.Duration
-	Contact          time.Duration
-	Acknowledge      time.Duration // key ack-ms
-	CatchUp          time.Duration
-	Drain            time.Duration
-	Grace            time.Duration
-	LossSlack        time.Duration
-	ConfigurationLag time.Duration // key config-apply-ms
-	RevertSlack      time.Duration
-	MaxSkew          time.Duration
-	Recovery         time.Duration
-	Finish           time.Duration
-	Status           time.Duration
-	Callback         time.Duration
-	Visibility       time.Duration
-	Early            time.Duration
-	CeilingWindow    time.Duration
-	CeilingOvershoot float64
+	SeedLag            time.Duration
+	ReuseAfter         time.Duration
+	Contact            time.Duration
+	Acknowledge        time.Duration // key ack-ms
+	CatchUp            time.Duration
+	Drain              time.Duration
+	Grace              time.Duration
+	LossSlack          time.Duration
+	ConfigurationLag   time.Duration // key config-apply-ms
+	RevertSlack        time.Duration
+	MaxSkew            time.Duration
+	Recovery           time.Duration
+	Finish             time.Duration
+	Status             time.Duration
+	Callback           time.Duration
+	Visibility         time.Duration
+	Early              time.Duration
+	RateLimitWindow    time.Duration
+	RateLimitOvershoot float64
 }
 
 // Cloud says how to reach the platform's list of workers.
--- a/internal/simcluster/faults.go
+++ b/internal/simcluster/faults.go
@@ -9,13 +9,13 @@
 // platform still reach it.
 func (c *Cluster) Isolate(machine *Machine) {
 	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
-	c.eachPeer(machine, func(other *Machine) { c.network.Cut(machine.ip, other.ip) })
+	c.eachPeer(machine, func(other *Machine) { c.network.Isolate(machine.ip, other.ip) })
 }
 
 // Silence cuts what a machine sends to the other machines of the system. It still hears them.
 func (c *Cluster) Silence(machine *Machine) {
 	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
-	c.eachPeer(machine, func(other *Machine) { c.network.CutOneWay(machine.ip, other.ip) })
+	c.eachPeer(machine, func(other *Machine) { c.network.IsolateOneWay(machine.ip, other.ip) })
 }
 
 // Rejoin ends Isolate and Silence.
@@ -27,13 +27,13 @@
 // ResetConnections resets a part of a machine's connections.
 func (c *Cluster) ResetConnections(machine *Machine, part float64) {
 	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
-	c.network.Reset(machine.ip, part)
+	c.network.ResetConnections(machine.ip, part)
 	c.recorder.endTroubles(machine.Name, troubleNetwork)
 }
 
 // Split cuts some machines of the system off from all its others, and leaves them connected with one another.
 func (c *Cluster) Split(machines ...*Machine) {
-	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Cut(inside.ip, outside.ip) })
+	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Isolate(inside.ip, outside.ip) })
 	for _, machine := range machines {
 		c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
 	}
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -270,15 +270,15 @@
 	made := &settings.Settings{
 		Node: m.Name, Role: m.class, Class: m.class, Serves: []string{settings.ServesStore},
 		IP: m.ip, Zone: m.Zone, Region: "region",
-		InternalPorts:   settings.PortRange{First: internalPort, Last: internalPort + 15},
-		Seeds:           m.cluster.seeds,
-		Bootstrap:       m.bootstrap,
-		CountsForQuorum: m.disk != nil,
-		Heartbeat:       1200 * time.Millisecond,
-		Limits:          settings.Limits{CPUShare: 0.7, Cores: 1, MemoryMB: 284, MaxFDs: 4100, LinkMbps: 1000, DiskMB: 64},
-		FaultTolerance:  settings.FaultTolerance{Machines: m.cluster.options.Tolerated},
-		Bounds:          bounds,
-		Cloud:           settings.Cloud{Address: platformAddress, RatePerSecond: platformRate, Lag: platformLag},
+		InternalPorts:     settings.PortRange{First: internalPort, Last: internalPort + 15},
+		Seeds:             m.cluster.seeds,
+		Bootstrap:         m.bootstrap,
+		CountsForQuorum:   m.disk != nil,
+		HeartbeatInterval: 1200 * time.Millisecond,
+		Limits:            settings.Limits{CPUShare: 0.7, Cores: 1, MemoryMB: 284, MaxFDs: 4100, LinkMbps: 1000, DiskMB: 64},
+		FaultTolerance:    settings.FaultTolerance{Machines: m.cluster.options.Tolerated},
+		Bounds:            bounds,
+		Cloud:             settings.Cloud{Address: platformAddress, RatePerSecond: platformRate, Lag: platformLag},
 	}
 	if m.disk != nil {
 		made.DataDir = "data"
@@ -298,5 +298,5 @@
 	CatchUp: 4400 * time.Millisecond, Drain: drainBound, Grace: grace, LossSlack: 200 * time.Millisecond,
 	ConfigurationLag: configurationBound, RevertSlack: revertSlack, MaxSkew: 12 * time.Second,
 	Recovery: 12 * time.Second, Finish: finish, Status: 2 * time.Minute, Callback: 5 * time.Second,
-	Visibility: 3 * time.Second, Early: earlySlack, CeilingWindow: ceilingWindow, CeilingOvershoot: ceilingOvershoot,
+	Visibility: 3 * time.Second, Early: earlySlack, RateLimitWindow: ceilingWindow, RateLimitOvershoot: ceilingOvershoot,
 }
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -112,7 +112,7 @@
 
 func (f *Front) ingressOptions() ingress.Options {
 	return ingress.Options{
-		Messages:         keepingTime{Messages: f.stores, kept: f.noteKept},
+		Messages:         keepingTime{MessageStore: f.stores, kept: f.noteKept},
 		Control:          f.agent,
 		Configuration:    f.table.Load,
 		Ready:            f.ready,
@@ -189,15 +189,15 @@
 
 // keepingTime notes when messages are kept.
 type keepingTime struct {
-	ingress.Messages
+	ingress.MessageStore
 	kept func()
 }
 
-// Put implements ingress.Messages.
+// Put implements ingress.MessageStore.
 func (k keepingTime) Put(
 	ctx context.Context, submission message.Submission, ordered bool, body []byte,
 ) (string, error) {
-	id, err := k.Messages.Put(ctx, submission, ordered, body)
+	id, err := k.MessageStore.Put(ctx, submission, ordered, body)
 	if err == nil {
 		k.kept()
 	}
--- a/internal/systemnode/metrics.go
+++ b/internal/systemnode/metrics.go
@@ -97,15 +97,15 @@
 		count uint64
 	}{
 		{"accepted", counters.Accepted.Load()},
-		{"refused", counters.Refused.Load()},
-		{"unknown", counters.Unknown.Load()},
+		{"refused", counters.Rejected.Load()},
+		{"unknown", counters.OutcomeUnknown.Load()},
 		{"no_route", counters.NoRoute.Load()},
 		{"invalid", counters.Invalid.Load()},
 	}
 	for _, result := range results {
 		samples.Add(metricAnswers, float64(result.count), inspection.Label{Name: "result", Value: result.name})
 	}
-	samples.Add(metricStatusCalls, float64(counters.StatusCalls.Load()))
+	samples.Add(metricStatusCalls, float64(counters.MessageQueries.Load()))
 }
 
 // collectStore writes the metrics of a store.
