--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -39,6 +39,7 @@
 
 	"internal/controlplane":             planeControl,
 	"internal/controlplane/replication": planeControl,
+	"internal/controlplane/syncutil":    planeControl,
 	"internal/messagestore":             planeStorage,
 	"internal/delivery":                 planeDelivery,
 	"internal/ingress":                  planeIngress,
@@ -110,6 +111,7 @@
 	"internal/network/simulated":             {"internal/network"},
 	"internal/rpc":                           {"internal/network"},
 	"internal/settings":                      {},
+	"internal/controlplane/syncutil":         {},
 	"internal/controlplane/replication":      {"internal/ctxtime", "internal/wal", "internal/modelcheck", "internal/rpc"},
 }
 
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -13,6 +13,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/controlplane/syncutil"
 )
 
 // standInGroup is a replicated group of one: what is proposed is in force at once.
@@ -35,7 +36,7 @@
 func planeOfOne() (*Plane, *standInGroup) {
 	state := newStateMachine()
 	alone := &standInGroup{state: state}
-	return &Plane{state: state, group: alone, orders: newSemaphore(), logger: zap.NewNop()}, alone
+	return &Plane{state: state, group: alone, orders: syncutil.NewSemaphore(), logger: zap.NewNop()}, alone
 }
 
 // replaceOrder is an order that replaces version `base` by the version after it.
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		return errorAnswer(http.StatusBadRequest, "the body is not JSON: "+trace.UserMessage(err)), nil
 	}
-	if err := p.orders.lock(ctx); err != nil {
+	if err := p.orders.Acquire(ctx); err != nil {
 		return answer{}, trace.Wrap(err)
 	}
-	defer p.orders.unlock()
+	defer p.orders.Release()
 	return p.decideOrder(ctx, &order{digest: digest, base: base, update: update, body: body})
 }
 
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -14,6 +14,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 	"gladepick/internal/wal"
@@ -55,8 +56,8 @@
 	members  *memberManager
 	reader   *workerReader
 	founding *founding
-	orders   semaphore
-	role     broadcast              // the group's role here has changed
+	orders   syncutil.Semaphore
+	role     syncutil.Notifier      // the group's role here has changed
 	cloud    atomic.Pointer[string] // the platform's address, where it has changed since the start
 
 	lifetime context.Context
@@ -85,7 +86,7 @@
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
 	}
-	plane := &Plane{options: options, logger: options.Logger, state: newStateMachine(), orders: newSemaphore()}
+	plane := &Plane{options: options, logger: options.Logger, state: newStateMachine(), orders: syncutil.NewSemaphore()}
 	plane.lifetime, plane.end = context.WithCancel(context.Background())
 	founding, err := newFounding(plane)
 	if err != nil {
@@ -133,7 +134,7 @@
 func (p *Plane) join(group group) {
 	p.group = group
 	group.OnChange(func(replication.Role) {
-		p.role.fire()
+		p.role.Notify()
 		p.manager.nudge()
 	})
 	server := p.options.Server
@@ -166,7 +167,7 @@
 func (p *Plane) whilePrimary(ctx context.Context, interval time.Duration, begin func(), step func(context.Context)) {
 	leading := false
 	for ctx.Err() == nil {
-		changed := p.role.next()
+		changed := p.role.Receive()
 		pause := roleCheckInterval
 		primary := p.group.Role().Primary
 		if primary && !leading {
--- a/internal/controlplane/snapshot.go
+++ b/internal/controlplane/snapshot.go
@@ -74,6 +74,6 @@
 		s.orders[digest] = struct{}{}
 	}
 	s.current.Store(next)
-	s.changed.fire()
+	s.changed.Notify()
 	return nil
 }
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -9,6 +9,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/syncutil"
 )
 
 const (
@@ -58,7 +59,7 @@
 // take the current content, which never changes.
 type stateMachine struct {
 	current  atomic.Pointer[content]
-	changed  broadcast
+	changed  syncutil.Notifier
 	prepared atomic.Pointer[preparedDocument]
 	mutex    sync.Mutex // serialises changes
 	orders   map[string]struct{}
@@ -98,7 +99,7 @@
 		return trace.Wrap(err)
 	}
 	s.current.Store(&next)
-	s.changed.fire()
+	s.changed.Notify()
 	return nil
 }
 
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -43,7 +43,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		stateChanged := p.state.changed.next()
+		stateChanged := p.state.changed.Receive()
 		workersChanged := p.workersChangedFor(&request)
 		response, body, err := p.news(&request)
 		if err != nil {
@@ -142,7 +142,7 @@
 	if !request.Node.Store {
 		return nil
 	}
-	return p.workers.changed.next()
+	return p.workers.changed.Receive()
 }
 
 // syncNews is an answer to a sync. Its parts that many callers get alike are encoded once for all of them; they stand in
--- a/internal/controlplane/workerlist.go
+++ b/internal/controlplane/workerlist.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 )
@@ -47,7 +48,7 @@
 	list    *cluster.WorkerList
 	history workerHistory
 	readAt  time.Time
-	changed broadcast
+	changed syncutil.Notifier
 }
 
 // load returns the list, which may be nil, and when it was last read from the platform.
@@ -86,7 +87,7 @@
 	}
 	c.replace(next)
 	c.mutex.Unlock()
-	c.changed.fire()
+	c.changed.Notify()
 }
 
 // sameWorker compares two entries apart from the time that is left for warming up.
@@ -106,7 +107,7 @@
 	c.replace(list)
 	c.readAt = readAt
 	c.mutex.Unlock()
-	c.changed.fire()
+	c.changed.Notify()
 }
 
 // confirm notes that the list was read again and found unchanged. It returns false where the list here is older.
@@ -127,11 +128,11 @@
 type workerReader struct {
 	plane    *Plane
 	client   *http.Client
-	fetching semaphore
+	fetching syncutil.Semaphore
 }
 
 func newWorkerReader(plane *Plane) *workerReader {
-	return &workerReader{plane: plane, client: NewPlatformClient(plane.options.Network), fetching: newSemaphore()}
+	return &workerReader{plane: plane, client: NewPlatformClient(plane.options.Network), fetching: syncutil.NewSemaphore()}
 }
 
 // NewPlatformClient returns an HTTP client for the platform's interface.
@@ -202,15 +203,13 @@
 	if r.plane.workers.confirm(&news, readAt) {
 		return
 	}
-	select {
-	case r.fetching <- struct{}{}:
+	if r.fetching.TryAcquire() {
 		go r.fetch(news.Address, readAt)
-	default:
 	}
 }
 
 func (r *workerReader) fetch(address string, readAt time.Time) {
-	defer r.fetching.unlock()
+	defer r.fetching.Release()
 	ctx, cancel := context.WithTimeout(r.plane.lifetime, workerFetchTimeout)
 	defer cancel()
 	held, _ := r.plane.workers.load()
