--- /dev/null
+++ b/internal/dispatcher/agent/agent_test.go
@@ -0,0 +1,146 @@
+// These tests hold what the agent answers, and what the command line prints of it, against testdata/. How the agent
+// keeps its instances is tested beside the SNMP server.
+package agent_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+)
+
+// process is an instance that runs until it is told to end.
+type process struct{ end chan error }
+
+func (p *process) PID() int         { return 42 }
+func (p *process) Wait() error      { return <-p.end }
+func (p *process) Reload() error    { return nil }
+func (p *process) Kill() error      { p.end <- errors.New("killed"); return nil }
+func (p *process) Terminate() error { p.end <- nil; return nil }
+
+// newAgent keeps three instances: one answers, one does not, one cannot be started.
+func newAgent() *agent.Agent {
+	conf := &config.Agent{Limits: config.AgentLimits{Poll: time.Second, Ask: 2 * time.Second, Restart: time.Hour, RestartMax: time.Hour,
+		Steady: time.Hour, Stop: 5 * time.Second, Reply: 1 << 20, Body: 1 << 10}}
+	for i := range 3 {
+		conf.Instances = append(conf.Instances, config.Instance{Name: fmt.Sprint("n", i), Listen: fmt.Sprint("127.0.0.1:", i+1)})
+	}
+	a := agent.New(conf)
+	a.Start = func(in config.Instance) (agent.Process, error) {
+		if in.Name == "n2" {
+			return nil, errors.New("no such program")
+		}
+		return &process{make(chan error, 1)}, nil
+	}
+	a.Look = func(_ context.Context, listen string) (counts []dispatch.Count, err error) {
+		if listen != "127.0.0.1:1" {
+			return nil, errors.New("refused")
+		}
+		for i, name := range dispatch.CountNames {
+			counts = append(counts, dispatch.Count{Name: name, Value: int64(100 + i)})
+		}
+		return counts, nil
+	}
+	return a
+}
+
+// testdata/http.txt holds the agent's HTTP answers, in moved time.
+func TestAnswersToQuestions(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		a := newAgent()
+		ctx, cancel := context.WithCancel(context.Background())
+		done := make(chan bool)
+		go func() { a.Run(ctx); close(done) }()
+		time.Sleep(1500 * time.Millisecond)
+		l := &pipeListener{conns: make(chan net.Conn), closed: make(chan bool)}
+		served := make(chan error)
+		go func() { served <- a.Serve(ctx, l) }()
+		var text bytes.Buffer
+		for _, request := range []string{"GET /status", "POST /reload?instance=n0", "POST /reload?instance=n1", "POST /reload?instance=n9",
+			"POST /drain?instance=n0", "POST /drain?instance=n9", "GET /status", "POST /start?instance=n0", "POST /start", "GET /members?instance=n9",
+			"GET /leases?instance=n9", "GET /drain", "GET /other", "PUT /status"} {
+			client, server := net.Pipe()
+			l.conns <- server
+			go io.WriteString(client, request+" HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n")
+			answer, _ := io.ReadAll(client)
+			fmt.Fprintf(&text, "== %s ==\n%s\n", request, answer)
+			synctest.Wait()
+		}
+		cancel()
+		<-done
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		golden.AssertBytes(t, text.Bytes(), "http.txt")
+	})
+}
+
+// pipeListener hands out connections that the test makes.
+type pipeListener struct {
+	conns  chan net.Conn
+	closed chan bool
+}
+
+func (l *pipeListener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *pipeListener) Close() error   { close(l.closed); return nil }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+
+// testdata/command.txt holds what the commands print.
+func TestCommandOutput(t *testing.T) {
+	a := newAgent()
+	looked := make(chan bool, 100)
+	look := a.Look
+	a.Look = func(ctx context.Context, listen string) ([]dispatch.Count, error) {
+		looked <- true
+		return look(ctx, listen)
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done, served := make(chan bool), make(chan error)
+	go func() { a.Run(ctx); close(done) }()
+	go func() { served <- a.Serve(ctx, l) }()
+	for range 4 { // the second look begins once the first has been noted
+		<-looked
+	}
+	var text bytes.Buffer
+	for _, words := range [][]string{{"status"}, {"status", "n1"}, {"counters"}, {"counters", "n1", "n0"}, {"reload", "n0"}, {"reload", "n1"}, {"reload"},
+		{"drain", "n9"}, {"drain"}, {"status", "n9"}, {"start", "n0", "n1"}} {
+		fmt.Fprintf(&text, "== %v ==\n", words)
+		if err := agent.Command(ctx, &text, l.Addr().String(), words[0], words[1:]); err != nil {
+			fmt.Fprintf(&text, "error: %v\n", err)
+		}
+	}
+	names, err := agent.Names(ctx, l.Addr().String())
+	fmt.Fprintf(&text, "== names ==\n%v %v\n", names, err)
+	_, err = agent.Told(ctx, l.Addr().String(), "/members", "n9", "")
+	fmt.Fprintf(&text, "== members of n9 ==\n%v\n", err)
+	cancel()
+	<-done
+	if err := <-served; err != nil && !errors.Is(err, http.ErrServerClosed) {
+		t.Error(err)
+	}
+	golden.AssertBytes(t, text.Bytes(), "command.txt")
+}
--- /dev/null
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -0,0 +1,256 @@
+// These tests hold every byte that a client can be answered with against testdata/, in moved time and on a network in
+// memory. The files were written by the code as it was when they were made; `go test -update` writes them again.
+package clienthttp_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/dispatcher/clienthttp"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
+)
+
+const (
+	serverAddress = "127.0.0.1:5000"
+	// patience is longer than every time-out after which the server answers by itself or closes an idle connection.
+	patience = 2 * time.Minute
+)
+
+// goodRequest is a job that the server takes.
+const goodRequest = "POST /enrol HTTP/1.1\r\nHost: b\r\nX-Request-ID: p1\r\nX-Priority-Class: enrol\r\nX-Tenant-Id: univ-gaspesie\r\n" +
+	"X-Timeout: 2.5\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\ndone"
+
+// fixedTaker gives each job the same answer, or the same error.
+type fixedTaker struct {
+	answer dispatch.Answer
+	err    error
+}
+
+func (f *fixedTaker) Take(j *dispatch.Job) error {
+	if f.err == nil {
+		j.Reply(f.answer)
+	}
+	return f.err
+}
+
+func (f *fixedTaker) Leave(*dispatch.Job) {}
+
+// noWatch stands in for the watch on discovery.
+type noWatch struct{}
+
+func (noWatch) Watch(bool) {}
+
+// transcript collects what clients were answered, by the name of the case.
+type transcript struct{ bytes.Buffer }
+
+func (tr *transcript) add(name string, answer []byte) {
+	fmt.Fprintf(tr, "== %s ==\n%s\n", name, answer)
+}
+
+// fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedTaker.
+type fixture struct {
+	network testenv.Net
+	server  *clienthttp.Portal
+	taker   fixedTaker
+}
+
+// newFixture starts a server; change has the last word on its settings. It belongs into a bubble of testing/synctest.
+func newFixture(t *testing.T, change func(*config.Node)) *fixture {
+	node := testenv.Node(t, nil, "")
+	if change != nil {
+		change(node)
+	}
+	core, err := dispatch.New(node, new(dispatch.Counters), nil, nil, noWatch{}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fixture{server: clienthttp.New(node, core)}
+	f.taker.answer = dispatch.Answer{Verdict: dispatch.Served, Result: []byte("result of p1")}
+	f.server.Jobs = &f.taker
+	ctx, cancel := context.WithCancel(context.Background())
+	go core.Run(ctx)
+	go f.server.Serve(f.network.Listen(serverAddress))
+	t.Cleanup(func() {
+		f.server.Farewell(context.Background())
+		cancel()
+		time.Sleep(patience)
+	})
+	return f
+}
+
+// exchange sends text on a connection of its own and returns all that comes until the server closes it, or gives up.
+func (f *fixture) exchange(t *testing.T, text string) []byte {
+	conn, err := f.network.Dial(context.Background(), serverAddress)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go io.WriteString(conn, text)
+	conn.SetReadDeadline(time.Now().Add(patience))
+	answer, _ := io.ReadAll(conn)
+	conn.Close()
+	synctest.Wait()
+	return answer
+}
+
+func TestAnswersToRequestsThatAreNoJob(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t, nil)
+		var answers transcript
+		for _, k := range []struct{ name, from, to string }{
+			{"no id", "X-Request-ID: p1\r\n", ""},
+			{"two ids", "X-Request-ID: p1\r\n", "X-Request-ID: p1\r\nX-Request-ID: p2\r\n"},
+			{"odd id", "p1", "p\xff"},
+			{"class and path differ", "/enrol", "/seat-check"},
+			{"unknown class", "enrol", "render"},
+			{"unknown tenant", "univ-gaspesie", "univ-x"},
+			{"no tenant", "X-Tenant-Id: univ-gaspesie\r\n", ""},
+			{"no time-out", "X-Timeout: 2.5\r\n", ""},
+			{"time-out is a word", "2.5", "soon"},
+			{"time-out is negative", "2.5", "-1"},
+			{"time-out is infinite", "2.5", "Inf"},
+			{"time-out is too long", "2.5", "99999999999"},
+			{"no key", "Idempotency-Key: k\r\n", ""},
+			{"key too long", "Key: k", "Key: " + strings.Repeat("k", 257)},
+			{"attribute is no number", "X-Timeout", "X-Attrs: slots=many\r\nX-Timeout"},
+			{"method", "POST", "PUT"},
+			{"absolute target", "POST /enrol", "POST http://h/enrol"},
+			{"body cut off", "Content-Length: 4", "Content-Length: 5"},
+			{"length is no number", "Content-Length: 4", "Content-Length: x"},
+			{"length is empty", "Content-Length: 4", "Content-Length:"},
+			{"two lengths", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 4"},
+			{"length too large", "Content-Length: 4", "Content-Length: 65537"},
+			{"length out of range", "Content-Length: 4", "Content-Length: 99999999999999999999"},
+			{"length and coding", "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"},
+			{"unknown coding", "Content-Length: 4", "Transfer-Encoding: gzip, chunked"},
+			{"two codings", "Content-Length: 4", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"},
+			{"coding in HTTP/1.0", "HTTP/1.1\r\nHost: b\r\n", "HTTP/1.0\r\nHost: b\r\nTransfer-Encoding: chunked\r\n"},
+			{"head too large", "Host: b", "Host: b\r\nX-Long: " + strings.Repeat("x", 40<<10)},
+			{"head never ends", "\r\n\r\ndone", "\r\nX-More: "},
+			{"no request", goodRequest, "\x16\x03\x01 hello"},
+			{"request line", "POST /enrol HTTP/1.1", "POST /enrol"},
+			{"unknown version", "HTTP/1.1", "HTTP/2.0"},
+			{"folded line", "Host: b", "Host: b\r\nX-Long: a\r\n b"},
+			{"space in a name", "X-Timeout:", "X-Timeout :"},
+			{"bare line end", "Host: b\r\n", "Host: b\n"},
+			{"control character", "Host: b", "Host: b\x00"},
+		} {
+			answers.add(k.name, f.exchange(t, strings.ReplaceAll(goodRequest, k.from, k.to)))
+		}
+		chunked := "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537) + "\r\n0\r\n\r\n"
+		answers.add("chunks too large", f.exchange(t, strings.Replace(goodRequest, "Content-Length: 4\r\n\r\ndone", chunked, 1)))
+		golden.AssertBytes(t, answers.Bytes(), "no_job.http")
+	})
+}
+
+func TestAnswersToJobs(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t, nil)
+		var answers transcript
+		chunked := strings.Replace(goodRequest, "Content-Length: 4\r\n\r\ndone", "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 1)
+		answers.add("served", f.exchange(t, goodRequest))
+		answers.add("served, in chunks", f.exchange(t, chunked))
+		answers.add("served, two on one connection", f.exchange(t, goodRequest+goodRequest))
+		answers.add("served, HTTP/1.0", f.exchange(t, strings.Replace(goodRequest, "HTTP/1.1", "HTTP/1.0", 1)))
+		f.taker.answer = dispatch.Answer{Verdict: dispatch.Served}
+		answers.add("served, empty result", f.exchange(t, goodRequest))
+		f.taker.answer = dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: 1250 * time.Millisecond}
+		answers.add("refused", f.exchange(t, goodRequest))
+		f.taker.answer = dispatch.Answer{Verdict: dispatch.Failed}
+		answers.add("failed", f.exchange(t, goodRequest))
+		f.taker.err = dispatch.ErrBusy
+		answers.add("too many open jobs", f.exchange(t, goodRequest))
+		f.taker.err = dispatch.ErrOpen
+		answers.add("the id is open", f.exchange(t, goodRequest))
+		f.taker.err = errors.New("whatever else")
+		answers.add("not taken", f.exchange(t, goodRequest))
+		golden.AssertBytes(t, answers.Bytes(), "jobs.http")
+	})
+}
+
+func TestAnswersWithoutRoom(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var answers transcript
+		bodies := newFixture(t, func(n *config.Node) { n.Limits.Bodies = 3 })
+		answers.add("no room for bodies", bodies.exchange(t, goodRequest))
+		connections := newFixture(t, func(n *config.Node) { n.Limits.PortalConns = 0 })
+		answers.add("no room for connections", connections.exchange(t, ""))
+		golden.AssertBytes(t, answers.Bytes(), "no_room.http")
+	})
+}
+
+func TestAnswersToQuestions(t *testing.T) {
+	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: b\r\n\r\n" }
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t, nil)
+		var answers transcript
+		ask := func(name, path string) { answers.add(name+" "+path, f.exchange(t, get(path))) }
+		ask("up:", "/up")
+		ask("counters:", "/counters")
+		ask("off:", "/members")
+		ask("off:", "/leases")
+		ask("no such page:", "/other")
+		present := true
+		f.server.Members = func(context.Context) (any, bool) { return map[string]int{"size": 3}, present }
+		f.server.Leases = func(_ context.Context, key string) (any, bool) { return map[string]string{"key": key}, present }
+		ask("on:", "/members")
+		ask("on:", "/leases?key=enrol/k")
+		present = false
+		ask("ended:", "/members")
+		ask("ended:", "/leases")
+		f.server.Leave()
+		ask("leaving:", "/up")
+		ask("leaving:", "/other")
+		answers.add("leaving: a job", f.exchange(t, goodRequest))
+		golden.AssertBytes(t, answers.Bytes(), "questions.http")
+	})
+}
+
+// silentTaker takes jobs and never answers them.
+type silentTaker struct{ left chan *dispatch.Job }
+
+func (s *silentTaker) Take(*dispatch.Job) error { return nil }
+func (s *silentTaker) Leave(j *dispatch.Job)    { s.left <- j }
+
+// On a socket: only there a client can end its sending and still hear.
+func TestAnswerToAClientThatHasEndedItsSending(t *testing.T) {
+	node := testenv.Node(t, nil, "")
+	core, err := dispatch.New(node, new(dispatch.Counters), nil, nil, noWatch{}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, taker := clienthttp.New(node, core), &silentTaker{left: make(chan *dispatch.Job, 1)}
+	server.Jobs = taker
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go server.Serve(listener)
+	defer server.Farewell(context.Background())
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	io.WriteString(conn, goodRequest)
+	conn.(*net.TCPConn).CloseWrite()
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	answer, err := io.ReadAll(conn)
+	if err != nil {
+		t.Fatal(err)
+	}
+	date := regexp.MustCompile(`Date: [^\r]+`) // it is the machine's
+	golden.AssertBytes(t, date.ReplaceAll(answer, []byte("Date: today")), "client_left.http")
+}
--- /dev/null
+++ b/internal/dispatcher/config/document/shipped_test.go
@@ -0,0 +1,48 @@
+package document
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"testing"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/fleetsim"
+)
+
+// testdata/shipped.json holds what the shipped documents come to, written again under their keys.
+func TestShippedDocumentsAsTheyAreRead(t *testing.T) {
+	var out bytes.Buffer
+	for _, name := range []string{"fleet", "load", "capture"} {
+		into := map[string]any{"fleet": new(fleetsim.Fleet), "load": new(fleetsim.Load), "capture": new(config.Capture)}[name]
+		if err := Read("../../../../deploy/"+name+".json", name, into); err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.MarshalIndent(into, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s\n", text)
+	}
+	golden.AssertBytes(t, out.Bytes(), "shipped.json")
+}
+
+// testdata/defaults.json holds a recorder's settings where the operator names a folder alone.
+func TestDefaultsOfARecorder(t *testing.T) {
+	path := t.TempDir() + "/capture.json"
+	if err := os.WriteFile(path, []byte(`{"dir":"/"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c, err := Capture(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.AssertBytes(t, append(text, '\n'), "defaults.json")
+}
--- /dev/null
+++ b/internal/dispatcher/config/golden_test.go
@@ -0,0 +1,230 @@
+package config_test
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/dispatcher/config"
+)
+
+// value is one thing that was read, under a name of this test's own: the files in testdata/ outlive the Go names.
+type value struct {
+	name string
+	is   any
+}
+
+func show(out *bytes.Buffer, title string, values []value) {
+	fmt.Fprintf(out, "== %s ==\n", title)
+	for _, v := range values {
+		fmt.Fprintf(out, "%s = %v\n", v.name, v.is)
+	}
+}
+
+func limitValues(l *config.Limits) []value {
+	return []value{
+		{"cores", l.Cores},
+		{"memory_mb", l.MemoryMB},
+		{"sockets", l.Sockets},
+		{"portal_conns", l.PortalConns},
+		{"portal_fresh", l.PortalFresh},
+		{"portal_spare", l.PortalSpare},
+		{"floor_conns", l.FloorConns},
+		{"roster_conns", l.RosterConns},
+		{"body", l.Body},
+		{"bodies", l.Bodies},
+		{"head", l.Head},
+		{"line", l.Line},
+		{"roster", l.Roster},
+		{"workers", l.Workers},
+		{"open_jobs", l.OpenJobs},
+		{"mailbox", l.Mailbox},
+		{"late_reads", l.LateReads},
+		{"answer_room", l.AnswerRoom},
+		{"retry_after", l.RetryAfter},
+		{"most_patience", l.MostPatience},
+		{"connect", l.Connect},
+		{"worker_idle", l.WorkerIdle},
+		{"client_idle", l.ClientIdle},
+		{"read_head", l.ReadHead},
+		{"linger", l.Linger},
+		{"linger_bytes", l.LingerBytes},
+		{"tail_wait", l.TailWait},
+		{"late_answer", l.LateAnswer},
+		{"roster_call", l.RosterCall},
+		{"roster_silent", l.RosterSilent},
+		{"roster_retry", l.RosterRetry},
+		{"roster_retry_max", l.RosterRetryMax},
+		{"drain_grace", l.DrainGrace},
+		{"farewell", l.Farewell},
+		{"last_accept", l.LastAccept},
+		{"last_answer", l.LastAnswer},
+		{"remember", l.Remember},
+		{"remembered", l.Remembered},
+		{"remembered_bytes", l.RememberedBytes},
+		{"reconnect", l.Reconnect},
+		{"reconnect_max", l.ReconnectMax},
+		{"confirm", l.Confirm},
+		{"capture_rows", l.CaptureRows},
+		{"capture_group", l.CaptureGroup},
+		{"capture_retry", l.CaptureRetry},
+		{"peer_reads", l.PeerReads},
+		{"peer_strangers", l.PeerStrangers},
+		{"peer_mailbox", l.PeerMailbox},
+		{"peer_bytes", l.PeerBytes},
+		{"peer_farewell", l.PeerFarewell},
+		{"copy_frame", l.CopyFrame},
+		{"copy_queue", l.CopyQueue},
+		{"copy_dial", l.CopyDial},
+		{"copy_retry", l.CopyRetry},
+		{"lease_room", l.LeaseRoom},
+		{"lease_look", l.LeaseLook},
+		{"lease_linger", l.LeaseLinger},
+		{"leases_moved", l.LeasesMoved},
+		{"leases_taken", l.LeasesTaken},
+		{"lease_round", l.LeaseRound},
+		{"lease_farewell", l.LeaseFarewell},
+		{"lease_orphan", l.LeaseOrphan},
+	}
+}
+
+func nodeValues(n *config.Node) []value {
+	return []value{
+		{"name", n.Name}, {"listen", n.Listen}, {"discovery", n.Discovery}, {"seed", n.Seed}, {"known", n.Known}, {"module", n.Module},
+		{"classes", n.Classes}, {"tenants", n.Tenants}, {"zones", n.Zones}, {"kinds", n.Kinds}, {"load_fields", n.LoadFields},
+		{"zone_name", n.ZoneName()},
+	}
+}
+
+func peerValues(peers []config.Peer) (out []string) {
+	for _, p := range peers {
+		out = append(out, fmt.Sprintf("%q at %v", p.Name, p.At))
+	}
+	return out
+}
+
+// example reads one of the operator's files that are shipped.
+func example(t *testing.T, name string) string {
+	text, err := os.ReadFile("../../../deploy/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// withPeers is the platform's file of a deployment that allows talk among dispatchers.
+var withPeers = strings.Replace(whole, `"max_attempts":3`, `"max_attempts":3,"peers":true`, 1)
+
+// testdata/node.txt holds what the platform's file and the settings come to: with all that is given, with the least that
+// may be given, and where lists of workers are pushed.
+func TestNodesAsTheyAreRead(t *testing.T) {
+	var out bytes.Buffer
+	for _, k := range []struct{ title, text string }{
+		{"whole", whole},
+		{"least", `{"listen":"127.0.0.1:5000","seed":"1"}`},
+		{"pushed lists", strings.Replace(whole, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1)},
+		{"small", strings.Replace(whole, `"cores":1.0,"memory_mb":192,"sockets":1024`, `"cores":0.5,"memory_mb":64,"sockets":256`, 1)},
+		{"with known workers", strings.Replace(whole, `"instances":[]`, `"instances":[{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000",`+
+			`"zone":"montreal","machineType":"std-2c","cell":3,"lifecycle":"ready","weight":1.5,"startedAtMs":77}]`, 1)},
+	} {
+		n, err := load(t, k.text, nil)
+		if err != nil {
+			t.Fatal(k.title, err)
+		}
+		show(&out, k.title, nodeValues(n))
+		show(&out, k.title+", limits", limitValues(&n.Limits))
+	}
+	golden.AssertBytes(t, out.Bytes(), "node.txt")
+}
+
+// testdata/operator.txt holds what the operator's files that are shipped come to.
+func TestOperatorsFilesAsTheyAreRead(t *testing.T) {
+	var out bytes.Buffer
+	amqp := example(t, "amqp.toml")
+	worker := strings.NewReplacer("# [[amqp.worker]]", "[[amqp.worker]]", "# id", "id", "# queue", "queue", "# zone", "zone", "# kind", "kind").Replace(amqp)
+	for _, text := range []string{amqp, worker, strings.Replace(amqp, "prefetch", "# prefetch", 1)} {
+		n, err := load(t, whole, map[string]string{"NODE_AMQP": write(t, "amqp.toml", text)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		a := n.AMQP
+		show(&out, "amqp.toml", []value{{"url", a.URL}, {"jobs", a.Jobs}, {"prefetch", a.Prefetch}})
+		for _, w := range a.Workers {
+			show(&out, "amqp.toml, worker", []value{{"id", w.ID}, {"queue", w.Queue}, {"zone", w.Zone}, {"kind", w.Kind}, {"cell", w.Cell}})
+		}
+	}
+	members, promises := write(t, "members.toml", example(t, "members.toml")), write(t, "promises.toml", example(t, "promises.toml"))
+	n, err := load(t, withPeers, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": promises})
+	if err != nil {
+		t.Fatal(err)
+	}
+	showMembers(&out, "members.toml", n.Members)
+	p := n.Promises
+	show(&out, "promises.toml", []value{{"listen", p.Listen}, {"peers", peerValues(p.Peers)}, {"groups", p.Groups}, {"copies", p.Copies}, {"keep", p.Keep},
+		{"skew", p.Skew}, {"most", p.Most}, {"events", p.Events}, {"crash_at", p.CrashAt}, {"crash_on", p.CrashOn}, {"stops", p.Stops}})
+	learning := strings.Replace(withPeers, `"settings":`, `"peers":["127.0.0.1:7400","127.0.0.1:7401"],"peer_listen":"127.0.0.1:7400","settings":`, 1)
+	if n, err = load(t, learning, map[string]string{"NODE_MEMBERS": write(t, "members.toml", "[members]\n")}); err != nil {
+		t.Fatal(err)
+	}
+	showMembers(&out, "an empty members.toml", n.Members)
+	a, err := config.LoadAgent("../../../deploy/agent.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	show(&out, "agent.toml", []value{{"control", a.Control}, {"program", a.Program}, {"snmp", a.SNMP}, {"community", a.Community},
+		{"instances", a.Instances}, {"limits", a.Limits}, {"default_control", config.DefaultControl}})
+	fmt.Fprintf(&out, "== crash points ==\n%v\n", config.CrashPoints)
+	golden.AssertBytes(t, out.Bytes(), "operator.txt")
+}
+
+func showMembers(out *bytes.Buffer, title string, m *config.Members) {
+	show(out, title, []value{{"listen", m.Listen}, {"at", m.At}, {"peers", peerValues(m.Peers)}, {"learn", m.Learn}, {"period", m.Period},
+		{"bear", m.Bear}, {"weight", m.Weight}, {"version", m.Version}, {"events", m.Events}})
+}
+
+// testdata/faults.txt holds what is said of faulty files: operators look for these words.
+func TestFaultsAsTheyAreSaid(t *testing.T) {
+	var out bytes.Buffer
+	say := func(title string, err error) {
+		if err == nil {
+			t.Errorf("%s: no error", title)
+			return
+		}
+		text := err.Error()
+		if at := strings.Index(text, "/"); at >= 0 && strings.Contains(text, ".toml") { // the test's folder differs from run to run
+			end := strings.LastIndex(text[:strings.Index(text, ".toml")], "/")
+			text = text[:at] + "DIR" + text[end:]
+		}
+		fmt.Fprintf(&out, "%s: %s\n", title, text)
+	}
+	for _, change := range [][2]string{
+		{`"listen":"127.0.0.1:5000"`, `"listen":"here"`}, {`"discovery":"127.0.0.1:8500"`, `"discovery":"there"`}, {`"seed":"8c`, `"seed":"x`},
+		{`"cores":1.0`, `"cores":0`}, {`"cores":1.0`, `"cores":"one"`}, {`"memory_mb":192`, `"memory_mb":1`}, {`"sockets":1024`, `"sockets":3`},
+		{`"name":"enrol"`, `"name":"seat-check"`}, {`"name":"univ-gaspesie"`, `"name":""`},
+	} {
+		_, err := load(t, strings.Replace(whole, change[0], change[1], 1), nil)
+		say(change[1], err)
+	}
+	for _, k := range []struct{ variable, file, from, to string }{
+		{"NODE_AMQP", "amqp.toml", "amqp://", "http://"}, {"NODE_AMQP", "amqp.toml", "prefetch = 128", "prefetch = 100000"}, {"NODE_AMQP", "amqp.toml", "prefetch", "fetch"},
+		{"NODE_AMQP", "amqp.toml", "registration.jobs", ""}, {"NODE_MEMBERS", "members.toml", "period_ms = 500", "period_ms = 5"},
+		{"NODE_MEMBERS", "members.toml", "bear_ms = 3000", "bear_ms = 3"}, {"NODE_MEMBERS", "members.toml", "127.0.0.1:7401", "x"},
+		{"NODE_MEMBERS", "members.toml", "weight = 1.0", "weight = -1.0"}, {"NODE_PROMISES", "promises.toml", "copies = 3", "copies = 2"},
+		{"NODE_PROMISES", "promises.toml", "groups = 16", "groups = 0"}, {"NODE_PROMISES", "promises.toml", "keep_s = 600", "keep_s = 0"},
+		{"NODE_PROMISES", "promises.toml", "skew_ms = 250", "skew_ms = 9000"}, {"NODE_PROMISES", "promises.toml", "most = 100000", "most = 0"},
+		{"NODE_PROMISES", "promises.toml", "listen = \"127.0.0.1:7500\"", "listen = \"\""},
+	} {
+		env := map[string]string{k.variable: write(t, k.file, strings.Replace(example(t, k.file), k.from, k.to, 1))}
+		if k.variable == "NODE_PROMISES" {
+			env["NODE_MEMBERS"] = write(t, "members.toml", example(t, "members.toml"))
+		}
+		_, err := load(t, withPeers, env)
+		say(k.to, err)
+	}
+	golden.AssertBytes(t, out.Bytes(), "faults.txt")
+}
+
--- /dev/null
+++ b/internal/dispatcher/dispatch/counters_test.go
@@ -0,0 +1,47 @@
+package dispatch_test
+
+import (
+	"encoding/json"
+	"testing"
+	"testing/synctest"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
+)
+
+// Names and order of the counters are part of the HTTP interface, the log and the MIB: testdata/ holds them.
+func TestCountersAsTheyAreShown(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		counters := new(dispatch.Counters)
+		for i, c := range []interface{ Store(int64) }{&counters.Taken, &counters.Served, &counters.Refused, &counters.Failed,
+			&counters.Left, &counters.Overflow, &counters.Malformed, &counters.Sent, &counters.Dialled, &counters.Reused,
+			&counters.RosterChanges, &counters.RosterFailed, &counters.Redelivered, &counters.Captured, &counters.CaptureLost} {
+			c.Store(int64(101 + i))
+		}
+		for o := decision.OK; o <= decision.NeverSent; o++ {
+			counters.Outcomes[o].Store(int64(200 + o))
+		}
+		core, err := dispatch.New(testenv.Node(t, nil, ""), counters, nil, nil, &hall{}, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := json.MarshalIndent(core.Counts(), "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.AssertBytes(t, append(text, '\n'), "counters.json")
+		golden.AssertBytes(t, []byte(core.Line()+"\n"), "counters.txt")
+	})
+}
+
+// The words for outcomes stand in captures too.
+func TestOutcomeNames(t *testing.T) {
+	var names []byte
+	for o := decision.OK; o <= decision.NeverSent; o++ {
+		names = append(append(names, dispatch.OutcomeName(o)...), '\n')
+	}
+	golden.AssertBytes(t, names, "outcomes.txt")
+}
--- /dev/null
+++ b/internal/dispatcher/workerhttp/request_test.go
@@ -0,0 +1,104 @@
+package workerhttp_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/decision"
+	"gladepick/internal/dispatcher/config"
+	"gladepick/internal/dispatcher/dispatch"
+	"gladepick/internal/dispatcher/testenv"
+	"gladepick/internal/dispatcher/workerhttp"
+)
+
+// written records what is written to a connection.
+type written struct {
+	net.Conn
+	text *bytes.Buffer
+}
+
+func (w written) Write(p []byte) (int, error) {
+	fmt.Fprintf(w.text, "== a write of %d bytes ==\n%s\n", len(p), p)
+	return w.Conn.Write(p)
+}
+
+// testdata/request.http holds what a worker is sent, write by write.
+func TestRequestAsItIsWritten(t *testing.T) {
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	synctest.Test(t, func(t *testing.T) {
+		world, yard := &testenv.Net{}, &testenv.Yard{}
+		l := world.Listen(address)
+		go yard.Worker(l, "s-00000001")
+		var text bytes.Buffer
+		b := set(t, n, func(ctx context.Context, address string) (net.Conn, error) {
+			conn, err := world.Dial(ctx, address)
+			return written{conn, &text}, err
+		})
+		for _, j := range []*dispatch.Job{
+			{ID: "plain", Target: "/seat-check", Body: []byte("done")},
+			{ID: "full", Key: "k", Class: 1, Target: "/enrol/x?y=%20z", Body: []byte("done"), Head: []dispatch.Field{{Name: "Host", Value: "b"},
+				{Name: "X-Priority-Class", Value: "enrol"}, {Name: "X-More", Value: "one"}, {Name: "X-More", Value: "two"}}},
+		} {
+			j.Patience, j.Slots = 2*time.Second, 1
+			answers := make(chan dispatch.Answer, 1)
+			j.Reply = func(a dispatch.Answer) { answers <- a }
+			if err := b.core.Take(j); err != nil {
+				t.Fatal(err)
+			}
+			if a := <-answers; a.Verdict != dispatch.Served {
+				t.Errorf("%s: %v", j.ID, a)
+			}
+			synctest.Wait()
+		}
+		golden.AssertBytes(t, text.Bytes(), "request.http")
+		b.floor.CloseIdle(config.Worker{Address: address})
+		b.stop()
+		l.Close()
+		time.Sleep(time.Minute)
+	})
+}
+
+// testdata/lines.txt holds what each line of a worker's answer means.
+func TestAnswerLinesAsTheyAreRead(t *testing.T) {
+	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	const load = `,"load":{"x0":2.5,"fail_rate":0,"rate":1.5,"q":0}`
+	var text bytes.Buffer
+	for _, line := range []string{
+		`{"id":"j","state":"done","result":"text"` + load + `}`,
+		`{"id":"j","state":"done","result":{"a":1}}`,
+		`{"id":"j","state":"done"}`,
+		`{"id":"j","state":"failed"` + load + `}`,
+		`{"id":"j","state":"returned","load":{"x0":1,"eps":2,"qps":3,"queue":4}}`,
+		`{"id":"j","state":"returned","load":{"x0":1}}`,
+		`{"id":"j","state":"lost"}`,
+		`{"id":"j","state":"unheard-of"}`,
+		`{"id":"other","state":"done","result":"text"}`,
+		`{"id":"j","sta`,
+	} {
+		a := &dispatch.Attempt{Job: &dispatch.Job{ID: "j"}}
+		outcome, load, result := workerhttp.Read(n, a, []byte(line))
+		name := "none yet"
+		if outcome >= decision.OK && outcome <= decision.NeverSent {
+			name = dispatch.OutcomeName(outcome)
+		}
+		fmt.Fprintf(&text, "%s\n  %s, load %v, result %q\n", line, name, load.Values[:load.Count], result)
+	}
+	var l workerhttp.Line
+	if err := json.Unmarshal([]byte(`{"id":"a","from":"b","state":"c","share":0.5,"result":1,"load":{}}`), &l); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(l)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&text, "%s\n", again)
+	golden.AssertBytes(t, text.Bytes(), "lines.txt")
+}
