--- a/cmd/gladepick-full/help_test.go
+++ b/cmd/gladepick-full/help_test.go
@@ -25,7 +25,7 @@
 	for _, words := range []string{"fly", "plan", "plan --fleet x a b", "plan --fleet x --load y --ask all service>=0.9", "plan --fleet x --load y -o xml service>=0.9",
 		"plan --fleet x --load y service", "plan --fleet x service>=0.9", "schema a b", "schema none"} {
 		err := run(strings.Fields(words), &misuse)
-		fmt.Fprintf(&misuse, "%s: %d, %v\n", words, cli.Code(err), err)
+		fmt.Fprintf(&misuse, "%s: %d, %v\n", words, cli.ExitCode(err), err)
 	}
 	golden.AssertBytes(t, misuse.Bytes(), "misuse.txt")
 }
--- a/cmd/gladepick-full/main.go
+++ b/cmd/gladepick-full/main.go
@@ -33,7 +33,7 @@
 	if len(args) == 0 {
 		return instance.Run(record, keeper)
 	}
-	return cli.Run(cli.Root(&cobra.Command{Use: "gladepick", Short: "The commands of gladepick that need large libraries"}, planCommand(), schemaCommand()), args, out)
+	return cli.Execute(cli.NewRoot(&cobra.Command{Use: "gladepick", Short: "The commands of gladepick that need large libraries"}, planCommand(), schemaCommand()), args, out)
 }
 
 // record puts a recorder on a dispatcher whose operator's file asks for one.
@@ -43,7 +43,7 @@
 		return nil, nil
 	}
 	var err error
-	if n.Capture, err = document.Capture(path); err != nil {
+	if n.Capture, err = document.ReadCapture(path); err != nil {
 		return nil, err
 	}
 	r := capture.NewRecorder(n, counters, core.Clock)
@@ -53,6 +53,6 @@
 }
 
 // keeper makes jobs be taken for keeps.
-func keeper(n *config.Node, members *transport.Peers) (instance.Keeper, error) {
+func keeper(n *config.Node, members *transport.Peers) (instance.DurableJobs, error) {
 	return durablejobs.New(n, members)
 }
--- a/cmd/gladepick-full/main_test.go
+++ b/cmd/gladepick-full/main_test.go
@@ -98,22 +98,22 @@
 		fleet, says string
 		args        []string
 	}{
-		{cli.Done, "", "first to break", []string{"service >= 0.9", "--ask", "breaks", "--most", "8"}},
-		{cli.Done, "", "\"zones\": [", []string{"service >= 0.9", "--ask", "zones", "-o", "json"}},
-		{cli.Goal, "", "no number of workers", []string{"score >= 1 with zone montreal lost", "--ask", "needs", "--most", "1"}},
-		{cli.Use, "", "goal, line 1, column 9", []string{"service > 0.9"}},
-		{cli.Use, "", "there are breaks, needs, zones", []string{"service >= 0.9", "--ask", "all"}},
-		{cli.Use, "", "is neither a class", []string{"service(x) >= 0.9"}},
-		{cli.Failed, spoilt, "fleet.json:6:34: key kinds.0.cores", []string{"service >= 0.9"}},
-		{cli.Failed, "none.json", "none.json: no such file", []string{"service >= 0.9"}},
+		{cli.ExitDone, "", "first to break", []string{"service >= 0.9", "--ask", "breaks", "--most", "8"}},
+		{cli.ExitDone, "", "\"zones\": [", []string{"service >= 0.9", "--ask", "zones", "-o", "json"}},
+		{cli.ExitGoalMissed, "", "no number of workers", []string{"score >= 1 with zone montreal lost", "--ask", "needs", "--most", "1"}},
+		{cli.ExitMisuse, "", "goal, line 1, column 9", []string{"service > 0.9"}},
+		{cli.ExitMisuse, "", "there are breaks, needs, zones", []string{"service >= 0.9", "--ask", "all"}},
+		{cli.ExitMisuse, "", "is neither a class", []string{"service(x) >= 0.9"}},
+		{cli.ExitFailed, spoilt, "fleet.json:6:34: key kinds.0.cores", []string{"service >= 0.9"}},
+		{cli.ExitFailed, "none.json", "none.json: no such file", []string{"service >= 0.9"}},
 	} {
 		if k.fleet == "" {
 			k.fleet = "../../deploy/fleet.json"
 		}
 		var out bytes.Buffer
 		err := run(append([]string{"plan", "--fleet", k.fleet, "--load", short, "--days", "4"}, k.args...), &out)
-		if said := fmt.Sprint(out.String(), err); cli.Code(err) != k.code || !strings.Contains(said, k.says) {
-			t.Errorf("%v ends with %d: %s", k.args, cli.Code(err), said)
+		if said := fmt.Sprint(out.String(), err); cli.ExitCode(err) != k.code || !strings.Contains(said, k.says) {
+			t.Errorf("%v ends with %d: %s", k.args, cli.ExitCode(err), said)
 		}
 	}
 }
--- a/cmd/gladepick-full/plan.go
+++ b/cmd/gladepick-full/plan.go
@@ -67,33 +67,33 @@
 
 Ends with 3 where no number of workers tried holds the goal.`,
 		Example: `  gladepick plan --fleet deploy/fleet.json --load deploy/load.json 'service >= 0.95 and late(enrol) <= 5%'`,
-		Args:    cli.Exactly(1, "one goal, in quotes"),
+		Args:    cli.ExactArgs(1, "one goal, in quotes"),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, q := range asked {
 				if !slices.Contains(questions, q) {
-					return cli.Misuse("plan: --ask %s: there are %s", q, strings.Join(questions, ", "))
+					return cli.MisuseErrorf("plan: --ask %s: there are %s", q, strings.Join(questions, ", "))
 				}
 			}
 			if output != "table" && output != "json" {
-				return cli.Misuse("plan: --output %s: there are table and json", output)
+				return cli.MisuseErrorf("plan: --output %s: there are table and json", output)
 			}
 			goal, err := planner.ParseGoal(args[0])
 			if err != nil {
-				return cli.Misuse("%w", err)
+				return cli.MisuseErrorf("%w", err)
 			}
 			if load == "" && len(captures) == 0 {
-				return cli.Misuse("plan needs --load, --capture or both")
+				return cli.MisuseErrorf("plan needs --load, --capture or both")
 			}
 			f, l, fit, err := describe(fleet, load, captures)
 			if err != nil {
 				return err
 			}
 			if l.Times = cmp.Or(l.Times, 1) * times; !(l.Times > 0) {
-				return cli.Misuse("plan: --times %v is not above 0", times)
+				return cli.MisuseErrorf("plan: --times %v is not above 0", times)
 			}
 			p, err := planner.New(f, l, goal, o)
 			if err != nil {
-				return cli.Misuse("%w", err)
+				return cli.MisuseErrorf("%w", err)
 			}
 			a := answers{Goal: args[0], Seed: p.Seed, Fit: fit}
 			if fit != nil {
@@ -194,7 +194,7 @@
 		}
 	}
 	if err == nil && a.Needs != nil && !a.Needs.Reached {
-		return &cli.Exit{Code: cli.Goal, Err: errors.New("no number of workers that was tried holds the goal")}
+		return &cli.ExitError{Code: cli.ExitGoalMissed, Err: errors.New("no number of workers that was tried holds the goal")}
 	}
 	return err
 }
--- a/cmd/gladepick-full/schema.go
+++ b/cmd/gladepick-full/schema.go
@@ -17,19 +17,19 @@
 		Example: "  gladepick schema capture",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return cli.Misuse("schema needs one name at most")
+				return cli.MisuseErrorf("schema needs one name at most")
 			}
 			return nil
 		},
-		ValidArgs: document.Schemas(),
+		ValidArgs: document.SchemaNames(),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(document.Schemas(), "\n"))
+				_, err := fmt.Fprintln(c.OutOrStdout(), strings.Join(document.SchemaNames(), "\n"))
 				return err
 			}
 			text, err := document.Schema(args[0])
 			if err != nil {
-				return cli.Misuse("%w", err)
+				return cli.MisuseErrorf("%w", err)
 			}
 			_, err = c.OutOrStdout().Write(text)
 			return err
--- a/cmd/gladepick/agent.go
+++ b/cmd/gladepick/agent.go
@@ -25,7 +25,7 @@
 		Use:     "agent FILE",
 		Short:   "Keep the instances of an operator's file running; serve SNMP",
 		Example: "  gladepick agent deploy/agent.toml",
-		Args:    cli.Exactly(1, "one file"),
+		Args:    cli.ExactArgs(1, "one file"),
 		RunE:    func(_ *cobra.Command, args []string) error { return supervise(args[0]) },
 	}
 }
--- a/cmd/gladepick/help_test.go
+++ b/cmd/gladepick/help_test.go
@@ -27,7 +27,7 @@
 		"members --from 127.0.0.1:1 n0", "leases --output xml", "leases --from 127.0.0.1:1 n0", "leases --key a/b --open", "leases --key a",
 		"agent /no/such/file", "status -agent 127.0.0.1:1", "members --agent 127.0.0.1:1", "members --from 127.0.0.1:1", "leases --from 127.0.0.1:1"} {
 		err := run(strings.Fields(words), &misuse)
-		fmt.Fprintf(&misuse, "%s: %d, %v\n", words, cli.Code(err), err)
+		fmt.Fprintf(&misuse, "%s: %d, %v\n", words, cli.ExitCode(err), err)
 	}
 	golden.AssertBytes(t, misuse.Bytes(), "misuse.txt")
 }
--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -35,13 +35,13 @@
 	c.RunE = func(c *cobra.Command, names []string) error {
 		switch {
 		case *output != "table" && *output != "json":
-			return cli.Misuse("--output %s: table or json is right", *output)
+			return cli.MisuseErrorf("--output %s: table or json is right", *output)
 		case *from != "" && len(names) > 0:
-			return cli.Misuse("--from asks one dispatcher: no names go with it")
+			return cli.MisuseErrorf("--from asks one dispatcher: no names go with it")
 		case *key != "" && *open:
-			return cli.Misuse("--key shows one promise: --open does not go with it")
+			return cli.MisuseErrorf("--key shows one promise: --open does not go with it")
 		case *key != "" && !strings.Contains(*key, "/"):
-			return cli.Misuse("--key %s: CLASS/KEY is right", *key)
+			return cli.MisuseErrorf("--key %s: CLASS/KEY is right", *key)
 		}
 		want := *key
 		if *open {
@@ -59,7 +59,7 @@
 		return err
 	}
 	for _, name := range names {
-		text, err := agent.Told(ctx, address, "/leases", name, key)
+		text, err := agent.Query(ctx, address, "/leases", name, key)
 		var s lease.Status
 		if err == nil {
 			err = json.Unmarshal(text, &s)
--- a/cmd/gladepick/main.go
+++ b/cmd/gladepick/main.go
@@ -25,7 +25,7 @@
 func run(args []string, out io.Writer) error {
 	switch {
 	case len(args) > 0:
-		return cli.Run(root(), args, out)
+		return cli.Execute(root(), args, out)
 	case os.Getenv("NODE_CAPTURE") != "" || os.Getenv("NODE_PROMISES") != "":
 		return runFull(nil)
 	}
@@ -45,7 +45,7 @@
 
 // root is the whole tree of commands.
 func root() *cobra.Command {
-	return cli.Root(&cobra.Command{
+	return cli.NewRoot(&cobra.Command{
 		Use:   "gladepick",
 		Short: "Dispatch course registration jobs to workers, and manage many dispatchers",
 		Long: `gladepick dispatches course registration jobs from university portals to workers.
--- a/cmd/gladepick/main_test.go
+++ b/cmd/gladepick/main_test.go
@@ -397,24 +397,24 @@
 		says string
 		args []string
 	}{
-		{cli.Use, "unknown command \"fly\"", []string{"fly"}},
-		{cli.Use, "did you mean drain?", []string{"drian"}},
-		{cli.Use, "agent needs one file", []string{"agent"}},
-		{cli.Use, "agent needs one file", []string{"agent", "a", "b"}},
-		{cli.Use, "drain needs the names of instances", []string{"drain"}},
-		{cli.Use, "status: unknown flag: --fast", []string{"status", "--fast"}},
-		{cli.Failed, "no such file", []string{"agent", "no such file"}},
-		{cli.Failed, "the agent at 127.0.0.1:1", []string{"status", "-agent", "127.0.0.1:1"}},
-		{cli.Failed, "the agent at 127.0.0.1:1", []string{"counters", "-agent=127.0.0.1:1", "n0"}},
-		{cli.Failed, "need gladepick-full beside this program", []string{"plan", "service >= 0.9"}},
-		{cli.Failed, "gladepick-full", []string{"schema"}},
-		{cli.Done, "", []string{"help"}},
-		{cli.Done, "", []string{"-help"}},
-		{cli.Done, "", []string{"completion", "bash"}},
+		{cli.ExitMisuse, "unknown command \"fly\"", []string{"fly"}},
+		{cli.ExitMisuse, "did you mean drain?", []string{"drian"}},
+		{cli.ExitMisuse, "agent needs one file", []string{"agent"}},
+		{cli.ExitMisuse, "agent needs one file", []string{"agent", "a", "b"}},
+		{cli.ExitMisuse, "drain needs the names of instances", []string{"drain"}},
+		{cli.ExitMisuse, "status: unknown flag: --fast", []string{"status", "--fast"}},
+		{cli.ExitFailed, "no such file", []string{"agent", "no such file"}},
+		{cli.ExitFailed, "the agent at 127.0.0.1:1", []string{"status", "-agent", "127.0.0.1:1"}},
+		{cli.ExitFailed, "the agent at 127.0.0.1:1", []string{"counters", "-agent=127.0.0.1:1", "n0"}},
+		{cli.ExitFailed, "need gladepick-full beside this program", []string{"plan", "service >= 0.9"}},
+		{cli.ExitFailed, "gladepick-full", []string{"schema"}},
+		{cli.ExitDone, "", []string{"help"}},
+		{cli.ExitDone, "", []string{"-help"}},
+		{cli.ExitDone, "", []string{"completion", "bash"}},
 	} {
 		err := run(k.args, io.Discard)
-		if cli.Code(err) != k.code || err != nil && !strings.Contains(err.Error(), k.says) {
-			t.Errorf("%v ends with %d: %v", k.args, cli.Code(err), err)
+		if cli.ExitCode(err) != k.code || err != nil && !strings.Contains(err.Error(), k.says) {
+			t.Errorf("%v ends with %d: %v", k.args, cli.ExitCode(err), err)
 		}
 	}
 	for args, says := range map[string]string{"help": "Exit codes: 0 done", "help agent": "gladepick agent FILE", "drain --help": "gladepick drain NAME..."} {
--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -34,9 +34,9 @@
 		address := c.Flag("agent").Value.String()
 		switch {
 		case *output != "table" && *output != "json":
-			return cli.Misuse("--output %s: table or json is right", *output)
+			return cli.MisuseErrorf("--output %s: table or json is right", *output)
 		case *from != "" && len(names) > 0:
-			return cli.Misuse("--from asks one dispatcher: no names go with it")
+			return cli.MisuseErrorf("--from asks one dispatcher: no names go with it")
 		}
 		return again(*watch, func(ctx context.Context) error {
 			return showMembers(ctx, c.OutOrStdout(), address, *from, names, *output == "json")
@@ -50,7 +50,7 @@
 		return err
 	}
 	for _, name := range names {
-		text, err := agent.Told(ctx, address, "/members", name, "")
+		text, err := agent.Query(ctx, address, "/members", name, "")
 		if err != nil {
 			return fmt.Errorf("members %s at %s: %w", name, address, err)
 		}
@@ -103,7 +103,7 @@
 	} else if len(names) > 0 {
 		return address, names, nil
 	}
-	names, err := agent.Names(ctx, address)
+	names, err := agent.InstanceNames(ctx, address)
 	if err != nil {
 		err = fmt.Errorf("the agent at %s: %w", address, err)
 	}
--- a/cmd/gladepick/question.go
+++ b/cmd/gladepick/question.go
@@ -22,7 +22,7 @@
 	c.ValidArgsFunction = func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		names, err := agent.Names(ctx, *address)
+		names, err := agent.InstanceNames(ctx, *address)
 		if err != nil {
 			return nil, cobra.ShellCompDirectiveError
 		}
--- a/internal/dispatcher/agent/agent.go
+++ b/internal/dispatcher/agent/agent.go
@@ -53,7 +53,7 @@
 	PID      int              `json:"pid"`
 	Restarts int              `json:"restarts"`
 	Since    time.Time        `json:"since"` // when its process started; zero without one
-	Last     string           `json:"last"`  // why its last process ended
+	LastEnd  string           `json:"last"`  // why its last process ended
 	Counters []dispatch.Count `json:"counters"`
 }
 
@@ -68,8 +68,8 @@
 
 // Agent supervises instances. Start and Look are set by New; tests put their own in their place.
 type Agent struct {
-	Start func(config.Instance) (Process, error)
-	Look  func(ctx context.Context, listen string) ([]dispatch.Count, error)
+	StartProcess  func(config.Instance) (Process, error)
+	FetchCounters func(ctx context.Context, listen string) ([]dispatch.Count, error)
 
 	conf  *config.Agent
 	lim   config.AgentLimits
@@ -90,10 +90,10 @@
 // New makes an agent for an operator's file.
 func New(conf *config.Agent) *Agent {
 	a := &Agent{conf: conf, lim: conf.Limits, birth: time.Now()}
-	a.Start = a.spawn
+	a.StartProcess = a.spawn
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	a.Look = func(ctx context.Context, listen string) (out []dispatch.Count, err error) {
-		return out, ask(ctx, client, a.lim.Reply, http.MethodGet, "http://"+listen+"/counters", &out)
+	a.FetchCounters = func(ctx context.Context, listen string) (out []dispatch.Count, err error) {
+		return out, ask(ctx, client, a.lim.ReplyBytes, http.MethodGet, "http://"+listen+"/counters", &out)
 	}
 	for _, in := range conf.Instances {
 		a.all = append(a.all, &instance{Instance: in, wanted: true, wake: make(chan struct{}, 1),
@@ -133,7 +133,7 @@
 func (a *Agent) Drain(name string) error { return a.want(name, false) }
 
 // Wanted starts an instance that was drained.
-func (a *Agent) Wanted(name string) error { return a.want(name, true) }
+func (a *Agent) StartInstance(name string) error { return a.want(name, true) }
 
 // Reload passes a reload on to an instance. One that does not answer yet may not listen for the signal, which would
 // end it.
@@ -173,7 +173,7 @@
 	// The kernel ends a child when the thread that started it ends, not the process: the thread stays as long as this.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	pause := a.lim.Restart
+	pause := a.lim.RestartBackoff
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		wanted := in.wanted
@@ -189,7 +189,7 @@
 			continue
 		}
 		began := time.Now()
-		p, err := a.Start(in.Instance)
+		p, err := a.StartProcess(in.Instance)
 		if err == nil {
 			a.set(in, func() {
 				in.process, in.State, in.PID, in.Since, in.Status.Counters = p, Starting, p.PID(), began, nil
@@ -197,9 +197,9 @@
 			err = a.attend(ctx, in, p)
 		}
 		a.set(in, func() {
-			in.process, in.PID, in.Since, in.State, in.Last = nil, 0, time.Time{}, Waiting, "exited"
+			in.process, in.PID, in.Since, in.State, in.LastEnd = nil, 0, time.Time{}, Waiting, "exited"
 			if err != nil {
-				in.Last = err.Error()
+				in.LastEnd = err.Error()
 			}
 			if wanted = in.wanted; wanted && ctx.Err() == nil {
 				in.Restarts++
@@ -209,15 +209,15 @@
 			continue
 		}
 		log.Printf("instance %s ended (%v); it starts again", in.Status.Name, err)
-		if time.Since(began) > a.lim.Steady {
-			pause = a.lim.Restart
+		if time.Since(began) > a.lim.StableAfter {
+			pause = a.lim.RestartBackoff
 		}
 		select {
 		case <-ctx.Done():
 		case <-in.wake:
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, a.lim.RestartMax)
+		pause = min(2*pause, a.lim.RestartBackoffMax)
 	}
 	a.set(in, func() { in.State = Drained })
 }
@@ -232,7 +232,7 @@
 func (a *Agent) attend(ctx context.Context, in *instance, p Process) error {
 	ended := make(chan error, 1)
 	go func() { ended <- p.Wait() }()
-	looks := time.NewTicker(a.lim.Poll)
+	looks := time.NewTicker(a.lim.PollInterval)
 	defer looks.Stop()
 	leave := ctx.Done()
 	var late <-chan time.Time
@@ -241,7 +241,7 @@
 		if err := p.Terminate(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			log.Printf("instance %s: %v", in.Status.Name, err)
 		}
-		late = time.After(a.lim.Stop)
+		late = time.After(a.lim.StopTimeout)
 	}
 	a.look(ctx, in)
 	for {
@@ -261,7 +261,7 @@
 				tell()
 			}
 		case <-late: // it has had the time that its clients give it
-			log.Printf("instance %s has not left in %v and is killed", in.Status.Name, a.lim.Stop)
+			log.Printf("instance %s has not left in %v and is killed", in.Status.Name, a.lim.StopTimeout)
 			p.Kill()
 		case <-looks.C:
 			a.look(ctx, in)
@@ -270,9 +270,9 @@
 }
 
 func (a *Agent) look(ctx context.Context, in *instance) {
-	ctx, cancel := context.WithTimeout(ctx, a.lim.Ask)
+	ctx, cancel := context.WithTimeout(ctx, a.lim.RequestTimeout)
 	defer cancel()
-	counts, err := a.Look(ctx, in.Instance.Listen)
+	counts, err := a.FetchCounters(ctx, in.Instance.Listen)
 	a.set(in, func() {
 		if err == nil {
 			in.Status.Counters = counts
@@ -315,7 +315,7 @@
 
 // Serve answers questions on a loopback listener until ctx ends.
 func (a *Agent) Serve(ctx context.Context, l net.Listener) error {
-	srv := &http.Server{Handler: a.handler(), ReadTimeout: a.lim.Ask, WriteTimeout: a.lim.Ask}
+	srv := &http.Server{Handler: a.handler(), ReadTimeout: a.lim.RequestTimeout, WriteTimeout: a.lim.RequestTimeout}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -335,7 +335,7 @@
 			listen, err := a.listens(r.FormValue("instance"))
 			var answer json.RawMessage
 			if err == nil {
-				err = ask(r.Context(), caller(), a.lim.Reply, http.MethodGet, "http://"+listen+path+"?key="+url.QueryEscape(r.FormValue("key")), &answer)
+				err = ask(r.Context(), caller(), a.lim.ReplyBytes, http.MethodGet, "http://"+listen+path+"?key="+url.QueryEscape(r.FormValue("key")), &answer)
 			}
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadGateway)
@@ -347,7 +347,7 @@
 	}
 	act := func(do func(string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			r.Body = http.MaxBytesReader(w, r.Body, a.lim.Body)
+			r.Body = http.MaxBytesReader(w, r.Body, a.lim.RequestBytes)
 			if err := do(r.FormValue("instance")); err != nil {
 				http.Error(w, err.Error(), http.StatusNotFound)
 				return
@@ -356,7 +356,7 @@
 		}
 	}
 	mux.HandleFunc("POST /drain", act(a.Drain))
-	mux.HandleFunc("POST /start", act(a.Wanted))
+	mux.HandleFunc("POST /start", act(a.StartInstance))
 	mux.HandleFunc("POST /reload", act(a.Reload))
 	return mux
 }
@@ -373,7 +373,7 @@
 
 // Told asks for what an instance tells of itself at a path: through the agent at an address, or straight from the
 // dispatcher that listens there, where no name is given.
-func Told(ctx context.Context, address, path, name, key string) (answer json.RawMessage, err error) {
+func Query(ctx context.Context, address, path, name, key string) (answer json.RawMessage, err error) {
 	question := url.Values{}
 	if name != "" {
 		question.Set("instance", name)
@@ -406,7 +406,7 @@
 }
 
 // Names are the instances of the agent at an address.
-func Names(ctx context.Context, address string) (names []string, err error) {
+func InstanceNames(ctx context.Context, address string) (names []string, err error) {
 	all, err := statuses(ctx, caller(), address)
 	for _, s := range all {
 		names = append(names, s.Name)
@@ -457,10 +457,10 @@
 			fmt.Fprintf(w, "\t%s", s.Name)
 		}
 		fmt.Fprintln(w)
-		for _, name := range dispatch.CountNames {
+		for _, name := range dispatch.CounterNames {
 			fmt.Fprint(w, name)
 			for _, s := range all {
-				fmt.Fprintf(w, "\t%s", Figure(s, name))
+				fmt.Fprintf(w, "\t%s", CounterText(s, name))
 			}
 			fmt.Fprintln(w)
 		}
@@ -469,13 +469,13 @@
 	fmt.Fprintln(w, "INSTANCE\tSTATE\tPID\tRESTARTS\tLISTEN\tOPEN\tREADY\tLAST END")
 	for _, s := range all {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\n", s.Name, s.State, s.PID, s.Restarts, s.Listen,
-			Figure(s, "open"), Figure(s, "workers_ready"), s.Last)
+			CounterText(s, "open"), CounterText(s, "workers_ready"), s.LastEnd)
 	}
 	return w.Flush()
 }
 
 // Figure is a counter's value as text, a dash where it is not known.
-func Figure(s Status, name string) string {
+func CounterText(s Status, name string) string {
 	for _, c := range s.Counters {
 		if c.Name == name {
 			return fmt.Sprint(c.Value)
--- a/internal/dispatcher/agent/agent_test.go
+++ b/internal/dispatcher/agent/agent_test.go
@@ -32,23 +32,23 @@
 
 // newAgent keeps three instances: one answers, one does not, one cannot be started.
 func newAgent() *agent.Agent {
-	conf := &config.Agent{Limits: config.AgentLimits{Poll: time.Second, Ask: 2 * time.Second, Restart: time.Hour, RestartMax: time.Hour,
-		Steady: time.Hour, Stop: 5 * time.Second, Reply: 1 << 20, Body: 1 << 10}}
+	conf := &config.Agent{Limits: config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: time.Hour, RestartBackoffMax: time.Hour,
+		StableAfter: time.Hour, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, RequestBytes: 1 << 10}}
 	for i := range 3 {
 		conf.Instances = append(conf.Instances, config.Instance{Name: fmt.Sprint("n", i), Listen: fmt.Sprint("127.0.0.1:", i+1)})
 	}
 	a := agent.New(conf)
-	a.Start = func(in config.Instance) (agent.Process, error) {
+	a.StartProcess = func(in config.Instance) (agent.Process, error) {
 		if in.Name == "n2" {
 			return nil, errors.New("no such program")
 		}
 		return &process{make(chan error, 1)}, nil
 	}
-	a.Look = func(_ context.Context, listen string) (counts []dispatch.Count, err error) {
+	a.FetchCounters = func(_ context.Context, listen string) (counts []dispatch.Count, err error) {
 		if listen != "127.0.0.1:1" {
 			return nil, errors.New("refused")
 		}
-		for i, name := range dispatch.CountNames {
+		for i, name := range dispatch.CounterNames {
 			counts = append(counts, dispatch.Count{Name: name, Value: int64(100 + i)})
 		}
 		return counts, nil
@@ -109,8 +109,8 @@
 func TestCommandOutput(t *testing.T) {
 	a := newAgent()
 	looked := make(chan bool, 100)
-	look := a.Look
-	a.Look = func(ctx context.Context, listen string) ([]dispatch.Count, error) {
+	look := a.FetchCounters
+	a.FetchCounters = func(ctx context.Context, listen string) ([]dispatch.Count, error) {
 		looked <- true
 		return look(ctx, listen)
 	}
@@ -133,9 +133,9 @@
 			fmt.Fprintf(&text, "error: %v\n", err)
 		}
 	}
-	names, err := agent.Names(ctx, l.Addr().String())
+	names, err := agent.InstanceNames(ctx, l.Addr().String())
 	fmt.Fprintf(&text, "== names ==\n%v %v\n", names, err)
-	_, err = agent.Told(ctx, l.Addr().String(), "/members", "n9", "")
+	_, err = agent.Query(ctx, l.Addr().String(), "/members", "n9", "")
 	fmt.Fprintf(&text, "== members of n9 ==\n%v\n", err)
 	cancel()
 	<-done
--- a/internal/dispatcher/amqp/amqp.go
+++ b/internal/dispatcher/amqp/amqp.go
@@ -38,10 +38,10 @@
 )
 
 // Desk holds both sides that speak to one broker.
-type Desk struct {
-	Core dispatch.Taker                                  // set before Run
-	Kept bool                                            // keyed jobs are taken for keeps: the copies know of a redelivered one what the ledger doesn't
-	Dial func(network, address string) (net.Conn, error) // tests put their own in its place
+type Adapter struct {
+	Jobs    dispatch.Submitter                              // set before Run
+	Durable bool                                            // keyed jobs are taken for keeps: the copies know of a redelivered one what the ledger doesn't
+	Dial    func(network, address string) (net.Conn, error) // tests put their own in its place
 
 	node     *config.Node
 	conf     *config.AMQP
@@ -66,16 +66,16 @@
 }
 
 // New makes a desk for a node whose settings have one.
-func New(n *config.Node, counters *dispatch.Counters) *Desk {
-	d := &Desk{node: n, conf: n.AMQP, lim: n.Limits, counters: counters, pending: map[string]*dispatch.Attempt{},
-		leaving: make(chan struct{}), Dial: amqp.DefaultDial(n.Limits.RosterCall)}
-	d.ledger = ledger{keep: d.lim.Remember, most: d.lim.Remembered, bytes: d.lim.RememberedBytes,
+func New(n *config.Node, counters *dispatch.Counters) *Adapter {
+	d := &Adapter{node: n, conf: n.AMQP, lim: n.Limits, counters: counters, pending: map[string]*dispatch.Attempt{},
+		leaving: make(chan struct{}), Dial: amqp.DefaultDial(n.Limits.DiscoveryCallTimeout)}
+	d.ledger = ledger{keep: d.lim.OutcomeRetention, most: d.lim.RetainedOutcomes, bytes: d.lim.RetainedOutcomeBytes,
 		pages: map[string]*page{}, done: list.New()}
 	return d
 }
 
 // Workers are the operator's workers in the form of the roster.
-func (d *Desk) Workers() (out []config.Worker) {
+func (d *Adapter) Workers() (out []config.Worker) {
 	for _, w := range d.conf.Workers {
 		out = append(out, config.Worker{ID: w.ID, Address: "amqp:" + w.Queue, Queue: w.Queue, Zone: w.Zone, Kind: w.Kind,
 			Cell: w.Cell, State: "ready", Weight: 1})
@@ -84,30 +84,30 @@
 }
 
 // Run keeps a session with the broker until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
-	for pause := d.lim.Reconnect; ctx.Err() == nil; {
+func (d *Adapter) Run(ctx context.Context) {
+	for pause := d.lim.BrokerBackoff; ctx.Err() == nil; {
 		began := time.Now()
 		err := d.serve(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > d.lim.ReconnectMax { // it had come up and held
-			pause = d.lim.Reconnect
+		if time.Since(began) > d.lim.BrokerBackoffMax { // it had come up and held
+			pause = d.lim.BrokerBackoff
 		}
 		log.Printf("the session with the broker has ended: %v", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, d.lim.ReconnectMax)
+		pause = min(2*pause, d.lim.BrokerBackoffMax)
 	}
 }
 
 // Leave stops taking jobs. What was taken is still answered; Settled waits for that.
-func (d *Desk) Leave() { d.leave.Do(func() { close(d.leaving) }) }
+func (d *Adapter) Drain() { d.leave.Do(func() { close(d.leaving) }) }
 
 // Settled waits until every delivery that was taken has been answered and acked, or ctx ends.
-func (d *Desk) Settled(ctx context.Context) error {
+func (d *Adapter) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() { d.busy.Wait(); close(done) }()
 	select {
@@ -119,8 +119,8 @@
 }
 
 // serve opens one session and runs it to its end.
-func (d *Desk) serve(ctx context.Context) error {
-	conn, err := amqp.DialConfig(d.conf.URL, amqp.Config{Heartbeat: d.lim.RosterSilent, Dial: d.Dial,
+func (d *Adapter) serve(ctx context.Context) error {
+	conn, err := amqp.DialConfig(d.conf.URL, amqp.Config{Heartbeat: d.lim.DiscoverySilenceTimeout, Dial: d.Dial,
 		Properties: amqp.Table{"product": "gladepick", "connection_name": d.node.Name}})
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 }
 
 // drop ends a session. What it had published and not heard of may have run.
-func (d *Desk) drop(s *session) {
+func (d *Adapter) drop(s *session) {
 	d.mu.Lock()
 	d.now = nil
 	lost := d.pending
@@ -221,7 +221,7 @@
 }
 
 // take makes a job of a delivery, or joins it to the one of its key, or says what is wrong with it.
-func (d *Desk) take(s *session, m amqp.Delivery) {
+func (d *Adapter) take(s *session, m amqp.Delivery) {
 	p := parcel{m, s}
 	j, err := d.read(&m)
 	if err != nil {
@@ -235,9 +235,9 @@
 		return
 	}
 	effect := d.node.Module.Classes[j.Class].Idempotency
-	keyed := effect != decision.Idempotent && !(d.Kept && effect == decision.Deduplicated)
-	name := m.Type + "\x00" + j.Key
-	if j.Key == "" {
+	keyed := effect != decision.Idempotent && !(d.Durable && effect == decision.Deduplicated)
+	name := m.Type + "\x00" + j.IdempotencyKey
+	if j.IdempotencyKey == "" {
 		name = "\x00" + j.ID
 	}
 	past := d.ledger.enter(name, keyed, p)
@@ -251,7 +251,7 @@
 		return
 	case past.unknown: // it came before and may have run, but what became of it is not known here any more
 		d.counters.Redelivered.Add(1)
-		go d.answer(p, dispatch.Answer{Verdict: dispatch.Failed})
+		go d.answer(p, dispatch.Answer{Kind: dispatch.Failed})
 		return
 	}
 	j.Reply = func(a dispatch.Answer) {
@@ -261,39 +261,39 @@
 	}
 	// A client that left while its job waited in the queue, or no room: it is sent nowhere, so trying again is harmless.
 	var refused error
-	if j.Patience > 0 {
-		refused = d.Core.Take(j)
+	if j.Timeout > 0 {
+		refused = d.Jobs.Submit(j)
 	}
-	switch none := (dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: d.lim.RetryAfter}); {
-	case errors.Is(refused, dispatch.ErrOpen): // another job has this id: that one goes on as if nothing had come
+	switch none := (dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: d.lim.RetryAfter}); {
+	case errors.Is(refused, dispatch.ErrDuplicateID): // another job has this id: that one goes on as if nothing had come
 		d.counters.Malformed.Add(1)
 		for _, p := range d.ledger.close(name, none) {
 			go d.settle(p, typeMalformed, amqp.Table{"reason": refused.Error()}, nil)
 		}
-	case refused != nil || j.Patience <= 0:
+	case refused != nil || j.Timeout <= 0:
 		j.Reply(none)
 	}
 }
 
 // read checks a message and takes out what decisions need.
-func (d *Desk) read(m *amqp.Delivery) (*dispatch.Job, error) {
+func (d *Adapter) read(m *amqp.Delivery) (*dispatch.Job, error) {
 	text := func(key string) string { s, _ := m.Headers[key].(string); return s }
-	j := &dispatch.Job{ID: m.CorrelationId, Key: m.MessageId, Target: "/" + m.Type, Body: m.Body, Repeat: text("x-retried") == "1"}
-	if j.ID == "" || !clienthttp.Plain(j.ID) || !clienthttp.Plain(j.Key) || !clienthttp.Plain(m.Type) {
+	j := &dispatch.Job{ID: m.CorrelationId, IdempotencyKey: m.MessageId, Target: "/" + m.Type, Body: m.Body, Retry: text("x-retried") == "1"}
+	if j.ID == "" || !clienthttp.IsHeaderSafe(j.ID) || !clienthttp.IsHeaderSafe(j.IdempotencyKey) || !clienthttp.IsHeaderSafe(m.Type) {
 		return nil, errors.New("correlation-id is missing, or it, message-id or type cannot pass on as it is")
 	}
-	if int64(len(m.Body)) > d.lim.Body {
-		return nil, fmt.Errorf("a body holds %d bytes at most", d.lim.Body)
+	if int64(len(m.Body)) > d.lim.BodyBytes {
+		return nil, fmt.Errorf("a body holds %d bytes at most", d.lim.BodyBytes)
 	}
-	if err := clienthttp.Admit(d.node, j, m.Type, text("x-tenant-id")); err != nil {
+	if err := clienthttp.AssignClassAndTenant(d.node, j, m.Type, text("x-tenant-id")); err != nil {
 		return nil, err
 	}
 	if subject := text("x-subject"); subject != "" {
-		if !clienthttp.Plain(subject) || strings.ContainsAny(subject, "/?#") {
+		if !clienthttp.IsHeaderSafe(subject) || strings.ContainsAny(subject, "/?#") {
 			return nil, errors.New("x-subject cannot pass on as it is")
 		}
 		j.Target += "/" + subject
-		j.Subject = dispatch.Subject(subject)
+		j.AffinityKey = dispatch.AffinityKey(subject)
 	}
 	for key, to := range map[string]*float64{"x-slots": &j.Slots, "x-memory": &j.Memory} {
 		if s := text(key); s != "" {
@@ -305,23 +305,23 @@
 		}
 	}
 	var err error
-	if j.Patience, err = clienthttp.Patience(m.Expiration, time.Millisecond, d.lim.MostPatience); err != nil {
+	if j.Timeout, err = clienthttp.ParseTimeout(m.Expiration, time.Millisecond, d.lim.MaxJobTimeout); err != nil {
 		return nil, fmt.Errorf("expiration: %w", err)
 	}
 	if !m.Timestamp.IsZero() { // it counts from when the client sent it; the stamp has whole seconds only
-		left := time.Until(m.Timestamp.Add(time.Second)) + j.Patience
-		j.Patience = min(j.Patience, left)
+		left := time.Until(m.Timestamp.Add(time.Second)) + j.Timeout
+		j.Timeout = min(j.Timeout, left)
 	}
-	j.Head = []dispatch.Field{{Name: "X-Priority-Class", Value: m.Type}, {Name: "X-Tenant-Id", Value: text("x-tenant-id")}}
+	j.Header = []dispatch.HeaderField{{Name: "X-Priority-Class", Value: m.Type}, {Name: "X-Tenant-Id", Value: text("x-tenant-id")}}
 	return j, nil
 }
 
 // answer words a final answer.
-func (d *Desk) answer(p parcel, a dispatch.Answer) {
-	switch a.Verdict {
+func (d *Adapter) answer(p parcel, a dispatch.Answer) {
+	switch a.Kind {
 	case dispatch.Served:
 		d.settle(p, typeServed, nil, a.Result)
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		d.settle(p, typeRefused, amqp.Table{"retry-after": strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}, nil)
 	default:
 		d.settle(p, typeFailed, nil, nil)
@@ -330,7 +330,7 @@
 
 // settle publishes an answer and acks the delivery once the broker has confirmed it. Where that fails the broker
 // delivers again, and the ledger gives the same answer.
-func (d *Desk) settle(p parcel, kind string, head amqp.Table, body []byte) {
+func (d *Adapter) settle(p parcel, kind string, head amqp.Table, body []byte) {
 	defer d.busy.Done()
 	if p.ReplyTo == "" {
 		p.Ack(false)
@@ -339,7 +339,7 @@
 	sent, err := p.from.out.PublishWithDeferredConfirm("", p.ReplyTo, false, false, amqp.Publishing{
 		CorrelationId: p.CorrelationId, MessageId: p.MessageId, Type: kind, Headers: head, Body: body})
 	if err == nil {
-		ctx, cancel := context.WithTimeout(context.Background(), d.lim.Confirm)
+		ctx, cancel := context.WithTimeout(context.Background(), d.lim.ConfirmTimeout)
 		defer cancel()
 		var ok bool
 		if ok, err = sent.WaitContext(ctx); err == nil && ok {
--- a/internal/dispatcher/amqp/attempts.go
+++ b/internal/dispatcher/amqp/attempts.go
@@ -18,12 +18,12 @@
 )
 
 // Send publishes an attempt to its worker's queue.
-func (d *Desk) Send(a *dispatch.Attempt) { go d.carry(a) }
+func (d *Adapter) Send(a *dispatch.Attempt) { go d.carry(a) }
 
 // CloseIdle has nothing to close: queues have no connections of their own.
-func (d *Desk) CloseIdle(config.Worker) {}
+func (d *Adapter) CloseIdle(config.Worker) {}
 
-func (d *Desk) carry(a *dispatch.Attempt) {
+func (d *Adapter) carry(a *dispatch.Attempt) {
 	id := a.Job.ID + "#" + strconv.FormatUint(d.sends.Add(1), 36)
 	if !a.MayStart() {
 		a.End(decision.NeverSent, decision.Load{}, nil)
@@ -39,9 +39,9 @@
 		a.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
-	left := strconv.FormatInt(max(time.Until(a.Until).Milliseconds(), 1), 10)
-	err := s.back.PublishWithContext(a.Ctx, "", a.Worker.Queue, true, false, amqp.Publishing{
-		CorrelationId: id, MessageId: a.Job.Key, ReplyTo: s.replies, Expiration: left, Type: d.node.Classes[a.Job.Class],
+	left := strconv.FormatInt(max(time.Until(a.Deadline).Milliseconds(), 1), 10)
+	err := s.back.PublishWithContext(a.Context, "", a.Worker.Queue, true, false, amqp.Publishing{
+		CorrelationId: id, MessageId: a.Job.IdempotencyKey, ReplyTo: s.replies, Expiration: left, Type: d.node.Classes[a.Job.Class],
 		Headers: amqp.Table{"x-request-id": a.Job.ID, "x-target": a.Job.Target}, Body: a.Job.Body})
 	if err != nil {
 		if a := d.resolve(id); a != nil {
@@ -53,8 +53,8 @@
 		}
 		return
 	}
-	a.Whole()
-	context.AfterFunc(a.Ctx, func() {
+	a.MarkSent()
+	context.AfterFunc(a.Context, func() {
 		if a := d.resolve(id); a != nil { // given up: what comes later finds nobody waiting
 			a.End(decision.Cancelled, decision.Load{}, nil)
 		}
@@ -62,7 +62,7 @@
 }
 
 // resolve takes an attempt out of those that wait, so that it ends once.
-func (d *Desk) resolve(id string) *dispatch.Attempt {
+func (d *Adapter) resolve(id string) *dispatch.Attempt {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.pending[id]
@@ -71,21 +71,21 @@
 }
 
 // hear takes a worker's message: lines as the floor knows them.
-func (d *Desk) hear(m amqp.Delivery) {
+func (d *Adapter) hear(m amqp.Delivery) {
 	d.mu.Lock()
 	a := d.pending[m.CorrelationId]
 	d.mu.Unlock()
 	if a == nil { // late, or nobody's
 		return
 	}
-	if len(m.Body) > d.lim.Line {
+	if len(m.Body) > d.lim.LineBytes {
 		m.Body = nil
 	}
 	for line := range strings.Lines(string(m.Body)) {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		if o, load, result := workerhttp.Read(d.node, a, []byte(line)); o != 0 {
+		if o, load, result := workerhttp.ReadLine(d.node, a, []byte(line)); o != 0 {
 			if d.resolve(m.CorrelationId) != nil {
 				a.End(o, load, result)
 			}
--- a/internal/dispatcher/amqp/ledger.go
+++ b/internal/dispatcher/amqp/ledger.go
@@ -46,7 +46,7 @@
 	case e != nil && e.answer == nil:
 		e.waiting = append(e.waiting, p)
 		return past{joined: true}
-	case e != nil && (p.Redelivered || keyed && e.answer.Verdict == dispatch.Served):
+	case e != nil && (p.Redelivered || keyed && e.answer.Kind == dispatch.Served):
 		return past{answer: e.answer}
 	case e == nil && p.Redelivered && keyed:
 		return past{unknown: true}
--- a/internal/dispatcher/capture/bench_test.go
+++ b/internal/dispatcher/capture/bench_test.go
@@ -21,7 +21,7 @@
 func (yes) Watch(bool)              {}
 func (yes) Send(a *dispatch.Attempt) {
 	go func() {
-		a.Note(decision.JobStarted, 0)
+		a.ReportProgress(decision.JobStarted, 0)
 		a.End(decision.OK, decision.Load{Count: 4, Values: [4]float64{2, 0, 10, 0}}, nil)
 	}()
 }
@@ -63,21 +63,21 @@
 		for i := range jobs {
 			all.Add(1)
 			room <- true
-			j := &dispatch.Job{ID: fmt.Sprint(i), Class: i % 2, Tenant: i % 2, Slots: 1, Patience: 5 * time.Second}
+			j := &dispatch.Job{ID: fmt.Sprint(i), Class: i % 2, Tenant: i % 2, Slots: 1, Timeout: 5 * time.Second}
 			j.Reply = func(dispatch.Answer) { <-room; all.Done() }
-			if err := c.Take(j); err != nil {
+			if err := c.Submit(j); err != nil {
 				b.Fatal(err)
 			}
 		}
 		all.Wait()
 		took[on] += time.Since(begin)
 		cancel()
-		c.Ended()
+		c.Wait()
 		if r != nil {
 			if err := r.Close(context.Background()); err != nil {
 				b.Fatal(err)
 			}
-			lost, rows = lost+counters.CaptureLost.Load(), rows+counters.Captured.Load()
+			lost, rows = lost+counters.CaptureDropped.Load(), rows+counters.Captured.Load()
 		}
 		used[on] += cpu() - before
 	}
--- a/internal/dispatcher/capture/capture.go
+++ b/internal/dispatcher/capture/capture.go
@@ -24,7 +24,7 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-var verdicts = map[dispatch.Verdict]string{dispatch.Served: "served", dispatch.Refused: "refused", dispatch.Failed: "failed"}
+var verdicts = map[dispatch.AnswerKind]string{dispatch.Served: "served", dispatch.Rejected: "refused", dispatch.Failed: "failed"}
 
 // open is a job that is under way.
 type open struct {
@@ -66,7 +66,7 @@
 	at, now := clock()
 	r := &Recorder{node: n, conf: n.Capture, counters: counters, zero: now.Add(-at), boot: now.UnixNano(), calendar: time.Now,
 		jobs: map[*dispatch.Job]open{}, attempts: map[*dispatch.Attempt]under{},
-		tries: make(chan Try, n.Limits.CaptureRows), sends: make(chan Attempt, n.Limits.CaptureRows),
+		tries: make(chan Try, n.Limits.CaptureQueueRows), sends: make(chan Attempt, n.Limits.CaptureQueueRows),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	r.create = func(name string) (disk, error) {
 		return os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o640)
@@ -78,38 +78,38 @@
 func (r *Recorder) unix(at time.Duration) int64 { return r.zero.UnixNano() + int64(at) }
 
 // See makes rows of what the core does.
-func (r *Recorder) See(m *dispatch.Moment) {
-	switch m.Sight {
-	case dispatch.SawTaken:
+func (r *Recorder) Observe(m *dispatch.Event) {
+	switch m.Kind {
+	case dispatch.JobAccepted:
 		r.taken++
 		r.jobs[m.Job] = open{job: r.taken, came: r.unix(m.At)}
-	case dispatch.SawTurned: // on a front's goroutine: it touches nothing that is not safe there
+	case dispatch.JobOverflowed: // on a front's goroutine: it touches nothing that is not safe there
 		r.try(m.Job, open{came: r.unix(m.At)}, m.At, "turned", r.node.Limits.RetryAfter)
-	case dispatch.SawSent:
+	case dispatch.AttemptSent:
 		if o, ok := r.jobs[m.Job]; ok {
 			o.attempts++
 			r.jobs[m.Job] = o
 			r.attempts[m.Attempt] = under{job: o.job, sent: r.unix(m.At), started: -1}
 		}
-	case dispatch.SawStarted:
+	case dispatch.AttemptStarted:
 		if u, ok := r.attempts[m.Attempt]; ok && u.started < 0 {
 			u.started = r.unix(m.At) - u.sent
 			r.attempts[m.Attempt] = u
 		}
-	case dispatch.SawEnded:
+	case dispatch.AttemptEnded:
 		if u, ok := r.attempts[m.Attempt]; ok {
 			delete(r.attempts, m.Attempt)
 			r.attempt(m.Attempt, u, r.unix(m.At)-u.sent, dispatch.OutcomeName(m.Outcome), &m.Load)
 		}
-	case dispatch.SawAnswered, dispatch.SawLeft:
+	case dispatch.JobAnswered, dispatch.JobAbandoned:
 		o, ok := r.jobs[m.Job]
 		if !ok {
 			return
 		}
 		delete(r.jobs, m.Job)
 		verdict := "left"
-		if m.Sight == dispatch.SawAnswered {
-			verdict = verdicts[m.Answer.Verdict]
+		if m.Kind == dispatch.JobAnswered {
+			verdict = verdicts[m.Answer.Kind]
 		}
 		r.try(m.Job, o, m.At, verdict, m.Answer.RetryAfter)
 	}
@@ -117,11 +117,11 @@
 
 func (r *Recorder) try(j *dispatch.Job, o open, at time.Duration, verdict string, after time.Duration) {
 	row := Try{Node: r.node.Name, Boot: r.boot, Job: o.job, Came: o.came, Class: word(r.node.Classes, j.Class),
-		University: word(r.node.Tenants, j.Tenant), Repeat: j.Repeat, Slots: j.Slots, Memory: j.Memory,
-		Patience: int64(j.Patience), Verdict: verdict, Took: r.unix(at) - o.came, RetryAfter: int64(after), Attempts: o.attempts}
+		University: word(r.node.Tenants, j.Tenant), Repeat: j.Retry, Slots: j.Slots, Memory: j.Memory,
+		Patience: int64(j.Timeout), Verdict: verdict, Took: r.unix(at) - o.came, RetryAfter: int64(after), Attempts: o.attempts}
 	row.Clock = r.calendar().UnixNano() - r.unix(at)
-	if j.Subject != 0 {
-		row.Subject = max(xxhash.Sum64String(r.conf.Salt+"/"+strconv.FormatUint(j.Subject, 16)), 1)
+	if j.AffinityKey != 0 {
+		row.Subject = max(xxhash.Sum64String(r.conf.Salt+"/"+strconv.FormatUint(j.AffinityKey, 16)), 1)
 	}
 	select {
 	case r.tries <- row:
@@ -134,7 +134,7 @@
 	s := &r.node.Module.Report
 	row := Attempt{Node: r.node.Name, Boot: r.boot, Job: u.job, Attempt: int32(a.Number()), Class: word(r.node.Classes, a.Job.Class),
 		Worker: a.Worker.ID, Kind: a.Worker.Kind, Zone: a.Worker.Zone, Sent: u.sent, Started: u.started, Ended: took, Outcome: outcome,
-		Free: figure(l, s.FreeSlots), Queue: figure(l, s.Queue), Errors: figure(l, s.Errors), Rate: figure(l, r.node.Figure("rate"))}
+		Free: figure(l, s.FreeSlots), Queue: figure(l, s.Queue), Errors: figure(l, s.Errors), Rate: figure(l, r.node.LoadFieldIndex("rate"))}
 	select {
 	case r.sends <- row:
 	default:
@@ -151,7 +151,7 @@
 
 func (r *Recorder) lose(rows int) {
 	r.lost.Add(int64(rows))
-	r.counters.CaptureLost.Add(int64(rows))
+	r.counters.CaptureDropped.Add(int64(rows))
 }
 
 // Run writes rows until Close. It begins with what a process of this name left open when it ended.
@@ -202,7 +202,7 @@
 			r.lose(rows)
 			if err != errWaiting {
 				log.Printf("capture: %d rows lost: %v", rows, err)
-				retry = time.Now().Add(r.node.Limits.CaptureRetry)
+				retry = time.Now().Add(r.node.Limits.CaptureRetryDelay)
 			}
 		}
 		tries, sends = tries[:0], sends[:0]
@@ -237,7 +237,7 @@
 		if len(tries)+len(sends) == 1 {
 			since = time.Now()
 		}
-		if len(tries)+len(sends) >= r.node.Limits.CaptureGroup {
+		if len(tries)+len(sends) >= r.node.Limits.CaptureGroupRows {
 			flush(false)
 		}
 	}
--- a/internal/dispatcher/capture/capture_test.go
+++ b/internal/dispatcher/capture/capture_test.go
@@ -49,26 +49,26 @@
 
 // job goes through the recorder with one attempt, as the core would show it.
 func (f *feeder) job(i int) {
-	j := &dispatch.Job{Class: i % 2, Tenant: i % 3, Slots: 1, Subject: uint64(i % 5), Patience: 5 * time.Second, Repeat: i%4 == 0}
+	j := &dispatch.Job{Class: i % 2, Tenant: i % 3, Slots: 1, AffinityKey: uint64(i % 5), Timeout: 5 * time.Second, Retry: i%4 == 0}
 	a := &dispatch.Attempt{Job: j, Worker: testenv.Listing("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
-	see := func(s dispatch.Sight, after time.Duration, m dispatch.Moment) {
+	see := func(s dispatch.EventKind, after time.Duration, m dispatch.Event) {
 		f.at += after
-		m.Sight, m.At, m.Job = s, f.at, j
-		f.See(&m)
+		m.Kind, m.At, m.Job = s, f.at, j
+		f.Observe(&m)
 	}
 	if i%50 == 49 {
-		see(dispatch.SawTurned, time.Millisecond, dispatch.Moment{})
+		see(dispatch.JobOverflowed, time.Millisecond, dispatch.Event{})
 		return
 	}
-	see(dispatch.SawTaken, time.Millisecond, dispatch.Moment{})
-	see(dispatch.SawSent, 0, dispatch.Moment{Attempt: a})
-	see(dispatch.SawStarted, 2*time.Millisecond, dispatch.Moment{Attempt: a})
+	see(dispatch.JobAccepted, time.Millisecond, dispatch.Event{})
+	see(dispatch.AttemptSent, 0, dispatch.Event{Attempt: a})
+	see(dispatch.AttemptStarted, 2*time.Millisecond, dispatch.Event{Attempt: a})
 	if i%50 == 48 {
-		see(dispatch.SawLeft, time.Millisecond, dispatch.Moment{})
+		see(dispatch.JobAbandoned, time.Millisecond, dispatch.Event{})
 		return // its attempt is still out
 	}
-	see(dispatch.SawAnswered, 30*time.Millisecond, dispatch.Moment{Answer: dispatch.Answer{Verdict: dispatch.Served}})
-	see(dispatch.SawEnded, 0, dispatch.Moment{Attempt: a, Outcome: decision.OK, Load: decision.Load{Count: 4, Values: [4]float64{2, 0.5, 10, 3}}})
+	see(dispatch.JobAnswered, 30*time.Millisecond, dispatch.Event{Answer: dispatch.Answer{Kind: dispatch.Served}})
+	see(dispatch.AttemptEnded, 0, dispatch.Event{Attempt: a, Outcome: decision.OK, Load: decision.Load{Count: 4, Values: [4]float64{2, 0.5, 10, 3}}})
 }
 
 func (f *feeder) end(t testing.TB) {
@@ -205,7 +205,7 @@
 			}
 			letGo()
 			f.end(t)
-			captured, lost := f.count.Captured.Load(), f.count.CaptureLost.Load()
+			captured, lost := f.count.Captured.Load(), f.count.CaptureDropped.Load()
 			if total := int64(jobs + jobs*49/50); captured+lost != total || lost == 0 {
 				t.Errorf("%d rows captured and %d lost, of %d", captured, lost, total)
 			}
--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -16,37 +16,39 @@
 
 // The exit codes, as the README documents them.
 const (
-	Done   = 0 // done
-	Failed = 1 // it could not be done
-	Use    = 2 // wrong use: flags, arguments, words
-	Goal   = 3 // no plan meets the goal
+	ExitDone       = 0 // done
+	ExitFailed     = 1 // it could not be done
+	ExitMisuse     = 2 // wrong use: flags, arguments, words
+	ExitGoalMissed = 3 // no plan meets the goal
 )
 
 // Exit is an error that ends the program with a code of its own.
-type Exit struct {
+type ExitError struct {
 	Code int
 	Err  error
 }
 
 // Error returns the text of the error that ends the program.
-func (e *Exit) Error() string { return e.Err.Error() }
+func (e *ExitError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error that ends the program.
-func (e *Exit) Unwrap() error { return e.Err }
+func (e *ExitError) Unwrap() error { return e.Err }
 
 // Misuse is an error in how a command was called.
-func Misuse(format string, v ...any) error { return &Exit{Use, fmt.Errorf(format, v...)} }
+func MisuseErrorf(format string, v ...any) error {
+	return &ExitError{ExitMisuse, fmt.Errorf(format, v...)}
+}
 
 // Code is what the program ends with after err.
-func Code(err error) int {
-	var e *Exit
+func ExitCode(err error) int {
+	var e *ExitError
 	switch {
 	case err == nil:
-		return Done
+		return ExitDone
 	case errors.As(err, &e):
 		return e.Code
 	}
-	return Failed
+	return ExitFailed
 }
 
 // words lets long flags stand behind one dash, as they did before there was a library for them.
@@ -65,27 +67,27 @@
 }
 
 // Exactly makes a command take just so many arguments, which what names.
-func Exactly(n int, what string) cobra.PositionalArgs {
+func ExactArgs(n int, what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
-			return Misuse("%s needs %s", c.Name(), what)
+			return MisuseErrorf("%s needs %s", c.Name(), what)
 		}
 		return nil
 	}
 }
 
 // Some makes a command take one argument or more.
-func Some(what string) cobra.PositionalArgs {
+func SomeArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
-			return Misuse("%s needs %s", c.Name(), what)
+			return MisuseErrorf("%s needs %s", c.Name(), what)
 		}
 		return nil
 	}
 }
 
 // Root makes a tree of commands that says what is wrong with an unknown word.
-func Root(c *cobra.Command, commands ...*cobra.Command) *cobra.Command {
+func NewRoot(c *cobra.Command, commands ...*cobra.Command) *cobra.Command {
 	c.SilenceUsage, c.SilenceErrors, c.SuggestionsMinimumDistance = true, true, 2
 	c.Args = func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
@@ -95,11 +97,11 @@
 		if near := c.SuggestionsFor(args[0]); len(near) > 0 {
 			hint = fmt.Sprintf("; did you mean %s?", strings.Join(near, " or "))
 		}
-		return Misuse("unknown command %q%s; gladepick help lists them", args[0], hint)
+		return MisuseErrorf("unknown command %q%s; gladepick help lists them", args[0], hint)
 	}
 	c.RunE = func(c *cobra.Command, _ []string) error { return c.Help() }
 	c.AddCommand(commands...)
-	c.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return Misuse("%s: %w", c.Name(), err) })
+	c.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return MisuseErrorf("%s: %w", c.Name(), err) })
 	return c
 }
 
@@ -110,11 +112,11 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "gladepick:", err)
 	}
-	os.Exit(Code(err))
+	os.Exit(ExitCode(err))
 }
 
 // Run runs a tree.
-func Run(c *cobra.Command, args []string, out io.Writer) error {
+func Execute(c *cobra.Command, args []string, out io.Writer) error {
 	c.SetArgs(words(args))
 	c.SetOut(out)
 	return c.Execute()
--- a/internal/dispatcher/clienthttp/answers_test.go
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -34,19 +34,19 @@
 	"X-Timeout: 2.5\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\ndone"
 
 // fixedTaker gives each job the same answer, or the same error.
-type fixedTaker struct {
+type fixedSubmitter struct {
 	answer dispatch.Answer
 	err    error
 }
 
-func (f *fixedTaker) Take(j *dispatch.Job) error {
+func (f *fixedSubmitter) Submit(j *dispatch.Job) error {
 	if f.err == nil {
 		j.Reply(f.answer)
 	}
 	return f.err
 }
 
-func (f *fixedTaker) Leave(*dispatch.Job) {}
+func (f *fixedSubmitter) Abandon(*dispatch.Job) {}
 
 // noWatch stands in for the watch on discovery.
 type noWatch struct{}
@@ -63,8 +63,8 @@
 // fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedTaker.
 type fixture struct {
 	network testenv.Net
-	server  *clienthttp.Portal
-	taker   fixedTaker
+	server  *clienthttp.Server
+	taker   fixedSubmitter
 }
 
 // newFixture starts a server; change has the last word on its settings. It belongs into a bubble of testing/synctest.
@@ -78,13 +78,13 @@
 		t.Fatal(err)
 	}
 	f := &fixture{server: clienthttp.New(node, core)}
-	f.taker.answer = dispatch.Answer{Verdict: dispatch.Served, Result: []byte("result of p1")}
+	f.taker.answer = dispatch.Answer{Kind: dispatch.Served, Result: []byte("result of p1")}
 	f.server.Jobs = &f.taker
 	ctx, cancel := context.WithCancel(context.Background())
 	go core.Run(ctx)
 	go f.server.Serve(f.network.Listen(serverAddress))
 	t.Cleanup(func() {
-		f.server.Farewell(context.Background())
+		f.server.Shutdown(context.Background())
 		cancel()
 		time.Sleep(patience)
 	})
@@ -164,15 +164,15 @@
 		answers.add("served, in chunks", f.exchange(t, chunked))
 		answers.add("served, two on one connection", f.exchange(t, goodRequest+goodRequest))
 		answers.add("served, HTTP/1.0", f.exchange(t, strings.Replace(goodRequest, "HTTP/1.1", "HTTP/1.0", 1)))
-		f.taker.answer = dispatch.Answer{Verdict: dispatch.Served}
+		f.taker.answer = dispatch.Answer{Kind: dispatch.Served}
 		answers.add("served, empty result", f.exchange(t, goodRequest))
-		f.taker.answer = dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: 1250 * time.Millisecond}
+		f.taker.answer = dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: 1250 * time.Millisecond}
 		answers.add("refused", f.exchange(t, goodRequest))
-		f.taker.answer = dispatch.Answer{Verdict: dispatch.Failed}
+		f.taker.answer = dispatch.Answer{Kind: dispatch.Failed}
 		answers.add("failed", f.exchange(t, goodRequest))
 		f.taker.err = dispatch.ErrBusy
 		answers.add("too many open jobs", f.exchange(t, goodRequest))
-		f.taker.err = dispatch.ErrOpen
+		f.taker.err = dispatch.ErrDuplicateID
 		answers.add("the id is open", f.exchange(t, goodRequest))
 		f.taker.err = errors.New("whatever else")
 		answers.add("not taken", f.exchange(t, goodRequest))
@@ -183,9 +183,9 @@
 func TestAnswersWithoutRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var answers transcript
-		bodies := newFixture(t, func(n *config.Node) { n.Limits.Bodies = 3 })
+		bodies := newFixture(t, func(n *config.Node) { n.Limits.AllBodiesBytes = 3 })
 		answers.add("no room for bodies", bodies.exchange(t, goodRequest))
-		connections := newFixture(t, func(n *config.Node) { n.Limits.PortalConns = 0 })
+		connections := newFixture(t, func(n *config.Node) { n.Limits.ClientConns = 0 })
 		answers.add("no room for connections", connections.exchange(t, ""))
 		golden.AssertBytes(t, answers.Bytes(), "no_room.http")
 	})
@@ -210,7 +210,7 @@
 		present = false
 		ask("ended:", "/members")
 		ask("ended:", "/leases")
-		f.server.Leave()
+		f.server.Drain()
 		ask("leaving:", "/up")
 		ask("leaving:", "/other")
 		answers.add("leaving: a job", f.exchange(t, goodRequest))
@@ -219,10 +219,10 @@
 }
 
 // silentTaker takes jobs and never answers them.
-type silentTaker struct{ left chan *dispatch.Job }
+type silentSubmitter struct{ left chan *dispatch.Job }
 
-func (s *silentTaker) Take(*dispatch.Job) error { return nil }
-func (s *silentTaker) Leave(j *dispatch.Job)    { s.left <- j }
+func (s *silentSubmitter) Submit(*dispatch.Job) error { return nil }
+func (s *silentSubmitter) Abandon(j *dispatch.Job)    { s.left <- j }
 
 // On a socket: only there a client can end its sending and still hear.
 func TestAnswerToAClientThatHasEndedItsSending(t *testing.T) {
@@ -231,14 +231,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, taker := clienthttp.New(node, core), &silentTaker{left: make(chan *dispatch.Job, 1)}
+	server, taker := clienthttp.New(node, core), &silentSubmitter{left: make(chan *dispatch.Job, 1)}
 	server.Jobs = taker
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go server.Serve(listener)
-	defer server.Farewell(context.Background())
+	defer server.Shutdown(context.Background())
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/clienthttp/door.go
+++ b/internal/dispatcher/clienthttp/door.go
@@ -75,17 +75,17 @@
 			return nil, err
 		}
 		g := &guest{Conn: c, door: d, since: time.Now()}
-		g.bound(g.since.Add(d.lim.ReadHead))
+		g.bound(g.since.Add(d.lim.ReadTimeout))
 		d.mu.Lock()
 		enter := true
-		if here := len(d.all) - d.asked; here >= d.lim.PortalConns || d.many[fresh] >= d.lim.PortalFresh {
-			full := here >= d.lim.PortalConns
+		if here := len(d.all) - d.asked; here >= d.lim.ClientConns || d.many[fresh] >= d.lim.ClientConnsWithoutHead {
+			full := here >= d.lim.ClientConns
 			out := d.spare(full)
 			if out != nil {
 				out.ask()
 			}
 			// One that is asked and has a request in stays after all: so many too many is what there is room for.
-			enter = !full || out != nil && len(d.all) < d.lim.PortalConns+d.lim.PortalSpare
+			enter = !full || out != nil && len(d.all) < d.lim.ClientConns+d.lim.SpareClientConns
 		}
 		if enter {
 			d.all[g] = true
@@ -123,8 +123,8 @@
 	d.mu.Unlock() // from here on nobody gives it another listener
 	if l, ok := d.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		// Closed at once, the listener would reset those that the kernel has already let in.
-		l.SetDeadline(time.Now().Add(d.lim.LastAccept))
-		time.Sleep(d.lim.LastAccept)
+		l.SetDeadline(time.Now().Add(d.lim.LastAcceptWindow))
+		time.Sleep(d.lim.LastAcceptWindow)
 	}
 	if d.Listener != nil {
 		d.Listener.Close()
@@ -165,7 +165,7 @@
 	if full {
 		out = oldest(parting, nil)
 	}
-	if out == nil && (d.many[fresh] >= d.lim.PortalFresh || d.many[idle] == 0) {
+	if out == nil && (d.many[fresh] >= d.lim.ClientConnsWithoutHead || d.many[idle] == 0) {
 		out = oldest(fresh, (*guest).silent)
 	}
 	if out == nil && full {
--- a/internal/dispatcher/clienthttp/guest.go
+++ b/internal/dispatcher/clienthttp/guest.go
@@ -109,18 +109,18 @@
 // still sending is read away, as far as there is room for that: a reset would overtake the answer.
 func (g *guest) turnAway() {
 	text := "refused: no room for connections\n"
-	g.Conn.SetWriteDeadline(time.Now().Add(g.door.lim.Linger))
+	g.Conn.SetWriteDeadline(time.Now().Add(g.door.lim.LingerTimeout))
 	fmt.Fprintf(g.Conn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: %s\r\nContent-Length: %d\r\n\r\n%s",
 		later(g.door.lim.RetryAfter), len(text), text)
 	g.door.mu.Lock()
-	room := g.door.parting < g.door.lim.PortalSpare
+	room := g.door.parting < g.door.lim.SpareClientConns
 	if room {
 		g.door.parting++
 	}
 	g.door.mu.Unlock()
 	if half, ok := g.Conn.(interface{ CloseWrite() error }); ok && room {
 		half.CloseWrite()
-		g.Conn.SetReadDeadline(time.Now().Add(g.door.lim.Linger))
+		g.Conn.SetReadDeadline(time.Now().Add(g.door.lim.LingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(g.Conn, g.door.lim.LingerBytes))
 	}
 	if room {
@@ -165,7 +165,7 @@
 			g.times.Lock()
 			g.deaf = false
 			g.times.Unlock()
-			g.SetReadDeadline(time.Now().Add(g.door.lim.Linger))
+			g.SetReadDeadline(time.Now().Add(g.door.lim.LingerTimeout))
 			io.Copy(io.Discard, io.LimitReader(g.Conn, g.door.lim.LingerBytes))
 			g.leave()
 		}()
--- a/internal/dispatcher/clienthttp/notice.go
+++ b/internal/dispatcher/clienthttp/notice.go
@@ -35,7 +35,7 @@
 		if n > 0 && !g.flood {
 			d := g.door
 			d.mu.Lock()
-			if g.flood = len(g.raw)+n > d.lim.Head+int(d.lim.Body) || d.ahead+int64(n) > d.lim.Bodies/4; !g.flood {
+			if g.flood = len(g.raw)+n > d.lim.HeadBytes+int(d.lim.BodyBytes) || d.ahead+int64(n) > d.lim.AllBodiesBytes/4; !g.flood {
 				d.ahead += int64(n)
 				g.early += int64(n)
 				g.raw = append(g.raw, more[:n]...)
@@ -74,7 +74,7 @@
 		d.mu.Unlock()
 	}
 	if len(g.raw) > 0 {
-		g.bound(time.Now().Add(d.lim.ReadHead))
+		g.bound(time.Now().Add(d.lim.ReadTimeout))
 	}
 	whole := false
 	for looked := 0; !whole; {
@@ -85,14 +85,14 @@
 			at += max(looked-3, 0) + 4
 			g.ready, g.raw, whole = g.raw[:at:at], g.raw[at:], true
 			err = g.look(g.ready)
-		} else if looked = len(g.raw); looked > d.lim.Head {
+		} else if looked = len(g.raw); looked > d.lim.HeadBytes {
 			err = fault(http.StatusRequestHeaderFieldsTooLarge, "the head is too large")
 		} else if err = begins(g.raw); err == nil {
 			more := make([]byte, 2<<10)
 			var n int
 			n, err = g.Conn.Read(more)
 			if n > 0 && len(g.raw) == 0 && g.until.IsZero() {
-				g.bound(time.Now().Add(d.lim.ReadHead))
+				g.bound(time.Now().Add(d.lim.ReadTimeout))
 			}
 			if g.raw = append(g.raw, more[:n]...); n > 0 {
 				continue
@@ -109,7 +109,7 @@
 			case len(g.raw) == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !g.silent():
 				// A process that stood still meets both at once: what has come was there first.
 				g.SetReadDeadline(time.Time{})
-				g.bound(time.Now().Add(d.lim.ReadHead))
+				g.bound(time.Now().Add(d.lim.ReadTimeout))
 				continue
 			case len(g.raw) == 0:
 			case errors.Is(err, os.ErrDeadlineExceeded) && g.due():
@@ -217,8 +217,8 @@
 			return bad("Content-Length is not a number")
 		}
 		n, err := strconv.ParseInt(length, 10, 64)
-		if err != nil || n > g.door.lim.Body {
-			return fault(http.StatusRequestEntityTooLarge, fmt.Sprintf("a body holds %d bytes at most", g.door.lim.Body))
+		if err != nil || n > g.door.lim.BodyBytes {
+			return fault(http.StatusRequestEntityTooLarge, fmt.Sprintf("a body holds %d bytes at most", g.door.lim.BodyBytes))
 		}
 		g.body = n
 	}
--- a/internal/dispatcher/clienthttp/portal.go
+++ b/internal/dispatcher/clienthttp/portal.go
@@ -28,10 +28,10 @@
 )
 
 // Portal serves clients over HTTP/1.1.
-type Portal struct {
+type Server struct {
 	Members func(context.Context) (any, bool)                 // what GET /members shows; nil: the membership is off. Set before Serve
 	Leases  func(ctx context.Context, key string) (any, bool) // what GET /leases shows; nil: jobs are not taken for keeps
-	Jobs    dispatch.Taker                                    // what takes the jobs; the core, if nothing else is set before Serve
+	Jobs    dispatch.Submitter                                // what takes the jobs; the core, if nothing else is set before Serve
 
 	core    *dispatch.Core
 	node    *config.Node
@@ -44,10 +44,10 @@
 }
 
 // New makes a portal in front of a core.
-func New(n *config.Node, core *dispatch.Core) *Portal {
-	p := &Portal{core: core, Jobs: core, node: n, lim: n.Limits, door: newDoor(n.Limits)}
+func New(n *config.Node, core *dispatch.Core) *Server {
+	p := &Server{core: core, Jobs: core, node: n, lim: n.Limits, door: newDoor(n.Limits)}
 	p.server = &http.Server{
-		Handler: p, ReadTimeout: p.lim.ReadHead, IdleTimeout: p.lim.ClientIdle, MaxHeaderBytes: p.lim.Head,
+		Handler: p, ReadTimeout: p.lim.ReadTimeout, IdleTimeout: p.lim.ClientIdleTimeout, MaxHeaderBytes: p.lim.HeadBytes,
 		ErrorLog: log.Default(),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, guestKey{}, c)
@@ -62,7 +62,7 @@
 }
 
 // Serve takes connections until the portal has said farewell.
-func (p *Portal) Serve(l net.Listener) error {
+func (p *Server) Serve(l net.Listener) error {
 	if !p.door.open(l) {
 		return nil
 	}
@@ -74,7 +74,7 @@
 }
 
 // Leave begins the end: the front is told no, and every answer closes its connection. New ones are still taken.
-func (p *Portal) Leave() {
+func (p *Server) Drain() {
 	now := time.Now()
 	p.left.CompareAndSwap(nil, &now)
 	p.leaving.Store(true)
@@ -82,15 +82,15 @@
 
 // Farewell closes the listener and idle connections and waits for the open answers. The server's own end would not do:
 // it takes a connection for idle on which the door has just read a request.
-func (p *Portal) Farewell(ctx context.Context) error {
-	p.Leave()
+func (p *Server) Shutdown(ctx context.Context) error {
+	p.Drain()
 	return p.door.farewell(ctx)
 }
 
 // ServeHTTP answers one request of a client, or one of the questions that operators and the platform ask.
-func (p *Portal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
-	rc.SetWriteDeadline(time.Now().Add(2 * p.lim.ReadHead))
+	rc.SetWriteDeadline(time.Now().Add(2 * p.lim.ReadTimeout))
 	bad := func(status int, text string) { // nothing more is read from a connection that was misused
 		p.core.Counters.Malformed.Add(1)
 		w.Header().Set("Connection", "close")
@@ -111,10 +111,10 @@
 	}
 	held := r.ContentLength
 	if held < 0 {
-		held = p.lim.Body
+		held = p.lim.BodyBytes
 	}
 	defer p.bodies.Add(-held)
-	if p.bodies.Add(held) > p.lim.Bodies {
+	if p.bodies.Add(held) > p.lim.AllBodiesBytes {
 		p.core.Counters.Overflow.Add(1)
 		w.Header().Set("Connection", "close")
 		refuse(w, p.lim.RetryAfter)
@@ -128,19 +128,19 @@
 	// The body is read: from here on only the client's going away ends the request early.
 	rc.SetReadDeadline(time.Time{})
 	if left := p.left.Load(); left != nil {
-		if late := time.Since(*left); late > p.lim.Farewell { // whoever ends this process may wait no longer than that
-			job.Patience = max(min(job.Patience, p.lim.LastAnswer-late), time.Millisecond)
+		if late := time.Since(*left); late > p.lim.DrainDelay { // whoever ends this process may wait no longer than that
+			job.Timeout = max(min(job.Timeout, p.lim.LastAnswerWindow-late), time.Millisecond)
 		}
 	}
 	if g.departed() { // it left while its request waited to be read
-		p.core.Counters.Left.Add(1)
+		p.core.Counters.Abandoned.Add(1)
 		dismiss(w)
 		return
 	}
 	answers := make(chan dispatch.Answer, 1)
 	job.Reply = func(a dispatch.Answer) { answers <- a }
-	switch err := p.Jobs.Take(job); {
-	case errors.Is(err, dispatch.ErrOpen):
+	switch err := p.Jobs.Submit(job); {
+	case errors.Is(err, dispatch.ErrDuplicateID):
 		bad(http.StatusConflict, err.Error())
 		return
 	case err != nil:
@@ -158,19 +158,19 @@
 		}()
 	}
 	leaves := func() {
-		p.Jobs.Leave(job)
+		p.Jobs.Abandon(job)
 		dismiss(w)
 	}
 	select {
 	case a := <-answers:
 		p.part(w, g)
-		rc.SetWriteDeadline(time.Now().Add(p.lim.ReadHead))
-		switch a.Verdict {
+		rc.SetWriteDeadline(time.Now().Add(p.lim.ReadTimeout))
+		switch a.Kind {
 		case dispatch.Served:
 			w.Header().Set("Content-Type", "application/octet-stream")
 			w.Header().Set("Content-Length", strconv.Itoa(len(a.Result)))
 			w.Write(a.Result)
-		case dispatch.Refused:
+		case dispatch.Rejected:
 			refuse(w, a.RetryAfter)
 		default:
 			say(w, http.StatusBadGateway, "the job failed")
@@ -191,7 +191,7 @@
 
 // part makes an answer close its connection on leaving. It looks when the answer is there: a job may have waited
 // meanwhile.
-func (p *Portal) part(w http.ResponseWriter, g *guest) {
+func (p *Server) part(w http.ResponseWriter, g *guest) {
 	if p.leaving.Load() {
 		w.Header().Set("Connection", "close")
 		g.stopAttending()
@@ -199,7 +199,7 @@
 }
 
 // tell answers what is not a job.
-func (p *Portal) tell(w http.ResponseWriter, r *http.Request) {
+func (p *Server) tell(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/up":
 		if p.leaving.Load() {
@@ -258,7 +258,7 @@
 	"Expect", "Content-Length", "X-Timeout", "X-Request-Id", "Idempotency-Key"}
 
 // read makes a job of a request, or says what is wrong with it.
-func (p *Portal) read(w http.ResponseWriter, r *http.Request) (*dispatch.Job, int, error) {
+func (p *Server) read(w http.ResponseWriter, r *http.Request) (*dispatch.Job, int, error) {
 	bad := func(format string, v ...any) (*dispatch.Job, int, error) {
 		return nil, http.StatusBadRequest, fmt.Errorf(format, v...)
 	}
@@ -273,9 +273,9 @@
 			return bad("%s stands more than once", name)
 		}
 	}
-	j := &dispatch.Job{Target: r.RequestURI, ID: r.Header.Get("X-Request-ID"), Key: r.Header.Get("Idempotency-Key"),
-		Repeat: r.Header.Get("X-Retried") == "1"}
-	if j.ID == "" || !Plain(j.ID) {
+	j := &dispatch.Job{Target: r.RequestURI, ID: r.Header.Get("X-Request-ID"), IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		Retry: r.Header.Get("X-Retried") == "1"}
+	if j.ID == "" || !IsHeaderSafe(j.ID) {
 		return bad("X-Request-ID is missing or cannot pass on as it is")
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -285,13 +285,13 @@
 		return bad("X-Priority-Class %q is not the first part of the path", class)
 	}
 	var err error
-	if err = Admit(p.node, j, class, r.Header.Get("X-Tenant-Id")); err != nil {
+	if err = AssignClassAndTenant(p.node, j, class, r.Header.Get("X-Tenant-Id")); err != nil {
 		return bad("%v", err)
 	}
 	if last := parts[len(parts)-1]; len(parts) > 1 && last != "" {
-		j.Subject = dispatch.Subject(last)
+		j.AffinityKey = dispatch.AffinityKey(last)
 	}
-	if j.Patience, err = Patience(r.Header.Get("X-Timeout"), time.Second, p.lim.MostPatience); err != nil {
+	if j.Timeout, err = ParseTimeout(r.Header.Get("X-Timeout"), time.Second, p.lim.MaxJobTimeout); err != nil {
 		return bad("X-Timeout: %v", err)
 	}
 	for part := range strings.SplitSeq(r.Header.Get("X-Attrs"), ",") {
@@ -311,20 +311,20 @@
 			return bad("X-Attrs: %q is not a figure", part)
 		}
 	}
-	j.Head = append(j.Head, dispatch.Field{Name: "Host", Value: r.Host})
+	j.Header = append(j.Header, dispatch.HeaderField{Name: "Host", Value: r.Host})
 	own := strings.Split(r.Header.Get("Connection"), ",")
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
 		mine := slices.ContainsFunc(own, func(s string) bool { return strings.EqualFold(strings.TrimSpace(s), name) })
 		if !mine && !slices.Contains(dropped, name) {
 			for _, v := range r.Header[name] {
-				j.Head = append(j.Head, dispatch.Field{Name: name, Value: v})
+				j.Header = append(j.Header, dispatch.HeaderField{Name: name, Value: v})
 			}
 		}
 	}
-	if j.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, p.lim.Body)); err != nil {
+	if j.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, p.lim.BodyBytes)); err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("a body holds %d bytes at most", p.lim.Body)
+			return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("a body holds %d bytes at most", p.lim.BodyBytes)
 		}
 		return bad("the body broke off")
 	}
@@ -332,30 +332,30 @@
 }
 
 // Admit finds the job's class and university by their names, whichever front it came through.
-func Admit(n *config.Node, j *dispatch.Job, class, tenant string) error {
+func AssignClassAndTenant(n *config.Node, j *dispatch.Job, class, tenant string) error {
 	if j.Class = config.Index(n.Classes, class); j.Class < 0 {
 		return fmt.Errorf("class %q is unknown", class)
 	}
 	if j.Tenant = config.Index(n.Tenants, tenant); j.Tenant < 0 && len(n.Tenants) > 0 {
 		return fmt.Errorf("university %q is unknown", tenant)
 	}
-	if n.Module.Classes[j.Class].Idempotency == decision.Deduplicated && j.Key == "" {
+	if n.Module.Classes[j.Class].Idempotency == decision.Deduplicated && j.IdempotencyKey == "" {
 		return fmt.Errorf("a job of class %q needs a key", class)
 	}
-	if len(j.Key) > 256 {
+	if len(j.IdempotencyKey) > 256 {
 		return errors.New("the key is too long")
 	}
 	return nil
 }
 
 // Plain tells whether a word can stand in any wire's head as it is.
-func Plain(s string) bool {
+func IsHeaderSafe(s string) bool {
 	return len(s) <= 256 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 // Patience reads how long a client waits, in a unit: a plain decimal above zero. What ParseFloat takes beyond that (Inf,
 // hexadecimal, exponents) is none that any client means.
-func Patience(text string, unit, most time.Duration) (time.Duration, error) {
+func ParseTimeout(text string, unit, most time.Duration) (time.Duration, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0) || len(text) > 24 || strings.Trim(text, "0123456789.") != "" {
 		return 0, fmt.Errorf("%.24q is not a time above zero", text)
--- a/internal/dispatcher/config/agent.go
+++ b/internal/dispatcher/config/agent.go
@@ -32,17 +32,17 @@
 
 // AgentLimits are the agent's sizes and times.
 type AgentLimits struct {
-	Poll       time.Duration // between two looks at an instance
-	Ask        time.Duration // a look or a question is answered within it
-	Restart    time.Duration // first pause before a restart; doubles up to
-	RestartMax time.Duration // this
-	Steady     time.Duration // an instance that ran so long starts over with the first pause
-	Stop       time.Duration // after SIGTERM an instance may take so long to answer what it has
-	Instances  int
-	Reply      int   // bytes of what an instance or an agent answers
-	Datagram   int   // bytes of an SNMP message
-	Rows       int   // variables in one SNMP answer
-	Body       int64 // bytes of a question to the agent
+	PollInterval      time.Duration // between two looks at an instance
+	RequestTimeout    time.Duration // a look or a question is answered within it
+	RestartBackoff    time.Duration // first pause before a restart; doubles up to
+	RestartBackoffMax time.Duration // this
+	StableAfter       time.Duration // an instance that ran so long starts over with the first pause
+	StopTimeout       time.Duration // after SIGTERM an instance may take so long to answer what it has
+	Instances         int
+	ReplyBytes        int   // bytes of what an instance or an agent answers
+	DatagramBytes     int   // bytes of an SNMP message
+	Variables         int   // variables in one SNMP answer
+	RequestBytes      int64 // bytes of a question to the agent
 }
 
 // LoadAgent reads an agent's file.
@@ -63,9 +63,9 @@
 		return nil, err
 	}
 	a := &Agent{Control: f.Agent.Control, Program: f.Agent.Program, SNMP: f.SNMP.Listen, Community: f.SNMP.Community,
-		Instances: f.Instances, Limits: AgentLimits{Poll: time.Second, Ask: 2 * time.Second, Restart: 100 * time.Millisecond,
-			RestartMax: 10 * time.Second, Steady: 10 * time.Second, Stop: 10 * time.Second, Instances: 256,
-			Reply: 1 << 20, Datagram: 8 << 10, Rows: 128, Body: 4 << 10}}
+		Instances: f.Instances, Limits: AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond,
+			RestartBackoffMax: 10 * time.Second, StableAfter: 10 * time.Second, StopTimeout: 10 * time.Second, Instances: 256,
+			ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 128, RequestBytes: 4 << 10}}
 	bad := func(key, format string, v ...any) (*Agent, error) {
 		return nil, fmt.Errorf("%s: key %s: %s", path, key, fmt.Sprintf(format, v...))
 	}
@@ -84,7 +84,7 @@
 		if ms < 50 || ms > 60000 {
 			return bad("agent.poll_ms", "%d is not in 50 to 60000", ms)
 		}
-		a.Limits.Poll = time.Duration(ms) * time.Millisecond
+		a.Limits.PollInterval = time.Duration(ms) * time.Millisecond
 	}
 	if n := len(a.Instances); n == 0 || n > a.Limits.Instances {
 		return bad("instance", "%d of them; 1 to %d can be", n, a.Limits.Instances)
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -30,67 +30,67 @@
 	MemoryMB int     // memory at which the platform ends the process
 	Sockets  int     // descriptors in all; split into the three that follow
 
-	PortalConns int // client connections open at a time
-	PortalFresh int // among them those that have not said a whole head yet
-	PortalSpare int // so many more while those go that were asked to, and so many turned away whose rest is read
-	FloorConns  int // worker connections open at a time, idle ones included
-	RosterConns int // calls to discovery open at a time
+	ClientConns            int // client connections open at a time
+	ClientConnsWithoutHead int // among them those that have not said a whole head yet
+	SpareClientConns       int // so many more while those go that were asked to, and so many turned away whose rest is read
+	WorkerConns            int // worker connections open at a time, idle ones included
+	DiscoveryConns         int // calls to discovery open at a time
 
-	Body      int64 // bytes of a job's body or of a worker's answer
-	Bodies    int64 // bytes of all clients' bodies held at a time
-	Head      int   // bytes of a message's head
-	Line      int   // bytes of one line of an answer or of the roster
-	Roster    int   // bytes of one line or whole list of the roster
-	Workers   int   // workers listed at a time
-	OpenJobs  int   // jobs taken and not answered at a time
-	Mailbox   int   // events that wait for the core
-	LateReads int   // bytes read at most of what follows a last line
+	BodyBytes       int64 // bytes of a job's body or of a worker's answer
+	AllBodiesBytes  int64 // bytes of all clients' bodies held at a time
+	HeadBytes       int   // bytes of a message's head
+	LineBytes       int   // bytes of one line of an answer or of the roster
+	WorkerListBytes int   // bytes of one line or whole list of the roster
+	Workers         int   // workers listed at a time
+	OpenJobs        int   // jobs taken and not answered at a time
+	QueuedEvents    int   // events that wait for the core
+	TrailingBytes   int   // bytes read at most of what follows a last line
 
-	AnswerRoom      time.Duration // kept free before a client's deadline for the answer's way back
-	RetryAfter      time.Duration // told to a refused client where the module names no figure
-	MostPatience    time.Duration // the longest deadline that a client may ask for
-	Connect         time.Duration // a worker's connection comes up within it
-	WorkerIdle      time.Duration // idle worker connections are closed after it
-	ClientIdle      time.Duration // idle client connections are closed after it
-	ReadHead        time.Duration // a client finishes its head and body within it, the first from connecting on
-	Linger          time.Duration // after an answer that came early, what a client still sends is read away so long
-	LingerBytes     int64         // and so many bytes of it at most
-	TailWait        time.Duration // how long the end of a finished answer may take
-	LateAnswer      time.Duration // so late a worker may give an answer once more
-	RosterCall      time.Duration // a call to discovery is answered within it
-	RosterSilent    time.Duration // a watch that says nothing for so long has broken
-	RosterRetry     time.Duration // first pause, on average, after a call that failed or ended; doubles up to
-	RosterRetryMax  time.Duration // this
-	DrainGrace      time.Duration // no byte of a new send goes to a leaving worker later than this
-	Farewell        time.Duration // after SIGTERM the listener stays open so long
-	LastAccept      time.Duration // then what has already come there is let in for so long
-	LastAnswer      time.Duration // after SIGTERM what came later than that is answered by then: the platform may kill from then on
-	Remember        time.Duration // outcomes of keyed jobs are kept so long
-	Remembered      int           // and so many of them at most
-	RememberedBytes int           // holding so many bytes together at most
-	Reconnect       time.Duration // first pause before a broker is called again; doubles up to
-	ReconnectMax    time.Duration // this
-	Confirm         time.Duration // a broker confirms an answer within it
-	CaptureRows     int           // rows of each kind that wait for the recorder at most
-	CaptureGroup    int           // rows that the recorder writes at a time
-	CaptureRetry    time.Duration // pause after a disk that took nothing
-	PeerReads       int           // datagrams read in a second at most
-	PeerStrangers   int           // among them those taken in from addresses that are no member's
-	PeerMailbox     int           // datagrams that wait for the membership
-	PeerBytes       int           // sent to other dispatchers in a second at most
-	PeerFarewell    time.Duration // the others are told for so long that this one leaves
-	CopyFrame       int           // bytes of one frame between dispatchers that keep copies
-	CopyQueue       int           // bytes of frames that wait for one of them at most; what is beyond is as good as lost
-	CopyDial        time.Duration // a connection to one of them comes up within it, and a frame goes out
-	CopyRetry       time.Duration // pause after a connection that failed
-	LeaseRoom       time.Duration // kept free before a client's deadline for the copies' word
-	LeaseLook       time.Duration // between two looks at a job that another dispatcher has
-	LeaseLinger     time.Duration // the copies are told of an outcome for so long after the deadline
-	LeasesMoved     int           // leases of a dead dispatcher that one command moves
-	LeasesTaken     int           // of those, jobs handed to the module in a round of LeaseRound
-	LeaseRound      time.Duration // between two looks at who is gone
-	LeaseFarewell   time.Duration // who leaves waits so long at most for others to get his copies
-	LeaseOrphan     time.Duration // a dispatcher is out of the view for so long before its leases move
+	AnswerReserve                 time.Duration // kept free before a client's deadline for the answer's way back
+	RetryAfter                    time.Duration // told to a refused client where the module names no figure
+	MaxJobTimeout                 time.Duration // the longest deadline that a client may ask for
+	ConnectTimeout                time.Duration // a worker's connection comes up within it
+	WorkerIdleTimeout             time.Duration // idle worker connections are closed after it
+	ClientIdleTimeout             time.Duration // idle client connections are closed after it
+	ReadTimeout                   time.Duration // a client finishes its head and body within it, the first from connecting on
+	LingerTimeout                 time.Duration // after an answer that came early, what a client still sends is read away so long
+	LingerBytes                   int64         // and so many bytes of it at most
+	TrailingTimeout               time.Duration // how long the end of a finished answer may take
+	LateAnswerWindow              time.Duration // so late a worker may give an answer once more
+	DiscoveryCallTimeout          time.Duration // a call to discovery is answered within it
+	DiscoverySilenceTimeout       time.Duration // a watch that says nothing for so long has broken
+	DiscoveryBackoff              time.Duration // first pause, on average, after a call that failed or ended; doubles up to
+	DiscoveryBackoffMax           time.Duration // this
+	DrainGrace                    time.Duration // no byte of a new send goes to a leaving worker later than this
+	DrainDelay                    time.Duration // after SIGTERM the listener stays open so long
+	LastAcceptWindow              time.Duration // then what has already come there is let in for so long
+	LastAnswerWindow              time.Duration // after SIGTERM what came later than that is answered by then: the platform may kill from then on
+	OutcomeRetention              time.Duration // outcomes of keyed jobs are kept so long
+	RetainedOutcomes              int           // and so many of them at most
+	RetainedOutcomeBytes          int           // holding so many bytes together at most
+	BrokerBackoff                 time.Duration // first pause before a broker is called again; doubles up to
+	BrokerBackoffMax              time.Duration // this
+	ConfirmTimeout                time.Duration // a broker confirms an answer within it
+	CaptureQueueRows              int           // rows of each kind that wait for the recorder at most
+	CaptureGroupRows              int           // rows that the recorder writes at a time
+	CaptureRetryDelay             time.Duration // pause after a disk that took nothing
+	PeerDatagramsPerSecond        int           // datagrams read in a second at most
+	UnknownPeerDatagramsPerSecond int           // among them those taken in from addresses that are no member's
+	QueuedPeerDatagrams           int           // datagrams that wait for the membership
+	PeerBytesPerSecond            int           // sent to other dispatchers in a second at most
+	PeerLeaveTimeout              time.Duration // the others are told for so long that this one leaves
+	ReplicaFrameBytes             int           // bytes of one frame between dispatchers that keep copies
+	ReplicaQueueBytes             int           // bytes of frames that wait for one of them at most; what is beyond is as good as lost
+	ReplicaDialTimeout            time.Duration // a connection to one of them comes up within it, and a frame goes out
+	ReplicaRetryDelay             time.Duration // pause after a connection that failed
+	LeaseReserve                  time.Duration // kept free before a client's deadline for the copies' word
+	LeasePollInterval             time.Duration // between two looks at a job that another dispatcher has
+	LeaseNotifyWindow             time.Duration // the copies are told of an outcome for so long after the deadline
+	LeaseTransferBatch            int           // leases of a dead dispatcher that one command moves
+	LeaseSubmitBatch              int           // of those, jobs handed to the module in a round of LeaseRound
+	LeaseRoundInterval            time.Duration // between two looks at who is gone
+	LeaseShutdownTimeout          time.Duration // who leaves waits so long at most for others to get his copies
+	LeaseOrphanDelay              time.Duration // a dispatcher is out of the view for so long before its leases move
 }
 
 // AMQP sets up the second front and the workers that take jobs from queues.
@@ -121,33 +121,33 @@
 }
 
 // Members sets up the membership among dispatchers.
-type Members struct {
-	Path    string         // of the operator's file
-	Listen  netip.AddrPort // for datagrams
-	At      netip.AddrPort // where the others reach it
-	Peers   []Peer
-	Learn   bool // peers have no names: who is at an address shows in what comes from there
-	Period  time.Duration
-	Bear    time.Duration
-	Weight  float64
-	Version string
-	Events  string // a file that gets a JSON line for each change
+type Membership struct {
+	Path             string         // of the operator's file
+	Listen           netip.AddrPort // for datagrams
+	Advertise        netip.AddrPort // where the others reach it
+	Peers            []Peer
+	LearnNames       bool // peers have no names: who is at an address shows in what comes from there
+	ProbeInterval    time.Duration
+	SuspicionTimeout time.Duration
+	Weight           float64
+	Version          string
+	Events           string // a file that gets a JSON line for each change
 }
 
 // Promises sets up jobs that are taken for keeps: copied to other dispatchers before anything is done for them.
-type Promises struct {
-	Path    string // of the operator's file
-	Listen  netip.AddrPort
-	Peers   []Peer // the others, all named
-	Groups  int
-	Copies  int
-	Keep    time.Duration // outcomes are kept so long after the client's deadline
-	Skew    time.Duration // between two dispatchers' clocks at most
-	Most    int           // promises kept, open ones among them, over all groups
-	Events  string
-	CrashAt string // for trials: the process ends itself at this point
-	CrashOn int    // when it is reached for the nth time
-	Stops   bool   // or stops itself, until somebody wakes it
+type DurableJobs struct {
+	Path         string // of the operator's file
+	Listen       netip.AddrPort
+	Peers        []Peer // the others, all named
+	Groups       int
+	Replicas     int
+	Retention    time.Duration // outcomes are kept so long after the client's deadline
+	MaxClockSkew time.Duration // between two dispatchers' clocks at most
+	MaxJobs      int           // promises kept, open ones among them, over all groups
+	Events       string
+	CrashAt      string // for trials: the process ends itself at this point
+	CrashOn      int    // when it is reached for the nth time
+	CrashByStop  bool   // or stops itself, until somebody wakes it
 }
 
 // CrashPoints are the places of Promises.CrashAt, in the order in which a job passes them.
@@ -155,8 +155,8 @@
 
 // Peer is another dispatcher that may be asked for the way in.
 type Peer struct {
-	Name string // empty: not known
-	At   netip.AddrPort
+	Name    string // empty: not known
+	Address netip.AddrPort
 }
 
 // Worker is one line of the roster as discovery words it.
@@ -173,7 +173,7 @@
 }
 
 // Roster is a list of workers, whole (Reset) or only what changed.
-type Roster struct {
+type WorkerList struct {
 	Generation int64    `json:"generation"`
 	Reset      bool     `json:"reset"`
 	Workers    []Worker `json:"instances"`
@@ -183,16 +183,16 @@
 type Node struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
-	Known                   Roster
+	Known                   WorkerList
 	Module                  decision.Settings
 	Classes, Tenants        []string
 	Zones, Kinds            []string
 	LoadFields              []string // as workers word them, in the module's order
 	Limits                  Limits
-	AMQP                    *AMQP     // nil: the front is off
-	Capture                 *Capture  // nil: nothing is recorded
-	Members                 *Members  // nil: it knows of no other dispatcher
-	Promises                *Promises // nil: jobs are not taken for keeps
+	AMQP                    *AMQP        // nil: the front is off
+	Capture                 *Capture     // nil: nothing is recorded
+	Membership              *Membership  // nil: it knows of no other dispatcher
+	DurableJobs             *DurableJobs // nil: jobs are not taken for keeps
 }
 
 // ZoneName is the name of this dispatcher's zone, empty where the settings name none.
@@ -213,7 +213,7 @@
 		MemoryMB *int     `json:"memory_mb"`
 		Sockets  *int     `json:"sockets"`
 	} `json:"limits"`
-	Known    Roster         `json:"known"`
+	Known    WorkerList     `json:"known"`
 	Peers    []string       `json:"peers"`       // where the other dispatchers are reached, this one's own place among them
 	PeerAt   string         `json:"peer_listen"` // where this one listens for them
 	Settings map[string]any `json:"settings"`
@@ -297,19 +297,19 @@
 	if n.Limits, err = derive(cores, memory, sockets, &n.Module); err != nil {
 		return nil, err
 	}
-	n.Limits.Connect = span(f.Settings, n.Limits.Connect, "limits", "connect_timeout")
+	n.Limits.ConnectTimeout = span(f.Settings, n.Limits.ConnectTimeout, "limits", "connect_timeout")
 	if path := getenv("NODE_AMQP"); path != "" {
 		if n.AMQP, err = loadAMQP(path, n); err != nil {
 			return nil, err
 		}
 	}
 	if path := getenv("NODE_MEMBERS"); path != "" {
-		if n.Members, err = loadMembers(path, n, &f); err != nil {
+		if n.Membership, err = loadMembers(path, n, &f); err != nil {
 			return nil, err
 		}
 	}
 	if path := getenv("NODE_PROMISES"); path != "" {
-		if n.Promises, err = loadPromises(path, n, &f); err != nil {
+		if n.DurableJobs, err = loadPromises(path, n, &f); err != nil {
 			return nil, err
 		}
 	}
@@ -332,15 +332,15 @@
 }
 
 // Fixed names the keys that differ from those of a node read later and that hold until the next start.
-func (n *Node) Fixed(later *Node) (keys []string) {
+func (n *Node) ChangedKeys(later *Node) (keys []string) {
 	for _, k := range []struct {
 		key      string
 		old, new any
 	}{
 		{"name", n.Name, later.Name}, {"listen", n.Listen, later.Listen}, {"limits", n.Limits, later.Limits},
 		{"settings", n.Module, later.Module}, {"settings.classes", n.Classes, later.Classes},
-		{"settings.tenants", n.Tenants, later.Tenants}, {"amqp", n.AMQP, later.AMQP}, {"members", n.Members, later.Members},
-		{"promises", n.Promises, later.Promises},
+		{"settings.tenants", n.Tenants, later.Tenants}, {"amqp", n.AMQP, later.AMQP}, {"members", n.Membership, later.Membership},
+		{"promises", n.DurableJobs, later.DurableJobs},
 	} {
 		if !reflect.DeepEqual(k.old, k.new) {
 			keys = append(keys, k.key)
@@ -350,6 +350,6 @@
 }
 
 // Stranger tells whether a node read later is another customer's: none of its classes is one of this one's.
-func (n *Node) Stranger(later *Node) bool {
+func (n *Node) SharesNoClass(later *Node) bool {
 	return len(n.Classes) > 0 && !slices.ContainsFunc(later.Classes, func(c string) bool { return slices.Contains(n.Classes, c) })
 }
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -50,12 +50,12 @@
 		m.Report.Queue != 3 || !m.ReportsLoad || m.MaxAttempts != 3 || m.ProgressInterval != time.Second {
 		t.Errorf("settings: %+v", m)
 	}
-	if n.Figure("q") != 3 || n.Figure("queue") != 3 || n.Figure("eps") != 1 || n.Figure("other") != -1 {
+	if n.LoadFieldIndex("q") != 3 || n.LoadFieldIndex("queue") != 3 || n.LoadFieldIndex("eps") != 1 || n.LoadFieldIndex("other") != -1 {
 		t.Errorf("load figures %v", n.LoadFields)
 	}
-	if l.PortalConns+l.FloorConns+l.RosterConns+l.Sockets/10 > l.Sockets || l.OpenJobs > l.PortalConns ||
-		int64(l.OpenJobs)*2*l.Body > int64(l.MemoryMB)<<20/2 || l.WorkerIdle >= m.ConnIdle || l.DrainGrace >= m.DrainGrace ||
-		l.RetryAfter > m.MaxRetryAfter || l.Remember < 7500*time.Millisecond || l.Connect != 250*time.Millisecond {
+	if l.ClientConns+l.WorkerConns+l.DiscoveryConns+l.Sockets/10 > l.Sockets || l.OpenJobs > l.ClientConns ||
+		int64(l.OpenJobs)*2*l.BodyBytes > int64(l.MemoryMB)<<20/2 || l.WorkerIdleTimeout >= m.ConnIdle || l.DrainGrace >= m.DrainGrace ||
+		l.RetryAfter > m.MaxRetryAfter || l.OutcomeRetention < 7500*time.Millisecond || l.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("limits: %+v", l)
 	}
 }
@@ -79,7 +79,7 @@
 	} {
 		os.WriteFile(path, []byte(strings.Replace(whole, k.from, k.to, 1)), 0o600)
 		n, err := config.Reload(getenv)
-		if err != nil || n.Discovery != k.discovery || fmt.Sprint(first.Fixed(n)) != k.fixed {
+		if err != nil || n.Discovery != k.discovery || fmt.Sprint(first.ChangedKeys(n)) != k.fixed {
 			t.Errorf("%s: %v, %+v", k.to, err, n)
 		}
 	}
@@ -139,7 +139,7 @@
 func TestMembersFile(t *testing.T) {
 	allowed := strings.Replace(whole, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
 	const good = "[members]\nlisten = \"127.0.0.1:7400\"\n[[members.peer]]\nname = \"n2\"\naddress = \"127.0.0.1:7401\"\n"
-	if n, err := load(t, allowed, nil); err != nil || n.Members != nil {
+	if n, err := load(t, allowed, nil); err != nil || n.Membership != nil {
 		t.Errorf("without the file: %+v, %v", n, err)
 	}
 	if _, err := load(t, whole, map[string]string{"NODE_MEMBERS": write(t, "members.toml", good)}); err == nil || !strings.Contains(err.Error(), "limits.peers") {
@@ -162,17 +162,17 @@
 		if (err == nil) != (k.key == "") || err != nil && !(strings.Contains(err.Error(), k.key) && strings.Contains(err.Error(), "members.toml")) {
 			t.Errorf("%s: wanted an error that names %q: %v", k.to, k.key, err)
 		}
-		if err == nil && (len(n.Members.Peers) != 1 || n.Members.Learn || n.Members.At != n.Members.Listen) {
-			t.Errorf("%+v", n.Members)
+		if err == nil && (len(n.Membership.Peers) != 1 || n.Membership.LearnNames || n.Membership.Advertise != n.Membership.Listen) {
+			t.Errorf("%+v", n.Membership)
 		}
 	}
 	// Without peers of the file's own the platform's count, but for this dispatcher's own place.
 	platform := strings.Replace(allowed, `"seed":`, `"peers":["127.0.2.1:7946","127.0.2.2:7946","127.0.2.3:7946"],"peer_listen":"127.0.0.1:7946","seed":`, 1)
 	n, err := load(t, platform, map[string]string{"NODE_MEMBERS": write(t, "members.toml", "[members]\n")})
-	if err != nil || !n.Members.Learn || len(n.Members.Peers) != 2 || n.Members.Listen.String() != "127.0.0.1:7946" {
+	if err != nil || !n.Membership.LearnNames || len(n.Membership.Peers) != 2 || n.Membership.Listen.String() != "127.0.0.1:7946" {
 		t.Errorf("%v: %+v", err, n)
 	}
-	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": "../../../deploy/members.toml"}); err != nil || len(n.Members.Peers) != 2 {
+	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": "../../../deploy/members.toml"}); err != nil || len(n.Membership.Peers) != 2 {
 		t.Errorf("the file that is shipped: %v", err)
 	}
 }
@@ -217,11 +217,11 @@
 		if (err == nil) != (k.key == "") || err != nil && !(strings.Contains(err.Error(), k.key) && strings.Contains(err.Error(), "promises.toml")) {
 			t.Errorf("%s: wanted an error that names %q: %v", k.to, k.key, err)
 		}
-		if err == nil && (len(n.Promises.Peers) != 2 || n.Promises.Copies != 3 || n.Promises.Groups != 16) {
-			t.Errorf("%+v", n.Promises)
+		if err == nil && (len(n.DurableJobs.Peers) != 2 || n.DurableJobs.Replicas != 3 || n.DurableJobs.Groups != 16) {
+			t.Errorf("%+v", n.DurableJobs)
 		}
 	}
-	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": "../../../deploy/promises.toml", "NODE_NAME": "n0"}); err != nil || len(n.Promises.Peers) != 2 {
+	if n, err := load(t, allowed, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": "../../../deploy/promises.toml", "NODE_NAME": "n0"}); err != nil || len(n.DurableJobs.Peers) != 2 {
 		t.Errorf("the file that is shipped: %v", err)
 	}
 }
@@ -282,8 +282,8 @@
 		if err != nil || n.Module.MaxDiscoverySilence != k.ask || n.Module.Classes[0].Deadline != k.deadline {
 			t.Fatalf("%+v: %+v, %v", k, n, err)
 		}
-		if l := n.Limits; l.RosterSilent < 2500*time.Millisecond || l.RosterSilent > 3*time.Second || l.LastAnswer != k.last {
-			t.Errorf("%+v: silent after %v, last answer after %v", k, l.RosterSilent, l.LastAnswer)
+		if l := n.Limits; l.DiscoverySilenceTimeout < 2500*time.Millisecond || l.DiscoverySilenceTimeout > 3*time.Second || l.LastAnswerWindow != k.last {
+			t.Errorf("%+v: silent after %v, last answer after %v", k, l.DiscoverySilenceTimeout, l.LastAnswerWindow)
 		}
 	}
 }
@@ -294,14 +294,14 @@
 	for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 30 * time.Second} {
 		text := strings.Replace(whole, `"drain_grace":500000000`, fmt.Sprintf(`"drain_grace":%d`, grace.Nanoseconds()), 1)
 		asked, err := load(t, text, nil)
-		if err != nil || asked.Limits.RosterCall < 3*time.Second {
-			t.Errorf("grace %v, asked for: %v, a call within %v", grace, err, asked.Limits.RosterCall)
+		if err != nil || asked.Limits.DiscoveryCallTimeout < 3*time.Second {
+			t.Errorf("grace %v, asked for: %v, a call within %v", grace, err, asked.Limits.DiscoveryCallTimeout)
 		}
 		n, err := load(t, strings.Replace(text, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1), nil)
 		if err != nil || n.Module.DrainGrace != grace {
 			t.Fatalf("grace %v: %v, %v", grace, n.Module.DrainGrace, err)
 		}
-		if worst := n.Limits.RosterCall + n.Limits.RosterRetryMax*3/2; worst >= min(grace*3/4, 5*time.Second) && grace < 20*time.Second {
+		if worst := n.Limits.DiscoveryCallTimeout + n.Limits.DiscoveryBackoffMax*3/2; worst >= min(grace*3/4, 5*time.Second) && grace < 20*time.Second {
 			t.Errorf("grace %v: the next call has its answer after %v", grace, worst)
 		}
 	}
--- a/internal/dispatcher/config/derive.go
+++ b/internal/dispatcher/config/derive.go
@@ -30,56 +30,56 @@
 	usable := sockets - sockets/10
 	l := Limits{
 		Cores: cores, MemoryMB: memory, Sockets: sockets,
-		RosterConns: 4, PortalConns: (usable - 4) * 5 / 9, FloorConns: (usable - 4) * 4 / 9,
-		PortalFresh: (usable - 4) / 6, PortalSpare: max(sockets/40, 2), LingerBytes: 4 << 20, Linger: time.Second,
-		Body: 64 << 10, Bodies: int64(memory) << 20 / 4, Head: 16 << 10, Line: 128 << 10, Roster: 4 << 20, Workers: 20000, LateReads: 4 << 10,
-		AnswerRoom: 40 * time.Millisecond, RetryAfter: 50 * time.Millisecond, MostPatience: 5 * time.Minute,
-		Connect: 250 * time.Millisecond, WorkerIdle: 4 * time.Second, ClientIdle: 60 * time.Second,
-		ReadHead: 2 * time.Second, TailWait: 250 * time.Millisecond, LateAnswer: 100 * time.Millisecond,
-		RosterCall: 3500 * time.Millisecond, RosterSilent: 3 * time.Second,
-		RosterRetry: 300 * time.Millisecond, RosterRetryMax: 3 * time.Second,
-		DrainGrace: 400 * time.Millisecond, Farewell: 600 * time.Millisecond,
-		LastAccept: 20 * time.Millisecond,
-		Remember:   10 * time.Second, Remembered: 4096, RememberedBytes: memory << 20 / 8,
-		Reconnect: 100 * time.Millisecond, ReconnectMax: 5 * time.Second, Confirm: 2 * time.Second,
-		CaptureRows: 4096, CaptureGroup: 4096, CaptureRetry: time.Second,
-		PeerReads: 20000, PeerStrangers: 200, PeerMailbox: 1024, PeerBytes: 256 << 10, PeerFarewell: 400 * time.Millisecond,
-		CopyFrame: min(16<<20, memory<<20/8), CopyQueue: memory << 20 / 16, CopyDial: time.Second, CopyRetry: 100 * time.Millisecond,
-		LeaseRoom: 150 * time.Millisecond, LeaseLook: 40 * time.Millisecond, LeaseLinger: 10 * time.Second, LeasesMoved: 64, LeasesTaken: 16,
-		LeaseRound: 100 * time.Millisecond, LeaseOrphan: 300 * time.Millisecond, LeaseFarewell: 15 * time.Second,
+		DiscoveryConns: 4, ClientConns: (usable - 4) * 5 / 9, WorkerConns: (usable - 4) * 4 / 9,
+		ClientConnsWithoutHead: (usable - 4) / 6, SpareClientConns: max(sockets/40, 2), LingerBytes: 4 << 20, LingerTimeout: time.Second,
+		BodyBytes: 64 << 10, AllBodiesBytes: int64(memory) << 20 / 4, HeadBytes: 16 << 10, LineBytes: 128 << 10, WorkerListBytes: 4 << 20, Workers: 20000, TrailingBytes: 4 << 10,
+		AnswerReserve: 40 * time.Millisecond, RetryAfter: 50 * time.Millisecond, MaxJobTimeout: 5 * time.Minute,
+		ConnectTimeout: 250 * time.Millisecond, WorkerIdleTimeout: 4 * time.Second, ClientIdleTimeout: 60 * time.Second,
+		ReadTimeout: 2 * time.Second, TrailingTimeout: 250 * time.Millisecond, LateAnswerWindow: 100 * time.Millisecond,
+		DiscoveryCallTimeout: 3500 * time.Millisecond, DiscoverySilenceTimeout: 3 * time.Second,
+		DiscoveryBackoff: 300 * time.Millisecond, DiscoveryBackoffMax: 3 * time.Second,
+		DrainGrace: 400 * time.Millisecond, DrainDelay: 600 * time.Millisecond,
+		LastAcceptWindow: 20 * time.Millisecond,
+		OutcomeRetention: 10 * time.Second, RetainedOutcomes: 4096, RetainedOutcomeBytes: memory << 20 / 8,
+		BrokerBackoff: 100 * time.Millisecond, BrokerBackoffMax: 5 * time.Second, ConfirmTimeout: 2 * time.Second,
+		CaptureQueueRows: 4096, CaptureGroupRows: 4096, CaptureRetryDelay: time.Second,
+		PeerDatagramsPerSecond: 20000, UnknownPeerDatagramsPerSecond: 200, QueuedPeerDatagrams: 1024, PeerBytesPerSecond: 256 << 10, PeerLeaveTimeout: 400 * time.Millisecond,
+		ReplicaFrameBytes: min(16<<20, memory<<20/8), ReplicaQueueBytes: memory << 20 / 16, ReplicaDialTimeout: time.Second, ReplicaRetryDelay: 100 * time.Millisecond,
+		LeaseReserve: 150 * time.Millisecond, LeasePollInterval: 40 * time.Millisecond, LeaseNotifyWindow: 10 * time.Second, LeaseTransferBatch: 64, LeaseSubmitBatch: 16,
+		LeaseRoundInterval: 100 * time.Millisecond, LeaseOrphanDelay: 300 * time.Millisecond, LeaseShutdownTimeout: 15 * time.Second,
 	}
 	// Bodies are counted by themselves; answers of half a body's size to all open jobs fit into a third of the memory.
-	l.OpenJobs = max(min(l.PortalConns, memory<<20/3/int(l.Body/2)), 16)
-	l.Mailbox = 8 * l.OpenJobs
+	l.OpenJobs = max(min(l.ClientConns, memory<<20/3/int(l.BodyBytes/2)), 16)
+	l.QueuedEvents = 8 * l.OpenJobs
 	if s.MaxRetryAfter > 0 {
 		l.RetryAfter = min(l.RetryAfter, s.MaxRetryAfter)
 	}
 	if s.ConnIdle > 0 { // a fifth earlier than the machine at the other end
-		l.WorkerIdle = s.ConnIdle - s.ConnIdle/5
+		l.WorkerIdleTimeout = s.ConnIdle - s.ConnIdle/5
 	}
 	if s.DrainGrace > 0 {
 		l.DrainGrace = s.DrainGrace - s.DrainGrace/5
 	}
 	if s.MaxDiscoverySilence > 0 { // a watch must be known to be broken well before its silence counts as told
 		// but never sooner than its lines come, one in 2 s
-		l.RosterSilent = max(min(l.RosterSilent, s.MaxDiscoverySilence/2), 2500*time.Millisecond)
-		l.RosterRetryMax = min(l.RosterRetryMax, s.MaxDiscoverySilence/3)
+		l.DiscoverySilenceTimeout = max(min(l.DiscoverySilenceTimeout, s.MaxDiscoverySilence/2), 2500*time.Millisecond)
+		l.DiscoveryBackoffMax = min(l.DiscoveryBackoffMax, s.MaxDiscoverySilence/3)
 	}
 	if s.Discovery == decision.DiscoveryPush && s.DrainGrace > 0 {
 		// The agent on this machine answers at once or not at all, and what it holds counts as told: a call that it left
 		// without an answer while discovery was down may not outlast the grace of a drain told at its return.
-		l.RosterCall, l.RosterSilent = max(l.DrainGrace/4, 50*time.Millisecond), min(l.RosterSilent, 2500*time.Millisecond)
-		l.RosterRetry = min(l.RosterRetry, max(l.DrainGrace/8, 20*time.Millisecond))
-		l.RosterRetryMax = l.RosterRetry
+		l.DiscoveryCallTimeout, l.DiscoverySilenceTimeout = max(l.DrainGrace/4, 50*time.Millisecond), min(l.DiscoverySilenceTimeout, 2500*time.Millisecond)
+		l.DiscoveryBackoff = min(l.DiscoveryBackoff, max(l.DrainGrace/8, 20*time.Millisecond))
+		l.DiscoveryBackoffMax = l.DiscoveryBackoff
 	}
 	longest := time.Duration(0)
 	for _, c := range s.Classes {
-		l.Remember, longest = max(l.Remember, c.DedupWindow), max(longest, c.Deadline)
+		l.OutcomeRetention, longest = max(l.OutcomeRetention, c.DedupWindow), max(longest, c.Deadline)
 	}
 	if longest == 0 || longest > 3*time.Second { // the platform takes it so
 		longest = 3 * time.Second
 	}
-	l.LastAnswer = longest + l.Farewell // it kills 0.1 s later at the earliest
+	l.LastAnswerWindow = longest + l.DrainDelay // it kills 0.1 s later at the earliest
 	return l, nil
 }
 
@@ -165,6 +165,6 @@
 func Index(list []string, name string) int { return slices.Index(list, name) }
 
 // Figure finds the place of a load figure by the settings' word or by the workers' own, -1 where there is none.
-func (n *Node) Figure(word string) int {
+func (n *Node) LoadFieldIndex(word string) int {
 	return slices.IndexFunc(n.LoadFields, func(f string) bool { return f == word || wordOf[f] == word })
 }
--- a/internal/dispatcher/config/document/document.go
+++ b/internal/dispatcher/config/document/document.go
@@ -30,10 +30,10 @@
 var schemas embed.FS
 
 // Bytes is how long a document may be.
-const Bytes = 16 << 20
+const MaxBytes = 16 << 20
 
 // Schemas names the schemas that are shipped.
-func Schemas() (names []string) {
+func SchemaNames() (names []string) {
 	files, _ := fs.Glob(schemas, "schemas/*.json")
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(strings.TrimPrefix(f, "schemas/"), ".json"))
@@ -45,7 +45,7 @@
 func Schema(name string) ([]byte, error) {
 	text, err := schemas.ReadFile("schemas/" + name + ".json")
 	if err != nil {
-		return nil, fmt.Errorf("there is no schema %q; there are %s", name, strings.Join(Schemas(), ", "))
+		return nil, fmt.Errorf("there is no schema %q; there are %s", name, strings.Join(SchemaNames(), ", "))
 	}
 	return text, nil
 }
@@ -57,12 +57,12 @@
 		return err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, Bytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > Bytes {
-		return fmt.Errorf("%s: longer than %d bytes", path, Bytes)
+	if len(text) > MaxBytes {
+		return fmt.Errorf("%s: longer than %d bytes", path, MaxBytes)
 	}
 	return Parse(path, text, schema, into)
 }
@@ -234,7 +234,7 @@
 }
 
 // Capture reads what sets up a recorder.
-func Capture(path string) (*config.Capture, error) {
+func ReadCapture(path string) (*config.Capture, error) {
 	c := &config.Capture{RotateMB: 64, RotateS: 300, GroupS: 10}
 	if err := Read(path, "capture", c); err != nil {
 		return nil, err
--- a/internal/dispatcher/config/document/document_test.go
+++ b/internal/dispatcher/config/document/document_test.go
@@ -27,7 +27,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "x.json")
 		os.WriteFile(path, []byte(text), 0o600)
-		if _, err := Capture(path); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := ReadCapture(path); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%s: %v; %q is wanted", text, err, says)
 		}
 	}
@@ -35,7 +35,7 @@
 
 // The schemas that are shipped can be used, and say what each key is.
 func TestSchemasCompile(t *testing.T) {
-	for _, name := range Schemas() {
+	for _, name := range SchemaNames() {
 		if _, err := compile(name); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/dispatcher/config/document/shipped_test.go
+++ b/internal/dispatcher/config/document/shipped_test.go
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(path, []byte(`{"dir":"/"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Capture(path)
+	c, err := ReadCapture(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/config/golden_test.go
+++ b/internal/dispatcher/config/golden_test.go
@@ -30,65 +30,65 @@
 		{"cores", l.Cores},
 		{"memory_mb", l.MemoryMB},
 		{"sockets", l.Sockets},
-		{"portal_conns", l.PortalConns},
-		{"portal_fresh", l.PortalFresh},
-		{"portal_spare", l.PortalSpare},
-		{"floor_conns", l.FloorConns},
-		{"roster_conns", l.RosterConns},
-		{"body", l.Body},
-		{"bodies", l.Bodies},
-		{"head", l.Head},
-		{"line", l.Line},
-		{"roster", l.Roster},
+		{"portal_conns", l.ClientConns},
+		{"portal_fresh", l.ClientConnsWithoutHead},
+		{"portal_spare", l.SpareClientConns},
+		{"floor_conns", l.WorkerConns},
+		{"roster_conns", l.DiscoveryConns},
+		{"body", l.BodyBytes},
+		{"bodies", l.AllBodiesBytes},
+		{"head", l.HeadBytes},
+		{"line", l.LineBytes},
+		{"roster", l.WorkerListBytes},
 		{"workers", l.Workers},
 		{"open_jobs", l.OpenJobs},
-		{"mailbox", l.Mailbox},
-		{"late_reads", l.LateReads},
-		{"answer_room", l.AnswerRoom},
+		{"mailbox", l.QueuedEvents},
+		{"late_reads", l.TrailingBytes},
+		{"answer_room", l.AnswerReserve},
 		{"retry_after", l.RetryAfter},
-		{"most_patience", l.MostPatience},
-		{"connect", l.Connect},
-		{"worker_idle", l.WorkerIdle},
-		{"client_idle", l.ClientIdle},
-		{"read_head", l.ReadHead},
-		{"linger", l.Linger},
+		{"most_patience", l.MaxJobTimeout},
+		{"connect", l.ConnectTimeout},
+		{"worker_idle", l.WorkerIdleTimeout},
+		{"client_idle", l.ClientIdleTimeout},
+		{"read_head", l.ReadTimeout},
+		{"linger", l.LingerTimeout},
 		{"linger_bytes", l.LingerBytes},
-		{"tail_wait", l.TailWait},
-		{"late_answer", l.LateAnswer},
-		{"roster_call", l.RosterCall},
-		{"roster_silent", l.RosterSilent},
-		{"roster_retry", l.RosterRetry},
-		{"roster_retry_max", l.RosterRetryMax},
+		{"tail_wait", l.TrailingTimeout},
+		{"late_answer", l.LateAnswerWindow},
+		{"roster_call", l.DiscoveryCallTimeout},
+		{"roster_silent", l.DiscoverySilenceTimeout},
+		{"roster_retry", l.DiscoveryBackoff},
+		{"roster_retry_max", l.DiscoveryBackoffMax},
 		{"drain_grace", l.DrainGrace},
-		{"farewell", l.Farewell},
-		{"last_accept", l.LastAccept},
-		{"last_answer", l.LastAnswer},
-		{"remember", l.Remember},
-		{"remembered", l.Remembered},
-		{"remembered_bytes", l.RememberedBytes},
-		{"reconnect", l.Reconnect},
-		{"reconnect_max", l.ReconnectMax},
-		{"confirm", l.Confirm},
-		{"capture_rows", l.CaptureRows},
-		{"capture_group", l.CaptureGroup},
-		{"capture_retry", l.CaptureRetry},
-		{"peer_reads", l.PeerReads},
-		{"peer_strangers", l.PeerStrangers},
-		{"peer_mailbox", l.PeerMailbox},
-		{"peer_bytes", l.PeerBytes},
-		{"peer_farewell", l.PeerFarewell},
-		{"copy_frame", l.CopyFrame},
-		{"copy_queue", l.CopyQueue},
-		{"copy_dial", l.CopyDial},
-		{"copy_retry", l.CopyRetry},
-		{"lease_room", l.LeaseRoom},
-		{"lease_look", l.LeaseLook},
-		{"lease_linger", l.LeaseLinger},
-		{"leases_moved", l.LeasesMoved},
-		{"leases_taken", l.LeasesTaken},
-		{"lease_round", l.LeaseRound},
-		{"lease_farewell", l.LeaseFarewell},
-		{"lease_orphan", l.LeaseOrphan},
+		{"farewell", l.DrainDelay},
+		{"last_accept", l.LastAcceptWindow},
+		{"last_answer", l.LastAnswerWindow},
+		{"remember", l.OutcomeRetention},
+		{"remembered", l.RetainedOutcomes},
+		{"remembered_bytes", l.RetainedOutcomeBytes},
+		{"reconnect", l.BrokerBackoff},
+		{"reconnect_max", l.BrokerBackoffMax},
+		{"confirm", l.ConfirmTimeout},
+		{"capture_rows", l.CaptureQueueRows},
+		{"capture_group", l.CaptureGroupRows},
+		{"capture_retry", l.CaptureRetryDelay},
+		{"peer_reads", l.PeerDatagramsPerSecond},
+		{"peer_strangers", l.UnknownPeerDatagramsPerSecond},
+		{"peer_mailbox", l.QueuedPeerDatagrams},
+		{"peer_bytes", l.PeerBytesPerSecond},
+		{"peer_farewell", l.PeerLeaveTimeout},
+		{"copy_frame", l.ReplicaFrameBytes},
+		{"copy_queue", l.ReplicaQueueBytes},
+		{"copy_dial", l.ReplicaDialTimeout},
+		{"copy_retry", l.ReplicaRetryDelay},
+		{"lease_room", l.LeaseReserve},
+		{"lease_look", l.LeasePollInterval},
+		{"lease_linger", l.LeaseNotifyWindow},
+		{"leases_moved", l.LeaseTransferBatch},
+		{"leases_taken", l.LeaseSubmitBatch},
+		{"lease_round", l.LeaseRoundInterval},
+		{"lease_farewell", l.LeaseShutdownTimeout},
+		{"lease_orphan", l.LeaseOrphanDelay},
 	}
 }
 
@@ -102,7 +102,7 @@
 
 func peerValues(peers []config.Peer) (out []string) {
 	for _, p := range peers {
-		out = append(out, fmt.Sprintf("%q at %v", p.Name, p.At))
+		out = append(out, fmt.Sprintf("%q at %v", p.Name, p.Address))
 	}
 	return out
 }
@@ -162,15 +162,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	showMembers(&out, "members.toml", n.Members)
-	p := n.Promises
-	show(&out, "promises.toml", []value{{"listen", p.Listen}, {"peers", peerValues(p.Peers)}, {"groups", p.Groups}, {"copies", p.Copies}, {"keep", p.Keep},
-		{"skew", p.Skew}, {"most", p.Most}, {"events", p.Events}, {"crash_at", p.CrashAt}, {"crash_on", p.CrashOn}, {"stops", p.Stops}})
+	showMembers(&out, "members.toml", n.Membership)
+	p := n.DurableJobs
+	show(&out, "promises.toml", []value{{"listen", p.Listen}, {"peers", peerValues(p.Peers)}, {"groups", p.Groups}, {"copies", p.Replicas}, {"keep", p.Retention},
+		{"skew", p.MaxClockSkew}, {"most", p.MaxJobs}, {"events", p.Events}, {"crash_at", p.CrashAt}, {"crash_on", p.CrashOn}, {"stops", p.CrashByStop}})
 	learning := strings.Replace(withPeers, `"settings":`, `"peers":["127.0.0.1:7400","127.0.0.1:7401"],"peer_listen":"127.0.0.1:7400","settings":`, 1)
 	if n, err = load(t, learning, map[string]string{"NODE_MEMBERS": write(t, "members.toml", "[members]\n")}); err != nil {
 		t.Fatal(err)
 	}
-	showMembers(&out, "an empty members.toml", n.Members)
+	showMembers(&out, "an empty members.toml", n.Membership)
 	a, err := config.LoadAgent("../../../deploy/agent.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -181,9 +181,9 @@
 	golden.AssertBytes(t, out.Bytes(), "operator.txt")
 }
 
-func showMembers(out *bytes.Buffer, title string, m *config.Members) {
-	show(out, title, []value{{"listen", m.Listen}, {"at", m.At}, {"peers", peerValues(m.Peers)}, {"learn", m.Learn}, {"period", m.Period},
-		{"bear", m.Bear}, {"weight", m.Weight}, {"version", m.Version}, {"events", m.Events}})
+func showMembers(out *bytes.Buffer, title string, m *config.Membership) {
+	show(out, title, []value{{"listen", m.Listen}, {"at", m.Advertise}, {"peers", peerValues(m.Peers)}, {"learn", m.LearnNames}, {"period", m.ProbeInterval},
+		{"bear", m.SuspicionTimeout}, {"weight", m.Weight}, {"version", m.Version}, {"events", m.Events}})
 }
 
 // testdata/faults.txt holds what is said of faulty files: operators look for these words.
@@ -227,4 +227,3 @@
 	}
 	golden.AssertBytes(t, out.Bytes(), "faults.txt")
 }
-
--- a/internal/dispatcher/config/members.go
+++ b/internal/dispatcher/config/members.go
@@ -76,7 +76,7 @@
 }
 
 // loadMembers reads the operator's file for the membership. It needs the settings' permission too: neither alone turns it on.
-func loadMembers(path string, n *Node, f *nodeFile) (*Members, error) {
+func loadMembers(path string, n *Node, f *nodeFile) (*Membership, error) {
 	if !n.Module.PeerMessages {
 		return nil, fmt.Errorf("NODE_MEMBERS: %s: the settings forbid talk among dispatchers (limits.peers is not true); start without the variable", path)
 	}
@@ -96,10 +96,10 @@
 		return nil, err
 	}
 	c := &t.Members
-	bad := func(key, format string, v ...any) (*Members, error) {
+	bad := func(key, format string, v ...any) (*Membership, error) {
 		return nil, fmt.Errorf("%s: key members.%s: %s", path, key, fmt.Sprintf(format, v...))
 	}
-	m := &Members{Path: path, Period: time.Duration(c.PeriodMs) * time.Millisecond, Bear: time.Duration(c.BearMs) * time.Millisecond,
+	m := &Membership{Path: path, ProbeInterval: time.Duration(c.PeriodMs) * time.Millisecond, SuspicionTimeout: time.Duration(c.BearMs) * time.Millisecond,
 		Weight: c.Weight, Version: c.Version, Events: c.Events}
 	if c.Listen == "" {
 		c.Listen = f.PeerAt // the platform's
@@ -111,7 +111,7 @@
 	if m.Listen, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return bad("listen", "%q is not an address and port", c.Listen)
 	}
-	if m.At, err = netip.ParseAddrPort(c.At); err != nil || m.At.Addr().IsUnspecified() || m.At.Port() == 0 {
+	if m.Advertise, err = netip.ParseAddrPort(c.At); err != nil || m.Advertise.Addr().IsUnspecified() || m.Advertise.Port() == 0 {
 		return bad("at", "%q is not an address and port at which others reach it", c.At)
 	}
 	switch {
@@ -136,14 +136,14 @@
 		}
 		m.Peers = append(m.Peers, Peer{p.Name, at})
 	}
-	if m.Learn = len(m.Peers) == 0; m.Learn {
+	if m.LearnNames = len(m.Peers) == 0; m.LearnNames {
 		for i, text := range f.Peers {
 			at, err := netip.ParseAddrPort(text)
 			if err != nil {
 				return nil, fmt.Errorf("NODE_CONFIG: peers.%d: %q is not an address and port", i, text)
 			}
 			if i != n.Module.Self {
-				m.Peers = append(m.Peers, Peer{At: at})
+				m.Peers = append(m.Peers, Peer{Address: at})
 			}
 		}
 	}
@@ -152,13 +152,13 @@
 
 // loadPromises reads the operator's file for promises. They stand on the membership, and need a path between dispatchers
 // that carries more than notes: where the platform itself carries datagrams for them, it is said to be the only one.
-func loadPromises(path string, n *Node, f *nodeFile) (*Promises, error) {
+func loadPromises(path string, n *Node, f *nodeFile) (*DurableJobs, error) {
 	switch {
 	case !n.Module.PeerMessages:
 		return nil, fmt.Errorf("NODE_PROMISES: %s: the settings forbid talk among dispatchers (limits.peers is not true); start without the variable", path)
 	case f.PeerAt != "":
 		return nil, fmt.Errorf("NODE_PROMISES: %s: this platform carries notes between dispatchers (peer_listen), and no other path leads from one to another; start without the variable", path)
-	case n.Members == nil:
+	case n.Membership == nil:
 		return nil, fmt.Errorf("NODE_PROMISES: %s: promises stand on the membership; set NODE_MEMBERS too", path)
 	}
 	var t struct {
@@ -181,11 +181,11 @@
 		return nil, err
 	}
 	c := &t.Promises
-	bad := func(key, format string, v ...any) (*Promises, error) {
+	bad := func(key, format string, v ...any) (*DurableJobs, error) {
 		return nil, fmt.Errorf("%s: key promises.%s: %s", path, key, fmt.Sprintf(format, v...))
 	}
-	p := &Promises{Path: path, Groups: c.Groups, Copies: c.Copies, Keep: time.Duration(c.KeepS * float64(time.Second)), Skew: time.Duration(c.SkewMs) * time.Millisecond,
-		Most: c.Most, Events: c.Events, CrashAt: c.CrashAt, CrashOn: c.CrashOn, Stops: c.CrashBy == "stop"}
+	p := &DurableJobs{Path: path, Groups: c.Groups, Replicas: c.Copies, Retention: time.Duration(c.KeepS * float64(time.Second)), MaxClockSkew: time.Duration(c.SkewMs) * time.Millisecond,
+		MaxJobs: c.Most, Events: c.Events, CrashAt: c.CrashAt, CrashOn: c.CrashOn, CrashByStop: c.CrashBy == "stop"}
 	var err error
 	if p.Listen, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return bad("listen", "%q is not an address and port", c.Listen)
@@ -209,7 +209,7 @@
 		return bad("crash_on", "%d is not 1 or more", c.CrashOn)
 	}
 	for i, x := range n.Module.Classes {
-		if need := p.Skew + x.DedupWindow/10; x.Idempotency == decision.Deduplicated && x.DedupWindow > 0 && need > x.DedupWindow/2 {
+		if need := p.MaxClockSkew + x.DedupWindow/10; x.Idempotency == decision.Deduplicated && x.DedupWindow > 0 && need > x.DedupWindow/2 {
 			return bad("skew_ms", "%d: class %s may be repeated for %v only, which clocks so far apart leave no room in", c.SkewMs, n.Classes[i], x.DedupWindow)
 		}
 	}
--- a/internal/dispatcher/discovery/request_test.go
+++ b/internal/dispatcher/discovery/request_test.go
@@ -43,7 +43,7 @@
 			fmt.Fprintf(&text, format+"\n", v...)
 		}
 		watch := discovery.New(node)
-		watch.Listed = func(kind decision.ListKind, workers []config.Worker) { note("-> list of kind %d: %v", kind, workers) }
+		watch.OnList = func(kind decision.ListKind, workers []config.Worker) { note("-> list of kind %d: %v", kind, workers) }
 		watch.Dial = func(ctx context.Context, _, address string) (net.Conn, error) {
 			note("== a call to %s ==", address)
 			conn, err := network.Dial(ctx, address)
@@ -78,7 +78,7 @@
 		go func() { watch.Run(ctx); close(done) }()
 		watch.Watch(true)
 		time.Sleep(500 * time.Millisecond)
-		watch.Move("127.0.0.1:8501")
+		watch.SetAddress("127.0.0.1:8501")
 		time.Sleep(600 * time.Millisecond)
 		cancel()
 		<-done
--- a/internal/dispatcher/discovery/roster.go
+++ b/internal/dispatcher/discovery/roster.go
@@ -25,9 +25,9 @@
 )
 
 // Roster watches discovery.
-type Roster struct {
+type Watcher struct {
 	// Listed gets what discovery says, and ListFailed once for each call that ends.
-	Listed func(decision.ListKind, []config.Worker)
+	OnList func(decision.ListKind, []config.Worker)
 	// Dial opens a connection; tests put their own in its place.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -47,21 +47,21 @@
 }
 
 // New makes a roster; the list that the node knows gives the version to go on from.
-func New(n *config.Node) *Roster {
-	r := &Roster{node: n, address: n.Discovery, lim: n.Limits, generation: n.Known.Generation, asked: make(chan struct{}, 1),
+func New(n *config.Node) *Watcher {
+	r := &Watcher{node: n, address: n.Discovery, lim: n.Limits, generation: n.Known.Generation, asked: make(chan struct{}, 1),
 		pushed: n.Module.Discovery == decision.DiscoveryPush,
-		moved:  make(chan struct{}, 1), hangUp: func(error) {}, Dial: (&net.Dialer{Timeout: n.Limits.RosterCall, KeepAlive: -1}).DialContext}
+		moved:  make(chan struct{}, 1), hangUp: func(error) {}, Dial: (&net.Dialer{Timeout: n.Limits.DiscoveryCallTimeout, KeepAlive: -1}).DialContext}
 	// Each call has a connection of its own: nothing is left for a library to send again.
-	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: n.Limits.RosterConns,
+	r.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, MaxConnsPerHost: n.Limits.DiscoveryConns,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return r.Dial(ctx, network, address)
 		},
-		MaxResponseHeaderBytes: int64(n.Limits.Head)}}
+		MaxResponseHeaderBytes: int64(n.Limits.HeadBytes)}}
 	return r
 }
 
 // Watch asks for a watch. While one is up or being called, asking again changes nothing.
-func (r *Roster) Watch(on bool) {
+func (r *Watcher) Watch(on bool) {
 	if on {
 		select {
 		case r.asked <- struct{}{}:
@@ -71,7 +71,7 @@
 }
 
 // Move names another address of discovery. The watch goes over to it at once and asks for everything.
-func (r *Roster) Move(address string) {
+func (r *Watcher) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if address == r.address {
@@ -86,7 +86,7 @@
 }
 
 // called gives the address to call, and the version and the number of the move that belong to it.
-func (r *Roster) called(hangUp context.CancelCauseFunc) (address string, generation int64, moves int) {
+func (r *Watcher) called(hangUp context.CancelCauseFunc) (address string, generation int64, moves int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hangUp = hangUp
@@ -94,7 +94,7 @@
 }
 
 // reached notes a version, unless the address has changed since.
-func (r *Roster) reached(generation int64, moves int) bool {
+func (r *Watcher) reached(generation int64, moves int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.moves == moves {
@@ -104,10 +104,10 @@
 }
 
 // Run serves the calls until ctx ends.
-func (r *Roster) Run(ctx context.Context) {
+func (r *Watcher) Run(ctx context.Context) {
 	first := r.asked
 	if address, _, _ := r.called(r.hangUp); address == "" { // no discovery: the list is what the operator's file says
-		r.Listed(decision.ListFull, nil)
+		r.OnList(decision.ListFull, nil)
 		first = nil
 	} else if r.pushed { // the module waits for lists that come unasked
 		r.Watch(true)
@@ -118,7 +118,7 @@
 	case <-first:
 	case <-r.moved:
 	}
-	for pause := r.lim.RosterRetry; ; {
+	for pause := r.lim.DiscoveryBackoff; ; {
 		began := time.Now()
 		up, err := r.watch(ctx)
 		select { // what was asked for while the call was out was that same call
@@ -129,14 +129,14 @@
 			return
 		}
 		log.Printf("the watch on the roster has ended: %v", err)
-		r.Listed(decision.ListFailed, nil)
+		r.OnList(decision.ListFailed, nil)
 		// Spread, lest all dispatchers call together when discovery comes back: it takes calls in turn. The module asks
 		// again by itself, but later than a drain may wait that was told meanwhile.
 		after := pause/2 + rand.N(pause)
 		if up || errors.Is(err, errMoved) {
 			// Discovery answers, and what it wrote when the watch broke off counts as told: there is no time to lose. A
 			// pause that grew with each watch that broke outlasted the grace of a drain.
-			pause = r.lim.RosterRetry
+			pause = r.lim.DiscoveryBackoff
 			if after = rand.N(pause / 4); time.Since(began) < pause {
 				after += pause / 4
 			}
@@ -150,12 +150,12 @@
 			wait.Stop()
 		case <-r.moved: // nothing has gone wrong there yet
 			wait.Stop()
-			pause = r.lim.RosterRetry
+			pause = r.lim.DiscoveryBackoff
 			continue
 		case <-wait.C:
 		}
 		if !up {
-			pause = min(2*pause, r.lim.RosterRetryMax)
+			pause = min(2*pause, r.lim.DiscoveryBackoffMax)
 		}
 	}
 }
@@ -166,11 +166,11 @@
 )
 
 // watch makes one call and follows it to its end; up tells whether discovery said anything.
-func (r *Roster) watch(ctx context.Context) (up bool, err error) {
+func (r *Watcher) watch(ctx context.Context) (up bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	// A machine that is cut off says nothing and closes nothing: without this a watch would stand for ever.
-	dog := time.AfterFunc(r.lim.RosterCall, func() { cancel(errSilent) })
+	dog := time.AfterFunc(r.lim.DiscoveryCallTimeout, func() { cancel(errSilent) })
 	defer dog.Stop()
 	address, generation, moves := r.called(cancel)
 	defer func() {
@@ -192,8 +192,8 @@
 		return false, fmt.Errorf("discovery answered %d", resp.StatusCode)
 	}
 	// The call has been taken: from here on it is the silence that counts.
-	dog.Reset(r.lim.RosterSilent)
-	heard := &heard{Reader: resp.Body, most: r.lim.Roster, each: func() { dog.Reset(r.lim.RosterSilent); up = true }}
+	dog.Reset(r.lim.DiscoverySilenceTimeout)
+	heard := &heard{Reader: resp.Body, most: r.lim.WorkerListBytes, each: func() { dog.Reset(r.lim.DiscoverySilenceTimeout); up = true }}
 	heard.left = heard.most
 	in := json.NewDecoder(heard) // objects may be spread over lines, and lines may be blank
 	newest := int64(0)           // of this watch: what stands at its start is what discovery holds, whatever was known before
@@ -221,7 +221,7 @@
 		}
 		// What stands whole in an object that broke off has been told all the same. Who is not in it has not left.
 		if told := whole(rest); len(told) > 0 {
-			r.Listed(decision.ListDelta, told)
+			r.OnList(decision.ListDelta, told)
 		}
 		return up, err
 	}
@@ -249,9 +249,9 @@
 }
 
 // take passes on one object of a watch; an error ends that watch.
-func (r *Roster) take(text []byte, newest *int64, moves int) error {
+func (r *Watcher) take(text []byte, newest *int64, moves int) error {
 	var list struct {
-		config.Roster
+		config.WorkerList
 		Workers []json.RawMessage `json:"instances"`
 	}
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -295,12 +295,12 @@
 	if *newest = max(*newest, generation); !r.reached(*newest, moves) { // an old address has no say any more
 		return errMoved
 	}
-	r.Listed(kind, workers)
+	r.OnList(kind, workers)
 	return nil
 }
 
 // foreign tells whether a list has workers, and none of a kind and zone that the settings name.
-func (r *Roster) foreign(workers []config.Worker) bool {
+func (r *Watcher) foreign(workers []config.Worker) bool {
 	return len(workers) > 0 && len(r.node.Zones) > 0 && len(r.node.Kinds) > 0 && !slices.ContainsFunc(workers, func(w config.Worker) bool {
 		return w.State == "gone" || slices.Contains(r.node.Zones, w.Zone) && slices.Contains(r.node.Kinds, w.Kind)
 	})
--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -29,9 +29,9 @@
 	lim     config.Limits
 	node    *config.Node
 	module  *decision.Dispatcher
-	floor   Floor
-	queues  Floor
-	roster  Asker
+	floor   Transport
+	queues  Transport
+	roster  ListWatcher
 	mail    chan func()
 	over    chan struct{}
 	birth   time.Time
@@ -56,16 +56,16 @@
 var ErrBusy = errors.New("too many open jobs")
 
 // ErrOpen is Take's answer to the id of a job that is open: a second one of that id could get the first one's answer.
-var ErrOpen = errors.New("a job with this id is open")
+var ErrDuplicateID = errors.New("a job with this id is open")
 
 // New makes a core for a node. queues serves the fixed workers and may be nil where there are none.
-func New(n *config.Node, counters *Counters, floor, queues Floor, roster Asker, fixed []config.Worker) (*Core, error) {
+func New(n *config.Node, counters *Counters, floor, queues Transport, roster ListWatcher, fixed []config.Worker) (*Core, error) {
 	m, err := decision.New(n.Module, n.Seed)
 	if err != nil {
 		return nil, err
 	}
 	c := &Core{Counters: counters, lim: n.Limits, node: n, module: m, floor: floor, queues: queues, roster: roster, fixed: fixed,
-		mail: make(chan func(), n.Limits.Mailbox), over: make(chan struct{}), birth: time.Now(),
+		mail: make(chan func(), n.Limits.QueuedEvents), over: make(chan struct{}), birth: time.Now(),
 		jobs: map[decision.JobID]*Job{}, seats: map[decision.WorkerID]*seat{}, byName: map[string]decision.WorkerID{},
 		ids: map[string]bool{}}
 	c.workers.Store(&[3]int{})
@@ -98,7 +98,7 @@
 }
 
 // see shows the observer a moment: now, where it names no other time.
-func (c *Core) see(m Moment) {
+func (c *Core) see(m Event) {
 	if c.Observer == nil {
 		return
 	}
@@ -106,11 +106,11 @@
 	if shown.At == 0 {
 		shown.At = c.now()
 	}
-	c.Observer.See(&shown)
+	c.Observer.Observe(&shown)
 }
 
 // Ended waits until Run has ended.
-func (c *Core) Ended() { <-c.over }
+func (c *Core) Wait() { <-c.over }
 
 // now is the module's clock: monotonic, whatever is done to the machine's calendar.
 func (c *Core) now() time.Duration { return past + time.Since(c.birth) }
@@ -127,33 +127,33 @@
 }
 
 // Take accepts a job. After nil its Reply is called once; after an error never.
-func (c *Core) Take(j *Job) error {
+func (c *Core) Submit(j *Job) error {
 	if c.open.Add(1) > int64(c.lim.OpenJobs) {
 		c.open.Add(-1)
 		c.Counters.Overflow.Add(1)
-		c.see(Moment{Sight: SawTurned, Job: j})
+		c.see(Event{Kind: JobOverflowed, Job: j})
 		return ErrBusy
 	}
 	if !c.enter(j.ID) {
 		c.open.Add(-1)
-		return ErrOpen
+		return ErrDuplicateID
 	}
-	c.Counters.Taken.Add(1)
+	c.Counters.Accepted.Add(1)
 	came := c.now()
 	c.post(func() {
 		for c.last++; c.last == 0 || c.jobs[c.last] != nil; c.last++ {
 		}
 		j.number = c.last
 		c.jobs[j.number] = j
-		room := min(c.lim.AnswerRoom, j.Patience/4)
-		j.until = came + j.Patience - room
-		c.see(Moment{Sight: SawTaken, At: came, Job: j})
+		room := min(c.lim.AnswerReserve, j.Timeout/4)
+		j.until = came + j.Timeout - room
+		c.see(Event{Kind: JobAccepted, At: came, Job: j})
 		if j.over.Load() { // the client left while this waited: its Leave is on its way here
 			return
 		}
 		c.at(j.until, func() { c.overdue(j) })
-		c.handle(&decision.Event{Kind: decision.EventJob, Job: j.number, Class: j.Class, Tenant: j.Tenant, Key: j.Subject,
-			Deadline: j.until, Slots: j.Slots, Memory: j.Memory, Retry: j.Repeat})
+		c.handle(&decision.Event{Kind: decision.EventJob, Job: j.number, Class: j.Class, Tenant: j.Tenant, Key: j.AffinityKey,
+			Deadline: j.until, Slots: j.Slots, Memory: j.Memory, Retry: j.Retry})
 	})
 	return nil
 }
@@ -170,11 +170,11 @@
 }
 
 // Leave tells that the client has gone: nobody waits for the answer any more.
-func (c *Core) Leave(j *Job) {
+func (c *Core) Abandon(j *Job) {
 	j.over.Store(true) // at once, whatever waits in the mailbox
 	c.post(func() {
 		if !j.answered {
-			c.Counters.Left.Add(1)
+			c.Counters.Abandoned.Add(1)
 			c.close(j)
 			for _, a := range j.tries { // what has begun to go out and is not whole must not become so later
 				if !a.ended && a.begun.Load() && !a.whole.Load() {
@@ -182,7 +182,7 @@
 					a.cancel()
 				}
 			}
-			c.see(Moment{Sight: SawLeft, Job: j})
+			c.see(Event{Kind: JobAbandoned, Job: j})
 			c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
 			c.forget(j)
 		}
@@ -190,13 +190,13 @@
 }
 
 // Open is how many jobs have no answer yet.
-func (c *Core) Open() int { return int(c.open.Load()) }
+func (c *Core) OpenJobs() int { return int(c.open.Load()) }
 
 // Workers counts the listed workers: gone ones that still hold jobs, ready and draining ones.
-func (c *Core) Workers() [3]int { return *c.workers.Load() }
+func (c *Core) WorkerCounts() [3]int { return *c.workers.Load() }
 
 // Listed passes on what the roster says.
-func (c *Core) Listed(kind decision.ListKind, workers []config.Worker) {
+func (c *Core) UpdateWorkers(kind decision.ListKind, workers []config.Worker) {
 	c.post(func() { c.list(kind, workers) })
 }
 
@@ -215,12 +215,12 @@
 	j := a.Job
 	j.out--
 	c.Counters.Outcomes[o].Add(1)
-	c.see(Moment{Sight: SawEnded, Job: j, Attempt: a, Outcome: o, Load: load})
-	if j.Ended != nil {
-		j.Ended(a, o)
+	c.see(Event{Kind: AttemptEnded, Job: j, Attempt: a, Outcome: o, Load: load})
+	if j.OnAttemptEnd != nil {
+		j.OnAttemptEnd(a, o)
 	}
 	if o == decision.OK && !j.answered {
-		c.reply(j, Answer{Verdict: Served, Result: result})
+		c.reply(j, Answer{Kind: Served, Result: result})
 	}
 	c.handle(&decision.Event{Kind: decision.EventOutcome, Job: j.number, Attempt: a.number, Worker: a.seat.number,
 		Outcome: o, JobEnded: j.answered, Load: load})
@@ -239,7 +239,7 @@
 	}
 	if !j.answered { // guards against a module that lets a deadline pass with nothing out
 		log.Printf("job %s: no answer at its deadline; failed", j.ID)
-		c.reply(j, Answer{Verdict: Failed})
+		c.reply(j, Answer{Kind: Failed})
 		c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
 		c.forget(j)
 	}
@@ -261,18 +261,18 @@
 	if !c.close(j) {
 		return
 	}
-	switch a.Verdict {
+	switch a.Kind {
 	case Served:
 		c.Counters.Served.Add(1)
-	case Refused:
-		c.Counters.Refused.Add(1)
+	case Rejected:
+		c.Counters.Rejected.Add(1)
 		if a.RetryAfter <= 0 {
 			a.RetryAfter = c.lim.RetryAfter
 		}
 	default:
 		c.Counters.Failed.Add(1)
 	}
-	c.see(Moment{Sight: SawAnswered, Job: j, Answer: a})
+	c.see(Event{Kind: JobAnswered, Job: j, Answer: a})
 	j.Reply(a)
 }
 
@@ -293,9 +293,9 @@
 			c.send(c.jobs[a.Job], a)
 		case decision.Reject, decision.Fail:
 			if j := c.jobs[a.Job]; j != nil {
-				answer := Answer{Verdict: Refused, RetryAfter: a.RetryAfter}
+				answer := Answer{Kind: Rejected, RetryAfter: a.RetryAfter}
 				if a.Kind == decision.Fail {
-					answer = Answer{Verdict: Failed}
+					answer = Answer{Kind: Failed}
 				}
 				c.reply(j, answer)
 				c.forget(j)
@@ -324,7 +324,7 @@
 	}
 }
 
-func (c *Core) floorOf(s *seat) Floor {
+func (c *Core) floorOf(s *seat) Transport {
 	if s.Queue != "" && c.queues != nil {
 		return c.queues
 	}
@@ -340,8 +340,8 @@
 	if act.Timeout > 0 {
 		left = min(left, act.Timeout)
 	}
-	a.Until = time.Now().Add(left)
-	a.Ctx, a.cancel = context.WithCancel(context.Background())
+	a.Deadline = time.Now().Add(left)
+	a.Context, a.cancel = context.WithCancel(context.Background())
 	second := j.out > 0 && !c.node.Module.ParallelAttempts
 	j.tries = append(j.tries, a)
 	j.out++
@@ -356,7 +356,7 @@
 	}
 	a.Worker = a.seat.Worker
 	c.Counters.Sent.Add(1)
-	c.see(Moment{Sight: SawSent, Job: j, Attempt: a})
+	c.see(Event{Kind: AttemptSent, Job: j, Attempt: a})
 	if act.Timeout > 0 { // the floor closes the connection first and then tells: another send may follow
 		c.at(c.now()+left, func() { a.expired = true; a.cancel() })
 	}
--- a/internal/dispatcher/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -37,11 +37,11 @@
 	gone    map[string]bool
 	state   map[string]string
 	watches int
-	seen    map[string]map[dispatch.Sight]int // by job, and by job and attempt
+	seen    map[string]map[dispatch.EventKind]int // by job, and by job and attempt
 }
 
 // See holds what the observer is shown against the order in which things can happen.
-func (h *hall) See(m *dispatch.Moment) {
+func (h *hall) Observe(m *dispatch.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	name := m.Job.ID
@@ -49,17 +49,17 @@
 		name = fmt.Sprint(name, "/", m.Attempt.Number())
 	}
 	if h.seen[name] == nil {
-		h.seen[name] = map[dispatch.Sight]int{}
+		h.seen[name] = map[dispatch.EventKind]int{}
 	}
 	s := h.seen[name]
-	before := map[dispatch.Sight]bool{dispatch.SawTaken: len(s) == 0, dispatch.SawSent: h.seen[m.Job.ID][dispatch.SawTaken] == 1,
-		dispatch.SawStarted: s[dispatch.SawSent] == 1 && s[dispatch.SawEnded] == 0, dispatch.SawEnded: s[dispatch.SawEnded] == 0,
-		dispatch.SawAnswered: s[dispatch.SawTaken] == 1 && s[dispatch.SawAnswered]+s[dispatch.SawLeft] == 0,
-		dispatch.SawLeft:     s[dispatch.SawTaken] == 1 && s[dispatch.SawAnswered]+s[dispatch.SawLeft] == 0}
-	if !before[m.Sight] {
-		h.t.Errorf("%s: sight %d is shown after %v", name, m.Sight, s)
+	before := map[dispatch.EventKind]bool{dispatch.JobAccepted: len(s) == 0, dispatch.AttemptSent: h.seen[m.Job.ID][dispatch.JobAccepted] == 1,
+		dispatch.AttemptStarted: s[dispatch.AttemptSent] == 1 && s[dispatch.AttemptEnded] == 0, dispatch.AttemptEnded: s[dispatch.AttemptEnded] == 0,
+		dispatch.JobAnswered:  s[dispatch.JobAccepted] == 1 && s[dispatch.JobAnswered]+s[dispatch.JobAbandoned] == 0,
+		dispatch.JobAbandoned: s[dispatch.JobAccepted] == 1 && s[dispatch.JobAnswered]+s[dispatch.JobAbandoned] == 0}
+	if !before[m.Kind] {
+		h.t.Errorf("%s: sight %d is shown after %v", name, m.Kind, s)
 	}
-	s[m.Sight]++
+	s[m.Kind]++
 }
 
 func (h *hall) CloseIdle(config.Worker) {}
@@ -77,7 +77,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.out {
-		if b.Job == a.Job && b.Ctx.Err() == nil {
+		if b.Job == a.Job && b.Context.Err() == nil {
 			h.t.Errorf("%s: sent while another attempt is out", a.Job.ID)
 		}
 	}
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
 			h := &hall{t: rt, sent: map[string]int{}, answers: map[string][]dispatch.Answer{}, jobs: map[string]*dispatch.Job{},
-				until: map[string]time.Time{}, gone: map[string]bool{}, state: map[string]string{}, seen: map[string]map[dispatch.Sight]int{}}
+				until: map[string]time.Time{}, gone: map[string]bool{}, state: map[string]string{}, seen: map[string]map[dispatch.EventKind]int{}}
 			for _, name := range names {
 				h.state[name] = "ready"
 			}
@@ -124,8 +124,8 @@
 				switch step {
 				case 0: // a job arrives
 					id := fmt.Sprint("j", n)
-					j := &dispatch.Job{ID: id, Key: id, Class: rapid.IntRange(0, 1).Draw(rt, "class"), Tenant: rapid.IntRange(0, 1).Draw(rt, "tenant"),
-						Slots: 1, Patience: time.Duration(rapid.IntRange(1, 5000).Draw(rt, "patience")) * time.Millisecond}
+					j := &dispatch.Job{ID: id, IdempotencyKey: id, Class: rapid.IntRange(0, 1).Draw(rt, "class"), Tenant: rapid.IntRange(0, 1).Draw(rt, "tenant"),
+						Slots: 1, Timeout: time.Duration(rapid.IntRange(1, 5000).Draw(rt, "patience")) * time.Millisecond}
 					j.Reply = func(a dispatch.Answer) {
 						h.mu.Lock()
 						defer h.mu.Unlock()
@@ -134,8 +134,8 @@
 							rt.Errorf("%s: answered %v late", id, time.Since(h.until[id]))
 						}
 					}
-					h.jobs[id], h.until[id] = j, time.Now().Add(j.Patience)
-					if err := h.core.Take(j); err != nil {
+					h.jobs[id], h.until[id] = j, time.Now().Add(j.Timeout)
+					if err := h.core.Submit(j); err != nil {
 						rt.Fatal(err)
 					}
 				case 1, 2: // an attempt ends, perhaps one that nobody waits for any more
@@ -144,7 +144,7 @@
 						a := h.out[i]
 						h.out = append(h.out[:i], h.out[i+1:]...)
 						if rapid.Bool().Draw(rt, "started") {
-							a.Note(decision.JobStarted, 0)
+							a.ReportProgress(decision.JobStarted, 0)
 						}
 						o := decision.Outcome(rapid.IntRange(int(decision.OK), int(decision.Reset)).Draw(rt, "outcome"))
 						a.End(o, decision.Load{}, []byte(a.Job.ID))
@@ -162,12 +162,12 @@
 					w.StartedAtMs = rapid.SampledFrom([]int64{0, time.Now().UnixMilli(), time.Now().UnixMilli() + 5000, -1}).Draw(rt, "start")
 					h.apart(synctest.Wait)
 					h.state[name] = state
-					h.core.Listed(decision.ListDelta, []config.Worker{w})
+					h.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
 				case 5: // a client leaves
 					for id, j := range h.jobs {
 						h.apart(synctest.Wait)
 						if len(h.answers[id]) == 0 {
-							h.core.Leave(j)
+							h.core.Abandon(j)
 							h.apart(synctest.Wait)
 							h.gone[id] = true
 						}
@@ -179,23 +179,23 @@
 			h.apart(func() { time.Sleep(6 * time.Second) })
 			h.apart(synctest.Wait)
 			for id := range h.jobs {
-				if s := h.seen[id]; s[dispatch.SawTaken] != 1 || s[dispatch.SawAnswered]+s[dispatch.SawLeft] != 1 || s[dispatch.SawAnswered] != len(h.answers[id]) {
+				if s := h.seen[id]; s[dispatch.JobAccepted] != 1 || s[dispatch.JobAnswered]+s[dispatch.JobAbandoned] != 1 || s[dispatch.JobAnswered] != len(h.answers[id]) {
 					rt.Errorf("%s: shown as %v, with %d answers", id, s, len(h.answers[id]))
 				}
 				if n := len(h.answers[id]); n > 1 || n == 0 && !h.gone[id] {
 					rt.Errorf("%s: %d answers", id, n)
 				}
 				for _, a := range h.answers[id] {
-					if a.Verdict == dispatch.Served && string(a.Result) != id {
+					if a.Kind == dispatch.Served && string(a.Result) != id {
 						rt.Errorf("%s: served with %q", id, a.Result)
 					}
-					if a.Verdict == dispatch.Refused && (a.RetryAfter <= 0 || a.RetryAfter > node.Module.MaxRetryAfter) {
+					if a.Kind == dispatch.Rejected && (a.RetryAfter <= 0 || a.RetryAfter > node.Module.MaxRetryAfter) {
 						rt.Errorf("%s: refused with %v to wait", id, a.RetryAfter)
 					}
 				}
 			}
-			if h.core.Open() != 0 {
-				rt.Errorf("%d jobs left open", h.core.Open())
+			if h.core.OpenJobs() != 0 {
+				rt.Errorf("%d jobs left open", h.core.OpenJobs())
 			}
 			if h.watches == 0 && !slices.Contains(steps, 4) { // a list that came unasked counts as a watch
 				rt.Error("the roster was never asked")
@@ -224,13 +224,13 @@
 			t.Errorf("it started %v ago", age)
 		}
 		time.Sleep(1500 * time.Microsecond)
-		core.Listed(decision.ListFull, []config.Worker{w})
+		core.UpdateWorkers(decision.ListFull, []config.Worker{w})
 		synctest.Wait()
 		if again := core.Started("s-00000001"); again != first {
 			t.Errorf("its start moved from %v to %v", first, again)
 		}
 		w.StartedAtMs = time.Now().Add(time.Hour).UnixMilli()
-		core.Listed(decision.ListFull, []config.Worker{w})
+		core.UpdateWorkers(decision.ListFull, []config.Worker{w})
 		synctest.Wait()
 		if again := core.Started("s-00000001"); again > core.Now() || again <= first {
 			t.Errorf("a start to come counts as %v at %v", again, core.Now())
@@ -250,7 +250,7 @@
 		}
 		replies := 0
 		for i := range 3 { // the core does not run yet: all stay open
-			err := core.Take(&dispatch.Job{ID: fmt.Sprint(i), Patience: time.Second, Reply: func(dispatch.Answer) { replies++ }})
+			err := core.Submit(&dispatch.Job{ID: fmt.Sprint(i), Timeout: time.Second, Reply: func(dispatch.Answer) { replies++ }})
 			if (err != nil) != (i == 2) {
 				t.Errorf("job %d: %v", i, err)
 			}
@@ -260,8 +260,8 @@
 		go core.Run(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if replies != 2 || core.Open() != 0 {
-			t.Errorf("%d answers, %d open", replies, core.Open())
+		if replies != 2 || core.OpenJobs() != 0 {
+			t.Errorf("%d answers, %d open", replies, core.OpenJobs())
 		}
 	})
 }
--- a/internal/dispatcher/dispatch/counters.go
+++ b/internal/dispatcher/dispatch/counters.go
@@ -12,14 +12,14 @@
 
 // Counters is what the program counts. All may be read at any time.
 type Counters struct {
-	Taken, Served, Refused, Failed, Left, Overflow atomic.Int64 // jobs
-	Malformed                                      atomic.Int64 // messages of clients
-	Sent                                           atomic.Int64 // attempts
-	Outcomes                                       [decision.NeverSent + 1]atomic.Int64
-	Dialled, Reused                                atomic.Int64 // worker connections
-	RosterChanges, RosterFailed                    atomic.Int64
-	Redelivered                                    atomic.Int64 // AMQP deliveries that joined or got a remembered outcome
-	Captured, CaptureLost                          atomic.Int64 // rows written to captures; rows that found no room or no disk
+	Accepted, Served, Rejected, Failed, Abandoned, Overflow atomic.Int64 // jobs
+	Malformed                                               atomic.Int64 // messages of clients
+	Sent                                                    atomic.Int64 // attempts
+	Outcomes                                                [decision.NeverSent + 1]atomic.Int64
+	Dialled, Reused                                         atomic.Int64 // worker connections
+	ListChanges, ListFailures                               atomic.Int64
+	Redelivered                                             atomic.Int64 // AMQP deliveries that joined or got a remembered outcome
+	Captured, CaptureDropped                                atomic.Int64 // rows written to captures; rows that found no room or no disk
 }
 
 // Count is one counter by its name.
@@ -29,36 +29,36 @@
 }
 
 // CountNames are the counters in their fixed order, which the MIB shares.
-var CountNames = []string{"taken", "served", "refused", "failed", "left", "overflow", "malformed", "sent", "ok", "error",
+var CounterNames = []string{"taken", "served", "refused", "failed", "left", "overflow", "malformed", "sent", "ok", "error",
 	"full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "dialled", "reused", "roster_changes",
 	"roster_failed", "redelivered", "open", "workers_ready", "workers_draining", "workers_gone", "captured", "capture_lost"}
 
 // OutcomeName is the word that the counters have for an outcome.
-func OutcomeName(o decision.Outcome) string { return CountNames[firstOutcome+int(o-decision.OK)] }
+func OutcomeName(o decision.Outcome) string { return CounterNames[firstOutcome+int(o-decision.OK)] }
 
 // firstOutcome is where the outcomes begin in CountNames.
 const firstOutcome = 8
 
 // Counts reads all counters and gauges in the order of CountNames.
 func (c *Core) Counts() []Count {
-	k, w := c.Counters, c.Workers()
-	values := []int64{k.Taken.Load(), k.Served.Load(), k.Refused.Load(), k.Failed.Load(), k.Left.Load(), k.Overflow.Load(),
+	k, w := c.Counters, c.WorkerCounts()
+	values := []int64{k.Accepted.Load(), k.Served.Load(), k.Rejected.Load(), k.Failed.Load(), k.Abandoned.Load(), k.Overflow.Load(),
 		k.Malformed.Load(), k.Sent.Load()}
 	for o := decision.OK; o <= decision.NeverSent; o++ {
 		values = append(values, k.Outcomes[o].Load())
 	}
-	values = append(values, k.Dialled.Load(), k.Reused.Load(), k.RosterChanges.Load(), k.RosterFailed.Load(),
+	values = append(values, k.Dialled.Load(), k.Reused.Load(), k.ListChanges.Load(), k.ListFailures.Load(),
 		k.Redelivered.Load(), c.open.Load(), int64(w[decision.Ready]), int64(w[decision.Draining]), int64(w[decision.Gone]),
-		k.Captured.Load(), k.CaptureLost.Load())
+		k.Captured.Load(), k.CaptureDropped.Load())
 	out := make([]Count, len(values))
 	for i, v := range values {
-		out[i] = Count{CountNames[i], v}
+		out[i] = Count{CounterNames[i], v}
 	}
 	return out
 }
 
 // Line is all counters on one line, for a log.
-func (c *Core) Line() string {
+func (c *Core) CountersLine() string {
 	var b strings.Builder
 	for _, n := range c.Counts() {
 		fmt.Fprintf(&b, " %s=%d", n.Name, n.Value)
--- a/internal/dispatcher/dispatch/counters_test.go
+++ b/internal/dispatcher/dispatch/counters_test.go
@@ -16,9 +16,9 @@
 func TestCountersAsTheyAreShown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counters := new(dispatch.Counters)
-		for i, c := range []interface{ Store(int64) }{&counters.Taken, &counters.Served, &counters.Refused, &counters.Failed,
-			&counters.Left, &counters.Overflow, &counters.Malformed, &counters.Sent, &counters.Dialled, &counters.Reused,
-			&counters.RosterChanges, &counters.RosterFailed, &counters.Redelivered, &counters.Captured, &counters.CaptureLost} {
+		for i, c := range []interface{ Store(int64) }{&counters.Accepted, &counters.Served, &counters.Rejected, &counters.Failed,
+			&counters.Abandoned, &counters.Overflow, &counters.Malformed, &counters.Sent, &counters.Dialled, &counters.Reused,
+			&counters.ListChanges, &counters.ListFailures, &counters.Redelivered, &counters.Captured, &counters.CaptureDropped} {
 			c.Store(int64(101 + i))
 		}
 		for o := decision.OK; o <= decision.NeverSent; o++ {
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		golden.AssertBytes(t, append(text, '\n'), "counters.json")
-		golden.AssertBytes(t, []byte(core.Line()+"\n"), "counters.txt")
+		golden.AssertBytes(t, []byte(core.CountersLine()+"\n"), "counters.txt")
 	})
 }
 
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -12,47 +12,47 @@
 )
 
 // Verdict is the kind of a final answer.
-type Verdict uint8
+type AnswerKind uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota + 1 // a worker gave the result
-	Refused                    // trying again is harmless
-	Failed                     // no promise about what the job did
+	Served   AnswerKind = iota + 1 // a worker gave the result
+	Rejected                       // trying again is harmless
+	Failed                         // no promise about what the job did
 )
 
 // Answer is the final answer to a job.
 type Answer struct {
-	Verdict    Verdict
+	Kind       AnswerKind
 	Result     []byte        // Served: as the worker gave it
 	RetryAfter time.Duration // Refused: when the client may come back
 }
 
 // Field is a header line that passes through as it came.
-type Field struct{ Name, Value string }
+type HeaderField struct{ Name, Value string }
 
 // Job is one try of a client. A front fills in the exported fields, hands it
 // to Core.Take and from then on leaves it alone.
 type Job struct {
-	ID       string  // the client's name for it, unique to the try
-	Key      string  // names the effect, where the class has keys
-	Target   string  // method's target as it came
-	Head     []Field // other lines, as they came
-	Body     []byte  // as it came
-	Class    int
-	Tenant   int
-	Subject  uint64 // what the job is about; 0 = none
-	Repeat   bool
-	Slots    float64
-	Memory   float64
-	Patience time.Duration // until the client gives up, from now
+	ID             string        // the client's name for it, unique to the try
+	IdempotencyKey string        // names the effect, where the class has keys
+	Target         string        // method's target as it came
+	Header         []HeaderField // other lines, as they came
+	Body           []byte        // as it came
+	Class          int
+	Tenant         int
+	AffinityKey    uint64 // what the job is about; 0 = none
+	Retry          bool
+	Slots          float64
+	Memory         float64
+	Timeout        time.Duration // until the client gives up, from now
 
 	// Reply gets the final answer, once, on the core's goroutine: it must not block.
 	Reply func(Answer)
 	// MayStart is asked just before an attempt's first byte, on any goroutine, and Ended told of each outcome that the
 	// module gets, on the core's: both for jobs that are kept elsewhere too (internal/keep). nil: nobody asks.
-	MayStart func() bool
-	Ended    func(a *Attempt, o decision.Outcome)
+	MayStart     func() bool
+	OnAttemptEnd func(a *Attempt, o decision.Outcome)
 
 	number   decision.JobID
 	until    time.Duration // when waiting for workers ends
@@ -64,10 +64,10 @@
 
 // Attempt is one send of a job to a worker. Exactly one End must follow.
 type Attempt struct {
-	Job    *Job
-	Worker config.Worker
-	Ctx    context.Context // over once the attempt is given up
-	Until  time.Time       // when waiting ends at the latest
+	Job      *Job
+	Worker   config.Worker
+	Context  context.Context // over once the attempt is given up
+	Deadline time.Time       // when waiting ends at the latest
 
 	core     *Core
 	seat     *seat
@@ -81,37 +81,37 @@
 }
 
 // Floor carries attempts to workers. Neither method may block.
-type Floor interface {
+type Transport interface {
 	Send(*Attempt)
 	CloseIdle(config.Worker)
 }
 
 // Taker is what a front gives its jobs to: the Core, or what keeps them and hands them on.
-type Taker interface {
-	Take(*Job) error // after nil the job's Reply is called once; after an error never
-	Leave(*Job)      // the client has gone
+type Submitter interface {
+	Submit(*Job) error // after nil the job's Reply is called once; after an error never
+	Abandon(*Job)      // the client has gone
 }
 
 // Asker keeps the watch on the roster. It must not block.
-type Asker interface{ Watch(on bool) }
+type ListWatcher interface{ Watch(on bool) }
 
 // Sight is what an Observer sees.
-type Sight uint8
+type EventKind uint8
 
 // The sights.
 const (
-	SawTaken    Sight = iota + 1 // Job: it is open now
-	SawTurned                    // Job: not taken, too many are open; it has no number
-	SawSent                      // Attempt
-	SawStarted                   // Attempt: the job has started at the worker
-	SawEnded                     // Attempt, Outcome, Load; of an attempt that never went out too, as Moot
-	SawAnswered                  // Job, Answer
-	SawLeft                      // Job: the client has gone without an answer
+	JobAccepted    EventKind = iota + 1 // Job: it is open now
+	JobOverflowed                       // Job: not taken, too many are open; it has no number
+	AttemptSent                         // Attempt
+	AttemptStarted                      // Attempt: the job has started at the worker
+	AttemptEnded                        // Attempt, Outcome, Load; of an attempt that never went out too, as Moot
+	JobAnswered                         // Job, Answer
+	JobAbandoned                        // Job: the client has gone without an answer
 )
 
 // Moment is one sight.
-type Moment struct {
-	Sight   Sight
+type Event struct {
+	Kind    EventKind
 	At      time.Duration // on the core's clock
 	Job     *Job          // of an attempt too
 	Attempt *Attempt
@@ -122,7 +122,7 @@
 
 // Observer sees what the core does, in order and on the core's goroutine, but for SawTurned, which comes on the
 // front's. It must not block, change anything it is shown, or keep it beyond the call.
-type Observer interface{ See(*Moment) }
+type Observer interface{ Observe(*Event) }
 
 // Number counts a job's attempts from 0.
 func (a *Attempt) Number() int { return a.number }
@@ -131,18 +131,18 @@
 // to come up, and meanwhile the worker may have been told off, or the client may have left.
 func (a *Attempt) MayStart() bool {
 	a.begun.Store(true) // before the look: Leave looks the other way round, and one of the two sees the other
-	return !a.Job.over.Load() && !a.seat.leaving.Load() && a.Ctx.Err() == nil && (a.Job.MayStart == nil || a.Job.MayStart())
+	return !a.Job.over.Load() && !a.seat.leaving.Load() && a.Context.Err() == nil && (a.Job.MayStart == nil || a.Job.MayStart())
 }
 
 // Whole tells that the last byte of the send has gone out.
-func (a *Attempt) Whole() { a.whole.Store(true) }
+func (a *Attempt) MarkSent() { a.whole.Store(true) }
 
 // Note passes on that the job has started at the worker, or how far it is.
-func (a *Attempt) Note(kind decision.ProgressKind, share float64) {
+func (a *Attempt) ReportProgress(kind decision.ProgressKind, share float64) {
 	a.core.post(func() {
 		if !a.ended {
 			if kind == decision.JobStarted {
-				a.core.see(Moment{Sight: SawStarted, Job: a.Job, Attempt: a})
+				a.core.see(Event{Kind: AttemptStarted, Job: a.Job, Attempt: a})
 			}
 			a.core.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.Job.number, Attempt: a.number,
 				Worker: a.seat.number, Progress: kind, Value: share})
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -27,11 +27,11 @@
 	ev := decision.Event{Kind: decision.EventList, List: kind}
 	switch kind {
 	case decision.ListFailed:
-		c.Counters.RosterFailed.Add(1)
+		c.Counters.ListFailures.Add(1)
 	case decision.ListDelta:
-		c.Counters.RosterChanges.Add(1)
+		c.Counters.ListChanges.Add(1)
 	default:
-		c.Counters.RosterChanges.Add(1)
+		c.Counters.ListChanges.Add(1)
 		workers = append(workers[:len(workers):len(workers)], c.fixed...)
 		there := map[string]bool{}
 		for _, w := range workers {
@@ -127,7 +127,7 @@
 }
 
 // Subject makes the module's key from the words that say what a job is about.
-func Subject(words string) uint64 {
+func AffinityKey(words string) uint64 {
 	if v, err := strconv.ParseUint(words, 16, 64); err == nil && len(words) == 16 && v != 0 {
 		return v
 	}
--- a/internal/dispatcher/durablejobs/floors.go
+++ b/internal/dispatcher/durablejobs/floors.go
@@ -13,11 +13,11 @@
 // floors stands before the floors: attempts of jobs that are kept wait for their intents.
 type floors struct {
 	keeper *Keeper
-	dispatch.Floor
+	dispatch.Transport
 }
 
 // Floors puts the keeper before a floor.
-func (k *Keeper) Floors(f dispatch.Floor) dispatch.Floor {
+func (k *Keeper) WrapTransport(f dispatch.Transport) dispatch.Transport {
 	if f == nil {
 		return nil
 	}
@@ -27,14 +27,14 @@
 // Send is called on the core's goroutine.
 func (f *floors) Send(a *dispatch.Attempt) {
 	if a.Job.MayStart == nil {
-		f.Floor.Send(a)
+		f.Transport.Send(a)
 		return
 	}
-	f.keeper.post(func() { f.keeper.ask(a, f.Floor) })
+	f.keeper.post(func() { f.keeper.ask(a, f.Transport) })
 }
 
 // ask asks the copies for a send.
-func (k *Keeper) ask(a *dispatch.Attempt, floor dispatch.Floor) {
+func (k *Keeper) ask(a *dispatch.Attempt, floor dispatch.Transport) {
 	e := k.inners[a.Job]
 	if e == nil {
 		a.End(decision.NeverSent, decision.Load{}, nil)
@@ -73,7 +73,7 @@
 		case now >= e.until && e.client != nil:
 			k.act(e, e.hold.Expire())
 		case e.hold.Waits() && now >= e.lookAt:
-			e.lookAt = now + k.lim.LeaseLook
+			e.lookAt = now + k.lim.LeasePollInterval
 			if e.looking == 0 {
 				k.find(e)
 			}
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -26,7 +26,7 @@
 type job struct {
 	_               struct{} `cbor:",toarray"`
 	ID, Key, Target string
-	Head            []dispatch.Field
+	Head            []dispatch.HeaderField
 	Body            []byte
 	Class, Tenant   string
 	Subject         uint64
@@ -53,14 +53,14 @@
 // wish is an attempt that waits for its intent, and what is to carry it.
 type wish struct {
 	*dispatch.Attempt
-	floor dispatch.Floor
+	floor dispatch.Transport
 }
 
 // Take takes a job: at once to the core, or for keeps first. It is the fronts' Taker.
-func (k *Keeper) Take(j *dispatch.Job) error {
+func (k *Keeper) Submit(j *dispatch.Job) error {
 	<-k.started
 	if !k.kept(j.Class) {
-		return k.core.Take(j)
+		return k.core.Submit(j)
 	}
 	if !k.ready.Load() {
 		k.Counts.Refused.Add(1)
@@ -76,9 +76,9 @@
 }
 
 // Leave passes on that the client has gone. What was promised goes on.
-func (k *Keeper) Leave(j *dispatch.Job) {
+func (k *Keeper) Abandon(j *dispatch.Job) {
 	if !k.kept(j.Class) {
-		k.core.Leave(j)
+		k.core.Abandon(j)
 		return
 	}
 	k.post(func() {
@@ -92,17 +92,17 @@
 func (k *Keeper) begin(j *dispatch.Job) {
 	k.point("before-take")
 	class := &k.node.Module.Classes[j.Class]
-	now, key := k.wall(), k.node.Classes[j.Class]+"/"+j.Key
-	room := min(k.lim.LeaseRoom, j.Patience/4)
-	left := j.Patience - room
-	terms := lease.Terms{Again: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.Skew).Milliseconds(), Bound: class.DedupScope != decision.DedupByAll,
-		Until: now + left.Milliseconds(), Keep: k.conf.Keep.Milliseconds(), Most: max(k.conf.Most/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
+	now, key := k.wall(), k.node.Classes[j.Class]+"/"+j.IdempotencyKey
+	room := min(k.lim.LeaseReserve, j.Timeout/4)
+	left := j.Timeout - room
+	terms := lease.Terms{Again: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.MaxClockSkew).Milliseconds(), Bound: class.DedupScope != decision.DedupByAll,
+		Until: now + left.Milliseconds(), Keep: k.conf.Retention.Milliseconds(), Most: max(k.conf.MaxJobs/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
 	tenant := ""
 	if j.Tenant >= 0 && j.Tenant < len(k.node.Tenants) {
 		tenant = k.node.Tenants[j.Tenant]
 	}
-	body := encode(job{ID: j.ID, Key: j.Key, Target: j.Target, Head: j.Head, Body: j.Body, Class: k.node.Classes[j.Class], Tenant: tenant, Subject: j.Subject,
-		Repeat: j.Repeat, Slots: j.Slots, Memory: j.Memory})
+	body := encode(job{ID: j.ID, Key: j.IdempotencyKey, Target: j.Target, Head: j.Header, Body: j.Body, Class: k.node.Classes[j.Class], Tenant: tenant, Subject: j.AffinityKey,
+		Repeat: j.Retry, Slots: j.Slots, Memory: j.Memory})
 	e := &entry{client: j, id: j.ID, until: k.now() + left}
 	h, acts := lease.Begin(key, k.owner(), terms, k.fresh(class), body, now)
 	k.add(e, h)
@@ -111,7 +111,7 @@
 
 // fresh is how long after its intent a send may begin, in ms: what the class's window leaves above Terms.Again.
 func (k *Keeper) fresh(class *decision.ClassSettings) int64 {
-	return max((class.DedupWindow/5 - k.conf.Skew/2).Milliseconds(), 20)
+	return max((class.DedupWindow/5 - k.conf.MaxClockSkew/2).Milliseconds(), 20)
 }
 
 func (k *Keeper) add(e *entry, h *lease.Hold) {
@@ -147,10 +147,10 @@
 				verdict = dispatch.Failed
 			}
 			k.note(map[string]any{"act": "tell", "key": e.hold.Key, "id": e.id, "served": a.Verdict == lease.Served, "result": string(a.Result)})
-			k.reply(e, dispatch.Answer{Verdict: verdict, Result: a.Result})
+			k.reply(e, dispatch.Answer{Kind: verdict, Result: a.Result})
 			k.point("told")
 		case lease.Refuse:
-			k.reply(e, dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: k.lim.RetryAfter})
+			k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
 		case lease.Wait:
 			e.sendBy.Store(0)
 			e.lookAt = k.now()
@@ -197,7 +197,7 @@
 		k.host.Drop(e.looking)
 		delete(k.tokens, e.looking)
 	}
-	k.reply(e, dispatch.Answer{Verdict: dispatch.Refused, RetryAfter: k.lim.RetryAfter})
+	k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
 	delete(k.entries, e)
 	delete(k.inners, e.inner)
 	k.byKey[e.hold.Key] = slices.DeleteFunc(k.byKey[e.hold.Key], func(x *entry) bool { return x == e })
@@ -214,9 +214,9 @@
 	case lease.Intent:
 		k.point("before-intent")
 	case lease.End, lease.Return:
-		until = max(e.until, k.now()) + k.lim.LeaseLinger
+		until = max(e.until, k.now()) + k.lim.LeaseNotifyWindow
 	}
-	k.propose(e.group, c, max(until, k.now()+k.lim.LeaseRoom), func(r lease.Reply, err error) {
+	k.propose(e.group, c, max(until, k.now()+k.lim.LeaseReserve), func(r lease.Reply, err error) {
 		if e.over {
 			return
 		}
@@ -256,15 +256,15 @@
 	}
 	e.id = j.ID
 	left := e.until - k.now()
-	inner := &dispatch.Job{ID: j.ID, Key: j.Key, Target: j.Target, Head: j.Head, Body: j.Body, Class: config.Index(k.node.Classes, j.Class),
-		Tenant: config.Index(k.node.Tenants, j.Tenant), Subject: j.Subject, Repeat: j.Repeat, Slots: j.Slots, Memory: j.Memory,
-		Patience: left - min(k.lim.LeaseRoom, left/4)}
-	if inner.Class < 0 || inner.Tenant < 0 && len(k.node.Tenants) > 0 || inner.Patience <= 0 {
+	inner := &dispatch.Job{ID: j.ID, IdempotencyKey: j.Key, Target: j.Target, Header: j.Head, Body: j.Body, Class: config.Index(k.node.Classes, j.Class),
+		Tenant: config.Index(k.node.Tenants, j.Tenant), AffinityKey: j.Subject, Retry: j.Repeat, Slots: j.Slots, Memory: j.Memory,
+		Timeout: left - min(k.lim.LeaseReserve, left/4)}
+	if inner.Class < 0 || inner.Tenant < 0 && len(k.node.Tenants) > 0 || inner.Timeout <= 0 {
 		k.act(e, e.hold.Finish(0, nil, k.wall()))
 		return
 	}
 	inner.MayStart = func() bool { return int64(k.now()) < e.sendBy.Load() }
-	inner.Ended = func(a *dispatch.Attempt, o decision.Outcome) {
+	inner.OnAttemptEnd = func(a *dispatch.Attempt, o decision.Outcome) {
 		never := o == decision.Rejected && !k.node.Module.RejectionUnproven || o == decision.ConnectFailed || o == decision.NeverSent
 		n := a.Number()
 		k.post(func() {
@@ -275,7 +275,7 @@
 		})
 	}
 	inner.Reply = func(a dispatch.Answer) {
-		verdict := map[dispatch.Verdict]lease.Verdict{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Verdict]
+		verdict := map[dispatch.AnswerKind]lease.Verdict{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
 		k.post(func() {
 			if e.inner == inner && !e.over {
 				k.point("worked")
@@ -286,7 +286,7 @@
 	delete(k.inners, e.inner)
 	e.inner, k.inners[inner] = inner, e
 	clear(e.granted) // it counts its attempts anew: an earlier job's grant is none of its own, and stays in doubt
-	if err := k.core.Take(inner); err != nil {
+	if err := k.core.Submit(inner); err != nil {
 		k.act(e, e.hold.Finish(0, nil, k.wall()))
 	}
 }
@@ -331,7 +331,7 @@
 	if tidy {
 		k.tidied = k.now()
 	}
-	room := k.lim.LeasesTaken
+	room := k.lim.LeaseSubmitBatch
 	for n := range k.host.Groups() {
 		m, leads := k.host.Machine(n)
 		if m == nil {
@@ -343,9 +343,9 @@
 			continue
 		}
 		if from := k.gone(t); from != "" {
-			k.command(n, &lease.Command{Kind: lease.Seize, From: from, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeasesMoved})
+			k.command(n, &lease.Command{Kind: lease.Seize, From: from, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeaseTransferBatch})
 		} else if tidy {
-			k.command(n, &lease.Command{Kind: lease.Seize, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeasesMoved})
+			k.command(n, &lease.Command{Kind: lease.Seize, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeaseTransferBatch})
 			k.command(n, &lease.Command{Kind: lease.Forget, Now: k.wall(), Most: 1000})
 		}
 	}
@@ -363,7 +363,7 @@
 		}
 		if since, ok := k.away[o]; !ok {
 			k.away[o] = k.now()
-		} else if k.now() >= since+k.lim.LeaseOrphan {
+		} else if k.now() >= since+k.lim.LeaseOrphanDelay {
 			return o
 		}
 	}
--- a/internal/dispatcher/durablejobs/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -59,7 +59,7 @@
 	started chan struct{} // closed once the core is known
 
 	node    *config.Node
-	conf    *config.Promises
+	conf    *config.DurableJobs
 	lim     config.Limits
 	members Membership
 	host    *raftgroup.Host
@@ -91,7 +91,7 @@
 
 // New makes a keeper; it opens its socket.
 func New(n *config.Node, members Membership) (*Keeper, error) {
-	c := n.Promises
+	c := n.DurableJobs
 	k := &Keeper{node: n, conf: c, lim: n.Limits, members: members, birth: time.Now(), over: make(chan struct{}), started: make(chan struct{}), wake: make(chan struct{}, 1),
 		entries: map[*entry]bool{}, inners: map[*dispatch.Job]*entry{}, clients: map[*dispatch.Job]*entry{}, byKey: map[string][]*entry{}, tokens: map[uint64]func([]byte, error){}, away: map[string]time.Duration{},
 		seizing: map[int]bool{}, crash: map[string]int{}}
@@ -101,7 +101,7 @@
 		founders = append(founders, p.Name)
 	}
 	var err error
-	k.host, err = raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: n.Name, Copy: copy}, Founders: founders, Groups: c.Groups, Copies: c.Copies,
+	k.host, err = raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: n.Name, Copy: copy}, Founders: founders, Groups: c.Groups, Copies: c.Replicas,
 		Machine: func(int) raftgroup.Machine { return &machine{lease.New()} }, Seed: n.Seed ^ copy}, k.now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Path, err)
@@ -138,7 +138,7 @@
 	if name == k.conf.CrashAt {
 		if k.crash[name]++; k.crash[name] == k.conf.CrashOn {
 			k.note(map[string]any{"crash": name})
-			if k.conf.Stops {
+			if k.conf.CrashByStop {
 				syscall.Kill(syscall.Getpid(), syscall.SIGSTOP)
 				return
 			}
@@ -176,7 +176,7 @@
 			f()
 		}
 		if k.now() >= round {
-			round = k.now() + k.lim.LeaseRound
+			round = k.now() + k.lim.LeaseRoundInterval
 			k.look(ctx)
 		}
 	}
@@ -216,9 +216,9 @@
 
 // Farewell gives up what this dispatcher has: its open jobs end, and others get its copies. It waits for both as long as ctx
 // lasts, or until nobody is there to get them.
-func (k *Keeper) Farewell(ctx context.Context) {
+func (k *Keeper) Shutdown(ctx context.Context) {
 	k.leaving.Store(true)
-	ctx, done := context.WithTimeout(ctx, k.lim.LeaseFarewell)
+	ctx, done := context.WithTimeout(ctx, k.lim.LeaseShutdownTimeout)
 	defer done()
 	type hand struct {
 		open  int
@@ -242,7 +242,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(k.lim.LeaseRound):
+		case <-time.After(k.lim.LeaseRoundInterval):
 		}
 	}
 }
--- a/internal/dispatcher/durablejobs/links.go
+++ b/internal/dispatcher/durablejobs/links.go
@@ -60,13 +60,13 @@
 }
 
 func open(n *config.Node, me hello, dropped *atomic.Int64) (*links, error) {
-	listen, err := net.Listen("tcp", n.Promises.Listen.String())
+	listen, err := net.Listen("tcp", n.DurableJobs.Listen.String())
 	if err != nil {
 		return nil, err
 	}
 	l := &links{lim: n.Limits, listen: listen, out: map[string]*link{}, dropped: dropped, me: me, seen: map[string]hello{}}
-	for _, p := range n.Promises.Peers {
-		l.out[p.Name] = &link{at: p.At.String(), wake: make(chan struct{}, 1)}
+	for _, p := range n.DurableJobs.Peers {
+		l.out[p.Name] = &link{at: p.Address.String(), wake: make(chan struct{}, 1)}
 	}
 	return l, nil
 }
@@ -108,7 +108,7 @@
 // send puts a frame on its way.
 func (l *links) send(to raftgroup.Place, data []byte) {
 	k := l.out[to.Name]
-	if k == nil || len(data) > l.lim.CopyFrame {
+	if k == nil || len(data) > l.lim.ReplicaFrameBytes {
 		l.dropped.Add(1)
 		return
 	}
@@ -117,7 +117,7 @@
 
 func (k *link) put(f []byte, l *links) {
 	k.mu.Lock()
-	if k.held+len(f) > l.lim.CopyQueue && k.held > 0 {
+	if k.held+len(f) > l.lim.ReplicaQueueBytes && k.held > 0 {
 		k.mu.Unlock()
 		l.dropped.Add(1)
 		return
@@ -152,7 +152,7 @@
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		} else if err != nil {
-			time.Sleep(l.lim.CopyRetry) // out of descriptors: others close some
+			time.Sleep(l.lim.ReplicaRetryDelay) // out of descriptors: others close some
 			continue
 		}
 		all.Go(func() {
@@ -165,7 +165,7 @@
 
 // carry keeps the connection to a peer up and writes what is for it.
 func (l *links) carry(ctx context.Context, k *link) {
-	d := net.Dialer{Timeout: l.lim.CopyDial}
+	d := net.Dialer{Timeout: l.lim.ReplicaDialTimeout}
 	for ctx.Err() == nil {
 		c, err := d.DialContext(ctx, "tcp", k.at)
 		if err == nil {
@@ -174,7 +174,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(l.lim.CopyRetry):
+		case <-time.After(l.lim.ReplicaRetryDelay):
 		}
 		if err != nil { // what waited for it is old by now
 			l.dropped.Add(int64(len(k.take())))
@@ -193,7 +193,7 @@
 	out := net.Buffers{l.word()}
 	l.mu.Unlock()
 	for {
-		c.SetWriteDeadline(time.Now().Add(l.lim.CopyDial))
+		c.SetWriteDeadline(time.Now().Add(l.lim.ReplicaDialTimeout))
 		if _, err := out.WriteTo(c); err != nil {
 			return err
 		}
@@ -213,13 +213,13 @@
 	in := bufio.NewReaderSize(c, 64<<10)
 	var from raftgroup.Place
 	head := make([]byte, 5)
-	c.SetReadDeadline(time.Now().Add(2 * l.lim.CopyDial)) // strangers say who they are, and soon
+	c.SetReadDeadline(time.Now().Add(2 * l.lim.ReplicaDialTimeout)) // strangers say who they are, and soon
 	for {
 		if _, err := io.ReadFull(in, head); err != nil {
 			return err
 		}
 		n := int(binary.BigEndian.Uint32(head))
-		if n > l.lim.CopyFrame || from.Copy == 0 && (head[4] != helloFrame || n > 1024) {
+		if n > l.lim.ReplicaFrameBytes || from.Copy == 0 && (head[4] != helloFrame || n > 1024) {
 			return fmt.Errorf("a frame of %d bytes", n)
 		}
 		data := make([]byte, n)
--- a/internal/dispatcher/durablejobs/links_test.go
+++ b/internal/dispatcher/durablejobs/links_test.go
@@ -17,8 +17,8 @@
 
 func linksOf(t *testing.T, name string, peers ...config.Peer) (*links, chan []byte) {
 	t.Helper()
-	n := &config.Node{Name: name, Promises: &config.Promises{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Peers: peers},
-		Limits: config.Limits{CopyFrame: 1 << 20, CopyQueue: 1 << 20, CopyDial: time.Second, CopyRetry: 10 * time.Millisecond}}
+	n := &config.Node{Name: name, DurableJobs: &config.DurableJobs{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Peers: peers},
+		Limits: config.Limits{ReplicaFrameBytes: 1 << 20, ReplicaQueueBytes: 1 << 20, ReplicaDialTimeout: time.Second, ReplicaRetryDelay: 10 * time.Millisecond}}
 	l, err := open(n, hello{Form: 1, Name: name, Copy: 7, Start: 1}, new(atomic.Int64))
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 
 // What a stranger sends is never handed on, and his connection ends; frames of a known peer are, in order.
 func TestStrangersAreNotHeard(t *testing.T) {
-	l, heard := linksOf(t, "a", config.Peer{Name: "b", At: netip.MustParseAddrPort("127.0.0.1:1")})
+	l, heard := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	word := func(h hello) []byte { return frame(helloFrame, encode(h)) }
 	large := make([]byte, 5)
 	binary.BigEndian.PutUint32(large, 1<<30)
@@ -85,7 +85,7 @@
 
 // A peer that is not there costs no more than the queue's bytes; what does not fit is dropped and counted.
 func TestPeerThatIsNotThere(t *testing.T) {
-	l, _ := linksOf(t, "a", config.Peer{Name: "b", At: netip.MustParseAddrPort("127.0.0.1:1")})
+	l, _ := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	for range 40 {
 		l.send(raftgroup.Place{Name: "b", Copy: 1}, make([]byte, 100<<10))
 	}
--- a/internal/dispatcher/faultinjection/promises.go
+++ b/internal/dispatcher/faultinjection/promises.go
@@ -197,7 +197,7 @@
 		all = append(all, config.Worker{ID: fmt.Sprintf("s-%08x", k+1), Address: t.worker(k), Zone: []string{"montreal", "sherbrooke"}[k%2],
 			Kind: "std-2c", State: "ready", Weight: 1})
 	}
-	json.NewEncoder(w).Encode(config.Roster{Generation: 1, Reset: true, Workers: all})
+	json.NewEncoder(w).Encode(config.WorkerList{Generation: 1, Reset: true, Workers: all})
 	for r.URL.Query().Has("watch") && r.Context().Err() == nil && !t.over.Load() {
 		w.(http.Flusher).Flush()
 		time.Sleep(time.Second)
--- a/internal/dispatcher/instance/endings_test.go
+++ b/internal/dispatcher/instance/endings_test.go
@@ -33,9 +33,9 @@
 	t      *testing.T
 	node   *config.Node
 	core   *dispatch.Core
-	floor  *workerhttp.Floor
-	portal *clienthttp.Portal
-	watch  *discovery.Roster
+	floor  *workerhttp.Transport
+	portal *clienthttp.Server
+	watch  *discovery.Watcher
 	here   string
 	calls  chan *call    // that have come to discovery
 	work   chan net.Conn // that have come to the workers, all at one address
@@ -141,7 +141,7 @@
 	if r.core, err = dispatch.New(r.node, counters, r.floor, nil, r.watch, nil); err != nil {
 		t.Fatal(err)
 	}
-	r.watch.Listed = r.core.Listed
+	r.watch.OnList = r.core.UpdateWorkers
 	r.portal = clienthttp.New(r.node, r.core)
 	return r
 }
@@ -161,7 +161,7 @@
 		cancel()
 		over, end := context.WithCancel(context.Background())
 		end()
-		r.portal.Farewell(over)
+		r.portal.Shutdown(over)
 		for _, w := range r.node.Known.Workers {
 			r.floor.CloseIdle(w)
 		}
@@ -185,7 +185,7 @@
 	r.t.Helper()
 	for end := time.Now().Add(bound); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%s was not reached: %s", what, r.core.Line())
+			r.t.Fatalf("%s was not reached: %s", what, r.core.CountersLine())
 		}
 	}
 }
@@ -283,14 +283,14 @@
 // clean waits until a connection is in the pool again.
 func (r *rig) clean(idle int) {
 	r.t.Helper()
-	r.until("an idle connection", func() bool { n, _ := r.floor.Idle(); return n == idle })
+	r.until("an idle connection", func() bool { n, _ := r.floor.ConnectionCounts(); return n == idle })
 }
 
 // A client that leaves while the connection for its job comes up: nothing is written to it, whatever the class; the
 // connection serves the next job.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
 	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.Deduplicated, decision.NotIdempotent} {
-		r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.Connect = effect, bound })
+		r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = effect, bound })
 		r.hold = true
 		r.start()
 		c := r.client()
@@ -401,7 +401,7 @@
 			// It was whole, or broken off: which of the two the core saw first is no matter.
 			r.until("the attempt's end", func() bool { return r.count("full")+r.count("cancelled") == 1 })
 			if n := r.count("sent"); n != 1 || r.count("taken") != 1 {
-				t.Errorf("%s behind %.20q: sent %d times; %s", how, more, n, r.core.Line())
+				t.Errorf("%s behind %.20q: sent %d times; %s", how, more, n, r.core.CountersLine())
 			}
 		}
 	}
@@ -444,7 +444,7 @@
 	close(open)
 	r.until("its end", func() bool { return r.count("left") == 1 })
 	if r.count("taken") != 0 || r.count("sent") != 0 {
-		t.Errorf("it was taken: %s", r.core.Line())
+		t.Errorf("it was taken: %s", r.core.CountersLine())
 	}
 }
 
@@ -541,7 +541,7 @@
 // A request that was just read on an idle connection when that is to make room, or when the dispatcher ends, is answered.
 func TestRequestReadAsItsConnectionIsToGo(t *testing.T) {
 	for _, why := range []string{"room", "end"} {
-		r := set(t, func(n *config.Node) { n.Limits.PortalConns, n.Limits.PortalSpare = 4, 8 })
+		r := set(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.SpareClientConns = 4, 8 })
 		passed, asked := make(chan *shown, 64), make(chan struct{})
 		r.gate = func(l net.Listener) net.Listener { return &doorstep{Listener: l, passed: passed, asked: asked} }
 		r.start()
@@ -555,7 +555,7 @@
 				r.kept(passed)
 			}
 		} else {
-			go func() { over <- r.portal.Farewell(context.Background()) }()
+			go func() { over <- r.portal.Shutdown(context.Background()) }()
 			take(t, "the end of the listener", asked)
 			r.until("the closed listener", func() bool {
 				c, err := net.Dial("tcp", r.here)
@@ -586,7 +586,7 @@
 	r.gate = func(l net.Listener) net.Listener { return &doorstep{Listener: l, passed: passed} }
 	r.start()
 	c, s := r.kept(passed)
-	r.portal.Leave()
+	r.portal.Drain()
 	c.says(job("y1"))
 	w := take(t, "the worker's side", r.work)
 	r.request(w)
@@ -607,14 +607,14 @@
 	}
 	close(s.goOn)
 	if got := c.hears(); strings.HasPrefix(got, "200") || r.count("taken") != 1 {
-		t.Errorf("the second is answered %s; %s", got, r.core.Line())
+		t.Errorf("the second is answered %s; %s", got, r.core.CountersLine())
 	}
 }
 
 // A client's connection ends between two requests after a time, and under an answer that the client does not read.
 func TestIdleAndDeafClients(t *testing.T) {
 	r := set(t, func(n *config.Node) {
-		n.Limits.ClientIdle, n.Limits.ReadHead = 150*time.Millisecond, 500*time.Millisecond
+		n.Limits.ClientIdleTimeout, n.Limits.ReadTimeout = 150*time.Millisecond, 500*time.Millisecond
 	})
 	passed := make(chan *shown, 64)
 	r.gate = func(l net.Listener) net.Listener { return &doorstep{Listener: l, passed: passed} }
@@ -634,7 +634,7 @@
 	r.until("the answer", func() bool { return r.count("served") == 1 })
 	late, done := context.WithTimeout(context.Background(), bound)
 	defer done()
-	if err := r.portal.Farewell(late); err != nil { // it waits for every connection's end
+	if err := r.portal.Shutdown(late); err != nil { // it waits for every connection's end
 		t.Errorf("the answer that nobody reads has no end: %v", err)
 	}
 	c.SetReadBuffer(1 << 20)
@@ -659,7 +659,7 @@
 
 // Who is turned away while it still sends hears so, and is not reset under it.
 func TestTurnedAwayWhileSending(t *testing.T) {
-	r := set(t, func(n *config.Node) { n.Limits.PortalConns, n.Limits.Linger = 1, bound }).start()
+	r := set(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.LingerTimeout = 1, bound }).start()
 	busy := r.client()
 	busy.says(job("w1"))
 	w := take(t, "the worker's side", r.work)
@@ -680,7 +680,7 @@
 
 // What the kernel had let in when the listener is to close is served; so is a request whose bytes are there.
 func TestLastConnectionsBeforeTheListenerCloses(t *testing.T) {
-	r := set(t, func(n *config.Node) { n.Limits.LastAccept = 300 * time.Millisecond })
+	r := set(t, func(n *config.Node) { n.Limits.LastAcceptWindow = 300 * time.Millisecond })
 	open, asked, stands := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r.gate = func(l net.Listener) net.Listener {
 		return &doorstep{Listener: l, open: open, asked: asked, stands: stands}
@@ -690,7 +690,7 @@
 	c := r.client()
 	c.says("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
 	over := make(chan error, 1)
-	go func() { over <- r.portal.Farewell(context.Background()) }()
+	go func() { over <- r.portal.Shutdown(context.Background()) }()
 	take(t, "the end of the listener", asked)
 	close(open)
 	if got := c.hears(); !strings.HasPrefix(got, "200 [{") || !strings.HasSuffix(got, "(closes)") {
@@ -713,7 +713,7 @@
 	w := take(t, "the worker's side", r.work)
 	r.request(w)
 	over := make(chan error, 1)
-	go func() { over <- r.portal.Farewell(context.Background()) }()
+	go func() { over <- r.portal.Shutdown(context.Background()) }()
 	if got := idle.hears(); got != io.EOF.Error() && got != io.ErrUnexpectedEOF.Error() {
 		t.Errorf("an idle client hears %s", got)
 	}
@@ -733,9 +733,9 @@
 
 // A job that comes on leaving does not wait beyond the moment at which the process is killed, whatever its client does.
 func TestLastAnswerOnLeaving(t *testing.T) {
-	r := set(t, func(n *config.Node) { n.Limits.Farewell, n.Limits.LastAnswer = 0, 700*time.Millisecond }).start()
+	r := set(t, func(n *config.Node) { n.Limits.DrainDelay, n.Limits.LastAnswerWindow = 0, 700*time.Millisecond }).start()
 	c := r.client()
-	r.portal.Leave()
+	r.portal.Drain()
 	began := time.Now()
 	c.says(head("s1", "seat-check", 300*time.Second, 2) + "go")
 	r.request(take(t, "the worker's side", r.work)) // which never answers
@@ -749,8 +749,8 @@
 func TestClientLeavesWhileItsJobWaitsInTheMailbox(t *testing.T) {
 	r := set(t, nil)
 	in, goOn := make(chan bool), make(chan struct{})
-	r.core.Observer = seen(func(m *dispatch.Moment) {
-		if m.Sight == dispatch.SawAnswered && m.Job.ID == "m1" {
+	r.core.Observer = seen(func(m *dispatch.Event) {
+		if m.Kind == dispatch.JobAnswered && m.Job.ID == "m1" {
 			in <- true
 			<-goOn
 		}
@@ -774,7 +774,7 @@
 	}
 	r.until("its end", func() bool { return r.count("left") == 1 && r.count("open") == 0 })
 	if r.count("sent") != 1 {
-		t.Errorf("it was sent: %s", r.core.Line())
+		t.Errorf("it was sent: %s", r.core.CountersLine())
 	}
 }
 
@@ -785,7 +785,7 @@
 	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
 		want := map[decision.Idempotency]string{decision.Idempotent: "503 refused: try again later", decision.NotIdempotent: "502 the job failed"}[effect]
 		for _, at := range []string{"connecting", "writing", "reading"} {
-			r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.Connect = effect, bound })
+			r := set(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = effect, bound })
 			// Its time ends in the core and at the dial at one instant. The dial's word would be that it never ran, and a
 			// refusal is right then for either class: so the core's alone is asked for here.
 			r.hold, r.deaf = true, true
@@ -816,7 +816,7 @@
 				t.Errorf("effect %v, %s: the worker got %q, %v", effect, at, text, err)
 			}
 			if r.count("sent") != 1 {
-				t.Errorf("effect %v, %s: %s", effect, at, r.core.Line())
+				t.Errorf("effect %v, %s: %s", effect, at, r.core.CountersLine())
 			}
 		}
 	}
@@ -827,7 +827,7 @@
 func TestWorkerLeavesWhileAConnectionComesUp(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		for _, how := range []string{"drains", "is missing"} {
-			r := set(t, func(n *config.Node) { n.Limits.Connect = bound })
+			r := set(t, func(n *config.Node) { n.Limits.ConnectTimeout = bound })
 			r.hold = true
 			r.start()
 			c := r.client()
@@ -840,15 +840,15 @@
 					w.State = "draining"
 					off = append(off, w)
 				}
-				r.core.Listed(decision.ListDelta, off)
+				r.core.UpdateWorkers(decision.ListDelta, off)
 				r.drains(3)
 			} else {
-				r.core.Listed(decision.ListFull, nil)
-				r.until("no ready worker", func() bool { return r.core.Workers()[decision.Ready] == 0 })
+				r.core.UpdateWorkers(decision.ListFull, nil)
+				r.until("no ready worker", func() bool { return r.core.WorkerCounts()[decision.Ready] == 0 })
 			}
 			if back {
-				r.core.Listed(decision.ListFull, r.node.Known.Workers)
-				r.until("three ready workers", func() bool { return r.core.Workers()[decision.Ready] == 3 })
+				r.core.UpdateWorkers(decision.ListFull, r.node.Known.Workers)
+				r.until("three ready workers", func() bool { return r.core.WorkerCounts()[decision.Ready] == 3 })
 			}
 			d.up <- d.real
 			r.until("the attempt's end", func() bool { return r.count("moot") == 1 })
@@ -863,7 +863,7 @@
 				want = "200 of v1"
 			}
 			if got != want {
-				t.Errorf("%s, back %v: answered %s; %s", how, back, got, r.core.Line())
+				t.Errorf("%s, back %v: answered %s; %s", how, back, got, r.core.CountersLine())
 			}
 		}
 	}
@@ -872,19 +872,19 @@
 // Full tables: no connection to a worker can be spared, more workers are listed than are kept. What was under way goes on,
 // and who finds no room hears so at once.
 func TestFullTables(t *testing.T) {
-	r := set(t, func(n *config.Node) { n.Limits.FloorConns, n.Limits.Workers = 1, 3 }).start()
+	r := set(t, func(n *config.Node) { n.Limits.WorkerConns, n.Limits.Workers = 1, 3 }).start()
 	first, second := r.client(), r.client()
 	first.says(job("f1"))
 	w := take(t, "the worker's side", r.work)
 	r.request(w)
 	second.says(head("f2", "enrol", 5*time.Second, 2) + "go")
 	if got := second.hears(); got != "503 refused: try again later" || r.count("dialled") != 1 {
-		t.Errorf("with no connection to spare: %s; %s", got, r.core.Line())
+		t.Errorf("with no connection to spare: %s; %s", got, r.core.CountersLine())
 	}
 	more := append([]config.Worker{testenv.Listing("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
-	r.core.Listed(decision.ListDelta, more)
+	r.core.UpdateWorkers(decision.ListDelta, more)
 	r.until("the list", func() bool { return r.count("roster_changes") == 2 })
-	if n := r.core.Workers(); n != [3]int{0, 3, 0} {
+	if n := r.core.WorkerCounts(); n != [3]int{0, 3, 0} {
 		t.Errorf("workers by state %v", n)
 	}
 	serve(w, "f1")
@@ -893,16 +893,16 @@
 	}
 }
 
-type seen func(*dispatch.Moment)
+type seen func(*dispatch.Event)
 
-func (s seen) See(m *dispatch.Moment) { s(m) }
+func (s seen) Observe(m *dispatch.Event) { s(m) }
 
 // A client leaves just when its attempt has ended and the next would begin: that one does not.
 func TestClientLeavesBetweenTwoAttempts(t *testing.T) {
 	r := set(t, nil)
 	in, goOn := make(chan bool), make(chan struct{})
-	r.core.Observer = seen(func(m *dispatch.Moment) {
-		if m.Sight == dispatch.SawEnded && m.Outcome == decision.Rejected {
+	r.core.Observer = seen(func(m *dispatch.Event) {
+		if m.Kind == dispatch.AttemptEnded && m.Outcome == decision.Rejected {
 			in <- true
 			<-goOn
 		}
@@ -921,14 +921,14 @@
 	close(goOn)
 	r.until("its end", func() bool { return r.count("open") == 0 && r.count("left")+r.count("refused") == 1 })
 	if r.count("sent") != 1 {
-		t.Errorf("it was sent again: %s", r.core.Line())
+		t.Errorf("it was sent again: %s", r.core.CountersLine())
 	}
 }
 
 // The end of an answer's framing may never come: a result is given at once all the same.
 func TestAnswerDoesNotWaitForItsEnd(t *testing.T) {
 	for _, tail := range []string{"", "0", "0\r\n", "5\r\nab"} {
-		r := set(t, func(n *config.Node) { n.Limits.TailWait = bound }).start()
+		r := set(t, func(n *config.Node) { n.Limits.TrailingTimeout = bound }).start()
 		c := r.client()
 		c.says(head("e1", "seat-check", 4*time.Second, 2) + "go")
 		w := take(t, "the worker's side", r.work)
@@ -1003,7 +1003,7 @@
 					t.Errorf("%s: answered %s", name, got)
 				}
 			} else if got := c.hears(); got != "502 the job failed" || r.count("sent") != 2 {
-				t.Errorf("%s: answered %s; %s", name, got, r.core.Line())
+				t.Errorf("%s: answered %s; %s", name, got, r.core.CountersLine())
 			}
 		}
 	}
@@ -1016,7 +1016,7 @@
 		"503 Service Unavailable\r\nX-Not-Processed: 1": "", "500 Internal Server Error": "502 the job failed", "400 Bad Request": "502 the job failed",
 	} {
 		r := set(t, func(n *config.Node) {
-			n.Module.Classes[0].Idempotency, n.Limits.LateAnswer = decision.NotIdempotent, bound
+			n.Module.Classes[0].Idempotency, n.Limits.LateAnswerWindow = decision.NotIdempotent, bound
 		}).start()
 		c := r.client()
 		c.says(job("n1"))
@@ -1039,7 +1039,7 @@
 		io.WriteString(w, answer)
 		serve(other, id)
 		if got := c.hears(); got != "200 of "+id || r.count("sent") != 2 {
-			t.Errorf("%.3s: the next is answered %s; %s", status, got, r.core.Line())
+			t.Errorf("%.3s: the next is answered %s; %s", status, got, r.core.CountersLine())
 		}
 	}
 }
@@ -1089,7 +1089,7 @@
 // drains waits until so many workers are known to drain.
 func (r *rig) drains(n int) {
 	r.t.Helper()
-	r.until(fmt.Sprint(n, " draining workers"), func() bool { w := r.core.Workers(); return w[decision.Draining] == n && w[decision.Ready] == 3-n })
+	r.until(fmt.Sprint(n, " draining workers"), func() bool { w := r.core.WorkerCounts(); return w[decision.Draining] == n && w[decision.Ready] == 3-n })
 }
 
 // Lists may be spread over lines: the first one, changes, after a move, and where one breaks off in the middle.
@@ -1117,7 +1117,7 @@
 		default:
 		}
 		other := listen(t)
-		r.watch.Move(other.Addr().String())
+		r.watch.SetAddress(other.Addr().String())
 		o, err := other.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -1159,7 +1159,7 @@
 				if pushed {
 					n.Module.Discovery = decision.DiscoveryPush
 				}
-				n.Limits.RosterCall, n.Limits.RosterSilent, n.Limits.RosterRetry = 300*time.Millisecond, 300*time.Millisecond, 20*time.Millisecond
+				n.Limits.DiscoveryCallTimeout, n.Limits.DiscoverySilenceTimeout, n.Limits.DiscoveryBackoff = 300*time.Millisecond, 300*time.Millisecond, 20*time.Millisecond
 			}).start()
 			r.watch.Watch(true)
 			first(r, take(t, "a call", r.calls))
@@ -1187,12 +1187,12 @@
 				if pushed {
 					n.Module.Discovery = decision.DiscoveryPush
 				}
-				n.Limits.RosterCall, n.Limits.RosterSilent, n.Limits.RosterRetry = time.Hour, time.Hour, time.Hour
+				n.Limits.DiscoveryCallTimeout, n.Limits.DiscoverySilenceTimeout, n.Limits.DiscoveryBackoff = time.Hour, time.Hour, time.Hour
 			}).start()
 			r.watch.Watch(true)
 			first(r, take(t, "a call", r.calls))
 			other := listen(t)
-			r.watch.Move(other.Addr().String())
+			r.watch.SetAddress(other.Addr().String())
 			other.(*net.TCPListener).SetDeadline(time.Now().Add(bound))
 			o, err := other.Accept()
 			if err != nil {
@@ -1225,7 +1225,7 @@
 		{"no JSON", `<html>`, [3]int{0, 3, 0}, true},
 		{"a huge one", `{"generation":9,"more":"` + strings.Repeat("x", 300<<10), [3]int{0, 3, 0}, true},
 	} {
-		r := set(t, func(n *config.Node) { n.Limits.Roster = 256 << 10 }).start()
+		r := set(t, func(n *config.Node) { n.Limits.WorkerListBytes = 256 << 10 }).start()
 		r.watch.Watch(true)
 		c := take(t, "a call", r.calls)
 		io.WriteString(c, stream)
@@ -1239,7 +1239,7 @@
 			changes := int64(4)
 			r.until(k.name+": the lists", func() bool { return r.count("roster_changes") == changes })
 		}
-		if w := r.core.Workers(); w != k.want {
+		if w := r.core.WorkerCounts(); w != k.want {
 			t.Errorf("%s: workers by state %v, not %v", k.name, w, k.want)
 		}
 	}
--- a/internal/dispatcher/instance/node.go
+++ b/internal/dispatcher/instance/node.go
@@ -24,22 +24,22 @@
 )
 
 // Record puts an observer on the core before it runs, and gives what ends it once the core has ended.
-type Record func(*config.Node, *dispatch.Counters, *dispatch.Core) (end func(context.Context) error, err error)
+type StartRecorder func(*config.Node, *dispatch.Counters, *dispatch.Core) (end func(context.Context) error, err error)
 
 // Keeper stands between the fronts, the core and the floors where jobs are taken for keeps.
-type Keeper interface {
-	dispatch.Taker
-	Floors(dispatch.Floor) dispatch.Floor // what stands before a floor; nil for none
-	Run(context.Context, *dispatch.Core)  // from before the first job on
+type DurableJobs interface {
+	dispatch.Submitter
+	WrapTransport(dispatch.Transport) dispatch.Transport // what stands before a floor; nil for none
+	Run(context.Context, *dispatch.Core)                 // from before the first job on
 	Status(ctx context.Context, key string) (any, bool)
-	Farewell(context.Context) // gives up what this dispatcher has
+	Shutdown(context.Context) // gives up what this dispatcher has
 }
 
 // Keep makes a keeper for a node whose operator's file asks for one.
-type Keep func(*config.Node, *transport.Peers) (Keeper, error)
+type NewDurableJobs func(*config.Node, *transport.Peers) (DurableJobs, error)
 
 // Run runs one dispatcher until SIGTERM has been served. record and keep may be nil.
-func Run(record Record, keep Keep) error {
+func Run(record StartRecorder, keep NewDurableJobs) error {
 	reloads := make(chan os.Signal, 1) // from the first: by itself this signal would end the program
 	signal.Notify(reloads, syscall.SIGHUP)
 	n, err := config.Load(os.Getenv)
@@ -54,35 +54,35 @@
 
 	list := discovery.New(n)
 	counters := new(dispatch.Counters)
-	var desk *amqp.Desk
-	var queues dispatch.Floor
+	var desk *amqp.Adapter
+	var queues dispatch.Transport
 	var fixed []config.Worker
 	if n.AMQP != nil {
 		desk = amqp.New(n, counters)
 		queues, fixed = desk, desk.Workers()
 	}
 	var members *transport.Peers
-	if n.Members != nil {
+	if n.Membership != nil {
 		if members, err = transport.New(n); err != nil {
 			return err
 		}
 	}
-	var floors dispatch.Floor = workerhttp.New(n, counters)
-	var keeper Keeper
-	if n.Promises != nil {
+	var floors dispatch.Transport = workerhttp.New(n, counters)
+	var keeper DurableJobs
+	if n.DurableJobs != nil {
 		if keep == nil {
 			return errors.New("NODE_PROMISES: this program cannot keep promises: gladepick-full can")
 		}
 		if keeper, err = keep(n, members); err != nil {
 			return err
 		}
-		floors, queues = keeper.Floors(floors), keeper.Floors(queues)
+		floors, queues = keeper.WrapTransport(floors), keeper.WrapTransport(queues)
 	}
 	core, err := dispatch.New(n, counters, floors, queues, list, fixed)
 	if err != nil {
 		return err
 	}
-	list.Listed = core.Listed
+	list.OnList = core.UpdateWorkers
 	var recorded func(context.Context) error
 	if record != nil {
 		if recorded, err = record(n, counters, core); err != nil {
@@ -90,7 +90,7 @@
 		}
 	}
 	front := clienthttp.New(n, core)
-	var jobs dispatch.Taker = core
+	var jobs dispatch.Submitter = core
 	if members != nil {
 		front.Members = func(ctx context.Context) (any, bool) { return members.Status(ctx) }
 	}
@@ -106,7 +106,7 @@
 	go core.Run(ctx)
 	go list.Run(ctx)
 	if desk != nil {
-		desk.Core, desk.Kept = jobs, keeper != nil
+		desk.Jobs, desk.Durable = jobs, keeper != nil
 		go desk.Run(ctx)
 	}
 	if members != nil {
@@ -131,57 +131,57 @@
 			log.Print(fault)
 			leaving = true
 		case <-asked:
-			log.Print(core.Line())
+			log.Print(core.CountersLine())
 		case <-stopped:
 			leaving = true
 		}
 	}
 	// New connections keep coming for a while after SIGTERM: they are served, and told to go elsewhere afterwards.
-	front.Leave()
+	front.Drain()
 	log.Printf("%s is leaving", n.Name)
 	if desk != nil {
-		desk.Leave()
+		desk.Drain()
 	}
 	if members != nil {
 		members.Draining(ctx)
 	}
-	time.Sleep(n.Limits.Farewell)
-	late, done := context.WithTimeout(context.Background(), n.Limits.MostPatience)
+	time.Sleep(n.Limits.DrainDelay)
+	late, done := context.WithTimeout(context.Background(), n.Limits.MaxJobTimeout)
 	defer done()
-	err = errors.Join(fault, front.Farewell(late))
+	err = errors.Join(fault, front.Shutdown(late))
 	if desk != nil {
-		err = errors.Join(err, desk.Settled(late))
+		err = errors.Join(err, desk.Wait(late))
 	}
 	if keeper != nil {
-		keeper.Farewell(late)
+		keeper.Shutdown(late)
 	}
 	if members != nil {
 		members.Leave(late)
 	}
 	if recorded != nil {
 		cancel()
-		core.Ended()
+		core.Wait()
 		err = errors.Join(err, recorded(late))
 	}
-	log.Print(core.Line())
+	log.Print(core.CountersLine())
 	return err
 }
 
 // reload reads the configuration again and carries over what may change while jobs are open.
-func reload(n *config.Node, list *discovery.Roster) {
+func reload(n *config.Node, list *discovery.Watcher) {
 	later, err := config.Reload(os.Getenv)
 	if err != nil {
 		log.Printf("reload: the old settings stay: %v", err)
 		return
 	}
-	if n.Stranger(later) { // its discovery would know none of the workers that jobs are at
+	if n.SharesNoClass(later) { // its discovery would know none of the workers that jobs are at
 		log.Printf("reload: the old settings stay: NODE_CONFIG: %s: key settings.classes: none of %s is a class of this dispatcher",
 			os.Getenv("NODE_CONFIG"), strings.Join(later.Classes, ", "))
 		return
 	}
-	if keys := n.Fixed(later); len(keys) > 0 {
+	if keys := n.ChangedKeys(later); len(keys) > 0 {
 		log.Printf("reload: a change of %s holds from the next start on", strings.Join(keys, ", "))
 	}
-	list.Move(later.Discovery)
+	list.SetAddress(later.Discovery)
 	log.Printf("reload: discovery is at %s", later.Discovery)
 }
