--- a/internal/dispatcher/membership/transport/peers.go
+++ b/internal/dispatcher/membership/transport/peers.go
@@ -47,7 +47,7 @@
 
 // Peers is the carrier. Make it with New, then Run it.
 type Peers struct {
-	conf    *config.Members
+	conf    *config.Membership
 	lim     config.Limits
 	socket  *net.UDPConn
 	machine *membership.Machine
@@ -63,20 +63,20 @@
 
 // New opens the socket and makes the machine.
 func New(n *config.Node) (*Peers, error) {
-	c := n.Members
-	p := &Peers{conf: c, lim: n.Limits, birth: time.Now(), mail: make(chan datagram, n.Limits.PeerMailbox), do: make(chan func()),
-		over: make(chan struct{}), out: rate.NewLimiter(rate.Limit(n.Limits.PeerBytes), n.Limits.PeerBytes)}
-	conf := membership.Config{Name: n.Name, Zone: n.ZoneName(), At: c.At, Seed: n.Seed ^ rand.Uint64(), Period: c.Period, Bear: c.Bear,
-		Life: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), Learn: c.Learn,
+	c := n.Membership
+	p := &Peers{conf: c, lim: n.Limits, birth: time.Now(), mail: make(chan datagram, n.Limits.QueuedPeerDatagrams), do: make(chan func()),
+		over: make(chan struct{}), out: rate.NewLimiter(rate.Limit(n.Limits.PeerBytesPerSecond), n.Limits.PeerBytesPerSecond)}
+	conf := membership.Config{Name: n.Name, Zone: n.ZoneName(), At: c.Advertise, Seed: n.Seed ^ rand.Uint64(), Period: c.ProbeInterval, Bear: c.SuspicionTimeout,
+		Life: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), Learn: c.LearnNames,
 		Facts: membership.Facts{Weight: float32(c.Weight), Version: c.Version}}
 	if len(c.Peers) > 0 {
 		conf.Book = map[string]netip.AddrPort{}
 	}
 	for _, peer := range c.Peers {
 		if peer.Name != n.Name {
-			conf.Seeds = append(conf.Seeds, peer.At)
+			conf.Seeds = append(conf.Seeds, peer.Address)
 			if peer.Name != "" {
-				conf.Book[peer.Name] = peer.At
+				conf.Book[peer.Name] = peer.Address
 			}
 		}
 	}
@@ -203,8 +203,8 @@
 // read takes datagrams off the socket. Beyond a number a second it stops reading for a moment, and the machine's own
 // buffers drop the rest at no cost here.
 func (p *Peers) read(ctx context.Context) {
-	all := rate.NewLimiter(rate.Limit(p.lim.PeerReads), p.lim.PeerReads/10)
-	strangers := rate.NewLimiter(rate.Limit(p.lim.PeerStrangers), p.lim.PeerStrangers)
+	all := rate.NewLimiter(rate.Limit(p.lim.PeerDatagramsPerSecond), p.lim.PeerDatagramsPerSecond/10)
+	strangers := rate.NewLimiter(rate.Limit(p.lim.UnknownPeerDatagramsPerSecond), p.lim.UnknownPeerDatagramsPerSecond)
 	buffer := make([]byte, membership.Datagram+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
@@ -276,7 +276,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.lim.PeerFarewell / 4):
+		case <-time.After(p.lim.PeerLeaveTimeout / 4):
 			p.call(ctx, func() { p.handle(membership.Event{Kind: membership.Tick}) })
 		}
 	}
--- a/internal/dispatcher/simadapter/host.go
+++ b/internal/dispatcher/simadapter/host.go
@@ -13,7 +13,7 @@
 )
 
 // Machine is what the host needs of a decision module's instance.
-type Machine interface {
+type Module interface {
 	Handle(now time.Duration, ev *decision.Event, acts []decision.Action) []decision.Action
 }
 
@@ -21,11 +21,11 @@
 // them but the pages of worker lists, which nobody changes.
 type Host struct {
 	// New makes an instance; it is decision.New but in tests.
-	New func(decision.Settings, uint64) (Machine, error)
+	New func(decision.Settings, uint64) (Module, error)
 	// Errors gets the stack of a panic; nil drops it.
 	Errors io.Writer
 
-	instances map[uint16]Machine
+	instances map[uint16]Module
 	pages     [lists][]decision.Entry
 	known     [lists]bool
 	acts      []decision.Action
@@ -36,9 +36,9 @@
 // and the place in it; nothing is written for a frame that is malformed.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	if h.New == nil {
-		h.New = func(s decision.Settings, seed uint64) (Machine, error) { return decision.New(s, seed) }
+		h.New = func(s decision.Settings, seed uint64) (Module, error) { return decision.New(s, seed) }
 	}
-	h.instances = make(map[uint16]Machine)
+	h.instances = make(map[uint16]Module)
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
 	var buf bytes.Buffer
 	for n := 0; ; n++ {
@@ -135,7 +135,7 @@
 }
 
 // handle passes one event on and turns a panic into its text.
-func (h *Host) handle(m Machine, now time.Duration, ev *decision.Event) (fault string) {
+func (h *Host) handle(m Module, now time.Duration, ev *decision.Event) (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
--- a/internal/dispatcher/simadapter/wire_test.go
+++ b/internal/dispatcher/simadapter/wire_test.go
@@ -72,10 +72,10 @@
 	return append(acts, s.acts...)
 }
 
-func serve(t *testing.T, m Machine, in []byte) ([]byte, error) {
+func serve(t *testing.T, m Module, in []byte) ([]byte, error) {
 	t.Helper()
 	var out bytes.Buffer
-	h := Host{New: func(decision.Settings, uint64) (Machine, error) { return m, nil }}
+	h := Host{New: func(decision.Settings, uint64) (Module, error) { return m, nil }}
 	err := h.Serve(bytes.NewReader(in), &out)
 	return out.Bytes(), err
 }
--- a/internal/dispatcher/snmp/objects_test.go
+++ b/internal/dispatcher/snmp/objects_test.go
@@ -48,7 +48,7 @@
 		s.Statuses = func() []agent.Status {
 			return []agent.Status{
 				{Name: "n0", Listen: "127.0.0.1:5000", State: agent.Up, PID: 42, Restarts: 3, Since: time.Now().Add(-time.Minute), Counters: counts()},
-				{Name: "n1", Listen: "127.0.0.1:5001", State: agent.Drained, Last: "exited"},
+				{Name: "n1", Listen: "127.0.0.1:5001", State: agent.Drained, LastEnd: "exited"},
 			}
 		}
 		codec := gosnmp.GoSNMP{Version: gosnmp.Version2c, Community: "public"}
--- a/internal/dispatcher/snmp/snmp.go
+++ b/internal/dispatcher/snmp/snmp.go
@@ -74,7 +74,7 @@
 func (s *Server) Serve(ctx context.Context, conn net.PacketConn) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	buf := make([]byte, s.lim.Datagram+1)
+	buf := make([]byte, s.lim.DatagramBytes+1)
 	for {
 		n, from, err := conn.ReadFrom(buf)
 		if err != nil {
@@ -100,7 +100,7 @@
 			answer = nil
 		}
 	}()
-	if len(message) > s.lim.Datagram {
+	if len(message) > s.lim.DatagramBytes {
 		return nil
 	}
 	codec := gosnmp.GoSNMP{Version: gosnmp.Version2c, Community: s.community}
@@ -130,7 +130,7 @@
 			return fail(gosnmp.GenErr, i+1)
 		}
 	}
-	if len(asked) > s.lim.Rows {
+	if len(asked) > s.lim.Variables {
 		return fail(gosnmp.TooBig, 0)
 	}
 	all := s.variables()
@@ -170,7 +170,7 @@
 					more = true
 				}
 			}
-			if !more || len(out.Variables)+len(rows) > s.lim.Rows {
+			if !more || len(out.Variables)+len(rows) > s.lim.Variables {
 				break
 			}
 		}
@@ -181,7 +181,7 @@
 		case err != nil:
 			log.Printf("snmp: %v", err)
 			return fail(gosnmp.GenErr, 0)
-		case len(b) <= s.lim.Datagram:
+		case len(b) <= s.lim.DatagramBytes:
 			return b
 		case in.PDUType != gosnmp.GetBulkRequest:
 			in.Variables = nil
@@ -236,7 +236,7 @@
 		add(instanceEntry+"6"+row, gosnmp.Counter32, uint32(st.Restarts))
 		add(instanceEntry+"7"+row, gosnmp.TimeTicks, ticks(up))
 		for _, c := range st.Counters {
-			column := slices.Index(dispatch.CountNames, c.Name)
+			column := slices.Index(dispatch.CounterNames, c.Name)
 			if column < 0 {
 				continue
 			}
--- a/internal/dispatcher/snmp/snmp_test.go
+++ b/internal/dispatcher/snmp/snmp_test.go
@@ -29,8 +29,8 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
-var limits = config.AgentLimits{Poll: time.Second, Ask: 2 * time.Second, Restart: 100 * time.Millisecond, RestartMax: time.Second,
-	Steady: 10 * time.Second, Stop: 5 * time.Second, Reply: 1 << 20, Datagram: 8 << 10, Rows: 64, Body: 1 << 10}
+var limits = config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond, RestartBackoffMax: time.Second,
+	StableAfter: 10 * time.Second, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 64, RequestBytes: 1 << 10}
 
 // process is one that runs until it is told to end, and then for as long as it likes.
 type process struct {
@@ -60,7 +60,7 @@
 }
 
 func counts() (out []dispatch.Count) {
-	for i, name := range dispatch.CountNames {
+	for i, name := range dispatch.CounterNames {
 		out = append(out, dispatch.Count{Name: name, Value: int64(100 + i)})
 	}
 	return out
@@ -73,14 +73,14 @@
 		var started []*process
 		linger, answers := 3*time.Second, true
 		change := func(f func()) { mu.Lock(); f(); mu.Unlock() }
-		a.Start = func(config.Instance) (agent.Process, error) {
+		a.StartProcess = func(config.Instance) (agent.Process, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			p := &process{end: make(chan error, 1), linger: linger}
 			started = append(started, p)
 			return p, nil
 		}
-		a.Look = func(context.Context, string) ([]dispatch.Count, error) {
+		a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !answers {
@@ -113,10 +113,10 @@
 		if a.Reload("n0") == nil || a.Reload("n9") == nil {
 			t.Error("a reload went to a process that is not there")
 		}
-		if s := a.Statuses()[0]; s.Last != "exit status 2" || s.PID != 0 {
+		if s := a.Statuses()[0]; s.LastEnd != "exit status 2" || s.PID != 0 {
 			t.Errorf("after its crash: %+v", s)
 		}
-		time.Sleep(limits.Restart)
+		time.Sleep(limits.RestartBackoff)
 		expect("again", agent.Up, 1, 2)
 		if err := a.Drain("n0"); err != nil {
 			t.Error(err)
@@ -125,7 +125,7 @@
 		time.Sleep(time.Minute)
 		expect("left", agent.Drained, 1, 2)
 		change(func() { linger = -1 }) // the next one does not listen
-		if err := errors.Join(a.Wanted("n0")); err != nil || a.Drain("n9") == nil {
+		if err := errors.Join(a.StartInstance("n0")); err != nil || a.Drain("n9") == nil {
 			t.Error("an instance that is there is not found, or one that is not is")
 		}
 		expect("back", agent.Up, 1, 3)
@@ -144,8 +144,8 @@
 	conf := keep(names...)
 	a := agent.New(conf)
 	looked := make(chan bool, 100)
-	a.Start = func(config.Instance) (agent.Process, error) { return &process{end: make(chan error, 1)}, nil }
-	a.Look = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return counts(), nil }
+	a.StartProcess = func(config.Instance) (agent.Process, error) { return &process{end: make(chan error, 1)}, nil }
+	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return counts(), nil }
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan bool)
 	go func() { a.Run(ctx); close(over) }()
@@ -233,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := 1 + 2*(6+len(dispatch.CountNames))
+	rows := 1 + 2*(6+len(dispatch.CounterNames))
 	if len(next) != rows || len(bulk) != rows {
 		t.Errorf("walks bring %d and %d variables, there are %d", len(next), len(bulk), rows)
 	}
@@ -276,7 +276,7 @@
 			whole = false
 		}
 		answer := s.Answer(message)
-		if len(answer) > limits.Datagram {
+		if len(answer) > limits.DatagramBytes {
 			rt.Errorf("an answer of %d bytes", len(answer))
 		}
 		due := p.Version == gosnmp.Version2c && p.Community == "public" && p.PDUType != gosnmp.GetResponse
@@ -292,7 +292,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, name := range dispatch.CountNames {
+	for i, name := range dispatch.CounterNames {
 		words := ""
 		for part := range strings.SplitSeq(name, "_") {
 			words += strings.ToUpper(part[:1]) + part[1:]
@@ -306,8 +306,8 @@
 			t.Errorf("the MIB does not have %s as object %d", name, i+1)
 		}
 	}
-	if n := strings.Count(string(text), "{ gpCounterEntry "); n != len(dispatch.CountNames) {
-		t.Errorf("the MIB has %d counters, the agent %d", n, len(dispatch.CountNames))
+	if n := strings.Count(string(text), "{ gpCounterEntry "); n != len(dispatch.CounterNames) {
+		t.Errorf("the MIB has %d counters, the agent %d", n, len(dispatch.CounterNames))
 	}
 	if !strings.Contains(string(text), "::= { enterprises 32473 17 }") || !strings.HasSuffix(snmp.Base, ".32473.17") {
 		t.Error("the MIB stands at another place than the agent's")
--- a/internal/dispatcher/testenv/broker_test.go
+++ b/internal/dispatcher/testenv/broker_test.go
@@ -21,8 +21,8 @@
 func TestClientLeavesBeforeItsJobIsPublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, leave := context.WithCancel(context.Background())
-		r := world(t).start(options{queues: true, sees: func(m *dispatch.Moment) {
-			if m.Sight == dispatch.SawSent {
+		r := world(t).start(options{queues: true, sees: func(m *dispatch.Event) {
+			if m.Kind == dispatch.AttemptSent {
 				leave()
 				synctest.Wait() // all have seen it go, but for the core, which stands here
 			}
@@ -36,8 +36,8 @@
 			t.Error("an answer came")
 		}
 		time.Sleep(time.Minute)
-		if c := r.core.Counters; len(r.yard.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.NeverSent].Load() != 1 || r.core.Open() != 0 {
-			t.Errorf("published %v; %s", r.yard.Sent("p1"), r.core.Line())
+		if c := r.core.Counters; len(r.yard.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.NeverSent].Load() != 1 || r.core.OpenJobs() != 0 {
+			t.Errorf("published %v; %s", r.yard.Sent("p1"), r.core.CountersLine())
 		}
 	})
 }
@@ -49,10 +49,10 @@
 		q := r.queue()
 		q.put(task{"v1", "enrol", "k1", "done/3s", 5 * time.Second})
 		time.Sleep(time.Second)
-		r.desk.Leave()
+		r.desk.Drain()
 		synctest.Wait()
 		q.put(task{"v2", "enrol", "k2", "done", 5 * time.Second})
-		if err := r.desk.Settled(context.Background()); err != nil {
+		if err := r.desk.Wait(context.Background()); err != nil {
 			t.Error(err)
 		}
 		if c := q.answer(); c.verdict != "served" || c.body != Result("v1") {
@@ -106,8 +106,8 @@
 					rt.Errorf("%+v: sent %d times", k, n)
 				}
 			}
-			if len(r.yard.Broken) > 0 || r.core.Open() != 0 || r.broker.Left() != 0 {
-				rt.Errorf("%v; %d open; %d deliveries not settled", r.yard.Broken, r.core.Open(), r.broker.Left())
+			if len(r.yard.Broken) > 0 || r.core.OpenJobs() != 0 || r.broker.Left() != 0 {
+				rt.Errorf("%v; %d open; %d deliveries not settled", r.yard.Broken, r.core.OpenJobs(), r.broker.Left())
 			}
 		})
 	})
--- a/internal/dispatcher/testenv/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -35,16 +35,16 @@
 			}
 			synctest.Wait()
 			c, idle, open := r.core.Counters, 0, 0
-			if idle, open = r.floor.Idle(); r.core.Open() != 0 || c.Left.Load() != 1 || idle != 0 || open != 1 {
-				t.Errorf("%s, after it left: %d of %d connections idle, %s", script, idle, open, r.core.Line())
+			if idle, open = r.floor.ConnectionCounts(); r.core.OpenJobs() != 0 || c.Abandoned.Load() != 1 || idle != 0 || open != 1 {
+				t.Errorf("%s, after it left: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 			time.Sleep(4 * time.Second)
 			kept := 0
 			if want == decision.OK {
 				kept = 1
 			}
-			if idle, open = r.floor.Idle(); c.Outcomes[want].Load() != 1 || idle != kept || open != kept || len(r.yard.Sent("g1")) != 1 {
-				t.Errorf("%s, in the end: %d of %d connections idle, %s", script, idle, open, r.core.Line())
+			if idle, open = r.floor.ConnectionCounts(); c.Outcomes[want].Load() != 1 || idle != kept || open != kept || len(r.yard.Sent("g1")) != 1 {
+				t.Errorf("%s, in the end: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 					v.mu.Unlock()
 				}
 				for _, v := range waiting {
-					if heard, over := v.says(""); heard == "" && !over && time.Since(v.since) >= r.node.Limits.ReadHead {
+					if heard, over := v.says(""); heard == "" && !over && time.Since(v.since) >= r.node.Limits.ReadTimeout {
 						rt.Errorf("a client that says nothing whole has no answer after %v", time.Since(v.since))
 					}
 				}
--- a/internal/dispatcher/testenv/discovery_test.go
+++ b/internal/dispatcher/testenv/discovery_test.go
@@ -25,7 +25,7 @@
 		r.list.Changes <- `{"generation":9,"reset":false,"instances":[{"instanceId":"s-0badcafe","lifecycle":"gone"},` +
 			`{"instanceId":"s-1ce9565e","hostPort":"127.0.1.1:5000","zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1}]}`
 		synctest.Wait()
-		if w := r.core.Workers(); w != [3]int{0, 2, 1} {
+		if w := r.core.WorkerCounts(); w != [3]int{0, 2, 1} {
 			t.Errorf("workers by state: %v", w)
 		}
 		for i := range 30 {
@@ -49,8 +49,8 @@
 		r.list.Status, r.list.Mute = 0, false
 		r.list.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if len(r.list.Calls()) <= failed || r.core.Workers() != [3]int{0, 4, 0} {
-			t.Errorf("calls %v, workers %v", r.list.Calls(), r.core.Workers())
+		if len(r.list.Calls()) <= failed || r.core.WorkerCounts() != [3]int{0, 4, 0} {
+			t.Errorf("calls %v, workers %v", r.list.Calls(), r.core.WorkerCounts())
 		}
 	})
 }
@@ -65,14 +65,14 @@
 			r.list.Changes <- `{"generation":9,"reset":true,"instances":[{"instanceId":"s-0badcafe","hostPort":"127.0.1.0:5000",` +
 				`"zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1},{"instanceId":"s-1ce9565e","lifecy` + "\x00"
 			synctest.Wait()
-			if w := r.core.Workers(); w != [3]int{0, 3, 1} {
+			if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
 				t.Errorf("break %d: workers by state %v", n, w)
 			}
 			time.Sleep(r.node.Module.DrainGrace / 2)
 			if calls := r.list.Calls(); len(calls) != n+2 || !strings.HasSuffix(calls[n+1], "&after=0") {
 				t.Errorf("break %d: calls %v", n, calls)
 			}
-			if w := r.core.Workers(); w != [3]int{0, 4, 0} {
+			if w := r.core.WorkerCounts(); w != [3]int{0, 4, 0} {
 				t.Errorf("after break %d: workers by state %v", n, w)
 			}
 		}
@@ -93,17 +93,17 @@
 			`"zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1}]}`
 		r.list.Changes <- drains
 		synctest.Wait()
-		if w := r.core.Workers(); w != [3]int{0, 3, 1} {
+		if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
 			t.Errorf("workers by state: %v", w)
 		}
 		r.list.set(func() { r.list.Mute = true; r.list.drop() }) // discovery is down: the agent says what it holds, then nothing
 		time.Sleep(30 * time.Second)
-		if calls := len(r.list.Calls()); calls < 3 || calls > 20 || r.core.Workers() != [3]int{0, 4, 0} {
-			t.Errorf("%d calls in half a minute of silence, workers %v", calls, r.core.Workers())
+		if calls := len(r.list.Calls()); calls < 3 || calls > 20 || r.core.WorkerCounts() != [3]int{0, 4, 0} {
+			t.Errorf("%d calls in half a minute of silence, workers %v", calls, r.core.WorkerCounts())
 		}
 		r.list.Changes <- drains
 		synctest.Wait()
-		if w := r.core.Workers(); w != [3]int{0, 3, 1} {
+		if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
 			t.Errorf("after the silence: workers by state %v", w)
 		}
 	})
@@ -129,7 +129,7 @@
 		} {
 			r.list.Changes <- step.line
 			synctest.Wait()
-			if w := r.core.Workers(); w != step.want {
+			if w := r.core.WorkerCounts(); w != step.want {
 				t.Errorf("%s: workers by state %v, not %v", step.line, w, step.want)
 			}
 		}
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := world(t).start(options{})
 		l := r.net.Listen("127.0.0.1:8600")
-		next := &Roster{Changes: make(chan string), Whole: config.Roster{Generation: 3, Reset: true, Workers: r.list.Whole.Workers[:3]}}
+		next := &Roster{Changes: make(chan string), Whole: config.WorkerList{Generation: 3, Reset: true, Workers: r.list.Whole.Workers[:3]}}
 		srv := &http.Server{Handler: next}
 		go srv.Serve(l)
 		r.ends = append(r.ends, func() { srv.Close() })
@@ -153,12 +153,12 @@
 		go func() { slow <- r.post(task{"m1", "seat-check", "", "done/2s", 5 * time.Second}) }()
 		time.Sleep(time.Second)
 		began := time.Now()
-		r.watch.Move("127.0.0.1:8600")
+		r.watch.SetAddress("127.0.0.1:8600")
 		synctest.Wait()
 		if calls := next.Calls(); len(calls) != 1 || !strings.HasSuffix(calls[0], "&after=0") || time.Since(began) != 0 {
 			t.Errorf("calls %v after %v", calls, time.Since(began))
 		}
-		if w := r.core.Workers(); w[decision.Ready] != 3 {
+		if w := r.core.WorkerCounts(); w[decision.Ready] != 3 {
 			t.Errorf("workers by state: %v", w)
 		}
 		select {
@@ -169,7 +169,7 @@
 		if c := <-slow; c.verdict != "served" || len(r.yard.Sent("m1")) != 1 {
 			t.Errorf("the job that was out: %+v, sent to %v", c, r.yard.Sent("m1"))
 		}
-		r.watch.Move("127.0.0.1:8600") // a reload that changes nothing disturbs nothing
+		r.watch.SetAddress("127.0.0.1:8600") // a reload that changes nothing disturbs nothing
 		time.Sleep(time.Second)
 		if calls := next.Calls(); len(calls) != 1 || len(r.list.Calls()) != 1 {
 			t.Errorf("calls %v there, %v at the old address", calls, r.list.Calls())
--- a/internal/dispatcher/testenv/fleet_troubles.go
+++ b/internal/dispatcher/testenv/fleet_troubles.go
@@ -21,7 +21,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			s.gen++
-			text, _ := json.Marshal(config.Roster{Generation: s.gen, Workers: []config.Worker{w}})
+			text, _ := json.Marshal(config.WorkerList{Generation: s.gen, Workers: []config.Worker{w}})
 			s.roster.Changes <- string(text)
 		})
 	}
--- a/internal/dispatcher/testenv/fronts_test.go
+++ b/internal/dispatcher/testenv/fronts_test.go
@@ -81,8 +81,8 @@
 				if len(r.yard.Broken) > 0 {
 					t.Error(r.yard.Broken)
 				}
-				if r.core.Open() != 0 {
-					t.Errorf("%d jobs are left open", r.core.Open())
+				if r.core.OpenJobs() != 0 {
+					t.Errorf("%d jobs are left open", r.core.OpenJobs())
 				}
 				service = append(service, earned/asked)
 			})
@@ -232,8 +232,8 @@
 		if status, body := r.raw(strings.Replace(chunked, "p1", "p9", 1)); status != "200" || body != Result("p9") {
 			t.Errorf("in chunks: answered %s, %s", status, body)
 		}
-		if r.core.Open() != 0 || r.core.Counters.Taken.Load() != 2 {
-			t.Errorf("%d open, %d taken", r.core.Open(), r.core.Counters.Taken.Load())
+		if r.core.OpenJobs() != 0 || r.core.Counters.Accepted.Load() != 2 {
+			t.Errorf("%d open, %d taken", r.core.OpenJobs(), r.core.Counters.Accepted.Load())
 		}
 	})
 }
@@ -245,7 +245,7 @@
 		slow := make(chan came)
 		go func() { slow <- r.post(task{"l1", "seat-check", "", "done/4s", 5 * time.Second}) }()
 		time.Sleep(time.Second)
-		r.portal.Leave()
+		r.portal.Drain()
 		if status, _ := r.raw("GET /up HTTP/1.1\r\nHost: b\r\n\r\n"); status != "503" {
 			t.Errorf("/up answers %s", status)
 		}
@@ -262,7 +262,7 @@
 			t.Errorf("the job that was out: %+v", c)
 		}
 		done := make(chan error)
-		go func() { done <- r.portal.Farewell(context.Background()) }()
+		go func() { done <- r.portal.Shutdown(context.Background()) }()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
--- a/internal/dispatcher/testenv/herd_test.go
+++ b/internal/dispatcher/testenv/herd_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	watch.Listed = core.Listed
+	watch.OnList = core.UpdateWorkers
 	ctx, cancel := context.WithCancel(context.Background())
 	go core.Run(ctx)
 	go watch.Run(ctx)
@@ -61,10 +61,10 @@
 		for k := 0; ctx.Err() == nil; k++ {
 			id := fmt.Sprintf("n%d.%d.%d", i, life, k)
 			c.jobs.Add(1)
-			err := core.Take(&dispatch.Job{ID: id, Target: "/seat-check/x", Body: []byte("done/20ms"), Slots: 1, Patience: 5 * time.Second,
+			err := core.Submit(&dispatch.Job{ID: id, Target: "/seat-check/x", Body: []byte("done/20ms"), Slots: 1, Timeout: 5 * time.Second,
 				Reply: func(a dispatch.Answer) {
 					c.mu.Lock()
-					if c.served++; a.Verdict != dispatch.Served && ctx.Err() == nil {
+					if c.served++; a.Kind != dispatch.Served && ctx.Err() == nil {
 						c.lost = append(c.lost, id)
 					}
 					c.mu.Unlock()
@@ -79,7 +79,7 @@
 	}()
 	return func() {
 		cancel()
-		core.Ended()
+		core.Wait()
 		for _, w := range c.known {
 			f.CloseIdle(w)
 		}
@@ -143,7 +143,7 @@
 			t.Cleanup(func() { l.Close() })
 			go yard.Worker(l, name)
 		}
-		c.list.Whole = config.Roster{Generation: 8, Reset: true, Workers: c.known}
+		c.list.Whole = config.WorkerList{Generation: 8, Reset: true, Workers: c.known}
 		srv := &http.Server{Handler: c.list}
 		t.Cleanup(func() { srv.Close(); time.Sleep(time.Minute) })
 		go srv.Serve(c.net.Listen("127.0.0.1:8500"))
--- a/internal/dispatcher/testenv/payouts_test.go
+++ b/internal/dispatcher/testenv/payouts_test.go
@@ -42,7 +42,7 @@
 	m.Classes[0] = decision.ClassSettings{LatencyTarget: 300 * time.Millisecond, Stretch: 2.5, Deadline: 6 * time.Second, Idempotency: decision.NotIdempotent, Value: 10, WorkerKind: -1}
 	m.Classes[1] = decision.ClassSettings{LatencyTarget: 250 * time.Millisecond, Stretch: 2.5, Deadline: 12 * time.Second, Idempotency: decision.Deduplicated, DedupScope: decision.DedupByZone,
 		DedupWindow: 20 * time.Second, Value: 8, WorkerKind: -1}
-	srv := &http.Server{Handler: &Roster{Changes: make(chan string), Whole: config.Roster{Generation: 8, Reset: true, Workers: known}}}
+	srv := &http.Server{Handler: &Roster{Changes: make(chan string), Whole: config.WorkerList{Generation: 8, Reset: true, Workers: known}}}
 	go srv.Serve(c.Listen("127.0.0.1:8500"))
 	counters := new(dispatch.Counters)
 	f, watch := workerhttp.New(n, counters), discovery.New(n)
@@ -52,13 +52,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	watch.Listed = core.Listed
+	watch.OnList = core.UpdateWorkers
 	ctx, cancel := context.WithCancel(context.Background())
 	go core.Run(ctx)
 	go watch.Run(ctx)
 	t.Cleanup(func() {
 		cancel()
-		core.Ended()
+		core.Wait()
 		for _, w := range known {
 			f.CloseIdle(w)
 		}
@@ -82,9 +82,9 @@
 		for k := range 400 {
 			id := fmt.Sprintf("p%d", k)
 			steps := rng.Example(k)
-			j := &dispatch.Job{ID: id, Target: "/payout/x", Body: []byte(strings.Join(steps, ",")), Class: k % 2, Slots: 1, Patience: 6 * time.Second}
+			j := &dispatch.Job{ID: id, Target: "/payout/x", Body: []byte(strings.Join(steps, ",")), Class: k % 2, Slots: 1, Timeout: 6 * time.Second}
 			if k%2 == 1 {
-				j.Key, j.Patience = "key-"+id, 12*time.Second
+				j.IdempotencyKey, j.Timeout = "key-"+id, 12*time.Second
 			}
 			all.Add(1)
 			j.Reply = func(a dispatch.Answer) {
@@ -94,11 +94,11 @@
 				answers[id]++
 				sent := yard.Sent(id)
 				ran := slices.ContainsFunc(steps[:len(sent)], func(s string) bool { return !slices.Contains(never, s) })
-				if a.Verdict == dispatch.Refused && ran {
+				if a.Kind == dispatch.Rejected && ran {
 					t.Errorf("%s, %v: refused, and it may have run", id, steps[:len(sent)])
 				}
 			}
-			if err := core.Take(j); err != nil {
+			if err := core.Submit(j); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -135,16 +135,16 @@
 		core, yard, _ := payouts(t, 2, true)
 		for k := range 6 { // what a payout takes is learned: some 0.2 s
 			done := make(chan dispatch.Answer, 1)
-			core.Take(&dispatch.Job{ID: fmt.Sprint("w", k), Target: "/payout/x", Body: []byte("done/200ms"), Slots: 1, Patience: 6 * time.Second, Reply: func(a dispatch.Answer) { done <- a }})
-			if a := <-done; a.Verdict != dispatch.Served {
+			core.Submit(&dispatch.Job{ID: fmt.Sprint("w", k), Target: "/payout/x", Body: []byte("done/200ms"), Slots: 1, Timeout: 6 * time.Second, Reply: func(a dispatch.Answer) { done <- a }})
+			if a := <-done; a.Kind != dispatch.Served {
 				t.Fatalf("%+v", a)
 			}
 		}
 		began, done := time.Now(), make(chan dispatch.Answer, 1)
-		core.Take(&dispatch.Job{ID: "long", Target: "/payout/x", Body: []byte("done/5s"), Slots: 1, Patience: 6 * time.Second, Reply: func(a dispatch.Answer) { done <- a }})
+		core.Submit(&dispatch.Job{ID: "long", Target: "/payout/x", Body: []byte("done/5s"), Slots: 1, Timeout: 6 * time.Second, Reply: func(a dispatch.Answer) { done <- a }})
 		a := <-done
 		time.Sleep(time.Second)
-		if took := time.Since(began) - time.Second; a.Verdict != dispatch.Failed || took < 300*time.Millisecond || took > 2*time.Second ||
+		if took := time.Since(began) - time.Second; a.Kind != dispatch.Failed || took < 300*time.Millisecond || took > 2*time.Second ||
 			len(yard.Sent("long")) != 1 || !slices.Contains(yard.Halted, "long") {
 			t.Errorf("%+v after %v, sent to %v, halted %v", a, took, yard.Sent("long"), yard.Halted)
 		}
--- a/internal/dispatcher/testenv/redelivery_test.go
+++ b/internal/dispatcher/testenv/redelivery_test.go
@@ -72,12 +72,12 @@
 // copies stands for what keeps promises: it knows the outcome of every job.
 type copies struct{ asked []string }
 
-func (c *copies) Take(j *dispatch.Job) error {
-	c.asked = append(c.asked, j.Key)
-	j.Reply(dispatch.Answer{Verdict: dispatch.Served, Result: []byte("as it stands")})
+func (c *copies) Submit(j *dispatch.Job) error {
+	c.asked = append(c.asked, j.IdempotencyKey)
+	j.Reply(dispatch.Answer{Kind: dispatch.Served, Result: []byte("as it stands")})
 	return nil
 }
-func (c *copies) Leave(*dispatch.Job) {}
+func (c *copies) Abandon(*dispatch.Job) {}
 
 // Where jobs are taken for keeps, the copies know of a redelivered one what this dispatcher's ledger doesn't: they are asked,
 // and the successor's client gets the outcome that stands.
@@ -150,7 +150,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		time.Sleep(r.node.Limits.Remember) // now the key is forgotten, and a new try is a new job
+		time.Sleep(r.node.Limits.OutcomeRetention) // now the key is forgotten, and a new try is a new job
 		q.put(task{"t6", "enrol", "k1", "done", 5 * time.Second})
 		if c := q.answer(); c.body != Result("t6") {
 			t.Errorf("after the window: %+v", c)
--- a/internal/dispatcher/testenv/rig_test.go
+++ b/internal/dispatcher/testenv/rig_test.go
@@ -38,12 +38,12 @@
 	yard   *Yard
 	broker *Broker
 	list   *Roster
-	watch  *discovery.Roster
+	watch  *discovery.Watcher
 	node   *config.Node
 	core   *dispatch.Core
-	floor  *workerhttp.Floor
-	portal *clienthttp.Portal
-	desk   *desk.Desk
+	floor  *workerhttp.Transport
+	portal *clienthttp.Server
+	desk   *desk.Adapter
 	stop   func()
 	client *http.Client
 	ends   []func()
@@ -53,13 +53,13 @@
 
 type options struct {
 	queues, amqp, lostQueue bool
-	taker                   dispatch.Taker // takes keyed jobs for keeps, in the core's place
-	sees                    seen           // what the core does; nil: nobody looks
+	taker                   dispatch.Submitter // takes keyed jobs for keeps, in the core's place
+	sees                    seen               // what the core does; nil: nobody looks
 }
 
-type seen func(*dispatch.Moment)
+type seen func(*dispatch.Event)
 
-func (s seen) See(m *dispatch.Moment) { s(m) }
+func (s seen) Observe(m *dispatch.Event) { s(m) }
 
 // world makes the surroundings: four workers over HTTP, or as many at queues, a roster and a broker.
 func world(t *testing.T) *rig {
@@ -126,21 +126,21 @@
 		}
 	}
 	r.list.mu.Lock()
-	r.list.Whole = config.Roster{Generation: 8, Reset: true, Workers: listed}
+	r.list.Whole = config.WorkerList{Generation: 8, Reset: true, Workers: listed}
 	r.list.mu.Unlock()
 	n := Node(r.t, listed, text)
 	if r.pushed {
 		n.Module.Discovery = decision.DiscoveryPush
 	}
 	if r.spare > 0 {
-		n.Limits.PortalConns, n.Limits.PortalFresh = r.spare, r.spare/3
+		n.Limits.ClientConns, n.Limits.ClientConnsWithoutHead = r.spare, r.spare/3
 	}
 	counters := new(dispatch.Counters)
 	r.node, r.floor = n, workerhttp.New(n, counters)
 	r.floor.Dial = r.net.Dial
 	watch := discovery.New(n)
 	watch.Dial = dialContext(r.net)
-	var queues dispatch.Floor
+	var queues dispatch.Transport
 	var fixed []config.Worker
 	if text != "" {
 		r.desk = desk.New(n, counters)
@@ -154,13 +154,13 @@
 	if o.sees != nil {
 		r.core.Observer = o.sees
 	}
-	watch.Listed, r.watch = r.core.Listed, watch
+	watch.OnList, r.watch = r.core.UpdateWorkers, watch
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.core.Run(ctx)
 	go watch.Run(ctx)
 	if r.desk != nil {
-		if r.desk.Core = r.core; o.taker != nil {
-			r.desk.Core, r.desk.Kept = o.taker, true
+		if r.desk.Jobs = r.core; o.taker != nil {
+			r.desk.Jobs, r.desk.Durable = o.taker, true
 		}
 		go r.desk.Run(ctx)
 	}
@@ -171,7 +171,7 @@
 		cancel()
 		done, over := context.WithCancel(context.Background())
 		over()
-		r.portal.Farewell(done)
+		r.portal.Shutdown(done)
 		l.Close()
 		r.client.CloseIdleConnections()
 		for _, w := range listed {
--- a/internal/dispatcher/testenv/standin.go
+++ b/internal/dispatcher/testenv/standin.go
@@ -278,7 +278,7 @@
 
 // Roster plays discovery: it hands out the whole list, and then what Change puts in.
 type Roster struct {
-	Whole   config.Roster
+	Whole   config.WorkerList
 	Changes chan string // raw lines of the watch; closing it ends the watch, and so does one with \x00 for its line's end
 	mu      sync.Mutex
 	calls   []string
@@ -405,7 +405,7 @@
 // Node is a node that knows some workers, as config reads it from files. more is the text of an operator's AMQP file.
 func Node(t testing.TB, known []config.Worker, more string) *config.Node {
 	t.Helper()
-	list, _ := json.Marshal(config.Roster{Generation: 7, Reset: true, Workers: known})
+	list, _ := json.Marshal(config.WorkerList{Generation: 7, Reset: true, Workers: known})
 	dir := t.TempDir()
 	env := map[string]string{"NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:5000", "NODE_DISCOVERY": "127.0.0.1:8500",
 		"NODE_CONFIG": filepath.Join(dir, "node.json")}
--- a/internal/dispatcher/workerhttp/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -28,9 +28,9 @@
 	rests   time.Duration // how long the connection does not serve
 }
 
-func (f *Floor) read(a *dispatch.Attempt, l *link) said {
+func (f *Transport) read(a *dispatch.Attempt, l *link) said {
 	for {
-		l.left = f.lim.Head + 2*f.lim.Line
+		l.left = f.lim.HeadBytes + 2*f.lim.LineBytes
 		resp, err := http.ReadResponse(l.from, &http.Request{Method: http.MethodPost})
 		if err != nil {
 			return said{outcome: broke(a, err)}
@@ -44,7 +44,7 @@
 		}
 		// It names no job. A second one of it, some milliseconds late, would pass for the next job's: that would count as one
 		// that never ran, or has ended, while it runs.
-		s.rests = f.lim.LateAnswer
+		s.rests = f.lim.LateAnswerWindow
 		switch resp.StatusCode {
 		case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 			if resp.Header.Get("X-Not-Processed") == "1" {
@@ -58,7 +58,7 @@
 // broke names the outcome of an attempt whose request went out whole and whose answer broke off.
 func broke(a *dispatch.Attempt, err error) decision.Outcome {
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) && a.Ctx.Err() != nil:
+	case errors.Is(err, os.ErrDeadlineExceeded) && a.Context.Err() != nil:
 		return decision.Cancelled
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return decision.TimedOut
@@ -67,7 +67,7 @@
 }
 
 // Line is one line of a worker's answer.
-type Line struct {
+type AnswerLine struct {
 	ID     string          `json:"id"`
 	From   string          `json:"from"`
 	State  string          `json:"state"`
@@ -77,20 +77,20 @@
 }
 
 // lines follows a job's answer to its last line. Chunks may cut lines anywhere.
-func (f *Floor) lines(a *dispatch.Attempt, l *link, resp *http.Response, s said) said {
+func (f *Transport) lines(a *dispatch.Attempt, l *link, resp *http.Response, s said) said {
 	body := &ending{Reader: resp.Body}
 	if len(resp.TransferEncoding) == 1 && resp.TransferEncoding[0] == "chunked" {
 		body.Reader = &chunks{from: l.from}
 		s.rest = body
 	}
 	in := bufio.NewScanner(body)
-	in.Buffer(make([]byte, 0, 1<<10), f.lim.Line)
+	in.Buffer(make([]byte, 0, 1<<10), f.lim.LineBytes)
 	for in.Scan() {
 		text := bytes.TrimSpace(in.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		o, load, result := Read(f.node, a, text)
+		o, load, result := ReadLine(f.node, a, text)
 		if o == 0 {
 			continue
 		}
@@ -109,8 +109,8 @@
 }
 
 // Read takes one line of a worker's answer to an attempt, whatever wire brought it. The outcome is 0 until the last.
-func Read(n *config.Node, a *dispatch.Attempt, text []byte) (decision.Outcome, decision.Load, []byte) {
-	var l Line
+func ReadLine(n *config.Node, a *dispatch.Attempt, text []byte) (decision.Outcome, decision.Load, []byte) {
+	var l AnswerLine
 	if err := json.Unmarshal(text, &l); err != nil || l.ID != a.Job.ID {
 		// Cut off, or the answer to something else: nothing is proved, and nothing of it goes to the client.
 		return decision.Reset, decision.Load{}, nil
@@ -118,9 +118,9 @@
 	load := loadObject(n, l.Load)
 	switch l.State {
 	case "started":
-		a.Note(decision.JobStarted, 0)
+		a.ReportProgress(decision.JobStarted, 0)
 	case "running":
-		a.Note(decision.JobAdvanced, l.Share)
+		a.ReportProgress(decision.JobAdvanced, l.Share)
 	case "done":
 		if len(l.Result) == 0 { // done without a result: there is none to give to the client
 			return decision.Error, load, nil
--- a/internal/dispatcher/workerhttp/floor.go
+++ b/internal/dispatcher/workerhttp/floor.go
@@ -19,7 +19,7 @@
 )
 
 // Floor is the workers' side of the program.
-type Floor struct {
+type Transport struct {
 	// Dial opens a connection; tests put their own in its place.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
@@ -32,17 +32,17 @@
 }
 
 // New makes a floor; counters are the core's.
-func New(n *config.Node, counters *dispatch.Counters) *Floor {
+func New(n *config.Node, counters *dispatch.Counters) *Transport {
 	d := net.Dialer{KeepAlive: -1}
-	return &Floor{node: n, lim: n.Limits, counters: counters, idle: map[string][]*link{},
+	return &Transport{node: n, lim: n.Limits, counters: counters, idle: map[string][]*link{},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }}
 }
 
 // Send starts an attempt; its outcome comes through the attempt's End.
-func (f *Floor) Send(a *dispatch.Attempt) { go f.carry(a) }
+func (f *Transport) Send(a *dispatch.Attempt) { go f.carry(a) }
 
 // CloseIdle closes the idle connections to a worker.
-func (f *Floor) CloseIdle(w config.Worker) {
+func (f *Transport) CloseIdle(w config.Worker) {
 	f.mu.Lock()
 	links := f.idle[w.Address]
 	delete(f.idle, w.Address)
@@ -54,7 +54,7 @@
 }
 
 // Idle tells how many connections are idle and how many are open in all.
-func (f *Floor) Idle() (idle, open int) {
+func (f *Transport) ConnectionCounts() (idle, open int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, links := range f.idle {
@@ -64,7 +64,7 @@
 }
 
 // carry takes an attempt from its connection to its outcome.
-func (f *Floor) carry(a *dispatch.Attempt) {
+func (f *Transport) carry(a *dispatch.Attempt) {
 	l, o := f.link(a)
 	if l == nil {
 		a.End(o, decision.Load{}, nil)
@@ -75,9 +75,9 @@
 		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
-	l.SetDeadline(a.Until)
+	l.SetDeadline(a.Deadline)
 	// Given up, the attempt ends at once: a deadline in the past breaks off whatever waits on the connection.
-	stop := context.AfterFunc(a.Ctx, func() { l.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(a.Context, func() { l.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	request := f.request(a)
 	if n, err := l.Write(request); n < len(request) || err != nil {
@@ -85,7 +85,7 @@
 		a.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
-	a.Whole()
+	a.MarkSent()
 	r := f.read(a, l)
 	clean := r.clean && stop()
 	if !clean { // before it is told: another send may follow
@@ -106,22 +106,22 @@
 }
 
 // request words an attempt. What the client sent stands as it came.
-func (f *Floor) request(a *dispatch.Attempt) []byte {
+func (f *Transport) request(a *dispatch.Attempt) []byte {
 	j := a.Job
 	b := make([]byte, 0, 512+len(j.Body))
 	line := func(name, value string) { b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...) }
 	b = append(append(append(b, "POST "...), j.Target...), " HTTP/1.1\r\n"...)
-	if !slices.ContainsFunc(j.Head, func(h dispatch.Field) bool { return h.Name == "Host" }) {
+	if !slices.ContainsFunc(j.Header, func(h dispatch.HeaderField) bool { return h.Name == "Host" }) {
 		line("Host", a.Worker.Address)
 	}
-	for _, h := range j.Head {
+	for _, h := range j.Header {
 		line(h.Name, h.Value)
 	}
 	line("X-Request-ID", j.ID)
-	if j.Key != "" {
-		line("Idempotency-Key", j.Key)
+	if j.IdempotencyKey != "" {
+		line("Idempotency-Key", j.IdempotencyKey)
 	}
-	line("X-Timeout", strconv.FormatFloat(max(time.Until(a.Until), time.Millisecond).Seconds(), 'f', 3, 64))
+	line("X-Timeout", strconv.FormatFloat(max(time.Until(a.Deadline), time.Millisecond).Seconds(), 'f', 3, 64))
 	line("Content-Length", strconv.Itoa(len(j.Body)))
 	return append(append(b, "\r\n"...), j.Body...)
 }
--- a/internal/dispatcher/workerhttp/floor_test.go
+++ b/internal/dispatcher/workerhttp/floor_test.go
@@ -33,7 +33,7 @@
 
 // bench is a floor under a core that has one worker, so that each job is one send to it or none.
 type bench struct {
-	floor    *workerhttp.Floor
+	floor    *workerhttp.Transport
 	core     *dispatch.Core
 	counters *dispatch.Counters
 	stop     func()
@@ -57,7 +57,7 @@
 
 func (b *bench) serve(id, script string) dispatch.Answer {
 	answers := make(chan dispatch.Answer, 1)
-	b.core.Take(&dispatch.Job{ID: id, Target: "/seat-check", Body: []byte(script), Patience: 2 * time.Second, Slots: 1,
+	b.core.Submit(&dispatch.Job{ID: id, Target: "/seat-check", Body: []byte(script), Timeout: 2 * time.Second, Slots: 1,
 		Reply: func(a dispatch.Answer) { answers <- a }})
 	return <-answers
 }
@@ -65,23 +65,23 @@
 func TestConnectionStates(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	type word struct {
-		verdict dispatch.Verdict
+		verdict dispatch.AnswerKind
 		outcome decision.Outcome
 		kept    bool
 	}
 	words := map[string]word{
 		"done":      {dispatch.Served, decision.OK, true},
 		"done-odd":  {dispatch.Served, decision.OK, true},
-		"failed":    {dispatch.Refused, decision.Error, true},
-		"returned":  {dispatch.Refused, decision.Rejected, true},
-		"503":       {dispatch.Refused, decision.Rejected, true},
-		"500":       {dispatch.Refused, decision.Error, true},
-		"503-maybe": {dispatch.Refused, decision.Error, true},
-		"break":     {dispatch.Refused, decision.Reset, false},
-		"truncated": {dispatch.Refused, decision.Reset, false},
-		"foreign":   {dispatch.Refused, decision.Reset, false},
-		"lost":      {dispatch.Refused, decision.Reset, false},
-		"silent":    {dispatch.Refused, decision.TimedOut, false},
+		"failed":    {dispatch.Rejected, decision.Error, true},
+		"returned":  {dispatch.Rejected, decision.Rejected, true},
+		"503":       {dispatch.Rejected, decision.Rejected, true},
+		"500":       {dispatch.Rejected, decision.Error, true},
+		"503-maybe": {dispatch.Rejected, decision.Error, true},
+		"break":     {dispatch.Rejected, decision.Reset, false},
+		"truncated": {dispatch.Rejected, decision.Reset, false},
+		"foreign":   {dispatch.Rejected, decision.Reset, false},
+		"lost":      {dispatch.Rejected, decision.Reset, false},
+		"silent":    {dispatch.Rejected, decision.TimedOut, false},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
@@ -97,7 +97,7 @@
 				case name == "wait":
 					ms := time.Duration(rapid.IntRange(1, 6000).Draw(rt, "ms")) * time.Millisecond
 					time.Sleep(ms)
-					idle = idle && ms < n.Limits.WorkerIdle
+					idle = idle && ms < n.Limits.WorkerIdleTimeout
 				case name == "close":
 					b.floor.CloseIdle(config.Worker{Address: address})
 					idle = false
@@ -114,10 +114,10 @@
 						dials++
 					}
 					idle = w.kept
-					if sent != 1 || a.Verdict != w.verdict || b.counters.Outcomes[w.outcome].Load() != before+1 {
-						rt.Errorf("%s: answer %v after %d sends; %s", name, a, sent, b.core.Line())
+					if sent != 1 || a.Kind != w.verdict || b.counters.Outcomes[w.outcome].Load() != before+1 {
+						rt.Errorf("%s: answer %v after %d sends; %s", name, a, sent, b.core.CountersLine())
 					}
-					if a.Verdict == dispatch.Served && string(a.Result) != testenv.Result(id) {
+					if a.Kind == dispatch.Served && string(a.Result) != testenv.Result(id) {
 						rt.Errorf("%s: the result is %q", name, a.Result)
 					}
 				}
@@ -126,11 +126,11 @@
 				if idle {
 					want = 1
 				}
-				if have, open := b.floor.Idle(); have != want || open != want || world.Dials != dials {
+				if have, open := b.floor.ConnectionCounts(); have != want || open != want || world.Dials != dials {
 					rt.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", name, have, open, world.Dials, want, dials)
 				}
 				time.Sleep(1200 * time.Millisecond) // a trial of a suspect worker may come
-				idle = idle && func() bool { have, _ := b.floor.Idle(); return have == 1 }()
+				idle = idle && func() bool { have, _ := b.floor.ConnectionCounts(); return have == 1 }()
 			}
 			b.floor.CloseIdle(config.Worker{Address: address})
 			b.stop()
@@ -149,13 +149,13 @@
 			b := set(t, n, world.Dial)
 			began := time.Now()
 			a := b.serve("n1", "done")
-			if a.Verdict != dispatch.Refused || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
-				t.Errorf("silent %v: %v; %s", silent, a, b.core.Line())
+			if a.Kind != dispatch.Rejected || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
+				t.Errorf("silent %v: %v; %s", silent, a, b.core.CountersLine())
 			}
-			if took := time.Since(began); silent && took != n.Limits.Connect {
+			if took := time.Since(began); silent && took != n.Limits.ConnectTimeout {
 				t.Errorf("it took %v", took)
 			}
-			if _, open := b.floor.Idle(); open != 0 {
+			if _, open := b.floor.ConnectionCounts(); open != 0 {
 				t.Errorf("%d connections count as open", open)
 			}
 			b.stop()
@@ -172,8 +172,8 @@
 			go func() { io.ReadFull(there, make([]byte, 40)); there.Close() }()
 			return here, nil
 		})
-		if a := b.serve("n1", "done"); a.Verdict != dispatch.Refused || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
-			t.Errorf("%v; %s", a, b.core.Line())
+		if a := b.serve("n1", "done"); a.Kind != dispatch.Rejected || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
+			t.Errorf("%v; %s", a, b.core.CountersLine())
 		}
 		b.stop()
 	})
@@ -220,10 +220,10 @@
 		select {
 		case last = <-conns: // each of them needs a new one
 		case a := <-done:
-			t.Fatalf("job %d: %v without a connection of its own; %s", i, a, b.core.Line())
+			t.Fatalf("job %d: %v without a connection of its own; %s", i, a, b.core.CountersLine())
 		}
 		answer(last, fmt.Sprint("s", i))
-		if a := <-done; a.Verdict != dispatch.Served {
+		if a := <-done; a.Kind != dispatch.Served {
 			t.Errorf("job %d: %v", i, a)
 		}
 		if spoil != nil {
@@ -234,8 +234,8 @@
 	done := make(chan dispatch.Answer, 1)
 	go func() { done <- b.serve("s3", "x") }()
 	answer(last, "s3") // this one stood as it should: it serves again
-	if a := <-done; a.Verdict != dispatch.Served || b.counters.Dialled.Load() != 3 || b.counters.Reused.Load() != 1 {
-		t.Errorf("%v; %s", a, b.core.Line())
+	if a := <-done; a.Kind != dispatch.Served || b.counters.Dialled.Load() != 3 || b.counters.Reused.Load() != 1 {
+		t.Errorf("%v; %s", a, b.core.CountersLine())
 	}
 }
 
@@ -248,7 +248,7 @@
 		var b *bench
 		b = set(t, n, func(context.Context, string) (net.Conn, error) {
 			w.State = "draining"
-			b.core.Listed(decision.ListDelta, []config.Worker{w})
+			b.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
 			time.Sleep(10 * time.Millisecond) // the handshake
 			here, there := net.Pipe()
 			go func() {
@@ -260,8 +260,8 @@
 		a := b.serve("d1", "done")
 		b.floor.CloseIdle(w)
 		synctest.Wait()
-		if a.Verdict != dispatch.Refused || written || b.counters.Outcomes[decision.NeverSent].Load() != 1 {
-			t.Errorf("%v, written %v; %s", a, written, b.core.Line())
+		if a.Kind != dispatch.Rejected || written || b.counters.Outcomes[decision.NeverSent].Load() != 1 {
+			t.Errorf("%v, written %v; %s", a, written, b.core.CountersLine())
 		}
 		b.stop()
 	})
--- a/internal/dispatcher/workerhttp/link.go
+++ b/internal/dispatcher/workerhttp/link.go
@@ -21,7 +21,7 @@
 // link is one connection to a worker. It is either idle, in the pool, or held by one attempt.
 type link struct {
 	net.Conn
-	floor *Floor
+	floor *Transport
 	from  *bufio.Reader
 	left  int       // bytes that the present answer may still take
 	since time.Time // when it came into the pool
@@ -63,7 +63,7 @@
 }
 
 // link gives a connection that is up and quiet, or the outcome that no connection means.
-func (f *Floor) link(a *dispatch.Attempt) (*link, decision.Outcome) {
+func (f *Transport) link(a *dispatch.Attempt) (*link, decision.Outcome) {
 	for {
 		f.mu.Lock()
 		links := f.idle[a.Worker.Address]
@@ -77,14 +77,14 @@
 		l := links[i]
 		f.idle[a.Worker.Address] = slices.Delete(links, i, i+1)
 		f.mu.Unlock()
-		if l.reap.Stop() && time.Since(l.since) < f.lim.WorkerIdle && l.quiet() {
+		if l.reap.Stop() && time.Since(l.since) < f.lim.WorkerIdleTimeout && l.quiet() {
 			f.counters.Reused.Add(1)
 			return l, 0
 		}
 		l.Close()
 	}
 	var spare *link
-	if f.open >= f.lim.FloorConns {
+	if f.open >= f.lim.WorkerConns {
 		if spare = f.oldest(); spare == nil {
 			f.mu.Unlock()
 			return nil, decision.NeverSent
@@ -95,9 +95,9 @@
 	if spare != nil {
 		spare.Close()
 	}
-	ctx, cancel := context.WithDeadline(a.Ctx, a.Until)
+	ctx, cancel := context.WithDeadline(a.Context, a.Deadline)
 	defer cancel()
-	ctx, cancel = context.WithTimeout(ctx, f.lim.Connect)
+	ctx, cancel = context.WithTimeout(ctx, f.lim.ConnectTimeout)
 	defer cancel()
 	conn, err := f.Dial(ctx, a.Worker.Address)
 	if err != nil {
@@ -113,7 +113,7 @@
 }
 
 // oldest takes the connection that has been idle longest out of the pool. The lock is held.
-func (f *Floor) oldest() (found *link) {
+func (f *Transport) oldest() (found *link) {
 	at := ""
 	for address, links := range f.idle {
 		if len(links) > 0 && (found == nil || links[0].since.Before(found.since)) {
@@ -129,7 +129,7 @@
 
 // keep puts a clean connection into the pool, from which it is closed before the machine at the other end does. It rests
 // there for a while first, where its answer named no job.
-func (f *Floor) keep(address string, l *link, rests time.Duration) {
+func (f *Transport) keep(address string, l *link, rests time.Duration) {
 	if l.from.Buffered() > 0 { // it said more than its answer: whatever that is, it answers nothing of ours
 		l.Close()
 		return
@@ -139,7 +139,7 @@
 	l.rests = l.since.Add(rests)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l.reap = time.AfterFunc(f.lim.WorkerIdle, func() {
+	l.reap = time.AfterFunc(f.lim.WorkerIdleTimeout, func() {
 		f.mu.Lock()
 		if i := slices.Index(f.idle[address], l); i >= 0 {
 			f.idle[address] = slices.Delete(f.idle[address], i, i+1)
@@ -178,8 +178,8 @@
 }
 
 // finish reads what follows the last line, so that the connection can serve again.
-func (f *Floor) finish(l *link, rest io.Reader) bool {
-	l.SetDeadline(time.Now().Add(f.lim.TailWait))
-	n, err := io.Copy(io.Discard, io.LimitReader(rest, int64(f.lim.LateReads)+1))
-	return err == nil && n <= int64(f.lim.LateReads)
+func (f *Transport) finish(l *link, rest io.Reader) bool {
+	l.SetDeadline(time.Now().Add(f.lim.TrailingTimeout))
+	n, err := io.Copy(io.Discard, io.LimitReader(rest, int64(f.lim.TrailingBytes)+1))
+	return err == nil && n <= int64(f.lim.TrailingBytes)
 }
--- a/internal/dispatcher/workerhttp/load.go
+++ b/internal/dispatcher/workerhttp/load.go
@@ -15,7 +15,7 @@
 func figures(n *config.Node, each func(put func(word string, v float64))) (l decision.Load) {
 	found := 0
 	each(func(word string, v float64) {
-		if i := n.Figure(word); i >= 0 && i < len(l.Values) {
+		if i := n.LoadFieldIndex(word); i >= 0 && i < len(l.Values) {
 			l.Values[i] = v
 			found |= 1 << i
 		}
@@ -27,7 +27,7 @@
 }
 
 // loadLine reads a report as a header has it: TEXT name=value, name=value.
-func (f *Floor) loadLine(text string) decision.Load {
+func (f *Transport) loadLine(text string) decision.Load {
 	return figures(f.node, func(put func(string, float64)) {
 		for part := range strings.FieldsFuncSeq(text, func(r rune) bool { return r == ' ' || r == ',' }) {
 			if name, value, ok := strings.Cut(part, "="); ok {
--- a/internal/dispatcher/workerhttp/request_test.go
+++ b/internal/dispatcher/workerhttp/request_test.go
@@ -44,16 +44,16 @@
 		})
 		for _, j := range []*dispatch.Job{
 			{ID: "plain", Target: "/seat-check", Body: []byte("done")},
-			{ID: "full", Key: "k", Class: 1, Target: "/enrol/x?y=%20z", Body: []byte("done"), Head: []dispatch.Field{{Name: "Host", Value: "b"},
+			{ID: "full", IdempotencyKey: "k", Class: 1, Target: "/enrol/x?y=%20z", Body: []byte("done"), Header: []dispatch.HeaderField{{Name: "Host", Value: "b"},
 				{Name: "X-Priority-Class", Value: "enrol"}, {Name: "X-More", Value: "one"}, {Name: "X-More", Value: "two"}}},
 		} {
-			j.Patience, j.Slots = 2*time.Second, 1
+			j.Timeout, j.Slots = 2*time.Second, 1
 			answers := make(chan dispatch.Answer, 1)
 			j.Reply = func(a dispatch.Answer) { answers <- a }
-			if err := b.core.Take(j); err != nil {
+			if err := b.core.Submit(j); err != nil {
 				t.Fatal(err)
 			}
-			if a := <-answers; a.Verdict != dispatch.Served {
+			if a := <-answers; a.Kind != dispatch.Served {
 				t.Errorf("%s: %v", j.ID, a)
 			}
 			synctest.Wait()
@@ -84,14 +84,14 @@
 		`{"id":"j","sta`,
 	} {
 		a := &dispatch.Attempt{Job: &dispatch.Job{ID: "j"}}
-		outcome, load, result := workerhttp.Read(n, a, []byte(line))
+		outcome, load, result := workerhttp.ReadLine(n, a, []byte(line))
 		name := "none yet"
 		if outcome >= decision.OK && outcome <= decision.NeverSent {
 			name = dispatch.OutcomeName(outcome)
 		}
 		fmt.Fprintf(&text, "%s\n  %s, load %v, result %q\n", line, name, load.Values[:load.Count], result)
 	}
-	var l workerhttp.Line
+	var l workerhttp.AnswerLine
 	if err := json.Unmarshal([]byte(`{"id":"a","from":"b","state":"c","share":0.5,"result":1,"load":{}}`), &l); err != nil {
 		t.Fatal(err)
 	}
