--- /dev/null
+++ b/cmd/gladepick-benchreport/golden_test.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"bytes"
+	"path/filepath"
+	"testing"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// TestGoldenOutput compares what the program prints, byte for byte, with files under testdata. Others read that output: the
+// files were written once by the flag -update, and do not change.
+func TestGoldenOutput(t *testing.T) {
+	calm, rough := filepath.Join("testdata", "calm.json"), filepath.Join("testdata", "rough.json")
+	for _, each := range []struct {
+		file string
+		args []string
+	}{
+		{"one-day.txt", []string{calm}},
+		{"one-day-json.txt", []string{"--json", calm}},
+		{"several-days.txt", []string{"--spans", "2", calm, rough}},
+		{"several-days-json.txt", []string{"--json", "--spans=1", rough, calm}},
+		{"no-spans.txt", []string{"--spans", "0", rough}},
+	} {
+		t.Run(each.file, func(t *testing.T) {
+			parsed, err := parse(each.args)
+			assert.NilError(t, err)
+			var out bytes.Buffer
+			assert.NilError(t, run(parsed, &out))
+			golden.AssertBytes(t, out.Bytes(), each.file)
+		})
+	}
+}
--- a/internal/delivery/world_test.go
+++ b/internal/delivery/world_test.go
@@ -193,6 +193,14 @@
 	blocked  map[int]bool
 	order    []string // of ends
 	asked    int      // how often MayDeliver was called
+	observer observer // nil for none
+}
+
+// observer is told of what the engine says. It is called without the owner's mutex.
+type observer interface {
+	bodyRead(m *message.Message)
+	failed(m *message.Message, failures int)
+	ended(m *message.Message, outcome message.Outcome)
 }
 
 func (o *owner) setBody(id, body string) {
@@ -208,6 +216,9 @@
 }
 
 func (o *owner) Body(m *message.Message) ([]byte, error) {
+	if o.observer != nil {
+		o.observer.bodyRead(m)
+	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	body, found := o.bodies[m.ID]
@@ -231,12 +242,18 @@
 }
 
 func (o *owner) Failed(m *message.Message, failures int) {
+	if o.observer != nil {
+		o.observer.failed(m, failures)
+	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.failures[m.ID] = append(o.failures[m.ID], failures)
 }
 
 func (o *owner) Ended(m *message.Message, outcome message.Outcome) {
+	if o.observer != nil {
+		o.observer.ended(m, outcome)
+	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if _, twice := o.outcomes[m.ID]; twice {
