--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -20,11 +20,11 @@
 	headerBaseVersion = "X-If-Base-Version"
 	contentTypeJSON   = "application/json"
 
-	firstPause     = 200 * time.Millisecond // after all addresses have failed; it doubles
-	longestPause   = 2 * time.Second
-	tryTimeout     = 10 * time.Second // for one call at one address
-	maxAnswerBytes = 64 << 20
-	maxRedirects   = 2
+	initialBackoff   = 200 * time.Millisecond // after all addresses have failed; it doubles
+	maxBackoff       = 2 * time.Second
+	attemptTimeout   = 10 * time.Second // for one call at one address
+	maxResponseBytes = 64 << 20
+	maxRedirects     = 2
 )
 
 // Client calls fronts. It goes on to the next address after a failure, until one gives a clear answer or the context
@@ -32,7 +32,7 @@
 type Client struct {
 	addresses []string
 	http      *http.Client
-	pause     func(ctx context.Context, duration time.Duration)
+	sleep     func(ctx context.Context, duration time.Duration)
 }
 
 // Request is a call to make.
@@ -48,8 +48,8 @@
 func NewClient(addresses []string, transport http.RoundTripper) *Client {
 	return &Client{
 		addresses: addresses,
-		http:      &http.Client{Transport: transport, Timeout: tryTimeout, CheckRedirect: limitRedirects},
-		pause:     func(ctx context.Context, duration time.Duration) { ctxtime.Sleep(ctx, duration) },
+		http:      &http.Client{Transport: transport, Timeout: attemptTimeout, CheckRedirect: limitRedirects},
+		sleep:     func(ctx context.Context, duration time.Duration) { ctxtime.Sleep(ctx, duration) },
 	}
 }
 
@@ -62,25 +62,25 @@
 
 // Do makes a call and returns the body of its answer. An answer that refuses the call is a *RefusedError.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
-	wait := firstPause
+	wait := initialBackoff
 	for {
-		body, err := c.round(ctx, request)
+		body, err := c.attemptAll(ctx, request)
 		if err == nil || isRefusal(err) {
 			return body, err
 		}
-		c.pause(ctx, wait)
+		c.sleep(ctx, wait)
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		wait = min(2*wait, longestPause)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
 // round tries each address once.
-func (c *Client) round(ctx context.Context, request Request) ([]byte, error) {
+func (c *Client) attemptAll(ctx context.Context, request Request) ([]byte, error) {
 	var failures []error
 	for _, address := range c.addresses {
-		body, err := c.try(ctx, address, request)
+		body, err := c.attempt(ctx, address, request)
 		if err == nil || isRefusal(err) {
 			return body, err
 		}
@@ -89,7 +89,7 @@
 	return nil, trace.NewAggregate(failures...)
 }
 
-func (c *Client) try(ctx context.Context, address string, request Request) ([]byte, error) {
+func (c *Client) attempt(ctx context.Context, address string, request Request) ([]byte, error) {
 	call, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Path,
 		bytes.NewReader(request.Body))
 	if err != nil {
@@ -107,26 +107,26 @@
 		return nil, trace.Wrap(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, trace.Wrap(err, "reading the answer of %s", address)
 	}
-	return body, answerError(address, response.StatusCode, body)
+	return body, responseError(address, response.StatusCode, body)
 }
 
 // answerError returns nil for an answer that carried the call out.
-func answerError(address string, status int, body []byte) error {
+func responseError(address string, status int, body []byte) error {
 	switch {
 	case status == http.StatusOK:
 		return nil
-	case isFinal(status):
+	case isConclusive(status):
 		return newRefusedError(status, body)
 	}
 	return trace.ConnectionProblem(nil, "%s answered %d: %s", address, status, strings.TrimSpace(string(body)))
 }
 
 // isFinal tells whether trying elsewhere can't help.
-func isFinal(status int) bool {
+func isConclusive(status int) bool {
 	isClientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return isClientError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -18,7 +18,7 @@
 	t.Cleanup(cancel)
 	var pauses []time.Duration
 	client := NewClient(addresses, nil)
-	client.pause = func(_ context.Context, duration time.Duration) {
+	client.sleep = func(_ context.Context, duration time.Duration) {
 		pauses = append(pauses, duration)
 		if len(pauses) == 3 {
 			cancel()
--- a/internal/operatorcli/command_test.go
+++ b/internal/operatorcli/command_test.go
@@ -93,7 +93,7 @@
 	status := inspection.Status{
 		Process: "front-1", Zone: "a", LeaseValid: true, Primary: "front-2", ConfigVersion: 3, TableRevision: 8, Copies: 2,
 		Control: 3, Stores: map[string]int{"down": 1, "active": 4}, Workers: 12, WorkersAgeMS: 1250,
-		Partitions: inspection.Coverage{Total: 64, Whole: 60, Degraded: 3, Leaderless: 1},
+		Partitions: inspection.Coverage{Total: 64, Complete: 60, Degraded: 3, Leaderless: 1},
 	}
 	front := newFakeFront(t, map[string]answer{"GET /api/status": {http.StatusOK, encode(t, status)}})
 	out, err := runCommand(t, "status", "--address", front.address)
@@ -124,7 +124,7 @@
 		})},
 		"GET /api/partitions": {http.StatusOK, encode(t, []inspection.Partition{
 			{ID: 0, Epoch: 4, Primary: "store-1", Synced: []string{"store-2", "store-3"}, Copying: []string{"store-4"}},
-			{ID: 1, Epoch: 1, Wanted: "store-2"},
+			{ID: 1, Epoch: 1, PreferredPrimary: "store-2"},
 		})},
 	})
 	out, err := runCommand(t, "members", "-a", front.address)
--- a/internal/operatorcli/golden_test.go
+++ b/internal/operatorcli/golden_test.go
@@ -166,7 +166,7 @@
 	}
 	var transcript bytes.Buffer
 	for _, body := range bodies {
-		err := answerError("10.0.0.1:7000", body.status, []byte(body.body))
+		err := responseError("10.0.0.1:7000", body.status, []byte(body.body))
 		var refused *RefusedError
 		fmt.Fprintf(&transcript, "%d %q\n%s\n(refused %v, exit code %d)\n\n",
 			body.status, body.body, err, errors.As(err, &refused), ExitCode(err))
--- a/internal/operatorcli/inspection.go
+++ b/internal/operatorcli/inspection.go
@@ -72,7 +72,7 @@
 	t.row("copies", strconv.Itoa(status.Copies))
 	t.row("stores", countsText(status.Stores))
 	t.row("partitions", fmt.Sprintf("%d: %d whole, %d degraded, %d without a primary",
-		partitions.Total, partitions.Whole, partitions.Degraded, partitions.Leaderless))
+		partitions.Total, partitions.Complete, partitions.Degraded, partitions.Leaderless))
 	t.row("workers", workersText(status))
 	return t.end()
 }
@@ -115,7 +115,7 @@
 			orDash(partition.Primary),
 			orDash(strings.Join(partition.Synced, ",")),
 			orDash(strings.Join(partition.Copying, ",")),
-			orDash(partition.Wanted),
+			orDash(partition.PreferredPrimary),
 		)
 	}
 	return t.end()
--- a/internal/operatorcli/retire.go
+++ b/internal/operatorcli/retire.go
@@ -21,7 +21,7 @@
 )
 
 // retireOrder is the body of an order to empty a store.
-type retireOrder struct {
+type retireRequest struct {
 	DurationS float64 `json:"duration-s"`
 }
 
@@ -45,7 +45,7 @@
 	commands.add(start, func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
 		defer cancel()
-		body, err := json.Marshal(retireOrder{DurationS: duration.Seconds()})
+		body, err := json.Marshal(retireRequest{DurationS: duration.Seconds()})
 		if err != nil {
 			return trace.Wrap(err)
 		}
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -23,13 +23,13 @@
 // control group.
 type Front struct {
 	*node
-	plane   *controlplane.Plane
-	stores  *messagestore.Client
-	ingress *ingress.Front
-	table   atomic.Pointer[configuration.Table]
-	kept    atomic.Int64 // when a message was last kept, in nanoseconds since the process's start
-	started time.Time
-	metrics *inspection.Registry
+	plane      *controlplane.Plane
+	stores     *messagestore.Client
+	ingress    *ingress.Front
+	table      atomic.Pointer[configuration.Table]
+	lastStored atomic.Int64 // when a message was last kept, in nanoseconds since the process's start
+	started    time.Time
+	metrics    *inspection.Registry
 }
 
 // NewFront makes a front. Run starts it.
@@ -71,7 +71,7 @@
 
 func (f *Front) announce() cluster.NodeInfo {
 	info := f.info
-	info.Draining = f.leaving.Load()
+	info.Draining = f.draining.Load()
 	return info
 }
 
@@ -83,7 +83,7 @@
 	f.stores = messagestore.NewClient(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.FailureReport) {
 		f.report(alive, report)
 	})
-	f.agent.Subscribe(f.changed)
+	f.agent.Subscribe(f.applySnapshots)
 	f.ingress = ingress.NewFront(f.ingressOptions())
 	f.metrics.Add(func(samples *inspection.Samples) { collectIngress(samples, f.ingress.Counters(), f.ready()) })
 	if err := f.serveInternal(alive); err != nil {
@@ -100,7 +100,7 @@
 }
 
 // changed takes new snapshots of the agent in.
-func (f *Front) changed() {
+func (f *Front) applySnapshots() {
 	document := f.agent.Config()
 	if document == nil {
 		return
@@ -112,25 +112,25 @@
 
 func (f *Front) ingressOptions() ingress.Options {
 	return ingress.Options{
-		Messages:         keepingTime{MessageStore: f.stores, kept: f.noteKept},
+		Messages:         storedTimeRecorder{MessageStore: f.stores, stored: f.noteStored},
 		Control:          f.agent,
 		Configuration:    f.table.Load,
 		Ready:            f.ready,
 		Logger:           f.logger,
-		MaxBufferedBytes: int64(f.settings.Limits.MemoryMB) * bytesPerMegabyte / ingressPart,
+		MaxBufferedBytes: int64(f.settings.Limits.MemoryMB) * bytesPerMegabyte / ingressDivisor,
 	}
 }
 
-func (f *Front) noteKept() { f.kept.Store(int64(time.Since(f.started))) }
+func (f *Front) noteStored() { f.lastStored.Store(int64(time.Since(f.started))) }
 
 // ready tells whether a message could be kept now: there is a configuration and a group of stores, and the control
 // plane or the stores have lately answered.
 func (f *Front) ready() bool {
-	if f.leaving.Load() || f.table.Load() == nil || !f.stores.Ready() {
+	if f.draining.Load() || f.table.Load() == nil || !f.stores.Ready() {
 		return false
 	}
-	kept := time.Duration(f.kept.Load())
-	return f.agent.Fresh() || kept > 0 && time.Since(f.started)-kept < readyMemory
+	kept := time.Duration(f.lastStored.Load())
+	return f.agent.Fresh() || kept > 0 && time.Since(f.started)-kept < readyAfterStored
 }
 
 // listen opens the listeners for clients, the platform's probe and the operator.
@@ -179,7 +179,7 @@
 
 // drain answers what was read and leaves.
 func (f *Front) drain(ctx context.Context) {
-	f.leaving.Store(true)
+	f.draining.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, f.settings.Bounds.Grace-exitReserve)
 	defer cancel()
 	if err := f.ingress.Drain(ctx); err != nil {
@@ -188,18 +188,18 @@
 }
 
 // keepingTime notes when messages are kept.
-type keepingTime struct {
+type storedTimeRecorder struct {
 	ingress.MessageStore
-	kept func()
+	stored func()
 }
 
 // Put implements ingress.MessageStore.
-func (k keepingTime) Put(
+func (k storedTimeRecorder) Put(
 	ctx context.Context, submission message.Submission, ordered bool, body []byte,
 ) (string, error) {
 	id, err := k.MessageStore.Put(ctx, submission, ordered, body)
 	if err == nil {
-		k.kept()
+		k.stored()
 	}
 	return id, err
 }
--- a/internal/systemnode/inspection/types.go
+++ b/internal/systemnode/inspection/types.go
@@ -22,7 +22,7 @@
 // Coverage counts partitions by how well they are kept.
 type Coverage struct {
 	Total      int `json:"total"`
-	Whole      int `json:"whole"`      // as many synced copies as wanted, at stores that are not down
+	Complete   int `json:"whole"`      // as many synced copies as wanted, at stores that are not down
 	Degraded   int `json:"degraded"`   // led, but with fewer such copies
 	Leaderless int `json:"leaderless"` // without a primary, or its store is down
 }
@@ -53,10 +53,10 @@
 
 // Partition is a partition's view.
 type Partition struct {
-	ID      int      `json:"id"`
-	Epoch   uint64   `json:"epoch"`
-	Primary string   `json:"primary"` // empty where there is none
-	Synced  []string `json:"synced"`  // backups that hold all that was committed
-	Copying []string `json:"copying"` // backups that still copy
-	Wanted  string   `json:"wanted,omitempty"`
+	ID               int      `json:"id"`
+	Epoch            uint64   `json:"epoch"`
+	Primary          string   `json:"primary"` // empty where there is none
+	Synced           []string `json:"synced"`  // backups that hold all that was committed
+	Copying          []string `json:"copying"` // backups that still copy
+	PreferredPrimary string   `json:"wanted,omitempty"`
 }
--- a/internal/systemnode/inspection/view.go
+++ b/internal/systemnode/inspection/view.go
@@ -78,7 +78,7 @@
 	case synced < copies:
 		c.Degraded++
 	default:
-		c.Whole++
+		c.Complete++
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func newPartition(view cluster.Partition) Partition {
-	partition := Partition{ID: view.ID, Epoch: view.Epoch, Synced: []string{}, Copying: []string{}, Wanted: view.PreferredPrimary}
+	partition := Partition{ID: view.ID, Epoch: view.Epoch, Synced: []string{}, Copying: []string{}, PreferredPrimary: view.PreferredPrimary}
 	primary, found := view.Primary()
 	if !found {
 		return partition
--- a/internal/systemnode/inspection/view_test.go
+++ b/internal/systemnode/inspection/view_test.go
@@ -82,7 +82,7 @@
 			Copies:        2,
 			Control:       2,
 			Stores:        map[string]int{"active": 2, "down": 1},
-			Partitions:    Coverage{Total: 5, Whole: 1, Degraded: 2, Leaderless: 2},
+			Partitions:    Coverage{Total: 5, Complete: 1, Degraded: 2, Leaderless: 2},
 			Workers:       3,
 			WorkersAgeMS:  250,
 		})
@@ -109,7 +109,7 @@
 func TestPartitions(t *testing.T) {
 	assert.DeepEqual(t, NewPartitions(sampleTable()), []Partition{
 		{ID: 0, Epoch: 1, Primary: "store-1", Synced: []string{"store-2"}, Copying: []string{}},
-		{ID: 1, Epoch: 2, Primary: "store-2", Synced: []string{}, Copying: []string{"store-1"}, Wanted: "store-1"},
+		{ID: 1, Epoch: 2, Primary: "store-2", Synced: []string{}, Copying: []string{"store-1"}, PreferredPrimary: "store-1"},
 		{ID: 2, Epoch: 3, Synced: []string{}, Copying: []string{}},
 		{ID: 3, Epoch: 4, Primary: "store-1", Synced: []string{"store-3"}, Copying: []string{}},
 		{ID: 4, Epoch: 5, Primary: "store-3", Synced: []string{"store-1"}, Copying: []string{}},
--- a/internal/systemnode/limits.go
+++ b/internal/systemnode/limits.go
@@ -12,11 +12,11 @@
 	workersStaleAfter    = 2200 * time.Millisecond
 	workersReadInterval  = time.Second
 	workersReadTimeout   = 2 * time.Second
-	readyMemory          = 4 * time.Second
+	readyAfterStored     = 4 * time.Second
 	statisticsInterval   = 10 * time.Second
 	settingsPollInterval = 2 * time.Second
 
 	bytesPerMegabyte = 1 << 20
-	cachePart        = 8 // of the memory, one part in so many holds bodies
-	ingressPart      = 8 // of the memory, one part in so many holds bodies on their way in
+	cacheDivisor     = 8 // of the memory, one part in so many holds bodies
+	ingressDivisor   = 8 // of the memory, one part in so many holds bodies on their way in
 )
--- a/internal/systemnode/metrics.go
+++ b/internal/systemnode/metrics.go
@@ -14,11 +14,11 @@
 var (
 	metricUptime = inspection.Metric{
 		Name: "gladepick_uptime_seconds", Kind: inspection.Gauge, Help: "Time since the start of the process."}
-	metricLease = inspection.Metric{
+	metricLeaseValid = inspection.Metric{
 		Name: "gladepick_lease_valid", Kind: inspection.Gauge, Help: "Whether the lease of the process runs."}
-	metricConfiguration = inspection.Metric{
+	metricConfigurationVersion = inspection.Metric{
 		Name: "gladepick_configuration_version", Kind: inspection.Gauge, Help: "Version of the configuration."}
-	metricTable = inspection.Metric{
+	metricTableRevision = inspection.Metric{
 		Name: "gladepick_table_revision", Kind: inspection.Gauge, Help: "Revision of the cluster table."}
 	metricWorkers = inspection.Metric{
 		Name: "gladepick_workers", Kind: inspection.Gauge, Help: "Workers on the platform's list."}
@@ -36,23 +36,23 @@
 
 // Metrics of a store.
 var (
-	metricHeld = inspection.Metric{
+	metricMessages = inspection.Metric{
 		Name: "gladepick_store_messages", Kind: inspection.Gauge, Help: "Messages held that have not ended."}
-	metricLed = inspection.Metric{
+	metricMessagesLed = inspection.Metric{
 		Name: "gladepick_store_messages_led", Kind: inspection.Gauge, Help: "Those of them in partitions led here."}
-	metricDisk = inspection.Metric{
+	metricDiskFailing = inspection.Metric{
 		Name: "gladepick_store_disk_failing", Kind: inspection.Gauge, Help: "Whether the disk takes no writes."}
 	metricQueued = inspection.Metric{
 		Name: "gladepick_delivery_queued", Kind: inspection.Gauge, Help: "Messages that the delivery has to end."}
 	metricInFlight = inspection.Metric{
 		Name: "gladepick_delivery_in_flight", Kind: inspection.Gauge, Help: "Attempts that are out."}
-	metricDue = inspection.Metric{
+	metricServiceDue = inspection.Metric{
 		Name: "gladepick_delivery_service_due", Kind: inspection.Gauge, Help: "Messages that could run now."}
-	metricOpen = inspection.Metric{
+	metricServiceOpen = inspection.Metric{
 		Name: "gladepick_delivery_service_open", Kind: inspection.Gauge, Help: "Messages being decided on or out."}
-	metricWindow = inspection.Metric{
+	metricServiceWindow = inspection.Metric{
 		Name: "gladepick_delivery_service_window", Kind: inspection.Gauge, Help: "How many attempts may be out."}
-	metricReadyWorkers = inspection.Metric{
+	metricServiceWorkers = inspection.Metric{
 		Name: "gladepick_delivery_service_workers", Kind: inspection.Gauge, Help: "Workers that take messages."}
 	metricServiceDown = inspection.Metric{
 		Name: "gladepick_delivery_service_down", Kind: inspection.Gauge, Help: "Whether no worker answers."}
@@ -71,10 +71,10 @@
 }
 
 func (n *node) collect(samples *inspection.Samples) {
-	samples.AddBool(metricLease, n.agent.LeaseValid())
-	samples.Add(metricConfiguration, float64(n.agent.Config().Version()))
+	samples.AddBool(metricLeaseValid, n.agent.LeaseValid())
+	samples.Add(metricConfigurationVersion, float64(n.agent.Config().Version()))
 	if table := n.agent.Table(); table != nil {
-		samples.Add(metricTable, float64(table.Revision))
+		samples.Add(metricTableRevision, float64(table.Revision))
 	}
 	samples.Add(metricWorkers, float64(n.agent.WorkerCount()))
 }
@@ -111,9 +111,9 @@
 // collectStore writes the metrics of a store.
 func (s *Store) collectStore(samples *inspection.Samples) {
 	held, led := s.messages.Holdings()
-	samples.Add(metricHeld, float64(held))
-	samples.Add(metricLed, float64(led))
-	samples.AddBool(metricDisk, s.messages.DiskFailing())
+	samples.Add(metricMessages, float64(held))
+	samples.Add(metricMessagesLed, float64(led))
+	samples.AddBool(metricDiskFailing, s.messages.DiskFailing())
 	stats := s.engine.Stats()
 	samples.Add(metricQueued, float64(stats.Queued))
 	samples.Add(metricInFlight, float64(stats.InFlight))
@@ -123,10 +123,10 @@
 			samples.Add(metric, float64(figure(name)), inspection.Label{Name: "service", Value: name})
 		}
 	}
-	each(metricDue, func(name string) int { return stats.Services[name].Due })
-	each(metricOpen, func(name string) int { return stats.Services[name].Open })
-	each(metricWindow, func(name string) int { return stats.Services[name].Window })
-	each(metricReadyWorkers, func(name string) int { return stats.Services[name].Ready })
+	each(metricServiceDue, func(name string) int { return stats.Services[name].Due })
+	each(metricServiceOpen, func(name string) int { return stats.Services[name].Open })
+	each(metricServiceWindow, func(name string) int { return stats.Services[name].Window })
+	each(metricServiceWorkers, func(name string) int { return stats.Services[name].Ready })
 	for _, name := range names {
 		samples.AddBool(metricServiceDown, stats.Services[name].Down, inspection.Label{Name: "service", Value: name})
 	}
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -45,7 +45,7 @@
 	pool     *rpc.Pool
 	agent    *cluster.Agent
 	info     cluster.NodeInfo // without what changes
-	leaving  atomic.Bool
+	draining atomic.Bool
 
 	running sync.WaitGroup
 }
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -20,12 +20,12 @@
 
 // settingsWatch reads the settings file again when it has changed or the process is told so.
 type settingsWatch struct {
-	started *settings.Settings // those of the process's start, by which it goes on to run
-	current *SettingsFile      // the newest file that was sound
-	seen    os.FileInfo        // of the file that was read last; nil where it could not be looked at
-	missing bool               // the file could not be looked at, and this was logged
-	target  settingsTarget
-	logger  *zap.Logger
+	started  *settings.Settings // those of the process's start, by which it goes on to run
+	current  *SettingsFile      // the newest file that was sound
+	lastInfo os.FileInfo        // of the file that was read last; nil where it could not be looked at
+	missing  bool               // the file could not be looked at, and this was logged
+	target   settingsTarget
+	logger   *zap.Logger
 }
 
 func newSettingsWatch(file *SettingsFile, target settingsTarget, logger *zap.Logger) *settingsWatch {
@@ -41,26 +41,26 @@
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			w.look(true)
+			w.check(true)
 		case <-ticker.C:
-			w.look(false)
+			w.check(false)
 		}
 	}
 }
 
 // look reads the file if it has changed, or in any case.
-func (w *settingsWatch) look(always bool) {
+func (w *settingsWatch) check(always bool) {
 	info, err := os.Stat(w.current.Path)
 	if err != nil {
 		w.noteMissing(err)
 		return
 	}
 	w.missing = false
-	if !always && w.seen != nil && unchanged(w.seen, info) {
+	if !always && w.lastInfo != nil && unchanged(w.lastInfo, info) {
 		return
 	}
-	w.seen = info
-	w.read()
+	w.lastInfo = info
+	w.reload()
 }
 
 func unchanged(before, after os.FileInfo) bool {
@@ -69,7 +69,7 @@
 }
 
 func (w *settingsWatch) noteMissing(err error) {
-	w.seen = nil
+	w.lastInfo = nil
 	if w.missing {
 		return
 	}
@@ -78,13 +78,13 @@
 }
 
 // read takes the file over, unless something is wrong in it.
-func (w *settingsWatch) read() {
+func (w *settingsWatch) reload() {
 	next, err := ReadSettings(w.current.Path)
 	if err == nil {
 		err = checkSameMachine(w.started, next)
 	}
 	if err != nil {
-		w.logFaults(err)
+		w.logRejected(err)
 		return
 	}
 	differing := differingKeys(w.current, next)
@@ -92,7 +92,7 @@
 		return
 	}
 	if err := w.apply(differing, next); err != nil {
-		w.logFaults(err)
+		w.logRejected(err)
 		return
 	}
 	w.current = next
@@ -125,7 +125,7 @@
 }
 
 // logFaults logs everything that is wrong. The settings that hold stay as they are.
-func (w *settingsWatch) logFaults(err error) {
+func (w *settingsWatch) logRejected(err error) {
 	var found settings.Findings
 	if !errors.As(err, &found) {
 		w.logger.Error("settings refused", zap.Error(err))
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -18,12 +18,12 @@
 // Store is a store process: it keeps messages and delivers those of the partitions that it leads.
 type Store struct {
 	*node
-	messages *messagestore.Store
-	engine   *delivery.Engine
-	platform *http.Client
-	cloud    atomic.Pointer[string] // address of the platform's list of workers
-	version  uint64                 // of the configuration that the engine has
-	leaders  atomic.Int64           // how many stores lead partitions
+	messages        *messagestore.Store
+	engine          *delivery.Engine
+	platformClient  *http.Client
+	platformAddress atomic.Pointer[string] // address of the platform's list of workers
+	engineVersion   uint64                 // of the configuration that the engine has
+	leadingStores   atomic.Int64           // how many stores lead partitions
 }
 
 // NewStore makes a store. Run starts it.
@@ -35,7 +35,7 @@
 	if options.FS == nil {
 		return nil, trace.BadParameter("settings: data-dir: a store needs one")
 	}
-	s := &Store{node: base, platform: controlplane.NewPlatformClient(options.Network)}
+	s := &Store{node: base, platformClient: controlplane.NewPlatformClient(options.Network)}
 	if err := base.newAgent(s.announce); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -52,7 +52,7 @@
 		Copies:     base.settings.FaultTolerance.Machines + 1,
 		StatusFor:  base.settings.Bounds.Status + statusReserve,
 		DiskBytes:  int64(limits.DiskMB) * bytesPerMegabyte,
-		CacheBytes: int64(limits.MemoryMB) * bytesPerMegabyte / cachePart,
+		CacheBytes: int64(limits.MemoryMB) * bytesPerMegabyte / cacheDivisor,
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -65,24 +65,24 @@
 		Logger:          base.logger,
 		Seed:            options.Seed,
 		Drain:           base.settings.Bounds.Drain,
-		ConnectionShare: s.callers,
+		ConnectionShare: s.connectionShare,
 	})
 	base.newMetrics().Add(s.collectStore)
 	return s, nil
 }
 
 // SetCloudAddress changes where the platform's list of workers is read from while the control plane does not bring it.
-func (s *Store) SetCloudAddress(address string) { s.cloud.Store(&address) }
+func (s *Store) SetCloudAddress(address string) { s.platformAddress.Store(&address) }
 
 func (s *Store) announce() cluster.NodeInfo {
 	info := s.info
-	info.Draining = s.leaving.Load()
+	info.Draining = s.draining.Load()
 	info.DiskFailing = s.messages.DiskFailing()
 	return info
 }
 
 // callers is by how many stores the connections and slots of workers are divided: those that lead partitions.
-func (s *Store) callers() int { return max(int(s.leaders.Load()), 1) }
+func (s *Store) connectionShare() int { return max(int(s.leadingStores.Load()), 1) }
 
 // Run serves until the context ends, then hands its partitions over and returns.
 func (s *Store) Run(ctx context.Context) error {
@@ -92,14 +92,14 @@
 	defer stop()
 	s.running.Go(func() { s.engine.Run(alive) })
 	s.messages.Start(s.engine)
-	s.agent.Subscribe(s.changed)
+	s.agent.Subscribe(s.applySnapshots)
 	if err := s.serveInternal(alive); err != nil {
 		return trace.Wrap(err)
 	}
 	s.running.Go(func() { s.watchWorkers(alive) })
 	s.watchSettings(alive, s)
 	<-ctx.Done()
-	s.leaving.Store(true)
+	s.draining.Store(true)
 	draining, cancel := context.WithTimeout(alive, s.settings.Bounds.Grace-exitReserve)
 	defer cancel()
 	s.messages.Drain(draining)
@@ -113,16 +113,16 @@
 }
 
 // changed passes new snapshots of the agent on. The agent calls it from one goroutine at a time.
-func (s *Store) changed() {
-	if document := s.agent.Config(); document != nil && document.Version() > s.version {
-		s.version = document.Version()
+func (s *Store) applySnapshots() {
+	if document := s.agent.Config(); document != nil && document.Version() > s.engineVersion {
+		s.engineVersion = document.Version()
 		s.engine.SetConfiguration(document.Table())
 	}
 	if workers := s.agent.Workers(); workers != nil {
 		s.engine.SetWorkers(workers.Workers)
 	}
 	if table := s.agent.Table(); table != nil {
-		s.leaders.Store(int64(table.Leaders()))
+		s.leadingStores.Store(int64(table.Leaders()))
 		s.engine.SetDeliverers(table.LimitDivisor(s.info.Name))
 		s.messages.ApplyTable(table)
 	}
@@ -152,7 +152,7 @@
 func (s *Store) readWorkers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, workersReadTimeout)
 	defer cancel()
-	workers, err := controlplane.ReadWorkers(ctx, s.platform, *s.cloud.Load())
+	workers, err := controlplane.ReadWorkers(ctx, s.platformClient, *s.platformAddress.Load())
 	if err != nil {
 		s.logger.Info("reading the list of workers", zap.Error(err))
 		return
