--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -3,23 +3,12 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"sync"
-	"time"
 
 	"gladepick/internal/network"
 )
 
-const (
-	dialTimeout = 500 * time.Millisecond
-	// redialAfter is after how long without an answer a connection is dialed once more beside the first try. A machine
-	// that starts never sees what was sent to it before, and the operating system sends it again only after a second.
-	redialAfter = 120 * time.Millisecond
-)
-
-var errClientClosed = errors.New("rpc: client closed")
-
 // Client makes calls to one process, over one connection that is dialed when needed. It may be used concurrently.
 type Client struct {
 	network network.Network
@@ -27,32 +16,25 @@
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
 
-	mutex   sync.Mutex
-	current *clientConnection
-	dialing *dialAttempt
+	mutex   sync.Mutex        // guards what follows
+	current *clientConnection // nil before the first dial and after a failure was noticed
+	dialing *dialAttempt      // nil while no dial is under way
 }
 
-// dialAttempt is shared by the calls that wait for it. Its results are set before done is closed.
-type dialAttempt struct {
-	done       chan struct{}
-	connection *clientConnection
-	err        error
-}
-
-// NewClient makes a client of the process at an address, "ip:port".
+// NewClient makes a client of the process at an address, "ip:port". It dials at the first call.
 func NewClient(network network.Network, address string) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{network: network, address: address, ctx: ctx, cancel: cancel}
 }
 
-// Call makes a call and waits for its answer. The params and the result are JSON values, either may be nil; the bodies
+// Call makes a call and waits for its response. The params and the result are JSON values, either may be nil; the bodies
 // are passed unencoded. The body must not be changed afterwards.
 //
-// The error is an *Error where the called process reported it, is ErrNotSent where the call surely did not reach it, and
-// ErrResponseLost where that is not known.
+// The error is an *Error where the called process reported it, wraps ErrNotSent where the request surely did not reach
+// it, and ErrResponseLost where that is not known.
 func (c *Client) Call(
 	ctx context.Context, method string, params any, body []byte, result any,
-) (answerBody []byte, err error) {
+) (responseBody []byte, err error) {
 	if err := checkBodyLength(len(body)); err != nil {
 		return nil, &Error{Code: CodeInvalid, Message: err.Error()}
 	}
@@ -104,7 +86,7 @@
 	}
 }
 
-// currentOrAttempt returns the working connection, or else the attempt to get one.
+// currentOrAttempt returns the working connection, or else the attempt to get one, which it starts if need be.
 func (c *Client) currentOrAttempt() (*clientConnection, *dialAttempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -118,30 +100,3 @@
 	}
 	return nil, c.dialing
 }
-
-// dial carries out an attempt.
-func (c *Client) dial(attempt *dialAttempt) {
-	defer close(attempt.done)
-	ctx, cancel := context.WithTimeout(c.ctx, dialTimeout)
-	defer cancel()
-	stream, err := dialAgain(ctx, c.network, c.address)
-	if c.ctx.Err() != nil && err == nil {
-		_ = stream.Close()
-		err = errClientClosed
-	}
-	if err == nil {
-		attempt.connection = newClientConnection(stream)
-	}
-	attempt.err = err
-	c.finishDial(attempt)
-}
-
-func (c *Client) finishDial(attempt *dialAttempt) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.dialing = nil
-	c.current = attempt.connection
-	if c.current != nil && c.ctx.Err() != nil {
-		c.current.fail(errClientClosed)
-	}
-}
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -11,95 +11,91 @@
 	"time"
 )
 
-const (
-	silenceLimit     = 2 * time.Second        // a peer that owes answers and sends nothing for so long is given up
-	lateTimer        = 250 * time.Millisecond // a check that is later than this says that this process was paused
-	silenceGrace     = 500 * time.Millisecond // after a pause: time to receive what has arrived meanwhile
-	expectedInFlight = 8                      // initial size of the table of outstanding calls
-)
-
-var errSilentPeer = errors.New("rpc: the peer is silent")
+// expectedCallsInFlight is the initial size of the table of outstanding calls.
+const expectedCallsInFlight = 8
 
-// answer is what came back for a call.
-type answer struct {
+// response is what came back for a call.
+type response struct {
 	result json.RawMessage
 	body   []byte
-	err    error
+	err    error // an *Error that the server reported, or nil
 }
 
-// clientConnection is a dialed connection. Calls are told apart by their numbers.
+// clientConnection is a dialed connection. It matches responses to calls by their numbers. It lives from its dial to its
+// first failure, of whichever kind; then the client dials another one.
 type clientConnection struct {
 	stream       net.Conn
 	writer       *frameWriter
 	started      time.Time
 	lastID       atomic.Uint64
-	lastReceived atomic.Int64  // when bytes last came, counted from started
+	lastReceived atomic.Int64  // when bytes last came, in nanoseconds since started
 	done         chan struct{} // closed when the connection has failed
 
-	mutex        sync.Mutex
-	outstanding  map[uint64]chan<- answer // nil for a call that nobody waits for any more
-	waitingSince time.Time                // when the oldest of the outstanding calls could have begun
-	watch        *time.Timer
-	watchDue     time.Time // when the running watch should fire; zero while it does not run
-	failure      error
+	mutex        sync.Mutex                 // guards what follows
+	outstanding  map[uint64]chan<- response // nil for a call that nobody waits for any more
+	waitingSince time.Time                  // when the oldest of the outstanding calls could have begun
+	watchdog     *time.Timer                // nil before the first call
+	watchdogDue  time.Time                  // when the running watchdog should fire; zero while it does not run
+	failure      error                      // why the connection ended; also readable after done is closed
 }
 
+// newClientConnection starts the goroutine that receives responses; it ends when the stream does.
 func newClientConnection(stream net.Conn) *clientConnection {
 	connection := &clientConnection{
 		stream:      stream,
 		started:     time.Now(),
 		done:        make(chan struct{}),
-		outstanding: make(map[uint64]chan<- answer, expectedInFlight),
+		outstanding: make(map[uint64]chan<- response, expectedCallsInFlight),
 	}
-	connection.writer = &frameWriter{destination: stream, failed: connection.fail}
-	go connection.receiveAll()
+	connection.writer = &frameWriter{destination: stream, onFailure: connection.fail}
+	go connection.receiveLoop()
 	return connection
 }
 
-// call sends a request and waits for its answer.
-func (c *clientConnection) call(ctx context.Context, request outgoingRequest, body []byte) (answer, error) {
+// call sends a request and waits for its response.
+func (c *clientConnection) call(ctx context.Context, request outgoingRequest, body []byte) (response, error) {
 	request.ID = c.lastID.Add(1)
 	line, err := encodeLine(request)
 	if err != nil {
-		return answer{}, &Error{Code: CodeInvalid, Message: err.Error()}
+		return response{}, &Error{Code: CodeInvalid, Message: err.Error()}
 	}
-	answers := make(chan answer, 1)
-	if err := c.register(request.ID, answers); err != nil {
-		return answer{}, fmt.Errorf("%w: %w", ErrNotSent, err)
+	responses := make(chan response, 1) // has room, so that deliver never waits
+	if err := c.register(request.ID, responses); err != nil {
+		return response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	position, err := c.writer.send(ctx.Done(), line, body)
 	if err != nil {
 		c.unregister(request.ID)
-		return answer{}, fmt.Errorf("%w: %w", ErrNotSent, errors.Join(err, ctx.Err()))
+		return response{}, fmt.Errorf("%w: %w", ErrNotSent, errors.Join(err, ctx.Err()))
 	}
-	return c.await(ctx, request.ID, position, answers)
+	return c.await(ctx, request.ID, position, responses)
 }
 
-// await waits for the answer to a request that is queued.
+// await waits for the response to a request that is queued at a position of the stream.
 func (c *clientConnection) await(
-	ctx context.Context, id, position uint64, answers <-chan answer,
-) (answer, error) {
+	ctx context.Context, id, position uint64, responses <-chan response,
+) (response, error) {
 	select {
-	case received := <-answers:
+	case received := <-responses:
 		return received, nil
 	case <-ctx.Done():
 		c.abandon(id)
-		return answer{}, fmt.Errorf("%w: %w", ErrResponseLost, ctx.Err())
+		return response{}, fmt.Errorf("%w: %w", ErrResponseLost, ctx.Err())
 	case <-c.done:
 	}
 	select {
-	case received := <-answers: // it came before the end
+	case received := <-responses: // it came before the end
 		return received, nil
 	default:
 	}
-	if c.writer.began(position) {
-		return answer{}, fmt.Errorf("%w: %w", ErrResponseLost, c.failure)
+	if c.writer.mayHaveLeft(position) {
+		return response{}, fmt.Errorf("%w: %w", ErrResponseLost, c.failure)
 	}
-	return answer{}, fmt.Errorf("%w: %w", ErrNotSent, c.failure)
+	return response{}, fmt.Errorf("%w: %w", ErrNotSent, c.failure)
 }
 
-// register notes a call and has the peer's silence watched.
-func (c *clientConnection) register(id uint64, answers chan<- answer) error {
+// register notes a call and has the watchdog run.
+func (c *clientConnection) register(id uint64, responses chan<- response) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure != nil {
@@ -108,9 +104,9 @@
 	if len(c.outstanding) == 0 {
 		c.waitingSince = time.Now()
 	}
-	c.outstanding[id] = answers
-	if c.watchDue.IsZero() {
-		c.watchAfter(silenceLimit)
+	c.outstanding[id] = responses
+	if c.watchdogDue.IsZero() {
+		c.startWatchdog(unresponsiveTimeout)
 	}
 	return nil
 }
@@ -122,18 +118,18 @@
 	delete(c.outstanding, id)
 }
 
-// abandon notes that nobody waits for a call's answer any more. The peer still owes it.
+// abandon notes that nobody waits for a call's response any more. It is still due, so the watchdog goes on.
 func (c *clientConnection) abandon(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, owed := c.outstanding[id]; owed {
+	if _, due := c.outstanding[id]; due {
 		c.outstanding[id] = nil
 	}
 }
 
-// receiveAll hands out answers until the connection ends.
-func (c *clientConnection) receiveAll() {
-	reader := newFrameReader(receiptClock{connection: c})
+// receiveLoop hands out responses until the connection ends.
+func (c *clientConnection) receiveLoop() {
+	reader := newFrameReader(receiveClock{connection: c})
 	for {
 		if err := c.receive(reader); err != nil {
 			c.fail(err)
@@ -142,12 +138,13 @@
 	}
 }
 
+// receive reads one response.
 func (c *clientConnection) receive(reader *frameReader) error {
 	line, err := reader.readLine()
 	if err != nil {
 		return err
 	}
-	var frame incomingAnswer
+	var frame incomingResponse
 	if err := json.Unmarshal(line, &frame); err != nil {
 		return err
 	}
@@ -155,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	received := answer{result: frame.Result, body: body}
+	received := response{result: frame.Result, body: body}
 	if frame.Error != nil {
 		received.err = frame.Error
 	}
@@ -163,14 +160,14 @@
 	return nil
 }
 
-// deliver hands an answer to the call that waits for it, if any does.
-func (c *clientConnection) deliver(id uint64, received answer) {
+// deliver hands a response to the call that waits for it, if any does. Heartbeats have the number of no call.
+func (c *clientConnection) deliver(id uint64, received response) {
 	c.mutex.Lock()
-	answers := c.outstanding[id]
+	responses := c.outstanding[id]
 	delete(c.outstanding, id)
 	c.mutex.Unlock()
-	if answers != nil {
-		answers <- received
+	if responses != nil {
+		responses <- received
 	}
 }
 
@@ -182,8 +179,8 @@
 		return
 	}
 	c.failure = reason
-	if c.watch != nil {
-		c.watch.Stop()
+	if c.watchdog != nil {
+		c.watchdog.Stop()
 	}
 	c.mutex.Unlock()
 	c.writer.close()
@@ -191,68 +188,9 @@
 	close(c.done)
 }
 
+// hasFailed tells whether the connection can't be used any more.
 func (c *clientConnection) hasFailed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.failure != nil
 }
-
-// watchAfter sets the next check of the peer's silence.
-func (c *clientConnection) watchAfter(wait time.Duration) {
-	c.watchDue = time.Now().Add(wait)
-	if c.watch == nil {
-		c.watch = time.AfterFunc(wait, c.checkSilence)
-		return
-	}
-	c.watch.Reset(wait)
-}
-
-// checkSilence gives the connection up when the peer owes answers and has been silent for too long.
-func (c *clientConnection) checkSilence() {
-	c.mutex.Lock()
-	if c.failure != nil {
-		c.mutex.Unlock()
-		return
-	}
-	remaining := c.remainingPatience(time.Now())
-	if remaining > 0 {
-		c.watchAfter(remaining)
-	} else {
-		c.watchDue = time.Time{}
-	}
-	silent := remaining <= 0 && len(c.outstanding) > 0
-	c.mutex.Unlock()
-	if silent {
-		c.fail(errSilentPeer)
-	}
-}
-
-// remainingPatience returns for how long the peer may still be silent: 0 where it has been for too long, or owes nothing.
-func (c *clientConnection) remainingPatience(now time.Time) time.Duration {
-	if len(c.outstanding) == 0 {
-		return 0
-	}
-	silentSince := c.started.Add(time.Duration(c.lastReceived.Load()))
-	if silentSince.Before(c.waitingSince) {
-		silentSince = c.waitingSince
-	}
-	remaining := silenceLimit - now.Sub(silentSince)
-	if remaining <= 0 && now.Sub(c.watchDue) > lateTimer {
-		return silenceGrace
-	}
-	return max(remaining, 0)
-}
-
-// receiptClock reads a connection's stream and notes when bytes came.
-type receiptClock struct {
-	connection *clientConnection
-}
-
-// Read implements io.Reader.
-func (r receiptClock) Read(buffer []byte) (int, error) {
-	count, err := r.connection.stream.Read(buffer)
-	if count > 0 {
-		r.connection.lastReceived.Store(int64(time.Since(r.connection.started)))
-	}
-	return count, err
-}
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -35,7 +35,7 @@
 		started := time.Now()
 		f.assertDoubles(t)
 		took := time.Since(started)
-		assert.Assert(t, took >= 2*redialAfter && took < 3*redialAfter, took)
+		assert.Assert(t, took >= 2*dialHedgeDelay && took < 3*dialHedgeDelay, took)
 		f.assertDoubles(t)
 		assert.Equal(t, losing.dials.Load(), int32(3))
 	})
--- a/internal/rpc/failures_test.go
+++ b/internal/rpc/failures_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestSilentPeerIsGivenUp(t *testing.T) {
+func TestUnresponsiveServerIsGivenUp(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
 		f.network.Isolate(clientIP, serverIP)
@@ -125,13 +125,13 @@
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
 		assert.ErrorIs(t, err, ErrResponseLost)
 		elapsed := time.Since(started)
-		assert.Assert(t, elapsed >= silenceLimit && elapsed <= 2*silenceLimit, "took %v", elapsed)
+		assert.Assert(t, elapsed >= unresponsiveTimeout && elapsed <= 2*unresponsiveTimeout, "took %v", elapsed)
 		f.network.Heal(clientIP, serverIP)
 		f.assertDoubles(t)
 	})
 }
 
-func TestSilenceIsNoticedThoughCallsAreGivenUpEarlier(t *testing.T) {
+func TestUnresponsiveServerIsNoticedThoughCallsTimeOutEarlier(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
 		f.network.Isolate(clientIP, serverIP)
@@ -144,7 +144,7 @@
 				break
 			}
 			assert.ErrorIs(t, err, ErrResponseLost)
-			assert.Assert(t, time.Since(started) < 3*silenceLimit)
+			assert.Assert(t, time.Since(started) < 3*unresponsiveTimeout)
 		}
 	})
 }
@@ -162,7 +162,7 @@
 	})
 }
 
-func TestSlowHandlerIsNotSilence(t *testing.T) {
+func TestSlowHandlerIsNotUnresponsive(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		var result number
 		_, err := f.client.Call(t.Context(), "sleep", number{Value: 60_000}, nil, &result)
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,50 +8,49 @@
 	"io"
 )
 
+// Limits of the format, which both ends check.
 const (
-	maximumLine    = 16 << 20  // bytes of a frame's line
-	maximumBody    = 64 << 20  // bytes of a frame's body
-	readBufferSize = 4 << 10   // bytes read ahead on each connection
-	bodyStep       = 256 << 10 // a body's memory is taken in steps, as its bytes come
-	keptLineBuffer = 64 << 10  // a larger buffer for long lines is not kept
+	maxLineBytes = 16 << 20 // of a frame's line, its end included
+	maxBodyBytes = 64 << 20 // of a frame's body
 )
 
-var (
-	errLineTooLong = errors.New("rpc: line too long")
-	errBodyTooLong = errors.New("rpc: body too long")
-	errBodyLength  = errors.New("rpc: negative length of a body")
+// Sizes of a reader's buffers.
+const (
+	readBufferBytes      = 4 << 10   // read ahead on each connection
+	bodyStepBytes        = 256 << 10 // a body's memory is taken in steps, as its bytes come
+	maxRetainedLineBytes = 64 << 10  // a larger buffer for long lines is not retained
 )
 
-// outgoingRequest is the line of a call as the client writes it.
+// outgoingRequest is the line of a request as the client writes it.
 type outgoingRequest struct {
 	ID     uint64 `json:"id"`
 	Method string `json:"method"`
 	Params any    `json:"params,omitempty"`
-	Body   int    `json:"body,omitempty"`
+	Body   int    `json:"body,omitempty"` // length in bytes
 }
 
-// incomingRequest is the line of a call as the server reads it.
+// incomingRequest is the line of a request as the server reads it.
 type incomingRequest struct {
 	ID     uint64          `json:"id"`
 	Method string          `json:"method"`
 	Params json.RawMessage `json:"params"`
-	Body   int             `json:"body"`
+	Body   int             `json:"body"` // length in bytes
 }
 
-// outgoingAnswer is the line of an answer as the server writes it.
-type outgoingAnswer struct {
+// outgoingResponse is the line of a response as the server writes it.
+type outgoingResponse struct {
 	ID     uint64 `json:"id"`
 	Result any    `json:"result,omitempty"`
 	Error  *Error `json:"error,omitempty"`
-	Body   int    `json:"body,omitempty"`
+	Body   int    `json:"body,omitempty"` // length in bytes
 }
 
-// incomingAnswer is the line of an answer as the client reads it.
-type incomingAnswer struct {
+// incomingResponse is the line of a response as the client reads it.
+type incomingResponse struct {
 	ID     uint64          `json:"id"`
 	Result json.RawMessage `json:"result"`
 	Error  *Error          `json:"error"`
-	Body   int             `json:"body"`
+	Body   int             `json:"body"` // length in bytes
 }
 
 // encodeLine renders the line of a frame, with its end.
@@ -60,50 +59,63 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(line) >= maximumLine {
+	if len(line) >= maxLineBytes {
 		return nil, errLineTooLong
 	}
 	return append(line, '\n'), nil
 }
 
-// frameReader reads lines and bodies off a connection.
+// checkBodyLength checks the length of a body, in bytes, against the format.
+func checkBodyLength(length int) error {
+	if length < 0 {
+		return errNegativeBodyLength
+	}
+	if length > maxBodyBytes {
+		return errBodyTooLong
+	}
+	return nil
+}
+
+// frameReader reads the lines and bodies of a connection. It is used by one goroutine.
 type frameReader struct {
-	source *bufio.Reader
-	long   []byte // collects a line that exceeds the read buffer
+	source   *bufio.Reader
+	longLine []byte // collects a line that exceeds the read buffer
 }
 
 func newFrameReader(source io.Reader) *frameReader {
-	return &frameReader{source: bufio.NewReaderSize(source, readBufferSize)}
+	return &frameReader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// readLine returns the next line. It is valid until the next read.
+// readLine returns the next line. It is valid until the next read. The error is io.EOF where the stream ends between two
+// frames.
 func (r *frameReader) readLine() ([]byte, error) {
-	if cap(r.long) > keptLineBuffer {
-		r.long = nil
+	if cap(r.longLine) > maxRetainedLineBytes {
+		r.longLine = nil
 	}
-	r.long = r.long[:0]
+	r.longLine = r.longLine[:0]
 	part, err := r.source.ReadSlice('\n')
 	if err == nil {
 		return part, nil
 	}
 	for errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long, part...)
-		if len(r.long) > maximumLine {
+		r.longLine = append(r.longLine, part...)
+		if len(r.longLine) > maxLineBytes {
 			return nil, errLineTooLong
 		}
 		part, err = r.source.ReadSlice('\n')
 	}
 	if err != nil {
-		return nil, endInFrame(err, len(r.long)+len(part))
+		return nil, truncationError(err, len(r.longLine)+len(part))
 	}
-	r.long = append(r.long, part...)
-	if len(r.long) > maximumLine {
+	r.longLine = append(r.longLine, part...)
+	if len(r.longLine) > maxLineBytes {
 		return nil, errLineTooLong
 	}
-	return r.long, nil
+	return r.longLine, nil
 }
 
-// readBody returns the body of a frame, in memory of its own.
+// readBody returns the body of a frame, in memory of its own. A long body gets its memory as its bytes come, so that a
+// length alone takes none.
 func (r *frameReader) readBody(length int) ([]byte, error) {
 	if err := checkBodyLength(length); err != nil {
 		return nil, err
@@ -111,30 +123,21 @@
 	if length == 0 {
 		return nil, nil
 	}
-	if length <= bodyStep {
+	if length <= bodyStepBytes {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r.source, body)
-		return body, endInFrame(err, length)
+		return body, truncationError(err, length)
 	}
 	var body bytes.Buffer
-	body.Grow(bodyStep)
+	body.Grow(bodyStepBytes)
 	_, err := io.CopyN(&body, r.source, int64(length))
-	return body.Bytes(), endInFrame(err, length)
-}
-
-func checkBodyLength(length int) error {
-	if length < 0 {
-		return errBodyLength
-	}
-	if length > maximumBody {
-		return errBodyTooLong
-	}
-	return nil
+	return body.Bytes(), truncationError(err, length)
 }
 
-// endInFrame tells an end of the stream within a frame from one between two frames.
-func endInFrame(err error, seen int) error {
-	if errors.Is(err, io.EOF) && seen > 0 {
+// truncationError tells an end of the stream within a frame, of which so many bytes were due or seen, from one between
+// two frames. Other errors it returns as they are.
+func truncationError(err error, frameBytes int) error {
+	if errors.Is(err, io.EOF) && frameBytes > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestFrameReaderReadsLinesAndBodies(t *testing.T) {
-	long := strings.Repeat("x", 3*readBufferSize)
+	long := strings.Repeat("x", 3*readBufferBytes)
 	stream := "short\nbody\n\n" + long + "\nrest"
 	reader := newFrameReader(iotest.OneByteReader(strings.NewReader(stream)))
 	assertLine(t, reader, "short\n")
@@ -33,25 +33,25 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	_, err = newFrameReader(strings.NewReader("")).readBody(4)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	_, err = newFrameReader(strings.NewReader("abc")).readBody(bodyStep + 1)
+	_, err = newFrameReader(strings.NewReader("abc")).readBody(bodyStepBytes + 1)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
 func TestFrameReaderLimits(t *testing.T) {
-	endless := io.MultiReader(strings.NewReader(strings.Repeat("x", maximumLine+1)), strings.NewReader("\n"))
+	endless := io.MultiReader(strings.NewReader(strings.Repeat("x", maxLineBytes+1)), strings.NewReader("\n"))
 	_, err := newFrameReader(endless).readLine()
 	assert.Equal(t, err, errLineTooLong)
-	_, err = newFrameReader(strings.NewReader("")).readBody(maximumBody + 1)
+	_, err = newFrameReader(strings.NewReader("")).readBody(maxBodyBytes + 1)
 	assert.Equal(t, err, errBodyTooLong)
 	_, err = newFrameReader(strings.NewReader("")).readBody(-1)
-	assert.Equal(t, err, errBodyLength)
+	assert.Equal(t, err, errNegativeBodyLength)
 }
 
 func TestEncodedLineLimit(t *testing.T) {
-	line, err := encodeLine(strings.Repeat("x", maximumLine-3))
+	line, err := encodeLine(strings.Repeat("x", maxLineBytes-3))
 	assert.NilError(t, err)
-	assert.Equal(t, len(line), maximumLine)
-	_, err = encodeLine(strings.Repeat("x", maximumLine-2))
+	assert.Equal(t, len(line), maxLineBytes)
+	_, err = encodeLine(strings.Repeat("x", maxLineBytes-2))
 	assert.Equal(t, err, errLineTooLong)
 }
 
@@ -69,7 +69,7 @@
 	f.Add([]byte(`{"id":1,"body":67108865}` + "\n"))
 	f.Add([]byte(`{"id":1,"body":67108864}` + "\nshort"))
 	f.Add([]byte("\n\n{}"))
-	f.Add(bytes.Repeat([]byte("y"), 2*readBufferSize))
+	f.Add(bytes.Repeat([]byte("y"), 2*readBufferBytes))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		reader := newFrameReader(iotest.HalfReader(bytes.NewReader(stream)))
 		rest := stream
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -6,11 +6,11 @@
 	"gladepick/internal/network"
 )
 
-// Pool keeps one client for each address.
+// Pool has one client for each address. It may be used concurrently. It never removes a client.
 type Pool struct {
 	network network.Network
 
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards what follows
 	clients map[string]*Client
 	closed  bool
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -116,7 +116,7 @@
 
 func TestBodies(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		for _, size := range []int{0, 1, copiedBody, copiedBody + 1, bodyStep, bodyStep + 1, 3 << 20} {
+		for _, size := range []int{0, 1, maxCopiedBodyBytes, maxCopiedBodyBytes + 1, bodyStepBytes, bodyStepBytes + 1, 3 << 20} {
 			body := bytes.Repeat([]byte("line\n"), size/5+1)[:size]
 			answered, err := f.client.Call(t.Context(), "echo", nil, body, nil)
 			assert.NilError(t, err)
@@ -193,7 +193,7 @@
 
 func TestTooLargeBodyIsRefused(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		_, err := f.client.Call(t.Context(), "echo", nil, make([]byte, maximumBody+1), nil)
+		_, err := f.client.Call(t.Context(), "echo", nil, make([]byte, maxBodyBytes+1), nil)
 		assert.Equal(t, CodeOf(err), CodeInvalid)
 		f.assertDoubles(t)
 	})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -1,8 +1,6 @@
 package rpc
 
 import (
-	"context"
-	"encoding/json"
 	"errors"
 	"net"
 	"sync"
@@ -14,57 +12,28 @@
 	"go.uber.org/zap"
 )
 
-const (
-	idleWorkers      = 8                      // goroutines that a server keeps for the next calls
-	acceptRetryDelay = 100 * time.Millisecond // after an accept that failed for want of descriptors
-)
-
-// Handler carries out a call. Its context ends when the connection does. An error that is an *Error is sent as it is,
-// any other as CodeInternal.
-type Handler func(ctx context.Context, call *Call) (result any, body []byte, err error)
-
-// Call is a call as the server received it. The handler may keep its parts.
-type Call struct {
-	Method        string
-	Params        json.RawMessage
-	Body          []byte
-	RemoteAddress string // the caller's address
-}
-
-// Decode reads the call's parameters. It fails with CodeInvalid.
-func (c *Call) Decode(into any) error {
-	if err := json.Unmarshal(c.Params, into); err != nil {
-		return &Error{Code: CodeInvalid, Message: c.Method + ": " + err.Error()}
-	}
-	return nil
-}
+// acceptRetryDelay is the pause after an accept that failed for want of descriptors or memory.
+const acceptRetryDelay = 100 * time.Millisecond
 
-// Server answers calls.
+// Server answers calls. It may serve several listeners, and its methods may be called concurrently.
 type Server struct {
-	logger *zap.Logger
-	jobs   chan job      // to idle workers
-	idle   atomic.Int32  // workers that wait or are about to
-	done   chan struct{} // closed by Close
+	logger      *zap.Logger
+	calls       chan receivedCall // to idle workers
+	idleWorkers atomic.Int32      // workers that wait or are about to
+	done        chan struct{}     // closed by Close
 
-	mutex       sync.Mutex
-	handlers    map[string]Handler
+	mutex       sync.Mutex         // guards what follows
+	handlers    map[string]Handler // by method
 	listeners   map[net.Listener]struct{}
 	connections map[*serverConnection]struct{}
 	closed      bool
 }
 
-// job is a call to carry out.
-type job struct {
-	connection *serverConnection
-	id         uint64
-	call       *Call
-}
-
 // NewServer makes a server without handlers.
 func NewServer(logger *zap.Logger) *Server {
 	return &Server{
 		logger:      logger,
-		jobs:        make(chan job),
+		calls:       make(chan receivedCall),
 		done:        make(chan struct{}),
 		handlers:    map[string]Handler{},
 		listeners:   map[net.Listener]struct{}{},
@@ -72,7 +41,7 @@
 	}
 }
 
-// Handle sets the handler of a method.
+// Handle sets the handler of a method. Calls of a method without handler fail with CodeUnknownMethod.
 func (s *Server) Handle(method string, handler Handler) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,21 +57,21 @@
 	for {
 		accepted, err := listener.Accept()
 		if err == nil {
-			s.start(accepted)
+			s.serveConnection(accepted)
 			continue
 		}
 		if s.isClosed() {
 			return nil
 		}
-		if !isPassing(err) {
+		if !isTemporary(err) {
 			return trace.Wrap(err)
 		}
 		s.logger.Warn("accepting a connection failed", zap.Error(err))
-		s.pause(acceptRetryDelay)
+		s.waitUnlessClosed(acceptRetryDelay)
 	}
 }
 
-// Close closes the listeners and connections. Handlers that run are told by their context; it does not wait for them.
+// Close closes the listeners and connections. The contexts of handlers that run end; it does not wait for them.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	if s.closed {
@@ -124,8 +93,8 @@
 	}
 }
 
-// start serves a connection in its own goroutine.
-func (s *Server) start(accepted net.Conn) {
+// serveConnection serves a connection in a goroutine of its own.
+func (s *Server) serveConnection(accepted net.Conn) {
 	connection := newServerConnection(s, accepted)
 	s.mutex.Lock()
 	closed := s.closed
@@ -140,39 +109,14 @@
 	go connection.serve()
 }
 
-// dispatch gives a job to an idle worker, or to a new one.
-func (s *Server) dispatch(next job) {
-	select {
-	case s.jobs <- next:
-	default:
-		go s.work(next)
-	}
-}
-
-// work carries out jobs until there are enough idle workers.
-func (s *Server) work(current job) {
-	for {
-		current.connection.answer(current)
-		current = job{} // an idle worker keeps no body in memory
-		if s.idle.Add(1) > idleWorkers {
-			s.idle.Add(-1)
-			return
-		}
-		select {
-		case current = <-s.jobs:
-			s.idle.Add(-1)
-		case <-s.done:
-			return
-		}
-	}
-}
-
+// handler returns the handler of a method, or nil.
 func (s *Server) handler(method string) Handler {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.handlers[method]
 }
 
+// addListener has Close close a listener, and returns false where the server is closed already.
 func (s *Server) addListener(listener net.Listener) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -200,7 +144,8 @@
 	return s.closed
 }
 
-func (s *Server) pause(duration time.Duration) {
+// waitUnlessClosed waits for a time, or until the server is closed.
+func (s *Server) waitUnlessClosed(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -209,10 +154,13 @@
 	}
 }
 
-// isPassing tells whether accepting may work again later.
-func isPassing(err error) bool {
-	for _, passing := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
-		if errors.Is(err, passing) {
+// temporaryErrors are those after which accepting may work again later.
+var temporaryErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
+
+// isTemporary tells whether accepting may work again later.
+func isTemporary(err error) bool {
+	for _, temporary := range temporaryErrors {
+		if errors.Is(err, temporary) {
 			return true
 		}
 	}
--- a/internal/rpc/writer.go
+++ b/internal/rpc/writer.go
@@ -1,7 +1,6 @@
 package rpc
 
 import (
-	"errors"
 	"io"
 	"math"
 	"net"
@@ -10,37 +9,35 @@
 )
 
 const (
-	queueLimit      = 512 << 10 // queued bytes above which senders wait
-	copiedBody      = 16 << 10  // bodies up to this size are copied next to their line
-	keptBatchBuffer = 64 << 10  // a larger buffer is not kept
+	maxQueuedBytes        = 512 << 10 // queued bytes above which senders wait
+	maxCopiedBodyBytes    = 16 << 10  // bodies up to this size are copied next to their line
+	maxRetainedBatchBytes = 64 << 10  // a larger buffer is not retained
 )
 
-var errWriterClosed = errors.New("rpc: connection closed")
-
-// neverQueued is the position of a frame that was not queued.
-const neverQueued = math.MaxUint64
+// notQueued is the position of a frame that was not queued.
+const notQueued = math.MaxUint64
 
 // frameWriter writes whole frames to a connection. Frames that are sent at about the same time leave in one write: the
 // first one starts a goroutine, which lets the others that are ready to run add theirs, and ends when nothing is left.
 type frameWriter struct {
 	destination io.Writer
-	failed      func(error) // called when a write fails
-
-	mutex       sync.Mutex
-	queue       net.Buffers
-	copyingTail bool          // the queue's last buffer belongs to the writer and may grow
-	spare       []byte        // buffer for the next batch
-	queued      int           // bytes in the queue
-	accepted    uint64        // bytes ever queued
-	handed      uint64        // bytes ever handed to the destination
-	flushing    bool          // a goroutine is writing
-	closed      bool          // nothing is written any more
-	drained     chan struct{} // closed when the queue has been emptied; nil while nobody waits
+	onFailure   func(error) // called, without the mutex, when a write fails
+
+	mutex         sync.Mutex // guards what follows
+	queue         net.Buffers
+	tailOwned     bool          // the queue's last buffer belongs to the writer and may grow
+	spare         []byte        // buffer for the next batch
+	queuedBytes   int           // in the queue
+	acceptedBytes uint64        // ever queued
+	handedBytes   uint64        // ever handed to the destination
+	flushing      bool          // a goroutine is writing
+	closed        bool          // nothing is written any more
+	drained       chan struct{} // closed when the queue has been emptied; nil while nobody waits
 }
 
-// send queues a frame and returns its position in the stream. It waits while the queue is long. The body must not be
-// changed afterwards.
-func (w *frameWriter) send(cancelled <-chan struct{}, line, body []byte) (position uint64, err error) {
+// send queues a frame and returns its position in the stream, in bytes. It waits while the queue is long, until the
+// channel canceled is closed; nil never is. The body must not be changed afterwards.
+func (w *frameWriter) send(canceled <-chan struct{}, line, body []byte) (position uint64, err error) {
 	for {
 		position, wait, err := w.offer(line, body)
 		if wait == nil {
@@ -48,31 +45,30 @@
 		}
 		select {
 		case <-wait:
-		case <-cancelled:
-			return neverQueued, errSendCancelled
+		case <-canceled:
+			return notQueued, errSendCanceled
 		}
 	}
 }
 
-var errSendCancelled = errors.New("rpc: cancelled before sending")
-
-// offer queues a frame, or returns a channel to wait on while there is no room.
+// offer queues a frame, or returns a channel to wait on while there is no room. A frame that is larger than the queue has
+// room when the queue is empty.
 func (w *frameWriter) offer(line, body []byte) (position uint64, wait <-chan struct{}, err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.closed {
-		return neverQueued, nil, errWriterClosed
+		return notQueued, nil, errWriterClosed
 	}
 	size := len(line) + len(body)
-	if w.queued > 0 && w.queued+size > queueLimit {
+	if w.queuedBytes > 0 && w.queuedBytes+size > maxQueuedBytes {
 		if w.drained == nil {
 			w.drained = make(chan struct{})
 		}
-		return neverQueued, w.drained, nil
+		return notQueued, w.drained, nil
 	}
-	position = w.accepted
-	w.accepted += uint64(size)
-	w.queued += size
+	position = w.acceptedBytes
+	w.acceptedBytes += uint64(size)
+	w.queuedBytes += size
 	w.appendFrame(line, body)
 	if !w.flushing {
 		w.flushing = true
@@ -91,27 +87,29 @@
 	}
 }
 
+// appendFrame puts a frame at the queue's end. A long body is queued where it is, a short one is copied.
 func (w *frameWriter) appendFrame(line, body []byte) {
 	w.appendCopy(line)
-	if len(body) <= copiedBody {
+	if len(body) <= maxCopiedBodyBytes {
 		w.appendCopy(body)
 		return
 	}
 	w.queue = append(w.queue, body)
-	w.copyingTail = false
+	w.tailOwned = false
 }
 
+// appendCopy copies bytes to the queue's last buffer, or to a new one where that is a caller's body.
 func (w *frameWriter) appendCopy(data []byte) {
-	if !w.copyingTail {
+	if !w.tailOwned {
 		w.queue = append(w.queue, w.spare[:0])
 		w.spare = nil
-		w.copyingTail = true
+		w.tailOwned = true
 	}
 	tail := len(w.queue) - 1
 	w.queue[tail] = append(w.queue[tail], data...)
 }
 
-// flush writes batches until the queue is empty.
+// flush writes batches until the queue is empty. It runs in a goroutine of its own, one at a time.
 func (w *frameWriter) flush() {
 	runtime.Gosched()
 	for {
@@ -122,11 +120,11 @@
 		first := batch[0] // always a buffer of the writer's own, as each frame begins with its line
 		written, err := batch.WriteTo(w.destination)
 		if err != nil {
-			w.giveBack(size - int(written))
-			w.failed(err)
+			w.uncountUnwritten(size - int(written))
+			w.onFailure(err)
 			return
 		}
-		w.keep(first)
+		w.recycle(first)
 	}
 }
 
@@ -138,23 +136,23 @@
 		w.flushing = false
 		return nil, 0
 	}
-	batch, size = w.queue, w.queued
-	w.queue, w.queued, w.copyingTail = nil, 0, false
-	w.handed += uint64(size)
+	batch, size = w.queue, w.queuedBytes
+	w.queue, w.queuedBytes, w.tailOwned = nil, 0, false
+	w.handedBytes += uint64(size)
 	w.wakeSenders()
 	return batch, size
 }
 
-// giveBack takes bytes off the count of those that were handed over, as a failed write did not take them.
-func (w *frameWriter) giveBack(size int) {
+// uncountUnwritten takes bytes off the count of those that were handed over, as a failed write did not take them.
+func (w *frameWriter) uncountUnwritten(size int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.handed -= uint64(size)
+	w.handedBytes -= uint64(size)
 }
 
-// keep saves a written buffer for a later batch.
-func (w *frameWriter) keep(buffer []byte) {
-	if cap(buffer) > keptBatchBuffer {
+// recycle saves a written buffer for a later batch.
+func (w *frameWriter) recycle(buffer []byte) {
+	if cap(buffer) > maxRetainedBatchBytes {
 		return
 	}
 	w.mutex.Lock()
@@ -162,11 +160,11 @@
 	w.spare = buffer[:0]
 }
 
-// began tells whether any byte of the frame at a position may have left.
-func (w *frameWriter) began(position uint64) bool {
+// mayHaveLeft tells whether any byte of the frame at a position may have left.
+func (w *frameWriter) mayHaveLeft(position uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.handed > position
+	return w.handedBytes > position
 }
 
 // close drops what is queued. A write that is under way goes on until the connection is closed.
@@ -178,6 +176,7 @@
 	w.wakeSenders()
 }
 
+// wakeSenders lets all senders that wait for room try again. The caller holds the mutex.
 func (w *frameWriter) wakeSenders() {
 	if w.drained != nil {
 		close(w.drained)
