--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -39,6 +39,7 @@
 
 	"internal/controlplane":             planeControl,
 	"internal/controlplane/replication": planeControl,
+	"internal/controlplane/lease":       planeControl,
 	"internal/controlplane/syncutil":    planeControl,
 	"internal/messagestore":             planeStorage,
 	"internal/delivery":                 planeDelivery,
--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/capacity_bench_test.go
@@ -7,50 +7,9 @@
 	"time"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 )
 
-// BenchmarkLeaseTable renews, passes on and reads the leases of stores, per lease.
-func BenchmarkLeaseTable(b *testing.B) {
-	for _, stores := range []int{100, 1000, 6500} {
-		infos := benchStores(stores)
-		b.Run(fmt.Sprintf("renew/stores=%d", stores), func(b *testing.B) {
-			leases := filledLeases(infos)
-			for i := range b.N {
-				leases.renew(infos[i%stores], time.Now())
-			}
-		})
-		b.Run(fmt.Sprintf("pass/stores=%d", stores), func(b *testing.B) {
-			leases, bytes := filledLeases(infos), 0
-			for range b.N {
-				for _, info := range infos {
-					leases.renew(info, time.Now())
-				}
-				bytes += len(leases.pass(1, time.Now()))
-			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(stores), "ns/lease")
-			b.ReportMetric(float64(bytes)/float64(b.N)/float64(stores), "bytes/lease")
-		})
-		b.Run(fmt.Sprintf("take/stores=%d", stores), func(b *testing.B) {
-			from, to := filledLeases(infos), newLeaseTable(func() {})
-			var used time.Duration
-			for range b.N {
-				b.StopTimer()
-				for _, info := range infos {
-					from.renew(info, time.Now())
-				}
-				payload := from.pass(1, time.Now())
-				b.StartTimer()
-				before := processorTime(b)
-				if err := to.take(payload, time.Now()); err != nil {
-					b.Fatal(err)
-				}
-				used += processorTime(b) - before
-			}
-			b.ReportMetric(float64(used.Nanoseconds())/float64(b.N)/float64(stores), "cpu-ns/lease")
-		})
-	}
-}
-
 // BenchmarkManagerStep is one look of the primary at the leases with nothing to do, as it happens ten times a second.
 func BenchmarkManagerStep(b *testing.B) {
 	for _, size := range []struct{ stores, partitions int }{
@@ -77,7 +36,7 @@
 			infos := benchStores(size.stores)
 			leases := filledLeases(infos)
 			current := benchContent(infos, size.partitions)
-			leases.refuse(infos[size.stores/2], time.Now())
+			leases.Revoke(infos[size.stores/2], time.Now())
 			b.ResetTimer()
 			before := processorTime(b)
 			for range b.N {
@@ -96,7 +55,7 @@
 			leases := filledLeases(infos)
 			current := benchContent(infos, size.partitions)
 			for number := 0; number < size.stores; number += 7 {
-				leases.refuse(infos[number], time.Now())
+				leases.Revoke(infos[number], time.Now())
 			}
 			b.ResetTimer()
 			before := processorTime(b)
@@ -109,8 +68,8 @@
 }
 
 // benchStep does what the manager does in a step, up to the proposal.
-func benchStep(current *content, leases *leaseTable) *tableChange {
-	draft := newDraft(current, leases.statuses(time.Now()), redundancy{copies: 2, zones: 2})
+func benchStep(current *content, leases *lease.Table) *tableChange {
+	draft := newDraft(current, leases.Statuses(time.Now()), redundancy{copies: 2, zones: 2})
 	draft.updateStores()
 	draft.updateStores()
 	draft.placeInitially()
@@ -145,11 +104,10 @@
 }
 
 // filledLeases holds leases that run for longer than a benchmark does.
-func filledLeases(infos []cluster.NodeInfo) *leaseTable {
-	leases := newLeaseTable(func() {})
+func filledLeases(infos []cluster.NodeInfo) *lease.Table {
+	leases := lease.NewTable(func() {})
 	for _, info := range infos {
-		leases.renew(info, time.Now())
-		leases.leases[info.Name].expires = time.Now().Add(time.Hour)
+		leases.Renew(info, time.Now().Add(time.Hour))
 	}
 	return leases
 }
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/decision_trace_test.go
@@ -14,6 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
 )
@@ -79,7 +80,7 @@
 		state:   newStateMachine(),
 	}
 	plane.manager = newManager(plane)
-	plane.leases = newLeaseTable(plane.manager.nudge)
+	plane.leases = lease.NewTable(plane.manager.nudge)
 	trace := &decisionTrace{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), plane: plane,
 		hash: sha256.New(), outcomes: map[string]int{},
@@ -113,12 +114,12 @@
 	d.now = d.now.Add(traceTick)
 	for _, store := range d.stores {
 		if store.running && !store.frozen && d.random.IntN(3) == 0 {
-			d.plane.leases.renew(store.info, d.now)
+			d.plane.leases.Renew(store.info, d.now)
 		}
 	}
 	for _, member := range d.role.View.Members {
 		if d.random.IntN(6) == 0 {
-			d.plane.leases.renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
+			d.plane.leases.Renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
 		}
 	}
 	if d.random.IntN(12) == 0 {
@@ -140,25 +141,25 @@
 		d.start(store)
 	case action <= 2: // it ends, and its machine says so
 		store.running = false
-		d.plane.leases.refuse(store.info, d.now)
+		d.plane.leases.Revoke(store.info, d.now)
 	case action == 3: // it ends, and nothing tells so before its lease has run out
 		store.running = false
 	case action == 4: // some end together
 		for _, other := range d.stores {
 			if other.info.Zone == store.info.Zone && other.running {
 				other.running = false
-				d.plane.leases.refuse(other.info, d.now)
+				d.plane.leases.Revoke(other.info, d.now)
 			}
 		}
 	case action <= 6:
 		store.frozen = !store.frozen
-		d.plane.leases.suspect(store.info, d.now)
+		d.plane.leases.MarkUnresponsive(store.info, d.now)
 	case action <= 8:
 		store.info.Draining = !store.info.Draining
-		d.plane.leases.renew(store.info, d.now)
+		d.plane.leases.Renew(store.info, d.now)
 	case action == 9:
 		store.info.DiskFailing = !store.info.DiskFailing
-		d.plane.leases.renew(store.info, d.now)
+		d.plane.leases.Renew(store.info, d.now)
 	case action == 10: // another member leads
 		d.role.View.Primary = d.role.View.Members[d.random.IntN(len(d.role.View.Members))].DiskID
 		d.plane.manager.begin(d.now)
@@ -172,7 +173,7 @@
 	store.running, store.frozen = true, false
 	store.info.Draining, store.info.DiskFailing = false, false
 	store.info.Incarnation = fmt.Sprintf("life-%d", store.starts)
-	d.plane.leases.renew(store.info, d.now)
+	d.plane.leases.Renew(store.info, d.now)
 }
 
 // traceRequest is a request for a change of the table. Its answer goes into the hash.
@@ -242,7 +243,7 @@
 // decide has the manager take requests and decide, and puts the change into force.
 func (d *decisionTrace) decide(requests []traceRequest) {
 	manager, current := d.plane.manager, d.plane.state.current.Load()
-	draft := newDraft(current, d.plane.leases.statuses(d.now), d.plane.redundancy())
+	draft := newDraft(current, d.plane.leases.Statuses(d.now), d.plane.redundancy())
 	draft.updateStores()
 	manager.holdForRestarts(draft, d.now)
 	for _, request := range requests {
--- a/internal/controlplane/draft.go
+++ b/internal/controlplane/draft.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 )
 
 // draft is a cluster table in the making. It starts as a copy of the current one; what differs at the end is proposed.
@@ -16,13 +17,13 @@
 	jobs       []retireJob
 	redundancy
 	deliverers int
-	nodes      map[string]nodeStatus
+	nodes      map[string]lease.Status
 	held       map[string]bool   // stores that are down, and are expected back soon
 	aliveDisks map[string]string // the disks of the stores that can serve, by store; see noteAlive
 	copyCounts map[string]int    // by store, see replicaCounts; nil until they are needed
 }
 
-func newDraft(current *content, nodes map[string]nodeStatus, required redundancy) *draft {
+func newDraft(current *content, nodes map[string]lease.Status, required redundancy) *draft {
 	table := current.table
 	made := &draft{
 		primary:    table.Primary,
@@ -121,7 +122,7 @@
 
 // recent tells whether a replica's store surely outlived those that have been found dead now.
 func (d *draft) recent(replica cluster.Replica) bool {
-	return d.alive(replica) && d.nodes[replica.Store].recent
+	return d.alive(replica) && d.nodes[replica.Store].Recent
 }
 
 func (d *draft) zone(store string) string {
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -8,6 +8,7 @@
 	"gotest.tools/v3/golden"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 )
 
 // The golden files in testdata hold what released versions have written to disks and sent to each other. They were made
@@ -113,7 +114,7 @@
 	table, err := json.Marshal(goldenTable())
 	assert.NilError(t, err)
 	messages := []any{
-		[]passedLease{{Node: node, AgeMS: 12}, {Name: "store-1", Incarnation: "second", AgeMS: 7}},
+		[]lease.Renewal{{Node: node, AgeMS: 12}, {Name: "store-1", Incarnation: "second", AgeMS: 7}},
 		workerNews{Epoch: 2, Revision: 9, AgeMS: 350, Address: "10.0.0.1:7240"},
 		workersAnswer{List: list},
 		workersAnswer{Changes: []cluster.WorkerChange{*cluster.DiffWorkers(&cluster.WorkerList{Epoch: 2, Revision: 8}, list, sameWorker)}},
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -124,7 +124,7 @@
 		m.begin(now)
 	}
 	current := m.plane.state.current.Load()
-	draft := newDraft(current, m.plane.leases.statuses(now), m.plane.redundancy())
+	draft := newDraft(current, m.plane.leases.Statuses(now), m.plane.redundancy())
 	draft.updateStores()
 	m.holdForRestarts(draft, now)
 	granted := applyEdits(draft, requests)
@@ -154,7 +154,7 @@
 		if entry.State == cluster.StoreDown {
 			continue
 		}
-		m.plane.leases.grant(cluster.NodeInfo{
+		m.plane.leases.Grant(cluster.NodeInfo{
 			Name: entry.Name, Class: "store", Zone: entry.Zone, Address: entry.Address,
 			Incarnation: entry.Incarnation, DiskID: entry.DiskID, Store: true,
 			Draining: entry.State == cluster.StoreDraining,
@@ -247,7 +247,7 @@
 // zoneOfMember returns the zone that a member has announced, as far as it is known.
 func (d *draft) zoneOfMember(member replication.Member) string {
 	if node, found := d.nodes[member.Name]; found {
-		return node.info.Zone
+		return node.Info.Zone
 	}
 	for _, known := range d.core {
 		if known.Name == member.Name {
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -6,6 +6,7 @@
 
 	"go.uber.org/zap"
 
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 )
 
@@ -47,7 +48,7 @@
 func (m *memberManager) step(ctx context.Context) {
 	now := time.Now()
 	view := m.plane.group.Role().View
-	nodes := m.plane.leases.statuses(now)
+	nodes := m.plane.leases.Statuses(now)
 	m.noteAlive(view.Members, nodes, now)
 	change := m.plan(view, nodes, now)
 	if change == nil {
@@ -60,10 +61,10 @@
 }
 
 // noteAlive remembers when each member was last known to be alive.
-func (m *memberManager) noteAlive(members []replication.Member, nodes map[string]nodeStatus, now time.Time) {
+func (m *memberManager) noteAlive(members []replication.Member, nodes map[string]lease.Status, now time.Time) {
 	for _, member := range members {
 		node, found := nodes[member.Name]
-		if found && node.live && node.info.DiskID == member.DiskID || member.DiskID == m.plane.options.Info.DiskID {
+		if found && node.Live && node.Info.DiskID == member.DiskID || member.DiskID == m.plane.options.Info.DiskID {
 			m.lastAlive[member.DiskID] = now
 		}
 	}
@@ -78,7 +79,7 @@
 }
 
 // plan returns the next change of the members, or nil.
-func (m *memberManager) plan(view replication.View, nodes map[string]nodeStatus, now time.Time) *memberChange {
+func (m *memberManager) plan(view replication.View, nodes map[string]lease.Status, now time.Time) *memberChange {
 	if change := planJoin(view.Members, nodes); change != nil {
 		return m.withSilentReplaced(change, view.Members, now)
 	}
@@ -111,17 +112,17 @@
 
 // planJoin returns the change that takes in a process that may be a member and is not. One whose name is listed with
 // another disk takes that member's place.
-func planJoin(members []replication.Member, nodes map[string]nodeStatus) *memberChange {
+func planJoin(members []replication.Member, nodes map[string]lease.Status) *memberChange {
 	byName := make(map[string]replication.Member, len(members))
 	for _, member := range members {
 		byName[member.Name] = member
 	}
 	var joining *replication.Member
 	for name, node := range nodes {
-		if !node.recent || !node.info.Core || node.info.DiskID == "" || node.info.Draining || node.info.DiskFailing {
+		if !node.Recent || !node.Info.Core || node.Info.DiskID == "" || node.Info.Draining || node.Info.DiskFailing {
 			continue
 		}
-		candidate := replication.Member{Name: name, Address: node.info.Address, DiskID: node.info.DiskID}
+		candidate := replication.Member{Name: name, Address: node.Info.Address, DiskID: node.Info.DiskID}
 		known, listed := byName[name]
 		if listed && known.DiskID != candidate.DiskID {
 			return &memberChange{remove: known.DiskID, add: &candidate}
--- a/internal/controlplane/members_test.go
+++ b/internal/controlplane/members_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 )
 
-func coreNode(name, disk string) nodeStatus {
+func coreNode(name, disk string) lease.Status {
 	info := cluster.NodeInfo{Name: name, DiskID: disk, Core: true, Address: name + ":1"}
-	return nodeStatus{info: info, live: true, recent: true}
+	return lease.Status{Info: info, Live: true, Recent: true}
 }
 
-func membersOf(count int) ([]replication.Member, map[string]nodeStatus) {
+func membersOf(count int) ([]replication.Member, map[string]lease.Status) {
 	var members []replication.Member
-	nodes := map[string]nodeStatus{}
+	nodes := map[string]lease.Status{}
 	for i := range count {
 		name := fmt.Sprintf("m-%d", i)
 		members = append(members, replication.Member{Name: name, DiskID: "d-" + name, Address: name + ":1"})
--- a/internal/controlplane/outage.go
+++ b/internal/controlplane/outage.go
@@ -29,14 +29,14 @@
 	var found outage
 	var places map[string]int // counted only where a store is dead
 	for name, node := range d.nodes {
-		if node.live || now.Sub(node.refused) >= restartGrace {
+		if node.Live || now.Sub(node.Revoked) >= restartGrace {
 			continue
 		}
 		if places == nil {
 			places = d.replicaCounts()
 		}
 		if places[name] > 0 {
-			found.add(name, node.refused)
+			found.add(name, node.Revoked)
 		}
 	}
 	return found
--- a/internal/controlplane/placement_random_test.go
+++ b/internal/controlplane/placement_random_test.go
@@ -29,9 +29,9 @@
 			world.disturb(random, victim, step)
 			world.settle()
 			for _, partition := range world.current.table.Partitions {
-				assert.Assert(t, world.nodes[partition.Replicas[0].Store].live, "seed %d step %d", seed, step)
+				assert.Assert(t, world.nodes[partition.Replicas[0].Store].Live, "seed %d step %d", seed, step)
 			}
-			world.start(victim, world.nodes[victim].info.Zone, world.nodes[victim].info.DiskID)
+			world.start(victim, world.nodes[victim].Info.Zone, world.nodes[victim].Info.DiskID)
 			world.settle()
 			world.requireWhole()
 			world.requireBalance(stores)
@@ -45,7 +45,7 @@
 	case 0:
 		w.stop(victim)
 	case 1:
-		w.start(victim, w.nodes[victim].info.Zone, fmt.Sprintf("disk-%s-%d", victim, step))
+		w.start(victim, w.nodes[victim].Info.Zone, fmt.Sprintf("disk-%s-%d", victim, step))
 	case 2:
 		w.change(victim, func(info *cluster.NodeInfo) { info.Draining = true })
 	case 3:
--- a/internal/controlplane/placement_test.go
+++ b/internal/controlplane/placement_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/rpc"
 )
 
@@ -16,13 +17,13 @@
 type placementWorld struct {
 	t       *testing.T
 	current *content
-	nodes   map[string]nodeStatus
+	nodes   map[string]lease.Status
 	copies  int
 	zones   int // in which the copies of a partition stand
 }
 
 func newPlacementWorld(t *testing.T, copies int, stores ...string) *placementWorld {
-	world := &placementWorld{t: t, current: &content{table: &cluster.Table{}}, nodes: map[string]nodeStatus{}, copies: copies, zones: 2}
+	world := &placementWorld{t: t, current: &content{table: &cluster.Table{}}, nodes: map[string]lease.Status{}, copies: copies, zones: 2}
 	for i, store := range stores {
 		world.start(store, fmt.Sprintf("zone-%d", i%3), "disk-"+store)
 	}
@@ -33,18 +34,18 @@
 
 func (w *placementWorld) start(store, zone, disk string) {
 	info := cluster.NodeInfo{Name: store, Zone: zone, DiskID: disk, Store: true, Incarnation: "i", Address: store + ":1"}
-	w.nodes[store] = nodeStatus{info: info, live: true, recent: true, expires: time.Now().Add(time.Hour)}
+	w.nodes[store] = lease.Status{Info: info, Live: true, Recent: true, Expires: time.Now().Add(time.Hour)}
 }
 
 func (w *placementWorld) stop(store string) {
 	node := w.nodes[store]
-	node.live, node.recent, node.expires = false, false, time.Now()
+	node.Live, node.Recent, node.Expires = false, false, time.Now()
 	w.nodes[store] = node
 }
 
 func (w *placementWorld) change(store string, change func(*cluster.NodeInfo)) {
 	node := w.nodes[store]
-	change(&node.info)
+	change(&node.Info)
 	w.nodes[store] = node
 }
 
@@ -122,11 +123,11 @@
 func (w *placementWorld) followWishes() {
 	for _, partition := range w.current.table.Partitions {
 		primary, _ := partition.Primary()
-		if !w.nodes[primary.Store].live {
+		if !w.nodes[primary.Store].Live {
 			continue
 		}
 		for _, replica := range partition.Replicas[1:] {
-			if !replica.Synced && w.nodes[replica.Store].live {
+			if !replica.Synced && w.nodes[replica.Store].Live {
 				w.ask(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
 			}
 		}
@@ -185,7 +186,7 @@
 		}
 		for _, partition := range world.current.table.Partitions {
 			first, second := partition.Replicas[0].Store, partition.Replicas[1].Store
-			assert.Assert(t, world.nodes[first].info.Zone != world.nodes[second].info.Zone)
+			assert.Assert(t, world.nodes[first].Info.Zone != world.nodes[second].Info.Zone)
 		}
 	}
 }
@@ -263,7 +264,7 @@
 	assert.NilError(t, world.plan())
 	before := world.current.table.Partitions
 	for store, node := range world.nodes {
-		node.recent = false // the leases of the others still run, but were not renewed lately
+		node.Recent = false // the leases of the others still run, but were not renewed lately
 		world.nodes[store] = node
 	}
 	world.stop("a")
@@ -427,7 +428,7 @@
 	assert.Assert(t, steps > 2, "%d steps", steps)
 	for _, partition := range world.current.table.Partitions {
 		for _, replica := range partition.Replicas {
-			assert.Assert(t, world.nodes[replica.Store].live)
+			assert.Assert(t, world.nodes[replica.Store].Live)
 		}
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
@@ -467,7 +468,7 @@
 	for _, partition := range world.current.table.Partitions {
 		assert.Equal(t, len(partition.Replicas), 3)
 		for _, replica := range partition.Replicas {
-			assert.Assert(t, world.nodes[replica.Store].live, "partition %d", partition.ID)
+			assert.Assert(t, world.nodes[replica.Store].Live, "partition %d", partition.ID)
 		}
 	}
 }
@@ -487,11 +488,11 @@
 	for _, partition := range w.current.table.Partitions {
 		counts := map[string]int{}
 		for _, replica := range partition.Replicas {
-			counts[w.nodes[replica.Store].info.Zone]++
+			counts[w.nodes[replica.Store].Info.Zone]++
 		}
 		assert.Equal(w.t, len(partition.Replicas), 3)
 		assert.Equal(w.t, len(counts), zones, "partition %d", partition.ID)
-		primary := w.nodes[partition.Replicas[0].Store].info.Zone
+		primary := w.nodes[partition.Replicas[0].Store].Info.Zone
 		assert.Equal(w.t, counts[primary], withPrimary, "partition %d", partition.ID)
 	}
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -13,6 +13,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/network"
@@ -48,7 +49,7 @@
 	logger   *zap.Logger
 	group    group // nil on a process that cannot be a member
 	state    *stateMachine
-	leases   *leaseTable
+	leases   *lease.Table
 	workers  workerCache
 	packer   bodyPacker
 	encoded  newsCaches
@@ -109,7 +110,7 @@
 
 func (p *Plane) groupOptions() replication.Options {
 	p.manager = newManager(p)
-	p.leases = newLeaseTable(p.manager.nudge)
+	p.leases = lease.NewTable(p.manager.nudge)
 	p.members = &memberManager{plane: p}
 	p.reader = newWorkerReader(p)
 	return replication.Options{
@@ -124,8 +125,8 @@
 		Seed:             p.options.Seed,
 		HeartbeatPayload: p.reader.heartbeatPayload,
 		OnHeartbeat:      p.reader.onHeartbeat,
-		AnswerPayload:    func(number uint64) []byte { return p.leases.pass(number, time.Now()) },
-		OnEcho:           p.leases.confirm,
+		AnswerPayload:    func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
+		OnEcho:           p.leases.ConfirmAnswer,
 		OnAnswer:         p.onAnswer,
 	}
 }
@@ -262,7 +263,7 @@
 	if len(payload) == 0 {
 		return
 	}
-	if err := p.leases.take(payload, time.Now()); err != nil {
+	if err := p.leases.ApplyRenewals(payload, time.Now()); err != nil {
 		p.logger.Warn("leases of a backup not read", zap.Error(err))
 	}
 }
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -30,18 +30,18 @@
 	if err := p.requirePrimary(); err != nil {
 		return nil, nil, err
 	}
-	info, live := p.leases.live(report.Node, time.Now())
+	info, live := p.leases.Live(report.Node, time.Now())
 	if !live || info.Address != report.Address {
 		return nil, nil, nil
 	}
 	asked := time.Now()
 	switch p.look(ctx, info) {
 	case processDead:
-		if p.leases.refuse(info, time.Now()) {
+		if p.leases.Revoke(info, time.Now()) {
 			p.logger.Info("process found dead", zap.String("node", info.Name))
 		}
 	case processSilent:
-		p.leases.suspect(info, asked)
+		p.leases.MarkUnresponsive(info, asked)
 	}
 	return nil, nil, nil
 }
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -14,7 +14,7 @@
 // updateStores brings the entries of all stores in line with their leases.
 func (d *draft) updateStores() {
 	for name, node := range d.nodes {
-		if !node.live || !node.info.Store || node.info.DiskID == "" {
+		if !node.Live || !node.Info.Store || node.Info.DiskID == "" {
 			continue
 		}
 		entry := d.store(name)
@@ -23,14 +23,14 @@
 			d.stores = slices.Insert(d.stores, position, cluster.StoreEntry{Name: name})
 			entry = &d.stores[position]
 		}
-		if entry.DiskID != node.info.DiskID {
-			d.carryRetire(name, node.info.DiskID)
+		if entry.DiskID != node.Info.DiskID {
+			d.carryRetire(name, node.Info.DiskID)
 		}
-		entry.Zone = node.info.Zone
-		entry.Address = node.info.Address
-		entry.DiskID = node.info.DiskID
-		entry.Incarnation = node.info.Incarnation
-		entry.Unresponsive = node.silent
+		entry.Zone = node.Info.Zone
+		entry.Address = node.Info.Address
+		entry.DiskID = node.Info.DiskID
+		entry.Incarnation = node.Info.Incarnation
+		entry.Unresponsive = node.Unresponsive
 	}
 	for i := range d.stores {
 		d.stores[i].State = d.stateOf(&d.stores[i])
@@ -55,11 +55,11 @@
 	switch {
 	case job != nil && job.Completed:
 		return cluster.StoreRetired
-	case !known || !node.live || node.info.DiskFailing:
+	case !known || !node.Live || node.Info.DiskFailing:
 		return cluster.StoreDown
 	case job != nil:
 		return cluster.StoreRetiring
-	case node.info.Draining:
+	case node.Info.Draining:
 		return cluster.StoreDraining
 	}
 	return cluster.StoreActive
@@ -69,7 +69,7 @@
 func (d *draft) updateDeliverers(now time.Time) {
 	count := 0
 	for _, node := range d.nodes {
-		if node.info.Store && now.Sub(node.expires) < delivererMemory {
+		if node.Info.Store && now.Sub(node.Expires) < delivererMemory {
 			count++
 		}
 	}
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
 )
@@ -37,7 +38,7 @@
 	if !fresh {
 		return nil, nil, unavailable("not in touch with the primary")
 	}
-	p.leases.renew(request.Node, arrived)
+	p.leases.Renew(request.Node, arrived)
 	p.confirmLease(ctx, role, &request.Node, arrived)
 	wait := min(time.Duration(request.WaitMS)*time.Millisecond, longestSyncWait)
 	deadline := time.NewTimer(wait)
@@ -72,10 +73,10 @@
 // heartbeat; where the last one that did is missing or old, as after a start, the primary is told at once.
 func (p *Plane) confirmLease(ctx context.Context, role replication.Role, node *cluster.NodeInfo, arrived time.Time) {
 	if role.Primary {
-		p.leases.confirmAt(node, arrived)
+		p.leases.ConfirmRenewal(node, arrived)
 		return
 	}
-	confirmed, found := p.leases.confirmedAt(node.Name, node.Incarnation)
+	confirmed, found := p.leases.ConfirmedAt(node.Name, node.Incarnation)
 	if !node.Store || found && arrived.Sub(confirmed) < directRenewalAfter {
 		return
 	}
@@ -85,17 +86,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, directRenewalTimeout)
 	defer cancel()
-	renewal := passedLease{Node: node, AgeMS: time.Since(arrived).Milliseconds()}
+	renewal := lease.Renewal{Node: node, AgeMS: time.Since(arrived).Milliseconds()}
 	if _, err := p.options.Pool.Get(primary.Address).Call(ctx, methodRenew, renewal, nil, nil); err != nil {
 		p.logger.Debug("renewal not passed on", zap.String("node", node.Name), zap.Error(err))
 		return
 	}
-	p.leases.confirmAt(node, arrived)
+	p.leases.ConfirmRenewal(node, arrived)
 }
 
 // handleRenew takes in a renewal that arrived at a backup. Where this succeeds, this process was the primary after that.
 func (p *Plane) handleRenew(_ context.Context, call *rpc.Call) (any, []byte, error) {
-	var renewal passedLease
+	var renewal lease.Renewal
 	if err := call.Decode(&renewal); err != nil {
 		return nil, nil, err
 	}
@@ -106,7 +107,7 @@
 	if err := p.requirePrimary(); err != nil {
 		return nil, nil, err
 	}
-	p.leases.renew(*renewal.Node, at)
+	p.leases.Renew(*renewal.Node, at)
 	return nil, nil, nil
 }
 
@@ -116,7 +117,7 @@
 	if !node.Store {
 		return 0
 	}
-	confirmed, found := p.leases.confirmedAt(node.Name, node.Incarnation)
+	confirmed, found := p.leases.ConfirmedAt(node.Name, node.Incarnation)
 	if !found {
 		return cluster.NoLease
 	}
