--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -70,8 +70,8 @@
 			if m.Draining {
 				state += ", draining"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Zone, state, time.Duration(m.SinceS*1e9).Round(100*time.Millisecond),
-				yes(m.InView), m.Life, m.Address, strings.Join(m.By, " "))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Name, m.Zone, state, time.Duration(m.SinceSeconds*1e9).Round(100*time.Millisecond),
+				yes(m.InView), m.Incarnation, m.Address, strings.Join(m.SuspectedBy, " "))
 		}
 		if err := w.Flush(); err != nil {
 			return err
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -322,7 +322,7 @@
 		}
 	}
 	k.do(k.host.See(k.now(), there, quorum))
-	k.ready.Store(k.host.Ready() && v.Has(k.node.Name, life))
+	k.ready.Store(k.host.Ready() && v.Contains(k.node.Name, life))
 	if !quorum {
 		clear(k.away)
 		return
@@ -357,7 +357,7 @@
 		at := max(strings.LastIndexByte(o, '.'), 0)
 		name := o[:at]
 		life, _ := strconv.ParseUint(o[at+1:], 10, 64)
-		if i := slices.IndexFunc(k.view.Members, func(r membership.Record) bool { return r.Name == name }); i >= 0 && k.view.Members[i].Life <= life {
+		if i := slices.IndexFunc(k.view.Members, func(r membership.Record) bool { return r.Name == name }); i >= 0 && k.view.Members[i].Incarnation <= life {
 			delete(k.away, o)
 			continue
 		}
--- a/internal/dispatcher/faultinjection/faults.go
+++ b/internal/dispatcher/faultinjection/faults.go
@@ -451,11 +451,11 @@
 				e.Notice = &membership.Notice{Kind: l.Notice, Text: l.Text}
 			case l.Digest != "":
 				d, _ := strconv.ParseUint(l.Digest, 16, 64)
-				e.View = &membership.View{ViewID: membership.ViewID{Fleet: l.Fleet, Epoch: l.Epoch, Number: l.View, Digest: d}}
+				e.View = &membership.View{ViewID: membership.ViewID{FleetID: l.Fleet, Epoch: l.Epoch, Number: l.View, Digest: d}}
 				for _, id := range l.Members {
 					name, number, _ := strings.Cut(id, ".")
 					v, _ := strconv.ParseUint(number, 10, 64)
-					e.View.Members = append(e.View.Members, membership.Record{Name: name, Life: v})
+					e.View.Members = append(e.View.Members, membership.Record{Name: name, Incarnation: v})
 				}
 			default:
 				state := membership.Alive
@@ -464,7 +464,7 @@
 						state = s
 					}
 				}
-				e.Change = &membership.Change{Name: l.Member, Life: l.Of, State: state, Why: l.Why}
+				e.Change = &membership.Change{Name: l.Member, Incarnation: l.Of, State: state, Reason: l.Why}
 			}
 			e.Life = life
 			p.world.Record = append(p.world.Record, e)
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -77,7 +77,7 @@
 			case e.View != nil:
 				t.Logf("%v %s view %v of %d", e.At.Round(time.Millisecond), name, e.View.ViewID, len(e.View.Members))
 			case e.Change != nil:
-				t.Logf("%v %s: %s %d %v, %s", e.At.Round(time.Millisecond), name, e.Change.Name, e.Change.Life, e.Change.State, e.Change.Why)
+				t.Logf("%v %s: %s %d %v, %s", e.At.Round(time.Millisecond), name, e.Change.Name, e.Change.Incarnation, e.Change.State, e.Change.Reason)
 			case e.Notice != nil:
 				t.Logf("%v %s: %s, %s", e.At.Round(time.Millisecond), name, e.Notice.Kind, e.Notice.Text)
 			}
--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -16,7 +16,7 @@
 // The states. Unknown is not failed: nobody could reach it, and too few could say so together.
 const (
 	Alive State = iota + 1
-	Suspect
+	Suspected
 	Unknown
 	Left
 	Failed
@@ -29,42 +29,42 @@
 
 // Config is what a member is told. Times that are 0 get the default that Fill gives.
 type Config struct {
-	Name  string
-	Zone  string
-	At    netip.AddrPort // where the others reach it
-	Life  uint64         // of this start; larger than that of any earlier one under this name
-	Facts Facts
-	Seeds []netip.AddrPort // whom to ask for the way in
+	Name        string
+	Zone        string
+	Address     netip.AddrPort // where the others reach it
+	Incarnation uint64         // of this start; larger than that of any earlier one under this name
+	Metadata    Metadata
+	Seeds       []netip.AddrPort // whom to ask for the way in
 	// Book has the addresses at which this member reaches the others, by name, where those that they tell of themselves
 	// are not valid here. nil: what they tell.
-	Book map[string]netip.AddrPort
+	AddressBook map[string]netip.AddrPort
 	// Learn takes the address from which a member was heard for its own, if it is one of the seeds: where each member has
 	// addresses of its own for the others, and no names to them.
-	Learn bool
-	Seed  uint64 // of its random numbers
-
-	Period  time.Duration // between two probes
-	Bear    time.Duration // a member may be silent for so long before its jury may say that it has failed
-	Jury    int           // members that look into an accusation
-	Found   time.Duration // so long a member looks for others before it founds a fleet of its own
-	Hold    time.Duration // a change waits so long at most for others that are about to be ripe
-	History int           // changes kept for members that are behind
+	LearnAddresses bool
+	Seed           uint64 // of its random numbers
+
+	Period           time.Duration // between two probes
+	FailureTimeout   time.Duration // a member may be silent for so long before its jury may say that it has failed
+	ObserverCount    int           // members that look into an accusation
+	BootstrapTimeout time.Duration // so long a member looks for others before it founds a fleet of its own
+	BatchDelay       time.Duration // a change waits so long at most for others that are about to be ripe
+	History          int           // changes kept for members that are behind
 }
 
 // Fill puts the defaults in, and tells what cannot work.
-func (c *Config) Fill() error {
+func (c *Config) SetDefaults() error {
 	for _, f := range []struct {
 		to   *time.Duration
 		v    time.Duration
 		name string
-	}{{&c.Period, 500 * time.Millisecond, "period"}, {&c.Bear, 3 * time.Second, "bear"}, {&c.Found, 2 * time.Second, "found"},
-		{&c.Hold, 3 * time.Second, "hold"}} {
+	}{{&c.Period, 500 * time.Millisecond, "period"}, {&c.FailureTimeout, 3 * time.Second, "bear"}, {&c.BootstrapTimeout, 2 * time.Second, "found"},
+		{&c.BatchDelay, 3 * time.Second, "hold"}} {
 		if *f.to = cmp.Or(*f.to, f.v); *f.to < 10*time.Millisecond || *f.to > 10*time.Minute {
 			return fmt.Errorf("membership: %s: %v is not in 10ms to 10m", f.name, *f.to)
 		}
 	}
-	c.Jury, c.History = cmp.Or(c.Jury, 7), cmp.Or(c.History, 16)
-	if c.Jury < 1 || c.History < 1 {
+	c.ObserverCount, c.History = cmp.Or(c.ObserverCount, 7), cmp.Or(c.History, 16)
+	if c.ObserverCount < 1 || c.History < 1 {
 		return errors.New("membership: jury and history are 1 or more")
 	}
 	return nil
@@ -75,33 +75,33 @@
 
 // The events.
 const (
-	Tick  EventKind = iota + 1 // only the time
-	Heard                      // From, Data: a datagram
-	Say                        // Facts: what the others may read from now on
-	Leave                      // this member goes
+	Tick             EventKind = iota + 1 // only the time
+	DatagramReceived                      // From, Data: a datagram
+	MetadataChanged                       // Facts: what the others may read from now on
+	Leave                                 // this member goes
 )
 
 // Event is one thing that happened.
 type Event struct {
-	Kind  EventKind
-	From  netip.AddrPort
-	Data  []byte
-	Facts Facts
+	Kind     EventKind
+	From     netip.AddrPort
+	Data     []byte
+	Metadata Metadata
 }
 
 // Out is a datagram to be sent.
-type Out struct {
+type OutgoingDatagram struct {
 	To   netip.AddrPort
 	Data []byte
 }
 
 // Change is a member that is taken for something else than before.
 type Change struct {
-	Name   string
-	Life   uint64
-	State  State
-	Why    string // whose accusation, or what else led to it
-	Joined bool   // it is new here
+	Name        string
+	Incarnation uint64
+	State       State
+	Reason      string // whose accusation, or what else led to it
+	Joined      bool   // it is new here
 }
 
 // Notice is something that this member's operator should know of.
@@ -112,7 +112,7 @@
 
 // Actions are what follows from an event, in order. They are valid until the next call.
 type Actions struct {
-	Send    []Out
+	Send    []OutgoingDatagram
 	Changes []Change
 	Notices []Notice
 	View    *View         // the new view, if there is one
@@ -121,12 +121,12 @@
 
 // Counters only grow.
 type Counters struct {
-	Sent      uint64 `json:"sent"` // datagrams
-	SentBytes uint64 `json:"sent_bytes"`
-	Heard     uint64 `json:"heard"`
-	Foreign   uint64 `json:"foreign"` // torn, of another version, or with what cannot be
-	Refuted   uint64 `json:"refuted"` // accusations of this member
-	Accused   uint64 `json:"accused"` // its own
-	Pauses    uint64 `json:"pauses"`
-	Conflicts uint64 `json:"conflicts"` // its name was used elsewhere
+	Sent       uint64 `json:"sent"` // datagrams
+	SentBytes  uint64 `json:"sent_bytes"`
+	Received   uint64 `json:"heard"`
+	Malformed  uint64 `json:"foreign"` // torn, of another version, or with what cannot be
+	Refuted    uint64 `json:"refuted"` // accusations of this member
+	Suspicions uint64 `json:"accused"` // its own
+	Pauses     uint64 `json:"pauses"`
+	Conflicts  uint64 `json:"conflicts"` // its name was used elsewhere
 }
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -192,7 +192,7 @@
 					})
 				}
 			case "facts":
-				w.Tell(x, membership.Event{Kind: membership.Say, Facts: membership.Facts{Weight: 2}})
+				w.Tell(x, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
 			case "cut": // who is not on the side with more than half of the latest view may be taken for failed
 				heal()
 				side := map[*simulation.Node]bool{}
@@ -211,7 +211,7 @@
 				for _, y := range w.Nodes {
 					same := 0
 					for _, z := range w.Nodes {
-						if z.Up && side[z] == side[y] && last.Has(z.Name, z.Member.(*membership.Machine).Life()) {
+						if z.Up && side[z] == side[y] && last.Contains(z.Name, z.Member.(*membership.Machine).Incarnation()) {
 							same++
 						}
 					}
@@ -246,7 +246,7 @@
 			}
 			for _, x := range w.Nodes {
 				m := x.Member.(*membership.Machine)
-				last = append(last, fmt.Sprintf("%s life %d view %v joined %v quorum %v: %+v", x.Name, m.Life(), m.View().ViewID, m.Joined(), m.Quorum(), m.Members()))
+				last = append(last, fmt.Sprintf("%s life %d view %v joined %v quorum %v: %+v", x.Name, m.Incarnation(), m.View().ViewID, m.Joined(), m.Quorum(), m.Members()))
 			}
 			t.Fatalf("no agreement at the end (%v): %s", id, slices.Concat(last))
 		}
@@ -282,7 +282,7 @@
 		w.Run(3 * time.Second)
 		m := w.Nodes[0].Member.(*membership.Machine)
 		for range 3 {
-			if acts := m.Handle(w.Now, membership.Event{Kind: membership.Heard, From: w.Nodes[1].Addr, Data: data}); len(acts.Send) > 40 {
+			if acts := m.Handle(w.Now, membership.Event{Kind: membership.DatagramReceived, From: w.Nodes[1].Addr, Data: data}); len(acts.Send) > 40 {
 				t.Errorf("%d datagrams for one", len(acts.Send))
 			}
 		}
@@ -297,7 +297,7 @@
 }
 
 func (s spy) Handle(now time.Duration, ev membership.Event) *membership.Actions {
-	if ev.Kind == membership.Heard {
+	if ev.Kind == membership.DatagramReceived {
 		*s.seen = append(*s.seen, ev.Data)
 	}
 	return s.Member.Handle(now, ev)
--- a/internal/dispatcher/membership/golden_test.go
+++ b/internal/dispatcher/membership/golden_test.go
@@ -31,9 +31,9 @@
 	}
 	for _, change := range actions.Changes {
 		d.text(change.Name)
-		d.number(change.Life)
+		d.number(change.Incarnation)
 		d.number(uint64(change.State))
-		d.text(change.Why)
+		d.text(change.Reason)
 	}
 	for _, notice := range actions.Notices {
 		d.text(notice.Kind)
@@ -107,6 +107,8 @@
 			w.Start(n)
 		}
 	})
-	at(110, func() { w.Tell(w.Nodes[10], membership.Event{Kind: membership.Say, Facts: membership.Facts{}}) })
+	at(110, func() {
+		w.Tell(w.Nodes[10], membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{}})
+	})
 	w.Run(140 * time.Second)
 }
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -19,177 +19,177 @@
 type Machine struct {
 	Counters Counters
 
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	next     time.Duration
-	acts     Actions
-	me       Record
-	joined   bool // it is in the view
-	leaving  time.Duration
-	done     bool // it has left, or a later life has its name
-	table    map[string]*member
-	ring     []*member // whom to probe, in a random order made anew each round
-	turn     int
-	probeAt  time.Duration
-	joinAt   time.Duration
-	knockAt  time.Duration
-	asked    int // seeds asked so far
-	seq      uint32
-	probes   map[uint32]*probe
-	errands  map[uint32]errand
-	gossip   []*news
-	health   int           // 0 is well: its own probes come back in time
-	sign     time.Duration // when somebody last answered this member
-	born     time.Duration
-	inquire  []*member
-	suspects []*member
-	told     map[string]time.Duration // when this member was last told of its conflict
-	view     viewState
+	config            Config
+	rng               *rand.Rand
+	now               time.Duration
+	wakeAt            time.Duration
+	actions           Actions
+	self              Record
+	joined            bool // it is in the view
+	leavingSince      time.Duration
+	isEnded           bool // it has left, or a later life has its name
+	members           map[string]*member
+	ring              []*member // whom to probe, in a random order made anew each round
+	ringPosition      int
+	nextProbeAt       time.Duration
+	nextJoinAt        time.Duration
+	nextSeedContactAt time.Duration
+	seedsAsked        int // seeds asked so far
+	sequence          uint32
+	probes            map[uint32]*probe
+	relayedPings      map[uint32]relayedPing
+	gossipQueue       []*gossipEntry
+	healthPenalty     int           // 0 is well: its own probes come back in time
+	lastSignAt        time.Duration // when somebody last answered this member
+	startedAt         time.Duration
+	investigated      []*member
+	suspected         []*member
+	notifiedAt        map[string]time.Duration // when this member was last told of its conflict
+	view              viewState
 }
 
 const (
-	relays     = 3 // asked to ping for a member
-	mostHealth = 8 // periods that an accusation may wait for the accuser's own health
-	pings      = 6 // that a juror has sent in vain at least before its word counts
-	aloud      = 5 // pings of a juror with which it tells all: after two, 300 members with a fifth of all lost sent 2 kB/s
-	farewell   = 4 // periods that a member that leaves goes on answering
-	spreads    = 3 // times the logarithm of the members, a rumour is passed on
+	indirectProbes           = 3 // asked to ping for a member
+	maxHealthPenalty         = 8 // periods that an accusation may wait for the accuser's own health
+	minObserverPings         = 6 // that a juror has sent in vain at least before its word counts
+	pingsBeforeDissemination = 5 // pings of a juror with which it tells all: after two, 300 members with a fifth of all lost sent 2 kB/s
+	leavePeriods             = 4 // periods that a member that leaves goes on answering
+	gossipFactor             = 3 // times the logarithm of the members, a rumour is passed on
 )
 
 // New makes a member. The time is that of the events.
 func New(cfg Config, now time.Duration) (*Machine, error) {
-	if err := cfg.Fill(); err != nil {
+	if err := cfg.SetDefaults(); err != nil {
 		return nil, err
 	}
-	at, err := cfg.At.MarshalBinary()
+	at, err := cfg.Address.MarshalBinary()
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Life)), now: now, next: now, born: now, sign: now,
-		me:    Record{Name: cfg.Name, Life: cfg.Life, Zone: cfg.Zone, At: at, Facts: cfg.Facts},
-		table: map[string]*member{}, probes: map[uint32]*probe{}, errands: map[uint32]errand{}, told: map[string]time.Duration{}}
-	if err := m.me.check(); err != nil {
+	m := &Machine{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), now: now, wakeAt: now, startedAt: now, lastSignAt: now,
+		self:    Record{Name: cfg.Name, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Address: at, Metadata: cfg.Metadata},
+		members: map[string]*member{}, probes: map[uint32]*probe{}, relayedPings: map[uint32]relayedPing{}, notifiedAt: map[string]time.Duration{}}
+	if err := m.self.check(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	m.seq = m.rng.Uint32N(1 << 20)
-	m.view.start()
+	m.sequence = m.rng.Uint32N(1 << 20)
+	m.view.init()
 	return m, nil
 }
 
 // Handle takes one event at the time now.
 func (m *Machine) Handle(now time.Duration, ev Event) *Actions {
-	m.acts = Actions{Send: m.acts.Send[:0], Changes: m.acts.Changes[:0], Notices: m.acts.Notices[:0]}
+	m.actions = Actions{Send: m.actions.Send[:0], Changes: m.actions.Changes[:0], Notices: m.actions.Notices[:0]}
 	m.now = max(now, m.now)
-	if m.done {
-		m.acts.Next = m.now + time.Hour
-		return &m.acts
+	if m.isEnded {
+		m.actions.Next = m.now + time.Hour
+		return &m.actions
 	}
-	if late := m.now - m.next; late > m.cfg.Period*3/5 { // called so late, it was stopped itself
-		m.paused(late)
+	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // called so late, it was stopped itself
+		m.handlePause(late)
 	}
 	switch ev.Kind {
-	case Heard:
-		m.hear(ev.From, ev.Data)
-	case Say:
-		m.me.Facts = ev.Facts
-		m.me.News++
-		m.sayMe()
+	case DatagramReceived:
+		m.handleDatagram(ev.From, ev.Data)
+	case MetadataChanged:
+		m.self.Metadata = ev.Metadata
+		m.self.Revision++
+		m.disseminateSelf()
 	case Leave:
-		if m.leaving == 0 {
-			m.leaving = m.now
-			m.pass(rumour{Name: m.me.Name, Life: m.me.Life, News: m.me.News, State: Left})
-			for _, x := range m.some(relays, nil) { // told, not timed out
-				m.send(x.addr, packet{Kind: ping, Seq: m.newSeq()})
+		if m.leavingSince == 0 {
+			m.leavingSince = m.now
+			m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Left})
+			for _, x := range m.randomAlive(indirectProbes, nil) { // told, not timed out
+				m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 			}
 		}
 	}
-	if !m.done {
-		m.work()
+	if !m.isEnded {
+		m.runDue()
 	}
-	m.acts.Next = m.next
-	return &m.acts
+	m.actions.Next = m.wakeAt
+	return &m.actions
 }
 
 // paused is called when this member finds that it was stopped itself: what it did not hear says nothing of others.
-func (m *Machine) paused(late time.Duration) {
+func (m *Machine) handlePause(late time.Duration) {
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
 	clear(m.probes)
-	m.probeAt, m.joinAt, m.sign = m.now+m.cfg.Period, m.now, m.now
-	m.health = min(m.health+2, mostHealth)
-	for _, x := range m.inquire {
-		x.inquiry.began, x.inquiry.pings = m.now, 0
+	m.nextProbeAt, m.nextJoinAt, m.lastSignAt = m.now+m.config.Period, m.now, m.now
+	m.healthPenalty = min(m.healthPenalty+2, maxHealthPenalty)
+	for _, x := range m.investigated {
+		x.investigation.startedAt, x.investigation.pings = m.now, 0
 	}
-	for _, x := range m.suspects { // the time that passed is not a time in which they were silent
-		x.since = m.now
+	for _, x := range m.suspected { // the time that passed is not a time in which they were silent
+		x.stateSince = m.now
 	}
 	m.view.pause(m.now)
 }
 
 func (m *Machine) notice(kind, format string, v ...any) {
-	m.acts.Notices = append(m.acts.Notices, Notice{kind, fmt.Sprintf(format, v...)})
+	m.actions.Notices = append(m.actions.Notices, Notice{kind, fmt.Sprintf(format, v...)})
 }
 
-func (m *Machine) newSeq() uint32 { m.seq++; return m.seq }
+func (m *Machine) nextSequence() uint32 { m.sequence++; return m.sequence }
 
 // work does all that is due, and finds out when something will be.
-func (m *Machine) work() {
-	if m.leaving > 0 && m.now >= m.leaving+farewell*m.cfg.Period {
-		m.done = true
+func (m *Machine) runDue() {
+	if m.leavingSince > 0 && m.now >= m.leavingSince+leavePeriods*m.config.Period {
+		m.isEnded = true
 		return
 	}
-	m.next = m.now + m.cfg.Period
-	m.soon(m.probeAt)
-	if m.now >= m.probeAt {
-		m.probe()
-		m.probeAt = max(m.probeAt+m.cfg.Period, m.now+m.cfg.Period/2)
+	m.wakeAt = m.now + m.config.Period
+	m.wakeBy(m.nextProbeAt)
+	if m.now >= m.nextProbeAt {
+		m.probeNext()
+		m.nextProbeAt = max(m.nextProbeAt+m.config.Period, m.now+m.config.Period/2)
 	}
-	m.overdue()
-	for _, x := range slices.Clone(m.inquire) {
-		m.juror(x)
+	m.checkOverdueProbes()
+	for _, x := range slices.Clone(m.investigated) {
+		m.investigate(x)
 	}
-	m.suspects = slices.DeleteFunc(m.suspects, func(x *member) bool { return x.state != Suspect })
-	for _, x := range m.suspects {
-		if ripe := x.since + m.cfg.Bear + 4*m.cfg.Period; m.now < ripe {
-			m.soon(ripe)
+	m.suspected = slices.DeleteFunc(m.suspected, func(x *member) bool { return x.state != Suspected })
+	for _, x := range m.suspected {
+		if ripe := x.stateSince + m.config.FailureTimeout + 4*m.config.Period; m.now < ripe {
+			m.wakeBy(ripe)
 		} else {
-			m.set(x, Unknown, "nobody reaches it, and too few can say so together")
+			m.setState(x, Unknown, "nobody reaches it, and too few can say so together")
 		}
 	}
-	if m.leaving == 0 && !m.joined && m.now >= m.joinAt {
-		m.ask()
-		m.joinAt = m.now + m.cfg.Period
+	if m.leavingSince == 0 && !m.joined && m.now >= m.nextJoinAt {
+		m.sendJoin()
+		m.nextJoinAt = m.now + m.config.Period
 	}
 	if !m.joined {
-		m.soon(m.joinAt)
-	} else if m.now >= m.knockAt {
-		m.knock()
-	}
-	m.agree()
-	m.soon(m.probeAt)
-	for seq, e := range m.errands {
-		if m.now-e.at > 2*m.cfg.Bear {
-			delete(m.errands, seq)
+		m.wakeBy(m.nextJoinAt)
+	} else if m.now >= m.nextSeedContactAt {
+		m.contactSeed()
+	}
+	m.coordinate()
+	m.wakeBy(m.nextProbeAt)
+	for seq, e := range m.relayedPings {
+		if m.now-e.sentAt > 2*m.config.FailureTimeout {
+			delete(m.relayedPings, seq)
 		}
 	}
 }
 
 // soon sees to it that the machine is called by then.
-func (m *Machine) soon(at time.Duration) {
+func (m *Machine) wakeBy(at time.Duration) {
 	if at > m.now {
-		m.next = min(m.next, at)
+		m.wakeAt = min(m.wakeAt, at)
 	}
 }
 
 // Name returns this member's own name.
-func (m *Machine) Name() string { return m.me.Name }
+func (m *Machine) Name() string { return m.self.Name }
 
 // Life returns which of its lives this member is in.
-func (m *Machine) Life() uint64 { return m.me.Life }
+func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
 
 // Joined tells whether this member has joined the others.
 func (m *Machine) Joined() bool { return m.joined }
 
 // Health returns how unwell this member is: 0 while its own probes come back in time.
-func (m *Machine) Health() int { return m.health }
+func (m *Machine) Health() int { return m.healthPenalty }
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -23,7 +23,7 @@
 	var all []membership.Record
 	for i, x := range w.Nodes {
 		at, _ := x.Addr.MarshalBinary()
-		all = append(all, membership.Record{Name: x.Name, Life: uint64(i+1) * 1000, Zone: x.Zone, At: at})
+		all = append(all, membership.Record{Name: x.Name, Incarnation: uint64(i+1) * 1000, Zone: x.Zone, Address: at})
 	}
 	slices.SortFunc(all, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
 	first := membership.Viewed(all)
@@ -31,7 +31,7 @@
 		if kind != "views" {
 			return simulation.NewBaseline(w, x, seed, kind == "heartbeats", 500*time.Millisecond, bear), nil
 		}
-		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, At: x.Addr, Life: x.Life, Seed: seed, Seeds: w.Seeds(5), Bear: bear}, w.Now)
+		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, Address: x.Addr, Incarnation: x.Life, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: bear}, w.Now)
 		if err == nil && w.Now < time.Second {
 			m.Born(first)
 		}
@@ -78,7 +78,7 @@
 	for _, e := range w.Record {
 		if c := e.Change; c != nil && c.State == membership.Failed {
 			f.failed++
-		} else if c != nil && c.State == membership.Suspect {
+		} else if c != nil && c.State == membership.Suspected {
 			f.accused++
 		}
 	}
@@ -90,7 +90,7 @@
 		w.Kill(x)
 		w.Run(w.Now + 20*time.Second)
 		f.views += w.Views(at, w.Now)
-		suspected, gone := w.When(x.Name, life, membership.Suspect, at), w.When(x.Name, life, membership.Failed, at)
+		suspected, gone := w.When(x.Name, life, membership.Suspected, at), w.When(x.Name, life, membership.Failed, at)
 		if kind == "heartbeats" {
 			suspected = gone
 		}
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -13,208 +13,208 @@
 
 type member struct {
 	Record
-	addr     netip.AddrPort
-	state    State
-	since    time.Duration
-	by       []string      // who accuses it
-	answered time.Duration // it last answered this member, directly or by a relay
-	heard    time.Duration // its last datagram of any kind
-	wrong    int           // this member's accusations of it that proved wrong, fading
-	inquiry  *inquiry
-	met      bool          // it has answered at all
-	checked  time.Duration // since when it is asked once more, as a change takes it out
-	public   bool          // its accusation has been passed on: others believe it, and it has to refute it
+	endpoint        netip.AddrPort
+	state           State
+	stateSince      time.Duration
+	suspectedBy     []string      // who accuses it
+	lastAnswerAt    time.Duration // it last answered this member, directly or by a relay
+	lastHeardAt     time.Duration // its last datagram of any kind
+	falseSuspicions int           // this member's accusations of it that proved wrong, fading
+	investigation   *investigation
+	hasAnswered     bool          // it has answered at all
+	recheckedAt     time.Duration // since when it is asked once more, as a change takes it out
+	isDisseminated  bool          // its accusation has been passed on: others believe it, and it has to refute it
 }
 
 // news is a rumour on its way; the one passed on least goes first.
-type news struct {
-	name string
-	raw  cbor.RawMessage
-	sent int
+type gossipEntry struct {
+	memberName    string
+	encoded       cbor.RawMessage
+	transmissions int
 }
 
 // accuse says that a member does not answer, to its jury alone: with a fifth of all datagrams lost most accusations are
 // wrong, and the jury finds that out in half a second. Passed on at once, they and their refutations were nine tenths of
 // all bytes.
-func (m *Machine) accuse(x *member) {
+func (m *Machine) startSuspicion(x *member) {
 	if x.state == Left || x.state == Failed {
 		return
 	}
-	m.Counters.Accused++
-	m.suspect(x, m.me.Name, m.now, false)
-	for _, j := range m.jury(x) {
-		if j != m.me.Name {
-			m.send(m.table[j].addr, packet{Kind: inquire, For: x.Name, ForLife: x.Life, ForNews: x.News})
+	m.Counters.Suspicions++
+	m.addSuspicion(x, m.self.Name, m.now, false)
+	for _, j := range m.observersOf(x) {
+		if j != m.self.Name {
+			m.send(m.members[j].endpoint, packet{Kind: investigateRequest, Subject: x.Name, SubjectIncarnation: x.Incarnation, SubjectRevision: x.Revision})
 		}
 	}
 }
 
 // suspect takes an accusation in, one that is meant for all or only for its jury.
-func (m *Machine) suspect(x *member, by string, since time.Duration, public bool) {
-	fresh := !slices.Contains(x.by, by)
+func (m *Machine) addSuspicion(x *member, by string, since time.Duration, public bool) {
+	fresh := !slices.Contains(x.suspectedBy, by)
 	if x.state == Alive {
-		x.since, x.by = since, nil
-		m.set(x, Suspect, "accused by "+by)
-		m.suspects = append(m.suspects, x)
-	} else if x.state == Suspect && fresh {
-		x.since = min(x.since, since)
+		x.stateSince, x.suspectedBy = since, nil
+		m.setState(x, Suspected, "accused by "+by)
+		m.suspected = append(m.suspected, x)
+	} else if x.state == Suspected && fresh {
+		x.stateSince = min(x.stateSince, since)
 	}
-	if fresh && len(x.by) < 4 {
-		x.by = append(x.by, by)
+	if fresh && len(x.suspectedBy) < 4 {
+		x.suspectedBy = append(x.suspectedBy, by)
 	}
-	if public && !x.public {
-		x.public = true
-		m.pass(rumour{Name: x.Name, Life: x.Life, News: x.News, State: Suspect, By: by, AgeMs: uint32((m.now - x.since).Milliseconds())})
+	if public && !x.isDisseminated {
+		x.isDisseminated = true
+		m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected, SuspectedBy: by, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds())})
 	}
-	if x.inquiry == nil && slices.Contains(m.jury(x), m.me.Name) {
-		x.inquiry = &inquiry{began: m.now}
-		m.inquire = append(m.inquire, x)
-		m.juror(x)
+	if x.investigation == nil && slices.Contains(m.observersOf(x), m.self.Name) {
+		x.investigation = &investigation{startedAt: m.now}
+		m.investigated = append(m.investigated, x)
+		m.investigate(x)
 	}
 }
 
 // set changes what a member is taken for.
-func (m *Machine) set(x *member, s State, why string) {
+func (m *Machine) setState(x *member, s State, why string) {
 	if x.state == s {
 		return
 	}
 	was := x.state
 	x.state = s
-	if s != Suspect {
-		x.since = m.now
+	if s != Suspected {
+		x.stateSince = m.now
 	}
 	if s == Alive || s == Left || s == Failed {
-		x.by, x.public = nil, false
-		m.drop(x)
+		x.suspectedBy, x.isDisseminated = nil, false
+		m.endInvestigation(x)
 	}
-	m.acts.Changes = append(m.acts.Changes, Change{Name: x.Name, Life: x.Life, State: s, Why: why, Joined: was == 0})
+	m.actions.Changes = append(m.actions.Changes, Change{Name: x.Name, Incarnation: x.Incarnation, State: s, Reason: why, Joined: was == 0})
 }
 
 // drop ends an inquiry.
-func (m *Machine) drop(x *member) {
-	if x.inquiry != nil {
-		x.inquiry = nil
-		m.inquire = slices.DeleteFunc(m.inquire, func(y *member) bool { return x == y })
+func (m *Machine) endInvestigation(x *member) {
+	if x.investigation != nil {
+		x.investigation = nil
+		m.investigated = slices.DeleteFunc(m.investigated, func(y *member) bool { return x == y })
 	}
 }
 
 // sayMe spreads what this member says of itself.
-func (m *Machine) sayMe() {
-	whole := m.me
-	m.pass(rumour{Name: m.me.Name, Life: m.me.Life, News: m.me.News, State: Alive, Whole: &whole})
+func (m *Machine) disseminateSelf() {
+	whole := m.self
+	m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive, Record: &whole})
 }
 
 // pass puts a rumour on its way; it replaces an older one of the same member.
-func (m *Machine) pass(r rumour) {
-	raw := cbor.RawMessage(encode(r))
-	for _, n := range m.gossip {
-		if n.name == r.Name {
-			n.raw, n.sent = raw, 0
+func (m *Machine) disseminate(r rumor) {
+	raw := cbor.RawMessage(encodeCBOR(r))
+	for _, n := range m.gossipQueue {
+		if n.memberName == r.Name {
+			n.encoded, n.transmissions = raw, 0
 			return
 		}
 	}
-	m.gossip = append(m.gossip, &news{name: r.Name, raw: raw})
+	m.gossipQueue = append(m.gossipQueue, &gossipEntry{memberName: r.Name, encoded: raw})
 }
 
 // fresher takes in that a member has raised its number: it lives, and knows what was said before.
-func (m *Machine) fresher(x *member, n uint32, why string) {
-	if n <= x.News || x.state == Left || x.state == Failed {
+func (m *Machine) applyRevision(x *member, n uint32, why string) {
+	if n <= x.Revision || x.state == Left || x.state == Failed {
 		return
 	}
-	x.News = n
-	if x.state == Suspect || x.state == Unknown {
-		public := x.public
-		if m.set(x, Alive, why); public {
-			m.pass(rumour{Name: x.Name, Life: x.Life, News: x.News, State: Alive})
+	x.Revision = n
+	if x.state == Suspected || x.state == Unknown {
+		public := x.isDisseminated
+		if m.setState(x, Alive, why); public {
+			m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Alive})
 		}
 	}
 }
 
 // refute says that this member is there, above what was said of it.
 func (m *Machine) refute(n uint32) {
-	if n >= m.me.News {
+	if n >= m.self.Revision {
 		m.Counters.Refuted++
-		m.me.News = n + 1
-		m.pass(rumour{Name: m.me.Name, Life: m.me.Life, News: m.me.News, State: Alive})
-		for _, x := range m.some(relays, nil) {
-			m.send(x.addr, packet{Kind: ping, Seq: m.newSeq()})
+		m.self.Revision = n + 1
+		m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive})
+		for _, x := range m.randomAlive(indirectProbes, nil) {
+			m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 		}
 	}
 }
 
 // rumour takes in what is said of somebody.
-func (m *Machine) rumour(r *rumour) {
-	if r.Name == m.me.Name {
+func (m *Machine) applyRumor(r *rumor) {
+	if r.Name == m.self.Name {
 		switch {
-		case r.Life > m.me.Life:
-			if r.Whole != nil {
-				m.ended(r.Life, !slices.Equal(r.Whole.At, m.me.At))
+		case r.Incarnation > m.self.Incarnation:
+			if r.Record != nil {
+				m.handleIncarnationEnded(r.Incarnation, !slices.Equal(r.Record.Address, m.self.Address))
 			}
-		case r.Life == m.me.Life && r.State == Suspect:
-			m.refute(r.News)
-		case r.Life == m.me.Life && r.News > m.me.News: // this process was put back to an earlier state
-			m.refute(r.News)
-		case r.Life == m.me.Life && r.State == Left && m.leaving == 0:
-			m.renew("it was put back to before it left")
+		case r.Incarnation == m.self.Incarnation && r.State == Suspected:
+			m.refute(r.Revision)
+		case r.Incarnation == m.self.Incarnation && r.Revision > m.self.Revision: // this process was put back to an earlier state
+			m.refute(r.Revision)
+		case r.Incarnation == m.self.Incarnation && r.State == Left && m.leavingSince == 0:
+			m.startNewIncarnation("it was put back to before it left")
 		}
 		return
 	}
-	x := m.table[r.Name]
+	x := m.members[r.Name]
 	switch {
-	case x == nil || r.Life > x.Life:
-		if r.State == Alive && r.Whole != nil {
-			m.meet(*r.Whole)
-			m.pass(*r)
+	case x == nil || r.Incarnation > x.Incarnation:
+		if r.State == Alive && r.Record != nil {
+			m.addMember(*r.Record)
+			m.disseminate(*r)
 		}
-	case r.Life < x.Life || x.state == Left || x.state == Failed:
-	case r.State == Alive && r.News > x.News:
-		if x.News = r.News; r.Whole != nil {
-			x.Facts = r.Whole.Facts
+	case r.Incarnation < x.Incarnation || x.state == Left || x.state == Failed:
+	case r.State == Alive && r.Revision > x.Revision:
+		if x.Revision = r.Revision; r.Record != nil {
+			x.Metadata = r.Record.Metadata
 		}
-		m.set(x, Alive, "it says so")
-		m.pass(*r)
-	case r.State == Suspect && r.News >= x.News:
-		x.News = r.News
-		m.suspect(x, r.By, m.now-time.Duration(r.AgeMs)*time.Millisecond, true)
+		m.setState(x, Alive, "it says so")
+		m.disseminate(*r)
+	case r.State == Suspected && r.Revision >= x.Revision:
+		x.Revision = r.Revision
+		m.addSuspicion(x, r.SuspectedBy, m.now-time.Duration(r.AgeMilliseconds)*time.Millisecond, true)
 	case r.State == Left:
-		m.set(x, Left, "it said so")
-		m.pass(*r)
+		m.setState(x, Left, "it said so")
+		m.disseminate(*r)
 	}
 }
 
 // meet puts a member, or a new life of one, into the table.
-func (m *Machine) meet(r Record) *member {
-	x := m.table[r.Name]
+func (m *Machine) addMember(r Record) *member {
+	x := m.members[r.Name]
 	switch {
-	case x != nil && x.Life == r.Life:
-		if r.News > x.News && x.state <= Unknown {
-			x.Facts, x.At, x.addr, x.Zone = r.Facts, r.At, m.reach(&r), r.Zone
-			m.fresher(x, r.News, "it says so")
+	case x != nil && x.Incarnation == r.Incarnation:
+		if r.Revision > x.Revision && x.state <= Unknown {
+			x.Metadata, x.Address, x.endpoint, x.Zone = r.Metadata, r.Address, m.endpointOf(&r), r.Zone
+			m.applyRevision(x, r.Revision, "it says so")
 		}
 		return x
-	case x != nil && x.Life > r.Life:
+	case x != nil && x.Incarnation > r.Incarnation:
 		return x
 	case x != nil:
-		m.drop(x)
+		m.endInvestigation(x)
 	}
-	x = &member{Record: r, addr: m.reach(&r)}
-	m.table[r.Name] = x
-	m.set(x, Alive, "it is new")
+	x = &member{Record: r, endpoint: m.endpointOf(&r)}
+	m.members[r.Name] = x
+	m.setState(x, Alive, "it is new")
 	// It may wait for a whole round otherwise.
-	if m.turn <= len(m.ring) {
-		m.ring = slices.Insert(m.ring, m.turn+m.rng.IntN(len(m.ring)-m.turn+1), x)
+	if m.ringPosition <= len(m.ring) {
+		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), x)
 	}
 	return x
 }
 
 // reach is the address at which this member reaches another.
-func (m *Machine) reach(r *Record) netip.AddrPort {
-	if a, ok := m.cfg.Book[r.Name]; ok {
+func (m *Machine) endpointOf(r *Record) netip.AddrPort {
+	if a, ok := m.config.AddressBook[r.Name]; ok {
 		return a
-	} else if m.cfg.Learn {
+	} else if m.config.LearnAddresses {
 		return netip.AddrPort{} // none before it is heard
 	}
-	return r.Addr()
+	return r.AddrPort()
 }
 
 func sortedKeys[K cmp.Ordered, V any](in map[K]V) []K {
@@ -227,46 +227,46 @@
 }
 
 // Seen is what this member knows of one, itself included.
-type Seen struct {
-	Name     string   `json:"name"`
-	Zone     string   `json:"zone"`
-	Life     uint64   `json:"life"`
-	Address  string   `json:"address"`
-	State    string   `json:"state"`
-	SinceS   float64  `json:"since_s"`
-	By       []string `json:"accused_by,omitempty"`
-	InView   bool     `json:"in_view"`
-	Weight   float32  `json:"weight"`
-	Draining bool     `json:"draining"`
-	Version  string   `json:"version"`
+type MemberStatus struct {
+	Name         string   `json:"name"`
+	Zone         string   `json:"zone"`
+	Incarnation  uint64   `json:"life"`
+	Address      string   `json:"address"`
+	State        string   `json:"state"`
+	SinceSeconds float64  `json:"since_s"`
+	SuspectedBy  []string `json:"accused_by,omitempty"`
+	InView       bool     `json:"in_view"`
+	Weight       float32  `json:"weight"`
+	Draining     bool     `json:"draining"`
+	Version      string   `json:"version"`
 }
 
 // Members are all that this member knows of, by zone and name.
-func (m *Machine) Members() []Seen {
-	see := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) Seen {
-		return Seen{Name: r.Name, Zone: r.Zone, Life: r.Life, Address: addr.String(), State: state.String(), SinceS: (m.now - since).Seconds(),
-			By: slices.Clone(by), InView: m.view.Has(r.Name, r.Life), Weight: r.Facts.Weight, Draining: r.Facts.Draining, Version: r.Facts.Version}
+func (m *Machine) Members() []MemberStatus {
+	see := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) MemberStatus {
+		return MemberStatus{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Address: addr.String(), State: state.String(), SinceSeconds: (m.now - since).Seconds(),
+			SuspectedBy: slices.Clone(by), InView: m.view.Contains(r.Name, r.Incarnation), Weight: r.Metadata.Weight, Draining: r.Metadata.Draining, Version: r.Metadata.Version}
 	}
 	state := Alive
-	if m.leaving > 0 || m.done {
+	if m.leavingSince > 0 || m.isEnded {
 		state = Left
 	}
-	out := []Seen{see(&m.me, m.cfg.At, state, m.born, nil)}
-	for _, x := range m.table {
-		out = append(out, see(&x.Record, x.addr, x.state, x.since, x.by))
+	out := []MemberStatus{see(&m.self, m.config.Address, state, m.startedAt, nil)}
+	for _, x := range m.members {
+		out = append(out, see(&x.Record, x.endpoint, x.state, x.stateSince, x.suspectedBy))
 	}
-	slices.SortFunc(out, func(a, b Seen) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(out, func(a, b MemberStatus) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	return out
 }
 
 // Addresses are those that a datagram of this fleet may come from.
 func (m *Machine) Addresses() map[netip.AddrPort]bool {
 	out := map[netip.AddrPort]bool{}
-	for _, a := range m.cfg.Seeds {
+	for _, a := range m.config.Seeds {
 		out[a] = true
 	}
-	for _, x := range m.table {
-		out[x.addr] = true
+	for _, x := range m.members {
+		out[x.endpoint] = true
 	}
 	return out
 }
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -65,7 +65,7 @@
 			if len(failed) != n-1 || failed[0] < 3*time.Second {
 				t.Fatalf("%d members: failed is known to %d, from %v on", n, len(failed), failed)
 			}
-			first, last = append(first, w.When(x.Name, life, membership.Suspect, at)[0]), append(last, failed[n-2])
+			first, last = append(first, w.When(x.Name, life, membership.Suspected, at)[0]), append(last, failed[n-2])
 			if got := w.Views(at, w.Now); got != 1 {
 				t.Errorf("%d members: %d views for one crash", n, got)
 			}
@@ -261,7 +261,7 @@
 	if notices[2]["superseded"] != 1 || notices[2]["expelled"] > 0 || notices[5]["expelled"] > 0 {
 		t.Errorf("notices: %v", notices)
 	}
-	if v := b.Member.(*membership.Machine).View(); !v.Has(b.Name, b.Life) || len(v.Members) != 5 {
+	if v := b.Member.(*membership.Machine).View(); !v.Contains(b.Name, b.Life) || len(v.Members) != 5 {
 		t.Errorf("view %+v", v)
 	}
 }
@@ -270,7 +270,7 @@
 	t.Parallel()
 	w := simulation.New(4, 1, 8)
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
-		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, At: n.Addr, Life: n.Life, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
+		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Life, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
 	}
 	w.Start(w.Nodes[2])
 	w.Run(10 * time.Second) // alone
@@ -338,8 +338,8 @@
 		w.Kill(x)
 		w.Run(w.Now + 12*time.Second)
 		id := z.Member.(*membership.Machine).View().ViewID
-		for _, s := range []membership.State{membership.Alive, membership.Suspect, membership.Left} {
-			w.Tell(y, membership.Event{Kind: membership.Heard, From: z.Addr, Data: membership.Forged(z.Name, z.Life, id, x.Name, life, 99, s)})
+		for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Left} {
+			w.Tell(y, membership.Event{Kind: membership.DatagramReceived, From: z.Addr, Data: membership.Forged(z.Name, z.Life, id, x.Name, life, 99, s)})
 			for _, seen := range y.Member.(*membership.Machine).Members() {
 				if seen.Name == x.Name && seen.State != end.String() {
 					t.Errorf("%v, then %v with later news: it is %s", end, s, seen.State)
@@ -364,7 +364,7 @@
 			if e.Node != k || e.At < at {
 				continue
 			}
-			if paused = paused || e.Notice != nil && e.Notice.Kind == "paused"; e.Change != nil && e.Change.State == membership.Suspect {
+			if paused = paused || e.Notice != nil && e.Notice.Kind == "paused"; e.Change != nil && e.Change.State == membership.Suspected {
 				t.Errorf("%s, stopped till %v, accuses %s at %v", x.Name, at, e.Change.Name, e.At)
 			}
 		}
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -31,7 +31,7 @@
 	for _, e := range w.Record {
 		at := fmt.Sprintf("%v %s", e.At.Round(time.Millisecond), w.Nodes[e.Node].Name)
 		if v := e.View; v != nil {
-			k := number{v.Fleet, v.Epoch, v.Number}
+			k := number{v.FleetID, v.Epoch, v.Number}
 			if d, ok := digests[k]; ok && d != v.Digest {
 				faults = append(faults, fmt.Sprintf("%s: view %d.%d is another one than elsewhere", at, v.Epoch, v.Number))
 			}
@@ -43,15 +43,15 @@
 			last[me] = v.ViewID
 		}
 		if c := e.Change; c != nil {
-			k := seen{e.Node, e.Life, c.Name, c.Life}
+			k := seen{e.Node, e.Life, c.Name, c.Incarnation}
 			if was, ok := ended[k]; ok && c.State != was {
-				faults = append(faults, fmt.Sprintf("%s: %s life %d is %v after it was %v", at, c.Name, c.Life, c.State, was))
+				faults = append(faults, fmt.Sprintf("%s: %s life %d is %v after it was %v", at, c.Name, c.Incarnation, c.State, was))
 			}
 			if c.State >= membership.Left {
 				ended[k] = c.State
 			}
-			if c.State == membership.Failed && !w.excused(c.Name, c.Life, e) {
-				faults = append(faults, fmt.Sprintf("%s: %s life %d is taken for failed, and it is there", at, c.Name, c.Life))
+			if c.State == membership.Failed && !w.excused(c.Name, c.Incarnation, e) {
+				faults = append(faults, fmt.Sprintf("%s: %s life %d is taken for failed, and it is there", at, c.Name, c.Incarnation))
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 // Wrong counts, among the changes, who was accused though it was there.
 func (w *World) Wrong() (accused int) {
 	for _, e := range w.Record {
-		if c := e.Change; c != nil && c.State == membership.Suspect && !w.excused(c.Name, c.Life, e) {
+		if c := e.Change; c != nil && c.State == membership.Suspected && !w.excused(c.Name, c.Incarnation, e) {
 			accused++
 		}
 	}
@@ -113,7 +113,7 @@
 func (w *World) When(name string, life uint64, s membership.State, since time.Duration) (out []time.Duration) {
 	done := map[int]bool{}
 	for _, e := range w.Record {
-		if c := e.Change; c != nil && c.Name == name && c.Life == life && c.State == s && e.At >= since && !done[e.Node] {
+		if c := e.Change; c != nil && c.Name == name && c.Incarnation == life && c.State == s && e.At >= since && !done[e.Node] {
 			done[e.Node] = true
 			out = append(out, e.At-since)
 		}
--- a/internal/dispatcher/membership/simulation/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -62,7 +62,7 @@
 func (b *Baseline) set(i int, s membership.State) {
 	if b.state[i] != s {
 		b.state[i] = s
-		b.acts.Changes = append(b.acts.Changes, membership.Change{Name: b.w.Nodes[i].Name, Life: b.w.Nodes[i].Life, State: s})
+		b.acts.Changes = append(b.acts.Changes, membership.Change{Name: b.w.Nodes[i].Name, Incarnation: b.w.Nodes[i].Life, State: s})
 		if !b.all {
 			b.tell(i)
 		}
@@ -85,7 +85,7 @@
 		most := 3 * bits.Len(uint(len(b.state)))
 		slices.SortStableFunc(b.gossip, func(a, c gossip) int { return a.sent - c.sent })
 		for k := range b.gossip {
-			if g := &b.gossip[k]; len(data)+8 <= membership.Datagram {
+			if g := &b.gossip[k]; len(data)+8 <= membership.MaxDatagramBytes {
 				data = binary.LittleEndian.AppendUint16(data, uint16(g.who))
 				data = append(data, byte(b.state[g.who]), 0)
 				data = binary.LittleEndian.AppendUint32(data, b.inc[g.who])
@@ -94,13 +94,13 @@
 		}
 		b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.sent >= most })
 	}
-	b.acts.Send = append(b.acts.Send, membership.Out{To: b.w.Nodes[to].Addr, Data: data})
+	b.acts.Send = append(b.acts.Send, membership.OutgoingDatagram{To: b.w.Nodes[to].Addr, Data: data})
 }
 
 // Handle takes one event.
 func (b *Baseline) Handle(now time.Duration, ev membership.Event) *membership.Actions {
 	b.acts = membership.Actions{Send: b.acts.Send[:0], Changes: b.acts.Changes[:0]}
-	if ev.Kind == membership.Heard {
+	if ev.Kind == membership.DatagramReceived {
 		b.hear(now, ev.Data)
 	}
 	if b.all {
@@ -128,7 +128,7 @@
 
 func (b *Baseline) swim(now time.Duration) {
 	for i, s := range b.state {
-		if s == membership.Suspect && now >= b.due[i] {
+		if s == membership.Suspected && now >= b.due[i] {
 			b.set(i, membership.Failed)
 		}
 	}
@@ -143,7 +143,7 @@
 	if now >= b.probeAt {
 		if b.probed >= 0 && !b.acked && b.state[b.probed] == membership.Alive {
 			b.due[b.probed] = now + b.patience
-			b.set(b.probed, membership.Suspect)
+			b.set(b.probed, membership.Suspected)
 		}
 		b.probeAt += b.period
 		b.probed, b.asked, b.acked, b.since = -1, false, false, now
@@ -164,7 +164,7 @@
 		b.acts.Next = min(b.acts.Next, max(b.since+b.period*2/5, now+time.Millisecond))
 	}
 	for i, s := range b.state {
-		if s == membership.Suspect {
+		if s == membership.Suspected {
 			b.acts.Next = min(b.acts.Next, max(b.due[i], now+time.Millisecond))
 		}
 	}
@@ -189,8 +189,8 @@
 				b.tell(i)
 			}
 		case s == membership.Failed && b.state[i] != s, s == membership.Alive && inc > b.inc[i] && b.state[i] != membership.Failed,
-			s == membership.Suspect && inc >= b.inc[i] && b.state[i] == membership.Alive:
-			if b.inc[i] = max(inc, b.inc[i]); s == membership.Suspect {
+			s == membership.Suspected && inc >= b.inc[i] && b.state[i] == membership.Alive:
+			if b.inc[i] = max(inc, b.inc[i]); s == membership.Suspected {
 				b.due[i] = now + b.patience
 			}
 			b.set(i, s)
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -116,7 +116,7 @@
 		w.byAddr[a] = w.Nodes[i]
 	}
 	w.Make = func(n *Node, seed uint64) (Member, error) {
-		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, At: n.Addr, Life: n.Life, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
+		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Life, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
 	}
 	return w
 }
@@ -187,7 +187,7 @@
 			mail := n.waiting
 			n.waiting = nil
 			for _, d := range mail {
-				w.handle(n, membership.Event{Kind: membership.Heard, From: d.from, Data: d.data})
+				w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: d.from, Data: d.data})
 			}
 			w.handle(n, membership.Event{Kind: membership.Tick})
 		}
@@ -213,7 +213,7 @@
 		case e.mail == nil:
 			w.handle(n, membership.Event{Kind: membership.Tick})
 		case !n.Deaf:
-			w.handle(n, membership.Event{Kind: membership.Heard, From: e.mail.from, Data: e.mail.data})
+			w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: e.mail.from, Data: e.mail.data})
 		}
 	}
 	w.Now = max(w.Now, until)
--- a/internal/dispatcher/membership/traffic.go
+++ b/internal/dispatcher/membership/traffic.go
@@ -18,145 +18,145 @@
 	if !to.IsValid() {
 		return
 	}
-	p.From, p.Life, p.News = m.me.Name, m.me.Life, m.me.News
+	p.From, p.Incarnation, p.Revision = m.self.Name, m.self.Incarnation, m.self.Revision
 	if p.View == (ViewID{}) {
 		p.View = m.view.ViewID
 	}
-	body := encode(p)
+	body := encodeCBOR(p)
 	size := 1 + len(body)
-	if p.Kind == ping || p.Kind == ack || p.Kind == ask {
-		if x := m.table[p.For]; p.Kind == ping && x != nil && x.public && (x.state == Suspect || x.state == Unknown) {
-			raw := encode(rumour{Name: x.Name, Life: x.Life, News: x.News, State: Suspect, By: m.me.Name, AgeMs: uint32((m.now - x.since).Milliseconds())})
-			if size+len(raw)+1 <= Datagram {
-				p.Rumours, size = append(p.Rumours, raw), size+len(raw)
+	if p.Kind == ping || p.Kind == ack || p.Kind == pingRequest {
+		if x := m.members[p.Subject]; p.Kind == ping && x != nil && x.isDisseminated && (x.state == Suspected || x.state == Unknown) {
+			raw := encodeCBOR(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected, SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds())})
+			if size+len(raw)+1 <= MaxDatagramBytes {
+				p.Rumors, size = append(p.Rumors, raw), size+len(raw)
 			}
 		}
-		most := spreads * bits.Len(uint(len(m.table)+1))
-		slices.SortStableFunc(m.gossip, func(a, b *news) int { return cmp.Compare(a.sent, b.sent) })
-		for _, n := range m.gossip {
-			if size+len(n.raw)+2 <= Datagram && len(p.Rumours) < 20 && n.name != p.For {
-				p.Rumours, size = append(p.Rumours, n.raw), size+len(n.raw)
-				n.sent++
+		most := gossipFactor * bits.Len(uint(len(m.members)+1))
+		slices.SortStableFunc(m.gossipQueue, func(a, b *gossipEntry) int { return cmp.Compare(a.transmissions, b.transmissions) })
+		for _, n := range m.gossipQueue {
+			if size+len(n.encoded)+2 <= MaxDatagramBytes && len(p.Rumors) < 20 && n.memberName != p.Subject {
+				p.Rumors, size = append(p.Rumors, n.encoded), size+len(n.encoded)
+				n.transmissions++
 			}
 		}
-		m.gossip = slices.DeleteFunc(m.gossip, func(n *news) bool { return n.sent >= most })
+		m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(n *gossipEntry) bool { return n.transmissions >= most })
 	}
-	if len(p.Rumours) > 0 {
-		body = encode(p)
+	if len(p.Rumors) > 0 {
+		body = encodeCBOR(p)
 	}
-	data := append(append(make([]byte, 0, 1+len(body)), version), body...)
-	if len(data) > Datagram {
+	data := append(append(make([]byte, 0, 1+len(body)), formatVersion), body...)
+	if len(data) > MaxDatagramBytes {
 		panic(fmt.Sprintf("membership: a datagram of %d bytes, kind %d", len(data), p.Kind)) // sizes are bounded where bodies are made
 	}
 	m.Counters.Sent++
 	m.Counters.SentBytes += uint64(len(data))
-	m.acts.Send = append(m.acts.Send, Out{To: to, Data: data})
+	m.actions.Send = append(m.actions.Send, OutgoingDatagram{To: to, Data: data})
 }
 
 // hear takes a datagram in.
-func (m *Machine) hear(from netip.AddrPort, data []byte) {
-	p, err := read(data)
+func (m *Machine) handleDatagram(from netip.AddrPort, data []byte) {
+	p, err := decodePacket(data)
 	if err != nil {
-		m.Counters.Foreign++
+		m.Counters.Malformed++
 		return
 	}
-	m.Counters.Heard++
-	if p.From == m.me.Name {
-		m.twin(p, from)
+	m.Counters.Received++
+	if p.From == m.self.Name {
+		m.handleNameConflict(p, from)
 		return
 	}
-	x := m.table[p.From]
-	if x != nil && p.Life < x.Life || x != nil && p.Life == x.Life && (x.state == Left || x.state == Failed) {
-		if p.Kind != over && m.now >= m.told[p.From]+m.cfg.Period { // it should know that this life has ended, or the one before
-			m.told[p.From] = m.now
-			m.send(from, packet{Kind: over, For: p.From, ForLife: x.Life, Num: elsewhere(x, from)})
+	x := m.members[p.From]
+	if x != nil && p.Incarnation < x.Incarnation || x != nil && p.Incarnation == x.Incarnation && (x.state == Left || x.state == Failed) {
+		if p.Kind != incarnationEnded && m.now >= m.notifiedAt[p.From]+m.config.Period { // it should know that this life has ended, or the one before
+			m.notifiedAt[p.From] = m.now
+			m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: x.Incarnation, Number: isAtOtherAddress(x, from)})
 		}
 		return
 	}
-	if x != nil && p.Life == x.Life {
-		x.heard = m.now
-		if m.cfg.Learn && x.addr != from && slices.Contains(m.cfg.Seeds, from) {
-			x.addr = from
+	if x != nil && p.Incarnation == x.Incarnation {
+		x.lastHeardAt = m.now
+		if m.config.LearnAddresses && x.endpoint != from && slices.Contains(m.config.Seeds, from) {
+			x.endpoint = from
 		}
-		m.fresher(x, p.News, "says something new of itself")
+		m.applyRevision(x, p.Revision, "says something new of itself")
 	}
-	for _, raw := range p.Rumours {
-		if r, err := readRumour(raw); err == nil {
-			m.rumour(r)
+	for _, raw := range p.Rumors {
+		if r, err := decodeRumor(raw); err == nil {
+			m.applyRumor(r)
 		}
 	}
 	switch p.Kind {
 	case ping:
-		if p.For == "" || p.For == m.me.Name && p.ForLife <= m.me.Life {
-			m.send(from, packet{Kind: ack, Seq: p.Seq})
+		if p.Subject == "" || p.Subject == m.self.Name && p.SubjectIncarnation <= m.self.Incarnation {
+			m.send(from, packet{Kind: ack, Sequence: p.Sequence})
 		}
-	case ask:
-		if y := m.table[p.For]; y != nil && y.Life == p.ForLife {
-			seq := m.newSeq()
-			m.errands[seq] = errand{to: from, seq: p.Seq, at: m.now}
-			m.send(y.addr, packet{Kind: ping, Seq: seq, For: y.Name, ForLife: y.Life})
+	case pingRequest:
+		if y := m.members[p.Subject]; y != nil && y.Incarnation == p.SubjectIncarnation {
+			seq := m.nextSequence()
+			m.relayedPings[seq] = relayedPing{to: from, sequence: p.Sequence, sentAt: m.now}
+			m.send(y.endpoint, packet{Kind: ping, Sequence: seq, Subject: y.Name, SubjectIncarnation: y.Incarnation})
 		}
 	case ack:
-		m.acked(p, x)
-	case inquire:
-		if y := m.table[p.For]; y != nil && y.Life == p.ForLife && p.ForNews >= y.News && y.state <= Unknown {
-			m.suspect(y, p.From, m.now, false)
-		} else if p.For == m.me.Name && p.ForLife == m.me.Life {
-			m.refute(p.ForNews)
+		m.handleAck(p, x)
+	case investigateRequest:
+		if y := m.members[p.Subject]; y != nil && y.Incarnation == p.SubjectIncarnation && p.SubjectRevision >= y.Revision && y.state <= Unknown {
+			m.addSuspicion(y, p.From, m.now, false)
+		} else if p.Subject == m.self.Name && p.SubjectIncarnation == m.self.Incarnation {
+			m.refute(p.SubjectRevision)
 		}
 	case join:
-		m.wants(p, from)
-	case over:
-		if p.For == m.me.Name {
-			m.ended(p.ForLife, p.Num == 1)
+		m.handleJoin(p, from)
+	case incarnationEnded:
+		if p.Subject == m.self.Name {
+			m.handleIncarnationEnded(p.SubjectIncarnation, p.Number == 1)
 		}
 	default:
-		m.viewPacket(p, from, x)
+		m.handleViewPacket(p, from, x)
 	}
 	if p.View.After(m.view.ViewID) && p.Kind != commit {
-		m.behind(from)
+		m.requestView(from)
 	}
 }
 
 // wants is a member that wants in, or says so of itself again.
-func (m *Machine) wants(p *packet, from netip.AddrPort) {
-	list, err := readRecords(p.Body)
-	if err != nil || len(list) != 1 || list[0].Name != p.From || list[0].Life != p.Life {
-		m.Counters.Foreign++
+func (m *Machine) handleJoin(p *packet, from netip.AddrPort) {
+	list, err := decodeRecords(p.Body)
+	if err != nil || len(list) != 1 || list[0].Name != p.From || list[0].Incarnation != p.Incarnation {
+		m.Counters.Malformed++
 		return
 	}
-	known := m.table[p.From] != nil && m.table[p.From].Life >= p.Life
-	x := m.meet(list[0])
-	if x.Life == p.Life && !known {
-		m.pass(rumour{Name: x.Name, Life: x.Life, News: x.News, State: Alive, Whole: &x.Record})
+	known := m.members[p.From] != nil && m.members[p.From].Incarnation >= p.Incarnation
+	x := m.addMember(list[0])
+	if x.Incarnation == p.Incarnation && !known {
+		m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Alive, Record: &x.Record})
 	}
-	x.heard = m.now
-	if m.cfg.Learn && slices.Contains(m.cfg.Seeds, from) {
-		x.addr = from
+	x.lastHeardAt = m.now
+	if m.config.LearnAddresses && slices.Contains(m.config.Seeds, from) {
+		x.endpoint = from
 	}
-	if p.Seq == 0 { // not passed on yet: those that lead should know of it
+	if p.Sequence == 0 { // not passed on yet: those that lead should know of it
 		for _, name := range m.leaders(2) {
-			if y := m.table[name]; y != nil && y != x {
-				m.send(y.addr, packet{Kind: join, Seq: 1, Body: p.Body, For: p.From})
+			if y := m.members[name]; y != nil && y != x {
+				m.send(y.endpoint, packet{Kind: join, Sequence: 1, Body: p.Body, Subject: p.From})
 			}
 		}
 	}
-	m.send(from, packet{Kind: ping, Seq: m.newSeq()}) // it hears from this what the view is
+	m.send(from, packet{Kind: ping, Sequence: m.nextSequence()}) // it hears from this what the view is
 }
 
 // ask looks for the way in.
-func (m *Machine) ask() {
-	body := encode([]Record{m.me})
+func (m *Machine) sendJoin() {
+	body := encodeCBOR([]Record{m.self})
 	var to []netip.AddrPort
-	for _, x := range m.some(2, nil) {
-		to = append(to, x.addr)
+	for _, x := range m.randomAlive(2, nil) {
+		to = append(to, x.endpoint)
 	}
-	for range min(2, len(m.cfg.Seeds)) {
-		to = append(to, m.cfg.Seeds[m.asked%len(m.cfg.Seeds)])
-		m.asked++
+	for range min(2, len(m.config.Seeds)) {
+		to = append(to, m.config.Seeds[m.seedsAsked%len(m.config.Seeds)])
+		m.seedsAsked++
 	}
 	for _, a := range to {
-		if a != m.cfg.At {
+		if a != m.config.Address {
 			m.send(a, packet{Kind: join, Body: body})
 		}
 	}
@@ -164,66 +164,66 @@
 
 // elsewhere tells, as a number for a datagram, whether a later life than that of a datagram's sender is there, at another
 // address. At the same one it is the same place, started anew with a clock that was set back.
-func elsewhere(x *member, from netip.AddrPort) uint32 {
-	if x.addr != from && x.state <= Unknown {
+func isAtOtherAddress(x *member, from netip.AddrPort) uint32 {
+	if x.endpoint != from && x.state <= Unknown {
 		return 1
 	}
 	return 0
 }
 
 // knock asks a seed that is no member here now and then: two fleets that were founded apart find each other by it.
-func (m *Machine) knock() {
-	m.knockAt = m.now + 10*m.cfg.Period + time.Duration(m.rng.Int64N(int64(10*m.cfg.Period)))
-	if len(m.cfg.Seeds) == 0 {
+func (m *Machine) contactSeed() {
+	m.nextSeedContactAt = m.now + 10*m.config.Period + time.Duration(m.rng.Int64N(int64(10*m.config.Period)))
+	if len(m.config.Seeds) == 0 {
 		return
 	}
-	a := m.cfg.Seeds[m.rng.IntN(len(m.cfg.Seeds))]
-	for _, x := range m.table {
-		if x.addr == a && x.state <= Unknown {
+	a := m.config.Seeds[m.rng.IntN(len(m.config.Seeds))]
+	for _, x := range m.members {
+		if x.endpoint == a && x.state <= Unknown {
 			return // it is probed as it is
 		}
 	}
-	if a != m.cfg.At {
-		m.send(a, packet{Kind: join, Seq: 1, Body: encode([]Record{m.me})})
+	if a != m.config.Address {
+		m.send(a, packet{Kind: join, Sequence: 1, Body: encodeCBOR([]Record{m.self})})
 	}
 }
 
 // twin is a datagram of somebody else under this member's own name: both are told, and the later life keeps it.
-func (m *Machine) twin(p *packet, from netip.AddrPort) {
-	if at, ok := m.told[""]; !ok || m.now >= at+10*m.cfg.Period {
-		m.told[""] = m.now
+func (m *Machine) handleNameConflict(p *packet, from netip.AddrPort) {
+	if at, ok := m.notifiedAt[""]; !ok || m.now >= at+10*m.config.Period {
+		m.notifiedAt[""] = m.now
 		m.Counters.Conflicts++
-		m.notice("twice", "%s runs at %v too", m.me.Name, from)
+		m.notice("twice", "%s runs at %v too", m.self.Name, from)
 	}
 	switch {
-	case p.Life > m.me.Life:
-		m.ended(p.Life, true)
-	case p.Life < m.me.Life:
-		m.send(from, packet{Kind: over, For: m.me.Name, ForLife: m.me.Life, Num: 1})
+	case p.Incarnation > m.self.Incarnation:
+		m.handleIncarnationEnded(p.Incarnation, true)
+	case p.Incarnation < m.self.Incarnation:
+		m.send(from, packet{Kind: incarnationEnded, Subject: m.self.Name, SubjectIncarnation: m.self.Incarnation, Number: 1})
 	default: // two copies of one process
-		m.me.Life += 1 + xxhash.Sum64(m.me.At)%997
-		m.renew("another copy of it runs")
+		m.self.Incarnation += 1 + xxhash.Sum64(m.self.Address)%997
+		m.startNewIncarnation("another copy of it runs")
 	}
 }
 
 // ended is told to this member: its life is over, or a later one is known under its name, perhaps at another place.
-func (m *Machine) ended(life uint64, elsewhere bool) {
+func (m *Machine) handleIncarnationEnded(life uint64, elsewhere bool) {
 	switch {
-	case life < m.me.Life || m.leaving > 0:
-	case elsewhere && life > m.me.Life:
-		m.done = true
-		m.notice("superseded", "a later start has the name %s; this one is a member no more", m.me.Name)
+	case life < m.self.Incarnation || m.leavingSince > 0:
+	case elsewhere && life > m.self.Incarnation:
+		m.isEnded = true
+		m.notice("superseded", "a later start has the name %s; this one is a member no more", m.self.Name)
 	default:
-		m.me.Life = life
-		m.renew("the others went on without it")
+		m.self.Incarnation = life
+		m.startNewIncarnation("the others went on without it")
 	}
 }
 
 // renew begins a new life: an ended one never comes back.
-func (m *Machine) renew(why string) {
-	m.me.Life++
-	m.me.News = 0
-	m.joined, m.joinAt = false, m.now
-	m.notice("expelled", "%s; it comes back as life %d", why, m.me.Life)
-	m.sayMe()
+func (m *Machine) startNewIncarnation(why string) {
+	m.self.Incarnation++
+	m.self.Revision = 0
+	m.joined, m.nextJoinAt = false, m.now
+	m.notice("expelled", "%s; it comes back as life %d", why, m.self.Incarnation)
+	m.disseminateSelf()
 }
--- a/internal/dispatcher/membership/transport/peers.go
+++ b/internal/dispatcher/membership/transport/peers.go
@@ -27,17 +27,17 @@
 
 // Status is what an operator is shown. Its JSON form is that of GET /members.
 type Status struct {
-	Name    string              `json:"name"`
-	Life    uint64              `json:"life"`
-	View    string              `json:"view"`
-	Number  uint64              `json:"view_number"`
-	Size    int                 `json:"view_members"`
-	Quorum  bool                `json:"quorum"` // this side has a majority of the view
-	Joined  bool                `json:"joined"`
-	Health  int                 `json:"health"` // 0 is well; each step makes its accusations wait longer
-	Members []membership.Seen   `json:"members"`
-	Counts  membership.Counters `json:"counters"`
-	Dropped uint64              `json:"dropped"` // datagrams read and not taken in: strangers' beyond the budget, and overflow
+	Name    string                    `json:"name"`
+	Life    uint64                    `json:"life"`
+	View    string                    `json:"view"`
+	Number  uint64                    `json:"view_number"`
+	Size    int                       `json:"view_members"`
+	Quorum  bool                      `json:"quorum"` // this side has a majority of the view
+	Joined  bool                      `json:"joined"`
+	Health  int                       `json:"health"` // 0 is well; each step makes its accusations wait longer
+	Members []membership.MemberStatus `json:"members"`
+	Counts  membership.Counters       `json:"counters"`
+	Dropped uint64                    `json:"dropped"` // datagrams read and not taken in: strangers' beyond the budget, and overflow
 }
 
 type datagram struct {
@@ -66,17 +66,17 @@
 	c := n.Membership
 	p := &Peers{conf: c, lim: n.Limits, birth: time.Now(), mail: make(chan datagram, n.Limits.QueuedPeerDatagrams), do: make(chan func()),
 		over: make(chan struct{}), out: rate.NewLimiter(rate.Limit(n.Limits.PeerBytesPerSecond), n.Limits.PeerBytesPerSecond)}
-	conf := membership.Config{Name: n.Name, Zone: n.ZoneName(), At: c.Advertise, Seed: n.Seed ^ rand.Uint64(), Period: c.ProbeInterval, Bear: c.SuspicionTimeout,
-		Life: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), Learn: c.LearnNames,
-		Facts: membership.Facts{Weight: float32(c.Weight), Version: c.Version}}
+	conf := membership.Config{Name: n.Name, Zone: n.ZoneName(), Address: c.Advertise, Seed: n.Seed ^ rand.Uint64(), Period: c.ProbeInterval, FailureTimeout: c.SuspicionTimeout,
+		Incarnation: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), LearnAddresses: c.LearnNames,
+		Metadata: membership.Metadata{Weight: float32(c.Weight), Version: c.Version}}
 	if len(c.Peers) > 0 {
-		conf.Book = map[string]netip.AddrPort{}
+		conf.AddressBook = map[string]netip.AddrPort{}
 	}
 	for _, peer := range c.Peers {
 		if peer.Name != n.Name {
 			conf.Seeds = append(conf.Seeds, peer.Address)
 			if peer.Name != "" {
-				conf.Book[peer.Name] = peer.Address
+				conf.AddressBook[peer.Name] = peer.Address
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 	if p.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(c.Listen)); err != nil {
 		return nil, fmt.Errorf("%s: key members.listen: %w", c.Path, err)
 	}
-	p.note(map[string]any{"start": conf.Life, "name": n.Name})
+	p.note(map[string]any{"start": conf.Incarnation, "name": n.Name})
 	p.recognise()
 	return p, nil
 }
@@ -117,7 +117,7 @@
 			f()
 			continue
 		case d := <-p.mail:
-			ev = membership.Event{Kind: membership.Heard, From: d.from, Data: d.data}
+			ev = membership.Event{Kind: membership.DatagramReceived, From: d.from, Data: d.data}
 		case <-timer.C:
 			ev = membership.Event{Kind: membership.Tick}
 		}
@@ -136,8 +136,8 @@
 		p.socket.WriteToUDPAddrPort(o.Data, o.To) // an error is a loss, too: whoever it was for does not answer
 	}
 	for _, c := range acts.Changes {
-		slog.Info("member", "name", c.Name, "life", c.Life, "state", c.State.String(), "why", c.Why)
-		p.note(map[string]any{"member": c.Name, "of": c.Life, "state": c.State.String(), "why": c.Why})
+		slog.Info("member", "name", c.Name, "life", c.Incarnation, "state", c.State.String(), "why", c.Reason)
+		p.note(map[string]any{"member": c.Name, "of": c.Incarnation, "state": c.State.String(), "why": c.Reason})
 	}
 	for _, n := range acts.Notices {
 		slog.Warn("membership", "kind", n.Kind, "text", n.Text)
@@ -148,9 +148,9 @@
 		if p.record != nil {
 			ids := make([]string, len(v.Members))
 			for i, m := range v.Members {
-				ids[i] = fmt.Sprintf("%s.%d", m.Name, m.Life)
+				ids[i] = fmt.Sprintf("%s.%d", m.Name, m.Incarnation)
 			}
-			p.note(map[string]any{"view": v.Number, "epoch": v.Epoch, "fleet": v.Fleet, "digest": fmt.Sprintf("%016x", v.Digest), "members": ids})
+			p.note(map[string]any{"view": v.Number, "epoch": v.Epoch, "fleet": v.FleetID, "digest": fmt.Sprintf("%016x", v.Digest), "members": ids})
 		}
 	}
 	if len(acts.Changes) > 0 || acts.View != nil {
@@ -161,7 +161,7 @@
 
 // note writes a line of the operator's record.
 func (p *Peers) note(line map[string]any) {
-	line["life"] = p.machine.Life()
+	line["life"] = p.machine.Incarnation()
 	p.record.Note(line)
 }
 
@@ -205,7 +205,7 @@
 func (p *Peers) read(ctx context.Context) {
 	all := rate.NewLimiter(rate.Limit(p.lim.PeerDatagramsPerSecond), p.lim.PeerDatagramsPerSecond/10)
 	strangers := rate.NewLimiter(rate.Limit(p.lim.UnknownPeerDatagramsPerSecond), p.lim.UnknownPeerDatagramsPerSecond)
-	buffer := make([]byte, membership.Datagram+1)
+	buffer := make([]byte, membership.MaxDatagramBytes+1)
 	for {
 		n, from, err := p.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
@@ -246,7 +246,7 @@
 func (p *Peers) Status(ctx context.Context) (s Status, ok bool) {
 	ok = p.call(ctx, func() {
 		v := p.machine.View()
-		s = Status{Name: p.machine.Name(), Life: p.machine.Life(), View: v.ViewID.String(), Number: v.Number, Size: len(v.Members), Quorum: p.machine.Quorum(),
+		s = Status{Name: p.machine.Name(), Life: p.machine.Incarnation(), View: v.ViewID.String(), Number: v.Number, Size: len(v.Members), Quorum: p.machine.Quorum(),
 			Joined: p.machine.Joined(), Health: p.machine.Health(), Members: p.machine.Members(), Counts: p.machine.Counters, Dropped: p.dropped.Load()}
 	})
 	return s, ok
@@ -255,7 +255,7 @@
 // View is the last view of this member, its own life, whether it is in a view, and whether its side has a majority.
 func (p *Peers) View(ctx context.Context) (v membership.View, life uint64, joined, quorum bool) {
 	p.call(ctx, func() {
-		v, life, joined, quorum = p.machine.View(), p.machine.Life(), p.machine.Joined(), p.machine.Quorum()
+		v, life, joined, quorum = p.machine.View(), p.machine.Incarnation(), p.machine.Joined(), p.machine.Quorum()
 	})
 	return v, life, joined, quorum
 }
@@ -263,7 +263,7 @@
 // Draining lets the others read that this dispatcher is on its way out.
 func (p *Peers) Draining(ctx context.Context) {
 	p.call(ctx, func() {
-		p.handle(membership.Event{Kind: membership.Say, Facts: membership.Facts{Weight: float32(p.conf.Weight), Version: p.conf.Version, Draining: true}})
+		p.handle(membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: float32(p.conf.Weight), Version: p.conf.Version, Draining: true}})
 	})
 }
 
