--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -12,7 +12,7 @@
 const excessBackoff, excessRecovery, leastSpare = 0.8, 0.005, 0.02 // times; plus an answer; least let in
 
 func (d *Dispatcher) admit(ev *Event) {
-	j := &job{Event: ev.clean(&d.set)}
+	j := &job{Event: ev.normalized(&d.set)}
 	c := d.class(j)
 	d.jobs[ev.Job], j.dueAt = j, d.now+c.LatencyTarget
 	target := c.LatencyTarget + seconds(max(c.Stretch-1, 0)*d.run[j.Class])
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -33,6 +33,16 @@
 		(d.coldShare(w) >= 1 || d.warm(w, j))
 }
 
+// bound tells whether only some workers are open to the class.
+func (c *ClassSettings) bound() bool {
+	return c.WorkerKind >= 0 || len(c.AllowedKinds) > 0 || len(c.AllowedZones) > 0
+}
+
+// harmless tells whether a job of the class may be tried again anywhere, whatever became of its attempts.
+func (c *ClassSettings) harmless() bool {
+	return c.Idempotency == Idempotent || c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
+}
+
 // permitted keeps placement: a bound class goes to no other worker, and to none of unknown kind or zone.
 func (c *ClassSettings) permitted(w *worker) bool {
 	return !c.bound() || !w.misplaced && (c.WorkerKind < 0 || c.WorkerKind == w.Kind) &&
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -72,10 +72,10 @@
 
 // New makes a dispatcher. Its error names the setting that cannot work.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
-	s, err := s.normal()
-	if err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
+	s = s.withDefaults()
 	d := &Dispatcher{set: s, rng: rand.New(rand.NewPCG(seed, seed)), tick: 50 * time.Millisecond,
 		workers: make(map[WorkerID]*worker), jobs: make(map[JobID]*job), shares: []float64{0}, spare: leastSpare,
 		callToken: closeToken, let: 1, unit: 1}
--- a/internal/decision/pools_test.go
+++ b/internal/decision/pools_test.go
@@ -110,6 +110,12 @@
 	return names
 }
 
+// interfaceFiles are the files that decide nothing: the package's doc comment, the types that the host meets with the
+// checks of their values, and the hash.
+var interfaceFiles = []string{
+	"action.go", "doc.go", "event.go", "hash.go", "load_report.go", "settings.go", "validation.go",
+}
+
 // Every file of the package is listed as policy, but for the interface and the hash.
 func TestAllDecisionFilesAreListed(t *testing.T) {
 	files, err := filepath.Glob("*.go")
@@ -117,7 +123,7 @@
 		t.Fatal(err)
 	}
 	files = slices.DeleteFunc(files, func(name string) bool {
-		return strings.HasSuffix(name, "_test.go") || name == "api.go" || name == "hash.go"
+		return strings.HasSuffix(name, "_test.go") || slices.Contains(interfaceFiles, name)
 	})
 	if listed := slices.Sorted(slices.Values(policyFiles(t))); !slices.Equal(files, listed) {
 		t.Errorf("files that decide are %v, listed are %v", files, listed)
--- a/internal/decision/workers.go
+++ b/internal/decision/workers.go
@@ -28,7 +28,7 @@
 	}
 	d.firstList = cmp.Or(d.firstList, d.now)
 	for _, e := range ev.Entries {
-		stray := e.clean(&d.set)
+		stray := e.normalize(&d.set)
 		w := cmp.Or(d.workers[e.Worker], &worker{Entry: e, pace: 1, broke: longAgo, othersAt: longAgo})
 		if d.workers[e.Worker] = w; e.State == Gone { // its last line may leave out where it stood
 			e.Zone, e.Cell, e.Kind, e.Started = w.Zone, w.Cell, w.Kind, w.Started
