--- a/internal/decision/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -27,7 +27,7 @@
 					Load: Load{Count: 2, Values: [4]float64{float64(id % 3), 0.01 * float64(id%97)}}}, nil)
 			}
 		}
-		d.Handle(now+150*time.Millisecond, &Event{Kind: EventTimer, Token: lookToken}, nil)
+		d.Handle(now+150*time.Millisecond, &Event{Kind: EventTimer, Token: checkToken}, nil)
 	}
 	for id := JobID(1); id <= 500; id++ {
 		job(id)
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -1,143 +1,196 @@
-// The state of a dispatcher and the entry for events. docs/design.md tells when each exception acts.
-
 package decision
 
 import (
 	"cmp"
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
-const lookToken, closeToken = 0, 1 // for looks, late closings; calls to discovery count on from there
+// The tokens of timers. Those of calls to discovery count on from the last one here.
+const (
+	checkToken      = 0 // look at the open jobs
+	drainCloseToken = 1 // close idle connections to draining workers once more
+)
 
-const suspectRetry, looksPerAim = time.Second, 8 // a trial of a suspect; at open jobs, in the shortest aim
+// The tick, at which open jobs are looked at, is a part of the shortest latency target, within bounds.
+const (
+	ticksPerLatencyTarget = 8
+	maxTick               = 50 * time.Millisecond
+	minTick               = time.Millisecond
+	// unstatedLatencyTarget stands for a target that is not stated.
+	unstatedLatencyTarget = time.Second
+)
 
-const sharedFrom, dearCrossing = 20, 0.05 // dispatchers, or cost: workers are met too rarely to wait
+// From so many dispatchers, or from such a price of crossing zones on, workers are met too rarely, or are
+// too unlike, to wait for one: workers count as shared by many, where waiting times can be told.
+const (
+	manyDispatchers = 20
+	highCrossCost   = 0.05
+)
 
-const minRun, maxRun = 1e-4, 3600 // seconds that any job runs: both its lines may come in one write
+// Dispatcher decides for one submitter. It is not safe for concurrent use.
+type Dispatcher struct {
+	settings Settings
+	now      time.Duration // of the event that is handled; never falls
+	tick     time.Duration // between looks at open jobs
+	actions  []Action      // what follows from the event so far
 
-// worker is what this dispatcher knows of one listed worker.
-type worker struct {
-	Entry
-	suspect, startedAtOnce           bool          // silent, gets trials only; began its last job at once
-	misplaced, shut, hasTurn         bool          // of unknown kind or zone; drains, is shut; cold: gets one
-	out, pace, fails                 float64       // own slots; time over its kind's usual; latest errors
-	others, pastSlots, running       float64       // slots of others; own before; own at work
-	lastReport                       Load          // the last report
-	othersAt, pastAt                 time.Duration // when others was last learned, and past
-	lastHeard, lastOK, broke, failed time.Duration // its last sign of life, OK, other end, error
-	pause, fullTill, retryAt, filled time.Duration // its pause after Full; its next trial; last draw when cold
+	workers   *workerTable
+	pools     *pools
+	times     *learnedTimes
+	slowStart slowStart
+	budget    *slowStartBudget
+	load      *loadEstimator
+	delays    *startDelays
+	forecasts *forecaster
+	gate      *sendGate
+	health    *healthFilter
+	picker    *picker
+	quota     *tenantQuota
+	shedder   *loadShedder
+	calls     *discoveryCalls
+	jobs      *jobTable
+	overdue   overdueChecks
+	shared    bool // many dispatchers share the workers
 }
 
-type attempt struct {
-	w                         *worker
-	sent, started             time.Duration
-	lateAfter, lateSeen       float64  // age from which it is late; that at which this was last taken in
-	way                       *float64 // usual seconds to a start there, with or without a connection
-	done, neverRan, cancelled bool     // ended; proved never to have run; cancelled
+// New makes a dispatcher. Its error names the first setting that cannot work.
+func New(settings Settings, seed uint64) (*Dispatcher, error) {
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	d := &Dispatcher{settings: settings.withDefaults()}
+	random := rand.New(rand.NewPCG(seed, seed)) // one source for all: the order of draws is behaviour
+	d.tick = tickFor(&d.settings)
+	d.shared = sharesWorkers(&d.settings)
+	d.composeEstimates(random)
+	d.composeChoice(random)
+	d.quota = newTenantQuota(d.settings.Tenants, random)
+	d.shedder = newLoadShedder(random)
+	d.calls = newDiscoveryCalls(&d.settings, random)
+	d.jobs = newJobTable()
+	return d, nil
 }
 
-type job struct {
-	Event
-	dueAt, heldUntil    time.Duration // started later it will be late; no use in holding it longer
-	attempts            []*attempt
-	ended, held, excess bool // excess: beyond its tenant's share
+// tickFor is the time between looks at open jobs.
+func tickFor(settings *Settings) time.Duration {
+	tick := maxTick
+	for i := range settings.Classes {
+		target := cmp.Or(settings.Classes[i].LatencyTarget, unstatedLatencyTarget)
+		tick = min(tick, max(target/ticksPerLatencyTarget, settings.Tick, minTick))
+	}
+	return tick
 }
 
-// Dispatcher decides for one submitter. It is not safe for concurrent use.
-type Dispatcher struct {
-	set                                   Settings
-	rng                                   *rand.Rand
-	now, tick                             time.Duration
-	acts                                  []Action
-	workers                               map[WorkerID]*worker
-	order                                 []*worker     // by id: no decision may hang on list order
-	pools                                 [][][]*worker // by label and kind
-	labels                                []int         // by tenant
-	shares                                []float64     // by label
-	jobs                                  map[JobID]*job
-	open                                  []*job          // by arrival; ended ones leave at the next look
-	answerTime, run                       []float64       // by class: usual seconds to an answer, and of running
-	ready, slotCount, slow, served, tried []float64       // by kind: workers, slots, relative time, use, OKs
-	usual                                 []float64       // by place: what others hold at a worker
-	usualAt                               []time.Duration // by place: when usual was learned
-	delay                                 [2][2]float64   // seconds to a start without waiting: own zone, linked
-	arrivalRate, answerRate               []float64       // by tenant: arrivals and answers, fading
-	firstList, lastArrival, looked, awake time.Duration   // first list, last job and look; since when it runs
-	let, spare, meanRun, unit             float64         // parts of all and excess let in; run; middle slow
-	sees, wide, weighted, watching        bool            // workers tell, are shared, sized; watching
-	callToken                             uint32          // number of the timer for the next call to discovery
+// sharesWorkers tells whether many dispatchers share the workers, which tell who is full.
+func sharesWorkers(settings *Settings) bool {
+	crossingCounts := settings.CrossZoneCost >= highCrossCost
+	return reportsLoad(settings) && (settings.Dispatchers >= manyDispatchers || crossingCounts)
 }
 
-// New makes a dispatcher. Its error names the setting that cannot work.
-func New(s Settings, seed uint64) (*Dispatcher, error) {
-	if err := s.validate(); err != nil {
-		return nil, err
+// composeEstimates makes what is known of workers.
+func (d *Dispatcher) composeEstimates(random *rand.Rand) {
+	settings := &d.settings
+	locality := locality{zone: settings.Zone, splitsKind: d.shared}
+	d.slowStart = slowStart{initialShare: settings.SlowStartShare, duration: settings.SlowStartDuration}
+	d.workers = newWorkerTable(settings)
+	d.pools = newPools(settings, locality)
+	d.times = newLearnedTimes(settings)
+	d.load = newLoadEstimator(settings, locality, d.slowStart, d.times)
+	d.delays = &startDelays{locality: locality, connIdle: settings.ConnIdle}
+	d.forecasts = &forecaster{
+		settings:  settings,
+		locality:  locality,
+		slowStart: d.slowStart,
+		times:     d.times,
+		load:      d.load,
+		delays:    d.delays,
+		shared:    d.shared,
 	}
-	s = s.withDefaults()
-	d := &Dispatcher{set: s, rng: rand.New(rand.NewPCG(seed, seed)), tick: 50 * time.Millisecond,
-		workers: make(map[WorkerID]*worker), jobs: make(map[JobID]*job), shares: []float64{0}, spare: leastSpare,
-		callToken: closeToken, let: 1, unit: 1}
-	for _, c := range d.set.Classes {
-		guess := c.LatencyTarget.Seconds() / 2
-		d.answerTime, d.run = append(d.answerTime, guess), append(d.run, max(guess, minRun))
-		d.tick = min(d.tick, max(cmp.Or(c.LatencyTarget, time.Second)/looksPerAim, s.Tick, time.Millisecond))
+	d.budget = &slowStartBudget{
+		settings:   settings,
+		random:     random,
+		slowStart:  d.slowStart,
+		pools:      d.pools,
+		times:      d.times,
+		load:       d.load,
+		servedWork: make([]float64, settings.Kinds),
 	}
-	kinds := func(v float64) []float64 { return slices.Repeat([]float64{v}, d.set.Kinds) }
-	d.ready, d.slotCount, d.slow, d.served = kinds(0), kinds(0), kinds(1), kinds(0)
-	d.meanRun, d.tried, d.usual = slices.Min(d.run), kinds(0), slices.Concat(kinds(0), kinds(0))
-	d.arrivalRate, d.answerRate = make([]float64, len(s.Tenants)), make([]float64, len(s.Tenants))
-	d.sees = s.ReportsLoad && s.ReportsStart && s.Report.FreeSlots >= 0 && s.Report.Queue >= 0
-	d.wide = d.sees && (s.Dispatchers >= sharedFrom || s.CrossZoneCost >= dearCrossing)
-	d.usualAt = make([]time.Duration, 2*d.set.Kinds)
-	d.labelTenants()
-	d.rebuild()
-	return d, nil
 }
 
-// Handle takes one event at the time now and appends the actions that follow from it to acts.
-func (d *Dispatcher) Handle(now time.Duration, ev *Event, acts []Action) []Action {
-	d.now, d.acts = max(now, d.now), acts
-	j := d.jobs[ev.Job]
-	var t *attempt // the one that the event is about, if it is still out
-	if j != nil && ev.Attempt >= 0 && ev.Attempt < len(j.attempts) && !j.attempts[ev.Attempt].done {
-		t = j.attempts[ev.Attempt]
+// composeChoice makes what chooses workers.
+func (d *Dispatcher) composeChoice(random *rand.Rand) {
+	d.gate = &sendGate{settings: &d.settings, slowStart: d.slowStart, budget: d.budget}
+	d.health = &healthFilter{settings: &d.settings, random: random, gate: d.gate}
+	d.picker = &picker{
+		random:    random,
+		locality:  d.load.locality,
+		slowStart: d.slowStart,
+		workers:   d.workers,
+		pools:     d.pools,
+		times:     d.times,
+		load:      d.load,
+		delays:    d.delays,
+		forecasts: d.forecasts,
+		gate:      d.gate,
+		health:    d.health,
+		tick:      d.tick,
+		shared:    d.shared,
 	}
-	switch {
-	case ev.Kind == EventList:
-		d.updateList(ev)
-	case ev.Kind == EventJob && j == nil:
-		d.admit(ev)
-	case (ev.Kind == EventJobProgress || ev.Kind == EventStreamStarted) && t != nil:
-		if t.w.lastHeard, t.w.suspect = d.now, false; ev.Progress == JobStarted && t.started == 0 {
-			d.start(j, t)
+}
+
+// Handle takes one event at the time now and appends the actions that follow from it to actions. A time
+// before that of an earlier event counts as that one's.
+func (d *Dispatcher) Handle(now time.Duration, event *Event, actions []Action) []Action {
+	d.now = max(now, d.now)
+	d.actions = actions
+	job := d.jobs.byID[event.Job]
+	switch event.Kind {
+	case EventList:
+		d.handleList(event)
+	case EventJob:
+		if job == nil {
+			d.admit(event)
 		}
-	case ev.Kind == EventOutcome && t != nil:
-		d.outcome(ev, j, t)
-	case ev.Kind == EventClientLeft && j != nil:
-		if j.held, j.ended = false, true; !d.sees || !j.inFlight() { // else it works on there and holds its slot
-			d.finish(j)
+	case EventJobProgress, EventStreamStarted:
+		d.handleProgress(event, job)
+	case EventOutcome:
+		if attempt := d.jobs.openAttempt(job, event.Attempt); attempt != nil {
+			d.handleOutcome(event, job, attempt)
 		}
-	case ev.Kind == EventTimer && ev.Token == lookToken:
-		d.checkOpenJobs()
-	case ev.Kind == EventTimer && ev.Token == closeToken:
-		for _, w := range d.order {
-			w.shut = w.shut && d.now-w.broke > d.set.DrainCloseWithin
-			d.shut(w)
+	case EventClientLeft:
+		if job != nil {
+			d.handleClientLeft(job)
 		}
-	case ev.Kind == EventTimer && ev.Token == d.callToken && !d.watching:
-		d.acts = append(d.acts, Action{Kind: Watch, On: true})
-		d.scheduleCall(d.set.MaxDiscoverySilence) // in case no answer ever comes
+	case EventTimer:
+		d.handleTimer(event.Token)
+	}
+	return d.actions
+}
+
+func (d *Dispatcher) handleList(event *Event) {
+	d.actions = d.calls.listReceived(event.List, d.actions)
+	if event.List == ListFailed {
+		return
+	}
+	d.budget.listReceived(d.now)
+	d.workers.update(event, d.now)
+	d.pools.rebuild(d.workers.ordered)
+	for _, worker := range d.workers.ordered {
+		d.actions = d.workers.closeIdle(worker, d.now, d.actions)
 	}
-	return d.acts
 }
 
-// scheduleCall sets the next call to discovery, at random lest all call together. Only the last set counts.
-func (d *Dispatcher) scheduleCall(within time.Duration) {
-	d.callToken++
-	delay := seconds((0.1 + 0.9*d.rng.Float64()) * max(within, suspectRetry).Seconds() / 3)
-	d.acts = append(d.acts, Action{Kind: SetTimer, Token: d.callToken, Delay: delay})
+func (d *Dispatcher) handleTimer(token uint32) {
+	switch {
+	case token == checkToken:
+		d.checkOpenJobs()
+	case token == drainCloseToken:
+		d.actions = d.workers.closeIdleAgain(d.now, d.actions)
+	case d.calls.isTimer(token):
+		d.actions = d.calls.call(d.actions)
+	}
 }
 
-func (d *Dispatcher) class(j *job) *ClassSettings { return &d.set.Classes[j.Class] }
+// class is the settings of a job's class.
+func (d *Dispatcher) class(job *jobState) *ClassSettings { return &d.settings.Classes[job.Class] }
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -99,7 +99,7 @@
 		got := false
 		for range 60 {
 			c.advance(10 * time.Millisecond)
-			for _, a := range c.d.acts {
+			for _, a := range c.d.actions {
 				got = got || a.Kind == Cancel
 			}
 		}
@@ -209,7 +209,7 @@
 			c.outcome(id, 0, OK)
 		}
 	}
-	if len(met) > keyWorkers {
+	if len(met) > workersPerKey {
 		t.Errorf("one key met %d workers", len(met))
 	}
 }
@@ -294,13 +294,13 @@
 		}
 	}
 	c.event(Event{Kind: EventList, List: ListDelta})
-	if d := c.d; len(d.jobs) > 0 || len(d.open) > 0 || len(d.workers) != 12 || len(d.order) != 12 || len(c.timer) > 1 {
+	if d := c.d; len(d.jobs.byID) > 0 || len(d.jobs.open) > 0 || len(d.workers.byID) != 12 || len(d.workers.ordered) != 12 || len(c.timer) > 1 {
 		t.Errorf("left behind: %d jobs, %d open, %d workers, %d in order, %d timers",
-			len(d.jobs), len(d.open), len(d.workers), len(d.order), len(c.timer))
+			len(d.jobs.byID), len(d.jobs.open), len(d.workers.byID), len(d.workers.ordered), len(c.timer))
 	}
-	for _, w := range c.d.order {
-		if w.out > 1e-9 {
-			t.Errorf("worker %d still counts %v slots", w.Worker, w.out)
+	for _, w := range c.d.workers.ordered {
+		if w.ownSlots > 1e-9 {
+			t.Errorf("worker %d still counts %v slots", w.Worker, w.ownSlots)
 		}
 	}
 }
@@ -318,8 +318,8 @@
 			t.Errorf("job %d: %d attempts, answered %v", id, len(j.sends), j.answered)
 		}
 	}
-	for _, w := range c.d.order {
-		if w.suspect {
+	for _, w := range c.d.workers.ordered {
+		if w.unhealthy {
 			t.Errorf("worker %d is suspect", w.Worker)
 		}
 	}
@@ -398,15 +398,15 @@
 func TestLateStartCountsAsFull(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		c := ready(t, 24, nil)
-		c.d.spare = 1
+		c.d.shedder.excessShare = 1
 		c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 		to := c.jobs[1].sends[0].to.Worker
 		if late {
 			c.advance(200 * time.Millisecond)
 		}
 		c.event(Event{Kind: EventJobProgress, Job: 1, Worker: to, Progress: JobStarted})
-		if left := c.d.workers[to].fullTill > c.now; left != late || (c.d.spare < 1) != late {
-			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.d.spare)
+		if left := c.d.workers.byID[to].backoffUntil > c.now; left != late || (c.d.shedder.excessShare < 1) != late {
+			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.d.shedder.excessShare)
 		}
 	}
 }
@@ -461,7 +461,7 @@
 		c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
 		return c.jobs[id].sends
 	}
-	full := c.d.order[0].Worker
+	full := c.d.workers.ordered[0].Worker
 	for range 400 { // one by one: all show three free slots, but for the one that others fill
 		s := job()
 		if len(s) == 0 {
@@ -490,7 +490,7 @@
 			t.Errorf("worker %d has %d jobs, full is %d", to, len(at[to]), full)
 		}
 	}
-	freed := c.d.order[1].Worker
+	freed := c.d.workers.ordered[1].Worker
 	if held == 0 || c.jobs[held].answered || int(held) < 400+14 || len(at[freed]) == 0 {
 		t.Fatalf("with all full: job %d is not held, %v are out", held, at)
 	}
@@ -521,15 +521,15 @@
 // long over outweighed all else.
 func TestARepeatedReportCountsOnce(t *testing.T) {
 	c := ready(t, 4, func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
-	w, l := c.d.order[0], Load{Count: 2, Values: [4]float64{0, 5}}
-	c.d.learnReport(w, &l)
-	if once := w.others; once <= 0 {
+	w, l := c.d.workers.ordered[0], Load{Count: 2, Values: [4]float64{0, 5}}
+	c.d.load.observeReport(w, &l, c.d.now)
+	if once := w.peerSlots; once <= 0 {
 		t.Errorf("a full worker's report says that others hold %v", once)
-	} else if c.d.learnReport(w, &l); w.others != once {
-		t.Errorf("the same report once more: %v after %v", w.others, once)
+	} else if c.d.load.observeReport(w, &l, c.d.now); w.peerSlots != once {
+		t.Errorf("the same report once more: %v after %v", w.peerSlots, once)
 	} else if l.Values[1] = 6; true {
-		if c.d.learnReport(w, &l); w.others <= once {
-			t.Errorf("a new one: %v after %v", w.others, once)
+		if c.d.load.observeReport(w, &l, c.d.now); w.peerSlots <= once {
+			t.Errorf("a new one: %v after %v", w.peerSlots, once)
 		}
 	}
 }
@@ -553,7 +553,7 @@
 		return 0
 	}
 	plain, worthy := held(0), held(4)
-	if c.d.density(c.d.jobs[worthy]) <= c.d.density(c.d.jobs[plain]) {
+	if c.d.forecasts.density(c.d.jobs.byID[worthy]) <= c.d.forecasts.density(c.d.jobs.byID[plain]) {
 		t.Error("the worthier job does not count as denser")
 	}
 	c.outcome(1, 0, OK)
@@ -572,15 +572,15 @@
 		}
 		out := map[time.Duration]bool{}
 		for id := JobID(1); id <= 20; id++ {
-			c.d.let = 1
+			c.d.shedder.admittedShare = 1
 			c.event(Event{Kind: EventJob, Job: id, Class: class, Slots: 1, Deadline: c.now + 4*time.Second})
-			c.d.let = let
+			c.d.shedder.admittedShare = let
 			if class == 1 {
 				c.outcome(id, 0, Error)
 			} else {
-				c.d.reject(&job{Event: Event{Job: id}})
+				c.d.reject(&jobState{Event: Event{Job: id}})
 			}
-			out[c.d.acts[len(c.d.acts)-1].RetryAfter] = true
+			out[c.d.actions[len(c.d.actions)-1].RetryAfter] = true
 		}
 		return out
 	}
@@ -609,17 +609,17 @@
 			s := site()
 			s.Dispatchers, s.OverloadMultiple, s.OverloadSpan, s.SlowStartShare = n, 1.5, time.Second, 0.16
 			d := must(t, s, seed)
-			d.now, d.run[0], d.run[1], d.served[0], d.ready[0] = time.Minute, 0.9, 0.15, 2.5, 10
-			w := &worker{Entry: Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready}, pace: 1}
-			long, short := &job{Event: Event{Class: 0, Slots: 1}}, &job{Event: Event{Class: 1, Slots: 1}}
-			d.warm(w, long)
+			d.now, d.times.runSeconds[0], d.times.runSeconds[1], d.budget.servedWork[0], d.pools.ready[0] = time.Minute, 0.9, 0.15, 2.5, 10
+			w := &workerState{Entry: Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready}, workerHealth: workerHealth{slowness: 1}}
+			long, short := &jobState{Event: Event{Class: 0, Slots: 1}}, &jobState{Event: Event{Class: 1, Slots: 1}}
+			d.budget.allows(w, long, d.now)
 			for range int(idle / (100 * time.Millisecond)) {
 				d.now += 100 * time.Millisecond
-				d.warm(w, long)
+				d.budget.allows(w, long, d.now)
 			}
-			limit += s.OverloadMultiple * d.coldShare(w) * d.served[0] / memory.Seconds() / d.ready[0]
+			limit += s.OverloadMultiple * d.slowStart.share(w, d.now) * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.ready[0]
 			for range 10 { // within one span everybody wants to send there
-				for d.warm(w, short) {
+				for d.budget.allows(w, short, d.now) {
 					w.hasTurn = false
 					work += 0.15
 				}
@@ -647,7 +647,7 @@
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 		for id := JobID(1); id <= 100_000; id++ {
 			if now += 250 * time.Microsecond; id%64 == 0 {
-				d.Handle(now, &Event{Kind: EventTimer, Token: lookToken}, nil)
+				d.Handle(now, &Event{Kind: EventTimer, Token: checkToken}, nil)
 			}
 			var sent *Action
 			for _, a := range d.Handle(now, &Event{Kind: EventJob, Job: id, Slots: 1, Deadline: now + 4*time.Second}, nil) {
@@ -674,21 +674,21 @@
 		}
 	}
 	const most = 1e6
-	for k := range d.slow {
-		within("slow", d.slow[k], 1./maxSlowness, maxSlowness)
-		within("served", d.served[k], 0, math.MaxFloat32)
-		within("room", d.slotCount[k], 0, math.MaxInt32)
-	}
-	for i := range d.run {
-		within("run", d.run[i], minRun/maxSlowness, most)
-		within("took", d.answerTime[i], 0, most)
-	}
-	within("mean", d.meanRun, minRun/maxSlowness, most)
-	within("spare", d.spare, leastSpare, 1)
-	for _, w := range d.order {
-		within("pace", w.pace, 1e-9, most)
-		within("others", w.others, 0, math.MaxFloat32)
-		within("wait", d.wait(w, 1), 0, math.MaxFloat32)
+	for k := range d.times.slowness {
+		within("slow", d.times.slowness[k], 1./maxSlowness, maxSlowness)
+		within("served", d.budget.servedWork[k], 0, math.MaxFloat32)
+		within("room", d.load.slotsSeen[k], 0, math.MaxInt32)
+	}
+	for i := range d.times.runSeconds {
+		within("run", d.times.runSeconds[i], minRunSeconds/maxSlowness, most)
+		within("took", d.times.answerSeconds[i], 0, most)
+	}
+	within("mean", d.times.meanRunSeconds, minRunSeconds/maxSlowness, most)
+	within("spare", d.shedder.excessShare, minAdmittedShare, 1)
+	for _, w := range d.workers.ordered {
+		within("pace", w.slowness, 1e-9, most)
+		within("others", w.peerSlots, 0, math.MaxFloat32)
+		within("wait", d.forecasts.waitSeconds(w, 1, d.now), 0, math.MaxFloat32)
 	}
 }
 
@@ -712,7 +712,7 @@
 		figures := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 1, -5, 1e300, math.Inf(1), math.Inf(-1), math.NaN()}), 1, 8).Draw(rt, "figures")
 		for id := JobID(1); id < 2000; id++ {
 			if now += time.Millisecond; id%64 == 0 {
-				d.Handle(now, &Event{Kind: EventTimer, Token: lookToken}, nil)
+				d.Handle(now, &Event{Kind: EventTimer, Token: checkToken}, nil)
 			}
 			span, figure := spans[int(id)%len(spans)], figures[int(id)%len(figures)]
 			acts := d.Handle(now, &Event{Kind: EventJob, Job: id, Class: int(id) % len(s.Classes), Slots: figure}, nil)
@@ -812,7 +812,7 @@
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 		cold := Entry{Worker: 777, Started: time.Minute + 10*time.Second, State: Ready}
 		for ; now < time.Minute+13*time.Second; now += time.Second / time.Duration(perSecond) {
-			if now >= cold.Started && d.workers[cold.Worker] == nil {
+			if now >= cold.Started && d.workers.byID[cold.Worker] == nil {
 				d.Handle(now, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}}, nil)
 			}
 			id++
@@ -847,8 +847,8 @@
 func TestJobsThatLieTellOfAJam(t *testing.T) {
 	c := ready(t, 60, shared)
 	c.serve(80, func(JobID, Entry) work { return work{run: 200 * time.Millisecond, free: 4} })
-	if c.d.slotCount[0] != 4 || c.d.usual[0] > 2 || c.d.usual[1] > 2 {
-		t.Fatalf("idle workers: %v slots, others hold %v", c.d.slotCount, c.d.usual)
+	if c.d.load.slotsSeen[0] != 4 || c.d.load.groupLoad[0] > 2 || c.d.load.groupLoad[1] > 2 {
+		t.Fatalf("idle workers: %v slots, others hold %v", c.d.load.slotsSeen, c.d.load.groupLoad)
 	}
 	lying := [2]int{}
 	for id := JobID(101); id <= 108; id++ {
@@ -860,8 +860,8 @@
 		}
 	}
 	for k, n := range lying {
-		if full := c.d.usual[k] >= c.d.slotCount[k]; full != (n > 0) {
-			t.Errorf("%d jobs lie at kind %d, and others hold %v of %v slots", n, k, c.d.usual[k], c.d.slotCount[k])
+		if full := c.d.load.groupLoad[k] >= c.d.load.slotsSeen[k]; full != (n > 0) {
+			t.Errorf("%d jobs lie at kind %d, and others hold %v of %v slots", n, k, c.d.load.groupLoad[k], c.d.load.slotsSeen[k])
 		}
 	}
 }
@@ -879,18 +879,18 @@
 		near += count(id > 100)
 		return work{way: time.Millisecond + some, run: 50 * time.Millisecond, free: 1}
 	})
-	if own, far := c.d.delay[1][0], c.d.delay[0][0]; own > 0.05 || far < 0.08 || far > 0.2 {
+	if own, far := c.d.delays.seconds[1][0], c.d.delays.seconds[0][0]; own > 0.05 || far < 0.08 || far > 0.2 {
 		t.Errorf("ways learned: %.3f s in its zone, %.3f s beyond", own, far)
 	}
 	if near < 285 { // a third of all are near; picked from all of a kind, half the jobs paid for a far handshake
 		t.Errorf("%d of 300 jobs stay near, with room there", near)
 	}
-	for k := range c.d.slotCount { // what is learned of the own zone's says nothing of those beyond, and the other way round
-		c.d.usual[2*k], c.d.usual[2*k+1] = 0, 16
+	for k := range c.d.load.slotsSeen { // what is learned of the own zone's says nothing of those beyond, and the other way round
+		c.d.load.groupLoad[2*k], c.d.load.groupLoad[2*k+1] = 0, 16
 	}
-	clear(c.d.workers) // what was learned of each goes, and the list that follows brings all anew
-	entries := make([]Entry, len(c.d.order))
-	for i, w := range c.d.order {
+	clear(c.d.workers.byID) // what was learned of each goes, and the list that follows brings all anew
+	entries := make([]Entry, len(c.d.workers.ordered))
+	for i, w := range c.d.workers.ordered {
 		entries[i] = w.Entry
 	}
 	c.event(Event{Kind: EventList, List: ListFull, Entries: entries})
@@ -905,7 +905,7 @@
 // to nothing: on a join day 1,258 of 2,180 jobs that ran out of time had under half a second and kept later ones waiting.
 func TestWhatCanEarnLittleGivesWay(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LateValue = 0.2 })
-	run := time.Duration(c.d.run[0] * float64(time.Second))
+	run := time.Duration(c.d.times.runSeconds[0] * float64(time.Second))
 	for id, tc := range []struct {
 		held     float64
 		patience time.Duration
@@ -913,8 +913,8 @@
 		sent     bool
 	}{{4, 4 * time.Second, false, true}, {4, run / 10, false, false}, {4, time.Second, true, false},
 		{0, run / 10, false, true}, {0, time.Second, true, true}} { // where nobody waits there is nothing to lose
-		for k := range c.d.usual {
-			c.d.usual[k], c.d.slotCount[k/2] = tc.held, 4
+		for k := range c.d.load.groupLoad {
+			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
 		}
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
@@ -933,8 +933,8 @@
 		class int
 		sent  bool
 	}{{2, 0, true}, {6, 0, false}, {6, 4, true}, {16, 4, false}} {
-		for k := range c.d.usual {
-			c.d.usual[k], c.d.slotCount[k/2] = tc.held, 4
+		for k := range c.d.load.groupLoad {
+			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
 		}
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Class: tc.class, Tenant: id, Slots: 1, Deadline: c.now + 4*time.Second})
@@ -948,26 +948,26 @@
 // met workers a third busier than the others', and stayed there, refused as too likely late, while those had room.
 func TestPoolsFitTheirShares(t *testing.T) {
 	c := ready(t, 200, shared)
-	for l, share := range c.d.shares {
-		for kind, members := range c.d.pools[l] {
-			if got := float64(len(members)) / c.d.ready[kind]; math.Abs(got-share) > 0.02 {
+	for l, share := range c.d.pools.shares {
+		for kind, members := range c.d.pools.members[l] {
+			if got := float64(len(members)) / c.d.pools.ready[kind]; math.Abs(got-share) > 0.02 {
 				t.Errorf("label %d has %.2f of the jobs and %.2f of kind %d", l, share, got, kind)
 			}
 		}
 	}
-	tenant := slices.Index(c.d.labels, 1)
-	full := c.d.pools[1]
+	tenant := slices.Index(c.d.pools.labelOfTenant, 1)
+	full := c.d.pools.members[1]
 	for k := range full {
-		c.d.slotCount[k] = 4
+		c.d.load.slotsSeen[k] = 4
 		for _, w := range full[k] {
-			w.others, w.othersAt = 16, c.now
+			w.peerSlots, w.peerSlotsAt = 16, c.now
 		}
 	}
 	if !c.arrive(1, tenant) {
 		t.Fatal("a job is refused as its pool is full, with all other workers idle")
 	}
 	for _, members := range full {
-		if slices.Contains(members, c.d.workers[c.jobs[1].sends[0].to.Worker]) {
+		if slices.Contains(members, c.d.workers.byID[c.jobs[1].sends[0].to.Worker]) {
 			t.Error("it was sent to the full pool")
 		}
 	}
@@ -1004,12 +1004,12 @@
 	for _, queue := range []float64{0, 40} { // it goes sooner where many would wait behind it
 		c := ready(t, 60, func(s *Settings) { few(s); s.Classes[1].Stretch = 3 })
 		c.serve(60, func(JobID, Entry) work { return work{run: 300 * time.Millisecond, free: 4} })
-		slack := seconds(2 * c.d.run[1])
+		slack := seconds(2 * c.d.times.runSeconds[1])
 		c.event(Event{Kind: EventJob, Job: 900, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
-		came, w := c.now, c.d.workers[c.jobs[900].sends[0].to.Worker]
-		for !c.d.jobs[900].attempts[0].cancelled && c.now < came+3*time.Second {
+		came, w := c.now, c.d.workers.byID[c.jobs[900].sends[0].to.Worker]
+		for !c.d.jobs.byID[900].attempts[0].cancelled && c.now < came+3*time.Second {
 			c.advance(10 * time.Millisecond)
-			w.others, w.othersAt = queue, c.now
+			w.peerSlots, w.peerSlotsAt = queue, c.now
 		}
 		waited := c.now - came - c.s.Classes[1].LatencyTarget
 		if late := waited - slack; queue == 0 && late.Abs() > 60*time.Millisecond || queue > 0 && waited > 60*time.Millisecond {
@@ -1026,8 +1026,8 @@
 		s.ValueByWork, s.Classes[0].Value, s.Classes[1].Value = byWork, 10, 8
 		s.Classes[2], s.Classes[3], s.Classes[4] = s.Classes[1], s.Classes[1], s.Classes[1]
 		d := must(t, s, 1)
-		d.run = []float64{0.4, 0.8, 0.8, 0.8, 0.8}
-		if got := d.density(&job{}); math.Abs(got-want) > 1e-9 {
+		d.times.runSeconds = []float64{0.4, 0.8, 0.8, 0.8, 0.8}
+		if got := d.forecasts.density(&jobState{}); math.Abs(got-want) > 1e-9 {
 			t.Errorf("by work %v: the short class is %v times as dense, not %v", byWork, got, want)
 		}
 	}
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -1,72 +1,142 @@
-// Forecasts: how long a job would take at a worker, and whether it is worth that.
-
 package decision
 
-import "math"
+import (
+	"math"
+	"time"
+)
+
+// slotMargin is how many slots may be missing at a worker that still counts as having one free: estimates
+// are not whole numbers.
+const slotMargin = 0.2
+
+// acceptedLoss is the part of a job's value that the risk of a late answer may cost before it is rejected.
+const acceptedLoss = 0.2
 
-const slotMargin, lossAccepted, delayPrice = 0.2, 0.2, 0.1 // slots lacking; worth lost waiting; per second
+// delayPrice is what a second of start delay costs in the comparison of workers, as a part of a job's value:
+// of workers that are in time alike the nearer one is taken.
+const delayPrice = 0.1
 
-const maxWaitOfAim, maxDensity = 0.25, 8 // of the aim a job may wait, if worth least; times as long, at most
+// maxWaitShare is the part of its latency target that a job of the least value for its time may wait at a
+// worker.
+const maxWaitShare = 0.25
 
-// wait is for how long a job would lie at a worker: 0 where a slot is free, or nothing tells.
-func (d *Dispatcher) wait(w *worker, slots float64) float64 {
-	lack := max(w.out+d.others(w)+slots-d.slots(w.Kind)-slotMargin, 0) * float64(count(d.sees))
-	return lack / d.slots(w.Kind) * d.meanRun * d.slow[w.Kind] * w.pace / d.coldShare(w)
+// maxDensity is the most that a job may count as denser in value than those of the least dense class.
+const maxDensity = 8
+
+// forecaster tells how long a job would take at a worker, how likely it is late there, and what that may
+// cost.
+type forecaster struct {
+	settings  *Settings
+	locality  locality
+	slowStart slowStart
+	times     *learnedTimes
+	load      *loadEstimator
+	delays    *startDelays
+	shared    bool // many dispatchers share the workers: picks go by the risk of a late answer
 }
 
-// longestWait is for how many seconds a job may wait at a worker, by its value.
-func (d *Dispatcher) longestWait(j *job) float64 {
-	return maxWaitOfAim * d.class(j).LatencyTarget.Seconds() * d.density(j)
+// forecast is what a job has to expect at a worker.
+type forecast struct {
+	// cost is what picks compare: seconds to an answer, or, where many dispatchers share workers, the chance
+	// of a late answer and the prices of the way.
+	cost float64
+	// waitRisk is the chance of a late answer by waiting alone; only where many dispatchers share workers.
+	waitRisk float64
 }
 
-// slots is how many a worker has: one surely; a kind that is full from the start may never show more.
-func (d *Dispatcher) slots(kind int) float64 { return max(d.slotCount[kind], 1) }
+// waitSeconds is how long a job would wait for its slots at a worker: 0 where they are free, or nothing
+// tells.
+func (f *forecaster) waitSeconds(worker *workerState, slots float64, now time.Duration) float64 {
+	total := f.load.slots(worker.Kind)
+	missing := max(worker.ownSlots+f.load.peerSlots(worker, now)+slots-total-slotMargin, 0)
+	missing *= float64(count(f.load.reported))
+	runs := missing / total
+	return runs * f.times.meanRunSeconds * f.times.slowness[worker.Kind] * worker.slowness /
+		f.slowStart.share(worker, now)
+}
 
-// linked tells whether an idle connection to a worker is surely there.
-func (d *Dispatcher) linked(w *worker) bool { return w.out == 0 && d.now-w.lastOK < d.set.ConnIdle }
+// hasFreeSlot tells whether a job would start at once at a worker, or nothing tells otherwise.
+func (f *forecaster) hasFreeSlot(worker *workerState, job *jobState, now time.Duration) bool {
+	return f.waitSeconds(worker, job.Slots, now) == 0
+}
 
-// forecast is the time to an answer; where many share workers, the chance to be late, and by waiting alone.
-func (d *Dispatcher) forecast(w *worker, j *job) [2]float64 {
-	c, room, slow := d.class(j), max(d.slotCount[w.Kind]*d.coldShare(w), 1), d.slow[w.Kind]*w.pace
-	if !d.wide {
-		return [2]float64{d.wait(w, j.Slots) + d.run[j.Class]*slow}
-	}
-	use := (w.out + d.others(w)) / room
-	use /= math.Pow(1+use*use*use*use, 0.25) // what is at work, of what is held
-	gain, way, served := (c.Stretch*d.unit-slow)*d.run[j.Class], *d.wayTo(w), room*(1-use)/(d.meanRun*slow)
-	left := c.LatencyTarget.Seconds() - way // a job's own running time is as good as exponential
-	late := math.Exp(-max(left+max(gain, 0), 0) / max(-gain, minRun))
-	waits := math.Pow(use, math.Sqrt(2*room+2)-1) / (1 + max(gain, 0)*served)
-	waits *= math.Exp(-max(left+min(gain, 0), 0) * served)
-	crossing := d.set.CrossZoneCost * float64(count(!d.near(w)))
-	return [2]float64{late + (1-late)*waits + delayPrice*way + crossing, waits}
+// maxWaitSeconds is how long a job may wait at a worker, by its value.
+func (f *forecaster) maxWaitSeconds(job *jobState) float64 {
+	return maxWaitShare * f.settings.Classes[job.Class].LatencyTarget.Seconds() * f.density(job)
+}
+
+// cost is the cost of a job at a worker, as forecast describes it.
+func (f *forecaster) cost(worker *workerState, job *jobState, now time.Duration) float64 {
+	return f.at(worker, job, now).cost
 }
 
-// acceptableRisk is the chance of being late by waiting at which a job is refused, by what it may still earn.
-func (d *Dispatcher) acceptableRisk(w *worker, j *job) float64 {
-	c, left := d.class(j), (j.Deadline - d.now).Seconds()
-	v := d.density(j) * (1 - math.Exp(-max(left-*d.wayTo(w), 0)/(d.run[j.Class]*d.slow[w.Kind])))
-	if j.Retry && c.Deadline > 0 && left+c.LatencyTarget.Seconds() < c.Deadline.Seconds() {
-		v *= c.LateValue // its first try came too long ago
+// at is the forecast for a job at a worker.
+func (f *forecaster) at(worker *workerState, job *jobState, now time.Duration) forecast {
+	slowness := f.times.slowness[worker.Kind] * worker.slowness
+	if !f.shared {
+		run := f.times.runSeconds[job.Class] * slowness
+		return forecast{cost: f.waitSeconds(worker, job.Slots, now) + run}
 	}
-	tooLate := min(lossAccepted/max(1-c.LateValue, lossAccepted), 1)
-	return max(1-(1-tooLate)/v, tooLate*min(v, 1))
+	return f.risk(worker, job, slowness, now)
 }
 
-// wayTo is how long a job takes to a worker that has room.
-func (d *Dispatcher) wayTo(w *worker) *float64 { return &d.delay[count(d.near(w))][count(d.linked(w))] }
+// risk takes a worker as a queue with as many servers as slots. A job is late by its own running time, which
+// counts as exponentially distributed, or by waiting; the class's latency target leaves it what the way
+// there does not take.
+func (f *forecaster) risk(worker *workerState, job *jobState, slowness float64, now time.Duration) forecast {
+	class := &f.settings.Classes[job.Class]
+	servers := max(f.load.slotsSeen[worker.Kind]*f.slowStart.share(worker, now), 1)
+	utilization := busyShare((worker.ownSlots + f.load.peerSlots(worker, now)) / servers)
+	delay := *f.delays.estimate(worker, now)
+	slack := class.LatencyTarget.Seconds() - delay
+	// What the target grows by with the job's running time, less that time itself.
+	gain := (class.Stretch*f.times.middleSlowness - slowness) * f.times.runSeconds[job.Class]
+	freedPerSecond := servers * (1 - utilization) / (f.times.meanRunSeconds * slowness)
 
-// density is how much more a job is worth for its running time than those of the least such class.
-func (d *Dispatcher) density(j *job) float64 {
-	least, fixed := math.Inf(1), float64(count(!d.set.ValueByWork)) // else it is as dense in a long job
-	for i, c := range d.set.Classes {
-		least = min(least, c.Value/math.Pow(d.run[i], fixed))
+	runRisk := math.Exp(-max(slack+max(gain, 0), 0) / max(-gain, minRunSeconds))
+	waitRisk := math.Pow(utilization, math.Sqrt(2*servers+2)-1) / (1 + max(gain, 0)*freedPerSecond)
+	waitRisk *= math.Exp(-max(slack+min(gain, 0), 0) * freedPerSecond)
+	lateRisk := runRisk + (1-runRisk)*waitRisk
+	crossingCost := f.settings.CrossZoneCost * float64(count(!f.locality.isLocal(worker)))
+	return forecast{cost: lateRisk + delayPrice*delay + crossingCost, waitRisk: waitRisk}
+}
+
+// busyShare is the part of a worker's slots that is at work, where the given multiple of them is promised:
+// nearly all of a small multiple, and below 1 for any.
+func busyShare(promised float64) float64 {
+	return promised / math.Pow(1+promised*promised*promised*promised, 0.25)
+}
+
+// maxWaitRisk is the chance of a late answer by waiting above which a job is rejected, by what it may still
+// earn.
+func (f *forecaster) maxWaitRisk(worker *workerState, job *jobState, now time.Duration) float64 {
+	class := &f.settings.Classes[job.Class]
+	leftSeconds := (job.Deadline - now).Seconds()
+	delay := *f.delays.estimate(worker, now)
+	runSeconds := f.times.runSeconds[job.Class] * f.times.slowness[worker.Kind]
+	doneInTime := 1 - math.Exp(-max(leftSeconds-delay, 0)/runSeconds)
+	value := f.density(job) * doneInTime
+	if firstTryIsLate(job, class, leftSeconds) {
+		value *= class.LateValue
 	}
-	return max(min(d.class(j).Value/math.Pow(d.run[j.Class], fixed)/least, maxDensity), 1)
+	tooLate := min(acceptedLoss/max(1-class.LateValue, acceptedLoss), 1)
+	return max(1-(1-tooLate)/value, tooLate*min(value, 1))
 }
 
-// others is how many slots others hold at a worker; the longer nothing was learned there, what its kind says.
-func (d *Dispatcher) others(w *worker) float64 {
-	usual := d.usual[d.place(w)] * d.coldShare(w)
-	return usual + (w.others-usual)*d.decay(w.othersAt, forgetAfter)
+// firstTryIsLate tells whether a client's first try for a repeated job is longer ago than its latency
+// target: the class's deadline counts from that try.
+func firstTryIsLate(job *jobState, class *ClassSettings, leftSeconds float64) bool {
+	if !job.Retry || class.Deadline <= 0 {
+		return false
+	}
+	return leftSeconds+class.LatencyTarget.Seconds() < class.Deadline.Seconds()
+}
+
+// density is how much more a job is worth for its running time than those of the least dense class.
+func (f *forecaster) density(job *jobState) float64 {
+	least := math.Inf(1)
+	for class := range f.settings.Classes {
+		least = min(least, f.times.valueDensity(class, f.settings))
+	}
+	return max(min(f.times.valueDensity(job.Class, f.settings)/least, maxDensity), 1)
 }
--- a/internal/decision/further_rules_test.go
+++ b/internal/decision/further_rules_test.go
@@ -87,7 +87,7 @@
 			}
 			c.outcome(1, 1, tc.outcome)
 		}
-		last := c.d.acts[len(c.d.acts)-1].Kind
+		last := c.d.actions[len(c.d.actions)-1].Kind
 		if !j.answered || (last == Reject) != tc.refusals {
 			t.Errorf("outcome %d, class %d: answered %v with action %d", tc.outcome, tc.class, j.answered, last)
 		}
@@ -109,7 +109,7 @@
 }
 
 func (c *checker) closes(id WorkerID) (n int) {
-	for _, a := range c.d.acts {
+	for _, a := range c.d.actions {
 		if a.Kind == CloseIdle && a.Worker == id {
 			n++
 		}
@@ -149,7 +149,7 @@
 			}
 			later := 0
 			for range 300 {
-				c.d.acts = nil
+				c.d.actions = nil
 				c.advance(10 * time.Millisecond)
 				later += c.closes(to.Worker)
 			}
@@ -217,12 +217,12 @@
 		for id := JobID(1000); id < 1100; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + time.Hour})
 			for range 60 {
-				for _, a := range slices.Clone(c.d.acts) {
+				for _, a := range slices.Clone(c.d.actions) {
 					if a.Kind == HealthCheck {
 						c.event(Event{Kind: EventHealthChecked, Worker: a.Worker, Outcome: OK, Load: Load{Count: 3, Values: [4]float64{2, 0, 0}}})
 					}
 				}
-				if c.d.acts = nil; len(c.jobs[id].sends) > 0 || c.jobs[id].answered {
+				if c.d.actions = nil; len(c.jobs[id].sends) > 0 || c.jobs[id].answered {
 					break
 				}
 				c.advance(10 * time.Millisecond)
--- a/internal/decision/pools_test.go
+++ b/internal/decision/pools_test.go
@@ -17,7 +17,7 @@
 
 func labelsOf(d *Dispatcher) map[WorkerID]int {
 	out := map[WorkerID]int{}
-	for l, kinds := range d.pools {
+	for l, kinds := range d.pools.members {
 		for _, members := range kinds {
 			for _, w := range members {
 				out[w.Worker] = l
@@ -53,7 +53,7 @@
 		}
 	}
 	for kind := range 2 {
-		if len(d.pools[unlabelled][kind]) == 0 {
+		if len(d.pools.members[unlabelled][kind]) == 0 {
 			t.Errorf("no leftovers of kind %d", kind)
 		}
 	}
@@ -83,7 +83,7 @@
 	for id := JobID(1); id <= 200; id++ {
 		tenant := int(id) % 5
 		c.event(Event{Kind: EventJob, Job: id, Tenant: tenant, Slots: 1, Deadline: c.now + time.Second})
-		if to := c.jobs[id].sends[0].to.Worker; labels[to] != c.d.labels[tenant] {
+		if to := c.jobs[id].sends[0].to.Worker; labels[to] != c.d.pools.labelOfTenant[tenant] {
 			t.Errorf("tenant %d: sent to a worker of label %d", tenant, labels[to])
 		}
 		c.outcome(id, 0, OK)
@@ -116,25 +116,27 @@
 	"action.go", "doc.go", "event.go", "hash.go", "load_report.go", "settings.go", "validation.go",
 }
 
-// Every file of the package is listed as policy, but for the interface and the hash.
-func TestAllDecisionFilesAreListed(t *testing.T) {
+// decisionFiles are the names of the package's files, without tests.
+func decisionFiles(t *testing.T) []string {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	files = slices.DeleteFunc(files, func(name string) bool {
-		return strings.HasSuffix(name, "_test.go") || slices.Contains(interfaceFiles, name)
-	})
+	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+}
+
+// Every file of the package is listed as policy, but for the interface and the hash.
+func TestAllDecisionFilesAreListed(t *testing.T) {
+	files := slices.DeleteFunc(decisionFiles(t), func(name string) bool { return slices.Contains(interfaceFiles, name) })
 	if listed := slices.Sorted(slices.Values(policyFiles(t))); !slices.Equal(files, listed) {
 		t.Errorf("files that decide are %v, listed are %v", files, listed)
 	}
 }
 
-// TestDecisionsStayReadable holds the width of lines and the length of functions. The operators have withdrawn the
-// limit on the lines of all files together, which stood here; it made the code tight.
+// TestDecisionsStayReadable holds the width of lines and the length of functions, in the files of the interface, too.
 func TestDecisionsStayReadable(t *testing.T) {
 	const widest, longest = 110, 45
-	for _, name := range policyFiles(t) {
+	for _, name := range decisionFiles(t) {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -429,7 +429,7 @@
 			switch j := c.jobs[1]; {
 			case len(j.sends) == 2:
 				got = again
-			case tc.outcome != OK && j.answered && c.d.acts[len(c.d.acts)-1].Kind == Fail:
+			case tc.outcome != OK && j.answered && c.d.actions[len(c.d.actions)-1].Kind == Fail:
 				got = fail
 			case tc.outcome != OK && j.answered:
 				got = refuse
@@ -449,7 +449,7 @@
 		c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + time.Second})
 		c.now += time.Second
 		c.outcome(1, 0, TimedOut)
-		if last := c.d.acts[len(c.d.acts)-1]; last.Kind != want {
+		if last := c.d.actions[len(c.d.actions)-1]; last.Kind != want {
 			t.Errorf("class %d: action %d, want %d", class, last.Kind, want)
 		}
 	}
