--- a/internal/dispatcher/dispatch/counters_test.go
+++ b/internal/dispatcher/dispatch/counters_test.go
@@ -24,7 +24,7 @@
 		for o := decision.OK; o <= decision.NeverSent; o++ {
 			counters.Outcomes[o].Store(int64(200 + o))
 		}
-		core, err := dispatch.New(testenv.Node(t, nil, ""), counters, nil, nil, &hall{}, nil)
+		core, err := dispatch.New(testenv.Node(t, nil, ""), counters, nil, nil, &surroundings{}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatcher/dispatch/timers.go
+++ b/internal/dispatcher/dispatch/timers.go
@@ -1,36 +1,28 @@
-// The timers of the core's goroutine.
-
 package dispatch
 
-import (
-	"container/heap"
-	"time"
-)
+import "time"
 
+// timer is a call that the core's goroutine makes at a time of its clock.
 type timer struct {
 	at    time.Duration
-	order uint64
+	order uint64 // of the timers set so far
 	do    func()
 }
 
-// timers is a heap; what is due at one time comes in the order in which it was set.
-type timers []timer
-
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, k int) bool {
-	return t[i].at < t[k].at || t[i].at == t[k].at && t[i].order < t[k].order
+// Before tells whether the timer is due first; timers of one time are due in the order in which they were set.
+func (t timer) Before(other timer) bool {
+	return t.at < other.at || t.at == other.at && t.order < other.order
 }
-func (t timers) Swap(i, k int) { t[i], t[k] = t[k], t[i] }
-func (t *timers) Push(v any)   { *t = append(*t, v.(timer)) }
-func (t *timers) Pop() any {
-	old := *t
-	last := old[len(old)-1]
-	old[len(old)-1] = timer{}
-	*t = old[:len(old)-1]
-	return last
+
+// setTimer calls do at a time of the core's clock, from Run and never from within setTimer.
+func (c *Core) setTimer(at time.Duration, do func()) {
+	c.timersSet++
+	c.timers.Push(timer{at, c.timersSet, do})
 }
 
-func (c *Core) at(when time.Duration, do func()) {
-	c.set++
-	heap.Push(&c.timers, timer{when, c.set, do})
+// runDueTimers makes the calls that are due, those that become due meanwhile among them.
+func (c *Core) runDueTimers() {
+	for len(c.timers) > 0 && c.timers[0].at <= c.now() {
+		c.timers.Pop().do()
+	}
 }
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -1,5 +1,3 @@
-// The listed workers: their places and numbers.
-
 package dispatch
 
 import (
@@ -13,18 +11,29 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// seat is what the core knows of one listed worker. leaving is read by the floor just before a send.
-type seat struct {
+// workerState is what the core knows of one listed worker. It belongs to the core's goroutine, but for leaving, which
+// Attempt.MayStart reads just before a send.
+type workerState struct {
 	config.Worker
 	number  decision.WorkerID
-	started time.Duration
+	started time.Duration // on the core's clock; 0 is unknown
 	state   decision.State
 	leaving atomic.Bool
 }
 
-// list turns lines of the roster into the module's entries.
-func (c *Core) list(kind decision.ListKind, workers []config.Worker) {
-	ev := decision.Event{Kind: decision.EventList, List: kind}
+// stateByName maps the states of a list's entries. An unknown state is none to send to: the worker counts as draining.
+var stateByName = map[string]decision.State{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
+
+// WorkerCounts counts the listed workers by decision.State: gone ones that still hold jobs, ready and draining ones.
+func (c *Core) WorkerCounts() [3]int { return *c.workerCounts.Load() }
+
+// UpdateWorkers passes on what discovery says: a complete list, what changed, or that a call has failed.
+func (c *Core) UpdateWorkers(kind decision.ListKind, workers []config.Worker) {
+	c.post(func() { c.applyList(kind, workers) })
+}
+
+// applyList brings entries of a list into the table and hands them to the module.
+func (c *Core) applyList(kind decision.ListKind, workers []config.Worker) {
 	switch kind {
 	case decision.ListFailed:
 		c.Counters.ListFailures.Add(1)
@@ -32,90 +41,122 @@
 		c.Counters.ListChanges.Add(1)
 	default:
 		c.Counters.ListChanges.Add(1)
-		workers = append(workers[:len(workers):len(workers)], c.fixed...)
-		there := map[string]bool{}
-		for _, w := range workers {
-			there[w.ID] = true
-		}
-		for _, s := range c.seats { // who is missing has left
-			if !there[s.ID] {
-				s.state = decision.Gone
-				s.leaving.Store(true)
-			}
+		workers = append(workers[:len(workers):len(workers)], c.fixedWorkers...)
+		c.removeMissing(workers)
+	}
+	event := decision.Event{Kind: decision.EventList, List: kind}
+	for _, entry := range workers {
+		w := c.applyEntry(entry)
+		if w == nil {
+			continue
 		}
+		event.Entries = append(event.Entries, decision.Entry{
+			Worker:  w.number,
+			Started: w.started,
+			Cell:    entry.Cell,
+			Zone:    config.Index(c.node.Zones, w.Zone),
+			Kind:    config.Index(c.node.Kinds, w.Kind),
+			Weight:  entry.Weight,
+			State:   w.state,
+		})
+	}
+	c.forgetGone()
+	c.handle(&event)
+}
+
+// removeMissing marks the workers as gone that are not in a complete list.
+func (c *Core) removeMissing(list []config.Worker) {
+	listed := map[string]bool{}
+	for _, w := range list {
+		listed[w.ID] = true
 	}
-	for _, w := range workers {
-		if s := c.sit(w); s != nil {
-			ev.Entries = append(ev.Entries, decision.Entry{Worker: s.number, Started: s.started, Cell: w.Cell,
-				Zone: s.zone(c.node), Kind: s.kind(c.node), Weight: w.Weight, State: s.state})
+	for _, w := range c.workers {
+		if !listed[w.ID] {
+			w.state = decision.Gone
+			w.leaving.Store(true)
 		}
 	}
-	held := map[decision.WorkerID]bool{}
+}
+
+// forgetGone drops the gone workers that hold no jobs, and counts the others.
+func (c *Core) forgetGone() {
+	holdsJobs := map[decision.WorkerID]bool{}
 	for _, j := range c.jobs {
-		for _, a := range j.tries {
-			held[a.seat.number] = held[a.seat.number] || !a.ended
+		for _, a := range j.attempts {
+			holdsJobs[a.worker.number] = holdsJobs[a.worker.number] || !a.ended
 		}
 	}
-	var count [3]int
-	for id, s := range c.seats {
-		if s.state == decision.Gone && !held[id] {
-			delete(c.seats, id)
-			delete(c.byName, s.ID)
+	var counts [3]int
+	for number, w := range c.workers {
+		if w.state == decision.Gone && !holdsJobs[number] {
+			delete(c.workers, number)
+			delete(c.workerByName, w.ID)
 			continue
 		}
-		count[s.state]++
+		counts[w.state]++
 	}
-	c.workers.Store(&count)
-	c.handle(&ev)
+	c.workerCounts.Store(&counts)
 }
 
-// sit brings one line of the roster into the table; nil where it cannot be used.
-func (c *Core) sit(w config.Worker) *seat {
-	state, ok := map[string]decision.State{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[w.State]
+// applyEntry brings one entry of a list into the table. It returns nil where the entry cannot be used: a worker that is
+// gone and was not known, or one more than the limits allow.
+func (c *Core) applyEntry(entry config.Worker) *workerState {
+	state, ok := stateByName[entry.State]
 	if !ok {
-		state = decision.Draining // an unknown state is none to send to
+		state = decision.Draining
 	}
-	id, known := c.byName[w.ID]
+	number, known := c.workerByName[entry.ID]
 	if !known {
-		if state == decision.Gone || len(c.seats) >= c.lim.Workers {
+		if state == decision.Gone || len(c.workers) >= c.limits.Workers {
 			return nil
 		}
-		for id = number(w.ID); c.seats[id] != nil; id++ {
-		}
-		c.byName[w.ID] = id
+		number = c.newNumber(entry.ID)
 	}
-	s := c.seats[id]
-	if s == nil || state == decision.Ready && s.leaving.Load() {
+	w := c.workers[number]
+	if w == nil || state == decision.Ready && w.leaving.Load() {
 		// An attempt under way to the process that left must go on seeing that it left.
-		fresh := &seat{number: id}
-		if s != nil {
-			fresh.Worker, fresh.started = s.Worker, s.started
+		fresh := &workerState{number: number}
+		if w != nil {
+			fresh.Worker, fresh.started = w.Worker, w.started
 		}
-		s = fresh
-		c.seats[id] = s
+		w = fresh
+		c.workers[number] = w
 	}
-	if w.StartedAtMs <= 0 {
-		s.started = 0
-	} else if w.StartedAtMs != s.StartedAtMs {
-		// Converted once for each start, lest steps of the calendar look like restarts. A start in the future
-		// counts as one now.
-		ago := max(time.Since(time.UnixMilli(w.StartedAtMs)), 0)
-		s.started = max(c.now()-ago, 0)
+	w.started = c.startTime(w, entry.StartedAtMs)
+	if w.Address != "" && entry.State == "gone" { // its last entry may leave out where it was
+		entry.Address, entry.Zone, entry.Kind, entry.Queue = w.Address, w.Zone, w.Kind, w.Queue
 	}
-	if s.Address != "" && w.State == "gone" { // its last line may leave out where it stood
-		w.Address, w.Zone, w.Kind, w.Queue = s.Address, s.Zone, s.Kind, s.Queue
+	w.Worker, w.state = entry, state
+	w.leaving.Store(state != decision.Ready)
+	return w
+}
+
+// newNumber gives a worker that was not known the first free number from its own on.
+func (c *Core) newNumber(name string) decision.WorkerID {
+	number := workerNumber(name)
+	for c.workers[number] != nil {
+		number++
 	}
-	s.Worker, s.state = w, state
-	s.leaving.Store(state != decision.Ready)
-	return s
+	c.workerByName[name] = number
+	return number
 }
 
-func (s *seat) zone(n *config.Node) int { return config.Index(n.Zones, s.Zone) }
-func (s *seat) kind(n *config.Node) int { return config.Index(n.Kinds, s.Kind) }
+// startTime returns when a worker started on the core's clock, 0 where that is unknown. It is converted once for each
+// start, lest steps of the calendar look like restarts. A start in the future counts as one now.
+func (c *Core) startTime(w *workerState, startedAtMs int64) time.Duration {
+	switch {
+	case startedAtMs <= 0:
+		return 0
+	case startedAtMs == w.StartedAtMs:
+		return w.started
+	}
+	age := max(time.Since(time.UnixMilli(startedAtMs)), 0)
+	return max(c.now()-age, 0)
+}
 
-// number makes the module's id from a worker's name, alike at all dispatchers and after restarts: the pools hang
-// on it. Names end in eight hexadecimal digits; others are hashed.
-func number(name string) decision.WorkerID {
+// workerNumber makes the module's number from a worker's name, alike at all dispatchers and after restarts: which worker
+// a key has affinity to depends on it. Names end in eight hexadecimal digits; others are hashed.
+func workerNumber(name string) decision.WorkerID {
 	if at := strings.LastIndexByte(name, '-'); at >= 0 && len(name)-at == 9 {
 		if v, err := strconv.ParseUint(name[at+1:], 16, 32); err == nil {
 			return decision.WorkerID(v)
@@ -126,7 +167,8 @@
 	return decision.WorkerID(h.Sum32())
 }
 
-// Subject makes the module's key from the words that say what a job is about.
+// AffinityKey makes a job's affinity key from the words that say what it is about: the number itself where they are one
+// of sixteen hexadecimal digits, else a hash. It is never 0.
 func AffinityKey(words string) uint64 {
 	if v, err := strconv.ParseUint(words, 16, 64); err == nil && len(words) == 16 && v != 0 {
 		return v
