--- a/internal/dispatcher/clienthttp/answers_test.go
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -33,7 +33,7 @@
 const goodRequest = "POST /enrol HTTP/1.1\r\nHost: b\r\nX-Request-ID: p1\r\nX-Priority-Class: enrol\r\nX-Tenant-Id: univ-gaspesie\r\n" +
 	"X-Timeout: 2.5\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\ndone"
 
-// fixedTaker gives each job the same answer, or the same error.
+// fixedSubmitter gives each job the same answer, or the same error.
 type fixedSubmitter struct {
 	answer dispatch.Answer
 	err    error
@@ -60,11 +60,11 @@
 	fmt.Fprintf(tr, "== %s ==\n%s\n", name, answer)
 }
 
-// fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedTaker.
+// fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedSubmitter.
 type fixture struct {
 	network testenv.Net
 	server  *clienthttp.Server
-	taker   fixedSubmitter
+	submitter   fixedSubmitter
 }
 
 // newFixture starts a server; change has the last word on its settings. It belongs into a bubble of testing/synctest.
@@ -78,8 +78,8 @@
 		t.Fatal(err)
 	}
 	f := &fixture{server: clienthttp.New(node, core)}
-	f.taker.answer = dispatch.Answer{Kind: dispatch.Served, Result: []byte("result of p1")}
-	f.server.Jobs = &f.taker
+	f.submitter.answer = dispatch.Answer{Kind: dispatch.Served, Result: []byte("result of p1")}
+	f.server.Jobs = &f.submitter
 	ctx, cancel := context.WithCancel(context.Background())
 	go core.Run(ctx)
 	go f.server.Serve(f.network.Listen(serverAddress))
@@ -164,17 +164,17 @@
 		answers.add("served, in chunks", f.exchange(t, chunked))
 		answers.add("served, two on one connection", f.exchange(t, goodRequest+goodRequest))
 		answers.add("served, HTTP/1.0", f.exchange(t, strings.Replace(goodRequest, "HTTP/1.1", "HTTP/1.0", 1)))
-		f.taker.answer = dispatch.Answer{Kind: dispatch.Served}
+		f.submitter.answer = dispatch.Answer{Kind: dispatch.Served}
 		answers.add("served, empty result", f.exchange(t, goodRequest))
-		f.taker.answer = dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: 1250 * time.Millisecond}
+		f.submitter.answer = dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: 1250 * time.Millisecond}
 		answers.add("refused", f.exchange(t, goodRequest))
-		f.taker.answer = dispatch.Answer{Kind: dispatch.Failed}
+		f.submitter.answer = dispatch.Answer{Kind: dispatch.Failed}
 		answers.add("failed", f.exchange(t, goodRequest))
-		f.taker.err = dispatch.ErrBusy
+		f.submitter.err = dispatch.ErrBusy
 		answers.add("too many open jobs", f.exchange(t, goodRequest))
-		f.taker.err = dispatch.ErrDuplicateID
+		f.submitter.err = dispatch.ErrDuplicateID
 		answers.add("the id is open", f.exchange(t, goodRequest))
-		f.taker.err = errors.New("whatever else")
+		f.submitter.err = errors.New("whatever else")
 		answers.add("not taken", f.exchange(t, goodRequest))
 		golden.AssertBytes(t, answers.Bytes(), "jobs.http")
 	})
@@ -218,7 +218,7 @@
 	})
 }
 
-// silentTaker takes jobs and never answers them.
+// silentSubmitter takes jobs and never answers them.
 type silentSubmitter struct{ left chan *dispatch.Job }
 
 func (s *silentSubmitter) Submit(*dispatch.Job) error { return nil }
@@ -231,8 +231,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, taker := clienthttp.New(node, core), &silentSubmitter{left: make(chan *dispatch.Job, 1)}
-	server.Jobs = taker
+	server, submitter := clienthttp.New(node, core), &silentSubmitter{left: make(chan *dispatch.Job, 1)}
+	server.Jobs = submitter
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
