--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -20,67 +20,67 @@
 )
 
 const (
-	answerLimit = 1 << 20
-	freshCheck  = 20 * time.Millisecond // the owner is asked again if so much passed before the first byte
+	maxAnswerBytes    = 1 << 20
+	ownerRecheckAfter = 20 * time.Millisecond // the owner is asked again if so much passed before the first byte
 )
 
 // attempt is one send of a message to a worker. It is made by the loop; what it reads of the loop's state is copied.
 type attempt struct {
-	engine      *Engine
-	decider     *decider
-	job         *job
-	destination *destination
-	message     *message.Message
-	route       *configuration.Route
-	failures    int
-	address     string
-	instance    string // empty for a static endpoint
-	transport   *http.Transport
-	launched    time.Time
-
-	began      atomic.Bool // its first byte may be out
+	engine    *Engine
+	adapter   *decisionAdapter
+	job       *job
+	endpoint  *endpoint
+	message   *message.Message
+	route     *configuration.Route
+	failures  int
+	address   string
+	instance  string // empty for a static endpoint
+	transport *http.Transport
+	startedAt time.Time
+
+	started    atomic.Bool // its first byte may be out
 	withdrawn  atomic.Bool
 	connection atomic.Pointer[workerConnection]
 }
 
 // launch starts an attempt, which the gate has let in.
-func (e *Engine) launch(d *decider, j *job, to *destination) {
+func (e *Engine) startAttempt(d *decisionAdapter, j *job, to *endpoint) {
 	a := &attempt{
-		engine:      e,
-		decider:     d,
-		job:         j,
-		destination: to,
-		message:     j.entry.message,
-		route:       j.route,
-		failures:    j.entry.failures,
-		address:     to.worker.Address,
-		transport:   to.transport,
-		launched:    time.Now(),
+		engine:    e,
+		adapter:   d,
+		job:       j,
+		endpoint:  to,
+		message:   j.queued.message,
+		route:     j.route,
+		failures:  j.queued.failures,
+		address:   to.worker.Address,
+		transport: to.transport,
+		startedAt: time.Now(),
 	}
 	if !to.static {
 		a.instance = to.worker.ID
 	}
-	e.flights.Go(a.fly)
+	e.ownerCalls.Go(a.run)
 }
 
 // fly makes the attempt, tells the owner what came of it, and then the loop.
-func (a *attempt) fly() {
-	r := a.run()
-	a.tellOwner(&r)
-	a.engine.gate.leave(a.message.Partition)
-	a.engine.mailbox.post(attemptEnded{a, r})
+func (a *attempt) run() {
+	r := a.send()
+	a.notifyOwner(&r)
+	a.engine.gates.leave(a.message.Partition)
+	a.engine.events.push(attemptEnded{a, r})
 }
 
-func (a *attempt) tellOwner(r *result) {
+func (a *attempt) notifyOwner(r *attemptReport) {
 	owner := a.engine.options.Owner
-	switch r.verdict {
-	case verdictCompleted:
+	switch r.result {
+	case resultCompleted:
 		r.ended = true
 		owner.Ended(a.message, message.Outcome{State: message.Completed, Stamp: r.stamp})
-	case verdictRejected:
+	case resultRejected:
 		r.ended = true
 		owner.Ended(a.message, deadLetter)
-	case verdictFailed:
+	case resultFailed:
 		failures := a.failures + 1
 		if r.ended = a.route.MaxAttempts > 0 && failures >= a.route.MaxAttempts; r.ended {
 			owner.Ended(a.message, deadLetter)
@@ -91,20 +91,20 @@
 }
 
 // run sends the message and reads the answer.
-func (a *attempt) run() result {
+func (a *attempt) send() attemptReport {
 	body, err := a.engine.options.Owner.Body(a.message)
 	if err != nil {
 		a.engine.logger.Warn("a message's body can't be read", zap.String("message", a.message.ID), zap.Error(err))
-		return result{verdict: verdictUnreadable}
+		return attemptReport{result: resultBodyUnreadable}
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), a.launched.Add(a.route.Timeout))
+	ctx, cancel := context.WithDeadline(context.Background(), a.startedAt.Add(a.route.Timeout))
 	defer cancel()
 	request := a.request(ctx, body)
 	answer, err := a.transport.RoundTrip(request)
 	if err != nil {
-		return result{verdict: a.verdictOf(ctx)}
+		return attemptReport{result: a.resultWithoutAnswer(ctx)}
 	}
-	return a.read(ctx, answer)
+	return a.readAnswer(ctx, answer)
 }
 
 // request makes the HTTP request of the attempt.
@@ -128,7 +128,7 @@
 }
 
 func (a *attempt) header() http.Header {
-	left := a.route.Timeout - time.Since(a.launched)
+	left := a.route.Timeout - time.Since(a.startedAt)
 	header := http.Header{
 		headerRequestID: {a.message.RequestID},
 		headerDeadline:  {strconv.FormatInt(max(left.Milliseconds(), 1), 10)},
@@ -170,47 +170,47 @@
 
 // mayWrite is asked before each write: the first goes out only if the attempt may still start, and no attempt goes
 // out on a second connection.
-func (a *attempt) mayWrite(on *workerConnection) bool {
-	if a.began.Load() {
+func (a *attempt) admitWrite(on *workerConnection) bool {
+	if a.started.Load() {
 		return a.connection.Load() == on
 	}
-	if a.destination.leaving.Load() || a.ownerObjects() {
+	if a.endpoint.unavailable.Load() || a.ownerForbids() {
 		a.withdrawn.Store(true)
 		return false
 	}
 	a.connection.Store(on)
-	a.began.Store(true)
+	a.started.Store(true)
 	return true
 }
 
 // ownerObjects asks the owner again if some time has passed since the loop did.
-func (a *attempt) ownerObjects() bool {
-	return time.Since(a.launched) > freshCheck && !a.engine.options.Owner.MayDeliver(a.message.Partition)
+func (a *attempt) ownerForbids() bool {
+	return time.Since(a.startedAt) > ownerRecheckAfter && !a.engine.options.Owner.MayDeliver(a.message.Partition)
 }
 
 // verdictOf is the verdict of an attempt that got no answer.
-func (a *attempt) verdictOf(ctx context.Context) verdict {
+func (a *attempt) resultWithoutAnswer(ctx context.Context) attemptResult {
 	switch {
-	case a.began.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdictTimedOut
-	case a.began.Load():
-		return verdictUncertain
+	case a.started.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded):
+		return resultTimedOut
+	case a.started.Load():
+		return resultUncertain
 	case a.withdrawn.Load():
-		return verdictWithdrawn
+		return resultWithdrawn
 	default:
-		return verdictUnreachable
+		return resultUnreachable
 	}
 }
 
 // read reads the answer whole and judges it. A connection on which something is wrong is closed.
-func (a *attempt) read(ctx context.Context, answer *http.Response) result {
-	judged := judge(answer, a.message.RequestID)
-	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, answerLimit))
+func (a *attempt) readAnswer(ctx context.Context, answer *http.Response) attemptReport {
+	judged := classifyAnswer(answer, a.message.RequestID)
+	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes))
 	_ = answer.Body.Close() // closes the connection unless all was read
-	if err != nil && judged.verdict.needsWhole() {
-		judged.verdict = a.verdictOf(ctx)
+	if err != nil && judged.result.needsCompleteBody() {
+		judged.result = a.resultWithoutAnswer(ctx)
 	}
-	if err != nil || size == answerLimit || judged.verdict == verdictUncertain {
+	if err != nil || size == maxAnswerBytes || judged.result == resultUncertain {
 		a.closeConnection()
 	}
 	return judged
--- a/internal/delivery/verdict.go
+++ b/internal/delivery/attempt_result.go
@@ -10,22 +10,22 @@
 )
 
 // verdict is what an attempt says about its message.
-type verdict uint8
+type attemptResult uint8
 
 const (
-	verdictCompleted   verdict = iota + 1 // the worker did it
-	verdictRejected                       // it can never be done
-	verdictFailed                         // this attempt failed; a later one may succeed
-	verdictFull                           // the worker had no room: not run
-	verdictThrottled                      // the service gets too much: not run
-	verdictRunning                        // another run of the message is at work: not run
-	verdictWrongWorker                    // another worker has the address now: not run
-	verdictUncertain                      // it may have run
-	verdictTimedOut                       // it may have run or run still
-	verdictOverdue                        // the worker gave it up at its deadline: it may have run
-	verdictUnreachable                    // no byte was sent
-	verdictWithdrawn                      // called off before the first byte
-	verdictUnreadable                     // the message's body could not be read
+	resultCompleted        attemptResult = iota + 1 // the worker did it
+	resultRejected                                  // it can never be done
+	resultFailed                                    // this attempt failed; a later one may succeed
+	resultFull                                      // the worker had no room: not run
+	resultThrottled                                 // the service gets too much: not run
+	resultRunning                                   // another run of the message is at work: not run
+	resultMisdirected                               // another worker has the address now: not run
+	resultUncertain                                 // it may have run
+	resultTimedOut                                  // it may have run or run still
+	resultDeadlineExceeded                          // the worker gave it up at its deadline: it may have run
+	resultUnreachable                               // no byte was sent
+	resultWithdrawn                                 // called off before the first byte
+	resultBodyUnreadable                            // the message's body could not be read
 )
 
 // The headers of deliveries and their answers.
@@ -42,35 +42,35 @@
 )
 
 // result is an attempt's verdict with what belongs to it.
-type result struct {
-	verdict   verdict
+type attemptReport struct {
+	result    attemptResult
 	stamp     string        // of verdictCompleted
 	ended     bool          // the message has ended with this attempt
 	keepAlive time.Duration // after which the worker closes idle connections, if it said so
 }
 
 // answered tells whether a worker dealt with the message.
-func (v verdict) answered() bool {
-	return v == verdictCompleted || v == verdictRejected || v == verdictFailed || v == verdictRunning
+func (v attemptResult) answered() bool {
+	return v == resultCompleted || v == resultRejected || v == resultFailed || v == resultRunning
 }
 
 // moduleOutcome is the verdict in the decision module's terms.
-func (v verdict) moduleOutcome(ended bool) decision.Outcome {
+func (v attemptResult) moduleOutcome(ended bool) decision.Outcome {
 	switch v {
-	case verdictCompleted, verdictRejected:
+	case resultCompleted, resultRejected:
 		return decision.OK
-	case verdictFailed:
+	case resultFailed:
 		if ended {
 			return decision.OK
 		}
 		return decision.Error
-	case verdictFull, verdictThrottled:
+	case resultFull, resultThrottled:
 		return decision.Rejected
-	case verdictUncertain:
+	case resultUncertain:
 		return decision.Reset
-	case verdictTimedOut, verdictOverdue:
+	case resultTimedOut, resultDeadlineExceeded:
 		return decision.TimedOut
-	case verdictUnreachable:
+	case resultUnreachable:
 		return decision.ConnectFailed
 	default:
 		return decision.NeverSent
@@ -79,56 +79,56 @@
 
 // judge reads the verdict from an answer's head. The body is whole or not, which the caller has to see to. An answer that
 // does not name this request tells nothing of what became of it: it may be another one's.
-func judge(answer *http.Response, requestID string) result {
-	judged := result{keepAlive: keepAliveOf(answer.Header)}
+func classifyAnswer(answer *http.Response, requestID string) attemptReport {
+	judged := attemptReport{keepAlive: keepAliveOf(answer.Header)}
 	echoed := answer.Header.Get(headerRequestID)
 	switch {
 	case echoed != "" && echoed != requestID:
-		judged.verdict = verdictUncertain
+		judged.result = resultUncertain
 	case answer.StatusCode >= 200 && answer.StatusCode < 300:
 		judged.stamp = answer.Header.Get(headerStamp)
-		judged.verdict = verdictUncertain
+		judged.result = resultUncertain
 		if judged.stamp != "" && echoed == requestID {
-			judged.verdict = verdictCompleted
+			judged.result = resultCompleted
 		}
 	default:
-		judged.verdict = judgeFailure(answer)
-		if judged.verdict.answered() && echoed != requestID {
-			judged.verdict = verdictUncertain
+		judged.result = classifyFailure(answer)
+		if judged.result.answered() && echoed != requestID {
+			judged.result = resultUncertain
 		}
 	}
 	return judged
 }
 
 // judgeFailure reads the verdict from the head of an answer that is no success.
-func judgeFailure(answer *http.Response) verdict {
+func classifyFailure(answer *http.Response) attemptResult {
 	switch answer.StatusCode {
 	case http.StatusConflict:
-		return verdictRunning
+		return resultRunning
 	case http.StatusTooManyRequests:
-		return verdictThrottled
+		return resultThrottled
 	case http.StatusMisdirectedRequest:
-		return verdictWrongWorker
+		return resultMisdirected
 	case http.StatusServiceUnavailable:
-		return verdictFull
+		return resultFull
 	}
 	switch {
 	case answer.Header.Get(headerNotExecuted) != "":
-		return verdictFull
+		return resultFull
 	case answer.StatusCode == http.StatusUnprocessableEntity:
-		return verdictRejected
+		return resultRejected
 	case answer.StatusCode == http.StatusInternalServerError:
-		return verdictFailed
+		return resultFailed
 	case answer.StatusCode == http.StatusGatewayTimeout:
-		return verdictOverdue
+		return resultDeadlineExceeded
 	default:
-		return verdictUncertain
+		return resultUncertain
 	}
 }
 
 // needsWhole tells whether the verdict holds only if the answer was read whole.
-func (v verdict) needsWhole() bool {
-	return v == verdictCompleted || v == verdictRejected || v == verdictFailed
+func (v attemptResult) needsCompleteBody() bool {
+	return v == resultCompleted || v == resultRejected || v == resultFailed
 }
 
 // keepAliveOf reads the time-out from a Keep-Alive header; 0 where there is none.
--- /dev/null
+++ b/internal/delivery/attempt_result_test.go
@@ -0,0 +1,42 @@
+package delivery
+
+import (
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestVerdictsOnARunNeedTheRequestsID judges answers that name this request, another one, or none. A worker may send a
+// second answer late, when the connection carries the next request.
+func TestVerdictsOnARunNeedTheRequestsID(t *testing.T) {
+	const requestID = "r-1"
+	cases := []struct {
+		status      int
+		notExecuted bool
+		named       attemptResult // where the answer names this request
+		unnamed     attemptResult // where it names none
+	}{
+		{http.StatusOK, false, resultCompleted, resultUncertain},
+		{http.StatusUnprocessableEntity, false, resultRejected, resultUncertain},
+		{http.StatusInternalServerError, false, resultFailed, resultUncertain},
+		{http.StatusConflict, true, resultRunning, resultUncertain},
+		{http.StatusServiceUnavailable, true, resultFull, resultFull},
+		{http.StatusTooManyRequests, true, resultThrottled, resultThrottled},
+		{http.StatusMisdirectedRequest, true, resultMisdirected, resultMisdirected},
+		{http.StatusBadRequest, true, resultFull, resultFull},
+		{http.StatusGatewayTimeout, false, resultDeadlineExceeded, resultDeadlineExceeded},
+	}
+	for _, each := range cases {
+		for echoed, wanted := range map[string]attemptResult{requestID: each.named, "": each.unnamed, "r-2": resultUncertain} {
+			answer := &http.Response{StatusCode: each.status, Header: http.Header{headerStamp: {"stamp"}}}
+			if echoed != "" {
+				answer.Header.Set(headerRequestID, echoed)
+			}
+			if each.notExecuted {
+				answer.Header.Set(headerNotExecuted, "1")
+			}
+			assert.Equal(t, classifyAnswer(answer, requestID).result, wanted, "%d naming %q", each.status, echoed)
+		}
+	}
+}
--- /dev/null
+++ b/internal/delivery/backlog.go
@@ -0,0 +1,164 @@
+package delivery
+
+import (
+	"time"
+
+	"gladepick/internal/message"
+)
+
+// queueState says where a message waits.
+type queueState uint8
+
+const (
+	blockedByOrder queueState = iota // an earlier message of its order group has not ended
+	inRouteQueue                     // in one of its route queue's heaps
+	parked                           // its partition may not deliver now
+	dispatched                       // the decision module has it, or an attempt is in flight
+)
+
+// queuedMessage is a message that has not ended, as the event loop keeps it. Times are on the engine's clock.
+type queuedMessage struct {
+	message    *message.Message
+	generation uint64 // the partition's, when the message was submitted
+	failures   int    // answers 500 so far
+	backoffs   uint8  // backoffs in a row without an answer from a worker
+	state      queueState
+	linked     bool // it is on its partition's list
+	orphan     bool // its partition was released while an attempt was in flight
+	due        time.Duration
+	expires    time.Duration
+	notBefore  time.Duration // when it may be dispatched next
+	rank       time.Duration // its order among the overdue messages of its route
+	heap       *messageHeap  // the heap it is in, or nil
+	heapIndex  int
+	routeQueue *routeQueue
+	orderGroup *orderGroup    // nil without an order key
+	previous   *queuedMessage // on its partition's list
+	next       *queuedMessage
+}
+
+func (queued *queuedMessage) expired(now time.Duration) bool { return now >= queued.expires }
+
+// messageKey identifies a message within the store.
+type messageKey struct {
+	partition int
+	sequence  uint64
+}
+
+func keyOf(m *message.Message) messageKey { return messageKey{m.Partition, m.Sequence} }
+
+// backlog holds all messages that have not ended, by partition, by route and by order key.
+type backlog struct {
+	routeQueues map[string]*routeQueue // by route name
+	orderGroups map[orderGroupKey]*orderGroup
+	partitions  map[int]*partition
+	orphans     map[messageKey]*queuedMessage
+	size        int // without orphans
+}
+
+// partition lists a partition's messages, in no particular order.
+type partition struct {
+	first  *queuedMessage
+	parked []*queuedMessage
+}
+
+func newBacklog() *backlog {
+	return &backlog{
+		routeQueues: make(map[string]*routeQueue),
+		orderGroups: make(map[orderGroupKey]*orderGroup),
+		partitions:  make(map[int]*partition),
+		orphans:     make(map[messageKey]*queuedMessage),
+	}
+}
+
+// link adds a message to its partition and its order group.
+func (b *backlog) link(queued *queuedMessage) {
+	p := b.partitions[queued.message.Partition]
+	if p == nil {
+		p = &partition{}
+		b.partitions[queued.message.Partition] = p
+	}
+	queued.previous, queued.next = nil, p.first
+	if p.first != nil {
+		p.first.previous = queued
+	}
+	p.first = queued
+	queued.linked = true
+	b.size++
+	if queued.message.OrderKey != "" {
+		b.orderGroupOf(queued).insert(queued)
+	}
+}
+
+// unlink removes a message from its partition, its order group and wherever it waits. It returns the message that is
+// now the first of the order group, if that has changed.
+func (b *backlog) unlink(queued *queuedMessage) (successor *queuedMessage) {
+	p := b.partitions[queued.message.Partition]
+	if queued.previous != nil {
+		queued.previous.next = queued.next
+	} else {
+		p.first = queued.next
+	}
+	if queued.next != nil {
+		queued.next.previous = queued.previous
+	}
+	queued.previous, queued.next, queued.linked = nil, nil, false
+	b.size--
+	if queued.state == parked {
+		p.unpark(queued)
+	}
+	if p.first == nil {
+		delete(b.partitions, queued.message.Partition)
+	}
+	if queued.heap != nil {
+		queued.heap.remove(queued)
+	}
+	return b.leaveOrderGroup(queued)
+}
+
+func (b *backlog) leaveOrderGroup(queued *queuedMessage) (successor *queuedMessage) {
+	if queued.orderGroup == nil {
+		return nil
+	}
+	successor = queued.orderGroup.remove(queued)
+	if len(queued.orderGroup.messages) == 0 {
+		delete(b.orderGroups, orderGroupKey{queued.message.Partition, queued.message.OrderKey})
+	}
+	queued.orderGroup = nil
+	return successor
+}
+
+func (p *partition) unpark(queued *queuedMessage) {
+	for i, found := range p.parked {
+		if found == queued {
+			p.parked = append(p.parked[:i], p.parked[i+1:]...)
+			return
+		}
+	}
+}
+
+func (b *backlog) orderGroupOf(queued *queuedMessage) *orderGroup {
+	key := orderGroupKey{queued.message.Partition, queued.message.OrderKey}
+	found := b.orderGroups[key]
+	if found == nil {
+		found = &orderGroup{}
+		b.orderGroups[key] = found
+	}
+	return found
+}
+
+// each calls a function for every message that is not an orphan. The function may unlink the message that it is given,
+// and no other.
+func (b *backlog) each(visit func(*queuedMessage)) {
+	for _, p := range b.partitions {
+		p.each(visit)
+	}
+}
+
+func (p *partition) each(visit func(*queuedMessage)) {
+	for queued := p.first; queued != nil; {
+		next := queued.next
+		visit(queued)
+		queued = next
+	}
+}
--- a/internal/delivery/window_test.go
+++ b/internal/delivery/concurrency_limit_test.go
@@ -13,10 +13,10 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	seen := make(map[time.Duration]bool)
 	for range 20 {
-		w := window{}
-		w.throttled(time.Second, random)
-		assert.Assert(t, w.resumeAt >= time.Second+throttledPause)
-		assert.Assert(t, w.resumeAt < time.Second+2*throttledPause)
+		w := concurrencyLimit{}
+		w.onThrottled(time.Second, random)
+		assert.Assert(t, w.resumeAt >= time.Second+throttledBackoff)
+		assert.Assert(t, w.resumeAt < time.Second+2*throttledBackoff)
 		seen[w.resumeAt] = true
 	}
 	assert.Assert(t, len(seen) > 15)
--- /dev/null
+++ b/internal/delivery/endpoint.go
@@ -0,0 +1,103 @@
+package delivery
+
+import (
+	"math"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/decision"
+)
+
+const (
+	usableConnections  = 0.9 // of a worker's connections, by all callers together
+	slotOvercommit     = 1.5 // of a worker's capacity, by all callers together: some messages wait at the worker
+	minSlots           = 2   // that each caller may use where the worker has them, or a backlog drains too slowly
+	defaultConnections = 32  // where the service states none
+	maxIdleTimeout     = 4 * time.Second
+	idleTimeoutShare   = 0.8 // of the time after which the worker closes idle connections
+	misdirectedPause   = 2 * time.Second
+	minEjection        = 50 * time.Millisecond
+	maxEjection        = time.Second
+)
+
+// destination is one worker, or a service's static endpoint. All but leaving belongs to the loop.
+type endpoint struct {
+	worker      cluster.Worker
+	static      bool
+	workerID    decision.WorkerID
+	zone        int
+	unavailable atomic.Bool // it drains, has left or is another worker than expected: nothing may be sent to it
+
+	inFlight         int
+	limit            int
+	backoff          time.Duration
+	ejectedUntil     time.Duration // its last attempts failed: doubts of the decision module are not cleared before
+	misdirectedUntil time.Duration // another worker answered at its address
+	healthResetAt    time.Duration // when doubts were cleared last
+	idleTimeout      time.Duration
+	transport        *http.Transport
+}
+
+// ready tells whether messages may be sent to it.
+func (e *endpoint) ready() bool { return !e.unavailable.Load() }
+
+// setLimit bounds the destination's own attempts by the service's definition and the number of callers.
+func (e *endpoint) setLimit(service *configuration.Service, share int, dial dialer) {
+	connections := float64(defaultConnections)
+	if service.MaxConnections > 0 {
+		connections = float64(service.MaxConnections) * usableConnections
+	}
+	limit := math.Floor(connections / float64(share))
+	if e.worker.Capacity > 0 {
+		slots := math.Ceil(float64(e.worker.Capacity) * slotOvercommit / float64(share))
+		limit = min(limit, max(slots, min(minSlots, float64(e.worker.Capacity))))
+	}
+	if whole := max(int(limit), 1); whole != e.limit {
+		e.limit = whole
+		e.renewTransport(dial)
+	}
+}
+
+// renewTransport replaces the transport, as the limits of one in use can't change. Attempts in flight end at the old
+// one, which closes its connections after them.
+func (e *endpoint) renewTransport(dial dialer) {
+	e.closeIdle()
+	e.transport = newTransport(dial, e.limit, e.idleTimeout)
+}
+
+func (e *endpoint) closeIdle() {
+	if e.transport != nil {
+		e.transport.CloseIdleConnections()
+	}
+}
+
+// learnIdleTime keeps idle connections for less than the worker does.
+func (e *endpoint) shortenIdleTimeout(keepAlive time.Duration, dial dialer) {
+	idle := time.Duration(float64(keepAlive) * idleTimeoutShare)
+	if keepAlive > 0 && idle < e.idleTimeout {
+		e.idleTimeout = idle
+		e.renewTransport(dial)
+	}
+}
+
+// answered notes that the worker is there and works.
+func (e *endpoint) recordAnswer() { e.backoff, e.ejectedUntil = 0, 0 }
+
+// troubled notes that the worker is full or silent or does not answer properly.
+func (e *endpoint) eject(now time.Duration) {
+	e.backoff = min(max(2*e.backoff, minEjection), maxEjection)
+	e.ejectedUntil = now + e.backoff
+}
+
+// entry is the destination as the decision module's list has it.
+func (e *endpoint) listEntry() decision.Entry {
+	state := decision.Ready
+	if !e.ready() {
+		state = decision.Draining
+	}
+	return decision.Entry{Worker: e.workerID, Started: e.healthResetAt, Zone: e.zone,
+		Weight: float64(max(e.worker.Capacity, 1)), State: state}
+}
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -49,31 +49,31 @@
 
 // Engine delivers messages. Make it with New and start it with Run; messages may be submitted before that.
 type Engine struct {
-	options Options
-	logger  *zap.Logger
-	started time.Time
-	mailbox mailbox
-	gate    *gate
-	flights sync.WaitGroup // goroutines that call the owner
-	random  *rand.Rand
-	gauges  gauges
+	options    Options
+	logger     *zap.Logger
+	started    time.Time
+	events     eventQueue
+	gates      *partitionGates
+	ownerCalls sync.WaitGroup // goroutines that call the owner
+	random     *rand.Rand
+	gauges     gauges
 
 	// What follows belongs to the loop.
-	timers       timerHeap
-	table        *configuration.Table
-	deliverers   int
-	queue        *queue
-	services     map[string]*service
-	destinations *destinations
-	parkedAt     map[int]time.Duration // partitions that may not deliver, with the time of their next look
-	ends         []ending              // collected in a turn of the loop, reported after it
-	nextExpiry   time.Duration         // no queued message expires before
-	agenda       agenda                // which services need a look
-	lookedAtAll  time.Duration         // when all services were last looked at
+	timers          timerQueue
+	table           *configuration.Table
+	deliverers      int
+	backlog         *backlog
+	services        map[string]*service
+	endpoints       *endpointSet
+	parkedRecheckAt map[int]time.Duration // partitions that may not deliver, with the time of their next look
+	ended           []endedMessage        // collected in a turn of the loop, reported after it
+	nextExpiry      time.Duration         // no queued message expires before
+	schedule        serviceSchedule       // which services need a look
+	lastFullSweep   time.Duration         // when all services were last looked at
 }
 
 // ending is a message that ended without an attempt.
-type ending struct {
+type endedMessage struct {
 	message *message.Message
 	outcome message.Outcome
 }
@@ -84,19 +84,19 @@
 		options.Logger = zap.NewNop()
 	}
 	engine := &Engine{
-		options:    options,
-		logger:     options.Logger.With(zap.String("part", "delivery"), zap.String("store", options.Name)),
-		started:    time.Now(),
-		gate:       newGate(),
-		random:     rand.New(rand.NewPCG(options.Seed, options.Seed+1)),
-		deliverers: 1,
-		queue:      newQueue(),
-		services:   make(map[string]*service),
-		parkedAt:   make(map[int]time.Duration),
-		nextExpiry: never,
+		options:         options,
+		logger:          options.Logger.With(zap.String("part", "delivery"), zap.String("store", options.Name)),
+		started:         time.Now(),
+		gates:           newPartitionGates(),
+		random:          rand.New(rand.NewPCG(options.Seed, options.Seed+1)),
+		deliverers:      1,
+		backlog:         newBacklog(),
+		services:        make(map[string]*service),
+		parkedRecheckAt: make(map[int]time.Duration),
+		nextExpiry:      never,
 	}
-	engine.mailbox.wake = make(chan struct{}, 1)
-	engine.destinations = newDestinations(options)
+	engine.events.wake = make(chan struct{}, 1)
+	engine.endpoints = newEndpointSet(options)
 	return engine
 }
 
@@ -104,59 +104,59 @@
 // up to the longest timeout of a route, and returns when the owner has been told of them.
 func (e *Engine) Run(ctx context.Context) {
 	e.loop(ctx)
-	e.gate.pause()
-	e.finishAttempts()
-	e.destinations.closeAll()
+	e.gates.pause()
+	e.drainAttempts()
+	e.endpoints.closeAll()
 }
 
 // SetConfiguration swaps the operator's configuration.
 func (e *Engine) SetConfiguration(table *configuration.Table) {
-	e.mailbox.post(configurationChanged{table})
+	e.events.push(configurationChanged{table})
 }
 
 // SetWorkers swaps the list of workers.
 func (e *Engine) SetWorkers(workers []cluster.Worker) {
-	e.destinations.publish(workers)
-	e.mailbox.post(workersChanged{})
+	e.endpoints.publish(workers)
+	e.events.push(workersChanged{})
 }
 
 // SetDeliverers tells by how many stores the services' rate ceilings are divided.
-func (e *Engine) SetDeliverers(n int) { e.mailbox.post(deliverersChanged{max(n, 1)}) }
+func (e *Engine) SetDeliverers(n int) { e.events.push(deliverersChanged{max(n, 1)}) }
 
 // Submit hands in a committed message of a partition that this store leads, and how often it has failed so far.
 func (e *Engine) Submit(m *message.Message, failures int) {
-	e.mailbox.post(submitted{m, failures, e.gate.generation(m.Partition)})
+	e.events.push(submitted{m, failures, e.gates.generation(m.Partition)})
 }
 
 // Release forgets what is queued of a partition that is led elsewhere now. No attempt of it starts after Release has
 // returned; those in flight go on, and the owner is told of their ends.
 func (e *Engine) Release(partition int) {
-	e.mailbox.post(released{partition, e.gate.release(partition)})
+	e.events.push(released{partition, e.gates.release(partition)})
 }
 
 // Pause lets no attempt start until Resume. It holds when it returns.
-func (e *Engine) Pause() { e.gate.pause() }
+func (e *Engine) Pause() { e.gates.pause() }
 
 // Resume ends a Pause.
 func (e *Engine) Resume() {
-	e.gate.resume()
-	e.mailbox.post(resumed{})
+	e.gates.resume()
+	e.events.push(resumed{})
 }
 
 // PausePartition lets no attempt of a partition start until ResumePartition. It holds when it returns.
-func (e *Engine) PausePartition(partition int) { e.gate.pausePartition(partition) }
+func (e *Engine) PausePartition(partition int) { e.gates.pausePartition(partition) }
 
 // ResumePartition ends a PausePartition.
 func (e *Engine) ResumePartition(partition int) {
-	e.gate.resumePartition(partition)
-	e.mailbox.post(partitionResumed{partition})
+	e.gates.resumePartition(partition)
+	e.events.push(partitionResumed{partition})
 }
 
 // InFlight is how many attempts are out, or have ended without the owner knowing yet.
-func (e *Engine) InFlight() int { return e.gate.inFlight() }
+func (e *Engine) InFlight() int { return e.gates.inFlight() }
 
 // InFlightOf is InFlight of one partition.
-func (e *Engine) InFlightOf(partition int) int { return e.gate.inFlightOf(partition) }
+func (e *Engine) InFlightOf(partition int) int { return e.gates.inFlightOf(partition) }
 
 // now is the engine's clock. It starts above zero, as the decision module takes zero for "never".
 func (e *Engine) now() time.Duration { return clockStart + time.Since(e.started) }
--- a/internal/delivery/capacity_bench_test.go
+++ b/internal/delivery/engine_bench_test.go
@@ -38,8 +38,8 @@
 	before := processorTime(b)
 	b.ResetTimer()
 	for range b.N {
-		engine.touchAll()
-		engine.lookAtServices(engine.now())
+		engine.markAllDirty()
+		engine.dispatchServices(engine.now())
 	}
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/services, "cpu-ns/service")
 }
@@ -56,13 +56,13 @@
 			Zone: "a", Capacity: 6,
 		}
 	}
-	engine.destinations.publish(list)
+	engine.endpoints.publish(list)
 	engine.applyWorkers()
 	before := processorTime(b)
 	b.ResetTimer()
 	for i := range b.N {
 		list[i%workers].Draining = !list[i%workers].Draining
-		engine.destinations.publish(list)
+		engine.endpoints.publish(list)
 		engine.applyWorkers()
 	}
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/workers, "cpu-ns/worker")
--- a/internal/delivery/golden_trace_test.go
+++ b/internal/delivery/golden_trace_test.go
@@ -167,7 +167,7 @@
 	r.record("stats %d %d", stats.Queued, stats.InFlight)
 	for _, name := range slices.Sorted(maps.Keys(stats.Services)) {
 		s := stats.Services[name]
-		r.record("stats %s %d %d %d %d %t", name, s.Due, s.Open, s.Window, s.Ready, s.Down)
+		r.record("stats %s %d %d %d %d %t", name, s.Due, s.Pending, s.ConcurrencyLimit, s.Ready, s.Down)
 	}
 }
 
--- /dev/null
+++ b/internal/delivery/order_group.go
@@ -0,0 +1,45 @@
+package delivery
+
+import (
+	"cmp"
+	"slices"
+)
+
+// orderGroupKey identifies the messages that are delivered strictly one after the other.
+type orderGroupKey struct {
+	partition int
+	orderKey  string
+}
+
+// orderGroup holds the messages of one order key by their sequence numbers. Only the first may be dispatched; the next
+// follows when the first has ended.
+type orderGroup struct{ messages []*queuedMessage }
+
+// insert adds a message by its sequence number. One that is dispatched stays the first, whatever is added: two messages
+// of a group are never in flight together.
+func (g *orderGroup) insert(queued *queuedMessage) {
+	queued.orderGroup = g
+	at, _ := slices.BinarySearchFunc(g.messages, queued, func(a, b *queuedMessage) int {
+		return cmp.Compare(a.message.Sequence, b.message.Sequence)
+	})
+	if at == 0 && len(g.messages) > 0 && g.messages[0].state == dispatched && queued.state != dispatched {
+		at = 1
+	}
+	g.messages = slices.Insert(g.messages, at, queued)
+}
+
+// first tells whether a message is the one that may be dispatched.
+func (g *orderGroup) first(queued *queuedMessage) bool { return g.messages[0] == queued }
+
+// remove takes a message out. It returns the next that may be dispatched, if the message was the first.
+func (g *orderGroup) remove(queued *queuedMessage) *queuedMessage {
+	at := slices.Index(g.messages, queued)
+	if at < 0 {
+		return nil
+	}
+	g.messages = slices.Delete(g.messages, at, at+1)
+	if at > 0 || len(g.messages) == 0 {
+		return nil
+	}
+	return g.messages[0]
+}
--- a/internal/delivery/apply.go
+++ b/internal/delivery/reconfigure.go
@@ -18,15 +18,15 @@
 	}
 	e.table = table
 	e.rebuildServices()
-	e.rebuildLanes()
-	e.refreshDestinations()
-	var dropped []*entry
-	e.queue.each(func(en *entry) {
-		if en.placement != withDecider && e.routeDropped(en) {
-			dropped = append(dropped, en)
+	e.rebuildRouteQueues()
+	e.refreshEndpoints()
+	var dropped []*queuedMessage
+	e.backlog.each(func(queued *queuedMessage) {
+		if queued.state != dispatched && e.routeDropped(queued) {
+			dropped = append(dropped, queued)
 		}
 	})
-	e.endAll(dropped)
+	e.deadLetterAll(dropped)
 }
 
 // rebuildServices brings the services in line with the configuration. Jobs that are open end at their old deciders.
@@ -39,16 +39,16 @@
 	for _, definition := range e.table.Services() {
 		s := e.services[definition.Name]
 		if s == nil {
-			s = &service{engine: e, share: e.connectionShare(), lookAt: never, lookIndex: -1}
+			s = &service{engine: e, share: e.connectionShare(), nextRun: never, scheduleIndex: -1}
 		}
 		s.redefine(definition, routes[definition.Name])
 		kept[definition.Name] = s
 	}
 	for name, s := range e.services {
 		if kept[name] == nil {
-			s.retireDecider()
-			s.lanes = nil
-			e.agenda.forget(s)
+			s.retireAdapter()
+			s.routeQueues = nil
+			e.schedule.remove(s)
 		}
 	}
 	e.services = kept
@@ -59,20 +59,20 @@
 func (s *service) redefine(definition *configuration.Service, routes []*configuration.Route) {
 	signature := signatureOf(definition, routes)
 	if signature != s.signature {
-		s.retireDecider()
+		s.retireAdapter()
 	}
 	s.definition, s.routes, s.signature = definition, routes, signature
-	s.bucket.setCeiling(s.engine.now(), definition.RateLimitPerSecond, s.engine.deliverers)
+	s.rateLimiter.setRate(s.engine.now(), definition.RateLimitPerSecond, s.engine.deliverers)
 }
 
 // retireDecider has the decider's open attempts end there. Messages that wait in it go back to their lanes.
-func (s *service) retireDecider() {
-	if s.decider == nil {
+func (s *service) retireAdapter() {
+	if s.adapter == nil {
 		return
 	}
-	retired := s.decider
-	s.decider = nil
-	retired.releaseHeld()
+	retired := s.adapter
+	s.adapter = nil
+	retired.returnPending()
 }
 
 // signatureOf describes what a decider is made from.
@@ -86,71 +86,71 @@
 }
 
 // rebuildLanes connects the lanes with their routes and services, and forgets those that have neither.
-func (e *Engine) rebuildLanes() {
+func (e *Engine) rebuildRouteQueues() {
 	for _, s := range e.services {
-		s.lanes = s.lanes[:0]
+		s.routeQueues = s.routeQueues[:0]
 	}
-	for name, l := range e.queue.lanes {
-		e.connect(l)
-		if l.route == nil && l.empty() {
-			delete(e.queue.lanes, name)
+	for name, q := range e.backlog.routeQueues {
+		e.connect(q)
+		if q.route == nil && q.empty() {
+			delete(e.backlog.routeQueues, name)
 		}
 	}
 }
 
 // connect finds a lane's route and service.
-func (e *Engine) connect(l *lane) {
-	l.route, l.service = e.table.Route(l.name), nil
-	if l.route == nil {
+func (e *Engine) connect(q *routeQueue) {
+	q.route, q.service = e.table.Route(q.name), nil
+	if q.route == nil {
 		return
 	}
-	if l.service = e.services[l.route.Service]; l.service != nil {
-		l.service.lanes = append(l.service.lanes, l)
+	if q.service = e.services[q.route.Service]; q.service != nil {
+		q.service.routeQueues = append(q.service.routeQueues, q)
 	}
 }
 
 // laneFor returns a route's lane.
-func (e *Engine) laneFor(route string) *lane {
-	if found := e.queue.lanes[route]; found != nil {
+func (e *Engine) routeQueueFor(route string) *routeQueue {
+	if found := e.backlog.routeQueues[route]; found != nil {
 		return found
 	}
-	fresh := newLane(route)
-	e.queue.lanes[route] = fresh
+	fresh := newRouteQueue(route)
+	e.backlog.routeQueues[route] = fresh
 	e.connect(fresh)
 	return fresh
 }
 
 // routeDropped tells whether a message has ended as the operator removed its route. A message that is newer than the
 // configuration waits.
-func (e *Engine) routeDropped(en *entry) bool {
-	return e.table != nil && e.table.Version >= en.message.ConfigVersion && e.table.Route(en.message.Route) == nil
+func (e *Engine) routeDropped(queued *queuedMessage) bool {
+	return e.table != nil && e.table.Version >= queued.message.ConfigVersion && e.table.Route(queued.message.Route) == nil
 }
 
 // applyWorkers takes the latest list of workers.
 func (e *Engine) applyWorkers() {
-	e.destinations.update()
-	e.refreshDestinations()
+	e.endpoints.reconcile()
+	e.refreshEndpoints()
 }
 
 // refreshDestinations gives each service its destinations, and tells the deciders of changes.
-func (e *Engine) refreshDestinations() {
-	used := make(map[*destination]bool)
-	listed := e.destinations.listed()
+func (e *Engine) refreshEndpoints() {
+	used := make(map[*endpoint]bool)
+	listed := e.endpoints.byService()
 	for _, s := range e.services {
-		s.destinations = listed[s.definition.Name]
+		s.endpoints = listed[s.definition.Name]
 		if s.definition.StaticEndpoint != "" {
-			s.destinations = []*destination{e.destinations.static(s.definition)}
+			s.endpoints = []*endpoint{e.endpoints.staticEndpoint(s.definition)}
 		}
-		for _, d := range s.destinations {
+		for _, d := range s.endpoints {
 			used[d] = true
 		}
 		s.setLimits()
-		if s.decider != nil {
-			s.decider.listAll()
+		if s.adapter != nil {
+			s.adapter.sendWorkerList()
 		}
 	}
-	e.destinations.dropStatic(used)
-	e.touchAll()
+	e.endpoints.removeUnusedStatic(used)
+	e.markAllDirty()
 }
 
 // applyDeliverers divides the ceilings anew.
@@ -158,9 +158,9 @@
 	e.deliverers = count
 	now := e.now()
 	for _, s := range e.services {
-		s.bucket.setCeiling(now, s.definition.RateLimitPerSecond, count)
+		s.rateLimiter.setRate(now, s.definition.RateLimitPerSecond, count)
 	}
-	e.touchAll()
+	e.markAllDirty()
 }
 
 // connectionShare is by how many callers a worker's limits are divided.
@@ -172,24 +172,24 @@
 }
 
 // ready makes the service's decider if there is none. It tells whether there is one.
-func (s *service) ready() bool {
-	if s.decider != nil {
+func (s *service) ensureAdapter() bool {
+	if s.adapter != nil {
 		return true
 	}
-	made, err := newDecider(s)
+	made, err := newDecisionAdapter(s)
 	if err != nil {
 		s.engine.logger.Error("no decision module for a service", zap.String("service", s.definition.Name), zap.Error(err))
 		return false
 	}
-	s.decider = made
+	s.adapter = made
 	return true
 }
 
 // sameList tells whether a list says what the module knows already, and keeps it.
-func (d *decider) sameList(entries []decision.Entry) bool {
-	if d.listed != nil && slices.Equal(d.listed, entries) {
+func (d *decisionAdapter) isLastList(entries []decision.Entry) bool {
+	if d.lastList != nil && slices.Equal(d.lastList, entries) {
 		return true
 	}
-	d.listed = entries
+	d.lastList = entries
 	return false
 }
--- a/internal/delivery/stats.go
+++ b/internal/delivery/stats.go
@@ -14,11 +14,11 @@
 
 // ServiceStats are a few figures about one service.
 type ServiceStats struct {
-	Due    int  // messages that could run now
-	Open   int  // messages that are with the decision module or out
-	Window int  // how many may be out
-	Ready  int  // workers
-	Down   bool // no worker has answered of late
+	Due              int  // messages that could run now
+	Pending          int  // messages that are with the decision module or out
+	ConcurrencyLimit int  // how many may be out
+	Ready            int  // workers
+	Down             bool // no worker has answered of late
 }
 
 // gauges are what the loop publishes: of a service, after each look at it.
@@ -29,8 +29,8 @@
 }
 
 type serviceGauge struct {
-	due, open, window, ready atomic.Int64
-	down                     atomic.Bool
+	due, pending, concurrencyLimit, ready atomic.Int64
+	down                                  atomic.Bool
 }
 
 // keep gives each service its gauge and forgets the others.
@@ -49,15 +49,15 @@
 // publishGauge publishes the service's figures after a look.
 func (s *service) publishGauge() {
 	due := 0
-	for _, l := range s.lanes {
-		due += l.dueCount()
+	for _, q := range s.routeQueues {
+		due += q.dueCount()
 	}
-	limit := s.limit()
+	limit := s.maxConcurrency()
 	s.gauge.due.Store(int64(due))
-	s.gauge.open.Store(int64(s.open))
-	s.gauge.window.Store(int64(s.window.capacity(limit)))
+	s.gauge.pending.Store(int64(s.pending))
+	s.gauge.concurrencyLimit.Store(int64(s.concurrency.allowed(limit)))
 	s.gauge.ready.Store(int64(s.readyCount()))
-	s.gauge.down.Store(s.window.down)
+	s.gauge.down.Store(s.concurrency.down)
 }
 
 // Stats returns the figures of the loop's last turn.
@@ -71,11 +71,11 @@
 	}
 	for name, gauge := range e.gauges.byName {
 		stats.Services[name] = ServiceStats{
-			Due:    int(gauge.due.Load()),
-			Open:   int(gauge.open.Load()),
-			Window: int(gauge.window.Load()),
-			Ready:  int(gauge.ready.Load()),
-			Down:   gauge.down.Load(),
+			Due:              int(gauge.due.Load()),
+			Pending:          int(gauge.pending.Load()),
+			ConcurrencyLimit: int(gauge.concurrencyLimit.Load()),
+			Ready:            int(gauge.ready.Load()),
+			Down:             gauge.down.Load(),
 		}
 	}
 	return stats
--- a/internal/delivery/timers.go
+++ b/internal/delivery/timer_queue.go
@@ -8,22 +8,22 @@
 // timer asks a decider to look at something at a time on the engine's clock.
 type timer struct {
 	due     time.Duration
-	decider *decider
+	adapter *decisionAdapter
 	token   uint32
 }
 
 // timerHeap keeps the decision modules' timers, the earliest first.
-type timerHeap []timer
+type timerQueue []timer
 
-func (t timerHeap) Len() int           { return len(t) }
-func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t timerQueue) Len() int           { return len(t) }
+func (t timerQueue) Less(i, j int) bool { return t[i].due < t[j].due }
+func (t timerQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (t *timerHeap) Push(value any) { *t = append(*t, value.(timer)) }
+func (t *timerQueue) Push(value any) { *t = append(*t, value.(timer)) }
 
 // Pop implements heap.Interface.
-func (t *timerHeap) Pop() any {
+func (t *timerQueue) Pop() any {
 	last := len(*t) - 1
 	popped := (*t)[last]
 	(*t)[last] = timer{}
@@ -31,10 +31,10 @@
 	return popped
 }
 
-func (t *timerHeap) add(added timer) { heap.Push(t, added) }
+func (t *timerQueue) add(added timer) { heap.Push(t, added) }
 
 // expired removes and returns the earliest timer if it is due.
-func (t *timerHeap) expired(now time.Duration) (timer, bool) {
+func (t *timerQueue) popDue(now time.Duration) (timer, bool) {
 	if len(*t) == 0 || (*t)[0].due > now {
 		return timer{}, false
 	}
@@ -42,7 +42,7 @@
 }
 
 // next is when the earliest timer is due.
-func (t timerHeap) next() time.Duration {
+func (t timerQueue) nextDue() time.Duration {
 	if len(t) == 0 {
 		return never
 	}
--- a/internal/delivery/tokens.go
+++ b/internal/delivery/token_bucket.go
@@ -5,35 +5,35 @@
 // How a service's ceiling is used. The rest is left for clocks and links that differ, and for attempts that several
 // stores start at one moment.
 const (
-	ceilingPart  = 0.92                   // of the ceiling, by all stores together
-	burstSpan    = 250 * time.Millisecond // so much of a store's part may be saved up
-	largestBurst = 3
+	usableRate    = 0.92                   // of the ceiling, by all stores together
+	burstDuration = 250 * time.Millisecond // so much of a store's part may be saved up
+	maxBurst      = 3
 )
 
 // tokenBucket keeps sends under a rate. A rate of zero is no limit.
 type tokenBucket struct {
-	rate   float64 // tokens a second
-	burst  float64
-	tokens float64
-	filled time.Duration
+	rate       float64 // tokens a second
+	burst      float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // setCeiling gives the bucket this store's part of a service's ceiling.
-func (b *tokenBucket) setCeiling(now time.Duration, perSecond float64, deliverers int) {
-	b.fill(now)
+func (b *tokenBucket) setRate(now time.Duration, perSecond float64, deliverers int) {
+	b.refill(now)
 	fresh := b.burst == 0
-	b.rate = perSecond * ceilingPart / float64(max(deliverers, 1))
-	b.burst = min(max(b.rate*burstSpan.Seconds(), 1), largestBurst)
+	b.rate = perSecond * usableRate / float64(max(deliverers, 1))
+	b.burst = min(max(b.rate*burstDuration.Seconds(), 1), maxBurst)
 	b.tokens = min(b.tokens, b.burst)
 	if fresh {
 		b.tokens = 1
 	}
 }
 
-func (b *tokenBucket) fill(now time.Duration) {
-	if now > b.filled {
-		b.tokens = min(b.tokens+b.rate*(now-b.filled).Seconds(), b.burst)
-		b.filled = now
+func (b *tokenBucket) refill(now time.Duration) {
+	if now > b.refilledAt {
+		b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.burst)
+		b.refilledAt = now
 	}
 }
 
@@ -42,7 +42,7 @@
 	if b.rate <= 0 {
 		return 0
 	}
-	b.fill(now)
+	b.refill(now)
 	if b.tokens >= 1 {
 		return 0
 	}
@@ -50,7 +50,7 @@
 }
 
 // take takes a token if there is one.
-func (b *tokenBucket) take(now time.Duration) bool {
+func (b *tokenBucket) tryTake(now time.Duration) bool {
 	if b.wait(now) > 0 {
 		return false
 	}
--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	longestDial       = time.Second
-	answerHeaderLimit = 64 << 10
-	bufferSize        = 4 << 10
+	maxDialDuration      = time.Second
+	maxAnswerHeaderBytes = 64 << 10
+	bufferSize           = 4 << 10
 )
 
 // errWithdrawn means that an attempt was called off before its first byte.
@@ -23,7 +23,7 @@
 
 // newDialer makes the dialer of an engine. Its connections ask their attempt before the first byte.
 func newDialer(options Options) dialer {
-	limit := longestDial
+	limit := maxDialDuration
 	if options.Drain > 0 {
 		limit = min(limit, options.Drain/2)
 	}
@@ -47,7 +47,7 @@
 		MaxIdleConns:           connections,
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
-		MaxResponseHeaderBytes: answerHeaderLimit,
+		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
 	}
@@ -61,7 +61,7 @@
 
 // Write implements net.Conn.
 func (c *workerConnection) Write(data []byte) (int, error) {
-	if user := c.attempt.Load(); user != nil && !user.mayWrite(c) {
+	if user := c.attempt.Load(); user != nil && !user.admitWrite(c) {
 		return 0, errWithdrawn
 	}
 	return c.Conn.Write(data)
--- a/internal/systemnode/metrics.go
+++ b/internal/systemnode/metrics.go
@@ -124,8 +124,8 @@
 		}
 	}
 	each(metricServiceDue, func(name string) int { return stats.Services[name].Due })
-	each(metricServiceOpen, func(name string) int { return stats.Services[name].Open })
-	each(metricServiceWindow, func(name string) int { return stats.Services[name].Window })
+	each(metricServiceOpen, func(name string) int { return stats.Services[name].Pending })
+	each(metricServiceWindow, func(name string) int { return stats.Services[name].ConcurrencyLimit })
 	each(metricServiceWorkers, func(name string) int { return stats.Services[name].Ready })
 	for _, name := range names {
 		samples.AddBool(metricServiceDown, stats.Services[name].Down, inspection.Label{Name: "service", Value: name})
