--- /dev/null
+++ b/internal/decision/forecast_test.go
@@ -0,0 +1,83 @@
+package decision
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// Once a job's first try was longer ago than its aim, or its client leaves sooner than a worker can answer, it earns next
+// to nothing: on a join day 1,258 of 2,180 jobs that ran out of time had under half a second and kept later ones waiting.
+func TestJobsThatCanEarnLittleAreRejected(t *testing.T) {
+	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LateValue = 0.2 })
+	run := time.Duration(c.d.times.runSeconds[0] * float64(time.Second))
+	for id, tc := range []struct {
+		held     float64
+		patience time.Duration
+		repeat   bool
+		sent     bool
+	}{{4, 4 * time.Second, false, true}, {4, run / 10, false, false}, {4, time.Second, true, false},
+		{0, run / 10, false, true}, {0, time.Second, true, true}} { // where nobody waits there is nothing to lose
+		for k := range c.d.load.groupLoad {
+			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
+		}
+		job := JobID(id + 1)
+		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
+		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent {
+			t.Errorf("others hold %v of 4 slots, %v left, repeat %v: sent %v", tc.held, tc.patience, tc.repeat, sent)
+		}
+	}
+}
+
+// Late answers are worth little and keep later jobs waiting: with all kinds busy, two thirds of the jobs of some seconds
+// came late where a fifth had to be refused. What is likely late is refused at once, what is worth most goes through.
+func TestLikelyLateJobsAreRejected(t *testing.T) {
+	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[4].Value = 20 })
+	for id, tc := range []struct {
+		held  float64
+		class int
+		sent  bool
+	}{{2, 0, true}, {6, 0, false}, {6, 4, true}, {16, 4, false}} {
+		for k := range c.d.load.groupLoad {
+			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
+		}
+		job := JobID(id + 1)
+		c.event(Event{Kind: EventJob, Job: job, Class: tc.class, Tenant: id, Slots: 1, Deadline: c.now + 4*time.Second})
+		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent || c.jobs[job].answered == sent {
+			t.Errorf("others hold %v of 4 slots, class %d: sent %v, answered %v", tc.held, tc.class, sent, c.jobs[job].answered)
+		}
+	}
+}
+
+// With four dispatchers zones were hardly looked at: own-zone workers only broke ties, and with a slow kind beside a fast
+// one nine in ten jobs crossed (price 0.058 to 0.075 of G on each quick day). A slow kind that is still in time will do.
+func TestJobsStayInTheirZoneWhereCrossingIsExpensive(t *testing.T) {
+	for _, tc := range []struct {
+		price     float64
+		from, too int
+	}{{0.08, 285, 300}, {0.01, 0, 200}} { // a third of the workers are near
+		near := 0
+		ready(t, 60, func(s *Settings) { few(s); s.CrossZoneCost = tc.price }).serve(400, func(id JobID, w Entry) work {
+			near += count(w.Zone == 0 && id > 100)
+			return work{way: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
+		})
+		if near < tc.from || near > tc.too {
+			t.Errorf("crossing costs %v: %d of 300 jobs stay in their zone", tc.price, near)
+		}
+	}
+}
+
+// Worth that grows with the work is as dense in long classes as in short ones. Taken as fixed, the shorter class
+// counted as two and a half times as dense and was let into queues that made it late.
+func TestValueByWorkIsEquallyDense(t *testing.T) {
+	for byWork, want := range map[bool]float64{true: 1.25, false: 2.5} {
+		s := site()
+		s.ValueByWork, s.Classes[0].Value, s.Classes[1].Value = byWork, 10, 8
+		s.Classes[2], s.Classes[3], s.Classes[4] = s.Classes[1], s.Classes[1], s.Classes[1]
+		d := must(t, s, 1)
+		d.times.runSeconds = []float64{0.4, 0.8, 0.8, 0.8, 0.8}
+		if got := d.forecasts.density(&jobState{}); math.Abs(got-want) > 1e-9 {
+			t.Errorf("by work %v: the short class is %v times as dense, not %v", byWork, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/health_test.go
@@ -0,0 +1,53 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// A silent worker gets no more jobs but trials with repeat-safe ones.
+func TestSilentWorkerGetsTrialJobsOnly(t *testing.T) {
+	for class := range 2 {
+		c := ready(t, 24, nil)
+		c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + 5*time.Second})
+		for range 300 {
+			c.advance(10 * time.Millisecond)
+		}
+		silent := c.jobs[1].sends[0].to.Worker
+		for id := JobID(2); id < 200; id++ {
+			c.event(Event{Kind: EventJob, Job: id, Class: 1, Slots: 1, Deadline: c.now + time.Second})
+			if len(c.jobs[id].sends) > 0 && c.jobs[id].sends[0].to.Worker == silent {
+				t.Fatalf("class %d: an Unsafe job went to the silent worker", class)
+			}
+			c.outcome(id, 0, OK)
+		}
+	}
+}
+
+// A worker that fails its jobs at once has no own slots and drew them all. Where a failure is final that is a loss each
+// time (6 % of the attempts of a day of quick errors); who can go elsewhere still uses what such a worker serves.
+func TestJobsThatRunOnceKeepOffFailingWorkers(t *testing.T) {
+	for class, most := range []int{100, 12, 12, 12, 100} {
+		c, failed := ready(t, 8, few), 0
+		c.serve(60, func(JobID, Entry) work { return work{run: 100 * time.Millisecond, free: 4} })
+		bad := c.jobs[60].sends[0].to.Worker
+		for id := JobID(101); id <= 300; id++ {
+			c.event(Event{Kind: EventJob, Job: id, Class: class, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
+			for k := 0; k < len(c.jobs[id].sends); k++ {
+				c.advance(20 * time.Millisecond)
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: k, Worker: c.jobs[id].sends[k].to.Worker, Progress: JobStarted})
+				c.load = Load{Count: 2, Values: [4]float64{4, 0.01 * float64(id%7)}}
+				if c.jobs[id].sends[k].to.Worker == bad {
+					failed++
+					c.outcome(id, k, Error)
+				} else {
+					c.advance(100 * time.Millisecond)
+					c.outcome(id, k, OK)
+				}
+			}
+		}
+		if failed > most || failed == 0 {
+			t.Errorf("class %d: %d of 200 jobs meet the failing worker, the bound is %d", class, failed, most)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/learned_times_test.go
@@ -0,0 +1,109 @@
+package decision
+
+import (
+	"flag"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
+
+// Both lines of a job may come in one write, so that it seems to run for no time at all, and the first kind may have
+// no workers here. What a worker takes fell by a factor a job then and a class's running time grew by one, until
+// neither was a number and every job was refused for good.
+func TestJobsThatSeemToTakeNoTime(t *testing.T) {
+	for _, measure := range []int{0, 1} {
+		s := site()
+		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		d, now := must(t, s, 1), time.Minute
+		list := fleet(12)
+		for i := range list {
+			list[i].Kind = measure
+		}
+		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
+		for id := JobID(1); id <= 100_000; id++ {
+			if now += 250 * time.Microsecond; id%64 == 0 {
+				d.Handle(now, &Event{Kind: EventTimer, Token: checkToken}, nil)
+			}
+			var sent *Action
+			for _, a := range d.Handle(now, &Event{Kind: EventJob, Job: id, Slots: 1, Deadline: now + 4*time.Second}, nil) {
+				if a.Kind == Send {
+					sent = &a
+				}
+			}
+			if sent == nil {
+				t.Fatalf("kind %d: job %d was not sent with all workers idle", measure, id)
+			}
+			d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: id, Worker: sent.Worker}, nil)
+			d.Handle(now, &Event{Kind: EventOutcome, Job: id, Worker: sent.Worker, Outcome: OK,
+				Load: Load{Count: 4, Values: [4]float64{2, 0, 0, 0}}}, nil)
+		}
+		learned(t, d)
+	}
+}
+
+// learned holds what a dispatcher has learned to the bounds that decisions need.
+func learned(t interface{ Errorf(string, ...any) }, d *Dispatcher) {
+	within := func(what string, v, least, most float64) {
+		if !(v >= least && v <= most) {
+			t.Errorf("%s is %v, not in %v to %v", what, v, least, most)
+		}
+	}
+	const most = 1e6
+	for k := range d.times.slowness {
+		within("slow", d.times.slowness[k], 1./maxSlowness, maxSlowness)
+		within("served", d.budget.servedWork[k], 0, math.MaxFloat32)
+		within("room", d.load.slotsSeen[k], 0, math.MaxInt32)
+	}
+	for i := range d.times.runSeconds {
+		within("run", d.times.runSeconds[i], minRunSeconds/maxSlowness, most)
+		within("took", d.times.answerSeconds[i], 0, most)
+	}
+	within("mean", d.times.meanRunSeconds, minRunSeconds/maxSlowness, most)
+	within("spare", d.shedder.excessShare, minAdmittedShare, 1)
+	for _, w := range d.workers.ordered {
+		within("pace", w.slowness, 1e-9, most)
+		within("others", w.peerSlots, 0, math.MaxFloat32)
+		within("wait", d.forecasts.waitSeconds(w, 1, d.now), 0, math.MaxFloat32)
+	}
+}
+
+// Whatever is measured and reported, from no time to days, what is learned stays a number within its bounds.
+func TestLearnedFiguresStayInBounds(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		s := site()
+		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		s.Classes[0].LatencyTarget, s.Classes[1].Value = time.Duration(rapid.IntRange(0, 1).Draw(rt, "aim"))*time.Second, 0
+		d, now := must(t, s, 1), time.Minute
+		kind := rapid.IntRange(0, 2).Draw(rt, "kinds at work")
+		list := fleet(6)
+		for i := range list {
+			if list[i].Kind = i % 2; kind < 2 {
+				list[i].Kind = kind
+			}
+		}
+		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
+		spans := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, 1, time.Microsecond, time.Millisecond, time.Second,
+			time.Hour, 200 * time.Hour}), 1, 8).Draw(rt, "spans")
+		figures := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 1, -5, 1e300, math.Inf(1), math.Inf(-1), math.NaN()}), 1, 8).Draw(rt, "figures")
+		for id := JobID(1); id < 2000; id++ {
+			if now += time.Millisecond; id%64 == 0 {
+				d.Handle(now, &Event{Kind: EventTimer, Token: checkToken}, nil)
+			}
+			span, figure := spans[int(id)%len(spans)], figures[int(id)%len(figures)]
+			acts := d.Handle(now, &Event{Kind: EventJob, Job: id, Class: int(id) % len(s.Classes), Slots: figure}, nil)
+			for n := 0; n < len(acts); n++ {
+				if a := acts[n]; a.Kind == Send {
+					d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker}, nil)
+					now += span
+					d.Handle(now, &Event{Kind: EventOutcome, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker, Outcome: OK, JobEnded: true,
+						Load: Load{Count: 4, Values: [4]float64{figure, 0, 0, figure}}}, nil)
+				}
+			}
+		}
+		learned(rt, d)
+	})
+}
--- /dev/null
+++ b/internal/decision/load_estimate_test.go
@@ -0,0 +1,132 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// Own slots alone hid what others hold: jobs queued at full workers while there was room elsewhere, and a quiet day had
+// half of them late. Reports and starts tell who is full: such a worker gets nothing while another has room; with all
+// full a job is held, goes to the first slot that is freed, and is refused at once when it can only wait for long.
+func TestReportsAndStartsShowWhoIsFull(t *testing.T) {
+	c := ready(t, 8, func(s *Settings) {
+		s.ReportsLoad, s.ParallelAttempts, s.Dispatchers, s.Report = true, false, 1, LoadReportLayout{0, -1, 1, -1, -1, -1}
+	})
+	id := JobID(0)
+	job := func() (sends []sent) {
+		id++
+		c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
+		return c.jobs[id].sends
+	}
+	full := c.d.workers.ordered[0].Worker
+	for range 400 { // one by one: all show three free slots, but for the one that others fill
+		s := job()
+		if len(s) == 0 {
+			continue
+		}
+		c.event(Event{Kind: EventJobProgress, Job: id, Worker: s[0].to.Worker, Progress: JobStarted})
+		if c.load = (Load{Count: 2, Values: [4]float64{3, 0.01 * float64(id%7)}}); s[0].to.Worker == full {
+			c.load.Values[0], c.load.Values[1] = 0, 2+c.load.Values[1]
+		}
+		c.advance(100 * time.Millisecond)
+		c.outcome(id, 0, OK)
+	}
+	at, held := map[WorkerID][]JobID{}, JobID(0)
+	for held == 0 && id < 1000 {
+		s := job()
+		if len(s) == 0 {
+			held = id
+			continue
+		}
+		to := s[0].to.Worker
+		most := 3
+		if to == full {
+			most = 1 // what was known of it fades: now and then one job finds out anew
+		}
+		if at[to] = append(at[to], id); len(at[to]) > most {
+			t.Errorf("worker %d has %d jobs, full is %d", to, len(at[to]), full)
+		}
+	}
+	freed := c.d.workers.ordered[1].Worker
+	if held == 0 || c.jobs[held].answered || int(held) < 400+14 || len(at[freed]) == 0 {
+		t.Fatalf("with all full: job %d is not held, %v are out", held, at)
+	}
+	c.load = Load{}
+	c.event(Event{Kind: EventJobProgress, Job: at[freed][0], Worker: freed, Progress: JobStarted})
+	c.outcome(at[freed][0], 0, OK)
+	if s := c.jobs[held].sends; len(s) != 1 || s[0].to.Worker != freed {
+		t.Errorf("a slot is free at %d, the held job went to %v", freed, s)
+	}
+	first, refused := id+1, 0
+	for range 60 {
+		job()
+	}
+	for range 40 {
+		c.advance(10 * time.Millisecond)
+	}
+	for ; first <= id; first++ {
+		if c.jobs[first].answered && len(c.jobs[first].sends) == 0 {
+			refused++
+		}
+	}
+	if refused < 20 {
+		t.Errorf("with all full for long only %d of 60 jobs are refused", refused)
+	}
+}
+
+// What a worker last reported comes again with every answer until it reports anew: counted each time, a moment that was
+// long over outweighed all else.
+func TestRepeatedReportCountsOnce(t *testing.T) {
+	c := ready(t, 4, func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
+	w, l := c.d.workers.ordered[0], Load{Count: 2, Values: [4]float64{0, 5}}
+	c.d.load.observeReport(w, &l, c.d.now)
+	if once := w.peerSlots; once <= 0 {
+		t.Errorf("a full worker's report says that others hold %v", once)
+	} else if c.d.load.observeReport(w, &l, c.d.now); w.peerSlots != once {
+		t.Errorf("the same report once more: %v after %v", w.peerSlots, once)
+	} else if l.Values[1] = 6; true {
+		if c.d.load.observeReport(w, &l, c.d.now); w.peerSlots <= once {
+			t.Errorf("a new one: %v after %v", w.peerSlots, once)
+		}
+	}
+}
+
+// Where all are full, jobs are refused; with nothing sent nothing is learned of when that is over. Refusals kept
+// themselves up for good: up to half of all jobs, with workers three quarters idle.
+func TestRejectionsDoNotKeepThemselvesUp(t *testing.T) {
+	refused := 300 // long after the jam, but for those that are sent
+	ready(t, 60, shared).serve(900, func(id JobID, _ Entry) work {
+		refused -= int(id / 601)
+		if id > 100 && id < 500 {
+			return work{run: 100 * time.Millisecond, queue: float64(30 + id%7)}
+		}
+		return work{run: 100 * time.Millisecond, free: 4}
+	})
+	if refused > 60 {
+		t.Errorf("%d of 300 jobs are refused long after the jam", refused)
+	}
+}
+
+// A job that lies at its worker tells that its kind is full before it starts, and its answer, seconds later, with a report:
+// until then all went on sending there.
+func TestWaitingJobsTellOfOverload(t *testing.T) {
+	c := ready(t, 60, shared)
+	c.serve(80, func(JobID, Entry) work { return work{run: 200 * time.Millisecond, free: 4} })
+	if c.d.load.slotsSeen[0] != 4 || c.d.load.groupLoad[0] > 2 || c.d.load.groupLoad[1] > 2 {
+		t.Fatalf("idle workers: %v slots, others hold %v", c.d.load.slotsSeen, c.d.load.groupLoad)
+	}
+	lying := [2]int{}
+	for id := JobID(101); id <= 108; id++ {
+		if c.arrive(id, int(id)%5) {
+			lying[c.jobs[id].sends[0].to.Kind]++
+		}
+		for range 10 {
+			c.advance(20 * time.Millisecond)
+		}
+	}
+	for k, n := range lying {
+		if full := c.d.load.groupLoad[k] >= c.d.load.slotsSeen[k]; full != (n > 0) {
+			t.Errorf("%d jobs lie at kind %d, and others hold %v of %v slots", n, k, c.d.load.groupLoad[k], c.d.load.slotsSeen[k])
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/outcomes_test.go
@@ -0,0 +1,34 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// A slot that is freed goes to the held job that is worth most for its time, and that one may wait longer at a worker.
+func TestDenserPendingJobGoesFirst(t *testing.T) {
+	c := ready(t, 8, func(s *Settings) {
+		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
+		s.Classes[4].Value = 8
+	})
+	id := JobID(0)
+	held := func(class int) JobID {
+		for range 200 {
+			id++
+			c.event(Event{Kind: EventJob, Job: id, Class: class, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
+			if j := c.jobs[id]; !j.answered && len(j.sends) == 0 {
+				return id
+			}
+		}
+		t.Fatal("no job is held")
+		return 0
+	}
+	plain, worthy := held(0), held(4)
+	if c.d.forecasts.density(c.d.jobs.byID[worthy]) <= c.d.forecasts.density(c.d.jobs.byID[plain]) {
+		t.Error("the worthier job does not count as denser")
+	}
+	c.outcome(1, 0, OK)
+	if len(c.jobs[plain].sends) != 0 || len(c.jobs[worthy].sends) != 1 {
+		t.Errorf("the freed slot: plain %v, worthy %v", c.jobs[plain].sends, c.jobs[worthy].sends)
+	}
+}
--- /dev/null
+++ b/internal/decision/overdue_test.go
@@ -0,0 +1,72 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// Where a late answer is worth nothing, a job that has not started by its aim leaves the worker's queue; a
+// queue full of such jobs kept everything late once.
+func TestHopelessJobsAreCancelled(t *testing.T) {
+	for _, tc := range []struct {
+		late    float64
+		started bool
+		want    bool
+	}{{0, false, true}, {0, true, false}, {0.5, false, false}} {
+		c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = tc.late })
+		c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
+		if tc.started {
+			c.event(Event{Kind: EventJobProgress, Job: 1, Progress: JobStarted})
+		}
+		got := false
+		for range 60 {
+			c.advance(10 * time.Millisecond)
+			for _, a := range c.d.actions {
+				got = got || a.Kind == Cancel
+			}
+		}
+		if got != tc.want {
+			t.Errorf("late answers worth %v, started %v: cancelled %v, want %v", tc.late, tc.started, got, tc.want)
+		}
+	}
+}
+
+// A dispatcher that stood still has heard nobody for a while: the fault is its own, and nobody is suspected for it.
+func TestOwnStandstillMarksNobodyUnhealthy(t *testing.T) {
+	c := ready(t, 24, nil)
+	for id := JobID(1); id <= 20; id++ {
+		c.event(Event{Kind: EventJob, Job: id, Slots: 1, Deadline: c.now + 9*time.Second})
+	}
+	c.advance(40 * time.Millisecond)
+	c.advance(3 * time.Second)
+	for id, j := range c.jobs {
+		if len(j.sends) > 1 || j.answered {
+			t.Errorf("job %d: %d attempts, answered %v", id, len(j.sends), j.answered)
+		}
+	}
+	for _, w := range c.d.workers.ordered {
+		if w.unhealthy {
+			t.Errorf("worker %d is suspect", w.Worker)
+		}
+	}
+}
+
+// Where late answers earn nothing, a job that had not begun by the fixed part of its aim was cancelled, and as one that
+// may run only once it had failed for good: 10 to 30 % of all jobs on most days. The aim grows with the job's own time.
+func TestWaitingJobsKeepTheSlackOfTheirOwnTime(t *testing.T) {
+	for _, queue := range []float64{0, 40} { // it goes sooner where many would wait behind it
+		c := ready(t, 60, func(s *Settings) { few(s); s.Classes[1].Stretch = 3 })
+		c.serve(60, func(JobID, Entry) work { return work{run: 300 * time.Millisecond, free: 4} })
+		slack := seconds(2 * c.d.times.runSeconds[1])
+		c.event(Event{Kind: EventJob, Job: 900, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
+		came, w := c.now, c.d.workers.byID[c.jobs[900].sends[0].to.Worker]
+		for !c.d.jobs.byID[900].attempts[0].cancelled && c.now < came+3*time.Second {
+			c.advance(10 * time.Millisecond)
+			w.peerSlots, w.peerSlotsAt = queue, c.now
+		}
+		waited := c.now - came - c.s.Classes[1].LatencyTarget
+		if late := waited - slack; queue == 0 && late.Abs() > 60*time.Millisecond || queue > 0 && waited > 60*time.Millisecond {
+			t.Errorf("queue %v: dropped %v after its aim, its own time leaves it %v", queue, waited, slack)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decision/picking_test.go
@@ -0,0 +1,100 @@
+package decision
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// Listed sizes of kinds are heeded from the first job on: one dispatcher in hundreds has no time to learn them. A size that
+// none can have counts as the usual one.
+func TestListedWeightsCount(t *testing.T) {
+	list := fleet(40)
+	for i := range list {
+		list[i].Weight = []float64{4, 1, 4, math.NaN()}[i%4]
+	}
+	c := newChecker(t, site(), 1)
+	c.event(Event{Kind: EventList, List: ListFull, Entries: list})
+	large := 0
+	for id := JobID(1); id <= 4000; id++ {
+		c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + time.Second})
+		if c.jobs[id].sends[0].to.Weight == 4 {
+			large++
+		}
+		c.outcome(id, 0, OK)
+		c.advance(10 * time.Millisecond)
+	}
+	// Half of the workers has four fifths of the size.
+	if part := float64(large) / 4000; part < 0.7 || part > 0.95 {
+		t.Errorf("large workers got %v of the jobs", part)
+	}
+}
+
+// Kinds are weighed by what they hold, not by speed alone: with keys, small workers got four fifths of the attempts and
+// turned most away while large ones had room.
+func TestKindsAreWeighedByTheirSlots(t *testing.T) {
+	c := ready(t, 60, func(s *Settings) {
+		s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
+	})
+	large := 0
+	for id := JobID(1); id <= 2000; id++ {
+		c.event(Event{Kind: EventJob, Job: id, Key: uint64(id), Slots: 1, Deadline: c.now + time.Second})
+		to := c.jobs[id].sends[0].to
+		if id > 1000 && to.Kind == 1 {
+			large++
+		}
+		load := Load{Count: 2, Values: [4]float64{1, float64(1 + 6*to.Kind)}} // two slots, or eight
+		if id%7 == 0 {
+			load.Values[0] = []float64{math.NaN(), math.Inf(1), -4}[id%3]
+		}
+		c.advance(50 * time.Millisecond)
+		c.event(Event{Kind: EventOutcome, Job: id, Worker: to.Worker, Outcome: OK, JobEnded: true, Load: load})
+	}
+	if large < 700 || large > 900 {
+		t.Errorf("workers with four fifths of the slots got %d of 1000 jobs", large)
+	}
+}
+
+// One dispatcher in hundreds holds no slots nearly anywhere, and each new worker cost it a handshake: a worker with an
+// idle connection that began the last job at once comes first in the pair; one that let it wait does not, nor one whose
+// connection has been closed by now, nor any where that time is not stated.
+func TestIdleConnectionsAreReused(t *testing.T) {
+	for _, tc := range []struct {
+		idle, wait time.Duration
+		most       int // workers met
+		least      int
+	}{{time.Minute, 0, 8, 1}, {time.Minute, 100 * time.Millisecond, 40, 10}, {time.Second, 0, 40, 10}, {0, 0, 40, 10}} {
+		c := ready(t, 40, func(s *Settings) { s.ConnIdle = tc.idle })
+		met := map[WorkerID]bool{}
+		for id := JobID(1); id <= 30; id++ {
+			c.event(Event{Kind: EventJob, Job: id, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
+			to := c.jobs[id].sends[0].to.Worker
+			met[to] = true
+			c.advance(tc.wait)
+			c.event(Event{Kind: EventJobProgress, Job: id, Worker: to, Progress: JobStarted})
+			c.outcome(id, 0, OK)
+			c.advance(1500 * time.Millisecond)
+		}
+		if len(met) > tc.most || len(met) < tc.least {
+			t.Errorf("idle for %v, wait %v: %d workers met", tc.idle, tc.wait, len(met))
+		}
+	}
+}
+
+// Many dispatchers round one fleet, each with a few jobs a second, hardly meet a worker twice. What they did not know of a
+// worker counted as nothing, so all of them sent to the fast kind, which was full, while the slow one stood idle.
+func TestManyDispatchersFillAllKinds(t *testing.T) {
+	to := [2]int{}
+	ready(t, 60, shared).serve(240, func(id JobID, w Entry) work {
+		if id > 100 {
+			to[w.Kind]++
+		}
+		if w.Kind == 0 && id > 30 {
+			return work{run: 100 * time.Millisecond, queue: float64(3 + id%3)}
+		}
+		return work{run: time.Duration(100+100*w.Kind) * time.Millisecond, free: 4}
+	})
+	if to[1] < to[0] {
+		t.Errorf("the full fast kind gets %d jobs, the idle slow one %d", to[0], to[1])
+	}
+}
--- /dev/null
+++ b/internal/decision/slow_start_test.go
@@ -0,0 +1,134 @@
+package decision
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// A worker just started gets no more from one dispatcher than its part, whatever the rest of the fleet turns away.
+func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
+	for _, dispatchers := range []int{2, 4, 20} {
+		c := ready(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
+		id := JobID(0)
+		serve := func(seconds int, o func(to WorkerID) Outcome) {
+			for range seconds * 20 {
+				id++
+				c.arrive(id, int(id)%5)
+				for n := 0; n < len(c.jobs[id].sends) && !c.jobs[id].answered; n++ {
+					c.now += 40 * time.Millisecond
+					c.outcome(id, n, o(c.jobs[id].sends[n].to.Worker))
+				}
+				c.advance(10 * time.Millisecond)
+			}
+		}
+		serve(20, func(WorkerID) Outcome { return OK })
+		cold := Entry{Worker: 777, Kind: 0, Zone: 0, Started: c.now, State: Ready}
+		c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}})
+		start := c.now
+		serve(2, func(to WorkerID) Outcome {
+			if to == cold.Worker {
+				return OK
+			}
+			return Rejected
+		})
+		// A warm worker takes a twelfth of 20 jobs a second from here; cold it surely does a fifth of that.
+		limit := c.s.OverloadMultiple * c.s.SlowStartShare * 20 / 12 * c.s.OverloadSpan.Seconds()
+		n := 0
+		for _, at := range c.cold[cold.Worker] {
+			if at < start+c.s.OverloadSpan {
+				n++
+			}
+		}
+		if float64(n) > limit {
+			t.Errorf("%d dispatchers: %d jobs to a cold worker within %v, over its part of the budget, %.1f",
+				dispatchers, n, c.s.OverloadSpan, limit)
+		}
+	}
+}
+
+// Found by a hunt: 156 dispatchers that had looked at a cold worker with a long job let short ones through at once, and what
+// each had saved while nobody wanted to go there came in the same second. All together stay within the budget.
+func TestSlowStartBudgetIsNotSavedUp(t *testing.T) {
+	const n = 150
+	for _, idle := range []time.Duration{0, 4 * time.Second} {
+		work, limit := 0.0, 0.0
+		for seed := range uint64(n) {
+			s := site()
+			s.Dispatchers, s.OverloadMultiple, s.OverloadSpan, s.SlowStartShare = n, 1.5, time.Second, 0.16
+			d := must(t, s, seed)
+			d.now, d.times.runSeconds[0], d.times.runSeconds[1], d.budget.servedWork[0], d.pools.ready[0] = time.Minute, 0.9, 0.15, 2.5, 10
+			w := &workerState{Entry: Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready}, workerHealth: workerHealth{slowness: 1}}
+			long, short := &jobState{Event: Event{Class: 0, Slots: 1}}, &jobState{Event: Event{Class: 1, Slots: 1}}
+			d.budget.allows(w, long, d.now)
+			for range int(idle / (100 * time.Millisecond)) {
+				d.now += 100 * time.Millisecond
+				d.budget.allows(w, long, d.now)
+			}
+			limit += s.OverloadMultiple * d.slowStart.share(w, d.now) * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.ready[0]
+			for range 10 { // within one span everybody wants to send there
+				for d.budget.allows(w, short, d.now) {
+					w.hasTurn = false
+					work += 0.15
+				}
+				d.now += 100 * time.Millisecond
+			}
+		}
+		if work > limit {
+			t.Errorf("idle %v: %.2f slot seconds sent within a span, the budget is %.2f", idle, work, limit)
+		}
+	}
+}
+
+// Each of 80 dispatchers saved up for a whole job before it sent one to a cold worker: 80 s with its part of what such
+// a worker bears, so that 36 new workers stood idle for seconds while a third of all jobs was refused. All together
+// they use it well now, and stay within the rule's budget.
+func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
+	shareAWarmingWorker(t, 4, 2, 0, 8)  // its warm mates have 13 jobs a second each; it surely bears 4 of that
+	shareAWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
+	shareAWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its mates to do more
+}
+
+func shareAWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
+	const n, run = 80, 200 * time.Millisecond
+	list := fleet(24)
+	for i := range list {
+		list[i].Kind = 0
+	}
+	var sends []time.Duration
+	for seed := range uint64(n) {
+		s := site()
+		shared(&s)
+		d, now, id := must(t, s, seed), time.Minute+time.Duration(seed)*time.Millisecond, JobID(0)
+		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
+		cold := Entry{Worker: 777, Started: time.Minute + 10*time.Second, State: Ready}
+		for ; now < time.Minute+13*time.Second; now += time.Second / time.Duration(perSecond) {
+			if now >= cold.Started && d.workers.byID[cold.Worker] == nil {
+				d.Handle(now, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}}, nil)
+			}
+			id++
+			for _, a := range d.Handle(now, &Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: now + time.Second}, nil) {
+				if a.Kind != Send {
+					continue
+				} else if a.Worker == cold.Worker {
+					sends = append(sends, now-cold.Started)
+				}
+				d.Handle(now, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
+				d.Handle(now+run, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, JobEnded: true,
+					Load: Load{Count: 2, Values: [4]float64{slots * float64(count(queue == 0 || id < 3)), queue*float64(count(id >= 3)) + 0.01*float64(id)}}}, nil)
+			}
+		}
+	}
+	slices.Sort(sends)
+	each := max(float64(n*perSecond)/24, slots/run.Seconds()) // jobs a second that a warm worker bears
+	for i := range sends {
+		last, _ := slices.BinarySearch(sends, sends[i]+time.Second)
+		share := 0.3 + 0.7*sends[i].Seconds()/9
+		if got, most := float64(last-i), 3*share*each; got > most {
+			t.Errorf("%.0f jobs within a second from %v on, the budget is %.1f", got, sends[i], most)
+		}
+	}
+	if len(sends) < least {
+		t.Errorf("%d dispatchers' jobs a second, %v slots: %d jobs in 3 s for a cold worker, not %d", n*perSecond, slots, len(sends), least)
+	}
+}
