--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/capacity_bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 )
 
@@ -68,7 +69,7 @@
 }
 
 // benchStep does what the manager does in a step, up to the proposal.
-func benchStep(current *content, leases *lease.Table) *tableChange {
+func benchStep(current *controlstate.State, leases *lease.Table) *controlstate.TableChange {
 	draft := newDraft(current, leases.Statuses(time.Now()), redundancy{copies: 2, zones: 2})
 	draft.updateStores()
 	draft.updateStores()
@@ -113,7 +114,7 @@
 }
 
 // benchContent is the state when all stores are active and all partitions placed.
-func benchContent(infos []cluster.NodeInfo, partitions int) *content {
+func benchContent(infos []cluster.NodeInfo, partitions int) *controlstate.State {
 	table := &cluster.Table{Revision: 1, Copies: 2, Deliverers: len(infos)}
 	for _, info := range infos {
 		table.Stores = append(table.Stores, cluster.StoreEntry{
@@ -127,5 +128,5 @@
 			{Store: first.Name, DiskID: first.DiskID, Synced: true}, {Store: second.Name, DiskID: second.DiskID, Synced: true},
 		}})
 	}
-	return &content{table: table}
+	return &controlstate.State{Table: table}
 }
--- /dev/null
+++ b/internal/controlplane/controlstate/machine.go
@@ -0,0 +1,146 @@
+// Package controlstate is the state that the control group replicates: the configuration, the accepted orders, the
+// cluster table and the retire jobs.
+//
+// Machine implements replication.StateMachine. A record of the log is a Change; Change.Encode, DecodeChange and the
+// snapshots define bytes on disk, which every later version must read (testdata holds some). The machine is
+// deterministic: alike on every member after the same records. Readers take the current State, which is immutable, from
+// an atomic pointer; a mutex serialises changes. The package starts no goroutine. Start reading at State, then at
+// Machine.Apply.
+package controlstate
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/syncutil"
+)
+
+// Machine is the replicated state. Changes are applied in the order of the log, alike on every member.
+type Machine struct {
+	current  atomic.Pointer[State]
+	changed  syncutil.Notifier
+	prepared atomic.Pointer[preparedDocument]
+	mutex    sync.Mutex          // serialises changes, and guards orders
+	orders   map[string]struct{} // digests of accepted orders
+}
+
+// preparedDocument is a document that was read when its order was checked, so that it is not read again when the
+// order is applied.
+type preparedDocument struct {
+	digest   string
+	base     uint64
+	document *configuration.Document
+}
+
+// NewMachine returns a machine without a configuration and with an empty table.
+func NewMachine() *Machine {
+	machine := &Machine{orders: map[string]struct{}{}}
+	machine.current.Store(&State{Table: &cluster.Table{}})
+	return machine
+}
+
+// Current returns the state after the last applied change.
+func (m *Machine) Current() *State { return m.current.Load() }
+
+// Changed returns a channel that is closed by the next change. Who takes it before reading the state misses no change.
+func (m *Machine) Changed() <-chan struct{} { return m.changed.Receive() }
+
+// Prepare hands over the document that a change leads to, so that Apply need not read it again. It has no effect
+// unless that change is applied next.
+func (m *Machine) Prepare(change *ConfigChange, document *configuration.Document) {
+	m.prepared.Store(&preparedDocument{digest: change.Digest, base: change.Base, document: document})
+}
+
+// Apply applies one change of the log.
+func (m *Machine) Apply(record []byte) error {
+	decoded, err := DecodeChange(record)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	next, err := m.next(decoded)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	m.current.Store(next)
+	m.changed.Notify()
+	return nil
+}
+
+// next returns the state after a change. The caller holds the lock.
+func (m *Machine) next(change *Change) (*State, error) {
+	current := m.current.Load()
+	if change.Config == nil && change.Table != nil {
+		return current.WithTableChange(change.Table), nil
+	}
+	next := *current
+	if change.Config == nil {
+		return &next, nil
+	}
+	err := m.applyConfig(&next, change.Config)
+	return &next, err
+}
+
+// Accepted tells whether an order is among those taken and remembered.
+func (m *Machine) Accepted(digest string) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	_, found := m.orders[digest]
+	return found
+}
+
+func (m *Machine) applyConfig(next *State, change *ConfigChange) error {
+	if next.ConfigVersion() != change.Base {
+		return nil // another order was taken first
+	}
+	document, err := m.documentOf(next.Document, change)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	if change.Update {
+		update := ConfigUpdate{from: change.Base, to: document.Version(), Body: change.Body}
+		next.configUpdates = appendBounded(next.configUpdates, update, maxConfigUpdates)
+	} else {
+		next.configUpdates = nil
+	}
+	next.Document = document
+	m.remember(next, change)
+	return nil
+}
+
+// documentOf returns the document that a change leads to.
+func (m *Machine) documentOf(current *configuration.Document, change *ConfigChange) (*configuration.Document, error) {
+	prepared := m.prepared.Load()
+	if prepared != nil && prepared.digest == change.Digest && prepared.base == change.Base {
+		return prepared.document, nil
+	}
+	return NextDocument(current, change.Update, change.Body)
+}
+
+// NextDocument returns the configuration that an order leads to from the current one, which may be nil. The error tells
+// what is wrong with the order's body.
+func NextDocument(current *configuration.Document, update bool, body []byte) (*configuration.Document, error) {
+	if update {
+		return current.Update(body)
+	}
+	return configuration.ParseAfter(current, body)
+}
+
+// remember adds the digest of an accepted order, and forgets the oldest where there are many.
+func (m *Machine) remember(next *State, change *ConfigChange) {
+	if _, found := m.orders[change.Digest]; found {
+		return
+	}
+	if len(next.orders) >= MaxOrders {
+		delete(m.orders, next.orders[0])
+		next.ForgottenBelow = next.bases[0] + 1
+	}
+	next.orders = appendBounded(next.orders, change.Digest, MaxOrders)
+	next.bases = appendBounded(next.bases, change.Base, MaxOrders)
+	m.orders[change.Digest] = struct{}{}
+}
--- /dev/null
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -0,0 +1,94 @@
+package controlstate
+
+import (
+	"bytes"
+	"encoding/json"
+	"slices"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/configuration"
+)
+
+// snapshotHeader is the first line of a snapshot; the configuration follows it byte for byte.
+type snapshotHeader struct {
+	Orders         []string       `json:"orders,omitempty"`
+	Bases          []uint64       `json:"bases,omitempty"`  // of the orders; older snapshots have none
+	ForgottenBelow uint64         `json:"forgot,omitempty"` // orders on lower versions may be missing
+	Table          *cluster.Table `json:"table"`
+	Jobs           []RetireJob    `json:"jobs,omitempty"`
+	Configuration  bool           `json:"configuration,omitempty"` // one follows
+}
+
+// Snapshot returns the whole state. The updates that led to the configuration are not part of it.
+func (m *Machine) Snapshot() ([]byte, error) {
+	current := m.current.Load()
+	header := snapshotHeader{
+		Orders:         current.orders,
+		Bases:          current.bases,
+		ForgottenBelow: current.ForgottenBelow,
+		Table:          current.Table,
+		Jobs:           current.Jobs,
+		Configuration:  current.Document != nil,
+	}
+	line, err := json.Marshal(&header)
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	snapshot := append(line, '\n')
+	if current.Document != nil {
+		snapshot = append(snapshot, current.Document.JSON()...)
+	}
+	return snapshot, nil
+}
+
+// Restore replaces the whole state by a snapshot.
+func (m *Machine) Restore(snapshot []byte) error {
+	line, body, found := bytes.Cut(snapshot, []byte{'\n'})
+	if !found {
+		return trace.BadParameter("snapshot has no end of its first line")
+	}
+	var header snapshotHeader
+	if err := json.Unmarshal(line, &header); err != nil {
+		return trace.Wrap(err)
+	}
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	next, err := m.restored(&header, body)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	m.orders = make(map[string]struct{}, len(next.orders))
+	for _, digest := range next.orders {
+		m.orders[digest] = struct{}{}
+	}
+	m.current.Store(next)
+	m.changed.Notify()
+	return nil
+}
+
+// restored returns the state that a snapshot holds. The caller holds the lock.
+func (m *Machine) restored(header *snapshotHeader, body []byte) (*State, error) {
+	next := &State{
+		Table:          header.Table,
+		Jobs:           header.Jobs,
+		ForgottenBelow: header.ForgottenBelow,
+		orders:         header.Orders,
+		bases:          header.Bases,
+	}
+	if next.Table == nil {
+		next.Table = &cluster.Table{}
+	}
+	if header.Configuration {
+		document, err := configuration.ParseAfter(m.current.Load().Document, body)
+		if err != nil {
+			return nil, trace.Wrap(err, "reading the configuration of a snapshot")
+		}
+		next.Document = document
+	}
+	if len(next.bases) != len(next.orders) {
+		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.orders)) // at most that
+	}
+	return next, nil
+}
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/decision_trace_test.go
@@ -14,6 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
@@ -77,7 +78,7 @@
 func newDecisionTrace(t *testing.T, copies, zones int, seed uint64) *decisionTrace {
 	plane := &Plane{
 		options: Options{Tolerated: copies - 1, ToleratedZones: zones - 1},
-		state:   newStateMachine(),
+		state:   controlstate.NewMachine(),
 	}
 	plane.manager = newManager(plane)
 	plane.leases = lease.NewTable(plane.manager.nudge)
@@ -192,7 +193,7 @@
 		return []traceRequest{func(draft *draft) string { return describeRetire(draft, "no-store") }}
 	}
 	var requests []traceRequest
-	for _, partition := range d.plane.state.current.Load().table.Partitions {
+	for _, partition := range d.plane.state.Current().Table.Partitions {
 		if d.random.IntN(4) != 0 || len(partition.Replicas) == 0 {
 			continue
 		}
@@ -242,7 +243,7 @@
 
 // decide has the manager take requests and decide, and puts the change into force.
 func (d *decisionTrace) decide(requests []traceRequest) {
-	manager, current := d.plane.manager, d.plane.state.current.Load()
+	manager, current := d.plane.manager, d.plane.state.Current()
 	draft := newDraft(current, d.plane.leases.Statuses(d.now), d.plane.redundancy())
 	draft.updateStores()
 	manager.holdForRestarts(draft, d.now)
@@ -258,11 +259,11 @@
 	}
 	d.changes++
 	decided.ID = fmt.Sprintf("trace-%d", d.changes)
-	record, err := (&change{Table: decided}).encode()
+	record, err := (&controlstate.Change{Table: decided}).Encode()
 	assert.NilError(d.t, err)
 	_, _ = d.hash.Write(record)
 	assert.NilError(d.t, d.plane.state.Apply(record))
-	assert.Equal(d.t, d.plane.state.current.Load().changeID, decided.ID)
+	assert.Equal(d.t, d.plane.state.Current().LastChangeID, decided.ID)
 }
 
 // describeRetire orders that a store is to be emptied and tells the answer.
--- a/internal/controlplane/draft.go
+++ b/internal/controlplane/draft.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 )
 
@@ -14,7 +15,7 @@
 	core       []cluster.CoreEntry
 	stores     []cluster.StoreEntry // by name
 	partitions []cluster.Partition
-	jobs       []retireJob
+	jobs       []controlstate.RetireJob
 	redundancy
 	deliverers int
 	nodes      map[string]lease.Status
@@ -23,14 +24,14 @@
 	copyCounts map[string]int    // by store, see replicaCounts; nil until they are needed
 }
 
-func newDraft(current *content, nodes map[string]lease.Status, required redundancy) *draft {
-	table := current.table
+func newDraft(current *controlstate.State, nodes map[string]lease.Status, required redundancy) *draft {
+	table := current.Table
 	made := &draft{
 		primary:    table.Primary,
 		core:       table.Core,
 		stores:     slices.Clone(table.Stores),
 		partitions: slices.Clone(table.Partitions),
-		jobs:       slices.Clone(current.jobs),
+		jobs:       slices.Clone(current.Jobs),
 		redundancy: required,
 		deliverers: table.Deliverers,
 		nodes:      nodes,
@@ -40,9 +41,9 @@
 }
 
 // diff returns the change that leads from the current state to the draft, or nil where they are alike.
-func (d *draft) diff(current *content) *tableChange {
-	table := current.table
-	change := &tableChange{}
+func (d *draft) diff(current *controlstate.State) *controlstate.TableChange {
+	table := current.Table
+	change := &controlstate.TableChange{}
 	change.Base = table.Revision
 	empty := true
 	if d.primary != table.Primary {
@@ -59,7 +60,7 @@
 	}
 	change.Stores = differing(d.stores, table.Stores, func(a, b cluster.StoreEntry) bool { return a == b })
 	change.Partitions = changedPartitions(d.partitions, table.Partitions)
-	change.Jobs = differing(d.jobs, current.jobs, func(a, b retireJob) bool { return a == b })
+	change.Jobs = differing(d.jobs, current.Jobs, func(a, b controlstate.RetireJob) bool { return a == b })
 	if empty && len(change.Stores)+len(change.Partitions)+len(change.Jobs) == 0 {
 		return nil
 	}
@@ -117,7 +118,7 @@
 }
 
 func (d *draft) retiring(replica cluster.Replica) bool {
-	return findJob(d.jobs, replica.Store, replica.DiskID) != nil
+	return controlstate.FindJob(d.jobs, replica.Store, replica.DiskID) != nil
 }
 
 // recent tells whether a replica's store surely outlived those that have been found dead now.
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -1,7 +1,9 @@
 package controlplane
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -12,6 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
 )
@@ -19,7 +22,7 @@
 // standInGroup is a replicated group of one: what is proposed is in force at once.
 type standInGroup struct {
 	group
-	state   *stateMachine
+	state   *controlstate.Machine
 	durable error // what ConfirmDurable says
 	asked   int   // how often it was asked
 }
@@ -34,11 +37,15 @@
 }
 
 func planeOfOne() (*Plane, *standInGroup) {
-	state := newStateMachine()
+	state := controlstate.NewMachine()
 	alone := &standInGroup{state: state}
 	return &Plane{state: state, group: alone, orders: syncutil.NewSemaphore(), logger: zap.NewNop()}, alone
 }
 
+func configurationOf(version int) string {
+	return fmt.Sprintf("{\n \"version\" : %d,\"routes\":[],\"services\":[], \"note\":\"<&>\" }", version)
+}
+
 // replaceOrder is an order that replaces version `base` by the version after it.
 func (p *Plane) replaceOrder(t *testing.T, base int) int {
 	t.Helper()
@@ -66,15 +73,15 @@
 // TestOrderThatMayBeForgottenIsNotRefused sends the first of very many orders again, across a snapshot.
 func TestOrderThatMayBeForgottenIsNotRefused(t *testing.T) {
 	plane, _ := planeOfOne()
-	for base := range ordersRemembered + 1 {
+	for base := range controlstate.MaxOrders + 1 {
 		assert.Equal(t, plane.replaceOrder(t, base), http.StatusOK)
 	}
 	for range 2 {
 		assert.Equal(t, plane.replaceOrder(t, 0), http.StatusServiceUnavailable, "it was taken, and is forgotten")
 		assert.Equal(t, plane.replaceOrder(t, 1), http.StatusOK, "the oldest that is remembered")
-		assert.Equal(t, plane.replaceOrder(t, ordersRemembered), http.StatusOK)
-		rival := cluster.OperatorCall{Method: http.MethodPost, Path: pathReplace, Base: fmt.Sprint(ordersRemembered)}
-		result, err := plane.takeOrder(t.Context(), rival, false, []byte(configurationOf(ordersRemembered+7)))
+		assert.Equal(t, plane.replaceOrder(t, controlstate.MaxOrders), http.StatusOK)
+		rival := cluster.OperatorCall{Method: http.MethodPost, Path: pathReplace, Base: fmt.Sprint(controlstate.MaxOrders)}
+		result, err := plane.takeOrder(t.Context(), rival, false, []byte(configurationOf(controlstate.MaxOrders+7)))
 		assert.NilError(t, err)
 		assert.Equal(t, result.status, http.StatusPreconditionFailed)
 		snapshot, err := plane.state.Snapshot()
@@ -86,19 +93,30 @@
 // TestSnapshotWithoutBasesForgetsNothingWrongly reads a snapshot of a version that kept no bases of the orders.
 func TestSnapshotWithoutBasesForgetsNothingWrongly(t *testing.T) {
 	plane, _ := planeOfOne()
-	for base := range ordersRemembered {
+	for base := range controlstate.MaxOrders {
 		assert.Equal(t, plane.replaceOrder(t, base), http.StatusOK)
 	}
-	current := *plane.state.current.Load()
-	current.bases = nil
-	plane.state.current.Store(&current)
 	snapshot, err := plane.state.Snapshot()
 	assert.NilError(t, err)
-	assert.NilError(t, plane.state.Restore(snapshot))
-	assert.Equal(t, plane.replaceOrder(t, ordersRemembered), http.StatusOK)
+	assert.NilError(t, plane.state.Restore(withoutBases(t, snapshot)))
+	assert.Equal(t, plane.replaceOrder(t, controlstate.MaxOrders), http.StatusOK)
 	assert.Equal(t, plane.replaceOrder(t, 0), http.StatusServiceUnavailable)
 }
 
+// withoutBases takes the bases of the orders out of a snapshot.
+func withoutBases(t *testing.T, snapshot []byte) []byte {
+	t.Helper()
+	header, configuration, found := bytes.Cut(snapshot, []byte{'\n'})
+	assert.Assert(t, found)
+	members := map[string]json.RawMessage{}
+	assert.NilError(t, json.Unmarshal(header, &members))
+	assert.Assert(t, len(members["bases"]) > 0)
+	delete(members, "bases")
+	header, err := json.Marshal(members)
+	assert.NilError(t, err)
+	return append(append(header, '\n'), configuration...)
+}
+
 // TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame has a store come back with an empty disk while it is emptied: when
 // the operator reads that this is completed, the machine may be taken away whichever disk it has.
 func TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame(t *testing.T) {
@@ -109,15 +127,15 @@
 		return nil
 	}))
 	for _, disk := range []string{"second-disk", "third-disk"} {
-		assert.Assert(t, !newestJob(world.current.jobs, "a").Completed)
+		assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
 		world.start("a", "zone-0", disk)
 		assert.NilError(t, world.plan())
-		assert.Equal(t, newestJob(world.current.jobs, "a").DiskID, disk)
+		assert.Equal(t, controlstate.NewestJob(world.current.Jobs, "a").DiskID, disk)
 	}
 	world.settle()
 	world.requireWhole()
-	assert.Assert(t, newestJob(world.current.jobs, "a").Completed)
-	for _, partition := range world.current.table.Partitions {
+	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 	}
 	assert.NilError(t, world.plan(func(draft *draft) error {
@@ -136,17 +154,17 @@
 		return nil
 	}))
 	world.settle()
-	assert.Assert(t, newestJob(world.current.jobs, "a").Completed)
-	assert.Assert(t, !outdatedJob(newestJob(world.current.jobs, "a"), world.current.table.Store("a")))
+	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
+	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
 	world.start("a", "zone-0", "another-disk")
 	world.settle()
 	assert.Assert(t, world.leads("a") > 0)
-	assert.Assert(t, outdatedJob(newestJob(world.current.jobs, "a"), world.current.table.Store("a")))
+	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
 	assert.NilError(t, world.plan(func(draft *draft) error { return draft.resumeRetire("a") }))
-	assert.Assert(t, !newestJob(world.current.jobs, "a").Completed)
+	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
 	world.settle()
-	assert.Assert(t, newestJob(world.current.jobs, "a").Completed)
-	for _, partition := range world.current.table.Partitions {
+	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 	}
 }
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -14,6 +14,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/replication"
 )
 
@@ -123,7 +124,7 @@
 	if !m.leading {
 		m.begin(now)
 	}
-	current := m.plane.state.current.Load()
+	current := m.plane.state.Current()
 	draft := newDraft(current, m.plane.leases.Statuses(now), m.plane.redundancy())
 	draft.updateStores()
 	m.holdForRestarts(draft, now)
@@ -148,7 +149,7 @@
 func (m *manager) begin(now time.Time) {
 	m.leading, m.leadingSince = true, now
 	m.lastNewStore, m.knownStores = now, 0
-	table := m.plane.state.current.Load().table
+	table := m.plane.state.Current().Table
 	m.inherited = table.Deliverers
 	for _, entry := range table.Stores {
 		if entry.State == cluster.StoreDown {
@@ -206,12 +207,12 @@
 }
 
 // propose has the group take a change of the table, if there is any.
-func (m *manager) propose(ctx context.Context, table *tableChange) error {
+func (m *manager) propose(ctx context.Context, table *controlstate.TableChange) error {
 	if table == nil {
 		return nil
 	}
 	table.ID = fmt.Sprintf("%s-%d", m.plane.options.Info.Incarnation, m.changes.Add(1))
-	record, err := (&change{Table: table}).encode()
+	record, err := (&controlstate.Change{Table: table}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -221,7 +222,7 @@
 		m.plane.logger.Info("change of the table failed", zap.Error(err))
 		return err
 	}
-	if m.plane.state.current.Load().changeID != table.ID {
+	if m.plane.state.Current().LastChangeID != table.ID {
 		return errOutdated
 	}
 	return nil
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -124,7 +124,7 @@
 	if err := p.group.Confirm(ctx); err != nil {
 		return answer{}, err
 	}
-	document := p.state.current.Load().document
+	document := p.state.Current().Document
 	if document == nil {
 		return errorAnswer(http.StatusNotFound, "there is no configuration yet"), nil
 	}
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -11,6 +11,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/controlstate"
 )
 
 // order is an operator's call that replaces or updates the configuration.
@@ -57,18 +58,18 @@
 
 // checkOrder returns either a final answer or the configuration that the order leads to.
 func (p *Plane) checkOrder(order *order) (answer, *configuration.Document) {
-	if p.state.accepted(order.digest) {
+	if p.state.Accepted(order.digest) {
 		return emptyAnswer(http.StatusOK), nil
 	}
-	current := p.state.current.Load()
-	if order.base != current.version() {
+	current := p.state.Current()
+	if order.base != current.ConfigVersion() {
 		return checkOutdated(current, order), nil
 	}
-	document, err := readOrder(current.document, order.update, order.body)
+	document, err := controlstate.NextDocument(current.Document, order.update, order.body)
 	if err != nil {
 		return invalidAnswer(err), nil
 	}
-	if err := configuration.CheckVersion(document.Version(), current.version()); err != nil {
+	if err := configuration.CheckVersion(document.Version(), current.ConfigVersion()); err != nil {
 		return checkRepeated(current, order, err), nil
 	}
 	return answer{}, document
@@ -77,25 +78,25 @@
 // checkOutdated answers an order that builds on another version than the current one: it is acknowledged where it
 // replaces the configuration by what is in force already. One that is older than all orders that are remembered may have
 // been taken, and is not refused.
-func checkOutdated(current *content, order *order) answer {
-	otherwise := errorAnswer(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.version()))
-	if order.base < current.forgot {
+func checkOutdated(current *controlstate.State, order *order) answer {
+	otherwise := errorAnswer(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.ConfigVersion()))
+	if order.base < current.ForgottenBelow {
 		otherwise = errorAnswer(http.StatusServiceUnavailable, "too old to tell whether it was taken")
 	}
 	return checkRepeatedOr(current, order, otherwise)
 }
 
 // checkRepeated answers an order whose version is not above the current one.
-func checkRepeated(current *content, order *order, err error) answer {
+func checkRepeated(current *controlstate.State, order *order, err error) answer {
 	return checkRepeatedOr(current, order, invalidAnswer(err))
 }
 
-func checkRepeatedOr(current *content, order *order, otherwise answer) answer {
-	if order.update || current.document == nil {
+func checkRepeatedOr(current *controlstate.State, order *order, otherwise answer) answer {
+	if order.update || current.Document == nil {
 		return otherwise
 	}
-	document, err := configuration.ParseAfter(current.document, order.body)
-	if err != nil || !document.Equal(current.document) {
+	document, err := configuration.ParseAfter(current.Document, order.body)
+	if err != nil || !document.Equal(current.Document) {
 		return otherwise
 	}
 	return emptyAnswer(http.StatusOK)
@@ -103,17 +104,16 @@
 
 // proposeOrder has the group take an order that was found valid.
 func (p *Plane) proposeOrder(ctx context.Context, order *order, document *configuration.Document) (answer, error) {
-	record, err := (&change{Order: &orderChange{
-		Digest: order.digest, Base: order.base, Update: order.update, Body: order.body,
-	}}).encode()
+	change := &controlstate.ConfigChange{Digest: order.digest, Base: order.base, Update: order.update, Body: order.body}
+	record, err := (&controlstate.Change{Config: change}).Encode()
 	if err != nil {
 		return answer{}, err
 	}
-	p.state.prepared.Store(&preparedDocument{digest: order.digest, base: order.base, document: document})
+	p.state.Prepare(change, document)
 	if err := p.group.Propose(ctx, record); err != nil {
 		return answer{}, err
 	}
-	if !p.state.accepted(order.digest) {
+	if !p.state.Accepted(order.digest) {
 		return errorAnswer(http.StatusPreconditionFailed, "another order was taken first"), nil
 	}
 	p.logger.Info("configuration taken", versionField(document))
--- a/internal/controlplane/placement_random_test.go
+++ b/internal/controlplane/placement_random_test.go
@@ -28,7 +28,7 @@
 			victim := stores[random.IntN(count)]
 			world.disturb(random, victim, step)
 			world.settle()
-			for _, partition := range world.current.table.Partitions {
+			for _, partition := range world.current.Table.Partitions {
 				assert.Assert(t, world.nodes[partition.Replicas[0].Store].Live, "seed %d step %d", seed, step)
 			}
 			world.start(victim, world.nodes[victim].Info.Zone, world.nodes[victim].Info.DiskID)
@@ -58,9 +58,9 @@
 
 // dropSome has some primaries drop their backups, as if these did not answer.
 func (w *placementWorld) dropSome(random *rand.Rand) {
-	for id := range w.current.table.Partitions {
+	for id := range w.current.Table.Partitions {
 		if random.IntN(4) == 0 {
-			w.ask(cluster.PartitionRequest{Drop: w.current.table.Partitions[id].Replicas[1].Store}, id)
+			w.ask(cluster.PartitionRequest{Drop: w.current.Table.Partitions[id].Replicas[1].Store}, id)
 		}
 	}
 }
--- a/internal/controlplane/placement_test.go
+++ b/internal/controlplane/placement_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/rpc"
 )
@@ -16,14 +17,14 @@
 // placementWorld drives the planning functions as the manager does, without a group.
 type placementWorld struct {
 	t       *testing.T
-	current *content
+	current *controlstate.State
 	nodes   map[string]lease.Status
 	copies  int
 	zones   int // in which the copies of a partition stand
 }
 
 func newPlacementWorld(t *testing.T, copies int, stores ...string) *placementWorld {
-	world := &placementWorld{t: t, current: &content{table: &cluster.Table{}}, nodes: map[string]lease.Status{}, copies: copies, zones: 2}
+	world := &placementWorld{t: t, current: &controlstate.State{Table: &cluster.Table{}}, nodes: map[string]lease.Status{}, copies: copies, zones: 2}
 	for i, store := range stores {
 		world.start(store, fmt.Sprintf("zone-%d", i%3), "disk-"+store)
 	}
@@ -67,10 +68,9 @@
 	if change == nil {
 		return nil
 	}
-	next := *w.current
-	applyTable(&next, change)
-	w.check(w.current.table, next.table)
-	w.current = &next
+	next := w.current.WithTableChange(change)
+	w.check(w.current.Table, next.Table)
+	w.current = next
 	return nil
 }
 
@@ -110,10 +110,10 @@
 func (w *placementWorld) settle() {
 	w.t.Helper()
 	for range 200 {
-		before := w.current.table.Revision
+		before := w.current.Table.Revision
 		assert.NilError(w.t, w.plan())
 		w.followWishes()
-		if w.current.table.Revision == before {
+		if w.current.Table.Revision == before {
 			return
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 func (w *placementWorld) followWishes() {
-	for _, partition := range w.current.table.Partitions {
+	for _, partition := range w.current.Table.Partitions {
 		primary, _ := partition.Primary()
 		if !w.nodes[primary.Store].Live {
 			continue
@@ -131,7 +131,7 @@
 				w.ask(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
 			}
 		}
-		latest := w.current.table.Partitions[partition.ID]
+		latest := w.current.Table.Partitions[partition.ID]
 		position := latest.Find(latest.PreferredPrimary)
 		if position > 0 && latest.Replicas[position].Synced {
 			w.ask(cluster.PartitionRequest{Handover: true}, partition.ID)
@@ -146,14 +146,14 @@
 }
 
 func (w *placementWorld) tryAsk(ask cluster.PartitionRequest, id int) error {
-	partition := w.current.table.Partitions[id]
+	partition := w.current.Table.Partitions[id]
 	ask.Partition, ask.Epoch, ask.Store = id, partition.Epoch, partition.Replicas[0].Store
 	return w.plan(func(draft *draft) error { return draft.grant(&ask) })
 }
 
 func (w *placementWorld) leads(store string) int {
 	count := 0
-	for _, partition := range w.current.table.Partitions {
+	for _, partition := range w.current.Table.Partitions {
 		if partition.Replicas[0].Store == store {
 			count++
 		}
@@ -165,7 +165,7 @@
 	w.t.Helper()
 	draft := newDraft(w.current, w.nodes, w.redundancy())
 	assert.Assert(w.t, draft.whole())
-	for _, partition := range w.current.table.Partitions {
+	for _, partition := range w.current.Table.Partitions {
 		assert.Equal(w.t, len(partition.Replicas), w.copies, "partition %d: %s", partition.ID, storesOf(partition))
 		assert.Equal(w.t, partition.PreferredPrimary, "")
 	}
@@ -184,7 +184,7 @@
 			leads := world.leads(store)
 			assert.Assert(t, leads >= LeastPartitions/count && leads <= LeastPartitions/count+1, "%s leads %d", store, leads)
 		}
-		for _, partition := range world.current.table.Partitions {
+		for _, partition := range world.current.Table.Partitions {
 			first, second := partition.Replicas[0].Store, partition.Replicas[1].Store
 			assert.Assert(t, world.nodes[first].Info.Zone != world.nodes[second].Info.Zone)
 		}
@@ -194,7 +194,7 @@
 func TestInitialPlacementWaitsForEnoughStores(t *testing.T) {
 	world := newPlacementWorld(t, 3, "a", "b")
 	assert.NilError(t, world.plan())
-	assert.Equal(t, len(world.current.table.Partitions), 0)
+	assert.Equal(t, len(world.current.Table.Partitions), 0)
 }
 
 func TestStoreDownIsReplacedAndBackupsArePromoted(t *testing.T) {
@@ -202,7 +202,7 @@
 	assert.NilError(t, world.plan())
 	world.stop("a")
 	assert.NilError(t, world.plan())
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
@@ -229,7 +229,7 @@
 	assert.NilError(t, world.plan())
 	world.start("a", "zone-0", "another-disk")
 	assert.NilError(t, world.plan())
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		for i, replica := range partition.Replicas {
 			assert.Assert(t, replica.DiskID != "disk-a")
 			assert.Assert(t, replica.Store != "a" || !replica.Synced && i > 0)
@@ -242,19 +242,19 @@
 func TestGroupWithoutLivingSyncedReplicaWaits(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
 	assert.NilError(t, world.plan())
-	before := world.current.table.Partitions
+	before := world.current.Table.Partitions
 	for store := range world.nodes {
 		world.stop(store)
 	}
 	assert.NilError(t, world.plan())
-	for id, partition := range world.current.table.Partitions {
+	for id, partition := range world.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 	for _, store := range []string{"a", "b", "c", "d"} {
 		world.start(store, "zone", "disk-"+store)
 	}
 	assert.NilError(t, world.plan())
-	for id, partition := range world.current.table.Partitions {
+	for id, partition := range world.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 }
@@ -262,14 +262,14 @@
 func TestNothingIsDroppedOnTheWordOfStoresThatMayHaveDiedAsWell(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
 	assert.NilError(t, world.plan())
-	before := world.current.table.Partitions
+	before := world.current.Table.Partitions
 	for store, node := range world.nodes {
 		node.Recent = false // the leases of the others still run, but were not renewed lately
 		world.nodes[store] = node
 	}
 	world.stop("a")
 	assert.NilError(t, world.plan())
-	for id, partition := range world.current.table.Partitions {
+	for id, partition := range world.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 }
@@ -279,7 +279,7 @@
 	assert.NilError(t, world.plan())
 	world.stop("a")
 	assert.NilError(t, world.plan())
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Replicas[0].Store, "b")
 		assert.Equal(t, partition.Replicas[1].Store, "a")
 	}
@@ -290,10 +290,10 @@
 	assert.NilError(t, world.plan())
 	world.change("a", func(info *cluster.NodeInfo) { info.Draining = true })
 	assert.NilError(t, world.plan())
-	for id, partition := range world.current.table.Partitions {
+	for id, partition := range world.current.Table.Partitions {
 		if partition.Replicas[0].Store == "a" {
 			world.ask(cluster.PartitionRequest{Handover: true}, id)
-			after := world.current.table.Partitions[id]
+			after := world.current.Table.Partitions[id]
 			assert.Equal(t, after.Find("a"), len(after.Replicas)-1)
 			assert.Equal(t, after.Epoch, partition.Epoch+1)
 		}
@@ -313,7 +313,7 @@
 func TestAskWithAnOldEpochIsRefused(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c")
 	assert.NilError(t, world.plan())
-	partition := world.current.table.Partitions[0]
+	partition := world.current.Table.Partitions[0]
 	ask := cluster.PartitionRequest{Partition: 0, Epoch: partition.Epoch + 1, Store: partition.Replicas[0].Store, Handover: true}
 	err := world.plan(func(draft *draft) error { return draft.grant(&ask) })
 	assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
@@ -325,10 +325,10 @@
 func TestDropReplacesABackupThatSeemsAlive(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c")
 	assert.NilError(t, world.plan())
-	partition := world.current.table.Partitions[0]
+	partition := world.current.Table.Partitions[0]
 	dropped := partition.Replicas[1].Store
 	world.ask(cluster.PartitionRequest{Drop: dropped}, 0)
-	after := world.current.table.Partitions[0]
+	after := world.current.Table.Partitions[0]
 	assert.Equal(t, after.Find(dropped), -1)
 	assert.Equal(t, len(after.Replicas), 2)
 	assert.Assert(t, !after.Replicas[1].Synced)
@@ -338,7 +338,7 @@
 func TestDropKeepsTheLastCopies(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b")
 	assert.NilError(t, world.plan())
-	partition := world.current.table.Partitions[0]
+	partition := world.current.Table.Partitions[0]
 	err := world.tryAsk(cluster.PartitionRequest{Drop: partition.Replicas[1].Store}, 0)
 	assert.Equal(t, rpc.CodeOf(err), rpc.CodeUnavailable)
 }
@@ -349,7 +349,7 @@
 	world.change("a", func(info *cluster.NodeInfo) { info.DiskFailing = true })
 	world.settle()
 	world.requireWhole()
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 	}
 }
@@ -362,15 +362,15 @@
 		return nil
 	}
 	assert.NilError(t, world.plan(retire))
-	assert.Equal(t, world.current.table.Store("a").State, cluster.StoreRetiring)
-	assert.Assert(t, !world.current.jobs[0].Completed)
+	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetiring)
+	assert.Assert(t, !world.current.Jobs[0].Completed)
 	world.settle()
-	assert.Assert(t, world.current.jobs[0].Completed)
-	assert.Equal(t, world.current.table.Store("a").State, cluster.StoreRetired)
+	assert.Assert(t, world.current.Jobs[0].Completed)
+	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetired)
 	world.requireWhole()
 	world.stop("b")
 	world.settle()
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 	}
 	world.start("a", "zone-0", "another-disk")
@@ -407,12 +407,12 @@
 		world.stop(names[i])
 	}
 	steps := 0
-	for before := uint64(0); world.current.table.Revision != before; steps++ {
-		before = world.current.table.Revision
+	for before := uint64(0); world.current.Table.Revision != before; steps++ {
+		before = world.current.Table.Revision
 		draft := newDraft(world.current, world.nodes, world.redundancy())
 		draft.updateStores()
 		more := draft.repair()
-		changed := changedPartitions(draft.partitions, world.current.table.Partitions)
+		changed := changedPartitions(draft.partitions, world.current.Table.Partitions)
 		assert.Assert(t, len(changed) <= repairsAtOnce)
 		assert.Equal(t, more, len(changed) == repairsAtOnce)
 		if more {
@@ -420,13 +420,11 @@
 			assert.Assert(t, !leaderless || steps == 0)
 		}
 		if change := draft.diff(world.current); change != nil {
-			next := *world.current
-			applyTable(&next, change)
-			world.current = &next
+			world.current = world.current.WithTableChange(change)
 		}
 	}
 	assert.Assert(t, steps > 2, "%d steps", steps)
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		for _, replica := range partition.Replicas {
 			assert.Assert(t, world.nodes[replica.Store].Live)
 		}
@@ -465,7 +463,7 @@
 	for range 10 {
 		assert.NilError(t, world.plan())
 	}
-	for _, partition := range world.current.table.Partitions {
+	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, len(partition.Replicas), 3)
 		for _, replica := range partition.Replicas {
 			assert.Assert(t, world.nodes[replica.Store].Live, "partition %d", partition.ID)
@@ -485,7 +483,7 @@
 // checkSpread checks that the three copies of each partition stand in so many zones, so many of them in the primary's.
 func (w *placementWorld) checkSpread(zones, withPrimary int) {
 	w.t.Helper()
-	for _, partition := range w.current.table.Partitions {
+	for _, partition := range w.current.Table.Partitions {
 		counts := map[string]int{}
 		for _, replica := range partition.Replicas {
 			counts[w.nodes[replica.Store].Info.Zone]++
@@ -502,7 +500,7 @@
 	w.t.Helper()
 	for store := range w.nodes {
 		copies := 0
-		for _, partition := range w.current.table.Partitions {
+		for _, partition := range w.current.Table.Partitions {
 			if partition.Find(store) >= 0 {
 				copies++
 			}
@@ -515,12 +513,12 @@
 func TestHandoverGoesToABackupThatIsReady(t *testing.T) {
 	world := newPlacementWorld(t, 3, "a", "b", "c", "d")
 	assert.NilError(t, world.plan())
-	partition := world.current.table.Partitions[0]
+	partition := world.current.Table.Partitions[0]
 	ready := partition.Replicas[2].Store
 	world.ask(cluster.PartitionRequest{Handover: true, Ready: []string{ready}}, 0)
-	assert.Equal(t, world.current.table.Partitions[0].Replicas[0].Store, ready)
+	assert.Equal(t, world.current.Table.Partitions[0].Replicas[0].Store, ready)
 	err := world.tryAsk(cluster.PartitionRequest{Handover: true, Ready: []string{"d"}}, 0)
-	if world.current.table.Partitions[0].Find("d") < 0 {
+	if world.current.Table.Partitions[0].Find("d") < 0 {
 		assert.Assert(t, err != nil, "it holds no copy")
 	}
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -13,6 +13,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
@@ -48,7 +49,7 @@
 	options  Options
 	logger   *zap.Logger
 	group    group // nil on a process that cannot be a member
-	state    *stateMachine
+	state    *controlstate.Machine
 	leases   *lease.Table
 	workers  workerCache
 	packer   bodyPacker
@@ -87,7 +88,7 @@
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
 	}
-	plane := &Plane{options: options, logger: options.Logger, state: newStateMachine(), orders: syncutil.NewSemaphore()}
+	plane := &Plane{options: options, logger: options.Logger, state: controlstate.NewMachine(), orders: syncutil.NewSemaphore()}
 	plane.lifetime, plane.end = context.WithCancel(context.Background())
 	founding, err := newFounding(plane)
 	if err != nil {
@@ -207,7 +208,7 @@
 
 // document returns the configuration of a version where it is the current one here, or nil.
 func (p *Plane) document(version uint64) *configuration.Document {
-	document := p.state.current.Load().document
+	document := p.state.Current().Document
 	if document == nil || document.Version() != version {
 		return nil
 	}
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 )
 
 // retireState is the body of the answer to a question about a retiring store.
@@ -51,46 +52,31 @@
 	if entry == nil {
 		return errorAnswer(http.StatusNotFound, "no such store")
 	}
-	if findJob(d.jobs, store, entry.DiskID) != nil {
+	if controlstate.FindJob(d.jobs, store, entry.DiskID) != nil {
 		return emptyAnswer(http.StatusOK)
 	}
 	if left := d.activeStoresBeside(store); left < remaining {
 		text := fmt.Sprintf("%d active stores would remain, %d are needed", left, remaining)
 		return errorAnswer(http.StatusConflict, text)
 	}
-	d.jobs = append(d.jobs, retireJob{Store: store, DiskID: entry.DiskID})
+	d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: entry.DiskID})
 	return emptyAnswer(http.StatusOK)
 }
 
 // carryRetire goes on emptying a store that has come back with another disk before it was emptied.
 func (d *draft) carryRetire(store, diskID string) {
-	job := newestJob(d.jobs, store)
+	job := controlstate.NewestJob(d.jobs, store)
 	if job != nil && !job.Completed && job.DiskID != diskID {
-		d.jobs = append(d.jobs, retireJob{Store: store, DiskID: diskID})
+		d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: diskID})
 	}
 }
 
-// newestJob returns the newest retire job for a store, or nil.
-func newestJob(jobs []retireJob, store string) *retireJob {
-	for i := len(jobs) - 1; i >= 0; i-- {
-		if jobs[i].Store == store {
-			return &jobs[i]
-		}
-	}
-	return nil
-}
-
-// outdatedJob tells whether a store was emptied, and has come back with another disk since.
-func outdatedJob(job *retireJob, entry *cluster.StoreEntry) bool {
-	return job.Completed && entry != nil && entry.DiskID != job.DiskID
-}
-
 // resumeRetire empties a store again that has come back with another disk while its operator waits for its end: it would
 // be taken away with what it was given meanwhile.
 func (d *draft) resumeRetire(store string) error {
-	job, entry := newestJob(d.jobs, store), d.store(store)
-	if job != nil && outdatedJob(job, entry) {
-		d.jobs = append(d.jobs, retireJob{Store: store, DiskID: entry.DiskID})
+	job, entry := controlstate.NewestJob(d.jobs, store), d.store(store)
+	if job != nil && job.Outdated(entry) {
+		d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: entry.DiskID})
 	}
 	return nil
 }
@@ -111,12 +97,12 @@
 	if err := p.group.Confirm(ctx); err != nil {
 		return answer{}, err
 	}
-	current := p.state.current.Load()
-	job := newestJob(current.jobs, store)
+	current := p.state.Current()
+	job := controlstate.NewestJob(current.Jobs, store)
 	if job == nil {
 		return errorAnswer(http.StatusNotFound, "no such job"), nil
 	}
-	if outdatedJob(job, current.table.Store(store)) {
+	if job.Outdated(current.Table.Store(store)) {
 		err := p.manager.edit(ctx, func(draft *draft) error { return draft.resumeRetire(store) })
 		return runningAnswer, err
 	}
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 )
 
 // delivererMemory is how long after the end of its lease a store still counts for the ceilings of services: what it
@@ -50,7 +51,7 @@
 }
 
 func (d *draft) stateOf(entry *cluster.StoreEntry) cluster.StoreState {
-	job := findJob(d.jobs, entry.Name, entry.DiskID)
+	job := controlstate.FindJob(d.jobs, entry.Name, entry.DiskID)
 	node, known := d.nodes[entry.Name]
 	switch {
 	case job != nil && job.Completed:
@@ -86,7 +87,7 @@
 	}
 }
 
-func (d *draft) emptied(job *retireJob) bool {
+func (d *draft) emptied(job *controlstate.RetireJob) bool {
 	for _, partition := range d.partitions {
 		for _, replica := range partition.Replicas {
 			if replica.Store == job.Store && replica.DiskID == job.DiskID {
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
@@ -44,7 +45,7 @@
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
-		stateChanged := p.state.changed.Receive()
+		stateChanged := p.state.Changed()
 		workersChanged := p.workersChangedFor(&request)
 		response, body, err := p.news(&request)
 		if err != nil {
@@ -167,18 +168,17 @@
 }
 
 // addTable adds what is newer than a revision of the table.
-func (p *Plane) addTable(response *syncNews, current *content, revision uint64) error {
-	newest := current.table.Revision
+func (p *Plane) addTable(response *syncNews, current *controlstate.State, revision uint64) error {
+	newest := current.Table.Revision
 	if newest <= revision {
 		return nil
 	}
-	missing := newest - revision
 	var err error
-	if revision == 0 || missing > uint64(len(current.changes)) {
-		response.Table, err = p.encoded.table.get(0, newest, current.table)
+	changes, known := current.TableChangesSince(revision)
+	if !known {
+		response.Table, err = p.encoded.table.get(0, newest, current.Table)
 		return trace.Wrap(err)
 	}
-	changes := current.changes[uint64(len(current.changes))-missing:]
 	response.TableChanges, err = p.encoded.table.get(revision, newest, changes)
 	return trace.Wrap(err)
 }
@@ -208,7 +208,7 @@
 
 // news collects what is newer than what the caller holds.
 func (p *Plane) news(request *cluster.SyncRequest) (*syncNews, []byte, error) {
-	current := p.state.current.Load()
+	current := p.state.Current()
 	response := &syncNews{}
 	if err := p.addTable(response, current, request.TableRevision); err != nil {
 		return nil, nil, err
@@ -220,35 +220,19 @@
 }
 
 // addConfiguration announces what is newer than a version of the configuration, and returns it.
-func addConfiguration(response *syncNews, current *content, version uint64) []byte {
-	if current.version() <= version {
+func addConfiguration(response *syncNews, current *controlstate.State, version uint64) []byte {
+	if current.ConfigVersion() <= version {
 		return nil
 	}
-	response.ConfigVersion = current.version()
-	updates, found := current.updatesSince(version)
+	response.ConfigVersion = current.ConfigVersion()
+	updates, found := current.ConfigUpdatesSince(version)
 	if !found {
-		return current.document.JSON()
+		return current.Document.JSON()
 	}
 	var body []byte
 	for _, update := range updates {
-		response.ConfigUpdates = append(response.ConfigUpdates, len(update.body))
-		body = append(body, update.body...)
+		response.ConfigUpdates = append(response.ConfigUpdates, len(update.Body))
+		body = append(body, update.Body...)
 	}
 	return body
 }
-
-// updatesSince returns the updates that lead from a version to the current one, and false where they are not known or
-// are as long as the configuration.
-func (c *content) updatesSince(version uint64) ([]appliedUpdate, bool) {
-	size := 0
-	for i := len(c.updates) - 1; i >= 0; i-- {
-		size += len(c.updates[i].body)
-		if size >= len(c.document.JSON()) {
-			return nil, false
-		}
-		if c.updates[i].from == version {
-			return c.updates[i:], true
-		}
-	}
-	return nil, false
-}
