--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -51,7 +51,7 @@
 	History          int           // changes kept for members that are behind
 }
 
-// Fill puts the defaults in, and tells what cannot work.
+// SetDefaults puts the defaults in, and tells what cannot work.
 func (c *Config) SetDefaults() error {
 	for _, f := range []struct {
 		to   *time.Duration
@@ -89,7 +89,7 @@
 	Metadata Metadata
 }
 
-// Out is a datagram to be sent.
+// OutgoingDatagram is a datagram to be sent.
 type OutgoingDatagram struct {
 	To   netip.AddrPort
 	Data []byte
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -1,11 +1,16 @@
-// Package membership says which dispatchers are there. A Machine is one member's
-// state: it is handed datagrams, the time and what its operator wants, and gives
-// back datagrams, changes, views and when it wants to be called next. It has no
-// I/O, clock or goroutine, and the same events always give the same actions. This
-// file owns what is known of each member: probes, accusations, the inquiry of a
-// member's jury, refutation, leaving, lives. It must never take somebody for failed:
-// that is said by a view (view.go) and by nothing else. docs/membership-design.md has the
-// options weighed and the table of states.
+// Package membership tells which dispatchers are there. A Machine is the state of one member, without I/O, clock or
+// goroutine: it is handed datagrams, the time and its operator's wishes, and returns datagrams, changes, views and the time
+// of its next call. The same events always lead to the same actions.
+//
+// A member is suspected when it does not answer a ping, directly or through others (SWIM). A suspicion goes to the
+// member's observers, some members chosen by a hash of the names, who ping it themselves and report to the coordinator.
+// Nobody is removed by a suspicion alone: a member has failed when a view says so, and the views are agreed on by a
+// majority, each by a ballot of prepare and accept.
+//
+// Start reading at Machine.Handle (machine.go): probes.go pings and investigates, members.go keeps what is known of each
+// member, gossip in traffic.go spreads it, coordinator.go and ballot.go agree on the next view, transfer.go brings views to
+// members that are behind, packet.go encodes datagrams. docs/membership-design.md weighs the alternatives and has the table
+// of states.
 package membership
 
 import (
@@ -27,9 +32,9 @@
 	self              Record
 	joined            bool // it is in the view
 	leavingSince      time.Duration
-	isEnded           bool // it has left, or a later life has its name
+	isEnded           bool // it has left, or a later incarnation has its name
 	members           map[string]*member
-	ring              []*member // whom to probe, in a random order made anew each round
+	ring              []*member // members to ping, in a random order that is drawn anew each round
 	ringPosition      int
 	nextProbeAt       time.Duration
 	nextJoinAt        time.Duration
@@ -39,22 +44,22 @@
 	probes            map[uint32]*probe
 	relayedPings      map[uint32]relayedPing
 	gossipQueue       []*gossipEntry
-	healthPenalty     int           // 0 is well: its own probes come back in time
-	lastSignAt        time.Duration // when somebody last answered this member
+	healthPenalty     int           // 0 is healthy: its own probes are answered in time
+	lastSignAt        time.Duration // when this member was last answered by anybody
 	startedAt         time.Duration
 	investigated      []*member
 	suspected         []*member
-	notifiedAt        map[string]time.Duration // when this member was last told of its conflict
+	notifiedAt        map[string]time.Duration // when a member was last told that its incarnation has ended
 	view              viewState
 }
 
 const (
-	indirectProbes           = 3 // asked to ping for a member
-	maxHealthPenalty         = 8 // periods that an accusation may wait for the accuser's own health
-	minObserverPings         = 6 // that a juror has sent in vain at least before its word counts
-	pingsBeforeDissemination = 5 // pings of a juror with which it tells all: after two, 300 members with a fifth of all lost sent 2 kB/s
-	leavePeriods             = 4 // periods that a member that leaves goes on answering
-	gossipFactor             = 3 // times the logarithm of the members, a rumour is passed on
+	indirectProbes           = 3 // members asked to ping another one for this member
+	maxHealthPenalty         = 8 // periods by which a suspicion may wait for the health of the member that has it
+	minObserverPings         = 6 // unanswered pings of an observer before its report counts
+	pingsBeforeDissemination = 5 // pings of an observer before it spreads the suspicion: with two, 300 members that lost a fifth of all datagrams sent 2 kB/s
+	leavePeriods             = 4 // periods for which a leaving member still answers
+	gossipFactor             = 3 // times the logarithm of the number of members that a rumor is sent
 )
 
 // New makes a member. The time is that of the events.
@@ -85,7 +90,7 @@
 		m.actions.Next = m.now + time.Hour
 		return &m.actions
 	}
-	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // called so late, it was stopped itself
+	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // called as late as this, the process itself was stopped
 		m.handlePause(late)
 	}
 	switch ev.Kind {
@@ -99,7 +104,7 @@
 		if m.leavingSince == 0 {
 			m.leavingSince = m.now
 			m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Left})
-			for _, x := range m.randomAlive(indirectProbes, nil) { // told, not timed out
+			for _, x := range m.randomAlive(indirectProbes, nil) { // they hear of it, so that nobody has to suspect it
 				m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 			}
 		}
@@ -111,7 +116,7 @@
 	return &m.actions
 }
 
-// paused is called when this member finds that it was stopped itself: what it did not hear says nothing of others.
+// handlePause is called when this member finds that it was stopped itself: what it did not hear says nothing of others.
 func (m *Machine) handlePause(late time.Duration) {
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
@@ -121,7 +126,7 @@
 	for _, x := range m.investigated {
 		x.investigation.startedAt, x.investigation.pings = m.now, 0
 	}
-	for _, x := range m.suspected { // the time that passed is not a time in which they were silent
+	for _, x := range m.suspected { // the time of the pause does not count as theirs without an answer
 		x.stateSince = m.now
 	}
 	m.view.pause(m.now)
@@ -133,7 +138,7 @@
 
 func (m *Machine) nextSequence() uint32 { m.sequence++; return m.sequence }
 
-// work does all that is due, and finds out when something will be.
+// runDue does all that is due, and finds out when something will be.
 func (m *Machine) runDue() {
 	if m.leavingSince > 0 && m.now >= m.leavingSince+leavePeriods*m.config.Period {
 		m.isEnded = true
@@ -175,7 +180,7 @@
 	}
 }
 
-// soon sees to it that the machine is called by then.
+// wakeBy sees to it that the machine is called by then.
 func (m *Machine) wakeBy(at time.Duration) {
 	if at > m.now {
 		m.wakeAt = min(m.wakeAt, at)
@@ -185,11 +190,11 @@
 // Name returns this member's own name.
 func (m *Machine) Name() string { return m.self.Name }
 
-// Life returns which of its lives this member is in.
+// Incarnation returns which of its lives this member is in.
 func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
 
 // Joined tells whether this member has joined the others.
 func (m *Machine) Joined() bool { return m.joined }
 
-// Health returns how unwell this member is: 0 while its own probes come back in time.
+// Health returns how unhealthy this member is: 0 while its own probes are answered in time, 8 at most.
 func (m *Machine) Health() int { return m.healthPenalty }
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -1,4 +1,4 @@
-// The members as this one sees them: alive, suspected, left.
+// What this member knows of each member: alive, suspected, left.
 
 package membership
 
@@ -11,29 +11,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// member is another member as this one sees it.
 type member struct {
 	Record
 	endpoint        netip.AddrPort
 	state           State
 	stateSince      time.Duration
-	suspectedBy     []string      // who accuses it
-	lastAnswerAt    time.Duration // it last answered this member, directly or by a relay
+	suspectedBy     []string      // who suspects it
+	lastAnswerAt    time.Duration // its last answer to this member, direct or relayed
 	lastHeardAt     time.Duration // its last datagram of any kind
-	falseSuspicions int           // this member's accusations of it that proved wrong, fading
+	falseSuspicions int           // this member's suspicions of it that proved wrong, decaying
 	investigation   *investigation
-	hasAnswered     bool          // it has answered at all
-	recheckedAt     time.Duration // since when it is asked once more, as a change takes it out
-	isDisseminated  bool          // its accusation has been passed on: others believe it, and it has to refute it
+	hasAnswered     bool          // it has answered once at least
+	recheckedAt     time.Duration // since when it is asked once more, as a proposal removes it
+	isDisseminated  bool          // its suspicion has been spread: others believe it, and the member has to refute it
 }
 
-// news is a rumour on its way; the one passed on least goes first.
+// isDoubtful tells whether a member is suspected, or was and could not be reached since.
+func (x *member) isDoubtful() bool { return x.state == Suspected || x.state == Unknown }
+
+// gossipEntry is a rumor to be spread; the one sent least often goes first.
 type gossipEntry struct {
 	memberName    string
 	encoded       cbor.RawMessage
 	transmissions int
 }
 
-// accuse says that a member does not answer, to its jury alone: with a fifth of all datagrams lost most accusations are
+// startSuspicion says that a member does not answer, to its jury alone: with a fifth of all datagrams lost most accusations are
 // wrong, and the jury finds that out in half a second. Passed on at once, they and their refutations were nine tenths of
 // all bytes.
 func (m *Machine) startSuspicion(x *member) {
@@ -49,7 +53,7 @@
 	}
 }
 
-// suspect takes an accusation in, one that is meant for all or only for its jury.
+// addSuspicion takes an accusation in, one that is meant for all or only for its jury.
 func (m *Machine) addSuspicion(x *member, by string, since time.Duration, public bool) {
 	fresh := !slices.Contains(x.suspectedBy, by)
 	if x.state == Alive {
@@ -73,7 +77,7 @@
 	}
 }
 
-// set changes what a member is taken for.
+// setState changes what a member is taken for.
 func (m *Machine) setState(x *member, s State, why string) {
 	if x.state == s {
 		return
@@ -90,7 +94,7 @@
 	m.actions.Changes = append(m.actions.Changes, Change{Name: x.Name, Incarnation: x.Incarnation, State: s, Reason: why, Joined: was == 0})
 }
 
-// drop ends an inquiry.
+// endInvestigation ends an inquiry.
 func (m *Machine) endInvestigation(x *member) {
 	if x.investigation != nil {
 		x.investigation = nil
@@ -98,13 +102,13 @@
 	}
 }
 
-// sayMe spreads what this member says of itself.
+// disseminateSelf spreads what this member says of itself.
 func (m *Machine) disseminateSelf() {
 	whole := m.self
 	m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive, Record: &whole})
 }
 
-// pass puts a rumour on its way; it replaces an older one of the same member.
+// disseminate spreads a rumor; it replaces an older one of the same member.
 func (m *Machine) disseminate(r rumor) {
 	raw := cbor.RawMessage(encodeCBOR(r))
 	for _, n := range m.gossipQueue {
@@ -116,7 +120,7 @@
 	m.gossipQueue = append(m.gossipQueue, &gossipEntry{memberName: r.Name, encoded: raw})
 }
 
-// fresher takes in that a member has raised its number: it lives, and knows what was said before.
+// applyRevision takes in that a member has raised its number: it lives, and knows what was said before.
 func (m *Machine) applyRevision(x *member, n uint32, why string) {
 	if n <= x.Revision || x.state == Left || x.state == Failed {
 		return
@@ -142,7 +146,7 @@
 	}
 }
 
-// rumour takes in what is said of somebody.
+// applyRumor takes in what is said of somebody.
 func (m *Machine) applyRumor(r *rumor) {
 	if r.Name == m.self.Name {
 		switch {
@@ -152,7 +156,7 @@
 			}
 		case r.Incarnation == m.self.Incarnation && r.State == Suspected:
 			m.refute(r.Revision)
-		case r.Incarnation == m.self.Incarnation && r.Revision > m.self.Revision: // this process was put back to an earlier state
+		case r.Incarnation == m.self.Incarnation && r.Revision > m.self.Revision: // this process was restored to an earlier state
 			m.refute(r.Revision)
 		case r.Incarnation == m.self.Incarnation && r.State == Left && m.leavingSince == 0:
 			m.startNewIncarnation("it was put back to before it left")
@@ -182,7 +186,7 @@
 	}
 }
 
-// meet puts a member, or a new life of one, into the table.
+// addMember puts a member, or a new life of one, into the table.
 func (m *Machine) addMember(r Record) *member {
 	x := m.members[r.Name]
 	switch {
@@ -200,14 +204,14 @@
 	x = &member{Record: r, endpoint: m.endpointOf(&r)}
 	m.members[r.Name] = x
 	m.setState(x, Alive, "it is new")
-	// It may wait for a whole round otherwise.
+	// It would wait for a complete round otherwise.
 	if m.ringPosition <= len(m.ring) {
 		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), x)
 	}
 	return x
 }
 
-// reach is the address at which this member reaches another.
+// endpointOf is the address at which this member reaches another.
 func (m *Machine) endpointOf(r *Record) netip.AddrPort {
 	if a, ok := m.config.AddressBook[r.Name]; ok {
 		return a
@@ -226,7 +230,7 @@
 	return out
 }
 
-// Seen is what this member knows of one, itself included.
+// MemberStatus is what this member knows of one, itself included.
 type MemberStatus struct {
 	Name         string   `json:"name"`
 	Zone         string   `json:"zone"`
@@ -241,7 +245,7 @@
 	Version      string   `json:"version"`
 }
 
-// Members are all that this member knows of, by zone and name.
+// Members returns all members that this one knows of, by zone and name.
 func (m *Machine) Members() []MemberStatus {
 	see := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) MemberStatus {
 		return MemberStatus{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Address: addr.String(), State: state.String(), SinceSeconds: (m.now - since).Seconds(),
@@ -259,7 +263,7 @@
 	return out
 }
 
-// Addresses are those that a datagram of this fleet may come from.
+// Addresses returns the addresses that a datagram of this fleet may come from.
 func (m *Machine) Addresses() map[netip.AddrPort]bool {
 	out := map[netip.AddrPort]bool{}
 	for _, a := range m.config.Seeds {
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -1,7 +1,5 @@
-// The datagrams of the membership: what stands in them, how they are written and
-// how they are read. This file owns the one encoding (a version byte, then CBOR)
-// and its bounds. It must never accept a datagram that is longer, older, foreign or
-// torn, and never spend more on one than reading it once.
+// The datagrams of the membership: a version byte, then a CBOR array (RFC 8949). A datagram that is too long, of another
+// version or torn is rejected, and each is read once.
 
 package membership
 
@@ -25,7 +23,7 @@
 	maxVersionBytes = 12 // of a version
 )
 
-// Facts are what a member lets the others read.
+// Metadata are what a member lets the others read.
 type Metadata struct {
 	_        struct{} `cbor:",toarray"`
 	Weight   float32  // how much it carries, in a unit of the user's own
@@ -44,7 +42,7 @@
 	Metadata    Metadata
 }
 
-// Addr is where the member is reached.
+// AddrPort is where the member is reached.
 func (r *Record) AddrPort() netip.AddrPort {
 	var a netip.AddrPort
 	if a.UnmarshalBinary(r.Address) != nil {
@@ -145,7 +143,7 @@
 	Rumors             []cbor.RawMessage
 }
 
-// rumour is what members pass on of others. Of the states only Alive, Suspect and Left are passed on; who has failed
+// rumor is what members pass on of others. Of the states only Alive, Suspect and Left are passed on; who has failed
 // is what a view says.
 type rumor struct {
 	_               struct{} `cbor:",toarray"`
@@ -166,6 +164,9 @@
 	In     []Record
 }
 
+// isEmpty tells whether the change changes nothing.
+func (c *change) isEmpty() bool { return len(c.Failed)+len(c.Left)+len(c.In) == 0 }
+
 var (
 	encoder = func() cbor.EncMode {
 		m, err := cbor.CoreDetEncOptions().EncMode()
@@ -194,7 +195,7 @@
 
 var errMalformed = errors.New("not a datagram of this version")
 
-// read takes a datagram apart; everything in it has been checked but for what only the table can tell.
+// decodePacket takes a datagram apart; everything in it has been checked but for what only the table can tell.
 func decodePacket(b []byte) (*packet, error) {
 	if len(b) < 2 || len(b) > MaxDatagramBytes || b[0] != formatVersion {
 		return nil, errMalformed
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -1,4 +1,4 @@
-// Probes: pings, jurors that ask for others, and answers that are overdue.
+// Pings, observers that investigate a suspicion, and answers that are overdue.
 
 package membership
 
@@ -11,30 +11,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// inquiry is what a juror does about an accused member.
+// investigation is what a juror does about an accused member.
 type investigation struct {
 	startedAt, lastPingAt, lastReportAt time.Duration
 	pings                               int
 }
 
+// probe is a ping that has not been answered yet.
 type probe struct {
 	target          *member
 	incarnation     uint64
 	sequence        uint32
 	sentAt          time.Duration
-	dueAt           time.Duration // accused then
+	dueAt           time.Duration // the member is suspected then
 	isRelayed       bool          // relays were asked
-	isInvestigation bool          // part of an inquiry: nobody is accused for it
+	isInvestigation bool          // part of an investigation: nobody is suspected for it
 }
 
-// errand is a ping sent for somebody else.
+// relayedPing is a ping sent for somebody else.
 type relayedPing struct {
 	to       netip.AddrPort
 	sequence uint32
 	sentAt   time.Duration
 }
 
-// probe pings the next member of this round.
+// probeNext pings the next member of this round.
 func (m *Machine) probeNext() {
 	for range len(m.ring) + 1 {
 		if m.ringPosition >= len(m.ring) {
@@ -69,7 +70,7 @@
 	m.send(x.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: x.Name, SubjectIncarnation: x.Incarnation})
 }
 
-// overdue looks for probes without an answer: relays are asked first, then the member is accused.
+// checkOverdueProbes looks for probes without an answer: relays are asked first, then the member is accused.
 func (m *Machine) checkOverdueProbes() {
 	for _, seq := range sortedKeys(m.probes) {
 		p := m.probes[seq]
@@ -97,7 +98,7 @@
 	}
 }
 
-// some are members at random that seem to be there.
+// randomAlive are members at random that seem to be there.
 func (m *Machine) randomAlive(n int, but *member) (out []*member) {
 	if len(m.ring) == 0 {
 		return nil
@@ -117,7 +118,7 @@
 	return out
 }
 
-// jury are the members that look into an accusation of x: the first of the view by a hash of both names, passing over
+// observersOf are the members that look into an accusation of x: the first of the view by a hash of both names, passing over
 // those that are not there themselves.
 func (m *Machine) observersOf(x *member) (out []string) {
 	type ranked struct {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// juror goes on with an inquiry: it pings the member itself and through others, by turns, and tells who leads what came
+// investigate goes on with an inquiry: it pings the member itself and through others, by turns, and tells who leads what came
 // of it. Only an answer of the member ends it, or news of its own.
 func (m *Machine) investigate(x *member) {
 	q := x.investigation
@@ -176,7 +177,7 @@
 	}
 }
 
-// answer is a sign that x hears this member, and it x.
+// recordAnswer is a sign that x hears this member, and it x.
 func (m *Machine) recordAnswer(x *member) {
 	x.lastAnswerAt, x.hasAnswered, m.lastSignAt = m.now, true, m.now
 	m.view.recordHeard(x.Name)
@@ -191,7 +192,7 @@
 	}
 }
 
-// acked takes an answer to a ping in, direct or from a relay, or passes it on.
+// handleAck takes an answer to a ping in, direct or from a relay, or passes it on.
 func (m *Machine) handleAck(p *packet, x *member) {
 	if e, ok := m.relayedPings[p.Sequence]; ok {
 		delete(m.relayedPings, p.Sequence)
--- a/internal/dispatcher/membership/traffic.go
+++ b/internal/dispatcher/membership/traffic.go
@@ -1,4 +1,4 @@
-// Packets sent and heard, how a member joins, and how its life ends.
+// Datagrams in and out, how a member joins, and how an incarnation ends.
 
 package membership
 
@@ -53,7 +53,7 @@
 	m.actions.Send = append(m.actions.Send, OutgoingDatagram{To: to, Data: data})
 }
 
-// hear takes a datagram in.
+// handleDatagram takes a datagram in.
 func (m *Machine) handleDatagram(from netip.AddrPort, data []byte) {
 	p, err := decodePacket(data)
 	if err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// wants is a member that wants in, or says so of itself again.
+// handleJoin is a member that wants in, or says so of itself again.
 func (m *Machine) handleJoin(p *packet, from netip.AddrPort) {
 	list, err := decodeRecords(p.Body)
 	if err != nil || len(list) != 1 || list[0].Name != p.From || list[0].Incarnation != p.Incarnation {
@@ -144,7 +144,7 @@
 	m.send(from, packet{Kind: ping, Sequence: m.nextSequence()}) // it hears from this what the view is
 }
 
-// ask looks for the way in.
+// sendJoin looks for the way in.
 func (m *Machine) sendJoin() {
 	body := encodeCBOR([]Record{m.self})
 	var to []netip.AddrPort
@@ -162,7 +162,7 @@
 	}
 }
 
-// elsewhere tells, as a number for a datagram, whether a later life than that of a datagram's sender is there, at another
+// isAtOtherAddress tells, as a number for a datagram, whether a later life than that of a datagram's sender is there, at another
 // address. At the same one it is the same place, started anew with a clock that was set back.
 func isAtOtherAddress(x *member, from netip.AddrPort) uint32 {
 	if x.endpoint != from && x.state <= Unknown {
@@ -171,7 +171,7 @@
 	return 0
 }
 
-// knock asks a seed that is no member here now and then: two fleets that were founded apart find each other by it.
+// contactSeed asks a seed that is no member here now and then: two fleets that were founded apart find each other by it.
 func (m *Machine) contactSeed() {
 	m.nextSeedContactAt = m.now + 10*m.config.Period + time.Duration(m.rng.Int64N(int64(10*m.config.Period)))
 	if len(m.config.Seeds) == 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// twin is a datagram of somebody else under this member's own name: both are told, and the later life keeps it.
+// handleNameConflict is a datagram of somebody else under this member's own name: both are told, and the later life keeps it.
 func (m *Machine) handleNameConflict(p *packet, from netip.AddrPort) {
 	if at, ok := m.notifiedAt[""]; !ok || m.now >= at+10*m.config.Period {
 		m.notifiedAt[""] = m.now
@@ -206,7 +206,7 @@
 	}
 }
 
-// ended is told to this member: its life is over, or a later one is known under its name, perhaps at another place.
+// handleIncarnationEnded is told to this member: its life is over, or a later one is known under its name, perhaps at another place.
 func (m *Machine) handleIncarnationEnded(life uint64, elsewhere bool) {
 	switch {
 	case life < m.self.Incarnation || m.leavingSince > 0:
@@ -219,7 +219,7 @@
 	}
 }
 
-// renew begins a new life: an ended one never comes back.
+// startNewIncarnation begins a new life: an ended one never comes back.
 func (m *Machine) startNewIncarnation(why string) {
 	m.self.Incarnation++
 	m.self.Revision = 0
--- a/internal/dispatcher/membership/transfer.go
+++ b/internal/dispatcher/membership/transfer.go
@@ -19,7 +19,10 @@
 	requestMoreAt int // the next part is asked for once so many members are there
 }
 
-// retell sends the last change to those that have not shown its number yet, a few times.
+// maxTransferRetries is how often a part of a view is asked for again at the same member.
+const maxTransferRetries = 5
+
+// resendCommit sends the last change to those that have not shown its number yet, a few times.
 func (m *Machine) resendCommit() {
 	v := &m.view
 	if v.commitResendsLeft == 0 {
@@ -39,7 +42,27 @@
 	}
 }
 
-// behind asks somebody that has a later view for it.
+// continueTransfer asks once more for the next part of a view that stopped coming, and gives up after some times.
+func (m *Machine) continueTransfer() {
+	transfer := m.view.fetch
+	if transfer == nil {
+		return
+	}
+	if retryAt := transfer.lastChunkAt + 2*resendInterval; m.now < retryAt {
+		m.wakeBy(retryAt)
+		return
+	}
+	transfer.retries++
+	if transfer.retries > maxTransferRetries { // whoever has a later view is asked anew
+		m.view.fetch = nil
+		return
+	}
+	transfer.lastChunkAt = m.now
+	m.send(transfer.from, packet{Kind: viewRequest, Sequence: uint32(len(transfer.received))})
+	m.wakeBy(transfer.lastChunkAt + 2*resendInterval)
+}
+
+// requestView asks somebody that has a later view for it.
 func (m *Machine) requestView(from netip.AddrPort) {
 	v := &m.view
 	v.laterViewSeenAt = m.now
@@ -51,7 +74,7 @@
 	m.send(from, packet{Kind: viewRequest})
 }
 
-// viewPacket takes in what is about views.
+// handleViewPacket takes in what is about views.
 func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, x *member) {
 	v := &m.view
 	same := p.View == v.ViewID
@@ -107,7 +130,7 @@
 	}
 }
 
-// voter answers a ballot.
+// handleBallot answers a ballot.
 func (m *Machine) handleBallot(p *packet, from netip.AddrPort) {
 	v := &m.view
 	if p.Sequence < v.promised {
@@ -152,7 +175,7 @@
 	m.send(from, packet{Kind: accepted, Sequence: p.Sequence})
 }
 
-// serve gives somebody that is behind the changes that lead here, or the members one part after the other.
+// sendView gives somebody that is behind the changes that lead here, or the members one part after the other.
 func (m *Machine) sendView(p *packet, from netip.AddrPort) {
 	v := &m.view
 	if v.Number == 0 {
@@ -184,7 +207,7 @@
 	}
 }
 
-// chunk takes a part of a view in.
+// handleViewChunk takes a part of a view in.
 func (m *Machine) handleViewChunk(p *packet, from netip.AddrPort) {
 	v := &m.view
 	f := v.fetch
--- a/internal/dispatcher/membership/view.go
+++ b/internal/dispatcher/membership/view.go
@@ -1,8 +1,5 @@
-// Views: which members the fleet consists of, by number, the same for all that have
-// the number. This file owns the view, its changes and how a majority of one view
-// agrees on the next: a ballot in two rounds, of which the first member by rank may
-// skip the first. It must never let a change stand that a majority did not accept,
-// nor count a vote of somebody for another life, view or place than it was given for.
+// Views: numbered lists of the members, the same at all members that have the number. No view is installed that a
+// majority of the one before did not accept, and a vote counts for the incarnation, view and place alone that it was given for.
 
 package membership
 
@@ -22,12 +19,12 @@
 	Members []Record
 }
 
-// place finds a member by name.
+// indexOf finds a member by name.
 func (v *View) indexOf(name string) int {
 	return slices.IndexFunc(v.Members, func(r Record) bool { return r.Name == name })
 }
 
-// Has tells whether a life of a member is in the view.
+// Contains tells whether a life of a member is in the view.
 func (v *View) Contains(name string, life uint64) bool {
 	i := v.indexOf(name)
 	return i >= 0 && v.Members[i].Incarnation == life
@@ -135,7 +132,7 @@
 	v.ballot, v.backoffUntil, v.fetch = 0, now, nil
 }
 
-// heard takes in that a member is there after all.
+// recordHeard takes in that a member is there after all.
 func (v *viewState) recordHeard(name string) { delete(v.failedSince, name) }
 
 // View is the last view that this member knows.
@@ -146,7 +143,7 @@
 // Quorum tells whether this member's side has a majority of the view, as far as it can see.
 func (m *Machine) Quorum() bool { return m.joined && m.seesMajority() }
 
-// most tells whether more than half of the view seem to be there.
+// seesMajority tells whether more than half of the view seem to be there.
 func (m *Machine) seesMajority() bool {
 	n := 0
 	for i := range m.view.Members {
@@ -182,7 +179,7 @@
 	slices.SortFunc(v.ranked, func(a, b string) int { return cmp.Or(cmp.Compare(ranks[a], ranks[b]), cmp.Compare(a, b)) })
 }
 
-// place and Has are those of the view, by the index: each datagram on views asks for its sender.
+// indexOf and Has are those of the view, by the index: each datagram on views asks for its sender.
 func (v *viewState) indexOf(name string) int {
 	if i, ok := v.index[name]; ok {
 		return i
@@ -195,7 +192,7 @@
 	return i >= 0 && v.Members[i].Incarnation == life
 }
 
-// committed goes over to the next view. Whoever led there tells the others.
+// applyCommit goes over to the next view. Whoever led there tells the others.
 func (m *Machine) applyCommit(s viewChange, tell bool) {
 	v := &m.view
 	c, err := decodeChange(s.body)
@@ -235,7 +232,7 @@
 	}
 }
 
-// adopt takes a view in. straight tells that a change led there from this member's own view.
+// installView takes a view in. straight tells that a change led there from this member's own view.
 func (m *Machine) installView(next *View, why string, straight bool) {
 	v := &m.view
 	old, apart := v.Members, v.FleetID != 0 && v.FleetID != next.FleetID && !straight
@@ -276,7 +273,7 @@
 	m.actions.View = &View{ViewID: v.ViewID, Members: slices.Clone(v.Members)}
 }
 
-// found begins a fleet: alone, if nobody was heard that has a view, nor anybody that comes first.
+// bootstrap begins a fleet: alone, if nobody was heard that has a view, nor anybody that comes first.
 func (m *Machine) bootstrap() {
 	if at := m.startedAt + m.config.BootstrapTimeout; m.now < at {
 		m.wakeBy(at)
