--- a/internal/network/simulated/connection.go
+++ b/internal/network/simulated/connection.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-const windowSize = 64 << 10 // bytes under way and unread in one direction before a writer waits
+const windowBytes = 64 << 10 // bytes under way and unread in one direction before a writer waits
 
-// connection is one end of a stream connection. The network's mutex guards it.
+// connection is one end of a stream connection. It implements net.Conn. packets.go has what arrives at it.
 type connection struct {
 	host     *host
 	peer     *connection // nil until the attempt has reached the other host
@@ -24,17 +24,17 @@
 	opened   chan struct{} // closed once a dialed connection is open or has failed
 
 	received      []byte // delivered and not yet read
-	unread        int    // bytes sent by this end that the peer has not read
+	unreadBytes   int    // bytes sent by this end that the peer has not read
 	readable      *sync.Cond
 	writable      *sync.Cond
 	readDeadline  deadline
 	writeDeadline deadline
 
-	settled     bool  // opened is closed
-	closed      bool  // by this end
-	writeClosed bool  // by this end's CloseWrite
-	peerClosed  bool  // the peer sends nothing more
-	failure     error // why the connection broke
+	openingEnded bool  // opened is closed
+	closed       bool  // by this end
+	writeClosed  bool  // by this end's CloseWrite
+	peerClosed   bool  // the peer sends nothing more
+	failure      error // why the connection broke
 }
 
 // newConnection makes the end of a connection at a host.
@@ -51,7 +51,7 @@
 	return made
 }
 
-// awaitOpening waits until a dialed connection is open, or gives it up when the context ends.
+// awaitOpening waits until a dialed connection is open, or gives it up when the context ends. It locks the mutex.
 func (c *connection) awaitOpening(ctx context.Context) error {
 	select {
 	case <-c.opened:
@@ -62,7 +62,7 @@
 	if c.failure != nil {
 		return c.failure
 	}
-	if c.settled {
+	if c.openingEnded {
 		return nil
 	}
 	c.abort()
@@ -78,14 +78,14 @@
 		if c.closed {
 			return 0, c.operationError("read", net.ErrClosed)
 		}
-		if c.readDeadline.passed() {
+		if c.readDeadline.expired() {
 			return 0, c.operationError("read", os.ErrDeadlineExceeded)
 		}
 		if len(buffer) == 0 {
 			return 0, nil
 		}
 		if len(c.received) > 0 {
-			return c.take(buffer), nil
+			return c.consume(buffer), nil
 		}
 		if c.failure != nil {
 			return 0, c.operationError("read", c.failure)
@@ -97,14 +97,14 @@
 	}
 }
 
-// take moves received bytes to a reader, and opens the peer's window by as much.
-func (c *connection) take(buffer []byte) int {
+// consume moves received bytes to a reader, and opens the peer's window by as much.
+func (c *connection) consume(buffer []byte) int {
 	count := copy(buffer, c.received)
 	c.received = c.received[count:]
 	if len(c.received) == 0 {
 		c.received = nil
 	}
-	c.peer.unread -= count
+	c.peer.unreadBytes -= count
 	c.peer.writable.Broadcast()
 	return count
 }
@@ -121,7 +121,7 @@
 		if written == len(data) {
 			return written, nil
 		}
-		window := windowSize - c.unread
+		window := windowBytes - c.unreadBytes
 		if window <= 0 {
 			c.writable.Wait()
 			continue
@@ -141,7 +141,7 @@
 		return c.failure
 	case c.writeClosed:
 		return os.NewSyscallError("write", syscall.EPIPE)
-	case c.writeDeadline.passed():
+	case c.writeDeadline.expired():
 		return os.ErrDeadlineExceeded
 	}
 	return nil
@@ -149,7 +149,7 @@
 
 // transmit sends bytes that fit into the window.
 func (c *connection) transmit(data []byte) {
-	c.unread += len(data)
+	c.unreadBytes += len(data)
 	peer := c.peer
 	c.outgoing.send(func() { peer.receive(data) })
 }
@@ -166,7 +166,7 @@
 	}
 	c.closed = true
 	c.received = nil
-	c.forget()
+	c.unregister()
 	return nil
 }
 
@@ -207,16 +207,18 @@
 	return c.setDeadline(&c.writeDeadline, at, c.writable)
 }
 
+// setDeadline sets one of the deadlines. It locks the mutex.
 func (c *connection) setDeadline(changed *deadline, at time.Time, waiting *sync.Cond) error {
 	c.host.network.mutex.Lock()
 	defer c.host.network.mutex.Unlock()
 	if c.closed {
 		return c.operationError("set", net.ErrClosed)
 	}
-	changed.set(at, waiting)
+	changed.reset(at, waiting)
 	return nil
 }
 
+// operationError wraps an error as the standard library's connections do.
 func (c *connection) operationError(operation string, err error) error {
 	return &net.OpError{Op: operation, Net: "tcp", Source: c.local, Addr: c.remote, Err: err}
 }
--- a/internal/network/simulated/deadline.go
+++ b/internal/network/simulated/deadline.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// deadline ends the waiting on a condition variable. The condition's mutex guards it.
+// deadline ends the waiting on a condition variable, whose mutex guards it.
 type deadline struct {
 	at    time.Time // zero for none
 	timer *time.Timer
 }
 
-// set replaces the deadline and wakes those who wait, as they may now wait too long. A deadline that has passed needs no
+// reset replaces the deadline and wakes those who wait, as they may now wait too long. A deadline that has passed needs no
 // timer: they see it when they wake.
-func (d *deadline) set(at time.Time, waiting *sync.Cond) {
+func (d *deadline) reset(at time.Time, waiting *sync.Cond) {
 	d.stop()
 	d.at = at
 	if wait := time.Until(at); !at.IsZero() && wait > 0 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// passed tells whether the deadline has been reached.
-func (d *deadline) passed() bool {
+// expired tells whether the deadline has been reached.
+func (d *deadline) expired() bool {
 	return !d.at.IsZero() && !time.Now().Before(d.at)
 }
--- a/internal/network/simulated/link.go
+++ b/internal/network/simulated/link.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// route names a link by the addresses of its hosts.
-type route struct {
+// direction names a link by the addresses of its hosts.
+type direction struct {
 	from string
 	to   string
 }
 
 // link carries packets from one host to another, in order. The network's mutex guards it.
 type link struct {
-	network *Network
-	from    *host
-	to      *host
-	delay   time.Duration
-	cut     bool
-	queue   []packet
-	timer   *time.Timer
+	network  *Network
+	from     *host
+	to       *host
+	delay    time.Duration
+	isolated bool        // packets are held
+	queue    []packet    // under way, by their arrival
+	timer    *time.Timer // fires at the first packet's arrival; nil before the first packet
 }
 
 // packet is something under way. Its deliver function runs at the arrival, under the network's mutex.
@@ -27,7 +27,7 @@
 
 // send puts a packet on the way. A host without power sends nothing.
 func (l *link) send(deliver func()) {
-	if l.from.off {
+	if l.from.poweredOff {
 		return
 	}
 	l.queue = append(l.queue, packet{arrival: l.arrival(time.Now(), len(l.queue)), deliver: deliver})
@@ -39,7 +39,7 @@
 // arrival draws the time at which the packet at a position arrives: never before the packet ahead of it.
 func (l *link) arrival(now time.Time, position int) time.Time {
 	drawn := now.Add(l.delay)
-	if spread := int64(l.delay / jitterPart); spread > 0 {
+	if spread := int64(l.delay / jitterDivisor); spread > 0 {
 		drawn = drawn.Add(time.Duration(l.network.random.Int64N(spread)))
 	}
 	if position > 0 && drawn.Before(l.queue[position-1].arrival) {
@@ -48,9 +48,9 @@
 	return drawn
 }
 
-// blocked tells whether packets are held.
+// blocked tells whether packets are held instead of delivered.
 func (l *link) blocked() bool {
-	return l.cut || l.from.off || l.to.off
+	return l.isolated || l.from.poweredOff || l.to.poweredOff
 }
 
 // schedule sets the timer to the first packet's arrival.
@@ -60,14 +60,14 @@
 	}
 	wait := time.Until(l.queue[0].arrival)
 	if l.timer == nil {
-		l.timer = time.AfterFunc(wait, l.run)
+		l.timer = time.AfterFunc(wait, l.deliverArrived)
 		return
 	}
 	l.timer.Reset(wait)
 }
 
-// run delivers all packets that have arrived.
-func (l *link) run() {
+// deliverArrived delivers all packets that have arrived. It is the timer's function, and locks the mutex.
+func (l *link) deliverArrived() {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
 	if l.blocked() {
--- a/internal/network/simulated/listener.go
+++ b/internal/network/simulated/listener.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// listener implements net.Listener. The network's mutex guards it.
+// listener accepts the connections that are opened at one port of a host. It implements net.Listener.
 type listener struct {
 	host    *host
 	address *net.TCPAddr
-	waiting []*connection // opened and not yet accepted
+	backlog []*connection // opened and not yet accepted
 	arrived *sync.Cond
 	closed  bool
 }
@@ -18,14 +18,14 @@
 func (l *listener) Accept() (net.Conn, error) {
 	l.host.network.mutex.Lock()
 	defer l.host.network.mutex.Unlock()
-	for len(l.waiting) == 0 && !l.closed {
+	for len(l.backlog) == 0 && !l.closed {
 		l.arrived.Wait()
 	}
 	if l.closed {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.address, Err: net.ErrClosed}
 	}
-	accepted := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	accepted := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return accepted, nil
 }
 
@@ -47,9 +47,9 @@
 func (l *listener) close() {
 	l.closed = true
 	delete(l.host.listeners, l.address.Port)
-	for _, unaccepted := range l.waiting {
+	for _, unaccepted := range l.backlog {
 		unaccepted.abort()
 	}
-	l.waiting = nil
+	l.backlog = nil
 	l.arrived.Broadcast()
 }
--- a/internal/network/simulated/network.go
+++ b/internal/network/simulated/network.go
@@ -1,8 +1,3 @@
-// Package simulated is an in-memory network for tests. Hosts are connected by links with a delay, which can be cut and
-// healed; hosts can be killed and lose their power.
-//
-// It is made for the bubbles of testing/synctest: create the network inside the bubble. All waiting is on condition
-// variables and timers, so the bubble's clock moves on while connections wait.
 package simulated
 
 import (
@@ -16,15 +11,15 @@
 const (
 	defaultDelay  = time.Millisecond      // one way between two hosts
 	loopbackDelay = 20 * time.Microsecond // from a host to itself
-	jitterPart    = 10                    // a packet's delay varies upwards by less than delay/jitterPart
+	jitterDivisor = 10                    // a packet's delay varies upwards by less than delay/jitterDivisor
 )
 
 // Network is a set of hosts and the links between them. All its methods may be called at any time.
 type Network struct {
-	mutex  sync.Mutex // guards all state of hosts, links, listeners and connections
+	mutex  sync.Mutex // guards what follows, and all state of hosts, links, listeners and connections
 	random *rand.Rand
 	hosts  map[string]*host
-	links  map[route]*link
+	links  map[direction]*link
 }
 
 // New makes a network without hosts. The seed decides the variation of delays.
@@ -32,17 +27,17 @@
 	return &Network{
 		random: rand.New(rand.NewPCG(seed, seed)),
 		hosts:  map[string]*host{},
-		links:  map[route]*link{},
+		links:  map[direction]*link{},
 	}
 }
 
-// Host returns a machine's view of the network. After Kill and PowerOff a restarted process takes a new view, or listens
-// again on the old one; until then the old view can't dial.
+// Host returns the network as a process on a host has it. After Kill and PowerOff a restarted process takes a new one, or
+// listens again on the old one; until then the old one can't dial.
 func (n *Network) Host(ip string) network.Network {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	machine := n.host(ip)
-	return &view{host: machine, generation: machine.generation}
+	return &processNetwork{host: machine, generation: machine.generation}
 }
 
 // SetDelay sets the one-way delay between two hosts, in both directions, for packets sent from now on.
@@ -53,19 +48,19 @@
 	n.link(b, a).delay = delay
 }
 
-// Isolate silently stops all traffic between two hosts. What is sent is held until Heal.
+// Isolate stops all traffic between two hosts, without any error. What is sent is held until Heal.
 func (n *Network) Isolate(a, b string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.link(a, b).cut = true
-	n.link(b, a).cut = true
+	n.link(a, b).isolated = true
+	n.link(b, a).isolated = true
 }
 
-// IsolateOneWay silently stops the traffic in one direction. What is sent is held until Heal.
+// IsolateOneWay stops the traffic in one direction, without any error. What is sent is held until Heal.
 func (n *Network) IsolateOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.link(from, to).cut = true
+	n.link(from, to).isolated = true
 }
 
 // Heal ends Isolate and IsolateOneWay between two hosts, in both directions.
@@ -73,8 +68,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, healed := range []*link{n.link(a, b), n.link(b, a)} {
-		if healed.cut {
-			healed.cut = false
+		if healed.isolated {
+			healed.isolated = false
 			healed.resume()
 		}
 	}
@@ -85,26 +80,27 @@
 func (n *Network) Kill(ip string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.host(ip).stop()
+	n.host(ip).endProcess()
 }
 
-// ResetConnections resets a part of a host's connections, at both ends. Its process and its listeners go on.
-func (n *Network) ResetConnections(ip string, part float64) {
+// ResetConnections resets a fraction of a host's connections, from 0 to 1 and drawn at random, at both ends. Its process
+// and its listeners go on.
+func (n *Network) ResetConnections(ip string, fraction float64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for open := range n.host(ip).connections {
-		if n.random.Float64() < part {
+		if n.random.Float64() < fraction {
 			open.abort()
 		}
 	}
 }
 
-// PowerOff silences a host: nothing reaches or leaves it, and nobody is told.
+// PowerOff takes a host's power: nothing reaches or leaves it, and no other host is notified.
 func (n *Network) PowerOff(ip string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	machine := n.host(ip)
-	machine.off = true
+	machine.poweredOff = true
 	machine.generation++
 	for _, each := range n.links {
 		if each.from == machine {
@@ -119,21 +115,21 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	machine := n.host(ip)
-	if !machine.off {
+	if !machine.poweredOff {
 		return
 	}
-	machine.stop()
-	machine.off = false
+	machine.endProcess()
+	machine.poweredOff = false
 	for _, each := range n.links {
 		if each.from == machine || each.to == machine {
 			each.resume()
 		}
 	}
-	n.resetRemains(machine)
+	n.resetStaleConnections(machine)
 }
 
 // resetRemains resets the other ends of connections that a host has forgotten.
-func (n *Network) resetRemains(machine *host) {
+func (n *Network) resetStaleConnections(machine *host) {
 	for _, other := range n.hosts {
 		for remaining := range other.connections {
 			if remaining.peer != nil && remaining.incoming.from == machine {
@@ -143,7 +139,8 @@
 	}
 }
 
-// host returns a host by its address. A host that was never mentioned is up and has no listeners.
+// host returns a host by its address. A host that was never mentioned is up and has no listeners. The caller has locked
+// the mutex.
 func (n *Network) host(ip string) *host {
 	found := n.hosts[ip]
 	if found == nil {
@@ -153,16 +150,16 @@
 	return found
 }
 
-// link returns the link from one host to another.
+// link returns the link from one host to another. The caller has locked the mutex.
 func (n *Network) link(from, to string) *link {
-	direction := route{from: from, to: to}
-	found := n.links[direction]
+	key := direction{from: from, to: to}
+	found := n.links[key]
 	if found == nil {
 		found = &link{network: n, from: n.host(from), to: n.host(to), delay: defaultDelay}
 		if from == to {
 			found.delay = loopbackDelay
 		}
-		n.links[direction] = found
+		n.links[key] = found
 	}
 	return found
 }
--- a/internal/network/simulated/network_test.go
+++ b/internal/network/simulated/network_test.go
@@ -117,15 +117,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		client, server := pair(t, New(5))
 		assert.NilError(t, client.SetWriteDeadline(time.Now().Add(time.Second)))
-		count, err := client.Write(make([]byte, 3*windowSize))
-		assert.Equal(t, count, windowSize)
+		count, err := client.Write(make([]byte, 3*windowBytes))
+		assert.Equal(t, count, windowBytes)
 		assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "got %v", err)
 
 		assert.NilError(t, client.SetWriteDeadline(time.Time{}))
 		go func() { _, _ = io.Copy(io.Discard, server) }()
-		count, err = client.Write(make([]byte, 3*windowSize))
+		count, err = client.Write(make([]byte, 3*windowBytes))
 		assert.NilError(t, err)
-		assert.Equal(t, count, 3*windowSize)
+		assert.Equal(t, count, 3*windowBytes)
 	})
 }
 
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestCutHoldsBytesUntilHealed(t *testing.T) {
+func TestIsolatedLinkHoldsBytesUntilHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(7)
 		client, server := pair(t, network)
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestDialHangsOverCutLink(t *testing.T) {
+func TestDialHangsOverIsolatedLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(8)
 		network.Isolate(hostA, hostB)
--- a/internal/network/simulated/packets.go
+++ b/internal/network/simulated/packets.go
@@ -18,7 +18,7 @@
 	c.readable.Broadcast()
 }
 
-// receiveEnd takes the peer's word that it sends nothing more.
+// receiveEnd notes that the peer sends nothing more.
 func (c *connection) receiveEnd() {
 	c.peerClosed = true
 	c.readable.Broadcast()
@@ -39,7 +39,7 @@
 	if c.closed || c.failure != nil {
 		return
 	}
-	c.settle()
+	c.endOpening()
 }
 
 // abort breaks this end at once and resets the other one.
@@ -60,20 +60,20 @@
 		return
 	}
 	c.failure = reason
-	c.forget()
-	c.settle()
+	c.unregister()
+	c.endOpening()
 }
 
-// settle tells the dialer that the connection is open or has failed.
-func (c *connection) settle() {
-	if !c.settled {
-		c.settled = true
+// endOpening tells the dialer that the connection is open or has failed.
+func (c *connection) endOpening() {
+	if !c.openingEnded {
+		c.openingEnded = true
 		close(c.opened)
 	}
 }
 
-// forget takes the connection off its host, and wakes all who wait on it.
-func (c *connection) forget() {
+// unregister takes the connection off its host, and wakes all who wait on it.
+func (c *connection) unregister() {
 	delete(c.host.connections, c)
 	c.readDeadline.stop()
 	c.writeDeadline.stop()
--- a/internal/network/tcp.go
+++ b/internal/network/tcp.go
@@ -10,15 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that vanished without closing its connections is noticed within these limits.
+// A peer that vanished without closing its connections is noticed within these limits: tcp(7), TCP_USER_TIMEOUT (RFC 5482)
+// and TCP_KEEPIDLE, TCP_KEEPINTVL and TCP_KEEPCNT.
 const (
 	userTimeout       = 2 * time.Second // how long sent bytes may stay unacknowledged
-	keepAliveIdle     = time.Second     // silence before the first probe
+	keepAliveIdle     = time.Second     // without any byte before the first probe
 	keepAliveInterval = time.Second     // time between probes
 	keepAliveCount    = 3               // unanswered probes that end the connection
 )
 
-// TCP is the real network. Its connections notice a vanished peer within seconds.
+// TCP is the operating system's network. Its connections notice a vanished peer within seconds. The zero value is ready
+// to use.
 type TCP struct{}
 
 var _ Network = TCP{}
--- a/internal/rpc/failures_test.go
+++ b/internal/rpc/failures_test.go
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestCutShorterThanTheLimitLosesNothing(t *testing.T) {
+func TestIsolationShorterThanTheTimeoutLosesNothing(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.assertDoubles(t)
 		f.network.Isolate(clientIP, serverIP)
