--- a/cmd/gladepick-system/process.go
+++ b/cmd/gladepick-system/process.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/operatorcli"
 	"gladepick/internal/settings"
 	"gladepick/internal/systemnode"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // process is a front or a store.
@@ -88,7 +88,7 @@
 	}
 	reserveDiskThreads(file.Settings.DataDir != "")
 	if file.Settings.DataDir != "" {
-		if options.FS, err = wal.Directory(file.Settings.DataDir); err != nil {
+		if options.FS, err = vfs.OpenDirectory(file.Settings.DataDir); err != nil {
 			return err
 		}
 	}
--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -28,6 +28,8 @@
 	"internal/configuration":                 planePlumbing,
 	"internal/configuration/configurationpb": planePlumbing,
 	"internal/ctxtime":                       planePlumbing,
+	"internal/vfs":                           planePlumbing,
+	"internal/vfs/memfs":                     planePlumbing,
 	"internal/wal":                           planePlumbing,
 	"internal/message":                       planePlumbing,
 	"internal/modelcheck":                    planePlumbing,
@@ -106,7 +108,9 @@
 	"internal/configuration":                 {"internal/configuration/configurationpb"},
 	"internal/configuration/configurationpb": {},
 	"internal/ctxtime":                       {},
-	"internal/wal":                           {},
+	"internal/vfs":                           {},
+	"internal/vfs/memfs":                     {"internal/vfs"},
+	"internal/wal":                           {"internal/vfs"},
 	"internal/message":                       {},
 	"internal/modelcheck":                    {},
 	"internal/network":                       {},
@@ -114,7 +118,7 @@
 	"internal/rpc":                           {"internal/network"},
 	"internal/settings":                      {},
 	"internal/controlplane/syncutil":         {},
-	"internal/controlplane/replication":      {"internal/ctxtime", "internal/wal", "internal/modelcheck", "internal/rpc"},
+	"internal/controlplane/replication":      {"internal/ctxtime", "internal/modelcheck", "internal/rpc", "internal/vfs", "internal/wal"},
 }
 
 // majorityLog is the library that replicates a log by majority. The control state has another form of replication,
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -19,7 +19,7 @@
 	"gladepick/internal/messagestore"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 const (
@@ -134,7 +134,7 @@
 type storePair struct {
 	client  *messagestore.Client
 	table   *cluster.Table
-	disks   []wal.FS
+	disks   []vfs.FS
 	pool    *rpc.Pool
 	syncs   atomic.Int64
 	written atomic.Int64
@@ -164,7 +164,7 @@
 }
 
 func (p *storePair) start(b *testing.B, number int) *messagestore.Store {
-	disk, err := wal.Directory(b.TempDir())
+	disk, err := vfs.OpenDirectory(b.TempDir())
 	assert.NilError(b, err)
 	p.disks = append(p.disks, countingDisk{FS: disk, pair: p})
 	listener, err := network.TCP{}.Listen(benchPort)
@@ -188,17 +188,17 @@
 
 // countingDisk counts what is written and synced.
 type countingDisk struct {
-	wal.FS
+	vfs.FS
 	pair *storePair
 }
 
-func (d countingDisk) Create(name string) (wal.File, error) {
+func (d countingDisk) Create(name string) (vfs.File, error) {
 	file, err := d.FS.Create(name)
 	return countingFile{File: file, pair: d.pair}, err
 }
 
 type countingFile struct {
-	wal.File
+	vfs.File
 	pair *storePair
 }
 
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -11,7 +11,7 @@
 
 	"gladepick/internal/configuration"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // LeaseDuration is how long a lease runs after the request that renewed it was sent.
@@ -24,7 +24,7 @@
 	Server       *rpc.Server // gets the handlers that every process serves; may be nil
 	Seeds        []string    // control addresses of the seeds, "ip:port"
 	InternalPort int         // port of the internal RPC server on every machine
-	Disk         wal.FS      // where the members of the control group are remembered; may be nil
+	Disk         vfs.FS      // where the members of the control group are remembered; may be nil
 	Register     bool        // announce the process at the seeds until the control group is known (first start only)
 	Logger       *zap.Logger
 }
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -16,7 +16,8 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
+	"gladepick/internal/vfs/memfs"
 )
 
 const port = 7240
@@ -80,7 +81,7 @@
 	})
 }
 
-func (w *world) newAgent(t *testing.T, disk wal.FS, seeds ...string) *cluster.Agent {
+func (w *world) newAgent(t *testing.T, disk vfs.FS, seeds ...string) *cluster.Agent {
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Info: func() cluster.NodeInfo { return cluster.NodeInfo{Name: "node", Address: "10.0.1.1:7240"} },
 		Pool: w.pool, Seeds: seeds, InternalPort: port, Disk: disk,
@@ -276,7 +277,7 @@
 func TestMembersAreRememberedOnTheDisk(t *testing.T) {
 	run(t, 1, func(t *testing.T, w *world) {
 		w.members[0].set(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, Core: w.core()} })
-		disk := wal.NewMemory(1)
+		disk := memfs.New(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		first := w.newAgent(t, disk, "10.0.0.1:8046")
 		done := make(chan struct{})
--- a/internal/cluster/corefile.go
+++ b/internal/cluster/corefile.go
@@ -5,6 +5,7 @@
 
 	"github.com/gravitational/trace"
 
+	"gladepick/internal/vfs"
 	"gladepick/internal/wal"
 )
 
@@ -12,7 +13,7 @@
 const coreFile = "core"
 
 // loadCore returns the members remembered, or none.
-func loadCore(disk wal.FS) []CoreEntry {
+func loadCore(disk vfs.FS) []CoreEntry {
 	data, err := wal.LoadFile(disk, coreFile)
 	if err != nil {
 		return nil
@@ -24,7 +25,7 @@
 	return core
 }
 
-func saveCore(disk wal.FS, core []CoreEntry) error {
+func saveCore(disk vfs.FS, core []CoreEntry) error {
 	data, err := json.Marshal(core)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -8,6 +8,7 @@
 
 	"github.com/gravitational/trace"
 
+	"gladepick/internal/vfs"
 	"gladepick/internal/wal"
 )
 
@@ -17,7 +18,7 @@
 )
 
 // DiskID returns the random id of a disk. It is drawn when the disk is first used.
-func DiskID(disk wal.FS) (string, error) {
+func DiskID(disk vfs.FS) (string, error) {
 	known, err := wal.LoadFile(disk, diskIDFile)
 	if err == nil {
 		return string(known), nil
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -19,7 +19,8 @@
 	"gladepick/internal/controlplane"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
+	"gladepick/internal/vfs/memfs"
 )
 
 const (
@@ -37,7 +38,7 @@
 	ip        string
 	core      bool
 	store     bool
-	disk      *wal.Memory // nil without a disk
+	disk      *memfs.Disk // nil without a disk
 	diskID    string
 	starts    int
 	leaving   atomic.Bool
@@ -110,7 +111,7 @@
 	m := &machine{world: w, name: name, zone: zone, core: core, store: store}
 	m.ip = fmt.Sprintf("10.0.0.%d", len(w.machines)+1)
 	if core || store {
-		m.disk = wal.NewMemory(uint64(len(w.machines)) + 1)
+		m.disk = memfs.New(uint64(len(w.machines)) + 1)
 	}
 	w.machines = append(w.machines, m)
 	return m
@@ -135,7 +136,7 @@
 		Address:     fmt.Sprintf("%s:%d", m.ip, internalPort),
 		Incarnation: fmt.Sprintf("%s-%d", m.name, m.starts),
 	}
-	var disk wal.FS
+	var disk vfs.FS
 	if m.disk != nil {
 		disk = m.disk.Mount()
 		id, err := controlplane.DiskID(disk)
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -19,7 +19,7 @@
 	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // roleCheckInterval bounds how late a loop that works only at the primary notices that its process has become it.
@@ -31,7 +31,7 @@
 	Network   network.Network
 	Pool      *rpc.Pool
 	Server    *rpc.Server
-	FS        wal.FS // nil without a disk
+	FS        vfs.FS // nil without a disk
 	Bootstrap bool   // this is the first start of the whole system
 	Tolerated int    // how many losses of disks the system must bear
 	// ToleratedZones is how many lost zones it must bear.
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -18,7 +18,7 @@
 
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
 const testPort = 7000
@@ -74,7 +74,7 @@
 type node struct {
 	cluster *cluster
 	ip      string
-	disk    *wal.Memory
+	disk    *memfs.Disk
 	member  Member
 	disks   int                     // how many disks it has had
 	current atomic.Pointer[process] // nil while it does not run
@@ -115,7 +115,7 @@
 	added := &node{cluster: c, ip: fmt.Sprintf("10.1.0.%d", number)}
 	added.member.Name = fmt.Sprintf("member-%d", number)
 	added.member.Address = fmt.Sprintf("%s:%d", added.ip, testPort)
-	added.disk = wal.NewMemory(c.seed*100 + uint64(number))
+	added.disk = memfs.New(c.seed*100 + uint64(number))
 	added.newDisk()
 	c.nodes = append(c.nodes, added)
 	return added
--- a/internal/controlplane/replication/types.go
+++ b/internal/controlplane/replication/types.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // ErrNotPrimary means that this process does not lead the group at present; what was asked for was surely not done.
@@ -85,7 +85,7 @@
 	Self          Member
 	Pool          *rpc.Pool
 	Server        *rpc.Server
-	FS            wal.FS
+	FS            vfs.FS
 	StateMachine  StateMachine
 	Copies        int // on how many disks a change is before it is acknowledged: tolerated losses + 1
 	AllowFounding bool
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -8,6 +8,7 @@
 
 	"github.com/gravitational/trace"
 
+	"gladepick/internal/vfs"
 	"gladepick/internal/wal"
 )
 
@@ -35,12 +36,12 @@
 
 // witness keeps the record on disk. A change is durable before it can be seen.
 type witness struct {
-	fs      wal.FS
+	fs      vfs.FS
 	writing gate // held while the file is written
 	current atomic.Pointer[witnessRecord]
 }
 
-func openWitness(fileSystem wal.FS) (*witness, error) {
+func openWitness(fileSystem vfs.FS) (*witness, error) {
 	w := &witness{fs: fileSystem, writing: newGate()}
 	record := &witnessRecord{}
 	data, err := wal.LoadFile(fileSystem, witnessFile)
--- a/internal/controlplane/replication/witness_test.go
+++ b/internal/controlplane/replication/witness_test.go
@@ -5,10 +5,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
-func reopen(t *testing.T, disk *wal.Memory) *witness {
+func reopen(t *testing.T, disk *memfs.Disk) *witness {
 	t.Helper()
 	disk.PowerLoss()
 	opened, err := openWitness(disk.Mount())
@@ -18,7 +18,7 @@
 
 func TestWitnessKeepsItsWordThroughPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
-		disk := wal.NewMemory(seed)
+		disk := memfs.New(seed)
 		w := reopen(t, disk)
 		promised, err := w.promise(3, "a")
 		assert.Assert(t, err == nil && promised)
@@ -44,7 +44,7 @@
 }
 
 func TestWitnessWithoutDiskSpaceGivesNoWord(t *testing.T) {
-	disk := wal.NewMemory(1)
+	disk := memfs.New(1)
 	w := reopen(t, disk)
 	disk.SetFull(true)
 	_, err := w.promise(1, "a")
--- a/internal/messagestore/golden_test.go
+++ b/internal/messagestore/golden_test.go
@@ -17,6 +17,8 @@
 
 	"gladepick/internal/message"
 	"gladepick/internal/rpc"
+	"gladepick/internal/vfs"
+	"gladepick/internal/vfs/memfs"
 	"gladepick/internal/wal"
 )
 
@@ -142,7 +144,7 @@
 	t.Cleanup(func() { time.Local = local })
 }
 
-func openGoldenStore(t *testing.T, disk *wal.Memory) (*Store, *testEngine) {
+func openGoldenStore(t *testing.T, disk *memfs.Disk) (*Store, *testEngine) {
 	t.Helper()
 	store, err := Open(Options{
 		Name: "a", DiskID: "disk-a", FS: disk.Mount(), Server: rpc.NewServer(zap.NewNop()),
@@ -183,7 +185,7 @@
 
 // writeGoldenStore has a store lead two partitions: messages that wait, with and without failed attempts, that were
 // completed, and that are dead letters.
-func writeGoldenStore(t *testing.T, disk *wal.Memory) {
+func writeGoldenStore(t *testing.T, disk *memfs.Disk) {
 	store, engine := openGoldenStore(t, disk)
 	store.ApplyTable(tableLedBy(1, "a", "a"))
 	putGolden(t, store, 0, "0-0000000000000001", "first body")
@@ -201,7 +203,7 @@
 }
 
 // writeGoldenSnapshot goes on with a snapshot of the index, a table under a higher epoch, and more messages.
-func writeGoldenSnapshot(t *testing.T, disk *wal.Memory) {
+func writeGoldenSnapshot(t *testing.T, disk *memfs.Disk) {
 	writeGoldenStore(t, disk)
 	store, engine := openGoldenStore(t, disk)
 	store.ApplyTable(tableLedBy(2, "a", "a"))
@@ -211,7 +213,7 @@
 	assert.NilError(t, store.Close())
 }
 
-func readWholeFile(t *testing.T, disk wal.FS, name string) []byte {
+func readWholeFile(t *testing.T, disk vfs.FS, name string) []byte {
 	t.Helper()
 	file, err := disk.Open(name)
 	assert.NilError(t, err)
@@ -225,9 +227,9 @@
 }
 
 // loadGoldenDisk returns a disk with the recorded files.
-func loadGoldenDisk(t *testing.T, folder string) *wal.Memory {
+func loadGoldenDisk(t *testing.T, folder string) *memfs.Disk {
 	t.Helper()
-	disk := wal.NewMemory(1)
+	disk := memfs.New(1)
 	entries, err := os.ReadDir(golden.Path(folder))
 	assert.NilError(t, err)
 	for _, entry := range entries {
@@ -241,7 +243,7 @@
 }
 
 // snapshotOf decodes a snapshot of the index, whose partitions and entries stand in no particular order.
-func snapshotOf(t *testing.T, disk wal.FS, name string) []snapshotPartition {
+func snapshotOf(t *testing.T, disk vfs.FS, name string) []snapshotPartition {
 	t.Helper()
 	data, err := wal.LoadFile(disk, name)
 	assert.NilError(t, err)
@@ -255,7 +257,7 @@
 }
 
 // compareGoldenDisk compares what was written with the recorded files: segments byte by byte, snapshots by what they hold.
-func compareGoldenDisk(t *testing.T, written *wal.Memory, folder string) {
+func compareGoldenDisk(t *testing.T, written *memfs.Disk, folder string) {
 	t.Helper()
 	names, err := written.List()
 	assert.NilError(t, err)
@@ -304,7 +306,7 @@
 
 // TestGoldenStores writes the directory of a store again, and opens the recorded one with the recorded result.
 func TestGoldenStores(t *testing.T) {
-	cases := map[string]func(t *testing.T, disk *wal.Memory){
+	cases := map[string]func(t *testing.T, disk *memfs.Disk){
 		"log":      writeGoldenStore,
 		"snapshot": writeGoldenSnapshot,
 	}
@@ -312,7 +314,7 @@
 		t.Run(name, func(t *testing.T) {
 			useUTC(t)
 			synctest.Test(t, func(t *testing.T) {
-				disk := wal.NewMemory(1)
+				disk := memfs.New(1)
 				write(t, disk)
 				folder := path.Join("golden", "stores", name, "files")
 				compareGoldenDisk(t, disk, folder)
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -16,7 +16,7 @@
 	"gladepick/internal/message"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
 const (
@@ -67,7 +67,7 @@
 	stopped atomic.Bool
 	noLease atomic.Bool
 
-	disk   *wal.Memory
+	disk   *memfs.Disk
 	store  *Store
 	engine *testEngine
 	server *rpc.Server
@@ -96,7 +96,7 @@
 	h.clients = rpc.NewPool(h.network.Host("10.0.1.1"))
 	for i, name := range names {
 		h.machines[name] = &machine{
-			name: name, ip: fmt.Sprintf("10.0.0.%d", i+1), disk: wal.NewMemory(uint64(i)), diskID: "disk-" + name,
+			name: name, ip: fmt.Sprintf("10.0.0.%d", i+1), disk: memfs.New(uint64(i)), diskID: "disk-" + name,
 		}
 	}
 	table := &cluster.Table{Revision: 1, Copies: testCopies, Deliverers: len(names)}
--- a/internal/messagestore/roles_test.go
+++ b/internal/messagestore/roles_test.go
@@ -11,7 +11,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
 // tableLedBy returns a table of some partitions, each with one store only.
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zapcore.InfoLevel)
 		store, err := Open(Options{
-			Name: "a", DiskID: "disk-a", FS: wal.NewMemory(1).Mount(), Server: rpc.NewServer(zap.NewNop()),
+			Name: "a", DiskID: "disk-a", FS: memfs.New(1).Mount(), Server: rpc.NewServer(zap.NewNop()),
 			Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.New(core), Copies: 1,
 		})
 		assert.NilError(t, err)
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -16,6 +16,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
 	"gladepick/internal/rpc"
+	"gladepick/internal/vfs"
 	"gladepick/internal/wal"
 )
 
@@ -42,7 +43,7 @@
 type Options struct {
 	Name       string
 	DiskID     string
-	FS         wal.FS
+	FS         vfs.FS
 	Pool       *rpc.Pool
 	Server     *rpc.Server
 	Control    Control
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -21,7 +21,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
 const (
@@ -194,7 +194,7 @@
 	machine := &Machine{Name: name, Zone: zone, cluster: c, class: class}
 	machine.ip = fmt.Sprintf("10.1.0.%d", len(c.Machines)+1)
 	if disk {
-		machine.disk = wal.NewMemory(c.random.uint64())
+		machine.disk = memfs.New(c.random.uint64())
 		machine.disk.SetSyncDelay(time.Millisecond)
 	}
 	for _, other := range c.Machines {
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/network"
 	"gladepick/internal/settings"
 	"gladepick/internal/systemnode"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs/memfs"
 )
 
 const (
@@ -52,7 +52,7 @@
 	cluster   *Cluster
 	class     string
 	ip        string
-	disk      *wal.Memory // nil without a disk
+	disk      *memfs.Disk // nil without a disk
 	bootstrap bool        // its next start is the first of the whole system
 
 	removed atomic.Bool // for good
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -19,7 +19,7 @@
 	"gladepick/internal/network"
 	"gladepick/internal/operatorcli"
 	"gladepick/internal/systemnode"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // What the system knows of at its start.
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	disk, err := wal.Directory(data)
+	disk, err := vfs.OpenDirectory(data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -20,14 +20,14 @@
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 	"gladepick/internal/settings"
-	"gladepick/internal/wal"
+	"gladepick/internal/vfs"
 )
 
 // Options configure a process.
 type Options struct {
 	Settings *settings.Settings
 	Network  network.Network
-	FS       wal.FS // the data directory, nil without a disk
+	FS       vfs.FS // the data directory, nil without a disk
 	Logger   *zap.Logger
 	Seed     uint64
 	// SettingsFile is watched for changes. It may be nil.
--- a/internal/wal/directory.go
+++ b/internal/vfs/directory.go
@@ -1,4 +1,4 @@
-package wal
+package vfs
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	fileMode      = 0o644
 )
 
-// Directory returns the FS of a real directory, which it creates where it is missing.
-func Directory(path string) (FS, error) {
+// OpenDirectory returns the FS of a real directory. A missing directory is created, and its name made durable.
+func OpenDirectory(path string) (FS, error) {
 	if _, err := os.Stat(path); err == nil {
 		return directory{path: path}, nil
 	}
@@ -28,7 +28,7 @@
 	return directory{path: path}, nil
 }
 
-// directory is a real directory.
+// directory implements FS by a directory of the operating system.
 type directory struct {
 	path string
 }
@@ -63,6 +63,7 @@
 
 func (d directory) SyncDir() error { return syncDirectory(d.path) }
 
+// syncDirectory makes the names in a directory durable.
 func syncDirectory(path string) error {
 	handle, err := os.Open(path)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return errors.Join(handle.Sync(), handle.Close())
 }
 
-// diskFile is a file of a real directory.
+// diskFile implements File by a file of the operating system.
 type diskFile struct {
 	*os.File
 }
@@ -105,6 +106,7 @@
 	return info.Size(), nil
 }
 
+// fdatasync repeats the system call as often as a signal interrupts it.
 func fdatasync(descriptor int) error {
 	for {
 		err := syscall.Fdatasync(descriptor)
--- a/internal/wal/memory_test.go
+++ b/internal/vfs/memfs/disk_test.go
@@ -1,17 +1,35 @@
-package wal
+package memfs
 
 import (
+	"errors"
+	"io"
 	"io/fs"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	"gladepick/internal/vfs"
 )
 
-func TestMemoryKeepsWhatCrashesMayNotTake(t *testing.T) {
+// readFile returns the contents of a file.
+func readFile(t *testing.T, disk vfs.FS, name string) []byte {
+	t.Helper()
+	opened, err := disk.Open(name)
+	assert.NilError(t, err)
+	size, err := opened.Size()
+	assert.NilError(t, err)
+	contents := make([]byte, size)
+	count, err := opened.ReadAt(contents, 0)
+	assert.Assert(t, err == nil || errors.Is(err, io.EOF))
+	assert.NilError(t, opened.Close())
+	return contents[:count]
+}
+
+func TestDiskKeepsWhatCrashesMayNotTake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := New(1)
 		file, err := disk.Create("file")
 		assert.NilError(t, err)
 		_, err = file.WriteAt([]byte("contents"), 0)
--- /dev/null
+++ b/internal/vfs/memfs/names.go
@@ -0,0 +1,48 @@
+package memfs
+
+// changeKind tells what happened to a name.
+type changeKind int
+
+const (
+	nameCreated changeKind = iota
+	nameRenamed
+	nameRemoved
+)
+
+// nameChange is a change of a name that is not durable yet.
+type nameChange struct {
+	kind  changeKind
+	inode *inode
+	name  string // the name created or removed, or the new name
+	from  string // the old name of a renamed file
+}
+
+// apply carries the change out in a table of names.
+func (c nameChange) apply(names map[string]*inode) {
+	switch c.kind {
+	case nameCreated:
+		names[c.name] = c.inode
+	case nameRenamed:
+		if names[c.from] == c.inode {
+			delete(names, c.from)
+		}
+		names[c.name] = c.inode
+	case nameRemoved:
+		if names[c.name] == c.inode {
+			delete(names, c.name)
+		}
+	}
+}
+
+// persistCreation makes the name durable under which a file was created.
+func (d *Disk) persistCreation(synced *inode) {
+	remaining := d.changes[:0]
+	for _, change := range d.changes {
+		if change.kind == nameCreated && change.inode == synced {
+			change.apply(d.durable)
+			continue
+		}
+		remaining = append(remaining, change)
+	}
+	d.changes = remaining
+}
--- a/internal/wal/fs.go
+++ b/internal/vfs/vfs.go
@@ -1,4 +1,12 @@
-package wal
+// Package vfs is the file system that durable state is kept on: an interface of one flat directory, and its
+// implementation by a real directory.
+//
+// The interface separates what a process sees from what survives a loss of power. A write survives once File.Sync has
+// returned, a name once FS.SyncDir has; package memfs implements the same interface by a simulated disk, which loses the
+// rest on demand. The package has no goroutines and no locks of its own.
+//
+// Start reading at FS.
+package vfs
 
 import "io"
 
@@ -7,15 +15,16 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	// Truncate sets the file's size.
+	// Truncate sets the file's size in bytes.
 	Truncate(size int64) error
 	// Sync makes the file's contents and size durable; for a new file also its name.
 	Sync() error
-	// Size returns the file's current size.
+	// Size returns the file's current size in bytes.
 	Size() (int64, error)
 }
 
-// FS is what a log needs of one directory. Names contain no slashes.
+// FS is one directory without subdirectories. Names contain no slashes. A missing file is reported by an error that
+// satisfies errors.Is(err, fs.ErrNotExist).
 type FS interface {
 	// Create makes an empty file for reading and writing; an existing one is truncated.
 	Create(name string) (File, error)
--- a/internal/wal/savefile.go
+++ b/internal/wal/atomic_file.go
@@ -7,33 +7,35 @@
 	"io"
 
 	"github.com/gravitational/trace"
+
+	"gladepick/internal/vfs"
 )
 
-// The layout of a file written by SaveFile: magic (8 bytes), format version (4), length of the data (8), CRC-32C over
-// length and data (4), data.
+// The layout of a file written by SaveFile: magic (8 bytes), format version (4), length of the data (8), CRC-32C over all
+// of these and the data (4), data. All integers are little-endian.
 const (
 	fileMagic       = "ivyfile\n"
 	fileHeaderSize  = 24
 	fileLengthStart = 12
 	fileCheckStart  = 20
-	temporarySuffix = ".tmp"
 )
 
 // SaveFile durably replaces a whole file. After a crash the file has either its old contents or the new ones.
-func SaveFile(fs FS, name string, data []byte) error {
+func SaveFile(directory vfs.FS, name string, data []byte) error {
 	temporary := name + temporarySuffix
-	if err := writeWhole(fs, temporary, data); err != nil {
-		_ = fs.Remove(temporary) // the first error counts; Open and the next SaveFile clear leftovers too
+	if err := writeWhole(directory, temporary, data); err != nil {
+		_ = directory.Remove(temporary) // the first error counts; Open and the next SaveFile clear leftovers too
 		return trace.Wrap(err)
 	}
-	if err := fs.Rename(temporary, name); err != nil {
+	if err := directory.Rename(temporary, name); err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(fs.SyncDir())
+	return trace.Wrap(directory.SyncDir())
 }
 
-func writeWhole(fs FS, name string, data []byte) error {
-	file, err := fs.Create(name)
+// writeWhole makes a file with a header and data, and makes both durable.
+func writeWhole(directory vfs.FS, name string, data []byte) error {
+	file, err := directory.Create(name)
 	if err != nil {
 		return err
 	}
@@ -49,9 +51,9 @@
 }
 
 // LoadFile returns the data of a file written by SaveFile. The error satisfies errors.Is(err, fs.ErrNotExist) where
-// there is no such file, and errors.Is(err, ErrDamaged) where its checksum fails.
-func LoadFile(fs FS, name string) ([]byte, error) {
-	file, err := fs.Open(name)
+// there is no such file, and errors.Is(err, ErrCorrupt) where its checksum fails.
+func LoadFile(directory vfs.FS, name string) ([]byte, error) {
+	file, err := directory.Open(name)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -60,16 +62,17 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(contents) < fileHeaderSize {
-		return nil, trace.Wrap(ErrDamaged)
+		return nil, trace.Wrap(ErrCorrupt)
 	}
 	data := contents[fileHeaderSize:]
 	if newFileHeader(data) != [fileHeaderSize]byte(contents[:fileHeaderSize]) {
-		return nil, trace.Wrap(ErrDamaged)
+		return nil, trace.Wrap(ErrCorrupt)
 	}
 	return data, nil
 }
 
-func readWhole(file File) ([]byte, error) {
+// readWhole returns the contents of a file.
+func readWhole(file vfs.File) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, err
@@ -82,6 +85,7 @@
 	return contents[:count], err
 }
 
+// newFileHeader returns the header of a file with this data.
 func newFileHeader(data []byte) [fileHeaderSize]byte {
 	var header [fileHeaderSize]byte
 	copy(header[:], fileMagic)
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -4,10 +4,12 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"gladepick/internal/vfs/memfs"
 )
 
 func TestTornEndAtEveryByteIsCutOff(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	records := numbered("record", 5)
 	var ends []int64
@@ -20,7 +22,7 @@
 
 	for size := range whole {
 		for _, garbage := range []string{"", "\x00\x00\x00\x00\x00\x00\x00\x00\x00", "\xff\xff\xff\xff\xff\xff\xff\xff\xff"} {
-			torn := NewMemory(1)
+			torn := memfs.New(1)
 			writeFile(t, torn, segmentName(1), append(append([]byte{}, whole[:size]...), garbage...))
 			kept := 0
 			for kept < len(ends) && ends[kept] <= int64(size) {
@@ -32,7 +34,7 @@
 }
 
 // assertGoesOn checks that a disk holds exactly these records, and that a log on it takes another one.
-func assertGoesOn(t tester, disk *Memory, records []string) {
+func assertGoesOn(t tester, disk *memfs.Disk, records []string) {
 	t.Helper()
 	log, found := openLog(t, disk, 0)
 	assertRecords(t, log, found, records...)
@@ -45,7 +47,7 @@
 }
 
 func TestDamageAtEveryByteEndsTheReplay(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	records := numbered("record", 4)
 	var ends []int
@@ -57,7 +59,7 @@
 	whole := readFile(t, disk, segmentName(1))
 
 	for at := range whole {
-		damaged := NewMemory(1)
+		damaged := memfs.New(1)
 		copied := append([]byte{}, whole...)
 		copied[at] ^= 0x41
 		writeFile(t, damaged, segmentName(1), copied)
@@ -70,8 +72,8 @@
 }
 
 func TestDamageBeforeTheLastSegmentIsAnError(t *testing.T) {
-	build := func() *Memory {
-		disk := NewMemory(1)
+	build := func() *memfs.Disk {
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 60)
 		for _, record := range numbered("record", 8) {
 			appendRecord(t, log, record)
@@ -79,7 +81,7 @@
 		assert.NilError(t, log.Close())
 		return disk
 	}
-	reopen := func(disk *Memory) error {
+	reopen := func(disk *memfs.Disk) error {
 		found := &contents{}
 		_, err := Open(Options{FS: disk}, found.restore, found.replay)
 		return err
@@ -88,17 +90,17 @@
 	truncated := build()
 	whole := readFile(t, truncated, segmentName(2))
 	writeFile(t, truncated, segmentName(2), whole[:len(whole)-1])
-	assert.ErrorIs(t, reopen(truncated), ErrDamaged)
+	assert.ErrorIs(t, reopen(truncated), ErrCorrupt)
 
 	missing := build()
 	assert.NilError(t, missing.Remove(segmentName(2)))
-	assert.ErrorIs(t, reopen(missing), ErrDamaged)
+	assert.ErrorIs(t, reopen(missing), ErrCorrupt)
 }
 
 func TestSaveFileAtEveryStepOfItsLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		for steps := range 10 {
-			disk := NewMemory(seed)
+			disk := memfs.New(seed)
 			assert.NilError(t, SaveFile(disk, "file", []byte("old")))
 			interrupted := &interruptedFS{FS: disk.Mount(), interrupt: disk.PowerLoss, remaining: steps}
 			saved := SaveFile(interrupted, "file", []byte("new")) == nil
@@ -111,7 +113,7 @@
 }
 
 func TestRecordsBehindDamageDoNotComeBack(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "first")
 	damaged := appendRecord(t, log, "second")
@@ -140,7 +142,7 @@
 	f.Add(seed[:len(seed)-1])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		writeFile(t, disk, segmentName(1), data)
 		log, found := openLog(t, disk, 0)
 		records := make([]string, 0, len(found.records))
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -11,6 +11,8 @@
 
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
+
+	"gladepick/internal/vfs/memfs"
 )
 
 // The files under testdata/golden were written by the version before which nothing is promised. Every later version has
@@ -24,7 +26,7 @@
 
 // goldenCase is a directory of a log: how it is written, and what happens to its files afterwards.
 type goldenCase struct {
-	write  func(t *testing.T, disk *Memory)
+	write  func(t *testing.T, disk *memfs.Disk)
 	damage func(files map[string][]byte) // nil where the files stay as they were written
 }
 
@@ -36,7 +38,7 @@
 
 // goldenResult is what comes of opening a directory.
 type goldenResult struct {
-	Damaged  bool             `json:"damaged"` // Open has returned ErrDamaged
+	Damaged  bool             `json:"damaged"` // Open has returned ErrCorrupt
 	Snapshot []byte           `json:"snapshot"`
 	Records  []goldenRecord   `json:"records"`
 	Sizes    map[string]int64 `json:"sizes"` // of the files after Open and Close
@@ -61,7 +63,7 @@
 }
 
 // writeSegments writes records of several sizes: none, one byte, some that share a segment, one that is larger than a segment.
-func writeSegments(t *testing.T, disk *Memory) {
+func writeSegments(t *testing.T, disk *memfs.Disk) {
 	log, _ := openLog(t, disk, goldenSegmentBytes)
 	appendSizes(t, log, 0, 1, 7, 150, 100)
 	syncLog(t, log)
@@ -70,7 +72,7 @@
 }
 
 // writeSnapshots writes two snapshots, with records before, between and behind them.
-func writeSnapshots(t *testing.T, disk *Memory) {
+func writeSnapshots(t *testing.T, disk *memfs.Disk) {
 	log, _ := openLog(t, disk, goldenSegmentBytes)
 	appendSizes(t, log, 20, 30)
 	assert.NilError(t, log.WriteSnapshot(goldenPayload(50)))
@@ -84,7 +86,7 @@
 	return map[string]goldenCase{
 		"segments":  {write: writeSegments},
 		"snapshots": {write: writeSnapshots},
-		"removed": {write: func(t *testing.T, disk *Memory) {
+		"removed": {write: func(t *testing.T, disk *memfs.Disk) {
 			writeSnapshots(t, disk)
 			log, _ := openLog(t, disk, goldenSegmentBytes)
 			assert.NilError(t, log.RemoveSegments(100))
@@ -113,7 +115,7 @@
 }
 
 // readDisk returns the contents of all files.
-func readDisk(t *testing.T, disk *Memory) map[string][]byte {
+func readDisk(t *testing.T, disk *memfs.Disk) map[string][]byte {
 	t.Helper()
 	names, err := disk.List()
 	assert.NilError(t, err)
@@ -127,7 +129,7 @@
 // openGolden opens the directory of a case and tells what comes of it.
 func openGolden(t *testing.T, folder string) goldenResult {
 	t.Helper()
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	entries, err := os.ReadDir(golden.Path(folder))
 	assert.NilError(t, err)
 	for _, entry := range entries {
@@ -135,7 +137,7 @@
 	}
 	found := &contents{}
 	log, err := Open(Options{FS: disk, SegmentBytes: goldenSegmentBytes}, found.restore, found.replay)
-	result := goldenResult{Damaged: errors.Is(err, ErrDamaged), Snapshot: found.snapshot, Sizes: make(map[string]int64)}
+	result := goldenResult{Damaged: errors.Is(err, ErrCorrupt), Snapshot: found.snapshot, Sizes: make(map[string]int64)}
 	if !result.Damaged {
 		assert.NilError(t, err)
 		assert.NilError(t, log.Close())
@@ -153,7 +155,7 @@
 func TestGoldenLogs(t *testing.T) {
 	for name, each := range goldenCases() {
 		t.Run(name, func(t *testing.T) {
-			disk := NewMemory(1)
+			disk := memfs.New(1)
 			each.write(t, disk)
 			written := readDisk(t, disk)
 			if each.damage != nil {
@@ -178,11 +180,11 @@
 func TestGoldenFile(t *testing.T) {
 	for name, data := range map[string][]byte{"empty": {}, "some": goldenPayload(300)} {
 		t.Run(name, func(t *testing.T) {
-			disk := NewMemory(1)
+			disk := memfs.New(1)
 			assert.NilError(t, SaveFile(disk, "file", data))
 			golden.AssertBytes(t, readFile(t, disk, "file"), path.Join("golden", "saved", name))
 
-			recorded := NewMemory(1)
+			recorded := memfs.New(1)
 			writeFile(t, recorded, "file", golden.Get(t, path.Join("golden", "saved", name)))
 			loaded, err := LoadFile(recorded, "file")
 			assert.NilError(t, err)
--- a/internal/wal/flush.go
+++ b/internal/wal/group_commit.go
@@ -7,6 +7,8 @@
 
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
+
+	"gladepick/internal/vfs"
 )
 
 // commitBatch is a set of Sync calls that share one sync of the disk.
@@ -36,7 +38,7 @@
 // activeSegment is the segment file that was written last.
 type activeSegment struct {
 	segment *segment
-	file    File
+	file    vfs.File
 	dirty   bool // written since its last sync
 	created bool // its name may not be durable
 }
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -7,6 +7,8 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"gladepick/internal/vfs"
 )
 
 // contents is what a log handed over when it was opened.
@@ -33,7 +35,7 @@
 	Helper()
 }
 
-func openLog(t tester, disk FS, segmentBytes int64) (*Log, *contents) {
+func openLog(t tester, disk vfs.FS, segmentBytes int64) (*Log, *contents) {
 	t.Helper()
 	found := &contents{}
 	log, err := Open(Options{FS: disk, SegmentBytes: segmentBytes}, found.restore, found.replay)
@@ -77,7 +79,7 @@
 	return records
 }
 
-func readFile(t *testing.T, disk FS, name string) []byte {
+func readFile(t *testing.T, disk vfs.FS, name string) []byte {
 	t.Helper()
 	file, err := disk.Open(name)
 	assert.NilError(t, err)
@@ -87,7 +89,7 @@
 	return data
 }
 
-func writeFile(t tester, disk FS, name string, data []byte) {
+func writeFile(t tester, disk vfs.FS, name string, data []byte) {
 	t.Helper()
 	file, err := disk.Create(name)
 	assert.NilError(t, err)
--- a/internal/wal/interrupted_test.go
+++ b/internal/wal/interrupted_test.go
@@ -1,8 +1,10 @@
 package wal
 
+import "gladepick/internal/vfs"
+
 // interruptedFS calls a function, such as the disk's PowerLoss, after a number of changes.
 type interruptedFS struct {
-	FS
+	vfs.FS
 	interrupt func()
 	remaining int
 }
@@ -14,13 +16,13 @@
 	i.remaining--
 }
 
-func (i *interruptedFS) Create(name string) (File, error) {
+func (i *interruptedFS) Create(name string) (vfs.File, error) {
 	i.step()
 	file, err := i.FS.Create(name)
 	return &interruptedFile{File: file, fs: i}, err
 }
 
-func (i *interruptedFS) Open(name string) (File, error) {
+func (i *interruptedFS) Open(name string) (vfs.File, error) {
 	file, err := i.FS.Open(name)
 	return &interruptedFile{File: file, fs: i}, err
 }
@@ -41,7 +43,7 @@
 }
 
 type interruptedFile struct {
-	File
+	vfs.File
 	fs *interruptedFS
 }
 
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -12,11 +12,14 @@
 	"time"
 
 	"gotest.tools/v3/assert"
+
+	"gladepick/internal/vfs"
+	"gladepick/internal/vfs/memfs"
 )
 
 func TestAppendReadAndReopenInDirectory(t *testing.T) {
 	path := t.TempDir() + "/data"
-	disk, err := Directory(path)
+	disk, err := vfs.OpenDirectory(path)
 	assert.NilError(t, err)
 	log, found := openLog(t, disk, 200)
 	assertRecords(t, log, found)
@@ -50,7 +53,7 @@
 }
 
 func TestReadRefusesPositionsWithoutRecord(t *testing.T) {
-	log, _ := openLog(t, NewMemory(1), 0)
+	log, _ := openLog(t, memfs.New(1), 0)
 	position := appendRecord(t, log, "record")
 	syncLog(t, log)
 
@@ -65,14 +68,14 @@
 		assert.ErrorIs(t, err, ErrNoRecord)
 	}
 	_, err := log.Read(Position{Segment: 1, Offset: position.Offset, Length: 5})
-	assert.ErrorIs(t, err, ErrDamaged)
+	assert.ErrorIs(t, err, ErrCorrupt)
 	_, err = log.Append(make([]byte, MaxRecordBytes+1))
 	assert.ErrorIs(t, err, ErrTooLarge)
 }
 
 func TestConcurrentSyncsShareOneSyncOfTheDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		disk.SetSyncDelay(10 * time.Millisecond)
 		log, _ := openLog(t, disk, 0)
 		before, start := disk.Syncs(), time.Now()
@@ -100,7 +103,7 @@
 
 func TestSyncCoversRecordsAppendedDuringAnotherSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetStalled(true)
 		appendRecord(t, log, "first")
@@ -127,7 +130,7 @@
 
 func TestSyncEndsWithItsContextOnAStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetStalled(true)
 		position := appendRecord(t, log, "record")
@@ -153,7 +156,7 @@
 
 func TestStalledDiskLimitsTheBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetStalled(true)
 		first := startSync(log)
@@ -163,7 +166,7 @@
 		for ; err == nil && accepted < 100; accepted++ {
 			_, err = log.Append(record)
 		}
-		assert.ErrorIs(t, err, ErrBacklog)
+		assert.ErrorIs(t, err, ErrBacklogFull)
 		assert.Equal(t, accepted-1, maxBacklogBytes/len(record))
 		disk.SetStalled(false)
 		assert.NilError(t, <-first)
@@ -176,7 +179,7 @@
 func TestFullDiskFailsTheCallAndLogGoesOnWithRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for seed := range uint64(50) {
-			disk := NewMemory(seed)
+			disk := memfs.New(seed)
 			log, _ := openLog(t, disk, 120)
 			appendRecord(t, log, "before")
 			syncLog(t, log)
@@ -206,7 +209,7 @@
 
 func TestFullDiskIsTriedAgainWithoutACall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetFull(true)
 		appendRecord(t, log, "record")
@@ -223,7 +226,7 @@
 
 func TestFullDiskLimitsTheBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetFull(true)
 		record := make([]byte, maxFullBacklogBytes)
@@ -231,14 +234,14 @@
 		assert.NilError(t, err)
 		assert.Assert(t, IsDiskFull(log.Sync(t.Context())))
 		_, err = log.Append(record)
-		assert.ErrorIs(t, err, ErrBacklog)
+		assert.ErrorIs(t, err, ErrBacklogFull)
 		assert.Assert(t, IsDiskFull(log.Close()))
 	})
 }
 
 func TestDiskErrorFailsTheLogForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := NewMemory(1)
+		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		appendRecord(t, log, "record")
 		syncLog(t, log)
@@ -251,21 +254,21 @@
 		synctest.Wait()
 		disk.PowerLoss()
 
-		assert.ErrorIs(t, <-running, ErrPowerLost)
-		assert.ErrorIs(t, <-gathering, ErrPowerLost)
-		assert.ErrorIs(t, log.Sync(t.Context()), ErrPowerLost)
+		assert.ErrorIs(t, <-running, memfs.ErrPowerLost)
+		assert.ErrorIs(t, <-gathering, memfs.ErrPowerLost)
+		assert.ErrorIs(t, log.Sync(t.Context()), memfs.ErrPowerLost)
 		_, err := log.Append(nil)
-		assert.ErrorIs(t, err, ErrPowerLost)
-		assert.ErrorIs(t, log.WriteSnapshot(nil), ErrPowerLost)
+		assert.ErrorIs(t, err, memfs.ErrPowerLost)
+		assert.ErrorIs(t, log.WriteSnapshot(nil), memfs.ErrPowerLost)
 		assert.Assert(t, log.Failing())
-		assert.ErrorIs(t, log.Close(), ErrPowerLost)
+		assert.ErrorIs(t, log.Close(), memfs.ErrPowerLost)
 	})
 }
 
 func TestSaveAndLoadFile(t *testing.T) {
-	directory, err := Directory(t.TempDir())
+	directory, err := vfs.OpenDirectory(t.TempDir())
 	assert.NilError(t, err)
-	for _, disk := range []FS{directory, NewMemory(1)} {
+	for _, disk := range []vfs.FS{directory, memfs.New(1)} {
 		_, err := LoadFile(disk, "file")
 		assert.ErrorIs(t, err, fs.ErrNotExist)
 		for _, data := range []string{"contents", "", "other"} {
@@ -279,17 +282,17 @@
 			whole[i] ^= 0x10
 			writeFile(t, disk, "file", whole)
 			_, err := LoadFile(disk, "file")
-			assert.ErrorIs(t, err, ErrDamaged)
+			assert.ErrorIs(t, err, ErrCorrupt)
 			whole[i] ^= 0x10
 			writeFile(t, disk, "file", whole[:i])
 			_, err = LoadFile(disk, "file")
-			assert.ErrorIs(t, err, ErrDamaged)
+			assert.ErrorIs(t, err, ErrCorrupt)
 		}
 	}
 }
 
 func TestReplayErrorEndsOpen(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, found := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
 	assert.NilError(t, log.Close())
@@ -300,7 +303,7 @@
 }
 
 func TestConcurrentUseOfADirectory(t *testing.T) {
-	disk, err := Directory(t.TempDir())
+	disk, err := vfs.OpenDirectory(t.TempDir())
 	assert.NilError(t, err)
 	log, _ := openLog(t, disk, 500)
 	var workers sync.WaitGroup
--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -6,11 +6,13 @@
 
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
+
+	"gladepick/internal/vfs/memfs"
 )
 
 // model is what a disk has to hold: the records, and how many of them are durable.
 type model struct {
-	disk    *Memory
+	disk    *memfs.Disk
 	log     *Log
 	records []string
 	synced  int
@@ -121,7 +123,7 @@
 
 func TestPowerLossKeepsEverythingSynced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{disk: NewMemory(rapid.Uint64().Draw(t, "seed"))}
+		m := &model{disk: memfs.New(rapid.Uint64().Draw(t, "seed"))}
 		m.reopen(t)
 		t.Repeat(m.actions())
 	})
--- a/internal/wal/open.go
+++ b/internal/wal/replay.go
@@ -5,34 +5,12 @@
 	"fmt"
 	"io"
 	"slices"
-	"strconv"
 	"strings"
 
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 )
 
-const (
-	segmentPrefix  = "segment-"
-	snapshotPrefix = "snapshot-"
-	firstSegment   = 1
-)
-
-func segmentName(number uint64) string  { return fmt.Sprintf("%s%020d", segmentPrefix, number) }
-func snapshotName(number uint64) string { return fmt.Sprintf("%s%020d", snapshotPrefix, number) }
-
-func parseSegmentName(name string) (uint64, bool)  { return parseName(name, segmentPrefix) }
-func parseSnapshotName(name string) (uint64, bool) { return parseName(name, snapshotPrefix) }
-
-func parseName(name, prefix string) (uint64, bool) {
-	digits, found := strings.CutPrefix(name, prefix)
-	if !found {
-		return 0, false
-	}
-	number, err := strconv.ParseUint(digits, 10, 64)
-	return number, err == nil
-}
-
 // RestoreFunc takes the data of a snapshot. It may keep the slice.
 type RestoreFunc = func(snapshot []byte) error
 
@@ -43,8 +21,8 @@
 // restore, and then every record that the snapshot does not cover to replay, in order. The record slice that replay
 // gets is reused after each call: nobody may keep it.
 //
-// In the last segment the replay ends before the first record that is torn or damaged, and the rest of that segment is
-// cut off. A crash leaves no damage in an earlier segment and no gap between segments; Open returns ErrDamaged there.
+// In the last segment the replay ends before the first record that is torn or corrupt, and the rest of that segment is
+// cut off. A crash leaves no damage in an earlier segment and no gap between segments; Open returns ErrCorrupt there.
 // All that has been replayed is durable when Open returns.
 func Open(options Options, restore RestoreFunc, replay ReplayFunc) (*Log, error) {
 	l := &Log{fs: options.FS, segmentBytes: options.SegmentBytes, logger: options.Logger}
@@ -99,9 +77,9 @@
 func (l *Log) restoreSnapshot(names []string, restore RestoreFunc) error {
 	for _, number := range slices.Backward(numbersOf(names, parseSnapshotName)) {
 		data, err := LoadFile(l.fs, snapshotName(number))
-		if errors.Is(err, ErrDamaged) {
-			l.logger.Error("snapshot damaged", zap.Uint64("snapshot", number))
-			l.damagedSnapshot = max(l.damagedSnapshot, number)
+		if errors.Is(err, ErrCorrupt) {
+			l.logger.Error("snapshot corrupt", zap.Uint64("snapshot", number))
+			l.corruptSnapshot = max(l.corruptSnapshot, number)
 			continue
 		}
 		if err != nil {
@@ -114,25 +92,13 @@
 	return nil
 }
 
-// numbersOf returns the numbers of those names that a parser knows, in ascending order.
-func numbersOf(names []string, parse func(string) (uint64, bool)) []uint64 {
-	var numbers []uint64
-	for _, name := range names {
-		if number, ok := parse(name); ok {
-			numbers = append(numbers, number)
-		}
-	}
-	slices.Sort(numbers)
-	return numbers
-}
-
 // listSegments fills the list of segments, so that the last one is the one that takes new records. It checks that none
 // is missing among those that have to be replayed.
 func (l *Log) listSegments(names []string) error {
 	expected := max(l.snapshotNumber, firstSegment)
 	for _, number := range numbersOf(names, parseSegmentName) {
 		if number > expected {
-			return fmt.Errorf("%w: segment %d is missing", ErrDamaged, expected)
+			return fmt.Errorf("%w: segment %d is missing", ErrCorrupt, expected)
 		}
 		if number == expected {
 			expected++
@@ -141,8 +107,8 @@
 			return err
 		}
 	}
-	if expected < l.damagedSnapshot {
-		return fmt.Errorf("%w: snapshot %d, and its segments are gone", ErrDamaged, l.damagedSnapshot)
+	if expected < l.corruptSnapshot {
+		return fmt.Errorf("%w: snapshot %d, and its segments are gone", ErrCorrupt, l.corruptSnapshot)
 	}
 	if len(l.segments) == 0 || l.tail().number < max(l.snapshotNumber, firstSegment) {
 		l.segments = append(l.segments, &segment{number: expected})
@@ -179,7 +145,7 @@
 			return err
 		}
 		if each != l.tail() && end != each.size {
-			return fmt.Errorf("%w: segment %d at offset %d", ErrDamaged, each.number, end)
+			return fmt.Errorf("%w: segment %d at offset %d", ErrCorrupt, each.number, end)
 		}
 		if each == l.tail() {
 			return l.resumeSegment(each, end)
@@ -221,7 +187,7 @@
 		zap.Int64("bytes", in.size-reader.offset),
 	}
 	if reader.validRecordFollows() {
-		l.logger.Error("damaged record with valid ones behind it", fields...)
+		l.logger.Error("corrupt record with valid ones behind it", fields...)
 		return
 	}
 	l.logger.Warn("torn end of segment", fields...)
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
-	"errors"
-	"io/fs"
 
 	"github.com/gravitational/trace"
+
+	"gladepick/internal/vfs"
 )
 
 // Snapshot is a snapshot that has been begun: what it has to cover is fixed, its data is still to come.
@@ -61,6 +61,7 @@
 	return trace.Wrap(snapshot.Commit(data))
 }
 
+// newestSnapshot returns the number of the newest snapshot, 0 without one.
 func (l *Log) newestSnapshot() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -68,7 +69,7 @@
 }
 
 // removeSnapshots removes all snapshots below a number.
-func removeSnapshots(disk FS, below uint64) error {
+func removeSnapshots(disk vfs.FS, below uint64) error {
 	names, err := disk.List()
 	if err != nil {
 		return trace.Wrap(err)
@@ -84,52 +85,3 @@
 	}
 	return nil
 }
-
-// RemoveSegments removes the segments below a number, as far as the newest snapshot covers them.
-func (l *Log) RemoveSegments(before uint64) error {
-	numbers, err := l.removable(before)
-	if err != nil || len(numbers) == 0 {
-		return trace.Wrap(err)
-	}
-	for _, number := range numbers {
-		err := l.fs.Remove(segmentName(number))
-		if err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return trace.Wrap(err)
-		}
-		if err := l.forgetSegment(number); err != nil {
-			return trace.Wrap(err)
-		}
-	}
-	return trace.Wrap(l.fs.SyncDir())
-}
-
-func (l *Log) removable(before uint64) ([]uint64, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
-		return nil, err
-	}
-	var numbers []uint64
-	for _, each := range l.segments {
-		if each.number < min(before, l.snapshotNumber) {
-			numbers = append(numbers, each.number)
-		}
-	}
-	return numbers, nil
-}
-
-func (l *Log) forgetSegment(number uint64) error {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	for i, each := range l.segments {
-		if each.number != number {
-			continue
-		}
-		l.segments = append(l.segments[:i:i], l.segments[i+1:]...)
-		if each.file != nil {
-			return each.file.Close()
-		}
-		return nil
-	}
-	return nil
-}
--- a/internal/wal/snapshot_test.go
+++ b/internal/wal/snapshot_test.go
@@ -4,10 +4,12 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"gladepick/internal/vfs/memfs"
 )
 
 func TestDamagedSnapshotWithoutItsSegmentsIsAnError(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
 	assert.NilError(t, log.WriteSnapshot([]byte("snapshot")))
@@ -16,11 +18,11 @@
 	writeFile(t, disk, snapshotName(2), []byte("damaged"))
 	found := &contents{}
 	_, err := Open(Options{FS: disk}, found.restore, found.replay)
-	assert.ErrorIs(t, err, ErrDamaged)
+	assert.ErrorIs(t, err, ErrCorrupt)
 }
 
 func TestDamagedSnapshotWithItsSegmentsIsReplayed(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
 	assert.NilError(t, log.WriteSnapshot([]byte("snapshot")))
@@ -33,7 +35,7 @@
 }
 
 func TestSnapshotReplacesTheReplayAndKeepsSegments(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	covered := appendRecord(t, log, "covered")
 	assert.NilError(t, log.WriteSnapshot([]byte("one")))
@@ -66,7 +68,7 @@
 }
 
 func TestRecordsMayBeAppendedBetweenBeginAndCommit(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "covered")
 	older, err := log.BeginSnapshot()
@@ -84,7 +86,7 @@
 }
 
 func TestFullDiskRefusesASnapshotAndKeepsTheLog(t *testing.T) {
-	disk := NewMemory(1)
+	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "one")
 	assert.NilError(t, log.WriteSnapshot([]byte("first")))
@@ -105,7 +107,7 @@
 	const mostSteps = 40
 	for seed := range uint64(20) {
 		for steps := range mostSteps {
-			disk := NewMemory(seed)
+			disk := memfs.New(seed)
 			log, _ := openLog(t, disk, 0)
 			appendRecord(t, log, "one")
 			assert.NilError(t, log.WriteSnapshot([]byte("first")))
