--- a/internal/dispatcher/clienthttp/answers_test.go
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -62,9 +62,9 @@
 
 // fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedSubmitter.
 type fixture struct {
-	network testenv.Net
-	server  *clienthttp.Server
-	submitter   fixedSubmitter
+	network   testenv.Net
+	server    *clienthttp.Server
+	submitter fixedSubmitter
 }
 
 // newFixture starts a server; change has the last word on its settings. It belongs into a bubble of testing/synctest.
--- a/internal/dispatcher/workerhttp/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -1,11 +1,8 @@
-// Reading a worker's answer, line by line.
-
 package workerhttp
 
 import (
 	"bufio"
 	"bytes"
-	"encoding/json"
 	"errors"
 	"io"
 	"net/http"
@@ -13,50 +10,70 @@
 	"time"
 
 	"gladepick/internal/decision"
-	"gladepick/internal/dispatcher/config"
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// said is what a worker's answer came to.
-type said struct {
-	outcome decision.Outcome
-	load    decision.Load
-	result  []byte
-	clean   bool          // the connection may serve again
-	rest    io.Reader     // what still has to be read before it does
-	length  int64         // its length where the head says it, else -1
-	rests   time.Duration // how long the connection does not serve
+// scanBytes is the size with which the buffer for lines begins; it grows up to the limit on a line.
+const scanBytes = 1 << 10
+
+// answer is what a worker's answer came to.
+type answer struct {
+	outcome    decision.Outcome
+	load       decision.Load
+	result     []byte
+	reusable   bool          // the connection may carry another request
+	rest       io.Reader     // what still has to be read before it does; nil is nothing
+	length     int64         // of the rest, where the head says it, else -1
+	quarantine time.Duration // for how long the connection carries no request
 }
 
-func (f *Transport) read(a *dispatch.Attempt, l *link) said {
+// readAnswer reads an answer up to the line that decides it, and passes on what tells of progress.
+func (t *Transport) readAnswer(a *dispatch.Attempt, c *conn) answer {
 	for {
-		l.left = f.lim.HeadBytes + 2*f.lim.LineBytes
-		resp, err := http.ReadResponse(l.from, &http.Request{Method: http.MethodPost})
+		c.left = t.limits.HeadBytes + 2*t.limits.LineBytes
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 		if err != nil {
-			return said{outcome: broke(a, err)}
+			return answer{outcome: outcomeOfBreak(a, err)}
 		}
-		if resp.StatusCode >= 100 && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
+		if isInformational(resp.StatusCode) {
 			continue
 		}
-		s := said{outcome: decision.Error, clean: !resp.Close, rest: resp.Body, length: resp.ContentLength, load: f.loadLine(resp.Header.Get("X-Server-Load"))}
+		r := answer{
+			outcome:  decision.Error,
+			load:     t.parseLoadHeader(resp.Header.Get("X-Server-Load")),
+			reusable: !resp.Close,
+			rest:     resp.Body,
+			length:   resp.ContentLength,
+		}
 		if resp.StatusCode == http.StatusOK {
-			return f.lines(a, l, resp, s)
+			return t.readLines(a, c, resp, r)
 		}
 		// It names no job. A second one of it, some milliseconds late, would pass for the next job's: that would count as one
 		// that never ran, or has ended, while it runs.
-		s.rests = f.lim.LateAnswerWindow
-		switch resp.StatusCode {
-		case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-			if resp.Header.Get("X-Not-Processed") == "1" {
-				s.outcome = decision.Rejected
-			}
+		r.quarantine = t.limits.LateAnswerWindow
+		if neverRan(resp) {
+			r.outcome = decision.Rejected
 		}
-		return s
+		return r
+	}
+}
+
+// isInformational returns whether another answer follows one of this status (RFC 9110, section 15.2).
+func isInformational(status int) bool {
+	return status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
+}
+
+// neverRan returns whether an answer without lines says that the job has not run.
+func neverRan(resp *http.Response) bool {
+	switch resp.StatusCode {
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		return resp.Header.Get("X-Not-Processed") == "1"
 	}
+	return false
 }
 
-// broke names the outcome of an attempt whose request went out whole and whose answer broke off.
-func broke(a *dispatch.Attempt, err error) decision.Outcome {
+// outcomeOfBreak returns the outcome of an attempt whose request was written and whose answer broke off.
+func outcomeOfBreak(a *dispatch.Attempt, err error) decision.Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && a.Context.Err() != nil:
 		return decision.Cancelled
@@ -66,77 +83,35 @@
 	return decision.Reset
 }
 
-// Line is one line of a worker's answer.
-type AnswerLine struct {
-	ID     string          `json:"id"`
-	From   string          `json:"from"`
-	State  string          `json:"state"`
-	Share  float64         `json:"share"`
-	Result json.RawMessage `json:"result"`
-	Load   json.RawMessage `json:"load"`
-}
-
-// lines follows a job's answer to its last line. Chunks may cut lines anywhere.
-func (f *Transport) lines(a *dispatch.Attempt, l *link, resp *http.Response, s said) said {
-	body := &ending{Reader: resp.Body}
+// readLines reads the lines of an answer up to the last one. Chunks may cut lines anywhere.
+func (t *Transport) readLines(a *dispatch.Attempt, c *conn, resp *http.Response, r answer) answer {
+	body := &endReader{Reader: resp.Body}
 	if len(resp.TransferEncoding) == 1 && resp.TransferEncoding[0] == "chunked" {
-		body.Reader = &chunks{from: l.from}
-		s.rest = body
+		body.Reader = &chunkedReader{from: c.reader}
+		r.rest = body
 	}
-	in := bufio.NewScanner(body)
-	in.Buffer(make([]byte, 0, 1<<10), f.lim.LineBytes)
-	for in.Scan() {
-		text := bytes.TrimSpace(in.Bytes())
+	lines := bufio.NewScanner(body)
+	lines.Buffer(make([]byte, 0, scanBytes), t.limits.LineBytes)
+	for lines.Scan() {
+		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
 			continue
 		}
-		o, load, result := ReadLine(f.node, a, text)
+		o, load, result := ReadLine(t.node, a, text)
 		if o == 0 {
 			continue
 		}
-		s.outcome, s.load, s.result = o, load, result
-		s.clean = s.clean && o != decision.Reset // after a break or a foreign line nothing on it can be trusted
-		if s.length = -1; body.over {
-			s.rest = nil
+		r.outcome, r.load, r.result = o, load, result
+		r.reusable = r.reusable && o != decision.Reset // after a break or a foreign line nothing on it can be trusted
+		r.length = -1
+		if body.ended {
+			r.rest = nil
 		}
-		return s
-	}
-	s.outcome, s.clean, s.rest = decision.Reset, false, nil
-	if err := in.Err(); err != nil {
-		s.outcome = broke(a, err)
-	}
-	return s
-}
-
-// Read takes one line of a worker's answer to an attempt, whatever wire brought it. The outcome is 0 until the last.
-func ReadLine(n *config.Node, a *dispatch.Attempt, text []byte) (decision.Outcome, decision.Load, []byte) {
-	var l AnswerLine
-	if err := json.Unmarshal(text, &l); err != nil || l.ID != a.Job.ID {
-		// Cut off, or the answer to something else: nothing is proved, and nothing of it goes to the client.
-		return decision.Reset, decision.Load{}, nil
+		return r
 	}
-	load := loadObject(n, l.Load)
-	switch l.State {
-	case "started":
-		a.ReportProgress(decision.JobStarted, 0)
-	case "running":
-		a.ReportProgress(decision.JobAdvanced, l.Share)
-	case "done":
-		if len(l.Result) == 0 { // done without a result: there is none to give to the client
-			return decision.Error, load, nil
-		}
-		result := []byte(l.Result)
-		var plain string
-		if json.Unmarshal(l.Result, &plain) == nil {
-			result = []byte(plain)
-		}
-		return decision.OK, load, result
-	case "failed":
-		return decision.Error, load, nil
-	case "returned":
-		return decision.Rejected, load, nil
-	case "lost":
-		return decision.Reset, load, nil
+	r.outcome, r.reusable, r.rest = decision.Reset, false, nil
+	if err := lines.Err(); err != nil {
+		r.outcome = outcomeOfBreak(a, err)
 	}
-	return 0, decision.Load{}, nil
+	return r
 }
--- a/internal/dispatcher/workerhttp/load.go
+++ b/internal/dispatcher/workerhttp/load.go
@@ -1,5 +1,3 @@
-// Load reports, from a header or from a line of an answer.
-
 package workerhttp
 
 import (
@@ -11,44 +9,53 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// figures gathers a load report; one that lacks a figure is none.
-func figures(n *config.Node, each func(put func(word string, v float64))) (l decision.Load) {
-	found := 0
-	each(func(word string, v float64) {
-		if i := n.LoadFieldIndex(word); i >= 0 && i < len(l.Values) {
-			l.Values[i] = v
-			found |= 1 << i
-		}
-	})
-	if want := min(len(n.LoadFields), len(l.Values)); want > 0 && found == 1<<want-1 {
-		l.Count = want
+// loadReport gathers the figures of a worker's report, in the order that the settings give them.
+type loadReport struct {
+	node  *config.Node
+	load  decision.Load
+	found int // a bit for each figure
+}
+
+// put notes a figure under the settings' name or the workers' own; names that the settings do not have are passed over.
+func (r *loadReport) put(name string, v float64) {
+	if i := r.node.LoadFieldIndex(name); i >= 0 && i < len(r.load.Values) {
+		r.load.Values[i] = v
+		r.found |= 1 << i
+	}
+}
+
+// complete returns the report; one that lacks a figure is none.
+func (r *loadReport) complete() decision.Load {
+	if want := min(len(r.node.LoadFields), len(r.load.Values)); want > 0 && r.found == 1<<want-1 {
+		r.load.Count = want
 	}
-	return l
+	return r.load
 }
 
-// loadLine reads a report as a header has it: TEXT name=value, name=value.
-func (f *Transport) loadLine(text string) decision.Load {
-	return figures(f.node, func(put func(string, float64)) {
-		for part := range strings.FieldsFuncSeq(text, func(r rune) bool { return r == ' ' || r == ',' }) {
-			if name, value, ok := strings.Cut(part, "="); ok {
-				if v, err := strconv.ParseFloat(value, 64); err == nil {
-					put(name, v)
-				}
+// parseLoadHeader reads a report as X-Server-Load has it: "TEXT name=value, name=value".
+func (t *Transport) parseLoadHeader(text string) decision.Load {
+	report := loadReport{node: t.node}
+	for part := range strings.FieldsFuncSeq(text, func(r rune) bool { return r == ' ' || r == ',' }) {
+		if name, value, ok := strings.Cut(part, "="); ok {
+			if v, err := strconv.ParseFloat(value, 64); err == nil {
+				report.put(name, v)
 			}
 		}
-	})
+	}
+	return report.complete()
 }
 
-func loadObject(n *config.Node, text json.RawMessage) decision.Load {
-	var object map[string]any
+// parseLoadObject reads a report as a line of an answer has it: an object whose numbers are figures.
+func parseLoadObject(n *config.Node, text json.RawMessage) decision.Load {
+	var object map[string]any // its names are the settings', and other values than numbers may stand in it
 	if len(text) == 0 || json.Unmarshal(text, &object) != nil {
 		return decision.Load{}
 	}
-	return figures(n, func(put func(string, float64)) {
-		for name, v := range object {
-			if v, ok := v.(float64); ok {
-				put(name, v)
-			}
+	report := loadReport{node: n}
+	for name, v := range object {
+		if v, ok := v.(float64); ok {
+			report.put(name, v)
 		}
-	})
+	}
+	return report.complete()
 }
--- a/internal/dispatcher/workerhttp/request_test.go
+++ b/internal/dispatcher/workerhttp/request_test.go
@@ -34,12 +34,12 @@
 func TestRequestAsItIsWritten(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		world, yard := &testenv.Net{}, &testenv.Yard{}
-		l := world.Listen(address)
+		network, yard := &testenv.Net{}, &testenv.Yard{}
+		l := network.Listen(address)
 		go yard.Worker(l, "s-00000001")
 		var text bytes.Buffer
-		b := set(t, n, func(ctx context.Context, address string) (net.Conn, error) {
-			conn, err := world.Dial(ctx, address)
+		b := newFixture(t, n, func(ctx context.Context, address string) (net.Conn, error) {
+			conn, err := network.Dial(ctx, address)
 			return written{conn, &text}, err
 		})
 		for _, j := range []*dispatch.Job{
@@ -59,7 +59,7 @@
 			synctest.Wait()
 		}
 		golden.AssertBytes(t, text.Bytes(), "request.http")
-		b.floor.CloseIdle(config.Worker{Address: address})
+		b.transport.CloseIdle(config.Worker{Address: address})
 		b.stop()
 		l.Close()
 		time.Sleep(time.Minute)
--- a/internal/dispatcher/workerhttp/floor_test.go
+++ b/internal/dispatcher/workerhttp/transport_test.go
@@ -1,5 +1,5 @@
-// These tests model what a worker connection can be (none, busy, idle, closed
-// by the other end, with bytes pending) and check random steps against it.
+// These tests model what a connection to a worker can be (none, in use, idle, closed by the worker, with bytes pending)
+// and check random steps against the model.
 package workerhttp_test
 
 import (
@@ -25,28 +25,29 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
-type quiet struct{}
+// noWatch stands in for the watch on the list of workers.
+type noWatch struct{}
 
-func (quiet) Watch(bool) {}
+func (noWatch) Watch(bool) {}
 
 const address = "127.0.1.0:5000"
 
-// bench is a floor under a core that has one worker, so that each job is one send to it or none.
-type bench struct {
-	floor    *workerhttp.Transport
-	core     *dispatch.Core
-	counters *dispatch.Counters
-	stop     func()
+// fixture is a transport under a core that has one worker, so that each job is one send to it or none.
+type fixture struct {
+	transport *workerhttp.Transport
+	core      *dispatch.Core
+	counters  *dispatch.Counters
+	stop      func()
 }
 
-func set(t testing.TB, n *config.Node, dial func(context.Context, string) (net.Conn, error)) *bench {
-	b := &bench{counters: new(dispatch.Counters)}
-	b.floor = workerhttp.New(n, b.counters)
+func newFixture(t testing.TB, n *config.Node, dial func(context.Context, string) (net.Conn, error)) *fixture {
+	b := &fixture{counters: new(dispatch.Counters)}
+	b.transport = workerhttp.New(n, b.counters)
 	if dial != nil {
-		b.floor.Dial = dial
+		b.transport.Dial = dial
 	}
 	var err error
-	if b.core, err = dispatch.New(n, b.counters, b.floor, nil, quiet{}, nil); err != nil {
+	if b.core, err = dispatch.New(n, b.counters, b.transport, nil, noWatch{}, nil); err != nil {
 		t.Fatal(err)
 	}
 	var ctx context.Context
@@ -55,7 +56,7 @@
 	return b
 }
 
-func (b *bench) serve(id, script string) dispatch.Answer {
+func (b *fixture) serve(id, script string) dispatch.Answer {
 	answers := make(chan dispatch.Answer, 1)
 	b.core.Submit(&dispatch.Job{ID: id, Target: "/seat-check", Body: []byte(script), Timeout: 2 * time.Second, Slots: 1,
 		Reply: func(a dispatch.Answer) { answers <- a }})
@@ -64,12 +65,12 @@
 
 func TestConnectionStates(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
-	type word struct {
-		verdict dispatch.AnswerKind
+	type expectation struct {
+		answer  dispatch.AnswerKind
 		outcome decision.Outcome
-		kept    bool
+		pooled  bool // the connection can serve again
 	}
-	words := map[string]word{
+	expectations := map[string]expectation{
 		"done":      {dispatch.Served, decision.OK, true},
 		"done-odd":  {dispatch.Served, decision.OK, true},
 		"failed":    {dispatch.Rejected, decision.Error, true},
@@ -85,21 +86,21 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			world, yard := &testenv.Net{}, &testenv.Yard{}
-			l := world.Listen(address)
+			network, yard := &testenv.Net{}, &testenv.Yard{}
+			l := network.Listen(address)
 			go yard.Worker(l, "s-00000001")
-			b := set(t, n, world.Dial)
+			b := newFixture(t, n, network.Dial)
 			idle, dials := false, 0
 			for i := range rapid.IntRange(1, 12).Draw(rt, "steps") {
 				name := rapid.SampledFrom([]string{"done", "done-odd", "failed", "returned", "503", "500", "503-maybe", "break",
 					"truncated", "foreign", "lost", "silent", "wait", "close"}).Draw(rt, "word")
-				switch w, ok := words[name]; {
+				switch w, ok := expectations[name]; {
 				case name == "wait":
 					ms := time.Duration(rapid.IntRange(1, 6000).Draw(rt, "ms")) * time.Millisecond
 					time.Sleep(ms)
 					idle = idle && ms < n.Limits.WorkerIdleTimeout
 				case name == "close":
-					b.floor.CloseIdle(config.Worker{Address: address})
+					b.transport.CloseIdle(config.Worker{Address: address})
 					idle = false
 				case ok:
 					id := fmt.Sprint("c", i)
@@ -113,8 +114,8 @@
 					if !idle {
 						dials++
 					}
-					idle = w.kept
-					if sent != 1 || a.Kind != w.verdict || b.counters.Outcomes[w.outcome].Load() != before+1 {
+					idle = w.pooled
+					if sent != 1 || a.Kind != w.answer || b.counters.Outcomes[w.outcome].Load() != before+1 {
 						rt.Errorf("%s: answer %v after %d sends; %s", name, a, sent, b.core.CountersLine())
 					}
 					if a.Kind == dispatch.Served && string(a.Result) != testenv.Result(id) {
@@ -126,13 +127,13 @@
 				if idle {
 					want = 1
 				}
-				if have, open := b.floor.ConnectionCounts(); have != want || open != want || world.Dials != dials {
-					rt.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", name, have, open, world.Dials, want, dials)
+				if have, open := b.transport.ConnectionCounts(); have != want || open != want || network.Dials != dials {
+					rt.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", name, have, open, network.Dials, want, dials)
 				}
-				time.Sleep(1200 * time.Millisecond) // a trial of a suspect worker may come
-				idle = idle && func() bool { have, _ := b.floor.ConnectionCounts(); return have == 1 }()
+				time.Sleep(1200 * time.Millisecond) // a trial of an unhealthy worker may come
+				idle = idle && func() bool { have, _ := b.transport.ConnectionCounts(); return have == 1 }()
 			}
-			b.floor.CloseIdle(config.Worker{Address: address})
+			b.transport.CloseIdle(config.Worker{Address: address})
 			b.stop()
 			l.Close()
 			time.Sleep(time.Minute)
@@ -145,8 +146,8 @@
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			world := &testenv.Net{Silent: map[string]bool{address: silent}}
-			b := set(t, n, world.Dial)
+			network := &testenv.Net{Silent: map[string]bool{address: silent}}
+			b := newFixture(t, n, network.Dial)
 			began := time.Now()
 			a := b.serve("n1", "done")
 			if a.Kind != dispatch.Rejected || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
@@ -155,7 +156,7 @@
 			if took := time.Since(began); silent && took != n.Limits.ConnectTimeout {
 				t.Errorf("it took %v", took)
 			}
-			if _, open := b.floor.ConnectionCounts(); open != 0 {
+			if _, open := b.transport.ConnectionCounts(); open != 0 {
 				t.Errorf("%d connections count as open", open)
 			}
 			b.stop()
@@ -167,7 +168,7 @@
 func TestBreakWhileWriting(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		b := set(t, n, func(context.Context, string) (net.Conn, error) {
+		b := newFixture(t, n, func(context.Context, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go func() { io.ReadFull(there, make([]byte, 40)); there.Close() }()
 			return here, nil
@@ -179,7 +180,7 @@
 	})
 }
 
-// On sockets: a kept connection that was closed, or has bytes pending, is seen before anything is written to it.
+// On sockets: a pooled connection that was closed, or has bytes pending, is seen before anything is written to it.
 func TestStaleConnectionsAreNotUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -187,7 +188,7 @@
 	}
 	defer l.Close()
 	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", l.Addr().String(), "ready")}, "")
-	b := set(t, n, nil)
+	b := newFixture(t, n, nil)
 	defer b.stop()
 	conns := make(chan net.Conn)
 	go func() {
@@ -239,14 +240,14 @@
 	}
 }
 
-// A worker may be told off while the connection to it comes up: nothing is written to it then, and the job never ran.
+// A worker may begin to leave while the connection to it comes up: nothing is written to it then, and the job never ran.
 func TestDrainWhileConnecting(t *testing.T) {
 	w := testenv.Listing("s-00000001", address, "ready")
 	n := testenv.Node(t, []config.Worker{w}, "")
 	synctest.Test(t, func(t *testing.T) {
 		written := false
-		var b *bench
-		b = set(t, n, func(context.Context, string) (net.Conn, error) {
+		var b *fixture
+		b = newFixture(t, n, func(context.Context, string) (net.Conn, error) {
 			w.State = "draining"
 			b.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
 			time.Sleep(10 * time.Millisecond) // the handshake
@@ -258,7 +259,7 @@
 			return here, nil
 		})
 		a := b.serve("d1", "done")
-		b.floor.CloseIdle(w)
+		b.transport.CloseIdle(w)
 		synctest.Wait()
 		if a.Kind != dispatch.Rejected || written || b.counters.Outcomes[decision.NeverSent].Load() != 1 {
 			t.Errorf("%v, written %v; %s", a, written, b.core.CountersLine())
