--- a/internal/simcluster/audit.go
+++ b/internal/simcluster/audit.go
@@ -8,79 +8,79 @@
 
 // Figures of the rules.
 const (
-	contact            = 4 * time.Second // trouble excuses for so long
+	faultExcuse        = 4 * time.Second // how long a fault excuses what comes after it
 	drainBound         = 3 * time.Second
 	configurationBound = 3 * time.Second
 	revertSlack        = 250 * time.Millisecond
 	earlySlack         = 100 * time.Millisecond
-	ceilingWindow      = 5 * time.Second
-	ceilingOvershoot   = 1.1
-	ceilingExtra       = 5
+	rateLimitWindow    = 5 * time.Second
+	rateLimitOvershoot = 1.1
+	rateLimitExtra     = 5
 	answerMargin       = 50 * time.Millisecond // before the deadline, for a success that counts as read
 	readTime           = 50 * time.Millisecond // an answer takes no longer to its reader
 )
 
-// Rule names what an auditor watches.
+// Rule names what an auditor checks. The values are the names that the operators' pages use.
 type Rule string
 
 // The rules.
 const (
-	RuleLost          Rule = "LOST"
-	RuleMixed         Rule = "MIXED"
-	RuleOrder         Rule = "ORDER"
-	RuleTwice         Rule = "TWICE"
-	RuleCeiling       Rule = "CEILING"
-	RuleConfiguration Rule = "CONFIG"
-	RuleRefused       Rule = "REFUSED"
-	RuleDrain         Rule = "DRAIN"
-	RuleUnasked       Rule = "UNASKED"
-	RuleEarly         Rule = "EARLY RUN"
-	RuleOwnEnd        Rule = "OWN END"
+	RuleLost           Rule = "LOST"
+	RuleMixed          Rule = "MIXED"
+	RuleOrder          Rule = "ORDER"
+	RuleDuplicate      Rule = "TWICE"
+	RuleRateLimit      Rule = "CEILING"
+	RuleConfiguration  Rule = "CONFIG"
+	RuleRefused        Rule = "REFUSED"
+	RuleDrain          Rule = "DRAIN"
+	RuleUnsolicited    Rule = "UNASKED"
+	RuleEarly          Rule = "EARLY RUN"
+	RuleUnexpectedExit Rule = "OWN END"
 )
 
-// Violation is a rule broken.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule Rule
 	At   time.Duration
 	Text string
 }
 
-// String describes the violation.
+// String implements fmt.Stringer.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Text) }
 
-// Audit judges a history by all rules.
+// Audit checks a history by all rules and returns the violations.
 func Audit(history *History) []Violation {
 	a := newAudit(history)
-	a.accepted()
-	a.order()
-	a.twice()
-	a.ceilings()
-	a.refused()
-	a.draining()
-	a.unasked()
-	a.early()
-	a.ownEnds()
-	a.lateConfigurations()
-	a.regressions()
-	a.missingRoutes()
-	a.acknowledgements()
-	a.readBack()
-	a.linearizable()
+	a.checkAccepted()
+	a.checkOrder()
+	a.checkDuplicates()
+	a.checkRateLimits()
+	a.checkRefused()
+	a.checkDraining()
+	a.checkUnsolicited()
+	a.checkEarly()
+	a.checkUnexpectedExits()
+	a.checkStaleConfigurations()
+	a.checkRegressions()
+	a.checkRoutes()
+	a.checkAcknowledgements()
+	a.checkReadBack()
+	a.checkLinearizable()
 	return a.violations
 }
 
-// audit is a history in the making of its judgement.
+// audit is a history with indexes into it, and the violations that were found so far.
 type audit struct {
 	*History
 	violations []Violation
-	tries      map[string]*Try
-	arrivals   map[string][]*Arrival // by request id, in order
+	attempts   map[string]*Attempt
+	arrivals   map[string][]*Arrival // by request id, sorted by time
 }
 
 func newAudit(history *History) *audit {
-	a := &audit{History: history, tries: make(map[string]*Try), arrivals: make(map[string][]*Arrival)}
-	for i := range history.Tries {
-		a.tries[history.Tries[i].RequestID] = &history.Tries[i]
+	a := &audit{History: history, attempts: make(map[string]*Attempt), arrivals: make(map[string][]*Arrival)}
+	for i := range history.Attempts {
+		a.attempts[history.Attempts[i].RequestID] = &history.Attempts[i]
 	}
 	for i := range history.Arrivals {
 		arrival := &history.Arrivals[i]
@@ -93,27 +93,27 @@
 	a.violations = append(a.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, values...)})
 }
 
-// troubled tells whether a trouble that a filter names lasted at some moment of a span.
-func (a *audit) troubled(from, until time.Duration, counts func(trouble *Trouble) bool) bool {
-	return slices.ContainsFunc(a.Troubles, func(trouble Trouble) bool {
-		ended := trouble.Until != 0 && trouble.Until < from
-		return counts(&trouble) && trouble.From <= until && !ended
+// hadFault tells whether a fault that the filter counts lasted at some moment of a span.
+func (a *audit) hadFault(from, until time.Duration, counts func(fault *Fault) bool) bool {
+	return slices.ContainsFunc(a.Faults, func(fault Fault) bool {
+		ended := fault.Until != 0 && fault.Until < from
+		return counts(&fault) && fault.From <= until && !ended
 	})
 }
 
-// calm tells whether no trouble of any kind lasted at a moment, or in the span of contact before it.
-func (a *audit) calm(at time.Duration) bool {
-	return !a.troubled(at-contact, at, func(*Trouble) bool { return true })
+// faultFree tells whether no fault lasted at a moment, or within faultExcuse before it.
+func (a *audit) faultFree(at time.Duration) bool {
+	return !a.hadFault(at-faultExcuse, at, func(*Fault) bool { return true })
 }
 
-// ending is when a message ended, and by what.
+// ending is when and how a message ended.
 type ending struct {
 	at   time.Duration
 	dead bool // without a success
 }
 
-// endingOf returns when a message ended by its rule; false where it has not.
-func (a *audit) endingOf(try *Try) (ending, bool) {
+// endingOf returns when a message ended according to the rules; false where it has not ended.
+func (a *audit) endingOf(attempt *Attempt) (ending, bool) {
 	earliest, ended := ending{}, false
 	note := func(at time.Duration, dead bool) {
 		if !ended || at < earliest.at {
@@ -121,32 +121,32 @@
 		}
 	}
 	failures := 0
-	for _, arrival := range a.arrivals[try.RequestID] {
+	for _, arrival := range a.arrivals[attempt.RequestID] {
 		switch arrival.Result {
 		case Succeeded:
 			note(arrival.EndedAt, false)
 		case Rejected:
 			note(arrival.EndedAt, true)
 		case Failed:
-			if failures++; failures >= a.attemptsOf(try) {
+			if failures++; failures >= a.attemptsOf(attempt) {
 				note(arrival.EndedAt, true)
 			}
 		}
 	}
-	if at, dropped := a.droppedAt(try); dropped {
+	if at, dropped := a.droppedAt(attempt); dropped {
 		note(at, true)
 	}
-	if at := try.FirstSent + a.retentionOf(try); at <= a.End {
+	if at := attempt.FirstSent + a.retentionOf(attempt); at <= a.End {
 		note(at, true)
 	}
 	return earliest, ended
 }
 
-// attemptsOf returns the smallest number of failed attempts after which any configuration gives a message up.
-func (a *audit) attemptsOf(try *Try) int {
+// attemptsOf returns the smallest number of failed attempts after which some configuration gives a message up.
+func (a *audit) attemptsOf(attempt *Attempt) int {
 	least := 0
-	for i := range a.Orders {
-		if route := a.Orders[i].Configuration.Route(try.Route); route != nil {
+	for i := range a.Changes {
+		if route := a.Changes[i].Configuration.Route(attempt.Route); route != nil {
 			if least == 0 || route.MaxAttempts < least {
 				least = route.MaxAttempts
 			}
@@ -155,10 +155,11 @@
 	return max(least, 1)
 }
 
-func (a *audit) retentionOf(try *Try) time.Duration {
+// retentionOf returns the shortest time for which some configuration keeps a message.
+func (a *audit) retentionOf(attempt *Attempt) time.Duration {
 	least := time.Duration(0)
-	for i := range a.Orders {
-		if route := a.Orders[i].Configuration.Route(try.Route); route != nil {
+	for i := range a.Changes {
+		if route := a.Changes[i].Configuration.Route(attempt.Route); route != nil {
 			if least == 0 || route.Retention < least {
 				least = route.Retention
 			}
@@ -167,25 +168,27 @@
 	return least
 }
 
-// droppedAt returns when a configuration may first have dropped a message's route after it was sent. An order that
-// was refused drops nothing.
-func (a *audit) droppedAt(try *Try) (time.Duration, bool) {
-	for i := range a.Orders {
-		order := &a.Orders[i]
-		if order.mayBeInForce() && order.Configuration.Route(try.Route) == nil && a.later(order, try) {
-			return max(order.SentAt, try.SentAt), true
+// droppedAt returns when a configuration may first have dropped a message's route after the message was sent. A
+// change that was refused drops nothing.
+func (a *audit) droppedAt(attempt *Attempt) (time.Duration, bool) {
+	for i := range a.Changes {
+		change := &a.Changes[i]
+		if change.mayBeInForce() && change.Configuration.Route(attempt.Route) == nil && a.later(change, attempt) {
+			return max(change.SentAt, attempt.SentAt), true
 		}
 	}
 	return 0, false
 }
 
-// later tells whether an order may have come into force after a message was sent.
-func (a *audit) later(order *Order, try *Try) bool {
-	if order.SentAt >= try.SentAt {
+// later tells whether a change may have come into force after a message was sent.
+func (a *audit) later(change *ConfigurationChange, attempt *Attempt) bool {
+	if change.SentAt >= attempt.SentAt {
 		return true
 	}
-	return order.AnsweredAt == 0 || order.Status != statusOK || order.AnsweredAt+configurationBound >= try.SentAt
+	return change.AnsweredAt == 0 || change.Status != statusOK || change.AnsweredAt+configurationBound >= attempt.SentAt
 }
 
-// mayBeInForce tells whether an order was not clearly refused.
-func (o *Order) mayBeInForce() bool { return o.Status == statusOK || o.Status == statusNoAnswer }
+// mayBeInForce tells whether a change was not conclusively refused.
+func (c *ConfigurationChange) mayBeInForce() bool {
+	return c.Status == statusOK || c.Status == statusNoResponse
+}
--- a/internal/simcluster/audit_configuration.go
+++ b/internal/simcluster/audit_configuration.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// lateConfigurations sees to it that no message is handled as only an older configuration allows, some time after a
-// newer one was acknowledged.
-func (a *audit) lateConfigurations() {
+// checkStaleConfigurations checks that no message is handled as only an outdated configuration allows, once
+// configurationBound has passed since a newer one was acknowledged.
+func (a *audit) checkStaleConfigurations() {
 	for i := range a.Arrivals {
 		arrival := &a.Arrivals[i]
-		try := a.tries[arrival.RequestID]
-		if try == nil || !arrival.Result.Ran() || !a.calm(arrival.At) || !a.calm(try.SentAt) {
+		attempt := a.attempts[arrival.RequestID]
+		if attempt == nil || !arrival.Result.Ran() || !a.faultFree(arrival.At) || !a.faultFree(attempt.SentAt) {
 			continue
 		}
-		floor := a.acknowledgedBy(try.SentAt - configurationBound)
-		if newest, known := a.newestAllowing(try.Route, arrival.Service, arrival.At); !known || newest < floor {
+		minimum := a.acknowledgedBy(attempt.SentAt - configurationBound)
+		if newest, known := a.newestAllowing(attempt.Route, arrival.Service, arrival.At); !known || newest < minimum {
 			a.report(RuleConfiguration, arrival.At, "%s (sent at %v) ran at %s as only version %d allows; %d was acknowledged",
-				arrival.RequestID, try.SentAt, arrival.Service, newest, floor)
+				arrival.RequestID, attempt.SentAt, arrival.Service, newest, minimum)
 		}
 	}
 }
@@ -25,9 +25,9 @@
 // acknowledgedBy returns the newest version that was acknowledged by some time.
 func (a *audit) acknowledgedBy(at time.Duration) uint64 {
 	newest := uint64(0)
-	for i := range a.Orders {
-		if order := &a.Orders[i]; order.Acknowledged() && order.AnsweredAt <= at {
-			newest = max(newest, order.Configuration.Version)
+	for i := range a.Changes {
+		if change := &a.Changes[i]; change.Acknowledged() && change.AnsweredAt <= at {
+			newest = max(newest, change.Configuration.Version)
 		}
 	}
 	return newest
@@ -37,61 +37,61 @@
 // go to a service.
 func (a *audit) newestAllowing(route, service string, by time.Duration) (uint64, bool) {
 	newest, known := uint64(0), false
-	for i := range a.Orders {
-		if order := &a.Orders[i]; order.allows(route, service, by) {
-			newest, known = max(newest, order.Configuration.Version), true
+	for i := range a.Changes {
+		if change := &a.Changes[i]; change.allows(route, service, by) {
+			newest, known = max(newest, change.Configuration.Version), true
 		}
 	}
 	return newest, known
 }
 
-// oldestAllowing returns the oldest such version that is not below a floor.
-func (a *audit) oldestAllowing(route, service string, by time.Duration, floor uint64) (uint64, bool) {
+// oldestAllowing returns the oldest such version that is not below a minimum.
+func (a *audit) oldestAllowing(route, service string, by time.Duration, minimum uint64) (uint64, bool) {
 	oldest, known := uint64(0), false
-	for i := range a.Orders {
-		order := &a.Orders[i]
-		version := order.Configuration.Version
-		if order.allows(route, service, by) && version >= floor && (!known || version < oldest) {
+	for i := range a.Changes {
+		change := &a.Changes[i]
+		version := change.Configuration.Version
+		if change.allows(route, service, by) && version >= minimum && (!known || version < oldest) {
 			oldest, known = version, true
 		}
 	}
 	return oldest, known
 }
 
-func (o *Order) allows(route, service string, by time.Duration) bool {
-	if !o.mayBeInForce() || o.SentAt > by {
+func (c *ConfigurationChange) allows(route, service string, by time.Duration) bool {
+	if !c.mayBeInForce() || c.SentAt > by {
 		return false
 	}
-	found := o.Configuration.Route(route)
+	found := c.Configuration.Route(route)
 	return found != nil && found.Service == service
 }
 
-// life names one process.
-type life struct {
-	machine string
-	number  int
+// processID identifies one process: a machine runs one process after another.
+type processID struct {
+	machine     string
+	incarnation int
 }
 
-// sighting is a version that a process has shown to have.
+// sighting is a version that a process has shown to have in force.
 type sighting struct {
 	version uint64
 	at      time.Duration
 }
 
-// regressions sees to it that no process goes back to an older configuration than it has shown.
-func (a *audit) regressions() {
-	shown := make(map[life][]sighting)
+// checkRegressions checks that no process goes back to an older configuration than it has shown.
+func (a *audit) checkRegressions() {
+	shown := make(map[processID][]sighting)
 	for _, run := range a.sortedRuns() {
-		try := a.tries[run.RequestID]
-		if try == nil {
+		attempt := a.attempts[run.RequestID]
+		if attempt == nil {
 			continue
 		}
-		sender := life{run.Sender, run.Life}
-		floor := newestBefore(shown[sender], try.SentAt-revertSlack)
-		version, allowed := a.oldestAllowing(try.Route, run.Service, run.At, floor)
+		sender := processID{run.Sender, run.Incarnation}
+		minimum := newestBefore(shown[sender], attempt.SentAt-revertSlack)
+		version, allowed := a.oldestAllowing(attempt.Route, run.Service, run.At, minimum)
 		if !allowed {
 			a.report(RuleConfiguration, run.At, "%s goes back: %s (sent at %v) ran at %s, version %d was in force there before",
-				run.Sender, run.RequestID, try.SentAt, run.Service, floor)
+				run.Sender, run.RequestID, attempt.SentAt, run.Service, minimum)
 			continue
 		}
 		if newestBefore(shown[sender], run.At) < version {
@@ -111,61 +111,62 @@
 	return newest
 }
 
-// missingRoutes sees to it that fronts answer 404, and accept messages, by no configuration that is too old.
-func (a *audit) missingRoutes() {
-	for i := range a.Tries {
-		try := &a.Tries[i]
-		missing := try.Status == http.StatusNotFound
-		if !missing && !try.Accepted() || !a.calm(try.AnsweredAt) {
+// checkRoutes checks that fronts neither answer 404 nor accept messages by an outdated configuration.
+func (a *audit) checkRoutes() {
+	for i := range a.Attempts {
+		attempt := &a.Attempts[i]
+		missing := attempt.Status == http.StatusNotFound
+		if !missing && !attempt.Accepted() || !a.faultFree(attempt.AnsweredAt) {
 			continue
 		}
-		floor := a.acknowledgedBy(try.SentAt - configurationBound)
-		if !a.someVersion(floor, try, missing) {
-			a.report(RuleConfiguration, try.AnsweredAt, "%s on the route %s got %d at %s, which no version from %d on allows",
-				try.RequestID, try.Route, try.Status, try.Front, floor)
+		minimum := a.acknowledgedBy(attempt.SentAt - configurationBound)
+		if !a.anyVersionExplains(minimum, attempt, missing) {
+			a.report(RuleConfiguration, attempt.AnsweredAt, "%s on the route %s got %d at %s, which no version from %d on allows",
+				attempt.RequestID, attempt.Route, attempt.Status, attempt.Front, minimum)
 		}
 	}
 }
 
-// someVersion tells whether a version that may be in force lacks a try's route, or has it.
-func (a *audit) someVersion(floor uint64, try *Try, missing bool) bool {
-	for i := range a.Orders {
-		order := &a.Orders[i]
-		if !order.mayBeInForce() || order.SentAt > try.AnsweredAt || order.Configuration.Version < floor {
+// anyVersionExplains tells whether a version that may be in force lacks the route of an attempt (missing), or has
+// it.
+func (a *audit) anyVersionExplains(minimum uint64, attempt *Attempt, missing bool) bool {
+	for i := range a.Changes {
+		change := &a.Changes[i]
+		if !change.mayBeInForce() || change.SentAt > attempt.AnsweredAt || change.Configuration.Version < minimum {
 			continue
 		}
-		if (order.Configuration.Route(try.Route) == nil) == missing {
+		if (change.Configuration.Route(attempt.Route) == nil) == missing {
 			return true
 		}
 	}
-	return floor == 0 && missing
+	return minimum == 0 && missing
 }
 
-// acknowledgements sees to it that of several changes on top of one version only one is taken, and that no proper
-// order is refused that nothing has come before.
-func (a *audit) acknowledgements() {
-	taken := make(map[uint64]*Order)
-	for i := range a.Orders {
-		order := &a.Orders[i]
-		if !order.Acknowledged() {
-			a.checkRefusal(order)
+// checkAcknowledgements checks that of several changes on top of one version only one is acknowledged, and that no
+// valid change is refused that no other has preceded.
+func (a *audit) checkAcknowledgements() {
+	taken := make(map[uint64]*ConfigurationChange)
+	for i := range a.Changes {
+		change := &a.Changes[i]
+		if !change.Acknowledged() {
+			a.checkRefusal(change)
 			continue
 		}
-		if other := taken[order.Base]; other != nil && !other.Configuration.sameAs(&order.Configuration) {
-			a.report(RuleConfiguration, order.AnsweredAt, "%s and %s both had a change on top of version %d acknowledged",
-				other.Operator, order.Operator, order.Base)
+		if other := taken[change.Base]; other != nil && !other.Configuration.sameAs(&change.Configuration) {
+			a.report(RuleConfiguration, change.AnsweredAt, "%s and %s both had a change on top of version %d acknowledged",
+				other.Operator, change.Operator, change.Base)
 		}
-		taken[order.Base] = order
+		taken[change.Base] = change
 	}
 }
 
-// checkRefusal sees to it that an order refused for its base had another one come before it.
-func (a *audit) checkRefusal(refused *Order) {
-	if refused.Status == statusNoAnswer {
+// checkRefusal checks that another change had preceded one that was refused for its base version.
+func (a *audit) checkRefusal(refused *ConfigurationChange) {
+	if refused.Status == statusNoResponse {
 		return
 	}
-	for i := range a.Orders {
-		other := &a.Orders[i]
+	for i := range a.Changes {
+		other := &a.Changes[i]
 		rivals := other != refused && other.mayBeInForce() && other.SentAt <= refused.AnsweredAt
 		if rivals && other.Configuration.Version > refused.Base {
 			return
@@ -175,8 +176,8 @@
 		refused.Configuration.Version, refused.Operator, refused.Status)
 }
 
-// readBack sees to it that the newest acknowledged configuration, or a newer one, is read back as it was sent.
-func (a *audit) readBack() {
+// checkReadBack checks that the newest acknowledged configuration, or a newer one, is read back as it was sent.
+func (a *audit) checkReadBack() {
 	if len(a.Reads) == 0 {
 		a.report(RuleConfiguration, a.End, "the configuration can't be read back")
 	}
@@ -193,10 +194,11 @@
 	}
 }
 
+// wasSent tells whether a configuration that was read back was sent and not refused.
 func (a *audit) wasSent(read *Configuration) bool {
-	for i := range a.Orders {
-		order := &a.Orders[i]
-		if order.Configuration.sameAs(read) && order.mayBeInForce() {
+	for i := range a.Changes {
+		change := &a.Changes[i]
+		if change.Configuration.sameAs(read) && change.mayBeInForce() {
 			return true
 		}
 	}
--- a/internal/simcluster/audit_linearizable.go
+++ b/internal/simcluster/audit_linearizable.go
@@ -7,10 +7,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizeLimit bounds the search for an order of the operators' calls.
+// linearizeLimit bounds the search for a linearization of the operators' calls.
 const linearizeLimit = 10 * time.Second
 
-// configurationState is the configuration in force: its version and its text, which tells two of one version apart.
+// configurationState is the configuration in force: its version, and its text, which distinguishes two of one
+// version.
 type configurationState struct {
 	version uint64
 	text    string
@@ -20,20 +21,20 @@
 	return configurationState{configuration.Version, configuration.routesText()}
 }
 
-// configurationCall is an order, or a reading where next is the zero value.
+// configurationCall is a change, or a read where next is the zero value.
 type configurationCall struct {
 	base uint64
 	next configurationState
 }
 
-// configurationOutcome is how a call ended.
+// configurationOutcome is the result of a call.
 type configurationOutcome struct {
-	taken   bool // the order was acknowledged
+	taken   bool // the change was acknowledged
 	refused bool
 	read    configurationState
 }
 
-// configurationRegister is the configuration as a register that is compared and swapped.
+// configurationRegister models the configuration as a compare-and-swap register.
 var configurationRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{configurationState{}} },
 	Step: func(state, input, output any) []any {
@@ -41,8 +42,8 @@
 	},
 }
 
-// stepRegister returns the states that a call with an outcome may lead to; none where it can't have that outcome. An
-// order that has got no answer may be taken or not.
+// stepRegister returns the states to which a call with an outcome may lead; none where the call can't have that
+// outcome. A change without a response may have been taken or not.
 func stepRegister(state configurationState, call configurationCall, outcome configurationOutcome) []any {
 	applies := state.version == call.base
 	switch {
@@ -62,29 +63,29 @@
 	return nil
 }
 
-// linearizable sees to it that all calls of the operators can be put into one order in which each takes effect between
-// its beginning and its answer.
-func (a *audit) linearizable() {
+// checkLinearizable checks that the calls of all operators are linearizable: that there is one order in which each
+// takes effect between its start and its response.
+func (a *audit) checkLinearizable() {
 	var operations []porcupine.Operation
-	for i := range a.Orders {
-		order := &a.Orders[i]
+	for i := range a.Changes {
+		change := &a.Changes[i]
 		outcome := configurationOutcome{
-			taken:   order.Acknowledged(),
-			refused: !order.Acknowledged() && order.Status != statusNoAnswer,
+			taken:   change.Acknowledged(),
+			refused: !change.Acknowledged() && change.Status != statusNoResponse,
 		}
-		answered := int64(order.AnsweredAt)
-		if order.Status == statusNoAnswer {
+		answered := int64(change.AnsweredAt)
+		if change.Status == statusNoResponse {
 			answered = math.MaxInt64
 		}
 		operations = append(operations, porcupine.Operation{
-			ClientId: i, Call: int64(order.SentAt), Return: answered,
-			Input: configurationCall{order.Base, stateOf(&order.Configuration)}, Output: outcome,
+			ClientId: i, Call: int64(change.SentAt), Return: answered,
+			Input: configurationCall{change.Base, stateOf(&change.Configuration)}, Output: outcome,
 		})
 	}
 	for i := range a.Reads {
 		read := &a.Reads[i]
 		operations = append(operations, porcupine.Operation{
-			ClientId: len(a.Orders) + i, Call: int64(read.From), Return: int64(read.At),
+			ClientId: len(a.Changes) + i, Call: int64(read.From), Return: int64(read.At),
 			Output: configurationOutcome{read: stateOf(&read.Configuration)}, Input: configurationCall{},
 		})
 	}
--- a/internal/simcluster/audit_messages.go
+++ b/internal/simcluster/audit_messages.go
@@ -14,99 +14,103 @@
 	stateDeadLetter = "dead_letter"
 )
 
-// accepted sees to it that no accepted message is lost, and that what is said of it is true.
-func (a *audit) accepted() {
-	answers := make(map[string]*StateAnswer)
-	for i := range a.Answers {
-		answers[a.Answers[i].RequestID] = &a.Answers[i]
+// checkAccepted checks that no accepted message is lost, and that its reported state is true.
+func (a *audit) checkAccepted() {
+	answers := make(map[string]*StateResponse)
+	for i := range a.StateResponses {
+		answers[a.StateResponses[i].RequestID] = &a.StateResponses[i]
 	}
-	for i := range a.Tries {
-		try := &a.Tries[i]
-		if !try.Accepted() {
+	for i := range a.Attempts {
+		attempt := &a.Attempts[i]
+		if !attempt.Accepted() {
 			continue
 		}
-		answer := answers[try.RequestID]
+		answer := answers[attempt.RequestID]
 		if answer == nil || answer.Status != statusOK {
-			status := statusNoAnswer
+			status := statusNoResponse
 			if answer != nil {
 				status = answer.Status
 			}
-			a.report(RuleLost, try.AnsweredAt, "%s (%s) was accepted, its state can't be had: %d", try.RequestID, try.MessageID, status)
+			a.report(RuleLost, attempt.AnsweredAt, "%s (%s) was accepted, its state can't be had: %d", attempt.RequestID, attempt.MessageID, status)
 			continue
 		}
-		a.checkState(try, answer)
+		a.checkState(attempt, answer)
 	}
 }
 
-func (a *audit) checkState(try *Try, answer *StateAnswer) {
-	ended, hasEnded := a.endingOf(try)
+// checkState checks the reported state of an accepted message.
+func (a *audit) checkState(attempt *Attempt, answer *StateResponse) {
+	ended, hasEnded := a.endingOf(attempt)
 	switch answer.State {
 	case stateCompleted:
-		if !a.hasStamp(try, answer.Stamp) {
-			a.report(RuleMixed, try.AnsweredAt, "%s is completed with the stamp %q of no successful run", try.RequestID, answer.Stamp)
+		if !a.hasStamp(attempt, answer.Stamp) {
+			a.report(RuleMixed, attempt.AnsweredAt, "%s is completed with the stamp %q of no successful run", attempt.RequestID, answer.Stamp)
 		}
 	case stateDeadLetter:
 		if !hasEnded {
-			a.report(RuleMixed, try.AnsweredAt, "%s (%s) is a dead letter and has not ended: %s", try.RequestID,
-				try.MessageID, a.describeArrivals(try))
+			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter and has not ended: %s", attempt.RequestID,
+				attempt.MessageID, a.describeArrivals(attempt))
 		} else if !ended.dead {
-			a.report(RuleMixed, try.AnsweredAt, "%s (%s) is a dead letter and had succeeded before: %s", try.RequestID,
-				try.MessageID, a.describeArrivals(try))
+			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter and had succeeded before: %s", attempt.RequestID,
+				attempt.MessageID, a.describeArrivals(attempt))
 		}
-		a.checkBody(try, answer)
+		a.checkBody(attempt, answer)
 	case stateQueued:
-		a.checkBody(try, answer)
+		a.checkBody(attempt, answer)
 	default:
-		a.report(RuleMixed, try.AnsweredAt, "%s has the state %q", try.RequestID, answer.State)
+		a.report(RuleMixed, attempt.AnsweredAt, "%s has the state %q", attempt.RequestID, answer.State)
 	}
 }
 
-func (a *audit) checkBody(try *Try, answer *StateAnswer) {
+// checkBody checks that the body of a message that has not completed can be read, and is unchanged.
+func (a *audit) checkBody(attempt *Attempt, answer *StateResponse) {
 	switch {
 	case answer.BodyStatus != statusOK:
-		a.report(RuleLost, try.AnsweredAt, "%s (%s) is %s, its body can't be had: %d", try.RequestID, try.MessageID,
+		a.report(RuleLost, attempt.AnsweredAt, "%s (%s) is %s, its body can't be had: %d", attempt.RequestID, attempt.MessageID,
 			answer.State, answer.BodyStatus)
-	case answer.Body != try.Body:
-		a.report(RuleMixed, try.AnsweredAt, "%s is %s with the body %q", try.RequestID, answer.State, answer.Body)
+	case answer.Body != attempt.Body:
+		a.report(RuleMixed, attempt.AnsweredAt, "%s is %s with the body %q", attempt.RequestID, answer.State, answer.Body)
 	}
 }
 
-func (a *audit) hasStamp(try *Try, stamp string) bool {
-	return slices.ContainsFunc(a.arrivals[try.RequestID], func(arrival *Arrival) bool {
+// hasStamp tells whether a successful run of a message carries a stamp.
+func (a *audit) hasStamp(attempt *Attempt, stamp string) bool {
+	return slices.ContainsFunc(a.arrivals[attempt.RequestID], func(arrival *Arrival) bool {
 		return arrival.Result == Succeeded && arrival.Stamp == stamp && stamp != ""
 	})
 }
 
-func (a *audit) describeArrivals(try *Try) string {
+// describeArrivals lists the arrivals of a message, for the texts of violations.
+func (a *audit) describeArrivals(attempt *Attempt) string {
 	text := ""
-	for _, arrival := range a.arrivals[try.RequestID] {
+	for _, arrival := range a.arrivals[attempt.RequestID] {
 		text += arrival.At.String() + " " + arrival.Sender + ">" + arrival.Worker + " " + string(arrival.Result) + "; "
 	}
 	return text
 }
 
-// order sees to it that messages with one key run one after the other, in the order of their acceptance.
-func (a *audit) order() {
-	keyed := make(map[[2]string][]*Try)
-	for i := range a.Tries {
-		if try := &a.Tries[i]; try.OrderKey != "" {
-			key := [2]string{try.Route, try.OrderKey}
-			keyed[key] = append(keyed[key], try)
+// checkOrder checks that messages with one order key run one after the other, in the order of their acceptance.
+func (a *audit) checkOrder() {
+	keyed := make(map[[2]string][]*Attempt)
+	for i := range a.Attempts {
+		if attempt := &a.Attempts[i]; attempt.OrderKey != "" {
+			key := [2]string{attempt.Route, attempt.OrderKey}
+			keyed[key] = append(keyed[key], attempt)
 		}
 	}
-	for _, tries := range keyed {
-		for _, earlier := range tries {
+	for _, attempts := range keyed {
+		for _, earlier := range attempts {
 			if earlier.Accepted() {
-				a.checkOrder(earlier, tries)
+				a.checkKeyOrder(earlier, attempts)
 			}
 		}
 	}
 }
 
-// checkOrder looks for messages that began although an earlier one with their key had not ended.
-func (a *audit) checkOrder(earlier *Try, tries []*Try) {
+// checkKeyOrder finds messages that began before an earlier one with the same key had ended.
+func (a *audit) checkKeyOrder(earlier *Attempt, attempts []*Attempt) {
 	ended, hasEnded := a.endingOf(earlier)
-	for _, later := range tries {
+	for _, later := range attempts {
 		if later.SentAt <= earlier.AnsweredAt {
 			continue
 		}
@@ -120,15 +124,15 @@
 	}
 }
 
-// twice sees to it that no message runs again after a success that its sender has read, unless there was unplanned
-// trouble.
-func (a *audit) twice() {
+// checkDuplicates checks that no message runs again after a success that its sender has read, except near an
+// unplanned fault.
+func (a *audit) checkDuplicates() {
 	for id, arrivals := range a.arrivals {
 		read := time.Duration(0)
 		for _, arrival := range arrivals {
 			if read > 0 && arrival.Result.Ran() && arrival.At > read && !a.excusesRepeat(id, arrival) {
-				a.report(RuleTwice, arrival.At, "%s runs again after the success at %v: %s", id, read,
-					a.describeArrivals(&Try{RequestID: id}))
+				a.report(RuleDuplicate, arrival.At, "%s runs again after the success at %v: %s", id, read,
+					a.describeArrivals(&Attempt{RequestID: id}))
 			}
 			if read == 0 && a.wasRead(arrival) {
 				read = arrival.EndedAt
@@ -137,17 +141,18 @@
 	}
 }
 
-// wasRead tells whether an arrival ended in a success that came in time and that its sender could read.
+// wasRead tells whether an arrival ended in a success that was in time and that its sender was able to read.
 func (a *audit) wasRead(arrival *Arrival) bool {
 	if arrival.Result != Succeeded || arrival.Unread || arrival.EndedAt > arrival.At+arrival.Deadline-answerMargin {
 		return false
 	}
-	return !a.troubled(arrival.EndedAt, arrival.EndedAt+readTime, func(trouble *Trouble) bool {
-		return trouble.Machine == arrival.Sender
+	return !a.hadFault(arrival.EndedAt, arrival.EndedAt+readTime, func(fault *Fault) bool {
+		return fault.Machine == arrival.Sender
 	})
 }
 
-// excusesRepeat tells whether there was unplanned trouble from a span before a run until the message's next arrival.
+// excusesRepeat tells whether an unplanned fault lasted between faultExcuse before a run and the message's next
+// arrival.
 func (a *audit) excusesRepeat(id string, run *Arrival) bool {
 	until := a.End
 	for _, next := range a.arrivals[id] {
@@ -156,11 +161,11 @@
 			break
 		}
 	}
-	return a.troubled(run.At-contact, until, func(trouble *Trouble) bool { return !trouble.Planned })
+	return a.hadFault(run.At-faultExcuse, until, func(fault *Fault) bool { return !fault.Planned })
 }
 
-// ceilings sees to it that no service gets more than its rate allows.
-func (a *audit) ceilings() {
+// checkRateLimits checks that no service gets more requests than its rate limit allows.
+func (a *audit) checkRateLimits() {
 	for _, service := range a.Services {
 		if service.RatePerSecond <= 0 {
 			continue
@@ -172,42 +177,43 @@
 			}
 		}
 		slices.Sort(times)
-		allowed := int(service.RatePerSecond*ceilingWindow.Seconds()*ceilingOvershoot) + ceilingExtra
-		a.checkCeiling(service.Name, times, allowed)
+		allowed := int(service.RatePerSecond*rateLimitWindow.Seconds()*rateLimitOvershoot) + rateLimitExtra
+		a.checkRateLimit(service.Name, times, allowed)
 	}
 }
 
-func (a *audit) checkCeiling(service string, times []time.Duration, allowed int) {
+// checkRateLimit slides a window over the arrival times of a service, which are sorted.
+func (a *audit) checkRateLimit(service string, times []time.Duration, allowed int) {
 	for first, last := 0, 0; last < len(times); last++ {
-		for times[last]-times[first] >= ceilingWindow {
+		for times[last]-times[first] >= rateLimitWindow {
 			first++
 		}
 		if count := last - first + 1; count > allowed {
-			a.report(RuleCeiling, times[last], "%s got %d requests in %v, %d are allowed", service, count, ceilingWindow, allowed)
+			a.report(RuleRateLimit, times[last], "%s got %d requests in %v, %d are allowed", service, count, rateLimitWindow, allowed)
 			return
 		}
 	}
 }
 
-// refused sees to it that what was refused with a promise never runs.
-func (a *audit) refused() {
-	for i := range a.Tries {
-		try := &a.Tries[i]
-		if !try.Refused() {
+// checkRefused checks that a message never runs after a response that promises so.
+func (a *audit) checkRefused() {
+	for i := range a.Attempts {
+		attempt := &a.Attempts[i]
+		if !attempt.Refused() {
 			continue
 		}
-		for _, arrival := range a.arrivals[try.RequestID] {
+		for _, arrival := range a.arrivals[attempt.RequestID] {
 			if arrival.Result.Ran() {
-				a.report(RuleRefused, arrival.At, "%s was refused at %v with %d and ran", try.RequestID, try.AnsweredAt, try.Status)
+				a.report(RuleRefused, arrival.At, "%s was refused at %v with %d and ran", attempt.RequestID, attempt.AnsweredAt, attempt.Status)
 			}
 		}
 	}
 }
 
-// draining sees to it that workers that drain, or are gone, get nothing new.
-func (a *audit) draining() {
+// checkDraining checks that workers that are draining, or gone, get no new messages.
+func (a *audit) checkDraining() {
 	shown := make(map[string]time.Duration)
-	for _, departure := range a.Departing {
+	for _, departure := range a.Departures {
 		if _, known := shown[departure.Worker]; !known {
 			shown[departure.Worker] = departure.ShownAt
 		}
@@ -216,50 +222,50 @@
 		arrival := &a.Arrivals[i]
 		at, departs := shown[arrival.Worker]
 		misdirected := arrival.Status == http.StatusMisdirectedRequest
-		if departs && !misdirected && arrival.At > at+drainBound && a.calm(arrival.At) {
+		if departs && !misdirected && arrival.At > at+drainBound && a.faultFree(arrival.At) {
 			a.report(RuleDrain, arrival.At, "%s got %s from %s; the list has shown it as draining since %v", arrival.Worker,
 				arrival.RequestID, arrival.Sender, at)
 		}
 	}
 }
 
-// unasked sees to it that workers run only what clients have sent, unchanged.
-func (a *audit) unasked() {
+// checkUnsolicited checks that workers run only what clients have sent, unchanged.
+func (a *audit) checkUnsolicited() {
 	for i := range a.Arrivals {
 		arrival := &a.Arrivals[i]
-		try := a.tries[arrival.RequestID]
+		attempt := a.attempts[arrival.RequestID]
 		switch {
-		case try == nil:
-			a.report(RuleUnasked, arrival.At, "%s at %s: no client has sent it", arrival.RequestID, arrival.Worker)
-		case arrival.Method != http.MethodPost || arrival.Path != try.Path || arrival.Body != try.Body:
-			a.report(RuleUnasked, arrival.At, "%s at %s: it was changed: %s %s %q", arrival.RequestID, arrival.Worker,
+		case attempt == nil:
+			a.report(RuleUnsolicited, arrival.At, "%s at %s: no client has sent it", arrival.RequestID, arrival.Worker)
+		case arrival.Method != http.MethodPost || arrival.Path != attempt.Path || arrival.Body != attempt.Body:
+			a.report(RuleUnsolicited, arrival.At, "%s at %s: it was changed: %s %s %q", arrival.RequestID, arrival.Worker,
 				arrival.Method, arrival.Path, arrival.Body)
 		}
 	}
 }
 
-// early sees to it that no message runs before its delay has passed.
-func (a *audit) early() {
+// checkEarly checks that no message runs before its delay has passed.
+func (a *audit) checkEarly() {
 	for i := range a.Arrivals {
 		arrival := &a.Arrivals[i]
-		try := a.tries[arrival.RequestID]
-		if try != nil && arrival.Result.Ran() && arrival.At < try.SentAt+try.Delay-earlySlack {
-			a.report(RuleEarly, arrival.At, "%s was sent at %v with a delay of %v", arrival.RequestID, try.SentAt, try.Delay)
+		attempt := a.attempts[arrival.RequestID]
+		if attempt != nil && arrival.Result.Ran() && arrival.At < attempt.SentAt+attempt.Delay-earlySlack {
+			a.report(RuleEarly, arrival.At, "%s was sent at %v with a delay of %v", arrival.RequestID, attempt.SentAt, attempt.Delay)
 		}
 	}
 }
 
-// ownEnds sees to it that no process ends by itself, apart from trouble at its machine.
-func (a *audit) ownEnds() {
-	for _, end := range a.OwnEnds {
-		excused := a.troubled(end.At-time.Second, end.At, func(trouble *Trouble) bool { return trouble.Machine == end.Machine })
+// checkUnexpectedExits checks that no process exits on its own, except during a fault of its machine.
+func (a *audit) checkUnexpectedExits() {
+	for _, end := range a.UnexpectedExits {
+		excused := a.hadFault(end.At-time.Second, end.At, func(fault *Fault) bool { return fault.Machine == end.Machine })
 		if !excused {
-			a.report(RuleOwnEnd, end.At, "the process of %s ended by itself: %s", end.Machine, end.Reason)
+			a.report(RuleUnexpectedExit, end.At, "the process of %s ended by itself: %s", end.Machine, end.Reason)
 		}
 	}
 }
 
-// sortedArrivals returns the arrivals that a worker began, in order.
+// sortedRuns returns the arrivals on which a worker began to work, sorted by time.
 func (a *audit) sortedRuns() []*Arrival {
 	var runs []*Arrival
 	for i := range a.Arrivals {
--- a/internal/simcluster/audit_test.go
+++ b/internal/simcluster/audit_test.go
@@ -19,7 +19,7 @@
 	moved := Configuration{Version: 2, Routes: []Route{route("orders", "orders"), route("moving", "moving-1")}}
 	history := &History{
 		End: 60 * second,
-		Orders: []Order{
+		Changes: []ConfigurationChange{
 			{Operator: "a", Base: 0, Configuration: first, SentAt: 0, AnsweredAt: second, Status: http.StatusOK},
 			{Operator: "a", Base: 1, Configuration: moved, SentAt: 20 * second, AnsweredAt: 21 * second, Status: http.StatusOK},
 			{Operator: "b", Base: 1, Configuration: first, SentAt: 20 * second, AnsweredAt: 21 * second, Status: http.StatusPreconditionFailed},
@@ -39,37 +39,37 @@
 }
 
 // send adds an accepted message.
-func (h *History) send(id, route string, at time.Duration) *Try {
-	h.Tries = append(h.Tries, Try{
+func (h *History) send(id, route string, at time.Duration) *Attempt {
+	h.Attempts = append(h.Attempts, Attempt{
 		RequestID: id, Front: "front-0", Route: route, Path: "/" + route + "/" + id, Body: "body " + id, OrderKey: "key",
 		FirstSent: at, SentAt: at, AnsweredAt: at + 50*time.Millisecond, Status: http.StatusAccepted, MessageID: "m" + id,
 	})
-	h.Answers = append(h.Answers, StateAnswer{
+	h.StateResponses = append(h.StateResponses, StateResponse{
 		RequestID: id, Status: http.StatusOK, State: stateCompleted, Stamp: "stamp " + id,
 	})
-	return &h.Tries[len(h.Tries)-1]
+	return &h.Attempts[len(h.Attempts)-1]
 }
 
 // run adds a successful run.
 func (h *History) run(id, service string, at time.Duration) *Arrival {
 	route := ""
-	for _, try := range h.Tries {
-		if try.RequestID == id {
-			route = try.Route
+	for _, attempt := range h.Attempts {
+		if attempt.RequestID == id {
+			route = attempt.Route
 		}
 	}
 	h.Arrivals = append(h.Arrivals, Arrival{
 		RequestID: id, Method: http.MethodPost, Path: "/" + route + "/" + id, Body: "body " + id, Service: service,
-		Worker: "i-1", Sender: "store-0", Life: 1, Deadline: second, At: at, EndedAt: at + 100*time.Millisecond,
+		Worker: "i-1", Sender: "store-0", Incarnation: 1, Deadline: second, At: at, EndedAt: at + 100*time.Millisecond,
 		Result: Succeeded, Status: http.StatusOK, Stamp: "stamp " + id,
 	})
 	return &h.Arrivals[len(h.Arrivals)-1]
 }
 
-func (h *History) answer(id string) *StateAnswer {
-	for i := range h.Answers {
-		if h.Answers[i].RequestID == id {
-			return &h.Answers[i]
+func (h *History) answer(id string) *StateResponse {
+	for i := range h.StateResponses {
+		if h.StateResponses[i].RequestID == id {
+			return &h.StateResponses[i]
 		}
 	}
 	return nil
@@ -86,67 +86,67 @@
 	mutate func(h *History)
 }{
 	{"accepted and unknown", RuleLost, func(h *History) { h.answer("1").Status = http.StatusNotFound }},
-	{"accepted and no answer", RuleLost, func(h *History) { h.Answers = h.Answers[1:] }},
+	{"accepted and no answer", RuleLost, func(h *History) { h.StateResponses = h.StateResponses[1:] }},
 	{"queued without its body", RuleLost, func(h *History) {
-		*h.answer("4") = StateAnswer{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: http.StatusNotFound}
+		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: http.StatusNotFound}
 	}},
 	{"queued with another body", RuleMixed, func(h *History) {
-		*h.answer("4") = StateAnswer{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: statusOK, Body: "else"}
+		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: statusOK, Body: "else"}
 	}},
 	{"completed with a foreign stamp", RuleMixed, func(h *History) { h.answer("1").Stamp = "stamp 2" }},
 	{"completed without a run", RuleMixed, func(h *History) { h.Arrivals = h.Arrivals[1:] }},
 	{"dead too soon", RuleMixed, func(h *History) {
 		h.Arrivals[3].Result = Failed
-		*h.answer("4") = StateAnswer{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
 	{"dead although it succeeded", RuleMixed, func(h *History) {
-		*h.answer("4") = StateAnswer{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
 	{"no state", RuleMixed, func(h *History) { h.answer("1").State = "" }},
 	{"overtaken", RuleOrder, func(h *History) { h.Arrivals[0].At, h.Arrivals[0].EndedAt = 6*second, 6*second+1 }},
 	{"overtaken and never run", RuleOrder, func(h *History) { h.Arrivals[0].Result = Failed }},
 	{"begun while the one before runs", RuleOrder, func(h *History) { h.Arrivals[0].EndedAt = 5*second + 1 }},
-	{"run twice", RuleTwice, func(h *History) { h.run("1", "orders", 8*second) }},
-	{"run twice around planned work", RuleTwice, func(h *History) {
+	{"run twice", RuleDuplicate, func(h *History) { h.run("1", "orders", 8*second) }},
+	{"run twice around planned work", RuleDuplicate, func(h *History) {
 		h.run("1", "orders", 8*second)
-		h.Troubles = []Trouble{{Machine: "store-0", Kind: troubleTerm, Planned: true, From: 7 * second, Until: 9 * second}}
+		h.Faults = []Fault{{Machine: "store-0", Kind: faultTermination, Planned: true, From: 7 * second, Until: 9 * second}}
 	}},
-	{"run twice long after trouble", RuleTwice, func(h *History) {
+	{"run twice long after a fault", RuleDuplicate, func(h *History) {
 		h.run("1", "orders", 12*second)
-		h.Troubles = []Trouble{{Machine: "store-0", Kind: troubleKill, From: 5 * second, Until: 6 * second}}
+		h.Faults = []Fault{{Machine: "store-0", Kind: faultKill, From: 5 * second, Until: 6 * second}}
 	}},
-	{"ceiling", RuleCeiling, func(h *History) {
+	{"rate limit", RuleRateLimit, func(h *History) {
 		for i := range 11 {
 			h.run("1", "orders", 10*second+time.Duration(i)*300*time.Millisecond).Result = NotRun
 		}
 	}},
-	{"refused and run", RuleRefused, func(h *History) { h.Tries[0].Status = http.StatusServiceUnavailable }},
+	{"refused and run", RuleRefused, func(h *History) { h.Attempts[0].Status = http.StatusServiceUnavailable }},
 	{"drained worker", RuleDrain, func(h *History) {
-		h.Departing = []Departure{{Worker: "i-1", ShownAt: 37 * second}}
+		h.Departures = []Departure{{Worker: "i-1", ShownAt: 37 * second}}
 	}},
-	{"nobody asked", RuleUnasked, func(h *History) { h.run("5", "orders", 9*second) }},
-	{"changed body", RuleUnasked, func(h *History) { h.Arrivals[0].Body = "else" }},
-	{"changed path", RuleUnasked, func(h *History) { h.Arrivals[0].Path += "?" }},
-	{"too early", RuleEarly, func(h *History) { h.Tries[0].Delay = 2 * second }},
-	{"process ends", RuleOwnEnd, func(h *History) { h.OwnEnds = []OwnEnd{{Machine: "store-0", At: 9 * second}} }},
+	{"unsolicited", RuleUnsolicited, func(h *History) { h.run("5", "orders", 9*second) }},
+	{"changed body", RuleUnsolicited, func(h *History) { h.Arrivals[0].Body = "else" }},
+	{"changed path", RuleUnsolicited, func(h *History) { h.Arrivals[0].Path += "?" }},
+	{"too early", RuleEarly, func(h *History) { h.Attempts[0].Delay = 2 * second }},
+	{"process ends", RuleUnexpectedExit, func(h *History) { h.UnexpectedExits = []UnexpectedExit{{Machine: "store-0", At: 9 * second}} }},
 	{"old service after the acknowledgement", RuleConfiguration, func(h *History) { h.Arrivals[2].Service = "moving-0" }},
 	{"back to the old service", RuleConfiguration, func(h *History) {
 		h.Arrivals[3].Service = "moving-0"
-		h.Troubles = []Trouble{{Machine: "store-1", Kind: troubleKill, From: 38 * second, Until: 39 * second}}
+		h.Faults = []Fault{{Machine: "store-1", Kind: faultKill, From: 38 * second, Until: 39 * second}}
 	}},
 	{"never allowed", RuleConfiguration, func(h *History) { h.Arrivals[0].Service = "moving-0" }},
-	{"404 for a route that is there", RuleConfiguration, func(h *History) { h.Tries[3].Status = http.StatusNotFound }},
+	{"404 for a route that is there", RuleConfiguration, func(h *History) { h.Attempts[3].Status = http.StatusNotFound }},
 	{"accepted on a route that is gone", RuleConfiguration, func(h *History) {
 		h.send("5", "gone", 50*second)
 		h.run("5", "orders", 51*second)
 	}},
-	{"both acknowledged", RuleConfiguration, func(h *History) { h.Orders[2].Status = http.StatusOK }},
-	{"refused for nothing", RuleConfiguration, func(h *History) { h.Orders = append(h.Orders[:1:1], h.Orders[2]) }},
-	{"lost configuration", RuleConfiguration, func(h *History) { h.Reads[0].Configuration = h.Orders[0].Configuration }},
+	{"both acknowledged", RuleConfiguration, func(h *History) { h.Changes[2].Status = http.StatusOK }},
+	{"refused for nothing", RuleConfiguration, func(h *History) { h.Changes = append(h.Changes[:1:1], h.Changes[2]) }},
+	{"lost configuration", RuleConfiguration, func(h *History) { h.Reads[0].Configuration = h.Changes[0].Configuration }},
 	{"loser of a race read back", RuleConfiguration, func(h *History) {
-		h.Orders[2].Configuration = h.Orders[1].Configuration.clone()
-		h.Orders[2].Configuration.Routes[0].MaxAttempts++
-		h.Reads[0].Configuration = h.Orders[2].Configuration
+		h.Changes[2].Configuration = h.Changes[1].Configuration.clone()
+		h.Changes[2].Configuration.Routes[0].MaxAttempts++
+		h.Reads[0].Configuration = h.Changes[2].Configuration
 	}},
 	{"nothing read back", RuleConfiguration, func(h *History) { h.Reads = nil }},
 }
@@ -165,14 +165,14 @@
 	}
 }
 
-// excuses are histories that look like faults, and are none.
+// excuses are histories that look like violations and are none.
 var excuses = []struct {
 	name   string
 	mutate func(h *History)
 }{
-	{"run twice after trouble", func(h *History) {
+	{"run twice after a fault", func(h *History) {
 		h.run("1", "orders", 8*second)
-		h.Troubles = []Trouble{{Machine: "store-1", Kind: troubleKill, From: 5 * second, Until: 6 * second}}
+		h.Faults = []Fault{{Machine: "store-1", Kind: faultKill, From: 5 * second, Until: 6 * second}}
 	}},
 	{"success that came too late", func(h *History) {
 		h.Arrivals[0].EndedAt = h.Arrivals[0].At + h.Arrivals[0].Deadline - answerMargin/2
@@ -180,30 +180,30 @@
 	}},
 	{"success that nobody read", func(h *History) {
 		h.run("1", "orders", 20*second)
-		h.Troubles = []Trouble{{Machine: "store-0", Kind: troubleKill, From: 3*second + 110*time.Millisecond, Until: 4 * second}}
+		h.Faults = []Fault{{Machine: "store-0", Kind: faultKill, From: 3*second + 110*time.Millisecond, Until: 4 * second}}
 	}},
 	{"success on a connection that had ended", func(h *History) {
 		h.Arrivals[0].Unread = true
 		h.run("1", "orders", 8*second)
 	}},
-	{"old service in trouble", func(h *History) {
+	{"old service during a fault", func(h *History) {
 		h.Arrivals[2].Service = "moving-0"
-		h.Troubles = []Trouble{{Machine: "front-1", Kind: troubleKill, From: 29 * second, Until: 32 * second}}
+		h.Faults = []Fault{{Machine: "front-1", Kind: faultKill, From: 29 * second, Until: 32 * second}}
 	}},
 	{"another process has the old version", func(h *History) {
-		h.Arrivals[2].At, h.Tries[2].SentAt = 22*second, 21*second
-		h.Tries[3].SentAt, h.Arrivals[3].At = 23*second, 23*second
-		h.Arrivals[3].Service, h.Arrivals[3].Life = "moving-0", 2
+		h.Arrivals[2].At, h.Attempts[2].SentAt = 22*second, 21*second
+		h.Attempts[3].SentAt, h.Arrivals[3].At = 23*second, 23*second
+		h.Arrivals[3].Service, h.Arrivals[3].Incarnation = "moving-0", 2
 	}},
 	{"dead after its attempts", func(h *History) {
 		h.Arrivals[3].Result = Failed
 		for i := range 2 {
 			h.run("4", "moving-1", 42*second+time.Duration(i)*second).Result = Failed
 		}
-		*h.answer("4") = StateAnswer{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
 	{"draining worker says no", func(h *History) {
-		h.Departing = []Departure{{Worker: "i-1", ShownAt: 39 * second}}
+		h.Departures = []Departure{{Worker: "i-1", ShownAt: 39 * second}}
 	}},
 }
 
@@ -222,35 +222,35 @@
 	one := Configuration{Version: 1, Routes: []Route{{Name: "r", Service: "one"}}}
 	two := Configuration{Version: 2, Routes: []Route{{Name: "r", Service: "two"}}}
 	other := Configuration{Version: 2, Routes: []Route{{Name: "r", Service: "other"}}}
-	order := func(base uint64, next Configuration, from, until time.Duration, status int) Order {
-		return Order{Base: base, Configuration: next, SentAt: from * second, AnsweredAt: until * second, Status: status}
+	order := func(base uint64, next Configuration, from, until time.Duration, status int) ConfigurationChange {
+		return ConfigurationChange{Base: base, Configuration: next, SentAt: from * second, AnsweredAt: until * second, Status: status}
 	}
 	read := func(seen Configuration, from, until time.Duration) ConfigurationRead {
 		return ConfigurationRead{Configuration: seen, From: from * second, At: until * second}
 	}
 	first := order(0, one, 0, 1, http.StatusOK)
 	cases := map[string]struct {
-		orders []Order
+		orders []ConfigurationChange
 		reads  []ConfigurationRead
 		legal  bool
 	}{
-		"one writer wins":    {[]Order{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)}, []ConfigurationRead{read(two, 5, 6)}, true},
-		"both writers win":   {[]Order{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusOK)}, nil, false},
-		"nobody wins":        {[]Order{first, order(1, two, 2, 4, http.StatusPreconditionFailed), order(1, other, 2, 4, http.StatusPreconditionFailed)}, nil, false},
-		"unknown, taken":     {[]Order{first, order(1, two, 2, 4, statusNoAnswer)}, []ConfigurationRead{read(one, 5, 6), read(two, 7, 8)}, true},
-		"unknown, not taken": {[]Order{first, order(1, two, 2, 4, statusNoAnswer), order(1, other, 5, 6, http.StatusOK)}, nil, true},
+		"one writer wins":    {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)}, []ConfigurationRead{read(two, 5, 6)}, true},
+		"both writers win":   {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusOK)}, nil, false},
+		"nobody wins":        {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusPreconditionFailed), order(1, other, 2, 4, http.StatusPreconditionFailed)}, nil, false},
+		"unknown, taken":     {[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(one, 5, 6), read(two, 7, 8)}, true},
+		"unknown, not taken": {[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse), order(1, other, 5, 6, http.StatusOK)}, nil, true},
 		"a reading goes back": {
-			[]Order{first, order(1, two, 2, 4, statusNoAnswer)}, []ConfigurationRead{read(two, 5, 6), read(one, 7, 8)}, false,
+			[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(two, 5, 6), read(one, 7, 8)}, false,
 		},
 		"a refused one is read": {
-			[]Order{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)},
+			[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)},
 			[]ConfigurationRead{read(other, 5, 6)}, false,
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := newAudit(&History{Orders: test.orders, Reads: test.reads, End: 10 * second})
-			a.linearizable()
+			a := newAudit(&History{Changes: test.orders, Reads: test.reads, End: 10 * second})
+			a.checkLinearizable()
 			assert.Equal(t, len(a.violations) == 0, test.legal)
 		})
 	}
--- a/internal/simcluster/client.go
+++ b/internal/simcluster/client.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	clientIP      = "10.4.0.1"
-	clientPort    = 8044
-	deadline      = 2500 * time.Millisecond // of a client's message
-	answerSlack   = 200 * time.Millisecond  // for which a client waits beyond its deadline
-	triesAtMost   = 4
-	retryPause    = 200 * time.Millisecond // where the answer names none
-	rejectedPart  = 0.01                   // of the messages are answered 422 by workers
-	hopelessPart  = 0.01                   // of the messages always fail
-	askTimeout    = 2 * time.Second
-	askAttempts   = 8
-	askPause      = 500 * time.Millisecond
-	askersAtOnce  = 8
-	statePath     = "/api/message/"
-	bodyPath      = "/api/message-body/"
-	idlePerFront  = 32
-	idleFor       = 5 * time.Second
-	requestIDForm = "try-%d"
+	clientIP          = "10.4.0.1"
+	clientPort        = 8044
+	deadline          = 2500 * time.Millisecond // of a client's message
+	answerSlack       = 200 * time.Millisecond  // for which a client waits beyond its deadline
+	maxAttempts       = 4
+	retryPause        = 200 * time.Millisecond // where the answer names none
+	rejectedShare     = 0.01                   // of the messages are answered 422 by workers
+	failingShare      = 0.01                   // of the messages always fail
+	queryTimeout      = 2 * time.Second
+	queryAttempts     = 8
+	queryPause        = 500 * time.Millisecond
+	concurrentQueries = 8
+	statePath         = "/api/message/"
+	bodyPath          = "/api/message-body/"
+	idlePerFront      = 32
+	idleFor           = 5 * time.Second
+	requestIDForm     = "try-%d"
 )
 
 // newHTTPClient makes a client on a host of the network.
@@ -47,17 +47,18 @@
 	}
 }
 
-// Load is an open-loop load of clients: it sends whether or not earlier messages were answered.
+// Load is an open-loop load of clients: it sends new messages whether or not earlier ones were answered. One
+// goroutine starts one goroutine a message.
 type Load struct {
 	cluster *Cluster
 	client  *http.Client
 	end     context.CancelFunc
 	sending sync.WaitGroup
 
-	mutex  sync.Mutex
-	routes []Route
-	rate   float64
-	tries  int
+	mutex    sync.Mutex
+	routes   []Route
+	rate     float64
+	attempts int
 }
 
 // newLoad starts the load.
@@ -83,7 +84,7 @@
 
 func (l *Load) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := time.Duration(2 * l.cluster.random.part() / l.rate * float64(time.Second))
+		pause := time.Duration(2 * l.cluster.random.fraction() / l.rate * float64(time.Second))
 		select {
 		case <-ctx.Done():
 			return
@@ -93,14 +94,14 @@
 	}
 }
 
-// clientMessage is a message of a client, which may be tried several times.
+// clientMessage is a message of a client, which is submitted in one or more attempts.
 type clientMessage struct {
-	load      *Load
-	route     Route
-	orderKey  string
-	delay     time.Duration
-	fate      string
-	firstSent time.Duration
+	load           *Load
+	route          Route
+	orderKey       string
+	delay          time.Duration
+	scriptedResult string
+	firstSent      time.Duration
 }
 
 func (l *Load) newMessage() *clientMessage {
@@ -110,13 +111,13 @@
 		m.orderKey = fmt.Sprintf("key-%d", random.intN(max(m.route.Keys, 1)))
 	}
 	if m.route.Delay > 0 {
-		m.delay = time.Duration(random.part() * float64(m.route.Delay)).Truncate(time.Millisecond)
+		m.delay = time.Duration(random.fraction() * float64(m.route.Delay)).Truncate(time.Millisecond)
 	}
-	switch drawn := random.part(); {
-	case drawn < rejectedPart:
-		m.fate = fateReject
-	case drawn < rejectedPart+hopelessPart:
-		m.fate = fateFail
+	switch drawn := random.fraction(); {
+	case drawn < rejectedShare:
+		m.scriptedResult = scriptedReject
+	case drawn < rejectedShare+failingShare:
+		m.scriptedResult = scriptedFailure
 	}
 	return m
 }
@@ -141,56 +142,56 @@
 func (l *Load) nextRequestID() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.tries++
-	return fmt.Sprintf(requestIDForm, l.tries)
+	l.attempts++
+	return fmt.Sprintf(requestIDForm, l.attempts)
 }
 
-// send tries until the message is accepted, an answer is no promise, or time is up.
+// send makes attempts until the message is accepted, a response leaves open whether it was, or the time is up.
 func (m *clientMessage) send() {
 	recorder := m.load.cluster.recorder
-	for range triesAtMost {
-		try, pause := m.try()
-		recorder.write(func(history *History) { history.Tries = append(history.Tries, try) })
-		unsent := try.Status == statusNotSent
-		if !try.Refused() && !unsent || recorder.now()+pause > m.firstSent+deadline {
+	for range maxAttempts {
+		attempt, pause := m.attempt()
+		recorder.write(func(history *History) { history.Attempts = append(history.Attempts, attempt) })
+		unsent := attempt.Status == statusNotSent
+		if !attempt.Refused() && !unsent || recorder.now()+pause > m.firstSent+deadline {
 			return
 		}
 		time.Sleep(pause)
 	}
 }
 
-// statusNotSent stands for a try that reached no front.
+// statusNotSent is the status of an attempt that reached no front.
 const statusNotSent = -1
 
-// try makes one request. It returns for how long to wait before the next.
-func (m *clientMessage) try() (Try, time.Duration) {
+// attempt makes one request. It also returns how long to wait before the next one.
+func (m *clientMessage) attempt() (Attempt, time.Duration) {
 	cluster := m.load.cluster
-	front := cluster.entry.pick()
+	front := cluster.loadBalancer.pick()
 	id := m.load.nextRequestID()
-	try := Try{
-		RequestID: id, Front: front.Name, Route: m.route.Name, Path: m.route.prefix() + id + "?" + fateQuery + m.fate,
+	attempt := Attempt{
+		RequestID: id, Front: front.Name, Route: m.route.Name, Path: m.route.prefix() + id + "?" + scriptedResultQuery + m.scriptedResult,
 		OrderKey: m.orderKey, Body: "body of " + id, Delay: m.delay, FirstSent: m.firstSent, SentAt: cluster.recorder.now(),
 	}
 	ctx, cancel := context.WithTimeout(cluster.ctx, m.firstSent+deadline+answerSlack-cluster.recorder.now())
 	defer cancel()
-	url := "http://" + front.address(clientPort) + try.Path
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(try.Body))
+	url := "http://" + front.address(clientPort) + attempt.Path
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(attempt.Body))
 	if err != nil {
 		panic(err) // the URL is always valid
 	}
 	m.setHeader(request, id)
 	response, err := m.load.client.Do(request)
-	try.AnsweredAt = cluster.recorder.now()
+	attempt.AnsweredAt = cluster.recorder.now()
 	if err != nil {
 		if isDialError(err) {
-			try.Status = statusNotSent
+			attempt.Status = statusNotSent
 		}
-		return try, retryPause
+		return attempt, retryPause
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	try.Status, try.MessageID = response.StatusCode, response.Header.Get("X-Message-Id")
-	return try, pauseOf(response)
+	attempt.Status, attempt.MessageID = response.StatusCode, response.Header.Get("X-Message-Id")
+	return attempt, pauseOf(response)
 }
 
 func (m *clientMessage) setHeader(request *http.Request, id string) {
@@ -206,6 +207,7 @@
 	}
 }
 
+// pauseOf returns the pause that a response asks for in Retry-After.
 func pauseOf(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -214,84 +216,86 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// stateDocument is the answer to a question about a message.
+// stateDocument is the body of the response to a query for a message's state.
 type stateDocument struct {
 	State string `json:"state"`
 	Stamp string `json:"stamp"`
 }
 
-// askForStates asks for the state of each accepted message, and for the bytes of those that have not completed.
-func (c *Cluster) askForStates() {
+// queryStates queries the state of each accepted message, and the body of those that have not completed.
+func (c *Cluster) queryStates() {
 	client := c.newHTTPClient(clientIP)
-	var accepted []Try
+	var accepted []Attempt
 	c.recorder.write(func(history *History) {
-		for _, try := range history.Tries {
-			if try.Accepted() {
-				accepted = append(accepted, try)
+		for _, attempt := range history.Attempts {
+			if attempt.Accepted() {
+				accepted = append(accepted, attempt)
 			}
 		}
 	})
 	var asking sync.WaitGroup
-	places := make(chan struct{}, askersAtOnce)
-	for _, try := range accepted {
+	places := make(chan struct{}, concurrentQueries)
+	for _, attempt := range accepted {
 		places <- struct{}{}
 		asking.Go(func() {
 			defer func() { <-places }()
-			answer := c.askForState(client, try)
-			c.recorder.write(func(history *History) { history.Answers = append(history.Answers, answer) })
+			answer := c.queryState(client, attempt)
+			c.recorder.write(func(history *History) { history.StateResponses = append(history.StateResponses, answer) })
 		})
 	}
 	asking.Wait()
 }
 
-// askForState asks for a message's state, and for its body unless it is completed. A message may complete between the two
-// questions, and its body is gone then; so both are asked again where a queued message has no body.
-func (c *Cluster) askForState(client *http.Client, try Try) StateAnswer {
-	answer := c.askOnce(client, try)
+// queryState queries a message's state, and its body unless it has completed. A message may complete between the
+// two queries, and its body is gone then; so both are repeated once where a queued message has no body.
+func (c *Cluster) queryState(client *http.Client, attempt Attempt) StateResponse {
+	answer := c.queryOnce(client, attempt)
 	if answer.State == stateQueued && answer.BodyStatus == http.StatusNotFound {
-		return c.askOnce(client, try)
+		return c.queryOnce(client, attempt)
 	}
 	return answer
 }
 
-func (c *Cluster) askOnce(client *http.Client, try Try) StateAnswer {
-	answer := StateAnswer{RequestID: try.RequestID}
+// queryOnce queries a message's state and body without repeating.
+func (c *Cluster) queryOnce(client *http.Client, attempt Attempt) StateResponse {
+	answer := StateResponse{RequestID: attempt.RequestID}
 	var text []byte
-	answer.Status, text = c.askFronts(client, statePath+try.name())
+	answer.Status, text = c.queryFronts(client, statePath+attempt.queryName())
 	var state stateDocument
 	if answer.Status == http.StatusOK && json.Unmarshal(text, &state) == nil {
 		answer.State, answer.Stamp = state.State, state.Stamp
 	}
 	if answer.State != stateCompleted {
-		answer.BodyStatus, text = c.askFronts(client, bodyPath+try.name())
+		answer.BodyStatus, text = c.queryFronts(client, bodyPath+attempt.queryName())
 		answer.Body = string(text)
 	}
 	return answer
 }
 
-// name is by what the message can be asked for.
-func (t *Try) name() string {
+// queryName is the name by which the message can be queried: its ID where the client knows it.
+func (t *Attempt) queryName() string {
 	if t.MessageID != "" {
 		return t.MessageID
 	}
 	return t.RequestID
 }
 
-// askFronts asks one front after the other, until one gives a clear answer.
-func (c *Cluster) askFronts(client *http.Client, path string) (int, []byte) {
+// queryFronts queries one front after another until one answers 200, and returns the last response.
+func (c *Cluster) queryFronts(client *http.Client, path string) (int, []byte) {
 	status, text := 0, []byte(nil)
-	for range askAttempts {
-		status, text = c.ask(client, "http://"+c.entry.pick().address(clientPort)+path)
+	for range queryAttempts {
+		status, text = c.get(client, "http://"+c.loadBalancer.pick().address(clientPort)+path)
 		if status == http.StatusOK {
 			break
 		}
-		time.Sleep(askPause)
+		time.Sleep(queryPause)
 	}
 	return status, text
 }
 
-func (c *Cluster) ask(client *http.Client, url string) (int, []byte) {
-	ctx, cancel := context.WithTimeout(c.ctx, askTimeout)
+// get makes one GET request. The status is 0 where there is no complete response.
+func (c *Cluster) get(client *http.Client, url string) (int, []byte) {
+	ctx, cancel := context.WithTimeout(c.ctx, queryTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -1,8 +1,14 @@
-// Package simcluster plays whole clusters of the system in one process, for tests: real fronts and stores on a
-// simulated network, simulated disks and a simulated clock, among stand-ins for workers, the platform, clients and
-// operators. What the stand-ins see is kept in a History, which auditors judge by the rules.
+// Package simcluster is test support: it runs whole clusters of the system in one process, on a simulated network,
+// simulated disks and a simulated clock. Fronts and stores are the real ones of internal/systemnode; workers, the
+// platform, clients and operators are simulated.
 //
-// A cluster lives in a bubble of testing/synctest: make it, play with it and finish it within one.
+// A test makes a Cluster with New, injects faults into its machines (faults.go, machine.go), and calls Finish.
+// What the simulated parties observe is recorded in a History, and Audit checks it against the rules that the
+// service promises to keep (LOST, ORDER, CEILING and so on). Start reading at Cluster, then scenarios_test.go.
+//
+// A cluster lives in a bubble of testing/synctest: New, all faults and Finish belong into one. It owns one
+// goroutine a process, one for the load and one a message, and a few helpers; Finish waits for all of them. All
+// random draws come from one seeded source, but goroutines share it, so a run is not repeated draw by draw.
 package simcluster
 
 import (
@@ -29,17 +35,17 @@
 	observerIP      = "10.7.0.1"
 	zoneDelay       = 3 * time.Millisecond // between machines in different zones, one way
 	foundingTimeout = 20 * time.Second
-	finish          = 10 * time.Second // for what is left after the load has ended
+	finishTimeout   = 10 * time.Second // for the messages that are left when the load ends
 	pollInterval    = 100 * time.Millisecond
 )
 
 // Options describe a cluster. Fields that are zero take defaults.
 type Options struct {
 	Fronts     int
-	CoreFronts int // so many of the fronts have a disk and are members of the control group
+	CoreFronts int // how many of the fronts have a disk and are members of the control group
 	Stores     int
 	Zones      int
-	Tolerated  int // losses at once; a message has one copy more
+	Tolerated  int // machines that may be lost at once; a message has one replica more
 	Seed       uint64
 	Rate       float64 // messages a second
 	Services   []Service
@@ -71,15 +77,15 @@
 	}
 }
 
-// MovingServices are the services that the route "moving" goes to in turn, version by version.
+// MovingServices are the services to which the route "moving" goes in turn, version by version.
 var MovingServices = []string{"moving-0", "moving-1", "moving-2"}
 
 // DefaultServices are the services of a cluster that names none.
 func DefaultServices() []Service {
 	services := []Service{
-		{Name: "plain", Workers: 3, Capacity: 8, Work: 30 * time.Millisecond, FailingPart: 0.03},
-		{Name: "orders", Workers: 2, Capacity: 8, Work: 120 * time.Millisecond, FailingPart: 0.03},
-		{Name: "slow", Workers: 3, Capacity: 16, Work: 600 * time.Millisecond, FailingPart: 0.03},
+		{Name: "plain", Workers: 3, Capacity: 8, Work: 30 * time.Millisecond, FailureShare: 0.03},
+		{Name: "orders", Workers: 2, Capacity: 8, Work: 120 * time.Millisecond, FailureShare: 0.03},
+		{Name: "slow", Workers: 3, Capacity: 16, Work: 600 * time.Millisecond, FailureShare: 0.03},
 		{Name: "ledger", Workers: 2, Capacity: 8, Work: 25 * time.Millisecond, Deduplicates: true},
 		{Name: "limited", Workers: 2, Capacity: 8, Work: 20 * time.Millisecond, RatePerSecond: 6},
 		{Name: "endpoint", Workers: 1, Capacity: 8, Work: 20 * time.Millisecond, Static: true},
@@ -113,31 +119,32 @@
 	}
 }
 
-// Cluster is a whole system with what stands around it.
+// Cluster is a running system with everything around it. Its methods may be called from any goroutine of the
+// bubble.
 type Cluster struct {
 	Machines []*Machine
 	Operator *Operator // the first operator
 	Platform *Platform
 	Load     *Load
 
-	t         testing.TB
-	options   Options
-	network   *simulated.Network
-	random    *random
-	logger    *zap.Logger
-	recorder  *recorder
-	seeds     []string
-	processes sync.WaitGroup
-	helpers   sync.WaitGroup
-	stop      context.CancelFunc
-	ctx       context.Context
-	closing   atomic.Bool
-	services  map[string]*workerService
-	entry     *entry
-	observer  *cluster.Agent
-	operators int
-	machineIP map[string]string // machine name by address
-	mutex     sync.Mutex        // guards Machines and machineIP once processes run
+	t            testing.TB
+	options      Options
+	network      *simulated.Network
+	random       *random
+	logger       *zap.Logger
+	recorder     *recorder
+	seeds        []string
+	processes    sync.WaitGroup
+	helpers      sync.WaitGroup
+	stop         context.CancelFunc
+	ctx          context.Context
+	closing      atomic.Bool
+	services     map[string]*workerService
+	loadBalancer *loadBalancer
+	observer     *cluster.Agent
+	operators    int
+	machineIP    map[string]string // machine name by address
+	mutex        sync.Mutex        // guards Machines and machineIP once processes run
 }
 
 // New starts a cluster and waits until it serves a first configuration. It must be called within a bubble of
@@ -157,7 +164,7 @@
 	c.Platform = newPlatform(c)
 	c.startWorkers()
 	c.addMachines()
-	c.entry = newEntry(c)
+	c.loadBalancer = newLoadBalancer(c)
 	c.observer = c.newObserver()
 	c.Operator = c.NewOperator()
 	for _, machine := range c.Machines {
@@ -168,7 +175,7 @@
 	if !c.Operator.Replace(0, first, foundingTimeout) {
 		t.Fatalf("no first configuration within %v", foundingTimeout)
 	}
-	c.Await(foundingTimeout, "the cluster takes messages", c.entry.allIn)
+	c.Await(foundingTimeout, "the cluster takes messages", c.loadBalancer.allReady)
 	c.Load = newLoad(c)
 	return c
 }
@@ -245,7 +252,7 @@
 	return found
 }
 
-// newObserver makes an agent that follows the cluster table.
+// newObserver makes an agent that follows the cluster table without taking part.
 func (c *Cluster) newObserver() *cluster.Agent {
 	pool := rpc.NewPool(c.network.Host(observerIP))
 	info := cluster.NodeInfo{Name: "observer", Class: "observer", Address: observerIP + ":1", Incarnation: "observer"}
@@ -266,7 +273,7 @@
 // ControlPrimary returns the machine that leads the control group.
 func (c *Cluster) ControlPrimary() *Machine { return c.Machine(c.Table().Primary) }
 
-// Await waits until a condition holds; the test fails where it does not within a limit.
+// Await waits until a condition holds, and fails the test where it does not within a limit.
 func (c *Cluster) Await(limit time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(limit)
@@ -279,7 +286,7 @@
 	}
 }
 
-// AwaitCopies waits until every partition has all its copies on active stores.
+// AwaitCopies waits until every partition has all its replicas on active stores.
 func (c *Cluster) AwaitCopies(limit time.Duration) {
 	c.t.Helper()
 	c.Await(limit, "all partitions have their copies", c.hasCopies)
@@ -325,8 +332,8 @@
 	return r.source.IntN(limit)
 }
 
-// part draws a number from 0 up to, but not including, 1.
-func (r *random) part() float64 {
+// fraction draws a number from the half-open interval [0, 1).
+func (r *random) fraction() float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.source.Float64()
--- a/internal/simcluster/configuration.go
+++ b/internal/simcluster/configuration.go
@@ -13,8 +13,8 @@
 	Workers       int // 1 where it is static
 	Capacity      int
 	Work          time.Duration // on average
-	FailingPart   float64       // of the attempts are answered 500
-	RatePerSecond float64       // 0 for no ceiling
+	FailureShare  float64       // of the attempts are answered 500
+	RatePerSecond float64       // 0 for no rate limit
 	Deduplicates  bool
 	Static        bool // one endpoint that is on no list
 }
@@ -27,9 +27,9 @@
 	MaxAttempts int
 	Timeout     time.Duration
 	Retention   time.Duration
-	Weight      int           // its part of the load
-	Keys        int           // so many order keys are in use
-	Delay       time.Duration // that its messages ask for, at most
+	Weight      int           // its share of the load, relative to the others
+	Keys        int           // number of order keys in use
+	Delay       time.Duration // longest delay that its messages ask for
 }
 
 // prefix is the path prefix of a route.
@@ -39,8 +39,8 @@
 	routeHost         = "shop.example"
 	workersServed     = 130 // connections that a worker accepts
 	routeType         = "async"
-	acceptAimMS       = 80
-	startAimMS        = 600
+	targetLatencyMS   = 80
+	targetStartMS     = 600
 	maxBodyBytes      = 1 << 18
 	maxHeaderBytes    = 1 << 14
 	headerTimeoutMS   = 3000
@@ -130,7 +130,7 @@
 func (r *Route) document() routeDocument {
 	return routeDocument{
 		Name: r.Name, Host: routeHost, PathPrefix: r.prefix(), RouteType: routeType,
-		TimeoutMS: r.Timeout.Milliseconds(), TargetLatencyMS: acceptAimMS, TargetStartMS: startAimMS,
+		TimeoutMS: r.Timeout.Milliseconds(), TargetLatencyMS: targetLatencyMS, TargetStartMS: targetStartMS,
 		Service: r.Service, MaxAttempts: r.MaxAttempts, Ordered: r.Ordered, RetentionS: r.Retention.Seconds(),
 	}
 }
@@ -147,7 +147,7 @@
 	return document
 }
 
-// replacement is the body of an order that brings the whole configuration.
+// replacement is the request body that replaces the complete configuration.
 func (c *Configuration) replacement() []byte {
 	document := configurationDocument{
 		Version: c.Version,
@@ -165,7 +165,7 @@
 	return mustMarshal(document)
 }
 
-// update is the body of an order that brings the routes that differ from an older configuration.
+// update is the request body that brings the routes that differ from an older configuration.
 func (c *Configuration) update(base *Configuration) []byte {
 	document := updateDocument{Version: c.Version}
 	for i := range c.Routes {
@@ -181,7 +181,7 @@
 	return mustMarshal(document)
 }
 
-// parseConfiguration reads a configuration that the system gave back.
+// parseConfiguration reads a configuration that the system returned.
 func parseConfiguration(text []byte) (Configuration, error) {
 	var document configurationDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -198,7 +198,7 @@
 	return read, nil
 }
 
-// routesText describes the routes, to compare configurations.
+// routesText describes the routes, so that configurations can be compared.
 func (c *Configuration) routesText() string {
 	var text strings.Builder
 	for _, route := range c.Routes {
@@ -208,7 +208,7 @@
 	return text.String()
 }
 
-// sameAs tells whether two configurations are the same change of one version.
+// sameAs tells whether two configurations have the same version and the same routes.
 func (c *Configuration) sameAs(other *Configuration) bool {
 	return c.Version == other.Version && c.routesText() == other.routesText()
 }
--- a/internal/simcluster/faults.go
+++ b/internal/simcluster/faults.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Isolate cuts a machine off from all other machines of the system, in both directions. Workers, clients and the
+// Isolate partitions a machine from all other machines of the system, in both directions. Workers, clients and the
 // platform still reach it.
 func (c *Cluster) Isolate(machine *Machine) {
-	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
+	c.recorder.beginFault(machine.Name, faultNetwork, false)
 	c.eachPeer(machine, func(other *Machine) { c.network.Isolate(machine.ip, other.ip) })
 }
 
-// Silence cuts what a machine sends to the other machines of the system. It still hears them.
-func (c *Cluster) Silence(machine *Machine) {
-	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
+// BlockOutgoing drops what a machine sends to the other machines of the system. It still receives from them.
+func (c *Cluster) BlockOutgoing(machine *Machine) {
+	c.recorder.beginFault(machine.Name, faultNetwork, false)
 	c.eachPeer(machine, func(other *Machine) { c.network.IsolateOneWay(machine.ip, other.ip) })
 }
 
-// Rejoin ends Isolate and Silence.
-func (c *Cluster) Rejoin(machine *Machine) {
+// Reconnect ends Isolate and BlockOutgoing.
+func (c *Cluster) Reconnect(machine *Machine) {
 	c.eachPeer(machine, func(other *Machine) { c.network.Heal(machine.ip, other.ip) })
-	c.recorder.endTroubles(machine.Name, troubleNetwork)
+	c.recorder.endFaults(machine.Name, faultNetwork)
 }
 
-// ResetConnections resets a part of a machine's connections.
+// ResetConnections resets a share of a machine's connections.
 func (c *Cluster) ResetConnections(machine *Machine, part float64) {
-	c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
+	c.recorder.beginFault(machine.Name, faultNetwork, false)
 	c.network.ResetConnections(machine.ip, part)
-	c.recorder.endTroubles(machine.Name, troubleNetwork)
+	c.recorder.endFaults(machine.Name, faultNetwork)
 }
 
-// Split cuts some machines of the system off from all its others, and leaves them connected with one another.
+// Split partitions some machines of the system from all others, and leaves them connected with one another.
 func (c *Cluster) Split(machines ...*Machine) {
 	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Isolate(inside.ip, outside.ip) })
 	for _, machine := range machines {
-		c.recorder.beginTrouble(machine.Name, troubleNetwork, false)
+		c.recorder.beginFault(machine.Name, faultNetwork, false)
 	}
 }
 
@@ -43,7 +43,7 @@
 func (c *Cluster) Join(machines ...*Machine) {
 	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Heal(inside.ip, outside.ip) })
 	for _, machine := range machines {
-		c.recorder.endTroubles(machine.Name, troubleNetwork)
+		c.recorder.endFaults(machine.Name, faultNetwork)
 	}
 }
 
@@ -67,46 +67,46 @@
 	}
 }
 
-// Each does something to all machines of the system at one moment.
+// Each calls a function for all machines of the system at one moment of the simulated clock.
 func (c *Cluster) Each(act func(machine *Machine)) {
 	for _, machine := range append(c.machinesOf(classFront), c.machinesOf(classStore)...) {
 		act(machine)
 	}
 }
 
-// Replace puts a machine of the same name, with an empty disk and at another address, in the place of one that goes
-// for good.
+// Replace takes a machine away for good, and adds one of the same name with an empty disk and another address. The
+// caller starts it.
 func (c *Cluster) Replace(machine *Machine) *Machine {
 	machine.LosePower()
-	c.recorder.beginTrouble(machine.Name, troubleReplacing, false)
+	c.recorder.beginFault(machine.Name, faultReplacement, false)
 	successor := c.addMachine(machine.class, machine.Name, machine.Zone, machine.disk != nil)
 	return successor
 }
 
-// Remove takes a machine away for good, with its disk, as the platform does after it was retired.
+// Remove takes a machine away for good, with its disk, as the platform does after the machine was retired.
 func (c *Cluster) Remove(machine *Machine) {
-	c.recorder.beginTrouble(machine.Name, troubleRemoval, true)
+	c.recorder.beginFault(machine.Name, faultRemoval, true)
 	if running := machine.process(); running != nil {
-		machine.end(running)
+		machine.detach(running)
 	}
 	c.network.PowerOff(machine.ip)
 	machine.removed.Store(true)
 }
 
-// AddStore starts one more store.
+// AddStore adds a store and starts it.
 func (c *Cluster) AddStore(name, zone string) *Machine {
 	added := c.addMachine(classStore, name, zone, true)
 	added.Start()
 	return added
 }
 
-// Finish ends the load and all troubles, gives the system time to end its work, asks it for everything it has
-// accepted, and stops it. It returns the history.
+// Finish ends the load and all faults, gives the system time to end its work, queries the state of everything it
+// has accepted, and stops it. It returns the history.
 func (c *Cluster) Finish() *History {
 	c.Load.stop()
 	c.restoreMachines()
-	c.settle()
-	c.askForStates()
+	c.awaitCompletion()
+	c.queryStates()
 	c.Operator.readBack()
 	c.close()
 	history := &c.recorder.history
@@ -114,13 +114,13 @@
 	return history
 }
 
-// restoreMachines ends every trouble that has not ended. A replaced machine stays away.
+// restoreMachines ends every fault that lasts. A replaced or removed machine stays away.
 func (c *Cluster) restoreMachines() {
 	c.Each(func(machine *Machine) {
 		if c.Machine(machine.Name) != machine || machine.removed.Load() {
 			return
 		}
-		c.Rejoin(machine)
+		c.Reconnect(machine)
 		if machine.disk != nil {
 			machine.disk.SetStalled(false)
 			machine.disk.SetFull(false)
@@ -129,12 +129,12 @@
 	})
 }
 
-// close ends everything that runs.
+// close stops everything and waits for all goroutines.
 func (c *Cluster) close() {
 	c.closing.Store(true)
 	c.Each(func(machine *Machine) {
 		if running := machine.process(); running != nil {
-			running.told.Store(true)
+			running.notified.Store(true)
 		}
 	})
 	c.Each(func(machine *Machine) {
--- a/internal/simcluster/hardening_test.go
+++ b/internal/simcluster/hardening_test.go
@@ -10,48 +10,50 @@
 // mechanism that stands against each.
 
 const (
-	longCut     = 20 * time.Second
-	catchUp     = 4400 * time.Millisecond // after which a machine that is back does not count as lost any more
-	manyChanges = 250
-	racePairs   = 8
+	isolationDuration = 20 * time.Second
+	catchUp           = 4400 * time.Millisecond // after which a machine that is back does not count as lost any more
+	manyChanges       = 250
+	racePairs         = 8
 )
 
-// playControlCutTwice cuts the control group's primary off in both directions, and later its successor in one. Operators
-// ask and order at the machine that is cut off, and at the others.
-func playControlCutTwice(c *Cluster) {
+// playControlPrimaryIsolatedTwice partitions the control group's primary from the others in both directions, and
+// later its successor in one. Operators read and send changes at the isolated machine, and at the others.
+func playControlPrimaryIsolatedTwice(c *Cluster) {
 	time.Sleep(warmUp)
-	for _, cutOff := range []func(*Cluster, *Machine){(*Cluster).Isolate, (*Cluster).Silence} {
+	for _, cutOff := range []func(*Cluster, *Machine){(*Cluster).Isolate, (*Cluster).BlockOutgoing} {
 		cut := c.ControlPrimary()
 		before := c.Operator.Current()
 		cutOff(c, cut)
 		var asking sync.WaitGroup
-		asking.Go(func() { askCutMachine(c, cut, before) })
+		asking.Go(func() { queryIsolatedMachine(c, cut, before) })
 		for range 5 {
 			c.Operator.Move(orderLimit)
-			time.Sleep(longCut / 5)
+			time.Sleep(isolationDuration / 5)
 		}
 		asking.Wait()
-		c.Rejoin(cut)
-		time.Sleep(calmAfter)
+		c.Reconnect(cut)
+		time.Sleep(recoveryPause)
 		c.Operator.ReadAt(cut)
 	}
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 }
 
-// askCutMachine reads at a machine that is cut off, and sends it orders on top of the version that it may still hold.
-func askCutMachine(c *Cluster, cut *Machine, before Configuration) {
+// queryIsolatedMachine reads the configuration at an isolated machine, and sends it changes on top of the version
+// that it may still hold.
+func queryIsolatedMachine(c *Cluster, cut *Machine, before Configuration) {
 	rival := c.NewOperator()
 	rival.setCurrent(before)
-	for begin := time.Now(); time.Since(begin) < longCut; {
+	for begin := time.Now(); time.Since(begin) < isolationDuration; {
 		rival.ReadAt(cut)
 		rival.ReplaceAt(cut, before.Version, rival.nextMove())
 		time.Sleep(700 * time.Millisecond)
 	}
 }
 
-// playOneNumber has two operators send different configurations under one number, with most answers lost, so that each
-// order comes again at other machines, while the control group changes its primary.
-func playOneNumber(c *Cluster) {
+// playConcurrentVersion has two operators send different configurations with the same version number, with most
+// responses dropped, so that each change is sent again to other machines, while the control group changes its
+// primary.
+func playConcurrentVersion(c *Cluster) {
 	time.Sleep(warmUp)
 	rival := c.NewOperator()
 	for pair := range racePairs {
@@ -64,7 +66,7 @@
 		var racing sync.WaitGroup
 		for _, operator := range []*Operator{c.Operator, rival} {
 			operator.setCurrent(newest)
-			operator.LoseAnswers(0.7)
+			operator.DropResponses(0.7)
 			racing.Go(func() { operator.Replace(newest.Version, operator.nextMove(), orderLimit) })
 		}
 		if pair%2 == 1 {
@@ -74,14 +76,14 @@
 			killed.Start()
 		}
 		racing.Wait()
-		c.Operator.LoseAnswers(0)
+		c.Operator.DropResponses(0)
 	}
-	time.Sleep(2 * calmAfter)
+	time.Sleep(2 * recoveryPause)
 }
 
-// playSecondLosses takes a second machine as soon as the loss of the first one does not count any more: after a store was
-// replaced, after one was emptied and taken away, and after a member of the control group was replaced; and at the end a
-// disk, and the power of all others.
+// playSecondLosses takes a second machine as soon as the loss of the first one is repaired: after a store was
+// replaced, after one was retired and removed, and after a member of the control group was replaced; and at the
+// end a disk, and the power of all others.
 func playSecondLosses(c *Cluster) {
 	time.Sleep(warmUp)
 	successor := c.Replace(c.Store(0))
@@ -121,7 +123,7 @@
 	c.AwaitCopies(copiesLimit)
 }
 
-// loseDiskBriefly takes a machine's disk and waits until that loss is borne.
+// loseDiskBriefly wipes a machine's disk and waits until the loss is repaired.
 func loseDiskBriefly(c *Cluster, machine *Machine) {
 	c.t.Logf("%v: %s loses its disk", c.recorder.now(), machine.Name)
 	machine.LoseDisk()
@@ -131,8 +133,8 @@
 	c.AwaitCopies(copiesLimit)
 }
 
-// playManyChanges makes hundreds of changes while a member is cut off, loses the disk of another one as soon as that member
-// counts again, and has it alone with one other remember everything.
+// playManyChanges makes hundreds of changes while a member is isolated, wipes the disk of another one as soon as
+// that member has caught up, and then needs the former member, with one other, to have everything.
 func playManyChanges(c *Cluster) {
 	time.Sleep(warmUp)
 	primary := c.ControlPrimary()
@@ -141,15 +143,15 @@
 		away = c.Front(1)
 	}
 	c.Isolate(away)
-	c.Operator.Avoid(away)
-	defer c.Operator.Avoid(nil)
+	c.Operator.Exclude(away)
+	defer c.Operator.Exclude(nil)
 	for change := range manyChanges {
 		if !c.Operator.Move(orderLimit) {
 			c.t.Errorf("change %d was not acknowledged", change)
 			return
 		}
 	}
-	c.Rejoin(away)
+	c.Reconnect(away)
 	time.Sleep(catchUp)
 	c.Operator.ReadAt(away)
 	primary.LoseDisk()
@@ -161,16 +163,16 @@
 	c.Each((*Machine).LosePower)
 	time.Sleep(time.Second)
 	c.Each((*Machine).Start)
-	time.Sleep(2 * calmAfter)
+	time.Sleep(2 * recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
-// playResets resets connections of all machines again and again, and has a store lose its own in the middle of copies.
+// playResets resets connections of all machines again and again, and wipes a store's disk while copies are made.
 func playResets(c *Cluster) {
 	time.Sleep(warmUp)
 	for round := range 30 {
 		for _, machine := range append(c.machinesOf(classFront), c.machinesOf(classStore)...) {
-			if c.random.part() < 0.4 {
+			if c.random.fraction() < 0.4 {
 				c.ResetConnections(machine, 0.7)
 			}
 		}
@@ -181,12 +183,12 @@
 		}
 		time.Sleep(150 * time.Millisecond)
 	}
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
-// cutIntoHalves are troubles in which one machine is cut off together with others.
-var cutIntoHalves = []trouble{
+// partitionFaults are faults that isolate a machine together with others, or reset its connections.
+var partitionFaults = []injectedFault{
 	{
 		name:  "half of the system cut off",
 		begin: func(c *Cluster, m *Machine) { c.Split(c.otherHalf(m)...) },
@@ -205,13 +207,13 @@
 	{
 		name:  "restarted while cut off",
 		begin: func(c *Cluster, m *Machine) { c.Isolate(m); m.Kill() },
-		end:   func(c *Cluster, m *Machine) { m.Start(); time.Sleep(time.Second); c.Rejoin(m) },
+		end:   func(c *Cluster, m *Machine) { m.Start(); time.Sleep(time.Second); c.Reconnect(m) },
 	},
 	{
 		name:  "left behind, then the others killed",
 		begin: (*Cluster).Isolate,
 		end: func(c *Cluster, m *Machine) {
-			c.Rejoin(m)
+			c.Reconnect(m)
 			c.Each(func(other *Machine) {
 				if other != m {
 					other.Kill()
@@ -223,7 +225,7 @@
 	},
 }
 
-// otherHalf returns every second machine of each kind, without a machine's own place in the order mattering.
+// otherHalf returns every second machine of each class; the length of the machine's name selects which half.
 func (c *Cluster) otherHalf(machine *Machine) []*Machine {
 	var half []*Machine
 	for _, class := range []string{classFront, classStore} {
@@ -249,5 +251,5 @@
 	return zone
 }
 
-// String names a machine in failures.
+// String implements fmt.Stringer, for the texts of failures.
 func (m *Machine) String() string { return fmt.Sprintf("%s (%s)", m.Name, m.ip) }
--- a/internal/simcluster/helpers_test.go
+++ b/internal/simcluster/helpers_test.go
@@ -8,13 +8,13 @@
 
 const (
 	stormRoutePrefix = "storm-"
-	limitedRoute     = "limited" // its service has a ceiling
+	limitedRoute     = "limited" // its service has a rate limit
 )
 
 // releaseAddress is where the successor of a released worker runs.
 func releaseAddress(number int) string { return fmt.Sprintf("10.3.100.%d", number+1) }
 
-// withStormRoutes returns the routes with the two newest of the storm's own.
+// withStormRoutes returns the routes together with the two newest routes of the configuration storm.
 func withStormRoutes(routes []Route, number int) []Route {
 	var kept []Route
 	for _, route := range routes {
@@ -51,14 +51,14 @@
 	return addresses
 }
 
-// reuseAddress starts a worker of another service where one has ended.
+// reuseAddress starts a worker of another service at the address of one that has stopped.
 func reuseAddress(c *Cluster, address string) {
 	started := c.services["orders"].start(address)
-	c.Platform.change(started.entry)
+	c.Platform.updateAfterLag(started.entry)
 }
 
-// ceilingRoutes load the service with the ceiling, and little else.
-func ceilingRoutes() []Route {
+// rateLimitRoutes send most messages to the service with the rate limit.
+func rateLimitRoutes() []Route {
 	routes := DefaultRoutes()
 	for i := range routes {
 		routes[i].Weight = 1
--- a/internal/simcluster/history.go
+++ b/internal/simcluster/history.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// History is everything that the stand-ins around a cluster have seen. All times count from the cluster's start. The
-// auditors judge a history alone.
+// History is everything that the simulated clients, workers, operators and platform have observed. All times count
+// from the cluster's start. Audit judges a history and nothing else.
 type History struct {
-	Tries     []Try
-	Arrivals  []Arrival
-	Orders    []Order
-	Reads     []ConfigurationRead
-	Answers   []StateAnswer
-	Troubles  []Trouble
-	Starts    []Start
-	OwnEnds   []OwnEnd
-	Departing []Departure
-	Services  []Service
-	End       time.Duration
-}
-
-// Try is one request of a client, which may be a retry of an earlier one.
-type Try struct {
+	Attempts        []Attempt
+	Arrivals        []Arrival
+	Changes         []ConfigurationChange
+	Reads           []ConfigurationRead
+	StateResponses  []StateResponse
+	Faults          []Fault
+	Starts          []Start
+	UnexpectedExits []UnexpectedExit
+	Departures      []Departure
+	Services        []Service
+	End             time.Duration
+}
+
+// Attempt is one request of a client that submits a message. It may be a retry of an earlier one.
+type Attempt struct {
 	RequestID  string
 	Front      string // the machine's name
 	Route      string
@@ -34,15 +34,15 @@
 	FirstSent  time.Duration // of the client's message, before any retry
 	SentAt     time.Duration
 	AnsweredAt time.Duration
-	Status     int // 0 where there was no answer
+	Status     int // 0 where there was no response
 	MessageID  string
 }
 
-// Accepted tells whether the message has become the system's to keep.
-func (t *Try) Accepted() bool { return t.Status == http.StatusAccepted }
+// Accepted tells whether the response promises that the message will be delivered.
+func (t *Attempt) Accepted() bool { return t.Status == http.StatusAccepted }
 
-// Refused tells whether the answer promises that the message never runs.
-func (t *Try) Refused() bool {
+// Refused tells whether the response promises that the message will never run.
+func (t *Attempt) Refused() bool {
 	switch t.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest:
@@ -56,7 +56,7 @@
 
 // The results. A worker ran the message with each of them but NotRun and Repeated.
 const (
-	NotRun    Result = "not run"   // turned away
+	NotRun    Result = "not run"   // rejected
 	Repeated  Result = "repeated"  // the first success was answered again from the table of ids
 	Succeeded Result = "succeeded" // answered with a stamp
 	Failed    Result = "failed"    // answered 500
@@ -71,55 +71,55 @@
 
 // Arrival is a delivery as a worker saw it.
 type Arrival struct {
-	RequestID string
-	Method    string
-	Path      string // with the query
-	Body      string
-	Service   string
-	Worker    string // the incarnation's id
-	Sender    string // the machine's name
-	Life      int    // which process of the sender's machine, from 1
-	Deadline  time.Duration
-	At        time.Duration
-	EndedAt   time.Duration
-	Result    Result
-	Status    int
-	Stamp     string
-	Unread    bool // the connection had ended before the answer
-}
-
-// Order is a configuration that an operator sent.
-type Order struct {
+	RequestID   string
+	Method      string
+	Path        string // with the query
+	Body        string
+	Service     string
+	Worker      string // the incarnation's id
+	Sender      string // the machine's name
+	Incarnation int    // which process of the sender's machine, from 1
+	Deadline    time.Duration
+	At          time.Duration
+	EndedAt     time.Duration
+	Result      Result
+	Status      int
+	Stamp       string
+	Unread      bool // the connection had ended before the answer
+}
+
+// ConfigurationChange is a configuration that an operator sent.
+type ConfigurationChange struct {
 	Operator      string
 	Base          uint64
-	Configuration Configuration // the whole configuration that the order leads to
+	Configuration Configuration // the complete configuration after the change
 	SentAt        time.Duration
 	AnsweredAt    time.Duration
-	Status        int // of the clear answer; 0 where none came
+	Status        int // of the conclusive response; 0 where there was none
 }
 
-// Acknowledged tells whether the configuration was taken.
-func (o *Order) Acknowledged() bool { return o.Status == http.StatusOK }
+// Acknowledged tells whether the configuration was accepted.
+func (c *ConfigurationChange) Acknowledged() bool { return c.Status == http.StatusOK }
 
-// ConfigurationRead is the configuration as read back.
+// ConfigurationRead is the configuration as an operator has read it.
 type ConfigurationRead struct {
-	From          time.Duration // when it was first asked for
+	From          time.Duration // when the read began
 	At            time.Duration
 	Configuration Configuration
 }
 
-// StateAnswer is what the system says of an accepted message at the end.
-type StateAnswer struct {
+// StateResponse is what the system reports of an accepted message at the end.
+type StateResponse struct {
 	RequestID  string
-	Status     int // 0 where no front gave an answer
+	Status     int // 0 where no front responded
 	State      string
 	Stamp      string
 	BodyStatus int
 	Body       string
 }
 
-// Trouble is something done to a machine.
-type Trouble struct {
+// Fault is a fault that was injected into a machine.
+type Fault struct {
 	Machine string
 	Kind    string
 	Planned bool
@@ -133,8 +133,8 @@
 	At      time.Duration
 }
 
-// OwnEnd is a process that ended although nobody had told it to.
-type OwnEnd struct {
+// UnexpectedExit is a process that ended without having been stopped.
+type UnexpectedExit struct {
 	Machine string
 	At      time.Duration
 	Reason  string
@@ -146,38 +146,38 @@
 	ShownAt time.Duration
 }
 
-// recorder writes a history.
+// recorder writes a history. Its methods may be called from several goroutines.
 type recorder struct {
-	mutex   sync.Mutex
-	started time.Time
-	history History
-	lives   map[string]int
+	mutex        sync.Mutex
+	started      time.Time
+	history      History
+	incarnations map[string]int
 }
 
 func newRecorder() *recorder {
-	return &recorder{started: time.Now(), lives: make(map[string]int)}
+	return &recorder{started: time.Now(), incarnations: make(map[string]int)}
 }
 
 func (r *recorder) now() time.Duration { return time.Since(r.started) }
 
-// write changes the history.
+// write changes the history under the lock.
 func (r *recorder) write(change func(history *History)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	change(&r.history)
 }
 
-// addArrival notes an arrival and returns its position, for its end.
+// addArrival records an arrival and returns its position, which endArrival needs.
 func (r *recorder) addArrival(arrival Arrival) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	arrival.At = r.now()
-	arrival.Life = r.lives[arrival.Sender]
+	arrival.Incarnation = r.incarnations[arrival.Sender]
 	r.history.Arrivals = append(r.history.Arrivals, arrival)
 	return len(r.history.Arrivals) - 1
 }
 
-// endArrival notes what came of an arrival, and whether its connection had ended before.
+// endArrival records the result of an arrival, and whether its connection had ended before the response.
 func (r *recorder) endArrival(position int, end outcome, unread bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -187,27 +187,28 @@
 	arrival.Unread = unread
 }
 
+// addStart records the start of a process, which is a new incarnation of its machine.
 func (r *recorder) addStart(machine string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lives[machine]++
+	r.incarnations[machine]++
 	r.history.Starts = append(r.history.Starts, Start{Machine: machine, At: r.now()})
 }
 
-// beginTrouble notes something that is done to a machine.
-func (r *recorder) beginTrouble(machine, kind string, planned bool) {
+// beginFault records a fault that begins. Planned ones are operations such as a restart.
+func (r *recorder) beginFault(machine, kind string, planned bool) {
 	r.write(func(history *History) {
-		history.Troubles = append(history.Troubles, Trouble{Machine: machine, Kind: kind, Planned: planned, From: r.now()})
+		history.Faults = append(history.Faults, Fault{Machine: machine, Kind: kind, Planned: planned, From: r.now()})
 	})
 }
 
-// endTroubles ends what was done to a machine; an empty kind stands for all kinds.
-func (r *recorder) endTroubles(machine, kind string) {
+// endFaults records the end of a machine's faults of a kind; an empty kind stands for all kinds.
+func (r *recorder) endFaults(machine, kind string) {
 	r.write(func(history *History) {
-		for i := range history.Troubles {
-			trouble := &history.Troubles[i]
-			if trouble.Machine == machine && trouble.Until == 0 && (kind == "" || trouble.Kind == kind) {
-				trouble.Until = r.now()
+		for i := range history.Faults {
+			fault := &history.Faults[i]
+			if fault.Machine == machine && fault.Until == 0 && (kind == "" || fault.Kind == kind) {
+				fault.Until = r.now()
 			}
 		}
 	})
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -31,20 +31,20 @@
 	deadDialTime = time.Second     // until a connection attempt of an ended process fails
 )
 
-// The kinds of trouble.
+// Kinds of faults.
 const (
-	troubleKill      = "kill"
-	troublePower     = "power loss"
-	troubleWipe      = "wiped disk"
-	troubleTerm      = "SIGTERM"
-	troubleDisk      = "disk"
-	troubleNetwork   = "network"
-	troubleStart     = "start"
-	troubleReplacing = "replacement"
-	troubleRemoval   = "removal"
+	faultKill        = "kill"
+	faultPowerLoss   = "power loss"
+	faultDiskLoss    = "wiped disk"
+	faultTermination = "SIGTERM"
+	faultDisk        = "disk"
+	faultNetwork     = "network"
+	faultStart       = "start"
+	faultReplacement = "replacement"
+	faultRemoval     = "removal"
 )
 
-// Machine is a simulated machine, with one process at a time.
+// Machine is a simulated machine, which runs one process at a time.
 type Machine struct {
 	Name string
 	Zone string
@@ -53,7 +53,7 @@
 	class     string
 	ip        string
 	disk      *memfs.Disk // nil without a disk
-	bootstrap bool        // its next start is the first of the whole system
+	bootstrap bool        // its next start bootstraps the system
 
 	removed atomic.Bool // for good
 	mutex   sync.Mutex
@@ -62,10 +62,10 @@
 
 // process is one run of a machine's program.
 type process struct {
-	network *processNetwork
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	told    atomic.Bool // to end
+	network  *processNetwork
+	cancel   context.CancelFunc
+	ended    chan struct{}
+	notified atomic.Bool // that it is to end
 }
 
 // program is a front or a store.
@@ -73,7 +73,7 @@
 	Run(ctx context.Context) error
 }
 
-// processNetwork is the network of a process; it fails once the process has ended.
+// processNetwork is the network as a process sees it. It fails once the process has ended.
 type processNetwork struct {
 	network.Network
 	dead atomic.Bool
@@ -87,7 +87,7 @@
 	return n.Network.Listen(address)
 }
 
-// Dial implements network.Network. What is left of a process that has ended hears nothing.
+// Dial implements network.Network. What is left of a process that has ended gets no connections.
 func (n *processNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.dead.Load() {
 		select {
@@ -107,11 +107,11 @@
 		return
 	}
 	m.cluster.network.PowerOn(m.ip)
-	m.cluster.recorder.endTroubles(m.Name, "")
+	m.cluster.recorder.endFaults(m.Name, "")
 	m.cluster.recorder.addStart(m.Name)
 	if !m.bootstrap {
-		m.cluster.recorder.beginTrouble(m.Name, troubleStart, false)
-		m.cluster.recorder.endTroubles(m.Name, troubleStart)
+		m.cluster.recorder.beginFault(m.Name, faultStart, false)
+		m.cluster.recorder.endFaults(m.Name, faultStart)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &process{
@@ -133,18 +133,19 @@
 	m.cluster.processes.Go(func() { m.run(ctx, started, options) })
 }
 
-// run runs a process to its end.
+// run runs a process until it ends. A process that was not stopped is recorded as an unexpected exit, and
+// restarted after restartPause.
 func (m *Machine) run(ctx context.Context, started *process, options systemnode.Options) {
 	err := m.runProgram(ctx, options)
 	close(started.ended)
-	if started.told.Load() {
+	if started.notified.Load() {
 		return
 	}
 	m.cluster.recorder.write(func(history *History) {
-		end := OwnEnd{Machine: m.Name, At: m.cluster.recorder.now(), Reason: fmt.Sprint(err)}
-		history.OwnEnds = append(history.OwnEnds, end)
+		end := UnexpectedExit{Machine: m.Name, At: m.cluster.recorder.now(), Reason: fmt.Sprint(err)}
+		history.UnexpectedExits = append(history.UnexpectedExits, end)
 	})
-	m.end(started)
+	m.detach(started)
 	time.Sleep(restartPause)
 	if !m.cluster.closing.Load() {
 		m.Start()
@@ -165,14 +166,15 @@
 	return made.Run(ctx)
 }
 
-// end cuts a process off from its machine. What is left of it can't do anything.
-func (m *Machine) end(ending *process) {
+// detach cuts a process off from its machine, as its end does: what is left of its goroutines can reach neither
+// network nor disk.
+func (m *Machine) detach(ending *process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.current != ending {
 		return
 	}
-	ending.told.Store(true)
+	ending.notified.Store(true)
 	ending.network.dead.Store(true)
 	m.cluster.network.Kill(m.ip)
 	if m.disk != nil {
@@ -191,17 +193,17 @@
 // Running tells whether the machine has a process.
 func (m *Machine) Running() bool { return m.process() != nil }
 
-// Kill ends the process at once. The disk keeps everything.
+// Kill ends the process at once. The disk keeps what was written.
 func (m *Machine) Kill() {
-	m.cluster.recorder.beginTrouble(m.Name, troubleKill, false)
+	m.cluster.recorder.beginFault(m.Name, faultKill, false)
 	if running := m.process(); running != nil {
-		m.end(running)
+		m.detach(running)
 	}
 }
 
-// LosePower ends the machine at once. The disk loses what was not synced, in whole, in part or not at all.
+// LosePower ends the machine at once. The disk loses all, some or nothing of what was not synced.
 func (m *Machine) LosePower() {
-	m.cluster.recorder.beginTrouble(m.Name, troublePower, false)
+	m.cluster.recorder.beginFault(m.Name, faultPowerLoss, false)
 	if m.disk != nil {
 		m.disk.PowerLoss()
 	}
@@ -211,61 +213,61 @@
 	if m.current == nil {
 		return
 	}
-	m.current.told.Store(true)
+	m.current.notified.Store(true)
 	m.current.network.dead.Store(true)
 	m.current.cancel()
 	m.current = nil
 }
 
-// LoseDisk ends the machine at once, and empties its disk.
+// LoseDisk ends the machine at once, and wipes its disk.
 func (m *Machine) LoseDisk() {
 	m.LosePower()
-	m.cluster.recorder.beginTrouble(m.Name, troubleWipe, false)
+	m.cluster.recorder.beginFault(m.Name, faultDiskLoss, false)
 	if m.disk != nil {
 		m.disk.Wipe()
 	}
 }
 
-// Terminate sends SIGTERM and waits until the process has ended, at the latest by SIGKILL after the grace.
+// Terminate sends SIGTERM and waits until the process has ended; after the grace period it is killed.
 func (m *Machine) Terminate() {
-	m.cluster.recorder.beginTrouble(m.Name, troubleTerm, true)
+	m.cluster.recorder.beginFault(m.Name, faultTermination, true)
 	running := m.process()
 	if running == nil {
 		return
 	}
-	running.told.Store(true)
+	running.notified.Store(true)
 	running.cancel()
 	select {
 	case <-running.ended:
 	case <-time.After(grace):
 		m.cluster.t.Logf("%v: %s was still running after the grace", m.cluster.recorder.now(), m.Name)
 	}
-	m.end(running)
+	m.detach(running)
 }
 
-// StallDisk has the disk hang, or go on.
+// StallDisk makes the disk hang, or ends that.
 func (m *Machine) StallDisk(stalled bool) {
-	m.noteDisk(stalled)
+	m.recordDiskFault(stalled)
 	m.disk.SetStalled(stalled)
 }
 
-// FillDisk has the disk run full, or have room again.
+// FillDisk makes the disk run full, or gives it room again.
 func (m *Machine) FillDisk(full bool) {
-	m.noteDisk(full)
+	m.recordDiskFault(full)
 	m.disk.SetFull(full)
 }
 
-func (m *Machine) noteDisk(trouble bool) {
-	if trouble {
-		m.cluster.recorder.beginTrouble(m.Name, troubleDisk, false)
+func (m *Machine) recordDiskFault(fault bool) {
+	if fault {
+		m.cluster.recorder.beginFault(m.Name, faultDisk, false)
 		return
 	}
-	m.cluster.recorder.endTroubles(m.Name, troubleDisk)
+	m.cluster.recorder.endFaults(m.Name, faultDisk)
 }
 
 func (m *Machine) address(port int) string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
-// settings makes the process's settings.
+// settings returns the settings of the machine's process.
 func (m *Machine) settings() *settings.Settings {
 	made := &settings.Settings{
 		Node: m.Name, Role: m.class, Class: m.class, Serves: []string{settings.ServesStore},
@@ -292,11 +294,11 @@
 	return made
 }
 
-// bounds are the figures of the rules that processes are told.
+// bounds are the limits of the rules that processes find in their settings.
 var bounds = settings.Bounds{
-	SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Contact: contact, Acknowledge: 5 * time.Second,
+	SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Contact: faultExcuse, Acknowledge: 5 * time.Second,
 	CatchUp: 4400 * time.Millisecond, Drain: drainBound, Grace: grace, LossSlack: 200 * time.Millisecond,
 	ConfigurationLag: configurationBound, RevertSlack: revertSlack, MaxSkew: 12 * time.Second,
-	Recovery: 12 * time.Second, Finish: finish, Status: 2 * time.Minute, Callback: 5 * time.Second,
-	Visibility: 3 * time.Second, Early: earlySlack, RateLimitWindow: ceilingWindow, RateLimitOvershoot: ceilingOvershoot,
+	Recovery: 12 * time.Second, Finish: finishTimeout, Status: 2 * time.Minute, Callback: 5 * time.Second,
+	Visibility: 3 * time.Second, Early: earlySlack, RateLimitWindow: rateLimitWindow, RateLimitOvershoot: rateLimitOvershoot,
 }
--- a/internal/simcluster/operator.go
+++ b/internal/simcluster/operator.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	operatorIP       = "10.5.0.1"
-	orderPatience    = time.Second // with the silence of one front
-	firstPause       = 100 * time.Millisecond
-	longestPause     = time.Second
-	readBackFor      = contact
-	headerBase       = "X-If-Base-Version"
-	pathReplace      = configurationPath + "replace"
-	pathUpdate       = configurationPath + "update"
-	pathRead         = configurationPath + "read"
-	pathRetire       = "/api/retire/"
-	retireCompleted  = "completed"
-	statusNoAnswer   = 0
-	serverErrorsFrom = 500
+	operatorIP          = "10.5.0.1"
+	operatorCallTimeout = time.Second // so long a front may take to respond
+	initialBackoff      = 100 * time.Millisecond
+	maxBackoff          = time.Second
+	readBackFor         = faultExcuse
+	headerBase          = "X-If-Base-Version"
+	pathReplace         = configurationPath + "replace"
+	pathUpdate          = configurationPath + "update"
+	pathRead            = configurationPath + "read"
+	pathRetire          = "/api/retire/"
+	retireCompleted     = "completed"
+	statusNoResponse    = 0
+	serverErrorsFrom    = 500
 )
 
-// Operator stands in for an operator: it sends orders to one front after the other until one answers clearly.
+// Operator simulates an operator: it sends each change to one front after another until one answers conclusively.
 type Operator struct {
 	cluster *Cluster
 	name    string
 	number  int // from 1
 	client  *http.Client
 
-	mutex   sync.Mutex
-	current Configuration // the newest that it has read or had acknowledged
-	lost    float64       // this part of all answers is lost on its way
-	avoided *Machine      // a front that is not asked; nil for none
+	mutex     sync.Mutex
+	current   Configuration // the newest that it has read, or that was acknowledged
+	dropShare float64       // share of the responses that is dropped
+	excluded  *Machine      // a front that is not called; nil for none
 }
 
 // NewOperator makes one more operator.
@@ -62,36 +62,36 @@
 	o.current = configuration
 }
 
-// LoseAnswers has a part of all answers to the operator be lost on their way, from now on.
-func (o *Operator) LoseAnswers(part float64) {
+// DropResponses drops a share of all responses to the operator, from now on.
+func (o *Operator) DropResponses(part float64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.lost = part
+	o.dropShare = part
 }
 
-// Avoid has the operator leave a front out, as one that knows of its trouble.
-func (o *Operator) Avoid(front *Machine) {
+// Exclude keeps the operator from calling a front, as one who knows of its fault. Nil ends that.
+func (o *Operator) Exclude(front *Machine) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.avoided = front
+	o.excluded = front
 }
 
-// fronts returns the fronts that the operator asks.
+// fronts returns the fronts that the operator calls.
 func (o *Operator) fronts() []*Machine {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return slices.DeleteFunc(o.cluster.machinesOf(classFront), func(front *Machine) bool { return front == o.avoided })
+	return slices.DeleteFunc(o.cluster.machinesOf(classFront), func(front *Machine) bool { return front == o.excluded })
 }
 
-// losesAnswer tells whether an answer is lost.
-func (o *Operator) losesAnswer() bool {
+// dropsResponse draws whether a response is dropped.
+func (o *Operator) dropsResponse() bool {
 	o.mutex.Lock()
-	part := o.lost
+	part := o.dropShare
 	o.mutex.Unlock()
-	return part > 0 && o.cluster.random.part() < part
+	return part > 0 && o.cluster.random.fraction() < part
 }
 
-// ReadAt asks one front for the configuration, once, and notes the answer.
+// ReadAt reads the configuration at one front, once, and records the response.
 func (o *Operator) ReadAt(front *Machine) {
 	from := o.cluster.recorder.now()
 	status, body := o.call(front, http.MethodGet, pathRead, nil, nil)
@@ -103,37 +103,40 @@
 		o.cluster.t.Errorf("what %s answered is no configuration: %v", front.Name, err)
 		return
 	}
-	o.noteRead(from, read)
+	o.recordRead(from, read)
 }
 
-// ReplaceAt sends a whole configuration to one front, once. It tells whether the answer was clear.
+// ReplaceAt sends a complete configuration to one front, once. It tells whether the response was conclusive.
 func (o *Operator) ReplaceAt(front *Machine, base uint64, next Configuration) bool {
 	header := http.Header{headerBase: {strconv.FormatUint(base, 10)}, "Content-Type": {"application/json"}}
-	status := o.noteOrder(base, next, func() int {
+	status := o.recordChange(base, next, func() int {
 		status, _ := o.call(front, http.MethodPost, pathReplace, header, next.replacement())
-		if !isClear(status) {
-			return statusNoAnswer
+		if !isConclusive(status) {
+			return statusNoResponse
 		}
 		return status
 	})
-	return status != statusNoAnswer
+	return status != statusNoResponse
 }
 
-// Replace sends a whole configuration. It tells whether it was acknowledged within a limit.
+// Replace sends a complete configuration. It tells whether it was acknowledged within a limit.
 func (o *Operator) Replace(base uint64, next Configuration, limit time.Duration) bool {
-	return o.order(pathReplace, base, next, next.replacement(), limit)
+	return o.submit(pathReplace, base, next, next.replacement(), limit)
 }
 
-// Update sends a configuration as a change of the current one.
+// Update sends a configuration as an update of the current one. It tells whether it was acknowledged within a
+// limit.
 func (o *Operator) Update(next Configuration, limit time.Duration) bool {
 	current := o.Current()
-	return o.order(pathUpdate, current.Version, next, next.update(&current), limit)
+	return o.submit(pathUpdate, current.Version, next, next.update(&current), limit)
 }
 
-func (o *Operator) order(path string, base uint64, next Configuration, body []byte, limit time.Duration) bool {
+// submit sends a change until the response is conclusive or the limit has passed. It tells whether it was
+// acknowledged.
+func (o *Operator) submit(path string, base uint64, next Configuration, body []byte, limit time.Duration) bool {
 	header := http.Header{headerBase: {strconv.FormatUint(base, 10)}, "Content-Type": {"application/json"}}
-	status := o.noteOrder(base, next, func() int {
-		status, _ := o.untilClear(http.MethodPost, path, header, body, limit)
+	status := o.recordChange(base, next, func() int {
+		status, _ := o.callUntilConclusive(http.MethodPost, path, header, body, limit)
 		return status
 	})
 	if status == http.StatusOK {
@@ -142,20 +145,20 @@
 	return status == http.StatusOK
 }
 
-// noteOrder notes an order with its answer, where it gets a clear one.
-func (o *Operator) noteOrder(base uint64, next Configuration, send func() int) int {
+// recordChange records a change and the conclusive response to it, if there is one.
+func (o *Operator) recordChange(base uint64, next Configuration, send func() int) int {
 	recorder := o.cluster.recorder
 	position := 0
 	recorder.write(func(history *History) {
-		position = len(history.Orders)
-		history.Orders = append(history.Orders, Order{
+		position = len(history.Changes)
+		history.Changes = append(history.Changes, ConfigurationChange{
 			Operator: o.name, Base: base, Configuration: next.clone(), SentAt: recorder.now(),
 		})
 	})
 	status := send()
 	recorder.write(func(history *History) {
-		history.Orders[position].AnsweredAt = recorder.now()
-		history.Orders[position].Status = status
+		history.Changes[position].AnsweredAt = recorder.now()
+		history.Changes[position].Status = status
 	})
 	return status
 }
@@ -167,7 +170,7 @@
 	return o.Update(next, limit)
 }
 
-// nextMove returns the configuration after the current one. Those of two operators differ.
+// nextMove returns the configuration that Move sends next. Those of two operators differ.
 func (o *Operator) nextMove() Configuration {
 	next := o.Current()
 	next.Version++
@@ -180,17 +183,17 @@
 	return next
 }
 
-// Retire has a store emptied, and waits for it. It tells whether that was done within a limit.
+// Retire has a store retired. It tells whether that was completed within a limit.
 func (o *Operator) Retire(store *Machine, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	path := pathRetire + store.Name
-	status, _ := o.untilClear(http.MethodPost, path+"/start", nil, []byte(`{"duration-s":10}`), limit)
+	status, _ := o.callUntilConclusive(http.MethodPost, path+"/start", nil, []byte(`{"duration-s":10}`), limit)
 	if status != http.StatusOK {
 		o.cluster.t.Errorf("%v: retiring %s: answer %d", o.cluster.recorder.now(), store.Name, status)
 		return false
 	}
 	for time.Now().Before(deadline) {
-		status, body := o.untilClear(http.MethodGet, path+"/read", nil, nil, time.Until(deadline))
+		status, body := o.callUntilConclusive(http.MethodGet, path+"/read", nil, nil, time.Until(deadline))
 		var state stateDocument
 		if status == http.StatusOK && json.Unmarshal(body, &state) == nil && state.State == retireCompleted {
 			return true
@@ -200,9 +203,9 @@
 	return false
 }
 
-// Read returns the configuration as the system has it.
+// Read returns the configuration that the system reports.
 func (o *Operator) Read(limit time.Duration) (Configuration, bool) {
-	status, body := o.untilClear(http.MethodGet, pathRead, nil, nil, limit)
+	status, body := o.callUntilConclusive(http.MethodGet, pathRead, nil, nil, limit)
 	if status != http.StatusOK {
 		return Configuration{}, false
 	}
@@ -214,71 +217,74 @@
 	return read, true
 }
 
-// readBack asks for the configuration for some time, and notes every answer.
+// readBack reads the configuration repeatedly for readBackFor, and records every response.
 func (o *Operator) readBack() {
 	deadline := time.Now().Add(readBackFor)
 	for time.Now().Before(deadline) {
 		from := o.cluster.recorder.now()
 		if read, ok := o.Read(time.Until(deadline)); ok {
-			o.noteRead(from, read)
+			o.recordRead(from, read)
 		}
-		time.Sleep(longestPause)
+		time.Sleep(maxBackoff)
 	}
 }
 
-func (o *Operator) noteRead(from time.Duration, read Configuration) {
+func (o *Operator) recordRead(from time.Duration, read Configuration) {
 	o.cluster.recorder.write(func(history *History) {
 		answer := ConfigurationRead{From: from, At: o.cluster.recorder.now(), Configuration: read}
 		history.Reads = append(history.Reads, answer)
 	})
 }
 
-// untilClear sends a call again and again, to any front, until the answer is clear.
-func (o *Operator) untilClear(
+// callUntilConclusive repeats a call, at any front, until the response is conclusive or the limit has passed.
+func (o *Operator) callUntilConclusive(
 	method, path string, header http.Header, body []byte, limit time.Duration,
 ) (int, []byte) {
 	deadline := time.Now().Add(limit)
-	pause := firstPause
+	pause := initialBackoff
 	for time.Now().Before(deadline) {
 		fronts := o.fronts()
 		front := fronts[o.cluster.random.intN(len(fronts))]
 		status, answer := o.call(front, method, path, header, body)
-		if isClear(status) {
+		if isConclusive(status) {
 			return status, answer
 		}
 		time.Sleep(pause)
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxBackoff)
 	}
-	return statusNoAnswer, nil
+	return statusNoResponse, nil
 }
 
-func isClear(status int) bool {
+// isConclusive tells whether a status is the final result of a call: neither a missing response nor one that asks
+// for a retry.
+func isConclusive(status int) bool {
 	switch status {
-	case statusNoAnswer, http.StatusRequestTimeout, http.StatusTooManyRequests:
+	case statusNoResponse, http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return false
 	}
 	return status < serverErrorsFrom
 }
 
+// call makes one call. The status is statusNoResponse where no complete response arrives.
 func (o *Operator) call(front *Machine, method, path string, header http.Header, body []byte) (int, []byte) {
-	ctx, cancel := context.WithTimeout(o.cluster.ctx, orderPatience)
+	ctx, cancel := context.WithTimeout(o.cluster.ctx, operatorCallTimeout)
 	defer cancel()
 	url := "http://" + front.address(controlPort) + path
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return statusNoAnswer, nil
+		return statusNoResponse, nil
 	}
 	for name, values := range header {
 		request.Header[name] = values
 	}
 	response, err := o.client.Do(request)
 	if err != nil {
-		return statusNoAnswer, nil
+		return statusNoResponse, nil
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	if err != nil || o.losesAnswer() {
-		return statusNoAnswer, nil
+	if err != nil || o.dropsResponse() {
+		return statusNoResponse, nil
 	}
 	return response.StatusCode, text
 }
--- a/internal/simcluster/platform.go
+++ b/internal/simcluster/platform.go
@@ -38,8 +38,8 @@
 	NextToken *string    `json:"next-token"`
 }
 
-// Platform stands in for the platform's list of workers. The list is behind by a lag, comes in pages, and may be
-// asked for only so often.
+// Platform simulates the platform's list of workers. The list lags behind the workers, comes in pages, and allows
+// only so many calls a second.
 type Platform struct {
 	cluster *Cluster
 	server  *http.Server
@@ -62,32 +62,34 @@
 
 func (p *Platform) close() { _ = p.server.Close() }
 
-// SetDown decides whether the platform answers 503.
+// SetDown makes the platform answer 503, or ends that.
 func (p *Platform) SetDown(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.down = down
 }
 
-// list shows an entry at once, as it was before the system started.
-func (p *Platform) list(entry instance) {
+// add adds an entry at once, as it was before the system started.
+func (p *Platform) add(entry instance) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.listed = append(p.listed, entry)
 }
 
-// change shows a change of a worker's entry after the lag. An empty state takes it off the list.
-func (p *Platform) change(entry instance) {
+// updateAfterLag applies a change of a worker's entry once the list's lag has passed. An empty state removes the
+// entry.
+func (p *Platform) updateAfterLag(entry instance) {
 	p.cluster.helpers.Go(func() {
 		select {
 		case <-p.cluster.ctx.Done():
 		case <-time.After(platformLag):
-			p.show(entry)
+			p.update(entry)
 		}
 	})
 }
 
-func (p *Platform) show(entry instance) {
+// update replaces or removes an entry, and records workers that drain or depart.
+func (p *Platform) update(entry instance) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	kept := make([]instance, 0, len(p.listed)+1)
@@ -103,7 +105,7 @@
 	if entry.State != stateReady {
 		recorder := p.cluster.recorder
 		recorder.write(func(history *History) {
-			history.Departing = append(history.Departing, Departure{Worker: entry.ID, ShownAt: recorder.now()})
+			history.Departures = append(history.Departures, Departure{Worker: entry.ID, ShownAt: recorder.now()})
 		})
 	}
 }
@@ -133,7 +135,7 @@
 	_ = json.NewEncoder(writer).Encode(page)
 }
 
-// allow takes a call from what the rate allows.
+// allow takes one call from the token bucket.
 func (p *Platform) allow() bool {
 	now := time.Now()
 	p.tokens = min(p.tokens+platformRate*now.Sub(p.counted).Seconds(), platformRate)
--- a/internal/simcluster/troubles_test.go
+++ b/internal/simcluster/randomfaults_test.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	randomTroubles   = 4
-	shortestTrouble  = 300 * time.Millisecond
-	longestTrouble   = 6 * time.Second
-	betweenTroubles  = 5 * time.Second // a machine counts as lost for 4.4 s after it is back
-	copiesBackWithin = 20 * time.Second
+	randomFaults           = 4
+	minFaultDuration       = 300 * time.Millisecond
+	maxFaultDuration       = 6 * time.Second
+	pauseBetweenFaults     = 5 * time.Second // a machine counts as lost for 4.4 s after it is back
+	randomFaultCopiesLimit = 20 * time.Second
 )
 
-// trouble is something that a tolerated loss may do to a machine.
-type trouble struct {
+// injectedFault is a fault that counts as one tolerated loss.
+type injectedFault struct {
 	name  string
 	begin func(c *Cluster, machine *Machine)
 	end   func(c *Cluster, machine *Machine)
@@ -20,13 +20,13 @@
 
 func startMachine(_ *Cluster, machine *Machine) { machine.Start() }
 
-var troubles = []trouble{
+var injectedFaults = []injectedFault{
 	{name: "kill", begin: func(_ *Cluster, m *Machine) { m.Kill() }, end: startMachine},
 	{name: "power loss", begin: func(_ *Cluster, m *Machine) { m.LosePower() }, end: startMachine},
 	{name: "lost disk", begin: func(_ *Cluster, m *Machine) { m.LoseDisk() }, end: startMachine, disk: true},
 	{name: "SIGTERM", begin: func(_ *Cluster, m *Machine) { m.Terminate() }, end: startMachine},
-	{name: "cut off", begin: (*Cluster).Isolate, end: (*Cluster).Rejoin},
-	{name: "not heard", begin: (*Cluster).Silence, end: (*Cluster).Rejoin},
+	{name: "cut off", begin: (*Cluster).Isolate, end: (*Cluster).Reconnect},
+	{name: "not heard", begin: (*Cluster).BlockOutgoing, end: (*Cluster).Reconnect},
 	{
 		name: "disk stalls", disk: true,
 		begin: func(_ *Cluster, m *Machine) { m.StallDisk(true) },
@@ -49,16 +49,16 @@
 	},
 }
 
-// playRandomTroubles draws one trouble after the other, with time to recover between them, while an operator makes
-// changes.
-func playRandomTroubles(c *Cluster) {
+// playRandomFaults injects randomly drawn faults one after another, with time to recover between them, while an
+// operator makes changes.
+func playRandomFaults(c *Cluster) {
 	time.Sleep(warmUp)
-	for range randomTroubles {
-		drawn := c.drawTrouble()
+	for range randomFaults {
+		drawn := c.drawFault()
 		machine := c.drawMachine(drawn.disk)
 		c.t.Logf("%v: %s: %s", c.recorder.now(), machine.Name, drawn.name)
 		drawn.begin(c, machine)
-		length := shortestTrouble + time.Duration(c.random.part()*float64(longestTrouble-shortestTrouble))
+		length := minFaultDuration + time.Duration(c.random.fraction()*float64(maxFaultDuration-minFaultDuration))
 		time.Sleep(length / 2)
 		changed := make(chan struct{})
 		go func() {
@@ -68,21 +68,21 @@
 		time.Sleep(length / 2)
 		drawn.end(c, machine)
 		<-changed
-		time.Sleep(betweenTroubles)
-		c.AwaitCopies(copiesBackWithin)
+		time.Sleep(pauseBetweenFaults)
+		c.AwaitCopies(randomFaultCopiesLimit)
 	}
 }
 
-// drawTrouble draws one of all troubles.
-func (c *Cluster) drawTrouble() trouble {
-	drawn := c.random.intN(len(troubles) + len(cutIntoHalves))
-	if drawn < len(troubles) {
-		return troubles[drawn]
+// drawFault draws one of all faults.
+func (c *Cluster) drawFault() injectedFault {
+	drawn := c.random.intN(len(injectedFaults) + len(partitionFaults))
+	if drawn < len(injectedFaults) {
+		return injectedFaults[drawn]
 	}
-	return cutIntoHalves[drawn-len(troubles)]
+	return partitionFaults[drawn-len(injectedFaults)]
 }
 
-// drawMachine draws a front or a store.
+// drawMachine draws a front or a store, one with a disk if the fault needs it.
 func (c *Cluster) drawMachine(disk bool) *Machine {
 	for {
 		machine := c.Machines[c.random.intN(len(c.Machines))]
--- a/internal/simcluster/scenario_test.go
+++ b/internal/simcluster/scenario_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scenario is a day in the life of a cluster.
+// scenario is a sequence of events in a cluster under load, with what the cluster has to achieve.
 type scenario struct {
 	name    string
 	options Options
@@ -18,11 +18,11 @@
 	// accepted is the least part of the clients' messages that must be accepted.
 	accepted float64
 	// ended is the least part of the accepted messages that must have ended when the day is over. Messages for services
-	// with a ceiling do not count: they may have to wait for longer.
+	// with a rate limit do not count: they may have to wait for longer.
 	ended float64
 }
 
-// fixedSeeds is how many seeds each scenario is played with. The environment may ask for others, to look for rare
+// fixedSeeds is how many seeds each scenario is run with. The environment variable may name others, to look for rare
 // faults: the first seed and how many.
 const (
 	fixedSeeds    = 2
@@ -66,10 +66,10 @@
 	checkService(t, scenario, history)
 }
 
-// checkService sees to it that the cluster has served enough.
+// checkService checks that the cluster has accepted and completed enough messages.
 func checkService(t *testing.T, scenario scenario, history *History) {
 	s := serviceOf(history)
-	t.Logf("%d messages, %d accepted, %d of them without a ceiling, %d of these ended, %d arrivals, answers %v, slowest 202 %v",
+	t.Logf("%d messages, %d accepted, %d of them without a rate limit, %d of these ended, %d arrivals, answers %v, slowest 202 %v",
 		s.messages, s.accepted, s.unlimited, s.unlimited-len(s.waiting), len(history.Arrivals), s.statuses, s.slowest)
 	for _, waiting := range s.waiting {
 		t.Logf("not ended: %s", waiting)
@@ -86,7 +86,7 @@
 type service struct {
 	messages  int
 	accepted  int
-	unlimited int      // of the accepted, those for services without a ceiling
+	unlimited int      // of the accepted, those for services without a rate limit
 	waiting   []string // of the unlimited, those that have not ended
 	statuses  map[int]int
 	slowest   time.Duration // from sending to 202
@@ -96,27 +96,27 @@
 	s := service{statuses: make(map[int]int)}
 	messages := make(map[time.Duration]bool)
 	a := newAudit(history)
-	for i := range history.Tries {
-		try := &history.Tries[i]
-		messages[try.FirstSent] = true
-		s.statuses[try.Status]++
-		if try.Accepted() {
-			s.addAccepted(a, try)
+	for i := range history.Attempts {
+		attempt := &history.Attempts[i]
+		messages[attempt.FirstSent] = true
+		s.statuses[attempt.Status]++
+		if attempt.Accepted() {
+			s.addAccepted(a, attempt)
 		}
 	}
 	s.messages = len(messages)
 	return s
 }
 
-func (s *service) addAccepted(a *audit, try *Try) {
+func (s *service) addAccepted(a *audit, attempt *Attempt) {
 	s.accepted++
-	s.slowest = max(s.slowest, try.AnsweredAt-try.SentAt)
-	if try.Route == limitedRoute {
+	s.slowest = max(s.slowest, attempt.AnsweredAt-attempt.SentAt)
+	if attempt.Route == limitedRoute {
 		return
 	}
 	s.unlimited++
-	if _, ended := a.endingOf(try); !ended {
-		s.waiting = append(s.waiting, fmt.Sprintf("%s %s on %s, key %q, sent at %v: %s", try.RequestID, try.MessageID,
-			try.Route, try.OrderKey, try.SentAt, a.describeArrivals(try)))
+	if _, ended := a.endingOf(attempt); !ended {
+		s.waiting = append(s.waiting, fmt.Sprintf("%s %s on %s, key %q, sent at %v: %s", attempt.RequestID, attempt.MessageID,
+			attempt.Route, attempt.OrderKey, attempt.SentAt, a.describeArrivals(attempt)))
 	}
 }
--- a/internal/simcluster/scenarios_test.go
+++ b/internal/simcluster/scenarios_test.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	warmUp      = 2 * time.Second // of load before anything happens
-	calmAfter   = 5 * time.Second
-	copiesLimit = 15 * time.Second
-	orderLimit  = 10 * time.Second
+	warmUp        = 2 * time.Second // of load before anything happens
+	recoveryPause = 5 * time.Second
+	copiesLimit   = 15 * time.Second
+	orderLimit    = 10 * time.Second
 
 	betweenRestarts = 3 * time.Second // of machines that are restarted in turn
 )
@@ -24,9 +24,9 @@
 	{name: "stores restarted in turn", accepted: 0.99, ended: 1, play: playRollingStores},
 	{name: "fronts restarted in turn", accepted: 0.99, ended: 1, play: playRollingFronts},
 	{name: "control primary killed", accepted: 0.95, ended: 1, play: playControlPrimaryKilled},
-	{name: "core member cut off", accepted: 0.9, ended: 1, play: playCoreCutOff},
-	{name: "store cut off", accepted: 0.9, ended: 1, play: playStoreCutOff},
-	{name: "store hears but is not heard", accepted: 0.9, ended: 1, play: playStoreSilenced},
+	{name: "core member cut off", accepted: 0.9, ended: 1, play: playCoreIsolated},
+	{name: "store cut off", accepted: 0.9, ended: 1, play: playStoreIsolated},
+	{name: "store hears but is not heard", accepted: 0.9, ended: 1, play: playStoreOutgoingBlocked},
 	{name: "store's disk stalls", accepted: 0.8, ended: 1, play: playDiskStalled},
 	{name: "store's disk is full", accepted: 0.8, ended: 1, play: playDiskFull},
 	{name: "store replaced", accepted: 0.9, ended: 1, play: playStoreReplaced},
@@ -34,16 +34,16 @@
 	{name: "workers released", accepted: 1, ended: 1, play: playWorkerRelease},
 	{name: "endpoint down", accepted: 1, ended: 1, play: playEndpointDown},
 	{name: "configuration storm", accepted: 0.95, ended: 1, play: playConfigurationStorm},
-	{name: "ceiling under pressure", accepted: 0.9, ended: 1, play: playCeiling, options: Options{Routes: ceilingRoutes()}},
+	{name: "rate limit under pressure", accepted: 0.9, ended: 1, play: playRateLimit, options: Options{Routes: rateLimitRoutes()}},
 	{name: "messages expire", accepted: 1, ended: 1, play: playExpiry, options: Options{Routes: expiryRoutes()}},
 	{name: "two stores lost at once", accepted: 0.8, ended: 1, play: playTwoLost, options: twoTolerated},
 	{name: "two disks lost, all others without power", accepted: 0.5, ended: 1, play: playFinalFault, options: twoTolerated},
-	{name: "control machine cut off for twenty seconds, twice", accepted: 0.9, ended: 1, play: playControlCutTwice},
-	{name: "two operators under one number, answers lost", accepted: 0.9, ended: 1, play: playOneNumber},
+	{name: "control machine cut off for twenty seconds, twice", accepted: 0.9, ended: 1, play: playControlPrimaryIsolatedTwice},
+	{name: "two operators under one number, answers lost", accepted: 0.9, ended: 1, play: playConcurrentVersion},
 	{name: "second losses right after repairs", accepted: 0.6, ended: 1, play: playSecondLosses, options: Options{Fronts: 5, Stores: 5}},
 	{name: "hundreds of changes with a member away", accepted: 0.7, ended: 1, play: playManyChanges},
 	{name: "connections reset under load", accepted: 0.9, ended: 1, play: playResets},
-	{name: "random troubles", accepted: 0.6, ended: 1, play: playRandomTroubles, options: Options{Fronts: 5, CoreFronts: 4}},
+	{name: "random faults", accepted: 0.6, ended: 1, play: playRandomFaults, options: Options{Fronts: 5, CoreFronts: 4}},
 }
 
 // twoTolerated are the options of a cluster that may lose two machines at once.
@@ -56,7 +56,7 @@
 	c.Store(1).Kill()
 	time.Sleep(time.Second)
 	c.Store(1).Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -65,7 +65,7 @@
 	c.Store(0).LosePower()
 	time.Sleep(4 * time.Second)
 	c.Store(0).Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -93,7 +93,7 @@
 	c.Store(2).LoseDisk()
 	time.Sleep(time.Second)
 	c.Store(2).Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -130,10 +130,10 @@
 	time.Sleep(1500 * time.Millisecond)
 	killed.Start()
 	racing.Wait()
-	time.Sleep(2 * calmAfter)
+	time.Sleep(2 * recoveryPause)
 }
 
-// changeRepeatedly has an operator make changes, each on top of the newest that there is.
+// changeRepeatedly has an operator make changes, each on top of the newest version that it can read.
 func changeRepeatedly(operator *Operator) {
 	for range 5 {
 		if !operator.Move(orderLimit) {
@@ -146,31 +146,31 @@
 	}
 }
 
-func playCoreCutOff(c *Cluster) {
+func playCoreIsolated(c *Cluster) {
 	time.Sleep(warmUp)
 	cut := c.ControlPrimary()
 	c.Isolate(cut)
 	time.Sleep(5 * time.Second)
 	c.Operator.Move(orderLimit)
-	c.Rejoin(cut)
-	time.Sleep(2 * calmAfter)
+	c.Reconnect(cut)
+	time.Sleep(2 * recoveryPause)
 }
 
-func playStoreCutOff(c *Cluster) {
+func playStoreIsolated(c *Cluster) {
 	time.Sleep(warmUp)
 	c.Isolate(c.Store(0))
 	time.Sleep(6 * time.Second)
-	c.Rejoin(c.Store(0))
-	time.Sleep(calmAfter)
+	c.Reconnect(c.Store(0))
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
-func playStoreSilenced(c *Cluster) {
+func playStoreOutgoingBlocked(c *Cluster) {
 	time.Sleep(warmUp)
-	c.Silence(c.Store(3))
+	c.BlockOutgoing(c.Store(3))
 	time.Sleep(6 * time.Second)
-	c.Rejoin(c.Store(3))
-	time.Sleep(calmAfter)
+	c.Reconnect(c.Store(3))
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -179,7 +179,7 @@
 	c.Store(1).StallDisk(true)
 	time.Sleep(6 * time.Second)
 	c.Store(1).StallDisk(false)
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -188,7 +188,7 @@
 	c.Store(1).FillDisk(true)
 	time.Sleep(6 * time.Second)
 	c.Store(1).FillDisk(false)
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -197,7 +197,7 @@
 	successor := c.Replace(c.Store(0))
 	time.Sleep(3 * time.Second)
 	successor.Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -219,7 +219,7 @@
 	time.Sleep(3 * time.Second)
 	c.Store(1).Start()
 	retiring.Wait()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
@@ -239,19 +239,19 @@
 	time.Sleep(2 * time.Second)
 }
 
-// playCeiling asks more of a service than its ceiling allows, and has a store fail meanwhile.
-func playCeiling(c *Cluster) {
+// playRateLimit sends a service more than its rate limit allows while a store fails.
+func playRateLimit(c *Cluster) {
 	time.Sleep(warmUp)
 	c.Isolate(c.Store(0))
 	time.Sleep(4 * time.Second)
-	c.Rejoin(c.Store(0))
-	time.Sleep(calmAfter)
+	c.Reconnect(c.Store(0))
+	time.Sleep(recoveryPause)
 	c.Store(1).Terminate()
 	c.Store(1).Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 }
 
-// playExpiry has the only worker of a service fail for longer than its messages are kept.
+// playExpiry stops the only worker of a service for longer than the retention of its messages.
 func playExpiry(c *Cluster) {
 	time.Sleep(warmUp)
 	endpoint := c.Workers("endpoint")[0]
@@ -259,9 +259,9 @@
 	time.Sleep(2 * time.Second)
 	c.Store(2).Terminate()
 	c.Store(2).Start()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 	endpoint.StartAgain()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 }
 
 func playTwoLost(c *Cluster) {
@@ -271,11 +271,12 @@
 	time.Sleep(3 * time.Second)
 	c.Store(0).Start()
 	c.Store(3).Start()
-	time.Sleep(2 * calmAfter)
+	time.Sleep(2 * recoveryPause)
 	c.AwaitCopies(copiesLimit)
 }
 
-// playFinalFault takes as many disks as may be lost and the power of everything, right after an acknowledgement.
+// playFinalFault wipes as many disks as may be lost and takes the power of everything, right after an
+// acknowledgement.
 func playFinalFault(c *Cluster) {
 	time.Sleep(warmUp)
 	c.Operator.Move(orderLimit)
@@ -294,7 +295,7 @@
 	endpoint.Stop()
 	time.Sleep(6 * time.Second)
 	endpoint.StartAgain()
-	time.Sleep(calmAfter)
+	time.Sleep(recoveryPause)
 }
 
 // playConfigurationStorm moves a route with every version, and adds and drops others.
@@ -308,5 +309,5 @@
 		}
 		time.Sleep(time.Duration(200+c.random.intN(800)) * time.Millisecond)
 	}
-	time.Sleep(2 * calmAfter)
+	time.Sleep(2 * recoveryPause)
 }
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	workerPort       = 8080
-	queuePerSlot     = 1  // deliveries that may wait at a worker, for each slot
-	endpointNet      = 30 // second-to-last part of a static endpoint's address
-	fateQuery        = "fate="
-	fateReject       = "reject" // the worker answers 422
-	fateFail         = "fail"   // the worker always answers 500
-	ceilingAllowance = 1.1      // of a service's rate is let in
-	stubbornEvery    = 3
-	goneAfterDrain   = 4 * time.Second
+	workerPort          = 8080
+	queuePerSlot        = 1  // deliveries that may wait at a worker, per slot
+	endpointNet         = 30 // second-to-last part of a static endpoint's address
+	scriptedResultQuery = "fate="
+	scriptedReject      = "reject" // the worker answers 422
+	scriptedFailure     = "fail"   // the worker always answers 500
+	rateLimitAllowance  = 1.1      // of a service's rate is admitted
+	persistentEvery     = 3
+	stopAfterDrain      = 4 * time.Second
 )
 
-// workerService is a service with its workers.
+// workerService is a service and its workers. The mutex guards what is below it.
 type workerService struct {
 	cluster *Cluster
 	Service
@@ -39,7 +39,7 @@
 	arrivals []time.Time // of the last second
 }
 
-// Worker stands in for a worker. Each start is an incarnation of its own.
+// Worker simulates a worker. Each start is an incarnation with an id of its own.
 type Worker struct {
 	service *workerService
 	entry   instance
@@ -64,7 +64,7 @@
 			}
 			started := service.start(ip)
 			if !definition.Static {
-				c.Platform.list(started.entry)
+				c.Platform.add(started.entry)
 			}
 		}
 	}
@@ -112,21 +112,22 @@
 	return append([]*Worker(nil), s.workers...)
 }
 
-// Release replaces a worker as a deployment does: a new one starts elsewhere, the old one drains and ends.
+// Release replaces a worker as a deployment does: a new one starts at another address, then the old one drains and
+// stops.
 func (w *Worker) Release(ip string) {
 	c := w.service.cluster
 	successor := w.service.start(ip)
-	c.Platform.change(successor.entry)
+	c.Platform.updateAfterLag(successor.entry)
 	leaving := w.entry
 	leaving.State = stateDraining
-	c.Platform.change(leaving)
-	time.Sleep(platformLag + drainBound + goneAfterDrain)
+	c.Platform.updateAfterLag(leaving)
+	time.Sleep(platformLag + drainBound + stopAfterDrain)
 	w.Stop()
 	leaving.State = ""
-	c.Platform.change(leaving)
+	c.Platform.updateAfterLag(leaving)
 }
 
-// Stop ends a worker at once.
+// Stop stops a worker at once, without draining.
 func (w *Worker) Stop() {
 	w.service.mutex.Lock()
 	for i, other := range w.service.workers {
@@ -140,14 +141,14 @@
 	_ = w.server.Close()
 }
 
-// StartAgain starts a worker after Stop at its address, as a new incarnation.
+// StartAgain starts a stopped worker at its former address, as a new incarnation.
 func (w *Worker) StartAgain() *Worker {
 	started := w.service.start(w.ip)
 	if !w.service.Static {
 		gone := w.entry
 		gone.State = ""
-		w.service.cluster.Platform.change(gone)
-		w.service.cluster.Platform.change(started.entry)
+		w.service.cluster.Platform.updateAfterLag(gone)
+		w.service.cluster.Platform.updateAfterLag(started.entry)
 	}
 	return started
 }
@@ -192,7 +193,7 @@
 	_, _ = io.WriteString(writer, string(end.result))
 }
 
-// delivery is a request at a worker.
+// delivery is one request at a worker.
 type delivery struct {
 	worker   *Worker
 	writer   http.ResponseWriter
@@ -208,14 +209,14 @@
 	stamp  string
 }
 
-// serve turns a delivery away, or runs it.
+// serve rejects a delivery, or runs it.
 func (d *delivery) serve() outcome {
 	service := d.worker.service
 	if expected := d.request.Header.Get("X-Expect-Instance"); expected != "" && expected != d.worker.entry.ID {
-		return d.turnAway(http.StatusMisdirectedRequest)
+		return d.reject(http.StatusMisdirectedRequest)
 	}
-	if !service.letIn() {
-		return d.turnAway(http.StatusTooManyRequests)
+	if !service.admit() {
+		return d.reject(http.StatusTooManyRequests)
 	}
 	if service.Deduplicates {
 		if stamp := service.stampOf(d.id); stamp != "" {
@@ -223,30 +224,31 @@
 			return outcome{Repeated, http.StatusOK, stamp}
 		}
 		if !service.begin(d.id) {
-			return d.turnAway(http.StatusConflict)
+			return d.reject(http.StatusConflict)
 		}
 		defer service.finish(d.id)
 	}
 	return d.awaitSlot()
 }
 
-func (d *delivery) turnAway(status int) outcome {
+// reject answers that the message has not run and will not run because of this request.
+func (d *delivery) reject(status int) outcome {
 	d.writer.Header().Set("X-Not-Executed", "1")
 	return outcome{result: NotRun, status: status}
 }
 
-// awaitSlot runs the delivery once the worker has a slot for it.
+// awaitSlot runs the delivery once the worker has a free slot.
 func (d *delivery) awaitSlot() outcome {
 	select {
 	case d.worker.waiting <- struct{}{}:
 	default:
-		return d.turnAway(http.StatusServiceUnavailable)
+		return d.reject(http.StatusServiceUnavailable)
 	}
 	defer func() { <-d.worker.waiting }()
 	select {
 	case d.worker.slots <- struct{}{}:
 	case <-d.deadline.C:
-		return d.turnAway(http.StatusServiceUnavailable)
+		return d.reject(http.StatusServiceUnavailable)
 	case <-d.request.Context().Done():
 		return outcome{result: NotRun, status: http.StatusServiceUnavailable}
 	}
@@ -254,42 +256,43 @@
 	return d.work()
 }
 
-// work runs the delivery.
+// work runs the delivery and draws its result.
 func (d *delivery) work() outcome {
 	service := d.worker.service
 	random := service.cluster.random
-	span := time.Duration((0.5 + random.part()) * float64(service.Work))
+	span := time.Duration((0.5 + random.fraction()) * float64(service.Work))
 	work := time.NewTimer(span)
 	defer work.Stop()
 	select {
 	case <-work.C:
 	case <-d.deadline.C:
 		return outcome{result: Overdue, status: http.StatusGatewayTimeout}
-	case <-d.worker.dropsWork(d.request):
+	case <-d.worker.abandoned(d.request):
 		return outcome{result: Broken}
 	}
 	switch {
-	case strings.Contains(d.request.RequestURI, fateQuery+fateReject):
+	case strings.Contains(d.request.RequestURI, scriptedResultQuery+scriptedReject):
 		return outcome{result: Rejected, status: http.StatusUnprocessableEntity}
-	case strings.Contains(d.request.RequestURI, fateQuery+fateFail), random.part() < service.FailingPart:
+	case strings.Contains(d.request.RequestURI, scriptedResultQuery+scriptedFailure), random.fraction() < service.FailureShare:
 		return outcome{result: Failed, status: http.StatusInternalServerError}
 	}
 	stamp := fmt.Sprintf("%s.%x", d.worker.entry.ID, random.uint64())
-	service.keepStamp(d.id, stamp)
+	service.storeStamp(d.id, stamp)
 	d.writer.Header().Set("X-Server-Stamp", stamp)
 	return outcome{Succeeded, http.StatusOK, stamp}
 }
 
-// dropsWork is ready when a worker gives a message up as its connection has ended. One worker of three never does.
-func (w *Worker) dropsWork(request *http.Request) <-chan struct{} {
-	if w.number%stubbornEvery == 0 {
+// abandoned returns a channel that is ready when the worker gives a message up because its connection has ended.
+// One worker of three never does, and gets no channel.
+func (w *Worker) abandoned(request *http.Request) <-chan struct{} {
+	if w.number%persistentEvery == 0 {
 		return nil
 	}
 	return request.Context().Done()
 }
 
-// letIn tells whether the service's ceiling allows one more arrival.
-func (s *workerService) letIn() bool {
+// admit tells whether the service's rate limit allows one more arrival.
+func (s *workerService) admit() bool {
 	if s.RatePerSecond <= 0 {
 		return true
 	}
@@ -300,7 +303,7 @@
 		s.arrivals = s.arrivals[1:]
 	}
 	s.arrivals = append(s.arrivals, now)
-	return float64(len(s.arrivals)) <= s.RatePerSecond*ceilingAllowance+1
+	return float64(len(s.arrivals)) <= s.RatePerSecond*rateLimitAllowance+1
 }
 
 func (s *workerService) stampOf(id string) string {
@@ -309,13 +312,13 @@
 	return s.stamps[id]
 }
 
-func (s *workerService) keepStamp(id, stamp string) {
+func (s *workerService) storeStamp(id, stamp string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stamps[id] = stamp
 }
 
-// begin tells whether no other run of a message is at work.
+// begin tells whether no other run of a message is in progress, and marks this one as such.
 func (s *workerService) begin(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
