--- a/internal/dispatcher/membership/ballot.go
+++ b/internal/dispatcher/membership/ballot.go
@@ -4,6 +4,7 @@
 
 import (
 	"cmp"
+	"net/netip"
 	"time"
 )
 
@@ -104,3 +105,119 @@
 	m.driveBallot()
 	return true
 }
+
+// handleVote takes a voter's answer to this member's ballot in.
+func (m *Machine) handleVote(p *packet) {
+	v := &m.view
+	switch {
+	case v.ballot < p.Sequence: // another ballot is ahead
+		v.ballot = 0
+		v.ballotFloor = max(v.ballotFloor, p.Sequence)
+		v.backoffUntil = m.now + time.Duration(m.rng.Int64N(int64(m.config.Period)))
+	case v.ballot == p.Sequence && v.isPreparing == (p.Kind == promise):
+		if p.Kind == promise && len(p.Body) > 0 {
+			m.recordAccepted(p)
+		}
+		m.recordVote(p.From, p.Incarnation, false)
+	}
+}
+
+// recordAccepted takes in what a voter has accepted before; the proposal under the highest ballot is proposed again.
+func (m *Machine) recordAccepted(p *packet) {
+	v := &m.view
+	v.acceptedProposals[p.From] = string(p.Body)
+	if p.Number > v.highestAccepted {
+		v.highestAccepted = p.Number
+		v.proposal = p.Body
+	}
+}
+
+// handleVeto gives a ballot up that would remove a member which a voter still hears.
+func (m *Machine) handleVeto(p *packet) {
+	v := &m.view
+	subject := m.members[p.Subject]
+	if subject == nil || subject.Incarnation != p.SubjectIncarnation {
+		return
+	}
+	v.ballot = 0
+	v.vetoedUntil[p.Subject] = m.now + m.config.FailureTimeout
+	v.backoffUntil = m.now + resendInterval
+	delete(v.suspicionReports, p.Subject)
+}
+
+// handleBallot answers a ballot of another member, as a voter.
+func (m *Machine) handleBallot(p *packet, from netip.AddrPort) {
+	v := &m.view
+	if p.Sequence < v.promised {
+		m.send(from, packet{Kind: promise, Sequence: v.promised}) // it learns the highest ballot
+		return
+	}
+	if p.Kind == prepare {
+		v.promised = p.Sequence
+		m.send(from, packet{Kind: promise, Sequence: p.Sequence, Number: v.acceptedAt, Body: v.acceptedBody})
+		return
+	}
+	proposed, err := decodeChange(p.Body)
+	if err != nil {
+		m.Counters.Malformed++
+		return
+	}
+	isForced := p.Number != 0
+	if !isForced && !m.agreesToRemovals(proposed, p, from) {
+		return
+	}
+	v.promised, v.acceptedAt, v.acceptedBody = p.Sequence, p.Sequence, p.Body
+	m.send(from, packet{Kind: accepted, Sequence: p.Sequence})
+}
+
+// agreesToRemovals tells whether this member, as a voter, agrees that the members of a proposal have failed. It vetoes the
+// removal of one that it hears, and asks one once more that it has not investigated; the proposal comes again then.
+func (m *Machine) agreesToRemovals(proposed *change, p *packet, from netip.AddrPort) bool {
+	v := &m.view
+	isWaiting := false
+	for _, places := range proposed.Failed {
+		for i := places[0]; i <= places[1] && int(i) < len(v.Members); i++ {
+			removed := &v.Members[i]
+			x := m.members[removed.Name]
+			if x != nil && x.Incarnation != removed.Incarnation {
+				x = nil
+			}
+			if m.isSelf(removed) || x != nil && m.wasAnsweredBy(x) {
+				m.send(from, packet{Kind: veto, Sequence: p.Sequence, Subject: removed.Name, SubjectIncarnation: removed.Incarnation})
+				return false
+			}
+			if x != nil && m.recheck(x) {
+				isWaiting = true
+			}
+		}
+	}
+	return !isWaiting
+}
+
+// isSelf tells whether a record is that of this member, which is not leaving.
+func (m *Machine) isSelf(record *Record) bool {
+	return record.Name == m.self.Name && record.Incarnation == m.self.Incarnation && m.leavingSince == 0
+}
+
+// wasAnsweredBy tells whether a member has answered this one within half of the time-out.
+func (m *Machine) wasAnsweredBy(x *member) bool {
+	return x.hasAnswered && m.now-x.lastAnswerAt < m.config.FailureTimeout/2
+}
+
+// recheck pings a member once more that this one has not investigated for the time-out, and tells whether its answer is
+// still to be waited for.
+func (m *Machine) recheck(x *member) bool {
+	isInvestigated := x.investigation != nil && x.investigation.pings >= minObserverPings &&
+		m.now-x.investigation.startedAt >= m.config.FailureTimeout
+	if x.state > Unknown || isInvestigated {
+		return false
+	}
+	if m.now >= x.recheckedAt+m.config.FailureTimeout {
+		x.recheckedAt = m.now
+	}
+	if m.now >= x.recheckedAt+2*resendInterval {
+		return false
+	}
+	m.sendPing(x, &probe{target: x, incarnation: x.Incarnation, sentAt: m.now, isInvestigation: true})
+	return true
+}
--- /dev/null
+++ b/internal/dispatcher/membership/datagrams.go
@@ -0,0 +1,173 @@
+// Datagrams out and in: what fills them up, and who handles them.
+
+package membership
+
+import (
+	"cmp"
+	"fmt"
+	"math/bits"
+	"net/netip"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// maxRumors is how many rumors a datagram carries at most.
+const maxRumors = 20
+
+// send sends a packet. The room that is left in the datagram takes rumors: first what concerns the receiver itself.
+func (m *Machine) send(to netip.AddrPort, p packet) {
+	if !to.IsValid() {
+		return
+	}
+	p.From, p.Incarnation, p.Revision = m.self.Name, m.self.Incarnation, m.self.Revision
+	if p.View == (ViewID{}) {
+		p.View = m.view.ViewID
+	}
+	body := encodeCBOR(p)
+	if p.Kind == ping || p.Kind == ack || p.Kind == pingRequest {
+		m.addRumors(&p, 1+len(body))
+	}
+	if len(p.Rumors) > 0 {
+		body = encodeCBOR(p)
+	}
+	data := append(append(make([]byte, 0, 1+len(body)), formatVersion), body...)
+	if len(data) > MaxDatagramBytes { // sizes are bounded where bodies are made
+		panic(fmt.Sprintf("membership: a datagram of %d bytes, kind %d", len(data), p.Kind))
+	}
+	m.Counters.Sent++
+	m.Counters.SentBytes += uint64(len(data))
+	m.actions.Send = append(m.actions.Send, OutgoingDatagram{To: to, Data: data})
+}
+
+// addRumors fills a datagram of so many bytes up with rumors: the suspicion of the member that is pinged, so that it can
+// refute it, then those that were sent least often.
+func (m *Machine) addRumors(p *packet, size int) {
+	if own := m.suspicionOfReceiver(p); own != nil && size+len(own)+1 <= MaxDatagramBytes {
+		p.Rumors = append(p.Rumors, own)
+		size += len(own)
+	}
+	maxTransmissions := gossipFactor * bits.Len(uint(len(m.members)+1))
+	slices.SortStableFunc(m.gossipQueue, func(a, b *gossipEntry) int { return cmp.Compare(a.transmissions, b.transmissions) })
+	for _, entry := range m.gossipQueue {
+		fits := size+len(entry.encoded)+2 <= MaxDatagramBytes && len(p.Rumors) < maxRumors
+		if fits && entry.memberName != p.Subject {
+			p.Rumors = append(p.Rumors, entry.encoded)
+			size += len(entry.encoded)
+			entry.transmissions++
+		}
+	}
+	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(entry *gossipEntry) bool { return entry.transmissions >= maxTransmissions })
+}
+
+// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to, or nil.
+func (m *Machine) suspicionOfReceiver(p *packet) cbor.RawMessage {
+	x := m.members[p.Subject]
+	if p.Kind != ping || x == nil || !x.isDisseminated || !x.isDoubtful() {
+		return nil
+	}
+	return encodeCBOR(rumor{
+		Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected,
+		SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds()),
+	})
+}
+
+// handleDatagram takes a datagram in.
+func (m *Machine) handleDatagram(from netip.AddrPort, data []byte) {
+	p, err := decodePacket(data)
+	if err != nil {
+		m.Counters.Malformed++
+		return
+	}
+	m.Counters.Received++
+	if p.From == m.self.Name {
+		m.handleNameConflict(p, from)
+		return
+	}
+	x := m.members[p.From]
+	if x != nil && x.hasEnded(p.Incarnation) {
+		m.notifyEnded(p, x, from)
+		return
+	}
+	if x != nil && p.Incarnation == x.Incarnation {
+		m.recordHeard(x, p, from)
+	}
+	for _, raw := range p.Rumors {
+		if r, err := decodeRumor(raw); err == nil {
+			m.applyRumor(r)
+		}
+	}
+	m.handlePacket(p, x, from)
+	if p.View.After(m.view.ViewID) && p.Kind != commit {
+		m.requestView(from)
+	}
+}
+
+// hasEnded tells whether an incarnation of a member is over: a later one is known, or it has left or failed.
+func (x *member) hasEnded(incarnation uint64) bool {
+	return incarnation < x.Incarnation || incarnation == x.Incarnation && (x.state == Left || x.state == Failed)
+}
+
+// notifyEnded tells the sender of a packet, once a period at most, that its incarnation has ended.
+func (m *Machine) notifyEnded(p *packet, x *member, from netip.AddrPort) {
+	if p.Kind == incarnationEnded || m.now < m.notifiedAt[p.From]+m.config.Period {
+		return
+	}
+	m.notifiedAt[p.From] = m.now
+	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: x.Incarnation, Number: isAtOtherAddress(x, from)})
+}
+
+// recordHeard takes in what any packet of a member tells: that it sent something, from where, and its revision.
+func (m *Machine) recordHeard(x *member, p *packet, from netip.AddrPort) {
+	x.lastHeardAt = m.now
+	if m.config.LearnAddresses && x.endpoint != from && slices.Contains(m.config.Seeds, from) {
+		x.endpoint = from
+	}
+	m.applyRevision(x, p.Revision, "says something new of itself")
+}
+
+// handlePacket does what a packet asks for. The sender x is nil where it is not known yet.
+func (m *Machine) handlePacket(p *packet, x *member, from netip.AddrPort) {
+	switch p.Kind {
+	case ping:
+		if p.Subject == "" || p.Subject == m.self.Name && p.SubjectIncarnation <= m.self.Incarnation {
+			m.send(from, packet{Kind: ack, Sequence: p.Sequence})
+		}
+	case pingRequest:
+		m.relayPing(p, from)
+	case ack:
+		m.handleAck(p, x)
+	case investigateRequest:
+		m.handleInvestigateRequest(p)
+	case join:
+		m.handleJoin(p, from)
+	case incarnationEnded:
+		if p.Subject == m.self.Name {
+			m.handleIncarnationEnded(p.SubjectIncarnation, p.Number == 1)
+		}
+	default:
+		m.handleViewPacket(p, from, x)
+	}
+}
+
+// relayPing pings a member for another one, which gets the answer.
+func (m *Machine) relayPing(p *packet, from netip.AddrPort) {
+	subject := m.members[p.Subject]
+	if subject == nil || subject.Incarnation != p.SubjectIncarnation {
+		return
+	}
+	sequence := m.nextSequence()
+	m.relayedPings[sequence] = relayedPing{to: from, sequence: p.Sequence, sentAt: m.now}
+	m.send(subject.endpoint, packet{Kind: ping, Sequence: sequence, Subject: subject.Name, SubjectIncarnation: subject.Incarnation})
+}
+
+// handleInvestigateRequest takes in that the sender suspects a member which this one observes, or this one itself.
+func (m *Machine) handleInvestigateRequest(p *packet) {
+	subject := m.members[p.Subject]
+	switch {
+	case subject != nil && subject.Incarnation == p.SubjectIncarnation && p.SubjectRevision >= subject.Revision && subject.state <= Unknown:
+		m.addSuspicion(subject, p.From, m.now, false)
+	case p.Subject == m.self.Name && p.SubjectIncarnation == m.self.Incarnation:
+		m.refute(p.SubjectRevision)
+	}
+}
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -116,7 +116,7 @@
 	return &m.actions
 }
 
-// handlePause is called when this member finds that it was stopped itself: what it did not hear says nothing of others.
+// handlePause is called when this member finds that its process was stopped: what it missed says nothing about others.
 func (m *Machine) handlePause(late time.Duration) {
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
@@ -138,7 +138,7 @@
 
 func (m *Machine) nextSequence() uint32 { m.sequence++; return m.sequence }
 
-// runDue does all that is due, and finds out when something will be.
+// runDue does all that is due, and finds out when the next thing will be.
 func (m *Machine) runDue() {
 	if m.leavingSince > 0 && m.now >= m.leavingSince+leavePeriods*m.config.Period {
 		m.isEnded = true
@@ -180,7 +180,7 @@
 	}
 }
 
-// wakeBy sees to it that the machine is called by then.
+// wakeBy has the machine called at the latest then.
 func (m *Machine) wakeBy(at time.Duration) {
 	if at > m.now {
 		m.wakeAt = min(m.wakeAt, at)
@@ -190,7 +190,7 @@
 // Name returns this member's own name.
 func (m *Machine) Name() string { return m.self.Name }
 
-// Incarnation returns which of its lives this member is in.
+// Incarnation returns the number of this start of the member; a later start has a larger number.
 func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
 
 // Joined tells whether this member has joined the others.
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -94,7 +94,7 @@
 	m.actions.Changes = append(m.actions.Changes, Change{Name: x.Name, Incarnation: x.Incarnation, State: s, Reason: why, Joined: was == 0})
 }
 
-// endInvestigation ends an inquiry.
+// endInvestigation ends what this member does as an observer of x.
 func (m *Machine) endInvestigation(x *member) {
 	if x.investigation != nil {
 		x.investigation = nil
@@ -146,7 +146,7 @@
 	}
 }
 
-// applyRumor takes in what is said of somebody.
+// applyRumor takes in what is said of a member.
 func (m *Machine) applyRumor(r *rumor) {
 	if r.Name == m.self.Name {
 		switch {
@@ -230,7 +230,7 @@
 	return out
 }
 
-// MemberStatus is what this member knows of one, itself included.
+// MemberStatus is what this member knows of a member, itself included, as operators are shown it.
 type MemberStatus struct {
 	Name         string   `json:"name"`
 	Zone         string   `json:"zone"`
--- a/internal/dispatcher/membership/transfer.go
+++ b/internal/dispatcher/membership/transfer.go
@@ -74,55 +74,37 @@
 	m.send(from, packet{Kind: viewRequest})
 }
 
-// handleViewPacket takes in what is about views.
+// handleViewPacket takes in what is about views: reports of observers, transfers, and ballots.
 func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, x *member) {
 	v := &m.view
-	same := p.View == v.ViewID
-	voter := x != nil && v.indexOf(p.From) >= 0
+	isSameView := p.View == v.ViewID
+	isVoter := x != nil && v.indexOf(p.From) >= 0
 	switch p.Kind {
 	case suspicionNotice:
-		if y := m.members[p.Subject]; y != nil && same && voter && y.Incarnation == p.SubjectIncarnation && y.Revision == p.SubjectRevision && y.state <= Unknown {
-			if y.state == Alive { // the accusation has not come this far yet
-				m.addSuspicion(y, p.From, m.now-time.Duration(p.Number)*time.Millisecond, false)
-			}
-			m.recordSuspicionReport(p.From, y, time.Duration(p.Number)*time.Millisecond)
+		if isSameView && isVoter {
+			m.handleSuspicionNotice(p)
 		}
 	case viewRequest:
 		m.sendView(p, from)
 	case viewChunk:
 		m.handleViewChunk(p, from)
 	case commit:
-		if p.View == v.ViewID {
-			m.applyCommit(viewChange{p.View, p.Body, p.Number}, false)
-			m.send(from, packet{Kind: ack}) // shows the number
-		} else if !v.ViewID.After(p.View) {
-			m.requestView(from)
-		}
+		m.handleCommit(p, from)
 	case prepare, accept:
-		if !same || !voter {
+		if !isSameView || !isVoter {
 			if v.ViewID.After(p.View) {
-				m.send(from, packet{Kind: ack}) // it is behind, and sees it by this
+				m.send(from, packet{Kind: ack}) // its view is older, as it sees by this
 			}
 			return
 		}
 		m.handleBallot(p, from)
 	case promise, accepted:
-		switch {
-		case !same || !voter || v.ballot == 0:
-		case v.ballot < p.Sequence: // somebody else's ballot is ahead
-			v.ballot, v.ballotFloor, v.backoffUntil = 0, max(v.ballotFloor, p.Sequence), m.now+time.Duration(m.rng.Int64N(int64(m.config.Period)))
-		case v.ballot == p.Sequence && v.isPreparing == (p.Kind == promise):
-			if p.Kind == promise && len(p.Body) > 0 {
-				if v.acceptedProposals[p.From] = string(p.Body); p.Number > v.highestAccepted {
-					v.highestAccepted, v.proposal = p.Number, p.Body
-				}
-			}
-			m.recordVote(p.From, p.Incarnation, false)
+		if isSameView && isVoter && v.ballot != 0 {
+			m.handleVote(p)
 		}
 	case veto:
-		if y := m.members[p.Subject]; same && voter && v.ballot == p.Sequence && y != nil && y.Incarnation == p.SubjectIncarnation {
-			v.ballot, v.vetoedUntil[p.Subject], v.backoffUntil = 0, m.now+m.config.FailureTimeout, m.now+resendInterval
-			delete(v.suspicionReports, p.Subject)
+		if isSameView && isVoter && v.ballot == p.Sequence {
+			m.handleVeto(p)
 		}
 	}
 	if !p.View.After(v.ViewID) && !v.ViewID.After(p.View) {
@@ -130,49 +112,28 @@
 	}
 }
 
-// handleBallot answers a ballot.
-func (m *Machine) handleBallot(p *packet, from netip.AddrPort) {
-	v := &m.view
-	if p.Sequence < v.promised {
-		m.send(from, packet{Kind: promise, Sequence: v.promised}) // it learns how far others are
+// handleSuspicionNotice takes an observer's report in. It may come before the suspicion itself.
+func (m *Machine) handleSuspicionNotice(p *packet) {
+	subject := m.members[p.Subject]
+	if subject == nil || subject.Incarnation != p.SubjectIncarnation || subject.Revision != p.SubjectRevision || subject.state > Unknown {
 		return
 	}
-	if p.Kind == prepare {
-		v.promised = p.Sequence
-		m.send(from, packet{Kind: promise, Sequence: p.Sequence, Number: v.acceptedAt, Body: v.acceptedBody})
-		return
-	}
-	c, err := decodeChange(p.Body)
-	if err != nil {
-		m.Counters.Malformed++
-		return
+	age := time.Duration(p.Number) * time.Millisecond
+	if subject.state == Alive {
+		m.addSuspicion(subject, p.From, m.now-age, false)
 	}
-	waits := false
-	for _, r := range c.Failed { // nobody goes that this member hears; it asks once more, if it has not done so as a juror
-		for i := r[0]; i <= r[1] && int(i) < len(v.Members) && p.Number == 0; i++ {
-			gone := &v.Members[i]
-			x := m.members[gone.Name]
-			mine := gone.Name == m.self.Name && gone.Incarnation == m.self.Incarnation && m.leavingSince == 0
-			if mine || x != nil && x.Incarnation == gone.Incarnation && x.hasAnswered && m.now-x.lastAnswerAt < m.config.FailureTimeout/2 {
-				m.send(from, packet{Kind: veto, Sequence: p.Sequence, Subject: gone.Name, SubjectIncarnation: gone.Incarnation})
-				return
-			}
-			if x != nil && x.Incarnation == gone.Incarnation && x.state <= Unknown && (x.investigation == nil || x.investigation.pings < minObserverPings || m.now-x.investigation.startedAt < m.config.FailureTimeout) {
-				if m.now >= x.recheckedAt+m.config.FailureTimeout {
-					x.recheckedAt = m.now
-				}
-				if m.now < x.recheckedAt+2*resendInterval { // it has that long to answer; the proposal comes again
-					m.sendPing(x, &probe{target: x, incarnation: x.Incarnation, sentAt: m.now, isInvestigation: true})
-					waits = true
-				}
-			}
-		}
-	}
-	if waits {
-		return
+	m.recordSuspicionReport(p.From, subject, age)
+}
+
+// handleCommit installs the next view where the commit leads there from this member's own, and asks for it where it does not.
+func (m *Machine) handleCommit(p *packet, from netip.AddrPort) {
+	switch {
+	case p.View == m.view.ViewID:
+		m.applyCommit(viewChange{p.View, p.Body, p.Number}, false)
+		m.send(from, packet{Kind: ack}) // it shows the number of the view
+	case !m.view.ViewID.After(p.View):
+		m.requestView(from)
 	}
-	v.promised, v.acceptedAt, v.acceptedBody = p.Sequence, p.Sequence, p.Body
-	m.send(from, packet{Kind: accepted, Sequence: p.Sequence})
 }
 
 // sendView gives somebody that is behind the changes that lead here, or the members one part after the other.
