--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/capacity_bench_test.go
@@ -9,6 +9,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
+	"gladepick/internal/controlplane/placement"
 )
 
 // BenchmarkManagerStep is one look of the primary at the leases with nothing to do, as it happens ten times a second.
@@ -70,15 +71,15 @@
 
 // benchStep does what the manager does in a step, up to the proposal.
 func benchStep(current *controlstate.State, leases *lease.Table) *controlstate.TableChange {
-	draft := newDraft(current, leases.Statuses(time.Now()), redundancy{copies: 2, zones: 2})
-	draft.updateStores()
-	draft.updateStores()
-	draft.placeInitially()
-	draft.repair()
-	draft.rebalance()
-	draft.completeJobs()
-	draft.updateDeliverers(time.Now())
-	return draft.diff(current)
+	builder := placement.NewBuilder(current, leases.Statuses(time.Now()), placement.Redundancy{Copies: 2, Zones: 2})
+	builder.UpdateStores()
+	builder.UpdateStores()
+	builder.PlaceInitially()
+	builder.Repair()
+	builder.Rebalance()
+	builder.CompleteRetireJobs()
+	builder.UpdateDeliverers(time.Now(), 0)
+	return builder.Diff(current)
 }
 
 // processorTime is what this process has used so far. The machine may have other work, which shows in the time on the
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/decision_trace_test.go
@@ -16,6 +16,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
+	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
 )
@@ -80,7 +81,7 @@
 		options: Options{Tolerated: copies - 1, ToleratedZones: zones - 1},
 		state:   controlstate.NewMachine(),
 	}
-	plane.manager = newManager(plane)
+	plane.manager = newTableManager(plane)
 	plane.leases = lease.NewTable(plane.manager.nudge)
 	trace := &decisionTrace{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), plane: plane,
@@ -178,19 +179,22 @@
 }
 
 // traceRequest is a request for a change of the table. Its answer goes into the hash.
-type traceRequest func(*draft) string
+type traceRequest func(*placement.Builder) string
 
 // request returns the requests of this step: those of an operator, or those of some partitions' primaries.
 func (d *decisionTrace) request() []traceRequest {
 	switch d.random.IntN(60) {
 	case 0:
 		name := d.stores[d.random.IntN(len(d.stores))].info.Name
-		return []traceRequest{func(draft *draft) string { return describeRetire(draft, name) }}
+		return []traceRequest{func(builder *placement.Builder) string { return describeRetire(builder, name) }}
 	case 1:
 		name := d.stores[d.random.IntN(len(d.stores))].info.Name
-		return []traceRequest{func(draft *draft) string { return describeError(d.plane, draft.resumeRetire(name)) }}
+		return []traceRequest{func(builder *placement.Builder) string {
+			builder.ResumeRetire(name)
+			return describeError(d.plane, nil)
+		}}
 	case 2:
-		return []traceRequest{func(draft *draft) string { return describeRetire(draft, "no-store") }}
+		return []traceRequest{func(builder *placement.Builder) string { return describeRetire(builder, "no-store") }}
 	}
 	var requests []traceRequest
 	for _, partition := range d.plane.state.Current().Table.Partitions {
@@ -201,7 +205,9 @@
 		if request == nil {
 			continue
 		}
-		requests = append(requests, func(draft *draft) string { return describeError(d.plane, draft.grant(request)) })
+		requests = append(requests, func(builder *placement.Builder) string {
+			return describeError(d.plane, builder.ApplyRequest(request))
+		})
 	}
 	return requests
 }
@@ -244,16 +250,16 @@
 // decide has the manager take requests and decide, and puts the change into force.
 func (d *decisionTrace) decide(requests []traceRequest) {
 	manager, current := d.plane.manager, d.plane.state.Current()
-	draft := newDraft(current, d.plane.leases.Statuses(d.now), d.plane.redundancy())
-	draft.updateStores()
-	manager.holdForRestarts(draft, d.now)
+	builder := placement.NewBuilder(current, d.plane.leases.Statuses(d.now), d.plane.redundancy())
+	builder.UpdateStores()
+	manager.awaitRestarts(builder, d.now)
 	for _, request := range requests {
-		answer := request(draft)
+		answer := request(builder)
 		d.outcomes[answer[:min(len(answer), 11)]]++
 		_, _ = io.WriteString(d.hash, answer+"\n")
 	}
-	manager.plan(draft, d.role, d.now)
-	decided := draft.diff(current)
+	manager.plan(builder, d.role, d.now)
+	decided := builder.Diff(current)
 	if decided == nil {
 		return
 	}
@@ -267,8 +273,8 @@
 }
 
 // describeRetire orders that a store is to be emptied and tells the answer.
-func describeRetire(draft *draft, store string) string {
-	return fmt.Sprintf("retire %d", draft.startRetire(store, 2*traceTolerated+1).status)
+func describeRetire(builder *placement.Builder, store string) string {
+	return fmt.Sprintf("retire %d", startedAnswer(builder.StartRetire(store, 2*traceTolerated+1)).status)
 }
 
 // describeError tells what the caller of a partition request would be told.
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
 )
@@ -261,7 +262,7 @@
 // chooseMembers picks as many candidates as a group may have, spread over the zones.
 func chooseMembers(candidates []cluster.NodeInfo) []replication.Member {
 	slices.SortFunc(candidates, func(a, b cluster.NodeInfo) int { return strings.Compare(a.Name, b.Name) })
-	chosen := interleaveZones(candidates, func(info cluster.NodeInfo) string { return info.Zone })
+	chosen := placement.InterleaveZones(candidates, func(info cluster.NodeInfo) string { return info.Zone })
 	chosen = chosen[:min(len(chosen), memberCountLimit)]
 	members := make([]replication.Member, 0, len(chosen))
 	for _, info := range chosen {
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -117,58 +117,6 @@
 	return append(append(header, '\n'), configuration...)
 }
 
-// TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame has a store come back with an empty disk while it is emptied: when
-// the operator reads that this is completed, the machine may be taken away whichever disk it has.
-func TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(draft *draft) error {
-		assert.Equal(t, draft.startRetire("a", 3).status, http.StatusOK)
-		return nil
-	}))
-	for _, disk := range []string{"second-disk", "third-disk"} {
-		assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
-		world.start("a", "zone-0", disk)
-		assert.NilError(t, world.plan())
-		assert.Equal(t, controlstate.NewestJob(world.current.Jobs, "a").DiskID, disk)
-	}
-	world.settle()
-	world.requireWhole()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
-	}
-	assert.NilError(t, world.plan(func(draft *draft) error {
-		assert.Equal(t, draft.startRetire("a", 3).status, http.StatusOK, "sent again")
-		return nil
-	}))
-}
-
-// TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator has a store be given copies after it was emptied and before
-// its operator has heard of that.
-func TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(draft *draft) error {
-		assert.Equal(t, draft.startRetire("a", 3).status, http.StatusOK)
-		return nil
-	}))
-	world.settle()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
-	world.start("a", "zone-0", "another-disk")
-	world.settle()
-	assert.Assert(t, world.leads("a") > 0)
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
-	assert.NilError(t, world.plan(func(draft *draft) error { return draft.resumeRetire("a") }))
-	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	world.settle()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
-	}
-}
-
 func silentManager(tolerated int, begin time.Time) *memberManager {
 	return &memberManager{
 		plane:     &Plane{options: Options{Info: cluster.NodeInfo{DiskID: "d-m-0"}, Tolerated: tolerated}},
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -17,6 +17,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs"
@@ -306,7 +307,7 @@
 	w.t.Helper()
 	w.eventually(8*time.Second, "partitions placed", func() bool {
 		for _, m := range w.running() {
-			if m.agent().Table() == nil || len(m.agent().Table().Partitions) != controlplane.LeastPartitions {
+			if m.agent().Table() == nil || len(m.agent().Table().Partitions) != placement.MinPartitions {
 				return false
 			}
 		}
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -1,12 +1,9 @@
 package controlplane
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
-	"slices"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -15,15 +12,16 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/controlstate"
+	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 )
 
 const (
-	manageInterval    = 100 * time.Millisecond // between two looks at the leases
-	rebalanceInterval = time.Second
-	placementRest     = 300 * time.Millisecond // without a new store before the first placement
-	proposeTimeout    = 2 * time.Second
-	editQueueLength   = 256
+	manageInterval     = 100 * time.Millisecond // between two looks at the leases
+	rebalanceInterval  = time.Second
+	placementDelay     = 300 * time.Millisecond // without a new store before the first placement
+	proposeTimeout     = 2 * time.Second
+	requestQueueLength = 256
 )
 
 // errOutdated means that a change of the table was computed from a table that is not the current one any more.
@@ -31,13 +29,14 @@
 
 // editRequest asks the manager for a change of the table.
 type editRequest struct {
-	apply  func(*draft) error
+	apply  func(*placement.Builder) error
 	result chan error
 }
 
-// manager keeps the cluster table right while its process is the primary. It alone proposes changes of the table; all
-// that wait at one moment go into one change.
-type manager struct {
+// tableManager keeps the cluster table right while its process is the primary. It alone proposes changes of the table;
+// all requests that wait at one moment go into one change. Its fields belong to the goroutine of run, apart from the
+// channels.
+type tableManager struct {
 	plane *Plane
 	edits chan editRequest
 	wake  chan struct{}
@@ -51,20 +50,24 @@
 	changes       atomic.Uint64 // proposed by this process, for their ids
 }
 
-func newManager(plane *Plane) *manager {
-	return &manager{plane: plane, edits: make(chan editRequest, editQueueLength), wake: make(chan struct{}, 1)}
+func newTableManager(plane *Plane) *tableManager {
+	return &tableManager{
+		plane: plane,
+		edits: make(chan editRequest, requestQueueLength),
+		wake:  make(chan struct{}, 1),
+	}
 }
 
 // nudge has the manager look at once.
-func (m *manager) nudge() {
+func (m *tableManager) nudge() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// edit has a function change the table's draft, and returns after the change is in force, or an error.
-func (m *manager) edit(ctx context.Context, apply func(*draft) error) error {
+// Edit has a function change the table in the making, and returns after the change is in force, or an error.
+func (m *tableManager) Edit(ctx context.Context, apply func(*placement.Builder) error) error {
 	request := editRequest{apply: apply, result: make(chan error, 1)}
 	select {
 	case m.edits <- request:
@@ -79,7 +82,7 @@
 	}
 }
 
-func (m *manager) run(ctx context.Context) {
+func (m *tableManager) run(ctx context.Context) {
 	ticker := time.NewTicker(manageInterval)
 	defer ticker.Stop()
 	for {
@@ -101,7 +104,7 @@
 }
 
 // collect adds all requests that wait.
-func (m *manager) collect(requests []editRequest) []editRequest {
+func (m *tableManager) collect(requests []editRequest) []editRequest {
 	for {
 		select {
 		case request := <-m.edits:
@@ -113,7 +116,7 @@
 }
 
 // step brings the table up to date once.
-func (m *manager) step(ctx context.Context, requests []editRequest) {
+func (m *tableManager) step(ctx context.Context, requests []editRequest) {
 	role := m.plane.group.Role()
 	if !role.Primary {
 		m.leading = false
@@ -125,28 +128,23 @@
 		m.begin(now)
 	}
 	current := m.plane.state.Current()
-	draft := newDraft(current, m.plane.leases.Statuses(now), m.plane.redundancy())
-	draft.updateStores()
-	m.holdForRestarts(draft, now)
-	granted := applyEdits(draft, requests)
-	m.plan(draft, role, now)
-	finish(granted, m.propose(ctx, draft.diff(current)))
+	builder := placement.NewBuilder(current, m.plane.leases.Statuses(now), m.plane.redundancy())
+	builder.UpdateStores()
+	m.awaitRestarts(builder, now)
+	applied := applyEdits(builder, requests)
+	m.plan(builder, role, now)
+	finish(applied, m.propose(ctx, builder.Diff(current)))
 }
 
-// holdForRestarts keeps copies in their places for a while after their stores were found dead.
-func (m *manager) holdForRestarts(draft *draft, now time.Time) {
-	found := draft.findOutage(now)
-	if len(found.dead) == 0 {
-		return
-	}
-	if until := found.holdUntil(draft.copies-1, m.leadingSince); until.After(now) {
-		draft.held = found.dead
+// awaitRestarts keeps replicas in their places for a while after their stores were found dead.
+func (m *tableManager) awaitRestarts(builder *placement.Builder, now time.Time) {
+	if until, waits := builder.AwaitRestarts(now, m.leadingSince); waits {
 		time.AfterFunc(until.Sub(now), m.nudge)
 	}
 }
 
-// begin starts the reign of this process: every store that is not known to be down gets a full lease.
-func (m *manager) begin(now time.Time) {
+// begin starts the leadership of this process: every store that is not known to be down gets a full lease.
+func (m *tableManager) begin(now time.Time) {
 	m.leading, m.leadingSince = true, now
 	m.lastNewStore, m.knownStores = now, 0
 	table := m.plane.state.Current().Table
@@ -163,17 +161,17 @@
 	}
 }
 
-// applyEdits has each request change the draft. It answers those that fail, and returns the others.
-func applyEdits(draft *draft, requests []editRequest) []editRequest {
-	var granted []editRequest
+// applyEdits has each request change the table in the making. It answers those that fail, and returns the others.
+func applyEdits(builder *placement.Builder, requests []editRequest) []editRequest {
+	var applied []editRequest
 	for _, request := range requests {
-		if err := request.apply(draft); err != nil {
+		if err := request.apply(builder); err != nil {
 			request.result <- err
 			continue
 		}
-		granted = append(granted, request)
+		applied = append(applied, request)
 	}
-	return granted
+	return applied
 }
 
 func finish(requests []editRequest, err error) {
@@ -182,37 +180,38 @@
 	}
 }
 
-// plan makes all changes of the draft that follow from the leases and the group's view.
-func (m *manager) plan(draft *draft, role replication.Role, now time.Time) {
-	draft.updateCore(role.View)
-	draft.updateStores() // edits may have made stores retire
-	if len(draft.stores) != m.knownStores {
-		m.knownStores, m.lastNewStore = len(draft.stores), now
+// plan makes all changes of the table that follow from the leases and the group's view.
+func (m *tableManager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
+	builder.UpdateCore(coreEntries(role.View.Members), role.View.Primary)
+	builder.UpdateStores() // edits may have made stores retire
+	if count := builder.StoreCount(); count != m.knownStores {
+		m.knownStores, m.lastNewStore = count, now
 	}
-	if now.Sub(m.lastNewStore) >= placementRest {
-		draft.placeInitially()
+	if now.Sub(m.lastNewStore) >= placementDelay {
+		builder.PlaceInitially()
 	}
-	if more := draft.repair(); more {
+	if more := builder.Repair(); more {
 		m.nudge()
 	}
 	if now.Sub(m.lastRebalance) >= rebalanceInterval && now.Sub(m.leadingSince) > cluster.LeaseDuration {
 		m.lastRebalance = now
-		draft.rebalance()
+		builder.Rebalance()
 	}
-	draft.completeJobs()
-	draft.updateDeliverers(now)
-	if now.Sub(m.leadingSince) < delivererMemory {
-		draft.deliverers = max(draft.deliverers, m.inherited)
+	builder.CompleteRetireJobs()
+	inherited := 0
+	if now.Sub(m.leadingSince) < placement.DelivererMemory {
+		inherited = m.inherited
 	}
+	builder.UpdateDeliverers(now, inherited)
 }
 
 // propose has the group take a change of the table, if there is any.
-func (m *manager) propose(ctx context.Context, table *controlstate.TableChange) error {
-	if table == nil {
+func (m *tableManager) propose(ctx context.Context, change *controlstate.TableChange) error {
+	if change == nil {
 		return nil
 	}
-	table.ID = fmt.Sprintf("%s-%d", m.plane.options.Info.Incarnation, m.changes.Add(1))
-	record, err := (&controlstate.Change{Table: table}).Encode()
+	change.ID = fmt.Sprintf("%s-%d", m.plane.options.Info.Incarnation, m.changes.Add(1))
+	record, err := (&controlstate.Change{Table: change}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -222,38 +221,8 @@
 		m.plane.logger.Info("change of the table failed", zap.Error(err))
 		return err
 	}
-	if m.plane.state.Current().LastChangeID != table.ID {
+	if m.plane.state.Current().LastChangeID != change.ID {
 		return errOutdated
 	}
 	return nil
 }
-
-// updateCore lists the group's members and its primary.
-func (d *draft) updateCore(view replication.View) {
-	core := make([]cluster.CoreEntry, 0, len(view.Members))
-	for _, member := range view.Members {
-		if member.DiskID == view.Primary {
-			d.primary = member.Name
-		}
-		core = append(core, cluster.CoreEntry{
-			Name: member.Name, Address: member.Address, DiskID: member.DiskID, Zone: d.zoneOfMember(member),
-		})
-	}
-	slices.SortFunc(core, func(a, b cluster.CoreEntry) int {
-		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(a.DiskID, b.DiskID))
-	})
-	d.core = core
-}
-
-// zoneOfMember returns the zone that a member has announced, as far as it is known.
-func (d *draft) zoneOfMember(member replication.Member) string {
-	if node, found := d.nodes[member.Name]; found {
-		return node.Info.Zone
-	}
-	for _, known := range d.core {
-		if known.Name == member.Name {
-			return known.Zone
-		}
-	}
-	return ""
-}
--- /dev/null
+++ b/internal/controlplane/partitionrequest.go
@@ -0,0 +1,54 @@
+package controlplane
+
+import (
+	"context"
+	"errors"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/placement"
+	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/rpc"
+)
+
+// handlePartitionRequest changes a replica group as its primary asks.
+func (p *Plane) handlePartitionRequest(ctx context.Context, call *rpc.Call) (any, []byte, error) {
+	var request cluster.PartitionRequest
+	if err := call.Decode(&request); err != nil {
+		return nil, nil, err
+	}
+	if err := p.requirePrimary(); err != nil {
+		return nil, nil, err
+	}
+	err := p.manager.Edit(ctx, func(builder *placement.Builder) error { return builder.ApplyRequest(&request) })
+	if err != nil {
+		return nil, nil, p.callError(err)
+	}
+	return nil, nil, nil
+}
+
+// callError turns a failure into one that the caller of a call understands.
+func (p *Plane) callError(err error) error {
+	var refused *placement.RequestError
+	switch {
+	case errors.Is(err, replication.ErrNotPrimary):
+		return p.notLeader()
+	case errors.Is(err, errOutdated):
+		return unavailable(err.Error())
+	case errors.As(err, &refused):
+		return &rpc.Error{Code: codeOf(refused.Kind), Message: refused.Message}
+	}
+	return err
+}
+
+// codeOf returns the code by which the caller knows a kind of refused requests.
+func codeOf(kind error) rpc.Code {
+	switch {
+	case errors.Is(kind, placement.ErrUnknownPartition):
+		return rpc.CodeNotFound
+	case errors.Is(kind, placement.ErrConflict):
+		return rpc.CodeConflict
+	}
+	return rpc.CodeUnavailable
+}
+
+func unavailable(text string) error { return &rpc.Error{Code: rpc.CodeUnavailable, Message: text} }
--- /dev/null
+++ b/internal/controlplane/placement/diff.go
@@ -0,0 +1,66 @@
+package placement
+
+import (
+	"slices"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/controlstate"
+)
+
+// Diff returns the change that leads from the current state to what was built, or nil where they are alike. Its proposer
+// gives it an id.
+func (b *Builder) Diff(current *controlstate.State) *controlstate.TableChange {
+	table := current.Table
+	change := &controlstate.TableChange{}
+	change.Base = table.Revision
+	empty := true
+	if b.primary != table.Primary {
+		change.Primary, empty = b.primary, false
+	}
+	if !slices.Equal(b.core, table.Core) {
+		change.Core, empty = b.core, false
+	}
+	if b.Copies != table.Copies {
+		change.Copies, empty = b.Copies, false
+	}
+	if b.deliverers != table.Deliverers {
+		change.Deliverers, empty = b.deliverers, false
+	}
+	change.Stores = differing(b.stores, table.Stores, func(one, other cluster.StoreEntry) bool { return one == other })
+	change.Partitions = changedPartitions(b.partitions, table.Partitions)
+	change.Jobs = differing(b.jobs, current.Jobs, func(one, other controlstate.RetireJob) bool { return one == other })
+	if empty && len(change.Stores)+len(change.Partitions)+len(change.Jobs) == 0 {
+		return nil
+	}
+	return change
+}
+
+// changedPartitions returns the views that differ from those of another list. A partition's place in both is its id.
+func changedPartitions(partitions, others []cluster.Partition) []cluster.Partition {
+	var changed []cluster.Partition
+	for i, partition := range partitions {
+		if i >= len(others) || !equalPartitions(partition, others[i]) {
+			changed = append(changed, partition)
+		}
+	}
+	return changed
+}
+
+// differing returns the values that are not in another list.
+func differing[Value any](values, others []Value, equal func(a, b Value) bool) []Value {
+	var result []Value
+	for i, value := range values {
+		if i < len(others) && equal(value, others[i]) {
+			continue
+		}
+		known := slices.ContainsFunc(others, func(other Value) bool { return equal(value, other) })
+		if !known {
+			result = append(result, value)
+		}
+	}
+	return result
+}
+
+func equalPartitions(a, b cluster.Partition) bool {
+	return a.ID == b.ID && a.Epoch == b.Epoch && a.PreferredPrimary == b.PreferredPrimary && slices.Equal(a.Replicas, b.Replicas)
+}
--- /dev/null
+++ b/internal/controlplane/placement/outage_test.go
@@ -0,0 +1,22 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestOutageHoldsPlaces(t *testing.T) {
+	start := time.Unix(1000, 0)
+	const tolerated = 1
+	longAgo := start.Add(-time.Hour)
+	var one outage
+	one.add("a", start)
+	assert.Equal(t, one.keepPlacesUntil(tolerated, longAgo), start.Add(stabilizationTime))
+	assert.Equal(t, one.keepPlacesUntil(tolerated, start), start.Add(newPrimaryStabilizationTime))
+	two := one
+	two.add("b", start.Add(time.Millisecond))
+	assert.Equal(t, two.keepPlacesUntil(tolerated, longAgo), start.Add(restartGrace))
+	assert.Equal(t, two.keepPlacesUntil(2, longAgo), start.Add(time.Millisecond+stabilizationTime))
+}
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -1,4 +1,4 @@
-package controlplane
+package placement
 
 import (
 	"slices"
@@ -7,52 +7,52 @@
 )
 
 const (
-	// LeastPartitions is the number of partitions of a small system.
-	LeastPartitions = 64
-	// partitionsPerStore is how many there are at least for each store that is there at the founding.
+	// MinPartitions is the number of partitions of a small system.
+	MinPartitions = 64
+	// partitionsPerStore is how many there are at least for each store that is there at the first placement.
 	partitionsPerStore = 3
 )
 
-// partitionCount is the number of partitions of a system that is founded with so many stores, a power of two. It stays
+// partitionCount is the number of partitions of a system that is first placed on so many stores, a power of two. It stays
 // for the system's life: message ids name their partitions.
 func partitionCount(stores int) int {
-	count := LeastPartitions
+	count := MinPartitions
 	for count < partitionsPerStore*stores {
 		count *= 2
 	}
 	return count
 }
 
-// placeInitially spreads all partitions over the active stores, if there are enough of them for all copies.
-func (d *draft) placeInitially() {
-	stores := d.activeStores()
-	if len(d.partitions) > 0 || len(stores) < d.copies {
+// PlaceInitially spreads all partitions over the active stores, if there are enough of them for all copies.
+func (b *Builder) PlaceInitially() {
+	stores := b.activeStores()
+	if len(b.partitions) > 0 || len(stores) < b.Copies {
 		return
 	}
-	stores = interleaveZones(stores, func(entry cluster.StoreEntry) string { return entry.Zone })
+	stores = InterleaveZones(stores, func(entry cluster.StoreEntry) string { return entry.Zone })
 	for id := range partitionCount(len(stores)) {
 		first := stores[id%len(stores)]
 		partition := cluster.Partition{ID: id, Epoch: 1, Replicas: []cluster.Replica{replicaAt(first, true)}}
-		for len(partition.Replicas) < d.copies {
-			next := d.replacement(partition.Replicas, "")
+		for len(partition.Replicas) < b.Copies {
+			next := b.replacement(partition.Replicas, "")
 			partition.Replicas = append(partition.Replicas, replicaAt(*next, true))
 		}
-		d.partitions = append(d.partitions, cluster.Partition{ID: id})
-		d.setPartition(id, partition)
+		b.partitions = append(b.partitions, cluster.Partition{ID: id})
+		b.setPartition(id, partition)
 	}
 }
 
-// setPartition puts a partition's view into the draft. All changes of views go through it.
-func (d *draft) setPartition(id int, view cluster.Partition) {
-	if d.copyCounts != nil {
-		for _, replica := range d.partitions[id].Replicas {
-			d.copyCounts[replica.Store]--
+// setPartition puts a partition's view into the table in the making. All changes of views go through it.
+func (b *Builder) setPartition(id int, view cluster.Partition) {
+	if b.copyCounts != nil {
+		for _, replica := range b.partitions[id].Replicas {
+			b.copyCounts[replica.Store]--
 		}
 		for _, replica := range view.Replicas {
-			d.copyCounts[replica.Store]++
+			b.copyCounts[replica.Store]++
 		}
 	}
-	d.partitions[id] = view
+	b.partitions[id] = view
 }
 
 func replicaAt(store cluster.StoreEntry, synced bool) cluster.Replica {
@@ -60,9 +60,9 @@
 }
 
 // activeStores returns the stores that may be given partitions, by name.
-func (d *draft) activeStores() []cluster.StoreEntry {
+func (b *Builder) activeStores() []cluster.StoreEntry {
 	var active []cluster.StoreEntry
-	for _, entry := range d.stores {
+	for _, entry := range b.stores {
 		if entry.State == cluster.StoreActive {
 			active = append(active, entry)
 		}
@@ -70,8 +70,8 @@
 	return active
 }
 
-// interleaveZones orders values so that neighbours stand in different zones where possible.
-func interleaveZones[Value any](values []Value, zoneOf func(Value) string) []Value {
+// InterleaveZones orders values so that neighbours stand in different zones where possible.
+func InterleaveZones[Value any](values []Value, zoneOf func(Value) string) []Value {
 	var zones []string
 	byZone := map[string][]Value{}
 	for _, value := range values {
@@ -93,24 +93,16 @@
 	return ordered
 }
 
-// redundancy is what the copies of a partition must outlive.
-type redundancy struct {
-	copies int // of each partition: one more than disks may be lost at once
-	// zones is in how many zones the copies stand where there are stores: one more than zones may be lost at once. All
-	// further copies stand in the primary's zone, where their bytes cross no border.
-	zones int
-}
-
 // replacement returns the active store that is the best place for one more copy beside the given ones, or nil: one in
 // a zone that suits the spread, then the one with the fewest copies, then the first by name. One store may be excluded.
-func (d *draft) replacement(replicas []cluster.Replica, exclude string) *cluster.StoreEntry {
-	load := d.replicaCounts()
-	suits := zoneForCopy(d.zonesOf(replicas), d.zones)
+func (b *Builder) replacement(replicas []cluster.Replica, exclude string) *cluster.StoreEntry {
+	load := b.replicaCounts()
+	suits := zoneForCopy(b.zonesOf(replicas), b.Zones)
 	var best *cluster.StoreEntry
 	bestSuits := false
-	for i := range d.stores {
-		candidate := &d.stores[i]
-		if candidate.State != cluster.StoreActive || candidate.Name == exclude || holds(replicas, candidate.Name) {
+	for i := range b.stores {
+		candidate := &b.stores[i]
+		if candidate.State != cluster.StoreActive || candidate.Name == exclude || hasReplicaAt(replicas, candidate.Name) {
 			continue
 		}
 		suitable := suits(candidate.Zone)
@@ -124,7 +116,7 @@
 	return best
 }
 
-func holds(replicas []cluster.Replica, store string) bool {
+func hasReplicaAt(replicas []cluster.Replica, store string) bool {
 	return slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return replica.Store == store })
 }
 
@@ -139,32 +131,32 @@
 }
 
 // zonesOf returns the zones that replicas stand in.
-func (d *draft) zonesOf(replicas []cluster.Replica) []string {
+func (b *Builder) zonesOf(replicas []cluster.Replica) []string {
 	zones := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
-		zones = append(zones, d.zone(replica.Store))
+		zones = append(zones, b.zone(replica.Store))
 	}
 	return zones
 }
 
 // replicaCounts counts the copies that each store holds. They are counted once and kept up to date.
-func (d *draft) replicaCounts() map[string]int {
-	if d.copyCounts != nil {
-		return d.copyCounts
+func (b *Builder) replicaCounts() map[string]int {
+	if b.copyCounts != nil {
+		return b.copyCounts
 	}
-	d.copyCounts = make(map[string]int, len(d.stores))
-	for _, partition := range d.partitions {
+	b.copyCounts = make(map[string]int, len(b.stores))
+	for _, partition := range b.partitions {
 		for _, replica := range partition.Replicas {
-			d.copyCounts[replica.Store]++
+			b.copyCounts[replica.Store]++
 		}
 	}
-	return d.copyCounts
+	return b.copyCounts
 }
 
 // primaryCounts counts the partitions that each store leads, or is to lead.
-func (d *draft) primaryCounts() map[string]int {
-	counts := make(map[string]int, len(d.stores))
-	for _, partition := range d.partitions {
+func (b *Builder) primaryCounts() map[string]int {
+	counts := make(map[string]int, len(b.stores))
+	for _, partition := range b.partitions {
 		switch primary, found := partition.Primary(); {
 		case partition.PreferredPrimary != "":
 			counts[partition.PreferredPrimary]++
--- a/internal/controlplane/placement_random_test.go
+++ b/internal/controlplane/placement/placement_random_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package placement
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 			}
 			world.start(victim, world.nodes[victim].Info.Zone, world.nodes[victim].Info.DiskID)
 			world.settle()
-			world.requireWhole()
+			world.requireComplete()
 			world.requireBalance(stores)
 		}
 	}
@@ -60,14 +60,14 @@
 func (w *placementWorld) dropSome(random *rand.Rand) {
 	for id := range w.current.Table.Partitions {
 		if random.IntN(4) == 0 {
-			w.ask(cluster.PartitionRequest{Drop: w.current.Table.Partitions[id].Replicas[1].Store}, id)
+			w.request(cluster.PartitionRequest{Drop: w.current.Table.Partitions[id].Replicas[1].Store}, id)
 		}
 	}
 }
 
 func (w *placementWorld) requireBalance(stores []string) {
 	w.t.Helper()
-	least, most := LeastPartitions, 0
+	least, most := MinPartitions, 0
 	for _, store := range stores {
 		least, most = min(least, w.leads(store)), max(most, w.leads(store))
 	}
--- a/internal/controlplane/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package placement
 
 import (
 	"fmt"
@@ -11,7 +11,6 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
-	"gladepick/internal/rpc"
 )
 
 // placementWorld drives the planning functions as the manager does, without a group.
@@ -31,7 +30,7 @@
 	return world
 }
 
-func (w *placementWorld) redundancy() redundancy { return redundancy{copies: w.copies, zones: w.zones} }
+func (w *placementWorld) redundancy() Redundancy { return Redundancy{Copies: w.copies, Zones: w.zones} }
 
 func (w *placementWorld) start(store, zone, disk string) {
 	info := cluster.NodeInfo{Name: store, Zone: zone, DiskID: disk, Store: true, Incarnation: "i", Address: store + ":1"}
@@ -51,20 +50,20 @@
 }
 
 // plan plans once, with edits before, checks the result, and puts it in force.
-func (w *placementWorld) plan(edits ...func(*draft) error) error {
-	draft := newDraft(w.current, w.nodes, w.redundancy())
-	draft.updateStores()
+func (w *placementWorld) plan(edits ...func(*Builder) error) error {
+	builder := NewBuilder(w.current, w.nodes, w.redundancy())
+	builder.UpdateStores()
 	for _, edit := range edits {
-		if err := edit(draft); err != nil {
+		if err := edit(builder); err != nil {
 			return err
 		}
 	}
-	draft.updateStores()
-	draft.placeInitially()
-	draft.repair()
-	draft.rebalance()
-	draft.completeJobs()
-	change := draft.diff(w.current)
+	builder.UpdateStores()
+	builder.PlaceInitially()
+	builder.Repair()
+	builder.Rebalance()
+	builder.CompleteRetireJobs()
+	change := builder.Diff(w.current)
 	if change == nil {
 		return nil
 	}
@@ -106,13 +105,13 @@
 	return text
 }
 
-// settle plans until nothing changes, with every primary syncing its backups and handing over as wished.
+// settle plans until nothing changes, with every primary syncing its backups and handing over as preferred.
 func (w *placementWorld) settle() {
 	w.t.Helper()
 	for range 200 {
 		before := w.current.Table.Revision
 		assert.NilError(w.t, w.plan())
-		w.followWishes()
+		w.followPreferences()
 		if w.current.Table.Revision == before {
 			return
 		}
@@ -120,7 +119,7 @@
 	w.t.Fatal("the placement does not come to rest")
 }
 
-func (w *placementWorld) followWishes() {
+func (w *placementWorld) followPreferences() {
 	for _, partition := range w.current.Table.Partitions {
 		primary, _ := partition.Primary()
 		if !w.nodes[primary.Store].Live {
@@ -128,27 +127,27 @@
 		}
 		for _, replica := range partition.Replicas[1:] {
 			if !replica.Synced && w.nodes[replica.Store].Live {
-				w.ask(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
+				w.request(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
 			}
 		}
 		latest := w.current.Table.Partitions[partition.ID]
 		position := latest.Find(latest.PreferredPrimary)
 		if position > 0 && latest.Replicas[position].Synced {
-			w.ask(cluster.PartitionRequest{Handover: true}, partition.ID)
+			w.request(cluster.PartitionRequest{Handover: true}, partition.ID)
 		}
 	}
 }
 
-// ask fills in the partition's primary and epoch.
-func (w *placementWorld) ask(ask cluster.PartitionRequest, id int) {
+// request fills in the partition's primary and epoch.
+func (w *placementWorld) request(request cluster.PartitionRequest, id int) {
 	w.t.Helper()
-	assert.NilError(w.t, w.tryAsk(ask, id))
+	assert.NilError(w.t, w.tryRequest(request, id))
 }
 
-func (w *placementWorld) tryAsk(ask cluster.PartitionRequest, id int) error {
+func (w *placementWorld) tryRequest(request cluster.PartitionRequest, id int) error {
 	partition := w.current.Table.Partitions[id]
-	ask.Partition, ask.Epoch, ask.Store = id, partition.Epoch, partition.Replicas[0].Store
-	return w.plan(func(draft *draft) error { return draft.grant(&ask) })
+	request.Partition, request.Epoch, request.Store = id, partition.Epoch, partition.Replicas[0].Store
+	return w.plan(func(builder *Builder) error { return builder.ApplyRequest(&request) })
 }
 
 func (w *placementWorld) leads(store string) int {
@@ -161,10 +160,10 @@
 	return count
 }
 
-func (w *placementWorld) requireWhole() {
+func (w *placementWorld) requireComplete() {
 	w.t.Helper()
-	draft := newDraft(w.current, w.nodes, w.redundancy())
-	assert.Assert(w.t, draft.whole())
+	builder := NewBuilder(w.current, w.nodes, w.redundancy())
+	assert.Assert(w.t, builder.complete())
 	for _, partition := range w.current.Table.Partitions {
 		assert.Equal(w.t, len(partition.Replicas), w.copies, "partition %d: %s", partition.ID, storesOf(partition))
 		assert.Equal(w.t, partition.PreferredPrimary, "")
@@ -179,10 +178,10 @@
 		}
 		world := newPlacementWorld(t, 2, stores...)
 		assert.NilError(t, world.plan())
-		world.requireWhole()
+		world.requireComplete()
 		for _, store := range stores {
 			leads := world.leads(store)
-			assert.Assert(t, leads >= LeastPartitions/count && leads <= LeastPartitions/count+1, "%s leads %d", store, leads)
+			assert.Assert(t, leads >= MinPartitions/count && leads <= MinPartitions/count+1, "%s leads %d", store, leads)
 		}
 		for _, partition := range world.current.Table.Partitions {
 			first, second := partition.Replicas[0].Store, partition.Replicas[1].Store
@@ -207,7 +206,7 @@
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
 	world.settle()
-	world.requireWhole()
+	world.requireComplete()
 }
 
 func TestReturnedStoreGetsPartitionsAgain(t *testing.T) {
@@ -218,7 +217,7 @@
 	assert.Equal(t, world.leads("a"), 0)
 	world.start("a", "zone-0", "another-disk")
 	world.settle()
-	world.requireWhole()
+	world.requireComplete()
 	for _, store := range []string{"a", "b", "c"} {
 		assert.Assert(t, world.leads(store) >= 10, "%s leads %d", store, world.leads(store))
 	}
@@ -236,7 +235,7 @@
 		}
 	}
 	world.settle()
-	world.requireWhole()
+	world.requireComplete()
 }
 
 func TestGroupWithoutLivingSyncedReplicaWaits(t *testing.T) {
@@ -259,7 +258,7 @@
 	}
 }
 
-func TestNothingIsDroppedOnTheWordOfStoresThatMayHaveDiedAsWell(t *testing.T) {
+func TestNothingIsDroppedByTheLeasesOfStoresThatMayHaveDiedAsWell(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
 	assert.NilError(t, world.plan())
 	before := world.current.Table.Partitions
@@ -285,110 +284,18 @@
 	}
 }
 
-func TestLeavingStoreHandsOverAndStaysAsBackup(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	world.change("a", func(info *cluster.NodeInfo) { info.Draining = true })
-	assert.NilError(t, world.plan())
-	for id, partition := range world.current.Table.Partitions {
-		if partition.Replicas[0].Store == "a" {
-			world.ask(cluster.PartitionRequest{Handover: true}, id)
-			after := world.current.Table.Partitions[id]
-			assert.Equal(t, after.Find("a"), len(after.Replicas)-1)
-			assert.Equal(t, after.Epoch, partition.Epoch+1)
-		}
-	}
-	assert.Equal(t, world.leads("a"), 0)
-}
-
-func TestHandoverNeedsALivingSyncedBackup(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b")
-	assert.NilError(t, world.plan())
-	world.change("a", func(info *cluster.NodeInfo) { info.Draining = true })
-	world.change("b", func(info *cluster.NodeInfo) { info.Draining = true })
-	err := world.tryAsk(cluster.PartitionRequest{Handover: true}, 0)
-	assert.Equal(t, rpc.CodeOf(err), rpc.CodeUnavailable)
-}
-
-func TestAskWithAnOldEpochIsRefused(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	partition := world.current.Table.Partitions[0]
-	ask := cluster.PartitionRequest{Partition: 0, Epoch: partition.Epoch + 1, Store: partition.Replicas[0].Store, Handover: true}
-	err := world.plan(func(draft *draft) error { return draft.grant(&ask) })
-	assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
-	ask.Epoch, ask.Store = partition.Epoch, partition.Replicas[1].Store
-	err = world.plan(func(draft *draft) error { return draft.grant(&ask) })
-	assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
-}
-
-func TestDropReplacesABackupThatSeemsAlive(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	partition := world.current.Table.Partitions[0]
-	dropped := partition.Replicas[1].Store
-	world.ask(cluster.PartitionRequest{Drop: dropped}, 0)
-	after := world.current.Table.Partitions[0]
-	assert.Equal(t, after.Find(dropped), -1)
-	assert.Equal(t, len(after.Replicas), 2)
-	assert.Assert(t, !after.Replicas[1].Synced)
-	assert.Equal(t, after.Epoch, partition.Epoch+1)
-}
-
-func TestDropKeepsTheLastCopies(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b")
-	assert.NilError(t, world.plan())
-	partition := world.current.Table.Partitions[0]
-	err := world.tryAsk(cluster.PartitionRequest{Drop: partition.Replicas[1].Store}, 0)
-	assert.Equal(t, rpc.CodeOf(err), rpc.CodeUnavailable)
-}
-
 func TestFailingDiskCountsAsDown(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c")
 	assert.NilError(t, world.plan())
 	world.change("a", func(info *cluster.NodeInfo) { info.DiskFailing = true })
 	world.settle()
-	world.requireWhole()
+	world.requireComplete()
 	for _, partition := range world.current.Table.Partitions {
 		assert.Equal(t, partition.Find("a"), -1)
 	}
 }
 
-func TestRetiredStoreIsEmptiedForGood(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	retire := func(draft *draft) error {
-		assert.Equal(t, draft.startRetire("a", 3).status, 200)
-		return nil
-	}
-	assert.NilError(t, world.plan(retire))
-	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetiring)
-	assert.Assert(t, !world.current.Jobs[0].Completed)
-	world.settle()
-	assert.Assert(t, world.current.Jobs[0].Completed)
-	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetired)
-	world.requireWhole()
-	world.stop("b")
-	world.settle()
-	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
-	}
-	world.start("a", "zone-0", "another-disk")
-	world.settle()
-	assert.Assert(t, world.leads("a") > 0)
-}
-
-func TestRetireIsRefusedWhereTooFewWouldRemain(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(draft *draft) error {
-		assert.Equal(t, draft.startRetire("a", 3).status, 409)
-		assert.Equal(t, draft.startRetire("x", 3).status, 404)
-		return nil
-	}))
-}
-
-func TestPartitionsGrowWithTheStoresAtTheFounding(t *testing.T) {
+func TestPartitionsGrowWithTheStoresAtTheFirstPlacement(t *testing.T) {
 	for stores, partitions := range map[int]int{1: 64, 17: 64, 22: 128, 100: 512, 6500: 32_768} {
 		assert.Equal(t, partitionCount(stores), partitions, "%d stores", stores)
 	}
@@ -409,17 +316,17 @@
 	steps := 0
 	for before := uint64(0); world.current.Table.Revision != before; steps++ {
 		before = world.current.Table.Revision
-		draft := newDraft(world.current, world.nodes, world.redundancy())
-		draft.updateStores()
-		more := draft.repair()
-		changed := changedPartitions(draft.partitions, world.current.Table.Partitions)
+		builder := NewBuilder(world.current, world.nodes, world.redundancy())
+		builder.UpdateStores()
+		more := builder.Repair()
+		changed := changedPartitions(builder.partitions, world.current.Table.Partitions)
 		assert.Assert(t, len(changed) <= repairsAtOnce)
 		assert.Equal(t, more, len(changed) == repairsAtOnce)
 		if more {
-			leaderless := slices.ContainsFunc(draft.partitions, draft.leaderless)
+			leaderless := slices.ContainsFunc(builder.partitions, builder.leaderless)
 			assert.Assert(t, !leaderless || steps == 0)
 		}
-		if change := draft.diff(world.current); change != nil {
+		if change := builder.Diff(world.current); change != nil {
 			world.current = world.current.WithTableChange(change)
 		}
 	}
@@ -505,20 +412,7 @@
 				copies++
 			}
 		}
-		even := 3 * LeastPartitions / len(w.nodes)
+		even := 3 * MinPartitions / len(w.nodes)
 		assert.Assert(w.t, copies >= even-4 && copies <= even+4, "%s holds %d copies", store, copies)
 	}
 }
-
-func TestHandoverGoesToABackupThatIsReady(t *testing.T) {
-	world := newPlacementWorld(t, 3, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	partition := world.current.Table.Partitions[0]
-	ready := partition.Replicas[2].Store
-	world.ask(cluster.PartitionRequest{Handover: true, Ready: []string{ready}}, 0)
-	assert.Equal(t, world.current.Table.Partitions[0].Replicas[0].Store, ready)
-	err := world.tryAsk(cluster.PartitionRequest{Handover: true, Ready: []string{"d"}}, 0)
-	if world.current.Table.Partitions[0].Find("d") < 0 {
-		assert.Assert(t, err != nil, "it holds no copy")
-	}
-}
--- a/internal/controlplane/rebalance.go
+++ b/internal/controlplane/placement/rebalance.go
@@ -1,4 +1,4 @@
-package controlplane
+package placement
 
 import (
 	"slices"
@@ -11,23 +11,23 @@
 	spreadLimit = 2 // the most loaded store may lead so many times as many partitions as the least loaded one
 )
 
-// rebalance gives partitions to active stores that lead far fewer than others. It begins only while every partition
+// Rebalance gives partitions to active stores that lead far fewer than others. It begins only while every partition
 // has all its copies; a store that holds none first becomes a backup, and leads once it has synced.
-func (d *draft) rebalance() {
-	if len(d.partitions) == 0 || !d.whole() {
+func (b *Builder) Rebalance() {
+	if len(b.partitions) == 0 || !b.complete() {
 		return
 	}
-	for d.movesUnderway() < movesAtOnce {
-		from, to, found := d.unbalanced()
-		if !found || !d.move(from, to) {
+	for b.movesUnderway() < movesAtOnce {
+		from, to, found := b.unbalanced()
+		if !found || !b.move(from, to) {
 			return
 		}
 	}
 }
 
-func (d *draft) movesUnderway() int {
+func (b *Builder) movesUnderway() int {
 	count := 0
-	for _, partition := range d.partitions {
+	for _, partition := range b.partitions {
 		if partition.PreferredPrimary != "" {
 			count++
 		}
@@ -36,9 +36,9 @@
 }
 
 // unbalanced returns the most and the least loaded of the active stores, and false where they are near enough.
-func (d *draft) unbalanced() (from, to string, found bool) {
-	counts := d.primaryCounts()
-	for _, entry := range d.activeStores() {
+func (b *Builder) unbalanced() (from, to string, found bool) {
+	counts := b.primaryCounts()
+	for _, entry := range b.activeStores() {
 		if from == "" || counts[entry.Name] > counts[from] {
 			from = entry.Name
 		}
@@ -52,16 +52,16 @@
 	return from, to, counts[from] > spreadLimit*counts[to]
 }
 
-// move wishes for another primary of one partition, preferably of one that needs no copying for it.
-func (d *draft) move(from, to string) bool {
+// move prefers another primary for one partition, if possible for one that needs no copying for it.
+func (b *Builder) move(from, to string) bool {
 	best := -1
-	for i := range d.partitions {
-		partition := &d.partitions[i]
+	for i := range b.partitions {
+		partition := &b.partitions[i]
 		primary, found := partition.Primary()
 		if !found || primary.Store != from || partition.PreferredPrimary != "" {
 			continue
 		}
-		if d.mayLead(partition, to) {
+		if b.mayLead(partition, to) {
 			best = i
 			break
 		}
@@ -72,17 +72,17 @@
 	if best < 0 {
 		return false
 	}
-	d.setPartition(best, d.wish(d.partitions[best], to))
+	b.setPartition(best, b.prefer(b.partitions[best], to))
 	return true
 }
 
-// wish returns a partition's view with another store wanted as its primary.
-func (d *draft) wish(partition cluster.Partition, to string) cluster.Partition {
+// prefer returns a partition's view with another store as its preferred primary.
+func (b *Builder) prefer(partition cluster.Partition, to string) cluster.Partition {
 	partition.PreferredPrimary = to
 	if partition.Find(to) >= 0 {
 		return partition
 	}
-	added := replicaAt(*d.store(to), false)
+	added := replicaAt(*b.store(to), false)
 	partition.Replicas = append(slices.Clone(partition.Replicas), added)
 	partition.Epoch++
 	return partition
--- a/internal/controlplane/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -1,4 +1,4 @@
-package controlplane
+package placement
 
 import (
 	"slices"
@@ -10,21 +10,21 @@
 // control group for longer than its lease.
 const repairsAtOnce = 512
 
-// repair brings replica groups in line with the stores: it promotes a synced backup where a primary is down, replaces
+// Repair brings replica groups in line with the stores: it promotes a synced backup where a primary is down, replaces
 // copies that are lost or to be moved, and drops those that are too many. Partitions that nobody leads come first. It
 // tells whether there may be more to do.
-func (d *draft) repair() bool {
+func (b *Builder) Repair() bool {
 	changed := 0
 	for _, urgent := range []bool{true, false} {
-		for i := range d.partitions {
-			if d.leaderless(d.partitions[i]) != urgent {
+		for i := range b.partitions {
+			if b.leaderless(b.partitions[i]) != urgent {
 				continue
 			}
-			next := d.repairPartition(d.partitions[i])
-			if equalPartitions(next, d.partitions[i]) {
+			next := b.repairPartition(b.partitions[i])
+			if equalPartitions(next, b.partitions[i]) {
 				continue
 			}
-			d.setPartition(i, next)
+			b.setPartition(i, next)
 			changed++
 			if changed >= repairsAtOnce {
 				return true
@@ -35,48 +35,48 @@
 }
 
 // leaderless tells whether a partition's primary is down.
-func (d *draft) leaderless(partition cluster.Partition) bool {
+func (b *Builder) leaderless(partition cluster.Partition) bool {
 	primary, found := partition.Primary()
-	return found && !d.alive(primary)
+	return found && !b.alive(primary)
 }
 
-func (d *draft) repairPartition(partition cluster.Partition) cluster.Partition {
-	if d.settled(partition) || slices.ContainsFunc(partition.Replicas, d.expectsBack) {
+func (b *Builder) repairPartition(partition cluster.Partition) cluster.Partition {
+	if b.hasDesiredReplicas(partition) || slices.ContainsFunc(partition.Replicas, b.isExpectedBack) {
 		return partition
 	}
 	next := partition
 	next.Replicas = slices.Clone(partition.Replicas)
-	if !d.promote(&next) {
+	if !b.promote(&next) {
 		return partition // nobody who may lead is alive: the group waits for them
 	}
-	d.dropDead(&next)
-	d.addMissing(&next)
-	d.dropSurplus(&next)
-	d.chooseWanted(&next)
+	b.dropDead(&next)
+	b.addMissing(&next)
+	b.dropSurplus(&next)
+	b.choosePreferredPrimary(&next)
 	if !slices.Equal(next.Replicas, partition.Replicas) {
 		next.Epoch++
 	}
 	return next
 }
 
-// settled tells whether a replica group is as it should be.
-func (d *draft) settled(partition cluster.Partition) bool {
-	if partition.PreferredPrimary != "" || len(partition.Replicas) != d.copies {
+// hasDesiredReplicas tells whether a replica group is as it should be.
+func (b *Builder) hasDesiredReplicas(partition cluster.Partition) bool {
+	if partition.PreferredPrimary != "" || len(partition.Replicas) != b.Copies {
 		return false
 	}
-	return d.stayingCopies(partition.Replicas) == d.copies
+	return b.stayingCopies(partition.Replicas) == b.Copies
 }
 
 // promote makes sure that the first replica is alive. It returns false where no synced replica surely is.
-func (d *draft) promote(partition *cluster.Partition) bool {
+func (b *Builder) promote(partition *cluster.Partition) bool {
 	primary, found := partition.Primary()
 	if !found {
 		return false
 	}
-	if d.alive(primary) {
-		return d.recent(primary) || d.allAlive(partition.Replicas)
+	if b.alive(primary) {
+		return b.recent(primary) || b.allAlive(partition.Replicas)
 	}
-	successor := d.successor(partition, nil)
+	successor := b.successor(partition, nil)
 	if successor < 0 {
 		return false
 	}
@@ -86,21 +86,21 @@
 	return true
 }
 
-func (d *draft) allAlive(replicas []cluster.Replica) bool {
-	return !slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return !d.alive(replica) })
+func (b *Builder) allAlive(replicas []cluster.Replica) bool {
+	return !slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return !b.alive(replica) })
 }
 
-// successor returns the position of the backup that is to lead next, or -1: the wanted one, else the first that stays,
+// successor returns the position of the backup that is to lead next, or -1: the preferred one, else the first that stays,
 // else the first that is still alive. Where some are named, it is one of them.
-func (d *draft) successor(partition *cluster.Partition, among []string) int {
+func (b *Builder) successor(partition *cluster.Partition, among []string) int {
 	fallback := -1
 	best := -1
 	for i := 1; i < len(partition.Replicas); i++ {
 		replica := partition.Replicas[i]
-		if !replica.Synced || !d.recent(replica) || len(among) > 0 && !slices.Contains(among, replica.Store) {
+		if !replica.Synced || !b.recent(replica) || len(among) > 0 && !slices.Contains(among, replica.Store) {
 			continue
 		}
-		if d.store(replica.Store).State != cluster.StoreActive {
+		if b.store(replica.Store).State != cluster.StoreActive {
 			if fallback < 0 {
 				fallback = i
 			}
@@ -120,26 +120,26 @@
 }
 
 // dropDead removes backups that are down, unless the group would have too few copies and no store can take their place.
-func (d *draft) dropDead(partition *cluster.Partition) {
+func (b *Builder) dropDead(partition *cluster.Partition) {
 	for i := len(partition.Replicas) - 1; i > 0; i-- {
-		if d.alive(partition.Replicas[i]) {
+		if b.alive(partition.Replicas[i]) {
 			continue
 		}
-		d.dropBackup(partition, i)
+		b.dropBackup(partition, i)
 	}
 }
 
 // dropBackup removes a backup, and puts another store in its place where copies are missing. It returns false, and
 // changes nothing, where copies would be missing and no store can be had.
-func (d *draft) dropBackup(partition *cluster.Partition, position int) bool {
+func (b *Builder) dropBackup(partition *cluster.Partition, position int) bool {
 	dropped := partition.Replicas[position]
 	remaining := slices.Delete(slices.Clone(partition.Replicas), position, position+1)
-	if d.stayingCopies(remaining) < d.copies {
+	if b.stayingCopies(remaining) < b.Copies {
 		exclude := ""
-		if d.alive(dropped) {
+		if b.alive(dropped) {
 			exclude = dropped.Store
 		}
-		replacement := d.replacement(remaining, exclude)
+		replacement := b.replacement(remaining, exclude)
 		if replacement == nil {
 			return false
 		}
@@ -149,10 +149,10 @@
 	return true
 }
 
-func (d *draft) stayingCopies(replicas []cluster.Replica) int {
+func (b *Builder) stayingCopies(replicas []cluster.Replica) int {
 	count := 0
 	for _, replica := range replicas {
-		if d.staying(replica) {
+		if b.staying(replica) {
 			count++
 		}
 	}
@@ -160,9 +160,9 @@
 }
 
 // addMissing adds backups until enough stores that stay hold the partition.
-func (d *draft) addMissing(partition *cluster.Partition) {
-	for d.stayingCopies(partition.Replicas) < d.copies {
-		replacement := d.replacement(partition.Replicas, "")
+func (b *Builder) addMissing(partition *cluster.Partition) {
+	for b.stayingCopies(partition.Replicas) < b.Copies {
+		replacement := b.replacement(partition.Replicas, "")
 		if replacement == nil {
 			return
 		}
@@ -170,10 +170,10 @@
 	}
 }
 
-// dropSurplus removes backups that are not needed any more, for as long as enough whole copies stay.
-func (d *draft) dropSurplus(partition *cluster.Partition) {
-	for len(partition.Replicas) > d.copies {
-		position := d.surplus(partition)
+// dropSurplus removes backups that are not needed any more, for as long as enough complete copies stay.
+func (b *Builder) dropSurplus(partition *cluster.Partition) {
+	for len(partition.Replicas) > b.Copies {
+		position := b.surplus(partition)
 		if position < 0 {
 			return
 		}
@@ -183,26 +183,26 @@
 
 // surplus returns the position of the backup that can best be spared, or -1: a retiring one, then one that is not
 // synced, then the one whose store holds the most copies.
-func (d *draft) surplus(partition *cluster.Partition) int {
-	load := d.replicaCounts()
+func (b *Builder) surplus(partition *cluster.Partition) int {
+	load := b.replicaCounts()
 	best, bestRank := -1, 0
 	for i := 1; i < len(partition.Replicas); i++ {
 		replica := partition.Replicas[i]
 		rest := slices.Delete(slices.Clone(partition.Replicas), i, i+1)
-		if replica.Store == partition.PreferredPrimary || d.syncedCopies(rest) < d.copies {
+		if replica.Store == partition.PreferredPrimary || b.syncedCopies(rest) < b.Copies {
 			continue
 		}
-		if rank := d.surplusRank(replica, load); best < 0 || rank > bestRank {
+		if rank := b.surplusRank(replica, load); best < 0 || rank > bestRank {
 			best, bestRank = i, rank
 		}
 	}
 	return best
 }
 
-func (d *draft) surplusRank(replica cluster.Replica, load map[string]int) int {
-	retiring, unsynced := 2*len(d.partitions), len(d.partitions)+1
+func (b *Builder) surplusRank(replica cluster.Replica, load map[string]int) int {
+	retiring, unsynced := 2*len(b.partitions), len(b.partitions)+1
 	switch {
-	case d.retiring(replica):
+	case b.retiring(replica):
 		return retiring
 	case !replica.Synced:
 		return unsynced
@@ -210,18 +210,18 @@
 	return load[replica.Store]
 }
 
-// chooseWanted keeps the wish for another primary only while it makes sense, and wishes for one where the primary is
-// to be emptied.
-func (d *draft) chooseWanted(partition *cluster.Partition) {
+// choosePreferredPrimary keeps the preference for another primary only while it makes sense, and prefers one where the
+// primary's store is to be emptied.
+func (b *Builder) choosePreferredPrimary(partition *cluster.Partition) {
 	primary := partition.Replicas[0]
-	if partition.PreferredPrimary != "" && !d.mayLead(partition, partition.PreferredPrimary) {
+	if partition.PreferredPrimary != "" && !b.mayLead(partition, partition.PreferredPrimary) {
 		partition.PreferredPrimary = ""
 	}
-	if partition.PreferredPrimary != "" || !d.retiring(primary) {
+	if partition.PreferredPrimary != "" || !b.retiring(primary) {
 		return
 	}
 	for _, replica := range partition.Replicas[1:] {
-		if replica.Synced && d.mayLead(partition, replica.Store) {
+		if replica.Synced && b.mayLead(partition, replica.Store) {
 			partition.PreferredPrimary = replica.Store
 			return
 		}
@@ -229,10 +229,10 @@
 }
 
 // mayLead tells whether a store is an active backup of a partition.
-func (d *draft) mayLead(partition *cluster.Partition, store string) bool {
+func (b *Builder) mayLead(partition *cluster.Partition, store string) bool {
 	position := partition.Find(store)
-	if position <= 0 || !d.staying(partition.Replicas[position]) {
+	if position <= 0 || !b.staying(partition.Replicas[position]) {
 		return false
 	}
-	return d.store(store).State == cluster.StoreActive
+	return b.store(store).State == cluster.StoreActive
 }
--- /dev/null
+++ b/internal/controlplane/placement/request.go
@@ -0,0 +1,105 @@
+package placement
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"gladepick/internal/cluster"
+)
+
+// The kinds of a RequestError.
+var (
+	// ErrUnknownPartition means that there is no such partition.
+	ErrUnknownPartition = errors.New("placement: unknown partition")
+	// ErrConflict means that the request does not fit the partition's current view.
+	ErrConflict = errors.New("placement: conflict with the current view")
+	// ErrUnavailable means that the request cannot be granted at present, and may be repeated.
+	ErrUnavailable = errors.New("placement: unavailable at present")
+)
+
+// RequestError tells why a primary's request was not granted.
+type RequestError struct {
+	Kind    error  // one of the sentinel errors above
+	Message string // for the primary's log
+}
+
+// Error implements error.
+func (e *RequestError) Error() string { return e.Message }
+
+// Unwrap returns the kind.
+func (e *RequestError) Unwrap() error { return e.Kind }
+
+// ApplyRequest changes a replica group as its primary asks. It fails with a RequestError, and then changes nothing.
+func (b *Builder) ApplyRequest(request *cluster.PartitionRequest) error {
+	if request.Partition < 0 || request.Partition >= len(b.partitions) {
+		return &RequestError{Kind: ErrUnknownPartition, Message: fmt.Sprintf("no partition %d", request.Partition)}
+	}
+	partition := b.partitions[request.Partition]
+	primary, found := partition.Primary()
+	if !found || partition.Epoch != request.Epoch || primary.Store != request.Store {
+		return &RequestError{Kind: ErrConflict, Message: "another view is the current one"}
+	}
+	partition.Replicas = slices.Clone(partition.Replicas)
+	changes := []func(*cluster.Partition, *cluster.PartitionRequest) error{b.applySynced, b.applyDrop, b.applyHandover}
+	for _, change := range changes {
+		if err := change(&partition, request); err != nil {
+			return err
+		}
+	}
+	b.setPartition(request.Partition, partition)
+	return nil
+}
+
+// applySynced marks a backup as complete. The view stays the same, and so does its epoch.
+func (b *Builder) applySynced(partition *cluster.Partition, request *cluster.PartitionRequest) error {
+	if request.Synced == "" {
+		return nil
+	}
+	position := partition.Find(request.Synced)
+	if position < 0 {
+		return &RequestError{Kind: ErrConflict, Message: request.Synced + " is no replica"}
+	}
+	partition.Replicas[position].Synced = true
+	return nil
+}
+
+// applyDrop replaces a backup that does not answer its primary.
+func (b *Builder) applyDrop(partition *cluster.Partition, request *cluster.PartitionRequest) error {
+	if request.Drop == "" {
+		return nil
+	}
+	position := partition.Find(request.Drop)
+	if position <= 0 {
+		return &RequestError{Kind: ErrConflict, Message: request.Drop + " is no backup"}
+	}
+	if b.isExpectedBack(partition.Replicas[position]) {
+		return &RequestError{Kind: ErrUnavailable, Message: request.Drop + " is expected back"}
+	}
+	if !b.dropBackup(partition, position) {
+		return &RequestError{Kind: ErrUnavailable, Message: "no store can take the place of " + request.Drop}
+	}
+	partition.Epoch++
+	return nil
+}
+
+// applyHandover makes another replica the primary. The one that asks stays as the last backup, unless its store is to
+// be emptied.
+func (b *Builder) applyHandover(partition *cluster.Partition, request *cluster.PartitionRequest) error {
+	if !request.Handover {
+		return nil
+	}
+	position := b.successor(partition, request.Ready)
+	if position < 0 || b.store(partition.Replicas[position].Store).State != cluster.StoreActive {
+		return &RequestError{Kind: ErrUnavailable, Message: "no other synced replica is alive"}
+	}
+	former, successor := partition.Replicas[0], partition.Replicas[position]
+	backups := slices.Delete(slices.Clone(partition.Replicas), position, position+1)[1:]
+	partition.Replicas = append([]cluster.Replica{successor}, backups...)
+	if !b.retiring(former) || b.syncedCopies(partition.Replicas) < b.Copies {
+		partition.Replicas = append(partition.Replicas, former)
+	}
+	partition.PreferredPrimary = ""
+	partition.Epoch++
+	return nil
+}
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -15,6 +14,7 @@
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
+	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/network"
@@ -54,7 +54,7 @@
 	workers  workerCache
 	packer   bodyPacker
 	encoded  newsCaches
-	manager  *manager
+	manager  *tableManager
 	members  *memberManager
 	reader   *workerReader
 	founding *founding
@@ -110,7 +110,7 @@
 }
 
 func (p *Plane) groupOptions() replication.Options {
-	p.manager = newManager(p)
+	p.manager = newTableManager(p)
 	p.leases = lease.NewTable(p.manager.nudge)
 	p.members = &memberManager{plane: p}
 	p.reader = newWorkerReader(p)
@@ -120,7 +120,7 @@
 		Server:           p.options.Server,
 		FS:               p.options.FS,
 		StateMachine:     p.state,
-		Copies:           p.redundancy().copies,
+		Copies:           p.redundancy().Copies,
 		AllowFounding:    p.options.Bootstrap,
 		Logger:           p.logger,
 		Seed:             p.options.Seed,
@@ -144,7 +144,7 @@
 	server.Handle(methodRenew, p.handleRenew)
 	server.Handle(cluster.MethodFailureReport, p.handleReport)
 	server.Handle(cluster.MethodOperator, p.handleOperator)
-	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionAsk)
+	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
 	server.Handle(methodWorkers, p.reader.handleWorkers)
 	server.Handle(methodFound, p.founding.handleFound)
 }
@@ -196,8 +196,8 @@
 }
 
 // redundancy is what the copies of partitions must outlive, by what the operator says may be lost at once.
-func (p *Plane) redundancy() redundancy {
-	return redundancy{copies: p.options.Tolerated + 1, zones: p.options.ToleratedZones + 1}
+func (p *Plane) redundancy() placement.Redundancy {
+	return placement.Redundancy{Copies: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
 }
 
 // freshRole returns the role of this process in the group, and whether the state here may be passed on.
@@ -249,17 +249,6 @@
 	return &rpc.Error{Code: rpc.CodeNotLeader}
 }
 
-// callError turns a failure into one that the caller of a call understands.
-func (p *Plane) callError(err error) error {
-	switch {
-	case errors.Is(err, replication.ErrNotPrimary):
-		return p.notLeader()
-	case errors.Is(err, errOutdated):
-		return unavailable(err.Error())
-	}
-	return err
-}
-
 func (p *Plane) onAnswer(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
@@ -269,8 +258,6 @@
 	}
 }
 
-func unavailable(text string) error { return &rpc.Error{Code: rpc.CodeUnavailable, Message: text} }
-
 func versionField(document *configuration.Document) zap.Field {
 	return zap.Uint64("version", document.Version())
 }
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -3,12 +3,14 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"strings"
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/controlstate"
+	"gladepick/internal/controlplane/placement"
 )
 
 // retireState is the body of the answer to a question about a retiring store.
@@ -33,65 +35,33 @@
 	return errorAnswer(http.StatusNotFound, "no such call"), nil
 }
 
-// startRetire orders that a store is to be emptied.
+// startRetire orders that a store gives away all its data. As many stores must stay as are needed after the tolerated
+// losses.
 func (p *Plane) startRetire(ctx context.Context, store string) (answer, error) {
 	if err := p.group.Confirm(ctx); err != nil {
 		return answer{}, err
 	}
-	result := emptyAnswer(http.StatusOK)
-	err := p.manager.edit(ctx, func(draft *draft) error {
-		result = draft.startRetire(store, 2*p.options.Tolerated+1)
-		return nil
+	var refusal error
+	err := p.manager.Edit(ctx, func(builder *placement.Builder) error {
+		refusal = builder.StartRetire(store, 2*p.options.Tolerated+1)
+		return nil // a refusal is answered after the table's other changes are in force
 	})
-	return result, err
+	return startedAnswer(refusal), err
 }
 
-// startRetire adds the job to the draft. At least `remaining` active stores must be left.
-func (d *draft) startRetire(store string, remaining int) answer {
-	entry := d.store(store)
-	if entry == nil {
+// startedAnswer is the answer to the order to empty a store, by what the placement said to it.
+func startedAnswer(refusal error) answer {
+	var tooFew *placement.TooFewStoresError
+	switch {
+	case errors.Is(refusal, placement.ErrUnknownStore):
 		return errorAnswer(http.StatusNotFound, "no such store")
-	}
-	if controlstate.FindJob(d.jobs, store, entry.DiskID) != nil {
-		return emptyAnswer(http.StatusOK)
-	}
-	if left := d.activeStoresBeside(store); left < remaining {
-		text := fmt.Sprintf("%d active stores would remain, %d are needed", left, remaining)
+	case errors.As(refusal, &tooFew):
+		text := fmt.Sprintf("%d active stores would remain, %d are needed", tooFew.Remaining, tooFew.Needed)
 		return errorAnswer(http.StatusConflict, text)
 	}
-	d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: entry.DiskID})
 	return emptyAnswer(http.StatusOK)
 }
 
-// carryRetire goes on emptying a store that has come back with another disk before it was emptied.
-func (d *draft) carryRetire(store, diskID string) {
-	job := controlstate.NewestJob(d.jobs, store)
-	if job != nil && !job.Completed && job.DiskID != diskID {
-		d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: diskID})
-	}
-}
-
-// resumeRetire empties a store again that has come back with another disk while its operator waits for its end: it would
-// be taken away with what it was given meanwhile.
-func (d *draft) resumeRetire(store string) error {
-	job, entry := controlstate.NewestJob(d.jobs, store), d.store(store)
-	if job != nil && job.Outdated(entry) {
-		d.jobs = append(d.jobs, controlstate.RetireJob{Store: store, DiskID: entry.DiskID})
-	}
-	return nil
-}
-
-func (d *draft) activeStoresBeside(store string) int {
-	count := 0
-	for _, entry := range d.stores {
-		takesPart := entry.State == cluster.StoreActive || entry.State == cluster.StoreDraining
-		if entry.Name != store && takesPart {
-			count++
-		}
-	}
-	return count
-}
-
 // readRetire tells how far the newest job for a store is.
 func (p *Plane) readRetire(ctx context.Context, store string) (answer, error) {
 	if err := p.group.Confirm(ctx); err != nil {
@@ -103,7 +73,10 @@
 		return errorAnswer(http.StatusNotFound, "no such job"), nil
 	}
 	if job.Outdated(current.Table.Store(store)) {
-		err := p.manager.edit(ctx, func(draft *draft) error { return draft.resumeRetire(store) })
+		err := p.manager.Edit(ctx, func(builder *placement.Builder) error {
+			builder.ResumeRetire(store)
+			return nil
+		})
 		return runningAnswer, err
 	}
 	if !job.Completed {
