--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -12,29 +12,47 @@
 	"gladepick/internal/modelcheck"
 )
 
+// exploredStates is how many states of each space are searched without EXPLORE_STATES.
+const exploredStates = 90_000
+
+// exploredSpace is a part of the model's states, and what a search of the first exploredStates of them finds: a change of
+// the model or of the group's rules that lets other states be reached shows here.
+type exploredSpace struct {
+	limits   modelLimits
+	states   int
+	depth    int
+	complete bool
+}
+
 // TestExplore goes through the protocol's states. EXPLORE_STATES sets how many.
 func TestExplore(t *testing.T) {
-	cases := map[string]modelLimits{
-		"three disks, two elections":              {disks: 3, copies: 2, epochs: 3, changes: 1},
-		"three disks, a restart":                  {disks: 3, copies: 2, epochs: 2, changes: 2, crashes: 1},
-		"four disks, an election":                 {disks: 4, copies: 2, epochs: 2, changes: 1},
-		"three disks, a loss":                     {disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1},
-		"three disks, a loss and its replacement": {disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1, joins: 1, stands: 1},
-		"three disks, questions":                  {disks: 3, copies: 2, epochs: 3, changes: 1, reads: 2, stands: 2},
-		"four disks, a question":                  {disks: 4, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2},
-		"three disks, leases":                     {disks: 3, copies: 2, epochs: 3, changes: 1, leases: true, stands: 2},
-		"three disks, leases and a restart":       {disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, crashes: 1},
-		"three disks, two changes of members":     {disks: 3, copies: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, stands: 1},
-		"four disks, a removal":                   {disks: 4, copies: 2, epochs: 3, changes: 1, memberChanges: 1, stands: 2},
-		"three disks, two losses and repairs":     {disks: 3, copies: 2, epochs: 5, changes: 1, losses: 2, joins: 2, stands: 1, repaired: true},
+	spaces := map[string]exploredSpace{
+		"three disks, two elections":              {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, states: 90000, depth: 13, complete: false},
+		"three disks, a restart":                  {limits: modelLimits{disks: 3, copies: 2, epochs: 2, changes: 2, crashes: 1}, states: 81945, depth: 18, complete: true},
+		"four disks, an election":                 {limits: modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1}, states: 85971, depth: 18, complete: true},
+		"three disks, a loss":                     {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1}, states: 90000, depth: 11, complete: false},
+		"three disks, a loss and its replacement": {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1, joins: 1, stands: 1}, states: 90000, depth: 17, complete: false},
+		"three disks, questions":                  {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, reads: 2, stands: 2}, states: 90000, depth: 13, complete: false},
+		"four disks, a question":                  {limits: modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2}, states: 90000, depth: 15, complete: false},
+		"three disks, leases":                     {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, leases: true, stands: 2}, states: 90000, depth: 15, complete: false},
+		"three disks, leases and a restart":       {limits: modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, crashes: 1}, states: 90000, depth: 17, complete: false},
+		"three disks, two changes of members":     {limits: modelLimits{disks: 3, copies: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, stands: 1}, states: 90000, depth: 10, complete: false},
+		"four disks, a removal":                   {limits: modelLimits{disks: 4, copies: 2, epochs: 3, changes: 1, memberChanges: 1, stands: 2}, states: 90000, depth: 11, complete: false},
+		"three disks, two losses and repairs":     {limits: modelLimits{disks: 3, copies: 2, epochs: 5, changes: 1, losses: 2, joins: 2, stands: 1, repaired: true}, states: 90000, depth: 11, complete: false},
 	}
-	for name, limits := range cases {
+	for name, space := range spaces {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			searched := &model{rules: groupRules(), limits: limits}
-			found := modelcheck.Explore(searched, modelcheck.Bound("EXPLORE_STATES", 90_000))
+			searched := &model{rules: groupRules(), limits: space.limits}
+			bound := modelcheck.Bound("EXPLORE_STATES", exploredStates)
+			found := modelcheck.Explore(searched, bound)
 			t.Logf("%d states, depth %d, complete: %v", found.States, found.Depth, found.Complete)
 			assert.Equal(t, found.Violation, "", "%q", found.Trace)
+			if bound == exploredStates {
+				assert.Equal(t, found.States, space.states)
+				assert.Equal(t, found.Depth, space.depth)
+				assert.Equal(t, found.Complete, space.complete)
+			}
 		})
 	}
 }
@@ -55,6 +73,7 @@
 
 // mutation is a broken rule, with limits within which it shows soon.
 type mutation struct {
+	states int // how many are gone through before it shows
 	limits modelLimits
 	mutate func(rules *modelRules)
 }
@@ -62,47 +81,47 @@
 // TestMutationsAreFound breaks one rule at a time, and expects that the search finds it.
 func TestMutationsAreFound(t *testing.T) {
 	mutations := map[string]mutation{
-		"half is a quorum": {modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
+		"half is a quorum": {103_186, modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
 			rules.quorum = func(view modelView, has diskSet) bool {
 				return 2*len((has&view.members).disks()) >= len(view.members.disks())
 			}
 		}},
-		"promises are forgotten at a restart": {modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, crashes: 1, stands: 2}, func(rules *modelRules) {
+		"promises are forgotten at a restart": {400_000, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, crashes: 1, stands: 2}, func(rules *modelRules) {
 			rules.restart = func(disk *modelDisk) { disk.promised, disk.promisedTo = disk.accepted.epoch, disk.accepted.primary }
 		}},
-		"witnesses accept lower epochs": {modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, stands: 2}, func(rules *modelRules) {
+		"witnesses accept lower epochs": {400_000, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, stands: 2}, func(rules *modelRules) {
 			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.accepted.epoch }
 		}},
-		"one epoch is promised twice": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
+		"one epoch is promised twice": {37_411, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
 			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.promised }
 		}},
-		"anyone may succeed": {modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
+		"anyone may succeed": {148_665, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
 			rules.maySucceed = func(modelView, int) bool { return true }
 		}},
-		"one copy is enough": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
+		"one copy is enough": {289, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
 			rules.committed = func(view modelView, acks diskSet) bool { return acks != 0 }
 		}},
-		"all in-sync disks but one are enough": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
+		"all in-sync disks but one are enough": {1_049, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
 			rules.committed = func(view modelView, acks diskSet) bool {
 				return len((view.inSync &^ acks).disks()) <= 1
 			}
 		}},
-		"a question is answered without contact": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2}, func(rules *modelRules) {
+		"a question is answered without contact": {6_676, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2}, func(rules *modelRules) {
 			rules.mayAnswer = func(modelView, diskSet) bool { return true }
 		}},
-		"a copy of the state forgets the last entry": {modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
+		"a copy of the state forgets the last entry": {30_418, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
 			rules.copied = func(log modelLog) modelLog { return log.prefix(max(0, log.len()-1)) }
 		}},
-		"a lease runs without answers": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
+		"a lease runs without answers": {7_888, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
 			rules.leaseRuns = func(modelView, int, diskSet) bool { return true }
 		}},
-		"processes stand and vote while they stand by a primary": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
+		"processes stand and vote while they stand by a primary": {4_290, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
 			rules.standsRegardless = true
 		}},
-		"a witness leaves a primary that counts on it": {modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
+		"a witness leaves a primary that counts on it": {7_490, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
 			rules.abandonsEarly = true
 		}},
-		"a wiped disk votes under its old name": {modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1}, func(rules *modelRules) {
+		"a wiped disk votes under its old name": {199_596, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1}, func(rules *modelRules) {
 			rules.wipedReturns = true
 		}},
 	}
@@ -113,6 +132,7 @@
 			each.mutate(&mutant.rules)
 			found := modelcheck.Explore(mutant, mutationStates)
 			assert.Assert(t, found.Violation != "", "not found in %d states", found.States)
+			assert.Equal(t, found.States, each.states)
 			t.Logf("%d states: %s by %q", found.States, found.Violation, found.Trace)
 		})
 	}
