--- /dev/null
+++ b/internal/cluster/golden_test.go
@@ -0,0 +1,218 @@
+package cluster
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"gladepick/internal/vfs"
+)
+
+// The files under testdata were written by the first version that has these tests (`go test -update`). They stay as they
+// are: every later version has to read them, and to write the same bytes again.
+
+const (
+	goldenMessages = "messages.txt"   // messages and parts of the cluster table, a line each
+	goldenCore     = "disk"           // a disk that remembers the control group's members
+	goldenBody     = "compressed.bin" // a compressed body
+)
+
+// goldenValue is a value with every field set, by its name in the golden file.
+type goldenValue struct {
+	name string
+	full any
+}
+
+func goldenNode() NodeInfo {
+	return NodeInfo{
+		Name: "store-1", Class: "store", Zone: "zone-1", Region: "region-1", Address: "10.0.0.1:7240",
+		Incarnation: "4f2a", DiskID: "disk-1", Core: true, Store: true, Draining: true, DiskFailing: true,
+	}
+}
+
+func goldenMembers() []CoreEntry {
+	return []CoreEntry{
+		{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-2", Zone: "zone-2"},
+		{Name: "front-2", Address: "[fd00::3]:7240", DiskID: "disk-3", Zone: "zone-3"},
+	}
+}
+
+func goldenStores() []StoreEntry {
+	var stores []StoreEntry
+	for _, state := range []StoreState{StoreActive, StoreDown, StoreDraining, StoreRetiring, StoreRetired} {
+		stores = append(stores, StoreEntry{
+			Name: "store-1", Zone: "zone-1", Address: "10.0.0.1:7240", DiskID: "disk-1", Incarnation: "4f2a",
+			State: state, Unresponsive: true,
+		})
+	}
+	return stores
+}
+
+func goldenPartitions() []Partition {
+	return []Partition{{
+		ID: 17, Epoch: 1<<63 + 5,
+		Replicas:         []Replica{{Store: "store-1", DiskID: "disk-1", Synced: true}},
+		PreferredPrimary: "store-2",
+	}}
+}
+
+func goldenTable() *Table {
+	return &Table{
+		Revision: 1<<63 + 7, Primary: "front-1", Core: goldenMembers(), Stores: goldenStores(),
+		Partitions: goldenPartitions(), Copies: 3, Deliverers: 4,
+	}
+}
+
+func goldenTableChange() TableChange {
+	return TableChange{
+		Base: 1<<63 + 9, Primary: "front-2", Core: goldenMembers(), Stores: goldenStores(),
+		Partitions: goldenPartitions(), Copies: 5, Deliverers: 6,
+	}
+}
+
+func goldenWorkers() []Worker {
+	return []Worker{{
+		ID: "i-1", Service: "mail", Address: "10.0.2.1:9000", Zone: "zone-1", Version: "v2", Capacity: 8,
+		Draining: true, WarmupLeft: 1500,
+	}}
+}
+
+func goldenWorkerList() *WorkerList {
+	return &WorkerList{Epoch: 1<<63 + 11, Revision: 1<<63 + 13, Workers: goldenWorkers(), ReadAt: time.Unix(1, 0)}
+}
+
+func goldenWorkerChange() WorkerChange {
+	return WorkerChange{
+		From: WorkerVersion{Epoch: 1<<63 + 15, Revision: 1<<63 + 17}, To: WorkerVersion{Epoch: 1<<63 + 19, Revision: 1<<63 + 21},
+		Set: goldenWorkers(), Removed: []string{"i-2", "i-3"},
+	}
+}
+
+func goldenValues() []goldenValue {
+	return []goldenValue{
+		{MethodRegister + " request", goldenNode()},
+		{MethodCore + " response", CoreResponse{Core: goldenMembers(), Bootstrap: true}},
+		{MethodAnnounce + " request", CoreResponse{Core: goldenMembers(), Bootstrap: true}},
+		{MethodPing + " response", PingResponse{Name: "store-1", Incarnation: "4f2a"}},
+		{MethodSync + " request", SyncRequest{
+			Node: goldenNode(), ConfigVersion: 1<<63 + 23, TableRevision: 1<<63 + 25, WorkersEpoch: 1<<63 + 27,
+			WorkersRevision: 1<<63 + 29, WaitMS: 400,
+		}},
+		{MethodSync + " response", SyncResponse{
+			ConfigVersion: 1<<63 + 31, ConfigUpdates: []int{120, 340}, Table: goldenTable(),
+			TableChanges: []TableChange{goldenTableChange()}, Workers: goldenWorkerList(),
+			WorkerChanges: []WorkerChange{goldenWorkerChange()}, Packed: true, WorkerCount: 12, WorkersAgeMS: 250,
+			LeaseAgeMS: 35,
+		}},
+		{MethodSync + " response without a lease", SyncResponse{
+			ConfigVersion: 1, ConfigUpdates: []int{1}, Table: goldenTable(), TableChanges: []TableChange{goldenTableChange()},
+			Workers: goldenWorkerList(), WorkerChanges: []WorkerChange{goldenWorkerChange()}, Packed: true, WorkerCount: 1,
+			WorkersAgeMS: -1, LeaseAgeMS: NoLease,
+		}},
+		{MethodFailureReport + " request", FailureReport{Node: "store-1", Address: "10.0.0.1:7240", Refused: true}},
+		{MethodPartitionRequest + " request", PartitionRequest{
+			Partition: 17, Epoch: 1<<63 + 33, Store: "store-1", Drop: "store-2", Synced: "store-3", Handover: true,
+			Ready: []string{"store-4"},
+		}},
+		{MethodOperator + " request", OperatorCall{Method: "PUT", Path: "/config", Base: "12"}},
+		{MethodOperator + " response", OperatorResponse{Status: 412}},
+		{"table", *goldenTable()},
+		{"table change", goldenTableChange()},
+		{"member", goldenMembers()[0]},
+		{"store", goldenStores()[0]},
+		{"partition", goldenPartitions()[0]},
+		{"replica", goldenPartitions()[0].Replicas[0]},
+		{"worker", goldenWorkers()[0]},
+		{"worker list", *goldenWorkerList()},
+		{"worker change", goldenWorkerChange()},
+		{"worker version", goldenWorkerChange().From},
+	}
+}
+
+// TestGoldenMessages writes each value with all fields set and with none, and reads both again.
+func TestGoldenMessages(t *testing.T) {
+	var lines bytes.Buffer
+	for _, each := range goldenValues() {
+		assert.DeepEqual(t, unsetFields(reflect.ValueOf(each.full), each.name), []string(nil))
+		empty := reflect.Zero(reflect.TypeOf(each.full)).Interface()
+		for _, value := range []any{each.full, empty} {
+			encoded, err := json.Marshal(value)
+			assert.NilError(t, err)
+			lines.WriteString(each.name + "\t" + string(encoded) + "\n")
+		}
+	}
+	golden.AssertBytes(t, lines.Bytes(), goldenMessages)
+	read := strings.Split(strings.TrimSuffix(string(golden.Get(t, goldenMessages)), "\n"), "\n")
+	for i, each := range goldenValues() {
+		for _, line := range read[2*i : 2*i+2] {
+			_, encoded, _ := strings.Cut(line, "\t")
+			decoded := reflect.New(reflect.TypeOf(each.full))
+			assert.NilError(t, json.Unmarshal([]byte(encoded), decoded.Interface()))
+			again, err := json.Marshal(decoded.Interface())
+			assert.NilError(t, err)
+			assert.Equal(t, string(again), encoded)
+		}
+	}
+	assert.Equal(t, len(read), 2*len(goldenValues()))
+}
+
+// unsetFields returns the paths of the fields that have their zero value, in a value and in all that it holds.
+func unsetFields(value reflect.Value, path string) []string {
+	if value.IsZero() {
+		return []string{path}
+	}
+	var unset []string
+	switch value.Kind() {
+	case reflect.Pointer:
+		return unsetFields(value.Elem(), path)
+	case reflect.Slice:
+		for i := range value.Len() {
+			unset = append(unset, unsetFields(value.Index(i), path)...)
+		}
+	case reflect.Struct:
+		if value.Type() == reflect.TypeFor[time.Time]() {
+			return nil
+		}
+		for i := range value.NumField() {
+			unset = append(unset, unsetFields(value.Field(i), path+"."+value.Type().Field(i).Name)...)
+		}
+	}
+	return slices.Compact(unset)
+}
+
+// TestGoldenCoreFile writes the file that remembers the members of the control group, and reads it again.
+func TestGoldenCoreFile(t *testing.T) {
+	path := t.TempDir()
+	disk, err := vfs.OpenDirectory(path)
+	assert.NilError(t, err)
+	assert.NilError(t, saveCore(disk, goldenMembers()))
+	contents, err := os.ReadFile(filepath.Join(path, coreFile))
+	assert.NilError(t, err)
+	golden.AssertBytes(t, contents, filepath.Join(goldenCore, coreFile))
+	written, err := vfs.OpenDirectory(golden.Path(goldenCore))
+	assert.NilError(t, err)
+	assert.DeepEqual(t, loadCore(written), goldenMembers())
+}
+
+// TestGoldenCompressedBody reads a body that an earlier version has compressed. The compressed bytes may differ from one
+// version of the compressor to the next, so they are not compared.
+func TestGoldenCompressedBody(t *testing.T) {
+	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 200))
+	if golden.FlagUpdate() {
+		packed, worthwhile := Pack(body)
+		assert.Assert(t, worthwhile)
+		golden.AssertBytes(t, packed, goldenBody)
+	}
+	unpacked, err := Unpack(golden.Get(t, goldenBody))
+	assert.NilError(t, err)
+	assert.Assert(t, bytes.Equal(unpacked, body))
+}
