--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -6,35 +6,16 @@
 	"strings"
 )
 
-// VersionError reports a version that is not above the current one.
-type VersionError struct {
-	Next    uint64
-	Current uint64
+// checkItems finds what is wrong between the items of a document.
+func (d *Document) checkItems() Findings {
+	findings := checkUniqueNames(d.routes, fieldRoutes)
+	findings = append(findings, checkUniqueNames(d.services, fieldServices)...)
+	findings = append(findings, d.checkRouteServices()...)
+	return append(findings, d.checkRouteKeys()...)
 }
 
-// Error implements error.
-func (e *VersionError) Error() string {
-	return fmt.Sprintf("version: %d is not above the current version %d", e.Next, e.Current)
-}
-
-// CheckVersion returns a VersionError unless next is above current.
-func CheckVersion(next, current uint64) error {
-	if next > current {
-		return nil
-	}
-	return &VersionError{Next: next, Current: current}
-}
-
-// check finds what is wrong between the items of a document.
-func (d *Document) check() Findings {
-	findings := checkNames(d.routes, fieldRoutes)
-	findings = append(findings, checkNames(d.services, fieldServices)...)
-	findings = append(findings, d.checkServicesOfRoutes()...)
-	return append(findings, d.checkMatches()...)
-}
-
-// checkNames finds items of one list that share a name.
-func checkNames[Value any](items []item[Value], list string) Findings {
+// checkUniqueNames finds items of one list that share a name.
+func checkUniqueNames[Value any](items []item[Value], list string) Findings {
 	var findings Findings
 	first := make(map[string]int, len(items))
 	for i, item := range items {
@@ -42,7 +23,7 @@
 			continue // reported when it was read
 		}
 		if earlier, ok := first[item.name]; ok {
-			findings.add(itemPlace(list, i, item.name), fmt.Sprintf("%s[%d] has the same name", list, earlier))
+			findings.add(itemPath(list, i, item.name), fmt.Sprintf("%s[%d] has the same name", list, earlier))
 			continue
 		}
 		first[item.name] = i
@@ -50,8 +31,8 @@
 	return findings
 }
 
-// checkServicesOfRoutes finds routes whose service does not exist.
-func (d *Document) checkServicesOfRoutes() Findings {
+// checkRouteServices finds routes whose service does not exist.
+func (d *Document) checkRouteServices() Findings {
 	var findings Findings
 	services := make(map[string]bool, len(d.services))
 	for _, service := range d.services {
@@ -61,30 +42,30 @@
 		if route.value == nil || route.value.Service == "" || services[route.value.Service] {
 			continue
 		}
-		place := join(itemPlace(fieldRoutes, i, route.name), "service")
-		findings.add(place, strconv.Quote(route.value.Service)+" is unknown")
+		path := joinPath(itemPath(fieldRoutes, i, route.name), "service")
+		findings.add(path, strconv.Quote(route.value.Service)+" is unknown")
 	}
 	return findings
 }
 
-// hostAndPrefix is what no two routes may share.
-type hostAndPrefix struct {
+// routeKey is what no two routes may share: the host in lower case and the path prefix.
+type routeKey struct {
 	host   string
 	prefix string
 }
 
-// checkMatches finds routes that share host and prefix.
-func (d *Document) checkMatches() Findings {
+// checkRouteKeys finds routes that share host and prefix.
+func (d *Document) checkRouteKeys() Findings {
 	var findings Findings
-	first := make(map[hostAndPrefix]int, len(d.routes))
+	first := make(map[routeKey]int, len(d.routes))
 	for i, route := range d.routes {
 		if route.value == nil || route.value.Host == "" || route.value.PathPrefix == "" {
 			continue // reported when it was read
 		}
-		key := hostAndPrefix{strings.ToLower(route.value.Host), route.value.PathPrefix}
+		key := routeKey{strings.ToLower(route.value.Host), route.value.PathPrefix}
 		if earlier, ok := first[key]; ok {
-			other := itemPlace(fieldRoutes, earlier, d.routes[earlier].name)
-			findings.add(itemPlace(fieldRoutes, i, route.name), other+" has the same host and path-prefix")
+			other := itemPath(fieldRoutes, earlier, d.routes[earlier].name)
+			findings.add(itemPath(fieldRoutes, i, route.name), other+" has the same host and path-prefix")
 			continue
 		}
 		first[key] = i
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"math"
 	"strings"
-	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
@@ -17,18 +15,18 @@
 // decoder ignores fields that this version does not know.
 var decoder = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-// decode reads a JSON object into a message. It is stricter than protojson, which takes strings for numbers.
-func decode(value []byte, message proto.Message, place string) Findings {
+// decodeMessage reads a JSON object into a message. It is stricter than protojson, which takes strings for numbers.
+func decodeMessage(value []byte, message proto.Message, path string) Findings {
 	if !isKind(value, '{') {
-		return Findings{{Path: place, Problem: "must be an object"}}
+		return Findings{{Path: path, Problem: "must be an object"}}
 	}
-	if findings := checkTypes(value, message.ProtoReflect().Descriptor(), place); len(findings) > 0 {
+	if findings := checkMemberTypes(value, message.ProtoReflect().Descriptor(), path); len(findings) > 0 {
 		return findings
 	}
 	if err := decoder.Unmarshal(value, message); err != nil {
-		return Findings{{Path: place, Problem: plainText(err)}}
+		return Findings{{Path: path, Problem: plainText(err)}}
 	}
-	return checkFigures(message.ProtoReflect(), place)
+	return checkNotNegative(message.ProtoReflect(), path)
 }
 
 // plainText removes the prefix and the no-break spaces that the protobuf library puts into its errors.
@@ -37,42 +35,42 @@
 	return strings.TrimSpace(strings.TrimPrefix(text, "proto:"))
 }
 
-// checkTypes compares the members of a JSON object with the fields of a message.
-func checkTypes(object []byte, descriptor protoreflect.MessageDescriptor, place string) Findings {
+// checkMemberTypes compares the members of a JSON object with the fields of a message.
+func checkMemberTypes(object []byte, descriptor protoreflect.MessageDescriptor, path string) Findings {
 	var findings Findings
 	for _, member := range members(object) {
 		field := descriptor.Fields().ByJSONName(member.name)
 		if field == nil || string(member.value) == jsonNull {
 			continue
 		}
-		findings = append(findings, checkField(member.value, field, join(place, member.name))...)
+		findings = append(findings, checkField(member.value, field, joinPath(path, member.name))...)
 	}
 	return findings
 }
 
 // checkField checks a value against the type of its field, which may be a list.
-func checkField(value []byte, field protoreflect.FieldDescriptor, place string) Findings {
+func checkField(value []byte, field protoreflect.FieldDescriptor, path string) Findings {
 	if !field.IsList() {
-		return checkType(value, field, place)
+		return checkValueType(value, field, path)
 	}
 	if !isKind(value, '[') {
-		return Findings{{Path: place, Problem: "must be a list"}}
+		return Findings{{Path: path, Problem: "must be a list"}}
 	}
 	var findings Findings
 	for i, element := range elements(value) {
-		findings = append(findings, checkType(element, field, fmt.Sprintf("%s[%d]", place, i))...)
+		findings = append(findings, checkValueType(element, field, fmt.Sprintf("%s[%d]", path, i))...)
 	}
 	return findings
 }
 
-// checkType checks a single value against the type of its field.
-func checkType(value []byte, field protoreflect.FieldDescriptor, place string) Findings {
+// checkValueType checks a single value against the type of its field.
+func checkValueType(value []byte, field protoreflect.FieldDescriptor, path string) Findings {
 	first := value[0]
 	problem := ""
 	switch field.Kind() {
 	case protoreflect.MessageKind:
 		if first == '{' {
-			return checkTypes(value, field.Message(), place)
+			return checkMemberTypes(value, field.Message(), path)
 		}
 		problem = "must be an object"
 	case protoreflect.StringKind:
@@ -91,11 +89,11 @@
 	if problem == "" {
 		return nil
 	}
-	return Findings{{Path: place, Problem: problem}}
+	return Findings{{Path: path, Problem: problem}}
 }
 
-// checkFigures finds the figures of a message that are negative.
-func checkFigures(message protoreflect.Message, place string) Findings {
+// checkNotNegative finds the numbers of a message that are negative.
+func checkNotNegative(message protoreflect.Message, path string) Findings {
 	var findings Findings
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -106,40 +104,12 @@
 		switch field.Kind() {
 		case protoreflect.MessageKind:
 			nested := message.Get(field).Message()
-			findings = append(findings, checkFigures(nested, join(place, field.JSONName()))...)
+			findings = append(findings, checkNotNegative(nested, joinPath(path, field.JSONName()))...)
 		case protoreflect.DoubleKind:
 			if message.Get(field).Float() < 0 {
-				findings.add(join(place, field.JSONName()), "must not be negative")
+				findings.add(joinPath(path, field.JSONName()), "must not be negative")
 			}
 		}
 	}
 	return findings
 }
-
-// duration converts a figure in some unit. It saturates, and keeps what is above 0 above 0.
-func duration(figure float64, unit time.Duration) time.Duration {
-	nanoseconds := math.Round(figure * float64(unit))
-	if nanoseconds >= math.MaxInt64 {
-		return math.MaxInt64
-	}
-	if figure > 0 && nanoseconds < 1 {
-		return 1
-	}
-	return time.Duration(nanoseconds)
-}
-
-// integer converts a figure. It saturates, and cuts a fraction off.
-func integer(figure float64) int {
-	if figure >= math.MaxInt32 {
-		return math.MaxInt32
-	}
-	return int(figure)
-}
-
-// orDefault returns the value of an optional field.
-func orDefault[Value any](field *Value, absent Value) Value {
-	if field == nil {
-		return absent
-	}
-	return *field
-}
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Diff tells an operator what changed from one document to another, one line for each item. Either may be nil.
+// Diff describes to an operator what changed from one document to another, one line for each item: first the top-level
+// members, then the routes, then the services, each sorted by name. Either document may be nil.
 func Diff(a, b *Document) []string {
 	if a == nil {
 		a = &Document{}
@@ -96,7 +97,7 @@
 	return byName
 }
 
-// describeChange tells how a value changed, or returns "" where it did not. A value that is nil is absent.
+// describeChange returns how a value changed, or returns "" where it did not. A value that is nil is absent.
 func describeChange(name string, before, after []byte) string {
 	switch {
 	case before == nil:
@@ -110,7 +111,7 @@
 	}
 }
 
-// unionOfKeys returns the names that stand in either map, sorted.
+// unionOfKeys returns the names that are in either map, sorted.
 func unionOfKeys(a, b map[string][]byte) []string {
 	union := make(map[string]bool, len(a)+len(b))
 	for name := range a {
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -1,8 +1,3 @@
-// Package configuration holds the operator's configuration: reading and checking it, applying updates to it, and the
-// table of routes and services that a process makes of it.
-//
-// A document keeps the bytes that the operator sent, so that everything comes back as it was sent, also the fields that
-// this version does not know.
 package configuration
 
 import (
@@ -20,12 +15,12 @@
 	members  []member // the top-level members of raw in their order
 	version  uint64
 	limits   Limits
-	routes   []item[*Route]
-	services []item[*Service]
-	table    func() *Table
+	routes   []item[*Route]   // in the order of raw
+	services []item[*Service] // in the order of raw
+	table    func() *Table    // makes the table at the first call
 }
 
-// Parse reads a complete configuration. An error is of the type Findings, and tells everything that is wrong.
+// Parse reads a complete configuration. An error is of the type Findings, and has everything that is wrong.
 func Parse(raw []byte) (*Document, error) {
 	return ParseAfter(nil, raw)
 }
@@ -44,39 +39,39 @@
 		return nil, Findings{{Problem: "must be an object"}}
 	}
 	document := &Document{raw: raw, members: members(raw)}
-	findings := document.read(previous)
-	findings = append(findings, document.check()...)
+	findings := document.readMembers(previous)
+	findings = append(findings, document.checkItems()...)
 	if err := findings.asError(); err != nil {
 		return nil, err
 	}
-	return document.finish(), nil
+	return document.withTable(), nil
 }
 
-// read fills a document from its top-level members.
-func (d *Document) read(previous *Document) Findings {
-	findings := checkDuplicates(d.members)
+// readMembers fills a document from its top-level members.
+func (d *Document) readMembers(previous *Document) Findings {
+	findings := checkUniqueMembers(d.members)
 	header, found := readHeader(d.members)
 	findings = append(findings, found...)
 	d.version = header.GetVersion()
 	d.limits = newLimits(header.Limits)
 
-	routes, found := newItemReader(parseRoute, previous.routes).read(find(d.members, fieldRoutes), fieldRoutes)
+	routes, found := newItemReader(parseRoute, previous.routes).read(findMember(d.members, fieldRoutes), fieldRoutes)
 	findings = append(findings, found...)
-	services, found := newItemReader(parseService, previous.services).read(find(d.members, fieldServices), fieldServices)
+	services, found := newItemReader(parseService, previous.services).read(findMember(d.members, fieldServices), fieldServices)
 	findings = append(findings, found...)
 	d.routes = routes
 	d.services = services
 	return findings
 }
 
-// finish completes a document that has been checked.
-func (d *Document) finish() *Document {
+// withTable completes a document that has been checked.
+func (d *Document) withTable() *Document {
 	d.table = sync.OnceValue(func() *Table { return newTable(d) })
 	return d
 }
 
-// find returns the value of a member, or nil.
-func find(members []member, name string) []byte {
+// findMember returns the value of a member, or nil.
+func findMember(members []member, name string) []byte {
 	for _, member := range members {
 		if member.name == name {
 			return member.value
@@ -85,8 +80,8 @@
 	return nil
 }
 
-// checkDuplicates finds members that stand twice.
-func checkDuplicates(members []member) Findings {
+// checkUniqueMembers finds members whose name occurs twice.
+func checkUniqueMembers(members []member) Findings {
 	var findings Findings
 	seen := make(map[string]bool, len(members))
 	for _, member := range members {
@@ -102,7 +97,7 @@
 func readHeader(members []member) (*configurationpb.Header, Findings) {
 	text := []byte{'{'}
 	for _, name := range []string{fieldVersion, fieldLimits} {
-		value := find(members, name)
+		value := findMember(members, name)
 		if value == nil {
 			continue
 		}
@@ -114,7 +109,7 @@
 	text = append(text, '}')
 
 	header := &configurationpb.Header{}
-	findings := decode(text, header, "")
+	findings := decodeMessage(text, header, "")
 	if len(findings) == 0 && header.GetVersion() == 0 {
 		findings.add(fieldVersion, "must be above 0")
 	}
--- a/internal/configuration/equal.go
+++ b/internal/configuration/equal.go
@@ -3,9 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"math"
-	"strconv"
-	"strings"
 )
 
 // Equal tells whether two documents hold the same JSON value. The order of members and the form of numbers (90 and
@@ -47,7 +44,7 @@
 		return false
 	}
 	for _, member := range a {
-		value := find(b, member.name)
+		value := findMember(b, member.name)
 		if value == nil {
 			return false
 		}
@@ -125,43 +122,3 @@
 	}
 	return true
 }
-
-// number is a decimal number: the digits, without zeros at their ends, times ten to the exponent.
-type number struct {
-	negative bool
-	digits   string
-	exponent int64
-}
-
-// canonicalNumber returns the same for all texts of one number. It is exact, whatever the number's size.
-func canonicalNumber(text string) number {
-	mantissa, exponentText, _ := strings.Cut(strings.ToLower(text), "e")
-	negative := strings.HasPrefix(mantissa, "-")
-	whole, fraction, _ := strings.Cut(strings.TrimPrefix(mantissa, "-"), ".")
-	digits := strings.TrimLeft(whole+fraction, "0")
-	if digits == "" {
-		return number{}
-	}
-	exponent := parseExponent(exponentText) - int64(len(fraction))
-	trimmed := strings.TrimRight(digits, "0")
-	exponent += int64(len(digits) - len(trimmed))
-	return number{negative: negative, digits: trimmed, exponent: exponent}
-}
-
-// maxExponent is far above any exponent that a number may usefully have.
-const maxExponent = math.MaxInt32
-
-// parseExponent reads an exponent, which may be empty. It saturates.
-func parseExponent(text string) int64 {
-	if text == "" {
-		return 0
-	}
-	exponent, err := strconv.ParseInt(text, 10, 64)
-	if err != nil && strings.HasPrefix(text, "-") {
-		return -maxExponent
-	}
-	if err != nil {
-		return maxExponent
-	}
-	return min(max(exponent, -maxExponent), maxExponent)
-}
--- a/internal/configuration/finding.go
+++ b/internal/configuration/finding.go
@@ -10,13 +10,13 @@
 
 // Finding is one thing that is wrong in a configuration or an update.
 type Finding struct {
-	// Path tells where, as in `routes[3] "r-x" timeout-ms`.
+	// Path is where it is, as in `routes[3] "r-x" timeout-ms`. It is empty where the text as a whole is wrong.
 	Path string
-	// Problem tells what, as in "must be above 0".
+	// Problem is what is wrong, as in "must be above 0".
 	Problem string
 }
 
-// String returns the place and the problem.
+// String returns the path and the problem.
 func (f Finding) String() string {
 	if f.Path == "" {
 		return f.Problem
@@ -44,8 +44,8 @@
 }
 
 // add appends a finding.
-func (f *Findings) add(place, problem string) {
-	*f = append(*f, Finding{Path: place, Problem: problem})
+func (f *Findings) add(path, problem string) {
+	*f = append(*f, Finding{Path: path, Problem: problem})
 }
 
 // asError returns nil where nothing was found.
@@ -56,13 +56,13 @@
 	return f
 }
 
-// join appends a field's name to a place. Either may be empty.
-func join(place, field string) string {
-	if place == "" {
+// joinPath appends a field's name to a path. Either may be empty.
+func joinPath(path, field string) string {
+	if path == "" {
 		return field
 	}
 	if field == "" {
-		return place
+		return path
 	}
-	return place + " " + field
+	return path + " " + field
 }
--- /dev/null
+++ b/internal/configuration/limits.go
@@ -0,0 +1,46 @@
+package configuration
+
+import (
+	"time"
+
+	"gladepick/internal/configuration/configurationpb"
+)
+
+// Limits that apply where the operator states none, or 0.
+const (
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 256 << 10
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+)
+
+// Limits bounds what a client may send.
+type Limits struct {
+	MaxHeaderBytes int           // of the request line and all header fields
+	MaxBodyBytes   int           // of one message
+	HeaderTimeout  time.Duration // from a request's first byte to the end of its header
+	IdleTimeout    time.Duration // of a connection without a request
+}
+
+// newLimits converts the limits of a configuration, which may be nil.
+func newLimits(message *configurationpb.Limits) Limits {
+	limits := Limits{
+		MaxHeaderBytes: toInteger(message.GetMaxHeaderBytes()),
+		MaxBodyBytes:   toInteger(message.GetMaxBodyBytes()),
+		HeaderTimeout:  toDuration(message.GetHeaderTimeoutMs(), time.Millisecond),
+		IdleTimeout:    toDuration(message.GetIdleTimeoutMs(), time.Millisecond),
+	}
+	setDefault(&limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	setDefault(&limits.MaxBodyBytes, defaultMaxBodyBytes)
+	setDefault(&limits.HeaderTimeout, defaultHeaderTimeout)
+	setDefault(&limits.IdleTimeout, defaultIdleTimeout)
+	return limits
+}
+
+// setDefault replaces the zero value.
+func setDefault[Value comparable](field *Value, value Value) {
+	var zero Value
+	if *field == zero {
+		*field = value
+	}
+}
--- /dev/null
+++ b/internal/configuration/service.go
@@ -0,0 +1,57 @@
+package configuration
+
+import (
+	"net"
+	"strconv"
+
+	"gladepick/internal/configuration/configurationpb"
+)
+
+// defaultProtocol is the protocol of a service for which the operator states none.
+const defaultProtocol = "h1"
+
+// Service describes a group of workers. It must not be changed.
+type Service struct {
+	Name               string
+	HealthCheck        string  // path of the health check
+	Protocol           string  // "h1" for HTTP/1.1
+	StaticEndpoint     string  // host:port of the single endpoint; empty where the workers are discovered
+	MaxConnections     int     // of one worker, across all callers; 0 where none is stated
+	RateLimitPerSecond float64 // requests a second over all stores; 0 where there is no rate limit
+	Deduplicates       bool    // the workers recognise a repeated request; field dedup
+}
+
+// parseService reads and checks one service.
+func parseService(raw []byte) (item[*Service], Findings) {
+	message := &configurationpb.Service{}
+	findings := decodeMessage(raw, message, "")
+	if len(findings) > 0 {
+		return item[*Service]{}, findings
+	}
+	if message.GetName() == "" {
+		findings.add(fieldName, "missing")
+	}
+	if endpoint := message.GetStaticEndpoint(); endpoint != "" && !isEndpoint(endpoint) {
+		findings.add("static-endpoint", "must be host:port")
+	}
+	service := &Service{
+		Name:               message.GetName(),
+		HealthCheck:        message.GetHealthCheck(),
+		Protocol:           valueOr(message.Protocol, defaultProtocol),
+		StaticEndpoint:     message.GetStaticEndpoint(),
+		MaxConnections:     toInteger(message.GetMaxConnections()),
+		RateLimitPerSecond: message.GetRatePerS(),
+		Deduplicates:       message.GetDedup(),
+	}
+	return item[*Service]{name: service.Name, raw: raw, value: service}, findings
+}
+
+// isEndpoint tells whether a text is host:port.
+func isEndpoint(text string) bool {
+	host, port, err := net.SplitHostPort(text)
+	if err != nil || host == "" {
+		return false
+	}
+	number, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && number > 0
+}
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -3,77 +3,8 @@
 import (
 	"slices"
 	"strings"
-	"time"
-
-	"gladepick/internal/configuration/configurationpb"
-)
-
-// Limits that hold where the operator states none, or 0.
-const (
-	defaultMaxHeaderBytes = 16 << 10
-	defaultMaxBodyBytes   = 256 << 10
-	defaultHeaderTimeout  = 3 * time.Second
-	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Route says which requests are messages, and how they are delivered. It must not be changed.
-type Route struct {
-	Name          string
-	Host          string // as the operator wrote it
-	PathPrefix    string
-	Service       string
-	Type          string
-	Timeout       time.Duration // for one delivery
-	LatencyTarget time.Duration // for the acknowledgement
-	StartTarget   time.Duration // for the start of a run
-	Retention     time.Duration
-	Priority      int // 0 is the highest
-	MaxAttempts   int
-	Ordered       bool
-}
-
-// Service describes a group of workers. It must not be changed.
-type Service struct {
-	Name               string
-	HealthCheck        string
-	Protocol           string
-	StaticEndpoint     string  // host:port of the single endpoint; empty where the workers are discovered
-	MaxConnections     int     // of one worker, across all callers; 0 where none is stated
-	RateLimitPerSecond float64 // 0 where there is no ceiling
-	Deduplicates       bool
-}
-
-// Limits bounds what a client may send.
-type Limits struct {
-	MaxHeaderBytes int
-	MaxBodyBytes   int
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
-}
-
-// newLimits converts the limits of a configuration, which may be nil.
-func newLimits(message *configurationpb.Limits) Limits {
-	limits := Limits{
-		MaxHeaderBytes: integer(message.GetMaxHeaderBytes()),
-		MaxBodyBytes:   integer(message.GetMaxBodyBytes()),
-		HeaderTimeout:  duration(message.GetHeaderTimeoutMs(), time.Millisecond),
-		IdleTimeout:    duration(message.GetIdleTimeoutMs(), time.Millisecond),
-	}
-	setDefault(&limits.MaxHeaderBytes, defaultMaxHeaderBytes)
-	setDefault(&limits.MaxBodyBytes, defaultMaxBodyBytes)
-	setDefault(&limits.HeaderTimeout, defaultHeaderTimeout)
-	setDefault(&limits.IdleTimeout, defaultIdleTimeout)
-	return limits
-}
-
-// setDefault replaces the zero value.
-func setDefault[Value comparable](field *Value, value Value) {
-	var zero Value
-	if *field == zero {
-		*field = value
-	}
-}
-
 // Table is an immutable snapshot of a configuration, made for look-ups.
 type Table struct {
 	Version uint64
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -4,7 +4,7 @@
 	"gladepick/internal/configuration/configurationpb"
 )
 
-// Names of the wire that only an update has.
+// Names of JSON members that only an update has.
 const (
 	fieldUpsert = "upsert"
 	fieldRemove = "remove"
@@ -14,10 +14,10 @@
 type update struct {
 	version        uint64
 	versionRaw     []byte
-	limits         *configurationpb.Limits
+	limits         *configurationpb.Limits // nil where they stay
 	limitsRaw      []byte
-	routes         []item[*Route]
-	services       []item[*Service]
+	routes         []item[*Route]   // to add or to replace
+	services       []item[*Service] // to add or to replace
 	removeRoutes   []string
 	removeServices []string
 }
@@ -34,10 +34,10 @@
 		return nil, err
 	}
 	next := d.apply(change, len(raw))
-	if err := next.check().asError(); err != nil {
+	if err := next.checkItems().asError(); err != nil {
 		return nil, err
 	}
-	return next.finish(), nil
+	return next.withTable(), nil
 }
 
 // parseUpdate reads an update.
@@ -49,13 +49,13 @@
 		return nil, Findings{{Problem: "must be an object"}}
 	}
 	top := members(raw)
-	findings := checkDuplicates(top)
-	header, found := readHeader([]member{{name: fieldVersion, value: find(top, fieldVersion)}})
+	findings := checkUniqueMembers(top)
+	header, found := readHeader([]member{{name: fieldVersion, value: findMember(top, fieldVersion)}})
 	findings = append(findings, found...)
 
-	change := &update{version: header.GetVersion(), versionRaw: find(top, fieldVersion)}
-	findings = append(findings, change.readUpsert(find(top, fieldUpsert))...)
-	findings = append(findings, change.readRemove(find(top, fieldRemove))...)
+	change := &update{version: header.GetVersion(), versionRaw: findMember(top, fieldVersion)}
+	findings = append(findings, change.readUpsert(findMember(top, fieldUpsert))...)
+	findings = append(findings, change.readRemove(findMember(top, fieldRemove))...)
 	return change, findings
 }
 
@@ -73,35 +73,38 @@
 		return Findings{{Path: fieldUpsert, Problem: "must be an object"}}
 	}
 	upsert := members(value)
-	findings := checkDuplicates(upsert)
-	var found Findings
-	if routes := find(upsert, fieldRoutes); !isAbsent(routes) {
-		place := fieldUpsert + "." + fieldRoutes
-		u.routes, found = newItemReader(parseRoute, nil).read(routes, place)
-		findings = append(findings, found...)
-		findings = append(findings, checkNames(u.routes, place)...)
-	}
-	if services := find(upsert, fieldServices); !isAbsent(services) {
-		place := fieldUpsert + "." + fieldServices
-		u.services, found = newItemReader(parseService, nil).read(services, place)
-		findings = append(findings, found...)
-		findings = append(findings, checkNames(u.services, place)...)
-	}
-	if limits := find(upsert, fieldLimits); !isAbsent(limits) {
+	findings := checkUniqueMembers(upsert)
+	routes, found := readUpsertItems(upsert, fieldRoutes, parseRoute)
+	findings = append(findings, found...)
+	services, found := readUpsertItems(upsert, fieldServices, parseService)
+	findings = append(findings, found...)
+	u.routes, u.services = routes, services
+	if limits := findMember(upsert, fieldLimits); !isAbsent(limits) {
 		u.limitsRaw = limits
 		u.limits = &configurationpb.Limits{}
-		findings = append(findings, decode(limits, u.limits, fieldUpsert+"."+fieldLimits)...)
+		findings = append(findings, decodeMessage(limits, u.limits, fieldUpsert+"."+fieldLimits)...)
 	}
 	return findings
 }
 
+// readUpsertItems reads one list of items to add or to replace, which may be absent.
+func readUpsertItems[Value any](upsert []member, list string, parse parseItem[Value]) ([]item[Value], Findings) {
+	array := findMember(upsert, list)
+	if isAbsent(array) {
+		return nil, nil
+	}
+	path := fieldUpsert + "." + list
+	items, findings := newItemReader(parse, nil).read(array, path)
+	return items, append(findings, checkUniqueNames(items, path)...)
+}
+
 // readRemove reads the names to remove.
 func (u *update) readRemove(value []byte) Findings {
 	if isAbsent(value) {
 		return nil
 	}
 	removal := &configurationpb.Removal{}
-	findings := decode(value, removal, fieldRemove)
+	findings := decodeMessage(value, removal, fieldRemove)
 	u.removeRoutes = removal.GetRoutes()
 	u.removeServices = removal.GetServices()
 	return findings
@@ -127,7 +130,7 @@
 		case fieldVersion:
 			text = append(text, change.versionRaw...)
 		case fieldLimits:
-			text = append(text, change.limitsOr(old.value)...)
+			text = append(text, change.limitsOrOld(old.value)...)
 		case fieldRoutes:
 			text, next.routes = appendItems(text, routes)
 		case fieldServices:
@@ -143,7 +146,7 @@
 
 // membersFor returns the top-level members, with one for limits where the update brings the first.
 func (d *Document) membersFor(change *update) []member {
-	if change.limitsRaw == nil || find(d.members, fieldLimits) != nil {
+	if change.limitsRaw == nil || findMember(d.members, fieldLimits) != nil {
 		return d.members
 	}
 	extended := make([]member, 0, len(d.members)+1)
@@ -151,8 +154,8 @@
 	return append(extended, member{name: fieldLimits, key: quote(fieldLimits)})
 }
 
-// limitsOr returns the new limits, or the old ones where they stay.
-func (u *update) limitsOr(old []byte) []byte {
+// limitsOrOld returns the new limits, or the old ones where they stay.
+func (u *update) limitsOrOld(old []byte) []byte {
 	if u.limitsRaw != nil {
 		return u.limitsRaw
 	}
@@ -210,7 +213,7 @@
 	return append(text, ']'), moved
 }
 
-// separator returns what stands before a member or an element: the opening byte, or a comma.
+// separator returns what precedes a member or an element: the opening byte, or a comma.
 func separator(index int, opening byte) byte {
 	if index == 0 {
 		return opening
