--- a/internal/decision/arrivals.go
+++ b/internal/decision/arrivals.go
@@ -3,6 +3,13 @@
 // lateTicks is how many ticks before its deadline a job that waits for a worker is given up.
 const lateTicks = 2
 
+// A job waits for a worker for at most this part of its latency target; for less where waiting times can be
+// told, as then other jobs wait for the same workers, too.
+const (
+	pendingDivisor         = 2
+	reportedPendingDivisor = 4
+)
+
 // admit takes a job that has arrived: it is shed, sent, left waiting or rejected.
 func (d *Dispatcher) admit(event *Event) {
 	job := &jobState{Event: event.normalized(&d.settings)}
@@ -22,15 +29,14 @@
 	}
 }
 
-// setTimes sets until when a job is in time, and until when it may wait for a worker: half of its latency
-// target, or a quarter where waiting times can be told, as then other jobs wait for the same workers, too.
+// setTimes sets until when a job is in time, and until when it may wait for a worker.
 func (d *Dispatcher) setTimes(job *jobState) {
 	class := d.class(job)
 	job.dueAt = d.now + class.LatencyTarget
 	target := class.LatencyTarget + seconds(d.times.stretchSeconds(job, class))
-	longest := target / 2
+	longest := target / pendingDivisor
 	if d.load.reported {
-		longest = target / 4
+		longest = target / reportedPendingDivisor
 	}
 	job.pendingUntil = min(d.now+longest, job.Deadline-lateTicks*d.tick)
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -14,10 +14,10 @@
 	}
 	delay := d.delays.estimate(worker, d.now)
 	attempt := &attemptState{
-		worker:     worker,
-		sentAt:     d.now,
-		startDelay: delay,
-		waitAfter:  usualDelayFactor**delay + usualDelayTicks*d.tick.Seconds(),
+		worker:           worker,
+		sentAt:           d.now,
+		startDelay:       delay,
+		waitAfterSeconds: usualDelayFactor**delay + usualDelayTicks*d.tick.Seconds(),
 	}
 	job.attempts = append(job.attempts, attempt)
 	job.pending = false
@@ -51,7 +51,8 @@
 
 // cancel cancels an attempt that is out, once.
 func (d *Dispatcher) cancel(job *jobState, number int, attempt *attemptState) {
-	if !d.settings.Cancel || attempt.done || attempt.cancelled {
+	isOut := !attempt.done && !attempt.cancelled
+	if !d.settings.Cancel || !isOut {
 		return
 	}
 	attempt.cancelled = true
--- a/internal/decision/discovery_calls.go
+++ b/internal/decision/discovery_calls.go
@@ -18,6 +18,9 @@
 	callSpread      = 0.9
 )
 
+// failedSilenceFactor is how many times the stated silence is allowed after a call that has failed.
+const failedSilenceFactor = 2
+
 // discoveryCalls decides when the list of workers is asked for. While a watch holds, nothing is asked.
 type discoveryCalls struct {
 	polls      bool          // lists come only after Watch
@@ -47,7 +50,7 @@
 	}
 	silence := c.maxSilence
 	if failed {
-		silence *= 2
+		silence *= failedSilenceFactor
 	}
 	return c.schedule(silence, actions)
 }
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -12,22 +12,24 @@
 	drainCloseToken = 1 // close idle connections to draining workers once more
 )
 
-// The tick, at which open jobs are looked at, is a part of the shortest latency target, within bounds.
-const (
-	ticksPerLatencyTarget = 8
-	maxTick               = 50 * time.Millisecond
-	minTick               = time.Millisecond
-	// unstatedLatencyTarget stands for a target that is not stated.
-	unstatedLatencyTarget = time.Second
-)
+// ticksPerLatencyTarget is how often open jobs are looked at within the shortest latency target.
+const ticksPerLatencyTarget = 8
 
-// From so many dispatchers, or from such a price of crossing zones on, workers are met too rarely, or are
-// too unlike, to wait for one: workers count as shared by many, where waiting times can be told.
+// maxTick and minTick bound the time between two looks at open jobs.
 const (
-	manyDispatchers = 20
-	highCrossCost   = 0.05
+	maxTick = 50 * time.Millisecond
+	minTick = time.Millisecond
 )
 
+// unstatedLatencyTarget stands for a target that is not stated.
+const unstatedLatencyTarget = time.Second
+
+// manyDispatchers is from how many dispatchers on each of them meets a worker too rarely to wait for it.
+const manyDispatchers = 20
+
+// highCrossZoneCost is from which price on crossing zones counts in each choice, as a late answer does.
+const highCrossZoneCost = 0.05
+
 // Dispatcher decides for one submitter. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings Settings
@@ -84,23 +86,23 @@
 
 // sharesWorkers tells whether many dispatchers share the workers, which tell who is full.
 func sharesWorkers(settings *Settings) bool {
-	crossingCounts := settings.CrossZoneCost >= highCrossCost
+	crossingCounts := settings.CrossZoneCost >= highCrossZoneCost
 	return reportsLoad(settings) && (settings.Dispatchers >= manyDispatchers || crossingCounts)
 }
 
 // composeEstimates makes what is known of workers.
 func (d *Dispatcher) composeEstimates(random *rand.Rand) {
 	settings := &d.settings
-	locality := locality{zone: settings.Zone, splitsKind: d.shared}
+	zones := locality{zone: settings.Zone, splitsKind: d.shared}
 	d.slowStart = slowStart{initialShare: settings.SlowStartShare, duration: settings.SlowStartDuration}
 	d.workers = newWorkerTable(settings)
-	d.pools = newPools(settings, locality)
+	d.pools = newPools(settings, zones)
 	d.times = newLearnedTimes(settings)
-	d.load = newLoadEstimator(settings, locality, d.slowStart, d.times)
-	d.delays = &startDelays{locality: locality, connIdle: settings.ConnIdle}
+	d.load = newLoadEstimator(settings, zones, d.slowStart, d.times)
+	d.delays = &startDelays{locality: zones, connIdle: settings.ConnIdle}
 	d.forecasts = &forecaster{
 		settings:  settings,
-		locality:  locality,
+		locality:  zones,
 		slowStart: d.slowStart,
 		times:     d.times,
 		load:      d.load,
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -15,10 +15,12 @@
 //	locality.go        which workers are in this dispatcher's zone
 //	pools.go           the workers that a tenant's jobs go to first
 //	learned_times.go   answer and run times by class, slowness by kind
-//	slow_start.go      the share of its capacity that a warming worker has, and the budget of jobs for it
+//	slow_start.go      the share of its capacity that a warming worker has
 //	load_estimate.go   slots in use at a worker, own ones and those of other dispatchers
 //	start_delays.go    how long a job takes to start at an idle worker
 //	forecast.go        the wait at a worker, the risk of a late answer, and what a job's value lets it risk
+//	slow_start_budget.go
+//	                   the jobs that a warming worker gets
 //	send_gate.go       which attempts the rules of the deployment allow
 //	health.go          unhealthy, failing and slow workers, and who keeps off them
 //	picking.go         the choice of a worker: pools and kinds
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -85,7 +85,7 @@
 // there does not take.
 func (f *forecaster) risk(worker *workerState, job *jobState, slowness float64, now time.Duration) forecast {
 	class := &f.settings.Classes[job.Class]
-	servers := max(f.load.slotsSeen[worker.Kind]*f.slowStart.share(worker, now), 1)
+	servers := max(f.load.slotsSeen[worker.Kind]*f.slowStart.share(worker, now), minSlots)
 	utilization := busyShare((worker.ownSlots + f.load.peerSlots(worker, now)) / servers)
 	delay := *f.delays.estimate(worker, now)
 	slack := class.LatencyTarget.Seconds() - delay
@@ -94,13 +94,19 @@
 	freedPerSecond := servers * (1 - utilization) / (f.times.meanRunSeconds * slowness)
 
 	runRisk := math.Exp(-max(slack+max(gain, 0), 0) / max(-gain, minRunSeconds))
-	waitRisk := math.Pow(utilization, math.Sqrt(2*servers+2)-1) / (1 + max(gain, 0)*freedPerSecond)
+	waitRisk := waitChance(utilization, servers) / (1 + max(gain, 0)*freedPerSecond)
 	waitRisk *= math.Exp(-max(slack+min(gain, 0), 0) * freedPerSecond)
 	lateRisk := runRisk + (1-runRisk)*waitRisk
 	crossingCost := f.settings.CrossZoneCost * float64(count(!f.locality.isLocal(worker)))
 	return forecast{cost: lateRisk + delayPrice*delay + crossingCost, waitRisk: waitRisk}
 }
 
+// waitChance is the chance that a job has to wait in a queue with so many servers (Sakasegawa's
+// approximation for M/M/c).
+func waitChance(utilization, servers float64) float64 {
+	return math.Pow(utilization, math.Sqrt(2*servers+2)-1)
+}
+
 // busyShare is the part of a worker's slots that is at work, where the given multiple of them is promised:
 // nearly all of a small multiple, and below 1 for any.
 func busyShare(promised float64) float64 {
@@ -119,8 +125,9 @@
 	if firstTryIsLate(job, class, leftSeconds) {
 		value *= class.LateValue
 	}
-	tooLate := min(acceptedLoss/max(1-class.LateValue, acceptedLoss), 1)
-	return max(1-(1-tooLate)/value, tooLate*min(value, 1))
+	// Of the least value this risk costs acceptedLoss; a denser job bears more, one that earns little less.
+	leastValueRisk := min(acceptedLoss/max(1-class.LateValue, acceptedLoss), 1)
+	return max(1-(1-leastValueRisk)/value, leastValueRisk*min(value, 1))
 }
 
 // firstTryIsLate tells whether a client's first try for a repeated job is longer ago than its latency
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -19,6 +19,13 @@
 // the jobs.
 const acceptedSlowness = 2
 
+// slownessSampleWeight is the weight of a run time in its worker's slowness: one worker has fewer samples
+// than its class or kind.
+const slownessSampleWeight = 2 * sampleWeight
+
+// backoffGrowth is how many times longer each pause is than the one before it, while no answer comes.
+const backoffGrowth = 2
+
 // workerHealth is what attempts tell of a worker's health.
 type workerHealth struct {
 	unhealthy   bool          // it is silent or unreachable: it gets trial jobs only
@@ -54,7 +61,7 @@
 
 // observeSlowness takes a run time, relative to the expected one, into the worker's slowness.
 func (h *workerHealth) observeSlowness(relative float64) {
-	h.slowness += 2 * sampleWeight * (relative - h.slowness)
+	h.slowness += slownessSampleWeight * (relative - h.slowness)
 }
 
 // markUnhealthy leaves a worker to trial jobs until there is a sign of life.
@@ -63,10 +70,10 @@
 	h.retryAt = now + unhealthyRetryInterval
 }
 
-// backOff leaves a worker alone for twice as long as the last time, from least on and up to most: about the
-// time in which it frees a slot.
+// backOff leaves a worker alone for longer than the last time, from least on and up to most: about the time
+// in which it frees a slot.
 func (h *workerHealth) backOff(now, least, most time.Duration) {
-	h.backoff = min(max(2*h.backoff, least), most)
+	h.backoff = min(max(backoffGrowth*h.backoff, least), most)
 	h.backoffUntil = now + h.backoff
 }
 
--- a/internal/decision/jobs.go
+++ b/internal/decision/jobs.go
@@ -31,10 +31,10 @@
 	worker    *workerState
 	sentAt    time.Duration
 	startedAt time.Duration // 0 until the worker has told of the start
-	// waitAfter is the age, in seconds, from which an attempt that has not started waits for a slot.
-	waitAfter float64
-	// waitSeen is the age, in seconds, at which its waiting was last taken into the load estimate.
-	waitSeen float64
+	// waitAfterSeconds is the age from which an attempt that has not started waits for a slot.
+	waitAfterSeconds float64
+	// waitSeenSeconds is the age at which its waiting was last taken into the load estimate.
+	waitSeenSeconds float64
 	// startDelay is the estimate that its start will change, as the connection was at its send.
 	startDelay *float64
 	done       bool
@@ -53,13 +53,17 @@
 
 // openAttempt returns an attempt of a job if it is still out.
 func (t *jobTable) openAttempt(job *jobState, number int) *attemptState {
-	if job == nil || number < 0 || number >= len(job.attempts) {
+	if job == nil {
 		return nil
 	}
-	if job.attempts[number].done {
+	if number < 0 || number >= len(job.attempts) {
 		return nil
 	}
-	return job.attempts[number]
+	attempt := job.attempts[number]
+	if attempt.done {
+		return nil
+	}
+	return attempt
 }
 
 // removeEnded takes jobs that have left byID out of the open ones.
--- a/internal/decision/learned_times.go
+++ b/internal/decision/learned_times.go
@@ -9,6 +9,9 @@
 // sampleWeight is the weight of a sample in running means: a mean follows some twenty samples.
 const sampleWeight = 0.05
 
+// guessDivisor gives the part of its latency target that a class's answers are guessed to take.
+const guessDivisor = 2
+
 // firstAnswers is how many answers a kind's guessed slowness counts as: the first ones change it quickly.
 const firstAnswers = 4
 
@@ -41,7 +44,7 @@
 	answers        []float64 // by kind: number of OK answers of warm workers
 }
 
-// newLearnedTimes guesses that answers take half of their class's latency target on any kind.
+// newLearnedTimes guesses all times by the latency targets, alike for all kinds.
 func newLearnedTimes(settings *Settings) *learnedTimes {
 	t := &learnedTimes{
 		middleSlowness: 1,
@@ -49,7 +52,7 @@
 		answers:        make([]float64, settings.Kinds),
 	}
 	for _, class := range settings.Classes {
-		guess := class.LatencyTarget.Seconds() / 2
+		guess := class.LatencyTarget.Seconds() / guessDivisor
 		t.answerSeconds = append(t.answerSeconds, guess)
 		t.runSeconds = append(t.runSeconds, max(guess, minRunSeconds))
 	}
--- a/internal/decision/load_estimate.go
+++ b/internal/decision/load_estimate.go
@@ -126,7 +126,10 @@
 	e.observeTotalSlots(worker.Kind, report)
 	values := min(report.Count, len(report.Values))
 	hasValues := e.layout.FreeSlots < values && e.layout.Queue < values
-	if !e.reported || !hasValues || *report == worker.lastReport {
+	if !e.reported || !hasValues {
+		return
+	}
+	if *report == worker.lastReport {
 		return
 	}
 	worker.lastReport = *report
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// lateStartDivisor tells a late start: it comes after this part of the latency target.
+const lateStartDivisor = 2
+
 // lateStartShed is the part of the admitted share that is taken off at a start that comes a whole latency
 // target late.
 const lateStartShed = 0.1
@@ -23,6 +26,13 @@
 // is over.
 const minAdmittedShare = 0.02
 
+// retryAfterBase and retryAfterSpread bound the time, in ticks, after which a client is told to come back
+// while all jobs are let in.
+const (
+	retryAfterBase   = 0.5
+	retryAfterSpread = 1
+)
+
 // loadShedder holds which part of the jobs is let in. It observes late starts, rejections and answers.
 type loadShedder struct {
 	random        *rand.Rand
@@ -65,6 +75,6 @@
 // and at random lest all come together. most is the longest time that clients may be told, 0 if they are
 // told none.
 func (s *loadShedder) retryAfter(tick, most time.Duration) time.Duration {
-	drawn := tick.Seconds() * (0.5 + s.random.Float64()) / s.effectiveShare()
-	return min(seconds(drawn), most)
+	ticks := retryAfterBase + retryAfterSpread*s.random.Float64()
+	return min(seconds(tick.Seconds()*ticks/s.effectiveShare()), most)
 }
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -21,13 +21,13 @@
 	worker.runningJobs++
 	d.shedder.observeStart()
 	target := d.class(job).LatencyTarget
-	if !d.load.reported && took > target/2 { // as good as a rejection by a full worker
+	if !d.load.reported && took > target/lateStartDivisor { // as good as a rejection by a full worker
 		d.shedder.observeStrain()
 		d.backOff(worker, job)
 		d.shedder.observeLateStart(took, target)
 	}
 	observeDelay(attempt.startDelay, took.Seconds())
-	d.load.observeStart(worker, took.Seconds(), attempt.waitAfter, d.now)
+	d.load.observeStart(worker, took.Seconds(), attempt.waitAfterSeconds, d.now)
 }
 
 // backOff leaves a worker alone for about the time in which it frees a slot.
@@ -49,8 +49,9 @@
 	}
 	d.actions = d.workers.closeIdleAfterOutcome(worker, outcome, d.now, d.actions)
 	d.observeOutcome(job, attempt, outcome)
+	isAnswered := event.JobEnded || outcome == OK
 	switch {
-	case job.ended || event.JobEnded || outcome == OK:
+	case job.ended || isAnswered:
 		d.finish(job)
 	case job.inFlight():
 	case d.retries(job, attempt):
@@ -75,7 +76,10 @@
 // retries tells whether a job gets another attempt after one has ended: jobs beyond their tenant's share,
 // and those that were cancelled as hopeless, get none.
 func (d *Dispatcher) retries(job *jobState, ended *attemptState) bool {
-	return d.gate.allowsAttempt(job, d.now) && !job.overQuota && !ended.cancelled
+	if job.overQuota || ended.cancelled {
+		return false
+	}
+	return d.gate.allowsAttempt(job, d.now)
 }
 
 // observeOutcome learns from an outcome.
@@ -86,12 +90,7 @@
 		d.observeAnswer(job, attempt)
 		d.sendPending(worker)
 	case Rejected:
-		worker.lastHeardAt = d.now
-		// A key's full worker says little of the pool.
-		if len(job.attempts) > 1 || job.overQuota && job.Key == 0 {
-			d.shedder.observeStrain()
-		}
-		d.backOff(worker, job)
+		d.observeRejection(job, worker)
 	case Error:
 		worker.observeError(d.now)
 	case ConnectFailed:
@@ -99,6 +98,17 @@
 	}
 }
 
+// observeRejection learns from a worker that is full. That is a sign of too much load where the job has met
+// others, or is beyond its tenant's share; the full worker of a key says little of the pool.
+func (d *Dispatcher) observeRejection(job *jobState, worker *workerState) {
+	worker.lastHeardAt = d.now
+	isExcess := job.overQuota && job.Key == 0
+	if len(job.attempts) > 1 || isExcess {
+		d.shedder.observeStrain()
+	}
+	d.backOff(worker, job)
+}
+
 // observeAnswer learns from an answer. What a warming worker takes says nothing of run times.
 func (d *Dispatcher) observeAnswer(job *jobState, attempt *attemptState) {
 	worker := attempt.worker
@@ -119,10 +129,13 @@
 func (d *Dispatcher) sendPending(worker *workerState) {
 	var next *jobState
 	for _, job := range d.jobs.open {
-		if !job.pending || !d.health.accepts(worker, job, d.now) || !d.forecasts.hasFreeSlot(worker, job, d.now) {
+		if !job.pending || !d.health.accepts(worker, job, d.now) {
+			continue
+		}
+		if !d.forecasts.hasFreeSlot(worker, job, d.now) {
 			continue
 		}
-		if next == nil || d.load.reported && d.forecasts.density(job) > d.forecasts.density(next) {
+		if next == nil || d.goesBefore(job, next) {
 			next = job
 		}
 	}
@@ -131,6 +144,11 @@
 	}
 }
 
+// goesBefore tells whether a waiting job goes before an older one.
+func (d *Dispatcher) goesBefore(job, older *jobState) bool {
+	return d.load.reported && d.forecasts.density(job) > d.forecasts.density(older)
+}
+
 // handleClientLeft ends a job whose client has left. Where waiting times can be told its attempt is not
 // cancelled: it works on and holds its slot there, and a cancel would only lose the connection and hide
 // that.
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -96,8 +96,8 @@
 		return
 	}
 	age := (d.now - attempt.sentAt).Seconds()
-	if age > max(attempt.waitAfter, waitGrowth*attempt.waitSeen) {
-		d.load.observeWait(attempt.worker, age-attempt.waitAfter, d.now)
-		attempt.waitSeen = age
+	if age > max(attempt.waitAfterSeconds, waitGrowth*attempt.waitSeenSeconds) {
+		d.load.observeWait(attempt.worker, age-attempt.waitAfterSeconds, d.now)
+		attempt.waitSeenSeconds = age
 	}
 }
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -60,7 +60,8 @@
 // waiting times can be told. A job beyond its tenant's share has no such chance where there are several
 // pools.
 func (p *picker) mayWaitAtWorker(job *jobState, now time.Duration) bool {
-	if p.shared || !p.load.reported || job.Key != 0 {
+	waitingIsKnown := p.load.reported && !p.shared
+	if !waitingIsKnown || job.Key != 0 {
 		return false
 	}
 	if job.overQuota && len(p.pools.members) > 1 {
--- a/internal/decision/pools.go
+++ b/internal/decision/pools.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// tenantBuckets is into how many buckets tenants are hashed, and so how many pools there are at most. Two
-// keep the pools large enough for a choice between two free workers.
+// tenantBuckets is into how many buckets tenants are hashed: the first one has no label, each other one has
+// one.
 const tenantBuckets = 2
 
 // unlabelled is the label of the bucket whose tenants share the workers that no other label has.
--- a/internal/decision/power_of_two.go
+++ b/internal/decision/power_of_two.go
@@ -59,7 +59,8 @@
 	if !p.health.accepts(worker, s.job, s.now) {
 		return false
 	}
-	return s.waiting || p.shared || p.forecasts.hasFreeSlot(worker, s.job, s.now)
+	mayBeFull := s.waiting || p.shared
+	return mayBeFull || p.forecasts.hasFreeSlot(worker, s.job, s.now)
 }
 
 // prefers tells whether a worker is better for a job than another one: it has fewer own slots in use for its
--- a/internal/decision/send_gate.go
+++ b/internal/decision/send_gate.go
@@ -11,7 +11,8 @@
 
 // restrictsWorkers tells whether only some workers are open to the class.
 func (c *ClassSettings) restrictsWorkers() bool {
-	return c.WorkerKind >= 0 || len(c.AllowedKinds) > 0 || len(c.AllowedZones) > 0
+	restrictsKinds := c.WorkerKind >= 0 || len(c.AllowedKinds) > 0
+	return restrictsKinds || len(c.AllowedZones) > 0
 }
 
 // permits keeps placement: a class that restricts workers goes to no other one, and to none of unknown kind
@@ -32,7 +33,8 @@
 // retriesAnywhere tells whether a job of the class may be tried again at any worker, whatever became of its
 // attempts.
 func (c *ClassSettings) retriesAnywhere() bool {
-	return c.Idempotency == Idempotent || c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
+	dropsAllRepeats := c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
+	return c.Idempotency == Idempotent || dropsAllRepeats
 }
 
 // dropsRepeat tells whether a worker would drop a repeat of an attempt that may have run: it is in the same
--- a/internal/decision/workers.go
+++ b/internal/decision/workers.go
@@ -11,6 +11,10 @@
 // off by rounding.
 const releasedSlots = 1e-9
 
+// connectWindowDivisor gives the part of Settings.DrainCloseWithin for which an attempt that was given up
+// may still bring up its connection. The other part is left for closing it.
+const connectWindowDivisor = 2
+
 // workerState is what this dispatcher knows of one listed worker. Each concern's part is declared beside its
 // owner.
 type workerState struct {
@@ -114,7 +118,7 @@
 		return actions
 	}
 	actions = append(actions, Action{Kind: CloseIdle, Worker: worker.Worker})
-	connectWindow := t.settings.DrainCloseWithin / 2
+	connectWindow := t.settings.DrainCloseWithin / connectWindowDivisor
 	if now-worker.lastBreakAt < connectWindow {
 		actions = append(actions, Action{Kind: SetTimer, Token: drainCloseToken, Delay: connectWindow})
 	}
