--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -31,7 +31,7 @@
 	c.add(Row{Part: part, Quantity: "index in memory, of a dispatcher", Unit: bytes, Limit: storeMemory,
 		Need: heldEach * c.of("keep.memory"), Mechanism: "`messagestore/index.go`"})
 	c.add(Row{Part: part, Quantity: "delivery queue in memory", Unit: bytes, Limit: storeMemory,
-		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/queue.go`"})
+		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/backlog.go`"})
 	c.add(Row{Part: part, Quantity: "on disk (today's disk)", Unit: bytes, Limit: storeDisk,
 		Need: heldEach * c.of("keep.disk"), Mechanism: "`journal/log.go`"})
 	c.add(Row{Part: part, Quantity: "inventory of a partition, in one answer", Unit: seconds, Limit: inventorySeconds,
@@ -41,20 +41,20 @@
 func (c *calculation) retries() {
 	const part = "Retries"
 	c.add(Row{Part: part, Quantity: "heap entries of messages of destinations that are down", Unit: bytes, Limit: storeMemory,
-		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/lane.go`"})
+		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/route_queue.go`"})
 	c.add(Row{Part: part, Quantity: "attempts at destinations that have been down for an hour, of a dispatcher that holds messages of all",
-		Unit: perSecond, Limit: eventsEach, Need: destinations * downPart / pauseAfterAnHour, Mechanism: "`delivery/window.go`"})
+		Unit: perSecond, Limit: eventsEach, Need: destinations * downPart / pauseAfterAnHour, Mechanism: "`delivery/concurrency_limit.go`"})
 	c.add(Row{Part: part, Quantity: "turns of the loop, three an event, with 10,000 services", Unit: percentOfCore, Limit: storeCore,
-		Need: eventsEach * turnsPerEvent * c.of("turn.event") * nano * toPercent, Mechanism: "`delivery/agenda.go`"})
+		Need: eventsEach * turnsPerEvent * c.of("turn.event") * nano * toPercent, Mechanism: "`delivery/service_schedule.go`"})
 	c.add(Row{Part: part, Quantity: "looks at all 71,000 services, four a second", Unit: percentOfCore, Limit: storeCore,
-		Need: fullLooksPerSecond * c.of("look.service") * nano * destinations / workersPerService * toPercent, Mechanism: "`delivery/agenda.go`"})
+		Need: fullLooksPerSecond * c.of("look.service") * nano * destinations / workersPerService * toPercent, Mechanism: "`delivery/service_schedule.go`"})
 }
 
 // pauseAfterAnHour is for how long a service is left alone that has been down for an hour, in seconds: a hundredth of it;
-// internal/delivery/window.go.
+// internal/delivery/concurrency_limit.go.
 const pauseAfterAnHour = 36
 
-// fullLooksPerSecond is how often the loop looks at all services; internal/delivery/agenda.go.
+// fullLooksPerSecond is how often the loop looks at all services; internal/delivery/service_schedule.go.
 const fullLooksPerSecond = 4
 
 // turnsPerEvent: a message is submitted, started and ended.
@@ -76,7 +76,7 @@
 	c.add(Row{Part: part, Quantity: "taking in its changes, two versions a second, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
 		Need: listVersionsPerSecond * destinations * c.of("workers.change") * nano * toPercent, Mechanism: "`cluster/workerchange.go`"})
 	c.add(Row{Part: part, Quantity: "the same in the delivery engine, for all services", Unit: percentOfCore, Limit: storeCore,
-		Need: listVersionsPerSecond * destinations * c.of("workers.take") * nano * toPercent, Mechanism: "`delivery/apply.go`"})
+		Need: listVersionsPerSecond * destinations * c.of("workers.take") * nano * toPercent, Mechanism: "`delivery/reconfigure.go`"})
 	c.add(Row{Part: part, Quantity: "reading the whole list at a start", Unit: seconds, Limit: recoverSeconds,
 		Need: destinations * c.of("workers.decode") * nano, Mechanism: "`cluster/agent_sync.go`"})
 }
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -21,10 +21,11 @@
 
 const (
 	maxAnswerBytes    = 1 << 20
-	ownerRecheckAfter = 20 * time.Millisecond // the owner is asked again if so much passed before the first byte
+	ownerRecheckAfter = 20 * time.Millisecond // MayDeliver is called again if the first byte is so late
 )
 
-// attempt is one send of a message to a worker. It is made by the loop; what it reads of the loop's state is copied.
+// attempt is one send of a message to a worker. The event loop makes it and copies what it needs of the loop's state: it
+// runs on a goroutine of its own.
 type attempt struct {
 	engine    *Engine
 	adapter   *decisionAdapter
@@ -38,51 +39,54 @@
 	transport *http.Transport
 	startedAt time.Time
 
-	started    atomic.Bool // its first byte may be out
-	withdrawn  atomic.Bool
+	started    atomic.Bool // its first byte may have been sent
+	withdrawn  atomic.Bool // it was called off before its first byte
 	connection atomic.Pointer[workerConnection]
 }
 
-// launch starts an attempt, which the gate has let in.
-func (e *Engine) startAttempt(d *decisionAdapter, j *job, to *endpoint) {
+// startAttempt starts an attempt that has entered the partition gate. Its goroutine is the attempt's own; Run waits for it.
+func (e *Engine) startAttempt(adapter *decisionAdapter, j *job, target *endpoint) {
 	a := &attempt{
 		engine:    e,
-		adapter:   d,
+		adapter:   adapter,
 		job:       j,
-		endpoint:  to,
+		endpoint:  target,
 		message:   j.queued.message,
 		route:     j.route,
 		failures:  j.queued.failures,
-		address:   to.worker.Address,
-		transport: to.transport,
+		address:   target.worker.Address,
+		transport: target.transport,
 		startedAt: time.Now(),
 	}
-	if !to.static {
-		a.instance = to.worker.ID
+	if !target.static {
+		a.instance = target.worker.ID
 	}
 	e.ownerCalls.Go(a.run)
 }
 
-// fly makes the attempt, tells the owner what came of it, and then the loop.
+// run makes the attempt, notifies the owner of its result, and then the event loop. The owner comes first: what the loop
+// commits is known to it.
 func (a *attempt) run() {
-	r := a.send()
-	a.notifyOwner(&r)
+	report := a.send()
+	a.notifyOwner(&report)
 	a.engine.gates.leave(a.message.Partition)
-	a.engine.events.push(attemptEnded{a, r})
+	a.engine.events.push(attemptEnded{a, report})
 }
 
-func (a *attempt) notifyOwner(r *attemptReport) {
+// notifyOwner tells the owner of the messages what came of the attempt, and notes in the report whether the message has
+// ended.
+func (a *attempt) notifyOwner(report *attemptReport) {
 	owner := a.engine.options.Owner
-	switch r.result {
+	switch report.result {
 	case resultCompleted:
-		r.ended = true
-		owner.Ended(a.message, message.Outcome{State: message.Completed, Stamp: r.stamp})
+		report.ended = true
+		owner.Ended(a.message, message.Outcome{State: message.Completed, Stamp: report.stamp})
 	case resultRejected:
-		r.ended = true
+		report.ended = true
 		owner.Ended(a.message, deadLetter)
 	case resultFailed:
 		failures := a.failures + 1
-		if r.ended = a.route.MaxAttempts > 0 && failures >= a.route.MaxAttempts; r.ended {
+		if report.ended = a.route.MaxAttempts > 0 && failures >= a.route.MaxAttempts; report.ended {
 			owner.Ended(a.message, deadLetter)
 			return
 		}
@@ -90,11 +94,11 @@
 	}
 }
 
-// run sends the message and reads the answer.
+// send sends the message and reads the answer.
 func (a *attempt) send() attemptReport {
 	body, err := a.engine.options.Owner.Body(a.message)
 	if err != nil {
-		a.engine.logger.Warn("a message's body can't be read", zap.String("message", a.message.ID), zap.Error(err))
+		a.engine.logger.Warn("cannot read message body", zap.String("message", a.message.ID), zap.Error(err))
 		return attemptReport{result: resultBodyUnreadable}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), a.startedAt.Add(a.route.Timeout))
@@ -147,7 +151,7 @@
 	return header
 }
 
-// targetURL makes a URL that net/http writes byte for byte as the target came.
+// targetURL makes a URL that net/http writes byte for byte as the target was received.
 func targetURL(address, target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
@@ -168,8 +172,8 @@
 	}
 }
 
-// mayWrite is asked before each write: the first goes out only if the attempt may still start, and no attempt goes
-// out on a second connection.
+// admitWrite is called before each write of a connection. The first write is admitted only if the attempt may still start;
+// later ones only on the same connection, so that no attempt is sent twice.
 func (a *attempt) admitWrite(on *workerConnection) bool {
 	if a.started.Load() {
 		return a.connection.Load() == on
@@ -183,12 +187,12 @@
 	return true
 }
 
-// ownerObjects asks the owner again if some time has passed since the loop did.
+// ownerForbids calls MayDeliver again if some time has passed since the event loop did.
 func (a *attempt) ownerForbids() bool {
 	return time.Since(a.startedAt) > ownerRecheckAfter && !a.engine.options.Owner.MayDeliver(a.message.Partition)
 }
 
-// verdictOf is the verdict of an attempt that got no answer.
+// resultWithoutAnswer is the result of an attempt that got no complete answer.
 func (a *attempt) resultWithoutAnswer(ctx context.Context) attemptResult {
 	switch {
 	case a.started.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -202,18 +206,18 @@
 	}
 }
 
-// read reads the answer whole and judges it. A connection on which something is wrong is closed.
+// readAnswer reads the answer to its end and classifies it. A connection whose state is unclear is closed.
 func (a *attempt) readAnswer(ctx context.Context, answer *http.Response) attemptReport {
-	judged := classifyAnswer(answer, a.message.RequestID)
+	report := classifyAnswer(answer, a.message.RequestID)
 	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes))
 	_ = answer.Body.Close() // closes the connection unless all was read
-	if err != nil && judged.result.needsCompleteBody() {
-		judged.result = a.resultWithoutAnswer(ctx)
+	if err != nil && report.result.needsCompleteBody() {
+		report.result = a.resultWithoutAnswer(ctx)
 	}
-	if err != nil || size == maxAnswerBytes || judged.result == resultUncertain {
+	if err != nil || size == maxAnswerBytes || report.result == resultUncertain {
 		a.closeConnection()
 	}
-	return judged
+	return report
 }
 
 func (a *attempt) closeConnection() {
--- a/internal/delivery/attempt_result.go
+++ b/internal/delivery/attempt_result.go
@@ -9,20 +9,20 @@
 	"gladepick/internal/decision"
 )
 
-// verdict is what an attempt says about its message.
+// attemptResult says how an attempt ended for its message.
 type attemptResult uint8
 
 const (
 	resultCompleted        attemptResult = iota + 1 // the worker did it
 	resultRejected                                  // it can never be done
-	resultFailed                                    // this attempt failed; a later one may succeed
-	resultFull                                      // the worker had no room: not run
-	resultThrottled                                 // the service gets too much: not run
-	resultRunning                                   // another run of the message is at work: not run
+	resultFailed                                    // this attempt failed and is counted; a later one may succeed
+	resultFull                                      // the worker had no capacity: not run
+	resultThrottled                                 // the service gets too many requests: not run
+	resultRunning                                   // another attempt of the message is still running: not run
 	resultMisdirected                               // another worker has the address now: not run
 	resultUncertain                                 // it may have run
 	resultTimedOut                                  // it may have run or run still
-	resultDeadlineExceeded                          // the worker gave it up at its deadline: it may have run
+	resultDeadlineExceeded                          // the worker gave up at its deadline: it may have run
 	resultUnreachable                               // no byte was sent
 	resultWithdrawn                                 // called off before the first byte
 	resultBodyUnreadable                            // the message's body could not be read
@@ -41,22 +41,22 @@
 	headerUserAgent      = "User-Agent"
 )
 
-// result is an attempt's verdict with what belongs to it.
+// attemptReport is an attempt's result with its details.
 type attemptReport struct {
 	result    attemptResult
-	stamp     string        // of verdictCompleted
+	stamp     string        // of resultCompleted
 	ended     bool          // the message has ended with this attempt
 	keepAlive time.Duration // after which the worker closes idle connections, if it said so
 }
 
 // answered tells whether a worker dealt with the message.
-func (v attemptResult) answered() bool {
-	return v == resultCompleted || v == resultRejected || v == resultFailed || v == resultRunning
+func (r attemptResult) answered() bool {
+	return r == resultCompleted || r == resultRejected || r == resultFailed || r == resultRunning
 }
 
-// moduleOutcome is the verdict in the decision module's terms.
-func (v attemptResult) moduleOutcome(ended bool) decision.Outcome {
-	switch v {
+// moduleOutcome is the result in the decision module's terms. Ended tells whether the message has ended with the attempt.
+func (r attemptResult) moduleOutcome(ended bool) decision.Outcome {
+	switch r {
 	case resultCompleted, resultRejected:
 		return decision.OK
 	case resultFailed:
@@ -77,30 +77,30 @@
 	}
 }
 
-// judge reads the verdict from an answer's head. The body is whole or not, which the caller has to see to. An answer that
-// does not name this request tells nothing of what became of it: it may be another one's.
+// classifyAnswer reads the result from an answer's head; the caller checks that the body is complete. An answer that does
+// not name this request says nothing about it: it may be another one's.
 func classifyAnswer(answer *http.Response, requestID string) attemptReport {
-	judged := attemptReport{keepAlive: keepAliveOf(answer.Header)}
+	report := attemptReport{keepAlive: keepAliveOf(answer.Header)}
 	echoed := answer.Header.Get(headerRequestID)
 	switch {
 	case echoed != "" && echoed != requestID:
-		judged.result = resultUncertain
+		report.result = resultUncertain
 	case answer.StatusCode >= 200 && answer.StatusCode < 300:
-		judged.stamp = answer.Header.Get(headerStamp)
-		judged.result = resultUncertain
-		if judged.stamp != "" && echoed == requestID {
-			judged.result = resultCompleted
+		report.stamp = answer.Header.Get(headerStamp)
+		report.result = resultUncertain
+		if report.stamp != "" && echoed == requestID {
+			report.result = resultCompleted
 		}
 	default:
-		judged.result = classifyFailure(answer)
-		if judged.result.answered() && echoed != requestID {
-			judged.result = resultUncertain
+		report.result = classifyFailure(answer)
+		if report.result.answered() && echoed != requestID {
+			report.result = resultUncertain
 		}
 	}
-	return judged
+	return report
 }
 
-// judgeFailure reads the verdict from the head of an answer that is no success.
+// classifyFailure reads the result from the head of an answer that is not a success.
 func classifyFailure(answer *http.Response) attemptResult {
 	switch answer.StatusCode {
 	case http.StatusConflict:
@@ -126,9 +126,9 @@
 	}
 }
 
-// needsWhole tells whether the verdict holds only if the answer was read whole.
-func (v attemptResult) needsCompleteBody() bool {
-	return v == resultCompleted || v == resultRejected || v == resultFailed
+// needsCompleteBody tells whether the result holds only if the answer was read to its end.
+func (r attemptResult) needsCompleteBody() bool {
+	return r == resultCompleted || r == resultRejected || r == resultFailed
 }
 
 // keepAliveOf reads the time-out from a Keep-Alive header; 0 where there is none.
--- a/internal/delivery/commit.go
+++ b/internal/delivery/commit.go
@@ -7,53 +7,55 @@
 )
 
 const (
-	failureBackoff        = 20 * time.Millisecond // after an answer 500; half as much again at most
-	failureJitter         = 30 * time.Millisecond
-	runningBackoff        = 50 * time.Millisecond // while another run of the message is at work
-	minRetryBackoff       = 20 * time.Millisecond // grows with each
+	failureBackoff        = 20 * time.Millisecond // after an answer 500
+	failureJitter         = 30 * time.Millisecond // added to it at most
+	runningBackoff        = 50 * time.Millisecond // while another attempt of the message is running
+	minRetryBackoff       = 20 * time.Millisecond // doubles with each
 	maxRetryBackoff       = time.Second
 	maxNotRunBackoff      = 250 * time.Millisecond
 	maxBackoffDoublings   = 6
 	unreadableBodyBackoff = time.Second
 )
 
+// deadLetter is the outcome of a message that will never be completed.
 var deadLetter = message.Outcome{State: message.DeadLetter}
 
-// finishAttempt takes an attempt's result in. The owner has been told of it.
-func (e *Engine) commitAttempt(a *attempt, r attemptReport) {
-	j, d := a.job, a.adapter
+// commitAttempt applies an attempt's result to the engine's state. The owner of the messages has been notified of it before.
+func (e *Engine) commitAttempt(a *attempt, report attemptReport) {
+	j, adapter := a.job, a.adapter
 	a.endpoint.inFlight--
 	j.inFlight = false
-	j.lastResult = r.result
-	a.endpoint.shortenIdleTimeout(r.keepAlive, e.endpoints.dial)
-	d.service.recordResult(a.endpoint, r.result)
-	e.schedule.markDirty(d.service)
-	if r.result == resultFailed {
+	j.lastResult = report.result
+	a.endpoint.shortenIdleTimeout(report.keepAlive, e.endpoints.dial)
+	adapter.service.recordResult(a.endpoint, report.result)
+	e.schedule.markDirty(adapter.service)
+	if report.result == resultFailed {
 		j.queued.failures = a.failures + 1
 	}
-	if r.result.answered() {
+	if report.result.answered() {
 		j.queued.backoffs = 0
 	}
-	closed := r.ended || e.shouldRequeue(a, r.result)
-	d.reportOutcome(j, r.result.moduleOutcome(r.ended), closed)
+	closed := report.ended || e.shouldRequeue(a, report.result)
+	adapter.reportOutcome(j, report.result.moduleOutcome(report.ended), closed)
 	switch {
-	case r.ended:
-		d.forget(j)
+	case report.ended:
+		adapter.forget(j)
 		e.forgetEnded(j.queued)
 	case closed:
-		d.returnToQueue(j, 0)
+		adapter.returnToQueue(j, 0)
 	}
 }
 
-// takesBack tells whether a message that has not ended is to wait rather than be sent again at once.
-func (e *Engine) shouldRequeue(a *attempt, v attemptResult) bool {
+// shouldRequeue tells whether a message that has not ended is to be queued again rather than left to the decision module,
+// which may send it again at once.
+func (e *Engine) shouldRequeue(a *attempt, result attemptResult) bool {
 	queued := a.job.queued
 	s := a.adapter.service
-	return v == resultRunning || v == resultThrottled || v == resultBodyUnreadable ||
+	return result == resultRunning || result == resultThrottled || result == resultBodyUnreadable ||
 		queued.orphan || queued.expired(e.now()) || s.adapter != a.adapter || s.concurrency.down
 }
 
-// settle forgets a message that has ended at a worker.
+// forgetEnded drops a message that has ended with an attempt.
 func (e *Engine) forgetEnded(queued *queuedMessage) {
 	if queued.orphan {
 		delete(e.backlog.orphans, keyOf(queued.message))
@@ -62,7 +64,7 @@
 	e.remove(queued)
 }
 
-// requeue returns a message that has not ended to its lane.
+// requeue returns a message that has not ended to its route queue, after a backoff of at least retryAfter.
 func (e *Engine) requeue(j *job, retryAfter time.Duration) {
 	queued := j.queued
 	if queued.orphan {
@@ -79,7 +81,7 @@
 	e.place(queued)
 }
 
-// pauseAfter is for how long a message rests that the decider has given back.
+// requeueBackoff is for how long a message of a job that has ended is not dispatched again.
 func (e *Engine) requeueBackoff(j *job) time.Duration {
 	switch j.lastResult {
 	case resultFailed:
@@ -92,7 +94,7 @@
 		return e.exponentialBackoff(j.queued, maxRetryBackoff)
 	}
 	if !e.mayDeliver(j.queued) || j.lastResult != 0 && e.serviceDown(j) {
-		return 0 // its partition is parked, or the service pauses as a whole
+		return 0 // its partition is parked, or the service as a whole is in backoff
 	}
 	return e.exponentialBackoff(j.queued, maxNotRunBackoff)
 }
@@ -102,9 +104,9 @@
 	return s != nil && s.concurrency.down
 }
 
-// growingPause doubles with each of a message's retries.
+// exponentialBackoff doubles with each backoff of a message in a row.
 func (e *Engine) exponentialBackoff(queued *queuedMessage, longest time.Duration) time.Duration {
-	pause := min(minRetryBackoff<<queued.backoffs, longest)
+	backoff := min(minRetryBackoff<<queued.backoffs, longest)
 	queued.backoffs = min(queued.backoffs+1, maxBackoffDoublings)
-	return jitter(pause, e.random)
+	return jitter(backoff, e.random)
 }
--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -1,8 +1,10 @@
 package delivery
 
 import (
+	"slices"
 	"time"
 
+	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
 	"gladepick/internal/configuration"
@@ -10,46 +12,48 @@
 )
 
 const (
-	tenantCount      = 8 // buckets of route names, from which the decision module's pools arise
+	tenantCount      = 8 // route names are hashed to so many tenants of the decision module
 	maxSendsPerJob   = 6
 	moduleTick       = 50 * time.Millisecond
-	timeoutsPerJob   = 2 // a job ends after so many timeouts of its route
+	timeoutsPerJob   = 2 // a job's deadline, in timeouts of its route
 	minLatencyTarget = 100 * time.Millisecond
 	ownZone          = 0
 	workerKinds      = 1
 )
 
-// decider is the host of one decision module: it tells the module what happens and carries out its actions.
+// decisionAdapter connects a service to a decision module of its own: it translates what happens into the module's events
+// and executes the module's actions. The module does no I/O and starts no goroutines; everything here runs on the event
+// loop.
 type decisionAdapter struct {
 	service  *service
 	module   *decision.Dispatcher
 	classes  map[string]int // by route name
 	jobs     map[decision.JobID]*job
 	lastID   decision.JobID
-	events   []decision.Event
+	events   []decision.Event // not handled yet
 	actions  []decision.Action
-	lastList []decision.Entry // the last whole list, unless it has changed since
+	lastList []decision.Entry // the last full list, unless changes were sent since
 	handling bool
 }
 
-// job is a message that the decision module has.
+// job is a message that the decision module has, until its attempt has ended or the message is queued again.
 type job struct {
 	id          decision.JobID
 	queued      *queuedMessage
 	route       *configuration.Route
 	sends       int
 	worker      decision.WorkerID // of the last send
-	hasToken    bool              // a send is paid for
+	hasToken    bool              // a token of the rate limiter is taken for the next send
 	inFlight    bool
-	ownZoneOnly bool          // offered to the own zone's workers only
+	ownZoneOnly bool          // only workers of the own zone may take it
 	lastResult  attemptResult // of the last attempt
 }
 
-// newDecider makes a decision module for a service as it is now.
+// newDecisionAdapter makes a decision module for a service as it is now.
 func newDecisionAdapter(s *service) (*decisionAdapter, error) {
 	module, err := decision.New(moduleSettings(s.routes), s.engine.random.Uint64())
 	if err != nil {
-		return nil, err
+		return nil, trace.Wrap(err)
 	}
 	made := &decisionAdapter{service: s, module: module, jobs: make(map[decision.JobID]*job), classes: make(map[string]int)}
 	for i, route := range s.routes {
@@ -76,16 +80,16 @@
 		settings.Classes = append(settings.Classes, classSettings(route))
 		settings.Tenants[tenantOf(route.Name)].Share += 1 / float64(len(routes))
 	}
-	for _, anywhere := range settings.Classes[:len(routes)] {
-		near := anywhere
-		near.AllowedZones = []int{ownZone}
-		settings.Classes = append(settings.Classes, near)
+	for _, allZones := range settings.Classes[:len(routes)] {
+		ownZoneOnly := allZones
+		ownZoneOnly.AllowedZones = []int{ownZone}
+		settings.Classes = append(settings.Classes, ownZoneOnly)
 	}
 	return settings
 }
 
-// classSettings describes a route's messages. The aim also tells the module after how long a silence to doubt a
-// worker, so it is no shorter than an attempt may take.
+// classSettings describes a route's messages. By the latency target the module also judges when a worker does not answer,
+// so it is no shorter than an attempt may take.
 func classSettings(route *configuration.Route) decision.ClassSettings {
 	return decision.ClassSettings{
 		LatencyTarget: max(route.StartTarget, route.Timeout, minLatencyTarget),
@@ -100,35 +104,49 @@
 // tenantOf hashes a route's name to a tenant, alike at all stores.
 func tenantOf(route string) int { return int(stableHash(route) % tenantCount) }
 
-// listAll tells the module of all destinations.
+// sendWorkerList tells the module of all endpoints, unless it knows that list already.
 func (d *decisionAdapter) sendWorkerList() {
 	event := decision.Event{Kind: decision.EventList, List: decision.ListFull}
 	event.Entries = make([]decision.Entry, 0, len(d.service.endpoints))
-	for _, to := range d.service.endpoints {
-		event.Entries = append(event.Entries, to.listEntry())
+	for _, target := range d.service.endpoints {
+		event.Entries = append(event.Entries, target.listEntry())
 	}
 	if !d.isLastList(event.Entries) {
 		d.handle(&event)
 	}
 }
 
-// listChanged tells the module of some destinations.
+// sendWorkerChanges tells the module of some endpoints.
 func (d *decisionAdapter) sendWorkerChanges(changed []*endpoint) {
 	event := decision.Event{Kind: decision.EventList, List: decision.ListDelta}
-	for _, to := range changed {
-		event.Entries = append(event.Entries, to.listEntry())
+	for _, target := range changed {
+		event.Entries = append(event.Entries, target.listEntry())
 	}
 	d.lastList = nil
 	d.handle(&event)
 }
 
-// offer hands a message to the module. A token has been seen to be there. If the module holds the message although
-// there are workers that nothing speaks against, it is offered once more after the module's doubts have been cleared:
-// it doubts a worker as soon as one of its runs is slow.
+// isLastList tells whether a list is the one that the module knows already. If it is not, it becomes that list.
+func (d *decisionAdapter) isLastList(entries []decision.Entry) bool {
+	if d.lastList != nil && slices.Equal(d.lastList, entries) {
+		return true
+	}
+	d.lastList = entries
+	return false
+}
+
+// offer submits a message to the module, when the rate limiter is known to have a token. If the module finds no worker for
+// it although some are not ejected and have capacity, it is submitted once more after their health has been reset: the
+// module suspects a worker as soon as one of its answers is slow.
 func (d *decisionAdapter) offer(queued *queuedMessage, route *configuration.Route) {
 	now := d.service.engine.now()
 	queued.state = dispatched
-	offered := &job{queued: queued, route: route, hasToken: d.service.rateLimiter.tryTake(now), ownZoneOnly: d.service.hasOwnZoneCapacity()}
+	offered := &job{
+		queued:      queued,
+		route:       route,
+		hasToken:    d.service.rateLimiter.tryTake(now),
+		ownZoneOnly: d.service.hasOwnZoneCapacity(),
+	}
 	d.service.pending++
 	d.submit(offered, now)
 	if offered.ownZoneOnly && d.isPending(offered) {
@@ -140,14 +158,15 @@
 	}
 }
 
-// offerAnywhere offers a message that the own zone's workers can't take to those of all zones.
+// offerToAllZones submits a job that the own zone's workers can't take to the workers of all zones.
 func (d *decisionAdapter) offerToAllZones(j *job) {
 	d.withdraw(j)
 	j.ownZoneOnly = false
 	d.submit(j, d.service.engine.now())
 }
 
-// class is the decision module's class of a job: each route has one for the own zone's workers, behind those for all.
+// class is the decision module's class of a job. Each route has two: the first half are for the workers of all zones, the
+// second half for those of the own zone.
 func (d *decisionAdapter) class(j *job) int {
 	class := d.classes[j.route.Name]
 	if j.ownZoneOnly {
@@ -156,13 +175,13 @@
 	return class
 }
 
-// withdraw takes a job that the module holds away from it.
-func (d *decisionAdapter) withdraw(held *job) {
-	d.handle(&decision.Event{Kind: decision.EventClientLeft, Job: held.id})
-	delete(d.jobs, held.id)
+// withdraw takes a pending job back from the module.
+func (d *decisionAdapter) withdraw(pending *job) {
+	d.handle(&decision.Event{Kind: decision.EventClientLeft, Job: pending.id})
+	delete(d.jobs, pending.id)
 }
 
-// releaseHeld returns all messages that the module holds to their lanes.
+// returnPending returns the messages of all pending jobs to their route queues.
 func (d *decisionAdapter) returnPending() {
 	for _, j := range d.jobs {
 		if d.isPending(j) {
@@ -172,7 +191,7 @@
 	}
 }
 
-// submit gives a job a number and tells the module of it.
+// submit gives a job a new id and submits it to the module.
 func (d *decisionAdapter) submit(j *job, now time.Duration) {
 	d.lastID++
 	j.id, j.sends = d.lastID, 0
@@ -183,10 +202,11 @@
 	})
 }
 
-// holds tells whether the module has a job and no attempt of it is out.
+// isPending tells whether the module has a job and no attempt of it is in flight.
 func (d *decisionAdapter) isPending(j *job) bool { return d.jobs[j.id] == j && !j.inFlight }
 
-// handle gives the module an event and carries out what follows, in order. Events that arise meanwhile come after it.
+// handle gives the module an event and executes the actions that follow, in order. Events that they cause are handled after
+// them.
 func (d *decisionAdapter) handle(event *decision.Event) {
 	d.events = append(d.events, *event)
 	if d.handling {
@@ -205,6 +225,7 @@
 	d.handling = false
 }
 
+// execute carries out one action of the module.
 func (d *decisionAdapter) execute(action *decision.Action) {
 	switch action.Kind {
 	case decision.Send:
@@ -220,13 +241,13 @@
 	case decision.SetTimer:
 		due := d.service.engine.now() + action.Delay
 		d.service.engine.timers.add(timer{due: due, adapter: d, token: action.Token})
-	default: // the settings rule the others out
-		d.service.engine.logger.Warn("the decision module asked for an action that is not allowed",
-			zap.Uint8("kind", uint8(action.Kind)))
+	default: // the module's settings rule the others out
+		d.service.engine.logger.Warn("decision module asked for an unsupported action",
+			zap.Uint8("action", uint8(action.Kind)))
 	}
 }
 
-// send starts an attempt if nothing is against it, else tells the module why there is none.
+// send starts an attempt at a worker if everything permits it, else tells the module why there is none.
 func (d *decisionAdapter) send(j *job, to decision.WorkerID) {
 	j.sends++
 	j.worker = to
@@ -251,26 +272,26 @@
 	}
 }
 
-// decline takes a job back from the module, as its message may not be sent now.
+// decline ends a job whose message may not be sent now.
 func (d *decisionAdapter) decline(j *job) {
 	d.reportOutcome(j, decision.NeverSent, true)
 	d.returnToQueue(j, 0)
 }
 
-// report tells the module how the last send of a job ended, and whether the job has ended with it.
+// reportOutcome tells the module how the last send of a job ended, and whether the job has ended with it.
 func (d *decisionAdapter) reportOutcome(j *job, outcome decision.Outcome, closed bool) {
 	d.handle(&decision.Event{
 		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, JobEnded: closed,
 	})
 }
 
-// giveBack returns a job's message to its lane.
+// returnToQueue ends a job and returns its message to its route queue.
 func (d *decisionAdapter) returnToQueue(j *job, retryAfter time.Duration) {
 	d.forget(j)
 	d.service.engine.requeue(j, retryAfter)
 }
 
-// drop forgets a job.
+// forget ends a job. A token that it has not used is returned.
 func (d *decisionAdapter) forget(j *job) {
 	delete(d.jobs, j.id)
 	d.service.pending--
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	usableConnections  = 0.9 // of a worker's connections, by all callers together
+	usableConnections  = 0.9 // the share of a worker's connections that all callers use together
 	slotOvercommit     = 1.5 // of a worker's capacity, by all callers together: some messages wait at the worker
 	minSlots           = 2   // that each caller may use where the worker has them, or a backlog drains too slowly
-	defaultConnections = 32  // where the service states none
+	defaultConnections = 32  // where the service's definition states none
 	maxIdleTimeout     = 4 * time.Second
 	idleTimeoutShare   = 0.8 // of the time after which the worker closes idle connections
 	misdirectedPause   = 2 * time.Second
@@ -23,7 +23,7 @@
 	maxEjection        = time.Second
 )
 
-// destination is one worker, or a service's static endpoint. All but leaving belongs to the loop.
+// endpoint is one worker, or a service's static endpoint. Everything but unavailable belongs to the event loop.
 type endpoint struct {
 	worker      cluster.Worker
 	static      bool
@@ -31,12 +31,12 @@
 	zone        int
 	unavailable atomic.Bool // it drains, has left or is another worker than expected: nothing may be sent to it
 
-	inFlight         int
-	limit            int
-	backoff          time.Duration
-	ejectedUntil     time.Duration // its last attempts failed: doubts of the decision module are not cleared before
-	misdirectedUntil time.Duration // another worker answered at its address
-	healthResetAt    time.Duration // when doubts were cleared last
+	inFlight         int           // attempts
+	limit            int           // of attempts in flight
+	backoff          time.Duration // how long the last ejection lasts
+	ejectedUntil     time.Duration // its last attempts failed: its health is not reset before
+	misdirectedUntil time.Duration // another worker answered at its address; 0 for no
+	healthResetAt    time.Duration // when the decision module was last told to forget its failures
 	idleTimeout      time.Duration
 	transport        *http.Transport
 }
@@ -44,7 +44,7 @@
 // ready tells whether messages may be sent to it.
 func (e *endpoint) ready() bool { return !e.unavailable.Load() }
 
-// setLimit bounds the destination's own attempts by the service's definition and the number of callers.
+// setLimit bounds the attempts in flight by the service's definition and the number of callers that share the worker.
 func (e *endpoint) setLimit(service *configuration.Service, share int, dial dialer) {
 	connections := float64(defaultConnections)
 	if service.MaxConnections > 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-// learnIdleTime keeps idle connections for less than the worker does.
+// shortenIdleTimeout has idle connections closed before the worker closes them.
 func (e *endpoint) shortenIdleTimeout(keepAlive time.Duration, dial dialer) {
 	idle := time.Duration(float64(keepAlive) * idleTimeoutShare)
 	if keepAlive > 0 && idle < e.idleTimeout {
@@ -83,16 +83,17 @@
 	}
 }
 
-// answered notes that the worker is there and works.
+// recordAnswer ends the ejection: the worker answers.
 func (e *endpoint) recordAnswer() { e.backoff, e.ejectedUntil = 0, 0 }
 
-// troubled notes that the worker is full or silent or does not answer properly.
+// eject leaves the worker alone for a time that doubles with each ejection: it is full or silent or does not answer
+// properly.
 func (e *endpoint) eject(now time.Duration) {
 	e.backoff = min(max(2*e.backoff, minEjection), maxEjection)
 	e.ejectedUntil = now + e.backoff
 }
 
-// entry is the destination as the decision module's list has it.
+// listEntry is the endpoint as the decision module's list has it.
 func (e *endpoint) listEntry() decision.Entry {
 	state := decision.Ready
 	if !e.ready() {
--- a/internal/delivery/endpoint_set.go
+++ b/internal/delivery/endpoint_set.go
@@ -14,16 +14,17 @@
 // staticPrefix marks the ids of static endpoints, which are on no list.
 const staticPrefix = "static "
 
-// destinations holds all workers that messages may be sent to, and those that attempts are still out to.
+// endpointSet holds the endpoints of all services. Workers that have left are in no set any more, but attempts in flight
+// keep theirs.
 type endpointSet struct {
 	dial  dialer
 	zones map[string]int // the own zone is 0
 
-	mutex  sync.Mutex // guards what follows; the loop alone changes byID
+	mutex  sync.Mutex // guards latest and byID; the event loop alone changes byID
 	latest []cluster.Worker
 	byID   map[string]*endpoint
 
-	byWorkerID map[decision.WorkerID]*endpoint
+	byWorkerID map[decision.WorkerID]*endpoint // belongs to the event loop
 }
 
 func newEndpointSet(options Options) *endpointSet {
@@ -35,7 +36,8 @@
 	}
 }
 
-// publish takes a new list. From now on nothing is sent to workers that are not ready on it.
+// publish takes over a new list. From now on no attempt is sent to workers that are not ready on it, even if the event loop
+// has not seen the list yet.
 func (s *endpointSet) publish(workers []cluster.Worker) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -43,7 +45,7 @@
 	s.markUnavailable()
 }
 
-// markLeaving marks the workers that the latest list does not show as ready. The mutex is held.
+// markUnavailable marks the workers that the latest list does not show as ready. The mutex is held.
 func (s *endpointSet) markUnavailable() {
 	ready := make(map[string]cluster.Worker, len(s.latest))
 	for _, worker := range s.latest {
@@ -59,7 +61,7 @@
 	}
 }
 
-// update brings the destinations in line with the latest list.
+// reconcile brings the endpoints in line with the latest list.
 func (s *endpointSet) reconcile() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -78,8 +80,8 @@
 
 func compareWorkerIDs(a, b cluster.Worker) int { return cmp.Compare(a.ID, b.ID) }
 
-// take enters one worker of the list. A worker that moved, or is back after it was leaving, becomes a new destination:
-// attempts under way to the old one go on seeing that it left.
+// upsert adds or updates one worker of the list. A worker that moved, or is back after it was unavailable, becomes a new
+// endpoint: attempts in flight to the old one still see that it left.
 func (s *endpointSet) upsert(worker cluster.Worker) {
 	known := s.byID[worker.ID]
 	moved := known != nil && (known.worker.Address != worker.Address || known.worker.Service != worker.Service)
@@ -95,7 +97,7 @@
 	fresh.unavailable.Store(worker.Draining)
 }
 
-// add makes a destination. Its number arises from its id alone, except where two have the same.
+// add makes an endpoint. Its worker id is a hash of the worker's name, except where two have the same.
 func (s *endpointSet) add(id string, worker cluster.Worker) *endpoint {
 	fresh := &endpoint{worker: worker, workerID: stableHash(id), zone: s.zoneOf(worker.Zone), idleTimeout: maxIdleTimeout}
 	for s.byWorkerID[fresh.workerID] != nil {
@@ -121,7 +123,7 @@
 	return number
 }
 
-// listed returns the destinations of all services that stand on the list, by service and number.
+// byService returns the endpoints on the list by the names of their services, in the order of their worker ids.
 func (s *endpointSet) byService() map[string][]*endpoint {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -137,7 +139,7 @@
 	return found
 }
 
-// static returns the destination of a service's static endpoint.
+// staticEndpoint returns a service's static endpoint, and makes it if there is none.
 func (s *endpointSet) staticEndpoint(service *configuration.Service) *endpoint {
 	id := staticPrefix + service.Name + " " + service.StaticEndpoint
 	s.mutex.Lock()
@@ -150,7 +152,7 @@
 	return fresh
 }
 
-// dropStatic forgets the static endpoints that no service has any more.
+// removeUnusedStatic removes the static endpoints that no service has any more.
 func (s *endpointSet) removeUnusedStatic(used map[*endpoint]bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -169,9 +171,9 @@
 	}
 }
 
-// numberOf makes the decision module's number of a worker from its id, alike in all processes.
-func stableHash(id string) decision.WorkerID {
+// stableHash makes the decision module's number of a worker or a route from its name, alike in all processes.
+func stableHash(name string) decision.WorkerID {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(id)) // never fails
+	_, _ = hash.Write([]byte(name)) // never fails
 	return decision.WorkerID(hash.Sum32())
 }
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -1,9 +1,3 @@
-// Package delivery hands committed messages to workers over HTTP/1.1 when they are due.
-//
-// An Engine keeps the messages that have not ended, in order by due time and by order key. One goroutine, the loop,
-// owns all of that state; the exported methods post typed events to it and return at once. Which worker takes a
-// message, and whether a message is tried again at once, is decided by the package decision: the loop keeps one
-// decision.Dispatcher per service and carries out its actions. Attempts run in goroutines of their own.
 package delivery
 
 import (
@@ -20,9 +14,10 @@
 	"gladepick/internal/network"
 )
 
-// Owner keeps the messages that an Engine delivers. Its methods are never called with locks of the engine held.
+// Owner keeps the messages that an Engine delivers. Its methods are called without locks of the engine, and from several
+// goroutines. MayDeliver is also called by the event loop, so it returns at once; the others may take their time.
 type Owner interface {
-	// Body returns a message's body. It is asked once for each attempt.
+	// Body returns a message's body. It is called once for each attempt; after an error the message is tried again later.
 	Body(m *message.Message) ([]byte, error)
 	// MayDeliver tells whether deliveries of a partition may start now.
 	MayDeliver(partition int) bool
@@ -33,52 +28,48 @@
 	Ended(m *message.Message, outcome message.Outcome)
 }
 
-// Options are what an Engine is made of.
+// Options configure an Engine.
 type Options struct {
 	Name    string // the store's name, for logs
-	Zone    string // the store's zone: its workers are preferred
+	Zone    string // the store's zone, whose workers are preferred
 	Network network.Network
 	Owner   Owner
 	Logger  *zap.Logger
-	Seed    uint64
-	// Drain is how long after a worker is known to leave a message may still reach it.
+	Seed    uint64 // of all random choices
+	// Drain is how long after a worker is known to drain a message may still reach it.
 	Drain time.Duration
-	// ConnectionShare tells by how many callers a worker's connections and slots are divided; nil means one.
+	// ConnectionShare returns the number of callers among which a worker's connections and slots are divided. The event
+	// loop calls it often. Nil means one.
 	ConnectionShare func() int
 }
 
-// Engine delivers messages. Make it with New and start it with Run; messages may be submitted before that.
+// Engine delivers messages. Make it with New and start it with Run; messages may be submitted before that. All methods may
+// be called at any time, by any goroutine.
 type Engine struct {
 	options    Options
 	logger     *zap.Logger
 	started    time.Time
 	events     eventQueue
 	gates      *partitionGates
-	ownerCalls sync.WaitGroup // goroutines that call the owner
-	random     *rand.Rand
+	ownerCalls sync.WaitGroup // goroutines that call the owner: attempts and notifications
 	gauges     gauges
 
-	// What follows belongs to the loop.
+	// What follows belongs to the event loop. Times are on the engine's clock.
+	random          *rand.Rand // the order of draws is part of the behaviour
 	timers          timerQueue
 	table           *configuration.Table
-	deliverers      int
+	deliverers      int // the stores among which rate limits are divided
 	backlog         *backlog
 	services        map[string]*service
 	endpoints       *endpointSet
-	parkedRecheckAt map[int]time.Duration // partitions that may not deliver, with the time of their next look
-	ended           []endedMessage        // collected in a turn of the loop, reported after it
-	nextExpiry      time.Duration         // no queued message expires before
-	schedule        serviceSchedule       // which services need a look
-	lastFullSweep   time.Duration         // when all services were last looked at
+	parkedRecheckAt map[int]time.Duration // when to recheck the partitions that have parked messages
+	ended           []endedMessage        // collected in a turn, reported at its end
+	nextExpiry      time.Duration         // no message expires before
+	schedule        serviceSchedule
+	lastFullSweep   time.Duration // when all services were run last
 }
 
-// ending is a message that ended without an attempt.
-type endedMessage struct {
-	message *message.Message
-	outcome message.Outcome
-}
-
-// New makes an engine.
+// New makes an engine. It starts no goroutine.
 func New(options Options) *Engine {
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
@@ -101,7 +92,8 @@
 }
 
 // Run delivers messages until the context ends. Then it starts no more attempts, waits for those in flight, which take
-// up to the longest timeout of a route, and returns when the owner has been told of them.
+// up to the longest timeout of a route, and returns when the owner has been notified of their results. The event loop runs
+// on the caller's goroutine.
 func (e *Engine) Run(ctx context.Context) {
 	e.loop(ctx)
 	e.gates.pause()
@@ -109,32 +101,33 @@
 	e.endpoints.closeAll()
 }
 
-// SetConfiguration swaps the operator's configuration.
+// SetConfiguration replaces the operator's configuration. An older version than the present one is ignored.
 func (e *Engine) SetConfiguration(table *configuration.Table) {
 	e.events.push(configurationChanged{table})
 }
 
-// SetWorkers swaps the list of workers.
+// SetWorkers replaces the list of workers. No attempt is sent to a worker that drains or is missing once it has returned.
 func (e *Engine) SetWorkers(workers []cluster.Worker) {
 	e.endpoints.publish(workers)
 	e.events.push(workersChanged{})
 }
 
-// SetDeliverers tells by how many stores the services' rate ceilings are divided.
+// SetDeliverers sets the number of stores among which the services' rate limits are divided.
 func (e *Engine) SetDeliverers(n int) { e.events.push(deliverersChanged{max(n, 1)}) }
 
-// Submit hands in a committed message of a partition that this store leads, and how often it has failed so far.
+// Submit hands in a committed message of a partition that this store leads, and how often workers have answered 500 to it
+// so far.
 func (e *Engine) Submit(m *message.Message, failures int) {
 	e.events.push(submitted{m, failures, e.gates.generation(m.Partition)})
 }
 
-// Release forgets what is queued of a partition that is led elsewhere now. No attempt of it starts after Release has
-// returned; those in flight go on, and the owner is told of their ends.
+// Release drops the queued messages of a partition that is led elsewhere now. No attempt of them starts after Release has
+// returned; those in flight go on, and the owner is notified of their results.
 func (e *Engine) Release(partition int) {
 	e.events.push(released{partition, e.gates.release(partition)})
 }
 
-// Pause lets no attempt start until Resume. It holds when it returns.
+// Pause lets no attempt start until Resume. It is in force when it returns.
 func (e *Engine) Pause() { e.gates.pause() }
 
 // Resume ends a Pause.
@@ -143,7 +136,7 @@
 	e.events.push(resumed{})
 }
 
-// PausePartition lets no attempt of a partition start until ResumePartition. It holds when it returns.
+// PausePartition lets no attempt of a partition start until ResumePartition. It is in force when it returns.
 func (e *Engine) PausePartition(partition int) { e.gates.pausePartition(partition) }
 
 // ResumePartition ends a PausePartition.
@@ -152,16 +145,16 @@
 	e.events.push(partitionResumed{partition})
 }
 
-// InFlight is how many attempts are out, or have ended without the owner knowing yet.
+// InFlight is the number of attempts that have started and of whose result the owner has not been notified yet.
 func (e *Engine) InFlight() int { return e.gates.inFlight() }
 
 // InFlightOf is InFlight of one partition.
 func (e *Engine) InFlightOf(partition int) int { return e.gates.inFlightOf(partition) }
 
-// now is the engine's clock. It starts above zero, as the decision module takes zero for "never".
+// now is the time on the engine's clock. It starts above zero, as the decision module takes zero for "never".
 func (e *Engine) now() time.Duration { return clockStart + time.Since(e.started) }
 
-// at converts a moment to the engine's clock.
+// at converts a time to the engine's clock. The zero time stays zero.
 func (e *Engine) at(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return 0
@@ -170,6 +163,6 @@
 }
 
 const (
-	clockStart = time.Hour
-	never      = time.Duration(1<<63 - 1)
+	clockStart = time.Hour                // on the engine's clock, when the engine is made
+	never      = time.Duration(1<<63 - 1) // later than all times on the engine's clock
 )
--- /dev/null
+++ b/internal/delivery/enqueue.go
@@ -0,0 +1,74 @@
+package delivery
+
+import "gladepick/internal/message"
+
+// enqueue takes in a submitted message.
+func (e *Engine) enqueue(m *message.Message, failures int, generation uint64) {
+	if generation < e.gates.generation(m.Partition) {
+		return // its partition was released meanwhile
+	}
+	if orphan := e.backlog.orphans[keyOf(m)]; orphan != nil {
+		e.reclaim(orphan, failures, generation)
+		return
+	}
+	queued := &queuedMessage{message: m, failures: failures, generation: generation, due: e.at(m.DueAt), expires: never}
+	if !m.ExpiresAt.IsZero() {
+		queued.expires = e.at(m.ExpiresAt)
+	}
+	e.nextExpiry = min(e.nextExpiry, queued.expires)
+	e.backlog.link(queued)
+	e.place(queued)
+}
+
+// reclaim takes an orphan back into the backlog: its partition was released and has come back while its attempt is in
+// flight.
+func (e *Engine) reclaim(orphan *queuedMessage, failures int, generation uint64) {
+	delete(e.backlog.orphans, keyOf(orphan.message))
+	orphan.orphan, orphan.generation = false, generation
+	orphan.failures = max(orphan.failures, failures)
+	e.nextExpiry = min(e.nextExpiry, orphan.expires)
+	e.backlog.link(orphan)
+	if orphan.orderGroup != nil && orphan.orderGroup.first(orphan) && len(orphan.orderGroup.messages) > 1 {
+		e.blockByOrder(orphan.orderGroup.messages[1])
+	}
+}
+
+// place puts a message where it waits: behind the first of its order group, or in the queue of its route. A message whose
+// route is gone ends.
+func (e *Engine) place(queued *queuedMessage) {
+	if queued.orderGroup != nil && !queued.orderGroup.first(queued) {
+		queued.state = blockedByOrder
+		return
+	}
+	if queued.orderGroup != nil && len(queued.orderGroup.messages) > 1 {
+		e.blockByOrder(queued.orderGroup.messages[1]) // it was first until now
+	}
+	if e.routeDropped(queued) {
+		e.endWithoutAttempt(queued, deadLetter)
+		return
+	}
+	q := e.routeQueueFor(queued.message.Route)
+	q.add(queued, e.now())
+	e.schedule.markDirty(q.service)
+}
+
+// blockByOrder takes a message out of its route queue, as an earlier one of its order group has come. One that is
+// dispatched stays so.
+func (e *Engine) blockByOrder(queued *queuedMessage) {
+	switch queued.state {
+	case inRouteQueue:
+		queued.heap.remove(queued)
+	case parked:
+		e.backlog.partitions[queued.message.Partition].unpark(queued)
+	default:
+		return
+	}
+	queued.state = blockedByOrder
+}
+
+// remove drops a message; the next of its order group may be dispatched.
+func (e *Engine) remove(queued *queuedMessage) {
+	if successor := e.backlog.unlink(queued); successor != nil && successor.state == blockedByOrder {
+		e.place(successor)
+	}
+}
--- /dev/null
+++ b/internal/delivery/expiry.go
@@ -0,0 +1,63 @@
+package delivery
+
+import (
+	"time"
+
+	"gladepick/internal/message"
+)
+
+// minExpiryInterval is the least time between two searches for expired messages.
+const minExpiryInterval = time.Second
+
+// endedMessage is a message that ended without an attempt.
+type endedMessage struct {
+	message *message.Message
+	outcome message.Outcome
+}
+
+// expire ends the messages whose retention is over, but for those that are dispatched.
+func (e *Engine) expire(now time.Duration) {
+	if now < e.nextExpiry {
+		return
+	}
+	e.nextExpiry = never
+	var expired []*queuedMessage
+	e.backlog.each(func(queued *queuedMessage) {
+		if queued.expired(now) && queued.state != dispatched {
+			expired = append(expired, queued)
+			return
+		}
+		e.nextExpiry = min(e.nextExpiry, max(queued.expires, now+minExpiryInterval))
+	})
+	e.deadLetterAll(expired)
+}
+
+// deadLetterAll ends messages that will never be delivered. Ending one may end others that waited behind it.
+func (e *Engine) deadLetterAll(messages []*queuedMessage) {
+	for _, queued := range messages {
+		if queued.linked {
+			e.endWithoutAttempt(queued, deadLetter)
+		}
+	}
+}
+
+// endWithoutAttempt ends a message without an attempt. The owner of the messages is notified at the end of the turn.
+func (e *Engine) endWithoutAttempt(queued *queuedMessage, outcome message.Outcome) {
+	e.ended = append(e.ended, endedMessage{queued.message, outcome})
+	e.remove(queued)
+}
+
+// notifyEnded tells the owner of the messages about those that ended without an attempt. It does so on a goroutine of its
+// own, which Run waits for, as the owner may take its time and the loop must not.
+func (e *Engine) notifyEnded() {
+	if len(e.ended) == 0 {
+		return
+	}
+	all := e.ended
+	e.ended = nil
+	e.ownerCalls.Go(func() {
+		for _, ended := range all {
+			e.options.Owner.Ended(ended.message, ended.outcome)
+		}
+	})
+}
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -2,16 +2,13 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 
-	"go.uber.org/zap"
-
 	"gladepick/internal/configuration"
-	"gladepick/internal/decision"
 )
 
-// applyConfiguration takes a newer configuration. Messages whose route is gone end, unless an attempt is out.
+// applyConfiguration takes over a newer configuration. Messages whose route is gone end as dead letters, but for those that
+// are dispatched.
 func (e *Engine) applyConfiguration(table *configuration.Table) {
 	if table == nil || e.table != nil && table.Version < e.table.Version {
 		return
@@ -29,7 +26,7 @@
 	e.deadLetterAll(dropped)
 }
 
-// rebuildServices brings the services in line with the configuration. Jobs that are open end at their old deciders.
+// rebuildServices brings the services in line with the configuration. Attempts in flight end at their old adapters.
 func (e *Engine) rebuildServices() {
 	routes := make(map[string][]*configuration.Route)
 	for _, route := range e.table.Routes() {
@@ -55,7 +52,7 @@
 	e.gauges.keep(kept)
 }
 
-// redefine gives a service its new definition and routes. Its decider is made anew where that matters to it.
+// redefine gives a service its new definition and routes. A change that matters to the decision module retires the adapter.
 func (s *service) redefine(definition *configuration.Service, routes []*configuration.Route) {
 	signature := signatureOf(definition, routes)
 	if signature != s.signature {
@@ -65,7 +62,8 @@
 	s.rateLimiter.setRate(s.engine.now(), definition.RateLimitPerSecond, s.engine.deliverers)
 }
 
-// retireDecider has the decider's open attempts end there. Messages that wait in it go back to their lanes.
+// retireAdapter drops the service's adapter. Its attempts in flight still end there; messages that are pending in it return
+// to their route queues.
 func (s *service) retireAdapter() {
 	if s.adapter == nil {
 		return
@@ -75,7 +73,7 @@
 	retired.returnPending()
 }
 
-// signatureOf describes what a decider is made from.
+// signatureOf describes what an adapter is made from.
 func signatureOf(definition *configuration.Service, routes []*configuration.Route) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%q", definition.StaticEndpoint)
@@ -85,7 +83,8 @@
 	return text.String()
 }
 
-// rebuildLanes connects the lanes with their routes and services, and forgets those that have neither.
+// rebuildRouteQueues connects the route queues with their routes and services, and drops those that are empty and have no
+// route.
 func (e *Engine) rebuildRouteQueues() {
 	for _, s := range e.services {
 		s.routeQueues = s.routeQueues[:0]
@@ -98,7 +97,7 @@
 	}
 }
 
-// connect finds a lane's route and service.
+// connect finds a route queue's route and service.
 func (e *Engine) connect(q *routeQueue) {
 	q.route, q.service = e.table.Route(q.name), nil
 	if q.route == nil {
@@ -109,7 +108,7 @@
 	}
 }
 
-// laneFor returns a route's lane.
+// routeQueueFor returns a route's queue, and makes it if there is none.
 func (e *Engine) routeQueueFor(route string) *routeQueue {
 	if found := e.backlog.routeQueues[route]; found != nil {
 		return found
@@ -120,19 +119,19 @@
 	return fresh
 }
 
-// routeDropped tells whether a message has ended as the operator removed its route. A message that is newer than the
-// configuration waits.
+// routeDropped tells whether the operator has removed a message's route. A message that was submitted under a newer
+// configuration waits for it.
 func (e *Engine) routeDropped(queued *queuedMessage) bool {
 	return e.table != nil && e.table.Version >= queued.message.ConfigVersion && e.table.Route(queued.message.Route) == nil
 }
 
-// applyWorkers takes the latest list of workers.
+// applyWorkers takes over the latest list of workers.
 func (e *Engine) applyWorkers() {
 	e.endpoints.reconcile()
 	e.refreshEndpoints()
 }
 
-// refreshDestinations gives each service its destinations, and tells the deciders of changes.
+// refreshEndpoints gives each service its endpoints, and tells the decision modules of changes.
 func (e *Engine) refreshEndpoints() {
 	used := make(map[*endpoint]bool)
 	listed := e.endpoints.byService()
@@ -141,8 +140,8 @@
 		if s.definition.StaticEndpoint != "" {
 			s.endpoints = []*endpoint{e.endpoints.staticEndpoint(s.definition)}
 		}
-		for _, d := range s.endpoints {
-			used[d] = true
+		for _, target := range s.endpoints {
+			used[target] = true
 		}
 		s.setLimits()
 		if s.adapter != nil {
@@ -153,7 +152,7 @@
 	e.markAllDirty()
 }
 
-// applyDeliverers divides the ceilings anew.
+// applyDeliverers divides the rate limits among another number of stores.
 func (e *Engine) applyDeliverers(count int) {
 	e.deliverers = count
 	now := e.now()
@@ -163,33 +162,10 @@
 	e.markAllDirty()
 }
 
-// connectionShare is by how many callers a worker's limits are divided.
+// connectionShare is the number of stores among which a worker's connections and slots are divided.
 func (e *Engine) connectionShare() int {
 	if e.options.ConnectionShare == nil {
 		return 1
 	}
 	return max(e.options.ConnectionShare(), 1)
 }
-
-// ready makes the service's decider if there is none. It tells whether there is one.
-func (s *service) ensureAdapter() bool {
-	if s.adapter != nil {
-		return true
-	}
-	made, err := newDecisionAdapter(s)
-	if err != nil {
-		s.engine.logger.Error("no decision module for a service", zap.String("service", s.definition.Name), zap.Error(err))
-		return false
-	}
-	s.adapter = made
-	return true
-}
-
-// sameList tells whether a list says what the module knows already, and keeps it.
-func (d *decisionAdapter) isLastList(entries []decision.Entry) bool {
-	if d.lastList != nil && slices.Equal(d.lastList, entries) {
-		return true
-	}
-	d.lastList = entries
-	return false
-}
--- a/internal/delivery/service_schedule.go
+++ b/internal/delivery/service_schedule.go
@@ -5,70 +5,70 @@
 	"time"
 )
 
-// fullLook is how often all services are looked at while messages are queued. Events and the agenda's times lead to all
-// looks that are needed; this one bounds what a missed one would cost.
+// fullSweepInterval is how often all services are run while messages are queued. Events and the schedule's times lead to
+// all runs that are needed; the sweep bounds what a missed one would cost.
 const fullSweepInterval = 250 * time.Millisecond
 
-// agenda knows which services the loop has to look at: those that something happened to, and those whose time has come.
-// So a turn costs nothing for the others, however many there are.
+// serviceSchedule knows which services the loop has to run: those that something happened to, and those whose time has
+// come. A turn of the loop costs nothing for the others, however many there are.
 type serviceSchedule struct {
 	dirty []*service
 	timed serviceHeap
 }
 
-// touch has a service looked at in this turn, or in the next where this one is past its looks.
-func (a *serviceSchedule) markDirty(s *service) {
+// markDirty has a service run in this turn, or in the next one if this one is past its runs. A nil service is ignored.
+func (schedule *serviceSchedule) markDirty(s *service) {
 	if s == nil || s.dirty {
 		return
 	}
 	s.dirty = true
-	a.dirty = append(a.dirty, s)
+	schedule.dirty = append(schedule.dirty, s)
 }
 
-// take returns the services to look at now: those that were touched, and those whose time has come.
-func (a *serviceSchedule) takeDue(now time.Duration) []*service {
-	for len(a.timed) > 0 && a.timed[0].nextRun <= now {
-		s := a.timed[0]
-		heap.Remove(&a.timed, s.scheduleIndex)
-		a.markDirty(s)
+// takeDue returns the services to run now: those that are dirty, and those whose time has come.
+func (schedule *serviceSchedule) takeDue(now time.Duration) []*service {
+	for len(schedule.timed) > 0 && schedule.timed[0].nextRun <= now {
+		s := schedule.timed[0]
+		heap.Remove(&schedule.timed, s.scheduleIndex)
+		schedule.markDirty(s)
 	}
-	taken := a.dirty
-	a.dirty = nil
+	taken := schedule.dirty
+	schedule.dirty = nil
 	for _, s := range taken {
 		s.dirty = false
 	}
 	return taken
 }
 
-// schedule sets when a service is to be looked at again if nothing happens to it before.
-func (a *serviceSchedule) setTime(s *service, at time.Duration) {
+// setTime sets when a service is to be run again if nothing happens to it before.
+func (schedule *serviceSchedule) setTime(s *service, at time.Duration) {
 	s.nextRun = at
 	switch {
 	case at == never && s.scheduleIndex >= 0:
-		heap.Remove(&a.timed, s.scheduleIndex)
+		heap.Remove(&schedule.timed, s.scheduleIndex)
 	case at == never:
 	case s.scheduleIndex >= 0:
-		heap.Fix(&a.timed, s.scheduleIndex)
+		heap.Fix(&schedule.timed, s.scheduleIndex)
 	default:
-		heap.Push(&a.timed, s)
+		heap.Push(&schedule.timed, s)
 	}
 }
 
-// forget drops a service that is no more.
-func (a *serviceSchedule) remove(s *service) { a.setTime(s, never) }
+// remove drops a service that the configuration has no more.
+func (schedule *serviceSchedule) remove(s *service) { schedule.setTime(s, never) }
 
-// next is when the next look is due.
-func (a *serviceSchedule) nextTime(now time.Duration) time.Duration {
+// nextTime is when the next run is due.
+func (schedule *serviceSchedule) nextTime(now time.Duration) time.Duration {
 	switch {
-	case len(a.dirty) > 0:
+	case len(schedule.dirty) > 0:
 		return now
-	case len(a.timed) > 0:
-		return a.timed[0].nextRun
+	case len(schedule.timed) > 0:
+		return schedule.timed[0].nextRun
 	}
 	return never
 }
 
-// lookHeap holds services by the time of their next look.
+// serviceHeap holds services by the time of their next run.
 type serviceHeap []*service
 
 // Len implements heap.Interface.
@@ -100,14 +100,14 @@
 	return s
 }
 
-// touchAll has all services looked at.
+// markAllDirty has all services run.
 func (e *Engine) markAllDirty() {
 	for _, s := range e.services {
 		e.schedule.markDirty(s)
 	}
 }
 
-// lookAtServices starts what is due at the services on the agenda, and returns when there is more to do.
+// dispatchServices runs the services that are due, and returns when there is more to do.
 func (e *Engine) dispatchServices(now time.Duration) time.Duration {
 	if e.backlog.size > 0 && now-e.lastFullSweep >= fullSweepInterval {
 		e.lastFullSweep = now
@@ -124,7 +124,7 @@
 	return next
 }
 
-// look starts what is due at a service, and returns when it is to be looked at again.
+// dispatchDue starts the messages of a service that are due, and returns when it is to be run again.
 func (s *service) dispatchDue(now time.Duration) time.Duration {
 	for _, q := range s.routeQueues {
 		q.promote(now)
--- a/internal/delivery/stats.go
+++ b/internal/delivery/stats.go
@@ -5,26 +5,26 @@
 	"sync/atomic"
 )
 
-// Stats are a few figures about an engine.
+// Stats are figures about an engine, as of the event loop's last turn.
 type Stats struct {
 	Queued   int // messages that have not ended
-	InFlight int // attempts that are out
+	InFlight int // attempts
 	Services map[string]ServiceStats
 }
 
-// ServiceStats are a few figures about one service.
+// ServiceStats are figures about one service.
 type ServiceStats struct {
-	Due              int  // messages that could run now
-	Pending          int  // messages that are with the decision module or out
-	ConcurrencyLimit int  // how many may be out
-	Ready            int  // workers
+	Due              int  // messages that wait and may be dispatched
+	Pending          int  // messages that are dispatched: with the decision module or in flight
+	ConcurrencyLimit int  // how many messages may be dispatched
+	Ready            int  // workers that take messages
 	Down             bool // no worker has answered of late
 }
 
-// gauges are what the loop publishes: of a service, after each look at it.
+// gauges are what the event loop publishes: of a service, after each run.
 type gauges struct {
 	queued atomic.Int64
-	mutex  sync.Mutex // guards the map
+	mutex  sync.Mutex // guards byName; the gauges themselves are atomic
 	byName map[string]*serviceGauge
 }
 
@@ -33,7 +33,7 @@
 	down                                  atomic.Bool
 }
 
-// keep gives each service its gauge and forgets the others.
+// keep gives each service its gauge and drops the others.
 func (g *gauges) keep(services map[string]*service) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// publishGauge publishes the service's figures after a look.
+// publishGauge publishes the service's figures after a run.
 func (s *service) publishGauge() {
 	due := 0
 	for _, q := range s.routeQueues {
@@ -60,7 +60,7 @@
 	s.gauge.down.Store(s.concurrency.down)
 }
 
-// Stats returns the figures of the loop's last turn.
+// Stats returns the figures of the event loop's last turn.
 func (e *Engine) Stats() Stats {
 	e.gauges.mutex.Lock()
 	defer e.gauges.mutex.Unlock()
--- a/internal/delivery/timer_queue.go
+++ b/internal/delivery/timer_queue.go
@@ -5,19 +5,24 @@
 	"time"
 )
 
-// timer asks a decider to look at something at a time on the engine's clock.
+// timer is a wake-up that a decision module has asked for, at a time on the engine's clock.
 type timer struct {
 	due     time.Duration
 	adapter *decisionAdapter
 	token   uint32
 }
 
-// timerHeap keeps the decision modules' timers, the earliest first.
+// timerQueue keeps the decision modules' timers, the earliest first.
 type timerQueue []timer
 
-func (t timerQueue) Len() int           { return len(t) }
+// Len implements heap.Interface.
+func (t timerQueue) Len() int { return len(t) }
+
+// Less implements heap.Interface.
 func (t timerQueue) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timerQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+
+// Swap implements heap.Interface.
+func (t timerQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
 func (t *timerQueue) Push(value any) { *t = append(*t, value.(timer)) }
@@ -33,7 +38,7 @@
 
 func (t *timerQueue) add(added timer) { heap.Push(t, added) }
 
-// expired removes and returns the earliest timer if it is due.
+// popDue removes and returns the earliest timer if it is due.
 func (t *timerQueue) popDue(now time.Duration) (timer, bool) {
 	if len(*t) == 0 || (*t)[0].due > now {
 		return timer{}, false
@@ -41,7 +46,7 @@
 	return heap.Pop(t).(timer), true
 }
 
-// next is when the earliest timer is due.
+// nextDue is when the earliest timer is due.
 func (t timerQueue) nextDue() time.Duration {
 	if len(t) == 0 {
 		return never
--- a/internal/delivery/token_bucket.go
+++ b/internal/delivery/token_bucket.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// How a service's ceiling is used. The rest is left for clocks and links that differ, and for attempts that several
-// stores start at one moment.
+// How much of a service's rate limit is used. The rest is left for clocks and links that differ, and for attempts that
+// several stores start at one moment.
 const (
-	usableRate    = 0.92                   // of the ceiling, by all stores together
+	usableRate    = 0.92                   // of the rate limit, by all stores together
 	burstDuration = 250 * time.Millisecond // so much of a store's part may be saved up
 	maxBurst      = 3
 )
 
-// tokenBucket keeps sends under a rate. A rate of zero is no limit.
+// tokenBucket limits the rate of sends. A rate of zero is no limit. Times are on the engine's clock.
 type tokenBucket struct {
 	rate       float64 // tokens a second
 	burst      float64
@@ -18,7 +18,7 @@
 	refilledAt time.Duration
 }
 
-// setCeiling gives the bucket this store's part of a service's ceiling.
+// setRate gives the bucket this store's part of a service's rate limit, of so many requests a second.
 func (b *tokenBucket) setRate(now time.Duration, perSecond float64, deliverers int) {
 	b.refill(now)
 	fresh := b.burst == 0
@@ -30,6 +30,7 @@
 	}
 }
 
+// refill adds the tokens that have accrued since the last call.
 func (b *tokenBucket) refill(now time.Duration) {
 	if now > b.refilledAt {
 		b.tokens = min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.burst)
@@ -37,7 +38,7 @@
 	}
 }
 
-// wait is how long it takes until a token is there.
+// wait is how long it takes until a token is available.
 func (b *tokenBucket) wait(now time.Duration) time.Duration {
 	if b.rate <= 0 {
 		return 0
@@ -49,7 +50,7 @@
 	return time.Duration((1-b.tokens)/b.rate*float64(time.Second)) + time.Microsecond
 }
 
-// take takes a token if there is one.
+// tryTake takes a token if there is one.
 func (b *tokenBucket) tryTake(now time.Duration) bool {
 	if b.wait(now) > 0 {
 		return false
@@ -58,5 +59,5 @@
 	return true
 }
 
-// refund gives back a token that was not used.
+// refund returns a token that was not used.
 func (b *tokenBucket) refund() { b.tokens = min(b.tokens+1, b.burst) }
--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -15,13 +15,13 @@
 	bufferSize           = 4 << 10
 )
 
-// errWithdrawn means that an attempt was called off before its first byte.
+// errWithdrawn is the error of a write whose attempt was called off before its first byte.
 var errWithdrawn = errors.New("delivery: attempt withdrawn")
 
 // dialer opens a connection to a worker.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newDialer makes the dialer of an engine. Its connections ask their attempt before the first byte.
+// newDialer makes the dialer of an engine. Its connections ask their attempt before each write.
 func newDialer(options Options) dialer {
 	limit := maxDialDuration
 	if options.Drain > 0 {
@@ -38,7 +38,7 @@
 	}
 }
 
-// newTransport makes the HTTP transport to one worker: HTTP/1.1, without proxies and compression.
+// newTransport makes the HTTP/1.1 transport to one worker, without proxies and compression.
 func newTransport(dial dialer, connections int, idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
