--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"net"
-	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -14,25 +12,24 @@
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane"
 	"gladepick/internal/ingress"
-	"gladepick/internal/message"
 	"gladepick/internal/messagestore"
 	"gladepick/internal/systemnode/inspection"
 )
 
-// Front is a front process: it takes clients' messages, and on machines that have a disk it may be a member of the
-// control group.
+// Front is a front process: it receives clients' messages, and is a member of the control group on machines that
+// have a disk and count for the quorum.
 type Front struct {
 	*node
 	plane      *controlplane.Plane
 	stores     *messagestore.Client
 	ingress    *ingress.Front
 	table      atomic.Pointer[configuration.Table]
-	lastStored atomic.Int64 // when a message was last kept, in nanoseconds since the process's start
+	lastStored atomic.Int64 // when a message was last stored, in nanoseconds since started
 	started    time.Time
 	metrics    *inspection.Registry
 }
 
-// NewFront makes a front. Run starts it.
+// NewFront opens the control state and connects the parts of a front. Run starts it.
 func NewFront(options Options) (*Front, error) {
 	base, err := newNode(options)
 	if err != nil {
@@ -42,40 +39,44 @@
 	if err := base.newAgent(f.announce); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	plane, err := controlplane.New(controlplane.Options{
-		Info:           base.info,
-		Network:        options.Network,
-		Pool:           base.pool,
-		Server:         base.server,
-		FS:             options.FS,
-		Bootstrap:      base.settings.Bootstrap,
-		Tolerated:      base.settings.FaultTolerance.Machines,
-		ToleratedZones: base.settings.FaultTolerance.Zones,
-		Seeds:          base.settings.Seeds,
-		InternalPort:   base.settings.InternalPorts.First,
-		CloudAddress:   base.settings.Cloud.Address,
-		Agent:          base.agent,
-		Logger:         base.logger,
-		Seed:           options.Seed,
-	})
-	if err != nil {
+	if f.plane, err = controlplane.New(f.planeOptions()); err != nil {
 		return nil, trace.Wrap(err, "opening the control plane")
 	}
-	f.plane = plane
 	f.metrics = base.newMetrics()
 	return f, nil
 }
 
-// SetCloudAddress changes where the platform's list of workers is read from.
+func (f *Front) planeOptions() controlplane.Options {
+	return controlplane.Options{
+		Info:           f.info,
+		Network:        f.options.Network,
+		Pool:           f.pool,
+		Server:         f.server,
+		FS:             f.options.FS,
+		Bootstrap:      f.settings.Bootstrap,
+		Tolerated:      f.settings.FaultTolerance.Machines,
+		ToleratedZones: f.settings.FaultTolerance.Zones,
+		Seeds:          f.settings.Seeds,
+		InternalPort:   f.settings.InternalPorts.First,
+		CloudAddress:   f.settings.Cloud.Address,
+		Agent:          f.agent,
+		Logger:         f.logger,
+		Seed:           f.options.Seed,
+	}
+}
+
+// SetCloudAddress changes the address from which the control plane reads the platform's list of workers.
 func (f *Front) SetCloudAddress(address string) { f.plane.SetCloudAddress(address) }
 
+// announce returns what the agent announces of the front with every renewal of its lease.
 func (f *Front) announce() cluster.NodeInfo {
 	info := f.info
 	info.Draining = f.draining.Load()
 	return info
 }
 
-// Run serves until the context ends, then drains and returns.
+// Run serves until the context ends, then drains and returns. It must be called once. Its errors concern the
+// start: a listener that can't be opened.
 func (f *Front) Run(ctx context.Context) error {
 	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer f.close()
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// changed takes new snapshots of the agent in.
+// applySnapshots takes over the newest configuration of the agent. Versions never go back.
 func (f *Front) applySnapshots() {
 	document := f.agent.Config()
 	if document == nil {
@@ -121,63 +122,7 @@
 	}
 }
 
-func (f *Front) noteStored() { f.lastStored.Store(int64(time.Since(f.started))) }
-
-// ready tells whether a message could be kept now: there is a configuration and a group of stores, and the control
-// plane or the stores have lately answered.
-func (f *Front) ready() bool {
-	if f.draining.Load() || f.table.Load() == nil || !f.stores.Ready() {
-		return false
-	}
-	kept := time.Duration(f.lastStored.Load())
-	return f.agent.Fresh() || kept > 0 && time.Since(f.started)-kept < readyAfterStored
-}
-
-// listen opens the listeners for clients, the platform's probe and the operator.
-func (f *Front) listen(ctx context.Context) error {
-	addresses := f.settings.ListenAddresses
-	if addresses.Front != "" {
-		listener, err := f.options.Network.Listen(addresses.Front)
-		if err != nil {
-			return trace.Wrap(err, "listening for clients")
-		}
-		f.running.Go(func() { f.logEnd("clients", f.ingress.Serve(ctx, listener)) })
-	}
-	options := f.ingressOptions()
-	if err := f.serveHTTP(ctx, addresses.Ready, ingress.NewReadyHandler(options)); err != nil {
-		return err
-	}
-	control := f.withInspection(f.metrics, ingress.NewControlHandler(options))
-	return f.serveHTTP(ctx, addresses.Control, control)
-}
-
-func (f *Front) logEnd(listener string, err error) {
-	if err != nil {
-		f.logger.Error("listener ended", zap.String("listener", listener), zap.Error(err))
-	}
-}
-
-// serveHTTP serves one of the smaller listeners until the context ends.
-func (f *Front) serveHTTP(ctx context.Context, address string, handler http.Handler) error {
-	if address == "" {
-		return nil
-	}
-	var listener net.Listener
-	listener, err := f.options.Network.Listen(address)
-	if err != nil {
-		return trace.Wrap(err, "listening at "+address)
-	}
-	server := ingress.NewServer(handler, f.logger)
-	context.AfterFunc(ctx, func() { server.Close() })
-	f.running.Go(func() {
-		if err := server.Serve(listener); err != http.ErrServerClosed {
-			f.logEnd(address, err)
-		}
-	})
-	return nil
-}
-
-// drain answers what was read and leaves.
+// drain answers the requests that have been received, for as long as the grace period allows.
 func (f *Front) drain(ctx context.Context) {
 	f.draining.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, f.settings.Bounds.Grace-exitReserve)
@@ -186,20 +131,3 @@
 		f.logger.Warn("draining", zap.Error(err))
 	}
 }
-
-// keepingTime notes when messages are kept.
-type storedTimeRecorder struct {
-	ingress.MessageStore
-	stored func()
-}
-
-// Put implements ingress.MessageStore.
-func (k storedTimeRecorder) Put(
-	ctx context.Context, submission message.Submission, ordered bool, body []byte,
-) (string, error) {
-	id, err := k.MessageStore.Put(ctx, submission, ordered, body)
-	if err == nil {
-		k.stored()
-	}
-	return id, err
-}
--- a/internal/systemnode/logging.go
+++ b/internal/systemnode/logging.go
@@ -9,8 +9,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger returns a logger that writes JSON lines to standard error. Each line names the process, and an error stands
-// in it as one line of text without a stack trace.
+// NewLogger returns a logger that writes JSON lines of at least a level to standard error. Each line names the
+// process, and has each error as one line of text without a stack trace. Lines carry no time, which the collector
+// of the logs adds.
 func NewLogger(process string, level zapcore.Level) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	config.Sampling = nil
@@ -25,7 +26,8 @@
 	return logger.With(zap.String("process", process)), nil
 }
 
-// errorTextCore is a core that writes errors as one line of text.
+// errorTextCore is a core that writes errors as one line of text. Errors of package trace would otherwise bring
+// their stack traces.
 type errorTextCore struct {
 	zapcore.Core
 }
@@ -50,7 +52,7 @@
 	return c.Core.Write(entry, textOfErrors(fields))
 }
 
-// textOfErrors returns the fields with texts in the place of errors.
+// textOfErrors returns the fields with text in place of errors. It copies only where there are errors.
 func textOfErrors(fields []zapcore.Field) []zapcore.Field {
 	if !slices.ContainsFunc(fields, isError) {
 		return fields
@@ -66,8 +68,8 @@
 
 func isError(field zapcore.Field) bool { return field.Type == zapcore.ErrorType }
 
-// ErrorText returns the message of an error on one line. The lines of a wrapped error lead from the context to the
-// cause, and are joined by colons.
+// ErrorText returns the message of an error on one line. The lines of a wrapped error, from the outermost context
+// to the cause, are joined by colons. It returns an empty text for nil.
 func ErrorText(err error) string {
 	var parts []string
 	for line := range strings.Lines(trace.UserMessage(err)) {
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -1,5 +1,3 @@
-// Package systemnode assembles the processes of the system, a front or a store, from the libraries of each plane, and
-// sees to their signals and their end.
 package systemnode
 
 import (
@@ -23,20 +21,22 @@
 	"gladepick/internal/vfs"
 )
 
-// Options configure a process.
+// Options configure a process. Everything through which it reaches the outside world is passed in, so that tests can
+// run whole clusters on a simulated network and disk.
 type Options struct {
 	Settings *settings.Settings
 	Network  network.Network
 	FS       vfs.FS // the data directory, nil without a disk
 	Logger   *zap.Logger
-	Seed     uint64
+	Seed     uint64 // of the random draws; processes of one system should have different ones
 	// SettingsFile is watched for changes. It may be nil.
 	SettingsFile *SettingsFile
-	// Hangups brings the signals upon which the settings file is read again. It may be nil.
+	// Hangups delivers SIGHUP, upon which the settings file is read at once. It may be nil.
 	Hangups <-chan os.Signal
 }
 
-// node is what fronts and stores have in common.
+// node is what fronts and stores have in common: identity, internal server, connections to other processes, and
+// the agent that renews the lease and keeps snapshots of configuration and cluster table current.
 type node struct {
 	options  Options
 	settings *settings.Settings
@@ -44,13 +44,13 @@
 	server   *rpc.Server
 	pool     *rpc.Pool
 	agent    *cluster.Agent
-	info     cluster.NodeInfo // without what changes
-	draining atomic.Bool
+	info     cluster.NodeInfo // what never changes; announce adds the rest
+	draining atomic.Bool      // set when Run begins to end
 
-	running sync.WaitGroup
+	running sync.WaitGroup // the goroutines that close waits for
 }
 
-// newNode makes the parts that every process has.
+// newNode makes the parts that every process has, except the agent. newAgent must follow.
 func newNode(options Options) (*node, error) {
 	n := &node{
 		options:  options,
@@ -67,7 +67,8 @@
 	return n, nil
 }
 
-// identity returns what the process announces of itself.
+// identity returns what the process announces of itself and what never changes. The incarnation is random, so that
+// each start of a process can be distinguished from the one before.
 func (n *node) identity() (cluster.NodeInfo, error) {
 	info := cluster.NodeInfo{
 		Name:        n.settings.Node,
@@ -90,7 +91,7 @@
 	return info, nil
 }
 
-// newAgent makes the agent; info is asked for with every renewal of the lease.
+// newAgent makes the agent, which calls info with every renewal of the lease.
 func (n *node) newAgent(info func() cluster.NodeInfo) error {
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Info:         info,
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// report passes on that a process can't be reached.
+// report tells the control plane, in a goroutine of its own, that a process can't be reached.
 func (n *node) report(ctx context.Context, report cluster.FailureReport) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -120,7 +121,7 @@
 	}()
 }
 
-// serveInternal opens the internal listener and runs the agent.
+// serveInternal opens the internal listener, and starts the internal server and the agent.
 func (n *node) serveInternal(ctx context.Context) error {
 	listener, err := n.options.Network.Listen(n.info.Address)
 	if err != nil {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// watchSettings starts to watch the settings file, if there is one.
+// watchSettings starts the watch on the settings file, if there is one.
 func (n *node) watchSettings(ctx context.Context, target settingsTarget) {
 	if n.options.SettingsFile == nil {
 		return
@@ -144,10 +145,11 @@
 	n.running.Go(func() { watch.run(ctx, n.options.Hangups) })
 }
 
-// SetSeeds replaces the seeds by others.
+// SetSeeds replaces the control addresses by which the control group is found. It changes nothing where one of
+// them is not an address.
 func (n *node) SetSeeds(seeds []string) error { return trace.Wrap(n.agent.SetSeeds(seeds)) }
 
-// close ends what newNode made.
+// close closes the internal server and all connections, and waits for the goroutines of the process.
 func (n *node) close() {
 	n.server.Close()
 	n.pool.Close()
--- a/internal/systemnode/settingsfile.go
+++ b/internal/systemnode/settingsfile.go
@@ -21,14 +21,15 @@
 
 const keyNode = "node"
 
-// SettingsFile is a settings file as it was read.
+// SettingsFile is a settings file as it was read. It must not be changed.
 type SettingsFile struct {
 	Path     string
 	Settings *settings.Settings
 	keys     map[string]any // all values of the file by dotted key
 }
 
-// ReadSettings reads a settings file. What is wrong in it is returned as one error of the type settings.Findings.
+// ReadSettings reads a settings file. Everything that is wrong in it is returned as one error of the type
+// settings.Findings.
 func ReadSettings(path string) (*SettingsFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -37,6 +38,7 @@
 	return parseSettings(path, text)
 }
 
+// parseSettings reads the text of a settings file, which was read from a path.
 func parseSettings(path string, text []byte) (*SettingsFile, error) {
 	read, err := settings.Parse(path, text)
 	if err != nil {
@@ -51,7 +53,7 @@
 	return &SettingsFile{Path: path, Settings: read, keys: keys}, nil
 }
 
-// flatten puts the values of a table and of the tables in it under their dotted keys.
+// flatten puts the values of a table, and of the tables within it, under their dotted keys.
 func flatten(into map[string]any, prefix string, table map[string]any) {
 	for name, value := range table {
 		if inner, isTable := value.(map[string]any); isTable {
@@ -62,7 +64,7 @@
 	}
 }
 
-// differingKeys returns the keys whose values are not the same in two files, sorted.
+// differingKeys returns the dotted keys whose values differ between two files, sorted. It never returns nil.
 func differingKeys(before, after *SettingsFile) []string {
 	keys := maps.Clone(before.keys)
 	maps.Copy(keys, after.keys)
@@ -76,7 +78,8 @@
 	return differing
 }
 
-// checkSameMachine finds that a file belongs to another machine than the one that this process was started on.
+// checkSameMachine returns an error where a file belongs to another machine than the one as which this process was
+// started.
 func checkSameMachine(running *settings.Settings, read *SettingsFile) error {
 	if read.Settings.Node == running.Node {
 		return nil
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -12,18 +12,19 @@
 	"gladepick/internal/settings"
 )
 
-// settingsTarget is what takes new settings over while the process runs.
+// settingsTarget applies the settings that take effect while a process runs. Front and Store are such targets.
 type settingsTarget interface {
 	SetSeeds(seeds []string) error
 	SetCloudAddress(address string)
 }
 
-// settingsWatch reads the settings file again when it has changed or the process is told so.
+// settingsWatch reads the settings file again when it has changed, or upon SIGHUP. All of its methods run on the
+// goroutine of run, so it needs no lock.
 type settingsWatch struct {
-	started  *settings.Settings // those of the process's start, by which it goes on to run
-	current  *SettingsFile      // the newest file that was sound
-	lastInfo os.FileInfo        // of the file that was read last; nil where it could not be looked at
-	missing  bool               // the file could not be looked at, and this was logged
+	started  *settings.Settings // those of the start, which hold until the process ends
+	current  *SettingsFile      // the newest file without findings
+	lastInfo os.FileInfo        // of the file that was read last; nil after it could not be read
+	missing  bool               // the file could not be looked at, which was logged
 	target   settingsTarget
 	logger   *zap.Logger
 }
@@ -32,7 +33,8 @@
 	return &settingsWatch{started: file.Settings, current: file, target: target, logger: logger}
 }
 
-// run watches until the context ends. The file is read at the first look, since it may have changed after the start.
+// run watches until the context ends. The first look reads the file in any case, since it may have changed after
+// the start.
 func (w *settingsWatch) run(ctx context.Context, hangups <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -48,7 +50,7 @@
 	}
 }
 
-// look reads the file if it has changed, or in any case.
+// check reads the file if it has changed, or always.
 func (w *settingsWatch) check(always bool) {
 	info, err := os.Stat(w.current.Path)
 	if err != nil {
@@ -63,11 +65,14 @@
 	w.reload()
 }
 
+// unchanged tells whether a file has the same time of change, size and identity as before. A tool may replace a
+// file by another one of the same size and time, hence the identity.
 func unchanged(before, after os.FileInfo) bool {
 	sameContent := before.ModTime().Equal(after.ModTime()) && before.Size() == after.Size()
 	return sameContent && os.SameFile(before, after)
 }
 
+// noteMissing logs, once, that the file can't be looked at.
 func (w *settingsWatch) noteMissing(err error) {
 	w.lastInfo = nil
 	if w.missing {
@@ -77,7 +82,7 @@
 	w.logger.Warn("settings not read", zap.Error(err))
 }
 
-// read takes the file over, unless something is wrong in it.
+// reload reads the file and applies it, unless something is wrong in it.
 func (w *settingsWatch) reload() {
 	next, err := ReadSettings(w.current.Path)
 	if err == nil {
@@ -99,7 +104,8 @@
 	w.logApplied(differing)
 }
 
-// apply passes on what takes effect at once. The seeds come first, since they can be refused.
+// apply passes on what takes effect at once. The seeds come first, since they can be refused, and then nothing is
+// applied.
 func (w *settingsWatch) apply(differing []string, next *SettingsFile) error {
 	if slices.Contains(differing, keySeeds) {
 		if err := w.target.SetSeeds(next.Settings.Seeds); err != nil {
@@ -112,19 +118,20 @@
 	return nil
 }
 
+// logApplied logs which keys have taken effect, and which take effect at the next start.
 func (w *settingsWatch) logApplied(differing []string) {
-	var applied, held []string
+	var applied, atNextStart []string
 	for _, key := range differing {
 		if key == keySeeds || key == keyCloudAddress {
 			applied = append(applied, key)
 		} else {
-			held = append(held, key)
+			atNextStart = append(atNextStart, key)
 		}
 	}
-	w.logger.Info("settings read again", zap.Strings("applied", applied), zap.Strings("at_next_start", held))
+	w.logger.Info("settings read again", zap.Strings("applied", applied), zap.Strings("at_next_start", atNextStart))
 }
 
-// logFaults logs everything that is wrong. The settings that hold stay as they are.
+// logRejected logs everything that is wrong in a file. The settings in force stay as they are.
 func (w *settingsWatch) logRejected(err error) {
 	var found settings.Findings
 	if !errors.As(err, &found) {
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -4,7 +4,6 @@
 	"context"
 	"net/http"
 	"sync/atomic"
-	"time"
 
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
@@ -15,18 +14,19 @@
 	"gladepick/internal/messagestore"
 )
 
-// Store is a store process: it keeps messages and delivers those of the partitions that it leads.
+// Store is a store process: it stores messages, and delivers those of the partitions that it leads.
 type Store struct {
 	*node
 	messages        *messagestore.Store
 	engine          *delivery.Engine
 	platformClient  *http.Client
 	platformAddress atomic.Pointer[string] // address of the platform's list of workers
-	engineVersion   uint64                 // of the configuration that the engine has
+	engineVersion   uint64                 // version of the configuration that the engine has
 	leadingStores   atomic.Int64           // how many stores lead partitions
 }
 
-// NewStore makes a store. Run starts it.
+// NewStore opens the message log and connects the parts of a store. Run starts it. It fails with a BadParameter
+// error where the settings name no data directory.
 func NewStore(options Options) (*Store, error) {
 	base, err := newNode(options)
 	if err != nil {
@@ -40,40 +40,45 @@
 		return nil, trace.Wrap(err)
 	}
 	s.SetCloudAddress(base.settings.Cloud.Address)
-	limits := base.settings.Limits
-	s.messages, err = messagestore.Open(messagestore.Options{
-		Name:       base.info.Name,
-		DiskID:     base.info.DiskID,
-		FS:         options.FS,
-		Pool:       base.pool,
-		Server:     base.server,
-		Control:    base.agent,
-		Logger:     base.logger,
-		Copies:     base.settings.FaultTolerance.Machines + 1,
-		StatusFor:  base.settings.Bounds.Status + statusReserve,
-		DiskBytes:  int64(limits.DiskMB) * bytesPerMegabyte,
-		CacheBytes: int64(limits.MemoryMB) * bytesPerMegabyte / cacheDivisor,
-	})
-	if err != nil {
+	if s.messages, err = messagestore.Open(s.messageOptions()); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s.engine = delivery.New(delivery.Options{
-		Name:            base.info.Name,
-		Zone:            base.info.Zone,
-		Network:         options.Network,
-		Owner:           s.messages,
-		Logger:          base.logger,
-		Seed:            options.Seed,
-		Drain:           base.settings.Bounds.Drain,
-		ConnectionShare: s.connectionShare,
-	})
+	s.engine = delivery.New(s.deliveryOptions())
 	base.newMetrics().Add(s.collectStore)
 	return s, nil
 }
 
-// SetCloudAddress changes where the platform's list of workers is read from while the control plane does not bring it.
-func (s *Store) SetCloudAddress(address string) { s.platformAddress.Store(&address) }
+func (s *Store) messageOptions() messagestore.Options {
+	limits := s.settings.Limits
+	return messagestore.Options{
+		Name:       s.info.Name,
+		DiskID:     s.info.DiskID,
+		FS:         s.options.FS,
+		Pool:       s.pool,
+		Server:     s.server,
+		Control:    s.agent,
+		Logger:     s.logger,
+		Copies:     s.settings.FaultTolerance.Machines + 1,
+		StatusFor:  s.settings.Bounds.Status + statusReserve,
+		DiskBytes:  int64(limits.DiskMB) * bytesPerMegabyte,
+		CacheBytes: int64(limits.MemoryMB) * bytesPerMegabyte / cacheDivisor,
+	}
+}
+
+func (s *Store) deliveryOptions() delivery.Options {
+	return delivery.Options{
+		Name:            s.info.Name,
+		Zone:            s.info.Zone,
+		Network:         s.options.Network,
+		Owner:           s.messages,
+		Logger:          s.logger,
+		Seed:            s.options.Seed,
+		Drain:           s.settings.Bounds.Drain,
+		ConnectionShare: s.connectionShare,
+	}
+}
 
+// announce returns what the agent announces of the store with every renewal of its lease.
 func (s *Store) announce() cluster.NodeInfo {
 	info := s.info
 	info.Draining = s.draining.Load()
@@ -81,10 +86,12 @@
 	return info
 }
 
-// callers is by how many stores the connections and slots of workers are divided: those that lead partitions.
+// connectionShare is the number of stores that share the workers' connections and slots: those that lead
+// partitions.
 func (s *Store) connectionShare() int { return max(int(s.leadingStores.Load()), 1) }
 
-// Run serves until the context ends, then hands its partitions over and returns.
+// Run serves until the context ends, then hands its partitions over and returns. It must be called once. Its
+// errors concern the start: a listener that can't be opened.
 func (s *Store) Run(ctx context.Context) error {
 	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer s.close()
@@ -99,11 +106,16 @@
 	s.running.Go(func() { s.watchWorkers(alive) })
 	s.watchSettings(alive, s)
 	<-ctx.Done()
+	s.drain(alive)
+	return nil
+}
+
+// drain hands over the partitions that the store leads, for as long as the grace period allows.
+func (s *Store) drain(ctx context.Context) {
 	s.draining.Store(true)
-	draining, cancel := context.WithTimeout(alive, s.settings.Bounds.Grace-exitReserve)
+	ctx, cancel := context.WithTimeout(ctx, s.settings.Bounds.Grace-exitReserve)
 	defer cancel()
-	s.messages.Drain(draining)
-	return nil
+	s.messages.Drain(ctx)
 }
 
 func (s *Store) closeMessages() {
@@ -112,7 +124,8 @@
 	}
 }
 
-// changed passes new snapshots of the agent on. The agent calls it from one goroutine at a time.
+// applySnapshots passes new snapshots of the agent on to the delivery engine and the message store. The agent
+// calls it from one goroutine at a time.
 func (s *Store) applySnapshots() {
 	if document := s.agent.Config(); document != nil && document.Version() > s.engineVersion {
 		s.engineVersion = document.Version()
@@ -127,35 +140,3 @@
 		s.messages.ApplyTable(table)
 	}
 }
-
-// watchWorkers reads the platform's list while the control plane does not bring it.
-func (s *Store) watchWorkers(ctx context.Context) {
-	ticker := time.NewTicker(workersReadInterval)
-	defer ticker.Stop()
-	started := time.Now()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-ticker.C:
-		}
-		last := s.agent.WorkersReadAt()
-		if last.IsZero() {
-			last = started
-		}
-		if time.Since(last) > workersStaleAfter {
-			s.readWorkers(ctx)
-		}
-	}
-}
-
-func (s *Store) readWorkers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, workersReadTimeout)
-	defer cancel()
-	workers, err := controlplane.ReadWorkers(ctx, s.platformClient, *s.platformAddress.Load())
-	if err != nil {
-		s.logger.Info("reading the list of workers", zap.Error(err))
-		return
-	}
-	s.engine.SetWorkers(workers)
-}
