--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Datagram is the most bytes that a datagram may have, as the second deployment's protocol page has it.
+// MaxDatagramBytes is the most bytes that a datagram may have, as the second deployment's protocol page has it.
 const MaxDatagramBytes = 256
 
 const (
