--- a/cmd/gladepick-full/main.go
+++ b/cmd/gladepick-full/main.go
@@ -53,6 +53,6 @@
 }
 
 // keeper makes jobs be taken for keeps.
-func keeper(n *config.Node, members *transport.Peers) (instance.DurableJobs, error) {
+func keeper(n *config.Node, members *transport.Transport) (instance.DurableJobs, error) {
 	return durablejobs.New(n, members)
 }
--- a/internal/dispatcher/durablejobs/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -82,7 +82,7 @@
 	away    map[string]time.Duration // owners that are not in the view, since when
 	seizing map[int]bool
 	tidied  time.Duration
-	record  *transport.Record
+	record  *transport.EventLog
 	crash   map[string]int
 	ready   atomic.Bool
 	leaving atomic.Bool
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("%s: %w", c.Path, err)
 	}
 	if c.Events != "" {
-		if k.record, err = transport.OpenRecord(c.Events); err != nil {
+		if k.record, err = transport.OpenEventLog(c.Events); err != nil {
 			return nil, fmt.Errorf("%s: key promises.events: %w", c.Path, err)
 		}
 	}
@@ -203,7 +203,7 @@
 // note writes a line of the operator's record.
 func (k *Keeper) note(line map[string]any) {
 	line["by"] = k.node.Name
-	k.record.Note(line)
+	k.record.Write(line)
 }
 
 // owner is this dispatcher as the tables name it.
--- a/internal/dispatcher/faultinjection/faults.go
+++ b/internal/dispatcher/faultinjection/faults.go
@@ -125,7 +125,7 @@
 	}
 	p.line = line
 	p.world = simulation.New(line.Nodes, 3, line.Seed)
-	p.world.Bear = p.Bear - p.Period
+	p.world.FailureTimeout = p.Bear - p.Period
 	p.cuts, p.deaf = make([]atomic.Bool, line.Nodes*line.Nodes), make([]atomic.Bool, line.Nodes)
 	defer p.end()
 	if err := p.connect(); err != nil {
@@ -160,10 +160,10 @@
 		time.Sleep(time.Until(p.began.Add(time.Duration(s.AtS * float64(time.Second)))))
 		p.world.Now = time.Since(p.began)
 		for _, i := range s.Hurts {
-			p.world.Hurt(p.world.Nodes[i])
+			p.world.BeginFault(p.world.Nodes[i])
 		}
 		for _, i := range s.Eases {
-			p.world.Ease(p.world.Nodes[i])
+			p.world.EndFault(p.world.Nodes[i])
 		}
 		for _, i := range s.Nodes {
 			if s.Do == "kill" && p.nodes[i].process != nil {
@@ -208,7 +208,7 @@
 	if err := p.read(); err != nil {
 		return nil, err
 	}
-	out := &Outcome{Faults: p.world.Audit(), Wrong: p.world.Wrong(), Views: p.world.Views(0, time.Hour), World: p.world}
+	out := &Outcome{Faults: p.world.Audit(), Wrong: p.world.FalseFailures(), Views: p.world.Views(0, time.Hour), World: p.world}
 	_, out.Agreed = p.world.Agreed()
 	for _, k := range kills {
 		first, last := time.Duration(0), time.Duration(0)
@@ -321,8 +321,8 @@
 	case "stop":
 		signal(syscall.SIGSTOP)
 		for_ := time.Duration(s.ForS * float64(time.Second))
-		if for_ > p.world.Bear {
-			p.world.Hurt(w)
+		if for_ > p.world.FailureTimeout {
+			p.world.BeginFault(w)
 		}
 		process := n.process
 		p.wait.Go(func() {
@@ -331,8 +331,8 @@
 				process.Process.Signal(syscall.SIGCONT)
 			}
 		})
-		if for_ > p.world.Bear {
-			w.Trouble[len(w.Trouble)-1].To = p.world.Now + for_
+		if for_ > p.world.FailureTimeout {
+			w.Faults[len(w.Faults)-1].To = p.world.Now + for_
 		}
 	case "cut":
 		for _, k := range s.To {
@@ -387,7 +387,7 @@
 	go func() { c.Wait(); close(over) }()
 	p.world.Now = time.Since(p.began)
 	w.Up, w.Started = true, p.world.Now
-	p.world.Ease(w)
+	p.world.EndFault(w)
 	return nil
 }
 
@@ -445,7 +445,7 @@
 			e := simulation.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
 			switch {
 			case l.Start > 0:
-				life, w.Life = l.Start, l.Start
+				life, w.Incarnation = l.Start, l.Start
 				continue
 			case l.Notice != "":
 				e.Notice = &membership.Notice{Kind: l.Notice, Text: l.Text}
@@ -466,7 +466,7 @@
 				}
 				e.Change = &membership.Change{Name: l.Member, Incarnation: l.Of, State: state, Reason: l.Why}
 			}
-			e.Life = life
+			e.Incarnation = life
 			p.world.Record = append(p.world.Record, e)
 		}
 		f.Close()
--- a/internal/dispatcher/instance/node.go
+++ b/internal/dispatcher/instance/node.go
@@ -36,7 +36,7 @@
 }
 
 // Keep makes a keeper for a node whose operator's file asks for one.
-type NewDurableJobs func(*config.Node, *transport.Peers) (DurableJobs, error)
+type NewDurableJobs func(*config.Node, *transport.Transport) (DurableJobs, error)
 
 // Run runs one dispatcher until SIGTERM has been served. record and keep may be nil.
 func Run(record StartRecorder, keep NewDurableJobs) error {
@@ -61,7 +61,7 @@
 		desk = amqp.New(n, counters)
 		queues, fixed = desk, desk.Workers()
 	}
-	var members *transport.Peers
+	var members *transport.Transport
 	if n.Membership != nil {
 		if members, err = transport.New(n); err != nil {
 			return err
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -35,7 +35,7 @@
 	{"a short stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
 	{"a long stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
 	{"a leave", func(w *simulation.World) {
-		w.Tell(w.Nodes[1], membership.Event{Kind: membership.Leave})
+		w.Deliver(w.Nodes[1], membership.Event{Kind: membership.Leave})
 		w.At(w.Now+2500*time.Millisecond, func() { w.Kill(w.Nodes[1]) })
 	}},
 }
@@ -46,7 +46,7 @@
 	what int // a mischief, or beyond them a stop of 2 s of member what-Mischiefs
 }
 
-const faults = int(simulation.Mischiefs) + 3
+const faults = int(simulation.DatagramFaults) + 3
 
 // explored plays a drama with some faults; it gives how many datagrams the stretch had, and a sum of the record.
 func explored(d drama, list []fault) (datagrams int, sum uint64, bad []string) {
@@ -56,7 +56,7 @@
 	}
 	w.Run(5 * time.Second)
 	first := -1
-	w.Meddle = func(nth int, _, _ *simulation.Node) simulation.Mischief {
+	w.InjectFault = func(nth int, _, _ *simulation.Node) simulation.DatagramFault {
 		if first < 0 {
 			first = nth
 		}
@@ -64,18 +64,18 @@
 		for _, f := range list {
 			if f.nth != nth-first {
 				continue
-			} else if f.what < int(simulation.Mischiefs) {
-				return simulation.Mischief(f.what)
+			} else if f.what < int(simulation.DatagramFaults) {
+				return simulation.DatagramFault(f.what)
 			}
-			if x := w.Nodes[f.what-int(simulation.Mischiefs)]; x.Up {
+			if x := w.Nodes[f.what-int(simulation.DatagramFaults)]; x.Up {
 				w.Stop(x, 2*time.Second)
 			}
 		}
-		return simulation.Nothing
+		return simulation.NoFault
 	}
 	d.do(w)
 	w.Run(w.Now + 8*time.Second)
-	w.Meddle = nil
+	w.InjectFault = nil
 	w.Run(w.Now + 12*time.Second)
 	bad = w.Audit()
 	if id, ok := w.Agreed(); !ok {
@@ -160,10 +160,10 @@
 		w.Run(8 * time.Second)
 		var hurt []*simulation.Node
 		heal := func() {
-			w.Cut = nil
+			w.IsPartitioned = nil
 			for _, x := range hurt {
 				if x.Up {
-					w.Ease(x)
+					w.EndFault(x)
 				}
 			}
 			hurt = nil
@@ -183,23 +183,23 @@
 				}
 			case "leave":
 				if x.Up {
-					w.Tell(x, membership.Event{Kind: membership.Leave})
-					life := x.Life
+					w.Deliver(x, membership.Event{Kind: membership.Leave})
+					life := x.Incarnation
 					w.At(w.Now+2200*time.Millisecond, func() {
-						if x.Life == life {
+						if x.Incarnation == life {
 							w.Kill(x)
 						}
 					})
 				}
 			case "facts":
-				w.Tell(x, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
+				w.Deliver(x, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
 			case "cut": // who is not on the side with more than half of the latest view may be taken for failed
 				heal()
 				side := map[*simulation.Node]bool{}
 				for _, y := range w.Nodes {
 					side[y] = rapid.Bool().Draw(t, "side")
 				}
-				w.Cut = func(from, to *simulation.Node) bool { return side[from] != side[to] }
+				w.IsPartitioned = func(from, to *simulation.Node) bool { return side[from] != side[to] }
 				var last membership.View
 				for _, y := range w.Nodes {
 					if y.Up {
@@ -216,7 +216,7 @@
 						}
 					}
 					if 2*same <= len(last.Members) {
-						w.Hurt(y)
+						w.BeginFault(y)
 						hurt = append(hurt, y)
 					}
 				}
--- a/internal/dispatcher/membership/golden_test.go
+++ b/internal/dispatcher/membership/golden_test.go
@@ -74,7 +74,7 @@
 func playGolden(t *testing.T, seed uint64, digest hash.Hash, events *int) {
 	t.Helper()
 	w := simulation.New(14, 3, 50+seed)
-	w.Loss, w.Double = 0.05, 0.02
+	w.Loss, w.Duplicates = 0.05, 0.02
 	start := w.Make
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		member, err := start(n, seed)
@@ -86,15 +86,15 @@
 	at := func(seconds int, do func()) { w.At(time.Duration(seconds)*time.Second, do) }
 	at(15, func() { w.Kill(w.Nodes[3]) })
 	at(22, func() { w.Stop(w.Nodes[5], 2*time.Second) })
-	at(25, func() { w.Tell(w.Nodes[7], membership.Event{Kind: membership.Leave}) })
+	at(25, func() { w.Deliver(w.Nodes[7], membership.Event{Kind: membership.Leave}) })
 	at(35, func() { w.Start(w.Nodes[3]) })
 	at(40, func() { w.Stop(w.Nodes[6], 9*time.Second) })
 	at(50, func() {
-		w.Cut = func(from, to *simulation.Node) bool {
+		w.IsPartitioned = func(from, to *simulation.Node) bool {
 			return from.Zone != to.Zone && (from.Zone == "z0" || to.Zone == "z0")
 		}
 	})
-	at(65, func() { w.Cut = nil })
+	at(65, func() { w.IsPartitioned = nil })
 	at(75, func() { w.Nodes[8].Deaf = true })
 	at(85, func() { w.Nodes[8].Deaf = false })
 	at(90, func() {
@@ -108,7 +108,7 @@
 		}
 	})
 	at(110, func() {
-		w.Tell(w.Nodes[10], membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{}})
+		w.Deliver(w.Nodes[10], membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{}})
 	})
 	w.Run(140 * time.Second)
 }
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -31,7 +31,7 @@
 		if kind != "views" {
 			return simulation.NewBaseline(w, x, seed, kind == "heartbeats", 500*time.Millisecond, bear), nil
 		}
-		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, Address: x.Addr, Incarnation: x.Life, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: bear}, w.Now)
+		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, Address: x.Addr, Incarnation: x.Incarnation, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: bear}, w.Now)
 		if err == nil && w.Now < time.Second {
 			m.Born(first)
 		}
@@ -56,7 +56,7 @@
 // measure plays a stretch with loss and stops, then crashes one after the other.
 func measure(kind string, n int, seed uint64, bear, stretch time.Duration, stops time.Duration, loss float64, crashes int) (f figures) {
 	w := played(kind, n, seed, bear)
-	w.Quiet, w.Bear, w.Loss = false, time.Hour, loss // no stop is an excuse here
+	w.Quiet, w.FailureTimeout, w.Loss = false, time.Hour, loss // no stop is an excuse here
 	began, sent := w.Now, uint64(0)
 	if stops > 0 { // each member once in 30 s
 		every := 30 * time.Second / time.Duration(n)
@@ -85,12 +85,12 @@
 	w.Run(w.Now + 10*time.Second) // stops that are under way end
 	for k := range crashes {
 		x := w.Nodes[(k*31+n/2)%n]
-		at, life := w.Now, x.Life
+		at, life := w.Now, x.Incarnation
 		w.Record = w.Record[:0]
 		w.Kill(x)
 		w.Run(w.Now + 20*time.Second)
 		f.views += w.Views(at, w.Now)
-		suspected, gone := w.When(x.Name, life, membership.Suspected, at), w.When(x.Name, life, membership.Failed, at)
+		suspected, gone := w.ChangesOf(x.Name, life, membership.Suspected, at), w.ChangesOf(x.Name, life, membership.Failed, at)
 		if kind == "heartbeats" {
 			suspected = gone
 		}
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -58,14 +58,14 @@
 		var first, last []time.Duration
 		for k := range 5 {
 			x := w.Nodes[(n/2+7*k)%n]
-			life, at := x.Life, w.Now
+			life, at := x.Incarnation, w.Now
 			w.Kill(x)
 			w.Run(w.Now + 12*time.Second)
-			failed := w.When(x.Name, life, membership.Failed, at)
+			failed := w.ChangesOf(x.Name, life, membership.Failed, at)
 			if len(failed) != n-1 || failed[0] < 3*time.Second {
 				t.Fatalf("%d members: failed is known to %d, from %v on", n, len(failed), failed)
 			}
-			first, last = append(first, w.When(x.Name, life, membership.Suspected, at)[0]), append(last, failed[n-2])
+			first, last = append(first, w.ChangesOf(x.Name, life, membership.Suspected, at)[0]), append(last, failed[n-2])
 			if got := w.Views(at, w.Now); got != 1 {
 				t.Errorf("%d members: %d views for one crash", n, got)
 			}
@@ -87,7 +87,7 @@
 		"loss":   func(w *simulation.World) { w.Loss = 0.2 },
 		"loss30": func(w *simulation.World) { w.Loss = 0.3 },
 		"delays": func(w *simulation.World) {
-			w.Delay, w.Double = [2]time.Duration{time.Millisecond, 500 * time.Millisecond}, 0.2
+			w.Delay, w.Duplicates = [2]time.Duration{time.Millisecond, 500 * time.Millisecond}, 0.2
 		},
 		"pauses": func(w *simulation.World) {
 			w.Loss = 0.05
@@ -104,15 +104,15 @@
 		},
 		"one way": func(w *simulation.World) {
 			a, b := w.Nodes[0], w.Nodes[1]
-			w.Cut = func(from, to *simulation.Node) bool { return from == a && to == b }
+			w.IsPartitioned = func(from, to *simulation.Node) bool { return from == a && to == b }
 		},
 		"one link": func(w *simulation.World) {
 			a, b := w.Nodes[0], w.Nodes[1]
-			w.Cut = func(from, to *simulation.Node) bool { return from == a && to == b || from == b && to == a }
+			w.IsPartitioned = func(from, to *simulation.Node) bool { return from == a && to == b || from == b && to == a }
 		},
 		"a bad member": func(w *simulation.World) { // half of what it sends and gets is lost
 			n := 0
-			w.Cut = func(from, to *simulation.Node) bool { n++; return (from == w.Nodes[2] || to == w.Nodes[2]) && n%2 == 0 }
+			w.IsPartitioned = func(from, to *simulation.Node) bool { n++; return (from == w.Nodes[2] || to == w.Nodes[2]) && n%2 == 0 }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -120,7 +120,7 @@
 			w := up(t, 15, 3, 2)
 			trouble(w)
 			w.Run(w.Now + time.Minute)
-			w.Loss, w.Cut, w.Double, w.Delay = 0, nil, 0, [2]time.Duration{time.Millisecond, 5 * time.Millisecond}
+			w.Loss, w.IsPartitioned, w.Duplicates, w.Delay = 0, nil, 0, [2]time.Duration{time.Millisecond, 5 * time.Millisecond}
 			settle(t, w)
 			for _, e := range w.Record {
 				if e.Change != nil && e.Change.State == membership.Failed {
@@ -135,7 +135,7 @@
 func TestAChain(t *testing.T) {
 	t.Parallel()
 	w := up(t, 5, 1, 3)
-	w.Cut = func(from, to *simulation.Node) bool {
+	w.IsPartitioned = func(from, to *simulation.Node) bool {
 		i, k := slices.Index(w.Nodes, from), slices.Index(w.Nodes, to)
 		return i-k > 1 || k-i > 1
 	}
@@ -145,7 +145,7 @@
 			t.Errorf("%v: %s takes %s for failed", e.At, w.Nodes[e.Node].Name, e.Change.Name)
 		}
 	}
-	w.Cut = nil
+	w.IsPartitioned = nil
 	settle(t, w)
 }
 
@@ -156,9 +156,9 @@
 		w := up(t, 5, 1, uint64(small))
 		side := func(n *simulation.Node) bool { return slices.Index(w.Nodes, n) < small }
 		for _, n := range w.Nodes[:small] {
-			w.Hurt(n)
+			w.BeginFault(n)
 		}
-		w.Cut = func(from, to *simulation.Node) bool { return side(from) != side(to) }
+		w.IsPartitioned = func(from, to *simulation.Node) bool { return side(from) != side(to) }
 		began := w.Now
 		w.Run(w.Now + 20*time.Second)
 		for i, n := range w.Nodes {
@@ -172,9 +172,9 @@
 				t.Errorf("%s, on the smaller side, takes %s for failed", w.Nodes[e.Node].Name, c.Name)
 			}
 		}
-		w.Cut = nil
+		w.IsPartitioned = nil
 		for _, n := range w.Nodes[:small] {
-			w.Ease(n)
+			w.EndFault(n)
 		}
 		settle(t, w)
 	}
@@ -184,13 +184,13 @@
 	t.Parallel()
 	w := up(t, 9, 3, 4)
 	x := w.Nodes[4]
-	life, at := x.Life, w.Now
-	w.Tell(x, membership.Event{Kind: membership.Leave})
+	life, at := x.Incarnation, w.Now
+	w.Deliver(x, membership.Event{Kind: membership.Leave})
 	w.Run(w.Now + 3*time.Second)
 	w.Kill(x)
-	left := w.When(x.Name, life, membership.Left, at)
-	if len(left) != 8 || left[7] > 2*time.Second || len(w.When(x.Name, life, membership.Failed, at)) > 0 {
-		t.Errorf("known to %d, %v; failed for %d", len(left), left, len(w.When(x.Name, life, membership.Failed, at)))
+	left := w.ChangesOf(x.Name, life, membership.Left, at)
+	if len(left) != 8 || left[7] > 2*time.Second || len(w.ChangesOf(x.Name, life, membership.Failed, at)) > 0 {
+		t.Errorf("known to %d, %v; failed for %d", len(left), left, len(w.ChangesOf(x.Name, life, membership.Failed, at)))
 	}
 	settle(t, w)
 }
@@ -214,19 +214,19 @@
 func TestALongStopAndADeafMember(t *testing.T) {
 	t.Parallel()
 	w := up(t, 9, 3, 6)
-	x, at, life := w.Nodes[3], w.Now, w.Nodes[3].Life
+	x, at, life := w.Nodes[3], w.Now, w.Nodes[3].Incarnation
 	w.Stop(x, 30*time.Second)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.When(x.Name, life, membership.Failed, at)); got != 8 {
+	if got := len(w.ChangesOf(x.Name, life, membership.Failed, at)); got != 8 {
 		t.Errorf("stopped for 20 s, it has failed for %d of 8", got)
 	}
 	w.Run(w.Now + 10*time.Second)
 	settle(t, w)
 	y, at := w.Nodes[5], w.Now
 	y.Deaf = true
-	w.Hurt(y)
+	w.BeginFault(y)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.When(y.Name, y.Life, membership.Failed, at)); got != 8 {
+	if got := len(w.ChangesOf(y.Name, y.Incarnation, membership.Failed, at)); got != 8 {
 		t.Errorf("sending and hearing nothing, it has failed for %d of 8", got)
 	}
 	for _, e := range w.Record {
@@ -235,7 +235,7 @@
 		}
 	}
 	y.Deaf = false
-	w.Ease(y)
+	w.EndFault(y)
 	settle(t, w)
 }
 
@@ -261,7 +261,7 @@
 	if notices[2]["superseded"] != 1 || notices[2]["expelled"] > 0 || notices[5]["expelled"] > 0 {
 		t.Errorf("notices: %v", notices)
 	}
-	if v := b.Member.(*membership.Machine).View(); !v.Contains(b.Name, b.Life) || len(v.Members) != 5 {
+	if v := b.Member.(*membership.Machine).View(); !v.Contains(b.Name, b.Incarnation) || len(v.Members) != 5 {
 		t.Errorf("view %+v", v)
 	}
 }
@@ -270,7 +270,7 @@
 	t.Parallel()
 	w := simulation.New(4, 1, 8)
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
-		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Life, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
+		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
 	}
 	w.Start(w.Nodes[2])
 	w.Run(10 * time.Second) // alone
@@ -306,7 +306,7 @@
 	w := up(t, 30, 3, 10)
 	for i := range 10 { // a tenth at a time
 		for _, x := range w.Nodes[3*i : 3*i+3] {
-			w.Tell(x, membership.Event{Kind: membership.Leave})
+			w.Deliver(x, membership.Event{Kind: membership.Leave})
 		}
 		w.Run(w.Now + 2500*time.Millisecond)
 		for _, x := range w.Nodes[3*i : 3*i+3] {
@@ -330,16 +330,16 @@
 	for _, end := range []membership.State{membership.Failed, membership.Left} {
 		w := up(t, 5, 1, 12)
 		x, y, z := w.Nodes[1], w.Nodes[0], w.Nodes[2]
-		life := x.Life
+		life := x.Incarnation
 		if end == membership.Left {
-			w.Tell(x, membership.Event{Kind: membership.Leave})
+			w.Deliver(x, membership.Event{Kind: membership.Leave})
 			w.Run(w.Now + 2500*time.Millisecond)
 		}
 		w.Kill(x)
 		w.Run(w.Now + 12*time.Second)
 		id := z.Member.(*membership.Machine).View().ViewID
 		for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Left} {
-			w.Tell(y, membership.Event{Kind: membership.DatagramReceived, From: z.Addr, Data: membership.Forged(z.Name, z.Life, id, x.Name, life, 99, s)})
+			w.Deliver(y, membership.Event{Kind: membership.DatagramReceived, From: z.Addr, Data: membership.Forged(z.Name, z.Incarnation, id, x.Name, life, 99, s)})
 			for _, seen := range y.Member.(*membership.Machine).Members() {
 				if seen.Name == x.Name && seen.State != end.String() {
 					t.Errorf("%v, then %v with later news: it is %s", end, s, seen.State)
@@ -383,13 +383,13 @@
 	for seed := range uint64(12) {
 		w := up(t, 9, 4, 100+seed)
 		side := func(n *simulation.Node) bool { return slices.Contains([]int{1, 4, 6, 7, 8}, slices.Index(w.Nodes, n)) }
-		w.Cut = func(from, to *simulation.Node) bool { return side(from) != side(to) }
+		w.IsPartitioned = func(from, to *simulation.Node) bool { return side(from) != side(to) }
 		w.Run(w.Now + 20*time.Millisecond)
-		w.Tell(w.Nodes[7], membership.Event{Kind: membership.Leave})
+		w.Deliver(w.Nodes[7], membership.Event{Kind: membership.Leave})
 		w.Run(w.Now + 2200*time.Millisecond)
 		w.Kill(w.Nodes[7])
 		w.Run(w.Now + time.Duration(9+seed)*time.Second)
-		w.Cut = nil
+		w.IsPartitioned = nil
 		settle(t, w)
 	}
 }
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -1,6 +1,4 @@
-// The auditor: what the record of a play must not hold, whatever happened in it. It
-// reads the record and the troubles that the play itself brought, and judges nothing by
-// the clock of the machine it runs on.
+// The auditor: what the record of a play must not show, whatever faults the play injected.
 
 package simulation
 
@@ -12,8 +10,8 @@
 	"gladepick/internal/dispatcher/membership"
 )
 
-// Audit names what breaks a promise: two views of one number, a life that came back, a living and connected member taken
-// for failed, one that left taken for failed.
+// Audit returns the violations of the membership's guarantees: two views with one number, an incarnation that came back, a
+// member that was alive and connected taken for failed, one that left taken for failed.
 func (w *World) Audit() (faults []string) {
 	type number struct {
 		fleet, epoch uint32
@@ -36,21 +34,21 @@
 				faults = append(faults, fmt.Sprintf("%s: view %d.%d is another one than elsewhere", at, v.Epoch, v.Number))
 			}
 			digests[k] = v.Digest
-			me := [2]uint64{uint64(e.Node), e.Life}
+			me := [2]uint64{uint64(e.Node), e.Incarnation}
 			if was, ok := last[me]; ok && !v.ViewID.After(was) {
 				faults = append(faults, fmt.Sprintf("%s: view %v after %v", at, v.ViewID, was))
 			}
 			last[me] = v.ViewID
 		}
 		if c := e.Change; c != nil {
-			k := seen{e.Node, e.Life, c.Name, c.Incarnation}
+			k := seen{e.Node, e.Incarnation, c.Name, c.Incarnation}
 			if was, ok := ended[k]; ok && c.State != was {
 				faults = append(faults, fmt.Sprintf("%s: %s life %d is %v after it was %v", at, c.Name, c.Incarnation, c.State, was))
 			}
 			if c.State >= membership.Left {
 				ended[k] = c.State
 			}
-			if c.State == membership.Failed && !w.excused(c.Name, c.Incarnation, e) {
+			if c.State == membership.Failed && !w.isExplained(c.Name, c.Incarnation, e) {
 				faults = append(faults, fmt.Sprintf("%s: %s life %d is taken for failed, and it is there", at, c.Name, c.Incarnation))
 			}
 		}
@@ -58,23 +56,24 @@
 	return faults
 }
 
-// excused tells whether something had happened to a member, or to who says so, that may make it fail: within 15 s before.
-func (w *World) excused(name string, life uint64, e Entry) bool {
+// isExplained tells whether a fault within the last 15 s, of a member or of the one that says so, may explain that it is
+// taken for failed.
+func (w *World) isExplained(name string, life uint64, e Entry) bool {
 	i := slices.IndexFunc(w.Nodes, func(n *Node) bool { return n.Name == name })
 	if i < 0 {
 		return false
 	}
-	hurt := func(n *Node) bool {
-		return slices.ContainsFunc(n.Trouble, func(s Span) bool { return s.From <= e.At && (s.To == 0 || s.To+15*time.Second >= e.At) })
+	hasFault := func(n *Node) bool {
+		return slices.ContainsFunc(n.Faults, func(s Span) bool { return s.From <= e.At && (s.To == 0 || s.To+15*time.Second >= e.At) })
 	}
 	n := w.Nodes[i]
-	return hurt(n) || hurt(w.Nodes[e.Node]) || life < n.Life && e.At >= n.Started
+	return hasFault(n) || hasFault(w.Nodes[e.Node]) || life < n.Incarnation && e.At >= n.Started
 }
 
-// Wrong counts, among the changes, who was accused though it was there.
-func (w *World) Wrong() (accused int) {
+// FalseFailures counts the changes that suspect a member without a fault that would explain it.
+func (w *World) FalseFailures() (accused int) {
 	for _, e := range w.Record {
-		if c := e.Change; c != nil && c.State == membership.Suspected && !w.excused(c.Name, c.Incarnation, e) {
+		if c := e.Change; c != nil && c.State == membership.Suspected && !w.isExplained(c.Name, c.Incarnation, e) {
 			accused++
 		}
 	}
@@ -85,7 +84,7 @@
 func (w *World) Agreed() (id membership.ViewID, ok bool) {
 	last := map[int]*membership.View{}
 	for _, e := range w.Record {
-		if e.View != nil && w.Nodes[e.Node].Life == e.Life {
+		if e.View != nil && w.Nodes[e.Node].Incarnation == e.Incarnation {
 			last[e.Node] = e.View
 		}
 	}
@@ -109,8 +108,8 @@
 	return id, up > 0
 }
 
-// When gives, for each node that is up, how long after since it first took a member's life for a state.
-func (w *World) When(name string, life uint64, s membership.State, since time.Duration) (out []time.Duration) {
+// ChangesOf gives, for each node that is up, how long after since it first took a member's life for a state.
+func (w *World) ChangesOf(name string, life uint64, s membership.State, since time.Duration) (out []time.Duration) {
 	done := map[int]bool{}
 	for _, e := range w.Record {
 		if c := e.Change; c != nil && c.Name == name && c.Incarnation == life && c.State == s && e.At >= since && !done[e.Node] {
--- a/internal/dispatcher/membership/simulation/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -62,14 +62,14 @@
 func (b *Baseline) set(i int, s membership.State) {
 	if b.state[i] != s {
 		b.state[i] = s
-		b.acts.Changes = append(b.acts.Changes, membership.Change{Name: b.w.Nodes[i].Name, Incarnation: b.w.Nodes[i].Life, State: s})
+		b.acts.Changes = append(b.acts.Changes, membership.Change{Name: b.w.Nodes[i].Name, Incarnation: b.w.Nodes[i].Incarnation, State: s})
 		if !b.all {
-			b.tell(i)
+			b.recordChange(i)
 		}
 	}
 }
 
-func (b *Baseline) tell(i int) {
+func (b *Baseline) recordChange(i int) {
 	b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.who == i })
 	b.gossip = append(b.gossip, gossip{who: i})
 }
@@ -101,17 +101,17 @@
 func (b *Baseline) Handle(now time.Duration, ev membership.Event) *membership.Actions {
 	b.acts = membership.Actions{Send: b.acts.Send[:0], Changes: b.acts.Changes[:0]}
 	if ev.Kind == membership.DatagramReceived {
-		b.hear(now, ev.Data)
+		b.handleDatagram(now, ev.Data)
 	}
 	if b.all {
-		b.beats(now)
+		b.runHeartbeats(now)
 	} else {
-		b.swim(now)
+		b.runSWIM(now)
 	}
 	return &b.acts
 }
 
-func (b *Baseline) beats(now time.Duration) {
+func (b *Baseline) runHeartbeats(now time.Duration) {
 	if now >= b.probeAt {
 		b.probeAt += b.period
 		for i := range b.state {
@@ -126,7 +126,7 @@
 	b.acts.Next = b.probeAt
 }
 
-func (b *Baseline) swim(now time.Duration) {
+func (b *Baseline) runSWIM(now time.Duration) {
 	for i, s := range b.state {
 		if s == membership.Suspected && now >= b.due[i] {
 			b.set(i, membership.Failed)
@@ -170,7 +170,7 @@
 	}
 }
 
-func (b *Baseline) hear(now time.Duration, data []byte) {
+func (b *Baseline) handleDatagram(now time.Duration, data []byte) {
 	kind, from := int(data[0]), int(binary.LittleEndian.Uint16(data[1:]))
 	x, y := int(binary.LittleEndian.Uint16(data[3:])), int(binary.LittleEndian.Uint16(data[5:]))
 	b.heard[from] = now
@@ -186,7 +186,7 @@
 		case i == b.n.number:
 			if s != membership.Alive && inc >= b.inc[i] {
 				b.inc[i] = inc + 1
-				b.tell(i)
+				b.recordChange(i)
 			}
 		case s == membership.Failed && b.state[i] != s, s == membership.Alive && inc > b.inc[i] && b.state[i] != membership.Failed,
 			s == membership.Suspected && inc >= b.inc[i] && b.state[i] == membership.Alive:
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -1,8 +1,7 @@
-// Package simulation plays members in virtual time: datagrams with loss, delay, doubles
-// and cuts by direction, members that are stopped, killed and started again. It is
-// for measuring and testing the membership at sizes that processes don't reach. It
-// owns the clock and the network of the play, and the record that the auditor reads;
-// it must never look into a member, nor help one with what it could not know.
+// Package simulation runs members in virtual time, on a network with loss, delay, duplicates and partitions by direction,
+// with members that are paused, killed and started again. It measures and tests the membership at sizes that processes do
+// not reach. A World owns the clock, the network and the record that Audit checks; it has no goroutines, and all chance
+// comes from its seed.
 package simulation
 
 import (
@@ -22,34 +21,34 @@
 
 // Node is one place of the world, with the process that runs there now.
 type Node struct {
-	Name    string
-	Zone    string
-	Addr    netip.AddrPort
-	Member  Member
-	Up      bool
-	Life    uint64
-	Started time.Duration
-	Ended   time.Duration // when it was killed or had left, if it is not up
-	Stopped time.Duration // until when it is stopped
-	Deaf    bool          // it sends, and nothing reaches it
-	Sent    uint64        // bytes, all lives
-	Trouble []Span        // in which others may take it for failed: killed, stopped for longer than is borne, cut off
-	waiting []delivery
-	since   time.Duration // when the stop began that is on
-	wake    time.Duration
-	number  int
+	Name         string
+	Zone         string
+	Addr         netip.AddrPort
+	Member       Member
+	Up           bool
+	Incarnation  uint64
+	Started      time.Duration
+	Ended        time.Duration // when it was killed or had left, if it is not up
+	StoppedUntil time.Duration // until when it is stopped
+	Deaf         bool          // it sends, and nothing reaches it
+	Sent         uint64        // bytes, all lives
+	Faults       []Span        // in which others may take it for failed: killed, stopped for longer than is borne, cut off
+	waiting      []delivery
+	since        time.Duration // when the stop began that is on
+	wake         time.Duration
+	number       int
 }
 
-// Mischief is what may be done to one datagram.
-type Mischief uint8
+// DatagramFault is what may be done to one datagram.
+type DatagramFault uint8
 
-// The mischiefs.
+// The faults of a datagram; DatagramFaults is their number.
 const (
-	Nothing Mischief = iota
-	Lost
-	Doubled
-	Late // by a second
-	Mischiefs
+	NoFault DatagramFault = iota
+	Dropped
+	Duplicated
+	Delayed // by a second
+	DatagramFaults
 )
 
 // Span is a stretch of time; To is 0 while it lasts.
@@ -62,44 +61,44 @@
 
 // Entry is one line of the record.
 type Entry struct {
-	At     time.Duration
-	Node   int // who saw it
-	Life   uint64
-	Change *membership.Change
-	Notice *membership.Notice
-	View   *membership.View
+	At          time.Duration
+	Node        int // who saw it
+	Incarnation uint64
+	Change      *membership.Change
+	Notice      *membership.Notice
+	View        *membership.View
 }
 
 // World is one play. All chance comes from its seed.
 type World struct {
-	Now    time.Duration
-	Nodes  []*Node
-	Loss   float64
-	Double float64
-	Delay  [2]time.Duration // of a datagram, from and to
-	Cut    func(from, to *Node) bool
-	Make   func(n *Node, seed uint64) (Member, error)
-	Record []Entry
-	Quiet  bool                                   // changes to suspect and back are not recorded
-	Meddle func(nth int, from, to *Node) Mischief // with the nth datagram of the play; nil: nothing is done to any
-	Events int                                    // handled so far
-	Bear   time.Duration                          // stops of up to this are no reason to take a member for failed
+	Now            time.Duration
+	Nodes          []*Node
+	Loss           float64
+	Duplicates     float64
+	Delay          [2]time.Duration // of a datagram, from and to
+	IsPartitioned  func(from, to *Node) bool
+	Make           func(n *Node, seed uint64) (Member, error)
+	Record         []Entry
+	Quiet          bool                                        // changes to suspect and back are not recorded
+	InjectFault    func(nth int, from, to *Node) DatagramFault // with the nth datagram of the play; nil: nothing is done to any
+	Events         int                                         // handled so far
+	FailureTimeout time.Duration                               // stops of up to this are no reason to take a member for failed
 
-	rng    *rand.Rand
-	queue  priorityqueue.Queue[event]
-	order  uint64
-	mails  int
-	byAddr map[netip.AddrPort]*Node
-	lives  uint64
+	rng             *rand.Rand
+	queue           priorityqueue.Queue[event]
+	order           uint64
+	datagramsSent   int
+	byAddr          map[netip.AddrPort]*Node
+	lastIncarnation uint64
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	node  *Node
-	life  uint64
-	mail  *delivery // nil: its own time has come
-	do    func()
+	at          time.Duration
+	order       uint64
+	node        *Node
+	incarnation uint64
+	datagram    *delivery // nil: its own time has come
+	do          func()
 }
 
 // Before tells whether the event comes first; events of one moment come in the order in which they were set.
@@ -109,14 +108,14 @@
 
 // New makes a world of n nodes in some zones. Nobody is up yet.
 func New(n, zones int, seed uint64) *World {
-	w := &World{Bear: 3 * time.Second, rng: rand.New(rand.NewPCG(seed, 1)), Delay: [2]time.Duration{time.Millisecond, 5 * time.Millisecond}, byAddr: map[netip.AddrPort]*Node{}}
+	w := &World{FailureTimeout: 3 * time.Second, rng: rand.New(rand.NewPCG(seed, 1)), Delay: [2]time.Duration{time.Millisecond, 5 * time.Millisecond}, byAddr: map[netip.AddrPort]*Node{}}
 	for i := range n {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7400)
 		w.Nodes = append(w.Nodes, &Node{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%zones), Addr: a, number: i})
 		w.byAddr[a] = w.Nodes[i]
 	}
 	w.Make = func(n *Node, seed uint64) (Member, error) {
-		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Life, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
+		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
 	}
 	return w
 }
@@ -140,9 +139,9 @@
 
 // Start brings a process up.
 func (w *World) Start(n *Node) {
-	w.lives += 1000
-	n.Up, n.Life, n.Started, n.Stopped, n.waiting = true, w.lives, w.Now, 0, nil
-	w.Ease(n)
+	w.lastIncarnation += 1000
+	n.Up, n.Incarnation, n.Started, n.StoppedUntil, n.waiting = true, w.lastIncarnation, w.Now, 0, nil
+	w.EndFault(n)
 	m, err := w.Make(n, w.rng.Uint64())
 	if err != nil {
 		panic(err)
@@ -151,39 +150,39 @@
 	w.handle(n, membership.Event{Kind: membership.Tick})
 }
 
-// Kill ends it without a word.
+// Kill ends its process without notice.
 func (w *World) Kill(n *Node) {
 	if n.Up {
 		n.Up, n.Member, n.Ended = false, nil, w.Now
-		w.Hurt(n)
+		w.BeginFault(n)
 	}
 }
 
-// Hurt begins a stretch in which others may take a node for failed, and Ease ends it.
-func (w *World) Hurt(n *Node) { n.Trouble = append(n.Trouble, Span{From: w.Now}) }
+// BeginFault begins a span in which others may take a node for failed; EndFault ends it.
+func (w *World) BeginFault(n *Node) { n.Faults = append(n.Faults, Span{From: w.Now}) }
 
-// Ease ends what Hurt began.
-func (w *World) Ease(n *Node) {
-	for i := range n.Trouble {
-		if n.Trouble[i].To == 0 {
-			n.Trouble[i].To = w.Now
+// EndFault ends the spans that BeginFault began.
+func (w *World) EndFault(n *Node) {
+	for i := range n.Faults {
+		if n.Faults[i].To == 0 {
+			n.Faults[i].To = w.Now
 		}
 	}
 }
 
-// Stop keeps it from running for a while; what comes in waits.
+// Stop pauses its process for a while; datagrams wait for it.
 func (w *World) Stop(n *Node, d time.Duration) {
-	if w.Now >= n.Stopped {
+	if w.Now >= n.StoppedUntil {
 		n.since = w.Now
 	}
-	n.Stopped = max(n.Stopped, w.Now+d)
-	if n.Stopped-n.since > w.Bear {
-		w.Hurt(n)
-		w.At(n.Stopped, func() { w.Ease(n) })
+	n.StoppedUntil = max(n.StoppedUntil, w.Now+d)
+	if n.StoppedUntil-n.since > w.FailureTimeout {
+		w.BeginFault(n)
+		w.At(n.StoppedUntil, func() { w.EndFault(n) })
 	}
-	life := n.Life
-	w.At(n.Stopped, func() {
-		if n.Up && n.Life == life && w.Now >= n.Stopped {
+	life := n.Incarnation
+	w.At(n.StoppedUntil, func() {
+		if n.Up && n.Incarnation == life && w.Now >= n.StoppedUntil {
 			mail := n.waiting
 			n.waiting = nil
 			for _, d := range mail {
@@ -194,8 +193,8 @@
 	})
 }
 
-// Tell gives a member an event of its operator's.
-func (w *World) Tell(n *Node, ev membership.Event) { w.handle(n, ev) }
+// Deliver hands an event to a member, one of its operator's.
+func (w *World) Deliver(n *Node, ev membership.Event) { w.handle(n, ev) }
 
 // Run plays until a time.
 func (w *World) Run(until time.Duration) {
@@ -205,15 +204,15 @@
 		switch n := e.node; {
 		case e.do != nil:
 			e.do()
-		case !n.Up || e.mail == nil && (n.Life != e.life || n.wake != e.at): // gone, or it wants to be called at another time now
-		case w.Now < n.Stopped:
-			if e.mail != nil && len(n.waiting) < 1000 {
-				n.waiting = append(n.waiting, *e.mail)
+		case !n.Up || e.datagram == nil && (n.Incarnation != e.incarnation || n.wake != e.at): // gone, or it wants to be called at another time now
+		case w.Now < n.StoppedUntil:
+			if e.datagram != nil && len(n.waiting) < 1000 {
+				n.waiting = append(n.waiting, *e.datagram)
 			}
-		case e.mail == nil:
+		case e.datagram == nil:
 			w.handle(n, membership.Event{Kind: membership.Tick})
 		case !n.Deaf:
-			w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: e.mail.from, Data: e.mail.data})
+			w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: e.datagram.from, Data: e.datagram.data})
 		}
 	}
 	w.Now = max(w.Now, until)
@@ -229,40 +228,40 @@
 	for _, o := range acts.Send {
 		n.Sent += uint64(len(o.Data))
 		to := w.byAddr[o.To]
-		if to == nil || w.Cut != nil && w.Cut(n, to) {
+		if to == nil || w.IsPartitioned != nil && w.IsPartitioned(n, to) {
 			continue
 		}
-		m := Nothing
-		if w.Meddle != nil {
-			m = w.Meddle(w.mails, n, to)
+		m := NoFault
+		if w.InjectFault != nil {
+			m = w.InjectFault(w.datagramsSent, n, to)
 		}
-		w.mails++
-		if m == Lost {
+		w.datagramsSent++
+		if m == Dropped {
 			continue
 		}
-		for copies := 1 + count(m == Doubled) + count(w.Double > 0 && w.rng.Float64() < w.Double); copies > 0; copies-- {
+		for copies := 1 + count(m == Duplicated) + count(w.Duplicates > 0 && w.rng.Float64() < w.Duplicates); copies > 0; copies-- {
 			if w.Loss > 0 && w.rng.Float64() < w.Loss {
 				continue
 			}
-			d := time.Duration(count(m == Late))*time.Second + w.Delay[0] + time.Duration(w.rng.Int64N(int64(w.Delay[1]-w.Delay[0])+1))
-			w.push(event{at: w.Now + d, node: to, mail: &delivery{n.Addr, append([]byte(nil), o.Data...)}})
+			d := time.Duration(count(m == Delayed))*time.Second + w.Delay[0] + time.Duration(w.rng.Int64N(int64(w.Delay[1]-w.Delay[0])+1))
+			w.push(event{at: w.Now + d, node: to, datagram: &delivery{n.Addr, append([]byte(nil), o.Data...)}})
 		}
 	}
 	for i := range acts.Changes {
 		if c := acts.Changes[i]; !w.Quiet || c.State >= membership.Left {
-			w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Life: n.Life, Change: &c})
+			w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, Change: &c})
 		}
 	}
 	for i := range acts.Notices {
 		c := acts.Notices[i]
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Life: n.Life, Notice: &c})
+		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, Notice: &c})
 	}
 	if acts.View != nil {
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Life: n.Life, View: acts.View})
+		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, View: acts.View})
 	}
 	if n.wake != acts.Next || n.wake <= w.Now {
 		n.wake = acts.Next
-		w.push(event{at: n.wake, node: n, life: n.Life})
+		w.push(event{at: n.wake, node: n, incarnation: n.Incarnation})
 	}
 }
 
