--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -45,6 +45,7 @@
 	"internal/controlplane/controlstate": planeControl,
 	"internal/controlplane/lease":        planeControl,
 	"internal/controlplane/syncutil":     planeControl,
+	"internal/controlplane/workerlist":   planeControl,
 	"internal/messagestore":              planeStorage,
 	"internal/delivery":                  planeDelivery,
 	"internal/ingress":                   planeIngress,
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -100,7 +100,7 @@
 
 // knownCore returns the members that this process's disk or another process has named.
 func (f *founding) knownCore() []cluster.CoreEntry {
-	if core := f.plane.groupCore(); len(core) > 0 {
+	if core := f.plane.member.Members(); len(core) > 0 {
 		return core
 	}
 	f.mutex.Lock()
@@ -125,7 +125,7 @@
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		if _, fresh := f.plane.freshRole(); fresh {
+		if _, fresh := f.plane.member.freshRole(); fresh {
 			f.announceOnce(ctx)
 		}
 		select {
@@ -139,7 +139,7 @@
 func (f *founding) announceOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, seedProbeTimeout)
 	defer cancel()
-	core := f.plane.groupCore()
+	core := f.plane.member.Members()
 	var wait sync.WaitGroup
 	for _, seed := range f.seeds {
 		isMember := slices.ContainsFunc(core, func(member cluster.CoreEntry) bool { return member.Address == seed })
@@ -281,8 +281,8 @@
 	if !f.plane.options.Bootstrap {
 		return nil, nil, &rpc.Error{Code: rpc.CodeInvalid, Message: "this is not the first start"}
 	}
-	if len(f.plane.groupCore()) > 0 {
+	if len(f.plane.member.Members()) > 0 {
 		return nil, nil, nil
 	}
-	return nil, nil, trace.Wrap(f.plane.group.Found(ctx, request.Members))
+	return nil, nil, trace.Wrap(f.plane.member.Found(ctx, request.Members))
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -8,7 +8,6 @@
 	"gotest.tools/v3/golden"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/controlplane/lease"
 )
 
 // The golden files in testdata hold what released versions have written to disks and sent to each other. They were made
@@ -40,16 +39,9 @@
 
 // TestMessagesKeepTheirBytes encodes what members send each other.
 func TestMessagesKeepTheirBytes(t *testing.T) {
-	worker := cluster.Worker{ID: "i-1", Service: "s-1", Address: "10.0.2.1:80", Zone: "zone-0", Version: "v2", Capacity: 4, Draining: true, WarmupLeft: 1500}
-	list := &cluster.WorkerList{Epoch: 2, Revision: 9, Workers: []cluster.Worker{worker}}
-	node := &cluster.NodeInfo{Name: "store-0", Class: "store", Zone: "zone-0", Address: "10.0.1.1:7240", Incarnation: "first", DiskID: "disk-0", Store: true}
 	table, err := json.Marshal(goldenTable())
 	assert.NilError(t, err)
 	messages := []any{
-		[]lease.Renewal{{Node: node, AgeMS: 12}, {Name: "store-1", Incarnation: "second", AgeMS: 7}},
-		workerNews{Epoch: 2, Revision: 9, AgeMS: 350, Address: "10.0.0.1:7240"},
-		workersAnswer{List: list},
-		workersAnswer{Changes: []cluster.WorkerChange{*cluster.DiffWorkers(&cluster.WorkerList{Epoch: 2, Revision: 8}, list, sameWorker)}},
 		foundRequest{Members: coreMembers()},
 		errorBody{Error: "the configuration is invalid", Findings: []findingBody{{Place: "routes[0]", Problem: "no name"}, {Problem: "no version"}}},
 		errorBody{Error: "no such call"},
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -39,7 +39,7 @@
 func planeOfOne() (*Plane, *standInGroup) {
 	state := controlstate.NewMachine()
 	alone := &standInGroup{state: state}
-	return &Plane{state: state, group: alone, orders: syncutil.NewSemaphore(), logger: zap.NewNop()}, alone
+	return &Plane{state: state, member: localMember{group: alone}, orders: syncutil.NewSemaphore(), logger: zap.NewNop()}, alone
 }
 
 func configurationOf(version int) string {
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -117,7 +117,7 @@
 
 // step brings the table up to date once.
 func (m *tableManager) step(ctx context.Context, requests []editRequest) {
-	role := m.plane.group.Role()
+	role := m.plane.member.Role()
 	if !role.Primary {
 		m.leading = false
 		finish(requests, replication.ErrNotPrimary)
@@ -217,7 +217,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if err := m.plane.group.Propose(ctx, record); err != nil {
+	if err := m.plane.member.Propose(ctx, record); err != nil {
 		m.plane.logger.Info("change of the table failed", zap.Error(err))
 		return err
 	}
--- a/internal/controlplane/members.go
+++ b/internal/controlplane/members.go
@@ -38,7 +38,7 @@
 }
 
 func (m *memberManager) run(ctx context.Context) {
-	m.plane.whilePrimary(ctx, memberInterval, m.begin, m.step)
+	m.plane.member.whilePrimary(ctx, memberInterval, m.begin, m.step)
 }
 
 func (m *memberManager) begin() {
@@ -47,7 +47,7 @@
 
 func (m *memberManager) step(ctx context.Context) {
 	now := time.Now()
-	view := m.plane.group.Role().View
+	view := m.plane.member.Role().View
 	nodes := m.plane.leases.Statuses(now)
 	m.noteAlive(view.Members, nodes, now)
 	change := m.plan(view, nodes, now)
@@ -162,7 +162,7 @@
 func (m *memberManager) apply(ctx context.Context, change *memberChange) error {
 	ctx, cancel := context.WithTimeout(ctx, memberChangeTimeout)
 	defer cancel()
-	group := m.plane.group
+	group := &m.plane.member
 	switch {
 	case change.add == nil:
 		m.plane.logger.Info("removing a member", zap.String("disk", change.remove))
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -77,7 +77,7 @@
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
-	if err := p.requirePrimary(); err != nil {
+	if err := p.member.RequirePrimary(); err != nil {
 		return nil, nil, err
 	}
 	// An order that has begun is carried through also when its caller has gone: it is going to be sent again.
@@ -97,7 +97,7 @@
 // failedOrder turns a failure of the group into an answer. An order that surely was not taken goes to the primary.
 func (p *Plane) failedOrder(err error) (answer, error) {
 	if errors.Is(err, replication.ErrNotPrimary) {
-		return answer{}, p.notLeader()
+		return answer{}, p.member.NotLeader()
 	}
 	if rpc.CodeOf(err) != "" {
 		return answer{}, err
@@ -121,7 +121,7 @@
 
 // readConfiguration returns the newest configuration, after making sure that this process still is the primary.
 func (p *Plane) readConfiguration(ctx context.Context) (answer, error) {
-	if err := p.group.Confirm(ctx); err != nil {
+	if err := p.member.Confirm(ctx); err != nil {
 		return answer{}, err
 	}
 	document := p.state.Current().Document
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -45,7 +45,7 @@
 func (p *Plane) decideOrder(ctx context.Context, order *order) (answer, error) {
 	verdict, document := p.checkOrder(order)
 	if document == nil {
-		if err := p.group.ConfirmDurable(ctx); err != nil {
+		if err := p.member.ConfirmDurable(ctx); err != nil {
 			return answer{}, err
 		}
 		verdict, document = p.checkOrder(order)
@@ -110,7 +110,7 @@
 		return answer{}, err
 	}
 	p.state.Prepare(change, document)
-	if err := p.group.Propose(ctx, record); err != nil {
+	if err := p.member.Propose(ctx, record); err != nil {
 		return answer{}, err
 	}
 	if !p.state.Accepted(order.digest) {
--- a/internal/controlplane/partitionrequest.go
+++ b/internal/controlplane/partitionrequest.go
@@ -16,7 +16,7 @@
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
-	if err := p.requirePrimary(); err != nil {
+	if err := p.member.RequirePrimary(); err != nil {
 		return nil, nil, err
 	}
 	err := p.manager.Edit(ctx, func(builder *placement.Builder) error { return builder.ApplyRequest(&request) })
@@ -31,7 +31,7 @@
 	var refused *placement.RequestError
 	switch {
 	case errors.Is(err, replication.ErrNotPrimary):
-		return p.notLeader()
+		return p.member.NotLeader()
 	case errors.Is(err, errOutdated):
 		return unavailable(err.Error())
 	case errors.As(err, &refused):
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -1,8 +1,12 @@
+// Package controlplane is the control plane's logic on top of a replicated group: the operator's API, the leases of
+// all processes, the placement of partitions, the members of the group, and the list of workers.
+//
+// One member of the group, the primary, decides; its decisions are changes of a replicated state machine. Every member
+// that is in touch with the primary renews leases and distributes the state.
 package controlplane
 
 import (
 	"context"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,14 +21,12 @@
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
+	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs"
 )
 
-// roleCheckInterval bounds how late a loop that works only at the primary notices that its process has become it.
-const roleCheckInterval = time.Second
-
 // Options holds what a Plane needs.
 type Options struct {
 	Info      cluster.NodeInfo
@@ -48,18 +50,17 @@
 type Plane struct {
 	options  Options
 	logger   *zap.Logger
-	group    group // nil on a process that cannot be a member
+	member   localMember
 	state    *controlstate.Machine
 	leases   *lease.Table
-	workers  workerCache
+	workers  workerlist.Cache
 	packer   bodyPacker
 	encoded  newsCaches
 	manager  *tableManager
 	members  *memberManager
-	reader   *workerReader
+	reader   *workerlist.Reader
 	founding *founding
 	orders   syncutil.Semaphore
-	role     syncutil.Notifier      // the group's role here has changed
 	cloud    atomic.Pointer[string] // the platform's address, where it has changed since the start
 
 	lifetime context.Context
@@ -89,6 +90,7 @@
 		options.Logger = zap.NewNop()
 	}
 	plane := &Plane{options: options, logger: options.Logger, state: controlstate.NewMachine(), orders: syncutil.NewSemaphore()}
+	plane.member.diskID = options.Info.DiskID
 	plane.lifetime, plane.end = context.WithCancel(context.Background())
 	founding, err := newFounding(plane)
 	if err != nil {
@@ -113,7 +115,15 @@
 	p.manager = newTableManager(p)
 	p.leases = lease.NewTable(p.manager.nudge)
 	p.members = &memberManager{plane: p}
-	p.reader = newWorkerReader(p)
+	p.reader = workerlist.NewReader(p.lifetime, workerlist.ReaderOptions{
+		Cache:           &p.workers,
+		Network:         p.options.Network,
+		Pool:            p.options.Pool,
+		PlatformAddress: p.cloudAddress,
+		Role:            func() replication.Role { return p.member.Role() },
+		Self:            p.options.Info.Address,
+		Logger:          p.logger,
+	})
 	return replication.Options{
 		Self:             p.self(),
 		Pool:             p.options.Pool,
@@ -124,8 +134,8 @@
 		AllowFounding:    p.options.Bootstrap,
 		Logger:           p.logger,
 		Seed:             p.options.Seed,
-		HeartbeatPayload: p.reader.heartbeatPayload,
-		OnHeartbeat:      p.reader.onHeartbeat,
+		HeartbeatPayload: p.reader.HeartbeatPayload,
+		OnHeartbeat:      p.reader.OnHeartbeat,
 		AnswerPayload:    func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
 		OnEcho:           p.leases.ConfirmAnswer,
 		OnAnswer:         p.onAnswer,
@@ -134,9 +144,9 @@
 
 // join takes part in a group: it registers the calls that its members serve.
 func (p *Plane) join(group group) {
-	p.group = group
+	p.member.group = group
 	group.OnChange(func(replication.Role) {
-		p.role.Notify()
+		p.member.roleChanged.Notify()
 		p.manager.nudge()
 	})
 	server := p.options.Server
@@ -145,7 +155,7 @@
 	server.Handle(cluster.MethodFailureReport, p.handleReport)
 	server.Handle(cluster.MethodOperator, p.handleOperator)
 	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
-	server.Handle(methodWorkers, p.reader.handleWorkers)
+	server.Handle(workerlist.Method, p.reader.HandleWorkers)
 	server.Handle(methodFound, p.founding.handleFound)
 }
 
@@ -153,9 +163,9 @@
 func (p *Plane) Run(ctx context.Context) {
 	defer p.end()
 	loops := []func(context.Context){p.founding.run}
-	if p.group != nil {
-		defer p.group.Close()
-		loops = append(loops, p.group.Run, p.manager.run, p.members.run, p.reader.run, p.founding.announce)
+	if p.member.group != nil {
+		defer p.member.Close()
+		loops = append(loops, p.member.Run, p.manager.run, p.members.run, p.readWorkers, p.founding.announce)
 	}
 	var wait sync.WaitGroup
 	for _, loop := range loops {
@@ -164,30 +174,9 @@
 	wait.Wait()
 }
 
-// whilePrimary calls a function again and again, with pauses, while this process is the primary. Before the first
-// call of each such time it calls begin.
-func (p *Plane) whilePrimary(ctx context.Context, interval time.Duration, begin func(), step func(context.Context)) {
-	leading := false
-	for ctx.Err() == nil {
-		changed := p.role.Receive()
-		pause := roleCheckInterval
-		primary := p.group.Role().Primary
-		if primary && !leading {
-			begin()
-		}
-		leading = primary
-		if primary {
-			step(ctx)
-			changed, pause = nil, interval
-		}
-		timer := time.NewTimer(pause)
-		select {
-		case <-changed:
-		case <-timer.C:
-		case <-ctx.Done():
-		}
-		timer.Stop()
-	}
+func (p *Plane) readWorkers(ctx context.Context) {
+	p.member.whilePrimary(ctx, workerlist.ReadInterval, func() {}, p.reader.Step)
+	p.reader.Close()
 }
 
 func (p *Plane) self() replication.Member {
@@ -200,12 +189,6 @@
 	return placement.Redundancy{Copies: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
 }
 
-// freshRole returns the role of this process in the group, and whether the state here may be passed on.
-func (p *Plane) freshRole() (replication.Role, bool) {
-	role := p.group.Role()
-	return role, role.Fresh && slices.Contains(role.View.InSync, p.options.Info.DiskID)
-}
-
 // document returns the configuration of a version where it is the current one here, or nil.
 func (p *Plane) document(version uint64) *configuration.Document {
 	document := p.state.Current().Document
@@ -215,14 +198,6 @@
 	return document
 }
 
-// groupCore lists the members of the group as this process remembers them.
-func (p *Plane) groupCore() []cluster.CoreEntry {
-	if p.group == nil {
-		return nil
-	}
-	return coreEntries(p.group.Role().View.Members)
-}
-
 func coreEntries(members []replication.Member) []cluster.CoreEntry {
 	entries := make([]cluster.CoreEntry, 0, len(members))
 	for _, member := range members {
@@ -231,24 +206,6 @@
 	return entries
 }
 
-// requirePrimary returns an error that tells where the primary is, unless it is here.
-func (p *Plane) requirePrimary() error {
-	if p.group.Role().Primary {
-		return nil
-	}
-	return p.notLeader()
-}
-
-func (p *Plane) notLeader() error {
-	view := p.group.Role().View
-	for _, member := range view.Members {
-		if member.DiskID == view.Primary && member.DiskID != p.options.Info.DiskID {
-			return &rpc.Error{Code: rpc.CodeNotLeader, Message: member.Address}
-		}
-	}
-	return &rpc.Error{Code: rpc.CodeNotLeader}
-}
-
 func (p *Plane) onAnswer(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
--- a/internal/controlplane/report.go
+++ b/internal/controlplane/report.go
@@ -27,7 +27,7 @@
 	if err := call.Decode(&report); err != nil {
 		return nil, nil, err
 	}
-	if err := p.requirePrimary(); err != nil {
+	if err := p.member.RequirePrimary(); err != nil {
 		return nil, nil, err
 	}
 	info, live := p.leases.Live(report.Node, time.Now())
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -35,7 +35,7 @@
 	}
 	// A renewal counts from before the look at the role: a primary that leads after it knows of it, or begins later.
 	arrived := time.Now()
-	role, fresh := p.freshRole()
+	role, fresh := p.member.freshRole()
 	if !fresh {
 		return nil, nil, unavailable("not in touch with the primary")
 	}
@@ -105,7 +105,7 @@
 		return nil, nil, &rpc.Error{Code: rpc.CodeInvalid, Message: "no process is named"}
 	}
 	at := time.Now().Add(-time.Duration(renewal.AgeMS) * time.Millisecond)
-	if err := p.requirePrimary(); err != nil {
+	if err := p.member.RequirePrimary(); err != nil {
 		return nil, nil, err
 	}
 	p.leases.Renew(*renewal.Node, at)
@@ -144,7 +144,7 @@
 	if !request.Node.Store {
 		return nil
 	}
-	return p.workers.changed.Receive()
+	return p.workers.Changed()
 }
 
 // syncNews is an answer to a sync. Its parts that many callers get alike are encoded once for all of them; they stand in
@@ -185,7 +185,7 @@
 
 // addWorkers adds what is newer than the list of workers that the caller holds.
 func (p *Plane) addWorkers(response *syncNews, request *cluster.SyncRequest) error {
-	workers, readAt := p.workers.load()
+	workers, readAt := p.workers.Load()
 	response.WorkersAgeMS = -1
 	if workers == nil {
 		return nil
@@ -197,7 +197,7 @@
 		return nil
 	}
 	var err error
-	if changes, known := p.workers.since(held); known {
+	if changes, known := p.workers.ChangesSince(held); known {
 		newest := changes[len(changes)-1].To
 		response.WorkerChanges, err = p.encoded.workers.get(held, newest, changes)
 		return trace.Wrap(err)
--- a/internal/controlplane/workerhistory_test.go
+++ b/internal/controlplane/workerlist/history_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package workerlist
 
 import (
 	"fmt"
@@ -19,37 +19,25 @@
 }
 
 func TestWorkersTravelAsChanges(t *testing.T) {
-	var cache workerCache
+	var cache Cache
 	const count = 1000
 	var versions []cluster.WorkerVersion
-	for i := range historyLength + 10 {
-		cache.noteRead(1, listOf(count, i), time.Now())
-		list, _ := cache.load()
+	for i := range maxHistoryChanges + 10 {
+		cache.RecordRead(1, listOf(count, i), time.Now())
+		list, _ := cache.Load()
 		versions = append(versions, list.Version())
 	}
-	newest, _ := cache.load()
-	changes, known := cache.since(versions[len(versions)-3])
+	newest, _ := cache.Load()
+	changes, known := cache.ChangesSince(versions[len(versions)-3])
 	assert.Assert(t, known)
 	held := &cluster.WorkerList{Epoch: 1, Revision: versions[len(versions)-3].Revision, Workers: listOf(count, len(versions)-3)}
 	got, applied := held.ApplyAll(changes)
 	assert.Assert(t, applied)
 	assert.DeepEqual(t, got.Workers, newest.Workers)
-	_, known = cache.since(versions[0])
+	_, known = cache.ChangesSince(versions[0])
 	assert.Assert(t, !known, "too old: the whole list is sent")
 
-	cache.noteRead(1, listOf(count, -1)[:count/4], time.Now())
-	_, known = cache.since(versions[len(versions)-1])
+	cache.RecordRead(1, listOf(count, -1)[:count/4], time.Now())
+	_, known = cache.ChangesSince(versions[len(versions)-1])
 	assert.Assert(t, !known, "most entries have changed: the whole list is sent")
 }
-
-func TestNewsAreEncodedOnce(t *testing.T) {
-	var cache encodeCache[uint64]
-	first, err := cache.get(1, 2, "a")
-	assert.NilError(t, err)
-	again, err := cache.get(1, 2, "not encoded")
-	assert.NilError(t, err)
-	assert.Equal(t, string(first), string(again))
-	later, err := cache.get(1, 3, "b")
-	assert.NilError(t, err)
-	assert.Equal(t, string(later), `"b"`)
-}
--- a/internal/controlplane/workerread.go
+++ b/internal/controlplane/workerlist/read.go
@@ -1,4 +1,4 @@
-package controlplane
+package workerlist
 
 import (
 	"context"
@@ -40,8 +40,8 @@
 	WarmupLeftMS float64 `json:"warmup-left-ms"`
 }
 
-// ReadWorkers reads the platform's whole list of workers, sorted by id. The address is "ip:port".
-func ReadWorkers(ctx context.Context, client *http.Client, address string) ([]cluster.Worker, error) {
+// Read reads the platform's whole list of workers, sorted by id. The address is "ip:port".
+func Read(ctx context.Context, client *http.Client, address string) ([]cluster.Worker, error) {
 	var workers []cluster.Worker
 	token := ""
 	for range pageCountLimit {
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -15,7 +15,7 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network"
 	"gladepick/internal/operatorcli"
 	"gladepick/internal/systemnode"
@@ -163,7 +163,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	transport := controlplane.NewPlatformClient(s.options.Network(hostIP)).Transport
+	transport := workerlist.NewPlatformClient(s.options.Network(hostIP)).Transport
 	operator := operatorcli.NewClient(s.addresses().Control, transport)
 	order := operatorcli.Request{
 		Method: http.MethodPost, Path: operatorcli.PathConfigReplace, Base: firstBase, Body: body,
--- a/internal/systemnode/demo/demo_test.go
+++ b/internal/systemnode/demo/demo_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/systemnode/inspection"
 )
@@ -75,7 +75,7 @@
 			t.Fatalf("ended before it was ready: %v", err)
 		}
 
-		client := controlplane.NewPlatformClient(world.Host(hostIP))
+		client := workerlist.NewPlatformClient(world.Host(hostIP))
 		assertDelivered(t, client, addresses, "first")
 
 		_, _, text := call(t, client, newRequest(t, http.MethodGet, addresses.Control[2], inspection.PathStatus, ""))
--- a/internal/systemnode/demo/golden_test.go
+++ b/internal/systemnode/demo/golden_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/systemnode/inspection"
 )
@@ -33,7 +33,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
 		control := (<-ready).Control[0]
-		client := controlplane.NewPlatformClient(world.Host(hostIP))
+		client := workerlist.NewPlatformClient(world.Host(hostIP))
 		time.Sleep(deliveryTime)
 
 		var transcript bytes.Buffer
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/delivery"
 	"gladepick/internal/messagestore"
 )
@@ -35,7 +35,7 @@
 	if options.FS == nil {
 		return nil, trace.BadParameter("settings: data-dir: a store needs one")
 	}
-	s := &Store{node: base, platformClient: controlplane.NewPlatformClient(options.Network)}
+	s := &Store{node: base, platformClient: workerlist.NewPlatformClient(options.Network)}
 	if err := base.newAgent(s.announce); err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/systemnode/workerlist.go
+++ b/internal/systemnode/workerlist.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"gladepick/internal/controlplane"
+	"gladepick/internal/controlplane/workerlist"
 )
 
 // SetCloudAddress changes the address from which the store reads the platform's list of workers when the control
@@ -38,7 +38,7 @@
 func (s *Store) readWorkers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, workersReadTimeout)
 	defer cancel()
-	workers, err := controlplane.ReadWorkers(ctx, s.platformClient, *s.platformAddress.Load())
+	workers, err := workerlist.Read(ctx, s.platformClient, *s.platformAddress.Load())
 	if err != nil {
 		s.logger.Info("reading the list of workers", zap.Error(err))
 		return
