--- a/internal/decision/checker_test.go
+++ b/internal/decision/checker_test.go
@@ -22,7 +22,7 @@
 	never bool // proved never to have run
 }
 
-// checker follows events and actions from outside and holds them against the rules.
+// checker follows events and actions from outside and holds them against the rules of the deployment.
 type checker struct {
 	t     *testing.T
 	s     Settings
@@ -128,7 +128,7 @@
 		class := c.s.Classes[j.class]
 		if a.Kind == Reject && slices.ContainsFunc(j.sends, func(s sent) bool { return !s.never }) &&
 			(class.Idempotency == NotIdempotent || class.Idempotency == Deduplicated && class.DedupScope != DedupByAll) {
-			c.t.Fatalf("%v: job %d refused though it may have run", c.now, a.Job)
+			c.t.Fatalf("%v: job %d rejected though it may have run", c.now, a.Job)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	j.sends = append(j.sends, sent{to: to, at: c.now})
 }
 
-// advance moves the clock and rings the timers that are due.
+// advance moves the clock and fires the timers that are due.
 func (c *checker) advance(by time.Duration) {
 	c.now += by
 	for id, at := range c.idle {
@@ -224,7 +224,7 @@
 	free, queue float64
 }
 
-// serve lets n jobs come, each when the one before is done: its own slots are none at all.
+// serve lets n jobs arrive, each when the one before is done, so that no own slots are in use.
 func (c *checker) serve(n JobID, at func(id JobID, w Entry) work) {
 	for id := JobID(1); id <= n; id++ {
 		if c.arrive(id, int(id)%5) {
--- a/internal/decision/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -1,5 +1,3 @@
-// What a decision and a change of the list cost, by the number of workers. Fleets of 2,000 are beyond any scored day.
-
 package decision
 
 import (
@@ -8,9 +6,10 @@
 	"time"
 )
 
+// sizes are numbers of workers. Fleets of 2,000 are beyond any measured day.
 var sizes = []int{10, 60, 200, 2000}
 
-// crowded is a dispatcher, one of 300, that has been at work with n workers for a while.
+// crowded is a dispatcher, one of 300, that has worked with n workers for a while.
 func crowded(b *testing.B, n int) (*Dispatcher, []Entry, *time.Duration, func(id JobID)) {
 	s := site()
 	s.Dispatchers, s.ReportsLoad, s.ParallelAttempts, s.Report = 300, true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
@@ -35,6 +34,7 @@
 	return d, list, &now, job
 }
 
+// BenchmarkDecision tells what a job costs from its arrival to its outcome.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -48,6 +48,7 @@
 	}
 }
 
+// BenchmarkListChange tells what a change of the list costs.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decision/deployments_test.go
+++ b/internal/decision/deployments_test.go
@@ -46,8 +46,8 @@
 	s.SlowStartShare, s.SlowStartDuration, s.OverloadMultiple, s.OverloadSpan = 0.3, 9*time.Second, 3, time.Second
 }
 
-// few sets a deployment up in which a handful of dispatchers pay for crossing zones, late answers earn nothing, worth
-// grows with the work and one class must never run twice.
+// few sets a deployment up in which a handful of dispatchers pay for crossing zones, late answers earn
+// nothing, value grows with the work and one class must never run twice.
 func few(s *Settings) {
 	shared(s)
 	s.Dispatchers, s.CrossZoneCost, s.ValueByWork, s.ProgressInterval = 4, 0.08, true, 2*time.Second
--- a/internal/decision/discovery_calls_test.go
+++ b/internal/decision/discovery_calls_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Each failed call to discovery set two timers once, so that calls doubled with every failure.
+// Each failed call to discovery once set two timers, so that calls doubled with every failure.
 func TestCallsToDiscoveryDoNotMultiply(t *testing.T) {
 	c := newChecker(t, site(), 1)
 	c.event(Event{Kind: EventList, List: ListCached, Entries: fleet(4)})
@@ -30,7 +30,7 @@
 	}
 }
 
-// Dispatchers that start in step must not call discovery in step.
+// Dispatchers that start together must not call discovery together.
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	at := map[time.Duration]int{}
 	for seed := range uint64(200) {
--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Contradictory or absurd news must neither break a rule nor the dispatcher; checker would tell.
+// Contradictory or absurd events must neither break a rule, which the checker would tell, nor panic.
 func TestContradictoryEvents(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
@@ -46,7 +46,7 @@
 				c.advance(10 * time.Millisecond)
 			}
 			c.event(Event{Kind: EventJob, Job: 3, Slots: 1, Deadline: c.now + time.Second})
-			for range 90 { // no probe is ever answered here: that must not hold it to its end
+			for range 90 { // no health check is ever answered here: that must not keep it waiting to its end
 				c.advance(10 * time.Millisecond)
 			}
 			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "gone and answering" {
@@ -56,7 +56,7 @@
 	}
 }
 
-// State is released: days of traffic and replaced workers leave nothing behind.
+// State is released: long traffic and replaced workers leave nothing behind.
 func TestStateIsBounded(t *testing.T) {
 	c := ready(t, 12, nil)
 	list := fleet(12)
@@ -104,8 +104,8 @@
 	}
 }
 
-// Outcomes, notes and reports for workers that have left, absurd reports and a clock that jumps ahead by seconds: no
-// rule is broken, nothing panics, and jobs afterwards are served as usual.
+// Outcomes, progress and reports of workers that have left, absurd reports and a clock that jumps ahead by
+// seconds: no rule is broken, nothing panics, and jobs afterwards are served as usual.
 func TestLeftWorkersAbsurdReportsAndClockJumps(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		c := ready(t, 24, func(s *Settings) {
--- a/internal/decision/forecast_test.go
+++ b/internal/decision/forecast_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Once a job's first try was longer ago than its aim, or its client leaves sooner than a worker can answer, it earns next
-// to nothing: on a join day 1,258 of 2,180 jobs that ran out of time had under half a second and kept later ones waiting.
+// Once a job's first try was longer ago than its latency target, or its client leaves sooner than a worker
+// can answer, it earns next to nothing: on a measured day 1,258 of 2,180 jobs that ran out of time had less
+// than half a second and kept later ones waiting.
 func TestJobsThatCanEarnLittleAreRejected(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LateValue = 0.2 })
 	run := time.Duration(c.d.times.runSeconds[0] * float64(time.Second))
@@ -24,13 +25,14 @@
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
 		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent {
-			t.Errorf("others hold %v of 4 slots, %v left, repeat %v: sent %v", tc.held, tc.patience, tc.repeat, sent)
+			t.Errorf("peers use %v of 4 slots, %v left, repeat %v: sent %v", tc.held, tc.patience, tc.repeat, sent)
 		}
 	}
 }
 
-// Late answers are worth little and keep later jobs waiting: with all kinds busy, two thirds of the jobs of some seconds
-// came late where a fifth had to be refused. What is likely late is refused at once, what is worth most goes through.
+// Late answers earn little and keep later jobs waiting: with all kinds busy, two thirds of the jobs of some
+// seconds were late where a fifth had to be rejected. What is likely late is rejected at once, what is worth
+// most goes through.
 func TestLikelyLateJobsAreRejected(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[4].Value = 20 })
 	for id, tc := range []struct {
@@ -44,13 +46,14 @@
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Class: tc.class, Tenant: id, Slots: 1, Deadline: c.now + 4*time.Second})
 		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent || c.jobs[job].answered == sent {
-			t.Errorf("others hold %v of 4 slots, class %d: sent %v, answered %v", tc.held, tc.class, sent, c.jobs[job].answered)
+			t.Errorf("peers use %v of 4 slots, class %d: sent %v, answered %v", tc.held, tc.class, sent, c.jobs[job].answered)
 		}
 	}
 }
 
-// With four dispatchers zones were hardly looked at: own-zone workers only broke ties, and with a slow kind beside a fast
-// one nine in ten jobs crossed (price 0.058 to 0.075 of G on each quick day). A slow kind that is still in time will do.
+// With four dispatchers zones hardly counted: local workers only broke ties, and with a slow kind beside a
+// fast one nine in ten jobs crossed (price 0.058 to 0.075 of the gain on each quick day). A slow kind that
+// is still in time will do.
 func TestJobsStayInTheirZoneWhereCrossingIsExpensive(t *testing.T) {
 	for _, tc := range []struct {
 		price     float64
@@ -67,8 +70,8 @@
 	}
 }
 
-// Worth that grows with the work is as dense in long classes as in short ones. Taken as fixed, the shorter class
-// counted as two and a half times as dense and was let into queues that made it late.
+// Value that grows with the work is as dense in long classes as in short ones. Taken as fixed, the shorter
+// class counted as two and a half times as dense and was let into queues that made it late.
 func TestValueByWorkIsEquallyDense(t *testing.T) {
 	for byWork, want := range map[bool]float64{true: 1.25, false: 2.5} {
 		s := site()
--- a/internal/decision/hash_test.go
+++ b/internal/decision/hash_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// The first hash had poor low bits: with two buckets all tenants of a site fell into the unlabelled one.
+// The first hash had poor low bits: with two buckets all tenants of a deployment fell into the unlabelled
+// one.
 func TestHashSpreadsOverBuckets(t *testing.T) {
 	for _, n := range []uint64{2, 3, 5, 64} {
 		count := make([]int, n)
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A silent worker gets no more jobs but trials with repeat-safe ones.
+// A silent worker gets no more jobs but trials with idempotent ones.
 func TestSilentWorkerGetsTrialJobsOnly(t *testing.T) {
 	for class := range 2 {
 		c := ready(t, 24, nil)
@@ -24,8 +24,9 @@
 	}
 }
 
-// A worker that fails its jobs at once has no own slots and drew them all. Where a failure is final that is a loss each
-// time (6 % of the attempts of a day of quick errors); who can go elsewhere still uses what such a worker serves.
+// A worker that fails its jobs at once has no own slots in use and drew them all. Where a failure is final
+// that is a loss each time (6 % of the attempts of a day of quick errors); jobs that can go elsewhere still
+// use what such a worker serves.
 func TestJobsThatRunOnceKeepOffFailingWorkers(t *testing.T) {
 	for class, most := range []int{100, 12, 12, 12, 100} {
 		c, failed := ready(t, 8, few), 0
--- a/internal/decision/key_affinity_test.go
+++ b/internal/decision/key_affinity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Jobs of one key keep to few workers, the same for all dispatchers, also where a fetch has no price but takes time:
-// keys went unheeded there, and nearly half of a quiet day's answers came late.
+// Jobs of one key keep to few workers, the same for all dispatchers, also where a fetch has no price but
+// takes time: keys did not count there, and nearly half of a quiet day's answers were late.
 func TestKeysKeepToFewWorkers(t *testing.T) {
 	met := map[WorkerID]bool{}
 	for seed := range uint64(5) {
@@ -23,7 +23,8 @@
 	}
 }
 
-// A key's workers may be full while those of another kind have room: once turned away, its job may go there.
+// A key's workers may be full while those of another kind have free slots: once rejected, its job may go
+// there.
 func TestKeyLeavesItsKindOnceRejected(t *testing.T) {
 	c := ready(t, 40, func(s *Settings) { s.MaxAttempts = 0 })
 	for id := JobID(1); id <= 20; id++ {
--- a/internal/decision/learned_times_test.go
+++ b/internal/decision/learned_times_test.go
@@ -11,9 +11,9 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
-// Both lines of a job may come in one write, so that it seems to run for no time at all, and the first kind may have
-// no workers here. What a worker takes fell by a factor a job then and a class's running time grew by one, until
-// neither was a number and every job was refused for good.
+// Both lines of a job may come in one write, so that it seems to run for no time at all, and the first kind
+// may have no workers here. A kind's slowness fell by a factor at each job then and a class's run time grew
+// by one, until neither was a number and every job was rejected for good.
 func TestJobsThatSeemToTakeNoTime(t *testing.T) {
 	for _, measure := range []int{0, 1} {
 		s := site()
--- a/internal/decision/load_estimate_test.go
+++ b/internal/decision/load_estimate_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Own slots alone hid what others hold: jobs queued at full workers while there was room elsewhere, and a quiet day had
-// half of them late. Reports and starts tell who is full: such a worker gets nothing while another has room; with all
-// full a job is held, goes to the first slot that is freed, and is refused at once when it can only wait for long.
+// Own slots alone hid the load from peers: jobs queued at full workers while there were free slots
+// elsewhere, and half of a quiet day's answers were late. Reports and starts tell who is full: such a worker
+// gets nothing while another has a free slot; with all full a job waits, goes to the first slot that is
+// freed, and is rejected at once when it could only wait for long.
 func TestReportsAndStartsShowWhoIsFull(t *testing.T) {
 	c := ready(t, 8, func(s *Settings) {
 		s.ReportsLoad, s.ParallelAttempts, s.Dispatchers, s.Report = true, false, 1, LoadReportLayout{0, -1, 1, -1, -1, -1}
@@ -57,7 +58,7 @@
 	if s := c.jobs[held].sends; len(s) != 1 || s[0].to.Worker != freed {
 		t.Errorf("a slot is free at %d, the held job went to %v", freed, s)
 	}
-	first, refused := id+1, 0
+	first, rejected := id+1, 0
 	for range 60 {
 		job()
 	}
@@ -66,22 +67,22 @@
 	}
 	for ; first <= id; first++ {
 		if c.jobs[first].answered && len(c.jobs[first].sends) == 0 {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 20 {
-		t.Errorf("with all full for long only %d of 60 jobs are refused", refused)
+	if rejected < 20 {
+		t.Errorf("with all full for long only %d of 60 jobs are rejected", rejected)
 	}
 }
 
-// What a worker last reported comes again with every answer until it reports anew: counted each time, a moment that was
-// long over outweighed all else.
+// What a worker last reported comes again with every answer until it reports anew: counted each time, a
+// moment that was long over outweighed all else.
 func TestRepeatedReportCountsOnce(t *testing.T) {
 	c := ready(t, 4, func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
 	w, l := c.d.workers.ordered[0], Load{Count: 2, Values: [4]float64{0, 5}}
 	c.d.load.observeReport(w, &l, c.d.now)
 	if once := w.peerSlots; once <= 0 {
-		t.Errorf("a full worker's report says that others hold %v", once)
+		t.Errorf("a full worker's report says that peers use %v", once)
 	} else if c.d.load.observeReport(w, &l, c.d.now); w.peerSlots != once {
 		t.Errorf("the same report once more: %v after %v", w.peerSlots, once)
 	} else if l.Values[1] = 6; true {
@@ -91,42 +92,42 @@
 	}
 }
 
-// Where all are full, jobs are refused; with nothing sent nothing is learned of when that is over. Refusals kept
-// themselves up for good: up to half of all jobs, with workers three quarters idle.
+// Where all workers are full, jobs are rejected; with nothing sent nothing is learned of when that is over.
+// Rejections kept themselves up for good: up to half of all jobs, with workers three quarters idle.
 func TestRejectionsDoNotKeepThemselvesUp(t *testing.T) {
-	refused := 300 // long after the jam, but for those that are sent
+	rejected := 300 // long after the overload, but for those that are sent
 	ready(t, 60, shared).serve(900, func(id JobID, _ Entry) work {
-		refused -= int(id / 601)
+		rejected -= int(id / 601)
 		if id > 100 && id < 500 {
 			return work{run: 100 * time.Millisecond, queue: float64(30 + id%7)}
 		}
 		return work{run: 100 * time.Millisecond, free: 4}
 	})
-	if refused > 60 {
-		t.Errorf("%d of 300 jobs are refused long after the jam", refused)
+	if rejected > 60 {
+		t.Errorf("%d of 300 jobs are rejected long after the overload", rejected)
 	}
 }
 
-// A job that lies at its worker tells that its kind is full before it starts, and its answer, seconds later, with a report:
-// until then all went on sending there.
+// A job that waits at its worker tells that its kind is full before it starts, and before its answer,
+// seconds later, brings a report: until then all dispatchers went on sending there.
 func TestWaitingJobsTellOfOverload(t *testing.T) {
 	c := ready(t, 60, shared)
 	c.serve(80, func(JobID, Entry) work { return work{run: 200 * time.Millisecond, free: 4} })
 	if c.d.load.slotsSeen[0] != 4 || c.d.load.groupLoad[0] > 2 || c.d.load.groupLoad[1] > 2 {
-		t.Fatalf("idle workers: %v slots, others hold %v", c.d.load.slotsSeen, c.d.load.groupLoad)
+		t.Fatalf("idle workers: %v slots, peers use %v", c.d.load.slotsSeen, c.d.load.groupLoad)
 	}
-	lying := [2]int{}
+	waiting := [2]int{}
 	for id := JobID(101); id <= 108; id++ {
 		if c.arrive(id, int(id)%5) {
-			lying[c.jobs[id].sends[0].to.Kind]++
+			waiting[c.jobs[id].sends[0].to.Kind]++
 		}
 		for range 10 {
 			c.advance(20 * time.Millisecond)
 		}
 	}
-	for k, n := range lying {
+	for k, n := range waiting {
 		if full := c.d.load.groupLoad[k] >= c.d.load.slotsSeen[k]; full != (n > 0) {
-			t.Errorf("%d jobs lie at kind %d, and others hold %v of %v slots", n, k, c.d.load.groupLoad[k], c.d.load.slotsSeen[k])
+			t.Errorf("%d jobs wait at kind %d, and peers use %v of %v slots", n, k, c.d.load.groupLoad[k], c.d.load.slotsSeen[k])
 		}
 	}
 }
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -12,8 +12,8 @@
 // target late.
 const lateStartShed = 0.1
 
-// startRecovery is the part of all jobs that each start lets in again: a fifth of late starts keeps the
-// balance.
+// startRecovery is the part of all jobs that each start lets in again: with a quarter of the starts a whole
+// target late the admitted share keeps where it is.
 const startRecovery = lateStartShed / 4
 
 // excessBackoff is what is left of the admitted share of excess at each sign of too much load.
@@ -72,8 +72,8 @@
 func (s *loadShedder) observeAnswer() { s.excessShare = min(s.excessShare+excessRecovery, 1) }
 
 // retryAfter draws when a rejected job's client is to come back: in about a tick, later the less is let in,
-// and at random lest all come together. most is the longest time that clients may be told, 0 if they are
-// told none.
+// and at random so that they do not come together. most is the longest time that clients may be told, 0 if
+// they are told none.
 func (s *loadShedder) retryAfter(tick, most time.Duration) time.Duration {
 	ticks := retryAfterBase + retryAfterSpread*s.random.Float64()
 	return min(seconds(tick.Seconds()*ticks/s.effectiveShare()), most)
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A job that starts too late to be in time says what Full says: its worker is left alone for a moment and excess yields;
-// long queues hid an overload, and every third job of a quiet day started after its aim.
+// A job that starts too late to be in time tells what a rejection tells: its worker is left alone for a
+// moment and excess is shed; long queues hid an overload, and every third job of a quiet day started after
+// its latency target.
 func TestLateStartCountsAsRejection(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		c := ready(t, 24, nil)
@@ -23,19 +24,20 @@
 	}
 }
 
-// Queues long enough to take everything hid an overload: nothing was refused and nearly all came late. Where more than a
-// fifth of the starts comes after the whole aim, part of all jobs is refused at once, and no more of them once starts are prompt.
+// Queues long enough to take everything hid an overload: nothing was rejected and nearly all answers were
+// late. Where more than a fifth of the starts comes after the whole latency target, part of all jobs is
+// rejected at once, and no more of them once starts are prompt.
 func TestLateStartsShedJobs(t *testing.T) {
 	c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
 	id := JobID(0)
 	part := func(late int) float64 { // every so manieth start is late
-		refused := 0
+		rejected := 0
 		for n := range 400 {
 			id++
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Tenant: n % 5, Slots: 1, Deadline: c.now + 4*time.Second})
 			if len(c.jobs[id].sends) == 0 {
 				if n >= 200 {
-					refused++
+					rejected++
 				}
 				c.advance(20 * time.Millisecond)
 				continue
@@ -47,21 +49,22 @@
 			c.outcome(id, 0, OK)
 			c.advance(20 * time.Millisecond)
 		}
-		return float64(refused) / 200
+		return float64(rejected) / 200
 	}
 	if p := part(10); p > 0.1 {
-		t.Errorf("a tenth late: %v refused", p)
+		t.Errorf("a tenth late: %v rejected", p)
 	}
 	if p := part(2); p < 0.4 {
-		t.Errorf("half late: only %v refused", p)
+		t.Errorf("half late: only %v rejected", p)
 	}
 	if p := part(1000); p > 0.05 {
-		t.Errorf("prompt again: %v refused", p)
+		t.Errorf("prompt again: %v rejected", p)
 	}
 }
 
-// A refusal tells when to come back, where clients are told: within the stated limit, not all together, later the less
-// is let in. A failure tells nothing, and where clients are not told neither does a refusal.
+// A rejection tells when to come back, where clients are told: within the stated limit, not all together,
+// later the less is let in. A failure tells nothing, and where clients are not told neither does a
+// rejection.
 func TestRejectionsTellRetryAfter(t *testing.T) {
 	times := func(told bool, let float64, class int) map[time.Duration]bool {
 		c := ready(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
@@ -88,7 +91,7 @@
 		}
 	}
 	if n := len(times(true, 1, 0)); n < 15 {
-		t.Errorf("%d different times for 20 refusals", n)
+		t.Errorf("%d different times for 20 rejections", n)
 	}
 	for name, got := range map[string]map[time.Duration]bool{"not told": times(false, 1, 0), "failed": times(true, 1, 1)} {
 		if len(got) != 1 || !got[0] {
--- a/internal/decision/outcomes_test.go
+++ b/internal/decision/outcomes_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A slot that is freed goes to the held job that is worth most for its time, and that one may wait longer at a worker.
+// A slot that is freed goes to the waiting job that is worth most for its time, and that one may wait longer
+// at a worker.
 func TestDenserPendingJobGoesFirst(t *testing.T) {
 	c := ready(t, 8, func(s *Settings) {
 		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
@@ -23,12 +24,12 @@
 		t.Fatal("no job is held")
 		return 0
 	}
-	plain, worthy := held(0), held(4)
-	if c.d.forecasts.density(c.d.jobs.byID[worthy]) <= c.d.forecasts.density(c.d.jobs.byID[plain]) {
-		t.Error("the worthier job does not count as denser")
+	plain, denser := held(0), held(4)
+	if c.d.forecasts.density(c.d.jobs.byID[denser]) <= c.d.forecasts.density(c.d.jobs.byID[plain]) {
+		t.Error("the denser job does not count as denser")
 	}
 	c.outcome(1, 0, OK)
-	if len(c.jobs[plain].sends) != 0 || len(c.jobs[worthy].sends) != 1 {
-		t.Errorf("the freed slot: plain %v, worthy %v", c.jobs[plain].sends, c.jobs[worthy].sends)
+	if len(c.jobs[plain].sends) != 0 || len(c.jobs[denser].sends) != 1 {
+		t.Errorf("the freed slot: plain %v, denser %v", c.jobs[plain].sends, c.jobs[denser].sends)
 	}
 }
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where a late answer is worth nothing, a job that has not started by its aim leaves the worker's queue; a
-// queue full of such jobs kept everything late once.
+// Where a late answer earns nothing, a job that has not started by its latency target leaves the worker's
+// queue; a queue full of such jobs once kept everything late.
 func TestHopelessJobsAreCancelled(t *testing.T) {
 	for _, tc := range []struct {
 		late    float64
@@ -26,12 +26,13 @@
 			}
 		}
 		if got != tc.want {
-			t.Errorf("late answers worth %v, started %v: cancelled %v, want %v", tc.late, tc.started, got, tc.want)
+			t.Errorf("late answers earn %v, started %v: cancelled %v, want %v", tc.late, tc.started, got, tc.want)
 		}
 	}
 }
 
-// A dispatcher that stood still has heard nobody for a while: the fault is its own, and nobody is suspected for it.
+// A dispatcher that stood still has heard nobody for a while: the fault is its own, and no worker counts as
+// unhealthy for it.
 func TestOwnStandstillMarksNobodyUnhealthy(t *testing.T) {
 	c := ready(t, 24, nil)
 	for id := JobID(1); id <= 20; id++ {
@@ -51,8 +52,9 @@
 	}
 }
 
-// Where late answers earn nothing, a job that had not begun by the fixed part of its aim was cancelled, and as one that
-// may run only once it had failed for good: 10 to 30 % of all jobs on most days. The aim grows with the job's own time.
+// Where late answers earn nothing, a job that had not started by the fixed part of its latency target was
+// cancelled, and had failed for good if it may run only once: 10 to 30 % of all jobs on most days. The
+// target grows with the job's own running time.
 func TestWaitingJobsKeepTheSlackOfTheirOwnTime(t *testing.T) {
 	for _, queue := range []float64{0, 40} { // it goes sooner where many would wait behind it
 		c := ready(t, 60, func(s *Settings) { few(s); s.Classes[1].Stretch = 3 })
@@ -66,7 +68,7 @@
 		}
 		waited := c.now - came - c.s.Classes[1].LatencyTarget
 		if late := waited - slack; queue == 0 && late.Abs() > 60*time.Millisecond || queue > 0 && waited > 60*time.Millisecond {
-			t.Errorf("queue %v: dropped %v after its aim, its own time leaves it %v", queue, waited, slack)
+			t.Errorf("queue %v: dropped %v after its latency target, its own time leaves it %v", queue, waited, slack)
 		}
 	}
 }
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -145,10 +145,10 @@
 	return kinds, candidates
 }
 
-// kindLoad is the load by which kinds are ordered: the own slots in use there, and a random part lest all
-// dispatchers go to the kind that seems best, for the kind's size. For a key it is a hash in place of the
-// load, so that all dispatchers choose alike. A list that tells sizes tells what workers bear; without one
-// speed and slots, as learned, count as well.
+// kindLoad is the load by which kinds are ordered: the own slots in use there, and a random part so that not
+// all dispatchers go to the kind that seems best, for the kind's size. For a key it is a hash in place of
+// the load, so that all dispatchers choose alike. A list that tells sizes tells what workers bear; without
+// one speed and slots, as learned, count as well.
 func (p *picker) kindLoad(kind int, members []*workerState, job *jobState) float64 {
 	load := p.random.ExpFloat64()
 	size := 0.0
--- a/internal/decision/picking_test.go
+++ b/internal/decision/picking_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Listed sizes of kinds are heeded from the first job on: one dispatcher in hundreds has no time to learn them. A size that
-// none can have counts as the usual one.
+// Listed weights count from the first job on: one dispatcher in hundreds has no time to learn sizes. A
+// weight that no worker can have counts as the usual one.
 func TestListedWeightsCount(t *testing.T) {
 	list := fleet(40)
 	for i := range list {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Kinds are weighed by what they hold, not by speed alone: with keys, small workers got four fifths of the attempts and
-// turned most away while large ones had room.
+// Kinds are weighed by their slots, not by speed alone: with keys, small workers got four fifths of the
+// attempts and rejected most while large ones had free slots.
 func TestKindsAreWeighedByTheirSlots(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) {
 		s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
@@ -55,9 +55,9 @@
 	}
 }
 
-// One dispatcher in hundreds holds no slots nearly anywhere, and each new worker cost it a handshake: a worker with an
-// idle connection that began the last job at once comes first in the pair; one that let it wait does not, nor one whose
-// connection has been closed by now, nor any where that time is not stated.
+// One dispatcher in hundreds has own slots in use nearly nowhere, and each new worker cost it a handshake: a
+// worker with an idle connection that began the last job at once comes first in the pair; one that let it
+// wait does not, nor one whose connection has been closed by now, nor any where that time is not stated.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	for _, tc := range []struct {
 		idle, wait time.Duration
@@ -81,8 +81,9 @@
 	}
 }
 
-// Many dispatchers round one fleet, each with a few jobs a second, hardly meet a worker twice. What they did not know of a
-// worker counted as nothing, so all of them sent to the fast kind, which was full, while the slow one stood idle.
+// Many dispatchers with one fleet, each with a few jobs a second, hardly meet a worker twice. What they did
+// not know of a worker counted as nothing, so all of them sent to the fast kind, which was full, while the
+// slow one was idle.
 func TestManyDispatchersFillAllKinds(t *testing.T) {
 	to := [2]int{}
 	ready(t, 60, shared).serve(240, func(id JobID, w Entry) work {
--- a/internal/decision/pools_test.go
+++ b/internal/decision/pools_test.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// The label's pool had nine tenths of its tenants' share of the workers, the leftovers the rest: the larger tenants' jobs
-// met workers a third busier than the others', and stayed there, refused as too likely late, while those had room.
+// The label's pool had nine tenths of its tenants' share of the workers, the unlabelled one the rest: the
+// larger tenants' jobs met workers a third busier than the others', and stayed there, rejected as too likely
+// late, while those had free slots.
 func TestPoolsFitTheirShares(t *testing.T) {
 	c := ready(t, 200, shared)
 	for l, share := range c.d.pools.shares {
@@ -102,7 +103,7 @@
 		}
 	}
 	if !c.arrive(1, tenant) {
-		t.Fatal("a job is refused as its pool is full, with all other workers idle")
+		t.Fatal("a job is rejected as its pool is full, with all other workers idle")
 	}
 	for _, members := range full {
 		if slices.Contains(members, c.d.workers.byID[c.jobs[1].sends[0].to.Worker]) {
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// In the first seconds few arrivals are no sign of excess: a third of all jobs were refused by it once.
+// In the first seconds few arrivals are no sign of excess: a third of all jobs were once rejected for it.
 func TestFewArrivalsAreWithinQuota(t *testing.T) {
 	c := ready(t, 40, nil)
 	for id := JobID(1); id < 40; id++ {
@@ -17,8 +17,9 @@
 	}
 }
 
-// A tenant far beyond its share is shut out while there is strain, and others are not. Retries of the others'
-// clients, which multiply what they ask, must not raise its due: a jam fed itself that way.
+// A tenant far beyond its share is shed while there is strain, and others are not. Retries of the others'
+// clients, which multiply what they ask for, must not raise what it is due: an overload kept itself up that
+// way.
 func TestExcessIsShedAndRetriesDoNotRaiseIt(t *testing.T) {
 	admitted := func(retries int) (big, small int) {
 		c := ready(t, 40, nil)
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// play runs a seeded sequence of legal events with scripted outcomes and returns what was done.
+// play runs a seeded sequence of legal events with scripted outcomes and returns the log of actions.
 func play(t *testing.T, seed uint64, s Settings, keys uint64, jobs JobID) []string {
 	c := newChecker(t, s, seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -121,9 +121,9 @@
 	}
 }
 
-// The rules hold at deployments that nobody has described yet: 80 settings, some 600 jobs and as many steps each, always
-// the same ones. The cold budget is not among what the checker sees; its tests are TestWarmingWorkerIsNotOverloaded and
-// TestManyDispatchersShareAWarmingWorker.
+// The rules hold at deployments that nobody has described yet: 80 settings, some 600 jobs and as many steps
+// each, always the same ones. The budget for warming workers is not among what the checker sees; its tests
+// are TestWarmingWorkerIsNotOverloaded and TestManyDispatchersShareAWarmingWorker.
 func TestRulesHoldOnRandomSettings(t *testing.T) {
 	sends, answers := 0, 0
 	for seed := range uint64(80) {
@@ -137,6 +137,6 @@
 		}
 	}
 	if sends < 30000 || answers < 10000 {
-		t.Errorf("%d sends and %d refusals and failures: the settings leave too little to see", sends, answers)
+		t.Errorf("%d sends and %d rejections and failures: the settings leave too little to see", sends, answers)
 	}
 }
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestOutcomesByIdempotencyClass(t *testing.T) {
-	const again, refuse, fail, done = "again", "refuse", "fail", "done"
+	const again, reject, fail, done = "again", "reject", "fail", "done"
 	for _, tc := range []struct {
 		outcome Outcome
 		want    [5]string // by class of site()
@@ -35,7 +35,7 @@
 			case tc.outcome != OK && j.answered && c.d.actions[len(c.d.actions)-1].Kind == Fail:
 				got = fail
 			case tc.outcome != OK && j.answered:
-				got = refuse
+				got = reject
 			}
 			if got != want {
 				t.Errorf("outcome %d, class %d: %s, want %s", tc.outcome, class, got, want)
@@ -44,7 +44,7 @@
 	}
 }
 
-// At the deadline a job that may have run is failed, or refused where repeating is harmless, at once.
+// At the deadline a job that may have run is failed, or rejected where repeating is harmless, at once.
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail, Fail, Reject} {
 		c := newChecker(t, site(), 1)
@@ -58,14 +58,15 @@
 	}
 }
 
-// Where Full is no proof, an Unsafe job that met it gets no other attempt and no refusal, and a Keyed one stays in
-// its group; connections that failed and sends that were never made still prove it.
+// Where a rejection is no proof, a NotIdempotent job that met it gets no other attempt and no rejection, and
+// a Deduplicated one stays in its scope; connections that failed and sends that were never made still prove
+// that it never ran.
 func TestUnprovenRejectionMayHaveRun(t *testing.T) {
 	for _, tc := range []struct {
-		outcome  Outcome
-		class    int
-		again    bool
-		refusals bool
+		outcome    Outcome
+		class      int
+		again      bool
+		rejections bool
 	}{
 		{Rejected, 1, false, false}, {ConnectFailed, 1, true, true}, {NeverSent, 1, true, true},
 		{Rejected, 0, true, true}, {Rejected, 2, true, false}, {Rejected, 4, true, true},
@@ -84,13 +85,14 @@
 			c.outcome(1, 1, tc.outcome)
 		}
 		last := c.d.actions[len(c.d.actions)-1].Kind
-		if !j.answered || (last == Reject) != tc.refusals {
+		if !j.answered || (last == Reject) != tc.rejections {
 			t.Errorf("outcome %d, class %d: answered %v with action %d", tc.outcome, tc.class, j.answered, last)
 		}
 	}
 }
 
-// The group's window counts from the earliest attempt that may have run, however often it was turned away since.
+// The deduplication window counts from the earliest attempt that may have run, however often the job was
+// rejected since.
 func TestDedupWindowCountsFromFirstUnprovenAttempt(t *testing.T) {
 	c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
 	c.event(Event{Kind: EventJob, Job: 1, Class: 4, Slots: 1, Deadline: c.now + 5*time.Second})
@@ -104,8 +106,8 @@
 	}
 }
 
-// A class that is bound to kinds or zones goes nowhere else, also when those workers are full or none is left, and
-// never to one of a kind or zone that the site does not know. The bench had it go anywhere.
+// A class that is bound to kinds or zones goes nowhere else, also when those workers are full or none is
+// left, and never to one of a kind or zone that the settings do not know. Such a job once went anywhere.
 func TestPlacementIsKept(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Settings)
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A worker just started gets no more from one dispatcher than its part, whatever the rest of the fleet turns away.
+// A worker that has just started gets no more from one dispatcher than its part, whatever the rest of the
+// fleet rejects.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 4, 20} {
 		c := ready(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
@@ -47,8 +48,9 @@
 	}
 }
 
-// Found by a hunt: 156 dispatchers that had looked at a cold worker with a long job let short ones through at once, and what
-// each had saved while nobody wanted to go there came in the same second. All together stay within the budget.
+// Found by a search over random days: 156 dispatchers that had looked at a warming worker with a long job
+// let short ones through at once, and what each had saved while nobody wanted to go there came in the same
+// second. All together stay within the budget.
 func TestSlowStartBudgetIsNotSavedUp(t *testing.T) {
 	const n = 150
 	for _, idle := range []time.Duration{0, 4 * time.Second} {
@@ -80,9 +82,9 @@
 	}
 }
 
-// Each of 80 dispatchers saved up for a whole job before it sent one to a cold worker: 80 s with its part of what such
-// a worker bears, so that 36 new workers stood idle for seconds while a third of all jobs was refused. All together
-// they use it well now, and stay within the rule's budget.
+// Each of 80 dispatchers saved up for a whole job before it sent one to a warming worker: 80 s with its part
+// of what such a worker bears, so that 36 new workers were idle for seconds while a third of all jobs was
+// rejected. All together use it well now, and stay within the rule's budget.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
 	shareAWarmingWorker(t, 4, 2, 0, 8)  // its warm mates have 13 jobs a second each; it surely bears 4 of that
 	shareAWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
--- a/internal/decision/start_delays_test.go
+++ b/internal/decision/start_delays_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A connection that has to be made takes several times the way to another zone. How long each way takes is learned from
-// the quicker starts, and of workers alike the one that answers sooner is taken.
+// A connection that has to be made takes several times the way to another zone. How long each kind of start
+// takes is learned from the quicker starts, and of workers that are alike the one that answers sooner is
+// taken.
 func TestStartDelaysCount(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LatencyTarget = 200 * time.Millisecond })
 	near := 0
@@ -35,7 +36,7 @@
 	c.event(Event{Kind: EventList, List: ListFull, Entries: entries})
 	for id := JobID(1000); id < 1020; id++ {
 		if !c.arrive(id, int(id)%5) || c.jobs[id].sends[0].to.Zone == c.s.Zone {
-			t.Errorf("job %d is refused, or stays in the full own zone", id)
+			t.Errorf("job %d is rejected, or stays in the full own zone", id)
 		}
 	}
 }
--- a/internal/decision/workers_test.go
+++ b/internal/decision/workers_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Idle connections to a draining worker are closed at the notice, whatever list brings it, and after each later
-// outcome there; a connection that came up after its attempt was given up is closed by a second try. Nothing is
-// repeated without cause, and nothing closed where no time is stated.
+// Idle connections to a draining worker are closed at the notice, whatever list brings it, and after each
+// later outcome there; a connection that came up after its attempt was given up is closed by a second try.
+// Nothing is repeated without cause, and nothing closed where no time is stated.
 func TestIdleConnectionsAreClosedOnDrains(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
 		for _, limit := range []time.Duration{0, 800 * time.Millisecond} {
