--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -1,5 +1,9 @@
-// Package demo runs a small whole system in one process, on loopback addresses and in one folder, with stand-ins for
-// the platform and its workers. It is for trying the system out.
+// Package demo runs a small complete system in one process, to try it out: real fronts and stores on loopback
+// addresses, with their files in one folder, and simulated workers and a simulated list of them in place of the
+// platform's.
+//
+// Run owns all goroutines and waits for them. When one process fails, the whole demonstration ends with its error.
+// Start reading at Run; machine.go lays out addresses, ports and settings.
 package demo
 
 import (
@@ -53,7 +57,7 @@
 	Logger func(process string) (*zap.Logger, error)
 }
 
-// Addresses are where a running system can be called.
+// Addresses are where a running system can be called, one of each kind for each front.
 type Addresses struct {
 	Clients []string
 	Control []string
@@ -67,7 +71,8 @@
 	fail     context.CancelCauseFunc
 }
 
-// Run runs a system until the context ends or one of its processes fails. It calls ready once messages are taken.
+// Run runs a system until the context ends or one of its processes fails, whose error it returns. It calls ready
+// once messages are accepted.
 func Run(ctx context.Context, options Options, ready func(Addresses)) error {
 	ctx, fail := context.WithCancelCause(ctx)
 	s := &system{options: options, machines: planMachines(options), fail: fail}
@@ -84,7 +89,8 @@
 	return trace.Wrap(firstCause(ctx, nil))
 }
 
-// firstCause returns why a process failed, or else another error.
+// firstCause returns the error of the process that failed, nil after an end that was asked for, or else another
+// error.
 func firstCause(ctx context.Context, otherwise error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		return cause
@@ -95,8 +101,9 @@
 	return otherwise
 }
 
+// start starts the simulated platform and then all processes.
 func (s *system) start(ctx context.Context) error {
-	if err := s.startStandIns(ctx); err != nil {
+	if err := s.startSimulated(ctx); err != nil {
 		return err
 	}
 	for _, machine := range s.machines {
@@ -155,7 +162,7 @@
 	return systemnode.NewStore(options)
 }
 
-// awaitReady puts the configuration in force and waits until a front takes messages.
+// awaitReady puts the first configuration in force and waits until a front accepts messages.
 func (s *system) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/internal/systemnode/demo/machine.go
+++ b/internal/systemnode/demo/machine.go
@@ -23,9 +23,9 @@
 	portWorker
 )
 
-// Loopback addresses of the machines.
+// Loopback addresses.
 const (
-	hostIP       = "127.0.0.1" // the stand-ins and the operator
+	hostIP       = "127.0.0.1" // the simulated workers, their list, and the operator
 	frontIPStart = 11          // the last number of the first front's address
 	storeIPStart = 41          // the last number of the first store's address
 )
@@ -41,6 +41,7 @@
 	zone   string
 }
 
+// planMachines returns the machines of a demonstration, fronts first.
 func planMachines(options Options) []machine {
 	var machines []machine
 	add := func(class string, count, ipStart int) {
@@ -65,7 +66,7 @@
 func (m machine) readyAddress(port int) string   { return m.address(port + portReady) }
 func (m machine) controlAddress(port int) string { return m.address(port + portControl) }
 
-// settingsText returns a machine's settings file.
+// settingsText returns the settings file of a machine, in TOML.
 func (s *system) settingsText(machine machine, data string) []byte {
 	port := s.options.Port
 	var text strings.Builder
--- a/internal/systemnode/inspection/handler.go
+++ b/internal/systemnode/inspection/handler.go
@@ -22,10 +22,10 @@
 	PathMetrics    = "/api/metrics"
 )
 
-// QueryNode names, in the query of PathMetrics, the control member or store whose metrics are wanted.
+// QueryNode is the query parameter of PathMetrics that names the control member or store whose metrics are wanted.
 const QueryNode = "node"
 
-// MethodMetrics is the internal call for a process's metrics: empty -> the text as the body.
+// MethodMetrics is the internal call that returns a process's metrics as its body. The request is empty.
 const MethodMetrics = "node.metrics"
 
 // metricsTimeout bounds a call for another process's metrics.
@@ -42,10 +42,10 @@
 	errNoAnswer    = errors.New("the process can't be reached now")
 )
 
-// Caller makes an internal call at an address.
+// Caller makes an internal call at an address and returns the body of the response.
 type Caller func(ctx context.Context, address, method string) (body []byte, err error)
 
-// PoolCaller returns a caller that uses the connections of a pool.
+// PoolCaller returns a Caller that uses the connections of a pool.
 func PoolCaller(pool *rpc.Pool) Caller {
 	return func(ctx context.Context, address, method string) ([]byte, error) {
 		return pool.Get(address).Call(ctx, method, nil, nil, nil)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Options are what the read-only calls are served from.
+// Options configure a handler of the read-only calls.
 type Options struct {
 	Self      cluster.NodeInfo
 	Snapshots Snapshots
@@ -71,7 +71,8 @@
 	options Options
 }
 
-// NewHandler returns a handler of the read-only calls, which leaves all other requests to another handler.
+// NewHandler returns a handler of the read-only calls. All other requests, also those with another method, go to
+// the handler `otherwise`.
 func NewHandler(options Options, otherwise http.Handler) http.Handler {
 	h := &handler{options: options}
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
--- a/internal/systemnode/inspection/metrics.go
+++ b/internal/systemnode/inspection/metrics.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// metricsLifetime is how long a collected text of metrics is given out again. It bounds what frequent askers cost.
+// metricsLifetime is how long collected metrics are returned again. It bounds what frequent scraping costs.
 const metricsLifetime = time.Second
 
-// Kind is the kind of a metric.
+// Kind is the type of a metric in the exposition format.
 type Kind string
 
 // The kinds.
@@ -26,18 +26,19 @@
 	Value string
 }
 
-// Metric describes a metric.
+// Metric describes a metric. Its name carries the unit, as gladepick_uptime_seconds does, and ends in _total for a
+// counter.
 type Metric struct {
 	Name string
 	Kind Kind
 	Help string
 }
 
-// Collector writes the samples of its metrics when they are asked for.
+// Collector writes the samples of its metrics. It is called under the lock of the registry, so it must not block.
 type Collector func(samples *Samples)
 
-// Registry holds the collectors of a process. They are called only when somebody asks for the metrics, and at most
-// once within metricsLifetime.
+// Registry holds the collectors of a process. They are called only when metrics are asked for, and at most once
+// within metricsLifetime. The zero value is ready for use.
 type Registry struct {
 	mutex      sync.Mutex
 	collectors []Collector
@@ -45,14 +46,14 @@
 	collected  time.Time
 }
 
-// Add adds a collector.
+// Add adds a collector. Metrics appear in the order of their collectors.
 func (r *Registry) Add(collector Collector) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.collectors = append(r.collectors, collector)
 }
 
-// Text returns all metrics, one sample a line. The bytes must not be changed.
+// Text returns all metrics in the exposition format. The bytes must not be changed.
 func (r *Registry) Text() []byte {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -67,10 +68,11 @@
 	return r.text
 }
 
-// Samples takes the samples of one collection. The samples of one metric have to follow one another.
+// Samples collects the samples of one collection. The samples of one metric must follow one another, since their
+// HELP and TYPE lines are written before the first.
 type Samples struct {
 	text    bytes.Buffer
-	current string // name of the metric whose head was written last
+	current string // name of the metric whose HELP and TYPE lines were written last
 }
 
 // Add writes one sample.
--- a/internal/systemnode/logging.go
+++ b/internal/systemnode/logging.go
@@ -10,8 +10,8 @@
 )
 
 // NewLogger returns a logger that writes JSON lines of at least a level to standard error. Each line names the
-// process, and has each error as one line of text without a stack trace. Lines carry no time, which the collector
-// of the logs adds.
+// process, and has each error as one line of text without a stack trace. Lines carry no time; what
+// collects the logs has to add it.
 func NewLogger(process string, level zapcore.Level) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	config.Sampling = nil
