--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -4,9 +4,9 @@
 
 // Finding is one thing that is wrong in a settings file.
 type Finding struct {
-	File    string
-	Key     string // empty where the file as a whole is wrong
-	Problem string
+	File    string // path of the file
+	Key     string // with the names of its tables, as in "bounds.grace-s"; empty where the file as a whole is wrong
+	Problem string // what is wrong, as in "missing"
 }
 
 // String returns file, key and problem.
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// collector collects the findings of one file.
+// collector collects the findings of one file, in the order in which they are found.
 type collector struct {
 	file  string
 	found Findings
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// mismatch reports a value of a wrong type.
-func (s section) mismatch(key, wanted string) {
+// reportType reports a value of a wrong type.
+func (s section) reportType(key, wanted string) {
 	s.findings.add(s.key(key), fmt.Sprintf("must be %s, is %v", wanted, s.values[key]))
 }
 
@@ -51,7 +51,7 @@
 	}
 	values, ok := s.values[key].(map[string]any)
 	if !ok {
-		s.mismatch(key, "a table")
+		s.reportType(key, "a table")
 	}
 	nested.values = values
 	return nested
@@ -64,26 +64,26 @@
 	}
 	text, ok := s.values[key].(string)
 	if !ok {
-		s.mismatch(key, "a string")
+		s.reportType(key, "a string")
 	}
 	return text
 }
 
-// texts reads a list of strings.
-func (s section) texts(key string) []string {
+// textList reads a list of strings. The default is none.
+func (s section) textList(key string) []string {
 	if !s.has(key) {
 		return nil
 	}
 	values, ok := s.values[key].([]any)
 	if !ok {
-		s.mismatch(key, "a list of strings")
+		s.reportType(key, "a list of strings")
 		return nil
 	}
 	texts := make([]string, 0, len(values))
 	for _, value := range values {
 		text, ok := value.(string)
 		if !ok {
-			s.mismatch(key, "a list of strings")
+			s.reportType(key, "a list of strings")
 			return nil
 		}
 		texts = append(texts, text)
@@ -101,50 +101,50 @@
 	return texts
 }
 
-// truth reads a truth value.
-func (s section) truth(key string) bool {
+// boolean reads a truth value. The default is false.
+func (s section) boolean(key string) bool {
 	if !s.has(key) {
 		return false
 	}
-	truth, ok := s.values[key].(bool)
+	value, ok := s.values[key].(bool)
 	if !ok {
-		s.mismatch(key, "true or false")
+		s.reportType(key, "true or false")
 	}
-	return truth
+	return value
 }
 
-// figure reads a number that is not negative.
-func (s section) figure(key string, absent float64) float64 {
+// number reads a number that is not negative and not infinite.
+func (s section) number(key string, absent float64) float64 {
 	if !s.has(key) {
 		return absent
 	}
-	figure, ok := toFigure(s.values[key])
-	if !ok || !(figure >= 0) || math.IsInf(figure, 1) {
-		s.mismatch(key, "a number, 0 or above")
+	number, ok := toNumber(s.values[key])
+	if !ok || !(number >= 0) || math.IsInf(number, 1) {
+		s.reportType(key, "a number, 0 or above")
 		return absent
 	}
-	return figure
+	return number
 }
 
-// integer reads a number that is not negative, and cuts a fraction off.
+// integer reads a number that is not negative, and cuts a fraction off. It saturates at math.MaxInt32.
 func (s section) integer(key string, absent int) int {
-	return int(min(s.figure(key, float64(absent)), math.MaxInt32))
+	return int(min(s.number(key, float64(absent)), math.MaxInt32))
 }
 
-// integers reads a list of whole numbers.
-func (s section) integers(key string) []int {
+// integerList reads a list of numbers, and cuts their fractions off. What is no list is empty.
+func (s section) integerList(key string) []int {
 	if !s.has(key) {
 		return nil
 	}
 	values, _ := s.values[key].([]any)
 	var integers []int
 	for _, value := range values {
-		figure, ok := toFigure(value)
+		number, ok := toNumber(value)
 		if !ok {
-			s.mismatch(key, "a list of numbers")
+			s.reportType(key, "a list of numbers")
 			return nil
 		}
-		integers = append(integers, int(figure))
+		integers = append(integers, int(number))
 	}
 	return integers
 }
@@ -159,21 +159,21 @@
 	return s.duration(key, time.Second, absent)
 }
 
-// duration reads a time. It saturates.
+// duration reads a time that is given in a unit, and rounds it to nanoseconds. It saturates.
 func (s section) duration(key string, unit, absent time.Duration) time.Duration {
-	figure := s.figure(key, -1)
-	if figure < 0 {
+	number := s.number(key, -1)
+	if number < 0 {
 		return absent
 	}
-	nanoseconds := math.Round(figure * float64(unit))
+	nanoseconds := math.Round(number * float64(unit))
 	if nanoseconds >= math.MaxInt64 {
 		return math.MaxInt64
 	}
 	return time.Duration(nanoseconds)
 }
 
-// toFigure converts a number of either type.
-func toFigure(value any) (float64, bool) {
+// toNumber converts a number of either type that a TOML file may have.
+func toNumber(value any) (float64, bool) {
 	switch value := value.(type) {
 	case int64:
 		return float64(value), true
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,24 +1,10 @@
-// Package settings reads the settings file of a process.
-//
-// The file is TOML. Fields that this version does not know are ignored. A field that is absent or empty takes its
-// default; only what no process can do without is required.
 package settings
 
 import (
-	"os"
 	"slices"
 	"time"
-
-	"github.com/BurntSushi/toml"
-	"github.com/gravitational/trace"
 )
 
-// EnvironmentVariable names the variable that holds the path of the settings file.
-const EnvironmentVariable = "GLADEPICK_SETTINGS"
-
-// DefaultPath is the path of the settings file where the variable is not set.
-const DefaultPath = "/etc/gladepick/node.toml"
-
 // Parties that a role may serve.
 const (
 	ServesFront   = "front"
@@ -26,7 +12,7 @@
 	ServesStore   = "store"
 )
 
-// Settings is what a process is told at its start. It must not be changed after it was loaded.
+// Settings is what a process is given at its start. It must not be changed after it was loaded.
 type Settings struct {
 	Node              string   // the machine's name
 	Role              string   // the program's role
@@ -34,16 +20,16 @@
 	Serves            []string // the parties that may call the role
 	IP                string
 	Zone              string
-	Region            string
+	Region            string // where none is given, that of the zone by Zones
 	InternalPorts     PortRange
-	Seeds             []string // control addresses of a few machines
+	Seeds             []string // control addresses of a few machines, "ip:port"
 	Bootstrap         bool     // the first start of the whole system
 	CountsForQuorum   bool     // the machine counts in the tolerance of faults
 	DataDir           string   // empty where the machine has no disk
 	Discovery         string
 	Entry             string
-	HeartbeatInterval time.Duration
-	Contracts         []string
+	HeartbeatInterval time.Duration     // key heartbeat-ms
+	Contracts         []string          // parts of the rules that are in force
 	Zones             map[string]string // region by zone
 	ListenAddresses   ListenAddresses
 	Limits            Limits
@@ -58,10 +44,10 @@
 	Last  int
 }
 
-// ListenAddresses holds where the process listens for others. What the role does not serve is empty.
+// ListenAddresses holds where the process listens for others, "ip:port". What the role does not serve is empty.
 type ListenAddresses struct {
 	Front   string // messages of clients
-	Ready   string // the platform's probe
+	Ready   string // the platform's health check
 	Control string // the operator and other callers of the control plane
 }
 
@@ -70,9 +56,9 @@
 	CPUShare float64 // of a core
 	Cores    int
 	MemoryMB int
-	MaxFDs   int
-	LinkMbps float64
-	DiskMB   int // 0 where none is stated
+	MaxFDs   int     // file descriptors
+	LinkMbps float64 // megabits a second
+	DiskMB   int     // 0 where none is stated
 }
 
 // FaultTolerance says how much may be lost at once.
@@ -82,69 +68,38 @@
 	Regions  int
 }
 
-// Bounds holds the figures of the rules that are in force.
+// Bounds holds the figures of the rules that are in force. This version works by Drain, Grace and Status; the others are
+// read and checked only.
 type Bounds struct {
 	SeedLag            time.Duration
 	ReuseAfter         time.Duration
 	Contact            time.Duration
 	Acknowledge        time.Duration // key ack-ms
 	CatchUp            time.Duration
-	Drain              time.Duration
-	Grace              time.Duration
+	Drain              time.Duration // for the deliveries that are out when a store ends
+	Grace              time.Duration // from SIGTERM to the end of the process
 	LossSlack          time.Duration
 	ConfigurationLag   time.Duration // key config-apply-ms
 	RevertSlack        time.Duration
 	MaxSkew            time.Duration
 	Recovery           time.Duration
 	Finish             time.Duration
-	Status             time.Duration
+	Status             time.Duration // for which a message's end can be queried
 	Callback           time.Duration
 	Visibility         time.Duration
 	Early              time.Duration
-	RateLimitWindow    time.Duration
-	RateLimitOvershoot float64
+	RateLimitWindow    time.Duration // key ceiling-window-s
+	RateLimitOvershoot float64       // key ceiling-overshoot; a factor
 }
 
 // Cloud says how to reach the platform's list of workers.
 type Cloud struct {
-	Address       string
+	Address       string  // "ip:port"
 	RatePerSecond float64 // calls a second, of all processes together
 	Duties        []string
 	Lag           time.Duration // by which the list is behind
 }
 
-// Path returns the path of the settings file.
-func Path() string {
-	if path := os.Getenv(EnvironmentVariable); path != "" {
-		return path
-	}
-	return DefaultPath
-}
-
-// Load reads a settings file. What is wrong in it is returned as one error of the type Findings.
-func Load(path string) (*Settings, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, trace.Wrap(err, "reading the settings file")
-	}
-	return Parse(path, text)
-}
-
-// Parse reads settings from a text. The path only names the file in the findings.
-func Parse(path string, text []byte) (*Settings, error) {
-	var values map[string]any
-	if _, err := toml.Decode(string(text), &values); err != nil {
-		return nil, Findings{{File: path, Problem: err.Error()}}
-	}
-	findings := &collector{file: path}
-	settings := readSettings(section{values: values, findings: findings})
-	settings.check(findings)
-	if len(findings.found) > 0 {
-		return nil, findings.found
-	}
-	return settings, nil
-}
-
 // ServesParty tells whether a party may call the role.
 func (s *Settings) ServesParty(party string) bool {
 	return slices.Contains(s.Serves, party)
@@ -154,20 +109,3 @@
 func (s *Settings) HasContract(name string) bool {
 	return slices.Contains(s.Contracts, name)
 }
-
-// check finds what is missing, and what no process can work with.
-func (s *Settings) check(findings *collector) {
-	required := []struct{ key, value string }{
-		{"node", s.Node},
-		{"ip", s.IP},
-		{"zone", s.Zone},
-	}
-	for _, text := range required {
-		if text.value == "" {
-			findings.add(text.key, "missing")
-		}
-	}
-	if s.InternalPorts.First < 1 || s.InternalPorts.Last > maxPort || s.InternalPorts.Last < s.InternalPorts.First {
-		findings.add("internal-ports", "must be the first and the last of some ports")
-	}
-}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -154,9 +154,9 @@
 func TestAbsentKeysTakeTheirDefaults(t *testing.T) {
 	loaded, err := Parse("file", []byte(required))
 	assert.NilError(t, err)
-	assert.Equal(t, loaded.HeartbeatInterval, defaultHeartbeat)
+	assert.Equal(t, loaded.HeartbeatInterval, defaultHeartbeatInterval)
 	assert.Equal(t, loaded.Bounds.Status, defaultStatus)
-	assert.Equal(t, loaded.Bounds.RateLimitOvershoot, float64(defaultCeilingOvershoot))
+	assert.Equal(t, loaded.Bounds.RateLimitOvershoot, float64(defaultRateLimitOvershoot))
 	assert.Equal(t, loaded.Limits.MemoryMB, defaultMemoryMB)
 	assert.Equal(t, loaded.ListenAddresses, ListenAddresses{})
 	assert.Equal(t, loaded.Cloud.Lag, defaultCloudLag)
