--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// pastDeadline makes a pending read end at once.
-var pastDeadline = time.Unix(1, 0)
+// longPast is a deadline that makes a pending read end at once.
+var longPast = time.Unix(1, 0)
 
 // connectionTracker knows the open connections and which of them wait for a request.
 //
 // http.Server.Shutdown closes an idle connection also where a request has just been read from it but not been noted
-// yet. The tracker ends the pending read instead, so a request that was read whole always gets its answer.
+// yet. The tracker ends the pending read instead, so a request that was read completely always gets its answer.
 type connectionTracker struct {
-	mutex   sync.Mutex
-	states  map[net.Conn]http.ConnState
-	closing bool // closeIdle has been called
+	mutex    sync.Mutex // guards what follows
+	states   map[net.Conn]http.ConnState
+	draining bool // closeIdle has been called
 }
 
-// setState follows a connection's life; it is an http.Server's ConnState.
+// setState follows a connection's states; it is an http.Server's ConnState.
 func (t *connectionTracker) setState(connection net.Conn, state http.ConnState) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -32,7 +32,7 @@
 		delete(t.states, connection)
 		return
 	case http.StateActive:
-		if t.closing {
+		if t.draining {
 			// A request has come in before closeIdle could end the read: let its body be read.
 			connection.SetReadDeadline(time.Time{})
 		}
@@ -45,10 +45,10 @@
 func (t *connectionTracker) closeIdle() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.closing = true
+	t.draining = true
 	for connection, state := range t.states {
 		if state != http.StateActive {
-			connection.SetReadDeadline(pastDeadline)
+			connection.SetReadDeadline(longPast)
 		}
 	}
 	return len(t.states)
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -26,14 +26,14 @@
 	connections connectionTracker
 	draining    atomic.Bool
 
-	listenerMutex sync.Mutex
+	listenerMutex sync.Mutex   // guards listener
 	listener      net.Listener // set while Serve runs
 }
 
 // NewFront returns a front that is not serving yet.
 func NewFront(options Options) *Front {
 	front := &Front{options: options.withDefaults()}
-	front.bodies.limit = front.options.MaxBufferedBytes
+	front.bodies.limitBytes = front.options.MaxBufferedBytes
 	front.handler = front.newRouter()
 	return front
 }
@@ -47,12 +47,12 @@
 // Ready tells whether the front wants new connections: Options.Ready, and false from the start of a drain.
 func (f *Front) Ready() bool { return !f.draining.Load() && f.options.Ready() }
 
-// newRouter sends questions about messages to the status handlers and everything else to the message handler. Paths
-// are matched as they came, without cleaning, since a message's target must not change.
+// newRouter sends queries about messages to their handlers and everything else to the message handler. Paths are matched
+// as they came, without cleaning, since a message's target must not change.
 func (f *Front) newRouter() http.Handler {
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	router.Path(statePathPrefix + "{id}").MatcherFunc(f.isStatusCall).HandlerFunc(f.serveState)
-	router.Path(bodyPathPrefix + "{id}").MatcherFunc(f.isStatusCall).HandlerFunc(f.serveBody)
+	router.Path(statePathPrefix + "{id}").MatcherFunc(f.isQuery).HandlerFunc(f.serveState)
+	router.Path(bodyPathPrefix + "{id}").MatcherFunc(f.isQuery).HandlerFunc(f.serveBody)
 	router.NotFoundHandler = http.HandlerFunc(f.serveMessage)
 	return router
 }
@@ -79,8 +79,8 @@
 func (f *Front) acceptLoop(listener net.Listener) error {
 	limited := &limitedListener{Listener: listener, limits: f.connectionLimits}
 	for {
-		limited.served = f.connectionLimits()
-		err := f.newServer(limited.served).Serve(limited)
+		limited.current = f.connectionLimits()
+		err := f.newServer(limited.current).Serve(limited)
 		if err != errLimitsChanged {
 			return err
 		}
@@ -93,6 +93,7 @@
 	f.listener = listener
 }
 
+// closeListener ends the accepting, where Serve has been called.
 func (f *Front) closeListener() {
 	f.listenerMutex.Lock()
 	defer f.listenerMutex.Unlock()
@@ -102,8 +103,8 @@
 }
 
 // Drain ends the front's work. The front stops being ready at once. For Options.DrainAcceptDuration it still accepts
-// connections, and every answer tells its client that the connection closes. After that it accepts none, closes those
-// without a request, and waits until the others have got their answers or the context ends.
+// connections, and every answer announces that its connection closes. After that it accepts none, closes those without a
+// request, and waits until the others have got their answers or the context ends.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	ctxtime.Sleep(ctx, f.options.DrainAcceptDuration)
@@ -120,3 +121,10 @@
 	}
 	return nil
 }
+
+// announceDrain tells the client that its connection closes after this answer, where the front is draining.
+func (f *Front) announceDrain(w http.ResponseWriter) {
+	if f.draining.Load() {
+		w.Header().Set(headerConnection, connectionClose)
+	}
+}
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -31,7 +31,7 @@
 	maxBody      = 1000
 	maxHeader    = 600
 
-	// lingerTime is longer than an http.Server keeps a connection open after an answer to a request not read whole.
+	// lingerTime is longer than an http.Server keeps a connection open after an answer to a request not read completely.
 	lingerTime = time.Second
 )
 
@@ -47,7 +47,7 @@
 	return limitsJSON{MaxHeaderBytes: maxHeader, MaxBodyBytes: maxBody, HeaderTimeout: 3000, IdleTimeout: 15000}
 }
 
-// newTable returns a configuration with a plain and an ordered route, and one below the path of status calls.
+// newTable returns a configuration with a plain and an ordered route, and one below the path of queries.
 func newTable(t *testing.T, limits limitsJSON) *configuration.Table {
 	t.Helper()
 	route := func(name, prefix string, ordered bool) string {
@@ -216,7 +216,7 @@
 	assert.NilError(t, err)
 }
 
-// answer is a response that was read whole.
+// answer is a response that was read completely.
 type answer struct {
 	status int
 	header http.Header
--- a/internal/ingress/server.go
+++ b/internal/ingress/limits.go
@@ -23,14 +23,14 @@
 // errLimitsChanged ends an http.Server's accepting when the configuration gives other limits than it was made with.
 var errLimitsChanged = errors.New("ingress: limits of connections have changed")
 
-// connectionLimits are the limits that an http.Server holds for its connections.
+// connectionLimits are the limits that an http.Server has for its connections.
 type connectionLimits struct {
 	maxHeaderBytes int
 	headerTimeout  time.Duration
 	idleTimeout    time.Duration
 }
 
-// defaultLimits hold before the first configuration, and on listeners that it does not govern.
+// defaultLimits apply before the first configuration, and on listeners that it does not govern.
 var defaultLimits = connectionLimits{
 	maxHeaderBytes: defaultMaxHeaderBytes,
 	headerTimeout:  defaultHeaderTimeout,
@@ -50,6 +50,7 @@
 	}
 }
 
+// newServer returns a server for clients' connections with these limits.
 func (f *Front) newServer(limits connectionLimits) *http.Server {
 	server := newServer(f.handler, f.options.Logger, limits)
 	server.ConnState = f.connections.setState
@@ -78,19 +79,19 @@
 }
 
 // limitedListener hands connections to one http.Server after another. Accept fails with errLimitsChanged where the
-// limits are no longer those of the server that calls it, and keeps the new connection for the next server. It is used
+// limits are no longer those of the server that calls it, and leaves the new connection to the next server. It is used
 // by one goroutine at a time.
 type limitedListener struct {
 	net.Listener
 	limits  func() connectionLimits
-	served  connectionLimits // those of the current server
-	waiting net.Conn         // accepted for the next server
+	current connectionLimits // those of the current server
+	pending net.Conn         // accepted for the next server
 }
 
 // Accept implements net.Listener.
 func (l *limitedListener) Accept() (net.Conn, error) {
-	connection := l.waiting
-	l.waiting = nil
+	connection := l.pending
+	l.pending = nil
 	if connection == nil {
 		accepted, err := l.Listener.Accept()
 		if err != nil {
@@ -98,8 +99,8 @@
 		}
 		connection = accepted
 	}
-	if l.limits() != l.served {
-		l.waiting = connection
+	if l.limits() != l.current {
+		l.pending = connection
 		return nil, errLimitsChanged
 	}
 	return connection, nil
--- a/internal/ingress/control.go
+++ b/internal/ingress/operator.go
@@ -18,32 +18,34 @@
 
 // Answers to the operator that don't come from the control plane.
 var (
-	errUnknownCall = &requestError{Status: http.StatusNotFound, Reason: "unknown call"}
-	errNoControl   = &requestError{Status: http.StatusServiceUnavailable, Reason: "control plane can't be reached now"}
+	errUnknownCall        = &httpError{Status: http.StatusNotFound, Reason: "unknown call"}
+	errControlUnreachable = &httpError{Status: http.StatusServiceUnavailable, Reason: "control plane can't be reached now"}
 )
 
-// controlHandler passes the operator's calls on to the control plane.
-type controlHandler struct {
+// operatorHandler forwards the operator's calls to the control plane.
+type operatorHandler struct {
 	control ControlPlane
 }
 
 // NewControlHandler returns the handler of the operator's listener.
 func NewControlHandler(options Options) http.Handler {
-	handler := &controlHandler{control: options.Control}
+	handler := &operatorHandler{control: options.Control}
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	router.Path("/api/config/replace").Methods(http.MethodPost).HandlerFunc(handler.serveCall)
-	router.Path("/api/config/update").Methods(http.MethodPost).HandlerFunc(handler.serveCall)
-	router.Path("/api/config/read").Methods(http.MethodGet).HandlerFunc(handler.serveCall)
-	router.Path("/api/retire/{node}/start").Methods(http.MethodPost).HandlerFunc(handler.serveCall)
-	router.Path("/api/retire/{node}/read").Methods(http.MethodGet).HandlerFunc(handler.serveCall)
+	router.Path("/api/config/replace").Methods(http.MethodPost).HandlerFunc(handler.forward)
+	router.Path("/api/config/update").Methods(http.MethodPost).HandlerFunc(handler.forward)
+	router.Path("/api/config/read").Methods(http.MethodGet).HandlerFunc(handler.forward)
+	router.Path("/api/retire/{node}/start").Methods(http.MethodPost).HandlerFunc(handler.forward)
+	router.Path("/api/retire/{node}/read").Methods(http.MethodGet).HandlerFunc(handler.forward)
 	router.NotFoundHandler = http.HandlerFunc(serveUnknownCall)
 	router.MethodNotAllowedHandler = router.NotFoundHandler
 	return router
 }
 
+// serveUnknownCall answers what is no call of the operator's API.
 func serveUnknownCall(w http.ResponseWriter, _ *http.Request) { writeError(w, errUnknownCall) }
 
-func (h *controlHandler) serveCall(w http.ResponseWriter, r *http.Request) {
+// forward answers a call with what the control plane answers.
+func (h *operatorHandler) forward(w http.ResponseWriter, r *http.Request) {
 	setBodyDeadline(w, r)
 	body, failure := readBody(w, r, maxOperatorBodyBytes)
 	if failure != nil {
@@ -53,15 +55,16 @@
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
 
-	answer, content, err := h.control.Operator(ctx, operatorCall(r), body)
-	if err != nil || answer.Status == 0 {
-		writeError(w, errNoControl)
+	response, responseBody, err := h.control.Operator(ctx, newOperatorCall(r), body)
+	if err != nil || response.Status == 0 {
+		writeError(w, errControlUnreachable)
 		return
 	}
-	writeBytes(w, answer.Status, contentTypeJSON, content)
+	writeBytes(w, response.Status, contentTypeJSON, responseBody)
 }
 
-func operatorCall(r *http.Request) cluster.OperatorCall {
+// newOperatorCall describes a request to the control plane.
+func newOperatorCall(r *http.Request) cluster.OperatorCall {
 	return cluster.OperatorCall{
 		Method: r.Method,
 		Path:   r.URL.Path,
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -1,10 +1,7 @@
-// Package ingress is the HTTP side of a front: it takes clients' messages, answers questions about them, passes the
-// operator's calls on to the control plane, and says whether the process is ready for new connections.
 package ingress
 
 import (
 	"context"
-	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,12 +11,12 @@
 	"gladepick/internal/message"
 )
 
-// MessageStore keeps messages and knows how they ended.
+// MessageStore stores messages and knows how they ended.
 //
-// Its errors may wrap message.ErrNotKept, message.ErrUnknown and message.ErrNoBody. After any other error of Put, the
-// message may or may not be kept.
+// Its errors may wrap message.ErrNotStored, message.ErrNotFound and message.ErrBodyNotFound. After any other error of
+// Put, the message may or may not be stored.
 type MessageStore interface {
-	// Put keeps a message and returns its ID. The body belongs to the callee from then on.
+	// Put stores a message and returns its ID. The body belongs to the callee from then on.
 	Put(ctx context.Context, submission message.Submission, ordered bool, body []byte) (id string, err error)
 	// State returns how a message ended, or message.Queued.
 	State(ctx context.Context, id string) (message.Outcome, error)
@@ -27,15 +24,16 @@
 	Body(ctx context.Context, id string) ([]byte, error)
 }
 
-// ControlPlane carries the operator's calls to the control group's primary.
+// ControlPlane forwards the operator's calls to the control group's primary.
 type ControlPlane interface {
+	// Operator makes a call with its body, and returns the primary's answer with its body.
 	Operator(ctx context.Context, call cluster.OperatorCall, body []byte) (cluster.OperatorResponse, []byte, error)
 }
 
 // Defaults of the options.
 const (
-	defaultDrainAccept      = 2500 * time.Millisecond
-	defaultMaxBufferedBytes = 64 << 20
+	defaultDrainAcceptDuration = 2500 * time.Millisecond
+	defaultMaxBufferedBytes    = 64 << 20
 )
 
 // Options are what the handlers of this package work with. NewFront needs Messages and Configuration,
@@ -45,16 +43,17 @@
 	Control  ControlPlane
 	// Configuration returns the newest configuration, or nil while there is none.
 	Configuration func() *configuration.Table
-	// Ready tells whether the process can take messages. Nil stands for a process that always can.
+	// Ready tells whether the process can accept messages. Nil stands for a process that always can.
 	Ready  func() bool
 	Logger *zap.Logger
-	// DrainAcceptDuration is how long Drain goes on accepting connections, so that the platform notices first. Zero stands for
-	// the default, a negative value for no time at all.
+	// DrainAcceptDuration is how long Drain goes on accepting connections, so that the platform notices first. Zero
+	// stands for the default of 2.5 s, a negative value for no time at all.
 	DrainAcceptDuration time.Duration
-	// MaxBufferedBytes bounds the sum of the bodies held in memory at a time. Zero stands for the default.
+	// MaxBufferedBytes bounds the sum of the bodies in memory at a time. Zero stands for the default of 64 MiB.
 	MaxBufferedBytes int64
 }
 
+// withDefaults fills what was left out.
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -66,20 +65,10 @@
 		o.Configuration = func() *configuration.Table { return nil }
 	}
 	if o.DrainAcceptDuration == 0 {
-		o.DrainAcceptDuration = defaultDrainAccept
+		o.DrainAcceptDuration = defaultDrainAcceptDuration
 	}
 	if o.MaxBufferedBytes == 0 {
 		o.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	return o
 }
-
-// Counters counts what a front has answered since its start.
-type Counters struct {
-	Accepted       atomic.Uint64 // 202: the message is kept
-	Rejected       atomic.Uint64 // 503: the message is not kept and will never run
-	OutcomeUnknown atomic.Uint64 // 502: the message may be kept
-	NoRoute        atomic.Uint64 // 404: no route matches
-	Invalid        atomic.Uint64 // any other 4xx to a message
-	MessageQueries atomic.Uint64 // questions about a message's state or body
-}
--- a/internal/ingress/status.go
+++ b/internal/ingress/query.go
@@ -11,34 +11,34 @@
 	"gladepick/internal/message"
 )
 
-// Paths of the questions about a message; its ID follows.
+// Paths of the queries about a message; its ID follows.
 const (
 	statePathPrefix = "/api/message/"
 	bodyPathPrefix  = "/api/message-body/"
 )
 
-// statusTimeout bounds the answer to a question about a message. Askers wait two seconds.
-const statusTimeout = 1800 * time.Millisecond
+// queryTimeout bounds the answer to a query. Clients wait two seconds.
+const queryTimeout = 1800 * time.Millisecond
 
-// maxMessageIDLength is the length of the longest message ID.
+// maxMessageIDLength is the length of the longest message ID, in bytes.
 const maxMessageIDLength = 64
 
-// Answers to questions about messages.
+// Answers to queries that fail.
 var (
-	errUnknownMessage = &requestError{Status: http.StatusNotFound, Reason: "unknown message"}
-	errNoBody         = &requestError{Status: http.StatusNotFound, Reason: "body not kept"}
-	errNoAnswer       = &requestError{Status: http.StatusServiceUnavailable, Reason: "message can't be reached now"}
+	errUnknownMessage     = &httpError{Status: http.StatusNotFound, Reason: "unknown message"}
+	errBodyNotFound       = &httpError{Status: http.StatusNotFound, Reason: "body not kept"}
+	errMessageUnreachable = &httpError{Status: http.StatusServiceUnavailable, Reason: "message can't be reached now"}
 )
 
-// stateAnswer is the answer to a question about a message's state.
-type stateAnswer struct {
+// stateResponse is the answer to a query of a message's state.
+type stateResponse struct {
 	State message.State `json:"state"`
 	Stamp string        `json:"stamp,omitempty"`
 }
 
-// isStatusCall is a matcher of the router: a question about a message, unless a route of the configuration claims the
-// path with a prefix of its own under /api/message/.
-func (f *Front) isStatusCall(r *http.Request, _ *mux.RouteMatch) bool {
+// isQuery is a matcher of the router: a query about a message, unless a route of the configuration claims the path with a
+// prefix of its own under /api/message/.
+func (f *Front) isQuery(r *http.Request, _ *mux.RouteMatch) bool {
 	if r.Method != http.MethodGet {
 		return false
 	}
@@ -49,55 +49,58 @@
 // serveState answers with a message's state.
 func (f *Front) serveState(w http.ResponseWriter, r *http.Request) {
 	f.counters.MessageQueries.Add(1)
-	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
 
-	outcome, err := f.state(ctx, mux.Vars(r)["id"])
+	outcome, err := f.queryState(ctx, mux.Vars(r)["id"])
 	f.announceDrain(w)
 	if err != nil {
-		writeError(w, statusError(err))
+		writeError(w, queryError(err))
 		return
 	}
-	writeJSON(w, stateAnswer(outcome))
+	writeJSON(w, stateResponse(outcome))
 }
 
 // serveBody answers with a message's body.
 func (f *Front) serveBody(w http.ResponseWriter, r *http.Request) {
 	f.counters.MessageQueries.Add(1)
-	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
 
-	body, err := f.body(ctx, mux.Vars(r)["id"])
+	body, err := f.queryBody(ctx, mux.Vars(r)["id"])
 	f.announceDrain(w)
 	if err != nil {
-		writeError(w, statusError(err))
+		writeError(w, queryError(err))
 		return
 	}
 	writeBytes(w, http.StatusOK, contentTypeBytes, body)
 }
 
-func (f *Front) state(ctx context.Context, id string) (message.Outcome, error) {
+// queryState returns the state of a message, without a call where the ID can't be one.
+func (f *Front) queryState(ctx context.Context, id string) (message.Outcome, error) {
 	if !isMessageID(id) {
 		return message.Outcome{}, message.ErrNotFound
 	}
 	return f.options.Messages.State(ctx, id)
 }
 
-func (f *Front) body(ctx context.Context, id string) ([]byte, error) {
+// queryBody returns the body of a message, without a call where the ID can't be one.
+func (f *Front) queryBody(ctx context.Context, id string) ([]byte, error) {
 	if !isMessageID(id) {
 		return nil, message.ErrNotFound
 	}
 	return f.options.Messages.Body(ctx, id)
 }
 
-func statusError(err error) *requestError {
+// queryError returns the answer to a query that failed.
+func queryError(err error) *httpError {
 	switch {
 	case errors.Is(err, message.ErrNotFound):
 		return errUnknownMessage
 	case errors.Is(err, message.ErrBodyNotFound):
-		return errNoBody
+		return errBodyNotFound
 	default:
-		return errNoAnswer
+		return errMessageUnreachable
 	}
 }
 
--- a/internal/ingress/ready.go
+++ b/internal/ingress/readiness.go
@@ -6,11 +6,11 @@
 	"github.com/gorilla/mux"
 )
 
-// readyPath is where the platform asks whether the process wants new connections.
+// readyPath is where the platform's health check asks whether the process wants new connections.
 const readyPath = "/api/ready"
 
 // errNotReady keeps the platform from sending new connections.
-var errNotReady = &requestError{Status: http.StatusServiceUnavailable, Reason: "not ready"}
+var errNotReady = &httpError{Status: http.StatusServiceUnavailable, Reason: "not ready"}
 
 // NewReadyHandler returns the handler of the readiness listener. It answers by Options.Ready alone; a process that
 // drains its front passes Front.Ready there.
--- a/internal/ingress/submission.go
+++ b/internal/ingress/submission.go
@@ -3,46 +3,33 @@
 import (
 	"context"
 	"errors"
-	"math"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"gladepick/internal/configuration"
 	"gladepick/internal/message"
 )
 
-// Bounds of the time that keeping a message may take, from the moment its header has been read.
-const (
-	defaultPutTimeout = 2 * time.Second // where the client names no deadline
-	maxPutTimeout     = 4 * time.Second
-	maxClientTimeout  = time.Hour // longer deadlines count as this one
-)
-
-// maxDelay is the longest delay that a message may ask for.
-const maxDelay = 365 * 24 * time.Hour
-
-// Answers to messages that are not taken.
+// Answers to messages that are not accepted.
 var (
-	errNoConfiguration = &requestError{Status: http.StatusServiceUnavailable, Reason: "no configuration yet"}
-	errHeaderTooLarge  = &requestError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "header too large"}
-	errNoRoute         = &requestError{Status: http.StatusNotFound, Reason: "no route"}
-	errNoRequestID     = &requestError{Status: http.StatusBadRequest, Reason: "header " + headerRequestID + " is missing"}
-	errBadDelay        = &requestError{Status: http.StatusBadRequest, Reason: "header " + headerDelay + " is not a number of milliseconds"}
-	errPastDeadline    = &requestError{Status: http.StatusServiceUnavailable, Reason: "deadline has passed"}
-	errNotKept         = &requestError{Status: http.StatusServiceUnavailable, Reason: "not kept"}
-	errMaybeKept       = &requestError{Status: http.StatusBadGateway, Reason: "outcome unknown"}
+	errNoConfiguration = &httpError{Status: http.StatusServiceUnavailable, Reason: "no configuration yet"}
+	errHeaderTooLarge  = &httpError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "header too large"}
+	errRouteNotFound   = &httpError{Status: http.StatusNotFound, Reason: "no route"}
+	errNoRequestID     = &httpError{Status: http.StatusBadRequest, Reason: "header " + headerRequestID + " is missing"}
+	errBadDelay        = &httpError{Status: http.StatusBadRequest, Reason: "header " + headerDelay + " is not a number of milliseconds"}
+	errDeadlinePassed  = &httpError{Status: http.StatusServiceUnavailable, Reason: "deadline has passed"}
+	errNotStored       = &httpError{Status: http.StatusServiceUnavailable, Reason: "not kept"}
+	errOutcomeUnknown  = &httpError{Status: http.StatusBadGateway, Reason: "outcome unknown"}
 )
 
-// serveMessage takes a message.
+// serveMessage accepts or rejects a message.
 func (f *Front) serveMessage(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	setBodyDeadline(w, r)
-	id, failure := f.takeMessage(w, r)
+	id, failure := f.acceptMessage(w, r)
 	f.announceDrain(w)
 	if failure != nil {
-		f.countFailure(failure)
+		f.counters.countRejection(failure)
 		setRetryAfter(w, r, failure, started)
 		writeError(w, failure)
 		return
@@ -52,15 +39,15 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// setRetryAfter tells a refused client that has named its deadline when to come back.
-func setRetryAfter(w http.ResponseWriter, r *http.Request, failure *requestError, started time.Time) {
-	timeout, limited := clientTimeout(r.Header.Get(headerDeadline))
-	if limited && failure.Status == http.StatusServiceUnavailable {
-		w.Header().Set(headerRetryAfter, retryAfterWithin(timeout-time.Since(started)))
-	}
+// admission is a message whose header was checked and whose body is still to be read.
+type admission struct {
+	submission   message.Submission
+	ordered      bool
+	maxBodyBytes int64
 }
 
-func (f *Front) takeMessage(w http.ResponseWriter, r *http.Request) (string, *requestError) {
+// acceptMessage checks a message by the configuration and stores it. It returns the message's ID.
+func (f *Front) acceptMessage(w http.ResponseWriter, r *http.Request) (string, *httpError) {
 	table := f.options.Configuration()
 	if table == nil {
 		return "", errNoConfiguration
@@ -71,7 +58,7 @@
 	target := requestTarget(r.RequestURI)
 	route := table.Match(r.Host, targetPath(target))
 	if route == nil {
-		return "", errNoRoute
+		return "", errRouteNotFound
 	}
 	submission, failure := newSubmission(r, table, route, target)
 	if failure != nil {
@@ -79,52 +66,17 @@
 	}
 	timeout := putTimeout(r.Header.Get(headerDeadline))
 	if timeout == 0 {
-		return "", errPastDeadline
+		return "", errDeadlinePassed
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	return f.keep(ctx, w, r, keepOrder{submission, route.Ordered, int64(table.Limits.MaxBodyBytes)})
-}
-
-// keepOrder is a message that only lacks its body.
-type keepOrder struct {
-	submission   message.Submission
-	ordered      bool
-	maxBodyBytes int64
-}
-
-// keep reads the body and puts the message.
-func (f *Front) keep(ctx context.Context, w http.ResponseWriter, r *http.Request, order keepOrder) (string, *requestError) {
-	reserved := r.ContentLength
-	if reserved < 0 {
-		reserved = order.maxBodyBytes
-	}
-	if reserved > order.maxBodyBytes {
-		return "", errBodyTooLarge
-	}
-	if !f.bodies.reserve(reserved) {
-		return "", errNoMemory
-	}
-	defer f.bodies.release(reserved)
-
-	body, failure := readBody(w, r, order.maxBodyBytes)
-	if failure != nil {
-		return "", failure
-	}
-	id, err := f.options.Messages.Put(ctx, order.submission, order.ordered, body)
-	switch {
-	case err == nil:
-		return id, nil
-	case errors.Is(err, message.ErrNotStored):
-		return "", errNotKept
-	default:
-		return "", errMaybeKept
-	}
+	return f.store(ctx, w, r, admission{submission, route.Ordered, int64(table.Limits.MaxBodyBytes)})
 }
 
+// newSubmission makes a submission of a request's header.
 func newSubmission(
 	r *http.Request, table *configuration.Table, route *configuration.Route, target string,
-) (message.Submission, *requestError) {
+) (message.Submission, *httpError) {
 	requestID := r.Header.Get(headerRequestID)
 	if requestID == "" {
 		return message.Submission{}, errNoRequestID
@@ -152,93 +104,33 @@
 	return submission, nil
 }
 
-// announceDrain tells the client that its connection closes after this answer, where the front is about to end.
-func (f *Front) announceDrain(w http.ResponseWriter) {
-	if f.draining.Load() {
-		w.Header().Set(headerConnection, connectionClose)
-	}
-}
-
-func (f *Front) countFailure(failure *requestError) {
-	switch failure.Status {
-	case http.StatusServiceUnavailable:
-		f.counters.Rejected.Add(1)
-	case http.StatusBadGateway:
-		f.counters.OutcomeUnknown.Add(1)
-	case http.StatusNotFound:
-		f.counters.NoRoute.Add(1)
-	default:
-		f.counters.Invalid.Add(1)
-	}
-}
-
-// requestTarget returns the path and query of a request line byte for byte. A target in absolute form loses its scheme
-// and host.
-func requestTarget(requestURI string) string {
-	if strings.HasPrefix(requestURI, "/") {
-		return requestURI
-	}
-	_, rest, absolute := strings.Cut(requestURI, "://")
-	if !absolute {
-		return requestURI
-	}
-	start := strings.IndexAny(rest, "/?")
-	if start < 0 {
-		return "/"
-	}
-	if rest[start] == '?' {
-		return "/" + rest[start:]
-	}
-	return rest[start:]
-}
-
-func targetPath(target string) string {
-	path, _, _ := strings.Cut(target, "?")
-	return path
-}
-
-// headerSize returns the size of a request line and its header fields on the wire, with one space after each colon.
-func headerSize(r *http.Request) int {
-	const requestLineExtra, fieldExtra, endExtra = len("  \r\n"), len(": \r\n"), len("\r\n")
-	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + requestLineExtra + endExtra
-	size += len("Host") + len(r.Host) + fieldExtra
-	for name, values := range r.Header {
-		for _, value := range values {
-			size += len(name) + len(value) + fieldExtra
-		}
+// store reads the body and stores the message. A body of unannounced length reserves as much memory as it may take.
+func (f *Front) store(
+	ctx context.Context, w http.ResponseWriter, r *http.Request, admitted admission,
+) (string, *httpError) {
+	reserved := r.ContentLength
+	if reserved < 0 {
+		reserved = admitted.maxBodyBytes
 	}
-	return size
-}
-
-// parseDelay reads X-Delay-Ms; an absent header is no delay.
-func parseDelay(value string) (time.Duration, bool) {
-	if value == "" {
-		return 0, true
+	if reserved > admitted.maxBodyBytes {
+		return "", errBodyTooLarge
 	}
-	milliseconds, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || milliseconds < 0 || milliseconds > maxDelay.Milliseconds() {
-		return 0, false
+	if !f.bodies.reserve(reserved) {
+		return "", errTooManyBodies
 	}
-	return time.Duration(milliseconds) * time.Millisecond, true
-}
+	defer f.bodies.release(reserved)
 
-// putTimeout returns the time that X-Deadline-Ms leaves for keeping a message. A header that can't be read counts as
-// absent.
-func putTimeout(deadline string) time.Duration {
-	timeout, limited := clientTimeout(deadline)
-	if !limited {
-		return defaultPutTimeout
+	body, failure := readBody(w, r, admitted.maxBodyBytes)
+	if failure != nil {
+		return "", failure
 	}
-	return min(max(timeout, 0), maxPutTimeout)
-}
-
-// clientTimeout reads X-Deadline-Ms, and tells whether a client has named its deadline.
-func clientTimeout(deadline string) (time.Duration, bool) {
-	milliseconds, err := strconv.ParseFloat(deadline, 64)
-	if err != nil || math.IsNaN(milliseconds) {
-		return 0, false
+	id, err := f.options.Messages.Put(ctx, admitted.submission, admitted.ordered, body)
+	switch {
+	case err == nil:
+		return id, nil
+	case errors.Is(err, message.ErrNotStored):
+		return "", errNotStored
+	default:
+		return "", errOutcomeUnknown
 	}
-	limit := float64(maxClientTimeout.Milliseconds())
-	milliseconds = min(max(milliseconds, -limit), limit)
-	return time.Duration(milliseconds * float64(time.Millisecond)), true
 }
