--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -40,6 +40,7 @@
 	"internal/systemnode/inspection":         planePlumbing,
 
 	"internal/controlplane":              planeControl,
+	"internal/controlplane/membership":   planeControl,
 	"internal/controlplane/placement":    planeControl,
 	"internal/controlplane/replication":  planeControl,
 	"internal/controlplane/controlstate": planeControl,
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/membership"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
@@ -263,7 +264,7 @@
 func chooseMembers(candidates []cluster.NodeInfo) []replication.Member {
 	slices.SortFunc(candidates, func(a, b cluster.NodeInfo) int { return strings.Compare(a.Name, b.Name) })
 	chosen := placement.InterleaveZones(candidates, func(info cluster.NodeInfo) string { return info.Zone })
-	chosen = chosen[:min(len(chosen), memberCountLimit)]
+	chosen = chosen[:min(len(chosen), membership.MaxMembers)]
 	members := make([]replication.Member, 0, len(chosen))
 	for _, info := range chosen {
 		members = append(members, replication.Member{Name: info.Name, Address: info.Address, DiskID: info.DiskID})
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -18,6 +18,7 @@
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
+	"gladepick/internal/controlplane/membership"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
@@ -57,7 +58,7 @@
 	packer   bodyPacker
 	encoded  newsCaches
 	manager  *tableManager
-	members  *memberManager
+	members  *membership.Manager
 	reader   *workerlist.Reader
 	founding *founding
 	orders   syncutil.Semaphore
@@ -114,7 +115,14 @@
 func (p *Plane) groupOptions() replication.Options {
 	p.manager = newTableManager(p)
 	p.leases = lease.NewTable(p.manager.nudge)
-	p.members = &memberManager{plane: p}
+	p.members = membership.NewManager(membership.Options{
+		Group:     &p.member,
+		Leases:    p.leases,
+		DiskID:    p.options.Info.DiskID,
+		Tolerated: p.options.Tolerated,
+		OnChange:  p.manager.nudge,
+		Logger:    p.logger,
+	})
 	p.reader = workerlist.NewReader(p.lifetime, workerlist.ReaderOptions{
 		Cache:           &p.workers,
 		Network:         p.options.Network,
@@ -165,7 +173,7 @@
 	loops := []func(context.Context){p.founding.run}
 	if p.member.group != nil {
 		defer p.member.Close()
-		loops = append(loops, p.member.Run, p.manager.run, p.members.run, p.readWorkers, p.founding.announce)
+		loops = append(loops, p.member.Run, p.manager.run, p.manageMembers, p.readWorkers, p.founding.announce)
 	}
 	var wait sync.WaitGroup
 	for _, loop := range loops {
@@ -174,6 +182,10 @@
 	wait.Wait()
 }
 
+func (p *Plane) manageMembers(ctx context.Context) {
+	p.member.whilePrimary(ctx, membership.Interval, p.members.Begin, p.members.Step)
+}
+
 func (p *Plane) readWorkers(ctx context.Context) {
 	p.member.whilePrimary(ctx, workerlist.ReadInterval, func() {}, p.reader.Step)
 	p.reader.Close()
