--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -48,6 +48,8 @@
 	"internal/controlplane/syncutil":     planeControl,
 	"internal/controlplane/workerlist":   planeControl,
 	"internal/messagestore":              planeStorage,
+	"internal/messagestore/client":       planeStorage,
+	"internal/messagestore/protocol":     planeStorage,
 	"internal/delivery":                  planeDelivery,
 	"internal/ingress":                   planeIngress,
 	"internal/systemnode":                planeAssembly,
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -17,6 +17,7 @@
 	"gladepick/internal/delivery"
 	"gladepick/internal/message"
 	"gladepick/internal/messagestore"
+	"gladepick/internal/messagestore/client"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs"
@@ -111,9 +112,9 @@
 }
 
 // putUntilKept hands a message in until it is kept, and tells how often it was refused before.
-func putUntilKept(client *messagestore.Client, submission message.Submission, body []byte) (refused int64) {
+func putUntilKept(stores *client.Client, submission message.Submission, body []byte) (refused int64) {
 	for {
-		if _, err := client.Put(context.Background(), submission, false, body); err == nil {
+		if _, err := stores.Put(context.Background(), submission, false, body); err == nil {
 			return refused
 		}
 		refused++
@@ -132,7 +133,7 @@
 
 // storePair is a primary of all partitions and their backup, with a client.
 type storePair struct {
-	client  *messagestore.Client
+	client  *client.Client
 	table   *cluster.Table
 	disks   []vfs.FS
 	pool    *rpc.Pool
@@ -152,14 +153,14 @@
 	for _, store := range stores {
 		store.ApplyTable(pair.table)
 	}
-	pair.client = messagestore.NewClient("a", pair.pool, func() *cluster.Table { return pair.table }, func(cluster.FailureReport) {})
+	pair.client = client.New("a", pair.pool, func() *cluster.Table { return pair.table }, func(cluster.FailureReport) {})
 	return pair
 }
 
 func (p *storePair) options(number int) messagestore.Options {
 	return messagestore.Options{
 		Name: fmt.Sprintf("store-%d", number), DiskID: fmt.Sprintf("disk-%d", number), FS: p.disks[number], Pool: p.pool,
-		Control: steadyControl{}, Logger: zap.NewNop(), Copies: benchCopies, StatusFor: time.Minute,
+		Control: steadyControl{}, Logger: zap.NewNop(), ReplicationFactor: benchCopies, StatusRetention: time.Minute,
 	}
 }
 
--- /dev/null
+++ b/internal/messagestore/backup_lease.go
@@ -0,0 +1,47 @@
+package messagestore
+
+import (
+	"time"
+
+	"gladepick/internal/messagestore/protocol"
+)
+
+// heartbeat asks the backups of every partition for a lease while the control plane does not renew the lease.
+func (s *Store) requestBackupLeases() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, p := range s.partitions {
+		if !p.isPrimary || p.fenced {
+			continue
+		}
+		line, err := (&record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch}).encode()
+		if err != nil {
+			continue
+		}
+		for _, replica := range p.backups() {
+			s.sendTo(p, replica, line, nil)
+		}
+	}
+}
+
+// noteGrants remembers until when a primary may count on a lease from this store, or others on one that the primary itself waits for. The caller holds the lock.
+func (s *Store) recordLeaseGrants(request *protocol.ReplicateRequest, now time.Time) {
+	until := now.Add(time.Duration(request.LeaseGrantsMS) * time.Millisecond)
+	if request.WantsLease {
+		until = now.Add(backupLease)
+	}
+	if until.After(s.leaseGrants[request.From]) {
+		s.leaseGrants[request.From] = until
+	}
+}
+
+// grantsRemaining returns for how long any store may still count on a grant that this one knows of.
+func (s *Store) leaseGrantsRemaining() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	longest := time.Duration(0)
+	for _, until := range s.leaseGrants {
+		longest = max(longest, time.Until(until))
+	}
+	return longest
+}
--- /dev/null
+++ b/internal/messagestore/client/query.go
@@ -0,0 +1,76 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/rpc"
+)
+
+// queryTimeout is how long one replica may take to answer a query.
+const queryTimeout = 600 * time.Millisecond
+
+// State asks for a message's state. The error is message.ErrNotFound where nothing is known of the message.
+func (c *Client) State(ctx context.Context, id string) (message.Outcome, error) {
+	var outcome message.Outcome
+	_, err := c.query(ctx, protocol.MethodState, id, &outcome)
+	return outcome, err
+}
+
+// Body asks for a message's body. The error is message.ErrBodyNotFound where it is not stored, or not any more.
+func (c *Client) Body(ctx context.Context, id string) ([]byte, error) {
+	body, err := c.query(ctx, protocol.MethodBody, id, nil)
+	if errors.Is(err, message.ErrNotFound) {
+		return nil, trace.Wrap(message.ErrBodyNotFound)
+	}
+	return body, err
+}
+
+// query asks until a replica knows the answer or the caller's time is over.
+func (c *Client) query(ctx context.Context, method, id string, result any) ([]byte, error) {
+	partition, err := PartitionOf(id)
+	if err != nil {
+		return nil, trace.Wrap(message.ErrNotFound)
+	}
+	for {
+		body, err := c.queryReplicas(ctx, method, partition, id, result)
+		if err == nil || errors.Is(err, message.ErrNotFound) || !waitForRetry(ctx) {
+			return body, err
+		}
+	}
+}
+
+// queryReplicas asks the partition's replicas in turn, the primary first, until one knows the answer.
+func (c *Client) queryReplicas(ctx context.Context, method string, partition int, id string, result any) ([]byte, error) {
+	table := c.table()
+	if table == nil {
+		return nil, errors.New("no cluster table yet")
+	}
+	if partition >= len(table.Partitions) {
+		return nil, trace.Wrap(message.ErrNotFound)
+	}
+	last := errors.New("the partition has no replica")
+	for _, replica := range table.Partitions[partition].Replicas {
+		entry := table.Store(replica.Store)
+		if entry == nil {
+			continue
+		}
+		limited, cancel := context.WithTimeout(ctx, queryTimeout)
+		request := protocol.QueryRequest{Partition: partition, ID: id}
+		body, err := c.pool.Get(entry.Address).Call(limited, method, request, nil, result)
+		cancel()
+		if err == nil {
+			return body, nil
+		}
+		if rpc.CodeOf(err) == rpc.CodeNotFound {
+			return nil, trace.Wrap(message.ErrNotFound)
+		}
+		last = err
+	}
+	return nil, trace.Wrap(last)
+}
--- /dev/null
+++ b/internal/messagestore/client/routing.go
@@ -0,0 +1,96 @@
+package client
+
+import (
+	"hash/fnv"
+	"math/rand/v2"
+	"time"
+
+	"gladepick/internal/cluster"
+)
+
+// place picks a partition: by the order key where there is one, else any whose primary can be reached. It returns nil where
+// there is none.
+func (c *Client) place(orderKey string, ordered bool) *placement {
+	table := c.table()
+	if table == nil || len(table.Partitions) == 0 {
+		return nil
+	}
+	if ordered {
+		return newPlacement(partitionOfOrderKey(orderKey, len(table.Partitions)))
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sortPartitions(table)
+	for _, candidates := range [][]int{c.sameZone, c.otherZones} {
+		if id, found := c.pickHealthy(table, candidates); found {
+			return newPlacement(id)
+		}
+	}
+	return nil
+}
+
+// partitionOfOrderKey returns the partition of all ordered messages with a key. All processes have to agree on it: the hash is
+// FNV-1a with 64 bits, modulo the number of partitions.
+func partitionOfOrderKey(orderKey string, partitions int) int {
+	hash := fnv.New64a()
+	hash.Write([]byte(orderKey))
+	return int(hash.Sum64() % uint64(partitions))
+}
+
+// newPlacement places a message under a new ID.
+func newPlacement(partition int) *placement {
+	return &placement{partition: partition, id: newMessageID(partition)}
+}
+
+// sortPartitions tells partitions with a primary in this zone from the others. A partition whose replica group is
+// incomplete takes no messages and is left out. The caller holds the lock.
+func (c *Client) sortPartitions(table *cluster.Table) {
+	if c.routedTable == table {
+		return
+	}
+	c.routedTable, c.sameZone, c.otherZones = table, nil, nil
+	for _, view := range table.Partitions {
+		primary, found := view.Primary()
+		entry := table.Store(primary.Store)
+		if !found || entry == nil || len(view.Replicas) < table.Copies {
+			continue
+		}
+		if entry.Zone == c.zone && entry.State == cluster.StoreActive && view.PreferredPrimary == "" {
+			c.sameZone = append(c.sameZone, view.ID)
+		} else {
+			c.otherZones = append(c.otherZones, view.ID)
+		}
+	}
+}
+
+// pickHealthy picks a candidate at random whose primary is neither unhealthy here nor unresponsive by the table. The caller
+// holds the lock.
+func (c *Client) pickHealthy(table *cluster.Table, candidates []int) (int, bool) {
+	if len(candidates) == 0 {
+		return 0, false
+	}
+	first := rand.IntN(len(candidates))
+	now := time.Now()
+	for i := range candidates {
+		id := candidates[(first+i)%len(candidates)]
+		primary, _ := table.Partitions[id].Primary()
+		entry := table.Store(primary.Store)
+		if now.After(c.unhealthyUntil[primary.Store]) && entry != nil && !entry.Unresponsive {
+			return id, true
+		}
+	}
+	return 0, false
+}
+
+// primary returns the store that is a partition's primary, or nil.
+func (c *Client) primary(id int) *cluster.StoreEntry {
+	table := c.table()
+	if table == nil || id < 0 || id >= len(table.Partitions) {
+		return nil
+	}
+	replica, found := table.Partitions[id].Primary()
+	if !found {
+		return nil
+	}
+	return table.Store(replica.Store)
+}
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -17,6 +17,9 @@
 const (
 	callerTime = 800 * time.Millisecond
 	earlyLimit = callerTime / 2
+
+	// minResponseTimeout is the client's least time-out of a put.
+	minResponseTimeout = 60 * time.Millisecond
 )
 
 // putWithin hands a message in for a caller with little time, and tells how long that took.
@@ -107,7 +110,7 @@
 		for range 20 {
 			took, err := h.putWithin("")
 			assert.NilError(t, err)
-			assert.Assert(t, took < shortestSilence, "%v", took)
+			assert.Assert(t, took < minResponseTimeout, "%v", took)
 		}
 		setSilent(true, "b")
 		took, err := h.putWithin("key")
--- /dev/null
+++ b/internal/messagestore/compaction.go
@@ -0,0 +1,105 @@
+package messagestore
+
+import (
+	"github.com/gravitational/trace"
+	"go.uber.org/zap"
+)
+
+// diskFull tells whether the log has no room for further messages.
+func (s *Store) diskFull() bool {
+	return s.options.DiskBytes > 0 && s.log.Size() > s.options.DiskBytes*fullNumerator/fullDenominator
+}
+
+// compactIfLarge compacts the log when it takes much of the disk.
+func (s *Store) compactIfLarge() {
+	if s.options.DiskBytes <= 0 || s.log.Size() < s.options.DiskBytes/compactionThreshold {
+		return
+	}
+	if err := s.Compact(); err != nil {
+		s.logger.Warn("compacting the log", zap.Error(err))
+	}
+}
+
+// Compact copies what is still needed out of the older half of the segments, writes a snapshot of the index, and
+// removes the segments that nothing refers to.
+func (s *Store) Compact() error {
+	segments := s.log.Segments()
+	if len(segments) < compactionShare {
+		return nil
+	}
+	before := segments[len(segments)/compactionShare].Number
+	for _, moved := range s.entriesBefore(before) {
+		if err := s.rewriteEntry(moved); err != nil {
+			return trace.Wrap(err)
+		}
+	}
+	if err := s.log.Sync(s.context); err != nil {
+		return trace.Wrap(err)
+	}
+	if err := s.writeSnapshot(); err != nil {
+		return trace.Wrap(err)
+	}
+	return trace.Wrap(s.log.RemoveSegments(s.oldestReferencedSegment(before)))
+}
+
+// located is an entry with its partition.
+type locatedEntry struct {
+	partition *partition
+	entry     *entry
+}
+
+// entriesBefore lists the entries whose body may be asked for and lies in a segment below a number.
+func (s *Store) entriesBefore(segment uint64) []locatedEntry {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var found []locatedEntry
+	for _, p := range s.partitions {
+		for _, each := range p.entries {
+			if each.needsBody() && each.position.Segment < segment {
+				found = append(found, locatedEntry{partition: p, entry: each})
+			}
+		}
+	}
+	return found
+}
+
+// moveEntry appends an entry's accepted record anew.
+func (s *Store) rewriteEntry(moved locatedEntry) error {
+	body, err := s.readBody(s.positionOf(moved.entry))
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !moved.entry.needsBody() {
+		return nil
+	}
+	line, err := (&record{
+		Kind: recordAccepted, Partition: moved.partition.id, Epoch: moved.partition.epoch,
+		Message: moved.entry.message, Failures: moved.entry.failures,
+	}).encode()
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	position, err := s.log.AppendParts(line, body)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	moved.entry.position = position
+	return nil
+}
+
+// oldestNeeded returns the lowest segment that an entry refers to, at most the given one.
+func (s *Store) oldestReferencedSegment(before uint64) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	oldest := before
+	for _, p := range s.partitions {
+		for _, each := range p.entries {
+			if each.needsBody() {
+				oldest = min(oldest, each.position.Segment)
+			}
+		}
+	}
+	return oldest
+}
--- /dev/null
+++ b/internal/messagestore/control.go
@@ -0,0 +1,53 @@
+package messagestore
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"gladepick/internal/cluster"
+)
+
+// Control is the control plane as a store sees it.
+type Control interface {
+	// RequestPartitionChange asks for a change of a replica group that this store leads.
+	RequestPartitionChange(ctx context.Context, ask cluster.PartitionRequest) error
+	// FailureReport tells that a process can't be reached.
+	ReportFailure(ctx context.Context, report cluster.FailureReport) error
+	// LeaseRemaining returns for how long this process's lease surely still runs; 0 where it does not.
+	LeaseRemaining() time.Duration
+}
+
+func (s *Store) requestChange(requestChange cluster.PartitionRequest) error {
+	requestChange.Store = s.options.Name
+	ctx, cancel := context.WithTimeout(s.context, controlTimeout)
+	defer cancel()
+	return s.options.Control.RequestPartitionChange(ctx, requestChange)
+}
+
+// report tells the control plane of a store that can't be reached.
+func (s *Store) reportUnreachable(store, address string, refused bool) {
+	if !s.isReportDue(store, time.Now()) {
+		return
+	}
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(s.context, controlTimeout)
+		defer cancel()
+		report := cluster.FailureReport{Node: store, Address: address, Refused: refused}
+		if err := s.options.Control.ReportFailure(ctx, report); err != nil {
+			s.logger.Debug("reporting a store", zap.String("store", store), zap.Error(err))
+		}
+	})
+}
+
+// mayReport tells whether a report of a store is due: one tells as much as many at once.
+func (s *Store) isReportDue(store string, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Sub(s.lastReports[store]) < reportInterval {
+		return false
+	}
+	s.lastReports[store] = now
+	return true
+}
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -26,17 +26,17 @@
 // TestExplorePartition goes through the states of a partition. EXPLORE_STATES sets how many.
 func TestExplorePartition(t *testing.T) {
 	cases := map[string]explorerCase{
-		"two copies, a failover":                       {modelLimits{stores: 3, copies: 2, messages: 1, views: 2}, 39162, 20, true},
-		"two copies, two changes of the view":          {modelLimits{stores: 3, copies: 2, messages: 1, views: 3}, 150000, 14, false},
-		"two copies, a restart":                        {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, crashes: 1}, 150000, 12, false},
-		"two copies, two lost disks, one by one":       {modelLimits{stores: 3, copies: 2, messages: 1, views: 5, losses: 2}, 150000, 11, false},
-		"three copies, a lost disk":                    {modelLimits{stores: 4, copies: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
-		"two copies, a disk lost early":                {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1, losesEarly: true}, 150000, 12, false},
-		"two copies, a dropped backup and a lost disk": {modelLimits{stores: 3, copies: 2, messages: 1, views: 4, losses: 1}, 150000, 11, false},
-		"two copies, two messages":                     {modelLimits{stores: 3, copies: 2, messages: 2, views: 3}, 150000, 12, false},
-		"two copies, a store is emptied":               {modelLimits{stores: 4, copies: 2, messages: 1, views: 4, retires: true}, 150000, 10, false},
-		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, copies: 2, messages: 1, views: 5, retires: true, losses: 1}, 150000, 9, false},
-		"two copies, a handover":                       {modelLimits{stores: 3, copies: 2, messages: 1, views: 3, hands: true}, 150000, 12, false},
+		"two copies, a failover":                       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}, 39162, 20, true},
+		"two copies, two changes of the view":          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}, 150000, 14, false},
+		"two copies, a restart":                        {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, crashes: 1}, 150000, 12, false},
+		"two copies, two lost disks, one by one":       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 5, losses: 2}, 150000, 11, false},
+		"three copies, a lost disk":                    {modelLimits{stores: 4, replicas: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
+		"two copies, a disk lost early":                {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, losesEarly: true}, 150000, 12, false},
+		"two copies, a dropped backup and a lost disk": {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1}, 150000, 11, false},
+		"two copies, two messages":                     {modelLimits{stores: 3, replicas: 2, messages: 2, views: 3}, 150000, 12, false},
+		"two copies, a store is emptied":               {modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retires: true}, 150000, 10, false},
+		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retires: true, losses: 1}, 150000, 9, false},
+		"two copies, a handover":                       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 12, false},
 	}
 	bound := modelcheck.Bound("EXPLORE_STATES", explorerStates)
 	for name, each := range cases {
@@ -57,7 +57,7 @@
 
 // TestWalkPartition goes beyond what can be searched. EXPLORE_WALKS sets how many walks.
 func TestWalkPartition(t *testing.T) {
-	limits := modelLimits{stores: 4, copies: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retires: true, hands: true}
+	limits := modelLimits{stores: 4, replicas: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retires: true, handovers: true}
 	walked := &partitionModel{rules: storeRules(limits), limits: limits}
 	for walk := range modelcheck.Bound("EXPLORE_WALKS", 2000) {
 		if steps := modelcheck.Walk(walked, uint64(walk), 80); steps != nil {
@@ -78,8 +78,8 @@
 
 // TestPartitionMutationsAreFound breaks one rule at a time, and expects that the search finds it.
 func TestPartitionMutationsAreFound(t *testing.T) {
-	failover := modelLimits{stores: 3, copies: 2, messages: 1, views: 2}
-	twice := modelLimits{stores: 3, copies: 2, messages: 1, views: 3}
+	failover := modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}
+	twice := modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}
 	mutations := map[string]mutation{
 		"a store is promoted while the former one's lease runs": {failover, func(rules *modelRules) {
 			rules.mayPromote = func(*modelStore) bool { return true }
@@ -96,7 +96,7 @@
 			rules.committed = func(*partitionView, storeSet) bool { return true }
 		}, 15},
 		"another disk at the address confirms": {
-			modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1, losesEarly: true},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, losesEarly: true},
 			func(rules *modelRules) {
 				rules.isTarget = func(*partitionView, *modelState, int) bool { return true }
 				rules.maySync = func(held, noted messageSet) bool { return noted.contains(held) }
@@ -104,27 +104,27 @@
 			38577,
 		},
 		"a store is taken away before others are whole": {
-			modelLimits{stores: 4, copies: 2, messages: 1, views: 4, retires: true},
+			modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retires: true},
 			func(rules *modelRules) { rules.mayComplete = func(*modelState, int) bool { return true } },
 			336,
 		},
 		"a disk is lost as soon as a living backup was dropped": {
-			modelLimits{stores: 3, copies: 2, messages: 1, views: 3, losses: 1},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1},
 			func(rules *modelRules) { rules.dropsUnnoticed = true },
 			53,
 		},
 		"a backup that was away counts with what it confirmed before": {
-			modelLimits{stores: 3, copies: 2, messages: 1, views: 5},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 5},
 			func(rules *modelRules) { rules.keepsAcks = true },
 			414516,
 		},
 		"a successor's successor knows nothing of grants": {
-			modelLimits{stores: 3, copies: 2, messages: 1, views: 4},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 4},
 			func(rules *modelRules) { rules.keepsGrants = true },
 			23669,
 		},
 		"deliveries go on after a handover without a clear answer": {
-			modelLimits{stores: 3, copies: 2, messages: 1, views: 2, hands: true},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 2, handovers: true},
 			func(rules *modelRules) { rules.resumesBlindly = true },
 			410,
 		},
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/fencing_test.go
@@ -14,6 +14,8 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/client"
+	"gladepick/internal/messagestore/protocol"
 	"gladepick/internal/rpc"
 )
 
@@ -44,7 +46,7 @@
 				former.noLease.Store(true)
 				time.Sleep(2*time.Second + time.Duration(offset)*45*time.Millisecond)
 				assert.Assert(t, former.store.MayDeliver(partition), "by a lease from its backup")
-				h.refuseAsks() // as of a table that is not the newest
+				h.rejectRequests() // as of a table that is not the newest
 				h.promote(successor.name, partition, successor.name, third)
 				delivers := false
 				for range 600 {
@@ -82,7 +84,7 @@
 		for range 3 {
 			ids = append(ids, h.mustPut("r", "key", strings.Repeat("x", batchBytes/2)))
 		}
-		partition, err := partitionOf(ids[0])
+		partition, err := client.PartitionOf(ids[0])
 		assert.NilError(t, err)
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
 		added := h.names[slices.IndexFunc(h.names, func(name string) bool {
@@ -90,7 +92,7 @@
 		})]
 		target := h.machines[added]
 		var failed atomic.Bool
-		target.server.Handle(methodReplicate, func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
+		target.server.Handle(protocol.MethodReplicate, func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 			if len(call.Body) >= batchBytes/2 && !failed.Swap(true) {
 				return nil, nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "the connection was reset"}
 			}
@@ -98,7 +100,7 @@
 		})
 		synced := make(chan bool, 16)
 		h.mu.Lock()
-		h.onAsk = func(ask cluster.PartitionRequest) {
+		h.onRequest = func(ask cluster.PartitionRequest) {
 			if ask.Partition == partition && ask.Synced == added {
 				synced <- holdsAll(target.store, partition, ids)
 			}
@@ -127,7 +129,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.refuseAsks()
+		h.rejectRequests()
 		h.stop("b")
 		h.machines["b"].disk.Wipe()
 		h.machines["b"].diskID = "disk-b-2"
@@ -135,7 +137,7 @@
 		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, err := h.clients.Get(h.address("a")).Call(ctx, methodPut, putRequest{submission}, []byte("x"), nil)
+		_, err := h.clients.Get(h.address("a")).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 		assert.Assert(t, err != nil, "the disk of the view has not synced it")
 		assert.Assert(t, !holdsAll(h.machines["b"].store, 0, []string{"0-1"}))
 	})
@@ -148,14 +150,14 @@
 		defer h.close()
 		ask := func() error {
 			var outcome message.Outcome
-			_, err := h.clients.Get(h.address("a")).Call(t.Context(), methodState, queryRequest{0, "0-1"}, nil, &outcome)
+			_, err := h.clients.Get(h.address("a")).Call(t.Context(), protocol.MethodState, protocol.QueryRequest{Partition: 0, ID: "0-1"}, nil, &outcome)
 			return err
 		}
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeNotFound)
 		h.machines["a"].noLease.Store(true)
 		time.Sleep(time.Second)
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeNotFound, "its backup grants a lease")
-		h.refuseAsks()
+		h.rejectRequests()
 		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeUnavailable)
@@ -170,14 +172,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.refuseAsks()
+		h.rejectRequests()
 		h.promote("b", 0, "b", "c")
 		former := h.machines["a"].store
 		assert.Assert(t, former.MayDeliver(0), "it has heard of nothing yet")
 		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := h.clients.Get(h.address("a")).Call(ctx, methodPut, putRequest{submission}, []byte("x"), nil)
+		_, err := h.clients.Get(h.address("a")).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 		assert.Assert(t, err != nil)
 		assert.Assert(t, !former.MayDeliver(0))
 		assert.Assert(t, former.MayDeliver(1) == (h.currentTable().Partitions[1].Replicas[0].Store == "a"))
@@ -194,7 +196,7 @@
 		former.noLease.Store(true)
 		time.Sleep(2*time.Second + 310*time.Millisecond)
 		assert.Assert(t, former.store.MayDeliver(0), "by a lease from its backup")
-		h.refuseAsks()
+		h.rejectRequests()
 		h.network.Isolate(former.ip, h.machines["b"].ip)
 		h.promote("b", 0, "b", "c")
 		time.Sleep(50 * time.Millisecond)
@@ -220,24 +222,24 @@
 // its deliveries up again before it knows of the next view.
 func TestDeliveriesStayStoppedWhileAHandoverIsInDoubt(t *testing.T) {
 	for _, failure := range []error{cluster.ErrOutcomeUnknown, &rpc.Error{Code: rpc.CodeConflict}, &rpc.Error{Code: rpc.CodeInternal}} {
-		assert.Equal(t, outcomeOfAsk(failure), handoverUnclear)
+		assert.Equal(t, handoverOutcomeOf(failure), handoverUnknown)
 	}
 	for _, refusal := range []error{cluster.ErrNoPrimary, &rpc.Error{Code: rpc.CodeUnavailable}} {
-		assert.Equal(t, outcomeOfAsk(refusal), handoverRefused)
+		assert.Equal(t, handoverOutcomeOf(refusal), handoverRejected)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.refuseAsks() // with a conflict, as after an ask that was granted before
+		h.rejectRequests() // with a conflict, as after an ask that was granted before
 		a := h.machines["a"].store
 		a.mu.Lock()
 		p := a.partition(0)
 		a.mu.Unlock()
-		ctx, cancel := context.WithTimeout(t.Context(), wishPatience)
+		ctx, cancel := context.WithTimeout(t.Context(), preferredPrimaryTimeout)
 		defer cancel()
 		ended := make(chan bool)
 		go func() {
-			a.moveAway(ctx, p)
+			a.handOverToPreferred(ctx, p)
 			close(ended)
 		}()
 		for range 300 {
@@ -257,7 +259,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.refuseAsks()
+		h.rejectRequests()
 		a, c := h.machines["a"].store, h.machines["c"].store
 		view := func(epoch uint64, replicas ...cluster.Replica) *cluster.Table {
 			table := *h.currentTable()
@@ -277,7 +279,7 @@
 		accepted := make(chan error, 1)
 		go func() {
 			submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
-			_, err := h.clients.Get(h.address("a")).Call(t.Context(), methodPut, putRequest{submission}, []byte("x"), nil)
+			_, err := h.clients.Get(h.address("a")).Call(t.Context(), protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 			accepted <- err
 		}()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/messagestore/golden_test.go
+++ b/internal/messagestore/golden_test.go
@@ -16,6 +16,7 @@
 	"gotest.tools/v3/golden"
 
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs"
 	"gladepick/internal/vfs/memfs"
@@ -79,24 +80,24 @@
 
 // TestGoldenCalls encodes the parameters and results of each call as the recorded bytes, and decodes them.
 func TestGoldenCalls(t *testing.T) {
-	checkCall(t, "put", putRequest{message.Submission{Message: *goldenMessage(), DelayMS: 1500, RetentionMS: 90_000}})
-	checkCall(t, "put-with-little", putRequest{})
-	checkCall(t, "query", queryRequest{Partition: 1, ID: "1-00000000000000ab"})
+	checkCall(t, "put", protocol.PutRequest{Submission: message.Submission{Message: *goldenMessage(), DelayMS: 1500, RetentionMS: 90_000}})
+	checkCall(t, "put-with-little", protocol.PutRequest{})
+	checkCall(t, "query", protocol.QueryRequest{Partition: 1, ID: "1-00000000000000ab"})
 	checkCall(t, "state", message.Outcome{State: message.Completed, Stamp: "stamp"})
 	checkCall(t, "state-queued", message.Outcome{State: message.Queued})
-	checkCall(t, "replicate", replicateRequest{
-		From: "store-a", Target: "disk-b", WantsGrant: true, GrantsMS: 700,
-		Records: []replicateItem{{Partition: 1, Epoch: 3, Length: 120}, {Partition: 2, Epoch: 4}},
+	checkCall(t, "replicate", protocol.ReplicateRequest{
+		From: "store-a", TargetDiskID: "disk-b", WantsLease: true, LeaseGrantsMS: 700,
+		Records: []protocol.RecordHeader{{Partition: 1, Epoch: 3, Length: 120}, {Partition: 2, Epoch: 4}},
 	})
-	checkCall(t, "replicate-with-little", replicateRequest{From: "store-a", Target: "disk-b"})
-	checkCall(t, "replicated", replicateResponse{Refused: []int{1, 2}})
-	checkCall(t, "replicated-all", replicateResponse{})
-	checkCall(t, "inventory", inventoryRequest{Target: "disk-b", Partition: 1, Epoch: 3})
-	checkCall(t, "inventory-answer", inventoryResponse{Live: []string{"1-1", "1-2"}, Ended: []string{"1-3"}})
-	checkCall(t, "inventory-empty", inventoryResponse{})
-	checkCall(t, "outcome", outcomeRequest{Partition: 1, ID: "1-1", Outcome: message.Outcome{State: message.DeadLetter}})
+	checkCall(t, "replicate-with-little", protocol.ReplicateRequest{From: "store-a", TargetDiskID: "disk-b"})
+	checkCall(t, "replicated", protocol.ReplicateResponse{Rejected: []int{1, 2}})
+	checkCall(t, "replicated-all", protocol.ReplicateResponse{})
+	checkCall(t, "inventory", protocol.InventoryRequest{TargetDiskID: "disk-b", Partition: 1, Epoch: 3})
+	checkCall(t, "inventory-answer", protocol.InventoryResponse{Queued: []string{"1-1", "1-2"}, Ended: []string{"1-3"}})
+	checkCall(t, "inventory-empty", protocol.InventoryResponse{})
+	checkCall(t, "outcome", protocol.OutcomeRequest{Partition: 1, ID: "1-1", Outcome: message.Outcome{State: message.DeadLetter}})
 
-	methods := []string{methodPut, methodState, methodBody, methodReplicate, methodInventory, methodOutcome}
+	methods := []string{protocol.MethodPut, protocol.MethodState, protocol.MethodBody, protocol.MethodReplicate, protocol.MethodInventory, protocol.MethodOutcome}
 	golden.AssertBytes(t, []byte(strings.Join(methods, "\n")+"\n"), path.Join("golden", "calls", "methods"))
 }
 
@@ -148,8 +149,8 @@
 	t.Helper()
 	store, err := Open(Options{
 		Name: "a", DiskID: "disk-a", FS: disk.Mount(), Server: rpc.NewServer(zap.NewNop()),
-		Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.NewNop(), Copies: 1,
-		StatusFor: time.Hour, CacheBytes: 1 << 20,
+		Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.NewNop(), ReplicationFactor: 1,
+		StatusRetention: time.Hour, CacheBytes: 1 << 20,
 	})
 	assert.NilError(t, err)
 	engine := &testEngine{}
@@ -163,9 +164,9 @@
 	submission := message.Submission{DelayMS: 250, RetentionMS: 90_000, Message: message.Message{
 		Partition: partition, ID: id, Route: "orders", Host: "example.org", Method: "POST", Target: "/" + id, RequestID: "r-" + id,
 	}}
-	params, err := json.Marshal(putRequest{submission})
+	params, err := json.Marshal(protocol.PutRequest{Submission: submission})
 	assert.NilError(t, err)
-	_, _, err = store.handlePut(t.Context(), &rpc.Call{Method: methodPut, Params: params, Body: []byte(body)})
+	_, _, err = store.handlePut(t.Context(), &rpc.Call{Method: protocol.MethodPut, Params: params, Body: []byte(body)})
 	assert.NilError(t, err)
 	time.Sleep(10 * time.Millisecond)
 }
@@ -187,7 +188,7 @@
 // completed, and that are dead letters.
 func writeGoldenStore(t *testing.T, disk *memfs.Disk) {
 	store, engine := openGoldenStore(t, disk)
-	store.ApplyTable(tableLedBy(1, "a", "a"))
+	store.ApplyTable(tableWithPrimaries(1, "a", "a"))
 	putGolden(t, store, 0, "0-0000000000000001", "first body")
 	putGolden(t, store, 1, "1-0000000000000002", "")
 	putGolden(t, store, 0, "0-0000000000000003", strings.Repeat("long body ", 40))
@@ -206,7 +207,7 @@
 func writeGoldenSnapshot(t *testing.T, disk *memfs.Disk) {
 	writeGoldenStore(t, disk)
 	store, engine := openGoldenStore(t, disk)
-	store.ApplyTable(tableLedBy(2, "a", "a"))
+	store.ApplyTable(tableWithPrimaries(2, "a", "a"))
 	assert.NilError(t, store.writeSnapshot())
 	putGolden(t, store, 0, "0-0000000000000006", "behind the snapshot")
 	store.Ended(submittedTo(t, engine, "1-0000000000000002"), message.Outcome{State: message.Completed})
@@ -284,7 +285,7 @@
 	t.Helper()
 	var all []goldenPartition
 	for id, p := range store.partitions {
-		one := goldenPartition{ID: id, Epoch: p.epoch, Last: p.last}
+		one := goldenPartition{ID: id, Epoch: p.epoch, Last: p.lastSequence}
 		for id, each := range p.entries {
 			held := goldenEntry{
 				ID: id, Message: each.message, Position: each.position, Failures: each.failures, Outcome: each.outcome,
@@ -321,7 +322,7 @@
 
 				store, engine := openGoldenStore(t, loadGoldenDisk(t, folder))
 				state := goldenState{Partitions: stateOfStore(t, store)}
-				store.ApplyTable(tableLedBy(3, "a", "a"))
+				store.ApplyTable(tableWithPrimaries(3, "a", "a"))
 				state.Submitted = engine.ids()
 				assert.NilError(t, store.Close())
 				encoded, err := json.MarshalIndent(state, "", "  ")
@@ -359,7 +360,7 @@
 	for _, one := range snapshot {
 		p := store.partitions[one.ID]
 		assert.Equal(t, p.epoch, one.Epoch)
-		assert.Equal(t, p.last, one.Last)
+		assert.Equal(t, p.lastSequence, one.Last)
 		assert.Equal(t, len(p.entries), len(one.Entries))
 		for _, want := range one.Entries {
 			got := p.entries[want.ID]
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -14,15 +14,16 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/client"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs/memfs"
 )
 
 const (
-	testPartitions = 2
-	testCopies     = 2
-	testPort       = 7000
+	testPartitions        = 2
+	testReplicationFactor = 2
+	testPort              = 7000
 )
 
 // testEngine records what a store gives its delivery engine.
@@ -82,12 +83,12 @@
 	names    []string
 	clients  *rpc.Pool
 
-	mu       sync.Mutex
-	table    *cluster.Table
-	leases   atomic.Bool
-	refusing bool // asks are refused
-	asks     []cluster.PartitionRequest
-	onAsk    func(ask cluster.PartitionRequest) // called with each ask; may be nil
+	mu        sync.Mutex
+	table     *cluster.Table
+	leases    atomic.Bool
+	rejecting bool // asks are refused
+	requests  []cluster.PartitionRequest
+	onRequest func(ask cluster.PartitionRequest) // called with each ask; may be nil
 }
 
 func newHarness(t *testing.T, names ...string) *harness {
@@ -99,7 +100,7 @@
 			name: name, ip: fmt.Sprintf("10.0.0.%d", i+1), disk: memfs.New(uint64(i)), diskID: "disk-" + name,
 		}
 	}
-	table := &cluster.Table{Revision: 1, Copies: testCopies, Deliverers: len(names)}
+	table := &cluster.Table{Revision: 1, Copies: testReplicationFactor, Deliverers: len(names)}
 	for i, name := range names {
 		table.Stores = append(table.Stores, cluster.StoreEntry{
 			Name: name, Zone: fmt.Sprintf("z%d", i), Address: h.address(name), DiskID: "disk-" + name,
@@ -135,7 +136,7 @@
 	opened, err := Open(Options{
 		Name: name, DiskID: m.diskID, FS: m.disk.Mount(), Pool: m.pool, Server: m.server,
 		Control: &machineControl{harness: h, machine: m},
-		Logger:  zap.NewNop(), Copies: testCopies, StatusFor: time.Minute, DiskBytes: 64 << 20, CacheBytes: 1 << 20,
+		Logger:  zap.NewNop(), ReplicationFactor: testReplicationFactor, StatusRetention: time.Minute, DiskBytes: 64 << 20, CacheBytes: 1 << 20,
 	})
 	assert.NilError(h.t, err)
 	m.store = opened
@@ -209,18 +210,18 @@
 }
 
 // refuseAsks has the control plane refuse all asks from now on.
-func (h *harness) refuseAsks() {
+func (h *harness) rejectRequests() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.refusing = true
+	h.rejecting = true
 }
 
 // PartitionAsk implements Control as the control plane does.
 func (h *harness) RequestPartitionChange(_ context.Context, ask cluster.PartitionRequest) error {
 	h.mu.Lock()
-	h.asks = append(h.asks, ask)
+	h.requests = append(h.requests, ask)
 	view := h.table.Partitions[ask.Partition]
-	refusing, onAsk := h.refusing, h.onAsk
+	refusing, onAsk := h.rejecting, h.onRequest
 	h.mu.Unlock()
 	if onAsk != nil {
 		onAsk(ask)
@@ -279,8 +280,8 @@
 	return 0
 }
 
-func (h *harness) client() *Client {
-	return NewClient("z0", h.clients, h.currentTable, func(cluster.FailureReport) {})
+func (h *harness) client() *client.Client {
+	return client.New("z0", h.clients, h.currentTable, func(cluster.FailureReport) {})
 }
 
 // put hands a message in and returns its ID.
@@ -315,7 +316,7 @@
 
 // leader returns the machine that the table names as a message's primary.
 func (h *harness) leader(id string) *machine {
-	partition, err := partitionOf(id)
+	partition, err := client.PartitionOf(id)
 	assert.NilError(h.t, err)
 	primary, _ := h.currentTable().Partitions[partition].Primary()
 	return h.machines[primary.Store]
--- /dev/null
+++ b/internal/messagestore/index_snapshot.go
@@ -0,0 +1,80 @@
+package messagestore
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/message"
+	"gladepick/internal/wal"
+)
+
+// snapshotEntry is an entry in a snapshot of the index.
+type snapshotEntry struct {
+	ID       string           `json:"id"`
+	Message  *message.Message `json:"message,omitempty"`
+	Position wal.Position     `json:"position"`
+	Failures int              `json:"failures,omitempty"`
+	Outcome  message.Outcome  `json:"outcome"`
+	EndedAt  time.Time        `json:"endedAt,omitzero"`
+}
+
+// snapshotPartition is a partition in a snapshot of the index.
+type snapshotPartition struct {
+	ID      int             `json:"id"`
+	Epoch   uint64          `json:"epoch"`
+	Last    uint64          `json:"last"`
+	Entries []snapshotEntry `json:"entries"`
+}
+
+// writeSnapshot writes the index beside the log.
+func (s *Store) writeSnapshot() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var all []snapshotPartition
+	for _, p := range s.partitions {
+		one := snapshotPartition{ID: p.id, Epoch: p.epoch, Last: p.lastSequence}
+		for id, each := range p.entries {
+			one.Entries = append(one.Entries, snapshotEntry{
+				ID: id, Message: each.message, Position: each.position, Failures: each.failures,
+				Outcome: each.outcome, EndedAt: each.endedAt,
+			})
+		}
+		all = append(all, one)
+	}
+	data, err := json.Marshal(all)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	return trace.Wrap(s.log.WriteSnapshot(data))
+}
+
+// restore takes a snapshot of the index in.
+func (s *Store) restore(snapshot []byte) error {
+	var all []snapshotPartition
+	if err := json.Unmarshal(snapshot, &all); err != nil {
+		return trace.Wrap(err, "reading the snapshot of the index")
+	}
+	for _, one := range all {
+		p := s.partition(one.ID)
+		p.epoch, p.lastSequence = one.Epoch, one.Last
+		for _, each := range one.Entries {
+			p.entries[each.ID] = &entry{
+				message: each.Message, position: each.Position, failures: each.Failures,
+				outcome: each.Outcome, endedAt: each.EndedAt,
+			}
+		}
+	}
+	return nil
+}
+
+// replay takes a record of the log in.
+func (s *Store) replay(position wal.Position, data []byte) error {
+	decoded, _, err := decodeRecord(data)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	s.partition(decoded.Partition).apply(decoded, position)
+	return nil
+}
--- a/internal/messagestore/roles.go
+++ b/internal/messagestore/leadership.go
@@ -4,7 +4,6 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/message"
 )
 
 // ApplyTable takes a new cluster table in: it makes this store the primary of partitions, or a backup, or neither.
@@ -18,20 +17,20 @@
 	for _, view := range table.Partitions {
 		s.applyView(view)
 	}
-	s.logLeadChanges()
+	s.logLeadershipChanges()
 }
 
 // leadChanges counts changes of the partitions that the store leads, until they are logged.
-type leadChanges struct {
+type leadershipChanges struct {
 	gained   int
 	lost     int
 	messages int // that have not ended, in the partitions gained
 }
 
 // logLeadChanges logs one line for all changes since the last one. The caller holds the lock.
-func (s *Store) logLeadChanges() {
+func (s *Store) logLeadershipChanges() {
 	changes := s.changes
-	s.changes = leadChanges{}
+	s.changes = leadershipChanges{}
 	if changes.gained+changes.lost > 0 {
 		s.logger.Info("partitions led", zap.Uint64("table", s.table.Revision), zap.Int("gained", changes.gained),
 			zap.Int("lost", changes.lost), zap.Int("messages", changes.messages))
@@ -45,40 +44,40 @@
 		return
 	}
 	place := view.Find(s.options.Name)
-	p.held = place >= 0 && view.Replicas[place].DiskID == s.options.DiskID
+	p.isReplica = place >= 0 && view.Replicas[place].DiskID == s.options.DiskID
 	former := p.view
 	p.fenced = p.fenced && view.Epoch == p.epoch
 	p.epoch, p.view = view.Epoch, view
 	switch {
-	case !p.held:
+	case !p.isReplica:
 		s.stepDown(p)
-		s.forgetIfWhole(p)
+		s.forgetIfReplicated(p)
 	case place > 0:
 		s.stepDown(p)
-	case p.leading:
-		s.adjustBackups(p)
+	case p.isPrimary:
+		s.updateBackups(p)
 	default:
-		s.waitForFormer(p, former)
-		s.lead(p)
+		s.awaitFormerPrimary(p, former)
+		s.becomePrimary(p)
 	}
-	if p.leading {
-		s.followWish(p)
+	if p.isPrimary {
+		s.followPreferredPrimary(p)
 	}
 }
 
 // lead makes this store the partition's primary: what has not ended is delivered, and the backups are brought up to
 // what this store holds. The caller holds the lock.
-func (s *Store) lead(p *partition) {
-	p.leading, p.paused = true, false
+func (s *Store) becomePrimary(p *partition) {
+	p.isPrimary, p.paused = true, false
 	s.appendAndReplicate(p, &record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch})
 	clear(p.resync)
-	clear(p.joined)
+	clear(p.unsyncedSince)
 	for _, replica := range p.backups() {
 		s.needResync(p, replica)
 	}
-	s.setGate(p)
+	s.updateFence(p)
 	s.engine.ResumePartition(p.id)
-	live := p.live()
+	live := p.queued()
 	for _, each := range live {
 		s.engine.Submit(each.message, each.failures)
 	}
@@ -87,19 +86,19 @@
 }
 
 // adjustBackups follows a change of the group that this store goes on to lead. The caller holds the lock.
-func (s *Store) adjustBackups(p *partition) {
+func (s *Store) updateBackups(p *partition) {
 	for disk := range p.resync {
-		if !listed(p.backups(), disk) {
+		if !containsDisk(p.backups(), disk) {
 			delete(p.resync, disk)
 		}
 	}
 	for _, replica := range p.backups() {
 		if !replica.Synced {
 			s.needResync(p, replica)
-			p.noteJoined(replica.DiskID)
+			p.discardConfirmations(replica.DiskID)
 		}
 	}
-	s.setGate(p)
+	s.updateFence(p)
 	for write := range p.pending {
 		s.sendPending(p, write)
 		s.commitIfSynced(p, write)
@@ -108,18 +107,18 @@
 
 // noteJoined takes nothing for confirmed any more that a backup confirmed before the present epoch, in which it is not
 // synced.
-func (p *partition) noteJoined(diskID string) {
-	if p.joined[diskID] == p.epoch {
+func (p *partition) discardConfirmations(diskID string) {
+	if p.unsyncedSince[diskID] == p.epoch {
 		return
 	}
-	p.joined[diskID] = p.epoch
+	p.unsyncedSince[diskID] = p.epoch
 	for write := range p.pending {
-		delete(write.synced, diskID)
-		delete(write.sent, diskID)
+		delete(write.syncedOn, diskID)
+		delete(write.sentTo, diskID)
 	}
 }
 
-func listed(replicas []cluster.Replica, disk string) bool {
+func containsDisk(replicas []cluster.Replica, disk string) bool {
 	for _, replica := range replicas {
 		if replica.DiskID == disk {
 			return true
@@ -130,30 +129,30 @@
 
 // stepDown ends this store's lead of a partition, if it had it. The caller holds the lock.
 func (s *Store) stepDown(p *partition) {
-	if !p.leading {
+	if !p.isPrimary {
 		return
 	}
-	p.leading, p.fenced, p.paused = false, false, false
+	p.isPrimary, p.fenced, p.paused = false, false, false
 	s.changes.lost++
-	s.setGate(p)
+	s.updateFence(p)
 	s.engine.Release(p.id)
 	clear(p.resync)
 	for write := range p.pending {
 		delete(p.pending, write)
 		write.entry.pending = nil
-		write.err = errStepDown
+		write.err = errSteppedDown
 		close(write.done)
 	}
 	for _, each := range p.entries {
-		s.cached -= int64(len(each.body))
+		s.cachedBytes -= int64(len(each.body))
 		each.body = nil
 	}
 	s.logger.Debug("partition no longer led", zap.Int("partition", p.id), zap.Uint64("epoch", p.epoch))
 }
 
 // forgetIfWhole drops a partition that a whole group of other stores holds. The caller holds the lock.
-func (s *Store) forgetIfWhole(p *partition) {
-	if len(p.entries) == 0 || len(p.view.Replicas) < s.options.Copies {
+func (s *Store) forgetIfReplicated(p *partition) {
+	if len(p.entries) == 0 || len(p.view.Replicas) < s.options.ReplicationFactor {
 		return
 	}
 	for _, replica := range p.view.Replicas {
@@ -171,21 +170,3 @@
 	}
 	clear(p.entries)
 }
-
-// Holdings returns how many messages that have not ended this store holds, and how many of them it leads.
-func (s *Store) Holdings() (queued, leading int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			if each.outcome.State != message.Queued {
-				continue
-			}
-			queued++
-			if p.leading {
-				leading++
-			}
-		}
-	}
-	return queued, leading
-}
--- /dev/null
+++ b/internal/messagestore/outcome.go
@@ -0,0 +1,60 @@
+package messagestore
+
+import (
+	"context"
+
+	"go.uber.org/zap"
+
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/rpc"
+)
+
+// tellPrimary passes the end of an attempt that this store had out to the partition's present primary.
+func (s *Store) forwardOutcome(m *message.Message, outcome message.Outcome) {
+	s.mu.Lock()
+	address := s.primaryAddress(m.Partition)
+	s.mu.Unlock()
+	if address == "" {
+		return
+	}
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(s.context, outcomeTimeout)
+		defer cancel()
+		request := protocol.OutcomeRequest{Partition: m.Partition, ID: m.ID, Outcome: outcome}
+		if _, err := s.options.Pool.Get(address).Call(ctx, protocol.MethodOutcome, request, nil, nil); err != nil {
+			s.logger.Info("passing an outcome on", zap.String("message", m.ID), zap.Error(err))
+		}
+	})
+}
+
+// primaryAddress returns where another store that leads a partition listens. The caller holds the lock.
+func (s *Store) primaryAddress(id int) string {
+	if s.table == nil || id < 0 || id >= len(s.table.Partitions) {
+		return ""
+	}
+	primary, found := s.table.Partitions[id].Primary()
+	if !found || primary.Store == s.options.Name {
+		return ""
+	}
+	entry := s.table.Store(primary.Store)
+	if entry == nil {
+		return ""
+	}
+	return entry.Address
+}
+
+func (s *Store) handleOutcome(_ context.Context, call *rpc.Call) (any, []byte, error) {
+	var request protocol.OutcomeRequest
+	if err := call.Decode(&request); err != nil {
+		return nil, nil, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.partitions[request.Partition]
+	if p == nil || !p.isPrimary {
+		return nil, nil, &rpc.Error{Code: rpc.CodeNotLeader}
+	}
+	s.endMessage(p, request.ID, request.Outcome)
+	return nil, nil, nil
+}
--- a/internal/messagestore/index.go
+++ b/internal/messagestore/partition.go
@@ -3,56 +3,38 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
 	"gladepick/internal/wal"
 )
 
-// entry is what the index holds of one message.
-type entry struct {
-	message  *message.Message // nil once a completed message's details are not needed any more
-	position wal.Position     // of the accepted record, whose bytes hold the body
-	body     []byte           // only while the store leads the partition and the message has not ended
-	failures int
-	outcome  message.Outcome // State is Queued until the message has ended
-	endedAt  time.Time
-	pending  *pendingWrite // the commit under way, nil when committed
-}
-
-// ended tells whether the message has ended.
-func (e *entry) ended() bool { return e.outcome.State != message.Queued }
-
-// needsBody tells whether the body may still be asked for.
-func (e *entry) needsBody() bool { return e.message != nil && e.outcome.State != message.Completed }
-
 // partition is what the store holds of one partition.
 type partition struct {
-	id      int
-	epoch   uint64 // the highest epoch seen; older ones are refused
-	view    cluster.Partition
-	held    bool // the newest view lists this store's disk
-	leading bool
-	fenced  bool // a backup knows a newer epoch: another store may lead
-	paused  bool // deliveries are being handed over
-	moving  bool // a wished handover is under way
-	entries map[string]*entry
-	last    uint64                  // the highest sequence number seen
-	pending map[*pendingWrite]bool  // writes that wait for replicas
-	resync  map[string]*resyncState // by disk id: backups that may lack records
+	id           int
+	epoch        uint64 // the highest epoch seen; older ones are refused
+	view         cluster.Partition
+	isReplica    bool // the newest view lists this store's disk
+	isPrimary    bool
+	fenced       bool // a backup knows a newer epoch: another store may lead
+	paused       bool // deliveries are being handed over
+	handingOver  bool // a wished handover is under way
+	entries      map[string]*entry
+	lastSequence uint64                  // the highest sequence number seen
+	pending      map[*pendingWrite]bool  // writes that wait for replicas
+	resync       map[string]*resyncState // by disk id: backups that may lack records
 	// joined tells by disk id in which epoch a backup was last seen to be not synced. What it confirmed in earlier epochs it
 	// may have forgotten: it may have left the group in between.
-	joined map[string]uint64
+	unsyncedSince map[string]uint64
 }
 
 func newPartition(id int) *partition {
 	return &partition{
-		id:      id,
-		entries: make(map[string]*entry),
-		pending: make(map[*pendingWrite]bool),
-		resync:  make(map[string]*resyncState),
-		joined:  make(map[string]uint64),
+		id:            id,
+		entries:       make(map[string]*entry),
+		pending:       make(map[*pendingWrite]bool),
+		resync:        make(map[string]*resyncState),
+		unsyncedSince: make(map[string]uint64),
 	}
 }
 
@@ -65,7 +47,7 @@
 }
 
 // live returns the entries that have not ended, in their order of acceptance.
-func (p *partition) live() []*entry {
+func (p *partition) queued() []*entry {
 	var found []*entry
 	for _, each := range p.entries {
 		if !each.ended() {
@@ -96,7 +78,7 @@
 }
 
 func (p *partition) applyAccepted(r *record, position wal.Position) {
-	p.last = max(p.last, r.Message.Sequence)
+	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
 		found.position = position
 		if found.message == nil && found.outcome.State != message.Completed {
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -2,32 +2,16 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
 	"gladepick/internal/rpc"
 	"gladepick/internal/wal"
 )
 
-// errStepDown ends a write whose partition is led elsewhere now: its outcome is not known here.
-var errStepDown = errors.New("the partition has a new primary")
-
-// pendingWrite is a message that waits for replicas.
-type pendingWrite struct {
-	id     string
-	entry  *entry
-	line   []byte          // the record's line
-	body   []byte          // the record's body
-	local  bool            // synced on this store's disk
-	synced map[string]bool // by disk id: synced there
-	sent   map[string]bool // by disk id: on its way there
-	done   chan struct{}   // closed when committed or given up
-	err    error           // set before done is closed
-}
-
 func (s *Store) handlePut(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-	var request putRequest
+	var request protocol.PutRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
@@ -55,16 +39,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partitions[submission.Message.Partition]
-	if p == nil || !p.leading {
+	if p == nil || !p.isPrimary {
 		return nil, false, &rpc.Error{Code: rpc.CodeNotLeader}
 	}
 	if found := p.entries[submission.Message.ID]; found != nil {
 		return found.pending, false, nil
 	}
-	if len(p.view.Replicas) < s.options.Copies || s.log.Failing() || s.diskFull() || s.backupSilent(p) {
+	if len(p.view.Replicas) < s.options.ReplicationFactor || s.log.Failing() || s.diskFull() || s.hasUnresponsiveBackup(p) {
 		return nil, false, &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few disks for another message"}
 	}
-	accepted := s.number(p, submission)
+	accepted := s.assignSequence(p, submission)
 	r := &record{Kind: recordAccepted, Partition: p.id, Epoch: p.epoch, Message: accepted}
 	line, err := r.encode()
 	if err != nil {
@@ -81,9 +65,9 @@
 
 // backupSilent tells whether a backup does not answer: a message that can go elsewhere should not wait for it. The
 // caller holds the lock.
-func (s *Store) backupSilent(p *partition) bool {
+func (s *Store) hasUnresponsiveBackup(p *partition) bool {
 	for _, replica := range p.backups() {
-		if s.peer(replica).silent() {
+		if s.replicator(replica).isUnresponsive() {
 			return true
 		}
 	}
@@ -91,10 +75,10 @@
 }
 
 // number gives a message its place in the partition's order and its absolute times.
-func (s *Store) number(p *partition, submission *message.Submission) *message.Message {
+func (s *Store) assignSequence(p *partition, submission *message.Submission) *message.Message {
 	accepted := submission.Message
-	p.last = max(p.last+1, p.epoch<<epochShift+1)
-	accepted.Sequence = p.last
+	p.lastSequence = max(p.lastSequence+1, p.epoch<<epochShift+1)
+	accepted.Sequence = p.lastSequence
 	now := time.Now()
 	accepted.DueAt = now.Add(time.Duration(submission.DelayMS) * time.Millisecond)
 	accepted.ExpiresAt = now.Add(time.Duration(submission.RetentionMS) * time.Millisecond)
@@ -107,13 +91,13 @@
 	added := &entry{
 		message: accepted, position: position, outcome: message.Outcome{State: message.Queued},
 	}
-	if s.cached < s.options.CacheBytes {
+	if s.cachedBytes < s.options.CacheBytes {
 		added.body = body
-		s.cached += int64(len(body))
+		s.cachedBytes += int64(len(body))
 	}
 	write := &pendingWrite{
 		id: accepted.ID, entry: added, line: line, body: body,
-		synced: make(map[string]bool), sent: make(map[string]bool), done: make(chan struct{}),
+		syncedOn: make(map[string]bool), sentTo: make(map[string]bool), done: make(chan struct{}),
 	}
 	added.pending = write
 	p.entries[accepted.ID] = added
@@ -121,17 +105,6 @@
 	return write
 }
 
-// sendPending sends a waiting write to every backup that it has not gone to. The caller holds the lock.
-func (s *Store) sendPending(p *partition, write *pendingWrite) {
-	for _, replica := range p.backups() {
-		if write.synced[replica.DiskID] || write.sent[replica.DiskID] {
-			continue
-		}
-		write.sent[replica.DiskID] = true
-		s.sendTo(p, replica, write.line, write)
-	}
-}
-
 // syncLocally waits for this store's disk.
 func (s *Store) syncLocally(ctx context.Context, write *pendingWrite, id int) {
 	err := s.log.Sync(ctx)
@@ -140,39 +113,10 @@
 	p := s.partition(id)
 	if err != nil {
 		if ctx.Err() == nil {
-			s.giveUp(p, write, err)
+			s.abort(p, write, err)
 		}
 		return
 	}
-	write.local = true
+	write.syncedLocally = true
 	s.commitIfSynced(p, write)
 }
-
-// commitIfSynced commits a write that all disks of the view hold. The caller holds the lock.
-func (s *Store) commitIfSynced(p *partition, write *pendingWrite) {
-	if !p.pending[write] || !p.leading || !write.local || len(p.view.Replicas) < s.options.Copies {
-		return
-	}
-	for _, replica := range p.backups() {
-		if !write.synced[replica.DiskID] {
-			return
-		}
-	}
-	delete(p.pending, write)
-	write.entry.pending = nil
-	write.line, write.body = nil, nil
-	close(write.done)
-	s.engine.Submit(write.entry.message, write.entry.failures)
-}
-
-// giveUp ends a write whose record this store's disk does not hold. The caller holds the lock.
-func (s *Store) giveUp(p *partition, write *pendingWrite, err error) {
-	if !p.pending[write] {
-		return
-	}
-	delete(p.pending, write)
-	s.cached -= int64(len(write.entry.body))
-	delete(p.entries, write.id)
-	write.err = err
-	close(write.done)
-}
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -4,11 +4,12 @@
 	"context"
 
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
 	"gladepick/internal/rpc"
 )
 
 func (s *Store) handleState(_ context.Context, call *rpc.Call) (any, []byte, error) {
-	var request queryRequest
+	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
@@ -22,7 +23,7 @@
 }
 
 func (s *Store) handleBody(_ context.Context, call *rpc.Call) (any, []byte, error) {
-	var request queryRequest
+	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
@@ -47,13 +48,13 @@
 
 // find returns a message's entry. Only the word of a primary that nobody can have replaced counts that there is none. The
 // caller holds the lock.
-func (s *Store) find(request *queryRequest) (*entry, error) {
+func (s *Store) find(request *protocol.QueryRequest) (*entry, error) {
 	p := s.partitions[request.Partition]
-	if p == nil || !p.held {
+	if p == nil || !p.isReplica {
 		return nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "not a replica"}
 	}
 	found := p.entries[request.ID]
-	if found == nil && s.leadsForSure(p) {
+	if found == nil && s.isConfirmedPrimary(p) {
 		return nil, &rpc.Error{Code: rpc.CodeNotFound}
 	}
 	if found == nil || found.message == nil && found.outcome.State == message.Queued {
--- a/internal/messagestore/roles_test.go
+++ b/internal/messagestore/roles_test.go
@@ -15,7 +15,7 @@
 )
 
 // tableLedBy returns a table of some partitions, each with one store only.
-func tableLedBy(revision uint64, stores ...string) *cluster.Table {
+func tableWithPrimaries(revision uint64, stores ...string) *cluster.Table {
 	table := &cluster.Table{Revision: revision}
 	for id, store := range stores {
 		view := cluster.Partition{ID: id, Epoch: revision}
@@ -30,13 +30,13 @@
 		core, logs := observer.New(zapcore.InfoLevel)
 		store, err := Open(Options{
 			Name: "a", DiskID: "disk-a", FS: memfs.New(1).Mount(), Server: rpc.NewServer(zap.NewNop()),
-			Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.New(core), Copies: 1,
+			Control: &machineControl{harness: &harness{}, machine: &machine{}}, Logger: zap.New(core), ReplicationFactor: 1,
 		})
 		assert.NilError(t, err)
 		store.Start(&testEngine{})
-		store.ApplyTable(tableLedBy(1, "a", "a", "a", "b"))
-		store.ApplyTable(tableLedBy(2, "a", "a", "a", "b"))
-		store.ApplyTable(tableLedBy(3, "b", "b", "a", "a"))
+		store.ApplyTable(tableWithPrimaries(1, "a", "a", "a", "b"))
+		store.ApplyTable(tableWithPrimaries(2, "a", "a", "a", "b"))
+		store.ApplyTable(tableWithPrimaries(3, "b", "b", "a", "a"))
 		assert.NilError(t, store.Close())
 
 		var logged []map[string]any
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -14,6 +14,8 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/client"
+	"gladepick/internal/messagestore/protocol"
 	"gladepick/internal/wal"
 )
 
@@ -94,7 +96,7 @@
 		}
 		leader := h.leader(ids[0])
 		leader.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
-		partition, err := partitionOf(ids[0])
+		partition, err := client.PartitionOf(ids[0])
 		assert.NilError(t, err)
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
 		h.stop(backup)
@@ -128,7 +130,7 @@
 		defer h.close()
 		former, successor := h.machines["a"], h.machines["b"]
 		id := h.mustPut("r0", "key", "x")
-		partition, err := partitionOf(id)
+		partition, err := client.PartitionOf(id)
 		assert.NilError(t, err)
 		h.setView(partition, "a", "b")
 		synctest.Wait()
@@ -142,11 +144,11 @@
 		table.Partitions[partition] = next
 		successor.store.ApplyTable(&table)
 
-		h.refuseAsks()
+		h.rejectRequests()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		submission := message.Submission{Message: message.Message{Partition: partition, ID: "late", RequestID: "late"}}
-		_, err = h.clients.Get(h.address("a")).Call(ctx, methodPut, putRequest{submission}, []byte("x"), nil)
+		_, err = h.clients.Get(h.address("a")).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 		assert.Assert(t, err != nil)
 		assert.Assert(t, !slices.Contains(former.engine.ids(), "late"))
 	})
@@ -291,7 +293,7 @@
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, leader.store.MayDeliver(partition))
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
-		h.refuseAsks()
+		h.rejectRequests()
 		h.network.Isolate(leader.ip, h.machines[backup].ip)
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, !leader.store.MayDeliver(partition))
@@ -306,7 +308,7 @@
 		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
 		leader := h.leader("0-1")
 		for range 3 {
-			_, err := h.clients.Get(h.address(leader.name)).Call(t.Context(), methodPut, putRequest{submission}, []byte("x"), nil)
+			_, err := h.clients.Get(h.address(leader.name)).Call(t.Context(), protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 			assert.NilError(t, err)
 		}
 		assert.DeepEqual(t, leader.engine.ids(), []string{"0-1"})
@@ -372,11 +374,11 @@
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		store := h.machines["a"].store
-		assert.Assert(t, store.mayReport("b", time.Now()))
-		assert.Assert(t, !store.mayReport("b", time.Now()))
-		assert.Assert(t, store.mayReport("c", time.Now()))
+		assert.Assert(t, store.isReportDue("b", time.Now()))
+		assert.Assert(t, !store.isReportDue("b", time.Now()))
+		assert.Assert(t, store.isReportDue("c", time.Now()))
 		time.Sleep(reportInterval)
-		assert.Assert(t, store.mayReport("b", time.Now()))
+		assert.Assert(t, store.isReportDue("b", time.Now()))
 	})
 }
 
@@ -413,7 +415,7 @@
 func (h *harness) handovers() []cluster.PartitionRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(h.asks), func(ask cluster.PartitionRequest) bool { return !ask.Handover })
+	return slices.DeleteFunc(slices.Clone(h.requests), func(ask cluster.PartitionRequest) bool { return !ask.Handover })
 }
 
 // A backup may be synced by the word of the control plane before its primary knows. What the primary did not wait for may
@@ -428,10 +430,10 @@
 			table.Partitions[0].Epoch++
 			table.Partitions[0].Replicas = []cluster.Replica{h.replica("a"), h.replica("b"), unsynced}
 		})
-		h.refuseAsks() // the backup stays unsynced
+		h.rejectRequests() // the backup stays unsynced
 		time.Sleep(time.Second)
 		h.mu.Lock()
-		h.refusing = false
+		h.rejecting = false
 		h.mu.Unlock()
 		store := h.machines["a"].store
 		store.mu.Lock()
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -12,7 +12,7 @@
 	"gladepick/internal/configuration"
 	"gladepick/internal/controlplane"
 	"gladepick/internal/ingress"
-	"gladepick/internal/messagestore"
+	"gladepick/internal/messagestore/client"
 	"gladepick/internal/systemnode/inspection"
 )
 
@@ -21,7 +21,7 @@
 type Front struct {
 	*node
 	plane      *controlplane.Plane
-	stores     *messagestore.Client
+	stores     *client.Client
 	ingress    *ingress.Front
 	table      atomic.Pointer[configuration.Table]
 	lastStored atomic.Int64 // when a message was last stored, in nanoseconds since started
@@ -81,7 +81,7 @@
 	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer f.close()
 	defer stop()
-	f.stores = messagestore.NewClient(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.FailureReport) {
+	f.stores = client.New(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.FailureReport) {
 		f.report(alive, report)
 	})
 	f.agent.Subscribe(f.applySnapshots)
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -51,17 +51,17 @@
 func (s *Store) messageOptions() messagestore.Options {
 	limits := s.settings.Limits
 	return messagestore.Options{
-		Name:       s.info.Name,
-		DiskID:     s.info.DiskID,
-		FS:         s.options.FS,
-		Pool:       s.pool,
-		Server:     s.server,
-		Control:    s.agent,
-		Logger:     s.logger,
-		Copies:     s.settings.FaultTolerance.Machines + 1,
-		StatusFor:  s.settings.Bounds.Status + statusReserve,
-		DiskBytes:  int64(limits.DiskMB) * bytesPerMegabyte,
-		CacheBytes: int64(limits.MemoryMB) * bytesPerMegabyte / cacheDivisor,
+		Name:              s.info.Name,
+		DiskID:            s.info.DiskID,
+		FS:                s.options.FS,
+		Pool:              s.pool,
+		Server:            s.server,
+		Control:           s.agent,
+		Logger:            s.logger,
+		ReplicationFactor: s.settings.FaultTolerance.Machines + 1,
+		StatusRetention:   s.settings.Bounds.Status + statusReserve,
+		DiskBytes:         int64(limits.DiskMB) * bytesPerMegabyte,
+		CacheBytes:        int64(limits.MemoryMB) * bytesPerMegabyte / cacheDivisor,
 	}
 }
 
