--- a/internal/delivery/attempt_result_test.go
+++ b/internal/delivery/attempt_result_test.go
@@ -3,13 +3,14 @@
 import (
 	"net/http"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 )
 
-// TestVerdictsOnARunNeedTheRequestsID judges answers that name this request, another one, or none. A worker may send a
-// second answer late, when the connection carries the next request.
-func TestVerdictsOnARunNeedTheRequestsID(t *testing.T) {
+// TestResultsOfARunNeedTheRequestID classifies answers that name this request, another one, or none. A worker may send
+// a second answer late, when the connection carries the next request.
+func TestResultsOfARunNeedTheRequestID(t *testing.T) {
 	const requestID = "r-1"
 	cases := []struct {
 		status      int
@@ -40,3 +41,10 @@
 		}
 	}
 }
+
+func TestKeepAliveTimeouts(t *testing.T) {
+	for text, want := range map[string]time.Duration{"": 0, "timeout=5": 5 * time.Second, "max=3, Timeout = 1.5": 1500 * time.Millisecond,
+		"timeout=-1": 0, "timeout=x": 0, "timeout": 0} {
+		assert.Equal(t, keepAliveOf(http.Header{headerKeepAlive: {text}}), want, text)
+	}
+}
--- a/internal/delivery/engine_test.go
+++ b/internal/delivery/engine_test.go
@@ -13,13 +13,13 @@
 )
 
 func TestDeliversTheRequestAsItCame(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.addWorker("i-1", "s", "10.0.1.1")
-		w.configure()
-		w.listAll()
-		w.submit("m", "r", withKey("k"), func(m *message.Message) { m.ContentType = "text/plain" })
+	withHarness(t, func(h *harness) {
+		h.addWorker("i-1", "s", "10.0.1.1")
+		h.configure()
+		h.listAll()
+		h.submit("m", "r", withKey("k"), func(m *message.Message) { m.ContentType = "text/plain" })
 		time.Sleep(time.Second)
-		all := w.arrivals()
+		all := h.requests()
 		assert.Equal(t, len(all), 1)
 		got := all[0]
 		assert.Equal(t, got.method, http.MethodPost)
@@ -33,149 +33,150 @@
 		assert.Equal(t, got.header.Get("X-Deadline-Ms"), "500")
 		assert.Equal(t, got.header.Get("User-Agent"), "")
 		assert.Equal(t, got.header.Get("Accept-Encoding"), "")
-		assert.Equal(t, w.owner.outcome("m"), message.Outcome{State: message.Completed, Stamp: "stamp-request-m"})
-		assert.Equal(t, w.engine.Stats().Queued, 0)
+		assert.Equal(t, h.owner.outcome("m"), message.Outcome{State: message.Completed, Stamp: "stamp-request-m"})
+		assert.Equal(t, h.engine.Stats().Queued, 0)
 	})
 }
 
 func TestKeepsToTheDueTime(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.addWorker("i-1", "s", "10.0.1.1")
-		w.configure()
-		w.listAll()
-		w.submit("late", "r", dueAfter(1500*time.Millisecond))
-		w.submit("soon", "r", dueAfter(300*time.Millisecond))
+	withHarness(t, func(h *harness) {
+		h.addWorker("i-1", "s", "10.0.1.1")
+		h.configure()
+		h.listAll()
+		h.submit("late", "r", dueAfter(1500*time.Millisecond))
+		h.submit("soon", "r", dueAfter(300*time.Millisecond))
 		time.Sleep(3 * time.Second)
 		for id, delay := range map[string]time.Duration{"late": 1500 * time.Millisecond, "soon": 300 * time.Millisecond} {
-			came := w.arrivalsOf(id)
+			came := h.requestsOf(id)
 			assert.Equal(t, len(came), 1)
 			assert.Assert(t, came[0].at >= delay && came[0].at < delay+10*time.Millisecond, "%s came at %v", id, came[0].at)
 		}
 	})
 }
 
-// Messages with one key run one after the other, whatever goes wrong on the way.
+// TestOrderUnderFailures checks that messages with one order key run one after the other, whatever fails meanwhile.
 func TestOrderUnderFailures(t *testing.T) {
-	inWorld(t, func(w *world) {
-		wrongID := func(_ arrival, answer http.ResponseWriter) {
+	withHarness(t, func(h *harness) {
+		wrongID := func(_ receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Set("X-Request-Id", "another")
 			answer.WriteHeader(http.StatusOK)
 		}
-		faults := []func(arrival, http.ResponseWriter){answerWith(500), breakOff, answerWith(503), wrongID, answerWith(504),
+		faults := []func(receivedRequest, http.ResponseWriter){answerWith(500), abort, answerWith(503), wrongID, answerWith(504),
 			answerWith(429), succeedAfter(5 * time.Millisecond), succeedAfter(5 * time.Millisecond), answerWith(422)}
 		for i := range 3 {
-			standIn := w.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1))
+			fake := h.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1))
 			turns := 0
-			standIn.does(func(a arrival, answer http.ResponseWriter) {
-				standIn.mutex.Lock()
+			fake.respondWith(func(a receivedRequest, answer http.ResponseWriter) {
+				fake.mutex.Lock()
 				turns++
 				handle := faults[(turns+i)%len(faults)]
-				standIn.mutex.Unlock()
+				fake.mutex.Unlock()
 				handle(a, answer)
 			})
 		}
-		w.configure()
-		w.listAll()
+		h.configure()
+		h.listAll()
 		const keys, each = 4, 10
 		for i := range keys * each {
-			w.submit(fmt.Sprintf("m%02d", i), "r", withKey(fmt.Sprint("k", i%keys)))
+			h.submit(fmt.Sprintf("m%02d", i), "r", withKey(fmt.Sprint("k", i%keys)))
 		}
 		time.Sleep(60 * time.Second)
-		assert.Equal(t, w.owner.countEnded(), keys*each)
-		w.checkOrder()
+		assert.Equal(t, h.owner.countEnded(), keys*each)
+		h.checkOrder()
 	})
 }
 
 // checkOrder holds the arrivals of each key against the ends of the messages before.
-func (w *world) checkOrder() {
-	w.t.Helper()
+func (h *harness) checkOrder() {
+	h.t.Helper()
 	first := map[string]string{} // the message that was last seen, by key
-	for _, a := range w.arrivals() {
+	for _, a := range h.requests() {
 		id := a.id[len("request-"):]
 		before := first[a.key]
 		if before == id || a.key == "" {
 			continue
 		}
-		assert.Assert(w.t, before < id, "%s came after %s", id, before)
+		assert.Assert(h.t, before < id, "%s came after %s", id, before)
 		if before != "" {
-			assert.Assert(w.t, w.owner.endOf(before) <= a.at, "%s came at %v, %s ended at %v", id, a.at, before,
-				w.owner.endOf(before))
+			assert.Assert(h.t, h.owner.endOf(before) <= a.at, "%s came at %v, %s ended at %v", id, a.at, before,
+				h.owner.endOf(before))
 		}
 		first[a.key] = id
 	}
 }
 
 func TestDeadLetterAfterMaxAttempts(t *testing.T) {
-	inWorld(t, func(w *world) {
-		standIn := w.addWorker("i-1", "s", "10.0.1.1")
-		standIn.does(inTurn(answerWith(500), answerWith(503), breakOff, answerWith(500), answerWith(409), answerWith(500)))
-		w.configure()
-		w.listAll()
-		w.submit("m", "r")
+	withHarness(t, func(h *harness) {
+		fake := h.addWorker("i-1", "s", "10.0.1.1")
+		fake.respondWith(inSequence(answerWith(500), answerWith(503), abort, answerWith(500), answerWith(409), answerWith(500)))
+		h.configure()
+		h.listAll()
+		h.submit("m", "r")
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, w.owner.state("m"), message.DeadLetter)
-		assert.DeepEqual(t, w.owner.failuresOf("m"), []int{1, 2})
-		assert.Equal(t, len(w.arrivals()), 6)
+		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
+		assert.DeepEqual(t, h.owner.failuresOf("m"), []int{1, 2})
+		assert.Equal(t, len(h.requests()), 6)
 	})
 }
 
 func TestEarlierFailuresCount(t *testing.T) {
-	inWorld(t, func(w *world) {
-		standIn := w.addWorker("i-1", "s", "10.0.1.1")
-		standIn.does(answerWith(500))
-		w.configure()
-		w.listAll()
-		w.owner.setBody("m", "x")
-		w.engine.Submit(&message.Message{ID: "m", Sequence: 1, Route: "r", Method: "POST", Target: "/r/", Host: "h.example",
+	withHarness(t, func(h *harness) {
+		fake := h.addWorker("i-1", "s", "10.0.1.1")
+		fake.respondWith(answerWith(500))
+		h.configure()
+		h.listAll()
+		h.owner.setBody("m", "x")
+		h.engine.Submit(&message.Message{ID: "m", Sequence: 1, Route: "r", Method: "POST", Target: "/r/", Host: "h.example",
 			RequestID: "request-m", DueAt: time.Now(), ExpiresAt: time.Now().Add(time.Minute)}, 2)
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("m"), message.DeadLetter)
-		assert.Equal(t, len(w.arrivals()), 1)
+		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
+		assert.Equal(t, len(h.requests()), 1)
 	})
 }
 
 func TestRejectedForGood(t *testing.T) {
-	inWorld(t, func(w *world) {
-		standIn := w.addWorker("i-1", "s", "10.0.1.1")
-		standIn.does(answerWith(422))
-		w.configure()
-		w.listAll()
-		w.submit("m", "r")
+	withHarness(t, func(h *harness) {
+		fake := h.addWorker("i-1", "s", "10.0.1.1")
+		fake.respondWith(answerWith(422))
+		h.configure()
+		h.listAll()
+		h.submit("m", "r")
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("m"), message.DeadLetter)
-		assert.Equal(t, len(w.arrivals()), 1)
+		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
+		assert.Equal(t, len(h.requests()), 1)
 	})
 }
 
-// Nothing but a whole success with a stamp and the right id ends a message.
+// TestGarbledAnswersAreTriedAgain checks that nothing but a complete success with a stamp and the right id ends a
+// message.
 func TestGarbledAnswersAreTriedAgain(t *testing.T) {
-	garbled := map[string]func(arrival, http.ResponseWriter){
+	garbled := map[string]func(receivedRequest, http.ResponseWriter){
 		"no stamp": answerWith(200),
-		"wrong id": func(a arrival, answer http.ResponseWriter) {
+		"wrong id": func(a receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Set("X-Request-Id", "another")
 			succeed(a, answer)
 		},
-		"no id": func(a arrival, answer http.ResponseWriter) {
+		"no id": func(a receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Del("X-Request-Id")
 			succeed(a, answer)
 		},
-		"cut short": func(a arrival, answer http.ResponseWriter) {
+		"cut short": func(a receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Set("Content-Length", "100")
 			succeed(a, answer)
 			_ = http.NewResponseController(answer).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"cut 422": func(_ arrival, answer http.ResponseWriter) {
+		"cut 422": func(_ receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Set("Content-Length", "100")
 			answer.WriteHeader(422)
 			_ = http.NewResponseController(answer).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"422 of another": func(_ arrival, answer http.ResponseWriter) {
+		"422 of another": func(_ receivedRequest, answer http.ResponseWriter) {
 			answer.Header().Set("X-Request-Id", "another")
 			answer.WriteHeader(422)
 		},
-		"silence": func(arrival, http.ResponseWriter) {
+		"silence": func(receivedRequest, http.ResponseWriter) {
 			time.Sleep(2 * time.Second)
 			panic(http.ErrAbortHandler)
 		},
@@ -183,77 +184,77 @@
 	}
 	for name, handle := range garbled {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, func(w *world) {
-				standIn := w.addWorker("i-1", "s", "10.0.1.1")
-				standIn.does(inTurn(handle, succeedAfter(5*time.Millisecond)))
-				w.configure()
-				w.listAll()
-				w.submit("m", "r")
+			withHarness(t, func(h *harness) {
+				fake := h.addWorker("i-1", "s", "10.0.1.1")
+				fake.respondWith(inSequence(handle, succeedAfter(5*time.Millisecond)))
+				h.configure()
+				h.listAll()
+				h.submit("m", "r")
 				time.Sleep(5 * time.Second)
-				assert.Equal(t, w.owner.state("m"), message.Completed)
-				assert.Equal(t, len(w.arrivals()), 2)
-				assert.Equal(t, len(w.owner.failuresOf("m")), 0)
+				assert.Equal(t, h.owner.state("m"), message.Completed)
+				assert.Equal(t, len(h.requests()), 2)
+				assert.Equal(t, len(h.owner.failuresOf("m")), 0)
 			})
 		})
 	}
 }
 
 func TestExpiry(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.configure() // there is no worker
-		w.submit("m", "r", expiringAfter(3*time.Second))
-		w.submit("n", "r", withKey("k"), expiringAfter(4*time.Second))
-		w.submit("o", "r", withKey("k"), expiringAfter(time.Minute))
+	withHarness(t, func(h *harness) {
+		h.configure() // there is no worker
+		h.submit("m", "r", expiringAfter(3*time.Second))
+		h.submit("n", "r", withKey("k"), expiringAfter(4*time.Second))
+		h.submit("o", "r", withKey("k"), expiringAfter(time.Minute))
 		time.Sleep(2990 * time.Millisecond)
-		assert.Equal(t, w.owner.countEnded(), 0)
+		assert.Equal(t, h.owner.countEnded(), 0)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, w.owner.state("m"), message.DeadLetter)
-		assert.Equal(t, w.owner.state("n"), message.DeadLetter)
-		assert.Equal(t, w.owner.state("o"), message.Queued)
-		assert.Assert(t, w.owner.endOf("m") >= 3*time.Second && w.owner.endOf("m") < 4500*time.Millisecond)
-		w.addWorker("i-1", "s", "10.0.1.1")
-		w.listAll()
+		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
+		assert.Equal(t, h.owner.state("n"), message.DeadLetter)
+		assert.Equal(t, h.owner.state("o"), message.Queued)
+		assert.Assert(t, h.owner.endOf("m") >= 3*time.Second && h.owner.endOf("m") < 4500*time.Millisecond)
+		h.addWorker("i-1", "s", "10.0.1.1")
+		h.listAll()
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("o"), message.Completed)
+		assert.Equal(t, h.owner.state("o"), message.Completed)
 	})
 }
 
 func TestDroppedRoutesEnd(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.submit("early", "r")
-		w.submit("gone", "gone")
-		w.submit("key1", "gone", withKey("k"))
-		w.submit("key2", "gone", withKey("k"))
-		w.submit("newer", "newer", func(m *message.Message) { m.ConfigVersion = version + 2 })
+	withHarness(t, func(h *harness) {
+		h.submit("early", "r")
+		h.submit("gone", "gone")
+		h.submit("key1", "gone", withKey("k"))
+		h.submit("key2", "gone", withKey("k"))
+		h.submit("newer", "newer", func(m *message.Message) { m.ConfigVersion = version + 2 })
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.countEnded(), 0) // no configuration yet
-		w.addWorker("i-1", "s", "10.0.1.1")
-		w.listAll()
-		w.configure()
+		assert.Equal(t, h.owner.countEnded(), 0) // no configuration yet
+		h.addWorker("i-1", "s", "10.0.1.1")
+		h.listAll()
+		h.configure()
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("early"), message.Completed)
+		assert.Equal(t, h.owner.state("early"), message.Completed)
 		for _, id := range []string{"gone", "key1", "key2"} {
-			assert.Equal(t, w.owner.state(id), message.DeadLetter)
+			assert.Equal(t, h.owner.state(id), message.DeadLetter)
 		}
-		assert.Equal(t, w.owner.state("newer"), message.Queued)
-		w.engine.SetConfiguration(table(t, version+2, []route{{name: "newer", service: "s"}}, []service{{name: "s"}}))
+		assert.Equal(t, h.owner.state("newer"), message.Queued)
+		h.engine.SetConfiguration(table(t, version+2, []route{{name: "newer", service: "s"}}, []service{{name: "s"}}))
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("newer"), message.Completed)
-		assert.Equal(t, len(w.arrivals()), 2)
+		assert.Equal(t, h.owner.state("newer"), message.Completed)
+		assert.Equal(t, len(h.requests()), 2)
 	})
 }
 
 func TestRouteThatMovesToAnotherService(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.addWorker("i-2", "s2", "10.0.1.2")
-		w.configure()
-		w.listAll()
-		w.submit("m", "r")
+	withHarness(t, func(h *harness) {
+		h.addWorker("i-2", "s2", "10.0.1.2")
+		h.configure()
+		h.listAll()
+		h.submit("m", "r")
 		time.Sleep(time.Second)
-		assert.Equal(t, len(w.arrivals()), 0)
-		w.engine.SetConfiguration(table(t, version+1, []route{{name: "r", service: "s2"}}, []service{{name: "s2"}}))
+		assert.Equal(t, len(h.requests()), 0)
+		h.engine.SetConfiguration(table(t, version+1, []route{{name: "r", service: "s2"}}, []service{{name: "s2"}}))
 		synctest.Wait()
 		time.Sleep(time.Second)
-		assert.Equal(t, w.owner.state("m"), message.Completed)
+		assert.Equal(t, h.owner.state("m"), message.Completed)
 	})
 }
--- a/internal/delivery/fake_worker_test.go
+++ b/internal/delivery/fake_worker_test.go
@@ -15,8 +15,8 @@
 	"gladepick/internal/cluster"
 )
 
-// arrival is a request at a worker.
-type arrival struct {
+// receivedRequest is a request at a worker.
+type receivedRequest struct {
 	at     time.Duration
 	id     string // X-Request-Id
 	key    string
@@ -28,111 +28,111 @@
 	header http.Header
 }
 
-// worker stands in for a worker process.
-type worker struct {
-	world  *world
-	listed cluster.Worker
-	server *http.Server
-	mutex  sync.Mutex
-	all    []arrival
-	handle func(a arrival, answer http.ResponseWriter) // what it does
-	now    int                                         // requests at work
-	most   int
+// fakeWorker is a worker process on a simulated host.
+type fakeWorker struct {
+	harness     *harness
+	listed      cluster.Worker
+	server      *http.Server
+	mutex       sync.Mutex
+	received    []receivedRequest
+	handle      func(a receivedRequest, answer http.ResponseWriter) // what it does
+	inFlight    int                                                 // requests at work
+	maxInFlight int
 }
 
 // addWorker starts a worker of a service on a machine of its own. Its default is to succeed after 20 ms.
-func (w *world) addWorker(id, service, ip string) *worker {
-	standIn := &worker{world: w, handle: succeedAfter(20 * time.Millisecond),
+func (h *harness) addWorker(id, service, ip string) *fakeWorker {
+	fake := &fakeWorker{harness: h, handle: succeedAfter(20 * time.Millisecond),
 		listed: cluster.Worker{ID: id, Service: service, Address: ip + workerPort, Zone: zone, Capacity: 4}}
-	w.workers = append(w.workers, standIn)
-	standIn.run()
-	return standIn
+	h.workers = append(h.workers, fake)
+	fake.run()
+	return fake
 }
 
-func (s *worker) run() {
-	ip := strings.TrimSuffix(s.listed.Address, workerPort)
-	listener, err := s.world.network.Host(ip).Listen(s.listed.Address)
-	assert.NilError(s.world.t, err)
-	s.server = &http.Server{Handler: s}
-	server := s.server
+func (w *fakeWorker) run() {
+	ip := strings.TrimSuffix(w.listed.Address, workerPort)
+	listener, err := w.harness.network.Host(ip).Listen(w.listed.Address)
+	assert.NilError(w.harness.t, err)
+	w.server = &http.Server{Handler: w}
+	server := w.server
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.world.t.Errorf("serve: %v", err)
+			w.harness.t.Errorf("serve: %v", err)
 		}
 	}()
 	synctest.Wait()
 }
 
-func (s *worker) stop() { _ = s.server.Close() }
+func (w *fakeWorker) stop() { _ = w.server.Close() }
 
-func (s *worker) does(handle func(a arrival, answer http.ResponseWriter)) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.handle = handle
+func (w *fakeWorker) respondWith(handle func(a receivedRequest, answer http.ResponseWriter)) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.handle = handle
 }
 
 // ServeHTTP implements http.Handler.
-func (s *worker) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (w *fakeWorker) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	a := arrival{at: s.world.since(), id: request.Header.Get("X-Request-Id"), key: request.Header.Get("X-Order-Key"),
-		worker: s.listed.ID, method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
+	a := receivedRequest{at: w.harness.elapsed(), id: request.Header.Get("X-Request-Id"), key: request.Header.Get("X-Order-Key"),
+		worker: w.listed.ID, method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
 		header: request.Header.Clone()}
-	s.mutex.Lock()
-	s.all = append(s.all, a)
-	s.now++
-	s.most = max(s.most, s.now)
-	handle := s.handle
-	s.mutex.Unlock()
+	w.mutex.Lock()
+	w.received = append(w.received, a)
+	w.inFlight++
+	w.maxInFlight = max(w.maxInFlight, w.inFlight)
+	handle := w.handle
+	w.mutex.Unlock()
 	defer func() {
-		s.mutex.Lock()
-		s.now--
-		s.mutex.Unlock()
+		w.mutex.Lock()
+		w.inFlight--
+		w.mutex.Unlock()
 	}()
 	answer.Header().Set("X-Request-Id", a.id)
 	handle(a, answer)
 }
 
-func (s *worker) seen() []arrival {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return slices.Clone(s.all)
+func (w *fakeWorker) requests() []receivedRequest {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return slices.Clone(w.received)
 }
 
-func (s *worker) mostAtOnce() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.most
+func (w *fakeWorker) mostAtOnce() int {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.maxInFlight
 }
 
 // succeedAfter answers with a stamp after a while.
-func succeedAfter(span time.Duration) func(arrival, http.ResponseWriter) {
-	return func(a arrival, answer http.ResponseWriter) {
+func succeedAfter(span time.Duration) func(receivedRequest, http.ResponseWriter) {
+	return func(a receivedRequest, answer http.ResponseWriter) {
 		time.Sleep(span)
 		succeed(a, answer)
 	}
 }
 
-func succeed(a arrival, answer http.ResponseWriter) {
+func succeed(a receivedRequest, answer http.ResponseWriter) {
 	answer.Header().Set("X-Server-Stamp", "stamp-"+a.id)
 	_, _ = io.WriteString(answer, "done")
 }
 
 // answerWith answers with a status.
-func answerWith(status int) func(arrival, http.ResponseWriter) {
-	return func(_ arrival, answer http.ResponseWriter) { answer.WriteHeader(status) }
+func answerWith(status int) func(receivedRequest, http.ResponseWriter) {
+	return func(_ receivedRequest, answer http.ResponseWriter) { answer.WriteHeader(status) }
 }
 
-// breakOff ends the connection without an answer.
-func breakOff(arrival, http.ResponseWriter) { panic(http.ErrAbortHandler) }
+// abort ends the connection without an answer.
+func abort(receivedRequest, http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// inTurn does one thing after the other, and the last for ever.
-func inTurn(handlers ...func(arrival, http.ResponseWriter)) func(arrival, http.ResponseWriter) {
+// inSequence behaves in one way after the other, and in the last way for ever.
+func inSequence(handlers ...func(receivedRequest, http.ResponseWriter)) func(receivedRequest, http.ResponseWriter) {
 	var mutex sync.Mutex
 	next := 0
-	return func(a arrival, answer http.ResponseWriter) {
+	return func(a receivedRequest, answer http.ResponseWriter) {
 		mutex.Lock()
 		handle := handlers[next]
 		next = min(next+1, len(handlers)-1)
--- a/internal/delivery/golden_trace_test.go
+++ b/internal/delivery/golden_trace_test.go
@@ -34,8 +34,8 @@
 	for _, scenario := range goldenScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			var lines []string
-			inWorld(t, func(w *world) {
-				recorded := newTrace(w, scenario.name)
+			withHarness(t, func(h *harness) {
+				recorded := newTrace(h, scenario.name)
 				scenario.play(recorded)
 				lines = recorded.sorted()
 			})
@@ -53,7 +53,7 @@
 // trace plays a scenario and records what the engine does. No two things happen at one moment, as far as the scenario
 // can bring it about: goroutines that run at the same moment run in any order.
 type trace struct {
-	*world
+	*harness
 	random *rand.Rand
 	lines  []line
 	tries  map[string]int // of a message, by name: the bodies that were read
@@ -67,9 +67,9 @@
 	text string
 }
 
-func newTrace(w *world, name string) *trace {
-	recorded := &trace{world: w, random: rand.New(rand.NewPCG(hashOf(name), 1)), tries: map[string]int{}, seen: map[string]int{}}
-	w.owner.observer = recorded
+func newTrace(h *harness, name string) *trace {
+	recorded := &trace{harness: h, random: rand.New(rand.NewPCG(hashOf(name), 1)), tries: map[string]int{}, seen: map[string]int{}}
+	h.owner.observer = recorded
 	return recorded
 }
 
@@ -82,7 +82,7 @@
 func (r *trace) record(format string, values ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lines = append(r.lines, line{r.since(), fmt.Sprintf(format, values...)})
+	r.lines = append(r.lines, line{r.elapsed(), fmt.Sprintf(format, values...)})
 }
 
 // sorted returns the trace in order. What happened at one moment stands in the order of its text.
@@ -116,12 +116,12 @@
 }
 
 // behaviour is what a worker does with a request.
-type behaviour func(a arrival, answer http.ResponseWriter)
+type behaviour func(a receivedRequest, answer http.ResponseWriter)
 
 // worker starts a worker that behaves in any of several ways, as the message and the number of its request decide.
-func (r *trace) worker(id, service, ip string, behaviours ...behaviour) *worker {
-	standIn := r.addWorker(id, service, ip)
-	standIn.does(func(a arrival, answer http.ResponseWriter) {
+func (r *trace) worker(id, service, ip string, behaviours ...behaviour) *fakeWorker {
+	fake := r.addWorker(id, service, ip)
+	fake.respondWith(func(a receivedRequest, answer http.ResponseWriter) {
 		r.mutex.Lock()
 		r.seen[a.id]++
 		number := r.seen[a.id]
@@ -132,11 +132,11 @@
 		behaviours[(draw>>16)%uint64(len(behaviours))](a, answer)
 	})
 	r.network.SetDelay(storeIP, ip, 0)
-	return standIn
+	return fake
 }
 
 // silent does not answer in time.
-func silent(arrival, http.ResponseWriter) {
+func silent(receivedRequest, http.ResponseWriter) {
 	time.Sleep(5 * time.Second)
 	panic(http.ErrAbortHandler)
 }
@@ -156,7 +156,7 @@
 
 // watch samples the engine's statistics over a span.
 func (r *trace) watch(span time.Duration) {
-	for until := r.since() + span; r.since() < until; {
+	for until := r.elapsed() + span; r.elapsed() < until; {
 		r.pause(400 * time.Millisecond)
 		r.sample()
 	}
@@ -223,7 +223,7 @@
 		r.watch(10 * time.Second)
 	}},
 	{"resets", "46f11870c0275843", func(r *trace) {
-		r.three(breakOff, succeed)
+		r.three(abort, succeed)
 		r.submitMany("m", "r", 60, 40*time.Millisecond)
 		r.watch(10 * time.Second)
 	}},
@@ -233,7 +233,7 @@
 		r.watch(20 * time.Second)
 	}},
 	{"order by key", "cecd47b5d355769e", func(r *trace) {
-		r.three(succeed, succeed, answerWith(500), breakOff, answerWith(503))
+		r.three(succeed, succeed, answerWith(500), abort, answerWith(503))
 		r.submitMany("m", "r", 120, 20*time.Millisecond, r.keyed, r.spread)
 		r.watch(20 * time.Second)
 	}},
@@ -289,13 +289,13 @@
 	{"partitions", "a10236d4dbccf7b0", (*trace).changePartitions},
 	{"down and back", "bf515389eb1efc39", func(r *trace) {
 		r.three(succeed)
-		for _, standIn := range r.workers {
-			standIn.stop()
+		for _, fake := range r.workers {
+			fake.stop()
 		}
 		r.submitMany("m", "r", 50, 20*time.Millisecond, r.keyed)
 		r.watch(8 * time.Second)
-		for _, standIn := range r.workers[1:] {
-			standIn.run()
+		for _, fake := range r.workers[1:] {
+			fake.run()
 			r.pause(2 * time.Second)
 		}
 		r.watch(5 * time.Second)
@@ -341,9 +341,9 @@
 		chosen := r.workers[r.random.IntN(len(r.workers))]
 		chosen.listed.Draining = !chosen.listed.Draining
 		var list []cluster.Worker
-		for i, standIn := range r.workers {
+		for i, fake := range r.workers {
 			if (step/4+i)%5 != 0 {
-				list = append(list, standIn.listed)
+				list = append(list, fake.listed)
 			}
 		}
 		if step%7 == 3 {
@@ -353,8 +353,8 @@
 		r.engine.SetWorkers(list)
 		r.watch(200 * time.Millisecond)
 	}
-	for _, standIn := range r.workers {
-		standIn.listed.Draining = false
+	for _, fake := range r.workers {
+		fake.listed.Draining = false
 	}
 	r.listAll()
 	r.watch(5 * time.Second)
--- a/internal/delivery/harness_test.go
+++ b/internal/delivery/harness_test.go
@@ -72,82 +72,82 @@
 	return document.Table()
 }
 
-// world is a store's engine with workers around it, in a bubble of synctest.
-type world struct {
-	t       *testing.T
-	network *simulated.Network
-	engine  *delivery.Engine
-	owner   *owner
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	workers []*worker
-	start   time.Time
-	last    uint64 // sequence
+// harness is a store's engine with simulated workers, in a bubble of testing/synctest.
+type harness struct {
+	t            *testing.T
+	network      *simulated.Network
+	engine       *delivery.Engine
+	owner        *recordingOwner
+	cancel       context.CancelFunc
+	ended        chan struct{}
+	workers      []*fakeWorker
+	start        time.Time
+	lastSequence uint64 // sequence
 }
 
-// inWorld plays a test in a bubble. The engine has ended when it returns.
-func inWorld(t *testing.T, play func(w *world)) {
+// withHarness runs a test in a bubble. The engine has ended when it returns.
+func withHarness(t *testing.T, play func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		defer w.close()
-		play(w)
+		h := newHarness(t)
+		defer h.close()
+		play(h)
 	})
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, network: simulated.New(1), start: time.Now(), ended: make(chan struct{})}
-	w.owner = &owner{world: w, bodies: map[string]string{}, outcomes: map[string]message.Outcome{},
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, network: simulated.New(1), start: time.Now(), ended: make(chan struct{})}
+	h.owner = &recordingOwner{harness: h, bodies: map[string]string{}, outcomes: map[string]message.Outcome{},
 		endedAt: map[string]time.Duration{}, failures: map[string][]int{}, blocked: map[int]bool{}}
-	w.engine = delivery.New(delivery.Options{Name: "store", Zone: zone, Network: w.network.Host(storeIP), Owner: w.owner,
+	h.engine = delivery.New(delivery.Options{Name: "store", Zone: zone, Network: h.network.Host(storeIP), Owner: h.owner,
 		Seed: 7, Drain: 2 * time.Second})
 	var ctx context.Context
-	ctx, w.cancel = context.WithCancel(context.Background())
+	ctx, h.cancel = context.WithCancel(context.Background())
 	go func() {
-		w.engine.Run(ctx)
-		close(w.ended)
+		h.engine.Run(ctx)
+		close(h.ended)
 	}()
-	return w
+	return h
 }
 
-func (w *world) close() {
-	w.cancel()
-	<-w.ended
-	if flying := w.engine.InFlight(); flying != 0 {
-		w.t.Errorf("%d attempts are out after the end", flying)
+func (h *harness) close() {
+	h.cancel()
+	<-h.ended
+	if flying := h.engine.InFlight(); flying != 0 {
+		h.t.Errorf("%d attempts are out after the end", flying)
 	}
-	for _, standIn := range w.workers {
-		standIn.stop()
+	for _, fake := range h.workers {
+		fake.stop()
 	}
 }
 
 // configure gives the engine the simplest configuration: one route and one service.
-func (w *world) configure() {
-	w.engine.SetConfiguration(table(w.t, version, []route{{name: "r", service: "s"}}, []service{{name: "s"}}))
+func (h *harness) configure() {
+	h.engine.SetConfiguration(table(h.t, version, []route{{name: "r", service: "s"}}, []service{{name: "s"}}))
 }
 
 // listAll gives the engine the list of the workers that are not static.
-func (w *world) listAll() {
+func (h *harness) listAll() {
 	var list []cluster.Worker
-	for _, standIn := range w.workers {
-		list = append(list, standIn.listed)
+	for _, fake := range h.workers {
+		list = append(list, fake.listed)
 	}
-	w.engine.SetWorkers(list)
+	h.engine.SetWorkers(list)
 }
 
-// since is the time that has passed in the world.
-func (w *world) since() time.Duration { return time.Since(w.start) }
+// elapsed is the time that has passed in the bubble.
+func (h *harness) elapsed() time.Duration { return time.Since(h.start) }
 
-// submit hands in a message on a route, due after a delay.
-func (w *world) submit(id, route string, change ...func(*message.Message)) *message.Message {
-	w.last++
-	m := &message.Message{ID: id, Sequence: w.last, Route: route, Host: "h.example", Method: http.MethodPost,
+// submit hands in a message on a route, due at once unless it is changed.
+func (h *harness) submit(id, route string, change ...func(*message.Message)) *message.Message {
+	h.lastSequence++
+	m := &message.Message{ID: id, Sequence: h.lastSequence, Route: route, Host: "h.example", Method: http.MethodPost,
 		Target: "/" + route + "/x?q=%20y", RequestID: "request-" + id, ConfigVersion: version,
 		DueAt: time.Now(), ExpiresAt: time.Now().Add(90 * time.Second)}
 	for _, apply := range change {
 		apply(m)
 	}
-	w.owner.setBody(id, "body of "+id)
-	w.engine.Submit(m, 0)
+	h.owner.setBody(id, "body of "+id)
+	h.engine.Submit(m, 0)
 	return m
 }
 
@@ -167,55 +167,55 @@
 	return func(m *message.Message) { m.ExpiresAt = time.Now().Add(span) }
 }
 
-// arrivals are the requests that reached any worker, in order.
-func (w *world) arrivals() []arrival {
-	var all []arrival
-	for _, standIn := range w.workers {
-		all = append(all, standIn.seen()...)
+// requests are the requests that reached any worker, by time.
+func (h *harness) requests() []receivedRequest {
+	var all []receivedRequest
+	for _, fake := range h.workers {
+		all = append(all, fake.requests()...)
 	}
-	slices.SortStableFunc(all, func(a, b arrival) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b receivedRequest) int { return int(a.at - b.at) })
 	return all
 }
 
-// arrivalsOf are the arrivals of one message.
-func (w *world) arrivalsOf(id string) []arrival {
-	return slices.DeleteFunc(w.arrivals(), func(a arrival) bool { return a.id != "request-"+id })
+// requestsOf are the requests of one message.
+func (h *harness) requestsOf(id string) []receivedRequest {
+	return slices.DeleteFunc(h.requests(), func(a receivedRequest) bool { return a.id != "request-"+id })
 }
 
-// owner records what the engine says.
-type owner struct {
-	world    *world
-	mutex    sync.Mutex
-	bodies   map[string]string
-	outcomes map[string]message.Outcome
-	endedAt  map[string]time.Duration
-	failures map[string][]int
-	blocked  map[int]bool
-	order    []string // of ends
-	asked    int      // how often MayDeliver was called
-	observer observer // nil for none
+// recordingOwner keeps the messages' bodies and records the results that the engine reports.
+type recordingOwner struct {
+	harness         *harness
+	mutex           sync.Mutex
+	bodies          map[string]string
+	outcomes        map[string]message.Outcome
+	endedAt         map[string]time.Duration
+	failures        map[string][]int
+	blocked         map[int]bool
+	order           []string // of ends
+	mayDeliverCalls int      // how often MayDeliver was called
+	observer        observer // nil for none
 }
 
-// observer is told of what the engine says. It is called without the owner's mutex.
+// observer is notified of the engine's calls. It is called without the owner's mutex.
 type observer interface {
 	bodyRead(m *message.Message)
 	failed(m *message.Message, failures int)
 	ended(m *message.Message, outcome message.Outcome)
 }
 
-func (o *owner) setBody(id, body string) {
+func (o *recordingOwner) setBody(id, body string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.bodies[id] = body
 }
 
-func (o *owner) block(partition int, blocked bool) {
+func (o *recordingOwner) block(partition int, blocked bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.blocked[partition] = blocked
 }
 
-func (o *owner) Body(m *message.Message) ([]byte, error) {
+func (o *recordingOwner) Body(m *message.Message) ([]byte, error) {
 	if o.observer != nil {
 		o.observer.bodyRead(m)
 	}
@@ -228,20 +228,20 @@
 	return []byte(body), nil
 }
 
-func (o *owner) MayDeliver(partition int) bool {
+func (o *recordingOwner) MayDeliver(partition int) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.asked++
+	o.mayDeliverCalls++
 	return !o.blocked[partition]
 }
 
-func (o *owner) timesAsked() int {
+func (o *recordingOwner) countMayDeliver() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.asked
+	return o.mayDeliverCalls
 }
 
-func (o *owner) Failed(m *message.Message, failures int) {
+func (o *recordingOwner) Failed(m *message.Message, failures int) {
 	if o.observer != nil {
 		o.observer.failed(m, failures)
 	}
@@ -250,21 +250,21 @@
 	o.failures[m.ID] = append(o.failures[m.ID], failures)
 }
 
-func (o *owner) Ended(m *message.Message, outcome message.Outcome) {
+func (o *recordingOwner) Ended(m *message.Message, outcome message.Outcome) {
 	if o.observer != nil {
 		o.observer.ended(m, outcome)
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if _, twice := o.outcomes[m.ID]; twice {
-		o.world.t.Errorf("%s ended twice", m.ID)
+		o.harness.t.Errorf("%s ended twice", m.ID)
 	}
 	o.outcomes[m.ID] = outcome
-	o.endedAt[m.ID] = o.world.since()
+	o.endedAt[m.ID] = o.harness.elapsed()
 	o.order = append(o.order, m.ID)
 }
 
-func (o *owner) state(id string) message.State {
+func (o *recordingOwner) state(id string) message.State {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if outcome, found := o.outcomes[id]; found {
@@ -273,31 +273,31 @@
 	return message.Queued
 }
 
-func (o *owner) outcome(id string) message.Outcome {
+func (o *recordingOwner) outcome(id string) message.Outcome {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.outcomes[id]
 }
 
-func (o *owner) endOf(id string) time.Duration {
+func (o *recordingOwner) endOf(id string) time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.endedAt[id]
 }
 
-func (o *owner) failuresOf(id string) []int {
+func (o *recordingOwner) failuresOf(id string) []int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.failures[id])
 }
 
-func (o *owner) ends() []string {
+func (o *recordingOwner) ends() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.order)
 }
 
-func (o *owner) countEnded() int {
+func (o *recordingOwner) countEnded() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return len(o.outcomes)
--- /dev/null
+++ b/internal/delivery/token_bucket_test.go
@@ -0,0 +1,27 @@
+package delivery
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestTokenBucket(t *testing.T) {
+	var bucket tokenBucket
+	now := time.Second
+	assert.Assert(t, bucket.tryTake(now), "without a rate limit there is always a token")
+	bucket.setRate(now, 100, 2) // 46 a second, of which 3 may be saved up
+	assert.Assert(t, bucket.tryTake(now))
+	assert.Assert(t, !bucket.tryTake(now))
+	assert.Assert(t, bucket.wait(now) <= time.Second/46+time.Millisecond)
+	now += time.Minute
+	for range maxBurst {
+		assert.Assert(t, bucket.tryTake(now))
+	}
+	assert.Assert(t, !bucket.tryTake(now))
+	bucket.setRate(now, 100, 100) // 0.92 a second
+	assert.Assert(t, bucket.wait(now) > time.Second)
+	bucket.refund()
+	assert.Assert(t, bucket.tryTake(now))
+}
