--- a/cmd/gladepick-system/main.go
+++ b/cmd/gladepick-system/main.go
@@ -1,4 +1,11 @@
 // Command gladepick-system runs the processes of the ingest and dispatch service, and is its operators' tool.
+//
+// It only parses the command line, turns signals into the end of a context, and turns errors into exit codes.
+// Operators' commands are in internal/operatorcli, processes in internal/systemnode, and the demonstration in
+// internal/systemnode/demo.
+//
+// SIGTERM and SIGINT end the context of the command that runs. SIGHUP has a process read its settings file, and
+// ends any other command, as usual.
 package main
 
 import (
@@ -29,7 +36,7 @@
 	os.Exit(code)
 }
 
-// program is the command line.
+// program is the command line: its parser, and the function that each command runs.
 type program struct {
 	application *kingpin.Application
 	commands    operatorcli.Commands
@@ -37,10 +44,11 @@
 	executing   bool            // the parser has got beyond flags such as --help
 }
 
-// errEnded is the panic by which the parser ends after it has printed what was asked for, or the usage.
+// errEnded is the value with which the parser panics in place of ending the process, after it has printed the
+// usage or what a flag such as --help asked for.
 var errEnded = errors.New("parser ended")
 
-// newProgram makes the command line. Commands print to a writer; processes read their settings again upon hangups.
+// newProgram makes the command line. Commands print to out; processes read their settings file again upon hangups.
 func newProgram(out io.Writer, hangups <-chan os.Signal) *program {
 	application := kingpin.New(programName, "Ingest and dispatch service: its processes and its operators' commands.")
 	p := &program{application: application}
@@ -56,7 +64,7 @@
 	return p
 }
 
-// run carries out a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func (p *program) run(ctx context.Context, arguments []string, errorOutput io.Writer) int {
 	selected, err := p.parse(arguments)
 	switch {
@@ -78,7 +86,8 @@
 	return operatorcli.ExitCode(err)
 }
 
-// parse returns the full name of the command. Its error is errEnded where the parser has printed all there is to say.
+// parse returns the full name of the command. Its error is errEnded where the parser has printed all there is to
+// say.
 func (p *program) parse(arguments []string) (selected string, err error) {
 	defer func() {
 		if reason := recover(); reason == errEnded {
--- a/internal/systemnode/doc.go
+++ b/internal/systemnode/doc.go
@@ -1,6 +1,8 @@
 // Package systemnode assembles the two kinds of processes of the system, a Front and a Store, from the packages of each
 // plane, and owns their lifecycle. It makes no decision about messages itself.
 //
+// RunFront and RunStore run a process on this machine by its settings file; tests use the parts that follow directly.
+//
 // NewFront and NewStore open what is on disk and connect the parts; nothing runs and no port is open yet. Run starts the
 // goroutines, serves until its context ends (SIGTERM or SIGINT, which cmd/gladepick-system turns into the end of a
 // context), drains, and returns when all goroutines have ended.
--- a/internal/systemnode/inspection/metrics.go
+++ b/internal/systemnode/inspection/metrics.go
@@ -34,7 +34,7 @@
 	Help string
 }
 
-// Collector writes the samples of its metrics. It is called under the lock of the registry, so it must not block.
+// Collector writes the samples of its metrics. It is called under the lock of the registry, so it must not call that.
 type Collector func(samples *Samples)
 
 // Registry holds the collectors of a process. They are called only when metrics are asked for, and at most once
--- a/cmd/gladepick-system/threads_test.go
+++ b/internal/systemnode/threads_test.go
@@ -1,4 +1,4 @@
-package main
+package systemnode
 
 import (
 	"runtime"
