--- a/internal/capacity/control_bench_test.go
+++ b/internal/capacity/control_bench_test.go
@@ -158,7 +158,7 @@
 }
 
 func tableOf(partitions int) *cluster.Table {
-	table := &cluster.Table{Revision: 1, Primary: "front-0", Copies: 2, Deliverers: 1}
+	table := &cluster.Table{Revision: 1, Primary: "front-0", ReplicationFactor: 2, DeliveringStores: 1}
 	for id := range partitions {
 		table.Partitions = append(table.Partitions, cluster.Partition{ID: id, Epoch: 17, Replicas: []cluster.Replica{
 			{Store: fmt.Sprintf("store-%05d", id), DiskID: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Synced: true},
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/keep_bench_test.go
@@ -142,7 +142,7 @@
 }
 
 func newStorePair(b *testing.B) *storePair {
-	pair := &storePair{pool: rpc.NewPool(network.TCP{}), table: &cluster.Table{Revision: 1, Copies: benchCopies}}
+	pair := &storePair{pool: rpc.NewPool(network.TCP{}), table: &cluster.Table{Revision: 1, ReplicationFactor: benchCopies}}
 	b.Cleanup(pair.pool.Close)
 	stores := []*messagestore.Store{pair.start(b, 0), pair.start(b, 1)}
 	for id := range benchPartitions {
--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -47,13 +47,13 @@
 	mutex       sync.Mutex
 	seeds       []string // internal addresses
 	subscribers []func()
-	sources     []func() []CoreEntry
+	sources     []func() []CoreMember
 	documents   func(version uint64) *configuration.Document
-	learned     []CoreEntry // members that a seed has named
-	primaryHint string      // address of the control group's primary, as last heard
-	apply       sync.Mutex  // serialises changes of the snapshots
-	saving      sync.Mutex  // held while members are being saved
-	saved       []CoreEntry // members that the disk holds, as saved in this run; guarded by saving
+	learned     []CoreMember // members that a seed has named
+	primaryHint string       // address of the control group's primary, as last heard
+	apply       sync.Mutex   // serialises changes of the snapshots
+	saving      sync.Mutex   // held while members are being saved
+	saved       []CoreMember // members that the disk holds, as saved in this run; guarded by saving
 }
 
 // NewAgent makes an agent. Run starts it.
@@ -104,8 +104,8 @@
 	return max(0, LeaseDuration-time.Since(renewed))
 }
 
-// Fresh tells whether the snapshots were confirmed as current within the duration of a lease.
-func (a *Agent) Fresh() bool { return a.LeaseValid() }
+// UpToDate tells whether the snapshots were confirmed as current within the duration of a lease.
+func (a *Agent) UpToDate() bool { return a.LeaseValid() }
 
 // Subscribe has a function called after each change of a snapshot, from the agent's goroutine. It must not block.
 func (a *Agent) Subscribe(changed func()) {
@@ -116,7 +116,7 @@
 
 // AddCoreSource adds a function that names members of the control group this process knows by itself, such as those
 // that a member remembers on its disk.
-func (a *Agent) AddCoreSource(source func() []CoreEntry) {
+func (a *Agent) AddCoreSource(source func() []CoreMember) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.sources = append(a.sources, source)
@@ -141,7 +141,7 @@
 }
 
 // Core returns the members of the control group as this process knows them.
-func (a *Agent) Core() []CoreEntry {
+func (a *Agent) Core() []CoreMember {
 	if table := a.table.Load(); table != nil && len(table.Core) > 0 {
 		return table.Core
 	}
--- a/internal/cluster/agent_calls.go
+++ b/internal/cluster/agent_calls.go
@@ -35,7 +35,7 @@
 
 // Operator passes a call of the operator's API on to the control group's primary. Repeating such a call is safe, so it
 // is sent again where an answer is lost.
-func (a *Agent) Operator(ctx context.Context, call OperatorCall, body []byte) (OperatorResponse, []byte, error) {
+func (a *Agent) Operator(ctx context.Context, call OperatorRequest, body []byte) (OperatorResponse, []byte, error) {
 	var answer OperatorResponse
 	answerBody, err := a.callPrimary(ctx, repeatableOperator, call, body, &answer)
 	return answer, answerBody, trace.Wrap(err)
--- a/internal/cluster/agent_discovery.go
+++ b/internal/cluster/agent_discovery.go
@@ -30,7 +30,7 @@
 	defer cancel()
 	var wait sync.WaitGroup
 	seeds := a.seedAddresses()
-	answers := make([][]CoreEntry, len(seeds))
+	answers := make([][]CoreMember, len(seeds))
 	for i, seed := range seeds {
 		wait.Go(func() {
 			answers[i] = a.askSeed(ctx, seed)
@@ -49,7 +49,7 @@
 	return false
 }
 
-func (a *Agent) askSeed(ctx context.Context, seed string) []CoreEntry {
+func (a *Agent) askSeed(ctx context.Context, seed string) []CoreMember {
 	var answer CoreResponse
 	method, params := MethodCore, any(struct{}{})
 	if a.options.Register {
@@ -61,7 +61,7 @@
 	return answer.Core
 }
 
-func (a *Agent) learn(core []CoreEntry) {
+func (a *Agent) learn(core []CoreMember) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.learned = core
@@ -75,7 +75,7 @@
 	a.mutex.Lock()
 	members = append(members, a.learned...)
 	a.mutex.Unlock()
-	rank := func(member CoreEntry) int {
+	rank := func(member CoreMember) int {
 		switch {
 		case member.Address == info.Address:
 			return 0
@@ -84,7 +84,7 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(members, func(left, right CoreEntry) int {
+	slices.SortStableFunc(members, func(left, right CoreMember) int {
 		if difference := rank(left) - rank(right); difference != 0 {
 			return difference
 		}
--- a/internal/cluster/agent_sync.go
+++ b/internal/cluster/agent_sync.go
@@ -159,10 +159,10 @@
 
 // unpackIfPacked returns an answer's body as it was before it was compressed.
 func unpackIfPacked(response *SyncResponse, body []byte) ([]byte, error) {
-	if !response.Packed {
+	if !response.Compressed {
 		return body, nil
 	}
-	return Unpack(body)
+	return Decompress(body)
 }
 
 // rememberCore keeps the members of the control group on the disk whenever they have changed. A disk that hangs holds
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -90,10 +90,10 @@
 	return agent
 }
 
-func (w *world) core() []cluster.CoreEntry {
-	var core []cluster.CoreEntry
+func (w *world) core() []cluster.CoreMember {
+	var core []cluster.CoreMember
 	for _, m := range w.members {
-		core = append(core, cluster.CoreEntry{Name: m.ip, Address: m.address()})
+		core = append(core, cluster.CoreMember{Name: m.ip, Address: m.address()})
 	}
 	return core
 }
@@ -160,21 +160,21 @@
 	run(t, 1, func(t *testing.T, w *world) {
 		m := w.members[0]
 		m.set(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 5, Core: w.core(), Copies: 2}
+			m.response.Table = &cluster.Table{Revision: 5, Core: w.core(), ReplicationFactor: 2}
 			m.response.ConfigVersion, m.body = 7, configurationOf(7)
 		})
 		time.Sleep(time.Second)
 		updates := []string{`{"version":8,"upsert":{}}`, `{"version":9,"upsert":{}}`}
 		m.set(func(m *member) {
 			m.response.Table = nil
-			m.response.TableChanges = []cluster.TableChange{{Base: 5, Copies: 3}, {Base: 6, Deliverers: 4}}
+			m.response.TableChanges = []cluster.TableChange{{Base: 5, ReplicationFactor: 3}, {Base: 6, DeliveringStores: 4}}
 			m.response.ConfigVersion, m.body = 9, updates[0]+updates[1]
 			m.response.ConfigUpdates = []int{len(updates[0]), len(updates[1])}
 		})
 		time.Sleep(time.Second)
 		assert.Equal(t, w.agent.Table().Revision, uint64(7))
-		assert.Equal(t, w.agent.Table().Copies, 3)
-		assert.Equal(t, w.agent.Table().Deliverers, 4)
+		assert.Equal(t, w.agent.Table().ReplicationFactor, 3)
+		assert.Equal(t, w.agent.Table().DeliveringStores, 4)
 		assert.Equal(t, w.agent.Config().Version(), uint64(9))
 	})
 }
@@ -238,7 +238,7 @@
 			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader, Message: last.address()} })
 		}
 		for range 2 {
-			answer, body, err := w.agent.Operator(t.Context(), cluster.OperatorCall{}, nil)
+			answer, body, err := w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Status, http.StatusOK)
 			assert.Equal(t, string(body), last.ip)
@@ -254,13 +254,13 @@
 			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader} })
 		}
 		begin := time.Now()
-		_, _, err := w.agent.Operator(t.Context(), cluster.OperatorCall{}, nil)
+		_, _, err := w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrNoPrimary), "%v", err)
 		assert.Assert(t, time.Since(begin) <= time.Second)
 		for _, m := range w.members {
 			w.network.PowerOff(m.ip)
 		}
-		_, _, err = w.agent.Operator(t.Context(), cluster.OperatorCall{}, nil)
+		_, _, err = w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrOutcomeUnknown), "%v", err)
 	})
 }
--- a/internal/cluster/corefile.go
+++ b/internal/cluster/corefile.go
@@ -13,19 +13,19 @@
 const coreFile = "core"
 
 // loadCore returns the members remembered, or none.
-func loadCore(disk vfs.FS) []CoreEntry {
+func loadCore(disk vfs.FS) []CoreMember {
 	data, err := wal.LoadFile(disk, coreFile)
 	if err != nil {
 		return nil
 	}
-	var core []CoreEntry
+	var core []CoreMember
 	if err := json.Unmarshal(data, &core); err != nil {
 		return nil
 	}
 	return core
 }
 
-func saveCore(disk vfs.FS, core []CoreEntry) error {
+func saveCore(disk vfs.FS, core []CoreMember) error {
 	data, err := json.Marshal(core)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/cluster/discovery.go
+++ b/internal/cluster/discovery.go
@@ -17,7 +17,7 @@
 
 // CoreResponse lists the members of the control group as the answering process knows them; none before the founding.
 type CoreResponse struct {
-	Core []CoreEntry `json:"core,omitempty"`
+	Core []CoreMember `json:"core,omitempty"`
 	// Bootstrap tells that the answering process takes part in the first start: as a seed it may lead the founding.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 }
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-func goldenMembers() []CoreEntry {
-	return []CoreEntry{
+func goldenMembers() []CoreMember {
+	return []CoreMember{
 		{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-2", Zone: "zone-2"},
 		{Name: "front-2", Address: "[fd00::3]:7240", DiskID: "disk-3", Zone: "zone-3"},
 	}
@@ -68,21 +68,21 @@
 func goldenTable() *Table {
 	return &Table{
 		Revision: 1<<63 + 7, Primary: "front-1", Core: goldenMembers(), Stores: goldenStores(),
-		Partitions: goldenPartitions(), Copies: 3, Deliverers: 4,
+		Partitions: goldenPartitions(), ReplicationFactor: 3, DeliveringStores: 4,
 	}
 }
 
 func goldenTableChange() TableChange {
 	return TableChange{
 		Base: 1<<63 + 9, Primary: "front-2", Core: goldenMembers(), Stores: goldenStores(),
-		Partitions: goldenPartitions(), Copies: 5, Deliverers: 6,
+		Partitions: goldenPartitions(), ReplicationFactor: 5, DeliveringStores: 6,
 	}
 }
 
 func goldenWorkers() []Worker {
 	return []Worker{{
 		ID: "i-1", Service: "mail", Address: "10.0.2.1:9000", Zone: "zone-1", Version: "v2", Capacity: 8,
-		Draining: true, WarmupLeft: 1500,
+		Draining: true, WarmupRemainingMS: 1500,
 	}}
 }
 
@@ -110,12 +110,12 @@
 		{MethodSync + " response", SyncResponse{
 			ConfigVersion: 1<<63 + 31, ConfigUpdates: []int{120, 340}, Table: goldenTable(),
 			TableChanges: []TableChange{goldenTableChange()}, Workers: goldenWorkerList(),
-			WorkerChanges: []WorkerChange{goldenWorkerChange()}, Packed: true, WorkerCount: 12, WorkersAgeMS: 250,
+			WorkerChanges: []WorkerChange{goldenWorkerChange()}, Compressed: true, WorkerCount: 12, WorkersAgeMS: 250,
 			LeaseAgeMS: 35,
 		}},
 		{MethodSync + " response without a lease", SyncResponse{
 			ConfigVersion: 1, ConfigUpdates: []int{1}, Table: goldenTable(), TableChanges: []TableChange{goldenTableChange()},
-			Workers: goldenWorkerList(), WorkerChanges: []WorkerChange{goldenWorkerChange()}, Packed: true, WorkerCount: 1,
+			Workers: goldenWorkerList(), WorkerChanges: []WorkerChange{goldenWorkerChange()}, Compressed: true, WorkerCount: 1,
 			WorkersAgeMS: -1, LeaseAgeMS: NoLease,
 		}},
 		{MethodFailureReport + " request", FailureReport{Node: "store-1", Address: "10.0.0.1:7240", Refused: true}},
@@ -123,7 +123,7 @@
 			Partition: 17, Epoch: 1<<63 + 33, Store: "store-1", Drop: "store-2", Synced: "store-3", Handover: true,
 			Ready: []string{"store-4"},
 		}},
-		{MethodOperator + " request", OperatorCall{Method: "PUT", Path: "/config", Base: "12"}},
+		{MethodOperator + " request", OperatorRequest{Method: "PUT", Path: "/config", BaseVersion: "12"}},
 		{MethodOperator + " response", OperatorResponse{Status: 412}},
 		{"table", *goldenTable()},
 		{"table change", goldenTableChange()},
@@ -208,11 +208,11 @@
 func TestGoldenCompressedBody(t *testing.T) {
 	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 200))
 	if golden.FlagUpdate() {
-		packed, worthwhile := Pack(body)
+		packed, worthwhile := Compress(body)
 		assert.Assert(t, worthwhile)
 		golden.AssertBytes(t, packed, goldenBody)
 	}
-	unpacked, err := Unpack(golden.Get(t, goldenBody))
+	unpacked, err := Decompress(golden.Get(t, goldenBody))
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(unpacked, body))
 }
--- a/internal/cluster/packing.go
+++ b/internal/cluster/packing.go
@@ -15,8 +15,8 @@
 	longestUnpacked = 64 << 20
 )
 
-// Pack compresses a body, and returns false where that would not pay.
-func Pack(body []byte) ([]byte, bool) {
+// Compress compresses a body, and returns false where that would not pay.
+func Compress(body []byte) ([]byte, bool) {
 	if len(body) < packFrom {
 		return nil, false
 	}
@@ -37,8 +37,8 @@
 	return packed.Bytes(), true
 }
 
-// Unpack returns the body that Pack has compressed.
-func Unpack(packed []byte) ([]byte, error) {
+// Decompress returns the body that Compress has compressed.
+func Decompress(packed []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	body, err := io.ReadAll(io.LimitReader(reader, longestUnpacked+1))
 	if err != nil {
--- a/internal/cluster/packing_test.go
+++ b/internal/cluster/packing_test.go
@@ -13,27 +13,27 @@
 
 func TestPackedBodiesComeBack(t *testing.T) {
 	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 2000))
-	packed, ok := cluster.Pack(body)
+	packed, ok := cluster.Compress(body)
 	assert.Assert(t, ok)
 	assert.Assert(t, len(packed) < len(body)/10)
-	unpacked, err := cluster.Unpack(packed)
+	unpacked, err := cluster.Decompress(packed)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(unpacked, body))
 }
 
 func TestPackingIsLeftWhereItDoesNotPay(t *testing.T) {
-	_, ok := cluster.Pack([]byte("short"))
+	_, ok := cluster.Compress([]byte("short"))
 	assert.Assert(t, !ok)
 	noise := make([]byte, 64<<10)
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range noise {
 		noise[i] = byte(random.Uint32())
 	}
-	_, ok = cluster.Pack(noise)
+	_, ok = cluster.Compress(noise)
 	assert.Assert(t, !ok)
 }
 
 func TestDamagedPackedBodyIsRefused(t *testing.T) {
-	_, err := cluster.Unpack([]byte("no such thing"))
+	_, err := cluster.Decompress([]byte("no such thing"))
 	assert.Assert(t, err != nil)
 }
--- a/internal/cluster/tablechange.go
+++ b/internal/cluster/tablechange.go
@@ -7,13 +7,13 @@
 
 // TableChange holds the parts of a cluster table that differ from one revision to the next. Absent parts stay.
 type TableChange struct {
-	Base       uint64       `json:"base"` // the revision it changes
-	Primary    string       `json:"primary,omitempty"`
-	Core       []CoreEntry  `json:"core,omitempty"`
-	Stores     []StoreEntry `json:"stores,omitempty"`
-	Partitions []Partition  `json:"partitions,omitempty"`
-	Copies     int          `json:"copies,omitempty"`
-	Deliverers int          `json:"deliverers,omitempty"`
+	Base              uint64       `json:"base"` // the revision it changes
+	Primary           string       `json:"primary,omitempty"`
+	Core              []CoreMember `json:"core,omitempty"`
+	Stores            []StoreEntry `json:"stores,omitempty"`
+	Partitions        []Partition  `json:"partitions,omitempty"`
+	ReplicationFactor int          `json:"copies,omitempty"`
+	DeliveringStores  int          `json:"deliverers,omitempty"`
 }
 
 // Apply returns the table with a change, and false where the change was made from another revision. The table itself
@@ -30,11 +30,11 @@
 	if change.Core != nil {
 		next.Core = change.Core
 	}
-	if change.Copies > 0 {
-		next.Copies = change.Copies
+	if change.ReplicationFactor > 0 {
+		next.ReplicationFactor = change.ReplicationFactor
 	}
-	if change.Deliverers > 0 {
-		next.Deliverers = change.Deliverers
+	if change.DeliveringStores > 0 {
+		next.DeliveringStores = change.DeliveringStores
 	}
 	next.Stores = mergeStores(t.Stores, change.Stores)
 	next.Partitions = mergePartitions(t.Partitions, change.Partitions)
--- a/internal/cluster/types.go
+++ b/internal/cluster/types.go
@@ -70,8 +70,8 @@
 	return p.Replicas[0], true
 }
 
-// Find returns the position of the replica at a store, or -1.
-func (p Partition) Find(store string) int {
+// IndexOf returns the position of the replica at a store, or -1.
+func (p Partition) IndexOf(store string) int {
 	for i, replica := range p.Replicas {
 		if replica.Store == store {
 			return i
@@ -80,8 +80,8 @@
 	return -1
 }
 
-// CoreEntry is a member of the control group.
-type CoreEntry struct {
+// CoreMember is a member of the control group.
+type CoreMember struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	DiskID  string `json:"diskId"`
@@ -90,14 +90,14 @@
 
 // Table is the cluster table. Revision grows with every change, also across a failover of the control plane.
 type Table struct {
-	Revision   uint64       `json:"revision"`
-	Primary    string       `json:"primary"` // name of the control group's primary, a hint
-	Core       []CoreEntry  `json:"core"`
-	Stores     []StoreEntry `json:"stores"`     // by name
-	Partitions []Partition  `json:"partitions"` // index and ID agree
-	Copies     int          `json:"copies"`     // how many disks hold a message before it is acknowledged
-	// Deliverers is how many stores deliver now or may still do so. Rate ceilings are divided by LimitDivisor.
-	Deliverers int `json:"deliverers"`
+	Revision          uint64       `json:"revision"`
+	Primary           string       `json:"primary"` // name of the control group's primary, a hint
+	Core              []CoreMember `json:"core"`
+	Stores            []StoreEntry `json:"stores"`     // by name
+	Partitions        []Partition  `json:"partitions"` // index and ID agree
+	ReplicationFactor int          `json:"copies"`     // how many disks hold a message before it is acknowledged
+	// DeliveringStores is how many stores deliver now or may still do so. Rate ceilings are divided by LimitDivisor.
+	DeliveringStores int `json:"deliverers"`
 }
 
 // Store returns the entry of a store by its name, or nil.
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Leaders returns how many stores lead partitions.
-func (t *Table) Leaders() int {
+// LeadingStores returns how many stores lead partitions.
+func (t *Table) LeadingStores() int {
 	leaders := make(map[string]bool, len(t.Stores))
 	for _, partition := range t.Partitions {
 		if primary, found := partition.Primary(); found {
@@ -141,14 +141,14 @@
 
 // Worker is one entry of the platform's list of workers.
 type Worker struct {
-	ID         string `json:"id"`
-	Service    string `json:"service"`
-	Address    string `json:"address"`
-	Zone       string `json:"zone"`
-	Version    string `json:"version,omitempty"`
-	Capacity   int    `json:"capacity"`
-	Draining   bool   `json:"draining,omitempty"`
-	WarmupLeft int64  `json:"warmupLeftMs,omitempty"` // as the platform said it, in milliseconds
+	ID                string `json:"id"`
+	Service           string `json:"service"`
+	Address           string `json:"address"`
+	Zone              string `json:"zone"`
+	Version           string `json:"version,omitempty"`
+	Capacity          int    `json:"capacity"`
+	Draining          bool   `json:"draining,omitempty"`
+	WarmupRemainingMS int64  `json:"warmupLeftMs,omitempty"` // as the platform said it, in milliseconds
 }
 
 // WorkerList is the whole list as last read. Revision grows with every change.
@@ -181,7 +181,7 @@
 	Workers      *WorkerList   `json:"workers,omitempty"`
 	// WorkerChanges lead to the newest list of workers from the one that the caller holds; they come in its place.
 	WorkerChanges []WorkerChange `json:"workerChanges,omitempty"`
-	Packed        bool           `json:"packed,omitempty"`      // the body is compressed, see Pack
+	Compressed    bool           `json:"packed,omitempty"`      // the body is compressed, see Compress
 	WorkerCount   int            `json:"workerCount,omitempty"` // entries of the list of workers, which only stores get
 	WorkersAgeMS  int64          `json:"workersAgeMs"`          // how long ago the list of workers was last read; -1 where it never was
 	// LeaseAgeMS tells how long before the request's arrival the lease began, or is NoLease. The control group counts the
@@ -196,7 +196,7 @@
 const (
 	MethodSync             = "control.sync"          // SyncRequest -> SyncResponse, at any fresh core member
 	MethodFailureReport    = "control.report"        // FailureReport -> empty, at any core member
-	MethodOperator         = "control.operator"      // OperatorCall with the body -> OperatorResponse with the body
+	MethodOperator         = "control.operator"      // OperatorRequest with the body -> OperatorResponse with the body
 	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty: a primary asks for a change of its group
 )
 
@@ -223,14 +223,14 @@
 	Ready []string `json:"ready,omitempty"`
 }
 
-// OperatorCall is a request to the operator's API, passed on to the control group's primary.
-type OperatorCall struct {
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	Base   string `json:"base,omitempty"` // the header X-If-Base-Version, as it came
+// OperatorRequest is a request to the operator's API, passed on to the control group's primary.
+type OperatorRequest struct {
+	Method      string `json:"method"`
+	Path        string `json:"path"`
+	BaseVersion string `json:"base,omitempty"` // the header X-If-Base-Version, as it came
 }
 
-// OperatorResponse is the answer to an OperatorCall.
+// OperatorResponse is the answer to an OperatorRequest.
 type OperatorResponse struct {
 	Status int `json:"status"`
 }
--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/capacity_bench_test.go
@@ -116,7 +116,7 @@
 
 // benchContent is the state when all stores are active and all partitions placed.
 func benchContent(infos []cluster.NodeInfo, partitions int) *controlstate.State {
-	table := &cluster.Table{Revision: 1, Copies: 2, Deliverers: len(infos)}
+	table := &cluster.Table{Revision: 1, ReplicationFactor: 2, DeliveringStores: len(infos)}
 	for _, info := range infos {
 		table.Stores = append(table.Stores, cluster.StoreEntry{
 			Name: info.Name, Zone: info.Zone, Address: info.Address, DiskID: info.DiskID, Incarnation: info.Incarnation,
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -36,8 +36,8 @@
 		w.awaitPlacement()
 		for _, m := range w.machines {
 			assert.Equal(t, len(m.agent().Table().Core), 5)
-			assert.Equal(t, m.agent().Table().Copies, 2)
-			assert.Equal(t, m.agent().Table().Deliverers, 3)
+			assert.Equal(t, m.agent().Table().ReplicationFactor, 2)
+			assert.Equal(t, m.agent().Table().DeliveringStores, 3)
 			assert.Assert(t, m.agent().Table().Core[0].Zone != "")
 		}
 		status, body = w.orderUntilClear(time.Second, http.MethodGet, read, "", "")
@@ -268,7 +268,7 @@
 		})
 		t.Logf("emptied after %v", took)
 		for _, partition := range w.machine("store-0").agent().Table().Partitions {
-			assert.Equal(t, partition.Find("store-2"), -1)
+			assert.Equal(t, partition.IndexOf("store-2"), -1)
 		}
 	})
 }
--- a/internal/controlplane/controlstate/golden_test.go
+++ b/internal/controlplane/controlstate/golden_test.go
@@ -17,7 +17,7 @@
 	return &cluster.Table{
 		Revision: 7,
 		Primary:  "front-0",
-		Core: []cluster.CoreEntry{
+		Core: []cluster.CoreMember{
 			{Name: "front-0", Address: "10.0.0.1:7240", DiskID: "disk-f0", Zone: "zone-0"},
 			{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-f1"},
 		},
@@ -31,8 +31,8 @@
 			}},
 			{ID: 1, Epoch: 1, Replicas: []cluster.Replica{{Store: "store-1", DiskID: "disk-1", Synced: true}}},
 		},
-		Copies:     2,
-		Deliverers: 3,
+		ReplicationFactor: 2,
+		DeliveringStores:  3,
 	}
 }
 
@@ -40,7 +40,7 @@
 	table := goldenTable()
 	return cluster.TableChange{
 		Base: 0, Primary: table.Primary, Core: table.Core, Stores: table.Stores, Partitions: table.Partitions,
-		Copies: table.Copies, Deliverers: table.Deliverers,
+		ReplicationFactor: table.ReplicationFactor, DeliveringStores: table.DeliveringStores,
 	}
 }
 
@@ -51,7 +51,7 @@
 		"record-replace": {Config: &ConfigChange{Digest: "0123abcd", Base: 4, Body: []byte(configurationOf(5))}},
 		"record-update":  {Config: &ConfigChange{Digest: "4567ef01", Base: 5, Update: true, Body: update}},
 		"record-table":   {Table: &TableChange{ID: "life-1", TableChange: goldenTableChange()}},
-		"record-small":   {Table: &TableChange{ID: "life-2", TableChange: cluster.TableChange{Base: 8, Deliverers: 4}}},
+		"record-small":   {Table: &TableChange{ID: "life-2", TableChange: cluster.TableChange{Base: 8, DeliveringStores: 4}}},
 		"record-retire": {Table: &TableChange{
 			ID: "life-3", TableChange: cluster.TableChange{Base: 9},
 			Jobs: []RetireJob{{Store: "store-0", DiskID: "disk-0"}, {Store: "store-1", DiskID: "disk-1", Completed: true}},
--- a/internal/controlplane/controlstate/machine_test.go
+++ b/internal/controlplane/controlstate/machine_test.go
@@ -36,12 +36,12 @@
 
 func TestTableChangesAreAppliedOnTheirBaseOnly(t *testing.T) {
 	machine := NewMachine()
-	change := Change{Table: &TableChange{ID: "1", TableChange: cluster.TableChange{Copies: 2}}}
+	change := Change{Table: &TableChange{ID: "1", TableChange: cluster.TableChange{ReplicationFactor: 2}}}
 	apply(t, machine, change)
-	change.Table.ID, change.Table.Copies = "2", 3
+	change.Table.ID, change.Table.ReplicationFactor = "2", 3
 	apply(t, machine, change)
 	current := machine.Current()
-	assert.Equal(t, current.Table.Copies, 2)
+	assert.Equal(t, current.Table.ReplicationFactor, 2)
 	assert.Equal(t, current.Table.Revision, uint64(1))
 	assert.Equal(t, current.LastChangeID, "1")
 }
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/decision_trace_test.go
@@ -221,7 +221,7 @@
 			request.Synced = replica.Store
 		}
 	}
-	preferred := partition.Find(partition.PreferredPrimary)
+	preferred := partition.IndexOf(partition.PreferredPrimary)
 	request.Handover = preferred > 0 && partition.Replicas[preferred].Synced
 	switch d.random.IntN(120) {
 	case 0:
--- a/internal/controlplane/digest.go
+++ b/internal/controlplane/digest.go
@@ -19,7 +19,7 @@
 const largestExactInteger = 1 << 53
 
 // orderDigest returns the same text for orders with the same method, path, base version and JSON value.
-func orderDigest(call cluster.OperatorCall, base uint64, body []byte) (string, error) {
+func orderDigest(call cluster.OperatorRequest, base uint64, body []byte) (string, error) {
 	canonical, err := canonicalJSON(body)
 	if err != nil {
 		return "", trace.Wrap(err)
--- a/internal/controlplane/digest_test.go
+++ b/internal/controlplane/digest_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestDigestsAreAlikeForOneValue(t *testing.T) {
-	call := cluster.OperatorCall{Method: "POST", Path: pathReplace}
+	call := cluster.OperatorRequest{Method: "POST", Path: pathReplace}
 	digest := func(base uint64, body string) string {
 		value, err := orderDigest(call, base, []byte(body))
 		assert.NilError(t, err)
--- a/internal/controlplane/founding.go
+++ b/internal/controlplane/founding.go
@@ -45,7 +45,7 @@
 	mutex      sync.Mutex
 	registered map[string]cluster.NodeInfo
 	lastNew    time.Time
-	founded    []cluster.CoreEntry // the members chosen here, once the group has been founded
+	founded    []cluster.CoreMember // the members chosen here, once the group has been founded
 }
 
 func newFounding(plane *Plane) (*founding, error) {
@@ -87,12 +87,12 @@
 	return f.answer(f.core()), nil, nil
 }
 
-func (f *founding) answer(core []cluster.CoreEntry) cluster.CoreResponse {
+func (f *founding) answer(core []cluster.CoreMember) cluster.CoreResponse {
 	return cluster.CoreResponse{Core: core, Bootstrap: f.plane.options.Bootstrap}
 }
 
 // core returns the members of the group as this process knows them.
-func (f *founding) core() []cluster.CoreEntry {
+func (f *founding) core() []cluster.CoreMember {
 	if agent := f.plane.options.Agent; agent != nil {
 		return agent.Core()
 	}
@@ -100,7 +100,7 @@
 }
 
 // knownCore returns the members that this process's disk or another process has named.
-func (f *founding) knownCore() []cluster.CoreEntry {
+func (f *founding) knownCore() []cluster.CoreMember {
 	if core := f.plane.member.Members(); len(core) > 0 {
 		return core
 	}
@@ -143,7 +143,7 @@
 	core := f.plane.member.Members()
 	var wait sync.WaitGroup
 	for _, seed := range f.seeds {
-		isMember := slices.ContainsFunc(core, func(member cluster.CoreEntry) bool { return member.Address == seed })
+		isMember := slices.ContainsFunc(core, func(member cluster.CoreMember) bool { return member.Address == seed })
 		if isMember {
 			continue
 		}
@@ -217,7 +217,7 @@
 	return answer, trace.Wrap(err)
 }
 
-func (f *founding) setFounded(core []cluster.CoreEntry) {
+func (f *founding) setFounded(core []cluster.CoreMember) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.founded = core
@@ -285,5 +285,5 @@
 	if len(f.plane.member.Members()) > 0 {
 		return nil, nil, nil
 	}
-	return nil, nil, trace.Wrap(f.plane.member.Found(ctx, request.Members))
+	return nil, nil, trace.Wrap(f.plane.member.Bootstrap(ctx, request.Members))
 }
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -18,7 +18,7 @@
 	return &cluster.Table{
 		Revision: 7,
 		Primary:  "front-0",
-		Core: []cluster.CoreEntry{
+		Core: []cluster.CoreMember{
 			{Name: "front-0", Address: "10.0.0.1:7240", DiskID: "disk-f0", Zone: "zone-0"},
 			{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-f1"},
 		},
@@ -32,8 +32,8 @@
 			}},
 			{ID: 1, Epoch: 1, Replicas: []cluster.Replica{{Store: "store-1", DiskID: "disk-1", Synced: true}}},
 		},
-		Copies:     2,
-		Deliverers: 3,
+		ReplicationFactor: 2,
+		DeliveringStores:  3,
 	}
 }
 
@@ -48,7 +48,7 @@
 		retireState{State: retireRunning},
 		retireState{State: retireCompleted},
 		syncNews{
-			SyncResponse: cluster.SyncResponse{ConfigVersion: 5, ConfigUpdates: []int{10, 20}, Packed: true, WorkerCount: 3, WorkersAgeMS: -1, LeaseAgeMS: 40},
+			SyncResponse: cluster.SyncResponse{ConfigVersion: 5, ConfigUpdates: []int{10, 20}, Compressed: true, WorkerCount: 3, WorkersAgeMS: -1, LeaseAgeMS: 40},
 			Table:        table,
 		},
 		syncNews{TableChanges: json.RawMessage(`[1]`), Workers: json.RawMessage(`{"a":1}`), WorkerChanges: json.RawMessage(`[2]`)},
--- a/internal/controlplane/hardening_test.go
+++ b/internal/controlplane/hardening_test.go
@@ -21,15 +21,15 @@
 type standInGroup struct {
 	group
 	state   *controlstate.Machine
-	durable error // what ConfirmDurable says
+	durable error // what DurableBarrier says
 	asked   int   // how often it was asked
 }
 
 func (g *standInGroup) Propose(_ context.Context, change []byte) error { return g.state.Apply(change) }
 
-func (g *standInGroup) Confirm(context.Context) error { return nil }
+func (g *standInGroup) ReadBarrier(context.Context) error { return nil }
 
-func (g *standInGroup) ConfirmDurable(context.Context) error {
+func (g *standInGroup) DurableBarrier(context.Context) error {
 	g.asked++
 	return g.durable
 }
@@ -47,7 +47,7 @@
 // replaceOrder is an order that replaces version `base` by the version after it.
 func (p *Plane) replaceOrder(t *testing.T, base int) int {
 	t.Helper()
-	call := cluster.OperatorCall{Method: http.MethodPost, Path: pathReplace, Base: fmt.Sprint(base)}
+	call := cluster.OperatorRequest{Method: http.MethodPost, Path: pathReplace, BaseVersion: fmt.Sprint(base)}
 	result, err := p.takeOrder(t.Context(), call, false, []byte(configurationOf(base+1)))
 	if err != nil {
 		result, err = p.failedOrder(err)
@@ -78,7 +78,7 @@
 		assert.Equal(t, plane.replaceOrder(t, 0), http.StatusServiceUnavailable, "it was taken, and is forgotten")
 		assert.Equal(t, plane.replaceOrder(t, 1), http.StatusOK, "the oldest that is remembered")
 		assert.Equal(t, plane.replaceOrder(t, controlstate.MaxOrders), http.StatusOK)
-		rival := cluster.OperatorCall{Method: http.MethodPost, Path: pathReplace, Base: fmt.Sprint(controlstate.MaxOrders)}
+		rival := cluster.OperatorRequest{Method: http.MethodPost, Path: pathReplace, BaseVersion: fmt.Sprint(controlstate.MaxOrders)}
 		result, err := plane.takeOrder(t.Context(), rival, false, []byte(configurationOf(controlstate.MaxOrders+7)))
 		assert.NilError(t, err)
 		assert.Equal(t, result.status, http.StatusPreconditionFailed)
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -269,7 +269,7 @@
 
 // order makes a call of the operator at a machine.
 func (m *machine) order(method, path, base, body string) (int, string, error) {
-	call := cluster.OperatorCall{Method: method, Path: path, Base: base}
+	call := cluster.OperatorRequest{Method: method, Path: path, BaseVersion: base}
 	answer, answerBody, err := m.agent().Operator(context.Background(), call, []byte(body))
 	return answer.Status, string(answerBody), err
 }
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -19,14 +19,14 @@
 	Run(ctx context.Context)
 	Close()
 	Role() replication.Role
-	Found(ctx context.Context, members []replication.Member) error
+	Bootstrap(ctx context.Context, members []replication.Member) error
 	Propose(ctx context.Context, change []byte) error
-	Confirm(ctx context.Context) error
-	ConfirmDurable(ctx context.Context) error
+	ReadBarrier(ctx context.Context) error
+	DurableBarrier(ctx context.Context) error
 	AddMember(ctx context.Context, member replication.Member) error
 	RemoveMember(ctx context.Context, diskID string) error
 	ReplaceMember(ctx context.Context, oldDiskID string, member replication.Member) error
-	OnChange(changed func(replication.Role))
+	OnRoleChange(changed func(replication.Role))
 }
 
 // localMember is this process's part in the control group, as the other parts of the plane see it.
@@ -38,7 +38,7 @@
 }
 
 // Members lists the members of the group as this process remembers them.
-func (m *localMember) Members() []cluster.CoreEntry {
+func (m *localMember) Members() []cluster.CoreMember {
 	if m.group == nil {
 		return nil
 	}
@@ -54,7 +54,7 @@
 // freshRole returns the role of this process in the group, and whether the state here may be passed on.
 func (m *localMember) freshRole() (replication.Role, bool) {
 	role := m.Role()
-	return role, role.Fresh && slices.Contains(role.View.InSync, m.diskID)
+	return role, role.UpToDate && slices.Contains(role.View.InSync, m.diskID)
 }
 
 // RequirePrimary returns an error that tells where the primary is, unless it is here.
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -78,7 +78,7 @@
 	case err := <-request.result:
 		return err
 	case <-ctx.Done():
-		return replication.ErrUnknownOutcome
+		return replication.ErrOutcomeUnknown
 	}
 }
 
@@ -148,7 +148,7 @@
 	m.leading, m.leadingSince = true, now
 	m.lastNewStore, m.knownStores = now, 0
 	table := m.plane.state.Current().Table
-	m.inherited = table.Deliverers
+	m.inherited = table.DeliveringStores
 	for _, entry := range table.Stores {
 		if entry.State == cluster.StoreDown {
 			continue
--- a/internal/controlplane/operator.go
+++ b/internal/controlplane/operator.go
@@ -73,7 +73,7 @@
 
 // handleOperator serves the operator's API at the primary.
 func (p *Plane) handleOperator(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-	var request cluster.OperatorCall
+	var request cluster.OperatorRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
@@ -105,7 +105,7 @@
 	return errorAnswer(http.StatusServiceUnavailable, "the outcome is not known: "+trace.UserMessage(err)), nil
 }
 
-func (p *Plane) serveOperator(ctx context.Context, call cluster.OperatorCall, body []byte) (answer, error) {
+func (p *Plane) serveOperator(ctx context.Context, call cluster.OperatorRequest, body []byte) (answer, error) {
 	switch {
 	case call.Path == pathReplace && call.Method == http.MethodPost:
 		return p.takeOrder(ctx, call, false, body)
@@ -121,7 +121,7 @@
 
 // readConfiguration returns the newest configuration, after making sure that this process still is the primary.
 func (p *Plane) readConfiguration(ctx context.Context) (answer, error) {
-	if err := p.member.Confirm(ctx); err != nil {
+	if err := p.member.ReadBarrier(ctx); err != nil {
 		return answer{}, err
 	}
 	document := p.state.Current().Document
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -23,8 +23,8 @@
 }
 
 // takeOrder carries out one order. Orders are taken one after the other.
-func (p *Plane) takeOrder(ctx context.Context, call cluster.OperatorCall, update bool, body []byte) (answer, error) {
-	base, err := strconv.ParseUint(strings.TrimSpace(call.Base), 10, 64)
+func (p *Plane) takeOrder(ctx context.Context, call cluster.OperatorRequest, update bool, body []byte) (answer, error) {
+	base, err := strconv.ParseUint(strings.TrimSpace(call.BaseVersion), 10, 64)
 	if err != nil {
 		return errorAnswer(http.StatusBadRequest, "the header X-If-Base-Version must be a version"), nil
 	}
@@ -45,7 +45,7 @@
 func (p *Plane) decideOrder(ctx context.Context, order *order) (answer, error) {
 	verdict, document := p.checkOrder(order)
 	if document == nil {
-		if err := p.member.ConfirmDurable(ctx); err != nil {
+		if err := p.member.DurableBarrier(ctx); err != nil {
 			return answer{}, err
 		}
 		verdict, document = p.checkOrder(order)
--- a/internal/controlplane/packing.go
+++ b/internal/controlplane/packing.go
@@ -23,7 +23,7 @@
 	}
 	packed, known := b.packed[from]
 	if !known {
-		packed, _ = cluster.Pack(body)
+		packed, _ = cluster.Compress(body)
 		b.packed[from] = packed
 	}
 	return packed, packed != nil
--- a/internal/controlplane/packing_test.go
+++ b/internal/controlplane/packing_test.go
@@ -18,7 +18,7 @@
 	assert.Assert(t, pays)
 	second, _ := packer.pack(3, 5, body)
 	assert.Assert(t, &first[0] == &second[0])
-	unpacked, err := cluster.Unpack(first)
+	unpacked, err := cluster.Decompress(first)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(unpacked, body))
 	_, pays = packer.pack(5, 6, []byte("{}"))
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -38,7 +38,7 @@
 	Redundancy
 
 	primary      string
-	core         []cluster.CoreEntry
+	core         []cluster.CoreMember
 	stores       []cluster.StoreEntry // by name
 	partitions   []cluster.Partition
 	jobs         []controlstate.RetireJob
@@ -59,7 +59,7 @@
 		stores:     slices.Clone(table.Stores),
 		partitions: slices.Clone(table.Partitions),
 		jobs:       slices.Clone(current.Jobs),
-		deliverers: table.Deliverers,
+		deliverers: table.DeliveringStores,
 		nodes:      nodes,
 	}
 	made.indexAliveDisks()
--- a/internal/controlplane/placement/core.go
+++ b/internal/controlplane/placement/core.go
@@ -10,7 +10,7 @@
 
 // UpdateCore lists the members of the control group, and its primary by its disk. It takes the list over, and adds the
 // zones that the members have announced.
-func (b *Builder) UpdateCore(members []cluster.CoreEntry, primaryDiskID string) {
+func (b *Builder) UpdateCore(members []cluster.CoreMember, primaryDiskID string) {
 	for i := range members {
 		member := &members[i]
 		if member.DiskID == primaryDiskID {
@@ -18,7 +18,7 @@
 		}
 		member.Zone = b.zoneOfMember(member.Name)
 	}
-	slices.SortFunc(members, func(a, b cluster.CoreEntry) int {
+	slices.SortFunc(members, func(a, b cluster.CoreMember) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(a.DiskID, b.DiskID))
 	})
 	b.core = members
--- a/internal/controlplane/placement/diff.go
+++ b/internal/controlplane/placement/diff.go
@@ -20,11 +20,11 @@
 	if !slices.Equal(b.core, table.Core) {
 		change.Core, empty = b.core, false
 	}
-	if b.Copies != table.Copies {
-		change.Copies, empty = b.Copies, false
+	if b.Copies != table.ReplicationFactor {
+		change.ReplicationFactor, empty = b.Copies, false
 	}
-	if b.deliverers != table.Deliverers {
-		change.Deliverers, empty = b.deliverers, false
+	if b.deliverers != table.DeliveringStores {
+		change.DeliveringStores, empty = b.deliverers, false
 	}
 	change.Stores = differing(b.stores, table.Stores, func(one, other cluster.StoreEntry) bool { return one == other })
 	change.Partitions = changedPartitions(b.partitions, table.Partitions)
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -92,7 +92,7 @@
 			assert.Equal(w.t, storesOf(partition), storesOf(known), "the view changed without its epoch")
 		}
 		primary, _ := partition.Primary()
-		was := known.Find(primary.Store)
+		was := known.IndexOf(primary.Store)
 		assert.Assert(w.t, primary.Synced && was >= 0, "partition %d is led by %s, which held no copy", id, primary.Store)
 	}
 }
@@ -131,7 +131,7 @@
 			}
 		}
 		latest := w.current.Table.Partitions[partition.ID]
-		position := latest.Find(latest.PreferredPrimary)
+		position := latest.IndexOf(latest.PreferredPrimary)
 		if position > 0 && latest.Replicas[position].Synced {
 			w.request(cluster.PartitionRequest{Handover: true}, partition.ID)
 		}
@@ -202,7 +202,7 @@
 	world.stop("a")
 	assert.NilError(t, world.plan())
 	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
+		assert.Equal(t, partition.IndexOf("a"), -1)
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
 	world.settle()
@@ -291,7 +291,7 @@
 	world.settle()
 	world.requireComplete()
 	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
+		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 }
 
@@ -408,7 +408,7 @@
 	for store := range w.nodes {
 		copies := 0
 		for _, partition := range w.current.Table.Partitions {
-			if partition.Find(store) >= 0 {
+			if partition.IndexOf(store) >= 0 {
 				copies++
 			}
 		}
--- a/internal/controlplane/placement/rebalance.go
+++ b/internal/controlplane/placement/rebalance.go
@@ -65,7 +65,7 @@
 			best = i
 			break
 		}
-		if best < 0 && partition.Find(to) < 0 {
+		if best < 0 && partition.IndexOf(to) < 0 {
 			best = i
 		}
 	}
@@ -79,7 +79,7 @@
 // prefer returns a partition's view with another store as its preferred primary.
 func (b *Builder) prefer(partition cluster.Partition, to string) cluster.Partition {
 	partition.PreferredPrimary = to
-	if partition.Find(to) >= 0 {
+	if partition.IndexOf(to) >= 0 {
 		return partition
 	}
 	added := replicaAt(*b.store(to), false)
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -230,7 +230,7 @@
 
 // mayLead tells whether a store is an active backup of a partition.
 func (b *Builder) mayLead(partition *cluster.Partition, store string) bool {
-	position := partition.Find(store)
+	position := partition.IndexOf(store)
 	if position <= 0 || !b.staying(partition.Replicas[position]) {
 		return false
 	}
--- a/internal/controlplane/placement/request.go
+++ b/internal/controlplane/placement/request.go
@@ -56,7 +56,7 @@
 	if request.Synced == "" {
 		return nil
 	}
-	position := partition.Find(request.Synced)
+	position := partition.IndexOf(request.Synced)
 	if position < 0 {
 		return &RequestError{Kind: ErrConflict, Message: request.Synced + " is no replica"}
 	}
@@ -69,7 +69,7 @@
 	if request.Drop == "" {
 		return nil
 	}
-	position := partition.Find(request.Drop)
+	position := partition.IndexOf(request.Drop)
 	if position <= 0 {
 		return &RequestError{Kind: ErrConflict, Message: request.Drop + " is no backup"}
 	}
--- a/internal/controlplane/placement/request_test.go
+++ b/internal/controlplane/placement/request_test.go
@@ -36,7 +36,7 @@
 	dropped := partition.Replicas[1].Store
 	world.request(cluster.PartitionRequest{Drop: dropped}, 0)
 	after := world.current.Table.Partitions[0]
-	assert.Equal(t, after.Find(dropped), -1)
+	assert.Equal(t, after.IndexOf(dropped), -1)
 	assert.Equal(t, len(after.Replicas), 2)
 	assert.Assert(t, !after.Replicas[1].Synced)
 	assert.Equal(t, after.Epoch, partition.Epoch+1)
@@ -58,7 +58,7 @@
 	world.request(cluster.PartitionRequest{Handover: true, Ready: []string{ready}}, 0)
 	assert.Equal(t, world.current.Table.Partitions[0].Replicas[0].Store, ready)
 	err := world.tryRequest(cluster.PartitionRequest{Handover: true, Ready: []string{"d"}}, 0)
-	if world.current.Table.Partitions[0].Find("d") < 0 {
+	if world.current.Table.Partitions[0].IndexOf("d") < 0 {
 		assert.Assert(t, err != nil, "it holds no copy")
 	}
 }
@@ -72,7 +72,7 @@
 		if partition.Replicas[0].Store == "a" {
 			world.request(cluster.PartitionRequest{Handover: true}, id)
 			after := world.current.Table.Partitions[id]
-			assert.Equal(t, after.Find("a"), len(after.Replicas)-1)
+			assert.Equal(t, after.IndexOf("a"), len(after.Replicas)-1)
 			assert.Equal(t, after.Epoch, partition.Epoch+1)
 		}
 	}
--- a/internal/controlplane/placement/retire_test.go
+++ b/internal/controlplane/placement/retire_test.go
@@ -27,7 +27,7 @@
 	world.stop("b")
 	world.settle()
 	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
+		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 	world.start("a", "zone-0", "another-disk")
 	world.settle()
@@ -65,7 +65,7 @@
 	world.requireComplete()
 	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
 	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
+		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 	assert.NilError(t, world.plan(func(builder *Builder) error {
 		assert.NilError(t, builder.StartRetire("a", 3), "sent again")
@@ -97,6 +97,6 @@
 	world.settle()
 	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
 	for _, partition := range world.current.Table.Partitions {
-		assert.Equal(t, partition.Find("a"), -1)
+		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -133,27 +133,27 @@
 		Logger:          p.logger,
 	})
 	return replication.Options{
-		Self:             p.self(),
-		Pool:             p.options.Pool,
-		Server:           p.options.Server,
-		FS:               p.options.FS,
-		StateMachine:     p.state,
-		Copies:           p.redundancy().Copies,
-		AllowFounding:    p.options.Bootstrap,
-		Logger:           p.logger,
-		Seed:             p.options.Seed,
-		HeartbeatPayload: p.reader.HeartbeatPayload,
-		OnHeartbeat:      p.reader.OnHeartbeat,
-		AnswerPayload:    func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
-		OnEcho:           p.leases.ConfirmAnswer,
-		OnAnswer:         p.onAnswer,
+		Self:                p.self(),
+		Pool:                p.options.Pool,
+		Server:              p.options.Server,
+		FS:                  p.options.FS,
+		StateMachine:        p.state,
+		ReplicationFactor:   p.redundancy().Copies,
+		AllowBootstrap:      p.options.Bootstrap,
+		Logger:              p.logger,
+		Seed:                p.options.Seed,
+		HeartbeatPayload:    p.reader.HeartbeatPayload,
+		OnHeartbeat:         p.reader.OnHeartbeat,
+		ResponsePayload:     func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
+		OnResponseEcho:      p.leases.ConfirmAnswer,
+		OnHeartbeatResponse: p.onAnswer,
 	}
 }
 
 // join takes part in a group: it registers the calls that its members serve.
 func (p *Plane) join(group group) {
 	p.member.group = group
-	group.OnChange(func(replication.Role) {
+	group.OnRoleChange(func(replication.Role) {
 		p.member.roleChanged.Notify()
 		p.manager.nudge()
 	})
@@ -210,10 +210,10 @@
 	return document
 }
 
-func coreEntries(members []replication.Member) []cluster.CoreEntry {
-	entries := make([]cluster.CoreEntry, 0, len(members))
+func coreEntries(members []replication.Member) []cluster.CoreMember {
+	entries := make([]cluster.CoreMember, 0, len(members))
 	for _, member := range members {
-		entries = append(entries, cluster.CoreEntry{Name: member.Name, Address: member.Address, DiskID: member.DiskID})
+		entries = append(entries, cluster.CoreMember{Name: member.Name, Address: member.Address, DiskID: member.DiskID})
 	}
 	return entries
 }
--- a/internal/controlplane/replication/align.go
+++ b/internal/controlplane/replication/align.go
@@ -30,7 +30,7 @@
 		return nil, trace.Wrap(err)
 	}
 	inSync := append([]string{g.self.DiskID}, aligned...)
-	least := view.leastInSync(g.options.Copies)
+	least := view.leastInSync(g.options.ReplicationFactor)
 	if len(inSync) < least {
 		rest := membersThat(view.Members, func(diskID string) bool {
 			return granted[diskID] && !slices.Contains(inSync, diskID)
@@ -82,6 +82,6 @@
 		return false, trace.Wrap(err)
 	}
 	request.Last, request.Complete = imageLast, true
-	_, err = g.call(ctx, g.timing.CopyTimeout, to, methodAttach, request, data, &answer)
+	_, err = g.call(ctx, g.timing.SnapshotTimeout, to, methodAttach, request, data, &answer)
 	return answer.Attached, err
 }
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -113,17 +113,17 @@
 	}
 	g.notify()
 	answer.Number = g.presence.numberAnswer(time.Now())
-	if g.options.AnswerPayload == nil {
+	if g.options.ResponsePayload == nil {
 		return answer, nil, nil
 	}
-	return answer, g.options.AnswerPayload(answer.Number), nil
+	return answer, g.options.ResponsePayload(answer.Number), nil
 }
 
 // takeNews hands on what a heartbeat carries: the payload, and that an answer of this process has reached a primary that
 // led after it.
 func (g *Group) takeNews(request heartbeatRequest, body []byte, sentAfter time.Time) {
-	if request.Leading && g.options.OnEcho != nil {
-		g.options.OnEcho(request.Echo)
+	if request.Leading && g.options.OnResponseEcho != nil {
+		g.options.OnResponseEcho(request.Echo)
 	}
 	if len(body) > 0 && g.options.OnHeartbeat != nil {
 		g.options.OnHeartbeat(body, sentAfter)
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -31,11 +31,11 @@
 	after, records, err := g.replica.propose(view.Epoch, changes)
 	if err != nil {
 		g.resign(l, "log refused: "+err.Error())
-		failAll(batch, ErrUnknownOutcome)
+		failAll(batch, ErrOutcomeUnknown)
 		return
 	}
 	if err := l.commitBatch(view, after, records, uint64(len(changes))); err != nil {
-		failAll(batch, ErrUnknownOutcome)
+		failAll(batch, ErrOutcomeUnknown)
 		return
 	}
 	l.parked = append(l.parked, parkedBatch{batch, view.Epoch, after})
@@ -48,13 +48,13 @@
 
 // answerParked answers the batches that wait for enough copies, where there are enough now. Read barriers don't wait.
 func (l *leadership) answerParked() {
-	enough := len(l.currentView().InSync) >= l.group.options.Copies
+	enough := len(l.currentView().InSync) >= l.group.options.ReplicationFactor
 	waiting := l.parked
 	l.parked = nil
 	for _, batch := range waiting {
 		switch {
 		case !l.group.replica.isOwn(batch.epoch):
-			failAll(batch.requests, ErrUnknownOutcome)
+			failAll(batch.requests, ErrOutcomeUnknown)
 		case enough || !needsCopies(batch.requests):
 			l.answerBatch(batch.requests, batch.after.Index)
 		default:
@@ -68,7 +68,7 @@
 // failParked fails what is still parked when the leadership ends.
 func (l *leadership) failParked() {
 	for _, batch := range l.parked {
-		failAll(batch.requests, ErrUnknownOutcome)
+		failAll(batch.requests, ErrOutcomeUnknown)
 	}
 	l.parked = nil
 }
@@ -150,12 +150,12 @@
 // after a restart, gets the whole state.
 func (l *leadership) sendRecords(to Member, epoch uint64, after position, records []byte) (bool, error) {
 	g := l.group
-	ctx, cancel := context.WithTimeout(l.ctx, g.timing.DropAfter)
+	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
 	defer cancel()
 	answer, err := l.appendAt(ctx, to, epoch, after, records)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		if isRefused(err) {
-			ctxtime.Sleep(ctx, g.timing.RefusedDropAfter)
+			ctxtime.Sleep(ctx, g.timing.RefusedTimeout)
 		}
 		answer, err = l.appendAt(ctx, to, epoch, after, records)
 	}
@@ -174,6 +174,6 @@
 		Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, After: after, Commit: committed,
 	}
 	var answer appendAnswer
-	_, err := g.call(ctx, g.timing.DropAfter, to, methodAppend, request, records, &answer)
+	_, err := g.call(ctx, g.timing.BackupTimeout, to, methodAppend, request, records, &answer)
 	return answer, err
 }
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -133,7 +133,7 @@
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), 5*time.Second)
 	defer cancel()
-	assert.NilError(c.t, c.nodes[0].run().group.Found(ctx, c.members()))
+	assert.NilError(c.t, c.nodes[0].run().group.Bootstrap(ctx, c.members()))
 	c.awaitPrimary(5 * time.Second)
 }
 
@@ -159,7 +159,7 @@
 	started := &process{machine: &listMachine{}, server: rpc.NewServer(zap.NewNop()), pool: rpc.NewPool(host)}
 	options := Options{
 		Self: n.member, Pool: started.pool, Server: started.server, FS: n.disk.Mount(),
-		StateMachine: started.machine, Copies: n.cluster.copies, AllowFounding: true, Seed: n.cluster.seed,
+		StateMachine: started.machine, ReplicationFactor: n.cluster.copies, AllowBootstrap: true, Seed: n.cluster.seed,
 	}
 	if n.options != nil {
 		n.options(&options)
@@ -320,7 +320,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	return running.group.Confirm(ctx)
+	return running.group.ReadBarrier(ctx)
 }
 
 // awaitAllHold waits until every running node has exactly these changes.
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -59,7 +59,7 @@
 	silence, _ := g.presence.silence(time.Now())
 	limit := g.timing.suspectAfter()
 	if silence >= limit {
-		limit = min(g.timing.LeaseDuration, silence+g.timing.ProbeTimeout)
+		limit = min(g.timing.LeaseDuration, silence+g.timing.StatusTimeout)
 	}
 	return max(shortestLook, limit-silence)
 }
@@ -113,7 +113,7 @@
 	}
 	asked := time.Now()
 	var status statusAnswer
-	_, err := g.call(ctx, g.timing.ProbeTimeout, primary, methodStatus, struct{}{}, nil, &status)
+	_, err := g.call(ctx, g.timing.StatusTimeout, primary, methodStatus, struct{}{}, nil, &status)
 	var reported *rpc.Error
 	switch {
 	case err == nil:
@@ -153,9 +153,9 @@
 	return View{Members: newest.Members, Previous: newest.Previous}, nil
 }
 
-// Found makes the first view of a new group, with this process as the primary. It may be repeated; it does nothing
+// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated; it does nothing
 // where this process knows of a view.
-func (g *Group) Found(ctx context.Context, members []Member) error {
+func (g *Group) Bootstrap(ctx context.Context, members []Member) error {
 	if g.newestKnown() != nil {
 		return nil
 	}
@@ -164,7 +164,7 @@
 		genesis.InSync = append(genesis.InSync, member.DiskID)
 	}
 	if !g.mayFound(genesis) {
-		return trace.Wrap(ErrNotFoundable)
+		return trace.Wrap(ErrBootstrapRefused)
 	}
 	made, err := g.changeView(ctx, viewChange{base: genesis, founding: true, next: g.succeed})
 	if err != nil {
@@ -177,5 +177,5 @@
 func (g *Group) mayFound(genesis View) bool {
 	_, member := findMember(genesis.Members, g.self.DiskID)
 	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
-	return member && blank && g.options.AllowFounding
+	return member && blank && g.options.AllowBootstrap
 }
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -129,20 +129,20 @@
 	if l := g.leading.Load(); l != nil {
 		role.View = l.currentView()
 		role.Primary = l.leaseRuns(now)
-		role.Fresh = role.Primary
+		role.UpToDate = role.Primary
 	} else {
 		if accepted := g.witness.record().Accepted; accepted != nil {
 			role.View = *accepted
 		}
-		role.Fresh = g.presence.fresh(now, g.timing.LeaseDuration)
+		role.UpToDate = g.presence.fresh(now, g.timing.LeaseDuration)
 	}
 	role.Epoch = role.View.Epoch
 	return role
 }
 
-// OnChange has a function called with the new role whenever the epoch, the primary's part or the freshness changes.
+// OnRoleChange has a function called with the new role whenever the epoch, the primary's part or the freshness changes.
 // The function must return soon, and must not propose or wait for anything of the group.
-func (g *Group) OnChange(observer func(Role)) {
+func (g *Group) OnRoleChange(observer func(Role)) {
 	g.observersMu.Lock()
 	defer g.observersMu.Unlock()
 	g.observers = append(g.observers, observer)
@@ -154,7 +154,7 @@
 	defer g.observersMu.Unlock()
 	role := g.Role()
 	known := g.reported
-	if role.Epoch == known.Epoch && role.Primary == known.Primary && role.Fresh == known.Fresh {
+	if role.Epoch == known.Epoch && role.Primary == known.Primary && role.UpToDate == known.UpToDate {
 		return
 	}
 	g.reported = role
--- a/internal/controlplane/replication/group_test.go
+++ b/internal/controlplane/replication/group_test.go
@@ -32,13 +32,13 @@
 		defer c.close()
 		for range 3 {
 			added := c.addNode()
-			added.options = func(options *Options) { options.AllowFounding = added.member.Name == "member-1" }
+			added.options = func(options *Options) { options.AllowBootstrap = added.member.Name == "member-1" }
 			added.start()
 		}
-		err := c.nodes[0].run().group.Found(t.Context(), c.members())
-		assert.ErrorIs(c.t, err, ErrNoMajority)
-		err = c.nodes[1].run().group.Found(t.Context(), c.members())
-		assert.ErrorIs(c.t, err, ErrNotFoundable)
+		err := c.nodes[0].run().group.Bootstrap(t.Context(), c.members())
+		assert.ErrorIs(c.t, err, ErrNoQuorum)
+		err = c.nodes[1].run().group.Bootstrap(t.Context(), c.members())
+		assert.ErrorIs(c.t, err, ErrBootstrapRefused)
 		time.Sleep(5 * time.Second)
 		assert.Equal(c.t, len(c.primaries()), 0)
 	})
@@ -50,10 +50,10 @@
 			c := newCluster(t, 4, 2, seed)
 			defer c.close()
 			for _, founder := range c.nodes[:2] {
-				go func() { _ = founder.run().group.Found(t.Context(), c.members()) }()
+				go func() { _ = founder.run().group.Bootstrap(t.Context(), c.members()) }()
 			}
 			time.Sleep(2 * time.Second)
-			_ = c.nodes[0].run().group.Found(t.Context(), c.members())
+			_ = c.nodes[0].run().group.Bootstrap(t.Context(), c.members())
 			c.awaitPrimary(5 * time.Second)
 			c.awaitInSync(3*time.Second, 4)
 		})
@@ -91,7 +91,7 @@
 		old := c.awaitPrimary(time.Second)
 		old.mustPropose("a")
 		c.isolate(old)
-		assert.ErrorIs(c.t, old.propose("lost", 5*time.Second), ErrUnknownOutcome)
+		assert.ErrorIs(c.t, old.propose("lost", 5*time.Second), ErrOutcomeUnknown)
 		next := c.awaitOtherPrimary(time.Second, old)
 		assert.Assert(c.t, !old.run().group.Role().Primary)
 		assert.ErrorIs(c.t, old.confirm(time.Second), ErrNotPrimary)
@@ -259,12 +259,12 @@
 func TestBackupsAreFreshOnlyWhileTheyHear(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
-		c.await(time.Second, "fresh", func() bool { return backup.run().group.Role().Fresh })
+		c.await(time.Second, "fresh", func() bool { return backup.run().group.Role().UpToDate })
 		c.isolate(backup)
 		time.Sleep(time.Second)
-		assert.Assert(c.t, !backup.run().group.Role().Fresh)
+		assert.Assert(c.t, !backup.run().group.Role().UpToDate)
 		c.rejoin(backup)
-		c.await(2*time.Second, "fresh again", func() bool { return backup.run().group.Role().Fresh })
+		c.await(2*time.Second, "fresh again", func() bool { return backup.run().group.Role().UpToDate })
 	})
 }
 
@@ -278,8 +278,8 @@
 			added.options = func(options *Options) {
 				options.HeartbeatPayload = func() []byte { return []byte("down") }
 				options.OnHeartbeat = func(payload []byte, _ time.Time) { down <- string(payload) }
-				options.AnswerPayload = func(uint64) []byte { return []byte(added.member.Name) }
-				options.OnAnswer = func(from Member, payload []byte) { up <- from.Name + "=" + string(payload) }
+				options.ResponsePayload = func(uint64) []byte { return []byte(added.member.Name) }
+				options.OnHeartbeatResponse = func(from Member, payload []byte) { up <- from.Name + "=" + string(payload) }
 			}
 			added.start()
 		}
@@ -294,7 +294,7 @@
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
 		roles := make(chan Role, 100)
-		backup.run().group.OnChange(func(role Role) { roles <- role })
+		backup.run().group.OnRoleChange(func(role Role) { roles <- role })
 		c.isolate(c.nodes[0])
 		c.awaitOtherPrimary(2*time.Second, c.nodes[0])
 		seen := <-roles
@@ -314,7 +314,7 @@
 		if backup == primary {
 			backup = c.nodes[2]
 		}
-		c.await(time.Second, "the backup is fresh", func() bool { return backup.run().group.Role().Fresh })
+		c.await(time.Second, "the backup is fresh", func() bool { return backup.run().group.Role().UpToDate })
 		group := backup.run().group
 		group.presence.mu.Lock()
 		echo := group.presence.answers.last
@@ -326,16 +326,16 @@
 		c.isolate(backup)
 		time.Sleep(20 * time.Second)
 		primary.mustPropose("b")
-		assert.Assert(t, !group.Role().Fresh)
+		assert.Assert(t, !group.Role().UpToDate)
 		for _, echo := range []uint64{held.Echo, 0, held.Echo + 1000} {
 			held.Echo = echo
 			answer, _, err := group.serveHeartbeat(c.t.Context(), held, nil)
 			assert.NilError(t, err)
 			assert.Assert(t, answer.(heartbeatAnswer).Heard, "it knows of no other primary")
-			assert.Assert(t, !group.Role().Fresh, "its state is 20 s old")
+			assert.Assert(t, !group.Role().UpToDate, "its state is 20 s old")
 		}
 		c.rejoin(backup)
-		c.await(3*time.Second, "the backup is fresh again", func() bool { return group.Role().Fresh })
+		c.await(3*time.Second, "the backup is fresh again", func() bool { return group.Role().UpToDate })
 		assert.DeepEqual(t, backup.run().machine.list(), []string{"a", "b"})
 	})
 }
@@ -357,10 +357,10 @@
 		assert.NilError(t, primary.confirm(time.Second))
 		ctx, cancel := context.WithTimeout(c.t.Context(), 2*time.Second)
 		defer cancel()
-		assert.Assert(t, primary.run().group.ConfirmDurable(ctx) != nil)
+		assert.Assert(t, primary.run().group.DurableBarrier(ctx) != nil)
 		lost.back()
 		assert.NilError(t, <-proposed)
-		assert.NilError(t, primary.run().group.ConfirmDurable(c.t.Context()))
+		assert.NilError(t, primary.run().group.DurableBarrier(c.t.Context()))
 	})
 }
 
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -38,10 +38,10 @@
 func (p *peer) dead(now time.Time, timing Timing) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.silentSince()) >= timing.DropAfter {
+	if now.Sub(p.silentSince()) >= timing.BackupTimeout {
 		return true
 	}
-	return !p.refusedSince.IsZero() && now.Sub(p.refusedSince) >= timing.RefusedDropAfter
+	return !p.refusedSince.IsZero() && now.Sub(p.refusedSince) >= timing.RefusedTimeout
 }
 
 // silentSince returns since when nothing has come from the peer. The caller holds the lock.
@@ -56,7 +56,7 @@
 func (p *peer) patience(now time.Time, timing Timing) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return timing.DropAfter - now.Sub(p.silentSince())
+	return timing.BackupTimeout - now.Sub(p.silentSince())
 }
 
 // ready tells whether the peer may enter the in-sync set.
@@ -201,8 +201,8 @@
 		to.markRenewed(sent)
 	}
 	l.noteAnswer(ctx, view, to, answer)
-	if len(body) > 0 && g.options.OnAnswer != nil {
-		g.options.OnAnswer(to.member, body)
+	if len(body) > 0 && g.options.OnHeartbeatResponse != nil {
+		g.options.OnHeartbeatResponse(to.member, body)
 	}
 	g.notify()
 	if request.Echo == 0 {
@@ -218,7 +218,7 @@
 	wait := timing.HeartbeatInterval
 	if isRefused(err) || rpc.CodeOf(err) == rpc.CodeNotFound {
 		silent.markRefused(now)
-		wait = timing.RefusedDropAfter
+		wait = timing.RefusedTimeout
 	}
 	if silent.dead(now, timing) {
 		silent.setAligned(false)
--- a/internal/controlplane/replication/request.go
+++ b/internal/controlplane/replication/request.go
@@ -31,19 +31,19 @@
 )
 
 // Propose replicates a change and returns when it is committed and applied. ErrNotPrimary tells that it surely was not
-// done, ErrUnknownOutcome that it may be; any other error is the state machine's.
+// done, ErrOutcomeUnknown that it may be; any other error is the state machine's.
 func (g *Group) Propose(ctx context.Context, change []byte) error {
 	return g.submit(ctx, &request{kind: requestChange, change: change})
 }
 
-// Confirm returns nil when this process was still the primary at some time after the call.
-func (g *Group) Confirm(ctx context.Context) error {
+// ReadBarrier returns nil when this process was still the primary at some time after the call.
+func (g *Group) ReadBarrier(ctx context.Context) error {
 	return g.submit(ctx, &request{kind: requestBarrier})
 }
 
-// ConfirmDurable is Confirm, and returns only when all that was committed before is on as many disks as a change needs to
+// DurableBarrier is ReadBarrier, and returns only when all that was committed before is on as many disks as a change needs to
 // be acknowledged.
-func (g *Group) ConfirmDurable(ctx context.Context) error {
+func (g *Group) DurableBarrier(ctx context.Context) error {
 	return g.submit(ctx, &request{kind: requestDurableBarrier})
 }
 
@@ -62,7 +62,7 @@
 	if l.withdraw(submitted) {
 		return trace.Wrap(ErrNotPrimary)
 	}
-	return trace.Wrap(ErrUnknownOutcome)
+	return trace.Wrap(ErrOutcomeUnknown)
 }
 
 func (l *leadership) enqueue(added *request) bool {
@@ -93,7 +93,7 @@
 func (l *leadership) takeBatch() []*request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	enough := len(l.view.InSync) >= l.group.options.Copies
+	enough := len(l.view.InSync) >= l.group.options.ReplicationFactor
 	return l.take(func(waiting *request) bool {
 		return waiting.kind == requestBarrier || (waiting.needsCopies() && enough)
 	})
--- a/internal/controlplane/replication/types.go
+++ b/internal/controlplane/replication/types.go
@@ -23,14 +23,14 @@
 // ErrNotPrimary means that this process does not lead the group at present; what was asked for was surely not done.
 var ErrNotPrimary = errors.New("replication: not the primary")
 
-// ErrUnknownOutcome means that the change was sent out but not confirmed: it may come into force or not.
-var ErrUnknownOutcome = errors.New("replication: outcome unknown")
+// ErrOutcomeUnknown means that the change was sent out but not confirmed: it may come into force or not.
+var ErrOutcomeUnknown = errors.New("replication: outcome unknown")
 
-// ErrNoMajority means that no majority of the members could be won for a view.
-var ErrNoMajority = errors.New("replication: no majority")
+// ErrNoQuorum means that no majority of the members could be won for a view.
+var ErrNoQuorum = errors.New("replication: no majority")
 
-// ErrNotFoundable means that this process may not found a group: it is not allowed to, or not among the members.
-var ErrNotFoundable = errors.New("replication: may not found a group")
+// ErrBootstrapRefused means that this process may not bootstrap a group: it is not allowed to, or not among the members.
+var ErrBootstrapRefused = errors.New("replication: may not found a group")
 
 // StateMachine is what the group replicates. It must be deterministic. The group never calls it concurrently; it must
 // not call back into the group.
@@ -53,21 +53,21 @@
 
 // Role is the part that a process plays at a moment.
 type Role struct {
-	View    View   // the newest view this process has accepted
-	Epoch   uint64 // the view's epoch
-	Primary bool   // it leads the group: a majority and the whole in-sync set have answered within the lease
-	Fresh   bool   // its state is current enough to be read
+	View     View   // the newest view this process has accepted
+	Epoch    uint64 // the view's epoch
+	Primary  bool   // it leads the group: a majority and the whole in-sync set have answered within the lease
+	UpToDate bool   // its state is current enough to be read
 }
 
 // Timing holds the durations of the protocol. Zero values are replaced by the defaults.
 type Timing struct {
 	HeartbeatInterval time.Duration // how often the primary calls each member
 	LeaseDuration     time.Duration // for how long a witness stands by a primary it has heard from
-	DropAfter         time.Duration // after which silence a backup leaves the in-sync set
-	RefusedDropAfter  time.Duration // the same after its address refused a connection
+	BackupTimeout     time.Duration // after which silence a backup leaves the in-sync set
+	RefusedTimeout    time.Duration // the same after its address refused a connection
 	RoundTimeout      time.Duration // limit of a round of promises, of alignment or of acceptance
-	ProbeTimeout      time.Duration // limit of the call by which a backup looks whether a silent primary lives
-	CopyTimeout       time.Duration // limit of a transfer of the whole state
+	StatusTimeout     time.Duration // limit of the call by which a backup looks whether a silent primary lives
+	SnapshotTimeout   time.Duration // limit of a transfer of the whole state
 }
 
 const (
@@ -82,45 +82,45 @@
 
 // Options say what a group works with.
 type Options struct {
-	Self          Member
-	Pool          *rpc.Pool
-	Server        *rpc.Server
-	FS            vfs.FS
-	StateMachine  StateMachine
-	Copies        int // on how many disks a change is before it is acknowledged: tolerated losses + 1
-	AllowFounding bool
-	Logger        *zap.Logger
-	Seed          uint64 // of the random pauses before elections
-	Timing        Timing
+	Self              Member
+	Pool              *rpc.Pool
+	Server            *rpc.Server
+	FS                vfs.FS
+	StateMachine      StateMachine
+	ReplicationFactor int // on how many disks a change is before it is acknowledged: tolerated losses + 1
+	AllowBootstrap    bool
+	Logger            *zap.Logger
+	Seed              uint64 // of the random pauses before elections
+	Timing            Timing
 
 	// HeartbeatPayload is asked at the primary for what each heartbeat carries to a backup. It may be nil.
 	HeartbeatPayload func() []byte
 	// OnHeartbeat gets a heartbeat's payload at the backup, and a moment after which it was sent. It may be nil.
 	OnHeartbeat func(payload []byte, sentAfter time.Time)
-	// AnswerPayload is asked at the backup for what the answer to a heartbeat carries; it gets the answer's number, which
+	// ResponsePayload is asked at the backup for what the answer to a heartbeat carries; it gets the answer's number, which
 	// grows with each answer. It may be nil.
-	AnswerPayload func(number uint64) []byte
-	// OnEcho is called at the backup when it learns that an answer has reached a primary that led after that. It may be
+	ResponsePayload func(number uint64) []byte
+	// OnResponseEcho is called at the backup when it learns that an answer has reached a primary that led after that. It may be
 	// nil.
-	OnEcho func(number uint64)
-	// OnAnswer gets the answer's payload at the primary. It may be nil.
-	OnAnswer func(from Member, payload []byte)
+	OnResponseEcho func(number uint64)
+	// OnHeartbeatResponse gets the answer's payload at the primary. It may be nil.
+	OnHeartbeatResponse func(from Member, payload []byte)
 }
 
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
 	}
-	if o.Copies < 1 {
-		o.Copies = 1
+	if o.ReplicationFactor < 1 {
+		o.ReplicationFactor = 1
 	}
 	setDefault(&o.Timing.HeartbeatInterval, defaultHeartbeatInterval)
 	setDefault(&o.Timing.LeaseDuration, defaultLeaseDuration)
-	setDefault(&o.Timing.DropAfter, defaultDropAfter)
-	setDefault(&o.Timing.RefusedDropAfter, defaultRefusedDropAfter)
+	setDefault(&o.Timing.BackupTimeout, defaultDropAfter)
+	setDefault(&o.Timing.RefusedTimeout, defaultRefusedDropAfter)
 	setDefault(&o.Timing.RoundTimeout, defaultRoundTimeout)
-	setDefault(&o.Timing.ProbeTimeout, defaultProbeTimeout)
-	setDefault(&o.Timing.CopyTimeout, defaultCopyTimeout)
+	setDefault(&o.Timing.StatusTimeout, defaultProbeTimeout)
+	setDefault(&o.Timing.SnapshotTimeout, defaultCopyTimeout)
 	return o
 }
 
--- a/internal/controlplane/replication/viewchange.go
+++ b/internal/controlplane/replication/viewchange.go
@@ -169,7 +169,7 @@
 	g.noteEpoch(collected.highest)
 	g.learn(&collected.newest)
 	if !collected.isQuorum() {
-		return collected, trace.Wrap(ErrNoMajority)
+		return collected, trace.Wrap(ErrNoQuorum)
 	}
 	return collected, nil
 }
@@ -208,7 +208,7 @@
 		return inForce()
 	})
 	if !inForce() || accepted[g.self.DiskID].IsZero() {
-		return nil, trace.Wrap(ErrNoMajority)
+		return nil, trace.Wrap(ErrNoQuorum)
 	}
 	return accepted, nil
 }
--- a/internal/controlplane/replication/vote.go
+++ b/internal/controlplane/replication/vote.go
@@ -71,7 +71,7 @@
 	if _, member := request.View.Member(g.self.DiskID); !member {
 		return answer, nil, nil
 	}
-	if request.Founding && !g.options.AllowFounding {
+	if request.Founding && !g.options.AllowBootstrap {
 		return answer, nil, nil
 	}
 	accepted, err := g.witness.accept(request.View)
--- a/internal/controlplane/retire.go
+++ b/internal/controlplane/retire.go
@@ -24,7 +24,7 @@
 	retireCompleted = "completed"
 )
 
-func (p *Plane) serveRetire(ctx context.Context, call cluster.OperatorCall) (answer, error) {
+func (p *Plane) serveRetire(ctx context.Context, call cluster.OperatorRequest) (answer, error) {
 	rest := strings.TrimPrefix(call.Path, pathRetire)
 	if store, found := strings.CutSuffix(rest, retireStart); found && call.Method == http.MethodPost {
 		return p.startRetire(ctx, store)
@@ -38,7 +38,7 @@
 // startRetire orders that a store gives away all its data. As many stores must stay as are needed after the tolerated
 // losses.
 func (p *Plane) startRetire(ctx context.Context, store string) (answer, error) {
-	if err := p.member.Confirm(ctx); err != nil {
+	if err := p.member.ReadBarrier(ctx); err != nil {
 		return answer{}, err
 	}
 	var refusal error
@@ -64,7 +64,7 @@
 
 // readRetire tells how far the newest job for a store is.
 func (p *Plane) readRetire(ctx context.Context, store string) (answer, error) {
-	if err := p.member.Confirm(ctx); err != nil {
+	if err := p.member.ReadBarrier(ctx); err != nil {
 		return answer{}, err
 	}
 	current := p.state.Current()
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -53,7 +53,7 @@
 		}
 		response.LeaseAgeMS = p.leaseAge(&request.Node, arrived)
 		if packed, pays := p.packBody(&request, response, body); pays {
-			response.Packed = true
+			response.Compressed = true
 			body = packed
 		}
 		if response.hasNews() || wait <= 0 {
--- a/internal/controlplane/workerlist/cache.go
+++ b/internal/controlplane/workerlist/cache.go
@@ -71,7 +71,7 @@
 
 // sameWorker compares two entries apart from the time that is left for warming up.
 func sameWorker(a, b cluster.Worker) bool {
-	a.WarmupLeft, b.WarmupLeft = 0, 0
+	a.WarmupRemainingMS, b.WarmupRemainingMS = 0, 0
 	return a == b
 }
 
--- a/internal/controlplane/workerlist/golden_test.go
+++ b/internal/controlplane/workerlist/golden_test.go
@@ -14,7 +14,7 @@
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	worker := cluster.Worker{
 		ID: "i-1", Service: "s-1", Address: "10.0.2.1:80", Zone: "zone-0", Version: "v2", Capacity: 4, Draining: true,
-		WarmupLeft: 1500,
+		WarmupRemainingMS: 1500,
 	}
 	list := &cluster.WorkerList{Epoch: 2, Revision: 9, Workers: []cluster.Worker{worker}}
 	before := &cluster.WorkerList{Epoch: 2, Revision: 8}
--- a/internal/controlplane/workerlist/read.go
+++ b/internal/controlplane/workerlist/read.go
@@ -63,14 +63,14 @@
 
 func (i *instance) worker() cluster.Worker {
 	return cluster.Worker{
-		ID:         i.ID,
-		Service:    i.Service,
-		Address:    i.Address,
-		Zone:       i.Zone,
-		Version:    i.Version,
-		Capacity:   int(i.Capacity),
-		Draining:   i.State == stateDraining,
-		WarmupLeft: int64(i.WarmupLeftMS),
+		ID:                i.ID,
+		Service:           i.Service,
+		Address:           i.Address,
+		Zone:              i.Zone,
+		Version:           i.Version,
+		Capacity:          int(i.Capacity),
+		Draining:          i.State == stateDraining,
+		WarmupRemainingMS: int64(i.WarmupLeftMS),
 	}
 }
 
--- a/internal/ingress/operator.go
+++ b/internal/ingress/operator.go
@@ -64,10 +64,10 @@
 }
 
 // newOperatorCall describes a request to the control plane.
-func newOperatorCall(r *http.Request) cluster.OperatorCall {
-	return cluster.OperatorCall{
-		Method: r.Method,
-		Path:   r.URL.Path,
-		Base:   r.Header.Get(headerBaseVersion),
+func newOperatorCall(r *http.Request) cluster.OperatorRequest {
+	return cluster.OperatorRequest{
+		Method:      r.Method,
+		Path:        r.URL.Path,
+		BaseVersion: r.Header.Get(headerBaseVersion),
 	}
 }
--- a/internal/ingress/operator_test.go
+++ b/internal/ingress/operator_test.go
@@ -16,7 +16,7 @@
 
 // fakeControl records calls, and answers as the test says.
 type fakeControl struct {
-	calls  []cluster.OperatorCall
+	calls  []cluster.OperatorRequest
 	bodies []string
 	answer cluster.OperatorResponse
 	body   []byte
@@ -24,7 +24,7 @@
 }
 
 func (c *fakeControl) Operator(
-	_ context.Context, call cluster.OperatorCall, body []byte,
+	_ context.Context, call cluster.OperatorRequest, body []byte,
 ) (cluster.OperatorResponse, []byte, error) {
 	c.calls = append(c.calls, call)
 	c.bodies = append(c.bodies, string(body))
@@ -48,7 +48,7 @@
 		assert.Equal(t, recorder.Code, http.StatusConflict)
 		assert.Equal(t, recorder.Header().Get(headerContentType), contentTypeJSON)
 		assert.Equal(t, recorder.Body.String(), `{}`)
-		assert.DeepEqual(t, control.calls, []cluster.OperatorCall{{Method: test.method, Path: test.path, Base: "5"}})
+		assert.DeepEqual(t, control.calls, []cluster.OperatorRequest{{Method: test.method, Path: test.path, BaseVersion: "5"}})
 		assert.DeepEqual(t, control.bodies, []string{test.body})
 	}
 }
--- a/internal/messagestore/client/client.go
+++ b/internal/messagestore/client/client.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	for _, view := range table.Partitions {
-		if len(view.Replicas) >= table.Copies {
+		if len(view.Replicas) >= table.ReplicationFactor {
 			return true
 		}
 	}
--- a/internal/messagestore/client/routing.go
+++ b/internal/messagestore/client/routing.go
@@ -52,7 +52,7 @@
 	for _, view := range table.Partitions {
 		primary, found := view.Primary()
 		entry := table.Store(primary.Store)
-		if !found || entry == nil || len(view.Replicas) < table.Copies {
+		if !found || entry == nil || len(view.Replicas) < table.ReplicationFactor {
 			continue
 		}
 		if entry.Zone == c.zone && entry.State == cluster.StoreActive && view.PreferredPrimary == "" {
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/fencing_test.go
@@ -88,7 +88,7 @@
 		assert.NilError(t, err)
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
 		added := h.names[slices.IndexFunc(h.names, func(name string) bool {
-			return h.currentTable().Partitions[partition].Find(name) < 0
+			return h.currentTable().Partitions[partition].IndexOf(name) < 0
 		})]
 		target := h.machines[added]
 		var failed atomic.Bool
--- a/internal/messagestore/handover.go
+++ b/internal/messagestore/handover.go
@@ -119,7 +119,7 @@
 // followWish hands a partition over when the control plane wishes for another primary that is synced. The caller holds
 // the lock.
 func (s *Store) followPreferredPrimary(p *partition) {
-	place := p.view.Find(p.view.PreferredPrimary)
+	place := p.view.IndexOf(p.view.PreferredPrimary)
 	if p.handingOver || p.view.PreferredPrimary == "" || place <= 0 || !p.view.Replicas[place].Synced {
 		return
 	}
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -100,7 +100,7 @@
 			name: name, ip: fmt.Sprintf("10.0.0.%d", i+1), disk: memfs.New(uint64(i)), diskID: "disk-" + name,
 		}
 	}
-	table := &cluster.Table{Revision: 1, Copies: testReplicationFactor, Deliverers: len(names)}
+	table := &cluster.Table{Revision: 1, ReplicationFactor: testReplicationFactor, DeliveringStores: len(names)}
 	for i, name := range names {
 		table.Stores = append(table.Stores, cluster.StoreEntry{
 			Name: name, Zone: fmt.Sprintf("z%d", i), Address: h.address(name), DiskID: "disk-" + name,
@@ -236,7 +236,7 @@
 		h.update(func(table *cluster.Table) {
 			view := &table.Partitions[ask.Partition]
 			view.Epoch++
-			view.Replicas[view.Find(ask.Synced)].Synced = true
+			view.Replicas[view.IndexOf(ask.Synced)].Synced = true
 		})
 	case ask.Handover:
 		h.update(func(table *cluster.Table) {
@@ -253,13 +253,13 @@
 	h.update(func(table *cluster.Table) {
 		view := &table.Partitions[id]
 		for _, name := range h.names {
-			if view.Find(name) >= 0 || h.machines[name].stopped.Load() {
+			if view.IndexOf(name) >= 0 || h.machines[name].stopped.Load() {
 				continue
 			}
 			added := h.replica(name)
 			added.Synced = false
 			view.Epoch++
-			view.Replicas[view.Find(dropped)] = added
+			view.Replicas[view.IndexOf(dropped)] = added
 			return
 		}
 	})
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -43,7 +43,7 @@
 	if view.Epoch < p.epoch {
 		return
 	}
-	place := view.Find(s.options.Name)
+	place := view.IndexOf(s.options.Name)
 	p.isReplica = place >= 0 && view.Replicas[place].DiskID == s.options.DiskID
 	former := p.view
 	p.fenced = p.fenced && view.Epoch == p.epoch
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -201,7 +201,7 @@
 		p.fenced = true
 		s.updateFence(p)
 	}
-	if p.isPrimary && p.view.Find(d.replica.Store) > 0 {
+	if p.isPrimary && p.view.IndexOf(d.replica.Store) > 0 {
 		if out.write != nil {
 			delete(out.write.sentTo, d.replica.DiskID)
 		}
--- a/internal/messagestore/store_test.go
+++ b/internal/messagestore/store_test.go
@@ -103,7 +103,7 @@
 		ids = append(ids, h.mustPut("after", "key", "body after"))
 		time.Sleep(3 * time.Second)
 		view := h.currentTable().Partitions[partition]
-		assert.Assert(t, view.Find(backup) < 0)
+		assert.Assert(t, view.IndexOf(backup) < 0)
 		assert.Assert(t, view.Replicas[1].Synced)
 
 		h.stop(leader.name)
@@ -274,7 +274,7 @@
 		assert.Assert(t, leader.store.MayDeliver(partition), "taken up again after its patience")
 
 		leader.engine.inFlight.Store(0)
-		h.update(func(table *cluster.Table) { table.Deliverers++ })
+		h.update(func(table *cluster.Table) { table.DeliveringStores++ })
 		time.Sleep(time.Second)
 		successor := h.leader(id)
 		assert.Assert(t, successor != leader)
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -305,7 +305,7 @@
 				synced++
 			}
 		}
-		if synced < table.Copies {
+		if synced < table.ReplicationFactor {
 			return false
 		}
 	}
--- a/internal/systemnode/inspection/members.go
+++ b/internal/systemnode/inspection/members.go
@@ -54,7 +54,7 @@
 	return members
 }
 
-func controlMember(entry cluster.CoreEntry, primary string) Member {
+func controlMember(entry cluster.CoreMember, primary string) Member {
 	state := ControlBackup
 	if entry.Name == primary {
 		state = ControlPrimary
--- a/internal/systemnode/inspection/status.go
+++ b/internal/systemnode/inspection/status.go
@@ -58,14 +58,14 @@
 func (s *Status) addTable(table *cluster.Table) {
 	s.TableRevision = table.Revision
 	s.Primary = table.Primary
-	s.Copies = table.Copies
+	s.Copies = table.ReplicationFactor
 	s.Control = len(table.Core)
 	for _, store := range table.Stores {
 		s.Stores[string(store.State)]++
 	}
 	up := disksUp(table)
 	for _, partition := range table.Partitions {
-		s.Partitions.add(partition, table.Copies, up)
+		s.Partitions.add(partition, table.ReplicationFactor, up)
 	}
 }
 
--- a/internal/systemnode/inspection/views_test.go
+++ b/internal/systemnode/inspection/views_test.go
@@ -41,10 +41,10 @@
 // sampleTable has two control members, three stores of which one is down, and partitions of each kind.
 func sampleTable() *cluster.Table {
 	return &cluster.Table{
-		Revision: 9,
-		Primary:  "front-2",
-		Copies:   2,
-		Core: []cluster.CoreEntry{
+		Revision:          9,
+		Primary:           "front-2",
+		ReplicationFactor: 2,
+		Core: []cluster.CoreMember{
 			{Name: "front-1", Address: "10.0.0.1:7000", DiskID: "d1", Zone: "a"},
 			{Name: "front-2", Address: "10.0.0.2:7000", DiskID: "d2", Zone: "b"},
 		},
--- a/internal/systemnode/readiness.go
+++ b/internal/systemnode/readiness.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	stored := time.Duration(f.lastStored.Load())
-	return f.agent.Fresh() || stored > 0 && time.Since(f.started)-stored < readyAfterStored
+	return f.agent.UpToDate() || stored > 0 && time.Since(f.started)-stored < readyAfterStored
 }
 
 // storedTimeRecorder calls a function whenever a message was stored.
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -135,7 +135,7 @@
 		s.engine.SetWorkers(workers.Workers)
 	}
 	if table := s.agent.Table(); table != nil {
-		s.leadingStores.Store(int64(table.Leaders()))
+		s.leadingStores.Store(int64(table.LeadingStores()))
 		s.engine.SetDeliverers(table.LimitDivisor(s.info.Name))
 		s.messages.ApplyTable(table)
 	}
