--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -82,7 +82,7 @@
 						outcome = "served"
 					}
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Key, r.Group, r.State, r.Owner, r.Epoch, r.Attempt, moment(r.First), moment(r.Until), outcome)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", r.Key, r.Group, r.State, r.Owner, r.Epoch, r.Attempt, moment(r.First), moment(r.Deadline), outcome)
 			}
 			if len(s.Records) == 0 {
 				fmt.Fprintf(w, "%s has no copy of such\n", s.Name)
--- a/internal/dispatcher/durablejobs/floors.go
+++ b/internal/dispatcher/durablejobs/floors.go
@@ -48,19 +48,19 @@
 		place = uint32(a.Worker.Cell + 1)
 	}
 	e.asked[a.Number()] = wish{a, floor}
-	k.act(e, e.hold.Ask(a.Number(), place, k.wall()))
+	k.act(e, e.hold.RequestSend(a.Number(), place, k.wall()))
 }
 
 // let lets an attempt go out.
 func (k *Keeper) let(e *entry, n int) {
 	a, ok := e.asked[n]
 	if !ok { // it has ended meanwhile: nothing has gone out
-		e.hold.Ended(true)
+		e.hold.AttemptEnded(true)
 		return
 	}
 	delete(e.asked, n)
 	e.granted[n] = true
-	e.sendBy.Store(int64(k.now()) + e.hold.Left(k.wall())*int64(time.Millisecond))
+	e.sendBy.Store(int64(k.now()) + e.hold.SendTimeLeft(k.wall())*int64(time.Millisecond))
 	a.floor.Send(a.Attempt)
 	k.point("sent")
 }
@@ -72,7 +72,7 @@
 		switch {
 		case now >= e.until && e.client != nil:
 			k.act(e, e.hold.Expire())
-		case e.hold.Waits() && now >= e.lookAt:
+		case e.hold.IsWaiting() && now >= e.lookAt:
 			e.lookAt = now + k.lim.LeasePollInterval
 			if e.looking == 0 {
 				k.find(e)
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -36,7 +36,7 @@
 
 // entry is a hold with what belongs to it here.
 type entry struct {
-	hold    *lease.Hold
+	hold    *lease.Lease
 	client  *dispatch.Job // nil: nobody waits here
 	inner   *dispatch.Job // the one that the core has
 	id      string
@@ -84,7 +84,7 @@
 	k.post(func() {
 		if e := k.clients[j]; e != nil {
 			k.forget(e)
-			k.act(e, e.hold.Leave())
+			k.act(e, e.hold.ClientLeft())
 		}
 	})
 }
@@ -95,8 +95,8 @@
 	now, key := k.wall(), k.node.Classes[j.Class]+"/"+j.IdempotencyKey
 	room := min(k.lim.LeaseReserve, j.Timeout/4)
 	left := j.Timeout - room
-	terms := lease.Terms{Again: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.MaxClockSkew).Milliseconds(), Bound: class.DedupScope != decision.DedupByAll,
-		Until: now + left.Milliseconds(), Keep: k.conf.Retention.Milliseconds(), Most: max(k.conf.MaxJobs/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
+	terms := lease.Terms{RetryWindow: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.MaxClockSkew).Milliseconds(), SamePlaceOnly: class.DedupScope != decision.DedupByAll,
+		Deadline: now + left.Milliseconds(), Retention: k.conf.Retention.Milliseconds(), MaxRecords: max(k.conf.MaxJobs/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
 	tenant := ""
 	if j.Tenant >= 0 && j.Tenant < len(k.node.Tenants) {
 		tenant = k.node.Tenants[j.Tenant]
@@ -114,7 +114,7 @@
 	return max((class.DedupWindow/5 - k.conf.MaxClockSkew/2).Milliseconds(), 20)
 }
 
-func (k *Keeper) add(e *entry, h *lease.Hold) {
+func (k *Keeper) add(e *entry, h *lease.Lease) {
 	e.hold, e.group = h, k.host.Group(h.Key)
 	e.asked, e.granted = map[int]wish{}, map[int]bool{}
 	k.entries[e] = true
@@ -125,7 +125,7 @@
 }
 
 // act carries out what a hold wants.
-func (k *Keeper) act(e *entry, acts []lease.Act) {
+func (k *Keeper) act(e *entry, acts []lease.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case lease.Propose:
@@ -136,22 +136,22 @@
 			k.admit(e)
 		case lease.Send:
 			k.let(e, a.Attempt)
-		case lease.Moot:
+		case lease.SkipSend:
 			if t, ok := e.asked[a.Attempt]; ok {
 				delete(e.asked, a.Attempt)
 				t.End(decision.NeverSent, decision.Load{}, nil)
 			}
-		case lease.Tell:
+		case lease.Answer:
 			verdict := dispatch.Served
-			if a.Verdict != lease.Served {
+			if a.Outcome != lease.Served {
 				verdict = dispatch.Failed
 			}
-			k.note(map[string]any{"act": "tell", "key": e.hold.Key, "id": e.id, "served": a.Verdict == lease.Served, "result": string(a.Result)})
+			k.note(map[string]any{"act": "tell", "key": e.hold.Key, "id": e.id, "served": a.Outcome == lease.Served, "result": string(a.Result)})
 			k.reply(e, dispatch.Answer{Kind: verdict, Result: a.Result})
 			k.point("told")
-		case lease.Refuse:
+		case lease.Reject:
 			k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
-		case lease.Wait:
+		case lease.AwaitOwner:
 			e.sendBy.Store(0)
 			e.lookAt = k.now()
 		case lease.Retry:
@@ -162,7 +162,7 @@
 					}
 				})
 			})
-		case lease.Over:
+		case lease.Closed:
 			k.drop(e)
 		}
 	}
@@ -211,38 +211,38 @@
 func (k *Keeper) bring(e *entry, c *lease.Command) {
 	until := e.until
 	switch c.Kind {
-	case lease.Intent:
+	case lease.IntendSend:
 		k.point("before-intent")
-	case lease.End, lease.Return:
+	case lease.Finish, lease.Release:
 		until = max(e.until, k.now()) + k.lim.LeaseNotifyWindow
 	}
-	k.propose(e.group, c, max(until, k.now()+k.lim.LeaseReserve), func(r lease.Reply, err error) {
+	k.propose(e.group, c, max(until, k.now()+k.lim.LeaseReserve), func(r lease.Response, err error) {
 		if e.over {
 			return
 		}
 		if err != nil {
-			k.act(e, e.hold.Unsure(c))
+			k.act(e, e.hold.HandleUnknownOutcome(c))
 			return
 		}
 		switch {
-		case r.Word == lease.Fenced:
+		case r.Decision == lease.Fenced:
 			k.Counts.Fenced.Add(1)
-		case r.Word == lease.Barred:
+		case r.Decision == lease.Forbidden:
 			k.Counts.Barred.Add(1)
-		case r.Word == lease.Granted && c.Kind == lease.Take:
+		case r.Decision == lease.Granted && c.Kind == lease.Acquire:
 			k.Counts.Taken.Add(1)
-		case r.Word == lease.Joined:
+		case r.Decision == lease.OwnedElsewhere:
 			k.Counts.Joined.Add(1)
-		case r.Word == lease.Known && c.Kind == lease.Take:
+		case r.Decision == lease.AlreadyFinished && c.Kind == lease.Acquire:
 			k.Counts.Known.Add(1)
-		case r.Word == lease.Granted && c.Kind == lease.Intent:
+		case r.Decision == lease.Granted && c.Kind == lease.IntendSend:
 			k.note(map[string]any{"act": "intent", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "attempt": c.Attempt, "owner": k.owner()})
 			k.point("intended")
-		case r.Word == lease.Granted && c.Kind == lease.End:
-			k.note(map[string]any{"act": "end", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "served": c.Verdict == lease.Served, "result": string(c.Result)})
+		case r.Decision == lease.Granted && c.Kind == lease.Finish:
+			k.note(map[string]any{"act": "end", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "served": c.Outcome == lease.Served, "result": string(c.Result)})
 			k.point("ended")
 		}
-		k.act(e, e.hold.Replied(c, r))
+		k.act(e, e.hold.HandleResponse(c, r))
 	})
 }
 
@@ -270,12 +270,12 @@
 		k.post(func() {
 			if delete(e.asked, n); e.granted[n] && e.inner == inner {
 				delete(e.granted, n)
-				e.hold.Ended(never)
+				e.hold.AttemptEnded(never)
 			}
 		})
 	}
 	inner.Reply = func(a dispatch.Answer) {
-		verdict := map[dispatch.AnswerKind]lease.Verdict{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
+		verdict := map[dispatch.AnswerKind]lease.Outcome{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
 		k.post(func() {
 			if e.inner == inner && !e.over {
 				k.point("worked")
@@ -301,7 +301,7 @@
 		if err != nil || e.over || cbor.Unmarshal(data, &s) != nil {
 			return
 		}
-		k.act(e, e.hold.Found(s.Record, s.Found))
+		k.act(e, e.hold.HandleRecord(s.Record, s.Found))
 	}
 	k.do(acts)
 }
@@ -343,10 +343,10 @@
 			continue
 		}
 		if from := k.gone(t); from != "" {
-			k.command(n, &lease.Command{Kind: lease.Seize, From: from, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeaseTransferBatch})
+			k.command(n, &lease.Command{Kind: lease.TakeOver, PreviousOwner: from, Owner: k.owner(), Time: k.wall(), Limit: k.lim.LeaseTransferBatch})
 		} else if tidy {
-			k.command(n, &lease.Command{Kind: lease.Seize, Owner: k.owner(), Now: k.wall(), Most: k.lim.LeaseTransferBatch})
-			k.command(n, &lease.Command{Kind: lease.Forget, Now: k.wall(), Most: 1000})
+			k.command(n, &lease.Command{Kind: lease.TakeOver, Owner: k.owner(), Time: k.wall(), Limit: k.lim.LeaseTransferBatch})
+			k.command(n, &lease.Command{Kind: lease.Expire, Time: k.wall(), Limit: 1000})
 		}
 	}
 }
@@ -388,8 +388,8 @@
 		k.open.Add(1)
 		k.Counts.Inherited.Add(1)
 		k.note(map[string]any{"act": "inherit", "key": key, "epoch": r.Epoch, "state": r.State.String(), "owner": k.owner()})
-		e := &entry{until: k.now() + time.Duration(r.Terms.Until-k.wall())*time.Millisecond}
-		h, acts := lease.Inherit(&r, k.fresh(&k.node.Module.Classes[class]), k.wall())
+		e := &entry{until: k.now() + time.Duration(r.Terms.Deadline-k.wall())*time.Millisecond}
+		h, acts := lease.Resume(&r, k.fresh(&k.node.Module.Classes[class]), k.wall())
 		k.add(e, h)
 		k.act(e, acts)
 	}
--- a/internal/dispatcher/durablejobs/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -261,7 +261,7 @@
 			s.Charter = strconv.FormatUint(id, 16)
 		}
 		for _, g := range k.host.Status() {
-			s.Groups = append(s.Groups, lease.Group(g))
+			s.Groups = append(s.Groups, lease.GroupStatus(g))
 			if g.Leads {
 				s.Lost += min(g.Lost, 1)
 			}
@@ -274,8 +274,8 @@
 			t := m.(*machine).Table
 			s.Kept += t.Len()
 			show := func(r *lease.Record) {
-				s.Records = append(s.Records, lease.Shown{Key: r.Key, Group: n, State: r.State.String(), Owner: r.Owner, Epoch: r.Epoch, Attempt: r.Attempt,
-					First: cmp.Or(r.Old, r.First), Until: r.Terms.Until, Served: r.Verdict == lease.Served, Result: string(r.Result)})
+				s.Records = append(s.Records, lease.RecordStatus{Key: r.Key, Group: n, State: r.State.String(), Owner: r.Owner, Epoch: r.Epoch, Attempt: r.Attempt,
+					First: cmp.Or(r.EarlierSendAt, r.FirstSendAt), Deadline: r.Terms.Deadline, Served: r.Outcome == lease.Served, Result: string(r.Result)})
 			}
 			if r, ok := t.Get(key); ok {
 				show(&r)
--- a/internal/dispatcher/durablejobs/machine.go
+++ b/internal/dispatcher/durablejobs/machine.go
@@ -15,11 +15,11 @@
 type machine struct{ *lease.Table }
 
 func (m *machine) Apply(command []byte) []byte {
-	var r lease.Reply
+	var r lease.Response
 	if c, err := lease.Decode(command); err == nil {
 		r = m.Table.Apply(c)
 	} else { // of a later version of the program: no copy of this one can follow it
-		r.Word = lease.Barred
+		r.Decision = lease.Forbidden
 	}
 	return encode(r)
 }
@@ -45,12 +45,12 @@
 }
 
 // propose brings a command to its group's copies.
-func (k *Keeper) propose(group int, c *lease.Command, until time.Duration, then func(lease.Reply, error)) {
+func (k *Keeper) propose(group int, c *lease.Command, until time.Duration, then func(lease.Response, error)) {
 	token, acts := k.host.Propose(k.now(), group, encode(c), until)
 	k.tokens[token] = func(data []byte, err error) {
-		var r lease.Reply
+		var r lease.Response
 		if err == nil {
-			r, err = lease.DecodeReply(data)
+			r, err = lease.DecodeResponse(data)
 		}
 		if err != nil {
 			k.Counts.Unsure.Add(1)
@@ -63,11 +63,11 @@
 // command is one of the group's own, by whom it is led.
 func (k *Keeper) command(group int, c *lease.Command) {
 	k.seizing[group] = true
-	k.propose(group, c, k.now()+time.Second, func(r lease.Reply, err error) {
+	k.propose(group, c, k.now()+time.Second, func(r lease.Response, err error) {
 		delete(k.seizing, group)
-		if err == nil && c.Kind == lease.Seize && r.Moved > 0 {
-			slog.Info("taken over", "from", c.From, "group", group, "leases", r.Moved)
-			k.note(map[string]any{"act": "seize", "from": c.From, "group": group, "leases": r.Moved, "owner": c.Owner})
+		if err == nil && c.Kind == lease.TakeOver && r.Moved > 0 {
+			slog.Info("taken over", "from", c.PreviousOwner, "group", group, "leases", r.Moved)
+			k.note(map[string]any{"act": "seize", "from": c.PreviousOwner, "group": group, "leases": r.Moved, "owner": c.Owner})
 		}
 	})
 }
--- a/internal/dispatcher/lease/explore_test.go
+++ b/internal/dispatcher/lease/explore_test.go
@@ -46,7 +46,7 @@
 type answer struct {
 	to      int
 	command *lease.Command
-	reply   lease.Reply
+	reply   lease.Response
 }
 
 // node is a state with the way that led to it.
@@ -61,7 +61,7 @@
 func word(d int) string { return string(rune('A' + d)) }
 
 type holder struct {
-	hold   *lease.Hold
+	hold   *lease.Lease
 	at     int // dispatcher
 	client bool
 	inner  bool  // the module has it
@@ -85,11 +85,11 @@
 	stopped [3]bool
 	flights []flight
 	answers []answer
-	came    []answer      // results on the way to holds: to, reply.Result
-	effects int           // of the job at the workers
-	ran     [2]int64      // by place, when they last remember to have run it; -1: not at all
-	told    []lease.Reply // what clients were told, without repeats
-	budget  [6]int        // crashes, stops, losses, doubles, second tries, seizures left
+	came    []answer         // results on the way to holds: to, reply.Result
+	effects int              // of the job at the workers
+	ran     [2]int64         // by place, when they last remember to have run it; -1: not at all
+	told    []lease.Response // what clients were told, without repeats
+	budget  [6]int           // crashes, stops, losses, doubles, second tries, seizures left
 }
 
 func (s *state) clone() *state {
@@ -131,7 +131,7 @@
 }
 
 // act carries out what a hold wants.
-func (e *explorer) act(s *state, i int, acts []lease.Act) {
+func (e *explorer) act(s *state, i int, acts []lease.Action) {
 	x := &s.holds[i]
 	for _, a := range acts {
 		switch a.Kind {
@@ -143,9 +143,9 @@
 			if e.fault != unreserved {
 				x.may = append(x.may, may{a.Attempt, x.place})
 			}
-		case lease.Tell:
-			e.tell(s, lease.Reply{Verdict: a.Verdict, Result: a.Result})
-		case lease.Over, lease.Wait:
+		case lease.Answer:
+			e.tell(s, lease.Response{Outcome: a.Outcome, Result: a.Result})
+		case lease.Closed, lease.AwaitOwner:
 			if x.inner = false; e.fault != unfenced {
 				x.may = nil
 			}
@@ -153,16 +153,16 @@
 	}
 }
 
-func (e *explorer) tell(s *state, r lease.Reply) {
-	if !slices.ContainsFunc(s.told, func(o lease.Reply) bool { return o.Verdict == r.Verdict && string(o.Result) == string(r.Result) }) {
+func (e *explorer) tell(s *state, r lease.Response) {
+	if !slices.ContainsFunc(s.told, func(o lease.Response) bool { return o.Outcome == r.Outcome && string(o.Result) == string(r.Result) }) {
 		s.told = append(s.told, r)
 	}
 }
 
 func terms(now int64, sender uint64, fault mutant) lease.Terms {
-	t := lease.Terms{Again: again, Bound: true, Until: min(now+deadline, horizon), Keep: 100, Most: 10, Sender: sender}
+	t := lease.Terms{RetryWindow: again, SamePlaceOnly: true, Deadline: min(now+deadline, horizon), Retention: 100, MaxRecords: 10, Sender: sender}
 	if fault == forgetful {
-		t.Again = 100
+		t.RetryWindow = 100
 	}
 	return t
 }
@@ -184,7 +184,7 @@
 				n.flights = slices.Delete(n.flights, i, i+1)
 				r := n.table.Apply(f.command)
 				if d := n.holds[f.from].at; heard && runs(d) { // the reply is there at once
-					e.act(n, f.from, n.holds[f.from].hold.Replied(f.command, r))
+					e.act(n, f.from, n.holds[f.from].hold.HandleResponse(f.command, r))
 				} else if !n.dead[d] {
 					n.answers = append(n.answers, answer{f.from, f.command, r})
 				}
@@ -198,11 +198,11 @@
 			add(fmt.Sprintf("lose %d of %d", f.command.Kind, f.from), func(n *state) {
 				n.budget[2]--
 				n.flights = slices.Delete(n.flights, i, i+1)
-				e.act(n, f.from, n.holds[f.from].hold.Unsure(f.command))
+				e.act(n, f.from, n.holds[f.from].hold.HandleUnknownOutcome(f.command))
 			})
 			add(fmt.Sprintf("give %d of %d up, and it comes yet", f.command.Kind, f.from), func(n *state) {
 				n.budget[2]--
-				e.act(n, f.from, n.holds[f.from].hold.Unsure(f.command))
+				e.act(n, f.from, n.holds[f.from].hold.HandleUnknownOutcome(f.command))
 			})
 		}
 		if s.budget[3] > 0 {
@@ -214,9 +214,9 @@
 	}
 	for i, a := range s.answers {
 		if x := s.holds[a.to]; runs(x.at) {
-			add(fmt.Sprintf("%d hears %v", a.to, a.reply.Word), func(n *state) {
+			add(fmt.Sprintf("%d hears %v", a.to, a.reply.Decision), func(n *state) {
 				n.answers = slices.Delete(n.answers, i, i+1)
-				e.act(n, a.to, n.holds[a.to].hold.Replied(a.command, a.reply))
+				e.act(n, a.to, n.holds[a.to].hold.HandleResponse(a.command, a.reply))
 			})
 		}
 	}
@@ -227,7 +227,7 @@
 				y := &n.holds[a.to]
 				if y.out--; y.inner {
 					if e.fault == hasty && y.client {
-						e.tell(n, lease.Reply{Verdict: lease.Served, Result: a.reply.Result})
+						e.tell(n, lease.Response{Outcome: lease.Served, Result: a.reply.Result})
 					}
 					y.inner = false
 					e.act(n, a.to, y.hold.Finish(lease.Served, a.reply.Result, n.now))
@@ -245,7 +245,7 @@
 				add(fmt.Sprintf("%d asks for %d", i, place), func(n *state) {
 					y := &n.holds[i]
 					y.tries, y.place = y.tries+1, place
-					e.act(n, i, y.hold.Ask(y.tries-1, place, n.now))
+					e.act(n, i, y.hold.RequestSend(y.tries-1, place, n.now))
 					if e.fault == unreserved {
 						y.may = append(y.may, may{y.tries - 1, place})
 					}
@@ -258,8 +258,8 @@
 					y := &n.holds[i]
 					at := y.may[0].place
 					y.may = y.may[1:]
-					if y.hold.Left(n.now) <= 0 && e.fault != stale && e.fault != unfenced && e.fault != unreserved {
-						y.hold.Ended(true)
+					if y.hold.SendTimeLeft(n.now) <= 0 && e.fault != stale && e.fault != unfenced && e.fault != unreserved {
+						y.hold.AttemptEnded(true)
 						return
 					}
 					if ran {
@@ -270,9 +270,9 @@
 					}
 					if back {
 						y.out++
-						n.came = append(n.came, answer{to: i, reply: lease.Reply{Result: fmt.Append(nil, "effect ", n.effects)}})
+						n.came = append(n.came, answer{to: i, reply: lease.Response{Result: fmt.Append(nil, "effect ", n.effects)}})
 					} else {
-						y.hold.Ended(false) // it breaks off: it may have run
+						y.hold.AttemptEnded(false) // it breaks off: it may have run
 					}
 				})
 			}
@@ -286,9 +286,9 @@
 				e.act(n, i, n.holds[i].hold.Finish(lease.Failed, nil, n.now))
 			})
 		}
-		if x.hold.Waits() {
+		if x.hold.IsWaiting() {
 			if r, ok := s.table.Get("k"); ok && r.State == lease.Ended {
-				add(fmt.Sprintf("%d finds", i), func(n *state) { e.act(n, i, n.holds[i].hold.Found(r, true)) })
+				add(fmt.Sprintf("%d finds", i), func(n *state) { e.act(n, i, n.holds[i].hold.HandleRecord(r, true)) })
 			}
 		}
 	}
@@ -314,9 +314,9 @@
 			to := 2
 			add("seize from "+word(d), func(n *state) {
 				n.budget[5]--
-				n.table.Apply(&lease.Command{Kind: lease.Seize, From: word(d), Owner: word(to), Now: n.now, Most: 5})
+				n.table.Apply(&lease.Command{Kind: lease.TakeOver, PreviousOwner: word(d), Owner: word(to), Time: n.now, Limit: 5})
 				r, _ := n.table.Get("k")
-				h, acts := lease.Inherit(&r, fresh, n.now)
+				h, acts := lease.Resume(&r, fresh, n.now)
 				n.holds = append(n.holds, holder{hold: h, at: to})
 				e.act(n, len(n.holds)-1, acts)
 			})
@@ -341,7 +341,7 @@
 	if len(s.told) > 1 {
 		return fmt.Sprintf("clients were told %v and %v", s.told[0], s.told[1])
 	}
-	if r, ok := s.table.Get("k"); len(s.told) == 1 && (!ok || r.State != lease.Ended || r.Verdict != s.told[0].Verdict) {
+	if r, ok := s.table.Get("k"); len(s.told) == 1 && (!ok || r.State != lease.Ended || r.Outcome != s.told[0].Outcome) {
 		return "a client was told what does not stand"
 	}
 	return ""
--- a/internal/dispatcher/lease/export_test.go
+++ b/internal/dispatcher/lease/export_test.go
@@ -8,21 +8,21 @@
 // never changed in place.
 func (t *Table) Clone() *Table {
 	out := New()
-	out.last, out.dues = t.last, slices.Clone(t.dues)
+	out.lastEpoch, out.expiries = t.lastEpoch, slices.Clone(t.expiries)
 	for k, r := range t.records {
 		c := *r
 		out.records[k] = &c
 	}
-	for o, keys := range t.owned {
-		out.owned[o] = maps.Clone(keys)
+	for o, keys := range t.keysByOwner {
+		out.keysByOwner[o] = maps.Clone(keys)
 	}
 	return out
 }
 
 // Clone copies a hold.
-func (h *Hold) Clone() *Hold { c := *h; return &c }
+func (h *Lease) Clone() *Lease { c := *h; return &c }
 
 // Shape is all of a hold that its steps depend on.
-func (h *Hold) Shape() []any {
-	return []any{h.owner, h.Epoch, h.terms, h.phase, h.told, h.attempt, h.asks, h.intent, h.doubt, h.old, h.want != nil}
+func (h *Lease) Shape() []any {
+	return []any{h.owner, h.Epoch, h.terms, h.phase, h.isAnswered, h.attempt, h.pendingAttempt, h.intendedAt, h.unprovenSends, h.mayHaveRun, h.pending != nil}
 }
--- a/internal/dispatcher/lease/golden_test.go
+++ b/internal/dispatcher/lease/golden_test.go
@@ -59,20 +59,20 @@
 	owner := func() string { return fmt.Sprintf("d%d", random.IntN(4)) }
 	command := &Command{
 		Kind: Kind(1 + random.IntN(6)), Key: fmt.Sprintf("k%d", random.IntN(60)), Owner: owner(), Epoch: uint64(random.IntN(400)),
-		Now: now, Attempt: uint32(random.IntN(4)), Place: uint32(random.IntN(3)), Clean: random.IntN(2) == 0,
-		Verdict: Verdict(1 + random.IntN(2)), Result: []byte(fmt.Sprintf("result %d", random.IntN(3))), Most: random.IntN(6),
+		Time: now, Attempt: uint32(random.IntN(4)), Place: uint32(random.IntN(3)), NothingRan: random.IntN(2) == 0,
+		Outcome: Outcome(1 + random.IntN(2)), Result: []byte(fmt.Sprintf("result %d", random.IntN(3))), Limit: random.IntN(6),
 	}
 	if record, found := table.Get(command.Key); found && random.IntN(10) < 7 {
 		command.Owner, command.Epoch = record.Owner, record.Epoch
 		command.Attempt = record.Attempt + uint32(random.IntN(2))
 	}
-	if command.Kind == Take {
+	if command.Kind == Acquire {
 		command.Job = []byte(fmt.Sprintf("job %d", random.IntN(9)))
-		command.Terms = Terms{Again: int64(random.IntN(4000)), Bound: random.IntN(2) == 0, Until: now + int64(random.IntN(9000)),
-			Keep: int64(random.IntN(6000)), Most: 40, Sender: random.Uint64N(5)}
+		command.Terms = Terms{RetryWindow: int64(random.IntN(4000)), SamePlaceOnly: random.IntN(2) == 0, Deadline: now + int64(random.IntN(9000)),
+			Retention: int64(random.IntN(6000)), MaxRecords: 40, Sender: random.Uint64N(5)}
 	}
 	if random.IntN(2) == 0 {
-		command.From = owner()
+		command.PreviousOwner = owner()
 	}
 	return command
 }
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -1,458 +1,269 @@
-// Package lease says what may be done for a job that was taken for keeps. A Table is
-// one copy of the promises of one placement group: it is handed commands in the order
-// on which a quorum agreed, and every copy comes to the same records and the same
-// answers. It has no I/O, clock or goroutine: each command carries the time of who
-// wrote it. This file owns the records, the epochs that fence an owner who was
-// replaced, and the one place where a send, an answer or a repeat is let through. It
-// must never let two owners act under one epoch, an outcome change, or a send pass that
-// the class of the job forbids. It chooses no worker and refuses nobody for load: the
-// decision module does. docs/durable-jobs-design.md has the tables.
-package lease
-
-import (
-	"bytes"
-	"errors"
-	"fmt"
-	"slices"
-
-	"github.com/fxamacker/cbor/v2"
-
-	"gladepick/internal/priorityqueue"
-)
-
-// State is how far a promise is.
-type State uint8
-
-// The states. A record that nobody knows any more is Forgotten: it is not in the table.
-const (
-	Forgotten State = iota
-	Taken           // an owner has it, and nothing of his epoch may have run
-	Sent            // the intent of a send stands: it may have run
-	Loose           // given back: nobody runs it, and what may have run is remembered
-	Ended           // its outcome stands, for good
-)
-
-// String returns the name of the value.
-func (s State) String() string {
-	return [...]string{"forgotten", "taken", "sent", "loose", "ended"}[min(s, Ended)]
-}
+// The holder's side of a lease: what a dispatcher asks of the replicas for one job, and what it may do by their responses. No
+// send goes out before its intent is committed, and no outcome is answered before it is. A rejection is no outcome: with a key
+// a client may always come again.
 
-// Verdict is an outcome.
-type Verdict uint8
-
-// The verdicts.
-const (
-	Served Verdict = iota + 1 // Result is what a worker gave
-	Failed                    // no promise about what the job did, and no further try
-)
+package lease
 
-// Kind tells what a command wants.
-type Kind uint8
+// ActionKind tells what is to be done.
+type ActionKind uint8
 
-// The commands.
+// The actions.
 const (
-	Take   Kind = iota + 1 // Owner takes a job for keeps
-	Intent                 // Owner is about to send it to a worker
-	End                    // Owner has its outcome
-	Return                 // Owner gives it back without an outcome
-	Seize                  // Owner gets all that From holds, in a new epoch: From is no member any more
-	Forget                 // records that are over, and older than their time, go
+	Propose    ActionKind = iota + 1 // propose Command until there is a response: give that to HandleResponse
+	Admit                            // hand the job to the decision module
+	Send                             // the attempt that was requested may be sent now, while SendTimeLeft is above 0
+	SkipSend                         // it must not be sent: as if it had never been requested
+	Answer                           // answer the client with Outcome and Result
+	Reject                           // tell the client to come again
+	AwaitOwner                       // another owner has the job: read its record now and then, and give it to HandleRecord
+	Retry                            // hand the job to the decision module again, after a pause
+	Closed                           // nothing more follows from this lease
 )
 
-// Command is one entry of the log. Times are Unix time in milliseconds, by the clock of who wrote it.
-type Command struct {
-	_       struct{} `cbor:",toarray"`
-	Kind    Kind
-	Key     string
-	Owner   string // a dispatcher's name and life
-	Epoch   uint64 // Intent, End, Return: under which the owner holds it
-	Now     int64
-	Terms   Terms  // Take
-	Job     []byte // Take: all that a successor needs to run it
-	Attempt uint32 // Intent: counted from 1 in the epoch
-	Place   uint32 // Intent: the zone or cell of the worker, whichever binds a repeat
-	Clean   bool   // Intent, Return: every earlier send of this epoch is proved never to have run
-	Verdict Verdict
+// Action is one thing to be done.
+type Action struct {
+	Kind    ActionKind
+	Command *Command
+	Attempt int // Send, SkipSend: as it was given to RequestSend
+	Outcome Outcome
 	Result  []byte
-	From    string // Seize: whose
-	Most    int    // Seize, Forget: records at most
-}
-
-// Terms are what the class of a job allows, fixed when it is first taken.
-type Terms struct {
-	_      struct{} `cbor:",toarray"`
-	Again  int64    // ms after the first send that may have run, within which it may be sent again; 0: never again
-	Bound  bool     // and only to a worker of the same place
-	Until  int64    // the client's own deadline: nothing is sent after it
-	Keep   int64    // ms that the outcome is kept
-	Most   int      // records that a table may hold
-	Sender uint64   // whose try this is: a repeat of the same command is granted again
 }
 
-// Word is what becomes of a command.
-type Word uint8
+// phase is how far a lease has come at its holder.
+type phase uint8
 
-// The words.
 const (
-	Granted Word = iota + 1 // go ahead; Epoch is the owner's
-	Joined                  // somebody else has it: its outcome is to be waited for
-	Known                   // it has ended: Verdict and Result say how
-	Fenced                  // the owner has it no more
-	Barred                  // the class forbids this send; the owner may only end it
-	Full                    // no room for another promise
-	Done                    // Seize, Forget: Moved records were moved or forgotten
+	acquiring phase = iota // its Acquire has no response yet
+	running                // the decision module has it
+	finishing              // its Finish or Release has no response yet
+	waiting                // for the outcome under another owner
+	closed
 )
 
-// String returns the name of the value.
-func (w Word) String() string {
-	return [...]string{"none", "granted", "joined", "known", "fenced", "barred", "full", "done"}[min(w, Done)]
+// Lease is one durable job at one dispatcher. It is not safe for concurrent use.
+type Lease struct {
+	Key   string
+	Epoch uint64
+
+	terms          Terms
+	owner          string
+	sendWindow     int64 // ms after its intent within which a send has to begin
+	job            []byte
+	phase          phase
+	isAnswered     bool // the client has its answer, or there is no client any more
+	attempt        uint32
+	pendingAttempt int   // the attempt whose intent has no response, as the caller counts; -1: none
+	intendedAt     int64 // when the last one was proposed
+	unprovenSends  int   // sends that may have run, those in flight among them
+	mayHaveRun     bool  // an earlier epoch may have run it
+	pending        *Command
 }
 
-// Reply is what comes of a command.
-type Reply struct {
-	_       struct{} `cbor:",toarray"`
-	Word    Word
-	Epoch   uint64
-	Old     bool // Take: an epoch before may have run it
-	Verdict Verdict
-	Result  []byte
-	Moved   int
-	More    bool // Seize, Forget: there are more
-}
-
-// Record is one promise.
-type Record struct {
-	_       struct{} `cbor:",toarray"`
-	Key     string
-	State   State
-	Owner   string // empty: nobody
-	Epoch   uint64
-	Terms   Terms
-	Job     []byte
-	Attempt uint32 // the last of this epoch
-	First   int64  // when the first send of this epoch that may have run was let through; 0: none
-	Old     int64  // the same, of all epochs before
-	Place   uint32 // of the worker that may have run it
-	At      int64  // of its last change
-	Verdict Verdict
-	Result  []byte
+// Begin asks the replicas for the lease on a job. A send has to begin within sendWindow milliseconds of its intent.
+func Begin(key, owner string, terms Terms, sendWindow int64, job []byte, now int64) (*Lease, []Action) {
+	l := &Lease{Key: key, owner: owner, terms: terms, sendWindow: sendWindow, job: job, pendingAttempt: -1}
+	return l, l.propose(&Command{Kind: Acquire, Key: key, Owner: owner, Time: now, Terms: terms, Job: job})
 }
 
-// since is when the first send that may have run was let through; 0: none was.
-func (r *Record) since() int64 {
-	if r.Old != 0 {
-		return r.Old
+// Resume goes on with a record that its owner has got from one who is gone. No client waits here.
+func Resume(r *Record, sendWindow, now int64) (*Lease, []Action) {
+	l := &Lease{Key: r.Key, Epoch: r.Epoch, owner: r.Owner, terms: r.Terms, sendWindow: sendWindow, job: r.Job, pendingAttempt: -1,
+		isAnswered: true, phase: running, mayHaveRun: r.earliestSendAt() != 0, attempt: r.Attempt}
+	if r.FirstSendAt != 0 { // it is this owner's own, from before: what has gone out under it may have run
+		l.unprovenSends = 1
 	}
-	return r.First
-}
-
-// May tells whether a send at a time, to a place, is within what the class allows.
-func (r *Record) May(now int64, place uint32) bool {
-	since := r.since()
-	return now < r.Terms.Until && (since == 0 ||
-		r.Terms.Again > 0 && now-since < r.Terms.Again && (!r.Terms.Bound || place == r.Place))
-}
-
-// Hopeless tells that nothing may be sent any more, wherever to: what it did will not be known.
-func (r *Record) Hopeless(now int64) bool {
-	since := r.since()
-	return now >= r.Terms.Until || since != 0 && (r.Terms.Again == 0 || now-since >= r.Terms.Again)
+	switch {
+	case !r.IsBeyondRetry(now):
+		return l, []Action{{Kind: Admit}}
+	case !l.mayHaveRun:
+		return l, l.release(now)
+	}
+	return l, l.finish(Failed, nil, now)
 }
 
-// Table is one copy of a group's promises. It is not safe for concurrent use.
-type Table struct {
-	records map[string]*Record
-	owned   map[string]map[string]bool // keys of open records, by owner
-	last    uint64                     // epoch given: none comes twice, lest a late command of one counts in another
-	dues    priorityqueue.Queue[due]   // when records that are over may go; some have been taken again since
+func (l *Lease) propose(c *Command) []Action {
+	l.pending = c
+	return []Action{{Kind: Propose, Command: c}}
 }
 
-type due struct {
-	at  int64
-	key string
+func (l *Lease) finish(v Outcome, result []byte, now int64) []Action {
+	l.phase = finishing
+	return l.propose(&Command{Kind: Finish, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, Outcome: v, Result: result})
 }
 
-// Before orders by time, then by key, so that the order is the same at all replicas whatever way they came to the set.
-func (d due) Before(other due) bool {
-	return d.at < other.at || d.at == other.at && d.key < other.key
+func (l *Lease) release(now int64) []Action {
+	l.phase = finishing
+	return l.propose(&Command{Kind: Release, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, NothingRan: l.unprovenSends == 0})
 }
 
-// due is when a record that is over may go.
-func (r *Record) due() int64 { return max(r.At, r.Terms.Until) + r.Terms.Keep }
-
-// rest notes that a record is over.
-func (t *Table) rest(r *Record) { t.dues.Push(due{r.due(), r.Key}) }
+// Job returns what another owner needs to run the job.
+func (l *Lease) Job() []byte { return l.job }
 
-// New makes an empty table.
-func New() *Table { return &Table{records: map[string]*Record{}, owned: map[string]map[string]bool{}} }
+// IsTakenOver tells whether nobody waits here for the answer.
+func (l *Lease) IsTakenOver() bool { return l.isAnswered }
 
-// Get looks a record up. What Ended says there is said for good; all else may be behind.
-func (t *Table) Get(key string) (Record, bool) {
-	r := t.records[key]
-	if r == nil {
-		return Record{}, false
+// reject tells the client to come again.
+func (l *Lease) reject(actions []Action) []Action {
+	if !l.isAnswered {
+		l.isAnswered = true
+		actions = append(actions, Action{Kind: Reject})
 	}
-	return *r, true
+	return actions
 }
 
-// Len is the number of records.
-func (t *Table) Len() int { return len(t.records) }
-
-// Owned are the keys of the open records that an owner has, in order.
-func (t *Table) Owned(owner string) []string { return sorted(t.owned[owner]) }
-
-// Owners have open records.
-func (t *Table) Owners() []string { return sorted(t.owned) }
-
-// Each shows all records, in order of their keys, until the function says no.
-func (t *Table) Each(f func(*Record) bool) {
-	for _, k := range sorted(t.records) {
-		if !f(t.records[k]) {
-			return
-		}
+// answer answers the client with the committed outcome.
+func (l *Lease) answer(v Outcome, result []byte) (actions []Action) {
+	if !l.isAnswered {
+		l.isAnswered = true
+		actions = append(actions, Action{Kind: Answer, Outcome: v, Result: result})
 	}
+	return l.close(actions)
 }
 
-func sorted[V any](in map[string]V) []string {
-	out := make([]string, 0, len(in))
-	for k := range in {
-		out = append(out, k)
+func (l *Lease) close(actions []Action) []Action {
+	if l.phase != closed {
+		l.phase, l.pending = closed, nil
+		actions = append(actions, Action{Kind: Closed})
 	}
-	slices.Sort(out)
-	return out
+	return actions
 }
 
-// own moves a record to an owner; empty is nobody.
-func (t *Table) own(r *Record, owner string) {
-	if keys := t.owned[r.Owner]; keys != nil {
-		if delete(keys, r.Key); len(keys) == 0 {
-			delete(t.owned, r.Owner)
-		}
-	}
-	if r.Owner = owner; owner != "" {
-		if t.owned[owner] == nil {
-			t.owned[owner] = map[string]bool{}
-		}
-		t.owned[owner][r.Key] = true
+// awaitOwner goes over to waiting for another owner's outcome. What is out at a worker goes on there.
+func (l *Lease) awaitOwner(actions []Action) []Action {
+	if l.isAnswered {
+		return l.close(actions)
 	}
+	l.phase, l.pending = waiting, nil
+	return append(actions, Action{Kind: AwaitOwner})
 }
 
-// renew begins another epoch: what the one before may have run is remembered.
-func (t *Table) renew(r *Record, owner string, now int64) {
-	t.own(r, owner)
-	t.last++
-	r.Old, r.First = r.since(), 0
-	r.Epoch, r.Attempt, r.State, r.At = t.last, 0, Taken, now
-}
-
-// end gives a record its outcome. Its job is needed no more.
-func (t *Table) end(r *Record, v Verdict, result []byte, now int64) {
-	t.own(r, "")
-	r.State, r.Verdict, r.Result, r.Job, r.At = Ended, v, result, nil, now
-	t.rest(r)
-}
-
-func (r *Record) known() Reply {
-	return Reply{Word: Known, Epoch: r.Epoch, Verdict: r.Verdict, Result: r.Result}
+// skipSend ends the attempt that waits for its intent.
+func (l *Lease) skipSend(actions []Action) []Action {
+	if l.pendingAttempt >= 0 {
+		actions = append(actions, Action{Kind: SkipSend, Attempt: l.pendingAttempt})
+		l.pendingAttempt = -1
+	}
+	return actions
 }
 
-// Apply takes the next command in. The same commands in the same order give the same replies at every copy.
-func (t *Table) Apply(c *Command) Reply {
-	switch c.Kind {
-	case Take:
-		return t.take(c)
-	case Seize:
-		return t.seize(c)
-	case Forget:
-		return t.forget(c)
+// HandleResponse takes the reply to a command in; one that is wanted no more changes nothing.
+func (l *Lease) HandleResponse(c *Command, r Response) (actions []Action) {
+	if c != l.pending || l.phase == closed {
+		return nil
 	}
-	r := t.records[c.Key]
-	switch {
-	case r == nil:
-		return Reply{Word: Fenced}
-	case r.State == Ended && r.Epoch == c.Epoch && c.Kind == End && r.Verdict == c.Verdict && bytes.Equal(r.Result, c.Result):
-		return Reply{Word: Granted, Epoch: r.Epoch} // the same command once more
-	case r.State == Ended:
-		return r.known()
-	case r.Owner != c.Owner || r.Epoch != c.Epoch:
-		return Reply{Word: Fenced, Epoch: r.Epoch}
+	l.pending = nil
+	switch r.Decision {
+	case AlreadyFinished:
+		return l.answer(r.Outcome, r.Result)
+	case OwnedElsewhere:
+		return l.awaitOwner(nil)
+	case Fenced:
+		return l.awaitOwner(l.skipSend(nil))
+	case TableFull:
+		return l.close(l.reject(nil))
+	case Forbidden:
+		return l.skipSend(nil)
 	}
 	switch c.Kind {
-	case Intent:
-		return t.intent(r, c)
-	case End:
-		t.end(r, c.Verdict, c.Result, c.Now)
-		return Reply{Word: Granted, Epoch: r.Epoch}
-	case Return:
-		if c.Clean {
-			r.First = 0
-		}
-		epoch := r.Epoch
-		if t.own(r, ""); r.since() == 0 { // it never ran: as if it had never been taken
-			delete(t.records, r.Key)
-		} else {
-			r.State, r.At = Loose, c.Now
-			t.rest(r)
-		}
-		return Reply{Word: Granted, Epoch: epoch}
+	case Acquire:
+		l.Epoch, l.phase, l.mayHaveRun = r.Epoch, running, r.MayHaveRun
+		return []Action{{Kind: Admit}}
+	case IntendSend:
+		l.attempt = c.Attempt
+		l.unprovenSends++
+		actions = []Action{{Kind: Send, Attempt: l.pendingAttempt}}
+		l.pendingAttempt = -1
+		return actions
+	case Finish:
+		return l.answer(c.Outcome, c.Result)
 	}
-	return Reply{Word: Barred}
+	return l.close(nil)
 }
 
-func (t *Table) take(c *Command) Reply {
-	r := t.records[c.Key]
-	switch {
-	case r == nil && len(t.records) >= c.Terms.Most:
-		return Reply{Word: Full}
-	case r == nil:
-		r = &Record{Key: c.Key, Terms: c.Terms, Job: c.Job}
-		t.records[c.Key] = r
-		t.renew(r, c.Owner, c.Now)
-		return Reply{Word: Granted, Epoch: r.Epoch}
-	case r.State == Ended:
-		return r.known()
-	case r.State != Loose && r.Owner == c.Owner && r.Terms.Sender == c.Terms.Sender: // the same command once more
-		return Reply{Word: Granted, Epoch: r.Epoch, Old: r.Old != 0}
-	case r.State != Loose:
-		return Reply{Word: Joined, Epoch: r.Epoch}
+// HandleUnknownOutcome is told that a command may or may not have been taken in, and that it is given up.
+func (l *Lease) HandleUnknownOutcome(c *Command) []Action {
+	if c != l.pending || l.phase == closed {
+		return nil
 	}
-	// Its client comes again. He waits longer now; what the class allows after the first send stays as it was.
-	r.Terms.Until, r.Terms.Sender = max(r.Terms.Until, c.Terms.Until), c.Terms.Sender
-	if r.Hopeless(c.Now) {
-		t.end(r, Failed, nil, c.Now)
-		return r.known()
+	l.pending = nil
+	actions := l.skipSend(nil)
+	if c.Kind == IntendSend { // the module may try again, under another number: nothing has gone out, and this one may yet come in
+		l.attempt = c.Attempt
+		return actions
 	}
-	r.Job = c.Job
-	t.renew(r, c.Owner, c.Now)
-	return Reply{Word: Granted, Epoch: r.Epoch, Old: true}
+	return l.close(l.reject(actions))
 }
 
-// intent is the gate for sends.
-func (t *Table) intent(r *Record, c *Command) Reply {
-	if c.Attempt == r.Attempt && r.State == Sent { // the same command once more
-		return Reply{Word: Granted, Epoch: r.Epoch}
-	}
-	if c.Clean && c.Attempt > r.Attempt {
-		r.First = 0
-	}
-	if c.Attempt <= r.Attempt || !r.May(c.Now, c.Place) { // one in between may have been given up on its way
-		return Reply{Word: Barred, Epoch: r.Epoch}
+// RequestSend is the module's wish to send an attempt to a worker of a place.
+func (l *Lease) RequestSend(attempt int, place uint32, now int64) []Action {
+	if l.phase != running || l.pending != nil {
+		return []Action{{Kind: SkipSend, Attempt: attempt}}
 	}
-	if r.since() == 0 {
-		r.Place = c.Place
-	}
-	if r.First == 0 {
-		r.First = c.Now
-	}
-	r.Attempt, r.State, r.At = c.Attempt, Sent, c.Now
-	return Reply{Word: Granted, Epoch: r.Epoch}
+	l.pendingAttempt, l.intendedAt = attempt, now
+	return l.propose(&Command{Kind: IntendSend, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, Attempt: l.attempt + 1, Place: place,
+		NothingRan: l.unprovenSends == 0})
 }
 
-// overdue is how long after its client's deadline, in ms, a record may be open before anybody may end it.
-const overdue = 5000
-
-// seize moves what a dead owner holds to another, some at a time; without a name, what its owner has not ended in time.
-func (t *Table) seize(c *Command) Reply {
-	out := Reply{Word: Done}
-	owners := []string{c.From}
-	if c.From == "" {
-		owners = t.Owners()
-	}
-	for _, o := range owners {
-		for _, k := range t.Owned(o) {
-			r := t.records[k]
-			if c.From == "" && c.Now < r.Terms.Until+overdue {
-				continue
-			}
-			if out.Moved >= c.Most {
-				out.More = true
-				return out
-			}
-			t.renew(r, c.Owner, c.Now)
-			out.Moved++
-		}
+// SendTimeLeft is how long from now, in ms, the send whose intent stands may still begin: an owner that stood still since then
+// sends nothing.
+func (l *Lease) SendTimeLeft(now int64) int64 {
+	if l.phase != running {
+		return 0
 	}
-	return out
+	return max(l.intendedAt+l.sendWindow-now, 0)
 }
 
-// forget drops what is over and was kept for its time. What is loose stays as long: its history bars a second run.
-func (t *Table) forget(c *Command) Reply {
-	out := Reply{Word: Done}
-	for len(t.dues) > 0 && t.dues[0].at <= c.Now {
-		d := t.dues[0]
-		r := t.records[d.key]
-		over := r != nil && (r.State == Ended || r.State == Loose) && r.due() == d.at
-		if over && out.Moved >= c.Most {
-			out.More = true
-			break
-		}
-		if t.dues.Pop(); over {
-			delete(t.records, d.key)
-			out.Moved++
-		}
-	}
-	return out
-}
+// IsWaiting tells whether another owner has the job.
+func (l *Lease) IsWaiting() bool { return l.phase == waiting }
 
-// snapshot is the form in which a table is copied whole. Form 1 is the first.
-type snapshot struct {
-	_       struct{} `cbor:",toarray"`
-	Form    int
-	Last    uint64
-	Records []*Record
+// AttemptEnded tells that an attempt that was sent has ended, and whether it is proved never to have run.
+func (l *Lease) AttemptEnded(never bool) {
+	if never {
+		l.unprovenSends--
+	}
 }
 
-// Snapshot writes the whole table; equal tables give equal bytes.
-func (t *Table) Snapshot() ([]byte, error) {
-	s := snapshot{Form: 1, Last: t.last}
-	for _, k := range sorted(t.records) {
-		s.Records = append(s.Records, t.records[k])
+// Finish is the module's final word: Served with what a worker gave, Failed, or 0 for a refusal.
+func (l *Lease) Finish(v Outcome, result []byte, now int64) []Action {
+	ran := l.mayHaveRun || l.unprovenSends > 0
+	switch {
+	case l.phase != running:
+		return nil
+	case v == Served || v == Failed && ran:
+		return l.finish(v, result, now)
+	case l.IsTakenOver() && now < l.terms.Deadline-minRetryTimeMilliseconds:
+		return []Action{{Kind: Retry}}
+	case l.IsTakenOver() && ran: // nobody will come for it with more time
+		return l.finish(Failed, nil, now)
 	}
-	return cbor.Marshal(s)
+	return append(l.reject(nil), l.release(now)...)
 }
 
-// Restore puts a table in the place of what this one held. After an error it holds what it held before.
-func (t *Table) Restore(data []byte) error {
-	var s snapshot
-	if err := cbor.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("lease: snapshot: %w", err)
-	}
-	if s.Form != 1 {
-		return fmt.Errorf("lease: snapshot: form %d, and 1 is known", s.Form)
-	}
-	fresh := New()
-	fresh.last = s.Last
-	for _, r := range s.Records {
-		if r == nil || r.State < Taken || r.State > Ended || fresh.records[r.Key] != nil {
-			return errors.New("lease: snapshot: a record that cannot be")
-		}
-		fresh.records[r.Key] = r
-		if r.State == Taken || r.State == Sent {
-			fresh.own(r, r.Owner)
-		} else {
-			fresh.rest(r)
-		}
+// pause is the time, in ms, that is left at least when an heir's job is tried again.
+const minRetryTimeMilliseconds = 300
+
+// HandleRecord is what a look at the record gave; found is false where the table that was asked has none.
+func (l *Lease) HandleRecord(r Record, found bool) []Action {
+	if l.phase == waiting && found && r.State == Ended {
+		return l.answer(r.Outcome, r.Result)
 	}
-	*t = *fresh
 	return nil
 }
 
-// Encode writes a command or a reply, Decode and DecodeReply read them.
-func Encode(v any) ([]byte, error) { return cbor.Marshal(v) }
-
-// Decode reads a command.
-func Decode(data []byte) (*Command, error) {
-	c := new(Command)
-	if err := cbor.Unmarshal(data, c); err != nil {
-		return nil, fmt.Errorf("lease: command: %w", err)
+// Expire tells that the client waits no longer than this. What the copies have to be told goes on.
+func (l *Lease) Expire() []Action {
+	actions := l.reject(nil)
+	if l.phase == waiting || l.phase == acquiring {
+		return l.close(actions)
 	}
-	return c, nil
+	return actions
 }
 
-// DecodeReply reads a reply.
-func DecodeReply(data []byte) (r Reply, err error) {
-	if err = cbor.Unmarshal(data, &r); err != nil {
-		err = fmt.Errorf("lease: reply: %w", err)
+// ClientLeft tells that the client has gone: nobody is told anything any more.
+func (l *Lease) ClientLeft() []Action {
+	l.isAnswered = true
+	if l.phase == waiting {
+		return l.close(nil)
 	}
-	return r, err
+	return nil
 }
--- a/internal/dispatcher/lease/lease_test.go
+++ b/internal/dispatcher/lease/lease_test.go
@@ -17,32 +17,32 @@
 // that one, and the place that counts is where the send went.
 func TestGivenUpIntentComesLate(t *testing.T) {
 	table := lease.New()
-	h, acts := lease.Begin("k", "a.1", lease.Terms{Again: 5000, Bound: true, Until: 20_000, Keep: 1, Most: 1, Sender: 1}, 500, nil, 1000)
-	h.Replied(acts[0].Command, table.Apply(acts[0].Command))
-	first := h.Ask(0, 1, 1100)[0].Command
-	if acts := h.Unsure(first); len(acts) != 1 || acts[0].Kind != lease.Moot {
+	h, acts := lease.Begin("k", "a.1", lease.Terms{RetryWindow: 5000, SamePlaceOnly: true, Deadline: 20_000, Retention: 1, MaxRecords: 1, Sender: 1}, 500, nil, 1000)
+	h.HandleResponse(acts[0].Command, table.Apply(acts[0].Command))
+	first := h.RequestSend(0, 1, 1100)[0].Command
+	if acts := h.HandleUnknownOutcome(first); len(acts) != 1 || acts[0].Kind != lease.SkipSend {
 		t.Fatalf("%+v", acts)
 	}
 	table.Apply(first)
-	second := h.Ask(1, 2, 1300)[0].Command
-	if acts := h.Replied(second, table.Apply(second)); len(acts) != 1 || acts[0].Kind != lease.Send {
+	second := h.RequestSend(1, 2, 1300)[0].Command
+	if acts := h.HandleResponse(second, table.Apply(second)); len(acts) != 1 || acts[0].Kind != lease.Send {
 		t.Fatalf("%+v", acts)
 	}
-	if r, _ := table.Get("k"); r.Place != 2 || r.First != 1300 {
-		t.Errorf("the record has place %d and time %d", r.Place, r.First)
+	if r, _ := table.Get("k"); r.Place != 2 || r.FirstSendAt != 1300 {
+		t.Errorf("the record has place %d and time %d", r.Place, r.FirstSendAt)
 	}
-	if again := table.Apply(first); again.Word == lease.Granted {
+	if again := table.Apply(first); again.Decision == lease.Granted {
 		t.Error("the one that was given up is let through after the next")
 	}
-	table.Apply(&lease.Command{Kind: lease.Seize, From: "a.1", Owner: "b.1", Now: 1500, Most: 1})
+	table.Apply(&lease.Command{Kind: lease.TakeOver, PreviousOwner: "a.1", Owner: "b.1", Time: 1500, Limit: 1})
 	r, _ := table.Get("k")
-	heir, _ := lease.Inherit(&r, 500, 1500)
-	for place, want := range map[uint32]lease.Word{1: lease.Barred, 2: lease.Granted} {
-		c := heir.Ask(0, place, 1600)[0].Command
-		if got := table.Clone().Apply(c); got.Word != want {
-			t.Errorf("a repeat at place %d is %v", place, got.Word)
+	heir, _ := lease.Resume(&r, 500, 1500)
+	for place, want := range map[uint32]lease.Decision{1: lease.Forbidden, 2: lease.Granted} {
+		c := heir.RequestSend(0, place, 1600)[0].Command
+		if got := table.Clone().Apply(c); got.Decision != want {
+			t.Errorf("a repeat at place %d is %v", place, got.Decision)
 		}
-		heir.Unsure(c)
+		heir.HandleUnknownOutcome(c)
 	}
 }
 
@@ -67,18 +67,18 @@
 		{0, false, true, 2000, 1, false, true}, // never twice
 	} {
 		table := lease.New()
-		terms := lease.Terms{Again: k.again, Bound: k.bound, Until: 20_000, Keep: 1, Most: 1}
-		table.Apply(&lease.Command{Kind: lease.Take, Key: "k", Owner: "a.1", Now: 900, Terms: terms})
+		terms := lease.Terms{RetryWindow: k.again, SamePlaceOnly: k.bound, Deadline: 20_000, Retention: 1, MaxRecords: 1}
+		table.Apply(&lease.Command{Kind: lease.Acquire, Key: "k", Owner: "a.1", Time: 900, Terms: terms})
 		if k.sent {
-			table.Apply(&lease.Command{Kind: lease.Intent, Key: "k", Owner: "a.1", Epoch: 1, Now: 1000, Attempt: 1, Place: 1})
+			table.Apply(&lease.Command{Kind: lease.IntendSend, Key: "k", Owner: "a.1", Epoch: 1, Time: 1000, Attempt: 1, Place: 1})
 		}
-		table.Apply(&lease.Command{Kind: lease.Seize, From: "a.1", Owner: "b.1", Now: 1500, Most: 1})
+		table.Apply(&lease.Command{Kind: lease.TakeOver, PreviousOwner: "a.1", Owner: "b.1", Time: 1500, Limit: 1})
 		r, _ := table.Get("k")
-		if r.Owner != "b.1" || r.Epoch != 2 || r.May(k.now, k.place) != k.may || r.Hopeless(k.now) != k.hopeless {
-			t.Errorf("%+v: %+v, may %v, hopeless %v", k, r, r.May(k.now, k.place), r.Hopeless(k.now))
+		if r.Owner != "b.1" || r.Epoch != 2 || r.MaySend(k.now, k.place) != k.may || r.IsBeyondRetry(k.now) != k.hopeless {
+			t.Errorf("%+v: %+v, may %v, hopeless %v", k, r, r.MaySend(k.now, k.place), r.IsBeyondRetry(k.now))
 		}
-		if old := table.Apply(&lease.Command{Kind: lease.End, Key: "k", Owner: "a.1", Epoch: 1, Now: 1600, Verdict: lease.Served}); old.Word != lease.Fenced {
-			t.Errorf("%+v: the owner that was is %v", k, old.Word)
+		if old := table.Apply(&lease.Command{Kind: lease.Finish, Key: "k", Owner: "a.1", Epoch: 1, Time: 1600, Outcome: lease.Served}); old.Decision != lease.Fenced {
+			t.Errorf("%+v: the owner that was is %v", k, old.Decision)
 		}
 	}
 }
@@ -94,10 +94,10 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 400).Draw(t, "time")
 			c := &lease.Command{Kind: lease.Kind(rapid.IntRange(1, 6).Draw(t, "kind")), Key: rapid.SampledFrom(keys).Draw(t, "key"), Owner: rapid.SampledFrom(owners).Draw(t, "owner"),
-				Now: now - rapid.Int64Range(0, 300).Draw(t, "late"), Place: rapid.Uint32Range(0, 2).Draw(t, "place"), Clean: rapid.Bool().Draw(t, "clean"), Most: most,
-				Verdict: lease.Verdict(rapid.IntRange(1, 2).Draw(t, "verdict")), Result: fmt.Append(nil, i), From: rapid.SampledFrom(append(owners, "")).Draw(t, "from"),
-				Terms: lease.Terms{Again: rapid.Int64Range(0, 1000).Draw(t, "again"), Bound: rapid.Bool().Draw(t, "bound"), Until: now + rapid.Int64Range(0, 3000).Draw(t, "until"),
-					Keep: rapid.Int64Range(0, 2000).Draw(t, "keep"), Most: most, Sender: rapid.Uint64Range(1, 2).Draw(t, "sender")}}
+				Time: now - rapid.Int64Range(0, 300).Draw(t, "late"), Place: rapid.Uint32Range(0, 2).Draw(t, "place"), NothingRan: rapid.Bool().Draw(t, "clean"), Limit: most,
+				Outcome: lease.Outcome(rapid.IntRange(1, 2).Draw(t, "verdict")), Result: fmt.Append(nil, i), PreviousOwner: rapid.SampledFrom(append(owners, "")).Draw(t, "from"),
+				Terms: lease.Terms{RetryWindow: rapid.Int64Range(0, 1000).Draw(t, "again"), SamePlaceOnly: rapid.Bool().Draw(t, "bound"), Deadline: now + rapid.Int64Range(0, 3000).Draw(t, "until"),
+					Retention: rapid.Int64Range(0, 2000).Draw(t, "keep"), MaxRecords: most, Sender: rapid.Uint64Range(1, 2).Draw(t, "sender")}}
 			if r, ok := a.Get(c.Key); ok {
 				c.Epoch, c.Attempt = r.Epoch-rapid.Uint64Range(0, min(r.Epoch, 1)).Draw(t, "epoch"), r.Attempt+rapid.Uint32Range(0, 1).Draw(t, "attempt")
 			}
@@ -115,7 +115,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if x, y := a.Apply(c), b.Apply(same); x.Word != y.Word || x.Epoch != y.Epoch || x.Moved != y.Moved || x.Verdict != y.Verdict || !bytes.Equal(x.Result, y.Result) {
+			if x, y := a.Apply(c), b.Apply(same); x.Decision != y.Decision || x.Epoch != y.Epoch || x.Moved != y.Moved || x.Outcome != y.Outcome || !bytes.Equal(x.Result, y.Result) {
 				t.Fatalf("%+v: %+v and %+v", c, x, y)
 			}
 			one, _ := a.Snapshot()
@@ -137,7 +137,7 @@
 				}
 				epoch[k] = r.Epoch
 				if r.State == lease.Ended {
-					said := fmt.Sprint(r.Verdict, string(r.Result))
+					said := fmt.Sprint(r.Outcome, string(r.Result))
 					if was, ok := outcome[k]; ok && was != said {
 						t.Fatalf("%s ended as %s after %s", k, said, was)
 					}
--- a/internal/dispatcher/lease/status.go
+++ b/internal/dispatcher/lease/status.go
@@ -13,26 +13,26 @@
 	Kept     int              `json:"kept"`    // records in the copies here
 	Lost     int              `json:"lost"`    // groups led here with a copy whose place is not there
 	Counters map[string]int64 `json:"counters"`
-	Groups   []Group          `json:"groups"`
-	Records  []Shown          `json:"records,omitempty"`
+	Groups   []GroupStatus    `json:"groups"`
+	Records  []RecordStatus   `json:"records,omitempty"`
 }
 
-// Shown is one promise as an operator sees it.
-type Shown struct {
-	Key     string `json:"key"`
-	Group   int    `json:"group"`
-	State   string `json:"state"`
-	Owner   string `json:"owner"`
-	Epoch   uint64 `json:"epoch"`
-	Attempt uint32 `json:"attempt"`
-	First   int64  `json:"first_ms"` // when the first send that may have run was let through, Unix ms; 0: none was
-	Until   int64  `json:"until_ms"`
-	Served  bool   `json:"served"`
-	Result  string `json:"result,omitempty"`
+// RecordStatus is one promise as an operator sees it.
+type RecordStatus struct {
+	Key      string `json:"key"`
+	Group    int    `json:"group"`
+	State    string `json:"state"`
+	Owner    string `json:"owner"`
+	Epoch    uint64 `json:"epoch"`
+	Attempt  uint32 `json:"attempt"`
+	First    int64  `json:"first_ms"` // when the first send that may have run was let through, Unix ms; 0: none was
+	Deadline int64  `json:"until_ms"`
+	Served   bool   `json:"served"`
+	Result   string `json:"result,omitempty"`
 }
 
-// Group is a placement group as one dispatcher knows it.
-type Group struct {
+// GroupStatus is a placement group as one dispatcher knows it.
+type GroupStatus struct {
 	Group  int      `json:"group"`
 	Leads  bool     `json:"leads"`
 	Leader string   `json:"leader"`
