--- a/internal/ingress/query.go
+++ b/internal/ingress/query.go
@@ -48,48 +48,39 @@
 
 // serveState answers with a message's state.
 func (f *Front) serveState(w http.ResponseWriter, r *http.Request) {
-	f.counters.MessageQueries.Add(1)
-	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
-	defer cancel()
-
-	outcome, err := f.queryState(ctx, mux.Vars(r)["id"])
-	f.announceDrain(w)
-	if err != nil {
-		writeError(w, queryError(err))
-		return
-	}
-	writeJSON(w, stateResponse(outcome))
+	serveQuery(f, w, r, f.options.Messages.State, func(outcome message.Outcome) {
+		writeJSON(w, stateResponse(outcome))
+	})
 }
 
 // serveBody answers with a message's body.
 func (f *Front) serveBody(w http.ResponseWriter, r *http.Request) {
+	serveQuery(f, w, r, f.options.Messages.Body, func(body []byte) {
+		writeBytes(w, http.StatusOK, contentTypeBytes, body)
+	})
+}
+
+// serveQuery asks the store about the message that a request names, and writes what it answers. Where the ID can't be one,
+// the message is unknown without a call.
+func serveQuery[Result any](
+	f *Front, w http.ResponseWriter, r *http.Request,
+	query func(ctx context.Context, id string) (Result, error), write func(Result),
+) {
 	f.counters.MessageQueries.Add(1)
 	ctx, cancel := context.WithTimeout(r.Context(), queryTimeout)
 	defer cancel()
 
-	body, err := f.queryBody(ctx, mux.Vars(r)["id"])
+	var result Result
+	err := message.ErrNotFound
+	if id := mux.Vars(r)["id"]; isMessageID(id) {
+		result, err = query(ctx, id)
+	}
 	f.announceDrain(w)
 	if err != nil {
 		writeError(w, queryError(err))
 		return
 	}
-	writeBytes(w, http.StatusOK, contentTypeBytes, body)
-}
-
-// queryState returns the state of a message, without a call where the ID can't be one.
-func (f *Front) queryState(ctx context.Context, id string) (message.Outcome, error) {
-	if !isMessageID(id) {
-		return message.Outcome{}, message.ErrNotFound
-	}
-	return f.options.Messages.State(ctx, id)
-}
-
-// queryBody returns the body of a message, without a call where the ID can't be one.
-func (f *Front) queryBody(ctx context.Context, id string) ([]byte, error) {
-	if !isMessageID(id) {
-		return nil, message.ErrNotFound
-	}
-	return f.options.Messages.Body(ctx, id)
+	write(result)
 }
 
 // queryError returns the answer to a query that failed.
