--- a/internal/dispatcher/lease/export_test.go
+++ b/internal/dispatcher/lease/export_test.go
@@ -1,8 +1,9 @@
 package lease
 
-import "slices"
-
-import "maps"
+import (
+	"maps"
+	"slices"
+)
 
 // Clone copies a table, so that an explorer can go on from one state in several ways. Records are copied, what they point to is
 // never changed in place.
@@ -19,10 +20,10 @@
 	return out
 }
 
-// Clone copies a hold.
-func (h *Lease) Clone() *Lease { c := *h; return &c }
+// Clone copies a lease.
+func (l *Lease) Clone() *Lease { c := *l; return &c }
 
-// Shape is all of a hold that its steps depend on.
-func (h *Lease) Shape() []any {
-	return []any{h.owner, h.Epoch, h.terms, h.phase, h.isAnswered, h.attempt, h.pendingAttempt, h.intendedAt, h.unprovenSends, h.mayHaveRun, h.pending != nil}
+// Shape is all of a lease that its steps depend on.
+func (l *Lease) Shape() []any {
+	return []any{l.owner, l.Epoch, l.terms, l.phase, l.isAnswered, l.attempt, l.pendingAttempt, l.intendedAt, l.unprovenSends, l.mayHaveRun, l.pending != nil}
 }
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -65,7 +65,7 @@
 	return l, l.propose(&Command{Kind: Acquire, Key: key, Owner: owner, Time: now, Terms: terms, Job: job})
 }
 
-// Resume goes on with a record that its owner has got from one who is gone. No client waits here.
+// Resume goes on with a record that its owner took over from a failed one. No client waits for the answer here.
 func Resume(r *Record, sendWindow, now int64) (*Lease, []Action) {
 	l := &Lease{Key: r.Key, Epoch: r.Epoch, owner: r.Owner, terms: r.Terms, sendWindow: sendWindow, job: r.Job, pendingAttempt: -1,
 		isAnswered: true, phase: running, mayHaveRun: r.earliestSendAt() != 0, attempt: r.Attempt}
@@ -99,7 +99,7 @@
 // Job returns what another owner needs to run the job.
 func (l *Lease) Job() []byte { return l.job }
 
-// IsTakenOver tells whether nobody waits here for the answer.
+// IsTakenOver tells whether no client waits here for the answer.
 func (l *Lease) IsTakenOver() bool { return l.isAnswered }
 
 // reject tells the client to come again.
@@ -128,7 +128,7 @@
 	return actions
 }
 
-// awaitOwner goes over to waiting for another owner's outcome. What is out at a worker goes on there.
+// awaitOwner waits for the outcome under another owner. An attempt in flight at a worker goes on.
 func (l *Lease) awaitOwner(actions []Action) []Action {
 	if l.isAnswered {
 		return l.close(actions)
@@ -146,7 +146,7 @@
 	return actions
 }
 
-// HandleResponse takes the reply to a command in; one that is wanted no more changes nothing.
+// HandleResponse takes the response to a command in. One to a command that is not pending any more changes nothing.
 func (l *Lease) HandleResponse(c *Command, r Response) (actions []Action) {
 	if c != l.pending || l.phase == closed {
 		return nil
@@ -180,7 +180,7 @@
 	return l.close(nil)
 }
 
-// HandleUnknownOutcome is told that a command may or may not have been taken in, and that it is given up.
+// HandleUnknownOutcome gives a command up that may or may not have been applied.
 func (l *Lease) HandleUnknownOutcome(c *Command) []Action {
 	if c != l.pending || l.phase == closed {
 		return nil
@@ -194,7 +194,7 @@
 	return l.close(l.reject(actions))
 }
 
-// RequestSend is the module's wish to send an attempt to a worker of a place.
+// RequestSend asks for the decision module's next attempt, to a worker of a place (a zone or a cell).
 func (l *Lease) RequestSend(attempt int, place uint32, now int64) []Action {
 	if l.phase != running || l.pending != nil {
 		return []Action{{Kind: SkipSend, Attempt: attempt}}
@@ -204,8 +204,8 @@
 		NothingRan: l.unprovenSends == 0})
 }
 
-// SendTimeLeft is how long from now, in ms, the send whose intent stands may still begin: an owner that stood still since then
-// sends nothing.
+// SendTimeLeft returns for how long from now, in ms, the send whose intent is committed may still begin. An owner whose
+// process was paused since then sends nothing.
 func (l *Lease) SendTimeLeft(now int64) int64 {
 	if l.phase != running {
 		return 0
@@ -216,14 +216,14 @@
 // IsWaiting tells whether another owner has the job.
 func (l *Lease) IsWaiting() bool { return l.phase == waiting }
 
-// AttemptEnded tells that an attempt that was sent has ended, and whether it is proved never to have run.
+// AttemptEnded notes that an attempt has ended, and whether it is proved never to have run.
 func (l *Lease) AttemptEnded(never bool) {
 	if never {
 		l.unprovenSends--
 	}
 }
 
-// Finish is the module's final word: Served with what a worker gave, Failed, or 0 for a refusal.
+// Finish takes the decision module's final answer: Served with a worker's result, Failed, or 0 for a rejection.
 func (l *Lease) Finish(v Outcome, result []byte, now int64) []Action {
 	ran := l.mayHaveRun || l.unprovenSends > 0
 	switch {
@@ -239,10 +239,10 @@
 	return append(l.reject(nil), l.release(now)...)
 }
 
-// pause is the time, in ms, that is left at least when an heir's job is tried again.
+// minRetryTimeMilliseconds is the time, in ms, that is left at least when a job that was taken over is tried again.
 const minRetryTimeMilliseconds = 300
 
-// HandleRecord is what a look at the record gave; found is false where the table that was asked has none.
+// HandleRecord takes in what a read of the record gave; found is false where the replica that was asked has none.
 func (l *Lease) HandleRecord(r Record, found bool) []Action {
 	if l.phase == waiting && found && r.State == Ended {
 		return l.answer(r.Outcome, r.Result)
@@ -250,7 +250,7 @@
 	return nil
 }
 
-// Expire tells that the client waits no longer than this. What the copies have to be told goes on.
+// Expire ends the wait of the client. What the replicas have to be told goes on.
 func (l *Lease) Expire() []Action {
 	actions := l.reject(nil)
 	if l.phase == waiting || l.phase == acquiring {
@@ -259,7 +259,7 @@
 	return actions
 }
 
-// ClientLeft tells that the client has gone: nobody is told anything any more.
+// ClientLeft notes that the client has left: there is nobody to be answered any more.
 func (l *Lease) ClientLeft() []Action {
 	l.isAnswered = true
 	if l.phase == waiting {
--- a/internal/dispatcher/lease/record.go
+++ b/internal/dispatcher/lease/record.go
@@ -44,7 +44,7 @@
 	Result        []byte
 }
 
-// earliestSendAt is when the first send that may have run was let through; 0: none was.
+// earliestSendAt returns when the first send that may have run was allowed, in Unix ms; 0 where none was.
 func (r *Record) earliestSendAt() int64 {
 	if r.EarlierSendAt != 0 {
 		return r.EarlierSendAt
@@ -52,14 +52,14 @@
 	return r.FirstSendAt
 }
 
-// MaySend tells whether a send at a time, to a place, is within what the class allows.
+// MaySend tells whether the class allows a send at a time, to a place.
 func (r *Record) MaySend(now int64, place uint32) bool {
 	since := r.earliestSendAt()
 	return now < r.Terms.Deadline && (since == 0 ||
 		r.Terms.RetryWindow > 0 && now-since < r.Terms.RetryWindow && (!r.Terms.SamePlaceOnly || place == r.Place))
 }
 
-// IsBeyondRetry tells that nothing may be sent any more, wherever to: what it did will not be known.
+// IsBeyondRetry tells that no send is allowed any more, to any place: what the job did will not be known.
 func (r *Record) IsBeyondRetry(now int64) bool {
 	since := r.earliestSendAt()
 	return now >= r.Terms.Deadline || since != 0 && (r.Terms.RetryWindow == 0 || now-since >= r.Terms.RetryWindow)
--- a/internal/dispatcher/lease/table.go
+++ b/internal/dispatcher/lease/table.go
@@ -38,15 +38,15 @@
 // expiresAt is when a record that is over may go.
 func (r *Record) expiresAt() int64 { return max(r.ChangedAt, r.Terms.Deadline) + r.Terms.Retention }
 
-// scheduleExpiry notes that a record is over.
+// scheduleExpiry has a record removed after its retention.
 func (t *Table) scheduleExpiry(r *Record) { t.expiries.Push(expiry{r.expiresAt(), r.Key}) }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{records: map[string]*Record{}, keysByOwner: map[string]map[string]bool{}}
 }
 
-// Get looks a record up. What Ended says there is said for good; all else may be behind.
+// Get returns the record of a key. One that is Ended is final; others may be behind the group's leader.
 func (t *Table) Get(key string) (Record, bool) {
 	r := t.records[key]
 	if r == nil {
@@ -55,16 +55,16 @@
 	return *r, true
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Owned are the keys of the open records that an owner has, in order.
+// Owned returns the keys of the open records that an owner holds, sorted.
 func (t *Table) Owned(owner string) []string { return sortedKeys(t.keysByOwner[owner]) }
 
-// Owners have open records.
+// Owners returns the owners that hold open records, sorted.
 func (t *Table) Owners() []string { return sortedKeys(t.keysByOwner) }
 
-// ForEach shows all records, in order of their keys, until the function says no.
+// ForEach calls f with each record, in order of the keys, until it returns false.
 func (t *Table) ForEach(f func(*Record) bool) {
 	for _, k := range sortedKeys(t.records) {
 		if !f(t.records[k]) {
@@ -82,7 +82,7 @@
 	return out
 }
 
-// setOwner moves a record to an owner; empty is nobody.
+// setOwner gives a record to an owner, or to nobody where it is empty.
 func (t *Table) setOwner(r *Record, owner string) {
 	if keys := t.keysByOwner[r.Owner]; keys != nil {
 		if delete(keys, r.Key); len(keys) == 0 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// beginEpoch begins another epoch: what the one before may have run is remembered.
+// beginEpoch begins another epoch of a record, and remembers what the one before may have run.
 func (t *Table) beginEpoch(r *Record, owner string, now int64) {
 	t.setOwner(r, owner)
 	t.lastEpoch++
@@ -105,7 +105,7 @@
 	r.Epoch, r.Attempt, r.State, r.ChangedAt = t.lastEpoch, 0, Owned, now
 }
 
-// finish gives a record its outcome. Its job is needed no more.
+// finish gives a record its outcome, and drops the job, which is not needed any more.
 func (t *Table) finish(r *Record, v Outcome, result []byte, now int64) {
 	t.setOwner(r, "")
 	r.State, r.Outcome, r.Result, r.Job, r.ChangedAt = Ended, v, result, nil, now
@@ -116,7 +116,7 @@
 	return Response{Decision: AlreadyFinished, Epoch: r.Epoch, Outcome: r.Outcome, Result: r.Result}
 }
 
-// Apply takes the next command in. The same commands in the same order give the same replies at every copy.
+// Apply applies the next command. The same commands in the same order lead to the same responses at every replica.
 func (t *Table) Apply(c *Command) Response {
 	switch c.Kind {
 	case Acquire:
@@ -187,7 +187,7 @@
 	return Response{Decision: Granted, Epoch: r.Epoch, MayHaveRun: true}
 }
 
-// intendSend is the gate for sends.
+// intendSend allows or forbids a send: every send of every owner passes here.
 func (t *Table) intendSend(r *Record, c *Command) Response {
 	if c.Attempt == r.Attempt && r.State == SendIntended { // the same command once more
 		return Response{Decision: Granted, Epoch: r.Epoch}
@@ -208,10 +208,11 @@
 	return Response{Decision: Granted, Epoch: r.Epoch}
 }
 
-// overdue is how long after its client's deadline, in ms, a record may be open before anybody may end it.
+// takeOverDelayMilliseconds is how long after its client's deadline, in ms, a record may be open before any dispatcher may finish it.
 const takeOverDelayMilliseconds = 5000
 
-// takeOver moves what a dead owner holds to another, some at a time; without a name, what its owner has not ended in time.
+// takeOver gives the records of a failed owner to another, some at a time; without a name, those that their owner has not
+// finished in time.
 func (t *Table) takeOver(c *Command) Response {
 	out := Response{Decision: Done}
 	owners := []string{c.PreviousOwner}
@@ -235,7 +236,8 @@
 	return out
 }
 
-// expire drops what is over and was kept for its time. What is loose stays as long: its history bars a second run.
+// expire removes finished and released records past their retention. Released ones stay as long as finished ones: their
+// history prevents a second run.
 func (t *Table) expire(c *Command) Response {
 	out := Response{Decision: Done}
 	for len(t.expiries) > 0 && t.expiries[0].at <= c.Time {
