--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -3,11 +3,9 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"strings"
 	"time"
 
@@ -27,8 +25,8 @@
 	maxRedirects     = 2
 )
 
-// Client calls fronts. It goes on to the next address after a failure, until one gives a clear answer or the context
-// ends. Every call may be repeated.
+// Client calls fronts, one after another, until one answers conclusively or the context ends. It repeats calls
+// without knowing whether an earlier attempt took effect, so every call must be idempotent.
 type Client struct {
 	addresses []string
 	http      *http.Client
@@ -44,7 +42,8 @@
 	Body   []byte
 }
 
-// NewClient returns a client of the fronts at some addresses, "ip:port". The transport may be nil.
+// NewClient returns a client of the fronts at some addresses, "ip:port". A nil transport stands for the default
+// one.
 func NewClient(addresses []string, transport http.RoundTripper) *Client {
 	return &Client{
 		addresses: addresses,
@@ -60,7 +59,8 @@
 	return nil
 }
 
-// Do makes a call and returns the body of its answer. An answer that refuses the call is a *RefusedError.
+// Do makes a call and returns the body of the response. Its error is a *RefusedError where a front refuses the
+// call; where no front answers conclusively before the context ends, it joins the failures at all addresses.
 func (c *Client) Do(ctx context.Context, request Request) ([]byte, error) {
 	wait := initialBackoff
 	for {
@@ -76,7 +76,7 @@
 	}
 }
 
-// round tries each address once.
+// attemptAll makes one attempt at each address, until one is conclusive.
 func (c *Client) attemptAll(ctx context.Context, request Request) ([]byte, error) {
 	var failures []error
 	for _, address := range c.addresses {
@@ -89,6 +89,7 @@
 	return nil, trace.NewAggregate(failures...)
 }
 
+// attempt makes one call at one address.
 func (c *Client) attempt(ctx context.Context, address string, request Request) ([]byte, error) {
 	call, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Path,
 		bytes.NewReader(request.Body))
@@ -114,7 +115,7 @@
 	return body, responseError(address, response.StatusCode, body)
 }
 
-// answerError returns nil for an answer that carried the call out.
+// responseError returns nil for a response that says that the call was carried out.
 func responseError(address string, status int, body []byte) error {
 	switch {
 	case status == http.StatusOK:
@@ -122,61 +123,12 @@
 	case isConclusive(status):
 		return newRefusedError(status, body)
 	}
-	return trace.ConnectionProblem(nil, "%s answered %d: %s", address, status, strings.TrimSpace(string(body)))
+	return trace.Wrap(&UnavailableError{Address: address, Status: status, Text: strings.TrimSpace(string(body))})
 }
 
-// isFinal tells whether trying elsewhere can't help.
+// isConclusive tells whether a status other than 200 refuses the call for good, so that no other front need be
+// called.
 func isConclusive(status int) bool {
 	isClientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	return isClientError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
-
-// RefusedError is an answer that refuses a call.
-type RefusedError struct {
-	Status   int
-	Text     string
-	Findings []Finding
-}
-
-// Finding is one thing that is wrong in what was sent or in a file.
-type Finding struct {
-	Place   string `json:"place,omitempty"`
-	Problem string `json:"problem"`
-}
-
-// String returns the problem behind its place.
-func (f Finding) String() string {
-	if f.Place == "" {
-		return f.Problem
-	}
-	return f.Place + ": " + f.Problem
-}
-
-// newRefusedError reads the body of a refusal, which is JSON or a plain text.
-func newRefusedError(status int, body []byte) *RefusedError {
-	var content struct {
-		Error    string    `json:"error"`
-		Findings []Finding `json:"findings"`
-	}
-	if err := json.Unmarshal(body, &content); err != nil {
-		content.Error = strings.TrimSpace(string(body))
-	}
-	if content.Error == "" {
-		content.Error = strings.ToLower(http.StatusText(status))
-	}
-	return &RefusedError{Status: status, Text: content.Error, Findings: content.Findings}
-}
-
-// Error implements error.
-func (e *RefusedError) Error() string {
-	lines := []string{strconv.Itoa(e.Status) + ": " + e.Text}
-	for _, finding := range e.Findings {
-		lines = append(lines, finding.String())
-	}
-	return strings.Join(lines, "\n")
-}
-
-func isRefusal(err error) bool {
-	var refused *RefusedError
-	return errors.As(err, &refused)
-}
--- /dev/null
+++ b/internal/operatorcli/configcheck.go
@@ -0,0 +1,30 @@
+package operatorcli
+
+import (
+	"context"
+	"io"
+	"os"
+
+	"github.com/alecthomas/kingpin/v2"
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/configuration"
+)
+
+func registerConfigCheck(config *kingpin.CmdClause, out io.Writer, commands Commands) {
+	check := config.Command("check", "Check a complete configuration without calling any process.")
+	path := check.Arg("file", "JSON file.").Required().String()
+	commands.add(check, func(context.Context) error {
+		text, err := os.ReadFile(*path)
+		if err != nil {
+			return trace.Wrap(err)
+		}
+		document, err := configuration.Parse(text)
+		if err != nil {
+			return &InvalidFileError{Path: *path, Err: err}
+		}
+		table := document.Table()
+		return printLine(out, "%s is valid: version %d, %d routes, %d services",
+			*path, document.Version(), len(table.Routes()), len(table.Services()))
+	})
+}
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -2,27 +2,16 @@
 
 import "errors"
 
-// Exit codes.
+// Exit codes of the operators' commands.
 const (
 	ExitDone    = 0
-	ExitFailed  = 1
+	ExitFailed  = 1 // no front answered conclusively, or a file could not be read
 	ExitUsage   = 2 // wrong flags or arguments
 	ExitRefused = 3 // not found, or refused with a reason
 )
 
-// InvalidFileError says that a file was read and is faulty.
-type InvalidFileError struct {
-	Path string
-	Err  error // tells everything that was found
-}
-
-// Error implements error.
-func (e *InvalidFileError) Error() string { return e.Path + " is invalid:\n" + e.Err.Error() }
-
-// Unwrap returns the findings.
-func (e *InvalidFileError) Unwrap() error { return e.Err }
-
-// ExitCode returns the exit code for the outcome of a command.
+// ExitCode returns the exit code for the result of a command. ExitUsage is not among them: the parser of the
+// command line finds wrong usage before a command runs.
 func ExitCode(err error) int {
 	var invalid *InvalidFileError
 	switch {
--- a/internal/operatorcli/message.go
+++ b/internal/operatorcli/messageshow.go
@@ -17,7 +17,7 @@
 	pathMessageBody  = "/api/message-body/"
 )
 
-// messageState is the answer to a question about a message's state.
+// messageState is the response to a query for a message's state, and with the ID what the command prints as JSON.
 type messageState struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -12,7 +12,7 @@
 
 const columnGap = 2
 
-// table is a text in columns.
+// table prints text in aligned columns. It keeps the first error for end.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
@@ -32,7 +32,7 @@
 	}
 }
 
-// end prints the table.
+// end prints the table and returns the first error.
 func (t *table) end() error {
 	if err := t.writer.Flush(); err != nil {
 		return trace.Wrap(err)
@@ -52,7 +52,7 @@
 	return trace.Wrap(err)
 }
 
-// orDash returns a dash for an empty cell.
+// orDash returns a dash in place of an empty cell.
 func orDash(cell string) string {
 	if cell == "" {
 		return "-"
