--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -20,11 +20,11 @@
 
 // serveStatus tells whether this process leads.
 func (g *Group) serveStatus(context.Context, struct{}, []byte) (any, []byte, error) {
-	answer := statusAnswer{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
-	if l := g.leading.Load(); l != nil {
-		answer.Leading = l.leaseRuns(time.Now())
+	response := statusResponse{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
+	if l := g.leadership.Load(); l != nil {
+		response.Leading = l.leaseValid(time.Now())
 	}
-	return answer, nil, nil
+	return response, nil, nil
 }
 
 // serveAttach makes this replica follow the log of an epoch's primary.
@@ -36,24 +36,24 @@
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	answer := attachAnswer{Promised: g.witness.record().Promised}
+	response := attachResponse{Promised: g.witness.record().Promised}
 	if !promised {
-		return answer, nil, nil
+		return response, nil, nil
 	}
-	g.giveWay(request.Epoch, request.Primary)
-	g.presence.pledge(request.Primary, time.Now().Add(g.timing.RoundTimeout))
-	if request.Complete {
-		if err := g.replica.install(request.Epoch, body); err != nil {
+	g.resignIfSuperseded(request.Epoch, request.Primary)
+	g.monitor.reserveVote(request.Primary, time.Now().Add(g.timing.RoundTimeout))
+	if request.HasSnapshot {
+		if err := g.replica.installSnapshot(request.Epoch, body); err != nil {
 			return nil, nil, trace.Wrap(err)
 		}
 	} else if !g.replica.attach(request.Epoch, request.Last) {
-		return answer, nil, nil
+		return response, nil, nil
 	}
 	if err := g.replica.syncWithin(ctx, g.timing.RoundTimeout); err != nil {
 		return nil, nil, trace.Wrap(err)
 	}
-	answer.Attached = true
-	return answer, nil, nil
+	response.Attached = true
+	return response, nil, nil
 }
 
 // serveAppend adds records from the primary to the log, and answers when they are durable.
@@ -62,17 +62,17 @@
 		return nil, nil, err
 	}
 	record := g.witness.record()
-	answer := appendAnswer{Promised: record.Promised}
+	response := appendResponse{Promised: record.Promised}
 	if !record.allows(request.Epoch, request.Primary) {
-		return answer, nil, nil
+		return response, nil, nil
 	}
 	entries, err := decodeEntries(body)
 	if err != nil {
 		return nil, nil, &rpc.Error{Code: rpc.CodeInvalid, Message: err.Error()}
 	}
-	if err := g.replica.follow(request.Epoch, request.After, entries); err != nil {
-		if errors.Is(err, errDetached) {
-			return answer, nil, nil
+	if err := g.replica.appendFromPrimary(request.Epoch, request.After, entries); err != nil {
+		if errors.Is(err, errNotAttached) {
+			return response, nil, nil
 		}
 		return nil, nil, trace.Wrap(err)
 	}
@@ -81,9 +81,9 @@
 			return nil, nil, trace.Wrap(err)
 		}
 	}
-	answer.Attached, _ = g.replica.commit(request.Epoch, request.Commit)
+	response.Attached, _ = g.replica.commit(request.Epoch, request.Commit)
 	g.compact()
-	return answer, nil, nil
+	return response, nil, nil
 }
 
 // serveHeartbeat records that the primary lives and applies what it has committed.
@@ -92,36 +92,36 @@
 		return nil, nil, err
 	}
 	record := g.witness.record()
-	answer := heartbeatAnswer{Promised: record.Promised, Accepted: record.acceptedEpoch()}
-	if !standsBy(record, request) {
-		return answer, nil, nil
+	response := heartbeatResponse{Promised: record.Promised, Accepted: record.acceptedEpoch()}
+	if !supportsPrimary(record, request) {
+		return response, nil, nil
 	}
-	answer.Heard = true
-	g.giveWay(request.Epoch, request.Primary)
+	response.Supported = true
+	g.resignIfSuperseded(request.Epoch, request.Primary)
 	if request.Leading {
-		g.presence.heardFromPrimary(time.Now())
+		g.monitor.recordContact(time.Now())
 	}
 	attached, complete := g.replica.commit(request.Epoch, request.Commit)
-	answer.Attached = attached
+	response.Attached = attached
 	// A heartbeat that can't be dated may have been on its way for as long as a cut lasted.
-	sentAfter, dated := g.presence.answeredAt(request.Echo)
+	sentAfter, dated := g.monitor.respondedAt(request.Echo)
 	if complete && dated && request.Leading {
-		g.presence.markCurrent(sentAfter)
+		g.monitor.markUpToDate(sentAfter)
 	}
 	if dated {
-		g.takeNews(request, body, sentAfter)
+		g.deliverPayloads(request, body, sentAfter)
 	}
 	g.notify()
-	answer.Number = g.presence.numberAnswer(time.Now())
+	response.Number = g.monitor.nextResponseNumber(time.Now())
 	if g.options.ResponsePayload == nil {
-		return answer, nil, nil
+		return response, nil, nil
 	}
-	return answer, g.options.ResponsePayload(answer.Number), nil
+	return response, g.options.ResponsePayload(response.Number), nil
 }
 
 // takeNews hands on what a heartbeat carries: the payload, and that an answer of this process has reached a primary that
 // led after it.
-func (g *Group) takeNews(request heartbeatRequest, body []byte, sentAfter time.Time) {
+func (g *Group) deliverPayloads(request heartbeatRequest, body []byte, sentAfter time.Time) {
 	if request.Leading && g.options.OnResponseEcho != nil {
 		g.options.OnResponseEcho(request.Echo)
 	}
@@ -132,7 +132,7 @@
 
 // standsBy tells whether a witness still takes the sender of a heartbeat for the primary. One that is making its next
 // view has been promised a higher epoch than that of its heartbeats.
-func standsBy(record *witnessRecord, request heartbeatRequest) bool {
+func supportsPrimary(record *witnessRecord, request heartbeatRequest) bool {
 	if request.Epoch < record.acceptedEpoch() {
 		return record.Accepted.Primary == request.Primary && record.PromisedTo == request.Primary
 	}
@@ -140,8 +140,8 @@
 }
 
 // giveWay ends this process's leadership where another process leads or stands in a higher epoch.
-func (g *Group) giveWay(epoch uint64, primary string) {
-	l := g.leading.Load()
+func (g *Group) resignIfSuperseded(epoch uint64, primary string) {
+	l := g.leadership.Load()
 	if l != nil && primary != g.self.DiskID && epoch > l.currentView().Epoch {
 		g.resign(l, "another process leads")
 	}
@@ -149,7 +149,7 @@
 
 // compact shortens a long log in the background.
 func (g *Group) compact() {
-	if g.replica.isLong() {
+	if g.replica.needsCompaction() {
 		go g.replica.compact()
 	}
 }
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -11,7 +11,7 @@
 )
 
 // parkedBatch is a batch whose changes are committed but on too few disks to be acknowledged.
-type parkedBatch struct {
+type unacknowledgedBatch struct {
 	requests []*request
 	epoch    uint64
 	after    position
@@ -38,39 +38,41 @@
 		failAll(batch, ErrOutcomeUnknown)
 		return
 	}
-	l.parked = append(l.parked, parkedBatch{batch, view.Epoch, after})
-	l.answerParked()
+	l.unacknowledged = append(l.unacknowledged, unacknowledgedBatch{batch, view.Epoch, after})
+	l.acknowledgeBatches()
 	if len(changes) > 0 {
-		l.kickPeers()
+		l.triggerHeartbeats()
 		g.compact()
 	}
 }
 
 // answerParked answers the batches that wait for enough copies, where there are enough now. Read barriers don't wait.
-func (l *leadership) answerParked() {
+func (l *leadership) acknowledgeBatches() {
 	enough := len(l.currentView().InSync) >= l.group.options.ReplicationFactor
-	waiting := l.parked
-	l.parked = nil
+	waiting := l.unacknowledged
+	l.unacknowledged = nil
 	for _, batch := range waiting {
 		switch {
-		case !l.group.replica.isOwn(batch.epoch):
+		case !l.group.replica.ownsSince(batch.epoch):
 			failAll(batch.requests, ErrOutcomeUnknown)
-		case enough || !needsCopies(batch.requests):
-			l.answerBatch(batch.requests, batch.after.Index)
+		case enough || !anyNeedsReplicas(batch.requests):
+			l.completeBatch(batch.requests, batch.after.Index)
 		default:
-			l.parked = append(l.parked, batch)
+			l.unacknowledged = append(l.unacknowledged, batch)
 		}
 	}
 }
 
-func needsCopies(batch []*request) bool { return slices.ContainsFunc(batch, (*request).needsCopies) }
+func anyNeedsReplicas(batch []*request) bool {
+	return slices.ContainsFunc(batch, (*request).needsReplicas)
+}
 
 // failParked fails what is still parked when the leadership ends.
-func (l *leadership) failParked() {
-	for _, batch := range l.parked {
+func (l *leadership) failUnacknowledged() {
+	for _, batch := range l.unacknowledged {
 		failAll(batch.requests, ErrOutcomeUnknown)
 	}
-	l.parked = nil
+	l.unacknowledged = nil
 }
 
 // commitBatch brings the records to all of the in-sync set. Where that fails, a view without those that don't answer
@@ -85,32 +87,32 @@
 	if len(failed) == 0 {
 		if attached, _ := g.replica.commit(view.Epoch, after.Index+count); !attached {
 			g.resign(l, "overtaken")
-			return trace.Wrap(errOvertaken)
+			return trace.Wrap(errSuperseded)
 		}
 		return nil
 	}
-	return l.reshapeUntilDone(failed)
+	return l.reconfigureUntilDone(failed)
 }
 
 // reshapeUntilDone makes a view without the failed disks, and tries until one is in force.
-func (l *leadership) reshapeUntilDone(failed map[string]bool) error {
+func (l *leadership) reconfigureUntilDone(failed map[string]bool) error {
 	for l.ctx.Err() == nil {
-		if l.reshape(failed) == nil {
+		if l.reconfigure(failed) == nil {
 			return nil
 		}
 		failed = nil
-		ctxtime.Sleep(l.ctx, reshapeRetry)
+		ctxtime.Sleep(l.ctx, reconfigureInterval)
 	}
-	return trace.Wrap(errOvertaken)
+	return trace.Wrap(errSuperseded)
 }
 
 // answerBatch tells the proposers what the state machine said.
-func (l *leadership) answerBatch(batch []*request, index uint64) {
+func (l *leadership) completeBatch(batch []*request, index uint64) {
 	for _, waiting := range batch {
 		var outcome error
 		if waiting.kind == requestChange {
 			index++
-			outcome = l.group.replica.takeOutcome(index)
+			outcome = l.group.replica.takeApplyError(index)
 		}
 		waiting.done <- outcome
 	}
@@ -131,7 +133,7 @@
 			backups = append(backups, member)
 		}
 	}
-	replies := ask(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
+	replies := broadcast(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
 	if records != nil {
 		if err := g.replica.syncWithin(l.ctx, 2*g.timing.RoundTimeout); err != nil {
 			return nil, trace.Wrap(err)
@@ -139,7 +141,7 @@
 	}
 	failed := map[string]bool{}
 	for range backups {
-		if received := <-replies; received.err != nil || !received.answer {
+		if received := <-replies; received.err != nil || !received.response {
 			failed[received.member.DiskID] = true
 		}
 	}
@@ -152,28 +154,28 @@
 	g := l.group
 	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
 	defer cancel()
-	answer, err := l.appendAt(ctx, to, epoch, after, records)
+	response, err := l.callAppend(ctx, to, epoch, after, records)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		if isRefused(err) {
+		if isConnectionRefused(err) {
 			ctxtime.Sleep(ctx, g.timing.RefusedTimeout)
 		}
-		answer, err = l.appendAt(ctx, to, epoch, after, records)
+		response, err = l.callAppend(ctx, to, epoch, after, records)
 	}
-	if err != nil || answer.Attached || answer.Promised > epoch {
-		return answer.Attached, err
+	if err != nil || response.Attached || response.Promised > epoch {
+		return response.Attached, err
 	}
-	return g.align(l.ctx, to, epoch, g.replica.end(), &imageOnce{})
+	return g.align(l.ctx, to, epoch, g.replica.end(), &lazySnapshot{})
 }
 
-func (l *leadership) appendAt(
+func (l *leadership) callAppend(
 	ctx context.Context, to Member, epoch uint64, after position, records []byte,
-) (appendAnswer, error) {
+) (appendResponse, error) {
 	g := l.group
 	committed, _ := g.replica.committedIn(epoch)
 	request := appendRequest{
 		Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, After: after, Commit: committed,
 	}
-	var answer appendAnswer
-	_, err := g.call(ctx, g.timing.BackupTimeout, to, methodAppend, request, records, &answer)
-	return answer, err
+	var response appendResponse
+	_, err := g.call(ctx, g.timing.BackupTimeout, to, methodAppend, request, records, &response)
+	return response, err
 }
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, members, copies, seed)
 		defer c.close()
-		c.found()
+		c.bootstrap()
 		test(c)
 	})
 }
@@ -129,11 +129,11 @@
 	return members
 }
 
-func (c *cluster) found() {
+func (c *cluster) bootstrap() {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), 5*time.Second)
 	defer cancel()
-	assert.NilError(c.t, c.nodes[0].run().group.Bootstrap(ctx, c.members()))
+	assert.NilError(c.t, c.nodes[0].process().group.Bootstrap(ctx, c.members()))
 	c.awaitPrimary(5 * time.Second)
 }
 
@@ -143,7 +143,7 @@
 	}
 }
 
-func (n *node) run() *process { return n.current.Load() }
+func (n *node) process() *process { return n.current.Load() }
 
 func (n *node) newDisk() {
 	n.disks++
@@ -201,7 +201,7 @@
 }
 
 // back starts the process again, on a machine with power.
-func (n *node) back() {
+func (n *node) restart() {
 	if n.off {
 		n.cluster.network.PowerOn(n.ip)
 		n.off = false
@@ -236,7 +236,7 @@
 func (c *cluster) primaries() []*node {
 	var claiming []*node
 	for _, each := range c.nodes {
-		if running := each.run(); running != nil && running.group.Role().Primary {
+		if running := each.process(); running != nil && running.group.Role().Primary {
 			claiming = append(claiming, each)
 		}
 	}
@@ -259,11 +259,11 @@
 
 func (c *cluster) describe() {
 	for _, each := range c.nodes {
-		if each.run() == nil {
+		if each.process() == nil {
 			c.t.Logf("%s: down", each.member)
 			continue
 		}
-		group := each.run().group
+		group := each.process().group
 		c.t.Logf("%s: role %+v, record %+v, end %v", each.member, group.Role(), *group.witness.record(), group.replica.end())
 	}
 }
@@ -294,12 +294,12 @@
 	c.t.Helper()
 	return c.await(limit, fmt.Sprintf("%d in sync", count), func() bool {
 		leading := c.primaries()
-		return len(leading) == 1 && len(leading[0].run().group.Role().View.InSync) == count
+		return len(leading) == 1 && len(leading[0].process().group.Role().View.InSync) == count
 	})
 }
 
 func (n *node) propose(change string, limit time.Duration) error {
-	running := n.run()
+	running := n.process()
 	if running == nil {
 		return ErrNotPrimary
 	}
@@ -314,7 +314,7 @@
 }
 
 func (n *node) confirm(limit time.Duration) error {
-	running := n.run()
+	running := n.process()
 	if running == nil {
 		return ErrNotPrimary
 	}
@@ -328,7 +328,7 @@
 	c.t.Helper()
 	c.await(limit, fmt.Sprintf("all hold %v", changes), func() bool {
 		for _, each := range c.nodes {
-			if each.run() != nil && !slices.Equal(each.run().machine.list(), changes) {
+			if each.process() != nil && !slices.Equal(each.process().machine.list(), changes) {
 				return false
 			}
 		}
--- a/internal/controlplane/replication/codec_test.go
+++ b/internal/controlplane/replication/codec_test.go
@@ -22,19 +22,19 @@
 
 func TestImageSurvivesItsEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		original := image{
-			applied: position{rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "index")},
-			tail:    rapid.SliceOf(rapid.Custom(drawEntry)).Draw(t, "tail"),
-			state:   rapid.SliceOf(rapid.Byte()).Draw(t, "state"),
+		original := snapshot{
+			applied:   position{rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "index")},
+			unapplied: rapid.SliceOf(rapid.Custom(drawEntry)).Draw(t, "tail"),
+			state:     rapid.SliceOf(rapid.Byte()).Draw(t, "state"),
 		}
-		decoded, err := decodeImage(original.encode())
+		decoded, err := decodeSnapshot(original.encode())
 		assert.NilError(t, err)
 		assert.Equal(t, decoded.applied, original.applied)
 		assert.Equal(t, decoded.last(), original.last())
 		assert.Assert(t, bytes.Equal(decoded.state, original.state))
-		assert.Equal(t, len(decoded.tail), len(original.tail))
-		for i := range decoded.tail {
-			assert.Assert(t, sameEntry(decoded.tail[i], original.tail[i]))
+		assert.Equal(t, len(decoded.unapplied), len(original.unapplied))
+		for i := range decoded.unapplied {
+			assert.Assert(t, sameEntry(decoded.unapplied[i], original.unapplied[i]))
 		}
 	})
 }
@@ -51,9 +51,9 @@
 }
 
 func FuzzDecodeImage(f *testing.F) {
-	f.Add(image{tail: []entry{{Change: []byte("a")}}, state: []byte("state")}.encode())
+	f.Add(snapshot{unapplied: []entry{{Change: []byte("a")}}, state: []byte("state")}.encode())
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		_, _ = decodeImage(data)
+		_, _ = decodeSnapshot(data)
 		_, _ = decodeEntries(data)
 	})
 }
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	electionSpread   = 150 * time.Millisecond // the random pause before an election is shorter
-	electionBackoff  = 100 * time.Millisecond // the least pause after an election that failed
-	electionJitter   = 200 * time.Millisecond // what is added to it at random
-	shortestLook     = 50 * time.Millisecond  // between two looks at a primary that is silent
-	strangerInterval = 500 * time.Millisecond // between two looks of a process that can't stand
+	maxElectionDelay  = 150 * time.Millisecond // the random pause before an election is shorter
+	electionBackoff   = 100 * time.Millisecond // the least pause after an election that failed
+	electionJitter    = 200 * time.Millisecond // what is added to it at random
+	minCheckInterval  = 50 * time.Millisecond  // between two looks at a primary that is silent
+	nonMemberInterval = 500 * time.Millisecond // between two looks of a process that can't stand
 )
 
 // errNotInSync means that this process may not lead: it may lack acknowledged changes.
 var errNotInSync = errors.New("replication: not in the in-sync set")
 
 // monitor watches the primary's life and stands for its place when it is gone, until the group is closed.
-func (g *Group) monitor() {
+func (g *Group) watchPrimary() {
 	for ctxtime.Sleep(g.ctx, g.supervise()) {
 	}
 }
@@ -32,47 +32,47 @@
 // supervise looks once, and returns after which time to look again.
 func (g *Group) supervise() time.Duration {
 	g.notify()
-	if g.leading.Load() != nil {
+	if g.leadership.Load() != nil {
 		return g.timing.suspectAfter()
 	}
-	known := g.newestKnown()
+	known := g.newestKnownView()
 	if known == nil {
-		return strangerInterval
+		return nonMemberInterval
 	}
 	if _, member := findMember(known.Members, g.self.DiskID); !member {
-		return strangerInterval
+		return nonMemberInterval
 	}
-	if held := g.presence.heldBack(time.Now()); held > 0 {
+	if held := g.monitor.electionDelay(time.Now()); held > 0 {
 		return held
 	}
 	if g.replica.log.Failing() {
-		return strangerInterval // a primary needs its disk
+		return nonMemberInterval // a primary needs its disk
 	}
-	if !g.primaryGone(g.ctx) {
-		return g.untilNextLook()
+	if !g.primaryDown(g.ctx) {
+		return g.nextCheckDelay()
 	}
-	return g.standWhenGone()
+	return g.campaignAfterDelay()
 }
 
 // untilNextLook returns how long a primary that seems alive may stay silent.
-func (g *Group) untilNextLook() time.Duration {
-	silence, _ := g.presence.silence(time.Now())
+func (g *Group) nextCheckDelay() time.Duration {
+	silence, _ := g.monitor.sinceContact(time.Now())
 	limit := g.timing.suspectAfter()
 	if silence >= limit {
 		limit = min(g.timing.LeaseDuration, silence+g.timing.StatusTimeout)
 	}
-	return max(shortestLook, limit-silence)
+	return max(minCheckInterval, limit-silence)
 }
 
 // standWhenGone holds an election after a random pause, unless another process has by then.
-func (g *Group) standWhenGone() time.Duration {
-	if !ctxtime.Sleep(g.ctx, g.randomPause(electionSpread)) {
+func (g *Group) campaignAfterDelay() time.Duration {
+	if !ctxtime.Sleep(g.ctx, g.randomPause(maxElectionDelay)) {
 		return 0
 	}
-	if g.presence.heldBack(time.Now()) > 0 || !g.primaryGone(g.ctx) {
-		return shortestLook
+	if g.monitor.electionDelay(time.Now()) > 0 || !g.primaryDown(g.ctx) {
+		return minCheckInterval
 	}
-	if err := g.elect(g.ctx); err != nil {
+	if err := g.campaign(g.ctx); err != nil {
 		g.logger.Debug("election failed", zap.Error(err))
 		return electionBackoff + g.randomPause(electionJitter)
 	}
@@ -80,39 +80,41 @@
 }
 
 // newestKnown returns the newest view that this process has accepted or been told of.
-func (g *Group) newestKnown() *View { return newer(g.witness.record().Accepted, g.toldOf.Load()) }
+func (g *Group) newestKnownView() *View {
+	return newerView(g.witness.record().Accepted, g.learnedView.Load())
+}
 
 // learn remembers a view that others have accepted.
-func (g *Group) learn(view *View) {
-	if view.Epoch > 0 && view != g.newestKnown() {
-		g.toldOf.Store(newer(g.toldOf.Load(), view))
+func (g *Group) learnView(view *View) {
+	if view.Epoch > 0 && view != g.newestKnownView() {
+		g.learnedView.Store(newerView(g.learnedView.Load(), view))
 	}
 }
 
 // primaryGone tells whether the primary is dead, leads no more, or has been silent for the lease.
-func (g *Group) primaryGone(ctx context.Context) bool {
+func (g *Group) primaryDown(ctx context.Context) bool {
 	record := g.witness.record()
 	if record.Accepted == nil || record.Accepted.Primary == g.self.DiskID {
-		return g.leading.Load() == nil
+		return g.leadership.Load() == nil
 	}
-	silence, gone := g.presence.silence(time.Now())
+	silence, gone := g.monitor.sinceContact(time.Now())
 	if gone || silence >= g.timing.LeaseDuration {
 		return true
 	}
 	if silence < g.timing.suspectAfter() {
 		return false
 	}
-	return g.probePrimary(ctx, *record.Accepted)
+	return g.checkPrimary(ctx, *record.Accepted)
 }
 
 // probePrimary asks a silent primary whether it leads.
-func (g *Group) probePrimary(ctx context.Context, view View) bool {
+func (g *Group) checkPrimary(ctx context.Context, view View) bool {
 	primary, found := view.PrimaryMember()
 	if !found {
 		return true
 	}
 	asked := time.Now()
-	var status statusAnswer
+	var status statusResponse
 	_, err := g.call(ctx, g.timing.StatusTimeout, primary, methodStatus, struct{}{}, nil, &status)
 	var reported *rpc.Error
 	switch {
@@ -120,33 +122,33 @@
 		if status.Leading && status.DiskID == primary.DiskID {
 			return false
 		}
-	case errors.As(err, &reported), isRefused(err):
+	case errors.As(err, &reported), isConnectionRefused(err):
 	default:
 		return false
 	}
-	g.presence.markGone(asked)
+	g.monitor.markDown(asked)
 	return true
 }
 
 // elect makes a view with this process as the primary, and leads it.
-func (g *Group) elect(ctx context.Context) error {
-	known := g.newestKnown()
+func (g *Group) campaign(ctx context.Context) error {
+	known := g.newestKnownView()
 	if known == nil {
 		return trace.Wrap(errNotInSync)
 	}
-	change := viewChange{base: *known, next: g.succeed}
+	change := viewChange{base: *known, derive: g.deriveSuccessorView}
 	if known.Primary != g.self.DiskID {
-		change.silent = map[string]bool{known.Primary: true}
+		change.unresponsive = map[string]bool{known.Primary: true}
 	}
 	made, err := g.changeView(ctx, change)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return g.lead(made)
+	return g.startLeadership(made)
 }
 
 // succeed derives the view of a new primary.
-func (g *Group) succeed(newest View) (View, error) {
+func (g *Group) deriveSuccessorView(newest View) (View, error) {
 	if _, member := findMember(newest.Members, g.self.DiskID); !member || !newest.HasInSync(g.self.DiskID) {
 		return View{}, trace.Wrap(errNotInSync)
 	}
@@ -156,25 +158,25 @@
 // Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated; it does nothing
 // where this process knows of a view.
 func (g *Group) Bootstrap(ctx context.Context, members []Member) error {
-	if g.newestKnown() != nil {
+	if g.newestKnownView() != nil {
 		return nil
 	}
 	genesis := View{Members: members}
 	for _, member := range members {
 		genesis.InSync = append(genesis.InSync, member.DiskID)
 	}
-	if !g.mayFound(genesis) {
+	if !g.mayBootstrap(genesis) {
 		return trace.Wrap(ErrBootstrapRefused)
 	}
-	made, err := g.changeView(ctx, viewChange{base: genesis, founding: true, next: g.succeed})
+	made, err := g.changeView(ctx, viewChange{base: genesis, bootstrap: true, derive: g.deriveSuccessorView})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return g.lead(made)
+	return g.startLeadership(made)
 }
 
 // mayFound tells whether this process may take part in the founding of a group.
-func (g *Group) mayFound(genesis View) bool {
+func (g *Group) mayBootstrap(genesis View) bool {
 	_, member := findMember(genesis.Members, g.self.DiskID)
 	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
 	return member && blank && g.options.AllowBootstrap
--- a/internal/controlplane/replication/entry.go
+++ b/internal/controlplane/replication/entry.go
@@ -62,43 +62,43 @@
 }
 
 // image is the whole state of a replica: the state machine's, and the entries that are not applied yet.
-type image struct {
-	applied position
-	tail    []entry
-	state   []byte
+type snapshot struct {
+	applied   position
+	unapplied []entry
+	state     []byte
 }
 
 // last returns the end of the log that the image stands for.
-func (i image) last() position {
-	if len(i.tail) == 0 {
+func (i snapshot) last() position {
+	if len(i.unapplied) == 0 {
 		return i.applied
 	}
-	return i.tail[len(i.tail)-1].position
+	return i.unapplied[len(i.unapplied)-1].position
 }
 
-func (i image) encode() []byte {
+func (i snapshot) encode() []byte {
 	buffer := binary.AppendUvarint(nil, i.applied.Epoch)
 	buffer = binary.AppendUvarint(buffer, i.applied.Index)
-	buffer = binary.AppendUvarint(buffer, uint64(len(i.tail)))
-	for _, waiting := range i.tail {
+	buffer = binary.AppendUvarint(buffer, uint64(len(i.unapplied)))
+	for _, waiting := range i.unapplied {
 		buffer = appendFrame(buffer, waiting.encode(nil))
 	}
 	return append(buffer, i.state...)
 }
 
 // decodeImage reads an encoded image. The image shares the bytes.
-func decodeImage(data []byte) (image, error) {
+func decodeSnapshot(data []byte) (snapshot, error) {
 	reader := fieldReader{rest: data}
-	decoded := image{}
+	decoded := snapshot{}
 	decoded.applied.Epoch = reader.uvarint()
 	decoded.applied.Index = reader.uvarint()
 	count := reader.uvarint()
 	for i := uint64(0); i < count && reader.err == nil; i++ {
 		waiting, err := decodeEntry(reader.frame())
 		if err != nil {
-			return image{}, err
+			return snapshot{}, err
 		}
-		decoded.tail = append(decoded.tail, waiting)
+		decoded.unapplied = append(decoded.unapplied, waiting)
 	}
 	decoded.state = reader.rest
 	return decoded, reader.err
--- a/internal/controlplane/replication/explorer_model_test.go
+++ b/internal/controlplane/replication/explorer_model_test.go
@@ -105,23 +105,23 @@
 	log        modelLog
 	lost       bool
 
-	follows  uint8 // the epoch whose primary's log this process follows; 0 after a restart
-	phase    modelPhase
-	epoch    uint8 // that it stands or leads in
-	granted  diskSet
-	newest   modelView // of those that have come with promises
-	making   modelView
-	taken    diskSet // disks that have been aligned, then those that have accepted
-	acks     [maxChanges]diskSet
-	learners diskSet // taught, to become members
+	follows     uint8 // the epoch whose primary's log this process follows; 0 after a restart
+	phase       modelPhase
+	epoch       uint8 // that it stands or leads in
+	granted     diskSet
+	newest      modelView // of those that have come with promises
+	making      modelView
+	respondents diskSet // disks that have been aligned, then those that have accepted
+	acks        [maxChanges]diskSet
+	learners    diskSet // taught, to become members
 
-	reading  bool    // a question of an operator is open here
-	floor    uint8   // how much was acknowledged when it came
-	answered diskSet // who has confirmed this primary since
+	reading         bool    // a question of an operator is open here
+	ackedBeforeRead uint8   // how much was acknowledged when it came
+	confirmedBy     diskSet // who has confirmed this primary since
 
-	standsBy int8    // the primary that this witness stands by, counted from 1; 0 for none
-	renewed  diskSet // whom this primary counts on
-	lapsed   bool    // its lease has run out in this view
+	supports    int8    // the primary that this witness stands by, counted from 1; 0 for none
+	supporters  diskSet // whom this primary counts on
+	leaseLapsed bool    // its lease has run out in this view
 }
 
 // modelPhase is how far a process has got in making a view.
@@ -140,12 +140,12 @@
 
 // candidacy is what a process has sent out in an epoch: calls that may still be handled.
 type candidacy struct {
-	stood bool
-	asked bool // to follow its log, once it had a majority's promises
-	base  modelView
-	log   modelLog // at the start of the epoch
-	wrote modelLog // with what was proposed since
-	view  modelView
+	active   bool
+	aligning bool // to follow its log, once it had a majority's promises
+	base     modelView
+	log      modelLog // at the start of the epoch
+	extended modelLog // with what was proposed since
+	view     modelView
 }
 
 // modelState is a state of the whole group.
@@ -160,7 +160,7 @@
 	led         uint8 // the highest epoch that anyone has led in
 	reads       uint8
 	changes     uint8 // of the members
-	misread     bool  // a question was answered by a process that lacked what was acknowledged before it came
+	staleRead   bool  // a question was answered by a process that lacked what was acknowledged before it came
 }
 
 // maxEpochs bounds the epochs.
@@ -177,13 +177,13 @@
 	vote         func(disk *modelDisk, voter int, base modelView) bool
 	wipedReturns bool // a wiped disk comes back under its old name
 
-	mayAnswer        func(view modelView, answered diskSet) bool          // a question of an operator
-	mayChange        func(newest modelView) bool                          // the members, again
-	joins            func(view modelView, aligned diskSet) diskSet        // the in-sync set of a new view
-	copied           func(log modelLog) modelLog                          // what a copy of the whole state holds
-	leaseRuns        func(view modelView, self int, counted diskSet) bool // in time terms: answers within the lease
-	abandonsEarly    bool                                                 // a witness may leave a primary that counts on it
-	standsRegardless bool                                                 // processes vote and stand while they stand by a primary
+	mayServeRead       func(view modelView, answered diskSet) bool          // a question of an operator
+	mayChangeMembers   func(newest modelView) bool                          // the members, again
+	inSync             func(view modelView, aligned diskSet) diskSet        // the in-sync set of a new view
+	snapshotOf         func(log modelLog) modelLog                          // what a copy of the whole state holds
+	leaseValid         func(view modelView, self int, counted diskSet) bool // in time terms: answers within the lease
+	leavesPrimaryEarly bool                                                 // a witness may leave a primary that counts on it
+	ignoresLeases      bool                                                 // processes vote and stand while they stand by a primary
 }
 
 // groupRules are the group's own.
@@ -193,27 +193,27 @@
 	return modelRules{
 		quorum: func(view modelView, has diskSet) bool {
 			asked := question{view.members, view.previous, has}
-			answer, known := answers[asked]
+			response, known := answers[asked]
 			if !known {
-				answer = view.view().quorum(has.isMember)
-				answers[asked] = answer
+				response = view.view().hasQuorum(has.isMember)
+				answers[asked] = response
 			}
-			return answer
+			return response
 		},
 		allows: func(disk *modelDisk, epoch uint8, candidate int) bool {
 			record := witnessRecord{Promised: uint64(disk.promised), PromisedTo: diskName(int(disk.promisedTo))}
 			return record.allows(uint64(epoch), diskName(candidate))
 		},
-		mayAppend:  func(disk *modelDisk, epoch uint8, _ int) bool { return disk.follows == epoch },
-		maySucceed: func(newest modelView, candidate int) bool { return newest.inSync.has(candidate) },
-		committed:  func(view modelView, acks diskSet) bool { return acks.contains(view.inSync) },
-		mayAnswer:  func(view modelView, answered diskSet) bool { return answered.contains(view.inSync) },
-		mayChange:  func(newest modelView) bool { return newest.previous == 0 },
-		joins:      func(view modelView, aligned diskSet) diskSet { return aligned & view.members },
-		copied:     func(log modelLog) modelLog { return log },
-		leaseRuns: func(view modelView, self int, counted diskSet) bool {
+		mayAppend:        func(disk *modelDisk, epoch uint8, _ int) bool { return disk.follows == epoch },
+		maySucceed:       func(newest modelView, candidate int) bool { return newest.inSync.has(candidate) },
+		committed:        func(view modelView, acks diskSet) bool { return acks.contains(view.inSync) },
+		mayServeRead:     func(view modelView, answered diskSet) bool { return answered.contains(view.inSync) },
+		mayChangeMembers: func(newest modelView) bool { return newest.previous == 0 },
+		inSync:           func(view modelView, aligned diskSet) diskSet { return aligned & view.members },
+		snapshotOf:       func(log modelLog) modelLog { return log },
+		leaseValid: func(view modelView, self int, counted diskSet) bool {
 			counted = counted.with(self)
-			return counted.contains(view.inSync) && view.view().quorum(counted.isMember)
+			return counted.contains(view.inSync) && view.view().hasQuorum(counted.isMember)
 		},
 		restart: func(*modelDisk) {},
 		vote: func(disk *modelDisk, voter int, base modelView) bool {
@@ -228,14 +228,14 @@
 
 // modelLimits bound what may happen in a play.
 type modelLimits struct {
-	disks   int // members at the founding
-	copies  int
-	epochs  uint8
-	changes uint8
-	crashes uint8
-	losses  uint8
-	joins   uint8 // disks that are added, as replacements of lost ones or beside the others
-	stands  int   // so many of the first disks stand in elections; 0 for all
+	disks             int // members at the founding
+	replicationFactor int
+	epochs            uint8
+	changes           uint8
+	crashes           uint8
+	losses            uint8
+	joins             uint8 // disks that are added, as replacements of lost ones or beside the others
+	candidates        int   // so many of the first disks stand in elections; 0 for all
 
 	reads         uint8 // questions of operators
 	leases        bool  // witnesses stand by primaries that they have heard
@@ -244,7 +244,7 @@
 }
 
 // founded is the state after the founding: the first disk leads all others.
-func founded(limits modelLimits) modelState {
+func bootstrapped(limits modelLimits) modelState {
 	var state modelState
 	all := setOf(limits.disks)
 	view := modelView{epoch: 1, inSync: all, members: all}
@@ -254,11 +254,11 @@
 	state.disks[0].phase, state.disks[0].epoch, state.disks[0].making = primary, 1, view
 	if limits.leases {
 		for disk := 1; disk < limits.disks; disk++ {
-			state.disks[disk].standsBy = 1
+			state.disks[disk].supports = 1
 		}
-		state.disks[0].renewed = all.without(0)
+		state.disks[0].supporters = all.without(0)
 	}
-	state.candidacies[0][1] = candidacy{stood: true, asked: true, base: view, view: view}
+	state.candidacies[0][1] = candidacy{active: true, aligning: true, base: view, view: view}
 	state.led = 1
 	return state
 }
@@ -274,7 +274,7 @@
 }
 
 // Start implements modelcheck.Model.
-func (m *model) Start() modelState { return founded(m.limits) }
+func (m *model) Start() modelState { return bootstrapped(m.limits) }
 
 // Next implements modelcheck.Model.
 func (m *model) Next(state *modelState, named bool) []modelStep {
@@ -313,7 +313,7 @@
 // ownSteps are what a process does by itself.
 func (m *model) ownSteps(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
-	m.stand(state, disk, add)
+	m.campaign(state, disk, add)
 	switch d.phase {
 	case collecting:
 		m.beginAligning(state, disk, add)
@@ -323,35 +323,35 @@
 		m.enterView(state, disk, add)
 	case primary:
 		m.propose(state, disk, add)
-		m.answerOperator(state, disk, add)
+		m.serveRead(state, disk, add)
 	}
 	if m.limits.leases {
-		m.passTime(state, disk, add)
+		m.expireLeases(state, disk, add)
 	}
 }
 
 // stand takes an epoch for a process: in an election, or as the primary for another view.
-func (m *model) stand(state *modelState, disk int, add addStep) {
+func (m *model) campaign(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	base := d.accepted
-	if base.epoch == 0 || !m.maySucceed(base, disk) || m.limits.stands > 0 && disk >= m.limits.stands {
+	if base.epoch == 0 || !m.maySucceed(base, disk) || m.limits.candidates > 0 && disk >= m.limits.candidates {
 		return
 	}
-	if m.standsByOther(d, disk) {
+	if m.supportsOther(d, disk) {
 		return
 	}
 	for epoch := d.promised + 1; epoch <= m.limits.epochs; epoch++ {
-		if state.candidacies[disk][epoch].stood {
+		if state.candidacies[disk][epoch].active {
 			continue
 		}
 		next := *state
 		c := &next.disks[disk]
 		c.promised, c.promisedTo, c.follows = epoch, int8(disk), epoch
 		c.phase, c.epoch, c.granted, c.newest = collecting, epoch, diskSet(0).with(disk), base
-		c.making, c.taken, c.acks = modelView{}, 0, [maxChanges]diskSet{}
-		c.reading, c.floor, c.answered = false, 0, 0
-		c.standsBy, c.renewed, c.lapsed = 0, 0, false
-		next.candidacies[disk][epoch] = candidacy{stood: true, base: base, log: c.log, wrote: c.log}
+		c.making, c.respondents, c.acks = modelView{}, 0, [maxChanges]diskSet{}
+		c.reading, c.ackedBeforeRead, c.confirmedBy = false, 0, 0
+		c.supports, c.supporters, c.leaseLapsed = 0, 0, false
+		next.candidacies[disk][epoch] = candidacy{active: true, base: base, log: c.log, extended: c.log}
 		add(next, "%s stands in %d", diskName(disk), epoch)
 	}
 }
@@ -371,8 +371,8 @@
 		c := &next.disks[disk]
 		c.phase = aligning
 		c.making = modelView{epoch: d.epoch, primary: int8(disk), members: members, previous: previous}
-		c.taken = diskSet(0).with(disk)
-		next.candidacies[disk][d.epoch].asked = true
+		c.respondents = diskSet(0).with(disk)
+		next.candidacies[disk][d.epoch].aligning = true
 		if previous != d.newest.previous && previous != 0 && !m.replacesLost(state, members, previous) {
 			next.changes++
 		}
@@ -385,7 +385,7 @@
 	if d.newest.previous != 0 && d.newest == d.accepted {
 		begin(d.newest.members, 0, " without the former members")
 	}
-	if m.rules.mayChange(d.newest) {
+	if m.rules.mayChangeMembers(d.newest) {
 		m.changeMembers(state, disk, begin)
 	}
 }
@@ -430,8 +430,8 @@
 func (m *model) beginAccepting(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	view := d.making
-	view.inSync = m.rules.joins(view, d.taken)
-	if len(view.inSync.disks()) < view.view().leastInSync(m.limits.copies) {
+	view.inSync = m.rules.inSync(view, d.respondents)
+	if len(view.inSync.disks()) < view.view().minInSync(m.limits.replicationFactor) {
 		return
 	}
 	if added := view.members &^ view.previous; view.previous != 0 && !view.inSync.contains(added) {
@@ -442,7 +442,7 @@
 	}
 	next := *state
 	c := &next.disks[disk]
-	c.phase, c.making, c.taken = accepting, view, diskSet(0).with(disk)
+	c.phase, c.making, c.respondents = accepting, view, diskSet(0).with(disk)
 	c.accepted = view
 	next.candidacies[disk][view.epoch].view = view
 	add(next, "%s accepts its view %d with %v in sync", diskName(disk), view.epoch, view.inSync.disks())
@@ -455,19 +455,19 @@
 // enterView begins to lead, once a majority has accepted. The whole log is committed then.
 func (m *model) enterView(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
-	if !m.rules.quorum(d.making, d.taken) || d.promised != d.epoch {
+	if !m.rules.quorum(d.making, d.respondents) || d.promised != d.epoch {
 		return
 	}
 	next := *state
 	c := &next.disks[disk]
 	c.phase, c.acks = primary, [maxChanges]diskSet{}
-	c.lapsed = false
-	for _, member := range d.taken.without(disk).disks() {
-		if m.limits.leases && int(state.disks[member].standsBy) == disk+1 {
-			c.renewed = c.renewed.with(member)
+	c.leaseLapsed = false
+	for _, member := range d.respondents.without(disk).disks() {
+		if m.limits.leases && int(state.disks[member].supports) == disk+1 {
+			c.supporters = c.supporters.with(member)
 		}
 	}
-	c.lapsed = m.limits.leases && !m.rules.leaseRuns(c.making, disk, c.renewed)
+	c.leaseLapsed = m.limits.leases && !m.rules.leaseValid(c.making, disk, c.supporters)
 	next.led = max(next.led, c.epoch)
 	if c.log.len() > next.acked.len() && c.log.extends(next.acked) {
 		next.acked = c.log
@@ -486,13 +486,13 @@
 	next.proposed++
 	c.log = c.log.append(modelEntry{d.epoch, next.proposed})
 	c.acks[c.log.len()-1] = diskSet(0).with(disk)
-	next.candidacies[disk][d.epoch].wrote = c.log
+	next.candidacies[disk][d.epoch].extended = c.log
 	next.acknowledge(m, disk)
 	add(next, "%s proposes change %d", diskName(disk), next.proposed)
 }
 
 // answerOperator begins and ends the answer to a question: a reading, or an order that is refused or was taken before.
-func (m *model) answerOperator(state *modelState, disk int, add addStep) {
+func (m *model) serveRead(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	if d.promised != d.epoch {
 		return
@@ -504,50 +504,50 @@
 		next := *state
 		next.reads++
 		c := &next.disks[disk]
-		c.reading, c.floor, c.answered = true, uint8(state.acked.len()), diskSet(0).with(disk)
+		c.reading, c.ackedBeforeRead, c.confirmedBy = true, uint8(state.acked.len()), diskSet(0).with(disk)
 		add(next, "%s is asked", diskName(disk))
 		return
 	}
-	if !m.rules.mayAnswer(d.making, d.answered) {
+	if !m.rules.mayServeRead(d.making, d.confirmedBy) {
 		return
 	}
 	next := *state
 	c := &next.disks[disk]
-	c.reading, c.floor, c.answered = false, 0, 0
-	next.misread = !d.log.extends(state.acked.prefix(int(d.floor)))
+	c.reading, c.ackedBeforeRead, c.confirmedBy = false, 0, 0
+	next.staleRead = !d.log.extends(state.acked.prefix(int(d.ackedBeforeRead)))
 	add(next, "%s answers", diskName(disk))
 }
 
 // passTime ends what holds for a time only: that a primary counts on a member, and that a witness stands by a primary.
-func (m *model) passTime(state *modelState, disk int, add addStep) {
+func (m *model) expireLeases(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
-	for _, member := range d.renewed.disks() {
+	for _, member := range d.supporters.disks() {
 		next := *state
 		c := &next.disks[disk]
-		c.renewed = c.renewed.without(member)
-		c.lapsed = d.lapsed || !m.rules.leaseRuns(d.making, disk, c.renewed)
+		c.supporters = c.supporters.without(member)
+		c.leaseLapsed = d.leaseLapsed || !m.rules.leaseValid(d.making, disk, c.supporters)
 		add(next, "%s counts on %s no more", diskName(disk), diskName(member))
 	}
-	if d.standsBy == 0 {
+	if d.supports == 0 {
 		return
 	}
-	leader := &state.disks[d.standsBy-1]
-	if leader.phase == primary && leader.renewed.has(disk) && !m.rules.abandonsEarly {
+	leader := &state.disks[d.supports-1]
+	if leader.phase == primary && leader.supporters.has(disk) && !m.rules.leavesPrimaryEarly {
 		return
 	}
 	next := *state
-	next.disks[disk].standsBy = 0
-	add(next, "%s stands by %s no more", diskName(disk), diskName(int(d.standsBy-1)))
+	next.disks[disk].supports = 0
+	add(next, "%s stands by %s no more", diskName(disk), diskName(int(d.supports-1)))
 }
 
 // standsByOther tells whether a witness stands by a primary other than a candidate.
-func (m *model) standsByOther(witness *modelDisk, candidate int) bool {
-	return m.limits.leases && !m.rules.standsRegardless && witness.standsBy != 0 && int(witness.standsBy) != candidate+1
+func (m *model) supportsOther(witness *modelDisk, candidate int) bool {
+	return m.limits.leases && !m.rules.ignoresLeases && witness.supports != 0 && int(witness.supports) != candidate+1
 }
 
 // holdsLease tells whether a primary may answer from its own state.
 func (m *model) holdsLease(disk int, d *modelDisk) bool {
-	return m.limits.leases && d.phase == primary && !d.lapsed && m.rules.leaseRuns(d.making, disk, d.renewed)
+	return m.limits.leases && d.phase == primary && !d.leaseLapsed && m.rules.leaseValid(d.making, disk, d.supporters)
 }
 
 // acknowledge notes the changes that the primary may acknowledge, in the order of its log.
@@ -612,7 +612,7 @@
 func (d *modelDisk) restart(leases bool) {
 	*d = modelDisk{promised: d.promised, promisedTo: d.promisedTo, accepted: d.accepted, log: d.log}
 	if leases && d.accepted.epoch > 0 {
-		d.standsBy = d.accepted.primary + 1
+		d.supports = d.accepted.primary + 1
 	}
 }
 
@@ -620,10 +620,10 @@
 func (m *model) calls(state *modelState, from, to int, add addStep) {
 	for epoch := uint8(1); epoch <= m.limits.epochs; epoch++ {
 		sent := &state.candidacies[from][epoch]
-		if !sent.stood {
+		if !sent.active {
 			continue
 		}
-		m.promise(state, from, to, epoch, add)
+		m.prepare(state, from, to, epoch, add)
 		m.attach(state, from, to, epoch, add)
 		m.accept(state, from, to, epoch, add)
 		m.appendEntry(state, from, to, epoch, add)
@@ -646,7 +646,7 @@
 		return
 	}
 	next := *state
-	next.disks[from].answered = asks.answered.with(to)
+	next.disks[from].confirmedBy = asks.confirmedBy.with(to)
 	add(next, "%s confirms %d to %s", diskName(to), epoch, diskName(from))
 }
 
@@ -658,24 +658,24 @@
 		return
 	}
 	next := *state
-	next.disks[to].standsBy = int8(from + 1)
+	next.disks[to].supports = int8(from + 1)
 	add(next, "%s hears %s in %d", diskName(to), diskName(from), epoch)
 	c := &next.disks[from]
-	if c.phase != primary || c.epoch != epoch || c.lapsed || w.accepted.epoch < epoch {
+	if c.phase != primary || c.epoch != epoch || c.leaseLapsed || w.accepted.epoch < epoch {
 		return
 	}
-	c.renewed = c.renewed.with(to)
+	c.supporters = c.supporters.with(to)
 	add(next, "%s hears %s in %d, which counts on it", diskName(to), diskName(from), epoch)
 }
 
 // promise handles a call for a promise.
-func (m *model) promise(state *modelState, from, to int, epoch uint8, add addStep) {
+func (m *model) prepare(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
 	if !sent.base.everyone().has(to) || !m.rules.allows(w, epoch, from) || !m.rules.vote(w, to, sent.base) {
 		return
 	}
-	if m.standsByOther(w, from) || !m.rules.standsRegardless && m.holdsLease(to, w) {
+	if m.supportsOther(w, from) || !m.rules.ignoresLeases && m.holdsLease(to, w) {
 		return
 	}
 	next := *state
@@ -693,13 +693,13 @@
 // promiseTo records a promise; a leadership or candidacy in a lower epoch ends.
 func (d *modelDisk) promiseTo(epoch uint8, candidate int) {
 	if d.phase != following && d.epoch < epoch {
-		d.phase, d.making, d.taken, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
+		d.phase, d.making, d.respondents, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
 		d.acks, d.learners = [maxChanges]diskSet{}, 0
-		d.reading, d.floor, d.answered = false, 0, 0
-		d.renewed, d.lapsed = 0, false
+		d.reading, d.ackedBeforeRead, d.confirmedBy = false, 0, 0
+		d.supporters, d.leaseLapsed = 0, false
 	}
-	if int(d.standsBy) != candidate+1 && epoch > d.promised {
-		d.standsBy = 0
+	if int(d.supports) != candidate+1 && epoch > d.promised {
+		d.supports = 0
 	}
 	d.promised, d.promisedTo = epoch, int8(candidate)
 }
@@ -708,7 +708,7 @@
 func (m *model) attach(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
-	if !sent.asked || !m.rules.allows(w, epoch, from) || epoch < w.follows {
+	if !sent.aligning || !m.rules.allows(w, epoch, from) || epoch < w.follows {
 		return
 	}
 	attached := func(log modelLog, what string) {
@@ -719,7 +719,7 @@
 		if c := &next.disks[from]; c.epoch == epoch && c.log == log {
 			switch {
 			case c.phase == aligning:
-				c.taken = c.taken.with(to)
+				c.respondents = c.respondents.with(to)
 			case c.phase == primary && state.isSpare(to):
 				c.learners = c.learners.with(to)
 			default:
@@ -731,10 +731,10 @@
 	if sent.base.everyone().has(to) && w.log.last() == sent.log.last() {
 		attached(w.log, "")
 	}
-	for length := sent.log.len(); length <= sent.wrote.len(); length++ {
+	for length := sent.log.len(); length <= sent.extended.len(); length++ {
 		ahead := w.log.len() > length && w.log.last().Epoch == uint64(epoch)
 		if !ahead {
-			attached(m.rules.copied(sent.wrote.prefix(length)), " by a copy")
+			attached(m.rules.snapshotOf(sent.extended.prefix(length)), " by a copy")
 		}
 	}
 }
@@ -749,11 +749,11 @@
 	next.disks[to].promiseTo(epoch, from)
 	next.disks[to].accepted = view
 	if m.limits.leases {
-		next.disks[to].standsBy = int8(from + 1)
+		next.disks[to].supports = int8(from + 1)
 	}
 	add(next, "%s accepts the view %d of %s", diskName(to), epoch, diskName(from))
 	if c := &next.disks[from]; c.phase == accepting && c.epoch == epoch {
-		c.taken = c.taken.with(to)
+		c.respondents = c.respondents.with(to)
 		add(next, "%s accepts the view %d of %s, which hears of it", diskName(to), epoch, diskName(from))
 	}
 }
@@ -765,15 +765,15 @@
 	if !sent.view.inSync.has(to) || !m.rules.allows(w, epoch, from) || !m.rules.mayAppend(w, epoch, from) {
 		return
 	}
-	for index := sent.log.len(); index < sent.wrote.len(); index++ {
-		follows := w.log.last() == sent.wrote.prefix(index).last()
-		repeated := w.log.len() > index && w.log.last() == sent.wrote.prefix(w.log.len()).last()
+	for index := sent.log.len(); index < sent.extended.len(); index++ {
+		follows := w.log.last() == sent.extended.prefix(index).last()
+		repeated := w.log.len() > index && w.log.last() == sent.extended.prefix(w.log.len()).last()
 		if !follows && !repeated {
 			continue
 		}
 		next := *state
 		if follows {
-			next.disks[to].log = w.log.append(sent.wrote.at(index))
+			next.disks[to].log = w.log.append(sent.extended.at(index))
 		}
 		add(next, "%s logs entry %d of %s", diskName(to), index+1, diskName(from))
 		if c := &next.disks[from]; c.phase == primary && c.epoch == epoch && c.promised == epoch {
@@ -786,7 +786,7 @@
 
 // Violation implements modelcheck.Model.
 func (m *model) Violation(s *modelState) string {
-	if s.misread {
+	if s.staleRead {
 		return "a question was answered without what had been acknowledged before it came"
 	}
 	for disk := range modelDisks {
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -27,18 +27,18 @@
 // TestExplore goes through the protocol's states. EXPLORE_STATES sets how many.
 func TestExplore(t *testing.T) {
 	spaces := map[string]exploredSpace{
-		"three disks, two elections":              {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, states: 90000, depth: 13, complete: false},
-		"three disks, a restart":                  {limits: modelLimits{disks: 3, copies: 2, epochs: 2, changes: 2, crashes: 1}, states: 81945, depth: 18, complete: true},
-		"four disks, an election":                 {limits: modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1}, states: 85971, depth: 18, complete: true},
-		"three disks, a loss":                     {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1}, states: 90000, depth: 11, complete: false},
-		"three disks, a loss and its replacement": {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1, joins: 1, stands: 1}, states: 90000, depth: 17, complete: false},
-		"three disks, questions":                  {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, reads: 2, stands: 2}, states: 90000, depth: 13, complete: false},
-		"four disks, a question":                  {limits: modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2}, states: 90000, depth: 15, complete: false},
-		"three disks, leases":                     {limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, leases: true, stands: 2}, states: 90000, depth: 15, complete: false},
-		"three disks, leases and a restart":       {limits: modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, crashes: 1}, states: 90000, depth: 17, complete: false},
-		"three disks, two changes of members":     {limits: modelLimits{disks: 3, copies: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, stands: 1}, states: 90000, depth: 10, complete: false},
-		"four disks, a removal":                   {limits: modelLimits{disks: 4, copies: 2, epochs: 3, changes: 1, memberChanges: 1, stands: 2}, states: 90000, depth: 11, complete: false},
-		"three disks, two losses and repairs":     {limits: modelLimits{disks: 3, copies: 2, epochs: 5, changes: 1, losses: 2, joins: 2, stands: 1, repaired: true}, states: 90000, depth: 11, complete: false},
+		"three disks, two elections":              {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, states: 90000, depth: 13, complete: false},
+		"three disks, a restart":                  {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 2, crashes: 1}, states: 81945, depth: 18, complete: true},
+		"four disks, an election":                 {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1}, states: 85971, depth: 18, complete: true},
+		"three disks, a loss":                     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1}, states: 90000, depth: 11, complete: false},
+		"three disks, a loss and its replacement": {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1, joins: 1, candidates: 1}, states: 90000, depth: 17, complete: false},
+		"three disks, questions":                  {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, reads: 2, candidates: 2}, states: 90000, depth: 13, complete: false},
+		"four disks, a question":                  {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2}, states: 90000, depth: 15, complete: false},
+		"three disks, leases":                     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, leases: true, candidates: 2}, states: 90000, depth: 15, complete: false},
+		"three disks, leases and a restart":       {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, crashes: 1}, states: 90000, depth: 17, complete: false},
+		"three disks, two changes of members":     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, candidates: 1}, states: 90000, depth: 10, complete: false},
+		"four disks, a removal":                   {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 3, changes: 1, memberChanges: 1, candidates: 2}, states: 90000, depth: 11, complete: false},
+		"three disks, two losses and repairs":     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, losses: 2, joins: 2, candidates: 1, repaired: true}, states: 90000, depth: 11, complete: false},
 	}
 	for name, space := range spaces {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 
 // TestRandomWalks goes far beyond what can be searched. EXPLORE_WALKS sets how many walks.
 func TestRandomWalks(t *testing.T) {
-	limits := modelLimits{disks: 4, copies: 2, epochs: maxEpochs, changes: maxChanges, crashes: 2, losses: 1, joins: 1}
+	limits := modelLimits{disks: 4, replicationFactor: 2, epochs: maxEpochs, changes: maxChanges, crashes: 2, losses: 1, joins: 1}
 	walked := &model{rules: groupRules(), limits: limits}
 	for walk := range modelcheck.Bound("EXPLORE_WALKS", 300) {
 		if steps := modelcheck.Walk(walked, uint64(walk), 80); steps != nil {
@@ -81,47 +81,47 @@
 // TestMutationsAreFound breaks one rule at a time, and expects that the search finds it.
 func TestMutationsAreFound(t *testing.T) {
 	mutations := map[string]mutation{
-		"half is a quorum": {103_186, modelLimits{disks: 4, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
+		"half is a quorum": {103_186, modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2}, func(rules *modelRules) {
 			rules.quorum = func(view modelView, has diskSet) bool {
 				return 2*len((has&view.members).disks()) >= len(view.members.disks())
 			}
 		}},
-		"promises are forgotten at a restart": {400_000, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, crashes: 1, stands: 2}, func(rules *modelRules) {
+		"promises are forgotten at a restart": {400_000, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, crashes: 1, candidates: 2}, func(rules *modelRules) {
 			rules.restart = func(disk *modelDisk) { disk.promised, disk.promisedTo = disk.accepted.epoch, disk.accepted.primary }
 		}},
-		"witnesses accept lower epochs": {400_000, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, stands: 2}, func(rules *modelRules) {
+		"witnesses accept lower epochs": {400_000, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, candidates: 2}, func(rules *modelRules) {
 			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.accepted.epoch }
 		}},
-		"one epoch is promised twice": {37_411, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, stands: 2}, func(rules *modelRules) {
+		"one epoch is promised twice": {37_411, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2}, func(rules *modelRules) {
 			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.promised }
 		}},
-		"anyone may succeed": {148_665, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
+		"anyone may succeed": {148_665, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
 			rules.maySucceed = func(modelView, int) bool { return true }
 		}},
-		"one copy is enough": {289, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
+		"one copy is enough": {289, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
 			rules.committed = func(view modelView, acks diskSet) bool { return acks != 0 }
 		}},
-		"all in-sync disks but one are enough": {1_049, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
+		"all in-sync disks but one are enough": {1_049, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
 			rules.committed = func(view modelView, acks diskSet) bool {
 				return len((view.inSync &^ acks).disks()) <= 1
 			}
 		}},
-		"a question is answered without contact": {6_676, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, reads: 1, stands: 2}, func(rules *modelRules) {
-			rules.mayAnswer = func(modelView, diskSet) bool { return true }
+		"a question is answered without contact": {6_676, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2}, func(rules *modelRules) {
+			rules.mayServeRead = func(modelView, diskSet) bool { return true }
 		}},
-		"a copy of the state forgets the last entry": {30_418, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
-			rules.copied = func(log modelLog) modelLog { return log.prefix(max(0, log.len()-1)) }
+		"a copy of the state forgets the last entry": {30_418, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
+			rules.snapshotOf = func(log modelLog) modelLog { return log.prefix(max(0, log.len()-1)) }
 		}},
-		"a lease runs without answers": {7_888, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
-			rules.leaseRuns = func(modelView, int, diskSet) bool { return true }
+		"a lease runs without answers": {7_888, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
+			rules.leaseValid = func(modelView, int, diskSet) bool { return true }
 		}},
-		"processes stand and vote while they stand by a primary": {4_290, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
-			rules.standsRegardless = true
+		"processes stand and vote while they stand by a primary": {4_290, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
+			rules.ignoresLeases = true
 		}},
-		"a witness leaves a primary that counts on it": {7_490, modelLimits{disks: 3, copies: 2, epochs: 2, changes: 1, leases: true, stands: 2}, func(rules *modelRules) {
-			rules.abandonsEarly = true
+		"a witness leaves a primary that counts on it": {7_490, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
+			rules.leavesPrimaryEarly = true
 		}},
-		"a wiped disk votes under its old name": {199_596, modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, losses: 1}, func(rules *modelRules) {
+		"a wiped disk votes under its old name": {199_596, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1}, func(rules *modelRules) {
 			rules.wipedReturns = true
 		}},
 	}
@@ -151,9 +151,9 @@
 func TestScriptedMutations(t *testing.T) {
 	mutations := map[string]scriptedMutation{
 		"a member counts before it has caught up": {
-			limits: modelLimits{disks: 3, copies: 2, epochs: 3, changes: 1, joins: 1, memberChanges: 1},
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, joins: 1, memberChanges: 1},
 			mutate: func(rules *modelRules) {
-				rules.joins = func(view modelView, aligned diskSet) diskSet {
+				rules.inSync = func(view modelView, aligned diskSet) diskSet {
 					return (aligned | view.members&^view.previous) & view.members
 				}
 			},
@@ -170,8 +170,8 @@
 			forbidden: "a accepts its view 2 with [0 2 4] in sync",
 		},
 		"members change while a change is in doubt": {
-			limits: modelLimits{disks: 3, copies: 2, epochs: 4, changes: 1, joins: 2, memberChanges: 2},
-			mutate: func(rules *modelRules) { rules.mayChange = func(modelView) bool { return true } },
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 4, changes: 1, joins: 2, memberChanges: 2},
+			mutate: func(rules *modelRules) { rules.mayChangeMembers = func(modelView) bool { return true } },
 			steps: []string{
 				"a replacement starts", "a replacement starts",
 				"e follows a in 1 by a copy, which hears of it", "d follows a in 1 by a copy, which hears of it",
--- a/internal/controlplane/replication/gate.go
+++ b/internal/controlplane/replication/gate.go
@@ -1,16 +1,16 @@
 package replication
 
 // gate is a lock that is held across calls and disk writes, where a mutex should not be.
-type gate chan struct{}
+type semaphore chan struct{}
 
-func newGate() gate { return make(gate, 1) }
+func newSemaphore() semaphore { return make(semaphore, 1) }
 
-func (g gate) enter() { g <- struct{}{} }
+func (g semaphore) acquire() { g <- struct{}{} }
 
-func (g gate) leave() { <-g }
+func (g semaphore) release() { <-g }
 
 // tryEnter enters if nobody else is in.
-func (g gate) tryEnter() bool {
+func (g semaphore) tryAcquire() bool {
 	select {
 	case g <- struct{}{}:
 		return true
--- a/internal/controlplane/replication/golden_test.go
+++ b/internal/controlplane/replication/golden_test.go
@@ -86,13 +86,13 @@
 func writeDisk(t *testing.T, path string) []byte {
 	t.Helper()
 	written, _ := openAt(t, path)
-	_, err := written.begin(goldenFirstEpoch)
+	_, err := written.beginEpoch(goldenFirstEpoch)
 	assert.NilError(t, err)
 	proposeAt(t, written, goldenFirstEpoch, goldenChanges[:4]...)
 	attached, complete := written.commit(goldenFirstEpoch, 3)
 	assert.Assert(t, attached && complete)
 	assert.NilError(t, written.writeSnapshot())
-	_, err = written.begin(goldenNextEpoch)
+	_, err = written.beginEpoch(goldenNextEpoch)
 	assert.NilError(t, err)
 	written.commit(goldenNextEpoch, 4)
 	records := proposeAt(t, written, goldenNextEpoch, goldenChanges[4:]...)
@@ -160,7 +160,7 @@
 	assert.Equal(t, opened.end(), position{Epoch: goldenNextEpoch, Index: 6})
 	assert.Equal(t, opened.applied, position{Epoch: goldenFirstEpoch, Index: 4})
 	var waiting []string
-	for _, each := range opened.tail {
+	for _, each := range opened.unapplied {
 		waiting = append(waiting, string(each.Change))
 	}
 	assert.DeepEqual(t, waiting, goldenChanges[4:])
@@ -171,7 +171,7 @@
 func TestGoldenSnapshotIsEncodedAgain(t *testing.T) {
 	data, err := wal.LoadFile(directoryOf(t, copyDisk(t, goldenDisk)), goldenSnapshot)
 	assert.NilError(t, err)
-	decoded, err := decodeImage(data)
+	decoded, err := decodeSnapshot(data)
 	assert.NilError(t, err)
 	assert.Equal(t, decoded.applied, position{Epoch: goldenFirstEpoch, Index: 3})
 	assert.Equal(t, decoded.last(), position{Epoch: goldenFirstEpoch, Index: 4})
@@ -187,7 +187,7 @@
 	path := copyDisk(t, goldenTornDisk)
 	opened, machine := openAt(t, path)
 	assert.DeepEqual(t, machine.list(), goldenChanges[:4])
-	last, err := opened.begin(goldenNextEpoch)
+	last, err := opened.beginEpoch(goldenNextEpoch)
 	assert.NilError(t, err)
 	assert.Equal(t, last, position{Epoch: goldenNextEpoch, Index: 5})
 	proposeAt(t, opened, goldenNextEpoch, goldenChanges[5])
@@ -232,27 +232,27 @@
 	const epoch, commit, number = 1<<63 + 9, 1<<62 + 11, 1<<61 + 13
 	last := position{Epoch: 1<<60 + 15, Index: 1<<59 + 17}
 	return []goldenMessage{
-		{methodPromise + " request", promiseRequest{
-			Target: "disk-b", Epoch: epoch, Candidate: "disk-a", View: view, Trial: true, Founding: true,
+		{methodPrepare + " request", prepareRequest{
+			Target: "disk-b", Epoch: epoch, Candidate: "disk-a", View: view, PreVote: true, Bootstrap: true,
 		}},
-		{methodPromise + " response", promiseAnswer{Granted: true, Promised: epoch, Accepted: &view}},
-		{methodAccept + " request", acceptRequest{Target: "disk-b", View: view, Founding: true}},
-		{methodAccept + " response", acceptAnswer{Accepted: true, Promised: epoch}},
+		{methodPrepare + " response", prepareResponse{Granted: true, Promised: epoch, Accepted: &view}},
+		{methodAccept + " request", acceptRequest{Target: "disk-b", View: view, Bootstrap: true}},
+		{methodAccept + " response", acceptResponse{Accepted: true, Promised: epoch}},
 		{methodAttach + " request", attachRequest{
-			Target: "disk-b", Epoch: epoch, Primary: "disk-a", Last: last, Complete: true,
+			Target: "disk-b", Epoch: epoch, Primary: "disk-a", Last: last, HasSnapshot: true,
 		}},
-		{methodAttach + " response", attachAnswer{Attached: true, Promised: epoch}},
+		{methodAttach + " response", attachResponse{Attached: true, Promised: epoch}},
 		{methodAppend + " request", appendRequest{
 			Target: "disk-b", Epoch: epoch, Primary: "disk-a", After: last, Commit: commit,
 		}},
-		{methodAppend + " response", appendAnswer{Attached: true, Promised: epoch}},
+		{methodAppend + " response", appendResponse{Attached: true, Promised: epoch}},
 		{methodHeartbeat + " request", heartbeatRequest{
 			Target: "disk-b", Epoch: epoch, Primary: "disk-a", Commit: commit, Leading: true, Echo: number,
 		}},
-		{methodHeartbeat + " response", heartbeatAnswer{
-			Heard: true, Promised: epoch, Accepted: commit, Attached: true, Number: number,
+		{methodHeartbeat + " response", heartbeatResponse{
+			Supported: true, Promised: epoch, Accepted: commit, Attached: true, Number: number,
 		}},
-		{methodStatus + " response", statusAnswer{DiskID: "disk-b", Leading: true, Epoch: epoch}},
+		{methodStatus + " response", statusResponse{DiskID: "disk-b", Leading: true, Epoch: epoch}},
 		{"witness", witnessRecord{Promised: epoch, PromisedTo: "disk-b", Accepted: &view}},
 	}
 }
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -26,11 +26,11 @@
 	ctx    context.Context // ends with Close
 	cancel context.CancelFunc
 
-	leading      atomic.Pointer[leadership] // nil while this process does not lead
-	making       gate                       // held while this process makes a view
-	presence     presence
+	leadership   atomic.Pointer[leadership] // nil while this process does not lead
+	viewChanges  semaphore                  // held while this process makes a view
+	monitor      primaryMonitor
 	highestEpoch atomic.Uint64        // the highest epoch known to be promised by anyone
-	toldOf       atomic.Pointer[View] // the newest view heard of from other witnesses
+	learnedView  atomic.Pointer[View] // the newest view heard of from other witnesses
 
 	randomMu sync.Mutex
 	random   *rand.Rand
@@ -52,17 +52,17 @@
 		return nil, trace.Wrap(err)
 	}
 	g := &Group{
-		options: options,
-		self:    options.Self,
-		timing:  options.Timing,
-		logger:  options.Logger.With(zap.String("member", options.Self.Name)),
-		making:  newGate(),
-		witness: witness,
-		replica: replica,
-		random:  rand.New(rand.NewPCG(options.Seed, hash(options.Self.DiskID))),
+		options:     options,
+		self:        options.Self,
+		timing:      options.Timing,
+		logger:      options.Logger.With(zap.String("member", options.Self.Name)),
+		viewChanges: newSemaphore(),
+		witness:     witness,
+		replica:     replica,
+		random:      rand.New(rand.NewPCG(options.Seed, hash(options.Self.DiskID))),
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.presence.heardFromPrimary(time.Now())
+	g.monitor.recordContact(time.Now())
 	g.register(options.Server)
 	return g, nil
 }
@@ -74,7 +74,7 @@
 }
 
 func (g *Group) register(server *rpc.Server) {
-	server.Handle(methodPromise, handle(g, g.servePromise))
+	server.Handle(methodPrepare, handle(g, g.servePrepare))
 	server.Handle(methodAccept, handle(g, g.serveAccept))
 	server.Handle(methodAttach, handle(g, g.serveAttach))
 	server.Handle(methodAppend, handle(g, g.serveAppend))
@@ -102,13 +102,13 @@
 func (g *Group) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, g.cancel)
 	defer stop()
-	g.monitor()
-	g.stepDown()
+	g.watchPrimary()
+	g.resignOnStop()
 }
 
 // stepDown ends this process's leadership because it stops.
-func (g *Group) stepDown() {
-	if l := g.leading.Load(); l != nil {
+func (g *Group) resignOnStop() {
+	if l := g.leadership.Load(); l != nil {
 		g.resign(l, "stopping")
 	}
 }
@@ -116,7 +116,7 @@
 // Close ends the part in the group. The log is synced and closed.
 func (g *Group) Close() {
 	g.cancel()
-	g.stepDown()
+	g.resignOnStop()
 	if err := g.replica.log.Close(); err != nil {
 		g.logger.Warn("closing the log failed", zap.Error(err))
 	}
@@ -126,15 +126,15 @@
 func (g *Group) Role() Role {
 	now := time.Now()
 	role := Role{}
-	if l := g.leading.Load(); l != nil {
+	if l := g.leadership.Load(); l != nil {
 		role.View = l.currentView()
-		role.Primary = l.leaseRuns(now)
+		role.Primary = l.leaseValid(now)
 		role.UpToDate = role.Primary
 	} else {
 		if accepted := g.witness.record().Accepted; accepted != nil {
 			role.View = *accepted
 		}
-		role.UpToDate = g.presence.fresh(now, g.timing.LeaseDuration)
+		role.UpToDate = g.monitor.upToDate(now, g.timing.LeaseDuration)
 	}
 	role.Epoch = role.View.Epoch
 	return role
--- a/internal/controlplane/replication/group_test.go
+++ b/internal/controlplane/replication/group_test.go
@@ -18,7 +18,7 @@
 			c.awaitInSync(time.Second, size)
 			leader := c.awaitPrimary(time.Second)
 			assert.Equal(c.t, leader.member.Name, "member-1")
-			assert.Assert(c.t, leader.run().group.Role().Epoch >= 1)
+			assert.Assert(c.t, leader.process().group.Role().Epoch >= 1)
 			leader.mustPropose("a")
 			assert.NilError(c.t, leader.confirm(time.Second))
 			c.awaitAllHold(time.Second, "a")
@@ -35,9 +35,9 @@
 			added.options = func(options *Options) { options.AllowBootstrap = added.member.Name == "member-1" }
 			added.start()
 		}
-		err := c.nodes[0].run().group.Bootstrap(t.Context(), c.members())
+		err := c.nodes[0].process().group.Bootstrap(t.Context(), c.members())
 		assert.ErrorIs(c.t, err, ErrNoQuorum)
-		err = c.nodes[1].run().group.Bootstrap(t.Context(), c.members())
+		err = c.nodes[1].process().group.Bootstrap(t.Context(), c.members())
 		assert.ErrorIs(c.t, err, ErrBootstrapRefused)
 		time.Sleep(5 * time.Second)
 		assert.Equal(c.t, len(c.primaries()), 0)
@@ -50,10 +50,10 @@
 			c := newCluster(t, 4, 2, seed)
 			defer c.close()
 			for _, founder := range c.nodes[:2] {
-				go func() { _ = founder.run().group.Bootstrap(t.Context(), c.members()) }()
+				go func() { _ = founder.process().group.Bootstrap(t.Context(), c.members()) }()
 			}
 			time.Sleep(2 * time.Second)
-			_ = c.nodes[0].run().group.Bootstrap(t.Context(), c.members())
+			_ = c.nodes[0].process().group.Bootstrap(t.Context(), c.members())
 			c.awaitPrimary(5 * time.Second)
 			c.awaitInSync(3*time.Second, 4)
 		})
@@ -79,7 +79,7 @@
 					each.end(old)
 					next := c.awaitOtherPrimary(each.limit, old)
 					next.mustPropose("b")
-					assert.DeepEqual(c.t, next.run().machine.list(), []string{"a", "b"})
+					assert.DeepEqual(c.t, next.process().machine.list(), []string{"a", "b"})
 				})
 			}
 		})
@@ -93,7 +93,7 @@
 		c.isolate(old)
 		assert.ErrorIs(c.t, old.propose("lost", 5*time.Second), ErrOutcomeUnknown)
 		next := c.awaitOtherPrimary(time.Second, old)
-		assert.Assert(c.t, !old.run().group.Role().Primary)
+		assert.Assert(c.t, !old.process().group.Role().Primary)
 		assert.ErrorIs(c.t, old.confirm(time.Second), ErrNotPrimary)
 		next.mustPropose("b")
 		c.rejoin(old)
@@ -150,7 +150,7 @@
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, each := range c.nodes {
-				each.back()
+				each.restart()
 			}
 			next := c.awaitPrimary(1500 * time.Millisecond)
 			next.mustPropose("b")
@@ -169,7 +169,7 @@
 			}
 			time.Sleep(time.Second)
 			for _, each := range c.nodes {
-				each.back()
+				each.restart()
 			}
 			c.awaitPrimary(2 * time.Second).mustPropose("b")
 			c.awaitInSync(2*time.Second, 3)
@@ -189,7 +189,7 @@
 		started = time.Now()
 		leader.mustPropose("b")
 		assert.Assert(c.t, time.Since(started) < 50*time.Millisecond, "%v", time.Since(started))
-		backup.back()
+		backup.restart()
 		c.awaitInSync(1500*time.Millisecond, 3)
 		c.awaitAllHold(time.Second, "a", "b")
 	})
@@ -200,7 +200,7 @@
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
 		c.nodes[1].kill()
-		c.nodes[1].back()
+		c.nodes[1].restart()
 		leader.mustPropose("b")
 		c.awaitInSync(time.Second, 3)
 		c.awaitAllHold(time.Second, "a", "b")
@@ -224,7 +224,7 @@
 		assert.Assert(c.t, leader.propose("b", 2*time.Second) != nil)
 		assert.ErrorIs(c.t, leader.propose("c", 2*time.Second), ErrNotPrimary)
 		assert.NilError(c.t, leader.confirm(time.Second))
-		c.nodes[1].back()
+		c.nodes[1].restart()
 		c.awaitInSync(2*time.Second, 3)
 		leader.mustPropose("d")
 	})
@@ -259,12 +259,12 @@
 func TestBackupsAreFreshOnlyWhileTheyHear(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
-		c.await(time.Second, "fresh", func() bool { return backup.run().group.Role().UpToDate })
+		c.await(time.Second, "fresh", func() bool { return backup.process().group.Role().UpToDate })
 		c.isolate(backup)
 		time.Sleep(time.Second)
-		assert.Assert(c.t, !backup.run().group.Role().UpToDate)
+		assert.Assert(c.t, !backup.process().group.Role().UpToDate)
 		c.rejoin(backup)
-		c.await(2*time.Second, "fresh again", func() bool { return backup.run().group.Role().UpToDate })
+		c.await(2*time.Second, "fresh again", func() bool { return backup.process().group.Role().UpToDate })
 	})
 }
 
@@ -283,7 +283,7 @@
 			}
 			added.start()
 		}
-		c.found()
+		c.bootstrap()
 		assert.Equal(c.t, <-down, "down")
 		received := <-up
 		assert.Assert(c.t, received == "member-2=member-2" || received == "member-3=member-3", received)
@@ -294,7 +294,7 @@
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
 		roles := make(chan Role, 100)
-		backup.run().group.OnRoleChange(func(role Role) { roles <- role })
+		backup.process().group.OnRoleChange(func(role Role) { roles <- role })
 		c.isolate(c.nodes[0])
 		c.awaitOtherPrimary(2*time.Second, c.nodes[0])
 		seen := <-roles
@@ -314,13 +314,13 @@
 		if backup == primary {
 			backup = c.nodes[2]
 		}
-		c.await(time.Second, "the backup is fresh", func() bool { return backup.run().group.Role().UpToDate })
-		group := backup.run().group
-		group.presence.mu.Lock()
-		echo := group.presence.answers.last
-		group.presence.mu.Unlock()
+		c.await(time.Second, "the backup is fresh", func() bool { return backup.process().group.Role().UpToDate })
+		group := backup.process().group
+		group.monitor.mu.Lock()
+		echo := group.monitor.responses.last
+		group.monitor.mu.Unlock()
 		held := heartbeatRequest{
-			Target: backup.member.DiskID, Epoch: primary.run().group.Role().Epoch, Primary: primary.member.DiskID,
+			Target: backup.member.DiskID, Epoch: primary.process().group.Role().Epoch, Primary: primary.member.DiskID,
 			Commit: 1, Leading: true, Echo: echo,
 		}
 		c.isolate(backup)
@@ -329,14 +329,14 @@
 		assert.Assert(t, !group.Role().UpToDate)
 		for _, echo := range []uint64{held.Echo, 0, held.Echo + 1000} {
 			held.Echo = echo
-			answer, _, err := group.serveHeartbeat(c.t.Context(), held, nil)
+			response, _, err := group.serveHeartbeat(c.t.Context(), held, nil)
 			assert.NilError(t, err)
-			assert.Assert(t, answer.(heartbeatAnswer).Heard, "it knows of no other primary")
+			assert.Assert(t, response.(heartbeatResponse).Supported, "it knows of no other primary")
 			assert.Assert(t, !group.Role().UpToDate, "its state is 20 s old")
 		}
 		c.rejoin(backup)
 		c.await(3*time.Second, "the backup is fresh again", func() bool { return group.Role().UpToDate })
-		assert.DeepEqual(t, backup.run().machine.list(), []string{"a", "b"})
+		assert.DeepEqual(t, backup.process().machine.list(), []string{"a", "b"})
 	})
 }
 
@@ -357,10 +357,10 @@
 		assert.NilError(t, primary.confirm(time.Second))
 		ctx, cancel := context.WithTimeout(c.t.Context(), 2*time.Second)
 		defer cancel()
-		assert.Assert(t, primary.run().group.DurableBarrier(ctx) != nil)
-		lost.back()
+		assert.Assert(t, primary.process().group.DurableBarrier(ctx) != nil)
+		lost.restart()
 		assert.NilError(t, <-proposed)
-		assert.NilError(t, primary.run().group.DurableBarrier(c.t.Context()))
+		assert.NilError(t, primary.process().group.DurableBarrier(c.t.Context()))
 	})
 }
 
@@ -394,7 +394,7 @@
 			propose()
 			c.rejoin(away)
 			rejoined := time.Now()
-			for len(primary.run().group.Role().View.InSync) < 4 {
+			for len(primary.process().group.Role().View.InSync) < 4 {
 				propose()
 				assert.Assert(c.t, time.Since(rejoined) < 4*time.Second, "it never catches up")
 			}
@@ -407,14 +407,14 @@
 			primary.kill()
 			for _, other := range c.nodes {
 				if other != away && other != primary {
-					other.back()
+					other.restart()
 				}
 			}
 			next := c.awaitOtherPrimary(5*time.Second, primary)
 			assert.NilError(c.t, next.confirm(3*time.Second))
-			assert.DeepEqual(c.t, next.run().machine.list(), proposed)
+			assert.DeepEqual(c.t, next.process().machine.list(), proposed)
 			c.await(3*time.Second, "the member has everything", func() bool {
-				return slices.Equal(away.run().machine.list(), proposed)
+				return slices.Equal(away.process().machine.list(), proposed)
 			})
 		})
 	}
--- a/internal/controlplane/replication/log_test.go
+++ b/internal/controlplane/replication/log_test.go
@@ -15,16 +15,16 @@
 		for i := range 30 {
 			leader.mustPropose(fmt.Sprint(i, strings.Repeat("x", 200<<10)))
 		}
-		c.awaitAllHold(time.Second, leader.run().machine.list()...)
-		held := leader.run().machine.list()
+		c.awaitAllHold(time.Second, leader.process().machine.list()...)
+		held := leader.process().machine.list()
 		for _, each := range c.nodes {
-			size := each.run().group.replica.log.Size()
+			size := each.process().group.replica.log.Size()
 			assert.Assert(c.t, size < 24<<20, "%d bytes", size)
-			assert.Assert(c.t, len(each.run().group.replica.log.Segments()) < 3)
+			assert.Assert(c.t, len(each.process().group.replica.log.Segments()) < 3)
 			each.powerOff()
 		}
 		for _, each := range c.nodes {
-			each.back()
+			each.restart()
 		}
 		c.awaitInSync(3*time.Second, 3)
 		c.awaitAllHold(time.Second, held...)
@@ -72,7 +72,7 @@
 		}
 		next := c.awaitOtherPrimary(3*time.Second, old)
 		next.mustPropose("a")
-		assert.Assert(c.t, companion.run().group.Role().Epoch > 1)
+		assert.Assert(c.t, companion.process().group.Role().Epoch > 1)
 	})
 }
 
@@ -86,7 +86,7 @@
 		next.mustPropose("c")
 		old.disk.SetFull(false)
 		c.awaitInSync(4*time.Second, 3)
-		held := next.run().machine.list()
+		held := next.process().machine.list()
 		c.awaitAllHold(2*time.Second, held...)
 		assert.Equal(c.t, firstMissing(held, []string{"a", "c"}), "")
 	})
@@ -100,7 +100,7 @@
 		}
 		added := c.addNode()
 		added.start()
-		assert.NilError(c.t, leader.run().group.AddMember(c.t.Context(), added.member))
-		c.awaitAllHold(time.Second, leader.run().machine.list()...)
+		assert.NilError(c.t, leader.process().group.AddMember(c.t.Context(), added.member))
+		c.awaitAllHold(time.Second, leader.process().machine.list()...)
 	})
 }
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -18,9 +18,9 @@
 
 // apply returns the members after the change.
 func (c membershipChange) apply(members []Member) []Member {
-	changed := without(members, c.remove)
+	changed := withoutDisk(members, c.remove)
 	if c.add != nil {
-		changed = append(without(changed, c.add.DiskID), *c.add)
+		changed = append(withoutDisk(changed, c.add.DiskID), *c.add)
 	}
 	return changed
 }
@@ -44,12 +44,12 @@
 	if change.remove == g.self.DiskID {
 		return trace.BadParameter("the primary can't leave the group")
 	}
-	l := g.leading.Load()
+	l := g.leadership.Load()
 	if l == nil {
 		return trace.Wrap(ErrNotPrimary)
 	}
 	if change.add != nil {
-		if err := l.teach(ctx, *change.add); err != nil {
+		if err := l.catchUpLearner(ctx, *change.add); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -57,9 +57,9 @@
 }
 
 // teach copies the state to a process that is to become a member, while the group goes on.
-func (l *leadership) teach(ctx context.Context, learner Member) error {
+func (l *leadership) catchUpLearner(ctx context.Context, learner Member) error {
 	last := l.group.replica.end()
-	taught, err := l.group.align(ctx, learner, l.currentView().Epoch, last, &imageOnce{})
+	taught, err := l.group.align(ctx, learner, l.currentView().Epoch, last, &lazySnapshot{})
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -80,7 +80,7 @@
 	if change.add != nil {
 		required = change.add.DiskID
 	}
-	err := l.makeView(viewChange{required: required}, func(newest View) (View, error) {
+	err := l.changeView(viewChange{required: required}, func(newest View) (View, error) {
 		if newest.Epoch != view.Epoch {
 			return View{}, trace.Wrap(ErrNotPrimary)
 		}
@@ -89,15 +89,15 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	_ = l.reshape(nil)
+	_ = l.reconfigure(nil)
 	return nil
 }
 
 // reshape makes a view whose in-sync set has those who answer, without the failed disks. It also ends a change of
 // membership that is in force.
-func (l *leadership) reshape(failed map[string]bool) error {
+func (l *leadership) reconfigure(failed map[string]bool) error {
 	current := l.currentView()
-	return l.makeView(viewChange{excluded: failed}, func(newest View) (View, error) {
+	return l.changeView(viewChange{excluded: failed}, func(newest View) (View, error) {
 		next := View{Members: newest.Members, Previous: newest.Previous}
 		if newest.Epoch == current.Epoch {
 			next.Previous = nil
@@ -108,30 +108,30 @@
 
 // makeView makes a view with this process as the primary, and enters it. The leadership ends where another process
 // leads in a newer one.
-func (l *leadership) makeView(change viewChange, derive func(newest View) (View, error)) error {
-	l.overtaken.Store(false)
+func (l *leadership) changeView(change viewChange, derive func(newest View) (View, error)) error {
+	l.superseded.Store(false)
 	change.base = l.currentView()
-	change.copyAlways = true
-	change.excluded = l.absentPeers(change.excluded)
-	change.next = func(newest View) (View, error) {
+	change.alwaysSendSnapshot = true
+	change.excluded = l.unusablePeers(change.excluded)
+	change.derive = func(newest View) (View, error) {
 		if newest.Primary != l.group.self.DiskID {
-			return View{}, trace.Wrap(errOvertaken)
+			return View{}, trace.Wrap(errSuperseded)
 		}
 		return derive(newest)
 	}
 	made, err := l.group.changeView(l.ctx, change)
 	switch {
 	case err == nil:
-		l.enter(made)
+		l.enterView(made)
 		l.group.notify()
-	case errors.Is(err, errOvertaken):
+	case errors.Is(err, errSuperseded):
 		l.group.resign(l, "overtaken")
 	}
 	return trace.Wrap(err)
 }
 
 // absentPeers returns the disks that can't be in the in-sync set now, besides the given ones.
-func (l *leadership) absentPeers(failed map[string]bool) map[string]bool {
+func (l *leadership) unusablePeers(failed map[string]bool) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	absent := maps.Clone(failed)
@@ -140,9 +140,9 @@
 	}
 	now := time.Now()
 	for diskID, known := range l.peers {
-		usable := !known.dead(now, l.group.timing)
+		usable := !known.unresponsive(now, l.group.timing)
 		if !l.view.HasInSync(diskID) {
-			usable = known.ready(now, l.group.timing)
+			usable = known.mayJoinInSync(now, l.group.timing)
 		}
 		if !usable {
 			absent[diskID] = true
@@ -152,64 +152,64 @@
 }
 
 // enter makes a view the one that this process leads, and begins and ends the heartbeats accordingly.
-func (l *leadership) enter(made madeView) {
+func (l *leadership) enterView(made establishedView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.view = made.view
-	l.lapsed = false
+	l.leaseLapsed = false
 	for diskID, known := range l.peers {
 		if _, member := made.view.Member(diskID); !member {
 			known.cancel()
 			delete(l.peers, diskID)
 		}
 	}
-	for _, member := range made.view.everyone() {
+	for _, member := range made.view.allMembers() {
 		if member.DiskID == l.group.self.DiskID {
 			continue
 		}
-		l.noteEntered(member, made)
+		l.updatePeer(member, made)
 	}
 }
 
 // noteEntered records what the making of a view has told of a member. The caller holds the lock.
-func (l *leadership) noteEntered(member Member, made madeView) {
+func (l *leadership) updatePeer(member Member, made establishedView) {
 	known := l.peers[member.DiskID]
 	if known != nil && known.member != member {
 		known.cancel() // it has moved
 		known = nil
 	}
 	if known == nil {
-		known = &peer{member: member, kick: make(chan struct{}, 1), created: time.Now()}
+		known = &peer{member: member, heartbeatNow: make(chan struct{}, 1), created: time.Now()}
 		l.peers[member.DiskID] = known
 		var ctx context.Context
 		ctx, known.cancel = context.WithCancel(l.ctx)
-		go l.heartbeats(ctx, known)
+		go l.sendHeartbeats(ctx, known)
 	}
-	if at, accepted := made.accepted[member.DiskID]; accepted {
-		known.markHeard(at)
-		known.markRenewed(at)
+	if at, accepted := made.acceptedAt[member.DiskID]; accepted {
+		known.markContact(at)
+		known.markLeaseRenewed(at)
 	}
 	if made.view.HasInSync(member.DiskID) {
-		known.markAligned(made.aligned)
+		known.markAligned(made.alignedAt)
 	} else {
 		known.setAligned(false)
 	}
 }
 
 // mustReshape tells whether the group stands still until a new view is made.
-func (l *leadership) mustReshape() bool {
+func (l *leadership) mustReconfigure() bool {
 	view := l.currentView()
-	if l.overtaken.Load() || l.group.witness.record().Promised != view.Epoch {
+	if l.superseded.Load() || l.group.witness.record().Promised != view.Epoch {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lapsed {
+	if l.leaseLapsed {
 		return true
 	}
 	now := time.Now()
 	for _, diskID := range l.view.InSync {
-		if known := l.peers[diskID]; known != nil && known.dead(now, l.group.timing) {
+		if known := l.peers[diskID]; known != nil && known.unresponsive(now, l.group.timing) {
 			return true
 		}
 	}
@@ -218,29 +218,29 @@
 
 // mayGrow tells whether a new view would be better than the current one: with more disks in sync, or free of the
 // previous members. Otherwise it tells when to ask again; 0 stands for never.
-func (l *leadership) mayGrow(now time.Time) (grow bool, wait time.Duration) {
+func (l *leadership) mayImprove(now time.Time) (grow bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wanted := len(l.view.Previous) > 0
 	for _, member := range l.view.Members {
 		known := l.peers[member.DiskID]
-		if known != nil && !l.view.HasInSync(member.DiskID) && known.ready(now, l.group.timing) {
+		if known != nil && !l.view.HasInSync(member.DiskID) && known.mayJoinInSync(now, l.group.timing) {
 			wanted = true
 		}
 	}
 	if !wanted {
 		return false, 0
 	}
-	if rest := l.nextGrowth.Sub(now); rest > 0 {
+	if rest := l.nextImprovement.Sub(now); rest > 0 {
 		return false, rest
 	}
 	return true, 0
 }
 
-func (l *leadership) postponeGrowth() {
+func (l *leadership) postponeImprovement() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.nextGrowth = time.Now().Add(growthRetry)
+	l.nextImprovement = time.Now().Add(improvementInterval)
 }
 
 // String names a member in messages.
--- a/internal/controlplane/replication/membership_test.go
+++ b/internal/controlplane/replication/membership_test.go
@@ -15,13 +15,13 @@
 		for size := 4; size <= 6; size++ {
 			added := c.addNode()
 			added.start()
-			assert.NilError(c.t, leader.run().group.AddMember(c.t.Context(), added.member))
+			assert.NilError(c.t, leader.process().group.AddMember(c.t.Context(), added.member))
 			c.awaitInSync(time.Second, size)
 		}
 		removed := c.nodes[1]
-		assert.NilError(c.t, leader.run().group.RemoveMember(c.t.Context(), removed.member.DiskID))
+		assert.NilError(c.t, leader.process().group.RemoveMember(c.t.Context(), removed.member.DiskID))
 		c.awaitInSync(time.Second, 5)
-		view := leader.run().group.Role().View
+		view := leader.process().group.Role().View
 		assert.Equal(c.t, len(view.Members), 5)
 		assert.Equal(c.t, len(view.Previous), 0)
 		leader.mustPropose("b")
@@ -37,7 +37,7 @@
 func TestPrimaryDoesNotRemoveItself(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
-		assert.Assert(c.t, leader.run().group.RemoveMember(c.t.Context(), leader.member.DiskID) != nil)
+		assert.Assert(c.t, leader.process().group.RemoveMember(c.t.Context(), leader.member.DiskID) != nil)
 	})
 }
 
@@ -48,10 +48,10 @@
 		wiped := c.nodes[1]
 		oldID := wiped.member.DiskID
 		wiped.wipe()
-		wiped.back()
+		wiped.restart()
 		c.awaitInSync(2*time.Second, 2)
-		assert.Assert(c.t, wiped.run().group.witness.record().Accepted == nil)
-		assert.NilError(c.t, leader.run().group.ReplaceMember(c.t.Context(), oldID, wiped.member))
+		assert.Assert(c.t, wiped.process().group.witness.record().Accepted == nil)
+		assert.NilError(c.t, leader.process().group.ReplaceMember(c.t.Context(), oldID, wiped.member))
 		c.awaitInSync(time.Second, 3)
 		leader.mustPropose("b")
 		c.awaitAllHold(time.Second, "a", "b")
@@ -66,9 +66,9 @@
 		old.mustPropose("a")
 		oldID := old.member.DiskID
 		old.wipe()
-		old.back()
+		old.restart()
 		next := c.awaitOtherPrimary(2*time.Second, old)
-		assert.NilError(c.t, next.run().group.ReplaceMember(c.t.Context(), oldID, old.member))
+		assert.NilError(c.t, next.process().group.ReplaceMember(c.t.Context(), oldID, old.member))
 		c.awaitInSync(2*time.Second, 4)
 		c.awaitAllHold(time.Second, "a")
 	})
@@ -82,12 +82,12 @@
 			gone := []string{c.nodes[0].member.DiskID, c.nodes[1].member.DiskID}
 			for _, each := range c.nodes[:2] {
 				each.wipe()
-				each.back()
+				each.restart()
 			}
 			next := c.awaitOtherPrimary(2*time.Second, c.nodes[0], c.nodes[1])
 			for i, each := range c.nodes[:2] {
 				ctx, cancel := context.WithTimeout(c.t.Context(), 5*time.Second)
-				assert.NilError(c.t, next.run().group.ReplaceMember(ctx, gone[i], each.member))
+				assert.NilError(c.t, next.process().group.ReplaceMember(ctx, gone[i], each.member))
 				cancel()
 			}
 			c.awaitInSync(2*time.Second, 5)
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -2,7 +2,7 @@
 
 // Names of the group's calls.
 const (
-	methodPromise   = "group.promise"   // promiseRequest -> promiseAnswer
+	methodPrepare   = "group.promise"   // promiseRequest -> promiseAnswer
 	methodAccept    = "group.accept"    // acceptRequest -> acceptAnswer
 	methodAttach    = "group.attach"    // attachRequest, with a body where it carries the state -> attachAnswer
 	methodAppend    = "group.append"    // appendRequest, records in the body -> appendAnswer
@@ -11,16 +11,16 @@
 )
 
 // promiseRequest asks a witness to promise an epoch to a candidate.
-type promiseRequest struct {
+type prepareRequest struct {
 	Target    string `json:"target"` // the witness's disk id
 	Epoch     uint64 `json:"epoch"`
 	Candidate string `json:"candidate"`          // disk id
 	View      View   `json:"view"`               // the newest view the candidate knows
-	Trial     bool   `json:"trial,omitempty"`    // only asks whether the witness would promise
-	Founding  bool   `json:"founding,omitempty"` // the view is the one a new group begins with
+	PreVote   bool   `json:"trial,omitempty"`    // only asks whether the witness would promise
+	Bootstrap bool   `json:"founding,omitempty"` // the view is the one a new group begins with
 }
 
-type promiseAnswer struct {
+type prepareResponse struct {
 	Granted  bool   `json:"granted"`
 	Promised uint64 `json:"promised"`           // the highest epoch the witness has promised
 	Accepted *View  `json:"accepted,omitempty"` // the newest view it has accepted
@@ -28,12 +28,12 @@
 
 // acceptRequest asks a witness to accept a view.
 type acceptRequest struct {
-	Target   string `json:"target"`
-	View     View   `json:"view"`
-	Founding bool   `json:"founding,omitempty"` // the view begins a new group
+	Target    string `json:"target"`
+	View      View   `json:"view"`
+	Bootstrap bool   `json:"founding,omitempty"` // the view begins a new group
 }
 
-type acceptAnswer struct {
+type acceptResponse struct {
 	Accepted bool   `json:"accepted"`
 	Promised uint64 `json:"promised"`
 }
@@ -41,14 +41,14 @@
 // attachRequest makes a process follow the log of an epoch's primary. Without a body it succeeds only where the
 // process already has the same log.
 type attachRequest struct {
-	Target   string   `json:"target"`
-	Epoch    uint64   `json:"epoch"`
-	Primary  string   `json:"primary"`
-	Last     position `json:"last"`               // the end of the primary's log
-	Complete bool     `json:"complete,omitempty"` // the body is the primary's whole state
+	Target      string   `json:"target"`
+	Epoch       uint64   `json:"epoch"`
+	Primary     string   `json:"primary"`
+	Last        position `json:"last"`               // the end of the primary's log
+	HasSnapshot bool     `json:"complete,omitempty"` // the body is the primary's whole state
 }
 
-type attachAnswer struct {
+type attachResponse struct {
 	Attached bool   `json:"attached"`
 	Promised uint64 `json:"promised"`
 }
@@ -62,7 +62,7 @@
 	Commit  uint64   `json:"commit"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	Attached bool   `json:"attached"` // the backup follows this epoch and has synced the records
 	Promised uint64 `json:"promised"`
 }
@@ -78,15 +78,15 @@
 	Echo uint64 `json:"echo,omitempty"`
 }
 
-type heartbeatAnswer struct {
-	Heard    bool   `json:"heard"`    // the witness stands by this primary
-	Promised uint64 `json:"promised"` // the highest epoch it has promised
-	Accepted uint64 `json:"accepted"` // the epoch of the newest view it has accepted
-	Attached bool   `json:"attached"` // it follows the primary's log
-	Number   uint64 `json:"number"`   // of this answer; no other answer of any process of this member has it
+type heartbeatResponse struct {
+	Supported bool   `json:"heard"`    // the witness stands by this primary
+	Promised  uint64 `json:"promised"` // the highest epoch it has promised
+	Accepted  uint64 `json:"accepted"` // the epoch of the newest view it has accepted
+	Attached  bool   `json:"attached"` // it follows the primary's log
+	Number    uint64 `json:"number"`   // of this answer; no other answer of any process of this member has it
 }
 
-type statusAnswer struct {
+type statusResponse struct {
 	DiskID  string `json:"diskId"`
 	Leading bool   `json:"leading"`
 	Epoch   uint64 `json:"epoch"`
--- a/internal/controlplane/replication/primary.go
+++ b/internal/controlplane/replication/primary.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	reshapeRetry = 100 * time.Millisecond // between attempts at a view without which the group stands still
-	growthRetry  = 400 * time.Millisecond // between attempts at a view that would only be better
-	resignRest   = time.Second            // for how long a process that has resigned lets others stand first
+	reconfigureInterval = 100 * time.Millisecond // between attempts at a view without which the group stands still
+	improvementInterval = 400 * time.Millisecond // between attempts at a view that would only be better
+	resignElectionDelay = time.Second            // for how long a process that has resigned lets others stand first
 )
 
 // leadership is this process's time as the primary, from one election to the next. One goroutine carries out what has
@@ -24,29 +24,29 @@
 	cancel context.CancelFunc
 	wake   chan struct{}
 
-	overtaken  atomic.Bool // a member has promised a higher epoch to another process
-	mu         sync.Mutex
-	view       View
-	peers      map[string]*peer // by disk id
-	queue      []*request
-	parked     []parkedBatch // only used by the leadership's goroutine
-	closed     bool
-	lapsed     bool // the lease has run out in this view
-	nextGrowth time.Time
+	superseded      atomic.Bool // a member has promised a higher epoch to another process
+	mu              sync.Mutex
+	view            View
+	peers           map[string]*peer // by disk id
+	queue           []*request
+	unacknowledged  []unacknowledgedBatch // only used by the leadership's goroutine
+	closed          bool
+	leaseLapsed     bool // the lease has run out in this view
+	nextImprovement time.Time
 }
 
 // lead begins a leadership in a view that is in force.
-func (g *Group) lead(made madeView) error {
+func (g *Group) startLeadership(made establishedView) error {
 	l := &leadership{group: g, wake: make(chan struct{}, 1), peers: map[string]*peer{}}
 	l.ctx, l.cancel = context.WithCancel(g.ctx)
-	l.enter(made)
-	if !g.leading.CompareAndSwap(nil, l) {
+	l.enterView(made)
+	if !g.leadership.CompareAndSwap(nil, l) {
 		l.cancel()
-		return trace.Wrap(errOvertaken)
+		return trace.Wrap(errSuperseded)
 	}
 	if g.witness.record().Promised != made.view.Epoch || g.ctx.Err() != nil {
 		g.resign(l, "overtaken")
-		return trace.Wrap(errOvertaken)
+		return trace.Wrap(errSuperseded)
 	}
 	go l.run()
 	g.notify()
@@ -55,13 +55,13 @@
 
 // resign ends a leadership. What is waiting fails.
 func (g *Group) resign(l *leadership, reason string) {
-	if !g.leading.CompareAndSwap(l, nil) {
+	if !g.leadership.CompareAndSwap(l, nil) {
 		return
 	}
 	l.cancel()
 	g.logger.Info("leadership ended", zap.Uint64("epoch", l.currentView().Epoch), zap.String("reason", reason))
-	g.presence.forgetCurrent()
-	g.presence.holdBack(time.Now().Add(resignRest))
+	g.monitor.clearUpToDate()
+	g.monitor.delayElection(time.Now().Add(resignElectionDelay))
 	for _, waiting := range l.close() {
 		waiting.done <- ErrNotPrimary
 	}
@@ -94,7 +94,7 @@
 
 // run carries out the work of the leadership until it ends.
 func (l *leadership) run() {
-	defer l.failParked()
+	defer l.failUnacknowledged()
 	for l.ctx.Err() == nil {
 		wait, idle := l.step()
 		if !idle {
@@ -121,19 +121,19 @@
 
 // step does the most urgent piece of work. It tells whether there was none, and for how long at most to wait then.
 func (l *leadership) step() (wait time.Duration, idle bool) {
-	if l.mustReshape() {
-		if l.reshape(nil) != nil {
-			return reshapeRetry, true
+	if l.mustReconfigure() {
+		if l.reconfigure(nil) != nil {
+			return reconfigureInterval, true
 		}
 		return 0, false
 	}
-	grow, wait := l.mayGrow(time.Now())
+	grow, wait := l.mayImprove(time.Now())
 	if grow {
-		_ = l.reshape(nil) // a failure is tried again later
-		l.postponeGrowth()
+		_ = l.reconfigure(nil) // a failure is tried again later
+		l.postponeImprovement()
 		return 0, false
 	}
-	l.answerParked()
+	l.acknowledgeBatches()
 	if change := l.takeMembership(); change != nil {
 		change.done <- l.changeMembership(change.membership)
 		return 0, false
--- a/internal/controlplane/replication/random_test.go
+++ b/internal/controlplane/replication/random_test.go
@@ -81,8 +81,8 @@
 		victim = leading[0]
 	}
 	other := f.c.nodes[f.random.IntN(len(f.c.nodes))]
-	if victim.run() == nil {
-		victim.back()
+	if victim.process() == nil {
+		victim.restart()
 		return
 	}
 	switch f.random.IntN(16) {
@@ -117,13 +117,13 @@
 // killAllAtOnce ends all processes and starts them again within a second.
 func (f *faults) killAllAtOnce() {
 	for _, each := range f.c.nodes {
-		if each.run() != nil {
+		if each.process() != nil {
 			each.kill()
 		}
 	}
 	time.Sleep(time.Duration(f.random.IntN(500)) * time.Millisecond)
 	for _, each := range f.c.nodes {
-		each.back()
+		each.restart()
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	f.wiped[victim] = victim.member.DiskID
 	victim.wipe()
-	victim.back()
+	victim.restart()
 }
 
 // admitOne asks the primary to replace a disk that was lost by the machine's new one.
@@ -149,7 +149,7 @@
 	if len(leading) != 1 {
 		return
 	}
-	group := leading[0].run().group
+	group := leading[0].process().group
 	for joining, old := range f.wiped {
 		view := group.Role().View
 		if view.HasInSync(joining.member.DiskID) && len(view.Previous) == 0 {
@@ -168,8 +168,8 @@
 	for _, each := range f.c.nodes {
 		each.disk.SetSyncDelay(0)
 		each.disk.SetFull(false)
-		if each.run() == nil {
-			each.back()
+		if each.process() == nil {
+			each.restart()
 		}
 	}
 	f.c.await(settleLimit, "all replaced", func() bool {
@@ -208,7 +208,7 @@
 func (f *faults) writesPause() int { return (f.history.writes * 7) % 60 }
 
 func (f *faults) write(at *node) {
-	process := at.run()
+	process := at.process()
 	if process == nil {
 		return
 	}
@@ -225,8 +225,8 @@
 
 // read checks that a confirmed primary has everything that was acknowledged before.
 func (f *faults) read(at *node) {
-	process := at.run()
-	if process == nil || at.confirm(time.Second) != nil || at.run() != process {
+	process := at.process()
+	if process == nil || at.confirm(time.Second) != nil || at.process() != process {
 		return
 	}
 	held := process.machine.list()
@@ -239,7 +239,7 @@
 func (f *faults) check() {
 	c := f.c
 	c.awaitInSync(settleLimit, len(c.nodes))
-	held := c.awaitPrimary(time.Second).run().machine.list()
+	held := c.awaitPrimary(time.Second).process().machine.list()
 	c.awaitAllHold(2*time.Second, held...)
 	assert.Equal(c.t, firstMissing(held, f.history.acknowledged), "")
 	for _, refused := range f.history.refused {
--- a/internal/controlplane/replication/request.go
+++ b/internal/controlplane/replication/request.go
@@ -17,7 +17,7 @@
 }
 
 // needsCopies tells whether the request is answered only while enough disks are in sync.
-func (r *request) needsCopies() bool {
+func (r *request) needsReplicas() bool {
 	return r.kind == requestChange || r.kind == requestDurableBarrier
 }
 
@@ -25,7 +25,7 @@
 
 const (
 	requestChange requestKind = iota
-	requestBarrier
+	requestReadBarrier
 	requestDurableBarrier
 	requestMembership
 )
@@ -38,7 +38,7 @@
 
 // ReadBarrier returns nil when this process was still the primary at some time after the call.
 func (g *Group) ReadBarrier(ctx context.Context) error {
-	return g.submit(ctx, &request{kind: requestBarrier})
+	return g.submit(ctx, &request{kind: requestReadBarrier})
 }
 
 // DurableBarrier is ReadBarrier, and returns only when all that was committed before is on as many disks as a change needs to
@@ -50,8 +50,8 @@
 // submit queues a request and waits for its end.
 func (g *Group) submit(ctx context.Context, submitted *request) error {
 	submitted.done = make(chan error, 1)
-	l := g.leading.Load()
-	if l == nil || !l.leaseRuns(time.Now()) || !l.enqueue(submitted) {
+	l := g.leadership.Load()
+	if l == nil || !l.leaseValid(time.Now()) || !l.enqueue(submitted) {
 		return trace.Wrap(ErrNotPrimary)
 	}
 	select {
@@ -95,7 +95,7 @@
 	defer l.mu.Unlock()
 	enough := len(l.view.InSync) >= l.group.options.ReplicationFactor
 	return l.take(func(waiting *request) bool {
-		return waiting.kind == requestBarrier || (waiting.needsCopies() && enough)
+		return waiting.kind == requestReadBarrier || (waiting.needsReplicas() && enough)
 	})
 }
 
--- a/internal/controlplane/replication/types.go
+++ b/internal/controlplane/replication/types.go
@@ -124,7 +124,7 @@
 	return o
 }
 
-func payload(source func() []byte) []byte {
+func payloadOf(source func() []byte) []byte {
 	if source == nil {
 		return nil
 	}
--- a/internal/controlplane/replication/view.go
+++ b/internal/controlplane/replication/view.go
@@ -28,7 +28,7 @@
 func (v View) HasInSync(diskID string) bool { return slices.Contains(v.InSync, diskID) }
 
 // everyone returns the current members and those previous ones that are members no more.
-func (v View) everyone() []Member {
+func (v View) allMembers() []Member {
 	all := slices.Clone(v.Members)
 	for _, member := range v.Previous {
 		if _, found := findMember(v.Members, member.DiskID); !found {
@@ -40,19 +40,19 @@
 
 // quorum tells whether the disks that satisfy a condition make up a majority of the members, and of the previous ones
 // where a change of membership is under way.
-func (v View) quorum(has func(diskID string) bool) bool {
-	if !majority(v.Members, has) {
+func (v View) hasQuorum(has func(diskID string) bool) bool {
+	if !isMajority(v.Members, has) {
 		return false
 	}
-	return len(v.Previous) == 0 || majority(v.Previous, has)
+	return len(v.Previous) == 0 || isMajority(v.Previous, has)
 }
 
 // leastInSync is how many disks an in-sync set must have, so that a tolerated number of lost disks leaves one of them.
-func (v View) leastInSync(copies int) int {
+func (v View) minInSync(copies int) int {
 	return min(copies, len(v.Members)/2+1)
 }
 
-func majority(members []Member, has func(diskID string) bool) bool {
+func isMajority(members []Member, has func(diskID string) bool) bool {
 	count := 0
 	for _, member := range members {
 		if has(member.DiskID) {
@@ -71,12 +71,12 @@
 	return Member{}, false
 }
 
-func without(members []Member, diskID string) []Member {
+func withoutDisk(members []Member, diskID string) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.DiskID == diskID })
 }
 
 // newer returns the view with the higher epoch; nil stands for none.
-func newer(one, other *View) *View {
+func newerView(one, other *View) *View {
 	if one == nil || (other != nil && other.Epoch > one.Epoch) {
 		return other
 	}
--- a/internal/controlplane/replication/view_test.go
+++ b/internal/controlplane/replication/view_test.go
@@ -32,12 +32,12 @@
 			}
 		}
 		one, other := has("one"), has("other")
-		if !joint.quorum(one) {
+		if !joint.hasQuorum(one) {
 			return
 		}
 		for _, neighbour := range []View{{Members: joint.Previous}, {Members: joint.Members}, joint} {
-			if neighbour.quorum(other) {
-				assert.Assert(t, meet(joint.everyone(), one, other))
+			if neighbour.hasQuorum(other) {
+				assert.Assert(t, meet(joint.allMembers(), one, other))
 			}
 		}
 	})
@@ -56,6 +56,6 @@
 	cases := []struct{ members, copies, least int }{{1, 2, 1}, {3, 2, 2}, {3, 3, 2}, {4, 2, 2}, {5, 3, 3}, {8, 3, 3}}
 	for _, each := range cases {
 		view := View{Members: make([]Member, each.members)}
-		assert.Equal(t, view.leastInSync(each.copies), each.least)
+		assert.Equal(t, view.minInSync(each.copies), each.least)
 	}
 }
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -37,12 +37,12 @@
 // witness keeps the record on disk. A change is durable before it can be seen.
 type witness struct {
 	fs      vfs.FS
-	writing gate // held while the file is written
+	writing semaphore // held while the file is written
 	current atomic.Pointer[witnessRecord]
 }
 
 func openWitness(fileSystem vfs.FS) (*witness, error) {
-	w := &witness{fs: fileSystem, writing: newGate()}
+	w := &witness{fs: fileSystem, writing: newSemaphore()}
 	record := &witnessRecord{}
 	data, err := wal.LoadFile(fileSystem, witnessFile)
 	switch {
@@ -63,8 +63,8 @@
 // promise promises an epoch to a process. It tells false where a higher epoch, or the same one, was promised to
 // another.
 func (w *witness) promise(epoch uint64, diskID string) (bool, error) {
-	w.writing.enter()
-	defer w.writing.leave()
+	w.writing.acquire()
+	defer w.writing.release()
 	record := w.record()
 	if !record.allows(epoch, diskID) {
 		return false, nil
@@ -77,8 +77,8 @@
 
 // accept accepts a view. It tells false where the view's epoch has been overtaken.
 func (w *witness) accept(view View) (bool, error) {
-	w.writing.enter()
-	defer w.writing.leave()
+	w.writing.acquire()
+	defer w.writing.release()
 	record := w.record()
 	if !record.allows(view.Epoch, view.Primary) {
 		return false, nil
