--- a/internal/messagestore/backup_lease.go
+++ b/internal/messagestore/backup_lease.go
@@ -6,7 +6,7 @@
 	"gladepick/internal/messagestore/protocol"
 )
 
-// heartbeat asks the backups of every partition for a lease while the control plane does not renew the lease.
+// requestBackupLeases asks the backups of every partition for a lease while the control plane does not renew this store's.
 func (s *Store) requestBackupLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,8 @@
 	}
 }
 
-// noteGrants remembers until when a primary may count on a lease from this store, or others on one that the primary itself waits for. The caller holds the lock.
+// recordLeaseGrants remembers until when a primary may count on a lease from this store, or others on one that the primary
+// itself waits for. The caller holds the lock.
 func (s *Store) recordLeaseGrants(request *protocol.ReplicateRequest, now time.Time) {
 	until := now.Add(time.Duration(request.LeaseGrantsMS) * time.Millisecond)
 	if request.WantsLease {
@@ -35,7 +36,7 @@
 	}
 }
 
-// grantsRemaining returns for how long any store may still count on a grant that this one knows of.
+// leaseGrantsRemaining returns for how long any store may still count on a grant that this one knows of.
 func (s *Store) leaseGrantsRemaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/commit.go
+++ b/internal/messagestore/commit.go
@@ -1,24 +1,17 @@
 package messagestore
 
-import (
-	"errors"
+import "go.uber.org/zap"
 
-	"go.uber.org/zap"
-)
-
-// errStepDown ends a write whose partition is led elsewhere now: its outcome is not known here.
-var errSteppedDown = errors.New("the partition has a new primary")
-
-// pendingWrite is a message that waits for replicas.
+// pendingWrite is a message that waits for the disks of all replicas. Store.mu guards it; done may be waited for without.
 type pendingWrite struct {
 	id            string
 	entry         *entry
 	line          []byte          // the record's line
 	body          []byte          // the record's body
-	syncedLocally bool            // synced on this store's disk
-	syncedOn      map[string]bool // by disk id: synced there
-	sentTo        map[string]bool // by disk id: on its way there
-	done          chan struct{}   // closed when committed or given up
+	syncedLocally bool            // on this store's disk
+	syncedOn      map[string]bool // by disk ID: a backup has confirmed it
+	sentTo        map[string]bool // by disk ID: on its way to a backup, or confirmed
+	done          chan struct{}   // closed when committed or aborted
 	err           error           // set before done is closed
 }
 
@@ -33,7 +26,8 @@
 	}
 }
 
-// commitIfSynced commits a write that all disks of the view hold. The caller holds the lock.
+// commitIfSynced commits a write that all disks of the view have synced, and hands its message to the engine. The caller holds
+// the lock.
 func (s *Store) commitIfSynced(p *partition, write *pendingWrite) {
 	if !p.pending[write] || !p.isPrimary || !write.syncedLocally || len(p.view.Replicas) < s.options.ReplicationFactor {
 		return
@@ -50,7 +44,7 @@
 	s.engine.Submit(write.entry.message, write.entry.failures)
 }
 
-// giveUp ends a write whose record this store's disk does not hold. The caller holds the lock.
+// abort ends a write whose record this store's disk does not hold. The caller holds the lock.
 func (s *Store) abort(p *partition, write *pendingWrite, err error) {
 	if !p.pending[write] {
 		return
@@ -66,11 +60,11 @@
 func (s *Store) appendAndReplicate(p *partition, r *record) {
 	line, err := r.encode()
 	if err != nil {
-		s.logger.Error("encoding a record", zap.Error(err))
+		s.logger.Error("encoding a record failed", zap.Error(err))
 		return
 	}
 	if _, err := s.log.Append(line); err != nil {
-		s.logger.Warn("appending a record", zap.Error(err))
+		s.logger.Warn("appending a record failed", zap.Error(err))
 	}
 	for _, replica := range p.backups() {
 		s.sendTo(p, replica, line, nil)
--- a/internal/messagestore/compaction.go
+++ b/internal/messagestore/compaction.go
@@ -16,7 +16,7 @@
 		return
 	}
 	if err := s.Compact(); err != nil {
-		s.logger.Warn("compacting the log", zap.Error(err))
+		s.logger.Warn("compacting the log failed", zap.Error(err))
 	}
 }
 
@@ -42,7 +42,7 @@
 	return trace.Wrap(s.log.RemoveSegments(s.oldestReferencedSegment(before)))
 }
 
-// located is an entry with its partition.
+// locatedEntry is an entry with its partition.
 type locatedEntry struct {
 	partition *partition
 	entry     *entry
@@ -63,7 +63,7 @@
 	return found
 }
 
-// moveEntry appends an entry's accepted record anew.
+// rewriteEntry appends an entry's accepted record anew, so that its old segment is needed no more.
 func (s *Store) rewriteEntry(moved locatedEntry) error {
 	body, err := s.readBody(s.positionOf(moved.entry))
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// oldestNeeded returns the lowest segment that an entry refers to, at most the given one.
+// oldestReferencedSegment returns the lowest segment that an entry refers to, at most the given one.
 func (s *Store) oldestReferencedSegment(before uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/control.go
+++ b/internal/messagestore/control.go
@@ -11,22 +11,23 @@
 
 // Control is the control plane as a store sees it.
 type Control interface {
-	// RequestPartitionChange asks for a change of a replica group that this store leads.
-	RequestPartitionChange(ctx context.Context, ask cluster.PartitionRequest) error
-	// FailureReport tells that a process can't be reached.
+	// RequestPartitionChange asks for a change of a replica group whose primary this store is.
+	RequestPartitionChange(ctx context.Context, request cluster.PartitionRequest) error
+	// ReportFailure tells that a process can't be reached.
 	ReportFailure(ctx context.Context, report cluster.FailureReport) error
 	// LeaseRemaining returns for how long this process's lease surely still runs; 0 where it does not.
 	LeaseRemaining() time.Duration
 }
 
-func (s *Store) requestChange(requestChange cluster.PartitionRequest) error {
-	requestChange.Store = s.options.Name
+// requestChange asks the control plane for a change of a replica group.
+func (s *Store) requestChange(request cluster.PartitionRequest) error {
+	request.Store = s.options.Name
 	ctx, cancel := context.WithTimeout(s.context, controlTimeout)
 	defer cancel()
-	return s.options.Control.RequestPartitionChange(ctx, requestChange)
+	return s.options.Control.RequestPartitionChange(ctx, request)
 }
 
-// report tells the control plane of a store that can't be reached.
+// reportUnreachable tells the control plane of a store that can't be reached. refused tells that its process has ended.
 func (s *Store) reportUnreachable(store, address string, refused bool) {
 	if !s.isReportDue(store, time.Now()) {
 		return
@@ -36,12 +37,12 @@
 		defer cancel()
 		report := cluster.FailureReport{Node: store, Address: address, Refused: refused}
 		if err := s.options.Control.ReportFailure(ctx, report); err != nil {
-			s.logger.Debug("reporting a store", zap.String("store", store), zap.Error(err))
+			s.logger.Debug("reporting a store failed", zap.String("store", store), zap.Error(err))
 		}
 	})
 }
 
-// mayReport tells whether a report of a store is due: one tells as much as many at once.
+// isReportDue tells whether a report of a store is due: one tells as much as many at once.
 func (s *Store) isReportDue(store string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -9,16 +9,21 @@
 	"gladepick/internal/wal"
 )
 
-// Engine delivers the messages of the partitions that the store leads.
+// Engine delivers the messages of the partitions whose primary the store is. The store may hold its lock during a call.
 type Engine interface {
+	// Submit hands over a committed message, with the number of its attempts that have failed.
 	Submit(m *message.Message, failures int)
+	// Release drops a partition's messages: another store is its primary.
 	Release(partition int)
+	// PausePartition starts no more attempts of a partition's messages.
 	PausePartition(partition int)
+	// ResumePartition ends a pause.
 	ResumePartition(partition int)
+	// InFlightOf returns how many attempts of a partition's messages are out.
 	InFlightOf(partition int) int
 }
 
-// Body implements the delivery engine's owner.
+// Body implements delivery.Owner: it returns the body of a message that was submitted.
 func (s *Store) Body(m *message.Message) ([]byte, error) {
 	s.mu.Lock()
 	found := s.partition(m.Partition).entries[m.ID]
@@ -34,7 +39,7 @@
 	return s.readBody(position)
 }
 
-// readBody reads a message's body from the log.
+// readBody reads a message's body from the accepted record at a position of the log.
 func (s *Store) readBody(position wal.Position) ([]byte, error) {
 	data, err := s.log.Read(position)
 	if err != nil {
@@ -44,7 +49,7 @@
 	return body, trace.Wrap(err)
 }
 
-// Failed implements the delivery engine's owner: a worker answered an attempt with a failure.
+// Failed implements delivery.Owner: a worker answered an attempt with a failure.
 func (s *Store) Failed(m *message.Message, failures int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +64,7 @@
 	})
 }
 
-// Ended implements the delivery engine's owner: a message has ended.
+// Ended implements delivery.Owner: a message has ended. Where another store is the primary by now, it gets the outcome.
 func (s *Store) Ended(m *message.Message, outcome message.Outcome) {
 	s.mu.Lock()
 	p := s.partition(m.Partition)
@@ -72,7 +77,7 @@
 	s.mu.Unlock()
 }
 
-// end notes how a message ended and replicates it. The caller holds the lock.
+// endMessage notes how a message ended and replicates it. The caller holds the lock.
 func (s *Store) endMessage(p *partition, id string, outcome message.Outcome) {
 	found := p.entries[id]
 	if found == nil || found.ended() {
--- a/internal/messagestore/entry.go
+++ b/internal/messagestore/entry.go
@@ -11,11 +11,11 @@
 type entry struct {
 	message  *message.Message // nil once a completed message's details are not needed any more
 	position wal.Position     // of the accepted record, whose bytes hold the body
-	body     []byte           // only while the store leads the partition and the message has not ended
-	failures int
-	outcome  message.Outcome // State is Queued until the message has ended
+	body     []byte           // a cache, only while the store is the primary and the message has not ended; may be nil
+	failures int              // attempts that were answered with a failure
+	outcome  message.Outcome  // State is Queued until the message has ended
 	endedAt  time.Time
-	pending  *pendingWrite // the commit under way, nil when committed
+	pending  *pendingWrite // until it is committed; nil at a backup
 }
 
 // ended tells whether the message has ended.
@@ -24,6 +24,7 @@
 // needsBody tells whether the body may still be asked for.
 func (e *entry) needsBody() bool { return e.message != nil && e.outcome.State != message.Completed }
 
+// positionOf returns where an entry's accepted record stands.
 func (s *Store) positionOf(e *entry) wal.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/follower.go
+++ b/internal/messagestore/follower.go
@@ -8,8 +8,8 @@
 	"gladepick/internal/rpc"
 )
 
-// handleReplicate takes records from a primary: it refuses those of older epochs, logs and syncs the others, and
-// only then answers.
+// handleReplicate takes records from a primary: it rejects those of older epochs, appends and syncs the others, and
+// answers only then.
 func (s *Store) handleReplicate(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.ReplicateRequest
 	if err := call.Decode(&request); err != nil {
@@ -20,12 +20,12 @@
 		return nil, nil, err
 	}
 	if err := s.log.Sync(ctx); err != nil {
-		return nil, nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
+		return nil, nil, unavailable(err)
 	}
 	return response, nil, nil
 }
 
-// takeRecords logs and applies the records of a call, without waiting for the disk.
+// appendReceived appends and applies the records of a call, without waiting for the disk.
 func (s *Store) appendReceived(request *protocol.ReplicateRequest, body []byte) (*protocol.ReplicateResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,24 +34,24 @@
 	}
 	s.recordLeaseGrants(request, time.Now())
 	response := &protocol.ReplicateResponse{}
-	for _, item := range request.Records {
-		if item.Length < 0 || item.Length > len(body) {
-			return nil, &rpc.Error{Code: rpc.CodeInvalid, Message: "records do not fit the body"}
+	for _, header := range request.Records {
+		if header.Length < 0 || header.Length > len(body) {
+			return nil, errRecordLengths
 		}
-		data := body[:item.Length]
-		body = body[item.Length:]
-		if !s.adoptEpoch(item.Partition, item.Epoch) {
-			response.Rejected = append(response.Rejected, item.Partition)
+		data := body[:header.Length]
+		body = body[header.Length:]
+		if !s.adoptEpoch(header.Partition, header.Epoch) {
+			response.Rejected = append(response.Rejected, header.Partition)
 			continue
 		}
-		if err := s.appendReceivedRecord(item, data); err != nil {
+		if err := s.appendReceivedRecord(header, data); err != nil {
 			return nil, err
 		}
 	}
 	return response, nil
 }
 
-// checkTarget refuses a call that is meant for another disk at this address.
+// checkDiskID rejects a call that is meant for another disk at this address.
 func (s *Store) checkDiskID(diskID string) error {
 	if diskID == s.options.DiskID {
 		return nil
@@ -59,7 +59,7 @@
 	return &rpc.Error{Code: rpc.CodeConflict, Message: "another disk is here: " + s.options.DiskID}
 }
 
-// mayFollow tells whether records of an epoch may be taken from a primary, and adopts a newer one.
+// adoptEpoch tells whether records of an epoch may be taken from a primary, and adopts a newer epoch. The caller holds the lock.
 func (s *Store) adoptEpoch(id int, epoch uint64) bool {
 	p := s.partition(id)
 	if epoch < p.epoch || p.isPrimary && epoch == p.epoch {
@@ -72,18 +72,19 @@
 	return true
 }
 
-func (s *Store) appendReceivedRecord(item protocol.RecordHeader, data []byte) error {
+// appendReceivedRecord appends and applies one record. The caller holds the lock.
+func (s *Store) appendReceivedRecord(header protocol.RecordHeader, data []byte) error {
 	decoded, _, err := decodeRecord(data)
-	if err != nil || decoded.Partition != item.Partition {
-		return &rpc.Error{Code: rpc.CodeInvalid, Message: "unreadable record"}
+	if err != nil || decoded.Partition != header.Partition {
+		return errUnreadableRecord
 	}
 	if decoded.Kind == recordForget {
-		return &rpc.Error{Code: rpc.CodeInvalid, Message: "a record that replicas do not send"}
+		return errLocalRecord
 	}
 	position, err := s.log.Append(data)
 	if err != nil {
-		return &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
+		return unavailable(err)
 	}
-	s.partition(item.Partition).apply(decoded, position)
+	s.partition(header.Partition).apply(decoded, position)
 	return nil
 }
--- a/internal/messagestore/handover.go
+++ b/internal/messagestore/handover.go
@@ -17,12 +17,12 @@
 type handoverOutcome int
 
 const (
-	handoverRejected handoverOutcome = iota // this store surely leads as before
-	handoverDone                            // another store leads
-	handoverUnknown                         // another store may lead: deliveries must wait for the next view
+	handoverRejected handoverOutcome = iota // this store is the primary as before, for sure
+	handoverDone                            // another store is the primary
+	handoverUnknown                         // another store may be the primary: deliveries must wait for the next view
 )
 
-// outcomeOfAsk tells what an answer of the control plane to a handover means.
+// handoverOutcomeOf tells what an answer of the control plane to a handover means.
 func handoverOutcomeOf(err error) handoverOutcome {
 	if err == nil {
 		return handoverDone
@@ -37,7 +37,7 @@
 	return handoverUnknown
 }
 
-// handOver brings the backups up to date and asks for a new primary. Deliveries of the partition have stopped.
+// handOver brings the backups up to date and asks for a new primary among them. Deliveries of the partition have stopped.
 func (s *Store) handOver(ctx context.Context, id int) handoverOutcome {
 	p, epoch := s.ledPartition(id)
 	if p == nil {
@@ -47,24 +47,19 @@
 	if !complete || len(ready) == 0 {
 		return handoverRejected
 	}
-	for _, backup := range ready {
-		flushed, cancel := context.WithTimeout(ctx, replicateTimeout)
-		err := backup.flush(flushed, p)
-		cancel()
-		if err != nil {
-			s.logger.Info("flushing to a backup", zap.Int("partition", id), zap.Error(err))
-			return handoverRejected
-		}
+	if err := flushAll(ctx, p, ready); err != nil {
+		s.logger.Info("flushing to a backup failed", zap.Int("partition", id), zap.Error(err))
+		return handoverRejected
 	}
 	// What was on its way to a backup before the flush may have failed meanwhile.
 	if still, complete := s.readyBackups(p, epoch); !complete || !slices.Equal(still, ready) {
 		return handoverRejected
 	}
-	ask := cluster.PartitionRequest{Partition: id, Epoch: epoch, Handover: true}
+	request := cluster.PartitionRequest{Partition: id, Epoch: epoch, Handover: true}
 	for _, backup := range ready {
-		ask.Ready = append(ask.Ready, backup.replica.Store)
+		request.Ready = append(request.Ready, backup.replica.Store)
 	}
-	outcome := s.requestHandover(ask)
+	outcome := s.requestHandover(request)
 	if outcome != handoverDone {
 		return outcome
 	}
@@ -77,16 +72,29 @@
 	return handoverDone
 }
 
-// askHandover asks the control plane for a new primary.
-func (s *Store) requestHandover(ask cluster.PartitionRequest) handoverOutcome {
-	err := s.requestChange(ask)
+// flushAll waits until each backup has everything that is queued for it, one backup after the other.
+func flushAll(ctx context.Context, p *partition, backups []*replicator) error {
+	for _, backup := range backups {
+		limited, cancel := context.WithTimeout(ctx, replicateTimeout)
+		err := backup.flush(limited, p)
+		cancel()
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// requestHandover asks the control plane for a new primary.
+func (s *Store) requestHandover(request cluster.PartitionRequest) handoverOutcome {
+	err := s.requestChange(request)
 	if err != nil {
-		s.logger.Info("handing a partition over", zap.Int("partition", ask.Partition), zap.Error(err))
+		s.logger.Info("handing a partition over failed", zap.Int("partition", request.Partition), zap.Error(err))
 	}
 	return handoverOutcomeOf(err)
 }
 
-// ledBy returns a partition that this store leads and its epoch, or nil.
+// ledPartition returns a partition and its epoch, or nil where this store is not its primary.
 func (s *Store) ledPartition(id int) (*partition, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,11 +124,11 @@
 	return ready, complete
 }
 
-// followWish hands a partition over when the control plane wishes for another primary that is synced. The caller holds
-// the lock.
+// followPreferredPrimary hands a partition over where the control plane prefers another primary that is synced. The caller
+// holds the lock.
 func (s *Store) followPreferredPrimary(p *partition) {
-	place := p.view.IndexOf(p.view.PreferredPrimary)
-	if p.handingOver || p.view.PreferredPrimary == "" || place <= 0 || !p.view.Replicas[place].Synced {
+	position := p.view.IndexOf(p.view.PreferredPrimary)
+	if p.handingOver || p.view.PreferredPrimary == "" || position <= 0 || !p.view.Replicas[position].Synced {
 		return
 	}
 	p.handingOver = true
@@ -131,43 +139,49 @@
 	})
 }
 
-// pauseAfter returns the pause before a handover is tried again.
-func handoverRetryInterval(inDoubt bool) time.Duration {
-	if inDoubt {
+// handoverRetryInterval returns the pause before a handover is tried again.
+func handoverRetryInterval(outcomeUnknown bool) time.Duration {
+	if outcomeUnknown {
 		return unknownOutcomeInterval
 	}
 	return handoverPollInterval
 }
 
-// moveAway stops a partition's deliveries and hands it over, or takes the deliveries up again where that is refused. While
-// it is not known whether another store leads they stay stopped.
+// handOverToPreferred stops a partition's deliveries and hands it over, or takes up the deliveries again where that is rejected.
+// They stay stopped while it is not known whether another store is the primary.
 func (s *Store) handOverToPreferred(ctx context.Context, p *partition) {
 	s.pause(p.id)
+	s.repeatHandover(ctx, p)
+	s.mu.Lock()
+	p.handingOver = false
+	isPrimary := p.isPrimary
+	s.mu.Unlock()
+	if isPrimary {
+		s.resume(p.id)
+	}
+}
+
+// repeatHandover tries a handover until it is done, or until the context ends while no outcome is unknown. An outcome stays
+// unknown until a newer view comes, or unknownOutcomeTimeout has passed.
+func (s *Store) repeatHandover(ctx context.Context, p *partition) {
 	attempts := ctx
-	var doubtUntil time.Time
+	var unknownUntil time.Time
 	for outcome := handoverRejected; ; {
 		_, epoch := s.ledPartition(p.id)
 		if s.engine.InFlightOf(p.id) == 0 {
 			outcome = s.handOver(attempts, p.id)
 		}
 		if outcome == handoverUnknown {
-			attempts = s.context // it has to become clear, however long that takes
-			doubtUntil = time.Now().Add(unknownOutcomeTimeout)
+			attempts = s.context // the outcome has to become known, however long that takes
+			unknownUntil = time.Now().Add(unknownOutcomeTimeout)
 		}
-		if _, now := s.ledPartition(p.id); now != epoch {
-			doubtUntil = time.Time{} // a newer view has come
+		if _, current := s.ledPartition(p.id); current != epoch {
+			unknownUntil = time.Time{} // a newer view has come
 		}
-		inDoubt := time.Now().Before(doubtUntil)
-		if outcome == handoverDone || s.context.Err() != nil || ctx.Err() != nil && !inDoubt {
-			break
+		isUnknown := time.Now().Before(unknownUntil)
+		if outcome == handoverDone || s.context.Err() != nil || ctx.Err() != nil && !isUnknown {
+			return
 		}
-		ctxtime.Sleep(s.context, handoverRetryInterval(inDoubt))
-	}
-	s.mu.Lock()
-	p.handingOver = false
-	still := p.isPrimary
-	s.mu.Unlock()
-	if still {
-		s.resume(p.id)
+		ctxtime.Sleep(s.context, handoverRetryInterval(isUnknown))
 	}
 }
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -6,7 +6,8 @@
 	"gladepick/internal/cluster"
 )
 
-// ApplyTable takes a new cluster table in: it makes this store the primary of partitions, or a backup, or neither.
+// ApplyTable takes in a cluster table, which makes this store the primary of partitions, or a backup, or neither. A table that
+// is not newer than the last one is ignored.
 func (s *Store) ApplyTable(table *cluster.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,14 +21,14 @@
 	s.logLeadershipChanges()
 }
 
-// leadChanges counts changes of the partitions that the store leads, until they are logged.
+// leadershipChanges counts partitions that the store has become, or no longer is, the primary of, until they are logged.
 type leadershipChanges struct {
 	gained   int
 	lost     int
-	messages int // that have not ended, in the partitions gained
+	messages int // queued ones, in the partitions gained
 }
 
-// logLeadChanges logs one line for all changes since the last one. The caller holds the lock.
+// logLeadershipChanges logs one line for all changes since the last one. The caller holds the lock.
 func (s *Store) logLeadershipChanges() {
 	changes := s.changes
 	s.changes = leadershipChanges{}
@@ -37,14 +38,14 @@
 	}
 }
 
-// applyView takes one partition's view in. The caller holds the lock.
+// applyView takes in one partition's view. The caller holds the lock.
 func (s *Store) applyView(view cluster.Partition) {
 	p := s.partition(view.ID)
 	if view.Epoch < p.epoch {
 		return
 	}
-	place := view.IndexOf(s.options.Name)
-	p.isReplica = place >= 0 && view.Replicas[place].DiskID == s.options.DiskID
+	position := view.IndexOf(s.options.Name)
+	p.isReplica = position >= 0 && view.Replicas[position].DiskID == s.options.DiskID
 	former := p.view
 	p.fenced = p.fenced && view.Epoch == p.epoch
 	p.epoch, p.view = view.Epoch, view
@@ -52,7 +53,7 @@
 	case !p.isReplica:
 		s.stepDown(p)
 		s.forgetIfReplicated(p)
-	case place > 0:
+	case position > 0:
 		s.stepDown(p)
 	case p.isPrimary:
 		s.updateBackups(p)
@@ -65,8 +66,7 @@
 	}
 }
 
-// lead makes this store the partition's primary: what has not ended is delivered, and the backups are brought up to
-// what this store holds. The caller holds the lock.
+// becomePrimary makes this store the partition's primary: queued messages are submitted, and the backups are resynced. The caller holds the lock.
 func (s *Store) becomePrimary(p *partition) {
 	p.isPrimary, p.paused = true, false
 	s.appendAndReplicate(p, &record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch})
@@ -77,19 +77,19 @@
 	}
 	s.updateFence(p)
 	s.engine.ResumePartition(p.id)
-	live := p.queued()
-	for _, each := range live {
+	queued := p.queued()
+	for _, each := range queued {
 		s.engine.Submit(each.message, each.failures)
 	}
 	s.changes.gained++
-	s.changes.messages += len(live)
+	s.changes.messages += len(queued)
 }
 
-// adjustBackups follows a change of the group that this store goes on to lead. The caller holds the lock.
+// updateBackups follows a change of the replica group whose primary this store stays. The caller holds the lock.
 func (s *Store) updateBackups(p *partition) {
-	for disk := range p.resync {
-		if !containsDisk(p.backups(), disk) {
-			delete(p.resync, disk)
+	for diskID := range p.resync {
+		if !containsDisk(p.backups(), diskID) {
+			delete(p.resync, diskID)
 		}
 	}
 	for _, replica := range p.backups() {
@@ -105,8 +105,7 @@
 	}
 }
 
-// noteJoined takes nothing for confirmed any more that a backup confirmed before the present epoch, in which it is not
-// synced.
+// discardConfirmations drops what a backup has confirmed before the present epoch, in which it is not synced.
 func (p *partition) discardConfirmations(diskID string) {
 	if p.unsyncedSince[diskID] == p.epoch {
 		return
@@ -118,16 +117,17 @@
 	}
 }
 
-func containsDisk(replicas []cluster.Replica, disk string) bool {
+// containsDisk tells whether a disk is one of the replicas'.
+func containsDisk(replicas []cluster.Replica, diskID string) bool {
 	for _, replica := range replicas {
-		if replica.DiskID == disk {
+		if replica.DiskID == diskID {
 			return true
 		}
 	}
 	return false
 }
 
-// stepDown ends this store's lead of a partition, if it had it. The caller holds the lock.
+// stepDown ends this store's leadership of a partition, if it had it. Writes that wait end with errSteppedDown. The caller holds the lock.
 func (s *Store) stepDown(p *partition) {
 	if !p.isPrimary {
 		return
@@ -150,7 +150,7 @@
 	s.logger.Debug("partition no longer led", zap.Int("partition", p.id), zap.Uint64("epoch", p.epoch))
 }
 
-// forgetIfWhole drops a partition that a whole group of other stores holds. The caller holds the lock.
+// forgetIfReplicated drops a partition that a complete group of other stores holds. The caller holds the lock.
 func (s *Store) forgetIfReplicated(p *partition) {
 	if len(p.entries) == 0 || len(p.view.Replicas) < s.options.ReplicationFactor {
 		return
@@ -165,7 +165,7 @@
 		return
 	}
 	if _, err := s.log.Append(line); err != nil {
-		s.logger.Warn("appending a record", zap.Error(err))
+		s.logger.Warn("appending a record failed", zap.Error(err))
 		return
 	}
 	clear(p.entries)
--- a/internal/messagestore/maintenance.go
+++ b/internal/messagestore/maintenance.go
@@ -10,11 +10,11 @@
 	}
 }
 
-// maintain repairs replica groups, drops what need not be remembered, and compacts the log.
+// maintain is the background work: it resyncs backups, asks them for leases, drops expired messages and compacts the log.
 func (s *Store) maintain() {
 	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
-	var forgotten, beaten time.Time
+	var lastExpiry, lastLeaseRequest time.Time
 	for {
 		select {
 		case <-s.context.Done():
@@ -23,19 +23,19 @@
 		case <-ticker.C:
 		}
 		s.repairBackups()
-		if s.options.Control.LeaseRemaining() < backupLeaseMargin && time.Since(beaten) >= heartbeatInterval {
-			beaten = time.Now()
+		if s.options.Control.LeaseRemaining() < backupLeaseMargin && time.Since(lastLeaseRequest) >= heartbeatInterval {
+			lastLeaseRequest = time.Now()
 			s.requestBackupLeases()
 		}
-		if time.Since(forgotten) >= expiryInterval {
-			forgotten = time.Now()
-			s.dropExpired(forgotten)
+		if time.Since(lastExpiry) >= expiryInterval {
+			lastExpiry = time.Now()
+			s.dropExpired(lastExpiry)
 			s.compactIfLarge()
 		}
 	}
 }
 
-// repair starts the copies that are due.
+// repairBackups starts the resyncs that are due.
 func (s *Store) repairBackups() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// dropOld forgets messages that ended long ago.
+// dropExpired forgets messages that ended more than Options.StatusRetention ago.
 func (s *Store) dropExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/missing.go
+++ b/internal/messagestore/missing.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/rpc"
 )
 
-// copyItem is an entry that a backup lacks, or whose end it lacks.
+// missingEntry is an entry that a backup lacks, or whose outcome it lacks.
 type missingEntry struct {
 	id            string
 	entry         *entry
@@ -17,9 +17,9 @@
 
 // missing lists what a backup lacks.
 func (s *Store) missing(p *partition, held *protocol.InventoryResponse) []missingEntry {
-	live := make(map[string]bool, len(held.Queued))
+	queued := make(map[string]bool, len(held.Queued))
 	for _, id := range held.Queued {
-		live[id] = true
+		queued[id] = true
 	}
 	ended := make(map[string]bool, len(held.Ended))
 	for _, id := range held.Ended {
@@ -29,23 +29,23 @@
 	defer s.mu.Unlock()
 	var found []missingEntry
 	for id, each := range p.entries {
-		hasStart := live[id] || ended[id]
+		isKnown := queued[id] || ended[id]
 		switch {
 		case each.pending != nil:
 		case each.ended() && !ended[id]:
-			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !hasStart && each.needsBody()})
-		case !each.ended() && (!hasStart || each.failures > 0):
-			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !hasStart})
+			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !isKnown && each.needsBody()})
+		case !each.ended() && (!isKnown || each.failures > 0):
+			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !isKnown})
 		}
 	}
 	return found
 }
 
-// copyMissing sends records to a backup, a batch after the other, and waits until the last is synced there.
-func (s *Store) sendMissing(ctx context.Context, p *partition, backup *replicator, items []missingEntry) error {
+// sendMissing sends records to a backup, a batch after the other, and waits until the last is synced there.
+func (s *Store) sendMissing(ctx context.Context, p *partition, backup *replicator, entries []missingEntry) error {
 	size := 0
-	for _, item := range items {
-		sent, err := s.enqueueMissing(p, backup, item)
+	for _, missing := range entries {
+		sent, err := s.enqueueMissing(p, backup, missing)
 		if err != nil {
 			return err
 		}
@@ -60,11 +60,11 @@
 	return backup.flush(ctx, p)
 }
 
-// copyOne queues the records of one entry.
-func (s *Store) enqueueMissing(p *partition, backup *replicator, item missingEntry) (int, error) {
+// enqueueMissing queues the records of one entry, and returns their bytes.
+func (s *Store) enqueueMissing(p *partition, backup *replicator, missing missingEntry) (int, error) {
 	var body []byte
-	if item.needsAccepted {
-		read, err := s.readBody(s.positionOf(item.entry))
+	if missing.needsAccepted {
+		read, err := s.readBody(s.positionOf(missing.entry))
 		if err != nil {
 			return 0, err
 		}
@@ -73,36 +73,36 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size := 0
-	for _, each := range s.missingRecords(p, item) {
+	for _, each := range s.missingRecords(p, missing) {
 		line, err := each.encode()
 		if err != nil {
 			return 0, err
 		}
-		out := queuedRecord{partition: p.id, epoch: p.epoch, line: line}
+		queued := queuedRecord{partition: p.id, epoch: p.epoch, line: line}
 		if each.Kind == recordAccepted {
-			out.body = body
+			queued.body = body
 		}
-		size += out.size()
-		backup.enqueue(out)
+		size += queued.size()
+		backup.enqueue(queued)
 	}
 	return size, nil
 }
 
-// recordsOf returns the records that bring a backup up to an entry's present state. The caller holds the lock.
-func (s *Store) missingRecords(p *partition, item missingEntry) []*record {
+// missingRecords returns the records that bring a backup up to an entry's present state. The caller holds the lock.
+func (s *Store) missingRecords(p *partition, missing missingEntry) []*record {
 	var records []*record
-	if item.needsAccepted && item.entry.message != nil {
+	if missing.needsAccepted && missing.entry.message != nil {
 		records = append(records, &record{
 			Kind: recordAccepted, Partition: p.id, Epoch: p.epoch,
-			Message: item.entry.message, Failures: item.entry.failures,
+			Message: missing.entry.message, Failures: missing.entry.failures,
 		})
-	} else if !item.entry.ended() && item.entry.failures > 0 {
+	} else if !missing.entry.ended() && missing.entry.failures > 0 {
 		records = append(records, &record{
-			Kind: recordFailed, Partition: p.id, Epoch: p.epoch, ID: item.id, Failures: item.entry.failures,
+			Kind: recordFailed, Partition: p.id, Epoch: p.epoch, ID: missing.id, Failures: missing.entry.failures,
 		})
 	}
-	if item.entry.ended() {
-		records = append(records, p.endedRecord(item.id, item.entry))
+	if missing.entry.ended() {
+		records = append(records, p.endedRecord(missing.id, missing.entry))
 	}
 	return records
 }
@@ -119,7 +119,7 @@
 		return nil, nil, err
 	}
 	if !s.adoptEpoch(request.Partition, request.Epoch) {
-		return nil, nil, &rpc.Error{Code: rpc.CodeConflict, Message: "the epoch is not the newest"}
+		return nil, nil, errStaleEpoch
 	}
 	response := &protocol.InventoryResponse{}
 	for id, each := range s.partition(request.Partition).entries {
--- a/internal/messagestore/outcome.go
+++ b/internal/messagestore/outcome.go
@@ -10,7 +10,8 @@
 	"gladepick/internal/rpc"
 )
 
-// tellPrimary passes the end of an attempt that this store had out to the partition's present primary.
+// forwardOutcome passes the outcome of an attempt that this store had out to the partition's present primary, once. Where
+// that fails the message runs again.
 func (s *Store) forwardOutcome(m *message.Message, outcome message.Outcome) {
 	s.mu.Lock()
 	address := s.primaryAddress(m.Partition)
@@ -23,12 +24,12 @@
 		defer cancel()
 		request := protocol.OutcomeRequest{Partition: m.Partition, ID: m.ID, Outcome: outcome}
 		if _, err := s.options.Pool.Get(address).Call(ctx, protocol.MethodOutcome, request, nil, nil); err != nil {
-			s.logger.Info("passing an outcome on", zap.String("message", m.ID), zap.Error(err))
+			s.logger.Info("forwarding an outcome failed", zap.String("message", m.ID), zap.Error(err))
 		}
 	})
 }
 
-// primaryAddress returns where another store that leads a partition listens. The caller holds the lock.
+// primaryAddress returns where a partition's primary listens, "" where none is known or it is this store. The caller holds the lock.
 func (s *Store) primaryAddress(id int) string {
 	if s.table == nil || id < 0 || id >= len(s.table.Partitions) {
 		return ""
@@ -44,6 +45,7 @@
 	return entry.Address
 }
 
+// handleOutcome takes in the outcome of an attempt that a former primary had out.
 func (s *Store) handleOutcome(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.OutcomeRequest
 	if err := call.Decode(&request); err != nil {
@@ -53,7 +55,7 @@
 	defer s.mu.Unlock()
 	p := s.partitions[request.Partition]
 	if p == nil || !p.isPrimary {
-		return nil, nil, &rpc.Error{Code: rpc.CodeNotLeader}
+		return nil, nil, errNotPrimary
 	}
 	s.endMessage(p, request.ID, request.Outcome)
 	return nil, nil, nil
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -9,22 +9,22 @@
 	"gladepick/internal/wal"
 )
 
-// partition is what the store holds of one partition.
+// partition is what the store holds of one partition: the index of its messages, and the store's role. Store.mu guards it.
 type partition struct {
 	id           int
-	epoch        uint64 // the highest epoch seen; older ones are refused
-	view         cluster.Partition
-	isReplica    bool // the newest view lists this store's disk
+	epoch        uint64            // the highest one seen; records of older ones are rejected
+	view         cluster.Partition // the newest applied
+	isReplica    bool              // the newest view lists this store's disk
 	isPrimary    bool
 	fenced       bool // a backup knows a newer epoch: another store may lead
-	paused       bool // deliveries are being handed over
-	handingOver  bool // a wished handover is under way
+	paused       bool // deliveries are stopped for a handover
+	handingOver  bool // handOverToPreferred runs
 	entries      map[string]*entry
 	lastSequence uint64                  // the highest sequence number seen
 	pending      map[*pendingWrite]bool  // writes that wait for replicas
-	resync       map[string]*resyncState // by disk id: backups that may lack records
-	// joined tells by disk id in which epoch a backup was last seen to be not synced. What it confirmed in earlier epochs it
-	// may have forgotten: it may have left the group in between.
+	resync       map[string]*resyncState // by disk ID: backups that may lack records
+	// unsyncedSince tells by disk ID in which epoch a backup was last seen to be not synced. What it confirmed in earlier epochs
+	// it may have forgotten: it may have left the group in between.
 	unsyncedSince map[string]uint64
 }
 
@@ -46,7 +46,7 @@
 	return p.view.Replicas[1:]
 }
 
-// live returns the entries that have not ended, in their order of acceptance.
+// queued returns the entries that have not ended, in their order of acceptance.
 func (p *partition) queued() []*entry {
 	var found []*entry
 	for _, each := range p.entries {
@@ -60,7 +60,7 @@
 	return found
 }
 
-// apply takes a record into the index. The position is where the record stands in this store's log.
+// apply takes a record into the index, at a replay as at a backup. The position is where the record stands in this store's log.
 func (p *partition) apply(r *record, position wal.Position) {
 	p.epoch = max(p.epoch, r.Epoch)
 	switch r.Kind {
@@ -77,6 +77,7 @@
 	}
 }
 
+// applyAccepted adds a message. For one that is known the record is where its body stands from now on.
 func (p *partition) applyAccepted(r *record, position wal.Position) {
 	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
@@ -94,6 +95,7 @@
 	}
 }
 
+// applyEnded notes an outcome, also of a message that is not known.
 func (p *partition) applyEnded(r *record) {
 	if r.Outcome == nil {
 		return
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -10,6 +10,7 @@
 	"gladepick/internal/wal"
 )
 
+// handlePut stores a message: it answers without an error once every disk of the partition's view has synced it.
 func (s *Store) handlePut(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.PutRequest
 	if err := call.Decode(&request); err != nil {
@@ -29,41 +30,46 @@
 		}
 		return nil, nil, nil
 	case <-ctx.Done():
-		return nil, nil, &rpc.Error{Code: rpc.CodeInternal, Message: "replicas have not answered in time"}
+		return nil, nil, errCommitTimeout
 	}
 }
 
-// accept numbers a message, logs it and sends it to the backups. It returns the write to wait for, or nil where the
-// message was committed before: fronts hand a message in again when an answer was lost.
+// accept numbers a message, appends it to the log and sends it to the backups. It returns the write to wait for and whether
+// the message is new, or nil where the message was committed before: clients repeat a put whose answer was lost.
 func (s *Store) accept(submission *message.Submission, body []byte) (*pendingWrite, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partitions[submission.Message.Partition]
 	if p == nil || !p.isPrimary {
-		return nil, false, &rpc.Error{Code: rpc.CodeNotLeader}
+		return nil, false, errNotPrimary
 	}
 	if found := p.entries[submission.Message.ID]; found != nil {
 		return found.pending, false, nil
 	}
-	if len(p.view.Replicas) < s.options.ReplicationFactor || s.log.Failing() || s.diskFull() || s.hasUnresponsiveBackup(p) {
-		return nil, false, &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few disks for another message"}
+	if !s.canCommit(p) {
+		return nil, false, errTooFewDisks
 	}
 	accepted := s.assignSequence(p, submission)
-	r := &record{Kind: recordAccepted, Partition: p.id, Epoch: p.epoch, Message: accepted}
-	line, err := r.encode()
+	line, err := (&record{Kind: recordAccepted, Partition: p.id, Epoch: p.epoch, Message: accepted}).encode()
 	if err != nil {
 		return nil, false, err
 	}
 	position, err := s.log.AppendParts(line, body)
 	if err != nil {
-		return nil, false, &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
+		return nil, false, unavailable(err)
 	}
 	write := s.addPending(p, accepted, position, line, body)
 	s.sendPending(p, write)
 	return write, true, nil
 }
 
-// backupSilent tells whether a backup does not answer: a message that can go elsewhere should not wait for it. The
+// canCommit tells whether another message is likely to be committed in time. The caller holds the lock.
+func (s *Store) canCommit(p *partition) bool {
+	return len(p.view.Replicas) >= s.options.ReplicationFactor && !s.log.Failing() && !s.diskFull() &&
+		!s.hasUnresponsiveBackup(p)
+}
+
+// hasUnresponsiveBackup tells whether a backup does not answer: a message that can go elsewhere should not wait for it. The
 // caller holds the lock.
 func (s *Store) hasUnresponsiveBackup(p *partition) bool {
 	for _, replica := range p.backups() {
@@ -74,7 +80,7 @@
 	return false
 }
 
-// number gives a message its place in the partition's order and its absolute times.
+// assignSequence gives a message its place in the partition's order and its absolute times.
 func (s *Store) assignSequence(p *partition, submission *message.Submission) *message.Message {
 	accepted := submission.Message
 	p.lastSequence = max(p.lastSequence+1, p.epoch<<epochShift+1)
@@ -85,6 +91,7 @@
 	return &accepted
 }
 
+// addPending adds a message to the index, to be committed.
 func (s *Store) addPending(
 	p *partition, accepted *message.Message, position wal.Position, line, body []byte,
 ) *pendingWrite {
@@ -105,7 +112,7 @@
 	return write
 }
 
-// syncLocally waits for this store's disk.
+// syncLocally waits for this store's disk. Where that fails the message is aborted, unless the caller's time is over before.
 func (s *Store) syncLocally(ctx context.Context, write *pendingWrite, id int) {
 	err := s.log.Sync(ctx)
 	s.mu.Lock()
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -8,6 +8,7 @@
 	"gladepick/internal/rpc"
 )
 
+// handleState answers with a message's state.
 func (s *Store) handleState(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
@@ -22,6 +23,7 @@
 	return found.outcome, nil, nil
 }
 
+// handleBody answers with the body of a message that is not completed.
 func (s *Store) handleBody(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
@@ -36,29 +38,29 @@
 	state, position, body := found.outcome.State, found.position, found.body
 	s.mu.Unlock()
 	if state == message.Completed {
-		return nil, nil, &rpc.Error{Code: rpc.CodeNotFound, Message: "completed"}
+		return nil, nil, errBodyDropped
 	}
 	if body == nil {
 		if body, err = s.readBody(position); err != nil {
-			return nil, nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: err.Error()}
+			return nil, nil, unavailable(err)
 		}
 	}
 	return nil, body, nil
 }
 
-// find returns a message's entry. Only the word of a primary that nobody can have replaced counts that there is none. The
-// caller holds the lock.
+// find returns a message's entry. Only a primary that no other store can have replaced may deny a message; all others leave it
+// to the next replica. The caller holds the lock.
 func (s *Store) find(request *protocol.QueryRequest) (*entry, error) {
 	p := s.partitions[request.Partition]
 	if p == nil || !p.isReplica {
-		return nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "not a replica"}
+		return nil, errNotReplica
 	}
 	found := p.entries[request.ID]
 	if found == nil && s.isConfirmedPrimary(p) {
-		return nil, &rpc.Error{Code: rpc.CodeNotFound}
+		return nil, errUnknownMessage
 	}
 	if found == nil || found.message == nil && found.outcome.State == message.Queued {
-		return nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "not held here"}
+		return nil, errNotHeld
 	}
 	return found, nil
 }
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -14,17 +14,18 @@
 	"gladepick/internal/rpc"
 )
 
-// peer sends records to one backup's disk, in order, one call at a time; what gathers meanwhile goes in the next.
+// replicator sends records to one backup's disk, in order, one call at a time; what gathers meanwhile goes into the next.
+// Store.mu guards its fields. It lives until the store closes, also when the disk is no backup's any more.
 type replicator struct {
 	store        *Store
 	replica      cluster.Replica
 	wake         chan struct{}
 	queue        []queuedRecord
-	processEnded atomic.Pointer[time.Time] // when its process was last found to have ended; it remembers no grant from before
+	processEnded atomic.Pointer[time.Time] // when the backup's process was last found to have ended: it has forgotten its grants
 	callStarted  time.Time                 // when the call that is out began; zero while none is
 }
 
-// outgoing is a record on its way to a backup.
+// queuedRecord is a record on its way to a backup.
 type queuedRecord struct {
 	partition int
 	epoch     uint64
@@ -34,9 +35,10 @@
 	done      func(err error) // called without the lock; nil for most
 }
 
-func (o *queuedRecord) size() int { return len(o.line) + len(o.body) }
+// size returns the record's bytes.
+func (q *queuedRecord) size() int { return len(q.line) + len(q.body) }
 
-// peer returns the sender to a backup's disk. The caller holds the lock.
+// replicator returns the replicator of a backup's disk, which it starts where there is none. The caller holds the lock.
 func (s *Store) replicator(replica cluster.Replica) *replicator {
 	found := s.replicators[replica.DiskID]
 	if found == nil {
@@ -49,179 +51,191 @@
 
 // sendTo queues a record for a backup. The caller holds the lock.
 func (s *Store) sendTo(p *partition, replica cluster.Replica, line []byte, write *pendingWrite) {
-	out := queuedRecord{partition: p.id, epoch: p.epoch, line: line, write: write}
+	queued := queuedRecord{partition: p.id, epoch: p.epoch, line: line, write: write}
 	if write != nil {
-		out.body = write.body
+		queued.body = write.body
 	}
-	s.replicator(replica).enqueue(out)
+	s.replicator(replica).enqueue(queued)
 }
 
 // enqueue adds a record. The caller holds the store's lock.
-func (d *replicator) enqueue(out queuedRecord) {
-	d.queue = append(d.queue, out)
+func (r *replicator) enqueue(queued queuedRecord) {
+	r.queue = append(r.queue, queued)
 	select {
-	case d.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run sends what is queued until the store closes.
-func (d *replicator) run() {
+func (r *replicator) run() {
 	for {
 		select {
-		case <-d.store.context.Done():
+		case <-r.store.context.Done():
 			return
-		case <-d.wake:
+		case <-r.wake:
 		}
-		for batch := d.nextBatch(); len(batch) > 0; batch = d.nextBatch() {
-			d.send(batch)
+		for batch := r.nextBatch(); len(batch) > 0; batch = r.nextBatch() {
+			r.send(batch)
 		}
 	}
 }
 
-// take removes the next batch from the queue.
-func (d *replicator) nextBatch() []queuedRecord {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
+// nextBatch removes from the queue what goes into one call: one record, and more up to batchBytes.
+func (r *replicator) nextBatch() []queuedRecord {
+	r.store.mu.Lock()
+	defer r.store.mu.Unlock()
 	size, count := 0, 0
-	for count < len(d.queue) && (count == 0 || size+d.queue[count].size() <= batchBytes) {
-		size += d.queue[count].size()
+	for count < len(r.queue) && (count == 0 || size+r.queue[count].size() <= batchBytes) {
+		size += r.queue[count].size()
 		count++
 	}
-	batch := slices.Clone(d.queue[:count])
-	d.queue = slices.Delete(d.queue, 0, count)
-	if len(d.queue) == 0 {
-		d.queue = nil
+	batch := slices.Clone(r.queue[:count])
+	r.queue = slices.Delete(r.queue, 0, count)
+	if len(r.queue) == 0 {
+		r.queue = nil
 	}
 	return batch
 }
 
-// send makes one call of a batch and takes its answer in.
-func (d *replicator) send(batch []queuedRecord) {
-	request := protocol.ReplicateRequest{
-		From: d.store.options.Name, TargetDiskID: d.replica.DiskID,
-		WantsLease:    d.store.options.Control.LeaseRemaining() < backupLeaseMargin,
-		LeaseGrantsMS: d.store.leaseGrantsRemaining().Milliseconds(),
-	}
-	var body []byte
-	for i := range batch {
-		body = append(append(body, batch[i].line...), batch[i].body...)
-		item := protocol.RecordHeader{Partition: batch[i].partition, Epoch: batch[i].epoch, Length: batch[i].size()}
-		request.Records = append(request.Records, item)
-	}
+// send makes one call of a batch and handles its result.
+func (r *replicator) send(batch []queuedRecord) {
+	request, body := r.replicateRequest(batch)
 	started := time.Now()
-	d.recordCallStart(started)
+	r.recordCallStart(started)
 	var response protocol.ReplicateResponse
-	err := d.call(protocol.MethodReplicate, replicateTimeout, request, body, &response)
+	err := r.call(protocol.MethodReplicate, replicateTimeout, request, body, &response)
 	if err != nil {
-		d.store.logger.Debug("replicating", zap.String("backup", d.replica.Store), zap.Error(err))
+		r.store.logger.Debug("replicating failed", zap.String("backup", r.replica.Store), zap.Error(err))
 	}
-	outcome := batchResult{rejected: response.Rejected, err: err}
+	result := batchResult{rejected: response.Rejected, err: err}
 	if request.WantsLease && err == nil {
-		outcome.leaseRequestedAt = started
+		result.leaseRequestedAt = started
+	}
+	r.handleResult(batch, result)
+}
+
+// replicateRequest returns the parameters and the body of a call.
+func (r *replicator) replicateRequest(batch []queuedRecord) (protocol.ReplicateRequest, []byte) {
+	request := protocol.ReplicateRequest{
+		From: r.store.options.Name, TargetDiskID: r.replica.DiskID,
+		WantsLease:    r.store.options.Control.LeaseRemaining() < backupLeaseMargin,
+		LeaseGrantsMS: r.store.leaseGrantsRemaining().Milliseconds(),
 	}
-	d.handleResult(batch, outcome)
+	var body []byte
+	for i := range batch {
+		body = append(append(body, batch[i].line...), batch[i].body...)
+		header := protocol.RecordHeader{Partition: batch[i].partition, Epoch: batch[i].epoch, Length: batch[i].size()}
+		request.Records = append(request.Records, header)
+	}
+	return request, body
 }
 
-// noteCall notes when a call began.
-func (d *replicator) recordCallStart(started time.Time) {
-	d.store.mu.Lock()
-	defer d.store.mu.Unlock()
-	d.callStarted = started
+// recordCallStart notes when a call began.
+func (r *replicator) recordCallStart(started time.Time) {
+	r.store.mu.Lock()
+	defer r.store.mu.Unlock()
+	r.callStarted = started
 }
 
-// silent tells whether the backup has owed an answer for so long that nothing new should wait for it. The caller holds
+// isUnresponsive tells whether the backup has owed an answer for so long that nothing new should wait for it. The caller holds
 // the lock.
-func (d *replicator) isUnresponsive() bool {
-	return !d.callStarted.IsZero() && time.Since(d.callStarted) > unresponsiveAfter
+func (r *replicator) isUnresponsive() bool {
+	return !r.callStarted.IsZero() && time.Since(r.callStarted) > unresponsiveAfter
 }
 
 // call calls the backup at the address that the table gives for it now.
-func (d *replicator) call(method string, limit time.Duration, request any, body []byte, response any) error {
-	d.store.mu.Lock()
-	entry := d.store.table.Store(d.replica.Store)
-	d.store.mu.Unlock()
-	if entry == nil || entry.DiskID != d.replica.DiskID {
+func (r *replicator) call(method string, limit time.Duration, request any, body []byte, response any) error {
+	r.store.mu.Lock()
+	entry := r.store.table.Store(r.replica.Store)
+	r.store.mu.Unlock()
+	if entry == nil || entry.DiskID != r.replica.DiskID {
 		return rpc.ErrNotSent
 	}
-	ctx, cancel := context.WithTimeout(d.store.context, limit)
+	ctx, cancel := context.WithTimeout(r.store.context, limit)
 	defer cancel()
-	_, err := d.store.options.Pool.Get(entry.Address).Call(ctx, method, request, body, response)
+	_, err := r.store.options.Pool.Get(entry.Address).Call(ctx, method, request, body, response)
 	if errors.Is(err, rpc.ErrNotSent) || errors.Is(err, rpc.ErrResponseLost) {
 		if ctx.Err() == nil {
 			ended := time.Now()
-			d.processEnded.Store(&ended)
+			r.processEnded.Store(&ended)
 		}
-		d.store.reportUnreachable(d.replica.Store, entry.Address, ctx.Err() == nil)
+		r.store.reportUnreachable(r.replica.Store, entry.Address, ctx.Err() == nil)
 	}
 	return err
 }
 
-// sendOutcome is what came of sending a batch.
+// batchResult is what came of sending a batch.
 type batchResult struct {
-	rejected         []int     // partitions whose records were refused
+	rejected         []int     // partitions whose records were rejected
 	leaseRequestedAt time.Time // when the backup was asked for a lease, where it granted one
 	err              error
 }
 
-// finish takes the answer to a batch in.
-func (d *replicator) handleResult(batch []queuedRecord, outcome batchResult) {
-	s := d.store
+// handleResult commits what a batch has confirmed, and has a backup resynced that did not take it.
+func (r *replicator) handleResult(batch []queuedRecord, result batchResult) {
+	s := r.store
 	s.mu.Lock()
-	d.callStarted = time.Time{}
+	r.callStarted = time.Time{}
 	for i := range batch {
-		d.handleRecordResult(&batch[i], outcome)
+		r.handleRecordResult(&batch[i], result)
 	}
 	s.mu.Unlock()
 	for i := range batch {
 		if batch[i].done != nil {
-			batch[i].done(outcome.err)
+			batch[i].done(result.err)
 		}
 	}
 }
 
-// finishRecord takes in what became of one record. The caller holds the store's lock.
-func (d *replicator) handleRecordResult(out *queuedRecord, outcome batchResult) {
-	s := d.store
-	p := s.partition(out.partition)
-	current := p.isPrimary && out.epoch == p.epoch
-	isRefused := slices.Contains(outcome.rejected, out.partition)
-	outdated := out.epoch < p.unsyncedSince[d.replica.DiskID]
-	if outcome.err == nil && !isRefused {
-		if out.write != nil && !outdated {
-			out.write.syncedOn[d.replica.DiskID] = true
-			s.commitIfSynced(p, out.write)
-		}
-		if current && !outcome.leaseRequestedAt.IsZero() {
-			s.fence(p.id).recordGrant(d.replica.DiskID, outcome.leaseRequestedAt)
-		}
+// handleRecordResult handles what became of one record. The caller holds the store's lock.
+func (r *replicator) handleRecordResult(sent *queuedRecord, result batchResult) {
+	s := r.store
+	p := s.partition(sent.partition)
+	isCurrent := p.isPrimary && sent.epoch == p.epoch
+	isRejected := slices.Contains(result.rejected, sent.partition)
+	if result.err == nil && !isRejected {
+		r.handleConfirmation(p, sent, isCurrent, result.leaseRequestedAt)
 		return
 	}
-	if isRefused && current {
+	if isRejected && isCurrent {
 		p.fenced = true
 		s.updateFence(p)
 	}
-	if p.isPrimary && p.view.IndexOf(d.replica.Store) > 0 {
-		if out.write != nil {
-			delete(out.write.sentTo, d.replica.DiskID)
+	if p.isPrimary && p.view.IndexOf(r.replica.Store) > 0 {
+		if sent.write != nil {
+			delete(sent.write.sentTo, r.replica.DiskID)
 		}
-		s.backupFailed(p, d.replica)
+		s.backupFailed(p, r.replica)
+	}
+}
+
+// handleConfirmation handles that the backup has synced a record. Confirmations from before an epoch in which the backup was
+// not synced do not count. The caller holds the store's lock.
+func (r *replicator) handleConfirmation(p *partition, sent *queuedRecord, isCurrent bool, leaseRequestedAt time.Time) {
+	isOutdated := sent.epoch < p.unsyncedSince[r.replica.DiskID]
+	if sent.write != nil && !isOutdated {
+		sent.write.syncedOn[r.replica.DiskID] = true
+		r.store.commitIfSynced(p, sent.write)
+	}
+	if isCurrent && !leaseRequestedAt.IsZero() {
+		r.store.fence(p.id).recordGrant(r.replica.DiskID, leaseRequestedAt)
 	}
 }
 
 // flush waits until everything queued for a backup so far has been answered.
-func (d *replicator) flush(ctx context.Context, p *partition) error {
+func (r *replicator) flush(ctx context.Context, p *partition) error {
 	answered := make(chan error, 1)
-	d.store.mu.Lock()
+	r.store.mu.Lock()
 	line, err := (&record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch}).encode()
 	if err != nil {
-		d.store.mu.Unlock()
+		r.store.mu.Unlock()
 		return err
 	}
-	d.enqueue(queuedRecord{
+	r.enqueue(queuedRecord{
 		partition: p.id, epoch: p.epoch, line: line, done: func(err error) { answered <- err },
 	})
-	d.store.mu.Unlock()
+	r.store.mu.Unlock()
 	select {
 	case err := <-answered:
 		return err
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"go.uber.org/zap"
@@ -11,15 +10,12 @@
 	"gladepick/internal/messagestore/protocol"
 )
 
-// errCopyIncomplete means that a part of a copy did not reach the backup.
-var errResyncIncomplete = errors.New("a part of the copy was not taken")
-
-// resyncState is the primary's note that a backup may lack records.
+// resyncState is a primary's note that a backup may lack records.
 type resyncState struct {
 	running   bool
-	failed    bool // something failed while the copy was under way
-	replace   bool // it holds up writes: another store shall take its place
-	notBefore time.Time
+	failed    bool      // a record was not taken while the resync was running
+	replace   bool      // the backup holds up writes: another store shall take its place
+	notBefore time.Time // of the next resync
 	since     time.Time // when the backup was first found lacking
 }
 
@@ -43,13 +39,13 @@
 		return
 	}
 	state.replace = true
-	if settled := time.Now().Add(replacementDelay); state.notBefore.Before(settled) {
-		state.notBefore = settled
+	if due := time.Now().Add(replacementDelay); state.notBefore.Before(due) {
+		state.notBefore = due
 		time.AfterFunc(replacementDelay, s.wakeMaintenance)
 	}
 }
 
-// resyncAll starts the copies that are due. The caller holds the lock.
+// startDueResyncs starts the resyncs of a partition's backups that are due. The caller holds the lock.
 func (s *Store) startDueResyncs(p *partition) {
 	for _, replica := range p.backups() {
 		state := p.resync[replica.DiskID]
@@ -57,9 +53,9 @@
 			continue
 		}
 		state.running, state.failed = true, false
-		epoch, drop := p.epoch, state.replace
+		epoch, replace := p.epoch, state.replace
 		s.background.Go(func() {
-			if drop {
+			if replace {
 				s.requestReplacement(p, epoch, replica)
 			}
 			err := s.resync(p, epoch, replica)
@@ -68,16 +64,16 @@
 	}
 }
 
-// askDrop asks the control plane to replace a backup that holds up writes.
+// requestReplacement asks the control plane to replace a backup that holds up writes.
 func (s *Store) requestReplacement(p *partition, epoch uint64, replica cluster.Replica) {
 	err := s.requestChange(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Drop: replica.Store})
 	if err != nil {
-		s.logger.Info("asking for another backup", zap.Int("partition", p.id),
+		s.logger.Info("requesting another backup failed", zap.Int("partition", p.id),
 			zap.String("backup", replica.Store), zap.Error(err))
 	}
 }
 
-// resync copies to a backup what it lacks, and tells the control plane where the backup was not synced before.
+// resync sends a backup what it lacks. Where the backup was not synced before, the control plane is asked to call it synced.
 func (s *Store) resync(p *partition, epoch uint64, replica cluster.Replica) error {
 	s.mu.Lock()
 	backup := s.replicator(replica)
@@ -102,7 +98,7 @@
 	return s.requestChange(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Synced: replica.Store})
 }
 
-// copyFailed tells whether a record was not taken since the copy to a backup began. The last one may have been.
+// resyncFailed tells whether a record was not taken since the resync of a backup began. The last one may have been.
 func (s *Store) resyncFailed(p *partition, replica cluster.Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +115,7 @@
 	}
 }
 
-// finishResync notes how a copy went.
+// finishResync notes how a resync went, and when the next one is due.
 func (s *Store) finishResync(p *partition, epoch uint64, replica cluster.Replica, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +134,7 @@
 	state.replace = err != nil && (len(p.pending) > 0 || time.Since(state.since) > resyncGracePeriod)
 	state.notBefore = time.Now().Add(resyncRetryInterval)
 	if err != nil {
-		s.logger.Debug("copying to a backup", zap.Int("partition", p.id),
+		s.logger.Debug("resync of a backup failed", zap.Int("partition", p.id),
 			zap.String("backup", replica.Store), zap.Error(err))
 	}
 }
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -16,44 +16,45 @@
 	"gladepick/internal/wal"
 )
 
-// Options configure a Store.
+// Options configure a Store. All but the limits are required.
 type Options struct {
-	Name              string
-	DiskID            string
-	FS                vfs.FS
+	Name              string // by which the cluster table lists the store
+	DiskID            string // by which the cluster table lists the store's disk
+	FS                vfs.FS // the directory of the log
 	Pool              *rpc.Pool
-	Server            *rpc.Server
+	Server            *rpc.Server // gets the store's handlers
 	Control           Control
 	Logger            *zap.Logger
 	ReplicationFactor int           // disks that hold a message before it is acknowledged
 	StatusRetention   time.Duration // how long an ended message can be asked for
 	DiskBytes         int64         // how much the log may take; 0 for no limit
-	CacheBytes        int64         // bodies of queued messages kept in memory
+	CacheBytes        int64         // how much the bodies of queued messages may take in memory
 }
 
-// Store keeps messages.
+// Store keeps messages on a disk and replicates them. Its methods are safe for concurrent use.
 type Store struct {
 	options Options
 	log     *wal.Log
 	logger  *zap.Logger
 
 	mu          sync.Mutex
-	engine      Engine
-	table       *cluster.Table
+	engine      Engine         // nil before Start
+	table       *cluster.Table // the newest applied; nil before the first
 	partitions  map[int]*partition
 	changes     leadershipChanges      // not logged yet
-	fences      sync.Map               // by partition ID: *gate
-	replicators map[string]*replicator // by disk id
+	fences      sync.Map               // by partition ID: *deliveryFence
+	replicators map[string]*replicator // by disk ID
 	lastReports map[string]time.Time   // by store: when it was last reported
-	leaseGrants map[string]time.Time   // by store: until when it may deliver by a lease from this store
+	leaseGrants map[string]time.Time   // by store: until when it may count on a lease from a backup
 	cachedBytes int64                  // bytes of bodies in memory
-	wake        chan struct{}
+	wake        chan struct{}          // to maintain; holds one signal at the most
 	context     context.Context
 	cancel      context.CancelFunc
 	background  sync.WaitGroup
 }
 
-// Open reads what the disk holds and registers the store's calls. The store leads nothing before the first table.
+// Open reads what the disk holds and registers the store's handlers. The store is no partition's primary before Start and the
+// first table. An error that is wal.ErrCorrupt means that the disk has lost data.
 func Open(options Options) (*Store, error) {
 	s := &Store{
 		options:     options,
@@ -77,16 +78,21 @@
 	for _, each := range s.partitions {
 		each.lastSequence += restartGap
 	}
-	options.Server.Handle(protocol.MethodPut, s.handlePut)
-	options.Server.Handle(protocol.MethodState, s.handleState)
-	options.Server.Handle(protocol.MethodBody, s.handleBody)
-	options.Server.Handle(protocol.MethodReplicate, s.handleReplicate)
-	options.Server.Handle(protocol.MethodInventory, s.handleInventory)
-	options.Server.Handle(protocol.MethodOutcome, s.handleOutcome)
+	s.registerHandlers(options.Server)
 	return s, nil
 }
 
-// Start gives the store its delivery engine, and starts its background work.
+// registerHandlers has a server answer the calls of package protocol.
+func (s *Store) registerHandlers(server *rpc.Server) {
+	server.Handle(protocol.MethodPut, s.handlePut)
+	server.Handle(protocol.MethodState, s.handleState)
+	server.Handle(protocol.MethodBody, s.handleBody)
+	server.Handle(protocol.MethodReplicate, s.handleReplicate)
+	server.Handle(protocol.MethodInventory, s.handleInventory)
+	server.Handle(protocol.MethodOutcome, s.handleOutcome)
+}
+
+// Start gives the store its delivery engine and starts its background work. It is called once, before the first table.
 func (s *Store) Start(engine Engine) {
 	s.mu.Lock()
 	s.engine = engine
@@ -94,7 +100,7 @@
 	s.background.Go(s.maintain)
 }
 
-// Close ends the background work and closes the log.
+// Close ends the background work, waits for it, and closes the log. What was appended is synced.
 func (s *Store) Close() error {
 	s.cancel()
 	s.background.Wait()
@@ -114,7 +120,7 @@
 	return found
 }
 
-// Holdings returns how many messages that have not ended this store holds, and how many of them it leads.
+// Holdings returns how many queued messages this store holds, and how many of them in partitions whose primary it is.
 func (s *Store) Holdings() (queued, leading int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
