--- a/cmd/gladepick-benchreport/main.go
+++ b/cmd/gladepick-benchreport/main.go
@@ -1,5 +1,5 @@
-// Command gladepick-benchreport says where the worth of measured days was lost. It reads the reports that the bench writes with
-// --report.
+// Command gladepick-benchreport says where measured days lost value. It reads the reports that the bench writes with
+// --report, and prints text or JSON. Its flags and its output use the bench's words.
 package main
 
 import (
@@ -17,9 +17,10 @@
 	"gladepick/internal/programname"
 )
 
+// The program also goes by its former name, with a warning.
 const formerName, currentName = "gladepick-ledger", "gladepick-benchreport"
 
-// defaultSpans is how many spans of time are told of each day.
+// defaultSpans is how many spans of time are printed of each day.
 const defaultSpans = 4
 
 // Exit codes.
@@ -28,7 +29,7 @@
 	exitUsage  = 2
 )
 
-// arguments are the command line's.
+// arguments are the parsed command line.
 type arguments struct {
 	reports []string
 	spans   int
@@ -49,6 +50,7 @@
 	}
 }
 
+// parse parses the command line. Reports that do not exist are an error.
 func parse(args []string) (arguments, error) {
 	var parsed arguments
 	application := kingpin.New(currentName, "Say where the worth of measured days was lost.")
@@ -61,55 +63,57 @@
 	return parsed, err
 }
 
-// result is what is printed as JSON.
-type result struct {
-	Days  []*benchreport.Ledger `json:"days"`
-	Means []benchreport.Mean    `json:"means,omitempty"` // of several days
+// summary is what is printed, as text or as JSON.
+type summary struct {
+	Days  []*benchreport.LossReport `json:"days"`
+	Means []benchreport.Mean        `json:"means,omitempty"` // of several days
 }
 
+// run prints what the arguments ask for.
 func run(parsed arguments, out io.Writer) error {
-	made, err := read(parsed)
+	all, err := read(parsed)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if parsed.plot != "" {
-		if err := benchreport.Plot(parsed.plot, made.Days); err != nil {
+		if err := benchreport.Plot(parsed.plot, all.Days); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	if parsed.json {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return trace.Wrap(encoder.Encode(made))
+		return trace.Wrap(encoder.Encode(all))
 	}
-	return trace.Wrap(made.print(out))
+	return trace.Wrap(all.print(out))
 }
 
-func read(parsed arguments) (*result, error) {
-	made := &result{}
+// read reads all reports and works out their losses.
+func read(parsed arguments) (*summary, error) {
+	all := &summary{}
 	for _, path := range parsed.reports {
 		report, err := benchreport.Read(path)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-		made.Days = append(made.Days, benchreport.Of(name, report, max(parsed.spans, 0)))
+		all.Days = append(all.Days, benchreport.NewLossReport(name, report, max(parsed.spans, 0)))
 	}
-	if len(made.Days) > 1 {
-		made.Means = benchreport.MeansOf(made.Days)
+	if len(all.Days) > 1 {
+		all.Means = benchreport.MeansOf(all.Days)
 	}
-	return made, nil
+	return all, nil
 }
 
-func (r *result) print(out io.Writer) error {
-	for _, day := range r.Days {
+func (s *summary) print(out io.Writer) error {
+	for _, day := range s.Days {
 		if err := day.Print(out); err != nil {
 			return trace.Wrap(err)
 		}
 		fmt.Fprintln(out)
 	}
-	if len(r.Means) == 0 {
+	if len(s.Means) == 0 {
 		return nil
 	}
-	return trace.Wrap(benchreport.PrintMeans(out, r.Means))
+	return trace.Wrap(benchreport.PrintMeans(out, s.Means))
 }
--- a/cmd/gladepick-benchreport/main_test.go
+++ b/cmd/gladepick-benchreport/main_test.go
@@ -23,7 +23,7 @@
 	parsed, err := parse([]string{"--json", writeReport(t, "quiet.json")})
 	assert.NilError(t, err)
 	assert.NilError(t, run(parsed, &out))
-	var got result
+	var got summary
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &got))
 	assert.Equal(t, got.Days[0].Name, "quiet")
 	assert.Equal(t, len(got.Means), 0)
--- a/internal/benchreport/ledger_test.go
+++ b/internal/benchreport/losses_test.go
@@ -36,8 +36,8 @@
 }
 
 func TestLossesComeLargestFirst(t *testing.T) {
-	made := Of("day", sample(t), 1)
-	assert.Equal(t, made.Worth, 0.75)
+	made := NewLossReport("day", sample(t), 1)
+	assert.Equal(t, made.Value, 0.75)
 	var names []string
 	for _, loss := range made.Losses {
 		names = append(names, loss.Name)
@@ -48,26 +48,26 @@
 }
 
 func TestWorstSpansNameWhatHappenedInThem(t *testing.T) {
-	made := Of("day", sample(t), 2)
+	made := NewLossReport("day", sample(t), 2)
 	assert.Equal(t, len(made.Spans), 2)
 	assert.Equal(t, made.Spans[0].Name, "2")
 	assert.Equal(t, kindsOf(made.Spans[0].Events), "node_kill, config_change")
 	assert.Equal(t, kindsOf(made.Spans[1].Events), "config_change, later")
-	assert.Equal(t, len(Of("day", sample(t), 10).Spans), 3)
+	assert.Equal(t, len(NewLossReport("day", sample(t), 10).Spans), 3)
 }
 
 func TestMeansOverDays(t *testing.T) {
-	one, other := Of("one", sample(t), 1), Of("other", sample(t), 1)
-	other.Worth = 0.85
+	one, other := NewLossReport("one", sample(t), 1), NewLossReport("other", sample(t), 1)
+	other.Value = 0.85
 	other.Losses = other.Losses[:2] // no price for machines
-	means := MeansOf([]*Ledger{one, other})
+	means := MeansOf([]*LossReport{one, other})
 	assert.Equal(t, means[0].Name, "worth")
 	assert.Assert(t, means[0].Mean > 0.799 && means[0].Mean < 0.801)
 	assert.Assert(t, means[0].Error > 0.049 && means[0].Error < 0.051)
 	last := means[len(means)-1]
 	assert.Equal(t, last.Name, "machines")
 	assert.Equal(t, last.Mean, 0.01)
-	assert.Equal(t, MeansOf([]*Ledger{one})[0].Error, 0.)
+	assert.Equal(t, MeansOf([]*LossReport{one})[0].Error, 0.)
 }
 
 func TestReportsThatAreNone(t *testing.T) {
@@ -83,22 +83,22 @@
 	assert.ErrorContains(t, err, "missing.json")
 }
 
-func TestPrintedLedger(t *testing.T) {
+func TestPrintedLosses(t *testing.T) {
 	var out bytes.Buffer
-	made := Of("day", sample(t), 1)
+	made := NewLossReport("day", sample(t), 1)
 	assert.NilError(t, made.Print(&out))
 	for _, part := range []string{"worth 0.750", "0.1800", "worst windows", "payouts", "node_kill, config_change"} {
 		assert.Assert(t, strings.Contains(out.String(), part), "%s misses %q", out.String(), part)
 	}
 	assert.Assert(t, !strings.Contains(out.String(), "probes"), "what costs nothing is not printed")
 	out.Reset()
-	assert.NilError(t, PrintMeans(&out, MeansOf([]*Ledger{made, made})))
+	assert.NilError(t, PrintMeans(&out, MeansOf([]*LossReport{made, made})))
 	assert.Assert(t, strings.Contains(out.String(), "0.7500"))
 }
 
 func TestPlotIsDrawn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "worth.svg")
-	assert.NilError(t, Plot(path, []*Ledger{Of("day", sample(t), 1)}))
+	assert.NilError(t, Plot(path, []*LossReport{NewLossReport("day", sample(t), 1)}))
 	drawn, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(drawn), "second of the day"))
--- a/internal/benchreport/mean.go
+++ b/internal/benchreport/mean.go
@@ -10,17 +10,17 @@
 	Days  int     `json:"days"`
 }
 
-// MeansOf returns the mean worth of several days, and the mean loss by each part and price that any of them has.
-func MeansOf(ledgers []*Ledger) []Mean {
-	worths := make([]float64, 0, len(ledgers))
-	for _, day := range ledgers {
-		worths = append(worths, day.Worth)
+// MeansOf returns the mean value of several days, and the mean loss by each part and price that any of them has.
+func MeansOf(days []*LossReport) []Mean {
+	values := make([]float64, 0, len(days))
+	for _, day := range days {
+		values = append(values, day.Value)
 	}
-	means := []Mean{meanOf("worth", worths)}
-	for _, name := range namesOf(ledgers) {
-		losses := make([]float64, 0, len(ledgers))
-		for _, day := range ledgers {
-			losses = append(losses, day.lost(name))
+	means := []Mean{meanOf("worth", values)}
+	for _, name := range namesOf(days) {
+		losses := make([]float64, 0, len(days))
+		for _, day := range days {
+			losses = append(losses, day.lossOf(name))
 		}
 		means = append(means, meanOf(name, losses))
 	}
@@ -28,10 +28,10 @@
 }
 
 // namesOf returns the names of all losses in the order in which they first come.
-func namesOf(ledgers []*Ledger) []string {
+func namesOf(days []*LossReport) []string {
 	var names []string
 	seen := map[string]bool{}
-	for _, day := range ledgers {
+	for _, day := range days {
 		for _, loss := range day.Losses {
 			if !seen[loss.Name] {
 				seen[loss.Name] = true
@@ -42,7 +42,8 @@
 	return names
 }
 
-func (l *Ledger) lost(name string) float64 {
+// lossOf returns the loss by a part or a price, 0 where the day has none.
+func (l *LossReport) lossOf(name string) float64 {
 	for _, loss := range l.Losses {
 		if loss.Name == name {
 			return loss.Lost
@@ -51,6 +52,7 @@
 	return 0
 }
 
+// meanOf returns the mean of figures. The error of the mean is the standard deviation of the sample, by the root of its size.
 func meanOf(name string, figures []float64) Mean {
 	count := float64(len(figures))
 	sum, squares := 0.0, 0.0
@@ -61,9 +63,9 @@
 	for _, figure := range figures {
 		squares += (figure - mean) * (figure - mean)
 	}
-	made := Mean{Name: name, Mean: mean, Days: len(figures)}
+	result := Mean{Name: name, Mean: mean, Days: len(figures)}
 	if count > 1 {
-		made.Error = math.Sqrt(squares / (count - 1) / count)
+		result.Error = math.Sqrt(squares / (count - 1) / count)
 	}
-	return made
+	return result
 }
--- a/internal/benchreport/plot.go
+++ b/internal/benchreport/plot.go
@@ -13,17 +13,17 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot draws the worth of several days over time into a file, whose extension names the format.
-func Plot(path string, ledgers []*Ledger) error {
+// Plot draws the value of several days over time into a file, whose extension names the format (.svg, .png or .pdf).
+func Plot(path string, days []*LossReport) error {
 	drawing := plot.New()
 	drawing.X.Label.Text = "second of the day"
 	drawing.Y.Label.Text = "worth earned, of what is owed"
 	drawing.Y.Min, drawing.Y.Max = 0, 1
 	var lines []any
-	for _, day := range ledgers {
-		points := make(plotter.XYs, 0, len(day.Course))
-		for _, moment := range day.Course {
-			points = append(points, plotter.XY{X: moment.Second, Y: moment.Worth})
+	for _, day := range days {
+		points := make(plotter.XYs, 0, len(day.Timeline))
+		for _, sample := range day.Timeline {
+			points = append(points, plotter.XY{X: sample.Second, Y: sample.Value})
 		}
 		lines = append(lines, day.Name, points)
 	}
--- a/internal/benchreport/print.go
+++ b/internal/benchreport/print.go
@@ -8,15 +8,15 @@
 )
 
 // leastPrinted is the smallest loss that is printed.
-const leastPrinted = 0.0005
+const minPrintedLoss = 0.0005
 
-// Print writes a day's ledger as text.
-func (l *Ledger) Print(out io.Writer) error {
+// Print writes a day's losses as text.
+func (l *LossReport) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "%s\tworth %.3f\n", l.Name, l.Worth)
+	fmt.Fprintf(table, "%s\tworth %.3f\n", l.Name, l.Value)
 	fmt.Fprintln(table, "lost\tto")
 	for _, loss := range l.Losses {
-		if loss.Lost >= leastPrinted {
+		if loss.Lost >= minPrintedLoss {
 			fmt.Fprintf(table, "%.4f\t%s\n", loss.Lost, loss.Name)
 		}
 	}
@@ -27,15 +27,15 @@
 	}
 	fmt.Fprintln(table, "\nfrom second\tworth\tasked\tin aim\tlate\trefused\tfailed\tmeanwhile")
 	for _, span := range l.Spans {
-		printCount(table, span.Count)
+		printCount(table, span.RequestCounts)
 		fmt.Fprintf(table, "\t%s\n", kindsOf(span.Events))
 	}
 	return table.Flush()
 }
 
-func printCount(out io.Writer, count Count) {
+func printCount(out io.Writer, count RequestCounts) {
 	fmt.Fprintf(out, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d",
-		count.Name, count.Worth, count.Asked, count.InAim, count.Late, count.Refused, count.Failed)
+		count.Name, count.Value, count.Total, count.OnTime, count.Late, count.Rejected, count.Failed)
 }
 
 // kindsOf names the kinds of events, each once.
@@ -56,7 +56,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "mean\terror\tof")
 	for _, mean := range means {
-		if mean.Mean >= leastPrinted {
+		if mean.Mean >= minPrintedLoss {
 			fmt.Fprintf(table, "%.4f\t%.4f\t%s\n", mean.Mean, mean.Error, mean.Name)
 		}
 	}
--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -2,150 +2,158 @@
 
 import "math"
 
+// Figures of one dispatcher, and factors of units.
 const (
-	eventsEach  = eventsPerSecond / dispatchers
-	backlogEach = backlog / dispatchers
-	heldEach    = backlogEach * copies // a dispatcher's own messages and those it backs up
-	wanted      = partitionsEach * dispatchers
-	toPercent   = 100.0
-	micro       = 1e-6
-	nano        = 1e-9
+	eventsEach       = eventsPerSecond / dispatchers
+	backlogEach      = backlog / dispatchers
+	storedEach       = backlogEach * replicas // messages that a dispatcher stores as primary or backup
+	partitionsNeeded = partitionsEach * dispatchers
+	toPercent        = 100.0
+	micro            = 1e-6
+	nano             = 1e-9
 )
 
-func (c *calculation) keeping() {
+// storage is what storing a message costs a dispatcher, and what its whole life costs.
+func (c *calculation) storage() {
 	const part = "Keeping a message"
 	c.add(Row{Part: part, Quantity: "processor, two copies, of a dispatcher", Unit: percentOfCore, Limit: storeCore,
-		Need: eventsEach * c.of("keep.processor") * micro * toPercent, Mechanism: "`messagestore/put.go`, `replicate.go`"})
+		Need: eventsEach * c.slope("keep.processor") * micro * toPercent, Mechanism: "`messagestore/put.go`, `replicate.go`"})
 	c.add(Row{Part: part, Quantity: "processor, all its life, of a dispatcher", Unit: percentOfCore, Limit: storeCore,
-		Need: eventsEach * c.of("system.processor") * micro * toPercent, Mechanism: "`ingress`, `messagestore`, `delivery`"})
+		Need: eventsEach * c.slope("system.processor") * micro * toPercent, Mechanism: "`ingress`, `messagestore`, `delivery`"})
 	c.add(Row{Part: part, Quantity: "written to disk", Unit: bytesPerSecond, Limit: storeDiskRate,
-		Need: eventsEach * copies * c.of("keep.disk"), Mechanism: "`journal/flush.go`"})
+		Need: eventsEach * replicas * c.slope("keep.disk"), Mechanism: "`wal/flush.go`"})
 	c.add(Row{Part: part, Quantity: "syncs, if none were shared", Unit: perSecond, Limit: storeSyncsPerSecond,
-		Need: eventsEach * copies, Mechanism: "`journal/flush.go` (group commit)"})
+		Need: eventsEach * replicas, Mechanism: "`wal/flush.go` (group commit)"})
 	c.add(Row{Part: part, Quantity: "syncs, shared as under load", Unit: perSecond, Limit: storeSyncsPerSecond,
-		Need: eventsEach * copies * c.of("keep.syncs"), Mechanism: "`journal/flush.go` (group commit)"})
+		Need: eventsEach * replicas * c.slope("keep.syncs"), Mechanism: "`wal/flush.go` (group commit)"})
 }
 
+// backlog is what messages that have not ended take up, and how long a partition's inventory takes to send.
 func (c *calculation) backlog() {
 	const part = "Backlog"
 	c.add(Row{Part: part, Quantity: "index in memory, of a dispatcher", Unit: bytes, Limit: storeMemory,
-		Need: heldEach * c.of("keep.memory"), Mechanism: "`messagestore/index.go`"})
+		Need: storedEach * c.slope("keep.memory"), Mechanism: "`messagestore/index.go`"})
 	c.add(Row{Part: part, Quantity: "delivery queue in memory", Unit: bytes, Limit: storeMemory,
-		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/backlog.go`"})
+		Need: backlogEach * c.slope("queue.memory"), Mechanism: "`delivery/backlog.go`"})
 	c.add(Row{Part: part, Quantity: "on disk (today's disk)", Unit: bytes, Limit: storeDisk,
-		Need: heldEach * c.of("keep.disk"), Mechanism: "`journal/log.go`"})
+		Need: storedEach * c.slope("keep.disk"), Mechanism: "`wal/log.go`"})
 	c.add(Row{Part: part, Quantity: "inventory of a partition, in one answer", Unit: seconds, Limit: inventorySeconds,
-		Need: backlogEach / partitionsEach * (c.of("inventory.processor")*nano + c.of("inventory.bytes")/memberLink), Mechanism: "`messagestore/resync.go`"})
+		Need: backlogEach / partitionsEach * (c.slope("inventory.processor")*nano + c.slope("inventory.bytes")/memberLink), Mechanism: "`messagestore/resync.go`"})
 }
 
+// retries are what services cost that are down, and the delivery engine's loop.
 func (c *calculation) retries() {
 	const part = "Retries"
 	c.add(Row{Part: part, Quantity: "heap entries of messages of destinations that are down", Unit: bytes, Limit: storeMemory,
-		Need: backlogEach * c.of("queue.memory"), Mechanism: "`delivery/route_queue.go`"})
+		Need: backlogEach * c.slope("queue.memory"), Mechanism: "`delivery/route_queue.go`"})
 	c.add(Row{Part: part, Quantity: "attempts at destinations that have been down for an hour, of a dispatcher that holds messages of all",
-		Unit: perSecond, Limit: eventsEach, Need: destinations * downPart / pauseAfterAnHour, Mechanism: "`delivery/concurrency_limit.go`"})
+		Unit: perSecond, Limit: eventsEach, Need: destinations * downPart / backoffAfterAnHour, Mechanism: "`delivery/concurrency_limit.go`"})
 	c.add(Row{Part: part, Quantity: "turns of the loop, three an event, with 10,000 services", Unit: percentOfCore, Limit: storeCore,
-		Need: eventsEach * turnsPerEvent * c.of("turn.event") * nano * toPercent, Mechanism: "`delivery/service_schedule.go`"})
+		Need: eventsEach * turnsPerEvent * c.slope("turn.event") * nano * toPercent, Mechanism: "`delivery/service_schedule.go`"})
 	c.add(Row{Part: part, Quantity: "looks at all 71,000 services, four a second", Unit: percentOfCore, Limit: storeCore,
-		Need: fullLooksPerSecond * c.of("look.service") * nano * destinations / workersPerService * toPercent, Mechanism: "`delivery/service_schedule.go`"})
+		Need: fullSweepsPerSecond * c.slope("look.service") * nano * destinations / workersPerService * toPercent, Mechanism: "`delivery/service_schedule.go`"})
 }
 
-// pauseAfterAnHour is for how long a service is left alone that has been down for an hour, in seconds: a hundredth of it;
+// backoffAfterAnHour is the backoff, in seconds, of a service that has been down for an hour: a hundredth of it;
 // internal/delivery/concurrency_limit.go.
-const pauseAfterAnHour = 36
+const backoffAfterAnHour = 36
 
-// fullLooksPerSecond is how often the loop looks at all services; internal/delivery/service_schedule.go.
-const fullLooksPerSecond = 4
+// fullSweepsPerSecond is how often the loop runs all services; internal/delivery/service_schedule.go.
+const fullSweepsPerSecond = 4
 
-// turnsPerEvent: a message is submitted, started and ended.
+// turnsPerEvent is how many turns of the loop a message causes: it is submitted, started and ended.
 const turnsPerEvent = 3
 
-func (c *calculation) workers() {
+// workerList is what reading, distributing and applying the list of workers costs.
+func (c *calculation) workerList() {
 	const part = "List of workers"
-	c.add(Row{Part: part, Quantity: "pages to read it", Unit: plain, Limit: listPageLimit,
+	c.add(Row{Part: part, Quantity: "pages to read it", Unit: dimensionless, Limit: listPageLimit,
 		Need: destinations / listPageEntries, Mechanism: "`controlplane/workerread.go`"})
 	c.add(Row{Part: part, Quantity: "time to read it", Unit: seconds, Limit: listFreshSeconds,
 		Need: destinations / listPageEntries / listPagesPerSecond, Mechanism: "`controlplane/workerread.go`"})
 	c.add(Row{Part: part, Quantity: "its changes, to every dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need: workerChangesPerDay / secondsPerDay * c.of("workers.bytes"), Mechanism: "`cluster/workerchange.go`, `controlplane/workerhistory.go`"})
+		Need: workerChangesPerDay / secondsPerDay * c.slope("workers.bytes"), Mechanism: "`cluster/workerchange.go`, `controlplane/workerhistory.go`"})
 	c.add(Row{Part: part, Quantity: "the whole list, to those that start", Unit: bytesPerSecond, Limit: memberLink,
-		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * destinations * c.of("workers.bytes"),
+		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * destinations * c.slope("workers.bytes"),
 		Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "in memory, of a dispatcher", Unit: bytes, Limit: controlMemoryLimit,
-		Need: destinations * c.of("workers.memory"), Mechanism: "`cluster/types.go`"})
+		Need: destinations * c.slope("workers.memory"), Mechanism: "`cluster/types.go`"})
 	c.add(Row{Part: part, Quantity: "taking in its changes, two versions a second, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
-		Need: listVersionsPerSecond * destinations * c.of("workers.change") * nano * toPercent, Mechanism: "`cluster/workerchange.go`"})
+		Need: listVersionsPerSecond * destinations * c.slope("workers.change") * nano * toPercent, Mechanism: "`cluster/workerchange.go`"})
 	c.add(Row{Part: part, Quantity: "the same in the delivery engine, for all services", Unit: percentOfCore, Limit: storeCore,
-		Need: listVersionsPerSecond * destinations * c.of("workers.take") * nano * toPercent, Mechanism: "`delivery/reconfigure.go`"})
+		Need: listVersionsPerSecond * destinations * c.slope("workers.take") * nano * toPercent, Mechanism: "`delivery/reconfigure.go`"})
 	c.add(Row{Part: part, Quantity: "reading the whole list at a start", Unit: seconds, Limit: recoverSeconds,
-		Need: destinations * c.of("workers.decode") * nano, Mechanism: "`cluster/agent_sync.go`"})
+		Need: destinations * c.slope("workers.decode") * nano, Mechanism: "`cluster/agent_sync.go`"})
 }
 
 // listVersionsPerSecond is how often the list of workers is read at most, and so how often it changes;
 // internal/controlplane/workerlist.go.
 const listVersionsPerSecond = 2
 
+// leases are what renewing and checking the leases of all dispatchers costs.
 func (c *calculation) leases() {
 	const part = "Leases"
 	c.add(Row{Part: part, Quantity: "bytes, of a dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need: c.of("lease.bytes"), Mechanism: "`cluster/agent_sync.go`"})
+		Need: c.slope("lease.bytes"), Mechanism: "`cluster/agent_sync.go`"})
 	c.add(Row{Part: part, Quantity: "processor, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
-		Need: c.of("lease.dispatcher"), Mechanism: "`cluster/agent_sync.go`"})
+		Need: c.slope("lease.dispatcher"), Mechanism: "`cluster/agent_sync.go`"})
 	c.add(Row{Part: part, Quantity: "processor, of a member, mean of nine", Unit: percentOfCore, Limit: memberCore,
-		Need: dispatchers * c.of("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `leases.go`"})
+		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `leases.go`"})
 	c.add(Row{Part: part, Quantity: "primary's look at the leases, 64 partitions", Unit: percentOfCore, Limit: memberCore,
-		Need: c.of("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
+		Need: c.slope("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
 	c.add(Row{Part: part, Quantity: "the same, 32,768 partitions", Unit: percentOfCore, Limit: memberCore,
-		Need: c.of("manager.step.32768") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
+		Need: c.slope("manager.step.32768") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
 	c.add(Row{Part: part, Quantity: "passed to the primary and read there", Unit: percentOfCore, Limit: memberCore,
-		Need: dispatchers * renewalsPerSecond * c.of("lease.take") * nano * toPercent, Mechanism: "`controlplane/leases.go`"})
+		Need: dispatchers * renewalsPerSecond * c.slope("lease.take") * nano * toPercent, Mechanism: "`controlplane/leases.go`"})
 }
 
 // renewalsPerSecond is how often a dispatcher renews its lease.
 const renewalsPerSecond = 2.5
 
+// configuration is what changes of the configuration cost, and how long they take.
 func (c *calculation) configuration() {
 	const part = "Configuration"
 	routes := destinations / workersPerService
 	c.add(Row{Part: part, Quantity: "updates sent to a dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need: changesPerDay / secondsPerDay * c.of("update.bytes"), Mechanism: "`controlplane/sync.go`"})
+		Need: changesPerDay / secondsPerDay * c.slope("update.bytes"), Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "applying them, of a dispatcher, 71,000 routes", Unit: percentOfCore, Limit: controlCoreLimit,
-		Need: changesPerDay / secondsPerDay * routes * c.of("update.processor") * nano * toPercent, Mechanism: "`configuration/update.go`"})
+		Need: changesPerDay / secondsPerDay * routes * c.slope("update.processor") * nano * toPercent, Mechanism: "`configuration/update.go`"})
 	c.add(Row{Part: part, Quantity: "in memory, of a dispatcher, 71,000 routes", Unit: bytes, Limit: controlMemoryLimit,
-		Need: routes * c.of("configuration.memory"), Mechanism: "`configuration/document.go`"})
+		Need: routes * c.slope("configuration.memory"), Mechanism: "`configuration/document.go`"})
 	c.add(Row{Part: part, Quantity: "in force everywhere, slowest of the largest run", Unit: seconds, Limit: changeLimitSeconds,
-		Need: c.of("change.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
+		Need: c.slope("change.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "the same while a tenth restarts", Unit: seconds, Limit: changeLimitSeconds,
-		Need: c.of("storm.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
+		Need: c.slope("storm.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "all control traffic at the daily rates, of a dispatcher, no workers", Unit: bytesPerSecond,
-		Limit: controlBytesLimit, Need: c.of("lease.bytes") + (c.of("day.bytes")-c.of("lease.bytes"))/compression, Mechanism: "`controlplane/sync.go`"})
+		Limit: controlBytesLimit, Need: c.slope("lease.bytes") + (c.slope("day.bytes")-c.slope("lease.bytes"))/timeCompression, Mechanism: "`controlplane/sync.go`"})
 }
 
 // compression is how much faster than in a day things happen in a scale run.
-const compression = 100.0
+const timeCompression = 100.0
 
 // controlState holds what a dispatcher keeps of the control state as a whole, and for how many dispatchers a control
 // group has been seen to work.
 func (c *calculation) controlState() {
 	const part = "Control group"
 	c.add(Row{Part: part, Quantity: "list, configuration and table in memory, of a dispatcher", Unit: bytes, Limit: controlMemoryLimit,
-		Need: destinations*c.of("workers.memory") + destinations/workersPerService*c.of("configuration.memory") +
-			wanted*c.of("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/agent.go`"})
-	c.add(Row{Part: part, Quantity: "dispatchers; the limit is the largest number with which a day was played through", Unit: plain,
-		Limit: c.of("scale.largest"), Need: dispatchers, Mechanism: "`controlplane/replication`, `controlplane/sync.go`"})
+		Need: destinations*c.slope("workers.memory") + destinations/workersPerService*c.slope("configuration.memory") +
+			partitionsNeeded*c.slope("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/agent.go`"})
+	c.add(Row{Part: part, Quantity: "dispatchers; the limit is the largest number with which a day was played through", Unit: dimensionless,
+		Limit: c.slope("scale.largest"), Need: dispatchers, Mechanism: "`controlplane/replication`, `controlplane/sync.go`"})
 }
 
+// placement is what the table of the partitions costs.
 func (c *calculation) placement() {
 	const part = "Placement"
-	c.add(Row{Part: part, Quantity: "dispatchers that can lead a partition", Unit: plain, Limit: partitionsAtTarget,
+	c.add(Row{Part: part, Quantity: "dispatchers that can lead a partition", Unit: dimensionless, Limit: partitionsAtTarget,
 		Need: dispatchers, Mechanism: "`controlplane/placement.go`"})
 	c.add(Row{Part: part, Quantity: "table of 32,500 partitions in memory", Unit: bytes, Limit: controlMemoryLimit,
-		Need: wanted*c.of("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/types.go`"})
+		Need: partitionsNeeded*c.slope("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/types.go`"})
 	c.add(Row{Part: part, Quantity: "whole table, to those that start", Unit: bytesPerSecond, Limit: memberLink,
-		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * (wanted*c.of("table.bytes") + dispatchers*storeEntryBytes),
+		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * (partitionsNeeded*c.slope("table.bytes") + dispatchers*storeEntryBytes),
 		Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "its changes, to every dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need:      (restartsPerDay + failuresPerDay) * changesPerLoss / secondsPerDay * 2 * partitionsEach * c.of("table.bytes"),
+		Need:      (restartsPerDay + failuresPerDay) * changesPerLoss / secondsPerDay * 2 * partitionsEach * c.slope("table.bytes"),
 		Mechanism: "`cluster/tablechange.go`"})
 }
 
@@ -153,17 +161,18 @@
 // and led by the wanted store again.
 const changesPerLoss = 4
 
+// failures are what lost stores and a lost zone cost until all messages have their replicas again.
 func (c *calculation) failures() {
 	c.add(Row{Part: "Failures", Quantity: "copies to make again, of a dispatcher, mean of a day", Unit: bytesPerSecond, Limit: storeDiskRate,
-		Need: failuresPerDay * heldEach * c.of("keep.disk") / secondsPerDay / dispatchers, Mechanism: "`messagestore/resync.go`"})
+		Need: failuresPerDay * storedEach * c.slope("keep.disk") / secondsPerDay / dispatchers, Mechanism: "`messagestore/resync.go`"})
 	c.add(Row{Part: "Failures", Quantity: "time until a loss is declared, slowest", Unit: seconds, Limit: changeLimitSeconds,
-		Need: c.of("declared.max") / millisecondsPerSecond, Mechanism: "`controlplane/leases.go`"})
+		Need: c.slope("declared.max") / millisecondsPerSecond, Mechanism: "`controlplane/leases.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "one plan of the primary, 32,500 partitions", Unit: seconds, Limit: leaseSeconds,
-		Need: c.of("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
+		Need: c.slope("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "all plans until every partition has its copies in the table", Unit: seconds, Limit: changeLimitSeconds,
-		Need: math.Ceil(wanted*copies/zones/repairsAtOnce) * c.of("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
+		Need: math.Ceil(partitionsNeeded*replicas/zones/repairsAtOnce) * c.slope("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "backlog copied again by the rest within a day", Unit: bytesPerSecond, Limit: storeDiskRate,
-		Need: heldEach * c.of("keep.disk") / (zones - 1) / secondsPerDay, Mechanism: "`messagestore/resync.go`"})
+		Need: storedEach * c.slope("keep.disk") / (zones - 1) / secondsPerDay, Mechanism: "`messagestore/resync.go`"})
 }
 
 // repairsAtOnce is how many views one plan changes at most; internal/controlplane/repair.go.
@@ -172,9 +181,10 @@
 // leaseSeconds is how long a lease runs: a primary that plans for longer loses its own.
 const leaseSeconds = 1.5
 
+// recovery is how long a restart of everything takes.
 func (c *calculation) recovery() {
 	c.add(Row{Part: "Recovery of all", Quantity: "a store's reading of its log", Unit: seconds, Limit: recoverSeconds,
-		Need: heldEach * c.of("recover.processor") * micro, Mechanism: "`messagestore/store.go`, `journal/open.go`"})
+		Need: storedEach * c.slope("recover.processor") * micro, Mechanism: "`messagestore/store.go`, `wal/open.go`"})
 	c.add(Row{Part: "Recovery of all", Quantity: "a tenth comes back at once: time to the configuration", Unit: seconds,
-		Limit: recoverSeconds, Need: c.of("restarted.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
+		Limit: recoverSeconds, Need: c.slope("restarted.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestEveryRefusalIsExplained looks for a heading on the page for each part that does not fit.
-func TestEveryRefusalIsExplained(t *testing.T) {
+func TestEveryMisfitIsExplained(t *testing.T) {
 	slopes, err := Load()
 	assert.NilError(t, err)
 	rows, err := Rows(slopes)
@@ -40,7 +40,7 @@
 	text, err := os.ReadFile(pagePath)
 	assert.NilError(t, err)
 	for _, row := range rows {
-		if row.Verdict() == DoesNotFit {
+		if row.Fit() == DoesNotFit {
 			assert.Assert(t, strings.Contains(string(text), "### "+row.Part+"\n"), "%s does not fit and has no heading", row.Part)
 		}
 	}
@@ -67,12 +67,12 @@
 	assert.ErrorContains(t, err, "keep.processor")
 }
 
-func TestVerdict(t *testing.T) {
+func TestFit(t *testing.T) {
 	for _, each := range []struct {
 		need    float64
-		verdict Verdict
+		verdict Fit
 	}{{1, FitsWithRoom}, {5, FitsWithRoom}, {6, FitsBarely}, {10, FitsBarely}, {11, DoesNotFit}} {
-		assert.Equal(t, Row{Need: each.need, Limit: 10}.Verdict(), each.verdict)
+		assert.Equal(t, Row{Need: each.need, Limit: 10}.Fit(), each.verdict)
 	}
 }
 
@@ -81,5 +81,5 @@
 	assert.Equal(t, bytesPerSecond.format(999), "999 B/s")
 	assert.Equal(t, percentOfCore.format(0.02346), "0.0235 %")
 	assert.Equal(t, seconds.format(302.1), "302 s")
-	assert.Equal(t, plain.format(14_200), "14200")
+	assert.Equal(t, dimensionless.format(14_200), "14200")
 }
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -10,26 +10,26 @@
 //go:embed slopes.json
 var slopesText []byte
 
-// Slope is one measured figure.
+// Slope is one measured cost for each unit of something.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	Run   string  `json:"run"` // what to run to get it: a benchmark, a journal entry or a scale run
+	Run   string  `json:"run"` // how to measure it: a benchmark, a journal entry or a scale run
 	Note  string  `json:"note,omitempty"`
 }
 
-// Slopes are all measured figures by their names.
+// Slopes are the measured costs by their names.
 type Slopes map[string]Slope
 
-// ordered returns the slopes in the order in which they stand.
+// ordered returns the slopes in the order of slopes.json.
 func ordered() ([]Slope, error) {
 	var list []Slope
 	err := json.Unmarshal(slopesText, &list)
 	return list, trace.Wrap(err, "reading the slopes")
 }
 
-// Load returns the slopes that were measured last.
+// Load returns the slopes of slopes.json. One without a unit or a run, or one that is there twice, is an error.
 func Load() (Slopes, error) {
 	list, err := ordered()
 	if err != nil {
--- a/internal/capacity/keep_bench_test.go
+++ b/internal/capacity/store_bench_test.go
@@ -27,35 +27,35 @@
 	benchBodyBytes  = 3000 // about the mean of the standard mix of messages
 	benchPartitions = 64
 	benchClients    = 64 // messages on their way at once
-	benchCopies     = 2
+	benchReplicas   = 2
 	farDelayMS      = 3_600_000 // messages that are not due while the benchmark runs
 	retentionMS     = 7_200_000
 	benchPort       = "127.0.0.1:0"
 )
 
-// BenchmarkKeepMessage hands messages to a primary and its backup over loopback, on real files. Its figures are of one
+// BenchmarkKeepMessage submits messages to a primary and its backup over loopback, on real files. Its figures are of one
 // message on two disks: the client's and both stores' processor time, the bytes and syncs of each disk, and the memory
 // of each store's index while the message is queued.
 func BenchmarkKeepMessage(b *testing.B) {
 	pair := newStorePair(b)
 	body := make([]byte, benchBodyBytes)
 	before, cpuBefore := heapBytes(), processorTime()
-	var sequence, refused atomic.Int64
+	var sequence, rejected atomic.Int64
 	b.SetParallelism(max(benchClients/runtime.GOMAXPROCS(0), 1))
 	b.ResetTimer()
 	b.RunParallel(func(parallel *testing.PB) {
 		for parallel.Next() {
 			submission := farSubmission(sequence.Add(1))
-			refused.Add(putUntilKept(pair.client, submission, body))
+			rejected.Add(putUntilStored(pair.client, submission, body))
 		}
 	})
 	b.StopTimer()
-	b.ReportMetric(float64(refused.Load()), "refused") // while a disk takes too long for a sync
+	b.ReportMetric(float64(rejected.Load()), "refused") // while a disk takes too long for a sync
 	messages := float64(b.N)
 	b.ReportMetric(float64((processorTime()-cpuBefore).Microseconds())/messages, "cpu-us/msg")
-	b.ReportMetric(float64(pair.syncs.Load())/messages/benchCopies, "syncs/msg/disk")
-	b.ReportMetric(float64(pair.written.Load())/messages/benchCopies, "disk-bytes/msg/disk")
-	b.ReportMetric(float64(int64(heapBytes())-int64(before))/messages/benchCopies, "heap-bytes/msg/store")
+	b.ReportMetric(float64(pair.syncs.Load())/messages/benchReplicas, "syncs/msg/disk")
+	b.ReportMetric(float64(pair.written.Load())/messages/benchReplicas, "disk-bytes/msg/disk")
+	b.ReportMetric(float64(int64(heapBytes())-int64(before))/messages/benchReplicas, "heap-bytes/msg/store")
 }
 
 // BenchmarkQueuedInEngine gives the delivery engine messages that are not due yet. The messages themselves belong to
@@ -94,7 +94,7 @@
 	const messages = 20_000
 	pair := newStorePair(b)
 	for i := range messages {
-		putUntilKept(pair.client, farSubmission(int64(i)), make([]byte, benchBodyBytes))
+		putUntilStored(pair.client, farSubmission(int64(i)), make([]byte, benchBodyBytes))
 	}
 	var used time.Duration
 	b.ResetTimer()
@@ -111,13 +111,13 @@
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N)/messages, "cpu-us/msg")
 }
 
-// putUntilKept hands a message in until it is kept, and tells how often it was refused before.
-func putUntilKept(stores *client.Client, submission message.Submission, body []byte) (refused int64) {
+// putUntilStored submits a message until it is stored, and returns how often it was rejected before.
+func putUntilStored(stores *client.Client, submission message.Submission, body []byte) (rejected int64) {
 	for {
 		if _, err := stores.Put(context.Background(), submission, false, body); err == nil {
-			return refused
+			return rejected
 		}
-		refused++
+		rejected++
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func newStorePair(b *testing.B) *storePair {
-	pair := &storePair{pool: rpc.NewPool(network.TCP{}), table: &cluster.Table{Revision: 1, ReplicationFactor: benchCopies}}
+	pair := &storePair{pool: rpc.NewPool(network.TCP{}), table: &cluster.Table{Revision: 1, ReplicationFactor: benchReplicas}}
 	b.Cleanup(pair.pool.Close)
 	stores := []*messagestore.Store{pair.start(b, 0), pair.start(b, 1)}
 	for id := range benchPartitions {
@@ -160,7 +160,7 @@
 func (p *storePair) options(number int) messagestore.Options {
 	return messagestore.Options{
 		Name: fmt.Sprintf("store-%d", number), DiskID: fmt.Sprintf("disk-%d", number), FS: p.disks[number], Pool: p.pool,
-		Control: steadyControl{}, Logger: zap.NewNop(), ReplicationFactor: benchCopies, StatusRetention: time.Minute,
+		Control: steadyControl{}, Logger: zap.NewNop(), ReplicationFactor: benchReplicas, StatusRetention: time.Minute,
 	}
 }
 
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -8,11 +8,11 @@
 	"github.com/gravitational/trace"
 )
 
-// unit says how a figure is written.
+// unit is the unit of a figure. It decides how the figure is written.
 type unit string
 
 const (
-	plain          unit = ""
+	dimensionless  unit = ""
 	bytes          unit = "B"
 	bytesPerSecond unit = "B/s"
 	perSecond      unit = "/s"
@@ -20,19 +20,30 @@
 	percentOfCore  unit = "% of a core"
 )
 
-// Marks around what is generated in the page.
+// The markers around the computed text of the page.
 const (
-	beginMark = "<!-- begin of the computed tables; `make capacity` writes them -->"
-	endMark   = "<!-- end of the computed tables -->"
+	beginMarker = "<!-- begin of the computed tables; `make capacity` writes them -->"
+	endMarker   = "<!-- end of the computed tables -->"
 )
 
-// Tables returns the page's tables: the rows, and the slopes with their runs.
+// Tables returns the computed text of the page in Markdown: the rows, and the slopes with their runs.
 func Tables(slopes Slopes) (string, error) {
 	rows, err := Rows(slopes)
 	if err != nil {
-		return "", err
+		return "", trace.Wrap(err)
+	}
+	list, err := ordered()
+	if err != nil {
+		return "", trace.Wrap(err)
 	}
 	var text strings.Builder
+	writeRows(&text, rows)
+	writeSlopes(&text, list)
+	return text.String(), nil
+}
+
+// writeRows writes the table of the rows. A part's name stands in the first of its rows alone.
+func writeRows(text *strings.Builder, rows []Row) {
 	text.WriteString("| part | quantity | at the target | limit | verdict | slopes | mechanism |\n")
 	text.WriteString("| --- | --- | ---: | ---: | --- | --- | --- |\n")
 	part := ""
@@ -42,30 +53,30 @@
 			shown = ""
 		}
 		part = row.Part
-		fmt.Fprintf(&text, "| %s | %s | %s | %s | %s | %s | %s |\n", shown, row.Quantity,
-			row.Unit.format(row.Need), row.Unit.format(row.Limit), row.Verdict(), strings.Join(row.Slopes, ", "), row.Mechanism)
+		fmt.Fprintf(text, "| %s | %s | %s | %s | %s | %s | %s |\n", shown, row.Quantity,
+			row.Unit.format(row.Need), row.Unit.format(row.Limit), row.Fit(), strings.Join(row.Slopes, ", "), row.Mechanism)
 	}
+}
+
+// writeSlopes writes the table of the slopes.
+func writeSlopes(text *strings.Builder, slopes []Slope) {
 	text.WriteString("\n| slope | value | unit | run |\n| --- | ---: | --- | --- |\n")
-	list, err := ordered()
-	if err != nil {
-		return "", err
-	}
-	for _, slope := range list {
+	for _, slope := range slopes {
 		run := slope.Run
 		if slope.Note != "" {
 			run += "; " + slope.Note
 		}
-		fmt.Fprintf(&text, "| %s | %s | %s | %s |\n", slope.Name, digits(slope.Value), slope.Unit, run)
+		fmt.Fprintf(text, "| %s | %s | %s | %s |\n", slope.Name, digits(slope.Value), slope.Unit, run)
 	}
-	return text.String(), nil
 }
 
+// prefixes are the prefixes of units of bytes, the largest first.
 var prefixes = []struct {
 	factor float64
 	name   string
 }{{1e12, "T"}, {1e9, "G"}, {1e6, "M"}, {1e3, "k"}}
 
-// format writes a figure with two or three digits.
+// format writes a figure with its unit and at most three significant digits.
 func (u unit) format(value float64) string {
 	switch u {
 	case bytes, bytesPerSecond:
@@ -80,14 +91,15 @@
 	return strings.TrimSpace(digits(value) + " " + string(u))
 }
 
-// significant is how many digits a figure shows.
-const significant = 3
+// significantDigits is how many digits of a figure are written.
+const significantDigits = 3
 
+// digits writes a number with its significant digits, and without zeros at the end of its fraction.
 func digits(value float64) string {
 	if value == 0 {
 		return "0"
 	}
-	decimals := significant - 1 - int(math.Floor(math.Log10(math.Abs(value))))
+	decimals := significantDigits - 1 - int(math.Floor(math.Log10(math.Abs(value))))
 	if decimals <= 0 {
 		scale := math.Pow(10, float64(-decimals))
 		return fmt.Sprintf("%.0f", math.Round(value/scale)*scale)
@@ -95,12 +107,12 @@
 	return strings.TrimRight(strings.TrimRight(fmt.Sprintf("%.*f", decimals, value), "0"), ".")
 }
 
-// Replace returns a page with newly computed tables between its marks.
+// Replace returns a page with other tables between its markers. A page without them is an error (trace.NotFound).
 func Replace(page, tables string) (string, error) {
-	before, rest, begun := strings.Cut(page, beginMark)
-	_, after, ended := strings.Cut(rest, endMark)
+	before, rest, begun := strings.Cut(page, beginMarker)
+	_, after, ended := strings.Cut(rest, endMarker)
 	if !begun || !ended {
 		return "", trace.NotFound("the page lacks the marks around its tables")
 	}
-	return before + beginMark + "\n\n" + tables + "\n" + endMark + after, nil
+	return before + beginMarker + "\n\n" + tables + "\n" + endMarker + after, nil
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -1,5 +1,12 @@
 // Package capacity works out what each role of the system needs at the size that the operators have named, from slopes
-// that were measured, and writes the table of the page docs/CAPACITY.md.
+// that were measured, and whether that fits the limits of its machines.
+//
+// A slope is a measured cost for each unit of something, such as bytes of memory a message. slopes.json holds the slopes
+// with the runs that gave them; Load reads it. The formulas multiply them up to the target's figures (target.go), and each
+// gives a Row. Tables writes rows and slopes as Markdown, and TestPage holds docs/CAPACITY.md to that text: `make capacity`
+// writes the page anew. The benchmarks beside it measure slopes. Nothing here is part of a program.
+//
+// Start reading at Rows in row.go.
 package capacity
 
 // Figures that the operators have named.
@@ -24,7 +31,7 @@
 
 // Figures that the operators have not named: they are taken from the deployments of today.
 const (
-	copies              = 2.0              // disks that hold a message: one loss more than is tolerated
+	replicas            = 2.0              // disks that store a message: one loss more than is tolerated
 	memberCore          = 72.0             // percent of a core, of a control member
 	memberMemory        = 284e6            // bytes
 	memberLink          = 125e6            // bytes a second
