--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -41,8 +41,10 @@
 
 	"internal/controlplane":              planeControl,
 	"internal/controlplane/membership":   planeControl,
+	"internal/controlplane/operatorapi":  planeControl,
 	"internal/controlplane/placement":    planeControl,
 	"internal/controlplane/replication":  planeControl,
+	"internal/controlplane/bootstrap":    planeControl,
 	"internal/controlplane/controlstate": planeControl,
 	"internal/controlplane/lease":        planeControl,
 	"internal/controlplane/syncutil":     planeControl,
--- a/internal/controlplane/bootstrap_members_test.go
+++ b/internal/controlplane/bootstrap/members_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package bootstrap
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gladepick/internal/controlplane/membership"
 )
 
-func TestFoundingMembersAreSpreadOverZones(t *testing.T) {
+func TestFirstMembersAreSpreadOverZones(t *testing.T) {
 	var candidates []cluster.NodeInfo
 	for i := range 12 {
 		zone := "crowded"
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/decision_trace_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"hash"
 	"io"
@@ -272,9 +273,17 @@
 	assert.Equal(d.t, d.plane.state.Current().LastChangeID, decided.ID)
 }
 
-// describeRetire orders that a store is to be emptied and tells the answer.
+// describeRetire orders that a store is to be emptied and tells the status that the operator would get.
 func describeRetire(builder *placement.Builder, store string) string {
-	return fmt.Sprintf("retire %d", startedAnswer(builder.StartRetire(store, 2*traceTolerated+1)).status)
+	err := builder.StartRetire(store, 2*traceTolerated+1)
+	var tooFew *placement.TooFewStoresError
+	switch {
+	case errors.Is(err, placement.ErrUnknownStore):
+		return "retire 404"
+	case errors.As(err, &tooFew):
+		return "retire 409"
+	}
+	return "retire 200"
 }
 
 // describeError tells what the caller of a partition request would be told.
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/golden_test.go
@@ -42,11 +42,6 @@
 	table, err := json.Marshal(goldenTable())
 	assert.NilError(t, err)
 	messages := []any{
-		foundRequest{Members: coreMembers()},
-		errorBody{Error: "the configuration is invalid", Findings: []findingBody{{Place: "routes[0]", Problem: "no name"}, {Problem: "no version"}}},
-		errorBody{Error: "no such call"},
-		retireState{State: retireRunning},
-		retireState{State: retireCompleted},
 		syncNews{
 			SyncResponse: cluster.SyncResponse{ConfigVersion: 5, ConfigUpdates: []int{10, 20}, Compressed: true, WorkerCount: 3, WorkersAgeMS: -1, LeaseAgeMS: 40},
 			Table:        table,
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/bootstrap"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/rpc"
@@ -42,7 +43,7 @@
 	if m.group == nil {
 		return nil
 	}
-	return coreEntries(m.Role().View.Members)
+	return bootstrap.CoreEntries(m.Role().View.Members)
 }
 
 // Fresh tells whether the state here may be passed on.
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/manager.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/bootstrap"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
@@ -182,7 +183,7 @@
 
 // plan makes all changes of the table that follow from the leases and the group's view.
 func (m *tableManager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
-	builder.UpdateCore(coreEntries(role.View.Members), role.View.Primary)
+	builder.UpdateCore(bootstrap.CoreEntries(role.View.Members), role.View.Primary)
 	builder.UpdateStores() // edits may have made stores retire
 	if count := builder.StoreCount(); count != m.knownStores {
 		m.knownStores, m.lastNewStore = count, now
--- a/internal/controlplane/digest.go
+++ b/internal/controlplane/operatorapi/digest.go
@@ -1,4 +1,4 @@
-package controlplane
+package operatorapi
 
 import (
 	"bytes"
--- a/internal/controlplane/digest_test.go
+++ b/internal/controlplane/operatorapi/digest_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package operatorapi
 
 import (
 	"testing"
@@ -23,3 +23,16 @@
 	_, err := orderDigest(call, 1, []byte(`{"a":1} {}`))
 	assert.Assert(t, err != nil)
 }
+
+// TestDigestsStayTheSame holds digests as they stand in logs and snapshots.
+func TestDigestsStayTheSame(t *testing.T) {
+	call := cluster.OperatorRequest{Method: "POST", Path: pathUpdate}
+	for body, recorded := range map[string]string{
+		`{"version":5,"routes":[],"services":[],"limits":{}}`:      "f2b47376c96fb9c78fee0bcca8cea0f9",
+		`{"b":[1.50,9e1,-0.0,1e400],"a":{"<":"\u00e9&"},"c":null}`: "4812260319a7c41394281ef1d738a216",
+	} {
+		digest, err := orderDigest(call, 12, []byte(body))
+		assert.NilError(t, err)
+		assert.Equal(t, digest, recorded, body)
+	}
+}
--- a/internal/controlplane/partitionrequest_test.go
+++ b/internal/controlplane/partitionrequest_test.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"net/http"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -23,14 +22,3 @@
 	}
 	assert.Equal(t, rpc.CodeOf(plane.callError(errOutdated)), rpc.CodeUnavailable)
 }
-
-// TestRefusedRetirementsHaveStatuses checks what an operator is told who orders that a store is to be emptied.
-func TestRefusedRetirementsHaveStatuses(t *testing.T) {
-	assert.Equal(t, startedAnswer(nil).status, http.StatusOK)
-	unknown := startedAnswer(placement.ErrUnknownStore)
-	assert.Equal(t, unknown.status, http.StatusNotFound)
-	assert.Equal(t, string(unknown.body), `{"error":"no such store"}`)
-	tooFew := startedAnswer(&placement.TooFewStoresError{Remaining: 2, Needed: 3})
-	assert.Equal(t, tooFew.status, http.StatusConflict)
-	assert.Equal(t, string(tooFew.body), `{"error":"2 active stores would remain, 3 are needed"}`)
-}
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -16,12 +16,13 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/configuration"
+	"gladepick/internal/controlplane/bootstrap"
 	"gladepick/internal/controlplane/controlstate"
 	"gladepick/internal/controlplane/lease"
 	"gladepick/internal/controlplane/membership"
+	"gladepick/internal/controlplane/operatorapi"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
-	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
@@ -49,20 +50,20 @@
 
 // Plane is a process's part in the control plane.
 type Plane struct {
-	options  Options
-	logger   *zap.Logger
-	member   localMember
-	state    *controlstate.Machine
-	leases   *lease.Table
-	workers  workerlist.Cache
-	packer   bodyPacker
-	encoded  newsCaches
-	manager  *tableManager
-	members  *membership.Manager
-	reader   *workerlist.Reader
-	founding *founding
-	orders   syncutil.Semaphore
-	cloud    atomic.Pointer[string] // the platform's address, where it has changed since the start
+	options      Options
+	logger       *zap.Logger
+	member       localMember
+	state        *controlstate.Machine
+	leases       *lease.Table
+	workers      workerlist.Cache
+	packer       bodyPacker
+	encoded      newsCaches
+	manager      *tableManager
+	members      *membership.Manager
+	reader       *workerlist.Reader
+	bootstrapper *bootstrap.Bootstrapper
+	operator     *operatorapi.API
+	cloud        atomic.Pointer[string] // the platform's address, where it has changed since the start
 
 	lifetime context.Context
 	end      context.CancelFunc
@@ -85,24 +86,33 @@
 	return plane, nil
 }
 
-// newPlane makes a plane that serves the duties of a seed only.
+// newPlane makes a plane that does no more than a seed must.
 func newPlane(options Options) (*Plane, error) {
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
 	}
-	plane := &Plane{options: options, logger: options.Logger, state: controlstate.NewMachine(), orders: syncutil.NewSemaphore()}
+	plane := &Plane{options: options, logger: options.Logger, state: controlstate.NewMachine()}
 	plane.member.diskID = options.Info.DiskID
 	plane.lifetime, plane.end = context.WithCancel(context.Background())
-	founding, err := newFounding(plane)
+	bootstrapper, err := bootstrap.New(bootstrap.Options{
+		Self:         options.Info.Address,
+		Seeds:        options.Seeds,
+		InternalPort: options.InternalPort,
+		FirstStart:   options.Bootstrap,
+		Group:        &plane.member,
+		Agent:        options.Agent,
+		Pool:         options.Pool,
+		Logger:       options.Logger,
+	})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	plane.founding = founding
-	options.Server.Handle(cluster.MethodRegister, founding.handleRegister)
-	options.Server.Handle(cluster.MethodCore, founding.handleCore)
-	options.Server.Handle(cluster.MethodAnnounce, founding.handleAnnounce)
+	plane.bootstrapper = bootstrapper
+	options.Server.Handle(cluster.MethodRegister, bootstrapper.HandleRegister)
+	options.Server.Handle(cluster.MethodCore, bootstrapper.HandleCore)
+	options.Server.Handle(cluster.MethodAnnounce, bootstrapper.HandleAnnounce)
 	if options.Agent != nil {
-		options.Agent.AddCoreSource(founding.knownCore)
+		options.Agent.AddCoreSource(bootstrapper.KnownMembers)
 		options.Agent.SetLocalDocuments(plane.document)
 	}
 	return plane, nil
@@ -132,6 +142,14 @@
 		Self:            p.options.Info.Address,
 		Logger:          p.logger,
 	})
+	p.operator = operatorapi.New(operatorapi.Options{
+		Group:      &p.member,
+		Leadership: &p.member,
+		Editor:     p.manager,
+		State:      p.state,
+		Tolerated:  p.options.Tolerated,
+		Logger:     p.logger,
+	})
 	return replication.Options{
 		Self:                p.self(),
 		Pool:                p.options.Pool,
@@ -161,19 +179,19 @@
 	server.Handle(cluster.MethodSync, p.handleSync)
 	server.Handle(methodRenew, p.handleRenew)
 	server.Handle(cluster.MethodFailureReport, p.handleReport)
-	server.Handle(cluster.MethodOperator, p.handleOperator)
+	server.Handle(cluster.MethodOperator, p.operator.Handle)
 	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
 	server.Handle(workerlist.Method, p.reader.HandleWorkers)
-	server.Handle(methodFound, p.founding.handleFound)
+	server.Handle(bootstrap.MethodFound, p.bootstrapper.HandleFound)
 }
 
 // Run takes part in the control plane until the context ends.
 func (p *Plane) Run(ctx context.Context) {
 	defer p.end()
-	loops := []func(context.Context){p.founding.run}
+	loops := []func(context.Context){p.bootstrapper.Run}
 	if p.member.group != nil {
 		defer p.member.Close()
-		loops = append(loops, p.member.Run, p.manager.run, p.manageMembers, p.readWorkers, p.founding.announce)
+		loops = append(loops, p.member.Run, p.manager.run, p.manageMembers, p.readWorkers, p.bootstrapper.Announce)
 	}
 	var wait sync.WaitGroup
 	for _, loop := range loops {
@@ -210,14 +228,6 @@
 	return document
 }
 
-func coreEntries(members []replication.Member) []cluster.CoreMember {
-	entries := make([]cluster.CoreMember, 0, len(members))
-	for _, member := range members {
-		entries = append(entries, cluster.CoreMember{Name: member.Name, Address: member.Address, DiskID: member.DiskID})
-	}
-	return entries
-}
-
 func (p *Plane) onAnswer(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
@@ -226,7 +236,3 @@
 		p.logger.Warn("leases of a backup not read", zap.Error(err))
 	}
 }
-
-func versionField(document *configuration.Document) zap.Field {
-	return zap.Uint64("version", document.Version())
-}
