--- a/internal/dispatcher/amqp/attempts.go
+++ b/internal/dispatcher/amqp/attempts.go
@@ -1,5 +1,3 @@
-// Attempts at workers that take theirs from queues.
-
 package amqp
 
 import (
@@ -17,77 +15,96 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-// Send publishes an attempt to its worker's queue.
-func (d *Adapter) Send(a *dispatch.Attempt) { go d.carry(a) }
+// Send publishes an attempt to its worker's queue. Its outcome comes through the attempt's End.
+func (a *Adapter) Send(attempt *dispatch.Attempt) { go a.publishAttempt(attempt) }
 
 // CloseIdle has nothing to close: queues have no connections of their own.
-func (d *Adapter) CloseIdle(config.Worker) {}
+func (a *Adapter) CloseIdle(config.Worker) {}
 
-func (d *Adapter) carry(a *dispatch.Attempt) {
-	id := a.Job.ID + "#" + strconv.FormatUint(d.sends.Add(1), 36)
-	if !a.MayStart() {
-		a.End(decision.NeverSent, decision.Load{}, nil)
+func (a *Adapter) publishAttempt(attempt *dispatch.Attempt) {
+	j := attempt.Job
+	id := j.ID + "#" + strconv.FormatUint(a.published.Add(1), 36)
+	if !attempt.MayStart() {
+		attempt.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
-	d.mu.Lock()
-	s := d.now
-	if s != nil {
-		d.pending[id] = a
-	}
-	d.mu.Unlock()
+	s := a.register(id, attempt)
 	if s == nil {
-		a.End(decision.ConnectFailed, decision.Load{}, nil)
+		attempt.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
-	left := strconv.FormatInt(max(time.Until(a.Deadline).Milliseconds(), 1), 10)
-	err := s.back.PublishWithContext(a.Context, "", a.Worker.Queue, true, false, amqp.Publishing{
-		CorrelationId: id, MessageId: a.Job.IdempotencyKey, ReplyTo: s.replies, Expiration: left, Type: d.node.Classes[a.Job.Class],
-		Headers: amqp.Table{"x-request-id": a.Job.ID, "x-target": a.Job.Target}, Body: a.Job.Body})
+	leftMs := max(time.Until(attempt.Deadline).Milliseconds(), 1)
+	err := s.attempts.PublishWithContext(attempt.Context, "", attempt.Worker.Queue, true, false, amqp.Publishing{
+		CorrelationId: id,
+		MessageId:     j.IdempotencyKey,
+		ReplyTo:       s.replyQueue,
+		Expiration:    strconv.FormatInt(leftMs, 10),
+		Type:          a.node.Classes[j.Class],
+		Headers:       amqp.Table{"x-request-id": j.ID, "x-target": j.Target},
+		Body:          j.Body,
+	})
 	if err != nil {
-		if a := d.resolve(id); a != nil {
-			o := decision.Reset // part of it, or all, may have gone out
-			if errors.Is(err, amqp.ErrClosed) {
-				o = decision.ConnectFailed // the channel was closed before anything was written
-			}
-			a.End(o, decision.Load{}, nil)
-		}
+		a.endUnpublished(id, err)
 		return
 	}
-	a.MarkSent()
-	context.AfterFunc(a.Context, func() {
-		if a := d.resolve(id); a != nil { // given up: what comes later finds nobody waiting
-			a.End(decision.Cancelled, decision.Load{}, nil)
+	attempt.MarkSent()
+	context.AfterFunc(attempt.Context, func() {
+		if attempt := a.resolve(id); attempt != nil { // given up: what comes later finds nobody waiting
+			attempt.End(decision.Cancelled, decision.Load{}, nil)
 		}
 	})
 }
 
-// resolve takes an attempt out of those that wait, so that it ends once.
-func (d *Adapter) resolve(id string) *dispatch.Attempt {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	a := d.pending[id]
-	delete(d.pending, id)
-	return a
+// register notes an attempt as in flight, and returns the session that carries it; nil where there is none.
+func (a *Adapter) register(id string, attempt *dispatch.Attempt) *session {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.session != nil {
+		a.inFlight[id] = attempt
+	}
+	return a.session
+}
+
+// resolve takes an attempt out of those in flight, so that it ends once; nil where it has ended.
+func (a *Adapter) resolve(id string) *dispatch.Attempt {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	attempt := a.inFlight[id]
+	delete(a.inFlight, id)
+	return attempt
+}
+
+// endUnpublished ends an attempt whose publication failed.
+func (a *Adapter) endUnpublished(id string, err error) {
+	attempt := a.resolve(id)
+	if attempt == nil {
+		return
+	}
+	o := decision.Reset // part of it, or all, may have gone out
+	if errors.Is(err, amqp.ErrClosed) {
+		o = decision.ConnectFailed // the channel was closed before anything was written
+	}
+	attempt.End(o, decision.Load{}, nil)
 }
 
-// hear takes a worker's message: lines as the floor knows them.
-func (d *Adapter) hear(m amqp.Delivery) {
-	d.mu.Lock()
-	a := d.pending[m.CorrelationId]
-	d.mu.Unlock()
-	if a == nil { // late, or nobody's
+// readReply reads a worker's message: lines as they come over HTTP too.
+func (a *Adapter) readReply(m amqp.Delivery) {
+	a.mu.Lock()
+	attempt := a.inFlight[m.CorrelationId]
+	a.mu.Unlock()
+	if attempt == nil { // late, or nobody's
 		return
 	}
-	if len(m.Body) > d.lim.LineBytes {
+	if len(m.Body) > a.limits.LineBytes {
 		m.Body = nil
 	}
 	for line := range strings.Lines(string(m.Body)) {
 		if line = strings.TrimSpace(line); line == "" {
 			continue
 		}
-		if o, load, result := workerhttp.ReadLine(d.node, a, []byte(line)); o != 0 {
-			if d.resolve(m.CorrelationId) != nil {
-				a.End(o, load, result)
+		if o, load, result := workerhttp.ReadLine(a.node, attempt, []byte(line)); o != 0 {
+			if a.resolve(m.CorrelationId) != nil {
+				attempt.End(o, load, result)
 			}
 			return
 		}
