--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -67,13 +67,6 @@
 }
 
 func TestFindingsOfParse(t *testing.T) {
-	const goodService = `{"name":"s"}`
-	route := func(fields string) string {
-		return configurationOf("1", []string{`{"name":"r-x","host":"h","path-prefix":"/p","service":"s",` + fields + `}`}, []string{goodService})
-	}
-	service := func(fields string) string {
-		return configurationOf("1", nil, []string{`{"name":"s",` + fields + `}`})
-	}
 	tests := map[string]struct {
 		text string
 		want []string
@@ -92,25 +85,25 @@
 		"limits not object":  {`{"version":1,"routes":[],"services":[],"limits":[]}`, []string{`limits: must be an object`}},
 		"limits negative":    {`{"version":1,"routes":[],"services":[],"limits":{"max-body-bytes":-1}}`, []string{`limits max-body-bytes: must not be negative`}},
 		"route not object":   {configurationOf("1", []string{`7`}, nil), []string{`routes[0]: must be an object`}},
-		"timeout missing":    {route(`"priority":1`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
-		"timeout 0":          {route(`"timeout-ms":0`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
-		"timeout 0.0":        {route(`"timeout-ms":0.0`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
-		"timeout null":       {route(`"timeout-ms":null`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
-		"timeout as string":  {route(`"timeout-ms":"600"`), []string{`routes[0] "r-x" timeout-ms: must be a number`}},
-		"timeout NaN":        {route(`"timeout-ms":"NaN"`), []string{`routes[0] "r-x" timeout-ms: must be a number`}},
-		"attempts 0":         {route(`"timeout-ms":1,"max-attempts":0`), []string{`routes[0] "r-x" max-attempts: must be at least 1`}},
-		"figures negative":   {route(`"timeout-ms":1,"priority":-1,"retention-s":-0.5`), []string{`routes[0] "r-x" retention-s: must not be negative`, `routes[0] "r-x" priority: must not be negative`}},
-		"ordered not a bool": {route(`"timeout-ms":1,"ordered":1`), []string{`routes[0] "r-x" ordered: must be true or false`}},
-		"prefix":             {configurationOf("1", []string{`{"name":"r","host":"h","path-prefix":"p","service":"s","timeout-ms":1}`}, []string{goodService}), []string{`routes[0] "r" path-prefix: must begin with /`}},
-		"route empty": {configurationOf("1", []string{`{}`}, []string{goodService}), []string{
+		"timeout missing":    {routeWith(`"priority":1`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
+		"timeout 0":          {routeWith(`"timeout-ms":0`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
+		"timeout 0.0":        {routeWith(`"timeout-ms":0.0`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
+		"timeout null":       {routeWith(`"timeout-ms":null`), []string{`routes[0] "r-x" timeout-ms: must be above 0`}},
+		"timeout as string":  {routeWith(`"timeout-ms":"600"`), []string{`routes[0] "r-x" timeout-ms: must be a number`}},
+		"timeout NaN":        {routeWith(`"timeout-ms":"NaN"`), []string{`routes[0] "r-x" timeout-ms: must be a number`}},
+		"attempts 0":         {routeWith(`"timeout-ms":1,"max-attempts":0`), []string{`routes[0] "r-x" max-attempts: must be at least 1`}},
+		"figures negative":   {routeWith(`"timeout-ms":1,"priority":-1,"retention-s":-0.5`), []string{`routes[0] "r-x" retention-s: must not be negative`, `routes[0] "r-x" priority: must not be negative`}},
+		"ordered not a bool": {routeWith(`"timeout-ms":1,"ordered":1`), []string{`routes[0] "r-x" ordered: must be true or false`}},
+		"prefix":             {configurationOf("1", []string{`{"name":"r","host":"h","path-prefix":"p","service":"s","timeout-ms":1}`}, []string{serviceSource}), []string{`routes[0] "r" path-prefix: must begin with /`}},
+		"route empty": {configurationOf("1", []string{`{}`}, []string{serviceSource}), []string{
 			`routes[0] name: missing`, `routes[0] host: missing`, `routes[0] path-prefix: missing`, `routes[0] service: missing`,
 			`routes[0] timeout-ms: must be above 0`,
 		}},
 		"service without name": {configurationOf("1", nil, []string{`{}`}), []string{`services[0] name: missing`}},
-		"endpoint no port":     {service(`"static-endpoint":"host"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
-		"endpoint no host":     {service(`"static-endpoint":":80"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
-		"endpoint bad port":    {service(`"static-endpoint":"h:99999"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
-		"names shared": {configurationOf("1", nil, []string{goodService, goodService}), []string{
+		"endpoint no port":     {serviceWith(`"static-endpoint":"host"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
+		"endpoint no host":     {serviceWith(`"static-endpoint":":80"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
+		"endpoint bad port":    {serviceWith(`"static-endpoint":"h:99999"`), []string{`services[0] "s" static-endpoint: must be host:port`}},
+		"names shared": {configurationOf("1", nil, []string{serviceSource, serviceSource}), []string{
 			`services[1] "s": services[0] has the same name`,
 		}},
 		"between items": {
@@ -118,7 +111,7 @@
 				`{"name":"a","host":"H.example","path-prefix":"/p","service":"s","timeout-ms":1}`,
 				`{"name":"b","host":"h.EXAMPLE","path-prefix":"/p","service":"s","timeout-ms":1}`,
 				`{"name":"a","host":"h.example","path-prefix":"/q","service":"absent","timeout-ms":1}`,
-			}, []string{goodService}),
+			}, []string{serviceSource}),
 			[]string{
 				`routes[2] "a": routes[0] has the same name`,
 				`routes[2] "a" service: "absent" is unknown`,
--- a/internal/configuration/equal.go
+++ b/internal/configuration/equal.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 )
 
-// Equal tells whether two documents hold the same JSON value. The order of members and the form of numbers (90 and
+// Equal reports whether two documents have the same JSON value. The order of members and the form of numbers (90 and
 // 90.0) don't matter, nor does the order of the routes and of the services, which are compared by name.
 func (d *Document) Equal(other *Document) bool {
 	if d == nil || other == nil {
@@ -58,7 +58,7 @@
 	return true
 }
 
-// isComparedByName tells whether a top-level member is a list of named items.
+// isComparedByName reports whether a top-level member is a list of named items.
 func isComparedByName(name string) bool {
 	return name == fieldRoutes || name == fieldServices
 }
@@ -74,7 +74,7 @@
 	reader := json.NewDecoder(bytes.NewReader(text))
 	reader.UseNumber()
 	if err := reader.Decode(&value); err != nil {
-		return nil // not reached: documents hold valid JSON only
+		return nil // not reached: documents are valid JSON
 	}
 	return value
 }
--- a/internal/configuration/fixtures_test.go
+++ b/internal/configuration/fixtures_test.go
@@ -29,6 +29,20 @@
 		version, strings.Join(routes, ",\n"), strings.Join(services, " , "), limitsSource)
 }
 
+// serviceSource is a service without anything but its name.
+const serviceSource = `{"name":"s"}`
+
+// routeWith builds a configuration of one route with some more fields.
+func routeWith(fields string) string {
+	source := `{"name":"r-x","host":"h","path-prefix":"/p","service":"s",` + fields + `}`
+	return configurationOf("1", []string{source}, []string{serviceSource})
+}
+
+// serviceWith builds a configuration of one service with some more fields.
+func serviceWith(fields string) string {
+	return configurationOf("1", nil, []string{`{"name":"s",` + fields + `}`})
+}
+
 // mustParse reads a configuration that is valid.
 func mustParse(t testing.TB, text string) *Document {
 	t.Helper()
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -97,9 +97,6 @@
 
 // invalidConfigurations are texts that Parse rejects.
 func invalidConfigurations() []string {
-	route := func(fields string) string {
-		return configurationOf("1", []string{`{"name":"r-x","host":"h","path-prefix":"/p","service":"s",` + fields + `}`}, []string{`{"name":"s"}`})
-	}
 	return []string{
 		``,
 		`{"version":1,"routes":[`,
@@ -114,10 +111,10 @@
 		`{"version":1,"routes":[],"services":[],"limits":{"max-body-bytes":-1,"idle-timeout-ms":"5"}}`,
 		`{"version":1,"routes":[],"services":[],"limits":{"max-body-bytes":-1,"idle-timeout-ms":-5}}`,
 		configurationOf("1", []string{`7`, `{}`, `{"name":7}`}, []string{`null`, `{}`, `{"name":"s","name":"s"}`}),
-		route(`"timeout-ms":0,"max-attempts":0.5`),
-		route(`"timeout-ms":"600","ordered":1,"host":{}`),
-		route(`"timeout-ms":1,"priority":-1,"retention-s":-0.5`),
-		route(`"timeout-ms":1e999`),
+		routeWith(`"timeout-ms":0,"max-attempts":0.5`),
+		routeWith(`"timeout-ms":"600","ordered":1,"host":{}`),
+		routeWith(`"timeout-ms":1,"priority":-1,"retention-s":-0.5`),
+		routeWith(`"timeout-ms":1e999`),
 		configurationOf("1", []string{`{"name":"r","host":"h","path-prefix":"p","service":"s","timeout-ms":1}`}, nil),
 		configurationOf("1", nil, []string{
 			`{"name":"s","static-endpoint":"host"}`, `{"name":"s","static-endpoint":":80"}`, `{"name":"s","static-endpoint":"h:99999"}`,
--- a/internal/configuration/item.go
+++ b/internal/configuration/item.go
@@ -21,7 +21,7 @@
 	value Value
 }
 
-// parseItem reads one item. The findings tell the fields but not the item's path in its list.
+// parseItem reads one item. The findings name the fields but not the item's path in its list.
 type parseItem[Value any] func(raw []byte) (item[Value], Findings)
 
 // itemReader reads the items of one list. Items with the same bytes in the previous document are taken from there.
--- a/internal/configuration/number.go
+++ b/internal/configuration/number.go
@@ -18,8 +18,8 @@
 func canonicalNumber(text string) number {
 	mantissa, exponentText, _ := strings.Cut(strings.ToLower(text), "e")
 	negative := strings.HasPrefix(mantissa, "-")
-	whole, fraction, _ := strings.Cut(strings.TrimPrefix(mantissa, "-"), ".")
-	digits := strings.TrimLeft(whole+fraction, "0")
+	integral, fraction, _ := strings.Cut(strings.TrimPrefix(mantissa, "-"), ".")
+	digits := strings.TrimLeft(integral+fraction, "0")
 	if digits == "" {
 		return number{}
 	}
--- a/internal/configuration/scan.go
+++ b/internal/configuration/scan.go
@@ -14,7 +14,7 @@
 	value []byte
 }
 
-// checkSyntax tells whether text is one JSON value in UTF-8. The other functions of this file rely on it.
+// checkSyntax reports whether text is one JSON value in UTF-8. The other functions of this file rely on it.
 func checkSyntax(text []byte) error {
 	if !utf8.Valid(text) {
 		return fmt.Errorf("not valid UTF-8")
@@ -69,7 +69,7 @@
 	return found
 }
 
-// isKind tells whether a value begins with a byte, which tells objects, arrays and strings from the rest.
+// isKind reports whether a value begins with a byte, which tells objects, arrays and strings from the rest.
 func isKind(value []byte, first byte) bool {
 	value = bytes.TrimLeft(value, " \t\r\n")
 	return len(value) > 0 && value[0] == first
@@ -87,7 +87,7 @@
 	return text
 }
 
-// more passes a comma, and tells whether another member or element stands before the closing byte.
+// more passes a comma, and reports whether another member or element stands before the closing byte.
 func (s *scanner) more(closing byte) bool {
 	s.skipSpace()
 	if s.position < len(s.text) && s.text[s.position] == ',' {
--- a/internal/configuration/service.go
+++ b/internal/configuration/service.go
@@ -46,7 +46,7 @@
 	return item[*Service]{name: service.Name, raw: raw, value: service}, findings
 }
 
-// isEndpoint tells whether a text is host:port.
+// isEndpoint reports whether a text is host:port.
 func isEndpoint(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || host == "" {
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -141,7 +141,7 @@
 	return h.routes[position]
 }
 
-// withoutPort cuts the port off a host. The colons of an IPv6 address stand in brackets.
+// withoutPort removes the port of a host. The colons of an IPv6 address stand in brackets.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || colon < strings.LastIndexByte(host, ']') {
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -59,7 +59,7 @@
 	return change, findings
 }
 
-// isAbsent tells whether an optional value is missing or null.
+// isAbsent reports whether an optional value is missing or null.
 func isAbsent(value []byte) bool {
 	return value == nil || string(value) == jsonNull
 }
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -44,7 +44,7 @@
 // Counters returns the counters, which go on counting.
 func (f *Front) Counters() *Counters { return &f.counters }
 
-// Ready tells whether the front wants new connections: Options.Ready, and false from the start of a drain.
+// Ready reports whether the front wants new connections: Options.Ready, and false from the start of a drain.
 func (f *Front) Ready() bool { return !f.draining.Load() && f.options.Ready() }
 
 // newRouter sends queries about messages to their handlers and everything else to the message handler. Paths are matched
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// announceDrain tells the client that its connection closes after this answer, where the front is draining.
+// announceDrain notifies the client that its connection closes after this answer, where the front is draining.
 func (f *Front) announceDrain(w http.ResponseWriter) {
 	if f.draining.Load() {
 		w.Header().Set(headerConnection, connectionClose)
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -93,7 +93,7 @@
 	return min(max(timeout, 0), maxPutTimeout)
 }
 
-// clientTimeout reads X-Deadline-Ms, and tells whether a client has named its deadline.
+// clientTimeout reads X-Deadline-Ms, and reports whether a client has named its deadline.
 func clientTimeout(deadline string) (time.Duration, bool) {
 	milliseconds, err := strconv.ParseFloat(deadline, 64)
 	if err != nil || math.IsNaN(milliseconds) {
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 )
 
-// Limits that hold where no configuration gives any.
+// Limits that apply where no configuration gives any.
 const (
 	defaultMaxHeaderBytes = 32 << 10
 	defaultHeaderTimeout  = 5 * time.Second
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -43,7 +43,7 @@
 	Control  ControlPlane
 	// Configuration returns the newest configuration, or nil while there is none.
 	Configuration func() *configuration.Table
-	// Ready tells whether the process can accept messages. Nil stands for a process that always can.
+	// Ready reports whether the process can accept messages. Nil stands for a process that always can.
 	Ready  func() bool
 	Logger *zap.Logger
 	// DrainAcceptDuration is how long Drain goes on accepting connections, so that the platform notices first. Zero
--- a/internal/ingress/query.go
+++ b/internal/ingress/query.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// isMessageID tells whether a text can be a message's ID: letters, digits, "-", "_" and ".".
+// isMessageID reports whether a text can be a message's ID: letters, digits, "-", "_" and ".".
 func isMessageID(id string) bool {
 	if id == "" || len(id) > maxMessageIDLength {
 		return false
--- a/internal/network/simulated/deadline.go
+++ b/internal/network/simulated/deadline.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// expired tells whether the deadline has been reached.
+// expired reports whether the deadline has been reached.
 func (d *deadline) expired() bool {
 	return !d.at.IsZero() && !time.Now().Before(d.at)
 }
--- a/internal/network/simulated/link.go
+++ b/internal/network/simulated/link.go
@@ -48,7 +48,7 @@
 	return drawn
 }
 
-// blocked tells whether packets are held instead of delivered.
+// blocked reports whether packets are held instead of delivered.
 func (l *link) blocked() bool {
 	return l.isolated || l.from.poweredOff || l.to.poweredOff
 }
--- a/internal/network/simulated/packets.go
+++ b/internal/network/simulated/packets.go
@@ -64,7 +64,7 @@
 	c.endOpening()
 }
 
-// endOpening tells the dialer that the connection is open or has failed.
+// endOpening notifies the dialer that the connection is open or has failed.
 func (c *connection) endOpening() {
 	if !c.openingEnded {
 		c.openingEnded = true
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// receiveLoop hands out responses until the connection ends.
+// receiveLoop delivers responses until the connection ends.
 func (c *clientConnection) receiveLoop() {
 	reader := newFrameReader(receiveClock{connection: c})
 	for {
@@ -188,7 +188,7 @@
 	close(c.done)
 }
 
-// hasFailed tells whether the connection can't be used any more.
+// hasFailed reports whether the connection can't be used any more.
 func (c *clientConnection) hasFailed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -157,7 +157,7 @@
 // temporaryErrors are those after which accepting may work again later.
 var temporaryErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
 
-// isTemporary tells whether accepting may work again later.
+// isTemporary reports whether accepting may work again later.
 func isTemporary(err error) bool {
 	for _, temporary := range temporaryErrors {
 		if errors.Is(err, temporary) {
--- a/internal/rpc/writer.go
+++ b/internal/rpc/writer.go
@@ -160,7 +160,7 @@
 	w.spare = buffer[:0]
 }
 
-// mayHaveLeft tells whether any byte of the frame at a position may have left.
+// mayHaveLeft reports whether any byte of the frame at a position may have left.
 func (w *frameWriter) mayHaveLeft(position uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,7 +16,6 @@
 
 // valuesByKey returns all settings by the keys of the file. Durations are in nanoseconds.
 func valuesByKey(s *Settings) map[string]any {
-	bounds := s.Bounds
 	return map[string]any{
 		"node":              s.Node,
 		"role":              s.Role,
@@ -53,27 +52,7 @@
 			"zones":    s.FaultTolerance.Zones,
 			"regions":  s.FaultTolerance.Regions,
 		},
-		"bounds": map[string]any{
-			"seed-lag-s":        bounds.SeedLag,
-			"reuse-after-s":     bounds.ReuseAfter,
-			"contact-ms":        bounds.Contact,
-			"ack-ms":            bounds.Acknowledge,
-			"catch-up-s":        bounds.CatchUp,
-			"drain-ms":          bounds.Drain,
-			"grace-s":           bounds.Grace,
-			"loss-slack-ms":     bounds.LossSlack,
-			"config-apply-ms":   bounds.ConfigurationLag,
-			"revert-slack-ms":   bounds.RevertSlack,
-			"max-skew-ms":       bounds.MaxSkew,
-			"recovery-s":        bounds.Recovery,
-			"finish-s":          bounds.Finish,
-			"status-s":          bounds.Status,
-			"callback-s":        bounds.Callback,
-			"visibility-ms":     bounds.Visibility,
-			"early-ms":          bounds.Early,
-			"ceiling-window-s":  bounds.RateLimitWindow,
-			"ceiling-overshoot": bounds.RateLimitOvershoot,
-		},
+		"bounds": boundsByKey(s.Bounds),
 		"cloud": map[string]any{
 			"address":    s.Cloud.Address,
 			"rate-per-s": s.Cloud.RatePerSecond,
@@ -83,6 +62,31 @@
 	}
 }
 
+// boundsByKey returns the figures of the rules by their keys.
+func boundsByKey(bounds Bounds) map[string]any {
+	return map[string]any{
+		"seed-lag-s":        bounds.SeedLag,
+		"reuse-after-s":     bounds.ReuseAfter,
+		"contact-ms":        bounds.Contact,
+		"ack-ms":            bounds.Acknowledge,
+		"catch-up-s":        bounds.CatchUp,
+		"drain-ms":          bounds.Drain,
+		"grace-s":           bounds.Grace,
+		"loss-slack-ms":     bounds.LossSlack,
+		"config-apply-ms":   bounds.ConfigurationLag,
+		"revert-slack-ms":   bounds.RevertSlack,
+		"max-skew-ms":       bounds.MaxSkew,
+		"recovery-s":        bounds.Recovery,
+		"finish-s":          bounds.Finish,
+		"status-s":          bounds.Status,
+		"callback-s":        bounds.Callback,
+		"visibility-ms":     bounds.Visibility,
+		"early-ms":          bounds.Early,
+		"ceiling-window-s":  bounds.RateLimitWindow,
+		"ceiling-overshoot": bounds.RateLimitOvershoot,
+	}
+}
+
 func TestGoldenValues(t *testing.T) {
 	for name, text := range map[string]string{
 		"every-key": everyKey,
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// EnvironmentVariable names the variable that holds the path of the settings file.
+// EnvironmentVariable names the variable with the path of the settings file.
 const EnvironmentVariable = "GLADEPICK_SETTINGS"
 
 // DefaultPath is the path of the settings file where the variable is not set.
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -22,7 +22,7 @@
 	return s.name + "." + key
 }
 
-// has tells whether a key holds anything.
+// has reports whether a key holds anything.
 func (s section) has(key string) bool {
 	switch value := s.values[key].(type) {
 	case nil:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -100,12 +100,12 @@
 	Lag           time.Duration // by which the list is behind
 }
 
-// ServesParty tells whether a party may call the role.
+// ServesParty reports whether a party may call the role.
 func (s *Settings) ServesParty(party string) bool {
 	return slices.Contains(s.Serves, party)
 }
 
-// HasContract tells whether a part of the rules is in force.
+// HasContract reports whether a part of the rules is in force.
 func (s *Settings) HasContract(name string) bool {
 	return slices.Contains(s.Contracts, name)
 }
