--- a/internal/cluster/agent_calls.go
+++ b/internal/cluster/agent_calls.go
@@ -48,7 +48,7 @@
 	return trace.Wrap(err)
 }
 
-// FailureReport tells the control plane that a process could not be reached.
+// ReportFailure tells the control plane that a process could not be reached.
 func (a *Agent) ReportFailure(ctx context.Context, report FailureReport) error {
 	_, err := a.callPrimary(ctx, repeatableReport, report, nil, nil)
 	return trace.Wrap(err)
--- a/internal/controlplane/replication/align.go
+++ b/internal/controlplane/replication/alignment.go
@@ -2,15 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 
 	"github.com/gravitational/trace"
 )
 
-// errTooFewInSync means that not enough processes could be aligned for an in-sync set.
-var errTooFewInSync = errors.New("replication: too few in-sync processes")
-
 // alignInSync brings the log of this process, up to its end, to the disks of the members, and returns the disks where
 // it is: the in-sync set of the view. Only those are tried that have given their promise, and one that is required.
 func (g *Group) alignInSync(
@@ -44,13 +40,8 @@
 	return inSync, nil
 }
 
-// membersThat returns the members whose disks satisfy a condition.
-func membersThat(members []Member, condition func(diskID string) bool) []Member {
-	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return !condition(member.DiskID) })
-}
-
 // alignAll aligns several members at once and returns the disks of those where it succeeded. The state is sent where
-// an image is offered.
+// a snapshot is offered.
 func (g *Group) alignAll(
 	ctx context.Context, members []Member, epoch uint64, last position, offer func(diskID string) *lazySnapshot,
 ) []string {
@@ -67,7 +58,7 @@
 }
 
 // align makes a member follow this process's log in an epoch. The whole state is sent where the member's log is
-// another and an image is offered.
+// another and a snapshot is offered.
 func (g *Group) align(
 	ctx context.Context, to Member, epoch uint64, last position, whole *lazySnapshot,
 ) (bool, error) {
--- /dev/null
+++ b/internal/controlplane/replication/append.go
@@ -0,0 +1,66 @@
+package replication
+
+import (
+	"context"
+	"errors"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/ctxtime"
+)
+
+// replicate sends records to the in-sync backups and syncs the own log. It returns the disks that did not confirm.
+func (l *leadership) replicate(view View, after position, records []byte) (map[string]bool, error) {
+	g := l.group
+	var backups []Member
+	for _, diskID := range view.InSync {
+		if member, found := view.Member(diskID); found && diskID != g.self.DiskID {
+			backups = append(backups, member)
+		}
+	}
+	replies := broadcast(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
+	if records != nil {
+		if err := g.replica.syncWithin(l.ctx, 2*g.timing.RoundTimeout); err != nil {
+			return nil, trace.Wrap(err)
+		}
+	}
+	failed := map[string]bool{}
+	for range backups {
+		if received := <-replies; received.err != nil || !received.response {
+			failed[received.member.DiskID] = true
+		}
+	}
+	return failed, nil
+}
+
+// sendRecords sends records to a backup, once more where the connection was lost. A backup that follows another log, as
+// after a restart, gets the whole state.
+func (l *leadership) sendRecords(to Member, epoch uint64, after position, records []byte) (bool, error) {
+	g := l.group
+	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
+	defer cancel()
+	response, err := l.callAppend(ctx, to, epoch, after, records)
+	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
+		if isConnectionRefused(err) {
+			ctxtime.Sleep(ctx, g.timing.RefusedTimeout)
+		}
+		response, err = l.callAppend(ctx, to, epoch, after, records)
+	}
+	if err != nil || response.Attached || response.Promised > epoch {
+		return response.Attached, err
+	}
+	return g.align(l.ctx, to, epoch, g.replica.end(), &lazySnapshot{})
+}
+
+func (l *leadership) callAppend(
+	ctx context.Context, to Member, epoch uint64, after position, records []byte,
+) (appendResponse, error) {
+	g := l.group
+	committed, _ := g.replica.committedIn(epoch)
+	request := appendRequest{
+		Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, After: after, Commit: committed,
+	}
+	var response appendResponse
+	_, err := g.call(ctx, g.timing.BackupTimeout, to, methodAppend, request, records, &response)
+	return response, err
+}
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -10,23 +10,6 @@
 	"gladepick/internal/rpc"
 )
 
-// checkTarget refuses a call that is meant for another disk at the same address.
-func (g *Group) checkTarget(target string) error {
-	if target == g.self.DiskID {
-		return nil
-	}
-	return &rpc.Error{Code: rpc.CodeNotFound, Message: "another disk is here: " + g.self.DiskID}
-}
-
-// serveStatus tells whether this process leads.
-func (g *Group) serveStatus(context.Context, struct{}, []byte) (any, []byte, error) {
-	response := statusResponse{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
-	if l := g.leadership.Load(); l != nil {
-		response.Leading = l.leaseValid(time.Now())
-	}
-	return response, nil, nil
-}
-
 // serveAttach makes this replica follow the log of an epoch's primary.
 func (g *Group) serveAttach(ctx context.Context, request attachRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
@@ -119,7 +102,7 @@
 	return response, g.options.ResponsePayload(response.Number), nil
 }
 
-// takeNews hands on what a heartbeat carries: the payload, and that an answer of this process has reached a primary that
+// deliverPayloads hands on what a heartbeat carries: the payload, and that a response of this process has reached a primary that
 // led after it.
 func (g *Group) deliverPayloads(request heartbeatRequest, body []byte, sentAfter time.Time) {
 	if request.Leading && g.options.OnResponseEcho != nil {
@@ -130,7 +113,7 @@
 	}
 }
 
-// standsBy tells whether a witness still takes the sender of a heartbeat for the primary. One that is making its next
+// supportsPrimary reports whether a witness still takes the sender of a heartbeat for the primary. One that is making its next
 // view has been promised a higher epoch than that of its heartbeats.
 func supportsPrimary(record *witnessRecord, request heartbeatRequest) bool {
 	if request.Epoch < record.acceptedEpoch() {
@@ -139,17 +122,10 @@
 	return record.allows(request.Epoch, request.Primary) || record.PromisedTo == request.Primary
 }
 
-// giveWay ends this process's leadership where another process leads or stands in a higher epoch.
+// resignIfSuperseded ends this process's leadership where another process leads or stands in a higher epoch.
 func (g *Group) resignIfSuperseded(epoch uint64, primary string) {
 	l := g.leadership.Load()
 	if l != nil && primary != g.self.DiskID && epoch > l.currentView().Epoch {
 		g.resign(l, "another process leads")
 	}
 }
-
-// compact shortens a long log in the background.
-func (g *Group) compact() {
-	if g.replica.needsCompaction() {
-		go g.replica.compact()
-	}
-}
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -1,16 +1,12 @@
 package replication
 
 import (
-	"context"
-	"errors"
 	"slices"
 
 	"github.com/gravitational/trace"
-
-	"gladepick/internal/ctxtime"
 )
 
-// parkedBatch is a batch whose changes are committed but on too few disks to be acknowledged.
+// unacknowledgedBatch is a batch whose changes are committed but on too few disks to be acknowledged.
 type unacknowledgedBatch struct {
 	requests []*request
 	epoch    uint64
@@ -46,7 +42,7 @@
 	}
 }
 
-// answerParked answers the batches that wait for enough copies, where there are enough now. Read barriers don't wait.
+// acknowledgeBatches answers the batches that wait for enough copies, where there are enough now. Read barriers don't wait.
 func (l *leadership) acknowledgeBatches() {
 	enough := len(l.currentView().InSync) >= l.group.options.ReplicationFactor
 	waiting := l.unacknowledged
@@ -67,7 +63,7 @@
 	return slices.ContainsFunc(batch, (*request).needsReplicas)
 }
 
-// failParked fails what is still parked when the leadership ends.
+// failUnacknowledged fails what is still parked when the leadership ends.
 func (l *leadership) failUnacknowledged() {
 	for _, batch := range l.unacknowledged {
 		failAll(batch.requests, ErrOutcomeUnknown)
@@ -94,19 +90,7 @@
 	return l.reconfigureUntilDone(failed)
 }
 
-// reshapeUntilDone makes a view without the failed disks, and tries until one is in force.
-func (l *leadership) reconfigureUntilDone(failed map[string]bool) error {
-	for l.ctx.Err() == nil {
-		if l.reconfigure(failed) == nil {
-			return nil
-		}
-		failed = nil
-		ctxtime.Sleep(l.ctx, reconfigureInterval)
-	}
-	return trace.Wrap(errSuperseded)
-}
-
-// answerBatch tells the proposers what the state machine said.
+// completeBatch tells the proposers what the state machine said.
 func (l *leadership) completeBatch(batch []*request, index uint64) {
 	for _, waiting := range batch {
 		var outcome error
@@ -123,59 +107,3 @@
 		waiting.done <- err
 	}
 }
-
-// replicate sends records to the in-sync backups and syncs the own log. It returns the disks that did not confirm.
-func (l *leadership) replicate(view View, after position, records []byte) (map[string]bool, error) {
-	g := l.group
-	var backups []Member
-	for _, diskID := range view.InSync {
-		if member, found := view.Member(diskID); found && diskID != g.self.DiskID {
-			backups = append(backups, member)
-		}
-	}
-	replies := broadcast(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
-	if records != nil {
-		if err := g.replica.syncWithin(l.ctx, 2*g.timing.RoundTimeout); err != nil {
-			return nil, trace.Wrap(err)
-		}
-	}
-	failed := map[string]bool{}
-	for range backups {
-		if received := <-replies; received.err != nil || !received.response {
-			failed[received.member.DiskID] = true
-		}
-	}
-	return failed, nil
-}
-
-// sendRecords sends records to a backup, once more where the connection was lost. A backup that follows another log, as
-// after a restart, gets the whole state.
-func (l *leadership) sendRecords(to Member, epoch uint64, after position, records []byte) (bool, error) {
-	g := l.group
-	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
-	defer cancel()
-	response, err := l.callAppend(ctx, to, epoch, after, records)
-	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		if isConnectionRefused(err) {
-			ctxtime.Sleep(ctx, g.timing.RefusedTimeout)
-		}
-		response, err = l.callAppend(ctx, to, epoch, after, records)
-	}
-	if err != nil || response.Attached || response.Promised > epoch {
-		return response.Attached, err
-	}
-	return g.align(l.ctx, to, epoch, g.replica.end(), &lazySnapshot{})
-}
-
-func (l *leadership) callAppend(
-	ctx context.Context, to Member, epoch uint64, after position, records []byte,
-) (appendResponse, error) {
-	g := l.group
-	committed, _ := g.replica.committedIn(epoch)
-	request := appendRequest{
-		Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, After: after, Commit: committed,
-	}
-	var response appendResponse
-	_, err := g.call(ctx, g.timing.BackupTimeout, to, methodAppend, request, records, &response)
-	return response, err
-}
--- /dev/null
+++ b/internal/controlplane/replication/calls.go
@@ -0,0 +1,59 @@
+package replication
+
+import (
+	"context"
+	"time"
+
+	"gladepick/internal/rpc"
+)
+
+func (g *Group) register(server *rpc.Server) {
+	server.Handle(methodPrepare, handle(g, g.servePrepare))
+	server.Handle(methodAccept, handle(g, g.serveAccept))
+	server.Handle(methodAttach, handle(g, g.serveAttach))
+	server.Handle(methodAppend, handle(g, g.serveAppend))
+	server.Handle(methodHeartbeat, handle(g, g.serveHeartbeat))
+	server.Handle(methodStatus, handle(g, g.serveStatus))
+}
+
+// handle turns a method of the group with typed parameters into a handler.
+func handle[Request any](
+	g *Group, serve func(ctx context.Context, request Request, body []byte) (any, []byte, error),
+) rpc.Handler {
+	return func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
+		if g.ctx.Err() != nil {
+			return nil, nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "the group is closed"}
+		}
+		var request Request
+		if err := call.Decode(&request); err != nil {
+			return nil, nil, err
+		}
+		return serve(ctx, request, call.Body)
+	}
+}
+
+// checkTarget refuses a call that is meant for another disk at the same address.
+func (g *Group) checkTarget(target string) error {
+	if target == g.self.DiskID {
+		return nil
+	}
+	return &rpc.Error{Code: rpc.CodeNotFound, Message: "another disk is here: " + g.self.DiskID}
+}
+
+// call makes a call to a member within a limit.
+func (g *Group) call(
+	ctx context.Context, limit time.Duration, to Member, method string, params any, body []byte, result any,
+) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, limit)
+	defer cancel()
+	return g.options.Pool.Get(to.Address).Call(ctx, method, params, body, result)
+}
+
+// serveStatus reports whether this process leads.
+func (g *Group) serveStatus(context.Context, struct{}, []byte) (any, []byte, error) {
+	response := statusResponse{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
+	if l := g.leadership.Load(); l != nil {
+		response.Leading = l.leaseValid(time.Now())
+	}
+	return response, nil, nil
+}
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -200,7 +200,7 @@
 	n.stop()
 }
 
-// back starts the process again, on a machine with power.
+// restart starts the process again, on a machine with power.
 func (n *node) restart() {
 	if n.off {
 		n.cluster.network.PowerOn(n.ip)
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -20,10 +20,7 @@
 	nonMemberInterval = 500 * time.Millisecond // between two looks of a process that can't stand
 )
 
-// errNotInSync means that this process may not lead: it may lack acknowledged changes.
-var errNotInSync = errors.New("replication: not in the in-sync set")
-
-// monitor watches the primary's life and stands for its place when it is gone, until the group is closed.
+// watchPrimary watches the primary's life and stands for election in its place when it is gone, until the group is closed.
 func (g *Group) watchPrimary() {
 	for ctxtime.Sleep(g.ctx, g.supervise()) {
 	}
@@ -54,7 +51,7 @@
 	return g.campaignAfterDelay()
 }
 
-// untilNextLook returns how long a primary that seems alive may stay silent.
+// nextCheckDelay returns how long a primary that seems alive may stay silent.
 func (g *Group) nextCheckDelay() time.Duration {
 	silence, _ := g.monitor.sinceContact(time.Now())
 	limit := g.timing.suspectAfter()
@@ -64,7 +61,7 @@
 	return max(minCheckInterval, limit-silence)
 }
 
-// standWhenGone holds an election after a random pause, unless another process has by then.
+// campaignAfterDelay holds an election after a random pause, unless another process has by then.
 func (g *Group) campaignAfterDelay() time.Duration {
 	if !ctxtime.Sleep(g.ctx, g.randomPause(maxElectionDelay)) {
 		return 0
@@ -79,19 +76,7 @@
 	return g.timing.suspectAfter()
 }
 
-// newestKnown returns the newest view that this process has accepted or been told of.
-func (g *Group) newestKnownView() *View {
-	return newerView(g.witness.record().Accepted, g.learnedView.Load())
-}
-
-// learn remembers a view that others have accepted.
-func (g *Group) learnView(view *View) {
-	if view.Epoch > 0 && view != g.newestKnownView() {
-		g.learnedView.Store(newerView(g.learnedView.Load(), view))
-	}
-}
-
-// primaryGone tells whether the primary is dead, leads no more, or has been silent for the lease.
+// primaryDown reports whether the primary is dead, leads no more, or has been silent for the lease.
 func (g *Group) primaryDown(ctx context.Context) bool {
 	record := g.witness.record()
 	if record.Accepted == nil || record.Accepted.Primary == g.self.DiskID {
@@ -107,7 +92,7 @@
 	return g.checkPrimary(ctx, *record.Accepted)
 }
 
-// probePrimary asks a silent primary whether it leads.
+// checkPrimary asks a silent primary whether it leads.
 func (g *Group) checkPrimary(ctx context.Context, view View) bool {
 	primary, found := view.PrimaryMember()
 	if !found {
@@ -130,7 +115,7 @@
 	return true
 }
 
-// elect makes a view with this process as the primary, and leads it.
+// campaign makes a view with this process as the primary, and leads it.
 func (g *Group) campaign(ctx context.Context) error {
 	known := g.newestKnownView()
 	if known == nil {
@@ -147,37 +132,10 @@
 	return g.startLeadership(made)
 }
 
-// succeed derives the view of a new primary.
+// deriveSuccessorView derives the view of a new primary.
 func (g *Group) deriveSuccessorView(newest View) (View, error) {
 	if _, member := findMember(newest.Members, g.self.DiskID); !member || !newest.HasInSync(g.self.DiskID) {
 		return View{}, trace.Wrap(errNotInSync)
 	}
 	return View{Members: newest.Members, Previous: newest.Previous}, nil
 }
-
-// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated; it does nothing
-// where this process knows of a view.
-func (g *Group) Bootstrap(ctx context.Context, members []Member) error {
-	if g.newestKnownView() != nil {
-		return nil
-	}
-	genesis := View{Members: members}
-	for _, member := range members {
-		genesis.InSync = append(genesis.InSync, member.DiskID)
-	}
-	if !g.mayBootstrap(genesis) {
-		return trace.Wrap(ErrBootstrapRefused)
-	}
-	made, err := g.changeView(ctx, viewChange{base: genesis, bootstrap: true, derive: g.deriveSuccessorView})
-	if err != nil {
-		return trace.Wrap(err)
-	}
-	return g.startLeadership(made)
-}
-
-// mayFound tells whether this process may take part in the founding of a group.
-func (g *Group) mayBootstrap(genesis View) bool {
-	_, member := findMember(genesis.Members, g.self.DiskID)
-	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
-	return member && blank && g.options.AllowBootstrap
-}
--- /dev/null
+++ b/internal/controlplane/replication/explorer_state_test.go
@@ -0,0 +1,173 @@
+//go:build !race
+
+package replication
+
+import "strings"
+
+// maxChanges bounds the entries of a log.
+const maxChanges = 3
+
+// maxEpochs bounds the epochs.
+const maxEpochs = 6
+
+// modelView is a View with sets in place of lists.
+type modelView struct {
+	epoch    uint8
+	primary  int8
+	inSync   diskSet
+	members  diskSet
+	previous diskSet
+}
+
+func (v modelView) view() View {
+	view := View{Epoch: uint64(v.epoch), Primary: diskName(int(v.primary)), Members: v.members.members(), Previous: v.previous.members()}
+	for _, disk := range v.inSync.disks() {
+		view.InSync = append(view.InSync, diskName(disk))
+	}
+	return view
+}
+
+func (v modelView) everyone() diskSet { return v.members.union(v.previous) }
+
+// modelEntry is a change in a log: the epoch in which it was made, and which change it is.
+type modelEntry struct{ epoch, change uint8 }
+
+// modelLog is a log, as a string of pairs, so that states can be compared.
+type modelLog string
+
+func (l modelLog) len() int                { return len(l) / 2 }
+func (l modelLog) at(index int) modelEntry { return modelEntry{l[2*index], l[2*index+1]} }
+
+func (l modelLog) append(added modelEntry) modelLog {
+	return l + modelLog([]byte{added.epoch, added.change})
+}
+
+func (l modelLog) prefix(length int) modelLog  { return l[:2*length] }
+func (l modelLog) extends(other modelLog) bool { return strings.HasPrefix(string(l), string(other)) }
+
+// last is the position of the end.
+func (l modelLog) last() position {
+	if l.len() == 0 {
+		return position{}
+	}
+	return position{Epoch: uint64(l.at(l.len() - 1).epoch), Index: uint64(l.len())}
+}
+
+// modelDisk is what one disk holds, and what its process has in memory.
+type modelDisk struct {
+	promised   uint8
+	promisedTo int8
+	accepted   modelView
+	log        modelLog
+	lost       bool
+
+	follows     uint8 // the epoch whose primary's log this process follows; 0 after a restart
+	phase       modelPhase
+	epoch       uint8 // that it stands or leads in
+	granted     diskSet
+	newest      modelView // of those that have come with promises
+	making      modelView
+	respondents diskSet // disks that have been aligned, then those that have accepted
+	acks        [maxChanges]diskSet
+	learners    diskSet // taught, to become members
+
+	reading         bool    // a question of an operator is open here
+	ackedBeforeRead uint8   // how much was acknowledged when it came
+	confirmedBy     diskSet // who has confirmed this primary since
+
+	supports    int8    // the primary that this witness stands by, counted from 1; 0 for none
+	supporters  diskSet // whom this primary counts on
+	leaseLapsed bool    // its lease has run out in this view
+}
+
+// restart forgets what is in memory. A process that starts stands by the primary of the view that its disk has.
+func (d *modelDisk) restart(leases bool) {
+	*d = modelDisk{promised: d.promised, promisedTo: d.promisedTo, accepted: d.accepted, log: d.log}
+	if leases && d.accepted.epoch > 0 {
+		d.supports = d.accepted.primary + 1
+	}
+}
+
+// promiseTo records a promise; a leadership or candidacy in a lower epoch ends.
+func (d *modelDisk) promiseTo(epoch uint8, candidate int) {
+	if d.phase != following && d.epoch < epoch {
+		d.phase, d.making, d.respondents, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
+		d.acks, d.learners = [maxChanges]diskSet{}, 0
+		d.reading, d.ackedBeforeRead, d.confirmedBy = false, 0, 0
+		d.supporters, d.leaseLapsed = 0, false
+	}
+	if int(d.supports) != candidate+1 && epoch > d.promised {
+		d.supports = 0
+	}
+	d.promised, d.promisedTo = epoch, int8(candidate)
+}
+
+// modelPhase is how far a process has got in making a view.
+type modelPhase uint8
+
+const (
+	following modelPhase = iota
+	collecting
+	aligning
+	accepting
+	primary
+)
+
+// candidacy is what a process has sent out in an epoch: calls that may still be handled.
+type candidacy struct {
+	active   bool
+	aligning bool // to follow its log, once it had a majority's promises
+	base     modelView
+	log      modelLog // at the start of the epoch
+	extended modelLog // with what was proposed since
+	view     modelView
+}
+
+// modelState is a state of the whole group.
+type modelState struct {
+	disks       [modelDisks]modelDisk
+	candidacies [modelDisks][maxEpochs + 1]candidacy
+	acked       modelLog // what was acknowledged, in order
+	crashes     uint8
+	losses      uint8
+	joined      uint8
+	proposed    uint8
+	led         uint8 // the highest epoch that anyone has led in
+	reads       uint8
+	changes     uint8 // of the members
+	staleRead   bool  // a question was answered by a process that lacked what was acknowledged before it came
+}
+
+// isSpare reports whether a disk is one that was added: they are counted from the last one down.
+func (s *modelState) isSpare(disk int) bool { return disk >= modelDisks-int(s.joined) }
+
+// acknowledge notes the changes that the primary may acknowledge, in the order of its log.
+func (s *modelState) acknowledge(m *model, disk int) {
+	d := &s.disks[disk]
+	for index := s.acked.len(); index < d.log.len(); index++ {
+		if d.phase != primary || !m.rules.committed(d.making, d.acks[index]) || !d.log.extends(s.acked) {
+			return
+		}
+		s.acked = s.acked.append(d.log.at(index))
+	}
+}
+
+// bootstrapped is the state after the founding: the first disk leads all others.
+func bootstrapped(limits modelLimits) modelState {
+	var state modelState
+	all := setOf(limits.disks)
+	view := modelView{epoch: 1, inSync: all, members: all}
+	for disk := range limits.disks {
+		state.disks[disk] = modelDisk{promised: 1, accepted: view, follows: 1}
+	}
+	state.disks[0].phase, state.disks[0].epoch, state.disks[0].making = primary, 1, view
+	if limits.leases {
+		for disk := 1; disk < limits.disks; disk++ {
+			state.disks[disk].supports = 1
+		}
+		state.disks[0].supporters = all.without(0)
+	}
+	state.candidacies[0][1] = candidacy{active: true, aligning: true, base: view, view: view}
+	state.led = 1
+	return state
+}
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -10,8 +10,6 @@
 
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
-
-	"gladepick/internal/rpc"
 )
 
 // Group is this process's part in the replicated group.
@@ -73,31 +71,6 @@
 	return sum.Sum64()
 }
 
-func (g *Group) register(server *rpc.Server) {
-	server.Handle(methodPrepare, handle(g, g.servePrepare))
-	server.Handle(methodAccept, handle(g, g.serveAccept))
-	server.Handle(methodAttach, handle(g, g.serveAttach))
-	server.Handle(methodAppend, handle(g, g.serveAppend))
-	server.Handle(methodHeartbeat, handle(g, g.serveHeartbeat))
-	server.Handle(methodStatus, handle(g, g.serveStatus))
-}
-
-// handle turns a method of the group with typed parameters into a handler.
-func handle[Request any](
-	g *Group, serve func(ctx context.Context, request Request, body []byte) (any, []byte, error),
-) rpc.Handler {
-	return func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-		if g.ctx.Err() != nil {
-			return nil, nil, &rpc.Error{Code: rpc.CodeUnavailable, Message: "the group is closed"}
-		}
-		var request Request
-		if err := call.Decode(&request); err != nil {
-			return nil, nil, err
-		}
-		return serve(ctx, request, call.Body)
-	}
-}
-
 // Run takes part in the group until the context ends.
 func (g *Group) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, g.cancel)
@@ -106,7 +79,7 @@
 	g.resignOnStop()
 }
 
-// stepDown ends this process's leadership because it stops.
+// resignOnStop ends this process's leadership because it stops.
 func (g *Group) resignOnStop() {
 	if l := g.leadership.Load(); l != nil {
 		g.resign(l, "stopping")
@@ -122,59 +95,9 @@
 	}
 }
 
-// Role tells which part this process plays now.
-func (g *Group) Role() Role {
-	now := time.Now()
-	role := Role{}
-	if l := g.leadership.Load(); l != nil {
-		role.View = l.currentView()
-		role.Primary = l.leaseValid(now)
-		role.UpToDate = role.Primary
-	} else {
-		if accepted := g.witness.record().Accepted; accepted != nil {
-			role.View = *accepted
-		}
-		role.UpToDate = g.monitor.upToDate(now, g.timing.LeaseDuration)
-	}
-	role.Epoch = role.View.Epoch
-	return role
-}
-
-// OnRoleChange has a function called with the new role whenever the epoch, the primary's part or the freshness changes.
-// The function must return soon, and must not propose or wait for anything of the group.
-func (g *Group) OnRoleChange(observer func(Role)) {
-	g.observersMu.Lock()
-	defer g.observersMu.Unlock()
-	g.observers = append(g.observers, observer)
-}
-
-// notify tells the observers where the role has changed.
-func (g *Group) notify() {
-	g.observersMu.Lock()
-	defer g.observersMu.Unlock()
-	role := g.Role()
-	known := g.reported
-	if role.Epoch == known.Epoch && role.Primary == known.Primary && role.UpToDate == known.UpToDate {
-		return
-	}
-	g.reported = role
-	for _, observer := range g.observers {
-		observer(role)
-	}
-}
-
 // randomPause returns a duration up to a limit.
 func (g *Group) randomPause(limit time.Duration) time.Duration {
 	g.randomMu.Lock()
 	defer g.randomMu.Unlock()
 	return time.Duration(g.random.Int64N(int64(limit)))
 }
-
-// call makes a call to a member within a limit.
-func (g *Group) call(
-	ctx context.Context, limit time.Duration, to Member, method string, params any, body []byte, result any,
-) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer cancel()
-	return g.options.Pool.Get(to.Address).Call(ctx, method, params, body, result)
-}
--- a/internal/controlplane/replication/primary.go
+++ b/internal/controlplane/replication/leadership.go
@@ -35,7 +35,7 @@
 	nextImprovement time.Time
 }
 
-// lead begins a leadership in a view that is in force.
+// startLeadership begins a leadership in a view that is in force.
 func (g *Group) startLeadership(made establishedView) error {
 	l := &leadership{group: g, wake: make(chan struct{}, 1), peers: map[string]*peer{}}
 	l.ctx, l.cancel = context.WithCancel(g.ctx)
@@ -119,7 +119,7 @@
 	}
 }
 
-// step does the most urgent piece of work. It tells whether there was none, and for how long at most to wait then.
+// step does the most urgent piece of work. It reports whether there was none, and for how long at most to wait then.
 func (l *leadership) step() (wait time.Duration, idle bool) {
 	if l.mustReconfigure() {
 		if l.reconfigure(nil) != nil {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -2,15 +2,15 @@
 
 // Names of the group's calls.
 const (
-	methodPrepare   = "group.promise"   // promiseRequest -> promiseAnswer
-	methodAccept    = "group.accept"    // acceptRequest -> acceptAnswer
-	methodAttach    = "group.attach"    // attachRequest, with a body where it carries the state -> attachAnswer
-	methodAppend    = "group.append"    // appendRequest, records in the body -> appendAnswer
-	methodHeartbeat = "group.heartbeat" // heartbeatRequest, payload in the body -> heartbeatAnswer, payload in the body
-	methodStatus    = "group.status"    // nothing -> statusAnswer
+	methodPrepare   = "group.promise"   // prepareRequest -> prepareResponse
+	methodAccept    = "group.accept"    // acceptRequest -> acceptResponse
+	methodAttach    = "group.attach"    // attachRequest, with a body where it carries the state -> attachResponse
+	methodAppend    = "group.append"    // appendRequest, records in the body -> appendResponse
+	methodHeartbeat = "group.heartbeat" // heartbeatRequest, payload in the body -> heartbeatResponse, payload in the body
+	methodStatus    = "group.status"    // nothing -> statusResponse
 )
 
-// promiseRequest asks a witness to promise an epoch to a candidate.
+// prepareRequest asks a witness to promise an epoch to a candidate.
 type prepareRequest struct {
 	Target    string `json:"target"` // the witness's disk id
 	Epoch     uint64 `json:"epoch"`
@@ -73,7 +73,7 @@
 	Primary string `json:"primary"`
 	Commit  uint64 `json:"commit"`
 	Leading bool   `json:"leading"` // the primary's lease runs
-	// Echo is the number of the member's newest answer that the primary has received; 0 where it has none. It tells the
+	// Echo is the number of the member's newest response that the primary has received; 0 where it has none. It tells the
 	// member that this heartbeat was sent after that answer, however long it was on its way.
 	Echo uint64 `json:"echo,omitempty"`
 }
@@ -83,7 +83,7 @@
 	Promised  uint64 `json:"promised"` // the highest epoch it has promised
 	Accepted  uint64 `json:"accepted"` // the epoch of the newest view it has accepted
 	Attached  bool   `json:"attached"` // it follows the primary's log
-	Number    uint64 `json:"number"`   // of this answer; no other answer of any process of this member has it
+	Number    uint64 `json:"number"`   // of this response; no other answer of any process of this member has it
 }
 
 type statusResponse struct {
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -4,17 +4,11 @@
 	"context"
 	"sync"
 	"time"
-
-	"gladepick/internal/rpc"
 )
 
-// alignRetry is the pause after a failed attempt to bring a peer up to date.
+// alignRetryInterval is the pause after a failed attempt to bring a peer up to date.
 const alignRetryInterval = 400 * time.Millisecond
 
-// firstEchoAfter is the pause after a first heartbeat: the second one echoes the peer's answer, which makes its state
-// fresh.
-const firstEchoDelay = 10 * time.Millisecond
-
 // peer is another member as the primary sees it. A goroutine of its own sends it heartbeats.
 type peer struct {
 	member       Member
@@ -31,10 +25,10 @@
 	aligned        bool      // it follows the primary's log
 	aligning       bool      // it is being brought to do so
 	nextAlignment  time.Time // not before then, after a failure
-	responseNumber uint64    // the number of its newest answer to a heartbeat; 0 while there is none
+	responseNumber uint64    // the number of its newest response to a heartbeat; 0 while there is none
 }
 
-// dead tells whether the peer has been silent for so long that it must leave the in-sync set.
+// unresponsive reports whether the peer has been silent for so long that it must leave the in-sync set.
 func (p *peer) unresponsive(now time.Time, timing Timing) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +38,7 @@
 	return !p.refusedSince.IsZero() && now.Sub(p.refusedSince) >= timing.RefusedTimeout
 }
 
-// silentSince returns since when nothing has come from the peer. The caller holds the lock.
+// lastSign returns since when nothing has come from the peer. The caller holds the lock.
 func (p *peer) lastSign() time.Time {
 	if p.lastContact.After(p.created) {
 		return p.lastContact
@@ -52,14 +46,14 @@
 	return p.created
 }
 
-// patience returns for how long the peer may still be silent.
+// untilUnresponsive returns for how long the peer may still be silent.
 func (p *peer) untilUnresponsive(now time.Time, timing Timing) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return timing.BackupTimeout - now.Sub(p.lastSign())
 }
 
-// ready tells whether the peer may enter the in-sync set.
+// mayJoinInSync reports whether the peer may enter the in-sync set.
 func (p *peer) mayJoinInSync(now time.Time, timing Timing) bool {
 	if p.unresponsive(now, timing) {
 		return false
@@ -75,7 +69,7 @@
 	return p.leaseRenewedAt
 }
 
-// markRenewed records that the peer, as a witness, stands by the primary for the lease.
+// markLeaseRenewed records that the peer, as a witness, stands by the primary for the lease.
 func (p *peer) markLeaseRenewed(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +78,7 @@
 	}
 }
 
-// lastFollowed returns when the peer was last asked anything that showed that it follows this primary.
+// lastAligned returns when the peer was last asked anything that showed that it follows this primary.
 func (p *peer) lastAligned() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,14 +97,14 @@
 	p.refusedSince = time.Time{}
 }
 
-// noteNumber remembers the number of the peer's newest answer.
+// noteResponseNumber remembers the number of the peer's newest response.
 func (p *peer) noteResponseNumber(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.responseNumber = number
 }
 
-// newestAnswer returns the number of the peer's newest answer, or 0.
+// newestResponseNumber returns the number of the peer's newest response, or 0.
 func (p *peer) newestResponseNumber() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +133,7 @@
 	p.alignedAt = at
 }
 
-// beginAligning tells whether the caller should bring the peer to follow the log; only one does at a time.
+// beginAligning reports whether the caller should bring the peer to follow the log; only one does at a time.
 func (p *peer) beginAligning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,156 +154,47 @@
 	}
 }
 
-// heartbeats sends heartbeats to a peer until it is a member no more.
-func (l *leadership) sendHeartbeats(ctx context.Context, to *peer) {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-timer.C:
-		case <-to.heartbeatNow:
-		}
-		wait := l.sendHeartbeat(ctx, to)
-		timer.Reset(wait)
-	}
-}
-
-// sendHeartbeat sends one heartbeat and draws the consequences of its answer. It returns when to send the next.
-func (l *leadership) sendHeartbeat(ctx context.Context, to *peer) time.Duration {
-	g := l.group
-	view := l.currentView()
-	sent := time.Now()
-	committed, own := g.replica.committedIn(view.Epoch)
-	request := heartbeatRequest{
-		Target: to.member.DiskID, Epoch: view.Epoch, Primary: g.self.DiskID,
-		Commit: committed, Leading: own && l.leaseValid(sent), Echo: to.newestResponseNumber(),
-	}
-	var response heartbeatResponse
-	body, err := g.call(
-		ctx, g.timing.suspectAfter(), to.member, methodHeartbeat, request, payloadOf(g.options.HeartbeatPayload), &response,
-	)
-	if err != nil {
-		return l.handleNoResponse(view, to, err)
-	}
-	if response.Supported {
-		to.markContact(sent)
-		to.noteResponseNumber(response.Number)
-	}
-	if response.Supported && request.Leading && response.Accepted >= view.Epoch {
-		to.markLeaseRenewed(sent)
-	}
-	l.handleResponse(ctx, view, to, response)
-	if len(body) > 0 && g.options.OnHeartbeatResponse != nil {
-		g.options.OnHeartbeatResponse(to.member, body)
-	}
-	g.notify()
-	if request.Echo == 0 {
-		return firstEchoDelay
-	}
-	return g.timing.HeartbeatInterval
-}
-
-// noteSilence records that a peer did not answer, and returns when to try again.
-func (l *leadership) handleNoResponse(view View, silent *peer, err error) time.Duration {
-	timing := l.group.timing
-	now := time.Now()
-	wait := timing.HeartbeatInterval
-	if isConnectionRefused(err) || rpc.CodeOf(err) == rpc.CodeNotFound {
-		silent.markRefused(now)
-		wait = timing.RefusedTimeout
-	}
-	if silent.unresponsive(now, timing) {
-		silent.setAligned(false)
-		if view.HasInSync(silent.member.DiskID) {
-			l.signal()
-		}
-	} else {
-		time.AfterFunc(silent.untilUnresponsive(now, timing), l.signal)
-	}
-	l.group.notify()
-	return wait
-}
-
-// noteAnswer records a peer's answer and helps it to what it lacks: the view, or the log.
-func (l *leadership) handleResponse(ctx context.Context, view View, from *peer, response heartbeatResponse) {
-	l.group.observeEpoch(response.Promised)
-	if !response.Supported {
-		if response.Promised >= view.Epoch {
-			l.superseded.Store(true)
-			l.signal()
+// enterView makes a view the one that this process leads, and begins and ends the heartbeats accordingly.
+func (l *leadership) enterView(made establishedView) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.view = made.view
+	l.leaseLapsed = false
+	for diskID, known := range l.peers {
+		if _, member := made.view.Member(diskID); !member {
+			known.cancel()
+			delete(l.peers, diskID)
 		}
-		return
-	}
-	if response.Accepted < view.Epoch && response.Promised <= view.Epoch {
-		_, _ = l.group.sendAccept(ctx, from.member, view, false)
-	}
-	if response.Promised > view.Epoch {
-		return // a new view is being made
 	}
-	from.setAligned(response.Attached)
-	if !response.Attached {
-		if from.beginAligning() {
-			go l.alignPeer(ctx, view, from)
+	for _, member := range made.view.allMembers() {
+		if member.DiskID == l.group.self.DiskID {
+			continue
 		}
-		return
-	}
-	if !view.HasInSync(from.member.DiskID) {
-		l.signal()
+		l.updatePeer(member, made)
 	}
 }
 
-// bringUp makes a peer follow the log, by a copy of the state where it needs one.
-func (l *leadership) alignPeer(ctx context.Context, view View, to *peer) {
-	last := l.group.replica.end()
-	aligned, err := l.group.align(ctx, to.member, view.Epoch, last, &lazySnapshot{})
-	to.endAligning(aligned && err == nil)
-	if aligned && err == nil {
-		l.signal()
+// updatePeer records what the making of a view has told of a member. The caller holds the lock.
+func (l *leadership) updatePeer(member Member, made establishedView) {
+	known := l.peers[member.DiskID]
+	if known != nil && known.member != member {
+		known.cancel() // it has moved
+		known = nil
 	}
-}
-
-// kickPeers has a heartbeat sent to everyone at once, which tells them what is committed.
-func (l *leadership) triggerHeartbeats() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, each := range l.peers {
-		select {
-		case each.heartbeatNow <- struct{}{}:
-		default:
-		}
+	if known == nil {
+		known = &peer{member: member, heartbeatNow: make(chan struct{}, 1), created: time.Now()}
+		l.peers[member.DiskID] = known
+		var ctx context.Context
+		ctx, known.cancel = context.WithCancel(l.ctx)
+		go l.sendHeartbeats(ctx, known)
 	}
-}
-
-// leaseRuns tells whether this process surely is the primary: a majority and all of the in-sync set have answered a
-// heartbeat that was sent within the lease. A lease that has run out is not taken up again in the same view: a witness
-// that has seen it run out may have turned to another candidate.
-func (l *leadership) leaseValid(now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.leaseLapsed && !l.leaseSupported(now) {
-		l.leaseLapsed = true
-		l.signal()
-	}
-	return !l.leaseLapsed
-}
-
-// isSupported tells whether the answers of the other members carry the lease. The caller holds the lock.
-func (l *leadership) leaseSupported(now time.Time) bool {
-	for _, diskID := range l.view.InSync {
-		if !l.signWithinLease(diskID, now, (*peer).lastAligned) {
-			return false
-		}
+	if at, accepted := made.acceptedAt[member.DiskID]; accepted {
+		known.markContact(at)
+		known.markLeaseRenewed(at)
 	}
-	return l.view.hasQuorum(func(diskID string) bool { return l.signWithinLease(diskID, now, (*peer).lastLeaseRenewal) })
-}
-
-// answered tells whether the last sign of a member, of some kind, is younger than the lease. The caller holds the lock.
-func (l *leadership) signWithinLease(diskID string, now time.Time, lastSign func(*peer) time.Time) bool {
-	if diskID == l.group.self.DiskID {
-		return true
+	if made.view.HasInSync(member.DiskID) {
+		known.markAligned(made.alignedAt)
+	} else {
+		known.setAligned(false)
 	}
-	known := l.peers[diskID]
-	return known != nil && now.Sub(lastSign(known)) < l.group.timing.LeaseDuration
 }
--- a/internal/controlplane/replication/presence.go
+++ b/internal/controlplane/replication/primary_monitor.go
@@ -1,25 +1,20 @@
 package replication
 
 import (
-	"errors"
-	"math/rand/v2"
 	"sync"
-	"syscall"
 	"time"
-
-	"gladepick/internal/rpc"
 )
 
-// presence is what a backup knows of the primary's life.
+// primaryMonitor is what a backup knows of the primary's life.
 type primaryMonitor struct {
 	mu sync.Mutex
 	// heard is when something last came from the primary.
 	lastContact time.Time
 	// gone is set when the primary is known not to lead any more, until it is heard again.
 	down bool
-	// quietUntil is until when this process holds no election, because another one does.
+	// noElectionBefore is until when this process holds no election, because another one does.
 	noElectionBefore time.Time
-	// pledgedTo is the candidate that this witness has promised an epoch to, and does not abandon until pledgedUntil.
+	// voteReservedFor is the candidate that this witness has promised an epoch to, and does not abandon until voteReservedUntil.
 	voteReservedFor   string
 	voteReservedUntil time.Time
 	// current is a time at which the primary led and this process has known since all that was committed then.
@@ -34,7 +29,7 @@
 	p.down = false
 }
 
-// markGone records that the primary is gone, unless it was heard after a moment.
+// markDown records that the primary is gone, unless it was heard after a moment.
 func (p *primaryMonitor) markDown(asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +38,7 @@
 	}
 }
 
-// silence returns for how long nothing has come from the primary, and whether it is known to be gone.
+// sinceContact returns for how long nothing has come from the primary, and whether it is known to be gone.
 func (p *primaryMonitor) sinceContact(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,14 +51,14 @@
 	p.noElectionBefore = until
 }
 
-// heldBack returns for how long this process still holds no election.
+// electionDelay returns for how long this process still holds no election.
 func (p *primaryMonitor) electionDelay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.noElectionBefore.Sub(now)
 }
 
-// pledge binds this witness to a candidate for a while. It holds no election of its own meanwhile.
+// reserveVote binds this witness to a candidate for a while. It holds no election of its own meanwhile.
 func (p *primaryMonitor) reserveVote(candidate string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,14 +68,14 @@
 	}
 }
 
-// pledgedElsewhere tells whether this witness is bound to another candidate.
+// voteReservedForOther reports whether this witness is bound to another candidate.
 func (p *primaryMonitor) voteReservedForOther(candidate string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.voteReservedFor != candidate && now.Before(p.voteReservedUntil)
 }
 
-// markCurrent records that this process knows all that was committed at a moment.
+// markUpToDate records that this process knows all that was committed at a moment.
 func (p *primaryMonitor) markUpToDate(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,20 +84,6 @@
 	}
 }
 
-// numberAnswer returns the number of an answer to a heartbeat that is given now.
-func (p *primaryMonitor) nextResponseNumber(now time.Time) uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.responses.add(now)
-}
-
-// answeredAt returns when an answer was given, and false where that is not known.
-func (p *primaryMonitor) respondedAt(number uint64) (time.Time, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.responses.sentAt(number)
-}
-
 func (p *primaryMonitor) clearUpToDate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,35 +96,16 @@
 	return !p.upToDateAt.IsZero() && now.Sub(p.upToDateAt) < limit
 }
 
-// answersRemembered bounds the answers to heartbeats whose times are kept. A primary repeats the number of the newest one
-// that it has; while it gets none, more are given than the one that it comes to repeat.
-const responseLogSize = 64
-
-// answerLog numbers the answers to heartbeats and remembers when the last of them were given. Numbers of a process begin
-// at random, so that a heartbeat to an earlier process of the member repeats none of them.
-type responseLog struct {
-	last  uint64
-	times map[uint64]time.Time
-}
-
-func (l *responseLog) add(now time.Time) uint64 {
-	if l.times == nil {
-		l.last = rand.Uint64() >> 1
-		l.times = make(map[uint64]time.Time, responseLogSize)
-	}
-	l.last++
-	l.times[l.last] = now
-	delete(l.times, l.last-responseLogSize)
-	return l.last
-}
-
-func (l *responseLog) sentAt(number uint64) (time.Time, bool) {
-	at, known := l.times[number]
-	return at, known
+// nextResponseNumber returns the number of a response to a heartbeat that is given now.
+func (p *primaryMonitor) nextResponseNumber(now time.Time) uint64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.responses.add(now)
 }
 
-// isRefused tells whether a call failed because nothing listens at the address.
-func isConnectionRefused(err error) bool {
-	return errors.Is(err, rpc.ErrNotSent) &&
-		(errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET))
+// respondedAt returns when a response was given, and false where that is not known.
+func (p *primaryMonitor) respondedAt(number uint64) (time.Time, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.responses.sentAt(number)
 }
--- /dev/null
+++ b/internal/controlplane/replication/reconfiguration.go
@@ -0,0 +1,128 @@
+package replication
+
+import (
+	"errors"
+	"maps"
+	"time"
+
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/ctxtime"
+)
+
+// reconfigure makes a view whose in-sync set has those who answer, without the failed disks. It also ends a change of
+// membership that is in force.
+func (l *leadership) reconfigure(failed map[string]bool) error {
+	current := l.currentView()
+	return l.changeView(viewChange{excluded: failed}, func(newest View) (View, error) {
+		next := View{Members: newest.Members, Previous: newest.Previous}
+		if newest.Epoch == current.Epoch {
+			next.Previous = nil
+		}
+		return next, nil
+	})
+}
+
+// reconfigureUntilDone makes a view without the failed disks, and tries until one is in force.
+func (l *leadership) reconfigureUntilDone(failed map[string]bool) error {
+	for l.ctx.Err() == nil {
+		if l.reconfigure(failed) == nil {
+			return nil
+		}
+		failed = nil
+		ctxtime.Sleep(l.ctx, reconfigureInterval)
+	}
+	return trace.Wrap(errSuperseded)
+}
+
+// changeView makes a view with this process as the primary, and enters it. The leadership ends where another process
+// leads in a newer one.
+func (l *leadership) changeView(change viewChange, derive func(newest View) (View, error)) error {
+	l.superseded.Store(false)
+	change.base = l.currentView()
+	change.alwaysSendSnapshot = true
+	change.excluded = l.unusablePeers(change.excluded)
+	change.derive = func(newest View) (View, error) {
+		if newest.Primary != l.group.self.DiskID {
+			return View{}, trace.Wrap(errSuperseded)
+		}
+		return derive(newest)
+	}
+	made, err := l.group.changeView(l.ctx, change)
+	switch {
+	case err == nil:
+		l.enterView(made)
+		l.group.notify()
+	case errors.Is(err, errSuperseded):
+		l.group.resign(l, "overtaken")
+	}
+	return trace.Wrap(err)
+}
+
+// unusablePeers returns the disks that can't be in the in-sync set now, besides the given ones.
+func (l *leadership) unusablePeers(failed map[string]bool) map[string]bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	absent := maps.Clone(failed)
+	if absent == nil {
+		absent = map[string]bool{}
+	}
+	now := time.Now()
+	for diskID, known := range l.peers {
+		usable := !known.unresponsive(now, l.group.timing)
+		if !l.view.HasInSync(diskID) {
+			usable = known.mayJoinInSync(now, l.group.timing)
+		}
+		if !usable {
+			absent[diskID] = true
+		}
+	}
+	return absent
+}
+
+// mustReconfigure reports whether the group stands still until a new view is made.
+func (l *leadership) mustReconfigure() bool {
+	view := l.currentView()
+	if l.superseded.Load() || l.group.witness.record().Promised != view.Epoch {
+		return true
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.leaseLapsed {
+		return true
+	}
+	now := time.Now()
+	for _, diskID := range l.view.InSync {
+		if known := l.peers[diskID]; known != nil && known.unresponsive(now, l.group.timing) {
+			return true
+		}
+	}
+	return false
+}
+
+// mayImprove reports whether a new view would be better than the current one: with more disks in sync, or free of the
+// previous members. Otherwise it tells when to ask again; 0 stands for never.
+func (l *leadership) mayImprove(now time.Time) (grow bool, wait time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wanted := len(l.view.Previous) > 0
+	for _, member := range l.view.Members {
+		known := l.peers[member.DiskID]
+		if known != nil && !l.view.HasInSync(member.DiskID) && known.mayJoinInSync(now, l.group.timing) {
+			wanted = true
+		}
+	}
+	if !wanted {
+		return false, 0
+	}
+	if rest := l.nextImprovement.Sub(now); rest > 0 {
+		return false, rest
+	}
+	return true, 0
+}
+
+func (l *leadership) postponeImprovement() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.nextImprovement = time.Now().Add(improvementInterval)
+}
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"math"
 	"sync"
 	"time"
 
@@ -13,12 +11,6 @@
 	"gladepick/internal/wal"
 )
 
-// compactAfterBytes is how much is logged, beyond twice the size of the last snapshot, before the next is written.
-const compactAfterBytes = 1 << 20
-
-// errDetached means that the replica does not follow the log of the epoch in question, or not at that position.
-var errNotAttached = errors.New("replication: replica is not attached to this epoch")
-
 // replica is a copy of the log and of the state machine. Entries are applied when they are known to be committed.
 type replica struct {
 	machine StateMachine
@@ -52,30 +44,7 @@
 	return r, nil
 }
 
-// restore takes the state from a snapshot.
-func (r *replica) restoreSnapshot(data []byte) error {
-	decoded, err := decodeSnapshot(append([]byte(nil), data...))
-	if err != nil {
-		return trace.Wrap(err)
-	}
-	r.snapshotBytes = len(data)
-	return trace.Wrap(r.adopt(decoded))
-}
-
-// load replaces the state. The caller holds the lock.
-func (r *replica) adopt(from snapshot) error {
-	if err := r.machine.Restore(from.state); err != nil {
-		return trace.Wrap(err)
-	}
-	r.applied = from.applied
-	r.committed = from.applied.Index
-	r.unapplied = from.unapplied
-	r.last = from.last()
-	clear(r.applyErrors)
-	return nil
-}
-
-// replay takes a record from the log on disk. The entry says up to where the log was committed when it was made.
+// replayRecord takes a record from the log on disk. The entry says up to where the log was committed when it was made.
 func (r *replica) replayRecord(_ wal.Position, record []byte) error {
 	decoded, err := decodeEntry(append([]byte(nil), record...))
 	if err != nil {
@@ -89,7 +58,7 @@
 	return nil
 }
 
-// add puts an entry at the end. The caller holds the lock.
+// addEntry puts an entry at the end. The caller holds the lock.
 func (r *replica) addEntry(added entry, size int) {
 	r.unapplied = append(r.unapplied, added)
 	r.last = added.position
@@ -117,7 +86,7 @@
 	r.applied = next.position
 }
 
-// begin makes the replica follow its own process as the primary of an epoch, and returns the end of its log. Nothing
+// beginEpoch makes the replica follow its own process as the primary of an epoch, and returns the end of its log. Nothing
 // is taken from primaries of lower epochs afterwards.
 func (r *replica) beginEpoch(epoch uint64) (position, error) {
 	r.mu.Lock()
@@ -132,12 +101,12 @@
 	return r.last, nil
 }
 
-// owns tells whether nothing in the log was replaced by another process since an epoch.
+// ownsSinceLocked reports whether nothing in the log was replaced by another process since an epoch.
 func (r *replica) ownsSinceLocked(epoch uint64) bool {
 	return r.ownedSince != 0 && r.ownedSince <= epoch
 }
 
-// isOwn is owns for callers without the lock.
+// ownsSince is owns for callers without the lock.
 func (r *replica) ownsSince(epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +144,7 @@
 	return after, records, nil
 }
 
-// follow appends entries from the primary of an epoch behind a position, except those it already has.
+// appendFromPrimary appends entries from the primary of an epoch behind a position, except those it already has.
 func (r *replica) appendFromPrimary(epoch uint64, after position, entries []entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +167,7 @@
 	return nil
 }
 
-// holds tells whether the log ends within the entries, which follow a position: an earlier copy of the call has come.
+// endsWithin reports whether the log ends within the entries, which follow a position: an earlier copy of the call has come.
 func (r *replica) endsWithin(after position, entries []entry) bool {
 	if after.Index >= r.last.Index {
 		return false
@@ -211,7 +180,7 @@
 	return false
 }
 
-// commit applies what is committed according to the primary of an epoch. It tells whether the replica follows it, and
+// commit applies what is committed according to the primary of an epoch. It reports whether the replica follows it, and
 // holds all that is committed.
 func (r *replica) commit(epoch, index uint64) (attached, complete bool) {
 	r.mu.Lock()
@@ -235,109 +204,6 @@
 	return true
 }
 
-// install replaces the log and the state by the image of an epoch's primary, and makes the replica follow it. It
-// returns when the image is durable.
-func (r *replica) installSnapshot(epoch uint64, data []byte) error {
-	decoded, err := decodeSnapshot(data)
-	if err != nil {
-		return trace.Wrap(err)
-	}
-	r.snapshotting.acquire()
-	defer r.snapshotting.release()
-	snapshot, err := r.beginInstall(epoch, decoded)
-	if err != nil {
-		return trace.Wrap(err)
-	}
-	if err := snapshot.Commit(data); err != nil {
-		return trace.Wrap(err)
-	}
-	r.endInstall(len(data))
-	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
-}
-
-func (r *replica) beginInstall(epoch uint64, from snapshot) (*wal.Snapshot, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if epoch < r.epoch || r.isAheadOf(epoch, from) {
-		return nil, errNotAttached
-	}
-	snapshot, err := r.log.BeginSnapshot()
-	if err != nil {
-		return nil, trace.Wrap(err)
-	}
-	r.epoch, r.ownedSince = epoch, 0
-	r.installing = true
-	return snapshot, trace.Wrap(r.adopt(from))
-}
-
-// isAhead tells whether the log holds entries of the epoch that an image from its primary lacks: the image is late.
-func (r *replica) isAheadOf(epoch uint64, from snapshot) bool {
-	return !r.installing && r.last.Epoch == epoch && r.last.Index > from.last().Index
-}
-
-func (r *replica) endInstall(size int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.installing = false
-	r.loggedBytes, r.snapshotBytes = 0, size
-}
-
-// image returns the whole state, encoded, and the end of the log it stands for.
-func (r *replica) snapshot() ([]byte, position, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.encodeSnapshot()
-}
-
-func (r *replica) encodeSnapshot() ([]byte, position, error) {
-	state, err := r.machine.Snapshot()
-	if err != nil {
-		return nil, position{}, trace.Wrap(err)
-	}
-	return snapshot{applied: r.applied, unapplied: r.unapplied, state: state}.encode(), r.last, nil
-}
-
-// compact writes a snapshot and removes the log before it, where the log has grown long.
-func (r *replica) compact() {
-	if !r.needsCompaction() || !r.snapshotting.tryAcquire() {
-		return
-	}
-	defer r.snapshotting.release()
-	if err := r.writeSnapshot(); err != nil {
-		r.logger.Warn("snapshot failed", zap.Error(err))
-	}
-}
-
-func (r *replica) needsCompaction() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !r.installing && r.loggedBytes > compactAfterBytes+2*r.snapshotBytes
-}
-
-func (r *replica) writeSnapshot() error {
-	r.mu.Lock()
-	if r.installing {
-		r.mu.Unlock()
-		return errNotAttached
-	}
-	data, _, err := r.encodeSnapshot()
-	var snapshot *wal.Snapshot
-	if err == nil {
-		snapshot, err = r.log.BeginSnapshot()
-	}
-	if err == nil {
-		r.loggedBytes, r.snapshotBytes = 0, len(data)
-	}
-	r.mu.Unlock()
-	if err != nil {
-		return trace.Wrap(err)
-	}
-	if err := snapshot.Commit(data); err != nil {
-		return trace.Wrap(err)
-	}
-	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
-}
-
 // sync returns when all that has been appended is durable.
 func (r *replica) sync(ctx context.Context) error { return trace.Wrap(r.log.Sync(ctx)) }
 
@@ -348,7 +214,7 @@
 	return r.sync(ctx)
 }
 
-// takeOutcome returns what the state machine said to a proposed change, and forgets it.
+// takeApplyError returns what the state machine said to a proposed change, and forgets it.
 func (r *replica) takeApplyError(index uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/controlplane/replication/replica_snapshot.go
@@ -0,0 +1,146 @@
+package replication
+
+import (
+	"math"
+
+	"github.com/gravitational/trace"
+	"go.uber.org/zap"
+
+	"gladepick/internal/wal"
+)
+
+// compactAfterBytes is how much is logged, beyond twice the size of the last snapshot, before the next is written.
+const compactAfterBytes = 1 << 20
+
+// restoreSnapshot takes the state from a snapshot.
+func (r *replica) restoreSnapshot(data []byte) error {
+	decoded, err := decodeSnapshot(append([]byte(nil), data...))
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	r.snapshotBytes = len(data)
+	return trace.Wrap(r.adopt(decoded))
+}
+
+// adopt replaces the state. The caller holds the lock.
+func (r *replica) adopt(from snapshot) error {
+	if err := r.machine.Restore(from.state); err != nil {
+		return trace.Wrap(err)
+	}
+	r.applied = from.applied
+	r.committed = from.applied.Index
+	r.unapplied = from.unapplied
+	r.last = from.last()
+	clear(r.applyErrors)
+	return nil
+}
+
+// installSnapshot replaces the log and the state by the snapshot of an epoch's primary, and makes the replica follow it. It
+// returns when the snapshot is durable.
+func (r *replica) installSnapshot(epoch uint64, data []byte) error {
+	decoded, err := decodeSnapshot(data)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	r.snapshotting.acquire()
+	defer r.snapshotting.release()
+	snapshot, err := r.beginInstall(epoch, decoded)
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	if err := snapshot.Commit(data); err != nil {
+		return trace.Wrap(err)
+	}
+	r.endInstall(len(data))
+	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
+}
+
+func (r *replica) beginInstall(epoch uint64, from snapshot) (*wal.Snapshot, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if epoch < r.epoch || r.isAheadOf(epoch, from) {
+		return nil, errNotAttached
+	}
+	snapshot, err := r.log.BeginSnapshot()
+	if err != nil {
+		return nil, trace.Wrap(err)
+	}
+	r.epoch, r.ownedSince = epoch, 0
+	r.installing = true
+	return snapshot, trace.Wrap(r.adopt(from))
+}
+
+// isAheadOf reports whether the log holds entries of the epoch that a snapshot from its primary lacks: the snapshot is late.
+func (r *replica) isAheadOf(epoch uint64, from snapshot) bool {
+	return !r.installing && r.last.Epoch == epoch && r.last.Index > from.last().Index
+}
+
+func (r *replica) endInstall(size int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.installing = false
+	r.loggedBytes, r.snapshotBytes = 0, size
+}
+
+// snapshot returns the whole state, encoded, and the end of the log it stands for.
+func (r *replica) snapshot() ([]byte, position, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.encodeSnapshot()
+}
+
+func (r *replica) encodeSnapshot() ([]byte, position, error) {
+	state, err := r.machine.Snapshot()
+	if err != nil {
+		return nil, position{}, trace.Wrap(err)
+	}
+	return snapshot{applied: r.applied, unapplied: r.unapplied, state: state}.encode(), r.last, nil
+}
+
+// compact writes a snapshot and removes the log before it, where the log has grown long.
+func (r *replica) compact() {
+	if !r.needsCompaction() || !r.snapshotting.tryAcquire() {
+		return
+	}
+	defer r.snapshotting.release()
+	if err := r.writeSnapshot(); err != nil {
+		r.logger.Warn("snapshot failed", zap.Error(err))
+	}
+}
+
+func (r *replica) needsCompaction() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.installing && r.loggedBytes > compactAfterBytes+2*r.snapshotBytes
+}
+
+func (r *replica) writeSnapshot() error {
+	r.mu.Lock()
+	if r.installing {
+		r.mu.Unlock()
+		return errNotAttached
+	}
+	data, _, err := r.encodeSnapshot()
+	var snapshot *wal.Snapshot
+	if err == nil {
+		snapshot, err = r.log.BeginSnapshot()
+	}
+	if err == nil {
+		r.loggedBytes, r.snapshotBytes = 0, len(data)
+	}
+	r.mu.Unlock()
+	if err != nil {
+		return trace.Wrap(err)
+	}
+	if err := snapshot.Commit(data); err != nil {
+		return trace.Wrap(err)
+	}
+	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
+}
+
+// compact shortens a long log in the background.
+func (g *Group) compact() {
+	if g.replica.needsCompaction() {
+		go g.replica.compact()
+	}
+}
--- a/internal/controlplane/replication/request.go
+++ b/internal/controlplane/replication/request.go
@@ -16,7 +16,7 @@
 	done       chan error
 }
 
-// needsCopies tells whether the request is answered only while enough disks are in sync.
+// needsReplicas reports whether the request is answered only while enough disks are in sync.
 func (r *request) needsReplicas() bool {
 	return r.kind == requestChange || r.kind == requestDurableBarrier
 }
@@ -76,7 +76,7 @@
 	return true
 }
 
-// withdraw takes a request back, and tells whether that was in time.
+// withdraw takes a request back, and reports whether that was in time.
 func (l *leadership) withdraw(unwanted *request) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- /dev/null
+++ b/internal/controlplane/replication/snapshot.go
@@ -0,0 +1,62 @@
+package replication
+
+import (
+	"encoding/binary"
+	"sync"
+)
+
+// snapshot is the whole state of a replica: the state machine's, and the entries that are not applied yet.
+type snapshot struct {
+	applied   position
+	unapplied []entry
+	state     []byte
+}
+
+// last returns the end of the log that the snapshot stands for.
+func (i snapshot) last() position {
+	if len(i.unapplied) == 0 {
+		return i.applied
+	}
+	return i.unapplied[len(i.unapplied)-1].position
+}
+
+func (i snapshot) encode() []byte {
+	buffer := binary.AppendUvarint(nil, i.applied.Epoch)
+	buffer = binary.AppendUvarint(buffer, i.applied.Index)
+	buffer = binary.AppendUvarint(buffer, uint64(len(i.unapplied)))
+	for _, waiting := range i.unapplied {
+		buffer = appendFrame(buffer, waiting.encode(nil))
+	}
+	return append(buffer, i.state...)
+}
+
+// decodeSnapshot reads an encoded snapshot. The snapshot shares the bytes.
+func decodeSnapshot(data []byte) (snapshot, error) {
+	reader := fieldReader{rest: data}
+	decoded := snapshot{}
+	decoded.applied.Epoch = reader.uvarint()
+	decoded.applied.Index = reader.uvarint()
+	count := reader.uvarint()
+	for i := uint64(0); i < count && reader.err == nil; i++ {
+		waiting, err := decodeEntry(reader.frame())
+		if err != nil {
+			return snapshot{}, err
+		}
+		decoded.unapplied = append(decoded.unapplied, waiting)
+	}
+	decoded.state = reader.rest
+	return decoded, reader.err
+}
+
+// lazySnapshot is this replica's snapshot, made when it is first needed.
+type lazySnapshot struct {
+	once sync.Once
+	data []byte
+	last position
+	err  error
+}
+
+func (i *lazySnapshot) get(from *replica) ([]byte, position, error) {
+	i.once.Do(func() { i.data, i.last, i.err = from.snapshot() })
+	return i.data, i.last, i.err
+}
--- a/internal/controlplane/replication/view.go
+++ b/internal/controlplane/replication/view.go
@@ -24,10 +24,10 @@
 // PrimaryMember returns the member that leads the view, and whether it is known.
 func (v View) PrimaryMember() (Member, bool) { return v.Member(v.Primary) }
 
-// HasInSync tells whether a disk is in the in-sync set.
+// HasInSync reports whether a disk is in the in-sync set.
 func (v View) HasInSync(diskID string) bool { return slices.Contains(v.InSync, diskID) }
 
-// everyone returns the current members and those previous ones that are members no more.
+// allMembers returns the current members and those previous ones that are members no more.
 func (v View) allMembers() []Member {
 	all := slices.Clone(v.Members)
 	for _, member := range v.Previous {
@@ -38,7 +38,7 @@
 	return all
 }
 
-// quorum tells whether the disks that satisfy a condition make up a majority of the members, and of the previous ones
+// hasQuorum reports whether the disks that satisfy a condition make up a majority of the members, and of the previous ones
 // where a change of membership is under way.
 func (v View) hasQuorum(has func(diskID string) bool) bool {
 	if !isMajority(v.Members, has) {
@@ -47,7 +47,7 @@
 	return len(v.Previous) == 0 || isMajority(v.Previous, has)
 }
 
-// leastInSync is how many disks an in-sync set must have, so that a tolerated number of lost disks leaves one of them.
+// minInSync is how many disks an in-sync set must have, so that a tolerated number of lost disks leaves one of them.
 func (v View) minInSync(copies int) int {
 	return min(copies, len(v.Members)/2+1)
 }
@@ -62,20 +62,7 @@
 	return 2*count > len(members)
 }
 
-func findMember(members []Member, diskID string) (Member, bool) {
-	for _, member := range members {
-		if member.DiskID == diskID {
-			return member, true
-		}
-	}
-	return Member{}, false
-}
-
-func withoutDisk(members []Member, diskID string) []Member {
-	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.DiskID == diskID })
-}
-
-// newer returns the view with the higher epoch; nil stands for none.
+// newerView returns the view with the higher epoch; nil stands for none.
 func newerView(one, other *View) *View {
 	if one == nil || (other != nil && other.Epoch > one.Epoch) {
 		return other
--- /dev/null
+++ b/internal/controlplane/replication/view_change.go
@@ -0,0 +1,113 @@
+package replication
+
+import (
+	"context"
+	"time"
+
+	"github.com/gravitational/trace"
+	"go.uber.org/zap"
+)
+
+// viewChange describes a view that is to be made with this process as the primary.
+type viewChange struct {
+	base      View // the newest view known; its members are asked
+	bootstrap bool // the base is the view that a new group begins with
+	// next derives the members of the new view from the newest accepted one, or refuses.
+	derive func(newest View) (View, error)
+	// silent holds the disks whose promises are not waited for.
+	unresponsive map[string]bool
+	// excluded holds the disks that don't enter the in-sync set. They are not waited for either.
+	excluded map[string]bool
+	// required is a disk that must enter the in-sync set; "" for none.
+	required string
+	// alwaysSendSnapshot has the whole state sent to everyone who needs it, not only where the in-sync set is too small.
+	alwaysSendSnapshot bool
+}
+
+// establishedView is a view that is in force.
+type establishedView struct {
+	view       View
+	alignedAt  time.Time            // when the in-sync set was asked to follow the log
+	acceptedAt map[string]time.Time // when those who have accepted it were asked, by disk id
+}
+
+// changeView makes a view: promises are collected from a majority of the newest view's members, the in-sync set is
+// aligned with this process's log, and a majority accepts. When it returns, the view is in force and this process's
+// whole log is committed.
+func (g *Group) changeView(ctx context.Context, change viewChange) (establishedView, error) {
+	g.viewChanges.acquire()
+	defer g.viewChanges.release()
+	epoch, err := g.preVote(ctx, change)
+	if err != nil {
+		return establishedView{}, trace.Wrap(err)
+	}
+	last, collected, err := g.prepareEpoch(ctx, epoch, change)
+	if err != nil {
+		return establishedView{}, trace.Wrap(err)
+	}
+	view, err := change.derive(collected.newest)
+	if err != nil {
+		return establishedView{}, trace.Wrap(err)
+	}
+	view.Epoch, view.Primary = epoch, g.self.DiskID
+	aligned := time.Now()
+	view.InSync, err = g.alignInSync(ctx, view, last, change, collected.granted)
+	if err != nil {
+		return establishedView{}, trace.Wrap(err)
+	}
+	accepted, err := g.collectAcceptances(ctx, view, change.bootstrap)
+	if err != nil {
+		return establishedView{}, trace.Wrap(err)
+	}
+	if attached, _ := g.replica.commit(epoch, last.Index); !attached {
+		return establishedView{}, trace.Wrap(errSuperseded)
+	}
+	g.logger.Info("view in force", zap.Uint64("epoch", epoch), zap.Int("members", len(view.Members)),
+		zap.Int("inSync", len(view.InSync)), zap.Uint64("index", last.Index))
+	return establishedView{view: view, alignedAt: aligned, acceptedAt: accepted}, nil
+}
+
+// prepareEpoch takes the epoch for this process: by its own promise, after which its log takes nothing from older
+// primaries, and by those of a majority. It returns the end of the log and what the round brought.
+func (g *Group) prepareEpoch(ctx context.Context, epoch uint64, change viewChange) (position, promises, error) {
+	promised, err := g.witness.promise(epoch, g.self.DiskID)
+	if err != nil {
+		return position{}, promises{}, trace.Wrap(err)
+	}
+	if !promised {
+		return position{}, promises{}, trace.Wrap(errSuperseded)
+	}
+	last, err := g.replica.beginEpoch(epoch)
+	if err != nil {
+		return position{}, promises{}, trace.Wrap(err)
+	}
+	collected, err := g.collectPromises(ctx, change, prepareRequest{Epoch: epoch})
+	if err != nil {
+		return position{}, promises{}, trace.Wrap(err)
+	}
+	if collected.newest.Epoch >= epoch {
+		return position{}, promises{}, trace.Wrap(errSuperseded)
+	}
+	return last, collected, nil
+}
+
+// newestKnownView returns the newest view that this process has accepted or been told of.
+func (g *Group) newestKnownView() *View {
+	return newerView(g.witness.record().Accepted, g.learnedView.Load())
+}
+
+// learnView remembers a view that others have accepted.
+func (g *Group) learnView(view *View) {
+	if view.Epoch > 0 && view != g.newestKnownView() {
+		g.learnedView.Store(newerView(g.learnedView.Load(), view))
+	}
+}
+
+// observeEpoch remembers an epoch that was promised, so that the next one taken is higher.
+func (g *Group) observeEpoch(epoch uint64) {
+	for known := g.highestEpoch.Load(); epoch > known; known = g.highestEpoch.Load() {
+		if g.highestEpoch.CompareAndSwap(known, epoch) {
+			return
+		}
+	}
+}
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -22,7 +22,7 @@
 	Accepted   *View  `json:"accepted,omitempty"`
 }
 
-// allows tells whether the record lets a process act in an epoch.
+// allows reports whether the record lets a process act in an epoch.
 func (r *witnessRecord) allows(epoch uint64, diskID string) bool {
 	return epoch > r.Promised || (epoch == r.Promised && diskID == r.PromisedTo)
 }
