--- a/internal/controlplane/report.go
+++ b/internal/controlplane/failurereport.go
@@ -15,14 +15,15 @@
 const (
 	// pingTimeout is how long a process that was reported has to answer.
 	pingTimeout = 120 * time.Millisecond
-	// pingTries: the first may find no more than that a connection from before has ended.
-	pingTries = 3
+	// pingAttempts: the first may find no more than that a connection from before has ended.
+	pingAttempts = 3
 )
 
-// handleReport takes in that a process could not be reached. The primary looks for itself: where nothing listens at
-// the address any more, or another process answers, the lease ends at once; a process that says nothing is marked as
-// silent until it renews its lease. Many report the same process; those that come when that is known change nothing.
-func (p *Plane) handleReport(ctx context.Context, call *rpc.Call) (any, []byte, error) {
+// handleFailureReport takes in that a process could not be reached. The primary pings it: where nothing listens at the
+// address any more, or another process answers, the lease ends at once; a process that does not answer is marked as
+// unresponsive until it renews its lease. Many report the same process; those that come when that is known change
+// nothing.
+func (p *Plane) handleFailureReport(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var report cluster.FailureReport
 	if err := call.Decode(&report); err != nil {
 		return nil, nil, err
@@ -35,44 +36,44 @@
 		return nil, nil, nil
 	}
 	asked := time.Now()
-	switch p.look(ctx, info) {
-	case processDead:
+	switch p.ping(ctx, info) {
+	case pingDead:
 		if p.leases.Revoke(info, time.Now()) {
 			p.logger.Info("process found dead", zap.String("node", info.Name))
 		}
-	case processSilent:
+	case pingUnanswered:
 		p.leases.MarkUnresponsive(info, asked)
 	}
 	return nil, nil, nil
 }
 
-// sighting is what a look at a process shows.
-type sighting uint8
+// pingResult is what a ping shows of a process.
+type pingResult uint8
 
 const (
-	processAlive  sighting = iota
-	processDead            // it surely has ended
-	processSilent          // nothing is heard of it
+	pingAlive      pingResult = iota
+	pingDead                  // it surely has ended
+	pingUnanswered            // nothing is heard of it
 )
 
-// look asks a process whether it is there.
-func (p *Plane) look(ctx context.Context, info cluster.NodeInfo) sighting {
+// ping asks a process whether it is there.
+func (p *Plane) ping(ctx context.Context, info cluster.NodeInfo) pingResult {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	client := p.options.Pool.Get(info.Address)
-	for range pingTries {
+	for range pingAttempts {
 		var answer cluster.PingResponse
 		_, err := client.Call(ctx, cluster.MethodPing, struct{}{}, nil, &answer)
 		switch {
 		case err == nil && answer.Name == info.Name && answer.Incarnation == info.Incarnation:
-			return processAlive
+			return pingAlive
 		case err == nil:
-			return processDead
+			return pingDead
 		case ctx.Err() != nil:
-			return processSilent
+			return pingUnanswered
 		case errors.Is(err, syscall.ECONNREFUSED):
-			return processDead
+			return pingDead
 		}
 	}
-	return processAlive
+	return pingAlive
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -1,8 +1,23 @@
-// Package controlplane is the control plane's logic on top of a replicated group: the operator's API, the leases of
-// all processes, the placement of partitions, the members of the group, and the list of workers.
+// Package controlplane assembles the control plane of one process, on top of a replicated group.
 //
 // One member of the group, the primary, decides; its decisions are changes of a replicated state machine. Every member
-// that is in touch with the primary renews leases and distributes the state.
+// that is in touch with the primary renews leases and distributes the state. The parts, a package each:
+//
+//   - controlstate: the replicated state, the records of its log and its snapshots
+//   - lease: which processes are alive
+//   - placement: which stores hold and lead which partitions, as a pure computation
+//   - membership: who is a member of the group
+//   - bootstrap: the first start of the whole system
+//   - operatorapi: the operator's calls
+//   - workerlist: the platform's list of workers
+//   - updates: what a process lacks of all that
+//   - replication: the group itself
+//
+// This package connects them, and adds the tableManager, which proposes changes of the cluster table, and the handlers
+// of the calls of other processes. Plane.Run starts a goroutine for the group and for each loop (see Plane.Run); the
+// handlers run in goroutines of the RPC server. All shared state is behind the locks of the parts or immutable; the
+// tableManager belongs to its own goroutine and gets requests through a channel. Start reading at Plane, then at
+// tableManager.step.
 package controlplane
 
 import (
@@ -23,6 +38,7 @@
 	"gladepick/internal/controlplane/operatorapi"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/controlplane/updates"
 	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network"
 	"gladepick/internal/rpc"
@@ -52,19 +68,21 @@
 type Plane struct {
 	options      Options
 	logger       *zap.Logger
-	member       localMember
 	state        *controlstate.Machine
-	leases       *lease.Table
 	workers      workerlist.Cache
-	packer       bodyPacker
-	encoded      newsCaches
-	manager      *tableManager
-	members      *membership.Manager
-	reader       *workerlist.Reader
 	bootstrapper *bootstrap.Bootstrapper
-	operator     *operatorapi.API
+	member       localMember
 	cloud        atomic.Pointer[string] // the platform's address, where it has changed since the start
 
+	// The following are nil on a process that cannot be a member.
+
+	leases   *lease.Table
+	updates  *updates.Source
+	manager  *tableManager
+	members  *membership.Manager
+	reader   *workerlist.Reader
+	operator *operatorapi.API
+
 	lifetime context.Context
 	end      context.CancelFunc
 }
@@ -78,6 +96,7 @@
 	if !plane.canBeMember() {
 		return plane, nil
 	}
+	plane.makeParts()
 	opened, err := replication.Open(plane.groupOptions())
 	if err != nil {
 		return nil, trace.Wrap(err, "opening the control group")
@@ -122,9 +141,11 @@
 	return p.options.Info.Core && p.options.FS != nil && p.options.Info.DiskID != ""
 }
 
-func (p *Plane) groupOptions() replication.Options {
+// makeParts makes what only a process needs that may be a member of the group.
+func (p *Plane) makeParts() {
 	p.manager = newTableManager(p)
 	p.leases = lease.NewTable(p.manager.nudge)
+	p.updates = updates.NewSource(p.state, &p.workers)
 	p.members = membership.NewManager(membership.Options{
 		Group:     &p.member,
 		Leases:    p.leases,
@@ -150,8 +171,12 @@
 		Tolerated:  p.options.Tolerated,
 		Logger:     p.logger,
 	})
+}
+
+func (p *Plane) groupOptions() replication.Options {
+	info := p.options.Info
 	return replication.Options{
-		Self:                p.self(),
+		Self:                replication.Member{Name: info.Name, Address: info.Address, DiskID: info.DiskID},
 		Pool:                p.options.Pool,
 		Server:              p.options.Server,
 		FS:                  p.options.FS,
@@ -164,7 +189,7 @@
 		OnHeartbeat:         p.reader.OnHeartbeat,
 		ResponsePayload:     func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
 		OnResponseEcho:      p.leases.ConfirmAnswer,
-		OnHeartbeatResponse: p.onAnswer,
+		OnHeartbeatResponse: p.onHeartbeatResponse,
 	}
 }
 
@@ -178,14 +203,16 @@
 	server := p.options.Server
 	server.Handle(cluster.MethodSync, p.handleSync)
 	server.Handle(methodRenew, p.handleRenew)
-	server.Handle(cluster.MethodFailureReport, p.handleReport)
+	server.Handle(cluster.MethodFailureReport, p.handleFailureReport)
 	server.Handle(cluster.MethodOperator, p.operator.Handle)
 	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
 	server.Handle(workerlist.Method, p.reader.HandleWorkers)
 	server.Handle(bootstrap.MethodFound, p.bootstrapper.HandleFound)
 }
 
-// Run takes part in the control plane until the context ends.
+// Run takes part in the control plane until the context ends. Each loop has a goroutine: the bootstrap everywhere, and at
+// a process that may be a member also the group, the table's manager, the members' manager, the reader of the list of
+// workers and the announcements to the seeds.
 func (p *Plane) Run(ctx context.Context) {
 	defer p.end()
 	loops := []func(context.Context){p.bootstrapper.Run}
@@ -209,11 +236,6 @@
 	p.reader.Close()
 }
 
-func (p *Plane) self() replication.Member {
-	info := p.options.Info
-	return replication.Member{Name: info.Name, Address: info.Address, DiskID: info.DiskID}
-}
-
 // redundancy is what the copies of partitions must outlive, by what the operator says may be lost at once.
 func (p *Plane) redundancy() placement.Redundancy {
 	return placement.Redundancy{Copies: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
@@ -228,7 +250,8 @@
 	return document
 }
 
-func (p *Plane) onAnswer(_ replication.Member, payload []byte) {
+// onHeartbeatResponse takes in the renewals that the answer of a backup to a heartbeat carries.
+func (p *Plane) onHeartbeatResponse(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
 	}
@@ -236,3 +259,14 @@
 		p.logger.Warn("leases of a backup not read", zap.Error(err))
 	}
 }
+
+// SetCloudAddress changes where the platform's list of workers is read from the next time. It may be empty.
+func (p *Plane) SetCloudAddress(address string) { p.cloud.Store(&address) }
+
+// cloudAddress returns where the platform's list of workers is, or nothing.
+func (p *Plane) cloudAddress() string {
+	if changed := p.cloud.Load(); changed != nil {
+		return *changed
+	}
+	return p.options.CloudAddress
+}
--- a/internal/controlplane/golden_test.go
+++ b/internal/controlplane/updates/golden_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package updates
 
 import (
 	"encoding/json"
@@ -10,9 +10,6 @@
 	"gladepick/internal/cluster"
 )
 
-// The golden files in testdata hold what released versions have written to disks and sent to each other. They were made
-// once, by the flag -update, and are never edited.
-
 // goldenTable is a cluster table with every field set.
 func goldenTable() *cluster.Table {
 	return &cluster.Table{
@@ -37,19 +34,21 @@
 	}
 }
 
-// TestMessagesKeepTheirBytes encodes what members send each other.
+// TestMessagesKeepTheirBytes encodes answers to syncs. The golden file was written once, by the flag -update, and is never
+// edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	table, err := json.Marshal(goldenTable())
 	assert.NilError(t, err)
-	messages := []any{
-		syncNews{
-			SyncResponse: cluster.SyncResponse{ConfigVersion: 5, ConfigUpdates: []int{10, 20}, Compressed: true, WorkerCount: 3, WorkersAgeMS: -1, LeaseAgeMS: 40},
-			Table:        table,
-		},
-		syncNews{TableChanges: json.RawMessage(`[1]`), Workers: json.RawMessage(`{"a":1}`), WorkerChanges: json.RawMessage(`[2]`)},
-	}
 	var lines []byte
-	for _, message := range messages {
+	for _, message := range []any{
+		Response{
+			SyncResponse: cluster.SyncResponse{
+				ConfigVersion: 5, ConfigUpdates: []int{10, 20}, Compressed: true, WorkerCount: 3, WorkersAgeMS: -1, LeaseAgeMS: 40,
+			},
+			Table: table,
+		},
+		Response{TableChanges: json.RawMessage(`[1]`), Workers: json.RawMessage(`{"a":1}`), WorkerChanges: json.RawMessage(`[2]`)},
+	} {
 		line, err := json.Marshal(message)
 		assert.NilError(t, err)
 		lines = append(append(lines, line...), '\n')
