--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -91,8 +91,8 @@
 			fmt.Fprintf(out, "%s may promise: %s, charter %s, %d open here, %d kept in its copies, %d of its groups lack a copy\n", s.Name, yes(s.Ready), s.Charter, s.Open, s.Kept, s.Lost)
 			fmt.Fprintln(w, "GROUP\tLEADER\tTERM\tENTRIES\tCOPIES\tBEHIND\tLOST")
 			for _, g := range s.Groups {
-				places := make([]string, len(g.Copies))
-				for i, p := range g.Copies {
+				places := make([]string, len(g.Replicas))
+				for i, p := range g.Replicas {
 					places[i], _, _ = strings.Cut(p, ".")
 				}
 				fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%s\t%s\t%d\n", g.Group, g.Leader, g.Term, g.Index, strings.Join(places, " "), strings.Trim(fmt.Sprint(g.Behind), "[]"), g.Lost)
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -115,7 +115,7 @@
 }
 
 func (k *Keeper) add(e *entry, h *lease.Lease) {
-	e.hold, e.group = h, k.host.Group(h.Key)
+	e.hold, e.group = h, k.host.GroupOf(h.Key)
 	e.asked, e.granted = map[int]wish{}, map[int]bool{}
 	k.entries[e] = true
 	if e.client != nil {
@@ -194,7 +194,7 @@
 		t.End(decision.NeverSent, decision.Load{}, nil)
 	}
 	if e.looking != 0 {
-		k.host.Drop(e.looking)
+		k.host.Cancel(e.looking)
 		delete(k.tokens, e.looking)
 	}
 	k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
@@ -293,7 +293,7 @@
 
 // find looks up what another dispatcher made of a job.
 func (k *Keeper) find(e *entry) {
-	token, acts := k.host.Look(k.now(), e.group, []byte(e.hold.Key), min(e.until, k.now()+time.Second))
+	token, acts := k.host.Query(k.now(), e.group, []byte(e.hold.Key), min(e.until, k.now()+time.Second))
 	e.looking = token
 	k.tokens[token] = func(data []byte, err error) {
 		e.looking = 0
@@ -308,20 +308,20 @@
 
 // look finds out who is there, and takes over from who is not.
 func (k *Keeper) look(ctx context.Context) {
-	k.links.greet(k.host.Charter(), k.leaving.Load())
+	k.links.greet(k.host.AssignmentID(), k.leaving.Load())
 	v, life, joined, quorum := k.members.View(ctx)
 	k.view, k.life, quorum = v, life, joined && quorum
 	var there []raftgroup.Member
 	for i := range v.Members {
 		r := &v.Members[i]
 		if r.Name == k.node.Name {
-			there = append(there, raftgroup.Member{Place: k.links.self(), Zone: r.Zone, Charter: k.host.Charter(), Leaving: k.leaving.Load()})
+			there = append(there, raftgroup.Member{NodeID: k.links.self(), Zone: r.Zone, Assignment: k.host.AssignmentID(), Leaving: k.leaving.Load()})
 		} else if m, ok := k.links.met(r.Name); ok {
 			m.Zone = r.Zone
 			there = append(there, m)
 		}
 	}
-	k.do(k.host.See(k.now(), there, quorum))
+	k.do(k.host.SetMembers(k.now(), there, quorum))
 	k.ready.Store(k.host.Ready() && v.Contains(k.node.Name, life))
 	if !quorum {
 		clear(k.away)
@@ -333,7 +333,7 @@
 	}
 	room := k.lim.LeaseSubmitBatch
 	for n := range k.host.Groups() {
-		m, leads := k.host.Machine(n)
+		m, leads := k.host.StateMachine(n)
 		if m == nil {
 			continue
 		}
--- a/internal/dispatcher/durablejobs/keep.go
+++ b/internal/dispatcher/durablejobs/keep.go
@@ -62,7 +62,7 @@
 	conf    *config.DurableJobs
 	lim     config.Limits
 	members Membership
-	host    *raftgroup.Host
+	host    *raftgroup.Node
 	links   *links
 	birth   time.Time
 	over    chan struct{}
@@ -101,8 +101,8 @@
 		founders = append(founders, p.Name)
 	}
 	var err error
-	k.host, err = raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: n.Name, Copy: copy}, Founders: founders, Groups: c.Groups, Copies: c.Replicas,
-		Machine: func(int) raftgroup.Machine { return &machine{lease.New()} }, Seed: n.Seed ^ copy}, k.now())
+	k.host, err = raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: n.Name, Memory: copy}, Founders: founders, Groups: c.Groups, Replicas: c.Replicas,
+		NewStateMachine: func(int) raftgroup.StateMachine { return &machine{lease.New()} }, Seed: n.Seed ^ copy}, k.now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Path, err)
 	}
@@ -153,8 +153,8 @@
 	k.core = core
 	close(k.started)
 	defer close(k.over)
-	go k.links.run(ctx, func(from raftgroup.Place, data []byte) {
-		k.post(func() { k.do(k.host.Hear(k.now(), from, data)) })
+	go k.links.run(ctx, func(from raftgroup.NodeID, data []byte) {
+		k.post(func() { k.do(k.host.HandleFrame(k.now(), from, data)) })
 	})
 	beat := time.NewTicker(10 * time.Millisecond)
 	defer beat.Stop()
@@ -227,7 +227,7 @@
 	last := hand{}
 	for began := time.Now(); ; {
 		now := make(chan hand, 1)
-		k.post(func() { now <- hand{len(k.entries), k.host.Moved()} })
+		k.post(func() { now <- hand{len(k.entries), k.host.IsEvacuated()} })
 		select {
 		case <-ctx.Done():
 			slog.Warn("leaving with something in hand", "jobs", last.open, "copies", !last.moved)
@@ -257,7 +257,7 @@
 		s = lease.Status{Name: k.node.Name, Owner: k.owner(), Ready: k.ready.Load(), Open: len(k.entries),
 			Counters: map[string]int64{"taken": c.Taken.Load(), "joined": c.Joined.Load(), "known": c.Known.Load(), "refused": c.Refused.Load(),
 				"inherited": c.Inherited.Load(), "fenced": c.Fenced.Load(), "barred": c.Barred.Load(), "unsure": c.Unsure.Load(), "dropped": c.Dropped.Load()}}
-		if id := k.host.Charter(); id != 0 {
+		if id := k.host.AssignmentID(); id != 0 {
 			s.Charter = strconv.FormatUint(id, 16)
 		}
 		for _, g := range k.host.Status() {
@@ -267,7 +267,7 @@
 			}
 		}
 		for n := range k.host.Groups() {
-			m, _ := k.host.Machine(n)
+			m, _ := k.host.StateMachine(n)
 			if m == nil {
 				continue
 			}
--- a/internal/dispatcher/durablejobs/links.go
+++ b/internal/dispatcher/durablejobs/links.go
@@ -71,14 +71,14 @@
 	return l, nil
 }
 
-func (l *links) self() raftgroup.Place { return raftgroup.Place{Name: l.me.Name, Copy: l.me.Copy} }
+func (l *links) self() raftgroup.NodeID { return raftgroup.NodeID{Name: l.me.Name, Memory: l.me.Copy} }
 
 // met is what a peer last said of itself.
 func (l *links) met(name string) (raftgroup.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h, ok := l.seen[name]
-	return raftgroup.Member{Place: raftgroup.Place{Name: h.Name, Copy: h.Copy}, Charter: h.Charter, Leaving: h.Leaving}, ok
+	return raftgroup.Member{NodeID: raftgroup.NodeID{Name: h.Name, Memory: h.Copy}, Assignment: h.Charter, Leaving: h.Leaving}, ok
 }
 
 // greet lets the peers know what has changed here.
@@ -106,7 +106,7 @@
 }
 
 // send puts a frame on its way.
-func (l *links) send(to raftgroup.Place, data []byte) {
+func (l *links) send(to raftgroup.NodeID, data []byte) {
 	k := l.out[to.Name]
 	if k == nil || len(data) > l.lim.ReplicaFrameBytes {
 		l.dropped.Add(1)
@@ -140,7 +140,7 @@
 }
 
 // run carries until ctx ends.
-func (l *links) run(ctx context.Context, hear func(raftgroup.Place, []byte)) {
+func (l *links) run(ctx context.Context, hear func(raftgroup.NodeID, []byte)) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer context.AfterFunc(ctx, func() { l.listen.Close() })()
@@ -209,9 +209,9 @@
 }
 
 // read takes in what a peer says, until it ends or says what cannot be.
-func (l *links) read(c net.Conn, hear func(raftgroup.Place, []byte)) error {
+func (l *links) read(c net.Conn, hear func(raftgroup.NodeID, []byte)) error {
 	in := bufio.NewReaderSize(c, 64<<10)
-	var from raftgroup.Place
+	var from raftgroup.NodeID
 	head := make([]byte, 5)
 	c.SetReadDeadline(time.Now().Add(2 * l.lim.ReplicaDialTimeout)) // strangers say who they are, and soon
 	for {
@@ -219,7 +219,7 @@
 			return err
 		}
 		n := int(binary.BigEndian.Uint32(head))
-		if n > l.lim.ReplicaFrameBytes || from.Copy == 0 && (head[4] != helloFrame || n > 1024) {
+		if n > l.lim.ReplicaFrameBytes || from.Memory == 0 && (head[4] != helloFrame || n > 1024) {
 			return fmt.Errorf("a frame of %d bytes", n)
 		}
 		data := make([]byte, n)
@@ -231,10 +231,10 @@
 			continue
 		}
 		var h hello
-		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.out[h.Name] == nil || h.Copy == 0 || from.Copy != 0 && h.Copy != from.Copy {
+		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.out[h.Name] == nil || h.Copy == 0 || from.Memory != 0 && h.Copy != from.Memory {
 			return errors.New("a hello that cannot be")
 		}
-		from = raftgroup.Place{Name: h.Name, Copy: h.Copy}
+		from = raftgroup.NodeID{Name: h.Name, Memory: h.Copy}
 		c.SetReadDeadline(time.Time{})
 		l.mu.Lock()
 		if h.Start >= l.seen[h.Name].Start {
--- a/internal/dispatcher/durablejobs/links_test.go
+++ b/internal/dispatcher/durablejobs/links_test.go
@@ -27,7 +27,7 @@
 	heard := make(chan []byte, 16)
 	done := make(chan bool)
 	go func() {
-		l.run(ctx, func(_ raftgroup.Place, data []byte) { heard <- data })
+		l.run(ctx, func(_ raftgroup.NodeID, data []byte) { heard <- data })
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
@@ -78,7 +78,7 @@
 	if a, b := string(<-heard), string(<-heard); a != "one" || b != "two" {
 		t.Errorf("%q and %q are heard", a, b)
 	}
-	if m, ok := l.met("b"); !ok || m.Copy != 3 || m.Charter != 5 {
+	if m, ok := l.met("b"); !ok || m.Memory != 3 || m.Assignment != 5 {
 		t.Errorf("%+v is known of b", m)
 	}
 }
@@ -87,9 +87,9 @@
 func TestPeerThatIsNotThere(t *testing.T) {
 	l, _ := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	for range 40 {
-		l.send(raftgroup.Place{Name: "b", Copy: 1}, make([]byte, 100<<10))
+		l.send(raftgroup.NodeID{Name: "b", Memory: 1}, make([]byte, 100<<10))
 	}
-	l.send(raftgroup.Place{Name: "nobody", Copy: 1}, []byte("x"))
+	l.send(raftgroup.NodeID{Name: "nobody", Memory: 1}, []byte("x"))
 	k := l.out["b"]
 	k.mu.Lock()
 	held := k.held
--- a/internal/dispatcher/durablejobs/machine.go
+++ b/internal/dispatcher/durablejobs/machine.go
@@ -31,7 +31,7 @@
 	Record lease.Record
 }
 
-func (m *machine) Look(key []byte) []byte {
+func (m *machine) Query(key []byte) []byte {
 	r, ok := m.Get(string(key))
 	return encode(seen{Found: ok, Record: r})
 }
--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -60,7 +60,7 @@
 	front   *clienthttp.Server
 
 	broker      *amqp.Adapter               // nil: no broker
-	members     *transport.Transport            // nil: no membership
+	members     *transport.Transport        // nil: no membership
 	durableJobs DurableJobs                 // nil: jobs end with their dispatcher
 	endRecorder func(context.Context) error // nil: nothing is recorded
 }
--- a/internal/dispatcher/lease/status.go
+++ b/internal/dispatcher/lease/status.go
@@ -33,12 +33,12 @@
 
 // GroupStatus is a placement group as one dispatcher knows it.
 type GroupStatus struct {
-	Group  int      `json:"group"`
-	Leads  bool     `json:"leads"`
-	Leader string   `json:"leader"`
-	Term   uint64   `json:"term"`
-	Index  uint64   `json:"index"`
-	Copies []string `json:"copies"` // name.memory, and how many entries each is behind where this host leads
-	Behind []uint64 `json:"behind,omitempty"`
-	Lost   int      `json:"lost"` // copies whose place is not there
+	Group    int      `json:"group"`
+	Leads    bool     `json:"leads"`
+	Leader   string   `json:"leader"`
+	Term     uint64   `json:"term"`
+	Index    uint64   `json:"index"`
+	Replicas []string `json:"copies"` // name.memory, and how many entries each is behind where this host leads
+	Behind   []uint64 `json:"behind,omitempty"`
+	Lost     int      `json:"lost"` // copies whose place is not there
 }
--- a/internal/dispatcher/raftgroup/proposals.go
+++ b/internal/dispatcher/raftgroup/proposals.go
@@ -1,4 +1,4 @@
-// Proposals and questions: the way of a command to its group's leader, and of the answer back.
+// Commands and queries: their way to the group's leader or a replica, and the way of the result back.
 
 package raftgroup
 
@@ -12,175 +12,176 @@
 )
 
 // ErrUnsure is the result of a command that may or may not have been taken in.
-var ErrUnsure = errors.New("replica: no quorum said in time what became of it")
+var ErrUnknownOutcome = errors.New("replica: no quorum said in time what became of it")
 
-// Result is what came of a command or a question.
+// Result is the result of a command or a query.
 type Result struct {
 	Token uint64
 	Data  []byte
 	Err   error
 }
 
+// pending is a command or a query without a result.
 type pending struct {
 	group    int
 	data     []byte
-	question bool
-	until    time.Duration
-	again    time.Duration
-	tries    int
+	isQuery  bool
+	deadline time.Duration
+	resendAt time.Duration
+	attempts int
 }
 
-// Propose brings a command to its group. Its result comes by the token: a reply, or ErrUnsure at the deadline.
-func (h *Host) Propose(now time.Duration, group int, command []byte, until time.Duration) (uint64, *Actions) {
-	return h.ask(now, &pending{group: group, data: command, until: until})
+// Propose sends a command to its group. Its result carries the token: a reply, or ErrUnknownOutcome at the deadline.
+func (node *Node) Propose(now time.Duration, group int, command []byte, until time.Duration) (uint64, *Actions) {
+	return node.start(now, &pending{group: group, data: command, deadline: until})
 }
 
-// Look brings a question to some copy of a group. The answer may be behind.
-func (h *Host) Look(now time.Duration, group int, question []byte, until time.Duration) (uint64, *Actions) {
-	return h.ask(now, &pending{group: group, data: question, until: until, question: true})
+// Query asks some replica of a group. The answer may be stale.
+func (node *Node) Query(now time.Duration, group int, question []byte, until time.Duration) (uint64, *Actions) {
+	return node.start(now, &pending{group: group, data: question, deadline: until, isQuery: true})
 }
 
-func (h *Host) ask(now time.Duration, p *pending) (uint64, *Actions) {
-	h.begin(now)
-	id := h.rng.Uint64() | 1
-	h.pending[id] = p
-	h.carry(id, p)
-	return id, h.end()
+func (node *Node) start(now time.Duration, p *pending) (uint64, *Actions) {
+	node.begin(now)
+	id := node.rng.Uint64() | 1
+	node.pending[id] = p
+	node.sendPending(id, p)
+	return id, node.end()
 }
 
-// Drop gives a command up: no result comes of it any more.
-func (h *Host) Drop(token uint64) { delete(h.pending, token) }
+// Cancel gives a command up: it has no result any more.
+func (node *Node) Cancel(token uint64) { delete(node.pending, token) }
 
-// carry sends a command on its way, or once more.
-func (h *Host) carry(id uint64, p *pending) {
-	p.again = h.now + 4*h.cfg.Tick
-	p.tries++
-	g := h.groups[p.group]
-	if g != nil && p.question && g.raw.BasicStatus().Lead != 0 { // a copy that hears no leader may have been given up long ago
-		h.settle(id, g.machine.Look(p.data))
+// sendPending sends a command or a query, or sends it again.
+func (node *Node) sendPending(id uint64, p *pending) {
+	p.resendAt = node.now + 4*node.config.Tick
+	p.attempts++
+	g := node.groups[p.group]
+	if g != nil && p.isQuery && g.raftNode.BasicStatus().Lead != 0 { // a replica without a leader may have been removed long ago
+		node.complete(id, g.machine.Query(p.data))
 		return
 	} else if g != nil && g.leads {
-		h.enter(g, id, p.data)
+		node.proposeLocally(g, id, p.data)
 		return
 	}
-	to, ok := h.lead[p.group]
-	if !ok || p.tries > 1 { // by turns: whoever has a copy knows who leads
-		to, ok = h.guess(p.group, p.tries)
+	to, ok := node.leaders[p.group]
+	if !ok || p.attempts > 1 { // in turn: each replica knows the leader
+		to, ok = node.otherReplica(p.group, p.attempts)
 	}
 	if ok {
-		kind := propose
-		if p.question {
-			kind = look
+		kind := proposeFrame
+		if p.isQuery {
+			kind = queryFrame
 		}
-		h.send(to, frame{Kind: kind, Group: p.group, ID: id, Data: p.data})
+		node.send(to, frame{Kind: kind, Group: p.group, ID: id, Data: p.data})
 	}
 }
 
-// guess is somebody who may have a copy of a group.
-func (h *Host) guess(n, try int) (Place, bool) {
-	var to []Place
-	for _, p := range h.where[n] {
-		if m, ok := h.seen[p.Name]; ok && m.Copy == p.Copy && p != h.cfg.Self {
+// otherReplica returns a node that may have a replica of a group.
+func (node *Node) otherReplica(n, try int) (NodeID, bool) {
+	var to []NodeID
+	for _, p := range node.replicasOf[n] {
+		if m, ok := node.members[p.Name]; ok && m.Memory == p.Memory && p != node.config.Self {
 			to = append(to, p)
 		}
 	}
 	if len(to) == 0 || try%4 == 0 {
 		to = to[:0]
-		for _, name := range slices.Sorted(maps.Keys(h.seen)) {
-			if m := h.seen[name]; m.Place != h.cfg.Self {
-				to = append(to, m.Place)
+		for _, name := range slices.Sorted(maps.Keys(node.members)) {
+			if m := node.members[name]; m.NodeID != node.config.Self {
+				to = append(to, m.NodeID)
 			}
 		}
 	}
 	if len(to) == 0 {
-		return Place{}, false
+		return NodeID{}, false
 	}
 	return to[try%len(to)], true
 }
 
-// enter gives a command to the group that this host leads.
-func (h *Host) enter(g *group, id uint64, command []byte) {
-	data, err := cbor.Marshal(entry{ID: id, Data: command})
+// proposeLocally proposes a command to a group that this node leads.
+func (node *Node) proposeLocally(g *group, id uint64, command []byte) {
+	data, err := cbor.Marshal(logEntry{ID: id, Data: command})
 	if err != nil {
 		panic(err)
 	}
-	if g.raw.Propose(data) != nil {
-		delete(g.remote, id) // it comes again
+	if g.raftNode.Propose(data) != nil {
+		delete(g.remoteCommands, id) // the sender sends it again
 	}
 }
 
-func (h *Host) settle(id uint64, reply []byte) {
-	if h.pending[id] != nil {
-		delete(h.pending, id)
-		h.acts.Results = append(h.acts.Results, Result{Token: id, Data: reply})
+func (node *Node) complete(id uint64, reply []byte) {
+	if node.pending[id] != nil {
+		delete(node.pending, id)
+		node.actions.Results = append(node.actions.Results, Result{Token: id, Data: reply})
 	}
 }
 
-// Hear takes a frame in. From is who the carrier says sent it.
-func (h *Host) Hear(now time.Duration, from Place, data []byte) *Actions {
-	h.begin(now)
+// HandleFrame takes in a frame that came from a node.
+func (node *Node) HandleFrame(now time.Duration, from NodeID, data []byte) *Actions {
+	node.begin(now)
 	var f frame
-	if err := cbor.Unmarshal(data, &f); err != nil || f.For != h.cfg.Self.Copy {
-		return h.end()
+	if err := cbor.Unmarshal(data, &f); err != nil || f.Memory != node.config.Self.Memory {
+		return node.end()
 	}
-	if f.Of != h.Charter() && (f.Kind != charterWord || h.charter != nil) {
-		if f.Of != 0 && h.charter != nil && !h.apart[from.Name] { // two foundings: their operators' files named others
-			h.apart[from.Name] = true
-			h.notice("apart: %v belongs to another founding, %x; this one to %x", from, f.Of, h.charter.ID)
+	if f.Assignment != node.AssignmentID() && (f.Kind != assignmentFrame || node.assignment != nil) {
+		if f.Assignment != 0 && node.assignment != nil && !node.foreignNodes[from.Name] { // two assignments: the operators' files named different founders
+			node.foreignNodes[from.Name] = true
+			node.notice("apart: %v belongs to another founding, %x; this one to %x", from, f.Assignment, node.assignment.ID)
 		}
-		return h.end()
+		return node.end()
 	}
-	g := h.groups[f.Group]
+	g := node.groups[f.Group]
 	switch f.Kind {
-	case charterWord:
-		var c Charter
-		if cbor.Unmarshal(f.Data, &c) == nil && c.ID == f.Of && c.Groups > 0 && len(c.First) == c.Groups {
-			h.install(&c)
+	case assignmentFrame:
+		var c Assignment
+		if cbor.Unmarshal(f.Data, &c) == nil && c.ID == f.Assignment && c.Groups > 0 && len(c.Initial) == c.Groups {
+			node.installAssignment(&c)
 		}
-	case gone:
+	case removedFrame:
 		if g != nil && g.seat == f.Seat {
-			delete(h.groups, f.Group)
+			delete(node.groups, f.Group)
 		}
 	case raftFrame:
-		h.raft(from, f)
-	case propose:
+		node.stepRaft(from, f)
+	case proposeFrame:
 		if g != nil && g.leads {
-			g.remote[f.ID] = from
-			h.enter(g, f.ID, f.Data)
+			g.remoteCommands[f.ID] = from
+			node.proposeLocally(g, f.ID, f.Data)
 			break
 		}
-		h.redirect(from, f, g)
-	case look:
-		if g != nil && g.raw.BasicStatus().Lead != 0 {
-			h.send(from, frame{Kind: looked, ID: f.ID, Data: g.machine.Look(f.Data)})
+		node.redirect(from, f, g)
+	case queryFrame:
+		if g != nil && g.raftNode.BasicStatus().Lead != 0 {
+			node.send(from, frame{Kind: queryResultFrame, ID: f.ID, Data: g.machine.Query(f.Data)})
 			break
 		}
-		h.redirect(from, f, g)
-	case result, looked:
-		h.settle(f.ID, f.Data)
-	case redirect:
-		p := h.pending[f.ID]
+		node.redirect(from, f, g)
+	case resultFrame, queryResultFrame:
+		node.complete(f.ID, f.Data)
+	case redirectFrame:
+		p := node.pending[f.ID]
 		if p == nil || p.group != f.Group || len(f.Seats) == 0 {
 			break
 		}
-		h.where[f.Group] = h.where[f.Group][:0]
+		node.replicasOf[f.Group] = node.replicasOf[f.Group][:0]
 		for _, s := range f.Seats {
-			h.where[f.Group] = append(h.where[f.Group], s.Place)
+			node.replicasOf[f.Group] = append(node.replicasOf[f.Group], s.Place)
 		}
-		if h.lead[f.Group] = f.Seats[0].Place; p.tries < 8 && f.Seats[0].Place != from && f.Seat != 0 {
-			p.tries = 0
-			h.carry(f.ID, p)
-			p.tries = 8 // after that by turns, and not at once
+		if node.leaders[f.Group] = f.Seats[0].Place; p.attempts < 8 && f.Seats[0].Place != from && f.Seat != 0 {
+			p.attempts = 0
+			node.sendPending(f.ID, p)
+			p.attempts = 8 // after that in turn, and not at once
 		}
 	}
-	return h.end()
+	return node.end()
 }
 
-// redirect tells somebody who has a copy of a group, who leads first.
-func (h *Host) redirect(to Place, f frame, g *group) {
-	out := frame{Kind: redirect, Group: f.Group, ID: f.ID}
+// redirect tells a node who has a replica of a group, the leader first.
+func (node *Node) redirect(to NodeID, f frame, g *group) {
+	out := frame{Kind: redirectFrame, Group: f.Group, ID: f.ID}
 	if g != nil {
-		lead := g.raw.BasicStatus().Lead
+		lead := g.raftNode.BasicStatus().Lead
 		if p, ok := g.seats[lead]; ok {
 			out.Seat, out.Seats = lead, append(out.Seats, Seat{ID: lead, Place: p})
 		}
@@ -190,9 +191,9 @@
 			}
 		}
 	} else {
-		for _, p := range h.where[f.Group] {
+		for _, p := range node.replicasOf[f.Group] {
 			out.Seats = append(out.Seats, Seat{Place: p})
 		}
 	}
-	h.send(to, out)
+	node.send(to, out)
 }
--- a/internal/dispatcher/raftgroup/replica_test.go
+++ b/internal/dispatcher/raftgroup/replica_test.go
@@ -27,7 +27,7 @@
 	l.play.applied(l)
 	return fmt.Append(nil, len(l.items))
 }
-func (l *list) Look([]byte) []byte { return fmt.Append(nil, len(l.items)) }
+func (l *list) Query([]byte) []byte { return fmt.Append(nil, len(l.items)) }
 func (l *list) Snapshot() ([]byte, error) {
 	var out []byte
 	for _, s := range l.items {
@@ -46,8 +46,8 @@
 }
 
 type host struct {
-	*raftgroup.Host
-	place   raftgroup.Place
+	*raftgroup.Node
+	place   raftgroup.NodeID
 	zone    string
 	up      bool
 	stopped time.Duration
@@ -56,7 +56,7 @@
 }
 
 type mail struct {
-	from raftgroup.Place
+	from raftgroup.NodeID
 	data []byte
 }
 
@@ -104,14 +104,14 @@
 func newPlay(t *testing.T, n int, seed uint64) *play {
 	p := &play{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, stands: map[int][]string{}, told: map[string]int{}}
 	for i := range n {
-		p.hosts = append(p.hosts, &host{place: raftgroup.Place{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
+		p.hosts = append(p.hosts, &host{place: raftgroup.NodeID{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
 		p.start(i)
 	}
 	p.every(10*time.Millisecond, func() {
 		for _, h := range p.hosts {
 			if h.up && p.now >= h.stopped {
 				for _, m := range h.waiting {
-					p.do(h, h.Hear(p.now, m.from, m.data))
+					p.do(h, h.HandleFrame(p.now, m.from, m.data))
 				}
 				h.waiting = nil
 				p.do(h, h.Tick(p.now))
@@ -143,8 +143,8 @@
 
 func (p *play) start(i int) {
 	h := p.hosts[i]
-	if h.place.Copy == 0 || !p.relive {
-		h.place.Copy = p.rng.Uint64() | 1
+	if h.place.Memory == 0 || !p.relive {
+		h.place.Memory = p.rng.Uint64() | 1
 	}
 	var names []string
 	for _, x := range p.hosts {
@@ -154,8 +154,8 @@
 		names = append(names, fmt.Sprintf("n%d", k))
 	}
 	var err error
-	h.Host, err = raftgroup.New(raftgroup.Config{Self: h.place, Founders: names[:5], Groups: 4, Compact: 40, Seed: p.rng.Uint64(),
-		Machine: func(g int) raftgroup.Machine { return &list{play: p, group: g} }}, p.now)
+	h.Node, err = raftgroup.New(raftgroup.Config{Self: h.place, Founders: names[:5], Groups: 4, SnapshotInterval: 40, Seed: p.rng.Uint64(),
+		NewStateMachine: func(g int) raftgroup.StateMachine { return &list{play: p, group: g} }}, p.now)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -171,10 +171,10 @@
 		var there []raftgroup.Member
 		for k, x := range p.hosts {
 			if x.up && !p.cut[[2]int{i, k}] && !p.cut[[2]int{k, i}] {
-				there = append(there, raftgroup.Member{Place: x.place, Zone: x.zone, Charter: x.Charter(), Leaving: x.leaving})
+				there = append(there, raftgroup.Member{NodeID: x.place, Zone: x.zone, Assignment: x.AssignmentID(), Leaving: x.leaving})
 			}
 		}
-		p.do(h, h.See(p.now, there, 2*len(there) > len(p.hosts)))
+		p.do(h, h.SetMembers(p.now, there, 2*len(there) > len(p.hosts)))
 	}
 }
 
@@ -189,7 +189,7 @@
 		for copies := 1 + p.rng.IntN(20)/19; copies > 0; copies-- {
 			p.at(time.Millisecond+time.Duration(p.rng.Int64N(int64(4*time.Millisecond))), func() {
 				if x := p.hosts[to]; x.up && p.now >= x.stopped {
-					p.do(x, x.Hear(p.now, place, data))
+					p.do(x, x.HandleFrame(p.now, place, data))
 				} else if x.up && len(x.waiting) < 500 {
 					x.waiting = append(x.waiting, mail{place, data})
 				}
@@ -221,7 +221,7 @@
 		}
 		p.asked++
 		word := fmt.Sprintf("c%d", p.asked)
-		g := h.Group(word)
+		g := h.GroupOf(word)
 		token, acts := h.Propose(p.now, g, []byte(word), p.now+2*time.Second)
 		asks[token] = func(r raftgroup.Result) {
 			if r.Err != nil {
@@ -245,13 +245,13 @@
 	for g := range 4 {
 		longest := 0
 		for _, h := range p.hosts {
-			if m, _ := h.Machine(g); h.up && m != nil {
+			if m, _ := h.StateMachine(g); h.up && m != nil {
 				longest = max(longest, len(m.(*list).items))
 			}
 		}
 		copies := 0
 		for _, h := range p.hosts {
-			if m, _ := h.Machine(g); h.up && m != nil && len(m.(*list).items) == longest {
+			if m, _ := h.StateMachine(g); h.up && m != nil && len(m.(*list).items) == longest {
 				copies++
 			}
 		}
@@ -310,10 +310,10 @@
 	p.load(60 * time.Second)
 	for i := range p.hosts {
 		p.hosts[i].leaving = true
-		for k := 0; k < 100 && !p.hosts[i].Moved(); k++ {
+		for k := 0; k < 100 && !p.hosts[i].IsEvacuated(); k++ {
 			p.run(200 * time.Millisecond)
 		}
-		if !p.hosts[i].Moved() {
+		if !p.hosts[i].IsEvacuated() {
 			t.Errorf("n%d has copies after 20 s", i)
 		}
 		p.hosts[i].up = false
@@ -352,7 +352,7 @@
 	for g := range 4 {
 		copies := 0
 		for _, h := range p.hosts[3:] {
-			if m, _ := h.Machine(g); m != nil {
+			if m, _ := h.StateMachine(g); m != nil {
 				copies++
 			}
 		}
@@ -369,27 +369,27 @@
 // Files that name different dispatchers can found two fleets. What one of them sends is never taken in by the other: its copies
 // would take the place of those that are there.
 func TestAnotherFoundingIsNotHeard(t *testing.T) {
-	make_ := func(name string, founders ...string) *raftgroup.Host {
-		h, err := raftgroup.New(raftgroup.Config{Self: raftgroup.Place{Name: name, Copy: uint64(name[0])}, Founders: founders, Groups: 1, Seed: 1,
-			Machine: func(g int) raftgroup.Machine { return &list{play: &play{stands: map[int][]string{}}} }}, 0)
+	make_ := func(name string, founders ...string) *raftgroup.Node {
+		h, err := raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: name, Memory: uint64(name[0])}, Founders: founders, Groups: 1, Seed: 1,
+			NewStateMachine: func(g int) raftgroup.StateMachine { return &list{play: &play{stands: map[int][]string{}}} }}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return h
 	}
-	member := func(h *raftgroup.Host, name string) raftgroup.Member {
-		return raftgroup.Member{Place: raftgroup.Place{Name: name, Copy: uint64(name[0])}, Charter: h.Charter()}
+	member := func(h *raftgroup.Node, name string) raftgroup.Member {
+		return raftgroup.Member{NodeID: raftgroup.NodeID{Name: name, Memory: uint64(name[0])}, Assignment: h.AssignmentID()}
 	}
 	a, alone := make_("a", "a", "b"), make_("b", "b")
-	alone.See(0, []raftgroup.Member{member(alone, "b")}, true)
-	if a.See(0, []raftgroup.Member{member(a, "a"), {Place: raftgroup.Place{Name: "b", Copy: 'b'}}}, true); a.Charter() == 0 || alone.Charter() == 0 || a.Charter() == alone.Charter() {
-		t.Fatalf("foundings %x and %x", a.Charter(), alone.Charter())
+	alone.SetMembers(0, []raftgroup.Member{member(alone, "b")}, true)
+	if a.SetMembers(0, []raftgroup.Member{member(a, "a"), {NodeID: raftgroup.NodeID{Name: "b", Memory: 'b'}}}, true); a.AssignmentID() == 0 || alone.AssignmentID() == 0 || a.AssignmentID() == alone.AssignmentID() {
+		t.Fatalf("foundings %x and %x", a.AssignmentID(), alone.AssignmentID())
 	}
 	was, frames, notices := fmt.Sprint(alone.Status()), 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		for _, o := range a.Tick(now).Send {
 			frames++
-			notices += len(alone.Hear(now, raftgroup.Place{Name: "a", Copy: 'a'}, o.Data).Notices)
+			notices += len(alone.HandleFrame(now, raftgroup.NodeID{Name: "a", Memory: 'a'}, o.Data).Notices)
 		}
 	}
 	if got := fmt.Sprint(alone.Status()); frames == 0 || notices != 1 || got != was {
