--- a/internal/dispatcher/raftgroup/proposals.go
+++ b/internal/dispatcher/raftgroup/proposals.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrUnsure is the result of a command that may or may not have been taken in.
+// ErrUnknownOutcome is the result of a command that may or may not have been taken in.
 var ErrUnknownOutcome = errors.New("replica: no quorum said in time what became of it")
 
 // Result is the result of a command or a query.
