--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -125,6 +125,9 @@
 	"internal/network/simulated":             {"internal/network"},
 	"internal/rpc":                           {"internal/network"},
 	"internal/settings":                      {},
+	"internal/controlplane/lease":            {"internal/cluster"},
+	"internal/controlplane/placement":        {"internal/cluster", "internal/controlplane/controlstate", "internal/controlplane/lease"},
+	"internal/controlplane/controlstate":     {"internal/cluster", "internal/configuration", "internal/controlplane/syncutil"},
 	"internal/controlplane/syncutil":         {},
 	"internal/controlplane/replication":      {"internal/ctxtime", "internal/modelcheck", "internal/rpc", "internal/vfs", "internal/wal"},
 }
--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -68,11 +68,11 @@
 func (c *calculation) workerList() {
 	const part = "List of workers"
 	c.add(Row{Part: part, Quantity: "pages to read it", Unit: dimensionless, Limit: listPageLimit,
-		Need: destinations / listPageEntries, Mechanism: "`controlplane/workerread.go`"})
+		Need: destinations / listPageEntries, Mechanism: "`controlplane/workerlist/read.go`"})
 	c.add(Row{Part: part, Quantity: "time to read it", Unit: seconds, Limit: listFreshSeconds,
-		Need: destinations / listPageEntries / listPagesPerSecond, Mechanism: "`controlplane/workerread.go`"})
+		Need: destinations / listPageEntries / listPagesPerSecond, Mechanism: "`controlplane/workerlist/read.go`"})
 	c.add(Row{Part: part, Quantity: "its changes, to every dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need: workerChangesPerDay / secondsPerDay * c.slope("workers.bytes"), Mechanism: "`cluster/workerchange.go`, `controlplane/workerhistory.go`"})
+		Need: workerChangesPerDay / secondsPerDay * c.slope("workers.bytes"), Mechanism: "`cluster/workerchange.go`, `controlplane/workerlist/history.go`"})
 	c.add(Row{Part: part, Quantity: "the whole list, to those that start", Unit: bytesPerSecond, Limit: memberLink,
 		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * destinations * c.slope("workers.bytes"),
 		Mechanism: "`controlplane/sync.go`"})
@@ -87,7 +87,7 @@
 }
 
 // listVersionsPerSecond is how often the list of workers is read at most, and so how often it changes;
-// internal/controlplane/workerlist.go.
+// internal/controlplane/workerlist/reader.go.
 const listVersionsPerSecond = 2
 
 // leases are what renewing and checking the leases of all dispatchers costs.
@@ -98,13 +98,13 @@
 	c.add(Row{Part: part, Quantity: "processor, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
 		Need: c.slope("lease.dispatcher"), Mechanism: "`cluster/agent_sync.go`"})
 	c.add(Row{Part: part, Quantity: "processor, of a member, mean of nine", Unit: percentOfCore, Limit: memberCore,
-		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `leases.go`"})
+		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `lease/table.go`"})
 	c.add(Row{Part: part, Quantity: "primary's look at the leases, 64 partitions", Unit: percentOfCore, Limit: memberCore,
 		Need: c.slope("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
 	c.add(Row{Part: part, Quantity: "the same, 32,768 partitions", Unit: percentOfCore, Limit: memberCore,
 		Need: c.slope("manager.step.32768") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
 	c.add(Row{Part: part, Quantity: "passed to the primary and read there", Unit: percentOfCore, Limit: memberCore,
-		Need: dispatchers * renewalsPerSecond * c.slope("lease.take") * nano * toPercent, Mechanism: "`controlplane/leases.go`"})
+		Need: dispatchers * renewalsPerSecond * c.slope("lease.take") * nano * toPercent, Mechanism: "`controlplane/lease/renewal.go`"})
 }
 
 // renewalsPerSecond is how often a dispatcher renews its lease.
@@ -146,7 +146,7 @@
 func (c *calculation) placement() {
 	const part = "Placement"
 	c.add(Row{Part: part, Quantity: "dispatchers that can lead a partition", Unit: dimensionless, Limit: partitionsAtTarget,
-		Need: dispatchers, Mechanism: "`controlplane/placement.go`"})
+		Need: dispatchers, Mechanism: "`controlplane/placement/placement.go`"})
 	c.add(Row{Part: part, Quantity: "table of 32,500 partitions in memory", Unit: bytes, Limit: controlMemoryLimit,
 		Need: partitionsNeeded*c.slope("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/types.go`"})
 	c.add(Row{Part: part, Quantity: "whole table, to those that start", Unit: bytesPerSecond, Limit: memberLink,
@@ -166,16 +166,16 @@
 	c.add(Row{Part: "Failures", Quantity: "copies to make again, of a dispatcher, mean of a day", Unit: bytesPerSecond, Limit: storeDiskRate,
 		Need: failuresPerDay * storedEach * c.slope("keep.disk") / secondsPerDay / dispatchers, Mechanism: "`messagestore/resync.go`"})
 	c.add(Row{Part: "Failures", Quantity: "time until a loss is declared, slowest", Unit: seconds, Limit: changeLimitSeconds,
-		Need: c.slope("declared.max") / millisecondsPerSecond, Mechanism: "`controlplane/leases.go`"})
+		Need: c.slope("declared.max") / millisecondsPerSecond, Mechanism: "`controlplane/lease/table.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "one plan of the primary, 32,500 partitions", Unit: seconds, Limit: leaseSeconds,
-		Need: c.slope("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
+		Need: c.slope("zone.plan") * nano, Mechanism: "`controlplane/placement/repair.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "all plans until every partition has its copies in the table", Unit: seconds, Limit: changeLimitSeconds,
-		Need: math.Ceil(partitionsNeeded*replicas/zones/repairsAtOnce) * c.slope("zone.plan") * nano, Mechanism: "`controlplane/repair.go`"})
+		Need: math.Ceil(partitionsNeeded*replicas/zones/repairsAtOnce) * c.slope("zone.plan") * nano, Mechanism: "`controlplane/placement/repair.go`"})
 	c.add(Row{Part: "A zone lost", Quantity: "backlog copied again by the rest within a day", Unit: bytesPerSecond, Limit: storeDiskRate,
 		Need: storedEach * c.slope("keep.disk") / (zones - 1) / secondsPerDay, Mechanism: "`messagestore/resync.go`"})
 }
 
-// repairsAtOnce is how many views one plan changes at most; internal/controlplane/repair.go.
+// repairsAtOnce is how many views one plan changes at most; internal/controlplane/placement/repair.go.
 const repairsAtOnce = 512
 
 // leaseSeconds is how long a lease runs: a primary that plans for longer loses its own.
