--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -25,7 +25,7 @@
 	return path
 }
 
-const whole = `{"name":"n1","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const completeFile = `{"name":"n1","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{"generation":0,"reset":true,"instances":[]},"settings":` + testenv.Settings + `}`
 
 func load(t *testing.T, text string, more map[string]string) (*config.Node, error) {
@@ -39,7 +39,7 @@
 }
 
 func TestNode(t *testing.T) {
-	n, err := load(t, whole, map[string]string{"NODE_NAME": "n2"})
+	n, err := load(t, completeFile, map[string]string{"NODE_NAME": "n2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 
 // At the start the environment's discovery holds, after a reload the file's; what else differs is named.
 func TestReload(t *testing.T) {
-	path := write(t, "node.json", whole)
+	path := write(t, "node.json", completeFile)
 	env := map[string]string{"NODE_CONFIG": path, "NODE_DISCOVERY": "127.0.0.1:9999"}
 	getenv := func(key string) string { return env[key] }
 	first, err := config.Load(getenv)
@@ -77,14 +77,14 @@
 		{`"listen":"127.0.0.1:5000"`, `"listen":"127.0.0.1:5001"`, "127.0.0.1:8500", "[listen]"},
 		{`"value":8.0`, `"value":9.0`, "127.0.0.1:8500", "[settings]"},
 	} {
-		os.WriteFile(path, []byte(strings.Replace(whole, k.from, k.to, 1)), 0o600)
+		os.WriteFile(path, []byte(strings.Replace(completeFile, k.from, k.to, 1)), 0o600)
 		n, err := config.Reload(getenv)
 		if err != nil || n.Discovery != k.discovery || fmt.Sprint(first.ChangedKeys(n)) != k.fixed {
 			t.Errorf("%s: %v, %+v", k.to, err, n)
 		}
 	}
-	for _, text := range []string{"", whole[:len(whole)/2], whole + "}", whole + whole, strings.Replace(whole, "127.0.0.1:8500", "x", 1),
-		strings.Replace(whole, `"effect":"free"`, `"effect":"gratis"`, 1)} {
+	for _, text := range []string{"", completeFile[:len(completeFile)/2], completeFile + "}", completeFile + completeFile, strings.Replace(completeFile, "127.0.0.1:8500", "x", 1),
+		strings.Replace(completeFile, `"effect":"free"`, `"effect":"gratis"`, 1)} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := config.Reload(getenv); err == nil {
 			t.Errorf("a file of %d bytes is read as whole", len(text))
@@ -109,7 +109,7 @@
 		{`"discovery":"subscribe"`, `"discovery":"shout"`, `node.json: setting discovery: "shout" is not one of automatic, subscribe`},
 		{`"cold_from":0.3`, `"cold_from":3`, `node.json: setting invariants.cold_from: "3" is not in 0 to 1`},
 	} {
-		if _, err := load(t, strings.Replace(whole, k.from, k.to, 1), nil); err == nil || !strings.Contains(err.Error(), k.key) {
+		if _, err := load(t, strings.Replace(completeFile, k.from, k.to, 1), nil); err == nil || !strings.Contains(err.Error(), k.key) {
 			t.Errorf("%s: the error does not name %s: %v", k.to, k.key, err)
 		}
 	}
@@ -128,7 +128,7 @@
 		{"montreal", "paris", "amqp.worker.0.zone"},
 		{"std-2c", "huge", "amqp.worker.0.kind"},
 	} {
-		_, err := load(t, whole, map[string]string{"NODE_AMQP": write(t, "amqp.toml", strings.Replace(good, k.from, k.to, 1))})
+		_, err := load(t, completeFile, map[string]string{"NODE_AMQP": write(t, "amqp.toml", strings.Replace(good, k.from, k.to, 1))})
 		if (err == nil) != (k.key == "") || err != nil && !strings.Contains(err.Error(), k.key) {
 			t.Errorf("%s: wanted an error that names %q: %v", k.to, k.key, err)
 		}
@@ -137,12 +137,12 @@
 
 // The membership needs the operator's file and the settings' permission, and says which of the two is missing.
 func TestMembersFile(t *testing.T) {
-	allowed := strings.Replace(whole, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
+	allowed := strings.Replace(completeFile, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
 	const good = "[members]\nlisten = \"127.0.0.1:7400\"\n[[members.peer]]\nname = \"n2\"\naddress = \"127.0.0.1:7401\"\n"
 	if n, err := load(t, allowed, nil); err != nil || n.Membership != nil {
 		t.Errorf("without the file: %+v, %v", n, err)
 	}
-	if _, err := load(t, whole, map[string]string{"NODE_MEMBERS": write(t, "members.toml", good)}); err == nil || !strings.Contains(err.Error(), "limits.peers") {
+	if _, err := load(t, completeFile, map[string]string{"NODE_MEMBERS": write(t, "members.toml", good)}); err == nil || !strings.Contains(err.Error(), "limits.peers") {
 		t.Errorf("without the permission: %v", err)
 	}
 	for _, k := range []struct{ from, to, key string }{
@@ -179,12 +179,12 @@
 
 // Promises need the membership, the permission and a path for more than notes, and say which is missing.
 func TestPromisesFile(t *testing.T) {
-	allowed := strings.Replace(whole, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
+	allowed := strings.Replace(completeFile, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
 	members := write(t, "members.toml", "[members]\nlisten = \"127.0.0.1:7400\"\n")
 	const good = "[promises]\nlisten = \"127.0.0.1:7500\"\ncopies = 3\n[[promises.peer]]\nname = \"n2\"\naddress = \"127.0.0.1:7501\"\n[[promises.peer]]\nname = \"n3\"\naddress = \"127.0.0.1:7502\"\n"
 	file := write(t, "promises.toml", good)
 	for text, want := range map[string]string{
-		whole: "limits.peers",
+		completeFile: "limits.peers",
 		strings.Replace(allowed, `"seed":`, `"peer_listen":"127.0.0.1:7946","seed":`, 1): "peer_listen",
 		allowed: "NODE_MEMBERS",
 	} {
@@ -276,7 +276,7 @@
 		{10 * time.Second, 5 * time.Second, 3600 * time.Millisecond},
 		{time.Minute, time.Minute, 3600 * time.Millisecond},
 	} {
-		text := strings.ReplaceAll(whole, `"deadline":5000000000`, fmt.Sprintf(`"deadline":%d`, k.deadline.Nanoseconds()))
+		text := strings.ReplaceAll(completeFile, `"deadline":5000000000`, fmt.Sprintf(`"deadline":%d`, k.deadline.Nanoseconds()))
 		text = strings.Replace(text, `"ask_within":10000000000`, fmt.Sprintf(`"ask_within":%d`, k.ask.Nanoseconds()), 1)
 		n, err := load(t, text, nil)
 		if err != nil || n.Module.MaxDiscoverySilence != k.ask || n.Module.Classes[0].Deadline != k.deadline {
@@ -292,7 +292,7 @@
 // drain; where they are asked for, a call may wait its turn.
 func TestCallsForPushedLists(t *testing.T) {
 	for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 30 * time.Second} {
-		text := strings.Replace(whole, `"drain_grace":500000000`, fmt.Sprintf(`"drain_grace":%d`, grace.Nanoseconds()), 1)
+		text := strings.Replace(completeFile, `"drain_grace":500000000`, fmt.Sprintf(`"drain_grace":%d`, grace.Nanoseconds()), 1)
 		asked, err := load(t, text, nil)
 		if err != nil || asked.Limits.DiscoveryCallTimeout < 3*time.Second {
 			t.Errorf("grace %v, asked for: %v, a call within %v", grace, err, asked.Limits.DiscoveryCallTimeout)
--- a/internal/dispatcher/config/golden_test.go
+++ b/internal/dispatcher/config/golden_test.go
@@ -117,18 +117,18 @@
 }
 
 // withPeers is the platform's file of a deployment that allows talk among dispatchers.
-var withPeers = strings.Replace(whole, `"max_attempts":3`, `"max_attempts":3,"peers":true`, 1)
+var withPeers = strings.Replace(completeFile, `"max_attempts":3`, `"max_attempts":3,"peers":true`, 1)
 
 // testdata/node.txt holds what the platform's file and the settings come to: with all that is given, with the least that
 // may be given, and where lists of workers are pushed.
 func TestNodesAsTheyAreRead(t *testing.T) {
 	var out bytes.Buffer
 	for _, k := range []struct{ title, text string }{
-		{"whole", whole},
+		{"whole", completeFile},
 		{"least", `{"listen":"127.0.0.1:5000","seed":"1"}`},
-		{"pushed lists", strings.Replace(whole, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1)},
-		{"small", strings.Replace(whole, `"cores":1.0,"memory_mb":192,"sockets":1024`, `"cores":0.5,"memory_mb":64,"sockets":256`, 1)},
-		{"with known workers", strings.Replace(whole, `"instances":[]`, `"instances":[{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000",`+
+		{"pushed lists", strings.Replace(completeFile, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1)},
+		{"small", strings.Replace(completeFile, `"cores":1.0,"memory_mb":192,"sockets":1024`, `"cores":0.5,"memory_mb":64,"sockets":256`, 1)},
+		{"with known workers", strings.Replace(completeFile, `"instances":[]`, `"instances":[{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000",`+
 			`"zone":"montreal","machineType":"std-2c","cell":3,"lifecycle":"ready","weight":1.5,"startedAtMs":77}]`, 1)},
 	} {
 		n, err := load(t, k.text, nil)
@@ -147,7 +147,7 @@
 	amqp := example(t, "amqp.toml")
 	worker := strings.NewReplacer("# [[amqp.worker]]", "[[amqp.worker]]", "# id", "id", "# queue", "queue", "# zone", "zone", "# kind", "kind").Replace(amqp)
 	for _, text := range []string{amqp, worker, strings.Replace(amqp, "prefetch", "# prefetch", 1)} {
-		n, err := load(t, whole, map[string]string{"NODE_AMQP": write(t, "amqp.toml", text)})
+		n, err := load(t, completeFile, map[string]string{"NODE_AMQP": write(t, "amqp.toml", text)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -206,7 +206,7 @@
 		{`"cores":1.0`, `"cores":0`}, {`"cores":1.0`, `"cores":"one"`}, {`"memory_mb":192`, `"memory_mb":1`}, {`"sockets":1024`, `"sockets":3`},
 		{`"name":"enrol"`, `"name":"seat-check"`}, {`"name":"univ-gaspesie"`, `"name":""`},
 	} {
-		_, err := load(t, strings.Replace(whole, change[0], change[1], 1), nil)
+		_, err := load(t, strings.Replace(completeFile, change[0], change[1], 1), nil)
 		say(change[1], err)
 	}
 	for _, k := range []struct{ variable, file, from, to string }{
--- /dev/null
+++ b/internal/dispatcher/config/toml.go
@@ -0,0 +1,51 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"github.com/BurntSushi/toml"
+)
+
+// decodeTOML reads an operator's file strictly: a key that nobody reads is an error that names it.
+func decodeTOML(path string, into any) error {
+	meta, err := toml.DecodeFile(path, into)
+	if err != nil {
+		var parse toml.ParseError
+		if errors.As(err, &parse) {
+			return fmt.Errorf("%s: key %s: %s", path, parse.LastKey, parse.Error())
+		}
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	if extra := meta.Undecoded(); len(extra) > 0 {
+		return fmt.Errorf("%s: key %s is unknown", path, extra[0])
+	}
+	return nil
+}
+
+// section names the place of a faulty key in an operator's file.
+type section struct {
+	path string
+	name string // of the table; empty is the file's top
+}
+
+// errorf makes the error of a key of the section.
+func (s section) errorf(key, format string, v ...any) error {
+	if s.name != "" {
+		key = s.name + "." + key
+	}
+	return fmt.Errorf("%s: key %s: %s", s.path, key, fmt.Sprintf(format, v...))
+}
+
+// Peer is another dispatcher.
+type Peer struct {
+	Name    string // empty: not known
+	Address netip.AddrPort
+}
+
+// namedPeer is another dispatcher in an operator's file.
+type namedPeer struct {
+	Name    string `toml:"name"`
+	Address string `toml:"address"`
+}
