--- /dev/null
+++ b/internal/messagestore/backup_lease_test.go
@@ -0,0 +1,27 @@
+package messagestore
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestDeliveriesNeedALeaseOrBackupLeases(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		id := h.mustPut("r", "key", "x")
+		leader, partition := h.leader(id), h.messageOf(id).Partition
+		h.leases.Store(false)
+		time.Sleep(2 * time.Second)
+		assert.Assert(t, leader.store.MayDeliver(partition))
+		backup := h.currentTable().Partitions[partition].Replicas[1].Store
+		h.rejectRequests()
+		h.network.Isolate(leader.ip, h.machines[backup].ip)
+		time.Sleep(3 * time.Second)
+		assert.Assert(t, !leader.store.MayDeliver(partition))
+		h.network.Heal(leader.ip, h.machines[backup].ip)
+	})
+}
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -32,7 +32,7 @@
 	return time.Since(started), err
 }
 
-func TestSilentStoresAreGivenUpEarly(t *testing.T) {
+func TestUnresponsiveStoresAreGivenUpEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -94,7 +94,7 @@
 
 // A store that the control plane finds silent gets nothing that can go elsewhere. What cannot is refused at once, with a
 // promise.
-func TestSilentStoresGetNothing(t *testing.T) {
+func TestUnresponsiveStoresGetNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
--- a/internal/messagestore/fencing_test.go
+++ b/internal/messagestore/delivery_fence_test.go
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestCopyThatFailedInPartIsNotCalledSynced has a backup lose one call in the middle of a copy. It may be called synced
+// TestIncompleteResyncIsNotCalledSynced has a backup lose one call in the middle of a copy. It may be called synced
 // only when it holds everything: it may be promoted from then on.
-func TestCopyThatFailedInPartIsNotCalledSynced(t *testing.T) {
+func TestIncompleteResyncIsNotCalledSynced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -100,8 +100,8 @@
 		})
 		synced := make(chan bool, 16)
 		h.mu.Lock()
-		h.onRequest = func(ask cluster.PartitionRequest) {
-			if ask.Partition == partition && ask.Synced == added {
+		h.onRequest = func(request cluster.PartitionRequest) {
+			if request.Partition == partition && request.Synced == added {
 				synced <- holdsAll(target.store, partition, ids)
 			}
 		}
@@ -143,32 +143,32 @@
 	})
 }
 
-// TestOnlyASurePrimaryDeniesAMessage asks a primary that may have been replaced for a message that it does not hold.
-func TestOnlyASurePrimaryDeniesAMessage(t *testing.T) {
+// TestOnlyAConfirmedPrimaryDeniesAMessage asks a primary that may have been replaced for a message that it does not hold.
+func TestOnlyAConfirmedPrimaryDeniesAMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		ask := func() error {
+		query := func() error {
 			var outcome message.Outcome
 			_, err := h.clients.Get(h.address("a")).Call(t.Context(), protocol.MethodState, protocol.QueryRequest{Partition: 0, ID: "0-1"}, nil, &outcome)
 			return err
 		}
-		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeNotFound)
+		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeNotFound)
 		h.machines["a"].noLease.Store(true)
 		time.Sleep(time.Second)
-		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeNotFound, "its backup grants a lease")
+		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeNotFound, "its backup grants a lease")
 		h.rejectRequests()
 		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, rpc.CodeOf(ask()), rpc.CodeUnavailable)
+		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeUnavailable)
 		_, err := h.state("0-1")
 		assert.Assert(t, err != nil && !errors.Is(err, message.ErrNotFound))
 		h.network.Heal(h.machines["a"].ip, h.machines["b"].ip)
 	})
 }
 
-// TestPrimaryWhoseRecordsAreRefusedStopsAtOnce has a backup know a newer epoch than its primary, whose lease still runs.
-func TestPrimaryWhoseRecordsAreRefusedStopsAtOnce(t *testing.T) {
+// TestPrimaryWhoseRecordsAreRejectedStopsAtOnce has a backup know a newer epoch than its primary, whose lease still runs.
+func TestPrimaryWhoseRecordsAreRejectedStopsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -218,9 +218,9 @@
 	})
 }
 
-// TestDeliveriesStayStoppedWhileAHandoverIsInDoubt loses the answer to a handover that was granted: the store must not take
+// TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown loses the answer to a handover that was granted: the store must not take
 // its deliveries up again before it knows of the next view.
-func TestDeliveriesStayStoppedWhileAHandoverIsInDoubt(t *testing.T) {
+func TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown(t *testing.T) {
 	for _, failure := range []error{cluster.ErrOutcomeUnknown, &rpc.Error{Code: rpc.CodeConflict}, &rpc.Error{Code: rpc.CodeInternal}} {
 		assert.Equal(t, handoverOutcomeOf(failure), handoverUnknown)
 	}
@@ -230,7 +230,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.rejectRequests() // with a conflict, as after an ask that was granted before
+		h.rejectRequests() // with a conflict, as after a request that was granted before
 		a := h.machines["a"].store
 		a.mu.Lock()
 		p := a.partition(0)
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -31,11 +31,11 @@
 		"two copies, a restart":                        {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, crashes: 1}, 150000, 12, false},
 		"two copies, two lost disks, one by one":       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 5, losses: 2}, 150000, 11, false},
 		"three copies, a lost disk":                    {modelLimits{stores: 4, replicas: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
-		"two copies, a disk lost early":                {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, losesEarly: true}, 150000, 12, false},
+		"two copies, a disk lost early":                {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, earlyLosses: true}, 150000, 12, false},
 		"two copies, a dropped backup and a lost disk": {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1}, 150000, 11, false},
 		"two copies, two messages":                     {modelLimits{stores: 3, replicas: 2, messages: 2, views: 3}, 150000, 12, false},
-		"two copies, a store is emptied":               {modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retires: true}, 150000, 10, false},
-		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retires: true, losses: 1}, 150000, 9, false},
+		"two copies, a store is emptied":               {modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true}, 150000, 10, false},
+		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retirement: true, losses: 1}, 150000, 9, false},
 		"two copies, a handover":                       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 12, false},
 	}
 	bound := modelcheck.Bound("EXPLORE_STATES", explorerStates)
@@ -57,7 +57,7 @@
 
 // TestWalkPartition goes beyond what can be searched. EXPLORE_WALKS sets how many walks.
 func TestWalkPartition(t *testing.T) {
-	limits := modelLimits{stores: 4, replicas: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retires: true, handovers: true}
+	limits := modelLimits{stores: 4, replicas: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retirement: true, handovers: true}
 	walked := &partitionModel{rules: storeRules(limits), limits: limits}
 	for walk := range modelcheck.Bound("EXPLORE_WALKS", 2000) {
 		if steps := modelcheck.Walk(walked, uint64(walk), 80); steps != nil {
@@ -85,10 +85,10 @@
 			rules.mayPromote = func(*modelStore) bool { return true }
 		}, 36},
 		"a lease comes without the newest table": {failover, func(rules *modelRules) {
-			rules.renews = func(*modelState, int) {}
+			rules.onLeaseRenewal = func(*modelState, int) {}
 		}, 197},
-		"a refusal counts as a grant":                     {failover, func(rules *modelRules) { rules.grantOnRefusal = true }, 198},
-		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.deliversAtOnce = true }, 172},
+		"a refusal counts as a grant":                     {failover, func(rules *modelRules) { rules.grantOnRejection = true }, 198},
+		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.ignoresGrants = true }, 172},
 		"a backup counts as synced before it is whole": {twice, func(rules *modelRules) {
 			rules.maySync = func(messageSet, messageSet) bool { return true }
 		}, 4511},
@@ -96,36 +96,36 @@
 			rules.committed = func(*partitionView, storeSet) bool { return true }
 		}, 15},
 		"another disk at the address confirms": {
-			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, losesEarly: true},
+			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, earlyLosses: true},
 			func(rules *modelRules) {
 				rules.isTarget = func(*partitionView, *modelState, int) bool { return true }
-				rules.maySync = func(held, noted messageSet) bool { return noted.contains(held) }
+				rules.maySync = func(stored, knownStored messageSet) bool { return knownStored.contains(stored) }
 			},
 			38577,
 		},
 		"a store is taken away before others are whole": {
-			modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retires: true},
+			modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true},
 			func(rules *modelRules) { rules.mayComplete = func(*modelState, int) bool { return true } },
 			336,
 		},
 		"a disk is lost as soon as a living backup was dropped": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1},
-			func(rules *modelRules) { rules.dropsUnnoticed = true },
+			func(rules *modelRules) { rules.lossWhileReplacing = true },
 			53,
 		},
 		"a backup that was away counts with what it confirmed before": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 5},
-			func(rules *modelRules) { rules.keepsAcks = true },
+			func(rules *modelRules) { rules.keepsStaleConfirmations = true },
 			414516,
 		},
 		"a successor's successor knows nothing of grants": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 4},
-			func(rules *modelRules) { rules.keepsGrants = true },
+			func(rules *modelRules) { rules.hidesGrants = true },
 			23669,
 		},
 		"deliveries go on after a handover without a clear answer": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 2, handovers: true},
-			func(rules *modelRules) { rules.resumesBlindly = true },
+			func(rules *modelRules) { rules.resumesOnUnknownOutcome = true },
 			410,
 		},
 	}
--- /dev/null
+++ b/internal/messagestore/handover_test.go
@@ -0,0 +1,143 @@
+package messagestore
+
+import (
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
+)
+
+func TestDrainHandsOverAfterOutcomesAreReplicated(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		id := h.mustPut("r", "key", "x")
+		leader := h.leader(id)
+		moved := h.messageOf(id)
+		leader.engine.inFlight.Store(1)
+		drained := make(chan bool)
+		go func() {
+			leader.store.Drain(t.Context())
+			close(drained)
+		}()
+		time.Sleep(200 * time.Millisecond)
+		assert.Assert(t, !leader.store.MayDeliver(moved.Partition))
+		assert.Equal(t, h.leader(id), leader)
+		leader.store.Ended(moved, message.Outcome{State: message.Completed, Stamp: "s"})
+		leader.engine.inFlight.Store(0)
+		<-drained
+		successor := h.leader(id)
+		assert.Assert(t, successor != leader)
+		synctest.Wait()
+		assert.Assert(t, !slices.Contains(successor.engine.ids(), id))
+		outcome, err := h.state(id)
+		assert.NilError(t, err)
+		assert.Equal(t, outcome.Stamp, "s")
+	})
+}
+
+// TestHandoverWaitsForBackupsThatLackRecords checks that a partition is not handed over while a backup that may be
+// promoted lacks records: it would run again what has ended.
+func TestHandoverWaitsForBackupsThatLackRecords(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		h.setView(0, "a", "b", "c")
+		time.Sleep(time.Second)
+		store := h.machines["a"].store
+		store.mu.Lock()
+		p := store.partition(0)
+		p.resync["disk-b"] = &resyncState{running: true}
+		store.mu.Unlock()
+		assert.Assert(t, store.handOver(t.Context(), 0) != handoverDone)
+		store.mu.Lock()
+		delete(p.resync, "disk-b")
+		store.mu.Unlock()
+		assert.Equal(t, store.handOver(t.Context(), 0), handoverDone)
+	})
+}
+
+func TestPreferredPrimaryGetsThePartition(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		id := h.mustPut("r", "key", "x")
+		leader, partition := h.leader(id), h.messageOf(id).Partition
+		leader.engine.inFlight.Store(1)
+		h.update(func(table *cluster.Table) {
+			view := &table.Partitions[partition]
+			view.PreferredPrimary = view.Replicas[1].Store
+		})
+		time.Sleep(time.Second)
+		assert.Equal(t, h.leader(id), leader)
+		assert.Assert(t, !leader.store.MayDeliver(partition))
+		time.Sleep(2 * time.Second)
+		assert.Assert(t, leader.store.MayDeliver(partition), "taken up again after its patience")
+
+		leader.engine.inFlight.Store(0)
+		h.update(func(table *cluster.Table) { table.DeliveringStores++ })
+		time.Sleep(time.Second)
+		successor := h.leader(id)
+		assert.Assert(t, successor != leader)
+		assert.DeepEqual(t, successor.engine.ids(), []string{id})
+		assert.Assert(t, successor.store.MayDeliver(partition))
+	})
+}
+
+// handovers returns the requests for a handover that the control plane has got.
+func (h *harness) handovers() []cluster.PartitionRequest {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(h.requests), func(request cluster.PartitionRequest) bool { return !request.Handover })
+}
+
+// A backup may be synced by the word of the control plane before its primary knows. What the primary did not wait for may
+// still be on its way there: it must not be promoted.
+func TestHandoverNamesTheBackupsThatAreReady(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		h.update(func(table *cluster.Table) {
+			unsynced := h.replica("c")
+			unsynced.Synced = false
+			table.Partitions[0].Epoch++
+			table.Partitions[0].Replicas = []cluster.Replica{h.replica("a"), h.replica("b"), unsynced}
+		})
+		h.rejectRequests() // the backup stays unsynced
+		time.Sleep(time.Second)
+		h.mu.Lock()
+		h.rejecting = false
+		h.mu.Unlock()
+		store := h.machines["a"].store
+		store.mu.Lock()
+		store.partition(0).resync["disk-c"] = &resyncState{running: true}
+		store.mu.Unlock()
+		assert.Equal(t, store.handOver(t.Context(), 0), handoverDone)
+		requested := h.handovers()
+		assert.Equal(t, len(requested), 1)
+		assert.DeepEqual(t, requested[0].Ready, []string{"b"})
+	})
+}
+
+// The end of a message may be lost on its way to a backup while the handover waits behind it.
+func TestHandoverLooksAgainAfterTheFlush(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b")
+		defer h.close()
+		id := h.mustPut("r", "key", "x")
+		leader := h.leader(id)
+		ended := h.messageOf(id)
+		backup := h.machines[h.currentTable().Partitions[ended.Partition].Replicas[1].Store]
+		h.network.Isolate(leader.ip, backup.ip)
+		leader.store.Ended(ended, message.Outcome{State: message.Completed, Stamp: "s"})
+		time.Sleep(20 * time.Millisecond)
+		time.AfterFunc(replicateTimeout-10*time.Millisecond, func() { h.network.Heal(leader.ip, backup.ip) })
+		assert.Assert(t, leader.store.handOver(t.Context(), ended.Partition) != handoverDone)
+		assert.Equal(t, len(h.handovers()), 0)
+	})
+}
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -26,7 +26,7 @@
 	testPort              = 7000
 )
 
-// testEngine records what a store gives its delivery engine.
+// testEngine implements Engine and records what it gets.
 type testEngine struct {
 	mu        sync.Mutex
 	submitted []*message.Message
@@ -60,7 +60,7 @@
 	return ids
 }
 
-// machine is a simulated store machine.
+// machine is the simulated machine of one store.
 type machine struct {
 	name    string
 	ip      string
@@ -75,7 +75,7 @@
 	pool   *rpc.Pool
 }
 
-// harness plays the control plane for a few stores.
+// harness plays the control plane of a few stores, on a simulated network.
 type harness struct {
 	t        *testing.T
 	network  *simulated.Network
@@ -86,9 +86,9 @@
 	mu        sync.Mutex
 	table     *cluster.Table
 	leases    atomic.Bool
-	rejecting bool // asks are refused
+	rejecting bool // requests are rejected
 	requests  []cluster.PartitionRequest
-	onRequest func(ask cluster.PartitionRequest) // called with each ask; may be nil
+	onRequest func(request cluster.PartitionRequest) // called with each request; may be nil
 }
 
 func newHarness(t *testing.T, names ...string) *harness {
@@ -209,38 +209,38 @@
 	return h.table
 }
 
-// refuseAsks has the control plane refuse all asks from now on.
+// rejectRequests has the control plane reject all requests from now on.
 func (h *harness) rejectRequests() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rejecting = true
 }
 
-// PartitionAsk implements Control as the control plane does.
-func (h *harness) RequestPartitionChange(_ context.Context, ask cluster.PartitionRequest) error {
+// RequestPartitionChange implements Control as the control plane does.
+func (h *harness) RequestPartitionChange(_ context.Context, request cluster.PartitionRequest) error {
 	h.mu.Lock()
-	h.requests = append(h.requests, ask)
-	view := h.table.Partitions[ask.Partition]
-	refusing, onAsk := h.rejecting, h.onRequest
+	h.requests = append(h.requests, request)
+	view := h.table.Partitions[request.Partition]
+	rejecting, onRequest := h.rejecting, h.onRequest
 	h.mu.Unlock()
-	if onAsk != nil {
-		onAsk(ask)
+	if onRequest != nil {
+		onRequest(request)
 	}
-	if refusing || view.Epoch != ask.Epoch || view.Replicas[0].Store != ask.Store {
+	if rejecting || view.Epoch != request.Epoch || view.Replicas[0].Store != request.Store {
 		return &rpc.Error{Code: rpc.CodeConflict}
 	}
 	switch {
-	case ask.Drop != "":
-		h.replace(ask.Partition, ask.Drop)
-	case ask.Synced != "":
+	case request.Drop != "":
+		h.replace(request.Partition, request.Drop)
+	case request.Synced != "":
 		h.update(func(table *cluster.Table) {
-			view := &table.Partitions[ask.Partition]
+			view := &table.Partitions[request.Partition]
 			view.Epoch++
-			view.Replicas[view.IndexOf(ask.Synced)].Synced = true
+			view.Replicas[view.IndexOf(request.Synced)].Synced = true
 		})
-	case ask.Handover:
+	case request.Handover:
 		h.update(func(table *cluster.Table) {
-			view := &table.Partitions[ask.Partition]
+			view := &table.Partitions[request.Partition]
 			view.Epoch++
 			view.Replicas[0], view.Replicas[1] = view.Replicas[1], view.Replicas[0]
 		})
@@ -284,7 +284,7 @@
 	return client.New("z0", h.clients, h.currentTable, func(cluster.FailureReport) {})
 }
 
-// put hands a message in and returns its ID.
+// put stores a message and returns its ID.
 func (h *harness) put(requestID, orderKey string, body string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -314,7 +314,7 @@
 	return string(body), err
 }
 
-// leader returns the machine that the table names as a message's primary.
+// leader returns the machine that the table names as the primary of a message's partition.
 func (h *harness) leader(id string) *machine {
 	partition, err := client.PartitionOf(id)
 	assert.NilError(h.t, err)
--- a/internal/messagestore/roles_test.go
+++ b/internal/messagestore/leadership_test.go
@@ -25,7 +25,7 @@
 	return table
 }
 
-func TestChangesOfTheLeadAreLoggedOnceATable(t *testing.T) {
+func TestLeadershipChangesAreLoggedOncePerTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zapcore.InfoLevel)
 		store, err := Open(Options{
--- a/internal/messagestore/model_control_steps_test.go
+++ b/internal/messagestore/model_control_steps_test.go
@@ -2,19 +2,19 @@
 
 package messagestore
 
-// control are the changes of the table.
+// controlSteps are the changes of the table: failover, replacement of a dead backup, what primaries request, decommissioning.
 func (m *partitionModel) controlSteps(state *modelState, add addStep) {
 	view := state.current()
-	primaryLives := state.alive(view, int(view.primary)) && state.stores[view.primary].leased
+	primaryAvailable := state.isAvailable(view, int(view.primary)) && state.stores[view.primary].hasLease
 	for store := range modelStores {
 		if !view.replicas().has(store) {
 			continue
 		}
-		dead := !state.alive(view, store) || m.rules.mayPromote(&state.stores[store])
+		dead := !state.isAvailable(view, store) || m.rules.mayPromote(&state.stores[store])
 		switch {
 		case store == int(view.primary) && dead:
 			m.promote(state, add)
-		case store != int(view.primary) && dead && primaryLives:
+		case store != int(view.primary) && dead && primaryAvailable:
 			m.replace(state, store, "replaces", add)
 		}
 	}
@@ -24,20 +24,20 @@
 	m.retireSteps(state, add)
 }
 
-// put puts a view in force.
-func (m *partitionModel) put(state *modelState, view partitionView, format string, args []any, add addStep) {
+// addView puts a view in force.
+func (m *partitionModel) addView(state *modelState, view partitionView, format string, args []any, add addStep) {
 	next := *state
 	next.views[next.count] = view
 	next.count++
 	add(next, format, args...)
 }
 
-// promote has a synced backup lead in the place of the primary, which leaves where another store can take its place.
+// promote makes a synced backup the primary. The former one leaves the group where another store can take its place.
 func (m *partitionModel) promote(state *modelState, add addStep) {
 	view := state.current()
 	former := int(view.primary)
 	for store := range modelStores {
-		if store == former || !state.syncedAlive().has(store) {
+		if store == former || !state.syncedAvailable().has(store) {
 			continue
 		}
 		next := *view
@@ -45,16 +45,16 @@
 		next.primary = int8(store)
 		next.backups = view.backups.without(store)
 		if spare, found := m.spare(state, view); found {
-			m.include(state, &next, spare)
+			m.addUnsynced(state, &next, spare)
 			next.synced = next.synced.without(former)
 		} else {
 			next.backups = next.backups.with(former)
 		}
-		m.put(state, next, "the table promotes %s", []any{storeName(store)}, add)
+		m.addView(state, next, "the table promotes %s", []any{storeName(store)}, add)
 	}
 }
 
-// spare returns a store that holds no copy by a view and may be given one.
+// spare returns a store that is no replica by a view and may become one.
 func (m *partitionModel) spare(state *modelState, view *partitionView) (int, bool) {
 	for store := range modelStores {
 		if !state.stores[store].removed && !view.replicas().has(store) && int(state.retiring) != store+1 {
@@ -64,18 +64,18 @@
 	return 0, false
 }
 
-// include adds a backup that is not synced.
-func (m *partitionModel) include(state *modelState, view *partitionView, store int) {
+// addUnsynced adds a backup that is not synced.
+func (m *partitionModel) addUnsynced(state *modelState, view *partitionView, store int) {
 	view.backups = view.backups.with(store)
 	view.synced = view.synced.without(store)
 	view.disks[store] = state.stores[store].disk
 }
 
-// replace puts a spare store, or the returned one with its new disk, in the place of a backup.
+// replace puts a spare store, or the same store with a new disk, in the place of a backup.
 func (m *partitionModel) replace(state *modelState, dropped int, what string, add addStep) {
 	view := state.current()
 	spare, found := m.spare(state, view)
-	if !found && !state.alive(view, dropped) && !state.stores[dropped].removed {
+	if !found && !state.isAvailable(view, dropped) && !state.stores[dropped].removed {
 		spare, found = dropped, true
 	}
 	if !found {
@@ -85,63 +85,63 @@
 	next.epoch++
 	next.backups = view.backups.without(dropped)
 	next.synced = view.synced.without(dropped)
-	m.include(state, &next, spare)
-	m.put(state, next, "the table %s %s by %s", []any{what, storeName(dropped), storeName(spare)}, add)
+	m.addUnsynced(state, &next, spare)
+	m.addView(state, next, "the table %s %s by %s", []any{what, storeName(dropped), storeName(spare)}, add)
 }
 
-// asks are what a primary asks the control plane for.
+// requestSteps are what a primary requests of the control plane: to call a backup synced, to replace one, to hand over.
 func (m *partitionModel) requestSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	view := state.current()
 	isPrimary := int(view.primary) == store && view.epoch == s.epoch
-	if !s.leading || s.removed || !isPrimary {
+	if !s.isPrimary || s.removed || !isPrimary {
 		return
 	}
 	for backup := range modelStores {
 		if !view.backups.has(backup) {
 			continue
 		}
-		held := s.holds &^ s.pending
-		if !view.synced.has(backup) && s.inventoried.has(backup) && state.alive(view, backup) && m.rules.maySync(held, s.confirmed[backup]) {
+		committed := s.stored &^ s.pending
+		if !view.synced.has(backup) && s.inventoried.has(backup) && state.isAvailable(view, backup) && m.rules.maySync(committed, s.knownStored[backup]) {
 			next := *view
 			next.synced = view.synced.with(backup)
-			m.put(state, next, "%s has %s called synced", []any{storeName(store), storeName(backup)}, add)
+			m.addView(state, next, "%s has %s called synced", []any{storeName(store), storeName(backup)}, add)
 		}
-		if state.alive(view, backup) {
-			m.drop(state, backup, add)
+		if state.isAvailable(view, backup) {
+			m.replacementStep(state, backup, add)
 		}
 	}
 	if s.paused {
-		m.grantHandover(state, add)
+		m.handoverViews(state, add)
 	}
 }
 
-// grantHandover has a synced backup lead; the former primary stays as a backup.
-func (m *partitionModel) grantHandover(state *modelState, add addStep) {
+// handoverViews make a synced backup the primary; the former primary stays as a backup.
+func (m *partitionModel) handoverViews(state *modelState, add addStep) {
 	view := state.current()
 	for store := range modelStores {
-		if !view.backups.has(store) || !state.syncedAlive().has(store) {
+		if !view.backups.has(store) || !state.syncedAvailable().has(store) {
 			continue
 		}
 		next := *view
 		next.epoch++
 		next.primary = int8(store)
 		next.backups = view.backups.without(store).with(int(view.primary))
-		m.put(state, next, "the table hands over to %s", []any{storeName(store)}, add)
+		m.addView(state, next, "the table hands over to %s", []any{storeName(store)}, add)
 	}
 }
 
-// drop is what comes of a primary's ask for the place of a backup that does not answer it. That is a trouble: until the new
-// copy is whole, no other loss can be borne.
-func (m *partitionModel) drop(state *modelState, backup int, add addStep) {
+// replacementStep is what comes of a primary's request to replace a backup that does not respond. That is a fault: until the
+// new replica is complete, no other loss can be tolerated.
+func (m *partitionModel) replacementStep(state *modelState, backup int, add addStep) {
 	after := *state
-	after.recovering = !m.rules.dropsUnnoticed
+	after.recovering = !m.rules.lossWhileReplacing
 	m.replace(&after, backup, "drops", add)
 }
 
-// retire empties a store: another one is given a copy first, and it is taken away when it holds none.
+// retireSteps decommission a store: another store becomes a replica first, and the store is removed when it is none.
 func (m *partitionModel) retireSteps(state *modelState, add addStep) {
-	if !m.limits.retires {
+	if !m.limits.retirement {
 		return
 	}
 	view := state.current()
@@ -165,13 +165,13 @@
 	if spare, found := m.spare(state, view); found && view.replicas().count() == m.limits.replicas {
 		next := *view
 		next.epoch++
-		m.include(state, &next, spare)
-		m.put(state, next, "the table adds %s", []any{storeName(spare)}, add)
+		m.addUnsynced(state, &next, spare)
+		m.addView(state, next, "the table adds %s", []any{storeName(spare)}, add)
 	}
-	if state.syncedAlive().without(leaving).count() >= m.limits.replicas {
+	if state.syncedAvailable().without(leaving).count() >= m.limits.replicas {
 		next := *view
 		next.epoch++
 		next.backups, next.synced = view.backups.without(leaving), view.synced.without(leaving)
-		m.put(state, next, "the table lets %s go", []any{storeName(leaving)}, add)
+		m.addView(state, next, "the table lets %s go", []any{storeName(leaving)}, add)
 	}
 }
--- a/internal/messagestore/model_rules_test.go
+++ b/internal/messagestore/model_rules_test.go
@@ -2,49 +2,50 @@
 
 package messagestore
 
-// modelRules are the rules that mutations change.
+// modelRules are the rules that mutations break.
 type modelRules struct {
-	mayPromote     func(former *modelStore) bool  // its lease is surely over
-	renews         func(s *modelState, store int) // what comes with a lease
-	isTarget       func(view *partitionView, s *modelState, to int) bool
-	grantOnRefusal bool                              // a refusal counts as a grant
-	deliversAtOnce bool                              // a successor does not wait for the end of grants
-	dropsUnnoticed bool                              // a disk may be lost as soon as a living backup was dropped
-	keepsAcks      bool                              // confirmations count also where the backup was away meanwhile
-	keepsGrants    bool                              // a primary does not tell its backups of the grants that it waits for
-	maySync        func(held, noted messageSet) bool // a backup may be called synced
-	committed      func(view *partitionView, acks storeSet) bool
-	mayComplete    func(s *modelState, store int) bool // a store is empty and may be taken away
-	resumesBlindly bool                                // deliveries go on after a handover without a clear answer
+	mayPromote              func(former *modelStore) bool  // the former primary's lease is over for sure
+	onLeaseRenewal          func(s *modelState, store int) // what a store gets with a lease
+	isTarget                func(view *partitionView, s *modelState, to int) bool
+	grantOnRejection        bool                                      // a rejection counts as a lease
+	ignoresGrants           bool                                      // a new primary does not wait for the end of granted leases
+	lossWhileReplacing      bool                                      // a disk may be lost as soon as an available backup was replaced
+	keepsStaleConfirmations bool                                      // confirmations count also where the backup was away meanwhile
+	hidesGrants             bool                                      // a primary does not pass on to its backups the grants that it waits for
+	maySync                 func(stored, knownStored messageSet) bool // a backup may be called synced
+	committed               func(view *partitionView, acks storeSet) bool
+	mayComplete             func(s *modelState, store int) bool // a store that is decommissioned may be removed
+	resumesOnUnknownOutcome bool                                // deliveries go on after a handover whose outcome is unknown
 }
 
-// modelLimits bound what may happen in a play.
+// modelLimits bound what may happen in a sequence of steps.
 type modelLimits struct {
-	stores    int
-	replicas  int
-	messages  int
-	views     int
-	losses    uint8
-	crashes   uint8
-	retires   bool
-	handovers bool // handovers on purpose
+	stores     int
+	replicas   int
+	messages   int
+	views      int
+	losses     uint8
+	crashes    uint8
+	retirement bool
+	handovers  bool // handovers on purpose
 
-	// losesEarly has disks be lost as soon as the newest view is whole, whatever former primaries still believe. That is
-	// more than must be borne.
-	losesEarly bool
+	// earlyLosses loses disks as soon as all replicas of the newest view are synced, whatever former primaries still
+	// believe. That is more than the service has to tolerate.
+	earlyLosses bool
 }
 
+// storeRules returns the rules that stores and the control plane follow.
 func storeRules(limits modelLimits) modelRules {
 	return modelRules{
-		mayPromote: func(former *modelStore) bool { return !former.leased },
-		renews:     func(s *modelState, store int) { s.apply(store, s.count) },
-		isTarget:   func(view *partitionView, s *modelState, to int) bool { return s.alive(view, to) },
-		maySync:    func(held, noted messageSet) bool { return noted.contains(held) },
+		mayPromote:     func(former *modelStore) bool { return !former.hasLease },
+		onLeaseRenewal: func(s *modelState, store int) { s.apply(store, s.count) },
+		isTarget:       func(view *partitionView, s *modelState, to int) bool { return s.isAvailable(view, to) },
+		maySync:        func(stored, knownStored messageSet) bool { return knownStored.contains(stored) },
 		committed: func(view *partitionView, acks storeSet) bool {
 			return acks.contains(view.backups) && view.replicas().count() >= limits.replicas
 		},
 		mayComplete: func(s *modelState, store int) bool {
-			return !s.current().replicas().has(store) && s.syncedAlive().without(store).count() >= limits.replicas
+			return !s.current().replicas().has(store) && s.syncedAvailable().without(store).count() >= limits.replicas
 		},
 	}
 }
--- a/internal/messagestore/model_sets_test.go
+++ b/internal/messagestore/model_sets_test.go
@@ -17,6 +17,7 @@
 
 func (s storeSet) count() int { return bits.OnesCount8(uint8(s)) }
 
+// storeName returns a store's name in the names of steps.
 func storeName(store int) string { return string(rune('a' + store)) }
 
 // messageSet is a set of messages by number.
--- a/internal/messagestore/model_store_steps_test.go
+++ b/internal/messagestore/model_store_steps_test.go
@@ -2,71 +2,70 @@
 
 package messagestore
 
-// table has a store hear of newer views.
+// tableSteps has a store apply newer views, and renew its lease.
 func (m *partitionModel) tableSteps(state *modelState, store int, add addStep) {
 	for number := state.stores[store].view + 1; number <= state.count; number++ {
 		next := *state
 		next.apply(store, number)
 		add(next, "%s hears of view %d", storeName(store), number)
 	}
-	if !state.stores[store].leased {
+	if !state.stores[store].hasLease {
 		next := *state
-		m.rules.renews(&next, store)
-		next.stores[store].leased = true
+		m.rules.onLeaseRenewal(&next, store)
+		next.stores[store].hasLease = true
 		add(next, "%s gets a lease", storeName(store))
 	}
 }
 
-// time ends leases of the control plane and of backups.
+// leaseSteps ends leases of the control plane and of backups.
 func (m *partitionModel) leaseSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
-	if s.leased {
+	if s.hasLease {
 		next := *state
-		next.stores[store].leased = false
+		next.stores[store].hasLease = false
 		next.recovering = true
 		add(next, "the lease of %s ends", storeName(store))
 	}
 	for other := range modelStores {
-		if s.grants.has(other) {
+		if s.backupLeases.has(other) {
 			next := *state
-			next.stores[store].grants = s.grants.without(other)
+			next.stores[store].backupLeases = s.backupLeases.without(other)
 			add(next, "%s counts on the lease from %s no more", storeName(store), storeName(other))
 		}
-		for _, giver := range s.grantersTo(other) {
-			if !state.stores[other].grants.has(giver) {
+		for _, granter := range s.grantersTo(other) {
+			if !state.stores[other].backupLeases.has(granter) {
 				next := *state
-				next.stores[store].granted[giver] = s.granted[giver].without(other)
-				add(next, "%s knows that the lease from %s to %s is over", storeName(store), storeName(giver), storeName(other))
+				next.stores[store].knownGrants[granter] = s.knownGrants[granter].without(other)
+				add(next, "%s knows that the lease from %s to %s is over", storeName(store), storeName(granter), storeName(other))
 			}
 		}
 	}
 }
 
-// catchUp is the time after a trouble in which what it has damaged is made whole again, for as long as losses may be borne
-// one by one.
+// recoverySteps ends the time after a fault in which replicas catch up: from then on another fault has to be tolerated.
 func (m *partitionModel) recoverySteps(state *modelState, add addStep) {
-	if !state.recovering || state.syncedAlive().count() < m.limits.replicas {
+	if !state.recovering || state.syncedAvailable().count() < m.limits.replicas {
 		return
 	}
 	for store := range modelStores {
-		if !state.stores[store].removed && !state.stores[store].leased {
+		if !state.stores[store].removed && !state.stores[store].hasLease {
 			return
 		}
 	}
 	next := *state
 	next.recovering = false
-	add(next, "the trouble is over")
+	add(next, "the replicas have caught up")
 }
 
-// mayLose tells whether a disk may be lost now.
-func (m *partitionModel) mayLose(state *modelState) bool {
-	if m.limits.losesEarly {
-		return state.syncedAlive() == state.current().replicas()
+// mayLoseDisk tells whether a disk may be lost now.
+func (m *partitionModel) mayLoseDisk(state *modelState) bool {
+	if m.limits.earlyLosses {
+		return state.syncedAvailable() == state.current().replicas()
 	}
 	return !state.recovering
 }
 
-// faults are restarts and lost disks. Losses come one after the other, each when the trouble before is over.
+// faultSteps are restarts and lost disks. A disk is lost only after the replicas have caught up from the fault before.
 func (m *partitionModel) faultSteps(state *modelState, store int, add addStep) {
 	if state.crashes < m.limits.crashes {
 		next := *state
@@ -74,18 +73,18 @@
 		next.restart(store)
 		add(next, "%s restarts", storeName(store))
 	}
-	if state.losses < m.limits.losses && m.mayLose(state) {
+	if state.losses < m.limits.losses && m.mayLoseDisk(state) {
 		next := *state
 		next.losses++
 		next.restart(store)
 		lost := &next.stores[store]
 		lost.disk++
-		lost.holds, lost.epoch = 0, 0
+		lost.stored, lost.epoch = 0, 0
 		add(next, "%s loses its disk", storeName(store))
 	}
 }
 
-// leads are the steps of a primary.
+// primarySteps are what a primary does: it takes messages, acknowledges them, calls its backups and hands over.
 func (m *partitionModel) primarySteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	view := state.applied(store)
@@ -94,15 +93,15 @@
 			next := *state
 			next.accepted = state.accepted.with(number)
 			p := &next.stores[store]
-			p.holds, p.pending = p.holds.with(number), p.pending.with(number)
+			p.stored, p.pending = p.stored.with(number), p.pending.with(number)
 			add(next, "%s takes message %d", storeName(store), number)
 		}
-		if s.pending.has(number) && m.rules.committed(view, s.acks[number]) {
+		if s.pending.has(number) && m.rules.committed(view, s.confirmations[number]) {
 			next := *state
 			p := &next.stores[store]
 			p.pending &^= 1 << number
-			p.acks[number] = 0
-			next.acked = state.acked.with(number)
+			p.confirmations[number] = 0
+			next.acknowledged = state.acknowledged.with(number)
 			add(next, "%s acknowledges message %d", storeName(store), number)
 		}
 	}
@@ -114,73 +113,74 @@
 	m.handoverSteps(state, store, add)
 }
 
-// follow has a backup take a call under its primary's epoch, with the grants that this one waits for. It tells false where
-// the call is refused.
-func (m *partitionModel) follow(s *modelState, from, to int) bool {
+// acceptCall has a backup take a call under its primary's epoch, with the grants that the primary waits for. It tells false
+// where the call is rejected.
+func (m *partitionModel) acceptCall(s *modelState, from, to int) bool {
 	epoch := s.stores[from].epoch
 	backup := &s.stores[to]
-	if epoch < backup.epoch || backup.leading && epoch == backup.epoch {
+	if epoch < backup.epoch || backup.isPrimary && epoch == backup.epoch {
 		s.stores[from].fenced = true
 		return false
 	}
-	if backup.leading {
+	if backup.isPrimary {
 		backup.stepDown()
 	}
 	backup.epoch = epoch
-	if !m.rules.keepsGrants {
-		for giver, formers := range s.stores[from].granted {
-			backup.granted[giver] |= formers
+	if !m.rules.hidesGrants {
+		for granter, formers := range s.stores[from].knownGrants {
+			backup.knownGrants[granter] |= formers
 		}
 	}
 	return true
 }
 
-// calls are what a primary asks of a backup.
+// backupSteps are a primary's calls to a backup: replication, inventory, lease. Each record is stored with and without the
+// primary hearing of it.
 func (m *partitionModel) backupSteps(state *modelState, from, to int, add addStep) {
 	if !m.rules.isTarget(state.applied(from), state, to) {
 		return
 	}
 	s := &state.stores[from]
-	refused := *state
-	if !m.follow(&refused, from, to) {
-		if m.rules.grantOnRefusal {
-			refused.stores[from].fenced = s.fenced
-			refused.stores[from].grants = s.grants.with(to)
+	rejected := *state
+	if !m.acceptCall(&rejected, from, to) {
+		if m.rules.grantOnRejection {
+			rejected.stores[from].fenced = s.fenced
+			rejected.stores[from].backupLeases = s.backupLeases.with(to)
 		}
-		add(refused, "%s refuses %s", storeName(to), storeName(from))
+		add(rejected, "%s rejects %s", storeName(to), storeName(from))
 		return
 	}
 	for number := range m.limits.messages {
-		if !s.holds.has(number) {
+		if !s.stored.has(number) {
 			continue
 		}
 		next := *state
-		m.follow(&next, from, to)
-		next.stores[to].holds = next.stores[to].holds.with(number)
+		m.acceptCall(&next, from, to)
+		next.stores[to].stored = next.stores[to].stored.with(number)
 		add(next, "%s logs message %d of %s", storeName(to), number, storeName(from))
 		if s.pending.has(number) {
-			next.stores[from].acks[number] = s.acks[number].with(to)
+			next.stores[from].confirmations[number] = s.confirmations[number].with(to)
 		} else {
-			next.stores[from].confirmed[to] = s.confirmed[to].with(number)
+			next.stores[from].knownStored[to] = s.knownStored[to].with(number)
 		}
 		add(next, "%s logs message %d of %s, which hears of it", storeName(to), number, storeName(from))
 	}
 	next := *state
-	m.follow(&next, from, to)
-	next.stores[from].confirmed[to] = s.confirmed[to] | state.stores[to].holds
+	m.acceptCall(&next, from, to)
+	next.stores[from].knownStored[to] = s.knownStored[to] | state.stores[to].stored
 	next.stores[from].inventoried = s.inventoried.with(to)
 	add(next, "%s tells %s what it holds", storeName(to), storeName(from))
-	if !s.leased {
+	if !s.hasLease {
 		next := *state
-		m.follow(&next, from, to)
-		next.stores[to].granted[to] = next.stores[to].granted[to].with(from)
-		next.stores[from].grants = s.grants.with(to)
+		m.acceptCall(&next, from, to)
+		next.stores[to].knownGrants[to] = next.stores[to].knownGrants[to].with(from)
+		next.stores[from].backupLeases = s.backupLeases.with(to)
 		add(next, "%s grants a lease to %s", storeName(to), storeName(from))
 	}
 }
 
-// handover is a change of the primary on purpose: deliveries stop, the control plane is asked, and the store goes on only
-// after a clear refusal.
+// handoverSteps begin and end a handover: deliveries stop, the control plane is asked, and the store goes on only after a clear
+// rejection.
 func (m *partitionModel) handoverSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	if !m.limits.handovers {
@@ -188,8 +188,8 @@
 	}
 	next := *state
 	next.stores[store].paused = !s.paused
-	refusable := state.current().epoch == s.epoch || m.rules.resumesBlindly
-	if !s.paused || refusable {
+	mayResume := state.current().epoch == s.epoch || m.rules.resumesOnUnknownOutcome
+	if !s.paused || mayResume {
 		add(next, "%s pauses: %v", storeName(store), !s.paused)
 	}
 }
--- a/internal/messagestore/model_test.go
+++ b/internal/messagestore/model_test.go
@@ -10,13 +10,13 @@
 
 type modelStep = modelcheck.Step[modelState]
 
-// partitionModel plays one partition.
+// partitionModel implements modelcheck.Model for one partition.
 type partitionModel struct {
 	rules  modelRules
 	limits modelLimits
 }
 
-// Start implements modelcheck.Model: the first stores are replicas, the first of them leads.
+// Start implements modelcheck.Model: the first stores are replicas, the first of them is the primary.
 func (m *partitionModel) Start() modelState {
 	var state modelState
 	state.count = 1
@@ -28,15 +28,16 @@
 	state.views[0] = view
 	for store := range modelStores {
 		state.stores[store].removed = store >= m.limits.stores
-		state.stores[store].keepsAcks = m.rules.keepsAcks
+		state.stores[store].keepsStaleConfirmations = m.rules.keepsStaleConfirmations
 		if store < m.limits.stores {
-			state.stores[store].leased = true
+			state.stores[store].hasLease = true
 			state.apply(store, 1)
 		}
 	}
 	return state
 }
 
+// addStep adds a state that may follow, with the name of the step that leads to it.
 type addStep func(next modelState, format string, args ...any)
 
 // Next implements modelcheck.Model.
@@ -59,7 +60,7 @@
 		m.tableSteps(state, store, add)
 		m.leaseSteps(state, store, add)
 		m.faultSteps(state, store, add)
-		if state.stores[store].leading {
+		if state.stores[store].isPrimary {
 			m.primarySteps(state, store, add)
 		}
 	}
@@ -70,15 +71,16 @@
 	return steps
 }
 
-// Violation implements modelcheck.Model.
+// Violation implements modelcheck.Model: a complete replica is left, each replica that counts as synced has what was acknowledged,
+// and one store delivers at the most.
 func (m *partitionModel) Violation(state *modelState) string {
-	whole := state.syncedAlive()
-	if whole == 0 {
-		return "no whole copy is left"
+	synced := state.syncedAvailable()
+	if synced == 0 {
+		return "no complete replica is left"
 	}
 	delivering := -1
 	for store := range modelStores {
-		if whole.has(store) && !state.stores[store].holds.contains(state.acked) {
+		if synced.has(store) && !state.stores[store].stored.contains(state.acknowledged) {
 			return storeName(store) + " counts as synced without what was acknowledged"
 		}
 		if !m.delivers(state, store) {
@@ -95,9 +97,9 @@
 // delivers tells whether a store may start deliveries.
 func (m *partitionModel) delivers(state *modelState, store int) bool {
 	s := &state.stores[store]
-	if s.removed || !s.leading || s.fenced || s.paused || s.granted != [modelStores]storeSet{} && !m.rules.deliversAtOnce {
+	if s.removed || !s.isPrimary || s.fenced || s.paused || s.knownGrants != [modelStores]storeSet{} && !m.rules.ignoresGrants {
 		return false
 	}
 	view := state.applied(store)
-	return s.leased || view.backups != 0 && s.grants.contains(view.backups)
+	return s.hasLease || view.backups != 0 && s.backupLeases.contains(view.backups)
 }
--- /dev/null
+++ b/internal/messagestore/put_test.go
@@ -0,0 +1,105 @@
+package messagestore
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore/protocol"
+)
+
+func TestMessageIsStoredAndDelivered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		id := h.mustPut("r1", "", "payload")
+		synctest.Wait()
+		assert.DeepEqual(t, h.leader(id).engine.ids(), []string{id})
+		outcome, err := h.state(id)
+		assert.NilError(t, err)
+		assert.Equal(t, outcome.State, message.Queued)
+		body, err := h.body(id)
+		assert.NilError(t, err)
+		assert.Equal(t, body, "payload")
+
+		leader := h.leader(id)
+		leader.store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: "s1"})
+		outcome, err = h.state(id)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, outcome, message.Outcome{State: message.Completed, Stamp: "s1"})
+		_, err = h.body(id)
+		assert.Assert(t, errors.Is(err, message.ErrBodyNotFound))
+	})
+}
+
+func TestMessagesWithOneOrderKeyKeepOnePartitionAndTheirOrder(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		var ids []string
+		for i := range 20 {
+			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", "x"))
+		}
+		synctest.Wait()
+		assert.DeepEqual(t, h.leader(ids[0]).engine.ids(), ids)
+		last := uint64(0)
+		for _, id := range ids {
+			m := h.messageOf(id)
+			assert.Assert(t, m.Sequence > last)
+			last = m.Sequence
+		}
+	})
+}
+
+func TestNothingIsAcknowledgedWithTooFewReplicas(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b")
+		defer h.close()
+		for id := range testPartitions {
+			h.setView(id, "a")
+		}
+		time.Sleep(time.Second)
+		_, err := h.put("r", "", "x")
+		assert.Assert(t, errors.Is(err, message.ErrNotStored))
+	})
+}
+
+func TestRepeatedPutIsOneMessage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b")
+		defer h.close()
+		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
+		leader := h.leader("0-1")
+		for range 3 {
+			_, err := h.clients.Get(h.address(leader.name)).Call(t.Context(), protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
+			assert.NilError(t, err)
+		}
+		assert.DeepEqual(t, leader.engine.ids(), []string{"0-1"})
+	})
+}
+
+func TestFullDiskRefusesAndKeeps(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b")
+		defer h.close()
+		id := h.mustPut("r", "", "x")
+		for _, m := range h.machines {
+			m.disk.SetFull(true)
+		}
+		_, err := h.put("r2", "", "y")
+		assert.Assert(t, err != nil)
+		body, err := h.body(id)
+		assert.NilError(t, err)
+		assert.Equal(t, body, "x")
+		for _, m := range h.machines {
+			m.disk.SetFull(false)
+		}
+		time.Sleep(3 * time.Second)
+		h.mustPut("r3", "", "z")
+	})
+}
--- /dev/null
+++ b/internal/messagestore/recovery_test.go
@@ -0,0 +1,137 @@
+package messagestore
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"gladepick/internal/cluster"
+	"gladepick/internal/message"
+	"gladepick/internal/messagestore/client"
+	"gladepick/internal/messagestore/protocol"
+)
+
+func TestLostBackupIsReplacedAndTheNewOneGetsEverything(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		var ids []string
+		for i := range 30 {
+			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", fmt.Sprintf("body %d", i)))
+		}
+		leader := h.leader(ids[0])
+		leader.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
+		partition, err := client.PartitionOf(ids[0])
+		assert.NilError(t, err)
+		backup := h.currentTable().Partitions[partition].Replicas[1].Store
+		h.stop(backup)
+		ids = append(ids, h.mustPut("after", "key", "body after"))
+		time.Sleep(3 * time.Second)
+		view := h.currentTable().Partitions[partition]
+		assert.Assert(t, view.IndexOf(backup) < 0)
+		assert.Assert(t, view.Replicas[1].Synced)
+
+		h.stop(leader.name)
+		h.setView(partition, view.Replicas[1].Store)
+		time.Sleep(time.Second)
+		successor := h.machines[view.Replicas[1].Store]
+		assert.DeepEqual(t, successor.engine.ids(), ids[1:])
+		outcome, err := h.state(ids[0])
+		assert.NilError(t, err)
+		assert.Equal(t, outcome.Stamp, "s")
+		for i, id := range ids[1:30] {
+			body, err := h.body(id)
+			assert.NilError(t, err)
+			assert.Equal(t, body, fmt.Sprintf("body %d", i+1))
+		}
+		h.start(backup)
+		h.start(leader.name)
+	})
+}
+
+func TestFormerPrimaryCannotCommit(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		former, successor := h.machines["a"], h.machines["b"]
+		id := h.mustPut("r0", "key", "x")
+		partition, err := client.PartitionOf(id)
+		assert.NilError(t, err)
+		h.setView(partition, "a", "b")
+		synctest.Wait()
+		next := cluster.Partition{
+			ID: partition, Epoch: h.currentTable().Partitions[partition].Epoch + 1,
+			Replicas: []cluster.Replica{h.replica("b"), h.replica("a")},
+		}
+		table := *h.currentTable()
+		table.Revision += 100
+		table.Partitions = slices.Clone(table.Partitions)
+		table.Partitions[partition] = next
+		successor.store.ApplyTable(&table)
+
+		h.rejectRequests()
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		submission := message.Submission{Message: message.Message{Partition: partition, ID: "late", RequestID: "late"}}
+		_, err = h.clients.Get(h.address("a")).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
+		assert.Assert(t, err != nil)
+		assert.Assert(t, !slices.Contains(former.engine.ids(), "late"))
+	})
+}
+
+func TestPowerLossOfAllKeepsWhatWasAcknowledged(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		var ids []string
+		for i := range 40 {
+			ids = append(ids, h.mustPut(fmt.Sprint(i), fmt.Sprint(i%5), fmt.Sprintf("body %d", i)))
+		}
+		for _, name := range h.names {
+			h.stop(name)
+			h.machines[name].disk.PowerLoss()
+		}
+		for _, name := range h.names {
+			h.start(name)
+		}
+		time.Sleep(time.Second)
+		for i, id := range ids {
+			body, err := h.body(id)
+			assert.NilError(t, err)
+			assert.Equal(t, body, fmt.Sprintf("body %d", i))
+			assert.Assert(t, slices.Contains(h.leader(id).engine.ids(), id))
+		}
+	})
+}
+
+func TestWipedStoreLosesNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t, "a", "b", "c")
+		defer h.close()
+		var ids []string
+		for i := range 20 {
+			ids = append(ids, h.mustPut(fmt.Sprint(i), "", fmt.Sprintf("body %d", i)))
+		}
+		for _, name := range h.names {
+			h.stop(name)
+			h.machines[name].disk.PowerLoss()
+		}
+		h.machines["a"].disk.Wipe()
+		h.start("b")
+		h.start("c")
+		h.setView(0, "b")
+		h.setView(1, "b")
+		time.Sleep(time.Second)
+		for i, id := range ids {
+			body, err := h.body(id)
+			assert.NilError(t, err)
+			assert.Equal(t, body, fmt.Sprintf("body %d", i))
+		}
+		h.start("a")
+	})
+}
