--- a/Makefile
+++ b/Makefile
@@ -99,6 +99,6 @@
 	go test ./internal/capacity -run '^$$' -bench 'KeepMessage' -benchtime 10000x -timeout 10m
 	go test ./internal/capacity -run '^$$' -bench 'QueuedInEngine' -benchtime 200000x
 	go test ./internal/capacity -run '^$$' -bench 'Recover|Table|Worker|Inventory|Configuration' -benchtime 3x -timeout 10m
-	go test ./internal/controlplane ./internal/controlplane/lease -run '^$$' -bench 'LeaseTable|ManagerStep' -benchtime 50x
-	go test ./internal/controlplane -run '^$$' -bench 'LostZone' -benchtime 2x -timeout 10m
+	go test ./internal/controlplane/tablemanager ./internal/controlplane/lease -run '^$$' -bench 'LeaseTable|ManagerStep' -benchtime 50x
+	go test ./internal/controlplane/tablemanager -run '^$$' -bench 'LostZone' -benchtime 2x -timeout 10m
 	go test ./internal/delivery -run '^$$' -bench 'Turn' -benchtime 500x
--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -48,6 +48,7 @@
 	"internal/controlplane/controlstate": planeControl,
 	"internal/controlplane/lease":        planeControl,
 	"internal/controlplane/syncutil":     planeControl,
+	"internal/controlplane/tablemanager": planeControl,
 	"internal/controlplane/updates":      planeControl,
 	"internal/controlplane/workerlist":   planeControl,
 	"internal/messagestore":              planeStorage,
--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -100,9 +100,9 @@
 	c.add(Row{Part: part, Quantity: "processor, of a member, mean of nine", Unit: percentOfCore, Limit: memberCore,
 		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `lease/table.go`"})
 	c.add(Row{Part: part, Quantity: "primary's look at the leases, 64 partitions", Unit: percentOfCore, Limit: memberCore,
-		Need: c.slope("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
+		Need: c.slope("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/tablemanager/manager.go`"})
 	c.add(Row{Part: part, Quantity: "the same, 32,768 partitions", Unit: percentOfCore, Limit: memberCore,
-		Need: c.slope("manager.step.32768") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/manager.go`"})
+		Need: c.slope("manager.step.32768") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/tablemanager/manager.go`"})
 	c.add(Row{Part: part, Quantity: "passed to the primary and read there", Unit: percentOfCore, Limit: memberCore,
 		Need: dispatchers * renewalsPerSecond * c.slope("lease.take") * nano * toPercent, Mechanism: "`controlplane/lease/renewal.go`"})
 }
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -49,7 +49,7 @@
 	listFreshSeconds    = 3.0              // within which a change of the list has to be known
 	workerChangesPerDay = 2 * destinations // every worker is replaced once a day: one entry comes, one goes
 	storeEntryBytes     = 200.0            // of a store in the cluster table
-	managerStepsPerSec  = 10.0             // internal/controlplane/manager.go
+	managerStepsPerSec  = 10.0             // internal/controlplane/tablemanager/manager.go
 	inventorySeconds    = 1.0              // internal/messagestore/limits.go
 	partitionsAtTarget  = 32_768.0         // of a system founded with 6,500 stores; internal/controlplane/placement/placement.go
 )
--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -21,6 +21,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/membership"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/rpc"
 )
@@ -295,7 +296,7 @@
 		return
 	}
 	b.options.Logger.Info("control group founded", zap.Int("members", len(members)))
-	b.setMembers(CoreEntries(members))
+	b.setMembers(membership.CoreMembers(members))
 }
 
 // candidates returns the registered processes that may be members, in no order.
--- a/internal/controlplane/bootstrap/members.go
+++ b/internal/controlplane/bootstrap/members.go
@@ -22,12 +22,3 @@
 	slices.SortFunc(members, func(a, b replication.Member) int { return strings.Compare(a.Name, b.Name) })
 	return members
 }
-
-// CoreEntries lists members of the control group as the cluster table does, without their zones.
-func CoreEntries(members []replication.Member) []cluster.CoreMember {
-	entries := make([]cluster.CoreMember, 0, len(members))
-	for _, member := range members {
-		entries = append(entries, cluster.CoreMember{Name: member.Name, Address: member.Address, DiskID: member.DiskID})
-	}
-	return entries
-}
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/controlplane/bootstrap"
+	"gladepick/internal/controlplane/membership"
 	"gladepick/internal/controlplane/replication"
 	"gladepick/internal/controlplane/syncutil"
 	"gladepick/internal/rpc"
@@ -43,7 +43,7 @@
 	if m.group == nil {
 		return nil
 	}
-	return bootstrap.CoreEntries(m.Role().View.Members)
+	return membership.CoreMembers(m.Role().View.Members)
 }
 
 // Fresh tells whether the state here may be passed on.
--- /dev/null
+++ b/internal/controlplane/membership/members.go
@@ -0,0 +1,15 @@
+package membership
+
+import (
+	"gladepick/internal/cluster"
+	"gladepick/internal/controlplane/replication"
+)
+
+// CoreMembers lists members of the control group as the cluster table does, without their zones.
+func CoreMembers(members []replication.Member) []cluster.CoreMember {
+	listed := make([]cluster.CoreMember, 0, len(members))
+	for _, member := range members {
+		listed = append(listed, cluster.CoreMember{Name: member.Name, Address: member.Address, DiskID: member.DiskID})
+	}
+	return listed
+}
--- a/internal/controlplane/partitionrequest.go
+++ b/internal/controlplane/partitionrequest.go
@@ -7,6 +7,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/controlplane/tablemanager"
 	"gladepick/internal/rpc"
 )
 
@@ -32,7 +33,7 @@
 	switch {
 	case errors.Is(err, replication.ErrNotPrimary):
 		return p.member.NotLeader()
-	case errors.Is(err, errOutdated):
+	case errors.Is(err, tablemanager.ErrOutdated):
 		return unavailable(err.Error())
 	case errors.As(err, &refused):
 		return &rpc.Error{Code: codeOf(refused.Kind), Message: refused.Message}
--- a/internal/controlplane/partitionrequest_test.go
+++ b/internal/controlplane/partitionrequest_test.go
@@ -6,6 +6,7 @@
 	"gotest.tools/v3/assert"
 
 	"gladepick/internal/controlplane/placement"
+	"gladepick/internal/controlplane/tablemanager"
 	"gladepick/internal/rpc"
 )
 
@@ -20,5 +21,5 @@
 		err := plane.callError(&placement.RequestError{Kind: kind, Message: "because"})
 		assert.DeepEqual(t, err, &rpc.Error{Code: code, Message: "because"})
 	}
-	assert.Equal(t, rpc.CodeOf(plane.callError(errOutdated)), rpc.CodeUnavailable)
+	assert.Equal(t, rpc.CodeOf(plane.callError(tablemanager.ErrOutdated)), rpc.CodeUnavailable)
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -6,6 +6,7 @@
 //   - controlstate: the replicated state, the records of its log and its snapshots
 //   - lease: which processes are alive
 //   - placement: which stores hold and lead which partitions, as a pure computation
+//   - tablemanager: the loop that has the group take the placement's changes of the cluster table
 //   - membership: who is a member of the group
 //   - bootstrap: the first start of the whole system
 //   - operatorapi: the operator's calls
@@ -13,11 +14,10 @@
 //   - updates: what a process lacks of all that
 //   - replication: the group itself
 //
-// This package connects them, and adds the tableManager, which proposes changes of the cluster table, and the handlers
-// of the calls of other processes. Plane.Run starts a goroutine for the group and for each loop (see Plane.Run); the
-// handlers run in goroutines of the RPC server. All shared state is behind the locks of the parts or immutable; the
-// tableManager belongs to its own goroutine and gets requests through a channel. Start reading at Plane, then at
-// tableManager.step.
+// This package connects them, and adds the handlers of other processes' calls: syncs, renewals, reports of failures and
+// partition requests. Plane.Run starts a goroutine for the group and for each loop; the handlers run in goroutines of the
+// RPC server. The package has no locks of its own: what goroutines share is behind the locks of the parts, or immutable,
+// or set before Run. Start reading at Plane and Plane.Run, then at handleSync, and at tablemanager for the decisions.
 package controlplane
 
 import (
@@ -38,6 +38,7 @@
 	"gladepick/internal/controlplane/operatorapi"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
+	"gladepick/internal/controlplane/tablemanager"
 	"gladepick/internal/controlplane/updates"
 	"gladepick/internal/controlplane/workerlist"
 	"gladepick/internal/network"
@@ -78,7 +79,7 @@
 
 	leases   *lease.Table
 	updates  *updates.Source
-	manager  *tableManager
+	manager  *tablemanager.Manager
 	members  *membership.Manager
 	reader   *workerlist.Reader
 	operator *operatorapi.API
@@ -143,15 +144,22 @@
 
 // makeParts makes what only a process needs that may be a member of the group.
 func (p *Plane) makeParts() {
-	p.manager = newTableManager(p)
-	p.leases = lease.NewTable(p.manager.nudge)
+	p.leases = lease.NewTable(func() { p.manager.Nudge() })
+	p.manager = tablemanager.New(tablemanager.Options{
+		Group:       &p.member,
+		State:       p.state,
+		Leases:      p.leases,
+		Redundancy:  p.redundancy(),
+		Incarnation: p.options.Info.Incarnation,
+		Logger:      p.logger,
+	})
 	p.updates = updates.NewSource(p.state, &p.workers)
 	p.members = membership.NewManager(membership.Options{
 		Group:     &p.member,
 		Leases:    p.leases,
 		DiskID:    p.options.Info.DiskID,
 		Tolerated: p.options.Tolerated,
-		OnChange:  p.manager.nudge,
+		OnChange:  p.manager.Nudge,
 		Logger:    p.logger,
 	})
 	p.reader = workerlist.NewReader(p.lifetime, workerlist.ReaderOptions{
@@ -198,7 +206,7 @@
 	p.member.group = group
 	group.OnRoleChange(func(replication.Role) {
 		p.member.roleChanged.Notify()
-		p.manager.nudge()
+		p.manager.Nudge()
 	})
 	server := p.options.Server
 	server.Handle(cluster.MethodSync, p.handleSync)
@@ -218,7 +226,7 @@
 	loops := []func(context.Context){p.bootstrapper.Run}
 	if p.member.group != nil {
 		defer p.member.Close()
-		loops = append(loops, p.member.Run, p.manager.run, p.manageMembers, p.readWorkers, p.bootstrapper.Announce)
+		loops = append(loops, p.member.Run, p.manager.Run, p.manageMembers, p.readWorkers, p.bootstrapper.Announce)
 	}
 	var wait sync.WaitGroup
 	for _, loop := range loops {
--- a/internal/controlplane/capacity_bench_test.go
+++ b/internal/controlplane/tablemanager/capacity_bench_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package tablemanager
 
 import (
 	"fmt"
--- a/internal/controlplane/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -1,4 +1,4 @@
-package controlplane
+package tablemanager
 
 import (
 	"crypto/sha256"
@@ -69,7 +69,7 @@
 	t        *testing.T
 	random   *rand.Rand
 	now      time.Time
-	plane    *Plane
+	manager  *Manager
 	role     replication.Role
 	stores   []*traceStore
 	hash     hash.Hash
@@ -78,14 +78,13 @@
 }
 
 func newDecisionTrace(t *testing.T, copies, zones int, seed uint64) *decisionTrace {
-	plane := &Plane{
-		options: Options{Tolerated: copies - 1, ToleratedZones: zones - 1},
-		state:   controlstate.NewMachine(),
-	}
-	plane.manager = newTableManager(plane)
-	plane.leases = lease.NewTable(plane.manager.nudge)
+	manager := New(Options{
+		State:      controlstate.NewMachine(),
+		Redundancy: placement.Redundancy{Copies: copies, Zones: zones},
+	})
+	manager.options.Leases = lease.NewTable(manager.Nudge)
 	trace := &decisionTrace{
-		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), plane: plane,
+		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), manager: manager,
 		hash: sha256.New(), outcomes: map[string]int{},
 	}
 	trace.role = replication.Role{Primary: true, View: replication.View{Primary: "disk-m0", Members: coreMembers()}}
@@ -98,7 +97,7 @@
 	for _, store := range trace.stores[:traceStores-3] {
 		trace.start(store)
 	}
-	plane.manager.begin(trace.now)
+	manager.begin(trace.now)
 	return trace
 }
 
@@ -117,12 +116,12 @@
 	d.now = d.now.Add(traceTick)
 	for _, store := range d.stores {
 		if store.running && !store.frozen && d.random.IntN(3) == 0 {
-			d.plane.leases.Renew(store.info, d.now)
+			d.manager.options.Leases.Renew(store.info, d.now)
 		}
 	}
 	for _, member := range d.role.View.Members {
 		if d.random.IntN(6) == 0 {
-			d.plane.leases.Renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
+			d.manager.options.Leases.Renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
 		}
 	}
 	if d.random.IntN(12) == 0 {
@@ -144,28 +143,28 @@
 		d.start(store)
 	case action <= 2: // it ends, and its machine says so
 		store.running = false
-		d.plane.leases.Revoke(store.info, d.now)
+		d.manager.options.Leases.Revoke(store.info, d.now)
 	case action == 3: // it ends, and nothing tells so before its lease has run out
 		store.running = false
 	case action == 4: // some end together
 		for _, other := range d.stores {
 			if other.info.Zone == store.info.Zone && other.running {
 				other.running = false
-				d.plane.leases.Revoke(other.info, d.now)
+				d.manager.options.Leases.Revoke(other.info, d.now)
 			}
 		}
 	case action <= 6:
 		store.frozen = !store.frozen
-		d.plane.leases.MarkUnresponsive(store.info, d.now)
+		d.manager.options.Leases.MarkUnresponsive(store.info, d.now)
 	case action <= 8:
 		store.info.Draining = !store.info.Draining
-		d.plane.leases.Renew(store.info, d.now)
+		d.manager.options.Leases.Renew(store.info, d.now)
 	case action == 9:
 		store.info.DiskFailing = !store.info.DiskFailing
-		d.plane.leases.Renew(store.info, d.now)
+		d.manager.options.Leases.Renew(store.info, d.now)
 	case action == 10: // another member leads
 		d.role.View.Primary = d.role.View.Members[d.random.IntN(len(d.role.View.Members))].DiskID
-		d.plane.manager.begin(d.now)
+		d.manager.begin(d.now)
 	default: // it starts anew with what it held
 		d.start(store)
 	}
@@ -176,7 +175,7 @@
 	store.running, store.frozen = true, false
 	store.info.Draining, store.info.DiskFailing = false, false
 	store.info.Incarnation = fmt.Sprintf("life-%d", store.starts)
-	d.plane.leases.Renew(store.info, d.now)
+	d.manager.options.Leases.Renew(store.info, d.now)
 }
 
 // traceRequest is a request for a change of the table. Its answer goes into the hash.
@@ -192,13 +191,13 @@
 		name := d.stores[d.random.IntN(len(d.stores))].info.Name
 		return []traceRequest{func(builder *placement.Builder) string {
 			builder.ResumeRetire(name)
-			return describeError(d.plane, nil)
+			return describeError(nil)
 		}}
 	case 2:
 		return []traceRequest{func(builder *placement.Builder) string { return describeRetire(builder, "no-store") }}
 	}
 	var requests []traceRequest
-	for _, partition := range d.plane.state.Current().Table.Partitions {
+	for _, partition := range d.manager.options.State.Current().Table.Partitions {
 		if d.random.IntN(4) != 0 || len(partition.Replicas) == 0 {
 			continue
 		}
@@ -207,7 +206,7 @@
 			continue
 		}
 		requests = append(requests, func(builder *placement.Builder) string {
-			return describeError(d.plane, builder.ApplyRequest(request))
+			return describeError(builder.ApplyRequest(request))
 		})
 	}
 	return requests
@@ -250,8 +249,8 @@
 
 // decide has the manager take requests and decide, and puts the change into force.
 func (d *decisionTrace) decide(requests []traceRequest) {
-	manager, current := d.plane.manager, d.plane.state.Current()
-	builder := placement.NewBuilder(current, d.plane.leases.Statuses(d.now), d.plane.redundancy())
+	manager, current := d.manager, d.manager.options.State.Current()
+	builder := placement.NewBuilder(current, d.manager.options.Leases.Statuses(d.now), d.manager.options.Redundancy)
 	builder.UpdateStores()
 	manager.awaitRestarts(builder, d.now)
 	for _, request := range requests {
@@ -269,8 +268,8 @@
 	record, err := (&controlstate.Change{Table: decided}).Encode()
 	assert.NilError(d.t, err)
 	_, _ = d.hash.Write(record)
-	assert.NilError(d.t, d.plane.state.Apply(record))
-	assert.Equal(d.t, d.plane.state.Current().LastChangeID, decided.ID)
+	assert.NilError(d.t, d.manager.options.State.Apply(record))
+	assert.Equal(d.t, d.manager.options.State.Current().LastChangeID, decided.ID)
 }
 
 // describeRetire orders that a store is to be emptied and tells the status that the operator would get.
@@ -287,11 +286,16 @@
 }
 
 // describeError tells what the caller of a partition request would be told.
-func describeError(plane *Plane, err error) string {
+func describeError(err error) string {
 	if err == nil {
 		return "granted"
 	}
-	err = plane.callError(err)
+	var refused *placement.RequestError
+	if !errors.As(err, &refused) {
+		return "failed"
+	}
+	kinds := []error{placement.ErrUnknownPartition, placement.ErrConflict, placement.ErrUnavailable}
 	codes := []rpc.Code{rpc.CodeNotFound, rpc.CodeConflict, rpc.CodeUnavailable}
-	return fmt.Sprintf("refused %d %v", slices.Index(codes, rpc.CodeOf(err)), err)
+	kind := slices.Index(kinds, refused.Kind)
+	return fmt.Sprintf("refused %d %v", kind, &rpc.Error{Code: codes[kind], Message: refused.Message})
 }
--- a/internal/controlplane/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -1,18 +1,27 @@
-package controlplane
+// Package tablemanager keeps the cluster table right while its process is the control group's primary.
+//
+// Manager.Run looks at the leases ten times a second, and at once after Nudge or Edit. In each step it builds a table
+// from the current one (package placement) and has the group take the change, if there is one. It alone proposes
+// changes of the table; all requests that wait at one moment go into one change. A change is without effect where the
+// table has changed meanwhile: its requests then fail with ErrOutdated, and the next step starts from the newer table.
+//
+// The manager has one goroutine, that of Run, which owns its fields; Nudge and Edit reach it through channels and may be
+// called from anywhere. Start reading at Manager.step.
+package tablemanager
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"sync/atomic"
 	"time"
 
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
-	"gladepick/internal/controlplane/bootstrap"
 	"gladepick/internal/controlplane/controlstate"
+	"gladepick/internal/controlplane/lease"
+	"gladepick/internal/controlplane/membership"
 	"gladepick/internal/controlplane/placement"
 	"gladepick/internal/controlplane/replication"
 )
@@ -25,8 +34,26 @@
 	requestQueueLength = 256
 )
 
-// errOutdated means that a change of the table was computed from a table that is not the current one any more.
-var errOutdated = errors.New("controlplane: the table changed meanwhile")
+// ErrOutdated means that a change of the table was computed from a table that is not the current one any more. Nothing
+// was done.
+var ErrOutdated = errors.New("controlplane: the table changed meanwhile")
+
+// Group is what a Manager needs of the control group.
+type Group interface {
+	Role() replication.Role
+	// Propose returns after a change is in force on enough disks.
+	Propose(ctx context.Context, change []byte) error
+}
+
+// Options holds what a Manager works with.
+type Options struct {
+	Group       Group
+	State       *controlstate.Machine
+	Leases      *lease.Table
+	Redundancy  placement.Redundancy
+	Incarnation string // of this process; it makes the ids of changes unique
+	Logger      *zap.Logger
+}
 
 // editRequest asks the manager for a change of the table.
 type editRequest struct {
@@ -34,41 +61,41 @@
 	result chan error
 }
 
-// tableManager keeps the cluster table right while its process is the primary. It alone proposes changes of the table;
-// all requests that wait at one moment go into one change. Its fields belong to the goroutine of run, apart from the
-// channels.
-type tableManager struct {
-	plane *Plane
-	edits chan editRequest
-	wake  chan struct{}
+// Manager keeps the cluster table right.
+type Manager struct {
+	options Options
+	edits   chan editRequest
+	wake    chan struct{}
 
 	leading       bool
 	leadingSince  time.Time
 	lastNewStore  time.Time
 	knownStores   int
-	inherited     int // deliverers as the primary before counted them
+	inherited     int // delivering stores as the primary before counted them
 	lastRebalance time.Time
-	changes       atomic.Uint64 // proposed by this process, for their ids
+	changes       uint64 // proposed by this process, for their ids
 }
 
-func newTableManager(plane *Plane) *tableManager {
-	return &tableManager{
-		plane: plane,
-		edits: make(chan editRequest, requestQueueLength),
-		wake:  make(chan struct{}, 1),
+// New returns a manager. It does nothing before Run.
+func New(options Options) *Manager {
+	return &Manager{
+		options: options,
+		edits:   make(chan editRequest, requestQueueLength),
+		wake:    make(chan struct{}, 1),
 	}
 }
 
-// nudge has the manager look at once.
-func (m *tableManager) nudge() {
+// Nudge has the manager look at once.
+func (m *Manager) Nudge() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Edit has a function change the table in the making, and returns after the change is in force, or an error.
-func (m *tableManager) Edit(ctx context.Context, apply func(*placement.Builder) error) error {
+// Edit has a function change the table in the making, and returns after the change is in force, or an error: that of the
+// function, or one of the group, or ErrOutdated.
+func (m *Manager) Edit(ctx context.Context, apply func(*placement.Builder) error) error {
 	request := editRequest{apply: apply, result: make(chan error, 1)}
 	select {
 	case m.edits <- request:
@@ -83,7 +110,9 @@
 	}
 }
 
-func (m *tableManager) run(ctx context.Context) {
+// Run manages the table until the context ends. While its process is not the primary, it answers requests by
+// replication.ErrNotPrimary.
+func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(manageInterval)
 	defer ticker.Stop()
 	for {
@@ -105,7 +134,7 @@
 }
 
 // collect adds all requests that wait.
-func (m *tableManager) collect(requests []editRequest) []editRequest {
+func (m *Manager) collect(requests []editRequest) []editRequest {
 	for {
 		select {
 		case request := <-m.edits:
@@ -117,8 +146,8 @@
 }
 
 // step brings the table up to date once.
-func (m *tableManager) step(ctx context.Context, requests []editRequest) {
-	role := m.plane.member.Role()
+func (m *Manager) step(ctx context.Context, requests []editRequest) {
+	role := m.options.Group.Role()
 	if !role.Primary {
 		m.leading = false
 		finish(requests, replication.ErrNotPrimary)
@@ -128,8 +157,8 @@
 	if !m.leading {
 		m.begin(now)
 	}
-	current := m.plane.state.Current()
-	builder := placement.NewBuilder(current, m.plane.leases.Statuses(now), m.plane.redundancy())
+	current := m.options.State.Current()
+	builder := placement.NewBuilder(current, m.options.Leases.Statuses(now), m.options.Redundancy)
 	builder.UpdateStores()
 	m.awaitRestarts(builder, now)
 	applied := applyEdits(builder, requests)
@@ -138,23 +167,23 @@
 }
 
 // awaitRestarts keeps replicas in their places for a while after their stores were found dead.
-func (m *tableManager) awaitRestarts(builder *placement.Builder, now time.Time) {
+func (m *Manager) awaitRestarts(builder *placement.Builder, now time.Time) {
 	if until, waits := builder.AwaitRestarts(now, m.leadingSince); waits {
-		time.AfterFunc(until.Sub(now), m.nudge)
+		time.AfterFunc(until.Sub(now), m.Nudge)
 	}
 }
 
 // begin starts the leadership of this process: every store that is not known to be down gets a full lease.
-func (m *tableManager) begin(now time.Time) {
+func (m *Manager) begin(now time.Time) {
 	m.leading, m.leadingSince = true, now
 	m.lastNewStore, m.knownStores = now, 0
-	table := m.plane.state.Current().Table
+	table := m.options.State.Current().Table
 	m.inherited = table.DeliveringStores
 	for _, entry := range table.Stores {
 		if entry.State == cluster.StoreDown {
 			continue
 		}
-		m.plane.leases.Grant(cluster.NodeInfo{
+		m.options.Leases.Grant(cluster.NodeInfo{
 			Name: entry.Name, Class: "store", Zone: entry.Zone, Address: entry.Address,
 			Incarnation: entry.Incarnation, DiskID: entry.DiskID, Store: true,
 			Draining: entry.State == cluster.StoreDraining,
@@ -182,8 +211,8 @@
 }
 
 // plan makes all changes of the table that follow from the leases and the group's view.
-func (m *tableManager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
-	builder.UpdateCore(bootstrap.CoreEntries(role.View.Members), role.View.Primary)
+func (m *Manager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
+	builder.UpdateCore(membership.CoreMembers(role.View.Members), role.View.Primary)
 	builder.UpdateStores() // edits may have made stores retire
 	if count := builder.StoreCount(); count != m.knownStores {
 		m.knownStores, m.lastNewStore = count, now
@@ -192,7 +221,7 @@
 		builder.PlaceInitially()
 	}
 	if more := builder.Repair(); more {
-		m.nudge()
+		m.Nudge()
 	}
 	if now.Sub(m.lastRebalance) >= rebalanceInterval && now.Sub(m.leadingSince) > cluster.LeaseDuration {
 		m.lastRebalance = now
@@ -207,23 +236,24 @@
 }
 
 // propose has the group take a change of the table, if there is any.
-func (m *tableManager) propose(ctx context.Context, change *controlstate.TableChange) error {
+func (m *Manager) propose(ctx context.Context, change *controlstate.TableChange) error {
 	if change == nil {
 		return nil
 	}
-	change.ID = fmt.Sprintf("%s-%d", m.plane.options.Info.Incarnation, m.changes.Add(1))
+	m.changes++
+	change.ID = fmt.Sprintf("%s-%d", m.options.Incarnation, m.changes)
 	record, err := (&controlstate.Change{Table: change}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if err := m.plane.member.Propose(ctx, record); err != nil {
-		m.plane.logger.Info("change of the table failed", zap.Error(err))
+	if err := m.options.Group.Propose(ctx, record); err != nil {
+		m.options.Logger.Info("change of the table failed", zap.Error(err))
 		return err
 	}
-	if m.plane.state.Current().LastChangeID != change.ID {
-		return errOutdated
+	if m.options.State.Current().LastChangeID != change.ID {
+		return ErrOutdated
 	}
 	return nil
 }
