--- a/internal/controlplane/replication/accept.go
+++ b/internal/controlplane/replication/accept.go
@@ -7,15 +7,16 @@
 	"github.com/gravitational/trace"
 )
 
-// collectAcceptances has the view accepted by a majority, and returns who has accepted it by then.
+// collectAcceptances asks all members to accept a view. It returns, as soon as a majority and this process have,
+// which members have accepted by then, each with the time at which it was sentAt.
 func (g *Group) collectAcceptances(ctx context.Context, view View, founding bool) (map[string]time.Time, error) {
-	asked := time.Now()
+	sentAt := time.Now()
 	accepted := map[string]time.Time{}
-	everyone := view.allMembers()
-	replies := broadcast(everyone, func(to Member) (acceptResponse, error) {
+	members := view.allMembers()
+	responses := broadcast(members, func(to Member) (acceptResponse, error) {
 		if to.DiskID == g.self.DiskID {
-			done, err := g.witness.accept(view)
-			return acceptResponse{Accepted: done}, err
+			ok, err := g.witness.accept(view)
+			return acceptResponse{Accepted: ok}, err
 		}
 		return g.sendAccept(g.ctx, to, view, founding)
 	})
@@ -23,9 +24,9 @@
 		return view.hasQuorum(func(diskID string) bool { return !accepted[diskID].IsZero() })
 	}
 	self := map[string]bool{g.self.DiskID: true}
-	awaitRound(ctx, replies, everyone, self, func(member Member, response acceptResponse) bool {
+	awaitRound(ctx, responses, members, self, func(member Member, response acceptResponse) bool {
 		if response.Accepted {
-			accepted[member.DiskID] = asked
+			accepted[member.DiskID] = sentAt
 		}
 		return inForce()
 	})
--- a/internal/controlplane/replication/alignment.go
+++ b/internal/controlplane/replication/alignment.go
@@ -7,18 +7,19 @@
 	"github.com/gravitational/trace"
 )
 
-// alignInSync brings the log of this process, up to its end, to the disks of the members, and returns the disks where
-// it is: the in-sync set of the view. Only those are tried that have given their promise, and one that is required.
+// alignInSync brings the log of this process, up to its end, to the disks of other members, and returns the disks
+// that hold it: the in-sync set of the new view. It tries the members that have promised the epoch, and the required
+// one. It returns errTooFewInSync where they are too few, or the required one is not among them.
 func (g *Group) alignInSync(
 	ctx context.Context, view View, last position, change viewChange, granted map[string]bool,
 ) ([]string, error) {
-	var whole lazySnapshot
+	var shared lazySnapshot
 	wanted := membersThat(view.Members, func(diskID string) bool {
 		return diskID == change.required || (granted[diskID] && !change.excluded[diskID] && diskID != g.self.DiskID)
 	})
 	aligned := g.alignAll(ctx, wanted, view.Epoch, last, func(diskID string) *lazySnapshot {
 		if change.alwaysSendSnapshot || diskID == change.required {
-			return &whole
+			return &shared
 		}
 		return nil
 	})
@@ -26,53 +27,53 @@
 		return nil, trace.Wrap(err)
 	}
 	inSync := append([]string{g.self.DiskID}, aligned...)
-	least := view.minInSync(g.options.ReplicationFactor)
-	if len(inSync) < least {
-		rest := membersThat(view.Members, func(diskID string) bool {
+	minimum := view.minInSync(g.options.ReplicationFactor)
+	if len(inSync) < minimum {
+		others := membersThat(view.Members, func(diskID string) bool {
 			return granted[diskID] && !slices.Contains(inSync, diskID)
 		})
-		copied := g.alignAll(ctx, rest, view.Epoch, last, func(string) *lazySnapshot { return &whole })
+		copied := g.alignAll(ctx, others, view.Epoch, last, func(string) *lazySnapshot { return &shared })
 		inSync = append(inSync, copied...)
 	}
-	if len(inSync) < least || (change.required != "" && !slices.Contains(inSync, change.required)) {
+	if len(inSync) < minimum || (change.required != "" && !slices.Contains(inSync, change.required)) {
 		return nil, trace.Wrap(errTooFewInSync)
 	}
 	return inSync, nil
 }
 
-// alignAll aligns several members at once and returns the disks of those where it succeeded. The state is sent where
-// a snapshot is offered.
+// alignAll aligns several members concurrently and returns the disks of those where it succeeded. A member for which
+// offer returns nil gets no snapshot.
 func (g *Group) alignAll(
-	ctx context.Context, members []Member, epoch uint64, last position, offer func(diskID string) *lazySnapshot,
+	ctx context.Context, members []Member, epoch uint64, last position, snapshotFor func(diskID string) *lazySnapshot,
 ) []string {
-	replies := broadcast(members, func(to Member) (bool, error) {
-		return g.align(ctx, to, epoch, last, offer(to.DiskID))
+	responses := broadcast(members, func(to Member) (bool, error) {
+		return g.align(ctx, to, epoch, last, snapshotFor(to.DiskID))
 	})
 	var aligned []string
 	for range members {
-		if received := <-replies; received.err == nil && received.response {
-			aligned = append(aligned, received.member.DiskID)
+		if reply := <-responses; reply.err == nil && reply.response {
+			aligned = append(aligned, reply.member.DiskID)
 		}
 	}
 	return aligned
 }
 
-// align makes a member follow this process's log in an epoch. The whole state is sent where the member's log is
-// another and a snapshot is offered.
+// align makes a member follow this process's log in an epoch, and reports whether it does. Where the logs differ, it
+// sends the snapshot, unless that is nil.
 func (g *Group) align(
-	ctx context.Context, to Member, epoch uint64, last position, whole *lazySnapshot,
+	ctx context.Context, to Member, epoch uint64, last position, shared *lazySnapshot,
 ) (bool, error) {
 	request := attachRequest{Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, Last: last}
 	var response attachResponse
 	_, err := g.call(ctx, g.timing.RoundTimeout, to, methodAttach, request, nil, &response)
-	if err != nil || response.Attached || response.Promised > epoch || whole == nil {
+	if err != nil || response.Attached || response.Promised > epoch || shared == nil {
 		return response.Attached, err
 	}
-	data, imageLast, err := whole.get(g.replica)
+	data, snapshotLast, err := shared.get(g.replica)
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
-	request.Last, request.HasSnapshot = imageLast, true
+	request.Last, request.HasSnapshot = snapshotLast, true
 	_, err = g.call(ctx, g.timing.SnapshotTimeout, to, methodAttach, request, data, &response)
 	return response.Attached, err
 }
--- a/internal/controlplane/replication/append.go
+++ b/internal/controlplane/replication/append.go
@@ -9,7 +9,8 @@
 	"gladepick/internal/ctxtime"
 )
 
-// replicate sends records to the in-sync backups and syncs the own log. It returns the disks that did not confirm.
+// replicate sends records to the in-sync backups while it syncs this process's log, and returns the disks of the
+// backups that did not confirm them.
 func (l *leadership) replicate(view View, after position, records []byte) (map[string]bool, error) {
 	g := l.group
 	var backups []Member
@@ -18,7 +19,7 @@
 			backups = append(backups, member)
 		}
 	}
-	replies := broadcast(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
+	responses := broadcast(backups, func(to Member) (bool, error) { return l.sendRecords(to, view.Epoch, after, records) })
 	if records != nil {
 		if err := g.replica.syncWithin(l.ctx, 2*g.timing.RoundTimeout); err != nil {
 			return nil, trace.Wrap(err)
@@ -26,15 +27,15 @@
 	}
 	failed := map[string]bool{}
 	for range backups {
-		if received := <-replies; received.err != nil || !received.response {
-			failed[received.member.DiskID] = true
+		if reply := <-responses; reply.err != nil || !reply.response {
+			failed[reply.member.DiskID] = true
 		}
 	}
 	return failed, nil
 }
 
-// sendRecords sends records to a backup, once more where the connection was lost. A backup that follows another log, as
-// after a restart, gets the whole state.
+// sendRecords sends records to a backup, a second time where the connection was lost. A backup that no longer
+// follows this log, as after a restart, gets the snapshot.
 func (l *leadership) sendRecords(to Member, epoch uint64, after position, records []byte) (bool, error) {
 	g := l.group
 	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
@@ -52,6 +53,7 @@
 	return g.align(l.ctx, to, epoch, g.replica.end(), &lazySnapshot{})
 }
 
+// callAppend makes one append call.
 func (l *leadership) callAppend(
 	ctx context.Context, to Member, epoch uint64, after position, records []byte,
 ) (appendResponse, error) {
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -10,7 +10,8 @@
 	"gladepick/internal/rpc"
 )
 
-// serveAttach makes this replica follow the log of an epoch's primary.
+// serveAttach makes this replica follow the log of an epoch's primary, after it has promised that epoch. It responds
+// when the log, or the snapshot that replaces it, is durable.
 func (g *Group) serveAttach(ctx context.Context, request attachRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -39,7 +40,7 @@
 	return response, nil, nil
 }
 
-// serveAppend adds records from the primary to the log, and answers when they are durable.
+// serveAppend adds records from the primary to the log, and responds when they are durable.
 func (g *Group) serveAppend(ctx context.Context, request appendRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -69,7 +70,7 @@
 	return response, nil, nil
 }
 
-// serveHeartbeat records that the primary lives and applies what it has committed.
+// serveHeartbeat renews this witness's support for the primary, and applies what the primary has committed.
 func (g *Group) serveHeartbeat(_ context.Context, request heartbeatRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -86,12 +87,12 @@
 	}
 	attached, complete := g.replica.commit(request.Epoch, request.Commit)
 	response.Attached = attached
-	// A heartbeat that can't be dated may have been on its way for as long as a cut lasted.
-	sentAfter, dated := g.monitor.respondedAt(request.Echo)
-	if complete && dated && request.Leading {
+	// A heartbeat without a known echo may have been delayed for as long as a network partition lasted.
+	sentAfter, echoKnown := g.monitor.respondedAt(request.Echo)
+	if complete && echoKnown && request.Leading {
 		g.monitor.markUpToDate(sentAfter)
 	}
-	if dated {
+	if echoKnown {
 		g.deliverPayloads(request, body, sentAfter)
 	}
 	g.notify()
@@ -102,8 +103,8 @@
 	return response, g.options.ResponsePayload(response.Number), nil
 }
 
-// deliverPayloads hands on what a heartbeat carries: the payload, and that a response of this process has reached a primary that
-// led after it.
+// deliverPayloads passes a heartbeat's payload on, and the number of the response that has reached a primary which
+// led after it was sent.
 func (g *Group) deliverPayloads(request heartbeatRequest, body []byte, sentAfter time.Time) {
 	if request.Leading && g.options.OnResponseEcho != nil {
 		g.options.OnResponseEcho(request.Echo)
@@ -113,8 +114,8 @@
 	}
 }
 
-// supportsPrimary reports whether a witness still takes the sender of a heartbeat for the primary. One that is making its next
-// view has been promised a higher epoch than that of its heartbeats.
+// supportsPrimary reports whether a witness still takes the sender of a heartbeat for the primary. A primary that is
+// making its next view has been promised a higher epoch than that of its heartbeats.
 func supportsPrimary(record *witnessRecord, request heartbeatRequest) bool {
 	if request.Epoch < record.acceptedEpoch() {
 		return record.Accepted.Primary == request.Primary && record.PromisedTo == request.Primary
@@ -122,7 +123,8 @@
 	return record.allows(request.Epoch, request.Primary) || record.PromisedTo == request.Primary
 }
 
-// resignIfSuperseded ends this process's leadership where another process leads or stands in a higher epoch.
+// resignIfSuperseded ends this process's leadership where another process leads, or is a candidate, in a higher
+// epoch.
 func (g *Group) resignIfSuperseded(epoch uint64, primary string) {
 	l := g.leadership.Load()
 	if l != nil && primary != g.self.DiskID && epoch > l.currentView().Epoch {
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -6,21 +6,21 @@
 	"github.com/gravitational/trace"
 )
 
-// unacknowledgedBatch is a batch whose changes are committed but on too few disks to be acknowledged.
+// unacknowledgedBatch is a batch whose changes are committed, but on fewer disks than an acknowledgement needs.
 type unacknowledgedBatch struct {
 	requests []*request
 	epoch    uint64
 	after    position
 }
 
-// runBatch replicates the changes of a batch in one round. A batch without changes is a round that confirms the
+// runBatch replicates the changes of a batch in one round. A batch without changes is a round that only confirms the
 // leadership.
 func (l *leadership) runBatch(batch []*request) {
 	g := l.group
 	var changes [][]byte
-	for _, waiting := range batch {
-		if waiting.kind == requestChange {
-			changes = append(changes, waiting.change)
+	for _, queued := range batch {
+		if queued.kind == requestChange {
+			changes = append(changes, queued.change)
 		}
 	}
 	view := l.currentView()
@@ -42,12 +42,13 @@
 	}
 }
 
-// acknowledgeBatches answers the batches that wait for enough copies, where there are enough now. Read barriers don't wait.
+// acknowledgeBatches responds to the batches that wait for the replication factor, where it is reached. Read
+// barriers don't wait for it.
 func (l *leadership) acknowledgeBatches() {
 	enough := len(l.currentView().InSync) >= l.group.options.ReplicationFactor
-	waiting := l.unacknowledged
+	batches := l.unacknowledged
 	l.unacknowledged = nil
-	for _, batch := range waiting {
+	for _, batch := range batches {
 		switch {
 		case !l.group.replica.ownsSince(batch.epoch):
 			failAll(batch.requests, ErrOutcomeUnknown)
@@ -59,11 +60,12 @@
 	}
 }
 
+// anyNeedsReplicas reports whether a batch holds a request that is answered only while enough disks are in sync.
 func anyNeedsReplicas(batch []*request) bool {
 	return slices.ContainsFunc(batch, (*request).needsReplicas)
 }
 
-// failUnacknowledged fails what is still parked when the leadership ends.
+// failUnacknowledged fails the batches that still wait when the leadership ends.
 func (l *leadership) failUnacknowledged() {
 	for _, batch := range l.unacknowledged {
 		failAll(batch.requests, ErrOutcomeUnknown)
@@ -71,8 +73,8 @@
 	l.unacknowledged = nil
 }
 
-// commitBatch brings the records to all of the in-sync set. Where that fails, a view without those that don't answer
-// is made, by which all of the log is committed.
+// commitBatch brings the records to the whole in-sync set. Where a backup does not confirm them, a new view without
+// it is made, which commits the whole log.
 func (l *leadership) commitBatch(view View, after position, records []byte, count uint64) error {
 	g := l.group
 	failed, err := l.replicate(view, after, records)
@@ -90,20 +92,22 @@
 	return l.reconfigureUntilDone(failed)
 }
 
-// completeBatch tells the proposers what the state machine said.
+// completeBatch passes what the state machine returned on to the proposers. The batch's changes follow the given
+// index.
 func (l *leadership) completeBatch(batch []*request, index uint64) {
-	for _, waiting := range batch {
+	for _, queued := range batch {
 		var outcome error
-		if waiting.kind == requestChange {
+		if queued.kind == requestChange {
 			index++
 			outcome = l.group.replica.takeApplyError(index)
 		}
-		waiting.done <- outcome
+		queued.done <- outcome
 	}
 }
 
+// failAll ends all requests of a batch with an error.
 func failAll(batch []*request, err error) {
-	for _, waiting := range batch {
-		waiting.done <- err
+	for _, queued := range batch {
+		queued.done <- err
 	}
 }
--- a/internal/controlplane/replication/bootstrap.go
+++ b/internal/controlplane/replication/bootstrap.go
@@ -6,8 +6,9 @@
 	"github.com/gravitational/trace"
 )
 
-// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated; it does nothing
-// where this process knows of a view.
+// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated, and does
+// nothing where this process knows of a view. It returns ErrBootstrapRefused where this process may not bootstrap
+// the group, and ErrNoQuorum where too few members took part.
 func (g *Group) Bootstrap(ctx context.Context, members []Member) error {
 	if g.newestKnownView() != nil {
 		return nil
@@ -26,7 +27,8 @@
 	return g.startLeadership(made)
 }
 
-// mayBootstrap reports whether this process may take part in the bootstrap of a group.
+// mayBootstrap reports whether this process may take part in the bootstrap of a group: that is allowed to it, it is
+// a member, and its disk holds nothing of another group.
 func (g *Group) mayBootstrap(genesis View) bool {
 	_, member := findMember(genesis.Members, g.self.DiskID)
 	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
--- a/internal/controlplane/replication/calls.go
+++ b/internal/controlplane/replication/calls.go
@@ -7,6 +7,7 @@
 	"gladepick/internal/rpc"
 )
 
+// register registers the handlers of the group's calls.
 func (g *Group) register(server *rpc.Server) {
 	server.Handle(methodPrepare, handle(g, g.servePrepare))
 	server.Handle(methodAccept, handle(g, g.serveAccept))
@@ -16,7 +17,7 @@
 	server.Handle(methodStatus, handle(g, g.serveStatus))
 }
 
-// handle turns a method of the group with typed parameters into a handler.
+// handle returns the handler of a method with typed parameters. It refuses calls once the group is closed.
 func handle[Request any](
 	g *Group, serve func(ctx context.Context, request Request, body []byte) (any, []byte, error),
 ) rpc.Handler {
@@ -40,7 +41,7 @@
 	return &rpc.Error{Code: rpc.CodeNotFound, Message: "another disk is here: " + g.self.DiskID}
 }
 
-// call makes a call to a member within a limit.
+// call makes a call to a member within a time limit.
 func (g *Group) call(
 	ctx context.Context, limit time.Duration, to Member, method string, params any, body []byte, result any,
 ) ([]byte, error) {
@@ -49,7 +50,7 @@
 	return g.options.Pool.Get(to.Address).Call(ctx, method, params, body, result)
 }
 
-// serveStatus reports whether this process leads.
+// serveStatus tells the caller whether this process leads.
 func (g *Group) serveStatus(context.Context, struct{}, []byte) (any, []byte, error) {
 	response := statusResponse{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
 	if l := g.leadership.Load(); l != nil {
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxElectionDelay  = 150 * time.Millisecond // the random pause before an election is shorter
-	electionBackoff   = 100 * time.Millisecond // the least pause after an election that failed
-	electionJitter    = 200 * time.Millisecond // what is added to it at random
-	minCheckInterval  = 50 * time.Millisecond  // between two looks at a primary that is silent
-	nonMemberInterval = 500 * time.Millisecond // between two looks of a process that can't stand
+	maxElectionDelay  = 150 * time.Millisecond // upper bound of the random delay before an election
+	electionBackoff   = 100 * time.Millisecond // shortest delay after an election that failed
+	electionJitter    = 200 * time.Millisecond // upper bound of what is added to it at random
+	minCheckInterval  = 50 * time.Millisecond  // shortest delay between two checks of a primary that does not respond
+	nonMemberInterval = 500 * time.Millisecond // between two checks by a process that can't be a candidate
 )
 
-// watchPrimary watches the primary's life and stands for election in its place when it is gone, until the group is closed.
+// watchPrimary watches the primary, and campaigns when it is down, until the group is closed.
 func (g *Group) watchPrimary() {
 	for ctxtime.Sleep(g.ctx, g.supervise()) {
 	}
 }
 
-// supervise looks once, and returns after which time to look again.
+// supervise makes one check of the primary, and returns the delay until the next.
 func (g *Group) supervise() time.Duration {
 	g.notify()
 	if g.leadership.Load() != nil {
@@ -39,11 +39,11 @@
 	if _, member := findMember(known.Members, g.self.DiskID); !member {
 		return nonMemberInterval
 	}
-	if held := g.monitor.electionDelay(time.Now()); held > 0 {
-		return held
+	if delay := g.monitor.electionDelay(time.Now()); delay > 0 {
+		return delay
 	}
 	if g.replica.log.Failing() {
-		return nonMemberInterval // a primary needs its disk
+		return nonMemberInterval // a primary needs a disk that works
 	}
 	if !g.primaryDown(g.ctx) {
 		return g.nextCheckDelay()
@@ -51,7 +51,7 @@
 	return g.campaignAfterDelay()
 }
 
-// nextCheckDelay returns how long a primary that seems alive may stay silent.
+// nextCheckDelay returns the delay until the primary has to be checked, unless a heartbeat comes before.
 func (g *Group) nextCheckDelay() time.Duration {
 	silence, _ := g.monitor.sinceContact(time.Now())
 	limit := g.timing.suspectAfter()
@@ -61,7 +61,8 @@
 	return max(minCheckInterval, limit-silence)
 }
 
-// campaignAfterDelay holds an election after a random pause, unless another process has by then.
+// campaignAfterDelay campaigns after a random delay, unless another candidate, or the primary, has been heard by
+// then. It returns the delay until the next check.
 func (g *Group) campaignAfterDelay() time.Duration {
 	if !ctxtime.Sleep(g.ctx, g.randomPause(maxElectionDelay)) {
 		return 0
@@ -76,7 +77,7 @@
 	return g.timing.suspectAfter()
 }
 
-// primaryDown reports whether the primary is dead, leads no more, or has been silent for the lease.
+// primaryDown reports whether the primary has failed, leads no more, or has not been heard from for the lease.
 func (g *Group) primaryDown(ctx context.Context) bool {
 	record := g.witness.record()
 	if record.Accepted == nil || record.Accepted.Primary == g.self.DiskID {
@@ -92,30 +93,32 @@
 	return g.checkPrimary(ctx, *record.Accepted)
 }
 
-// checkPrimary asks a silent primary whether it leads.
+// checkPrimary asks a primary that has not been heard from whether it leads, and reports whether it surely does not.
+// No response within the time limit proves nothing.
 func (g *Group) checkPrimary(ctx context.Context, view View) bool {
 	primary, found := view.PrimaryMember()
 	if !found {
 		return true
 	}
-	asked := time.Now()
+	sentAt := time.Now()
 	var status statusResponse
 	_, err := g.call(ctx, g.timing.StatusTimeout, primary, methodStatus, struct{}{}, nil, &status)
-	var reported *rpc.Error
+	var remote *rpc.Error
 	switch {
 	case err == nil:
 		if status.Leading && status.DiskID == primary.DiskID {
 			return false
 		}
-	case errors.As(err, &reported), isConnectionRefused(err):
+	case errors.As(err, &remote), isConnectionRefused(err):
 	default:
 		return false
 	}
-	g.monitor.markDown(asked)
+	g.monitor.markDown(sentAt)
 	return true
 }
 
-// campaign makes a view with this process as the primary, and leads it.
+// campaign makes a view with this process as the primary, and leads it. Only a process of the newest view's in-sync
+// set succeeds.
 func (g *Group) campaign(ctx context.Context) error {
 	known := g.newestKnownView()
 	if known == nil {
@@ -132,7 +135,8 @@
 	return g.startLeadership(made)
 }
 
-// deriveSuccessorView derives the view of a new primary.
+// deriveSuccessorView derives the view of a new primary from the newest accepted one. It returns errNotInSync where
+// this process may lack acknowledged changes.
 func (g *Group) deriveSuccessorView(newest View) (View, error) {
 	if _, member := findMember(newest.Members, g.self.DiskID); !member || !newest.HasInSync(g.self.DiskID) {
 		return View{}, trace.Wrap(errNotInSync)
--- a/internal/controlplane/replication/entry.go
+++ b/internal/controlplane/replication/entry.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// position names a record of the log. Within a group an epoch and an index name one record only, and two logs that end
-// at the same position are equal.
+// position identifies an entry of the log. Within a group an epoch and an index stand for one entry only, and two
+// logs that end at the same position are equal (raft's log matching).
 type position struct {
 	Epoch uint64 `json:"epoch"`
 	Index uint64 `json:"index"`
@@ -12,12 +12,12 @@
 // entry is a change in the log.
 type entry struct {
 	position
-	// Commit is the index up to which the log was committed when the entry was made.
+	// Commit is the index up to which the log was committed when the entry was written.
 	Commit uint64
 	Change []byte
 }
 
-// encode appends the entry's record to a buffer.
+// encode appends the entry's record to a buffer: epoch, index and commit as varints, then the change.
 func (e entry) encode(buffer []byte) []byte {
 	buffer = binary.AppendUvarint(buffer, e.Epoch)
 	buffer = binary.AppendUvarint(buffer, e.Index)
@@ -25,7 +25,7 @@
 	return append(buffer, e.Change...)
 }
 
-// decodeEntry reads a record. The entry shares the record's bytes.
+// decodeEntry decodes a record. The entry shares the record's bytes.
 func decodeEntry(record []byte) (entry, error) {
 	reader := fieldReader{rest: record}
 	decoded := entry{}
@@ -36,13 +36,13 @@
 	return decoded, reader.err
 }
 
-// appendFrame appends a record with its length before it.
+// appendFrame appends a record to a buffer, after its length as a varint.
 func appendFrame(buffer, record []byte) []byte {
 	buffer = binary.AppendUvarint(buffer, uint64(len(record)))
 	return append(buffer, record...)
 }
 
-// decodeEntries reads framed records up to the end.
+// decodeEntries decodes framed records up to the end of the data.
 func decodeEntries(data []byte) ([]entry, error) {
 	var entries []entry
 	reader := fieldReader{rest: data}
--- a/internal/controlplane/replication/field_reader.go
+++ b/internal/controlplane/replication/field_reader.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// fieldReader reads numbers and framed records from the front of a buffer. The first failure stays.
+// fieldReader reads varints and framed records from the front of a buffer. It keeps the first error.
 type fieldReader struct {
 	rest []byte
 	err  error
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// Group is this process's part in the replicated group.
+// Group is this process's part in the replicated group. Its methods are safe for concurrent use.
 type Group struct {
 	options Options
 	self    Member
@@ -25,10 +25,10 @@
 	cancel context.CancelFunc
 
 	leadership   atomic.Pointer[leadership] // nil while this process does not lead
-	viewChanges  semaphore                  // held while this process makes a view
+	viewChanges  semaphore                  // held while this process makes a view; one at a time
 	monitor      primaryMonitor
 	highestEpoch atomic.Uint64        // the highest epoch known to be promised by anyone
-	learnedView  atomic.Pointer[View] // the newest view heard of from other witnesses
+	learnedView  atomic.Pointer[View] // the newest view that other witnesses have reported; nil where none has
 
 	randomMu sync.Mutex
 	random   *rand.Rand
@@ -38,7 +38,8 @@
 	reported    Role
 }
 
-// Open loads what the disk holds and registers the group's calls. It takes no part in the group's life until Run.
+// Open loads what the disk holds and registers the handlers of the group's calls. The process votes and replicates
+// from then on; it watches the primary and campaigns only while Run runs.
 func Open(options Options) (*Group, error) {
 	options = options.withDefaults()
 	witness, err := openWitness(options.FS)
@@ -65,13 +66,15 @@
 	return g, nil
 }
 
+// hash returns a hash of a text, by which processes with the same seed draw different delays.
 func hash(text string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(text))
 	return sum.Sum64()
 }
 
-// Run takes part in the group until the context ends.
+// Run watches the primary, and campaigns when it is down, until the context ends. Then the process resigns and
+// refuses all calls; Close closes the log.
 func (g *Group) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, g.cancel)
 	defer stop()
@@ -79,14 +82,14 @@
 	g.resignOnStop()
 }
 
-// resignOnStop ends this process's leadership because it stops.
+// resignOnStop ends this process's leadership because the process stops.
 func (g *Group) resignOnStop() {
 	if l := g.leadership.Load(); l != nil {
 		g.resign(l, "stopping")
 	}
 }
 
-// Close ends the part in the group. The log is synced and closed.
+// Close ends this process's part in the group. It syncs and closes the log.
 func (g *Group) Close() {
 	g.cancel()
 	g.resignOnStop()
@@ -95,7 +98,7 @@
 	}
 }
 
-// randomPause returns a duration up to a limit.
+// randomPause returns a random duration below a limit. The draws come from the seed of the options.
 func (g *Group) randomPause(limit time.Duration) time.Duration {
 	g.randomMu.Lock()
 	defer g.randomMu.Unlock()
--- a/internal/controlplane/replication/heartbeat.go
+++ b/internal/controlplane/replication/heartbeat.go
@@ -7,11 +7,12 @@
 	"gladepick/internal/rpc"
 )
 
-// firstEchoDelay is the pause after a first heartbeat: the second one echoes the peer's response, which makes its state
-// fresh.
+// firstEchoDelay is the delay after the first heartbeat to a peer. The second one echoes the peer's response, by
+// which the peer learns that its state is up to date.
 const firstEchoDelay = 10 * time.Millisecond
 
-// sendHeartbeats sends heartbeats to a peer until it is a member any more.
+// sendHeartbeats sends heartbeats to a peer until the context ends: the peer has left the group, or the leadership
+// is over.
 func (l *leadership) sendHeartbeats(ctx context.Context, to *peer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -27,15 +28,15 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat and draws the consequences of its response. It returns when to send the next.
+// sendHeartbeat sends one heartbeat and handles the response. It returns the delay until the next one.
 func (l *leadership) sendHeartbeat(ctx context.Context, to *peer) time.Duration {
 	g := l.group
 	view := l.currentView()
-	sent := time.Now()
-	committed, own := g.replica.committedIn(view.Epoch)
+	sentAt := time.Now()
+	committed, owned := g.replica.committedIn(view.Epoch)
 	request := heartbeatRequest{
 		Target: to.member.DiskID, Epoch: view.Epoch, Primary: g.self.DiskID,
-		Commit: committed, Leading: own && l.leaseValid(sent), Echo: to.newestResponseNumber(),
+		Commit: committed, Leading: owned && l.leaseValid(sentAt), Echo: to.newestResponseNumber(),
 	}
 	var response heartbeatResponse
 	body, err := g.call(
@@ -45,11 +46,11 @@
 		return l.handleNoResponse(view, to, err)
 	}
 	if response.Supported {
-		to.markContact(sent)
+		to.markContact(sentAt)
 		to.noteResponseNumber(response.Number)
 	}
 	if response.Supported && request.Leading && response.Accepted >= view.Epoch {
-		to.markLeaseRenewed(sent)
+		to.markLeaseRenewed(sentAt)
 	}
 	l.handleResponse(ctx, view, to, response)
 	if len(body) > 0 && g.options.OnHeartbeatResponse != nil {
@@ -62,28 +63,28 @@
 	return g.timing.HeartbeatInterval
 }
 
-// handleNoResponse records that a peer did not answer, and returns when to try again.
-func (l *leadership) handleNoResponse(view View, silent *peer, err error) time.Duration {
+// handleNoResponse records that a peer did not respond, and returns the delay until the next heartbeat.
+func (l *leadership) handleNoResponse(view View, failed *peer, err error) time.Duration {
 	timing := l.group.timing
 	now := time.Now()
 	wait := timing.HeartbeatInterval
 	if isConnectionRefused(err) || rpc.CodeOf(err) == rpc.CodeNotFound {
-		silent.markRefused(now)
+		failed.markRefused(now)
 		wait = timing.RefusedTimeout
 	}
-	if silent.unresponsive(now, timing) {
-		silent.setAligned(false)
-		if view.HasInSync(silent.member.DiskID) {
+	if failed.unresponsive(now, timing) {
+		failed.setAligned(false)
+		if view.HasInSync(failed.member.DiskID) {
 			l.signal()
 		}
 	} else {
-		time.AfterFunc(silent.untilUnresponsive(now, timing), l.signal)
+		time.AfterFunc(failed.untilUnresponsive(now, timing), l.signal)
 	}
 	l.group.notify()
 	return wait
 }
 
-// handleResponse records a peer's response and helps it to what it lacks: the view, or the log.
+// handleResponse records a peer's response, and provides the peer with what it lacks: the view, or the log.
 func (l *leadership) handleResponse(ctx context.Context, view View, from *peer, response heartbeatResponse) {
 	l.group.observeEpoch(response.Promised)
 	if !response.Supported {
@@ -111,7 +112,7 @@
 	}
 }
 
-// alignPeer makes a peer follow the log, by a copy of the state where it needs one.
+// alignPeer makes a peer follow the log, by a snapshot where it needs one.
 func (l *leadership) alignPeer(ctx context.Context, view View, to *peer) {
 	last := l.group.replica.end()
 	aligned, err := l.group.align(ctx, to.member, view.Epoch, last, &lazySnapshot{})
@@ -121,13 +122,13 @@
 	}
 }
 
-// triggerHeartbeats has a heartbeat sent to everyone at once, which tells them what is committed.
+// triggerHeartbeats has a heartbeat sent to every peer at once, which tells them what is committed.
 func (l *leadership) triggerHeartbeats() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, each := range l.peers {
+	for _, known := range l.peers {
 		select {
-		case each.heartbeatNow <- struct{}{}:
+		case known.heartbeatNow <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	reconfigureInterval = 100 * time.Millisecond // between attempts at a view without which the group stands still
-	improvementInterval = 400 * time.Millisecond // between attempts at a view that would only be better
-	resignElectionDelay = time.Second            // for how long a process that has resigned lets others stand first
+	reconfigureInterval = 100 * time.Millisecond // between attempts at a view without which nothing can be committed
+	improvementInterval = 400 * time.Millisecond // between attempts at a view that only improves the current one
+	resignElectionDelay = time.Second            // for how long a process that has resigned does not campaign
 )
 
-// leadership is this process's time as the primary, from one election to the next. One goroutine carries out what has
-// to go in order: batches of changes, read barriers, and new views.
+// leadership is the time during which this process is the primary, from one election to the next. Its goroutine
+// carries out, in order, everything that needs an order: batches of changes, read barriers, and new views. Another
+// goroutine for each peer sends the heartbeats.
 type leadership struct {
 	group  *Group
 	ctx    context.Context
@@ -31,11 +32,12 @@
 	queue           []*request
 	unacknowledged  []unacknowledgedBatch // only used by the leadership's goroutine
 	closed          bool
-	leaseLapsed     bool // the lease has run out in this view
+	leaseLapsed     bool // the lease has run out in this view, for good
 	nextImprovement time.Time
 }
 
-// startLeadership begins a leadership in a view that is in force.
+// startLeadership begins a leadership in a view that is in force. It returns errSuperseded where another process has
+// been promised a newer epoch meanwhile.
 func (g *Group) startLeadership(made establishedView) error {
 	l := &leadership{group: g, wake: make(chan struct{}, 1), peers: map[string]*peer{}}
 	l.ctx, l.cancel = context.WithCancel(g.ctx)
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// resign ends a leadership. What is waiting fails.
+// resign ends a leadership. Requests that have not been started fail with ErrNotPrimary.
 func (g *Group) resign(l *leadership, reason string) {
 	if !g.leadership.CompareAndSwap(l, nil) {
 		return
@@ -68,7 +70,7 @@
 	g.notify()
 }
 
-// close stops the taking of requests, and returns those that have not been started.
+// close stops the acceptance of requests, and returns those that have not been started.
 func (l *leadership) close() []*request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,13 +80,14 @@
 	return waiting
 }
 
+// currentView returns the view that this process leads.
 func (l *leadership) currentView() View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view
 }
 
-// signal makes the leadership's goroutine look for work.
+// signal makes the leadership's goroutine check for work.
 func (l *leadership) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -92,7 +95,7 @@
 	}
 }
 
-// run carries out the work of the leadership until it ends.
+// run is the leadership's goroutine. It ends with the leadership.
 func (l *leadership) run() {
 	defer l.failUnacknowledged()
 	for l.ctx.Err() == nil {
@@ -104,7 +107,7 @@
 	}
 }
 
-// sleep waits until there may be work; 0 stands for no limit.
+// sleep waits until there may be work, or for a time limit; 0 stands for no limit.
 func (l *leadership) sleep(limit time.Duration) {
 	var after <-chan time.Time
 	if limit > 0 {
@@ -119,7 +122,8 @@
 	}
 }
 
-// step does the most urgent piece of work. It reports whether there was none, and for how long at most to wait then.
+// step does the most urgent piece of work. Where there is none it reports so, with a time limit for the wait; 0
+// stands for no limit.
 func (l *leadership) step() (wait time.Duration, idle bool) {
 	if l.mustReconfigure() {
 		if l.reconfigure(nil) != nil {
@@ -129,7 +133,7 @@
 	}
 	grow, wait := l.mayImprove(time.Now())
 	if grow {
-		_ = l.reconfigure(nil) // a failure is tried again later
+		_ = l.reconfigure(nil) // it is tried again later
 		l.postponeImprovement()
 		return 0, false
 	}
--- a/internal/controlplane/replication/lease.go
+++ b/internal/controlplane/replication/lease.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leaseValid reports whether this process surely is the primary: a majority and all of the in-sync set have answered a
-// heartbeat that was sent within the lease. A lease that has run out is not taken up again in the same view: a witness
-// that has seen it run out may have turned to another candidate.
+// leaseValid reports whether this process surely is the primary: a majority, and every backup of the in-sync set,
+// has responded to a heartbeat that was sent within the lease. An expired lease is not renewed in the same view, as
+// a witness that has seen it expire may have promised an epoch to another candidate.
 func (l *leadership) leaseValid(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -15,7 +15,7 @@
 	return !l.leaseLapsed
 }
 
-// leaseSupported reports whether the responses of the other members carry the lease. The caller holds the lock.
+// leaseSupported reports whether the responses of the other members support the lease. The caller holds the lock.
 func (l *leadership) leaseSupported(now time.Time) bool {
 	for _, diskID := range l.view.InSync {
 		if !l.signWithinLease(diskID, now, (*peer).lastAligned) {
@@ -25,7 +25,8 @@
 	return l.view.hasQuorum(func(diskID string) bool { return l.signWithinLease(diskID, now, (*peer).lastLeaseRenewal) })
 }
 
-// signWithinLease reports whether the last sign of a member, of some kind, is younger than the lease. The caller holds the lock.
+// signWithinLease reports whether the latest sign of some kind from a member is younger than the lease. The caller
+// holds the lock.
 func (l *leadership) signWithinLease(diskID string, now time.Time, lastSign func(*peer) time.Time) bool {
 	if diskID == l.group.self.DiskID {
 		return true
--- a/internal/controlplane/replication/member.go
+++ b/internal/controlplane/replication/member.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// Member is a process that takes part in the group. Its identity is its disk: a process that lost its disk is another
-// member.
+// Member is a process that takes part in the group. Its identity is its disk: a process that has lost its disk is
+// another member.
 type Member struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	DiskID  string `json:"diskId"`
 }
 
-// String names a member in messages.
+// String returns the member's name and disk, for messages.
 func (m Member) String() string { return fmt.Sprintf("%s (%s)", m.Name, m.DiskID) }
 
+// findMember returns the member with a disk id, and whether there is one.
 func findMember(members []Member, diskID string) (Member, bool) {
 	for _, member := range members {
 		if member.DiskID == diskID {
@@ -25,11 +26,12 @@
 	return Member{}, false
 }
 
+// withoutDisk returns a copy of the members without the one that has a disk id.
 func withoutDisk(members []Member, diskID string) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.DiskID == diskID })
 }
 
-// membersThat returns the members whose disks satisfy a condition.
+// membersThat returns a copy of the members, with only those whose disks satisfy a condition.
 func membersThat(members []Member, condition func(diskID string) bool) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return !condition(member.DiskID) })
 }
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -6,9 +6,9 @@
 	"github.com/gravitational/trace"
 )
 
-// membershipChange takes one member out and another in; either may be missing.
+// membershipChange removes one member and adds another; either may be missing.
 type membershipChange struct {
-	remove string // a disk id, or ""
+	remove string // a disk id; "" for none
 	add    *Member
 }
 
@@ -21,21 +21,25 @@
 	return changed
 }
 
-// AddMember takes a process into the group, after it has copied the state. It returns when the view is in force.
+// AddMember adds a process to the group, after it has received the state. It returns when the view that has the
+// member is in force, and ErrNotPrimary where this process can't carry it out.
 func (g *Group) AddMember(ctx context.Context, added Member) error {
 	return g.submitMembership(ctx, membershipChange{add: &added})
 }
 
-// RemoveMember takes a disk out of the group. The primary can't remove itself.
+// RemoveMember removes the member with a disk id. The primary can't remove itself.
 func (g *Group) RemoveMember(ctx context.Context, diskID string) error {
 	return g.submitMembership(ctx, membershipChange{remove: diskID})
 }
 
-// ReplaceMember takes a disk out and another in, by one change.
+// ReplaceMember removes the member with a disk id and adds another, in one change: the group never has one member
+// less.
 func (g *Group) ReplaceMember(ctx context.Context, oldDiskID string, added Member) error {
 	return g.submitMembership(ctx, membershipChange{remove: oldDiskID, add: &added})
 }
 
+// submitMembership has the primary's goroutine carry out a change of the membership. A new member receives the state
+// before, while the group goes on committing changes.
 func (g *Group) submitMembership(ctx context.Context, change membershipChange) error {
 	if change.remove == g.self.DiskID {
 		return trace.BadParameter("the primary can't leave the group")
@@ -52,25 +56,25 @@
 	return g.submit(ctx, &request{kind: requestMembership, membership: change})
 }
 
-// catchUpLearner copies the state to a process that is to become a member, while the group goes on.
+// catchUpLearner sends the state to a learner: a process that is to become a member.
 func (l *leadership) catchUpLearner(ctx context.Context, learner Member) error {
 	last := l.group.replica.end()
-	taught, err := l.group.align(ctx, learner, l.currentView().Epoch, last, &lazySnapshot{})
+	attached, err := l.group.align(ctx, learner, l.currentView().Epoch, last, &lazySnapshot{})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if !taught {
+	if !attached {
 		return trace.Wrap(ErrNotPrimary)
 	}
 	return nil
 }
 
-// changeMembership makes a view with the new members, which needs majorities of both the old and the new ones, and
-// then one in which the old ones have no say any more. Where the second fails it is made later.
+// changeMembership makes a view with the new members, which needs majorities of the previous and of the new members,
+// and then a view without the previous ones. Where the second view fails, step makes it later.
 func (l *leadership) changeMembership(change membershipChange) error {
 	view := l.currentView()
 	if len(view.Previous) > 0 {
-		return trace.Wrap(ErrNotPrimary) // the last change is not finished
+		return trace.Wrap(ErrNotPrimary) // the previous change has not been completed
 	}
 	required := ""
 	if change.add != nil {
--- a/internal/controlplane/replication/options.go
+++ b/internal/controlplane/replication/options.go
@@ -9,33 +9,34 @@
 	"gladepick/internal/vfs"
 )
 
-// Options say what a group works with.
+// Options configure a group. Self, Pool, Server, FS and StateMachine are required.
 type Options struct {
 	Self              Member
 	Pool              *rpc.Pool
 	Server            *rpc.Server
 	FS                vfs.FS
 	StateMachine      StateMachine
-	ReplicationFactor int // on how many disks a change is before it is acknowledged: tolerated losses + 1
+	ReplicationFactor int // number of disks that hold a change before it is acknowledged: the tolerated losses + 1
 	AllowBootstrap    bool
 	Logger            *zap.Logger
-	Seed              uint64 // of the random pauses before elections
+	Seed              uint64 // of the random delays before elections
 	Timing            Timing
 
-	// HeartbeatPayload is asked at the primary for what each heartbeat carries to a backup. It may be nil.
+	// HeartbeatPayload is called at the primary and returns what a heartbeat carries to a backup. It may be nil.
 	HeartbeatPayload func() []byte
-	// OnHeartbeat gets a heartbeat's payload at the backup, and a moment after which it was sent. It may be nil.
+	// OnHeartbeat is called at the backup with a heartbeat's payload, and a time after which it was sent. It may be nil.
 	OnHeartbeat func(payload []byte, sentAfter time.Time)
-	// ResponsePayload is asked at the backup for what the response to a heartbeat carries; it gets the response's number, which
-	// grows with each response. It may be nil.
+	// ResponsePayload is called at the backup and returns what the response to a heartbeat carries. It gets the response's
+	// number, which grows with each response. It may be nil.
 	ResponsePayload func(number uint64) []byte
-	// OnResponseEcho is called at the backup when it learns that a response has reached a primary that led after that. It may be
-	// nil.
+	// OnResponseEcho is called at the backup when it learns that the response with a number has reached a primary which led
+	// after that. It may be nil.
 	OnResponseEcho func(number uint64)
-	// OnHeartbeatResponse gets the response's payload at the primary. It may be nil.
+	// OnHeartbeatResponse is called at the primary with the payload of a response. It may be nil.
 	OnHeartbeatResponse func(from Member, payload []byte)
 }
 
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -53,15 +54,15 @@
 	return o
 }
 
-// Timing holds the durations of the protocol. Zero values are replaced by the defaults.
+// Timing holds the durations of the protocol. Zero values stand for the defaults.
 type Timing struct {
-	HeartbeatInterval time.Duration // how often the primary calls each member
-	LeaseDuration     time.Duration // for how long a witness stands by a primary it has heard from
-	BackupTimeout     time.Duration // after which silence a backup leaves the in-sync set
-	RefusedTimeout    time.Duration // the same after its address refused a connection
-	RoundTimeout      time.Duration // limit of a round of promises, of alignment or of acceptance
-	StatusTimeout     time.Duration // limit of the call by which a backup looks whether a silent primary lives
-	SnapshotTimeout   time.Duration // limit of a transfer of the whole state
+	HeartbeatInterval time.Duration // between two heartbeats to a member
+	LeaseDuration     time.Duration // for how long a witness supports a primary after its last heartbeat
+	BackupTimeout     time.Duration // a backup that has not responded for so long leaves the in-sync set
+	RefusedTimeout    time.Duration // the same since its address refused a connection
+	RoundTimeout      time.Duration // limit of a prepare, align or accept round
+	StatusTimeout     time.Duration // limit of the call by which a backup checks a primary that it suspects
+	SnapshotTimeout   time.Duration // limit of the transfer of a snapshot
 }
 
 const (
@@ -74,15 +75,17 @@
 	defaultCopyTimeout       = 3 * time.Second
 )
 
+// setDefault replaces a duration that is not positive.
 func setDefault(value *time.Duration, fallback time.Duration) {
 	if *value <= 0 {
 		*value = fallback
 	}
 }
 
-// suspectAfter is the silence after which a backup looks whether the primary lives.
+// suspectAfter is the time without a heartbeat after which a backup suspects that the primary has failed.
 func (t Timing) suspectAfter() time.Duration { return 2 * t.HeartbeatInterval }
 
+// payloadOf calls a source of payloads, which may be nil.
 func payloadOf(source func() []byte) []byte {
 	if source == nil {
 		return nil
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// alignRetryInterval is the pause after a failed attempt to bring a peer up to date.
+// alignRetryInterval is the delay after a failed attempt to align a peer.
 const alignRetryInterval = 400 * time.Millisecond
 
-// peer is another member as the primary sees it. A goroutine of its own sends it heartbeats.
+// peer is another member as the primary sees it. A goroutine of its own sends it heartbeats. The fields below mu are
+// guarded by it.
 type peer struct {
 	member       Member
 	cancel       context.CancelFunc
-	heartbeatNow chan struct{} // a heartbeat is wanted now
+	heartbeatNow chan struct{} // asks for a heartbeat at once
 
 	created time.Time
 
 	mu             sync.Mutex
-	lastContact    time.Time // when the last heartbeat was sent that it answered
-	leaseRenewedAt time.Time // when the last sign was sent by which it has renewed the primary's lease
-	alignedAt      time.Time // when it was last asked, in the making of a view, to follow the log and did
-	refusedSince   time.Time // since when its address refuses connections; zero while it does not
+	lastContact    time.Time // when the newest heartbeat that it supported was sent
+	leaseRenewedAt time.Time // when the newest call by which it renewed the primary's lease was sent
+	alignedAt      time.Time // when it was last aligned in a view change
+	refusedSince   time.Time // since when its address refuses connections; zero where it does not
 	aligned        bool      // it follows the primary's log
-	aligning       bool      // it is being brought to do so
-	nextAlignment  time.Time // not before then, after a failure
-	responseNumber uint64    // the number of its newest response to a heartbeat; 0 while there is none
+	aligning       bool      // an attempt to align it is under way
+	nextAlignment  time.Time // earliest time of the next attempt
+	responseNumber uint64    // number of its newest response to a heartbeat; 0 where there is none
 }
 
-// unresponsive reports whether the peer has been silent for so long that it must leave the in-sync set.
+// unresponsive reports whether the peer has not responded for so long that it must leave the in-sync set.
 func (p *peer) unresponsive(now time.Time, timing Timing) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +39,7 @@
 	return !p.refusedSince.IsZero() && now.Sub(p.refusedSince) >= timing.RefusedTimeout
 }
 
-// lastSign returns since when nothing has come from the peer. The caller holds the lock.
+// lastSign returns when the peer last responded, or when it became a peer. The caller holds the lock.
 func (p *peer) lastSign() time.Time {
 	if p.lastContact.After(p.created) {
 		return p.lastContact
@@ -46,14 +47,14 @@
 	return p.created
 }
 
-// untilUnresponsive returns for how long the peer may still be silent.
+// untilUnresponsive returns after which time without a response the peer has to leave the in-sync set.
 func (p *peer) untilUnresponsive(now time.Time, timing Timing) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return timing.BackupTimeout - now.Sub(p.lastSign())
 }
 
-// mayJoinInSync reports whether the peer may enter the in-sync set.
+// mayJoinInSync reports whether the peer may enter the in-sync set: it follows the log and has responded lately.
 func (p *peer) mayJoinInSync(now time.Time, timing Timing) bool {
 	if p.unresponsive(now, timing) {
 		return false
@@ -63,13 +64,14 @@
 	return p.aligned && now.Sub(p.lastContact) < 2*timing.suspectAfter()
 }
 
+// lastLeaseRenewal returns when the newest call by which the peer renewed the primary's lease was sent.
 func (p *peer) lastLeaseRenewal() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leaseRenewedAt
 }
 
-// markLeaseRenewed records that the peer, as a witness, stands by the primary for the lease.
+// markLeaseRenewed records that the peer, as a witness, supports the primary for a lease from a time on.
 func (p *peer) markLeaseRenewed(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +80,7 @@
 	}
 }
 
-// lastAligned returns when the peer was last asked anything that showed that it follows this primary.
+// lastAligned returns when the newest call was sent whose response showed that the peer follows this primary.
 func (p *peer) lastAligned() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,6 +90,7 @@
 	return p.lastContact
 }
 
+// markContact records a response to a heartbeat, with the time at which the heartbeat was sent.
 func (p *peer) markContact(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +100,7 @@
 	p.refusedSince = time.Time{}
 }
 
-// noteResponseNumber remembers the number of the peer's newest response.
+// noteResponseNumber records the number of the peer's newest response.
 func (p *peer) noteResponseNumber(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,6 +114,7 @@
 	return p.responseNumber
 }
 
+// markRefused records that the peer's address refuses connections.
 func (p *peer) markRefused(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,13 +123,14 @@
 	}
 }
 
+// setAligned records whether the peer follows the log.
 func (p *peer) setAligned(aligned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.aligned = aligned
 }
 
-// markAligned records that the peer followed the log in the making of a view.
+// markAligned records that the peer was aligned in a view change.
 func (p *peer) markAligned(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +138,7 @@
 	p.alignedAt = at
 }
 
-// beginAligning reports whether the caller should bring the peer to follow the log; only one does at a time.
+// beginAligning reports whether the caller is to align the peer. There is one attempt at a time.
 func (p *peer) beginAligning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,6 +149,7 @@
 	return true
 }
 
+// endAligning ends an attempt to align the peer.
 func (p *peer) endAligning(aligned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,7 +160,8 @@
 	}
 }
 
-// enterView makes a view the one that this process leads, and begins and ends the heartbeats accordingly.
+// enterView makes a view the one that this process leads. It starts the heartbeats to new members and stops those to
+// removed ones.
 func (l *leadership) enterView(made establishedView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,11 +181,11 @@
 	}
 }
 
-// updatePeer records what the making of a view has told of a member. The caller holds the lock.
+// updatePeer records what a view change has shown of a member. The caller holds the lock.
 func (l *leadership) updatePeer(member Member, made establishedView) {
 	known := l.peers[member.DiskID]
 	if known != nil && known.member != member {
-		known.cancel() // it has moved
+		known.cancel() // its name or address has changed
 		known = nil
 	}
 	if known == nil {
--- a/internal/controlplane/replication/prepare.go
+++ b/internal/controlplane/replication/prepare.go
@@ -6,13 +6,14 @@
 	"github.com/gravitational/trace"
 )
 
-// promises is what a round of promises brought.
+// promises is the result of a prepare round.
 type promises struct {
 	granted map[string]bool
-	highest uint64 // the highest epoch that anyone has promised
-	newest  View   // the newest view that anyone has accepted
+	highest uint64 // the highest epoch that any member has promised
+	newest  View   // the newest view that any member has accepted
 }
 
+// add takes a member's response in.
 func (p *promises) add(member Member, response prepareResponse) {
 	if response.Granted {
 		p.granted[member.DiskID] = true
@@ -23,12 +24,13 @@
 	}
 }
 
+// hasQuorum reports whether a majority of the newest view's members has promised.
 func (p *promises) hasQuorum() bool {
 	return p.newest.hasQuorum(func(diskID string) bool { return p.granted[diskID] })
 }
 
-// preVote asks without effect whether a majority would promise, so that no epoch is used up in vain, and returns
-// an epoch that is higher than all that were promised.
+// preVote asks whether a majority would promise, so that a process that can't win uses no epoch up and disturbs no
+// primary. It returns an epoch that is higher than all that were promised.
 func (g *Group) preVote(ctx context.Context, change viewChange) (uint64, error) {
 	request := prepareRequest{Epoch: g.witness.record().Promised + 1, PreVote: true}
 	collected, err := g.collectPromises(ctx, change, request)
@@ -41,26 +43,26 @@
 	return g.highestEpoch.Load() + 1, nil
 }
 
-// collectPromises asks the members of the newest known view for their promises. The majority that it needs is one of
-// the newest view it comes to know.
+// collectPromises asks the members of the newest known view for their promises. It returns ErrNoQuorum unless a
+// majority of the newest view that the responses name has promised.
 func (g *Group) collectPromises(ctx context.Context, change viewChange, request prepareRequest) (promises, error) {
 	request.Candidate, request.View, request.Bootstrap = g.self.DiskID, change.base, change.bootstrap
 	own := g.witness.record()
 	collected := promises{granted: map[string]bool{}, newest: change.base}
 	collected.add(g.self, prepareResponse{Granted: true, Promised: own.Promised, Accepted: own.Accepted})
 	others := withoutDisk(change.base.allMembers(), g.self.DiskID)
-	replies := broadcast(others, func(to Member) (prepareResponse, error) {
-		mine := request
-		mine.Target = to.DiskID
+	responses := broadcast(others, func(to Member) (prepareResponse, error) {
+		addressed := request
+		addressed.Target = to.DiskID
 		var response prepareResponse
-		_, err := g.call(ctx, g.timing.RoundTimeout, to, methodPrepare, mine, nil, &response)
+		_, err := g.call(ctx, g.timing.RoundTimeout, to, methodPrepare, addressed, nil, &response)
 		return response, err
 	})
 	awaited := others
 	if request.PreVote {
 		awaited = nil
 	}
-	awaitRound(ctx, replies, others, awaitedOf(awaited, change), func(member Member, response prepareResponse) bool {
+	awaitRound(ctx, responses, others, awaitedOf(awaited, change), func(member Member, response prepareResponse) bool {
 		collected.add(member, response)
 		return collected.hasQuorum()
 	})
--- a/internal/controlplane/replication/primary_monitor.go
+++ b/internal/controlplane/replication/primary_monitor.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-// primaryMonitor is what a backup knows of the primary's life.
+// primaryMonitor is what a backup knows of the primary, by which it decides whether to campaign, whether to vote,
+// and whether its own state may be read. Its fields are guarded by mu.
 type primaryMonitor struct {
 	mu sync.Mutex
-	// heard is when something last came from the primary.
+	// lastContact is when the primary was last heard from.
 	lastContact time.Time
-	// gone is set when the primary is known not to lead any more, until it is heard again.
+	// down is set when the primary is known not to lead any more, until it is heard from again.
 	down bool
-	// noElectionBefore is until when this process holds no election, because another one does.
+	// noElectionBefore is until when this process does not campaign, because another one does.
 	noElectionBefore time.Time
-	// voteReservedFor is the candidate that this witness has promised an epoch to, and does not abandon until voteReservedUntil.
+	// voteReservedFor is the candidate that this witness has promised an epoch to. It votes for no other one before
+	// voteReservedUntil.
 	voteReservedFor   string
 	voteReservedUntil time.Time
-	// current is a time at which the primary led and this process has known since all that was committed then.
+	// upToDateAt is a time at which the primary led; this process has applied all that was committed then.
 	upToDateAt time.Time
 	responses  responseLog
 }
 
+// recordContact records that the primary was heard from.
 func (p *primaryMonitor) recordContact(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,7 +32,7 @@
 	p.down = false
 }
 
-// markDown records that the primary is gone, unless it was heard after a moment.
+// markDown records that the primary is down, unless it has been heard from after a time.
 func (p *primaryMonitor) markDown(asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,27 +41,28 @@
 	}
 }
 
-// sinceContact returns for how long nothing has come from the primary, and whether it is known to be gone.
+// sinceContact returns the time since the primary was last heard from, and whether it is known to be down.
 func (p *primaryMonitor) sinceContact(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.lastContact), p.down
 }
 
+// delayElection keeps this process from campaigning before a time.
 func (p *primaryMonitor) delayElection(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noElectionBefore = until
 }
 
-// electionDelay returns for how long this process still holds no election.
+// electionDelay returns for how long this process does not campaign; it is not positive where it may.
 func (p *primaryMonitor) electionDelay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.noElectionBefore.Sub(now)
 }
 
-// reserveVote binds this witness to a candidate for a while. It holds no election of its own meanwhile.
+// reserveVote reserves this witness's vote for a candidate for a time, in which it does not campaign itself.
 func (p *primaryMonitor) reserveVote(candidate string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,14 +72,14 @@
 	}
 }
 
-// voteReservedForOther reports whether this witness is bound to another candidate.
+// voteReservedForOther reports whether the vote is reserved for another candidate.
 func (p *primaryMonitor) voteReservedForOther(candidate string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.voteReservedFor != candidate && now.Before(p.voteReservedUntil)
 }
 
-// markUpToDate records that this process knows all that was committed at a moment.
+// markUpToDate records that this process has applied all that was committed at a time.
 func (p *primaryMonitor) markUpToDate(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,26 +88,28 @@
 	}
 }
 
+// clearUpToDate forgets how current this process's state is.
 func (p *primaryMonitor) clearUpToDate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.upToDateAt = time.Time{}
 }
 
+// upToDate reports whether this process has applied all that was committed at a time younger than a limit.
 func (p *primaryMonitor) upToDate(now time.Time, limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.upToDateAt.IsZero() && now.Sub(p.upToDateAt) < limit
 }
 
-// nextResponseNumber returns the number of a response to a heartbeat that is given now.
+// nextResponseNumber returns the number of a response to a heartbeat that is sent now.
 func (p *primaryMonitor) nextResponseNumber(now time.Time) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.responses.add(now)
 }
 
-// respondedAt returns when a response was given, and false where that is not known.
+// respondedAt returns when the response with a number was sent, and false where that is not known.
 func (p *primaryMonitor) respondedAt(number uint64) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/replication/reconfiguration.go
+++ b/internal/controlplane/replication/reconfiguration.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/ctxtime"
 )
 
-// reconfigure makes a view whose in-sync set has those who answer, without the failed disks. It also ends a change of
-// membership that is in force.
+// reconfigure makes a view whose in-sync set has the members that respond, without the failed disks. It also
+// completes a change of the membership that is in force.
 func (l *leadership) reconfigure(failed map[string]bool) error {
 	current := l.currentView()
 	return l.changeView(viewChange{excluded: failed}, func(newest View) (View, error) {
@@ -23,7 +23,8 @@
 	})
 }
 
-// reconfigureUntilDone makes a view without the failed disks, and tries until one is in force.
+// reconfigureUntilDone makes a view without the failed disks, and retries until one is in force or the leadership is
+// over.
 func (l *leadership) reconfigureUntilDone(failed map[string]bool) error {
 	for l.ctx.Err() == nil {
 		if l.reconfigure(failed) == nil {
@@ -36,7 +37,7 @@
 }
 
 // changeView makes a view with this process as the primary, and enters it. The leadership ends where another process
-// leads in a newer one.
+// leads in a newer view.
 func (l *leadership) changeView(change viewChange, derive func(newest View) (View, error)) error {
 	l.superseded.Store(false)
 	change.base = l.currentView()
@@ -80,7 +81,7 @@
 	return absent
 }
 
-// mustReconfigure reports whether the group stands still until a new view is made.
+// mustReconfigure reports whether nothing can be committed until a new view is made.
 func (l *leadership) mustReconfigure() bool {
 	view := l.currentView()
 	if l.superseded.Load() || l.group.witness.record().Promised != view.Epoch {
@@ -100,8 +101,8 @@
 	return false
 }
 
-// mayImprove reports whether a new view would be better than the current one: with more disks in sync, or free of the
-// previous members. Otherwise it tells when to ask again; 0 stands for never.
+// mayImprove reports whether a new view would be better than the current one: with more disks in sync, or without
+// the previous members. Otherwise it returns when to ask again; 0 stands for never.
 func (l *leadership) mayImprove(now time.Time) (grow bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,6 +122,7 @@
 	return true, 0
 }
 
+// postponeImprovement sets the earliest time of the next view that only improves the current one.
 func (l *leadership) postponeImprovement() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -11,29 +11,31 @@
 	"gladepick/internal/wal"
 )
 
-// replica is a copy of the log and of the state machine. Entries are applied when they are known to be committed.
+// replica is this process's copy of the log and of the state machine. Entries are applied when they are known to be
+// committed. The fields below mu are guarded by it, and so is the state machine.
 type replica struct {
 	machine StateMachine
 	logger  *zap.Logger
 	log     *wal.Log
 
-	// snapshots is held while a snapshot is made and written; it is taken before mu.
+	// snapshotting is held while a snapshot is made and written. It is acquired before mu.
 	snapshotting semaphore
 
 	mu         sync.Mutex
-	epoch      uint64   // the epoch whose primary's log this replica follows; 0 for none
-	ownedSince uint64   // the epoch since which the log was only this process's own; 0 where it follows another's
+	epoch      uint64   // the epoch whose primary's log the replica follows; 0 for none
+	ownedSince uint64   // the epoch since which no other process has replaced the log; 0 where it follows another's
 	last       position // the end of the log
-	applied    position // the last entry the state machine has
-	unapplied  []entry  // what follows it
+	applied    position // position of the last entry that was applied
+	unapplied  []entry  // the entries after it
 	committed  uint64
-	// undurable is set while the memory holds a state from another process that the disk does not hold yet.
+	// installing is set while the memory holds a primary's snapshot that is not durable yet.
 	installing    bool
 	loggedBytes   int // bytes of records since the last snapshot
 	snapshotBytes int
-	applyErrors   map[uint64]error // what the state machine said to changes that are waited for
+	applyErrors   map[uint64]error // results of Apply, by index, for the changes that proposers wait for
 }
 
+// openReplica restores the replica from the newest snapshot and the log on the disk.
 func openReplica(options Options) (*replica, error) {
 	r := &replica{machine: options.StateMachine, logger: options.Logger, snapshotting: newSemaphore(), applyErrors: map[uint64]error{}}
 	log, err := wal.Open(wal.Options{FS: options.FS, Logger: options.Logger}, r.restoreSnapshot, r.replayRecord)
@@ -44,7 +46,8 @@
 	return r, nil
 }
 
-// replayRecord takes a record from the log on disk. The entry says up to where the log was committed when it was made.
+// replayRecord takes a record from the log on the disk. The entry tells up to where the log was committed when it
+// was written, so that much is applied.
 func (r *replica) replayRecord(_ wal.Position, record []byte) error {
 	decoded, err := decodeEntry(append([]byte(nil), record...))
 	if err != nil {
@@ -58,7 +61,7 @@
 	return nil
 }
 
-// addEntry puts an entry at the end. The caller holds the lock.
+// addEntry adds an entry at the end. The caller holds the lock.
 func (r *replica) addEntry(added entry, size int) {
 	r.unapplied = append(r.unapplied, added)
 	r.last = added.position
@@ -78,6 +81,7 @@
 	r.committed = max(r.committed, min(index, r.last.Index))
 }
 
+// apply applies an entry, and keeps the result where a proposer waits for it. The caller holds the lock.
 func (r *replica) apply(next entry) {
 	err := r.machine.Apply(next.Change)
 	if _, awaited := r.applyErrors[next.Index]; awaited {
@@ -86,8 +90,8 @@
 	r.applied = next.position
 }
 
-// beginEpoch makes the replica follow its own process as the primary of an epoch, and returns the end of its log. Nothing
-// is taken from primaries of lower epochs afterwards.
+// beginEpoch makes the replica follow its own process as the primary of an epoch, and returns the end of its log. It
+// takes no entries from primaries of lower epochs afterwards.
 func (r *replica) beginEpoch(epoch uint64) (position, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,19 +105,21 @@
 	return r.last, nil
 }
 
-// ownsSinceLocked reports whether nothing in the log was replaced by another process since an epoch.
+// ownsSinceLocked reports whether no other process has replaced anything of the log since an epoch. The caller holds
+// the lock.
 func (r *replica) ownsSinceLocked(epoch uint64) bool {
 	return r.ownedSince != 0 && r.ownedSince <= epoch
 }
 
-// ownsSince is owns for callers without the lock.
+// ownsSince is ownsSinceLocked for callers without the lock.
 func (r *replica) ownsSince(epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ownsSinceLocked(epoch)
 }
 
-// committedIn returns what the primary of an epoch may call committed: nothing where its log has been replaced.
+// committedIn returns the index up to which the primary of an epoch may call the log committed, and false where
+// another process has replaced the log since.
 func (r *replica) committedIn(epoch uint64) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -123,7 +129,8 @@
 	return r.committed, true
 }
 
-// propose appends changes at the primary of an epoch. It returns the position they follow and their framed records.
+// propose appends changes at the primary of an epoch. It returns the position that they follow, and their framed
+// records.
 func (r *replica) propose(epoch uint64, changes [][]byte) (after position, records []byte, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +151,8 @@
 	return after, records, nil
 }
 
-// appendFromPrimary appends entries from the primary of an epoch behind a position, except those it already has.
+// appendFromPrimary appends entries that follow a position in the log of an epoch's primary, except those that it
+// already has. It returns errNotAttached where the replica does not follow that log, or lacks entries before them.
 func (r *replica) appendFromPrimary(epoch uint64, after position, entries []entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,7 +175,8 @@
 	return nil
 }
 
-// endsWithin reports whether the log ends within the entries, which follow a position: an earlier copy of the call has come.
+// endsWithin reports whether the log ends within entries that follow a position, as an earlier copy of the same call
+// leaves it. The caller holds the lock.
 func (r *replica) endsWithin(after position, entries []entry) bool {
 	if after.Index >= r.last.Index {
 		return false
@@ -180,8 +189,8 @@
 	return false
 }
 
-// commit applies what is committed according to the primary of an epoch. It reports whether the replica follows it, and
-// holds all that is committed.
+// commit applies what is committed according to the primary of an epoch. It reports whether the replica follows that
+// primary, and whether it has applied all that is committed.
 func (r *replica) commit(epoch, index uint64) (attached, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +201,8 @@
 	return true, r.applied.Index >= index
 }
 
-// attach makes the replica follow the primary of an epoch if both logs end at the same position.
+// attach makes the replica follow the primary of an epoch if both logs end at the same position, and reports whether
+// they do.
 func (r *replica) attach(epoch uint64, last position) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,17 +214,17 @@
 	return true
 }
 
-// sync returns when all that has been appended is durable.
+// sync returns when everything that has been appended is durable.
 func (r *replica) sync(ctx context.Context) error { return trace.Wrap(r.log.Sync(ctx)) }
 
-// syncWithin is sync with a limit.
+// syncWithin is sync with a time limit.
 func (r *replica) syncWithin(ctx context.Context, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return r.sync(ctx)
 }
 
-// takeApplyError returns what the state machine said to a proposed change, and forgets it.
+// takeApplyError returns the result of Apply for a proposed change, and forgets it.
 func (r *replica) takeApplyError(index uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +233,7 @@
 	return outcome
 }
 
-// end returns the end of the log.
+// end returns the position of the end of the log.
 func (r *replica) end() position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/replication/replica_snapshot.go
+++ b/internal/controlplane/replication/replica_snapshot.go
@@ -9,10 +9,11 @@
 	"gladepick/internal/wal"
 )
 
-// compactAfterBytes is how much is logged, beyond twice the size of the last snapshot, before the next is written.
+// compactAfterBytes is how many bytes of records, beyond twice the size of the last snapshot, are logged before the
+// next snapshot is written.
 const compactAfterBytes = 1 << 20
 
-// restoreSnapshot takes the state from a snapshot.
+// restoreSnapshot adopts a snapshot from the disk.
 func (r *replica) restoreSnapshot(data []byte) error {
 	decoded, err := decodeSnapshot(append([]byte(nil), data...))
 	if err != nil {
@@ -22,7 +23,8 @@
 	return trace.Wrap(r.adopt(decoded))
 }
 
-// adopt replaces the state. The caller holds the lock.
+// adopt replaces the state and the unapplied entries by those of a snapshot. The caller holds the lock, or is the
+// only user.
 func (r *replica) adopt(from snapshot) error {
 	if err := r.machine.Restore(from.state); err != nil {
 		return trace.Wrap(err)
@@ -35,8 +37,8 @@
 	return nil
 }
 
-// installSnapshot replaces the log and the state by the snapshot of an epoch's primary, and makes the replica follow it. It
-// returns when the snapshot is durable.
+// installSnapshot replaces the log and the state by the snapshot of an epoch's primary, and makes the replica follow
+// that primary. It returns when the snapshot is durable.
 func (r *replica) installSnapshot(epoch uint64, data []byte) error {
 	decoded, err := decodeSnapshot(data)
 	if err != nil {
@@ -55,6 +57,7 @@
 	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
 }
 
+// beginInstall adopts a primary's snapshot in memory and begins the snapshot on the disk.
 func (r *replica) beginInstall(epoch uint64, from snapshot) (*wal.Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,11 +73,13 @@
 	return snapshot, trace.Wrap(r.adopt(from))
 }
 
-// isAheadOf reports whether the log holds entries of the epoch that a snapshot from its primary lacks: the snapshot is late.
+// isAheadOf reports whether the log holds entries of the epoch that a snapshot from its primary lacks: the snapshot
+// has been delayed. The caller holds the lock.
 func (r *replica) isAheadOf(epoch uint64, from snapshot) bool {
 	return !r.installing && r.last.Epoch == epoch && r.last.Index > from.last().Index
 }
 
+// endInstall records that the installed snapshot is durable.
 func (r *replica) endInstall(size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,13 +87,14 @@
 	r.loggedBytes, r.snapshotBytes = 0, size
 }
 
-// snapshot returns the whole state, encoded, and the end of the log it stands for.
+// snapshot returns the encoded snapshot, and the end of the log that it stands for.
 func (r *replica) snapshot() ([]byte, position, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.encodeSnapshot()
 }
 
+// encodeSnapshot is snapshot for callers that hold the lock.
 func (r *replica) encodeSnapshot() ([]byte, position, error) {
 	state, err := r.machine.Snapshot()
 	if err != nil {
@@ -97,7 +103,8 @@
 	return snapshot{applied: r.applied, unapplied: r.unapplied, state: state}.encode(), r.last, nil
 }
 
-// compact writes a snapshot and removes the log before it, where the log has grown long.
+// compact writes a snapshot and removes the log before it, where the log has grown long and no other snapshot is
+// being written.
 func (r *replica) compact() {
 	if !r.needsCompaction() || !r.snapshotting.tryAcquire() {
 		return
@@ -108,12 +115,14 @@
 	}
 }
 
+// needsCompaction reports whether the log has grown long enough for a snapshot.
 func (r *replica) needsCompaction() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.installing && r.loggedBytes > compactAfterBytes+2*r.snapshotBytes
 }
 
+// writeSnapshot writes a snapshot and removes the log before it. The disk is written without the lock.
 func (r *replica) writeSnapshot() error {
 	r.mu.Lock()
 	if r.installing {
@@ -138,7 +147,7 @@
 	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
 }
 
-// compact shortens a long log in the background.
+// compact compacts a long log in a goroutine of its own.
 func (g *Group) compact() {
 	if g.replica.needsCompaction() {
 		go g.replica.compact()
--- a/internal/controlplane/replication/response_log.go
+++ b/internal/controlplane/replication/response_log.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// responseLogSize bounds the responses to heartbeats whose times are kept. A primary repeats the number of the newest one
-// that it has; while it gets none, more are given than the one that it comes to repeat.
+// responseLogSize is how many responses to heartbeats are remembered with their times. A primary echoes the newest
+// one that it has received; while responses are lost, more of them follow it.
 const responseLogSize = 64
 
-// responseLog numbers the responses to heartbeats and remembers when the last of them were given. Numbers of a process begin
-// at random, so that a heartbeat to an earlier process of the member repeats none of them.
+// responseLog numbers the responses to heartbeats and remembers when the latest were sent. The numbers of a process
+// begin at random, so that a heartbeat to an earlier process of the same member echoes none of them.
 type responseLog struct {
 	last  uint64
 	times map[uint64]time.Time
 }
 
+// add returns the number of a response that is sent now.
 func (l *responseLog) add(now time.Time) uint64 {
 	if l.times == nil {
 		l.last = rand.Uint64() >> 1
@@ -27,6 +28,7 @@
 	return l.last
 }
 
+// sentAt returns when the response with a number was sent, and false where that is not known.
 func (l *responseLog) sentAt(number uint64) (time.Time, bool) {
 	at, known := l.times[number]
 	return at, known
--- a/internal/controlplane/replication/role.go
+++ b/internal/controlplane/replication/role.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Role is the part that a process plays at a moment.
+// Role is what a process is in the group at a moment.
 type Role struct {
 	View     View   // the newest view this process has accepted
-	Epoch    uint64 // the view's epoch
-	Primary  bool   // it leads the group: a majority and the whole in-sync set have answered within the lease
-	UpToDate bool   // its state is current enough to be read
+	Epoch    uint64 // the epoch of that view
+	Primary  bool   // it leads the group, and its lease is valid
+	UpToDate bool   // it has applied all that was committed at a time within the last lease, so its state may be read
 }
 
-// Role tells which part this process plays now.
+// Role returns this process's present role.
 func (g *Group) Role() Role {
 	now := time.Now()
 	role := Role{}
@@ -28,15 +28,15 @@
 	return role
 }
 
-// OnRoleChange has a function called with the new role whenever the epoch, the primary's part or the freshness changes.
-// The function must return soon, and must not propose or wait for anything of the group.
+// OnRoleChange registers a function that is called with the new role whenever Epoch, Primary or UpToDate has
+// changed. It must return soon, and must not propose to the group or wait for it.
 func (g *Group) OnRoleChange(observer func(Role)) {
 	g.observersMu.Lock()
 	defer g.observersMu.Unlock()
 	g.observers = append(g.observers, observer)
 }
 
-// notify tells the observers where the role has changed.
+// notify calls the observers where the role has changed.
 func (g *Group) notify() {
 	g.observersMu.Lock()
 	defer g.observersMu.Unlock()
--- a/internal/controlplane/replication/round.go
+++ b/internal/controlplane/replication/round.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// stragglerGrace is for how long a round waits for the rest of its responses after a majority has come.
+// stragglerGrace is how long a round waits for further responses once a majority has responded.
 const stragglerGrace = 150 * time.Millisecond
 
-// memberResponse is a member's answer in a round.
+// memberResponse is a member's response in a round.
 type memberResponse[Response any] struct {
 	member   Member
 	response Response
 	err      error
 }
 
-// broadcast makes a call to each member at once. The responses come by the channel, which has room for all of them.
+// broadcast makes a call to each member, concurrently. The channel of the responses has a buffer for all of them, so
+// that nobody has to read it to its end.
 func broadcast[Response any](members []Member, call func(Member) (Response, error)) <-chan memberResponse[Response] {
-	replies := make(chan memberResponse[Response], len(members))
+	responses := make(chan memberResponse[Response], len(members))
 	for _, member := range members {
 		go func() {
 			response, err := call(member)
-			replies <- memberResponse[Response]{member, response, err}
+			responses <- memberResponse[Response]{member, response, err}
 		}()
 	}
-	return replies
+	return responses
 }
 
-// awaitRound takes the responses of a round. It returns when note has told that enough have come and those that are
-// awaited have answered or a grace period is over, and when all have answered.
+// awaitRound takes the responses of a round. It returns when add has reported that they suffice and the awaited
+// members have responded or a grace period is over, when all members have responded, or when the context ends.
 func awaitRound[Response any](
-	ctx context.Context, replies <-chan memberResponse[Response], asked []Member, awaited map[string]bool,
-	note func(Member, Response) bool,
+	ctx context.Context, responses <-chan memberResponse[Response], members []Member, awaited map[string]bool,
+	add func(Member, Response) bool,
 ) {
 	var grace <-chan time.Time
 	var timer *time.Timer
@@ -40,18 +41,18 @@
 			timer.Stop()
 		}
 	}()
-	for range asked {
+	for range members {
 		select {
-		case received := <-replies:
-			delete(awaited, received.member.DiskID)
-			enough := grace != nil
-			if received.err == nil {
-				enough = note(received.member, received.response)
+		case reply := <-responses:
+			delete(awaited, reply.member.DiskID)
+			sufficient := grace != nil
+			if reply.err == nil {
+				sufficient = add(reply.member, reply.response)
 			}
-			if enough && len(awaited) == 0 {
+			if sufficient && len(awaited) == 0 {
 				return
 			}
-			if enough && timer == nil {
+			if sufficient && timer == nil {
 				timer = time.NewTimer(stragglerGrace)
 				grace = timer.C
 			}
--- a/internal/controlplane/replication/snapshot.go
+++ b/internal/controlplane/replication/snapshot.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// snapshot is the whole state of a replica: the state machine's, and the entries that are not applied yet.
+// snapshot is the whole state of a replica: that of the state machine, and the entries that are not applied yet.
 type snapshot struct {
 	applied   position
 	unapplied []entry
@@ -20,6 +20,8 @@
 	return i.unapplied[len(i.unapplied)-1].position
 }
 
+// encode returns the snapshot's bytes, as they are stored and sent: the applied position, the count of unapplied
+// entries, these as framed records, and the state machine's snapshot up to the end. Integers are varints.
 func (i snapshot) encode() []byte {
 	buffer := binary.AppendUvarint(nil, i.applied.Epoch)
 	buffer = binary.AppendUvarint(buffer, i.applied.Index)
@@ -30,7 +32,7 @@
 	return append(buffer, i.state...)
 }
 
-// decodeSnapshot reads an encoded snapshot. The snapshot shares the bytes.
+// decodeSnapshot decodes a snapshot, which shares the bytes.
 func decodeSnapshot(data []byte) (snapshot, error) {
 	reader := fieldReader{rest: data}
 	decoded := snapshot{}
@@ -48,7 +50,8 @@
 	return decoded, reader.err
 }
 
-// lazySnapshot is this replica's snapshot, made when it is first needed.
+// lazySnapshot is a replica's snapshot, encoded when it is first needed. A view change sends the same one to all
+// members.
 type lazySnapshot struct {
 	once sync.Once
 	data []byte
@@ -56,6 +59,7 @@
 	err  error
 }
 
+// get returns the snapshot's bytes and the end of the log that it stands for.
 func (i *lazySnapshot) get(from *replica) ([]byte, position, error) {
 	i.once.Do(func() { i.data, i.last, i.err = from.snapshot() })
 	return i.data, i.last, i.err
--- a/internal/controlplane/replication/view_change.go
+++ b/internal/controlplane/replication/view_change.go
@@ -10,29 +10,29 @@
 
 // viewChange describes a view that is to be made with this process as the primary.
 type viewChange struct {
-	base      View // the newest view known; its members are asked
-	bootstrap bool // the base is the view that a new group begins with
-	// next derives the members of the new view from the newest accepted one, or refuses.
+	base      View // the newest view known; its members are called
+	bootstrap bool // the base is the first view of a new group
+	// derive returns the members of the new view, from the newest accepted one, or an error where there is to be no view.
 	derive func(newest View) (View, error)
-	// silent holds the disks whose promises are not waited for.
+	// unresponsive holds the disks whose promises are not waited for.
 	unresponsive map[string]bool
-	// excluded holds the disks that don't enter the in-sync set. They are not waited for either.
+	// excluded holds the disks that don't enter the in-sync set. Their promises are not waited for either.
 	excluded map[string]bool
 	// required is a disk that must enter the in-sync set; "" for none.
 	required string
-	// alwaysSendSnapshot has the whole state sent to everyone who needs it, not only where the in-sync set is too small.
+	// alwaysSendSnapshot has the snapshot sent to every member that needs it, not only where the in-sync set is too small.
 	alwaysSendSnapshot bool
 }
 
 // establishedView is a view that is in force.
 type establishedView struct {
 	view       View
-	alignedAt  time.Time            // when the in-sync set was asked to follow the log
-	acceptedAt map[string]time.Time // when those who have accepted it were asked, by disk id
+	alignedAt  time.Time            // when the attach calls to the in-sync set were sent, at the earliest
+	acceptedAt map[string]time.Time // when the accept calls were sent to those who have accepted, by disk id
 }
 
-// changeView makes a view: promises are collected from a majority of the newest view's members, the in-sync set is
-// aligned with this process's log, and a majority accepts. When it returns, the view is in force and this process's
+// changeView makes a view: a majority of the newest view's members promises a new epoch, the in-sync set is aligned
+// with this process's log, and a majority accepts the view. When it returns, the view is in force and this process's
 // whole log is committed.
 func (g *Group) changeView(ctx context.Context, change viewChange) (establishedView, error) {
 	g.viewChanges.acquire()
@@ -67,8 +67,8 @@
 	return establishedView{view: view, alignedAt: aligned, acceptedAt: accepted}, nil
 }
 
-// prepareEpoch takes the epoch for this process: by its own promise, after which its log takes nothing from older
-// primaries, and by those of a majority. It returns the end of the log and what the round brought.
+// prepareEpoch takes an epoch for this process: by its own promise, after which its log takes nothing from primaries
+// of lower epochs, and by those of a majority. It returns the end of the log and the result of the round.
 func (g *Group) prepareEpoch(ctx context.Context, epoch uint64, change viewChange) (position, promises, error) {
 	promised, err := g.witness.promise(epoch, g.self.DiskID)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return last, collected, nil
 }
 
-// newestKnownView returns the newest view that this process has accepted or been told of.
+// newestKnownView returns the newest view that this process has accepted or that others have reported; nil for none.
 func (g *Group) newestKnownView() *View {
 	return newerView(g.witness.record().Accepted, g.learnedView.Load())
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-// observeEpoch remembers an epoch that was promised, so that the next one taken is higher.
+// observeEpoch remembers an epoch that was promised, so that the next one that this process takes is higher.
 func (g *Group) observeEpoch(epoch uint64) {
 	for known := g.highestEpoch.Load(); epoch > known; known = g.highestEpoch.Load() {
 		if g.highestEpoch.CompareAndSwap(known, epoch) {
--- a/internal/controlplane/replication/vote.go
+++ b/internal/controlplane/replication/vote.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// servePrepare answers a candidate. A promise is durable before it is given.
+// servePrepare answers a candidate as a witness. A promise is durable before the response.
 func (g *Group) servePrepare(ctx context.Context, request prepareRequest, _ []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -34,7 +34,7 @@
 	return response, nil, nil
 }
 
-// mayVote reports whether this process is a witness as far as it or the candidate knows.
+// mayVote reports whether this process is a witness, by the newer one of its own view and the candidate's.
 func (g *Group) mayVote(record *witnessRecord, request prepareRequest) bool {
 	if request.Bootstrap {
 		return g.mayBootstrap(request.View)
@@ -44,7 +44,7 @@
 	return member
 }
 
-// supportsOther reports whether this witness still has a living primary, other than the candidate.
+// supportsOther reports whether this witness still supports a primary or a candidate other than the given one.
 func (g *Group) supportsOther(ctx context.Context, candidate string) bool {
 	if candidate == g.self.DiskID {
 		return false
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -12,21 +12,22 @@
 	"gladepick/internal/wal"
 )
 
-// witnessFile is the name of the file that holds a witness's record.
+// witnessFile is the name of the file that holds the witness's record.
 const witnessFile = "witness"
 
-// witnessRecord is all that a witness remembers. Records are immutable.
+// witnessRecord is everything that a witness remembers. Records are immutable.
 type witnessRecord struct {
 	Promised   uint64 `json:"promised"`   // the highest epoch promised
 	PromisedTo string `json:"promisedTo"` // the disk id of the process it was promised to
 	Accepted   *View  `json:"accepted,omitempty"`
 }
 
-// allows reports whether the record lets a process act in an epoch.
+// allows reports whether the record permits a process to act in an epoch.
 func (r *witnessRecord) allows(epoch uint64, diskID string) bool {
 	return epoch > r.Promised || (epoch == r.Promised && diskID == r.PromisedTo)
 }
 
+// acceptedEpoch returns the epoch of the accepted view, or 0.
 func (r *witnessRecord) acceptedEpoch() uint64 {
 	if r.Accepted == nil {
 		return 0
@@ -34,13 +35,14 @@
 	return r.Accepted.Epoch
 }
 
-// witness keeps the record on disk. A change is durable before it can be seen.
+// witness keeps its record on the disk. A new record is durable before anybody can see it.
 type witness struct {
 	fs      vfs.FS
 	writing semaphore // held while the file is written
 	current atomic.Pointer[witnessRecord]
 }
 
+// openWitness loads the record from the disk; it is empty on a new disk.
 func openWitness(fileSystem vfs.FS) (*witness, error) {
 	w := &witness{fs: fileSystem, writing: newSemaphore()}
 	record := &witnessRecord{}
@@ -58,10 +60,11 @@
 	return w, nil
 }
 
+// record returns the current record.
 func (w *witness) record() *witnessRecord { return w.current.Load() }
 
-// promise promises an epoch to a process. It tells false where a higher epoch, or the same one, was promised to
-// another.
+// promise promises an epoch to a process. It reports false where a higher epoch was promised, or the same one to
+// another process.
 func (w *witness) promise(epoch uint64, diskID string) (bool, error) {
 	w.writing.acquire()
 	defer w.writing.release()
@@ -75,7 +78,7 @@
 	return true, w.save(&witnessRecord{Promised: epoch, PromisedTo: diskID, Accepted: record.Accepted})
 }
 
-// accept accepts a view. It tells false where the view's epoch has been overtaken.
+// accept accepts a view. It reports false where a higher epoch was promised.
 func (w *witness) accept(view View) (bool, error) {
 	w.writing.acquire()
 	defer w.writing.release()
@@ -89,7 +92,7 @@
 	return true, w.save(&witnessRecord{Promised: view.Epoch, PromisedTo: view.Primary, Accepted: &view})
 }
 
-// save writes a record and makes it the current one. The caller holds the lock.
+// save writes a record and makes it the current one. The caller holds the semaphore.
 func (w *witness) save(record *witnessRecord) error {
 	data, err := json.Marshal(record)
 	if err != nil {
