--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -1,13 +1,10 @@
-// Kept jobs from being taken to being forgotten.
+// Durable jobs from their submission to their end.
 
 package durablejobs
 
 import (
-	"context"
 	"log/slog"
 	"slices"
-	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -18,127 +15,126 @@
 	"gladepick/internal/dispatcher/config"
 	"gladepick/internal/dispatcher/dispatch"
 	"gladepick/internal/dispatcher/lease"
-	"gladepick/internal/dispatcher/membership"
-	"gladepick/internal/dispatcher/raftgroup"
 )
 
-// job is what of a client's try is copied, so that a successor can run it.
-type job struct {
+// storedJob is what is replicated of a job, so that another dispatcher can run it.
+type storedJob struct {
 	_               struct{} `cbor:",toarray"`
 	ID, Key, Target string
-	Head            []dispatch.HeaderField
+	Header          []dispatch.HeaderField
 	Body            []byte
 	Class, Tenant   string
-	Subject         uint64
-	Repeat          bool
+	AffinityKey     uint64
+	Retry           bool
 	Slots, Memory   float64
 }
 
-// entry is a hold with what belongs to it here.
+// entry is a lease of this dispatcher with what belongs to it here.
 type entry struct {
-	hold    *lease.Lease
-	client  *dispatch.Job // nil: nobody waits here
-	inner   *dispatch.Job // the one that the core has
-	id      string
-	group   int
-	until   time.Duration
-	asked   map[int]wish // attempts whose intents are under way
-	granted map[int]bool // attempts whose intents stand
-	sendBy  atomic.Int64 // on the keeper's clock; 0: nothing may be sent
-	lookAt  time.Duration
-	looking uint64
-	over    bool
+	lease       *lease.Lease
+	clientJob   *dispatch.Job // nil: no client waits here
+	innerJob    *dispatch.Job // the one that the core has
+	id          string
+	group       int
+	deadline    time.Duration
+	requested   map[int]requestedSend // attempts whose intents are proposed
+	granted     map[int]bool          // attempts whose intents are committed
+	sendBy      atomic.Int64          // on the manager's clock; 0: nothing may be sent
+	nextQueryAt time.Duration
+	queryToken  uint64
+	isClosed    bool
 }
 
-// wish is an attempt that waits for its intent, and what is to carry it.
-type wish struct {
+// requestedSend is an attempt that waits for its intent, and the transport that is to send it.
+type requestedSend struct {
 	*dispatch.Attempt
-	floor dispatch.Transport
+	transport dispatch.Transport
 }
 
-// Take takes a job: at once to the core, or for keeps first. It is the fronts' Taker.
-func (k *Keeper) Submit(j *dispatch.Job) error {
-	<-k.started
-	if !k.kept(j.Class) {
-		return k.core.Submit(j)
+// Submit hands a job to the core: at once, or after it is durable. It is the fronts' Submitter.
+func (m *Manager) Submit(j *dispatch.Job) error {
+	<-m.started
+	if !m.isDurable(j.Class) {
+		return m.core.Submit(j)
 	}
-	if !k.ready.Load() {
-		k.Counts.Refused.Add(1)
-		return ErrUnready
+	if !m.isReady.Load() {
+		m.Counters.Rejected.Add(1)
+		return ErrNotReady
 	}
-	if k.open.Add(1) > int64(k.lim.OpenJobs) {
-		k.open.Add(-1)
-		k.Counts.Refused.Add(1)
-		return ErrUnready
+	if m.openJobs.Add(1) > int64(m.limits.OpenJobs) {
+		m.openJobs.Add(-1)
+		m.Counters.Rejected.Add(1)
+		return ErrNotReady
 	}
-	k.post(func() { k.begin(j) })
+	m.post(func() { m.acquire(j) })
 	return nil
 }
 
-// Leave passes on that the client has gone. What was promised goes on.
-func (k *Keeper) Abandon(j *dispatch.Job) {
-	if !k.kept(j.Class) {
-		k.core.Abandon(j)
+// Abandon passes on that the client has left. A durable job goes on.
+func (m *Manager) Abandon(j *dispatch.Job) {
+	if !m.isDurable(j.Class) {
+		m.core.Abandon(j)
 		return
 	}
-	k.post(func() {
-		if e := k.clients[j]; e != nil {
-			k.forget(e)
-			k.act(e, e.hold.ClientLeft())
+	m.post(func() {
+		if e := m.entryByClientJob[j]; e != nil {
+			m.takeClient(e)
+			m.carryOutLease(e, e.lease.ClientLeft())
 		}
 	})
 }
 
-func (k *Keeper) begin(j *dispatch.Job) {
-	k.point("before-take")
-	class := &k.node.Module.Classes[j.Class]
-	now, key := k.wall(), k.node.Classes[j.Class]+"/"+j.IdempotencyKey
-	room := min(k.lim.LeaseReserve, j.Timeout/4)
+func (m *Manager) acquire(j *dispatch.Job) {
+	m.crashPoint("before-take")
+	class := &m.node.Module.Classes[j.Class]
+	now, key := m.wall(), m.node.Classes[j.Class]+"/"+j.IdempotencyKey
+	room := min(m.limits.LeaseReserve, j.Timeout/4)
 	left := j.Timeout - room
-	terms := lease.Terms{RetryWindow: (class.DedupWindow - class.DedupWindow*3/10 - k.conf.MaxClockSkew).Milliseconds(), SamePlaceOnly: class.DedupScope != decision.DedupByAll,
-		Deadline: now + left.Milliseconds(), Retention: k.conf.Retention.Milliseconds(), MaxRecords: max(k.conf.MaxJobs/max(k.host.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
+	terms := lease.Terms{RetryWindow: (class.DedupWindow - class.DedupWindow*3/10 - m.options.MaxClockSkew).Milliseconds(), SamePlaceOnly: class.DedupScope != decision.DedupByAll,
+		Deadline: now + left.Milliseconds(), Retention: m.options.Retention.Milliseconds(), MaxRecords: max(m.options.MaxJobs/max(m.replicas.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
 	tenant := ""
-	if j.Tenant >= 0 && j.Tenant < len(k.node.Tenants) {
-		tenant = k.node.Tenants[j.Tenant]
+	if j.Tenant >= 0 && j.Tenant < len(m.node.Tenants) {
+		tenant = m.node.Tenants[j.Tenant]
 	}
-	body := encode(job{ID: j.ID, Key: j.IdempotencyKey, Target: j.Target, Head: j.Header, Body: j.Body, Class: k.node.Classes[j.Class], Tenant: tenant, Subject: j.AffinityKey,
-		Repeat: j.Retry, Slots: j.Slots, Memory: j.Memory})
-	e := &entry{client: j, id: j.ID, until: k.now() + left}
-	h, acts := lease.Begin(key, k.owner(), terms, k.fresh(class), body, now)
-	k.add(e, h)
-	k.act(e, acts)
+	body := encode(storedJob{ID: j.ID, Key: j.IdempotencyKey, Target: j.Target, Header: j.Header, Body: j.Body, Class: m.node.Classes[j.Class], Tenant: tenant, AffinityKey: j.AffinityKey,
+		Retry: j.Retry, Slots: j.Slots, Memory: j.Memory})
+	e := &entry{clientJob: j, id: j.ID, deadline: m.now() + left}
+	h, acts := lease.Begin(key, m.owner(), terms, m.sendWindow(class), body, now)
+	m.add(e, h)
+	m.carryOutLease(e, acts)
 }
 
-// fresh is how long after its intent a send may begin, in ms: what the class's window leaves above Terms.Again.
-func (k *Keeper) fresh(class *decision.ClassSettings) int64 {
-	return max((class.DedupWindow/5 - k.conf.MaxClockSkew/2).Milliseconds(), 20)
+// sendWindow returns for how long after its intent a send may begin, in ms: what the class's window leaves above
+// Terms.RetryWindow.
+func (m *Manager) sendWindow(class *decision.ClassSettings) int64 {
+	return max((class.DedupWindow/5 - m.options.MaxClockSkew/2).Milliseconds(), 20)
 }
 
-func (k *Keeper) add(e *entry, h *lease.Lease) {
-	e.hold, e.group = h, k.host.GroupOf(h.Key)
-	e.asked, e.granted = map[int]wish{}, map[int]bool{}
-	k.entries[e] = true
-	if e.client != nil {
-		k.clients[e.client] = e
+func (m *Manager) add(e *entry, h *lease.Lease) {
+	e.lease, e.group = h, m.replicas.GroupOf(h.Key)
+	e.requested, e.granted = map[int]requestedSend{}, map[int]bool{}
+	m.entries[e] = true
+	if e.clientJob != nil {
+		m.entryByClientJob[e.clientJob] = e
 	}
-	k.byKey[h.Key] = append(k.byKey[h.Key], e)
+	m.entriesByKey[h.Key] = append(m.entriesByKey[h.Key], e)
 }
 
-// act carries out what a hold wants.
-func (k *Keeper) act(e *entry, acts []lease.Action) {
+// carryOutLease carries out the actions of a lease.
+func (m *Manager) carryOutLease(e *entry, acts []lease.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case lease.Propose:
-			k.bring(e, a.Command)
+			m.proposeFor(e, a.Command)
 		case lease.Admit:
-			k.note(map[string]any{"act": "take", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "owner": k.owner()})
-			k.point("taken")
-			k.admit(e)
+			m.logEvent(map[string]any{"act": "take", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "owner": m.owner()})
+			m.crashPoint("taken")
+			m.admit(e)
 		case lease.Send:
-			k.let(e, a.Attempt)
+			m.sendGranted(e, a.Attempt)
 		case lease.SkipSend:
-			if t, ok := e.asked[a.Attempt]; ok {
-				delete(e.asked, a.Attempt)
+			if t, ok := e.requested[a.Attempt]; ok {
+				delete(e.requested, a.Attempt)
 				t.End(decision.NeverSent, decision.Load{}, nil)
 			}
 		case lease.Answer:
@@ -146,251 +142,162 @@
 			if a.Outcome != lease.Served {
 				verdict = dispatch.Failed
 			}
-			k.note(map[string]any{"act": "tell", "key": e.hold.Key, "id": e.id, "served": a.Outcome == lease.Served, "result": string(a.Result)})
-			k.reply(e, dispatch.Answer{Kind: verdict, Result: a.Result})
-			k.point("told")
+			m.logEvent(map[string]any{"act": "tell", "key": e.lease.Key, "id": e.id, "served": a.Outcome == lease.Served, "result": string(a.Result)})
+			m.reply(e, dispatch.Answer{Kind: verdict, Result: a.Result})
+			m.crashPoint("told")
 		case lease.Reject:
-			k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
+			m.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: m.limits.RetryAfter})
 		case lease.AwaitOwner:
 			e.sendBy.Store(0)
-			e.lookAt = k.now()
+			e.nextQueryAt = m.now()
 		case lease.Retry:
 			time.AfterFunc(200*time.Millisecond, func() {
-				k.post(func() {
-					if !e.over {
-						k.admit(e)
+				m.post(func() {
+					if !e.isClosed {
+						m.admit(e)
 					}
 				})
 			})
 		case lease.Closed:
-			k.drop(e)
+			m.drop(e)
 		}
 	}
 }
 
-func (k *Keeper) reply(e *entry, a dispatch.Answer) {
-	if j := k.forget(e); j != nil {
+func (m *Manager) reply(e *entry, a dispatch.Answer) {
+	if j := m.takeClient(e); j != nil {
 		j.Reply(a)
 	}
 }
 
-// forget lets go of the client of a hold.
-func (k *Keeper) forget(e *entry) *dispatch.Job {
-	j := e.client
-	delete(k.clients, j)
-	e.client = nil
+// takeClient takes the client's job off an entry.
+func (m *Manager) takeClient(e *entry) *dispatch.Job {
+	j := e.clientJob
+	delete(m.entryByClientJob, j)
+	e.clientJob = nil
 	return j
 }
 
-// drop forgets a hold. What the core has of it goes on and is told to nobody.
-func (k *Keeper) drop(e *entry) {
-	if e.over {
+// drop forgets an entry. An attempt of it that the core has goes on without anybody to answer.
+func (m *Manager) drop(e *entry) {
+	if e.isClosed {
 		return
 	}
-	e.over = true
+	e.isClosed = true
 	e.sendBy.Store(0)
-	for n, t := range e.asked {
-		delete(e.asked, n)
+	for n, t := range e.requested {
+		delete(e.requested, n)
 		t.End(decision.NeverSent, decision.Load{}, nil)
 	}
-	if e.looking != 0 {
-		k.host.Cancel(e.looking)
-		delete(k.tokens, e.looking)
+	if e.queryToken != 0 {
+		m.replicas.Cancel(e.queryToken)
+		delete(m.callbacks, e.queryToken)
 	}
-	k.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: k.lim.RetryAfter})
-	delete(k.entries, e)
-	delete(k.inners, e.inner)
-	k.byKey[e.hold.Key] = slices.DeleteFunc(k.byKey[e.hold.Key], func(x *entry) bool { return x == e })
-	if len(k.byKey[e.hold.Key]) == 0 {
-		delete(k.byKey, e.hold.Key)
+	m.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: m.limits.RetryAfter})
+	delete(m.entries, e)
+	delete(m.entryByInnerJob, e.innerJob)
+	m.entriesByKey[e.lease.Key] = slices.DeleteFunc(m.entriesByKey[e.lease.Key], func(x *entry) bool { return x == e })
+	if len(m.entriesByKey[e.lease.Key]) == 0 {
+		delete(m.entriesByKey, e.lease.Key)
 	}
-	k.open.Add(-1)
+	m.openJobs.Add(-1)
 }
 
-// bring proposes a command of a hold. An outcome is told to the copies for a while longer than any client waits.
-func (k *Keeper) bring(e *entry, c *lease.Command) {
-	until := e.until
+// proposeFor proposes a command of a lease. An outcome is proposed for some time longer than any client waits.
+func (m *Manager) proposeFor(e *entry, c *lease.Command) {
+	until := e.deadline
 	switch c.Kind {
 	case lease.IntendSend:
-		k.point("before-intent")
+		m.crashPoint("before-intent")
 	case lease.Finish, lease.Release:
-		until = max(e.until, k.now()) + k.lim.LeaseNotifyWindow
+		until = max(e.deadline, m.now()) + m.limits.LeaseNotifyWindow
 	}
-	k.propose(e.group, c, max(until, k.now()+k.lim.LeaseReserve), func(r lease.Response, err error) {
-		if e.over {
+	m.propose(e.group, c, max(until, m.now()+m.limits.LeaseReserve), func(r lease.Response, err error) {
+		if e.isClosed {
 			return
 		}
 		if err != nil {
-			k.act(e, e.hold.HandleUnknownOutcome(c))
+			m.carryOutLease(e, e.lease.HandleUnknownOutcome(c))
 			return
 		}
 		switch {
 		case r.Decision == lease.Fenced:
-			k.Counts.Fenced.Add(1)
+			m.Counters.Fenced.Add(1)
 		case r.Decision == lease.Forbidden:
-			k.Counts.Barred.Add(1)
+			m.Counters.Forbidden.Add(1)
 		case r.Decision == lease.Granted && c.Kind == lease.Acquire:
-			k.Counts.Taken.Add(1)
+			m.Counters.Acquired.Add(1)
 		case r.Decision == lease.OwnedElsewhere:
-			k.Counts.Joined.Add(1)
+			m.Counters.OwnedElsewhere.Add(1)
 		case r.Decision == lease.AlreadyFinished && c.Kind == lease.Acquire:
-			k.Counts.Known.Add(1)
+			m.Counters.AlreadyFinished.Add(1)
 		case r.Decision == lease.Granted && c.Kind == lease.IntendSend:
-			k.note(map[string]any{"act": "intent", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "attempt": c.Attempt, "owner": k.owner()})
-			k.point("intended")
+			m.logEvent(map[string]any{"act": "intent", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "attempt": c.Attempt, "owner": m.owner()})
+			m.crashPoint("intended")
 		case r.Decision == lease.Granted && c.Kind == lease.Finish:
-			k.note(map[string]any{"act": "end", "key": e.hold.Key, "id": e.id, "epoch": e.hold.Epoch, "served": c.Outcome == lease.Served, "result": string(c.Result)})
-			k.point("ended")
+			m.logEvent(map[string]any{"act": "end", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "served": c.Outcome == lease.Served, "result": string(c.Result)})
+			m.crashPoint("ended")
 		}
-		k.act(e, e.hold.HandleResponse(c, r))
+		m.carryOutLease(e, e.lease.HandleResponse(c, r))
 	})
 }
 
 // admit hands a job to the core.
-func (k *Keeper) admit(e *entry) {
-	var j job
-	if err := cbor.Unmarshal(e.hold.Job(), &j); err != nil {
-		slog.Error("a promise that cannot be read", "key", e.hold.Key, "error", err)
-		k.act(e, e.hold.Finish(0, nil, k.wall()))
+func (m *Manager) admit(e *entry) {
+	var j storedJob
+	if err := cbor.Unmarshal(e.lease.Job(), &j); err != nil {
+		slog.Error("a promise that cannot be read", "key", e.lease.Key, "error", err)
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
 		return
 	}
 	e.id = j.ID
-	left := e.until - k.now()
-	inner := &dispatch.Job{ID: j.ID, IdempotencyKey: j.Key, Target: j.Target, Header: j.Head, Body: j.Body, Class: config.Index(k.node.Classes, j.Class),
-		Tenant: config.Index(k.node.Tenants, j.Tenant), AffinityKey: j.Subject, Retry: j.Repeat, Slots: j.Slots, Memory: j.Memory,
-		Timeout: left - min(k.lim.LeaseReserve, left/4)}
-	if inner.Class < 0 || inner.Tenant < 0 && len(k.node.Tenants) > 0 || inner.Timeout <= 0 {
-		k.act(e, e.hold.Finish(0, nil, k.wall()))
+	left := e.deadline - m.now()
+	inner := &dispatch.Job{ID: j.ID, IdempotencyKey: j.Key, Target: j.Target, Header: j.Header, Body: j.Body, Class: config.Index(m.node.Classes, j.Class),
+		Tenant: config.Index(m.node.Tenants, j.Tenant), AffinityKey: j.AffinityKey, Retry: j.Retry, Slots: j.Slots, Memory: j.Memory,
+		Timeout: left - min(m.limits.LeaseReserve, left/4)}
+	if inner.Class < 0 || inner.Tenant < 0 && len(m.node.Tenants) > 0 || inner.Timeout <= 0 {
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
 		return
 	}
-	inner.MayStart = func() bool { return int64(k.now()) < e.sendBy.Load() }
+	inner.MayStart = func() bool { return int64(m.now()) < e.sendBy.Load() }
 	inner.OnAttemptEnd = func(a *dispatch.Attempt, o decision.Outcome) {
-		never := o == decision.Rejected && !k.node.Module.RejectionUnproven || o == decision.ConnectFailed || o == decision.NeverSent
+		never := o == decision.Rejected && !m.node.Module.RejectionUnproven || o == decision.ConnectFailed || o == decision.NeverSent
 		n := a.Number()
-		k.post(func() {
-			if delete(e.asked, n); e.granted[n] && e.inner == inner {
+		m.post(func() {
+			if delete(e.requested, n); e.granted[n] && e.innerJob == inner {
 				delete(e.granted, n)
-				e.hold.AttemptEnded(never)
+				e.lease.AttemptEnded(never)
 			}
 		})
 	}
 	inner.Reply = func(a dispatch.Answer) {
 		verdict := map[dispatch.AnswerKind]lease.Outcome{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
-		k.post(func() {
-			if e.inner == inner && !e.over {
-				k.point("worked")
-				k.act(e, e.hold.Finish(verdict, a.Result, k.wall()))
+		m.post(func() {
+			if e.innerJob == inner && !e.isClosed {
+				m.crashPoint("worked")
+				m.carryOutLease(e, e.lease.Finish(verdict, a.Result, m.wall()))
 			}
 		})
 	}
-	delete(k.inners, e.inner)
-	e.inner, k.inners[inner] = inner, e
-	clear(e.granted) // it counts its attempts anew: an earlier job's grant is none of its own, and stays in doubt
-	if err := k.core.Submit(inner); err != nil {
-		k.act(e, e.hold.Finish(0, nil, k.wall()))
+	delete(m.entryByInnerJob, e.innerJob)
+	e.innerJob, m.entryByInnerJob[inner] = inner, e
+	clear(e.granted) // its attempts count from 0 again: a grant of an earlier inner job is none of its own
+	if err := m.core.Submit(inner); err != nil {
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
 	}
 }
 
-// find looks up what another dispatcher made of a job.
-func (k *Keeper) find(e *entry) {
-	token, acts := k.host.Query(k.now(), e.group, []byte(e.hold.Key), min(e.until, k.now()+time.Second))
-	e.looking = token
-	k.tokens[token] = func(data []byte, err error) {
-		e.looking = 0
-		var s seen
-		if err != nil || e.over || cbor.Unmarshal(data, &s) != nil {
+// queryRecord reads the record of a job that another dispatcher holds.
+func (m *Manager) queryRecord(e *entry) {
+	token, acts := m.replicas.Query(m.now(), e.group, []byte(e.lease.Key), min(e.deadline, m.now()+time.Second))
+	e.queryToken = token
+	m.callbacks[token] = func(data []byte, err error) {
+		e.queryToken = 0
+		var s queryAnswer
+		if err != nil || e.isClosed || cbor.Unmarshal(data, &s) != nil {
 			return
 		}
-		k.act(e, e.hold.HandleRecord(s.Record, s.Found))
-	}
-	k.do(acts)
-}
-
-// look finds out who is there, and takes over from who is not.
-func (k *Keeper) look(ctx context.Context) {
-	k.links.greet(k.host.AssignmentID(), k.leaving.Load())
-	v, life, joined, quorum := k.members.View(ctx)
-	k.view, k.life, quorum = v, life, joined && quorum
-	var there []raftgroup.Member
-	for i := range v.Members {
-		r := &v.Members[i]
-		if r.Name == k.node.Name {
-			there = append(there, raftgroup.Member{NodeID: k.links.self(), Zone: r.Zone, Assignment: k.host.AssignmentID(), Leaving: k.leaving.Load()})
-		} else if m, ok := k.links.met(r.Name); ok {
-			m.Zone = r.Zone
-			there = append(there, m)
-		}
-	}
-	k.do(k.host.SetMembers(k.now(), there, quorum))
-	k.ready.Store(k.host.Ready() && v.Contains(k.node.Name, life))
-	if !quorum {
-		clear(k.away)
-		return
-	}
-	tidy := k.now() >= k.tidied+2*time.Second
-	if tidy {
-		k.tidied = k.now()
-	}
-	room := k.lim.LeaseSubmitBatch
-	for n := range k.host.Groups() {
-		m, leads := k.host.StateMachine(n)
-		if m == nil {
-			continue
-		}
-		t := m.(*machine).Table
-		k.adopt(n, t, &room)
-		if !leads || k.seizing[n] {
-			continue
-		}
-		if from := k.gone(t); from != "" {
-			k.command(n, &lease.Command{Kind: lease.TakeOver, PreviousOwner: from, Owner: k.owner(), Time: k.wall(), Limit: k.lim.LeaseTransferBatch})
-		} else if tidy {
-			k.command(n, &lease.Command{Kind: lease.TakeOver, Owner: k.owner(), Time: k.wall(), Limit: k.lim.LeaseTransferBatch})
-			k.command(n, &lease.Command{Kind: lease.Expire, Time: k.wall(), Limit: 1000})
-		}
-	}
-}
-
-// gone is an owner of open records who is not in the view, and has not been for a while.
-func (k *Keeper) gone(t *lease.Table) string {
-	for _, o := range t.Owners() {
-		at := max(strings.LastIndexByte(o, '.'), 0)
-		name := o[:at]
-		life, _ := strconv.ParseUint(o[at+1:], 10, 64)
-		if i := slices.IndexFunc(k.view.Members, func(r membership.Record) bool { return r.Name == name }); i >= 0 && k.view.Members[i].Incarnation <= life {
-			delete(k.away, o)
-			continue
-		}
-		if since, ok := k.away[o]; !ok {
-			k.away[o] = k.now()
-		} else if k.now() >= since+k.lim.LeaseOrphanDelay {
-			return o
-		}
-	}
-	return ""
-}
-
-// adopt takes up what this dispatcher owns and nobody here holds: it has just got it, some at a time.
-func (k *Keeper) adopt(n int, t *lease.Table, room *int) {
-	for _, key := range t.Owned(k.owner()) {
-		if *room <= 0 {
-			return
-		}
-		if len(k.byKey[key]) > 0 {
-			continue
-		}
-		r, _ := t.Get(key)
-		class := config.Index(k.node.Classes, key[:max(strings.IndexByte(key, '/'), 0)])
-		if class < 0 {
-			continue // a class that this dispatcher's settings don't have
-		}
-		*room--
-		k.open.Add(1)
-		k.Counts.Inherited.Add(1)
-		k.note(map[string]any{"act": "inherit", "key": key, "epoch": r.Epoch, "state": r.State.String(), "owner": k.owner()})
-		e := &entry{until: k.now() + time.Duration(r.Terms.Deadline-k.wall())*time.Millisecond}
-		h, acts := lease.Resume(&r, k.fresh(&k.node.Module.Classes[class]), k.wall())
-		k.add(e, h)
-		k.act(e, acts)
+		m.carryOutLease(e, e.lease.HandleRecord(s.Record, s.Found))
 	}
+	m.carryOut(acts)
 }
--- a/internal/dispatcher/durablejobs/links_test.go
+++ b/internal/dispatcher/durablejobs/peers_test.go
@@ -15,11 +15,11 @@
 	"gladepick/internal/dispatcher/raftgroup"
 )
 
-func linksOf(t *testing.T, name string, peers ...config.Peer) (*links, chan []byte) {
+func linksOf(t *testing.T, name string, peers ...config.Peer) (*peerLinks, chan []byte) {
 	t.Helper()
 	n := &config.Node{Name: name, DurableJobs: &config.DurableJobs{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Peers: peers},
 		Limits: config.Limits{ReplicaFrameBytes: 1 << 20, ReplicaQueueBytes: 1 << 20, ReplicaDialTimeout: time.Second, ReplicaRetryDelay: 10 * time.Millisecond}}
-	l, err := open(n, hello{Form: 1, Name: name, Copy: 7, Start: 1}, new(atomic.Int64))
+	l, err := openLinks(n, greeting{Form: 1, Name: name, Memory: 7, StartedAt: 1}, new(atomic.Int64))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,18 +37,18 @@
 // What a stranger sends is never handed on, and his connection ends; frames of a known peer are, in order.
 func TestStrangersAreNotHeard(t *testing.T) {
 	l, heard := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
-	word := func(h hello) []byte { return frame(helloFrame, encode(h)) }
+	word := func(h greeting) []byte { return frame(greetingFrameKind, encode(h)) }
 	large := make([]byte, 5)
 	binary.BigEndian.PutUint32(large, 1<<30)
 	for name, data := range map[string][]byte{
-		"no hello":             frame(hostFrame, []byte("x")),
-		"an unknown name":      word(hello{Form: 1, Name: "z", Copy: 1}),
-		"a later form":         word(hello{Form: 2, Name: "b", Copy: 1}),
-		"no memory":            word(hello{Form: 1, Name: "b"}),
+		"no hello":             frame(replicaFrameKind, []byte("x")),
+		"an unknown name":      word(greeting{Form: 1, Name: "z", Memory: 1}),
+		"a later form":         word(greeting{Form: 2, Name: "b", Memory: 1}),
+		"no memory":            word(greeting{Form: 1, Name: "b"}),
 		"nothing":              nil,
 		"noise":                []byte("GET / HTTP/1.1\r\n\r\n"),
-		"too large a frame":    append(word(hello{Form: 1, Name: "b", Copy: 1}), append(large, hostFrame)...),
-		"another memory later": append(word(hello{Form: 1, Name: "b", Copy: 1}), word(hello{Form: 1, Name: "b", Copy: 2})...),
+		"too large a frame":    append(word(greeting{Form: 1, Name: "b", Memory: 1}), append(large, replicaFrameKind)...),
+		"another memory later": append(word(greeting{Form: 1, Name: "b", Memory: 1}), word(greeting{Form: 1, Name: "b", Memory: 2})...),
 	} {
 		c, err := net.Dial("tcp", l.listen.Addr().String())
 		if err != nil {
@@ -74,11 +74,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(append(word(hello{Form: 1, Name: "b", Copy: 3, Start: 9, Charter: 5}), append(frame(hostFrame, []byte("one")), frame(hostFrame, []byte("two"))...)...))
+	c.Write(append(word(greeting{Form: 1, Name: "b", Memory: 3, StartedAt: 9, Assignment: 5}), append(frame(replicaFrameKind, []byte("one")), frame(replicaFrameKind, []byte("two"))...)...))
 	if a, b := string(<-heard), string(<-heard); a != "one" || b != "two" {
 		t.Errorf("%q and %q are heard", a, b)
 	}
-	if m, ok := l.met("b"); !ok || m.Memory != 3 || m.Assignment != 5 {
+	if m, ok := l.memberOf("b"); !ok || m.Memory != 3 || m.Assignment != 5 {
 		t.Errorf("%+v is known of b", m)
 	}
 }
@@ -90,9 +90,9 @@
 		l.send(raftgroup.NodeID{Name: "b", Memory: 1}, make([]byte, 100<<10))
 	}
 	l.send(raftgroup.NodeID{Name: "nobody", Memory: 1}, []byte("x"))
-	k := l.out["b"]
+	k := l.peers["b"]
 	k.mu.Lock()
-	held := k.held
+	held := k.queuedBytes
 	k.mu.Unlock()
 	if held > 1<<20 || l.dropped.Load() < 30 {
 		t.Errorf("%d bytes wait, %d are dropped", held, l.dropped.Load())
