--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -76,11 +76,11 @@
 // mutationStates is how many states a mutation has to be found in.
 const mutationStates = 500_000
 
-// TestPartitionMutationsAreFound breaks one rule at a time, and expects that the search finds it.
-func TestPartitionMutationsAreFound(t *testing.T) {
+// partitionMutations returns the broken rules by what they break.
+func partitionMutations() map[string]mutation {
 	failover := modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}
 	twice := modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}
-	mutations := map[string]mutation{
+	return map[string]mutation{
 		"a store is promoted while the former one's lease runs": {failover, func(rules *modelRules) {
 			rules.mayPromote = func(*modelStore) bool { return true }
 		}, 36},
@@ -129,7 +129,11 @@
 			410,
 		},
 	}
-	for name, each := range mutations {
+}
+
+// TestPartitionMutationsAreFound breaks one rule at a time, and expects that the search finds it.
+func TestPartitionMutationsAreFound(t *testing.T) {
+	for name, each := range partitionMutations() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			mutant := &partitionModel{rules: storeRules(each.limits), limits: each.limits}
--- a/internal/messagestore/golden_test.go
+++ b/internal/messagestore/golden_test.go
@@ -78,41 +78,6 @@
 	}
 }
 
-// TestGoldenCalls encodes the parameters and results of each call as the recorded bytes, and decodes them.
-func TestGoldenCalls(t *testing.T) {
-	checkCall(t, "put", protocol.PutRequest{Submission: message.Submission{Message: *goldenMessage(), DelayMS: 1500, RetentionMS: 90_000}})
-	checkCall(t, "put-with-little", protocol.PutRequest{})
-	checkCall(t, "query", protocol.QueryRequest{Partition: 1, ID: "1-00000000000000ab"})
-	checkCall(t, "state", message.Outcome{State: message.Completed, Stamp: "stamp"})
-	checkCall(t, "state-queued", message.Outcome{State: message.Queued})
-	checkCall(t, "replicate", protocol.ReplicateRequest{
-		From: "store-a", TargetDiskID: "disk-b", WantsLease: true, LeaseGrantsMS: 700,
-		Records: []protocol.RecordHeader{{Partition: 1, Epoch: 3, Length: 120}, {Partition: 2, Epoch: 4}},
-	})
-	checkCall(t, "replicate-with-little", protocol.ReplicateRequest{From: "store-a", TargetDiskID: "disk-b"})
-	checkCall(t, "replicated", protocol.ReplicateResponse{Rejected: []int{1, 2}})
-	checkCall(t, "replicated-all", protocol.ReplicateResponse{})
-	checkCall(t, "inventory", protocol.InventoryRequest{TargetDiskID: "disk-b", Partition: 1, Epoch: 3})
-	checkCall(t, "inventory-answer", protocol.InventoryResponse{Queued: []string{"1-1", "1-2"}, Ended: []string{"1-3"}})
-	checkCall(t, "inventory-empty", protocol.InventoryResponse{})
-	checkCall(t, "outcome", protocol.OutcomeRequest{Partition: 1, ID: "1-1", Outcome: message.Outcome{State: message.DeadLetter}})
-
-	methods := []string{protocol.MethodPut, protocol.MethodState, protocol.MethodBody, protocol.MethodReplicate, protocol.MethodInventory, protocol.MethodOutcome}
-	golden.AssertBytes(t, []byte(strings.Join(methods, "\n")+"\n"), path.Join("golden", "calls", "methods"))
-}
-
-func checkCall[Message any](t *testing.T, name string, value Message) {
-	t.Run(name, func(t *testing.T) {
-		encoded, err := json.Marshal(value)
-		assert.NilError(t, err)
-		file := path.Join("golden", "calls", name+".json")
-		golden.AssertBytes(t, encoded, file)
-		var decoded Message
-		assert.NilError(t, json.Unmarshal(golden.Get(t, file), &decoded))
-		assert.DeepEqual(t, decoded, value)
-	})
-}
-
 // goldenEntry is what a store holds of a message.
 type goldenEntry struct {
 	ID       string           `json:"id"`
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -28,6 +28,7 @@
 	unsyncedSince map[string]uint64
 }
 
+// newPartition returns a partition of which nothing is known.
 func newPartition(id int) *partition {
 	return &partition{
 		id:            id,
--- a/internal/vfs/directory.go
+++ b/internal/vfs/directory.go
@@ -77,6 +77,7 @@
 	*os.File
 }
 
+// openDiskFile opens a file with flags of package os.
 func openDiskFile(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
--- a/internal/vfs/memfs/inode.go
+++ b/internal/vfs/memfs/inode.go
@@ -44,11 +44,13 @@
 	return grown
 }
 
+// change carries a change out, which is not durable yet.
 func (i *inode) change(change dataChange) {
 	i.current = change.apply(i.current)
 	i.pending = append(i.pending, change)
 }
 
+// write writes a copy of data at an offset.
 func (i *inode) write(offset int64, data []byte) {
 	if len(data) == 0 {
 		return
@@ -57,6 +59,7 @@
 	i.change(dataChange{offset: offset, data: copied})
 }
 
+// truncate sets the size.
 func (i *inode) truncate(size int64) {
 	i.change(dataChange{offset: size})
 }
@@ -74,7 +77,7 @@
 	i.synced += count
 }
 
-// losePower keeps each change that is not durable whole, in part or not at all.
+// losePower keeps all, a part or nothing of each change that is not durable.
 func (i *inode) losePower(random *rand.Rand) {
 	for _, change := range i.pending {
 		if damaged, kept := change.damage(random); kept {
--- a/internal/vfs/memfs/mount.go
+++ b/internal/vfs/memfs/mount.go
@@ -23,6 +23,7 @@
 	return nil
 }
 
+// leave unlocks the disk.
 func (m *mount) leave() { m.disk.mutex.Unlock() }
 
 // awaitAnswer is enter for operations that hang while the disk is stalled.
@@ -94,6 +95,7 @@
 	return nil
 }
 
+// change changes a name, which is not durable yet.
 func (m *mount) change(change nameChange) {
 	change.apply(m.disk.names)
 	m.disk.changes = append(m.disk.changes, change)
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -46,7 +46,7 @@
 	assert.NilError(t, log.Close())
 }
 
-func TestDamageAtEveryByteEndsTheReplay(t *testing.T) {
+func TestCorruptionAtEveryByteEndsTheReplay(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	records := numbered("record", 4)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestDamageBeforeTheLastSegmentIsAnError(t *testing.T) {
+func TestCorruptionBeforeTheLastSegmentIsAnError(t *testing.T) {
 	build := func() *memfs.Disk {
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 60)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestRecordsBehindDamageDoNotComeBack(t *testing.T) {
+func TestRecordsBehindCorruptionDoNotComeBack(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "first")
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -11,7 +11,7 @@
 //   - Once Sync has returned nil, every record appended before the call outlives a loss of power.
 //   - A replay hands over a prefix of the appended records: all durable ones, in order, and none behind a torn or corrupt
 //     one. Only the end of the last segment may be torn; anything else is ErrCorrupt.
-//   - Segments have consecutive numbers. A segment that is not the last one is never written again.
+//   - Segments have consecutive numbers. A segment's file is made only after the one before it is complete and synced.
 //   - A snapshot is durable before older snapshots are removed.
 //   - After an error of the disk other than a full one, the log takes nothing any more: what a failed sync has left on the
 //     disk is not known.
@@ -19,7 +19,7 @@
 // Goroutines: the log starts one goroutine while somebody waits for a sync (flushBatches); it alone writes segments, and
 // owns the active segment. A timer wakes it about every second while the disk is full. Close waits for it.
 //
-// Locks: Log.mutex guards the state in memory and is never held during I/O, except while a segment is opened for a read.
+// Locks: Log.mutex guards the state in memory; of all I/O only the opening and closing of segments is done under it.
 // Log.snapshotMutex is held during the I/O of a snapshot, and is taken before Log.mutex.
 //
 // Start reading at Log in log.go, then group_commit.go; replay.go is what happens at a start.
--- a/internal/wal/group_commit.go
+++ b/internal/wal/group_commit.go
@@ -246,6 +246,7 @@
 	}
 }
 
+// failGathering ends the batch that gathers: the log takes nothing any more. The caller holds the mutex.
 func (l *Log) failGathering(err error) {
 	if batch := l.group.gathering; batch != nil {
 		l.group.gathering = nil
@@ -263,6 +264,7 @@
 	}
 }
 
+// stopRetry stops the timer that retries on a full disk.
 func (g *groupCommit) stopRetry() {
 	if g.retry != nil {
 		g.retry.Stop()
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -45,6 +45,7 @@
 	return nil, file, err
 }
 
+// findBuffered returns a copy of a payload that is not written yet, or nil. The caller holds the mutex.
 func (l *Log) findBuffered(in *segment, position Position) []byte {
 	for _, runs := range [][]*run{l.inFlight, l.pending} {
 		for _, candidate := range runs {
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// readRecordAt reads the record at a position of its segment's file and checks it.
 func readRecordAt(file vfs.File, position Position) ([]byte, error) {
 	buffer := make([]byte, recordHeaderSize+int(position.Length))
 	_, err := file.ReadAt(buffer, position.Offset-recordHeaderSize)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -116,6 +116,7 @@
 	return nil
 }
 
+// addSegment adds a segment that a start has found. Its file stays open where it has to be replayed.
 func (l *Log) addSegment(number uint64) error {
 	file, err := l.fs.Open(segmentName(number))
 	if err != nil {
@@ -180,6 +181,7 @@
 	return reader.offset, err
 }
 
+// reportTorn logs where a segment ends. Valid records behind an invalid one are no trace of a crash.
 func (l *Log) reportTorn(in *segment, reader *segmentReader) {
 	fields := []zap.Field{
 		zap.Uint64("segment", in.number),
--- a/internal/wal/segment_reader.go
+++ b/internal/wal/segment_reader.go
@@ -8,7 +8,7 @@
 
 const replayBufferBytes = 64 << 10
 
-// errTorn ends the reading of a segment: what follows is not a whole, valid record.
+// errTorn ends the reading of a segment: what follows is not a complete, valid record.
 var errTorn = errors.New("wal: torn or corrupt record")
 
 // segmentReader reads the records of one segment file in their order.
@@ -19,6 +19,7 @@
 	payload []byte
 }
 
+// newSegmentReader returns a reader of the first size bytes of a file.
 func newSegmentReader(file io.ReaderAt, size int64) *segmentReader {
 	section := io.NewSectionReader(file, 0, size)
 	return &segmentReader{reader: bufio.NewReaderSize(section, replayBufferBytes), size: size}
@@ -54,7 +55,7 @@
 	return payload, nil
 }
 
-// readRecord reads one whole record, valid or not. It returns errTorn where the file ends within it.
+// readRecord reads one complete record, valid or not. It returns errTorn where the file ends within it.
 func (r *segmentReader) readRecord() (payload []byte, valid bool, err error) {
 	var header recordHeader
 	if err := r.fill(header[:]); err != nil {
@@ -77,6 +78,7 @@
 	return err == nil && valid
 }
 
+// reserve sets the length of the buffer for a payload.
 func (r *segmentReader) reserve(length int) {
 	if cap(r.payload) < length {
 		r.payload = make([]byte, length)
--- a/internal/wal/snapshot_test.go
+++ b/internal/wal/snapshot_test.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-func TestDamagedSnapshotWithoutItsSegmentsIsAnError(t *testing.T) {
+func TestCorruptSnapshotWithoutItsSegmentsIsAnError(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
@@ -21,7 +21,7 @@
 	assert.ErrorIs(t, err, ErrCorrupt)
 }
 
-func TestDamagedSnapshotWithItsSegmentsIsReplayed(t *testing.T) {
+func TestCorruptSnapshotWithItsSegmentsIsReplayed(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
