--- /dev/null
+++ b/internal/dispatcher/agent/command.go
@@ -0,0 +1,101 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"text/tabwriter"
+
+	"gladepick/internal/dispatcher/dispatch"
+)
+
+// Command asks the agent at an address on behalf of the command line, and prints the answer: status, counters, drain,
+// start or reload.
+func Command(ctx context.Context, out io.Writer, address, command string, names []string) error {
+	client := newClient()
+	switch command {
+	case "drain", "start", "reload":
+		return sendCommand(ctx, client, out, address, command, names)
+	}
+	statuses, err := fetchStatuses(ctx, client, address)
+	if err != nil {
+		return fmt.Errorf("the agent at %s: %w", address, err)
+	}
+	if statuses, err = selectInstances(statuses, names); err != nil {
+		return err
+	}
+	if command == "counters" {
+		return printCounters(out, statuses)
+	}
+	return printStatuses(out, statuses)
+}
+
+// sendCommand has the agent do something with each of the instances.
+func sendCommand(ctx context.Context, client *http.Client, out io.Writer, address, command string, names []string) error {
+	if len(names) == 0 {
+		return fmt.Errorf("%s needs the names of instances", command)
+	}
+	for _, name := range names {
+		var empty struct{}
+		url := "http://" + address + "/" + command + "?instance=" + name
+		if err := fetchJSON(ctx, client, commandBytes, http.MethodPost, url, &empty); err != nil {
+			return fmt.Errorf("%s %s: %w", command, name, err)
+		}
+		fmt.Fprintf(out, "%s: %s\n", name, command)
+	}
+	return nil
+}
+
+// selectInstances returns the statuses of the instances that are named, of all where none is.
+func selectInstances(all []Status, names []string) ([]Status, error) {
+	for _, name := range names {
+		if !slices.ContainsFunc(all, func(s Status) bool { return s.Name == name }) {
+			return nil, fmt.Errorf("there is no instance %q", name)
+		}
+	}
+	return slices.DeleteFunc(all, func(s Status) bool { return len(names) > 0 && !slices.Contains(names, s.Name) }), nil
+}
+
+// newTable makes a writer that aligns columns.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 8, 2, ' ', 0) }
+
+// printCounters prints a line for each counter and a column for each instance.
+func printCounters(out io.Writer, statuses []Status) error {
+	w := newTable(out)
+	fmt.Fprint(w, "COUNTER")
+	for _, s := range statuses {
+		fmt.Fprintf(w, "\t%s", s.Name)
+	}
+	fmt.Fprintln(w)
+	for _, name := range dispatch.CounterNames {
+		fmt.Fprint(w, name)
+		for _, s := range statuses {
+			fmt.Fprintf(w, "\t%s", CounterText(s, name))
+		}
+		fmt.Fprintln(w)
+	}
+	return w.Flush()
+}
+
+// printStatuses prints a line for each instance.
+func printStatuses(out io.Writer, statuses []Status) error {
+	w := newTable(out)
+	fmt.Fprintln(w, "INSTANCE\tSTATE\tPID\tRESTARTS\tLISTEN\tOPEN\tREADY\tLAST END")
+	for _, s := range statuses {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\n", s.Name, s.State, s.PID, s.Restarts, s.Listen,
+			CounterText(s, "open"), CounterText(s, "workers_ready"), s.LastEnd)
+	}
+	return w.Flush()
+}
+
+// CounterText returns a counter's value as text, a dash where it is not known.
+func CounterText(s Status, name string) string {
+	for _, c := range s.Counters {
+		if c.Name == name {
+			return fmt.Sprint(c.Value)
+		}
+	}
+	return "-"
+}
