--- a/internal/decision/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -12,18 +12,24 @@
 // crowded is a dispatcher, one of 300, that has worked with n workers for a while.
 func crowded(b *testing.B, n int) (*Dispatcher, []Entry, *time.Duration, func(id JobID)) {
 	s := site()
-	s.Dispatchers, s.ReportsLoad, s.ParallelAttempts, s.Report = 300, true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
-	d, list, now := must(b, s, 1), fleet(n), time.Minute
+	reportsFreeSlotsAndQueue(&s)
+	s.Dispatchers = 300
+	d := must(b, s, 1)
+	list := fleet(n)
+	now := time.Minute
 	d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 	var acts []Action
 	job := func(id JobID) { // a job that comes, is sent, starts and is done
 		now += 200 * time.Millisecond
-		acts = d.Handle(now, &Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: now + 5*time.Second}, acts[:0])
+		acts = d.Handle(now, &Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1,
+			Deadline: now + 5*time.Second}, acts[:0])
 		for _, a := range acts {
 			if a.Kind == Send {
-				d.Handle(now+time.Millisecond, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
-				d.Handle(now+100*time.Millisecond, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, JobEnded: true,
-					Load: Load{Count: 2, Values: [4]float64{float64(id % 3), 0.01 * float64(id%97)}}}, nil)
+				d.Handle(now+time.Millisecond, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker,
+					Progress: JobStarted}, nil)
+				d.Handle(now+100*time.Millisecond, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK,
+					JobEnded: true,
+					Load:     Load{Count: 2, Values: [4]float64{float64(id % 3), 0.01 * float64(id%97)}}}, nil)
 			}
 		}
 		d.Handle(now+150*time.Millisecond, &Event{Kind: EventTimer, Token: checkToken}, nil)
--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -11,17 +11,31 @@
 func TestContradictoryEvents(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
-		"outcome twice":         {{Kind: EventOutcome, Job: 1, Outcome: Rejected}, {Kind: EventOutcome, Job: 1, Outcome: OK}},
-		"unknown job":           {{Kind: EventOutcome, Job: 99, Outcome: OK}, {Kind: EventClientLeft, Job: 98}},
-		"attempt never made":    {{Kind: EventOutcome, Job: 1, Attempt: 7, Outcome: OK}, {Kind: EventJobProgress, Job: 1, Attempt: -1}},
-		"same job twice":        {{Kind: EventJob, Job: 1, Deadline: time.Hour}},
-		"absurd job":            {{Kind: EventJob, Job: 2, Slots: nan, Memory: math.Inf(-1), Deadline: time.Minute + time.Second}},
-		"absurd report":         {{Kind: EventHealthChecked, Worker: 13, Load: Load{Count: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}}},
+		"outcome twice": {
+			{Kind: EventOutcome, Job: 1, Outcome: Rejected},
+			{Kind: EventOutcome, Job: 1, Outcome: OK},
+		},
+		"unknown job": {{Kind: EventOutcome, Job: 99, Outcome: OK}, {Kind: EventClientLeft, Job: 98}},
+		"attempt never made": {
+			{Kind: EventOutcome, Job: 1, Attempt: 7, Outcome: OK},
+			{Kind: EventJobProgress, Job: 1, Attempt: -1},
+		},
+		"same job twice": {{Kind: EventJob, Job: 1, Deadline: time.Hour}},
+		"absurd job": {
+			{Kind: EventJob, Job: 2, Slots: nan, Memory: math.Inf(-1), Deadline: time.Minute + time.Second},
+		},
+		"absurd report": {
+			{Kind: EventHealthChecked, Worker: 13, Load: Load{Count: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}},
+		},
 		"unknown worker probed": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
 		"stray timer":           {{Kind: EventTimer, Token: 4e9}},
 		"garbled peer":          {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
-		"absurd kind":           {{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}}},
-		"started in the future": {{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Started: time.Hour, State: Ready}}}},
+		"absurd kind": {
+			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}},
+		},
+		"started in the future": {
+			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Started: time.Hour, State: Ready}}},
+		},
 		"gone and answering": {{Kind: EventList, List: ListFull},
 			{Kind: EventJobProgress, Job: 1, Progress: JobStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, JobEnded: true}},
 	} {
@@ -93,7 +107,10 @@
 		}
 	}
 	c.event(Event{Kind: EventList, List: ListDelta})
-	if d := c.d; len(d.jobs.byID) > 0 || len(d.jobs.open) > 0 || len(d.workers.byID) != 12 || len(d.workers.ordered) != 12 || len(c.timer) > 1 {
+	d := c.d
+	jobsLeft := len(d.jobs.byID) > 0 || len(d.jobs.open) > 0
+	workersLeft := len(d.workers.byID) != 12 || len(d.workers.ordered) != 12
+	if jobsLeft || workersLeft || len(c.timer) > 1 {
 		t.Errorf("left behind: %d jobs, %d open, %d workers, %d in order, %d timers",
 			len(d.jobs.byID), len(d.jobs.open), len(d.workers.byID), len(d.workers.ordered), len(c.timer))
 	}
@@ -132,7 +149,8 @@
 			}
 			for n := range c.jobs[id].sends {
 				to := c.jobs[id].sends[n].to.Worker
-				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobAdvanced, Value: absurd[id%6]})
+				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobAdvanced,
+					Value: absurd[id%6]})
 				c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobStarted})
 				if o := Outcome(1 + id%8); !c.jobs[id].sends[n].done {
 					c.event(Event{Kind: EventOutcome, Job: id, Attempt: n, Worker: to, Outcome: o, Load: load,
@@ -163,7 +181,8 @@
 			for range 60 {
 				for _, a := range slices.Clone(c.d.actions) {
 					if a.Kind == HealthCheck {
-						c.event(Event{Kind: EventHealthChecked, Worker: a.Worker, Outcome: OK, Load: Load{Count: 3, Values: [4]float64{2, 0, 0}}})
+						c.event(Event{Kind: EventHealthChecked, Worker: a.Worker, Outcome: OK,
+							Load: Load{Count: 3, Values: [4]float64{2, 0, 0}}})
 					}
 				}
 				if c.d.actions = nil; len(c.jobs[id].sends) > 0 || c.jobs[id].answered {
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -13,7 +13,11 @@
 		Dispatchers: 2,
 		Kinds:       1,
 		Classes: []decision.ClassSettings{{
-			LatencyTarget: 300 * time.Millisecond, Deadline: 5 * time.Second, Idempotency: decision.Idempotent, Value: 1, WorkerKind: -1,
+			LatencyTarget: 300 * time.Millisecond,
+			Deadline:      5 * time.Second,
+			Idempotency:   decision.Idempotent,
+			Value:         1,
+			WorkerKind:    -1,
 		}},
 		MaxAttempts: 3,
 	}, 42)
--- a/internal/decision/learned_times_test.go
+++ b/internal/decision/learned_times_test.go
@@ -17,7 +17,8 @@
 func TestJobsThatSeemToTakeNoTime(t *testing.T) {
 	for _, measure := range []int{0, 1} {
 		s := site()
-		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		s.ReportsLoad = true
+		s.Report = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 		d, now := must(t, s, 1), time.Minute
 		list := fleet(12)
 		for i := range list {
@@ -75,7 +76,8 @@
 func TestLearnedFiguresStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := site()
-		s.Report, s.ReportsLoad = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}, true
+		s.ReportsLoad = true
+		s.Report = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 		s.Classes[0].LatencyTarget, s.Classes[1].Value = time.Duration(rapid.IntRange(0, 1).Draw(rt, "aim"))*time.Second, 0
 		d, now := must(t, s, 1), time.Minute
 		kind := rapid.IntRange(0, 2).Draw(rt, "kinds at work")
@@ -88,7 +90,8 @@
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 		spans := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, 1, time.Microsecond, time.Millisecond, time.Second,
 			time.Hour, 200 * time.Hour}), 1, 8).Draw(rt, "spans")
-		figures := rapid.SliceOfN(rapid.SampledFrom([]float64{0, 1, -5, 1e300, math.Inf(1), math.Inf(-1), math.NaN()}), 1, 8).Draw(rt, "figures")
+		anyFigure := rapid.SampledFrom([]float64{0, 1, -5, 1e300, math.Inf(1), math.Inf(-1), math.NaN()})
+		figures := rapid.SliceOfN(anyFigure, 1, 8).Draw(rt, "figures")
 		for id := JobID(1); id < 2000; id++ {
 			if now += time.Millisecond; id%64 == 0 {
 				d.Handle(now, &Event{Kind: EventTimer, Token: checkToken}, nil)
@@ -97,7 +100,8 @@
 			acts := d.Handle(now, &Event{Kind: EventJob, Job: id, Class: int(id) % len(s.Classes), Slots: figure}, nil)
 			for n := 0; n < len(acts); n++ {
 				if a := acts[n]; a.Kind == Send {
-					d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker}, nil)
+					d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: a.Job, Attempt: a.Attempt,
+						Worker: a.Worker}, nil)
 					now += span
 					d.Handle(now, &Event{Kind: EventOutcome, Job: a.Job, Attempt: a.Attempt, Worker: a.Worker, Outcome: OK, JobEnded: true,
 						Load: Load{Count: 4, Values: [4]float64{figure, 0, 0, figure}}}, nil)
--- a/internal/decision/outcomes_test.go
+++ b/internal/decision/outcomes_test.go
@@ -9,7 +9,7 @@
 // at a worker.
 func TestDenserPendingJobGoesFirst(t *testing.T) {
 	c := ready(t, 8, func(s *Settings) {
-		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
+		reportsFreeSlotsAndQueue(s)
 		s.Classes[4].Value = 8
 	})
 	id := JobID(0)
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -67,7 +67,9 @@
 			w.peerSlots, w.peerSlotsAt = queue, c.now
 		}
 		waited := c.now - came - c.s.Classes[1].LatencyTarget
-		if late := waited - slack; queue == 0 && late.Abs() > 60*time.Millisecond || queue > 0 && waited > 60*time.Millisecond {
+		missesSlack := queue == 0 && (waited-slack).Abs() > 60*time.Millisecond
+		waitsInQueue := queue > 0 && waited > 60*time.Millisecond
+		if missesSlack || waitsInQueue {
 			t.Errorf("queue %v: dropped %v after its latency target, its own time leaves it %v", queue, waited, slack)
 		}
 	}
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -9,78 +10,117 @@
 	"time"
 )
 
+// answerGrace is how long after its deadline the checker still takes a job's answer.
+const answerGrace = 20 * time.Millisecond
+
+// scriptedPlay draws legal events with scripted outcomes from one source. The order of the draws is recorded with the
+// hashes of the actions.
+type scriptedPlay struct {
+	*checker
+	rng  *rand.Rand
+	list []Entry
+	keys uint64 // 1 if jobs have keys, else 0
+	last JobID  // the last one that has arrived
+}
+
 // play runs a seeded sequence of legal events with scripted outcomes and returns the log of actions.
 func play(t *testing.T, seed uint64, s Settings, keys uint64, jobs JobID) []string {
-	c := newChecker(t, s, seed)
-	rng := rand.New(rand.NewPCG(seed, 1))
-	list := fleet(24)
-	c.event(Event{Kind: EventList, List: ListCached, Entries: list})
-	for id := JobID(0); id < jobs; {
-		for range rng.IntN(3) {
-			id++
-			c.event(Event{Kind: EventJob, Job: id, Class: rng.IntN(len(s.Classes)), Tenant: rng.IntN(7) - 1,
-				Key: rng.Uint64N(40) * keys, Slots: float64(1 + rng.IntN(3)),
-				Deadline: c.now + time.Duration(20+rng.IntN(3000))*time.Millisecond})
+	p := &scriptedPlay{
+		checker: newChecker(t, s, seed),
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		list:    fleet(24),
+		keys:    keys,
+	}
+	p.event(Event{Kind: EventList, List: ListCached, Entries: p.list})
+	for p.last < jobs {
+		for range p.rng.IntN(3) {
+			p.arriveAtRandom()
 		}
-		for _, job := range ids(c.jobs) {
-			j := c.jobs[job]
-			for i := range j.sends {
-				switch o := rng.IntN(100); {
-				case j.sends[i].done:
-				case c.now >= j.deadline:
-					c.outcome(job, i, TimedOut)
-				case o < 25:
-					if s.ReportsLoad {
-						c.load = Load{Count: 2, Values: [4]float64{float64(rng.IntN(4)), float64(rng.IntN(5))}}
-					}
-					c.outcome(job, i, OK)
-				case o < 40:
-					c.outcome(job, i, Outcome(int(Error)+rng.IntN(7)))
-				case o < 50:
-					c.event(Event{Kind: EventJobProgress, Job: job, Attempt: i, Worker: j.sends[i].to.Worker, Progress: JobStarted})
-				}
-			}
-			if !j.answered && rng.IntN(300) == 0 {
-				j.answered = true
-				c.event(Event{Kind: EventClientLeft, Job: job})
+		for _, id := range ids(p.jobs) {
+			p.goOn(id)
+			job := p.jobs[id]
+			if !job.answered && p.now > job.deadline+answerGrace {
+				t.Fatalf("seed %d, %v: job %d got no answer by %v", seed, p.now, id, job.deadline)
 			}
-			if !j.answered && c.now > j.deadline+20*time.Millisecond {
-				t.Fatalf("seed %d, %v: job %d got no answer by %v", seed, c.now, job, j.deadline)
-			}
-			if j.answered && !slices.ContainsFunc(j.sends, func(s sent) bool { return !s.done }) {
-				delete(c.jobs, job)
+			if job.answered && !slices.ContainsFunc(job.sends, func(s sent) bool { return !s.done }) {
+				delete(p.jobs, id)
 			}
 		}
-		if rng.IntN(40) == 0 {
-			e := &list[rng.IntN(len(list))]
-			e.State = State(rng.IntN(3))
-			if e.State == Ready {
-				e.Started = c.now
-			}
-			switch rng.IntN(4) {
-			case 0:
-				c.event(Event{Kind: EventList, List: ListFailed})
-			case 1:
-				full := slices.DeleteFunc(slices.Clone(list), func(e Entry) bool { return e.State == Gone })
-				c.event(Event{Kind: EventList, List: ListFull, Entries: full})
-			default:
-				c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
-			}
+		if p.rng.IntN(40) == 0 {
+			p.changeList()
+		}
+		p.advance(10 * time.Millisecond)
+	}
+	return p.log
+}
+
+func (p *scriptedPlay) arriveAtRandom() {
+	p.last++
+	p.event(Event{
+		Kind:     EventJob,
+		Job:      p.last,
+		Class:    p.rng.IntN(len(p.s.Classes)),
+		Tenant:   p.rng.IntN(7) - 1,
+		Key:      p.rng.Uint64N(40) * p.keys,
+		Slots:    float64(1 + p.rng.IntN(3)),
+		Deadline: p.now + time.Duration(20+p.rng.IntN(3000))*time.Millisecond,
+	})
+}
+
+// goOn draws what becomes of each attempt of a job, and whether its client leaves.
+func (p *scriptedPlay) goOn(id JobID) {
+	job := p.jobs[id]
+	for attempt := range job.sends {
+		p.goOnWithAttempt(id, attempt)
+	}
+	if !job.answered && p.rng.IntN(300) == 0 {
+		job.answered = true
+		p.event(Event{Kind: EventClientLeft, Job: id})
+	}
+}
+
+func (p *scriptedPlay) goOnWithAttempt(id JobID, attempt int) {
+	job := p.jobs[id]
+	switch chance := p.rng.IntN(100); {
+	case job.sends[attempt].done:
+	case p.now >= job.deadline:
+		p.outcome(id, attempt, TimedOut)
+	case chance < 25:
+		if p.s.ReportsLoad {
+			free := float64(p.rng.IntN(4))
+			queue := float64(p.rng.IntN(5))
+			p.load = Load{Count: 2, Values: [4]float64{free, queue}}
 		}
-		c.advance(10 * time.Millisecond)
+		p.outcome(id, attempt, OK)
+	case chance < 40:
+		p.outcome(id, attempt, Outcome(int(Error)+p.rng.IntN(7)))
+	case chance < 50:
+		to := job.sends[attempt].to.Worker
+		p.event(Event{Kind: EventJobProgress, Job: id, Attempt: attempt, Worker: to, Progress: JobStarted})
 	}
-	return c.log
 }
 
-func ids(m map[JobID]*open) []JobID {
-	var out []JobID
-	for id := range m {
-		out = append(out, id)
+// changeList changes the state of one worker and tells it by a delta, by the whole list, or not at all.
+func (p *scriptedPlay) changeList() {
+	entry := &p.list[p.rng.IntN(len(p.list))]
+	entry.State = State(p.rng.IntN(3))
+	if entry.State == Ready {
+		entry.Started = p.now
+	}
+	switch p.rng.IntN(4) {
+	case 0:
+		p.event(Event{Kind: EventList, List: ListFailed})
+	case 1:
+		full := slices.DeleteFunc(slices.Clone(p.list), func(e Entry) bool { return e.State == Gone })
+		p.event(Event{Kind: EventList, List: ListFull, Entries: full})
+	default:
+		p.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*entry}})
 	}
-	slices.Sort(out)
-	return out
 }
 
+// ids is the ids of jobs in their order.
+func ids(jobs map[JobID]*open) []JobID { return slices.Sorted(maps.Keys(jobs)) }
+
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	variants := map[string]func(*Settings){
 		"plain":            func(*Settings) {},
@@ -89,9 +129,12 @@
 		"no cancel":        func(s *Settings) { s.Cancel = false },
 		"push, many tries": func(s *Settings) { s.Discovery, s.MaxAttempts = DiscoveryPush, 0 },
 		"no tenants":       func(s *Settings) { s.Tenants = nil },
-		"bound":            func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[1].AllowedZones = []int{1}, []int{0, 2} },
-		"full unproven":    func(s *Settings) { s.RejectionUnproven = true },
-		"closing":          func(s *Settings) { s.DrainCloseWithin = 300 * time.Millisecond },
+		"bound": func(s *Settings) {
+			s.Classes[0].AllowedKinds = []int{1}
+			s.Classes[1].AllowedZones = []int{0, 2}
+		},
+		"full unproven": func(s *Settings) { s.RejectionUnproven = true },
+		"closing":       func(s *Settings) { s.DrainCloseWithin = 300 * time.Millisecond },
 		"all at once": func(s *Settings) {
 			s.Classes[0].AllowedKinds, s.RejectionUnproven, s.DrainCloseWithin = []int{0}, true, 200*time.Millisecond
 			s.HealthChecks, s.Report.FreeSlots, s.Cancel, s.ReportsLoad = true, 0, false, true
@@ -100,7 +143,7 @@
 		"few, dear":  few,
 		"probes":     func(s *Settings) { s.HealthChecks, s.Report.FreeSlots = true, 0 },
 		"reports": func(s *Settings) {
-			s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
+			reportsFreeSlotsAndQueue(s)
 		},
 	}
 	for name, change := range variants {
@@ -130,7 +173,9 @@
 		s := random(rand.New(rand.NewPCG(seed, 2)))
 		for _, line := range play(t, seed, s, seed%2, 600) {
 			sends += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Send)))
-			answers += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Reject)) || strings.Contains(line, fmt.Sprintf("{Kind:%d ", Fail)))
+			rejected := strings.Contains(line, fmt.Sprintf("{Kind:%d ", Reject))
+			failed := strings.Contains(line, fmt.Sprintf("{Kind:%d ", Fail))
+			answers += count(rejected || failed)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d: %+v", seed, s)
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -113,12 +113,18 @@
 		change func(*Settings)
 		ok     func(Entry) bool
 	}{
-		"kind":          {func(s *Settings) { s.Classes[0].AllowedKinds = []int{1} }, func(e Entry) bool { return e.Kind == 1 }},
-		"zone":          {func(s *Settings) { s.Classes[0].AllowedZones = []int{2} }, func(e Entry) bool { return e.Zone == 2 }},
-		"unknown kind":  {func(s *Settings) { s.Classes[0].AllowedKinds = []int{7} }, func(Entry) bool { return false }},
-		"empty":         {func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[0].AllowedZones = []int{}, []int{} }, func(Entry) bool { return true }},
-		"class's kind":  {func(s *Settings) { s.Classes[0].WorkerKind = 1 }, func(e Entry) bool { return e.Kind == 1 }},
-		"kind and need": {func(s *Settings) { s.Classes[0].AllowedKinds, s.Classes[0].WorkerKind = []int{0}, 1 }, func(Entry) bool { return false }},
+		"kind":         {func(s *Settings) { s.Classes[0].AllowedKinds = []int{1} }, func(e Entry) bool { return e.Kind == 1 }},
+		"zone":         {func(s *Settings) { s.Classes[0].AllowedZones = []int{2} }, func(e Entry) bool { return e.Zone == 2 }},
+		"unknown kind": {func(s *Settings) { s.Classes[0].AllowedKinds = []int{7} }, func(Entry) bool { return false }},
+		"empty": {func(s *Settings) {
+			s.Classes[0].AllowedKinds = []int{}
+			s.Classes[0].AllowedZones = []int{}
+		}, func(Entry) bool { return true }},
+		"class's kind": {func(s *Settings) { s.Classes[0].WorkerKind = 1 }, func(e Entry) bool { return e.Kind == 1 }},
+		"kind and need": {func(s *Settings) {
+			s.Classes[0].AllowedKinds = []int{0}
+			s.Classes[0].WorkerKind = 1
+		}, func(Entry) bool { return false }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, keys := range []uint64{0, 1} {
@@ -136,7 +142,8 @@
 				}
 				met := 0
 				for id := JobID(1); id <= 200; id++ {
-					c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Key: uint64(id) * keys, Slots: 1, Deadline: c.now + time.Second})
+					c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Key: uint64(id) * keys, Slots: 1,
+						Deadline: c.now + time.Second})
 					for _, open := range ids(c.jobs) { // every one turns it away, at once
 						for n := 0; n < len(c.jobs[open].sends); n++ {
 							if e := c.jobs[open].sends[n].to; !tc.ok(e) || name != "empty" && e.Worker <= 2 {
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 		if float64(n) > limit {
-			t.Errorf("%d dispatchers: %d jobs to a cold worker within %v, over its part of the budget, %.1f",
+			t.Errorf("%d dispatchers: %d jobs to a warming worker within %v, over its part of the budget, %.1f",
 				dispatchers, n, c.s.OverloadSpan, limit)
 		}
 	}
@@ -57,17 +57,29 @@
 		work, limit := 0.0, 0.0
 		for seed := range uint64(n) {
 			s := site()
-			s.Dispatchers, s.OverloadMultiple, s.OverloadSpan, s.SlowStartShare = n, 1.5, time.Second, 0.16
+			s.Dispatchers = n
+			s.OverloadMultiple = 1.5
+			s.OverloadSpan = time.Second
+			s.SlowStartShare = 0.16
 			d := must(t, s, seed)
-			d.now, d.times.runSeconds[0], d.times.runSeconds[1], d.budget.servedWork[0], d.pools.ready[0] = time.Minute, 0.9, 0.15, 2.5, 10
-			w := &workerState{Entry: Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready}, workerHealth: workerHealth{slowness: 1}}
-			long, short := &jobState{Event: Event{Class: 0, Slots: 1}}, &jobState{Event: Event{Class: 1, Slots: 1}}
+			d.now = time.Minute
+			d.times.runSeconds[0] = 0.9
+			d.times.runSeconds[1] = 0.15
+			d.budget.servedWork[0] = 2.5
+			d.pools.ready[0] = 10
+			w := &workerState{
+				Entry:        Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready},
+				workerHealth: workerHealth{slowness: 1},
+			}
+			long := &jobState{Event: Event{Class: 0, Slots: 1}}
+			short := &jobState{Event: Event{Class: 1, Slots: 1}}
 			d.budget.allows(w, long, d.now)
 			for range int(idle / (100 * time.Millisecond)) {
 				d.now += 100 * time.Millisecond
 				d.budget.allows(w, long, d.now)
 			}
-			limit += s.OverloadMultiple * d.slowStart.share(w, d.now) * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.ready[0]
+			share := d.slowStart.share(w, d.now)
+			limit += s.OverloadMultiple * share * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.ready[0]
 			for range 10 { // within one span everybody wants to send there
 				for d.budget.allows(w, short, d.now) {
 					w.hasTurn = false
@@ -86,9 +98,9 @@
 // of what such a worker bears, so that 36 new workers were idle for seconds while a third of all jobs was
 // rejected. All together use it well now, and stay within the rule's budget.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
-	shareAWarmingWorker(t, 4, 2, 0, 8)  // its warm mates have 13 jobs a second each; it surely bears 4 of that
+	shareAWarmingWorker(t, 4, 2, 0, 8)  // its warm peers have 13 jobs a second each; it surely bears 4 of that
 	shareAWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
-	shareAWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its mates to do more
+	shareAWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its peers to do more
 }
 
 func shareAWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
@@ -101,7 +113,9 @@
 	for seed := range uint64(n) {
 		s := site()
 		shared(&s)
-		d, now, id := must(t, s, seed), time.Minute+time.Duration(seed)*time.Millisecond, JobID(0)
+		d := must(t, s, seed)
+		now := time.Minute + time.Duration(seed)*time.Millisecond
+		id := JobID(0)
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 		cold := Entry{Worker: 777, Started: time.Minute + 10*time.Second, State: Ready}
 		for ; now < time.Minute+13*time.Second; now += time.Second / time.Duration(perSecond) {
@@ -109,15 +123,18 @@
 				d.Handle(now, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}}, nil)
 			}
 			id++
-			for _, a := range d.Handle(now, &Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: now + time.Second}, nil) {
+			arrival := Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: now + time.Second}
+			for _, a := range d.Handle(now, &arrival, nil) {
 				if a.Kind != Send {
 					continue
 				} else if a.Worker == cold.Worker {
 					sends = append(sends, now-cold.Started)
 				}
 				d.Handle(now, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
+				free := slots * float64(count(queue == 0 || id < 3))
+				queued := queue*float64(count(id >= 3)) + 0.01*float64(id)
 				d.Handle(now+run, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, JobEnded: true,
-					Load: Load{Count: 2, Values: [4]float64{slots * float64(count(queue == 0 || id < 3)), queue*float64(count(id >= 3)) + 0.01*float64(id)}}}, nil)
+					Load: Load{Count: 2, Values: [4]float64{free, queued}}}, nil)
 			}
 		}
 	}
@@ -131,6 +148,7 @@
 		}
 	}
 	if len(sends) < least {
-		t.Errorf("%d dispatchers' jobs a second, %v slots: %d jobs in 3 s for a cold worker, not %d", n*perSecond, slots, len(sends), least)
+		t.Errorf("%d dispatchers' jobs a second, %v slots: %d jobs in 3 s for a warming worker, not %d",
+			n*perSecond, slots, len(sends), least)
 	}
 }
--- a/internal/decision/start_delays_test.go
+++ b/internal/decision/start_delays_test.go
@@ -25,7 +25,8 @@
 	if near < 285 { // a third of all are near; picked from all of a kind, half the jobs paid for a far handshake
 		t.Errorf("%d of 300 jobs stay near, with room there", near)
 	}
-	for k := range c.d.load.slotsSeen { // what is learned of the own zone's says nothing of those beyond, and the other way round
+	// What is learned of the own zone's workers says nothing of the others, and the other way round.
+	for k := range c.d.load.slotsSeen {
 		c.d.load.groupLoad[2*k], c.d.load.groupLoad[2*k+1] = 0, 16
 	}
 	clear(c.d.workers.byID) // what was learned of each goes, and the list that follows brings all anew
