--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -46,7 +46,7 @@
 	// Members lists the members as this process remembers them; none where it cannot be a member.
 	Members() []cluster.CoreMember
 	// Fresh tells whether this process is a member whose knowledge of the group may be passed on.
-	Fresh() bool
+	UpToDate() bool
 	// Bootstrap founds the group. It is called only at processes that may be members.
 	Bootstrap(ctx context.Context, members []replication.Member) error
 }
@@ -177,7 +177,7 @@
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		if b.options.Group.Fresh() {
+		if b.options.Group.UpToDate() {
 			b.announceOnce(ctx)
 		}
 		select {
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -19,7 +19,7 @@
 	read    = "/api/config/read"
 )
 
-func TestFoundingAndFirstConfiguration(t *testing.T) {
+func TestBootstrapAndFirstConfiguration(t *testing.T) {
 	run(t, 6, 3, func(t *testing.T, w *world) {
 		took := w.eventually(8*time.Second, "leases everywhere", func() bool {
 			for _, m := range w.machines {
@@ -273,7 +273,7 @@
 	})
 }
 
-func TestLeavingStoreLeadsNothing(t *testing.T) {
+func TestDrainingStoreLeadsNothing(t *testing.T) {
 	run(t, 4, 3, func(t *testing.T, w *world) {
 		w.awaitPlacement()
 		time.Sleep(2 * time.Second)
--- a/internal/controlplane/controlstate/machine_test.go
+++ b/internal/controlplane/controlstate/machine_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, current.LastChangeID, "1")
 }
 
-func TestSnapshotHoldsTheWholeState(t *testing.T) {
+func TestSnapshotHoldsTheCompleteState(t *testing.T) {
 	machine := NewMachine()
 	apply(t, machine, replaceChange("a", 0, 5))
 	apply(t, machine, Change{Table: &TableChange{
--- a/internal/controlplane/faults_test.go
+++ b/internal/controlplane/faults_test.go
@@ -15,7 +15,7 @@
 	"gladepick/internal/cluster"
 )
 
-func TestFoundingWithSeedsThatHaveNoDisk(t *testing.T) {
+func TestBootstrapWithSeedsThatHaveNoDisk(t *testing.T) {
 	runLayout(t, layout{fronts: 8, stores: 3, diskless: 3}, func(t *testing.T, w *world) {
 		w.awaitPlacement()
 		status, body := w.orderUntilClear(3*time.Second, http.MethodPost, replace, "0", document(1))
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestFoundingWithoutTheFirstSeed(t *testing.T) {
+func TestBootstrapWithoutTheFirstSeed(t *testing.T) {
 	runLayout(t, layout{fronts: 5, stores: 3, absent: 1}, func(t *testing.T, w *world) {
 		w.awaitPlacement()
 		late := w.machines[0]
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestFirstSeedRestartsBeforeTheFounding(t *testing.T) {
+func TestFirstSeedRestartsBeforeTheBootstrap(t *testing.T) {
 	run(t, 5, 3, func(t *testing.T, w *world) {
 		time.Sleep(500 * time.Millisecond)
 		w.machines[0].kill()
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -18,6 +18,7 @@
 	"gladepick/internal/cluster"
 	"gladepick/internal/controlplane"
 	"gladepick/internal/controlplane/placement"
+	"gladepick/internal/network"
 	"gladepick/internal/network/simulated"
 	"gladepick/internal/rpc"
 	"gladepick/internal/vfs"
@@ -25,10 +26,10 @@
 )
 
 const (
-	internalPort = 7240
-	controlPort  = 8046
-	cloudIP      = "10.200.0.1"
-	cloudAddress = cloudIP + ":8040"
+	internalPort    = 7240
+	controlPort     = 8046
+	platformIP      = "10.200.0.1"
+	platformAddress = platformIP + ":8040"
 )
 
 // machine is a simulated machine with one process at a time.
@@ -128,10 +129,30 @@
 	return nil
 }
 
+// process is what runs on a machine.
+type process struct {
+	info   cluster.NodeInfo
+	disk   vfs.FS // nil without a disk
+	host   network.Network
+	pool   *rpc.Pool
+	server *rpc.Server
+	agent  *cluster.Agent
+	plane  *controlplane.Plane
+}
+
+// start starts the machine's process, on the disk that the one before has left.
 func (m *machine) start() {
 	t := m.world.t
 	t.Helper()
 	m.starts++
+	p := m.newProcess()
+	m.addAgent(p)
+	m.addPlane(p)
+	m.run(p)
+}
+
+// newProcess returns a process that neither listens nor runs yet.
+func (m *machine) newProcess() *process {
 	info := cluster.NodeInfo{
 		Name: m.name, Class: "front", Zone: m.zone, Core: m.core, Store: m.store,
 		Address:     fmt.Sprintf("%s:%d", m.ip, internalPort),
@@ -141,47 +162,61 @@
 	if m.disk != nil {
 		disk = m.disk.Mount()
 		id, err := controlplane.DiskID(disk)
-		assert.NilError(t, err)
+		assert.NilError(m.world.t, err)
 		m.diskID, info.DiskID = id, id
 	}
 	host := m.world.network.Host(m.ip)
-	pool := rpc.NewPool(host)
-	server := rpc.NewServer(m.world.logger)
-	agentDisk := disk
+	return &process{
+		info: info, disk: disk, host: host, pool: rpc.NewPool(host), server: rpc.NewServer(m.world.logger),
+	}
+}
+
+func (m *machine) addAgent(p *process) {
+	disk := p.disk
 	if m.core {
-		agentDisk = nil // the group remembers its members
+		disk = nil // the group remembers its members
 	}
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
-		Disk: agentDisk,
+		Disk: disk,
 		Info: func() cluster.NodeInfo {
-			now := info
+			now := p.info
 			now.Draining = m.leaving.Load()
 			return now
 		},
-		Pool: pool, Server: server, Seeds: m.world.seeds, InternalPort: internalPort,
+		Pool: p.pool, Server: p.server, Seeds: m.world.seeds, InternalPort: internalPort,
 		Register: m.bootstrap, Logger: m.world.logger,
 	})
-	assert.NilError(t, err)
+	assert.NilError(m.world.t, err)
+	p.agent = agent
+}
+
+func (m *machine) addPlane(p *process) {
+	disk := p.disk
 	if m.store {
 		disk = nil // a store's disk holds no control state
 	}
 	plane, err := controlplane.New(controlplane.Options{
-		Info: info, Network: host, Pool: pool, Server: server, FS: disk, Bootstrap: m.bootstrap,
-		Tolerated: m.world.tolerated, Seeds: m.world.seeds, InternalPort: internalPort, CloudAddress: cloudAddress,
-		Agent: agent, Logger: m.world.logger, Seed: uint64(m.starts),
+		Info: p.info, Network: p.host, Pool: p.pool, Server: p.server, FS: disk, Bootstrap: m.bootstrap,
+		Tolerated: m.world.tolerated, Seeds: m.world.seeds, InternalPort: internalPort, PlatformAddress: platformAddress,
+		Agent: p.agent, Logger: m.world.logger, Seed: uint64(m.starts),
 	})
-	assert.NilError(t, err)
-	listener, err := host.Listen(info.Address)
-	assert.NilError(t, err)
+	assert.NilError(m.world.t, err)
+	p.plane = plane
+}
+
+// run starts a process's goroutines. They end when the machine is stopped.
+func (m *machine) run(p *process) {
+	listener, err := p.host.Listen(p.info.Address)
+	assert.NilError(m.world.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
-	wait.Go(func() { _ = server.Serve(listener) })
-	wait.Go(func() { agent.Run(ctx) })
-	wait.Go(func() { plane.Run(ctx) })
+	wait.Go(func() { _ = p.server.Serve(listener) })
+	wait.Go(func() { p.agent.Run(ctx) })
+	wait.Go(func() { p.plane.Run(ctx) })
 	if m.store {
-		wait.Go(func() { m.followTable(ctx, agent) })
+		wait.Go(func() { m.followTable(ctx, p.agent) })
 	}
-	m.latest.Store(agent)
+	m.latest.Store(p.agent)
 	m.bootstrap = false
 	m.stop = sync.OnceFunc(func() {
 		m.world.network.Kill(m.ip)
@@ -189,8 +224,8 @@
 			m.disk.Crash()
 		}
 		cancel()
-		server.Close()
-		pool.Close()
+		p.server.Close()
+		p.pool.Close()
 		wait.Wait()
 	})
 	m.running.Store(true)
@@ -201,7 +236,7 @@
 	for ctx.Err() == nil {
 		if table := agent.Table(); table != nil {
 			for _, partition := range table.Partitions {
-				m.askFor(ctx, agent, partition)
+				m.requestChange(ctx, agent, partition)
 			}
 		}
 		select {
@@ -211,22 +246,22 @@
 	}
 }
 
-func (m *machine) askFor(ctx context.Context, agent *cluster.Agent, partition cluster.Partition) {
+func (m *machine) requestChange(ctx context.Context, agent *cluster.Agent, partition cluster.Partition) {
 	if len(partition.Replicas) == 0 || partition.Replicas[0].Store != m.name {
 		return
 	}
-	ask := cluster.PartitionRequest{Partition: partition.ID, Epoch: partition.Epoch, Store: m.name}
+	request := cluster.PartitionRequest{Partition: partition.ID, Epoch: partition.Epoch, Store: m.name}
 	for _, replica := range partition.Replicas[1:] {
 		if !replica.Synced {
-			ask.Synced = replica.Store
+			request.Synced = replica.Store
 		}
 		if replica.Synced && replica.Store == partition.PreferredPrimary {
-			ask.Handover = true
+			request.Handover = true
 		}
 	}
-	ask.Handover = ask.Handover || m.leaving.Load()
-	if ask.Synced != "" || ask.Handover {
-		_ = agent.RequestPartitionChange(ctx, ask)
+	request.Handover = request.Handover || m.leaving.Load()
+	if request.Synced != "" || request.Handover {
+		_ = agent.RequestPartitionChange(ctx, request)
 	}
 }
 
@@ -344,7 +379,7 @@
 func startPlatform(w *world) *platform {
 	p := &platform{}
 	p.server = &http.Server{Handler: http.HandlerFunc(p.serve)}
-	listener, err := w.network.Host(cloudIP).Listen(cloudAddress)
+	listener, err := w.network.Host(platformIP).Listen(platformAddress)
 	assert.NilError(w.t, err)
 	go func() { _ = p.server.Serve(listener) }()
 	return p
--- a/internal/controlplane/lease/renewal.go
+++ b/internal/controlplane/lease/renewal.go
@@ -24,16 +24,16 @@
 
 // forwardedRenewal is what this member has forwarded to the primary of a lease.
 type forwardedRenewal struct {
-	pending  bool      // renewed since the last answer to the primary
+	pending  bool      // renewed since the last response to the primary
 	complete bool      // info as it is now has been forwarded completely
-	answer   uint64    // number of the answer that is not known to have arrived; 0 where there is none
-	renewed  time.Time // the renewal that went with that answer
+	response uint64    // number of the response that is not known to have arrived; 0 where there is none
+	renewed  time.Time // the renewal that went with that response
 	count    int
 }
 
-// PendingRenewals returns the renewals since the last call, for the primary, as a part of the answer with a number. Only
+// PendingRenewals returns the renewals since the last call, for the primary, as a part of the response with a number. Only
 // stores and members of the core matter to it.
-func (t *Table) PendingRenewals(answer uint64, now time.Time) []byte {
+func (t *Table) PendingRenewals(response uint64, now time.Time) []byte {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var renewals []Renewal
@@ -43,7 +43,7 @@
 		}
 		known.forwarded.pending = false
 		if known.info.Store || known.info.Core {
-			renewals = append(renewals, known.forward(answer, now))
+			renewals = append(renewals, known.forward(response, now))
 		}
 	}
 	if len(renewals) == 0 {
@@ -57,9 +57,9 @@
 	return payload
 }
 
-// forward returns the newest renewal, and notes that it goes with an answer.
-func (e *entry) forward(answer uint64, now time.Time) Renewal {
-	e.forwarded.answer, e.forwarded.renewed = answer, e.renewed
+// forward returns the newest renewal, and notes that it goes with a response.
+func (e *entry) forward(response uint64, now time.Time) Renewal {
+	e.forwarded.response, e.forwarded.renewed = response, e.renewed
 	renewal := Renewal{Name: e.info.Name, AgeMS: now.Sub(e.renewed).Milliseconds()}
 	e.forwarded.count++
 	if e.forwarded.complete && e.forwarded.count%completeRenewalInterval != 0 {
@@ -72,22 +72,22 @@
 	return renewal
 }
 
-// ConfirmAnswer records that an answer with forwarded renewals has reached the primary. What went with earlier answers
+// ConfirmResponse records that a response with forwarded renewals has reached the primary. What went with earlier responses
 // that were not confirmed may have been lost, and is forwarded again.
-func (t *Table) ConfirmAnswer(answer uint64) {
+func (t *Table) ConfirmResponse(response uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, known := range t.entries {
 		forwarded := &known.forwarded
-		if forwarded.answer == 0 || forwarded.answer > answer {
+		if forwarded.response == 0 || forwarded.response > response {
 			continue
 		}
-		if forwarded.answer == answer {
+		if forwarded.response == response {
 			known.confirmed = latest(known.confirmed, forwarded.renewed)
 		} else {
 			forwarded.pending, forwarded.complete = true, false
 		}
-		forwarded.answer = 0
+		forwarded.response = 0
 	}
 }
 
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -1,7 +1,7 @@
 // Package lease keeps the leases of all processes at one member of the control group.
 //
 // A process renews its lease at any member; a backup forwards the renewals of stores and members to the primary with its
-// answers to heartbeats (PendingRenewals, ApplyRenewals). The primary decides by the leases who is alive. A store counts
+// responses to heartbeats (PendingRenewals, ApplyRenewals). The primary decides by the leases who is alive. A store counts
 // its lease from a renewal that the primary surely knows of (ConfirmedAt), so that it stops before the primary gives its
 // partitions to others.
 //
@@ -84,7 +84,7 @@
 		known.forwarded.complete = false
 	}
 	if known.info.Incarnation != info.Incarnation {
-		known.confirmed, known.forwarded.answer = time.Time{}, 0
+		known.confirmed, known.forwarded.response = time.Time{}, 0
 	}
 	known.info = info
 	known.renewed = at
--- a/internal/controlplane/lease/table_test.go
+++ b/internal/controlplane/lease/table_test.go
@@ -9,11 +9,11 @@
 	"gladepick/internal/cluster"
 )
 
-// Numbers of answers to heartbeats.
+// Numbers of responses to heartbeats.
 const (
-	firstAnswer  = 1
-	secondAnswer = 2
-	thirdAnswer  = 3
+	firstResponse  = 1
+	secondResponse = 2
+	thirdResponse  = 3
 )
 
 func storeInfo(name, incarnation string) cluster.NodeInfo {
@@ -88,17 +88,17 @@
 func TestRenewalsAreForwardedToThePrimary(t *testing.T) {
 	begin := time.Now()
 	backup, primary := NewTable(func() {}), NewTable(func() {})
-	assert.Assert(t, backup.PendingRenewals(firstAnswer, begin) == nil)
+	assert.Assert(t, backup.PendingRenewals(firstResponse, begin) == nil)
 	for i := range 10 {
 		now := begin.Add(time.Duration(i) * 400 * time.Millisecond)
 		backup.Renew(storeInfo("a", "1"), now)
 		backup.Renew(cluster.NodeInfo{Name: "front", Incarnation: "1"}, now)
-		payload := backup.PendingRenewals(firstAnswer, now.Add(100*time.Millisecond))
+		payload := backup.PendingRenewals(firstResponse, now.Add(100*time.Millisecond))
 		assert.NilError(t, primary.ApplyRenewals(payload, now.Add(100*time.Millisecond)))
 		status := primary.Statuses(now.Add(100 * time.Millisecond))["a"]
 		assert.Equal(t, status.Info, storeInfo("a", "1"))
 		assert.Equal(t, status.Expires, now.Add(cluster.LeaseDuration))
-		assert.Assert(t, backup.PendingRenewals(secondAnswer, now.Add(200*time.Millisecond)) == nil)
+		assert.Assert(t, backup.PendingRenewals(secondResponse, now.Add(200*time.Millisecond)) == nil)
 	}
 	_, found := primary.find("front")
 	assert.Assert(t, !found)
@@ -108,11 +108,11 @@
 	now := time.Now()
 	backup, primary := NewTable(func() {}), NewTable(func() {})
 	backup.Renew(storeInfo("a", "1"), now)
-	backup.PendingRenewals(firstAnswer, now) // lost
+	backup.PendingRenewals(firstResponse, now) // lost
 	for range completeRenewalInterval {
 		now = now.Add(100 * time.Millisecond)
 		backup.Renew(storeInfo("a", "1"), now)
-		assert.NilError(t, primary.ApplyRenewals(backup.PendingRenewals(firstAnswer, now), now))
+		assert.NilError(t, primary.ApplyRenewals(backup.PendingRenewals(firstResponse, now), now))
 	}
 	info, found := primary.find("a")
 	assert.Assert(t, found)
@@ -138,15 +138,15 @@
 	backup.Renew(storeInfo("a", "1"), begin)
 	_, found := backup.ConfirmedAt("a", "1")
 	assert.Assert(t, !found, "nothing has been forwarded yet")
-	backup.PendingRenewals(firstAnswer, begin.Add(50*time.Millisecond))
+	backup.PendingRenewals(firstResponse, begin.Add(50*time.Millisecond))
 	later := begin.Add(100 * time.Millisecond)
 	backup.Renew(storeInfo("a", "1"), later)
-	backup.ConfirmAnswer(firstAnswer)
+	backup.ConfirmResponse(firstResponse)
 	confirmed, found := backup.ConfirmedAt("a", "1")
 	assert.Assert(t, found)
 	assert.Equal(t, confirmed, begin, "the renewal after the answer is not confirmed by it")
-	backup.PendingRenewals(secondAnswer, later)
-	backup.ConfirmAnswer(secondAnswer)
+	backup.PendingRenewals(secondResponse, later)
+	backup.ConfirmResponse(secondResponse)
 	confirmed, _ = backup.ConfirmedAt("a", "1")
 	assert.Equal(t, confirmed, later)
 	backup.Renew(storeInfo("a", "2"), later.Add(time.Millisecond))
@@ -158,14 +158,14 @@
 	begin := time.Now()
 	backup, primary := NewTable(func() {}), NewTable(func() {})
 	backup.Renew(storeInfo("a", "1"), begin)
-	assert.Assert(t, backup.PendingRenewals(firstAnswer, begin) != nil) // lost
-	assert.Assert(t, backup.PendingRenewals(secondAnswer, begin) == nil)
-	backup.ConfirmAnswer(secondAnswer)
+	assert.Assert(t, backup.PendingRenewals(firstResponse, begin) != nil) // lost
+	assert.Assert(t, backup.PendingRenewals(secondResponse, begin) == nil)
+	backup.ConfirmResponse(secondResponse)
 	_, found := backup.ConfirmedAt("a", "1")
 	assert.Assert(t, !found)
-	assert.NilError(t, primary.ApplyRenewals(backup.PendingRenewals(thirdAnswer, begin.Add(time.Millisecond)), begin.Add(time.Millisecond)))
+	assert.NilError(t, primary.ApplyRenewals(backup.PendingRenewals(thirdResponse, begin.Add(time.Millisecond)), begin.Add(time.Millisecond)))
 	assert.Assert(t, primary.Statuses(begin.Add(time.Millisecond))["a"].Live)
-	backup.ConfirmAnswer(thirdAnswer)
+	backup.ConfirmResponse(thirdResponse)
 	confirmed, found := backup.ConfirmedAt("a", "1")
 	assert.Assert(t, found)
 	assert.Equal(t, confirmed, begin)
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -47,13 +47,13 @@
 }
 
 // Fresh tells whether the state here may be passed on.
-func (m *localMember) Fresh() bool {
-	_, fresh := m.freshRole()
+func (m *localMember) UpToDate() bool {
+	_, fresh := m.currentRole()
 	return fresh
 }
 
 // freshRole returns the role of this process in the group, and whether the state here may be passed on.
-func (m *localMember) freshRole() (replication.Role, bool) {
+func (m *localMember) currentRole() (replication.Role, bool) {
 	role := m.Role()
 	return role, role.UpToDate && slices.Contains(role.View.InSync, m.diskID)
 }
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -25,11 +25,11 @@
 	"gladepick/internal/controlplane/lease"
 )
 
-// Redundancy is what the copies of a partition must outlive.
+// Redundancy is what the replicas of a partition must outlive.
 type Redundancy struct {
-	Copies int // of each partition: one more than disks may be lost at once
-	// Zones is in how many zones the copies stand where there are stores: one more than zones may be lost at once. All
-	// further copies stand in the primary's zone, where their bytes cross no border.
+	ReplicationFactor int // of each partition: one more than disks may be lost at once
+	// Zones is in how many zones the replicas stand where there are stores: one more than zones may be lost at once. All
+	// further replicas stand in the primary's zone, where their bytes cross no border.
 	Zones int
 }
 
@@ -37,30 +37,30 @@
 type Builder struct {
 	Redundancy
 
-	primary      string
-	core         []cluster.CoreMember
-	stores       []cluster.StoreEntry // by name
-	partitions   []cluster.Partition
-	jobs         []controlstate.RetireJob
-	deliverers   int
-	nodes        map[string]lease.Status
-	expectedBack map[string]bool   // stores that are down, and are expected back soon
-	aliveDisks   map[string]string // the disks of the stores that can serve, by store; see indexAliveDisks
-	copyCounts   map[string]int    // by store, see replicaCounts; nil until they are needed
+	primary             string
+	core                []cluster.CoreMember
+	stores              []cluster.StoreEntry // by name
+	partitions          []cluster.Partition
+	jobs                []controlstate.RetireJob
+	deliveringStores    int
+	nodes               map[string]lease.Status
+	expectedBack        map[string]bool   // stores that are down, and are expected back soon
+	aliveDisks          map[string]string // the disks of the stores that can serve, by store; see indexAliveDisks
+	replicaCountByStore map[string]int    // by store, see replicaCounts; nil until they are needed
 }
 
 // NewBuilder returns a copy of the current table, to be changed by what the leases say.
 func NewBuilder(current *controlstate.State, nodes map[string]lease.Status, required Redundancy) *Builder {
 	table := current.Table
 	made := &Builder{
-		Redundancy: required,
-		primary:    table.Primary,
-		core:       table.Core,
-		stores:     slices.Clone(table.Stores),
-		partitions: slices.Clone(table.Partitions),
-		jobs:       slices.Clone(current.Jobs),
-		deliverers: table.DeliveringStores,
-		nodes:      nodes,
+		Redundancy:       required,
+		primary:          table.Primary,
+		core:             table.Core,
+		stores:           slices.Clone(table.Stores),
+		partitions:       slices.Clone(table.Partitions),
+		jobs:             slices.Clone(current.Jobs),
+		deliveringStores: table.DeliveringStores,
+		nodes:            nodes,
 	}
 	made.indexAliveDisks()
 	return made
@@ -78,7 +78,7 @@
 	return &b.stores[position]
 }
 
-// alive tells whether a replica can serve: its store is up, and has the disk that holds the copy.
+// alive tells whether a replica can serve: its store is up, and has the disk that holds the replica.
 func (b *Builder) alive(replica cluster.Replica) bool {
 	disk, up := b.aliveDisks[replica.Store]
 	return up && disk == replica.DiskID
--- a/internal/controlplane/placement/diff.go
+++ b/internal/controlplane/placement/diff.go
@@ -20,11 +20,11 @@
 	if !slices.Equal(b.core, table.Core) {
 		change.Core, empty = b.core, false
 	}
-	if b.Copies != table.ReplicationFactor {
-		change.ReplicationFactor, empty = b.Copies, false
+	if b.ReplicationFactor != table.ReplicationFactor {
+		change.ReplicationFactor, empty = b.ReplicationFactor, false
 	}
-	if b.deliverers != table.DeliveringStores {
-		change.DeliveringStores, empty = b.deliverers, false
+	if b.deliveringStores != table.DeliveringStores {
+		change.DeliveringStores, empty = b.deliveringStores, false
 	}
 	change.Stores = differing(b.stores, table.Stores, func(one, other cluster.StoreEntry) bool { return one == other })
 	change.Partitions = changedPartitions(b.partitions, table.Partitions)
--- a/internal/controlplane/placement/outage.go
+++ b/internal/controlplane/placement/outage.go
@@ -8,7 +8,7 @@
 
 const (
 	// restartGrace is how long stores that were found dead together are left their places. Processes that were killed
-	// are back within it, with all they held; replacing their copies would take longer.
+	// are back within it, with all they held; replacing their replicas would take longer.
 	restartGrace = cluster.LeaseDuration
 	// stabilizationTime passes between a first store found dead and the repair, so that others that died with it are known.
 	stabilizationTime = 50 * time.Millisecond
@@ -32,7 +32,7 @@
 	if len(found.down) == 0 {
 		return time.Time{}, false
 	}
-	until = found.keepPlacesUntil(b.Copies-1, leadingSince)
+	until = found.keepPlacesUntil(b.ReplicationFactor-1, leadingSince)
 	if !until.After(now) {
 		return time.Time{}, false
 	}
--- a/internal/controlplane/placement/outage_test.go
+++ b/internal/controlplane/placement/outage_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOutageHoldsPlaces(t *testing.T) {
+func TestStoresKeepTheirReplicasDuringAnOutage(t *testing.T) {
 	start := time.Unix(1000, 0)
 	const tolerated = 1
 	longAgo := start.Add(-time.Hour)
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -14,7 +14,7 @@
 )
 
 // partitionCount is the number of partitions of a system that is first placed on so many stores, a power of two. It stays
-// for the system's life: message ids name their partitions.
+// for as long as the system exists: message ids name their partitions.
 func partitionCount(stores int) int {
 	count := MinPartitions
 	for count < partitionsPerStore*stores {
@@ -23,17 +23,17 @@
 	return count
 }
 
-// PlaceInitially spreads all partitions over the active stores, if there are enough of them for all copies.
+// PlaceInitially spreads all partitions over the active stores, if there are enough of them for all replicas.
 func (b *Builder) PlaceInitially() {
 	stores := b.activeStores()
-	if len(b.partitions) > 0 || len(stores) < b.Copies {
+	if len(b.partitions) > 0 || len(stores) < b.ReplicationFactor {
 		return
 	}
 	stores = InterleaveZones(stores, func(entry cluster.StoreEntry) string { return entry.Zone })
 	for id := range partitionCount(len(stores)) {
 		first := stores[id%len(stores)]
 		partition := cluster.Partition{ID: id, Epoch: 1, Replicas: []cluster.Replica{replicaAt(first, true)}}
-		for len(partition.Replicas) < b.Copies {
+		for len(partition.Replicas) < b.ReplicationFactor {
 			next := b.replacement(partition.Replicas, "")
 			partition.Replicas = append(partition.Replicas, replicaAt(*next, true))
 		}
@@ -44,17 +44,18 @@
 
 // setPartition puts a partition's view into the table in the making. All changes of views go through it.
 func (b *Builder) setPartition(id int, view cluster.Partition) {
-	if b.copyCounts != nil {
+	if b.replicaCountByStore != nil {
 		for _, replica := range b.partitions[id].Replicas {
-			b.copyCounts[replica.Store]--
+			b.replicaCountByStore[replica.Store]--
 		}
 		for _, replica := range view.Replicas {
-			b.copyCounts[replica.Store]++
+			b.replicaCountByStore[replica.Store]++
 		}
 	}
 	b.partitions[id] = view
 }
 
+// replicaAt returns the replica at a store's current disk.
 func replicaAt(store cluster.StoreEntry, synced bool) cluster.Replica {
 	return cluster.Replica{Store: store.Name, DiskID: store.DiskID, Synced: synced}
 }
@@ -93,11 +94,11 @@
 	return ordered
 }
 
-// replacement returns the active store that is the best place for one more copy beside the given ones, or nil: one in
-// a zone that suits the spread, then the one with the fewest copies, then the first by name. One store may be excluded.
+// replacement returns the active store that is the best place for one more replica beside the given ones, or nil: one in
+// a zone that suits the spread, then the one with the fewest replicas, then the first by name. One store may be excluded.
 func (b *Builder) replacement(replicas []cluster.Replica, exclude string) *cluster.StoreEntry {
 	load := b.replicaCounts()
-	suits := zoneForCopy(b.zonesOf(replicas), b.Zones)
+	suits := zoneForReplica(b.zonesOf(replicas), b.Zones)
 	var best *cluster.StoreEntry
 	bestSuits := false
 	for i := range b.stores {
@@ -116,13 +117,14 @@
 	return best
 }
 
+// hasReplicaAt tells whether one of the replicas is at a store.
 func hasReplicaAt(replicas []cluster.Replica, store string) bool {
 	return slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return replica.Store == store })
 }
 
-// zoneForCopy tells which zones suit one more copy beside those in the given zones, the primary's first, where the copies
+// zoneForReplica tells which zones suit one more replica beside those in the given zones, the primary's first, where the replicas
 // are to stand in a number of zones.
-func zoneForCopy(taken []string, spread int) func(zone string) bool {
+func zoneForReplica(taken []string, spread int) func(zone string) bool {
 	distinct := slices.Compact(slices.Sorted(slices.Values(taken)))
 	if len(distinct) < spread {
 		return func(zone string) bool { return !slices.Contains(distinct, zone) }
@@ -139,18 +141,18 @@
 	return zones
 }
 
-// replicaCounts counts the copies that each store holds. They are counted once and kept up to date.
+// replicaCounts counts the replicas that each store holds. They are counted once and kept up to date.
 func (b *Builder) replicaCounts() map[string]int {
-	if b.copyCounts != nil {
-		return b.copyCounts
+	if b.replicaCountByStore != nil {
+		return b.replicaCountByStore
 	}
-	b.copyCounts = make(map[string]int, len(b.stores))
+	b.replicaCountByStore = make(map[string]int, len(b.stores))
 	for _, partition := range b.partitions {
 		for _, replica := range partition.Replicas {
-			b.copyCounts[replica.Store]++
+			b.replicaCountByStore[replica.Store]++
 		}
 	}
-	return b.copyCounts
+	return b.replicaCountByStore
 }
 
 // primaryCounts counts the partitions that each store leads, or is to lead.
--- a/internal/controlplane/placement/placement_random_test.go
+++ b/internal/controlplane/placement/placement_random_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestPlacementComesToRestAfterAnyFault plays random changes of the stores, one loss at a time. After each the
-// placement comes to rest with all copies in place, and no partition was ever led by a store without its data: that is
+// placement comes to rest with all replicas in place, and no partition was ever led by a store without its data: that is
 // checked with every change of the table.
 func TestPlacementComesToRestAfterAnyFault(t *testing.T) {
 	const seeds, steps = 8, 12
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -15,22 +15,24 @@
 
 // placementWorld drives the planning functions as the manager does, without a group.
 type placementWorld struct {
-	t       *testing.T
-	current *controlstate.State
-	nodes   map[string]lease.Status
-	copies  int
-	zones   int // in which the copies of a partition stand
+	t        *testing.T
+	current  *controlstate.State
+	nodes    map[string]lease.Status
+	replicas int
+	zones    int // in which the replicas of a partition stand
 }
 
-func newPlacementWorld(t *testing.T, copies int, stores ...string) *placementWorld {
-	world := &placementWorld{t: t, current: &controlstate.State{Table: &cluster.Table{}}, nodes: map[string]lease.Status{}, copies: copies, zones: 2}
+func newPlacementWorld(t *testing.T, replicas int, stores ...string) *placementWorld {
+	world := &placementWorld{t: t, current: &controlstate.State{Table: &cluster.Table{}}, nodes: map[string]lease.Status{}, replicas: replicas, zones: 2}
 	for i, store := range stores {
 		world.start(store, fmt.Sprintf("zone-%d", i%3), "disk-"+store)
 	}
 	return world
 }
 
-func (w *placementWorld) redundancy() Redundancy { return Redundancy{Copies: w.copies, Zones: w.zones} }
+func (w *placementWorld) redundancy() Redundancy {
+	return Redundancy{ReplicationFactor: w.replicas, Zones: w.zones}
+}
 
 func (w *placementWorld) start(store, zone, disk string) {
 	info := cluster.NodeInfo{Name: store, Zone: zone, DiskID: disk, Store: true, Incarnation: "i", Address: store + ":1"}
@@ -93,7 +95,7 @@
 		}
 		primary, _ := partition.Primary()
 		was := known.IndexOf(primary.Store)
-		assert.Assert(w.t, primary.Synced && was >= 0, "partition %d is led by %s, which held no copy", id, primary.Store)
+		assert.Assert(w.t, primary.Synced && was >= 0, "partition %d is led by %s, which held no replica", id, primary.Store)
 	}
 }
 
@@ -165,7 +167,7 @@
 	builder := NewBuilder(w.current, w.nodes, w.redundancy())
 	assert.Assert(w.t, builder.complete())
 	for _, partition := range w.current.Table.Partitions {
-		assert.Equal(w.t, len(partition.Replicas), w.copies, "partition %d: %s", partition.ID, storesOf(partition))
+		assert.Equal(w.t, len(partition.Replicas), w.replicas, "partition %d: %s", partition.ID, storesOf(partition))
 		assert.Equal(w.t, partition.PreferredPrimary, "")
 	}
 }
@@ -301,7 +303,7 @@
 	}
 }
 
-// A large loss is repaired in steps: first the partitions that nobody leads, then those that lack a copy.
+// A large loss is repaired in steps: first the partitions that nobody leads, then those that lack a replica.
 func TestLargeLossIsRepairedInSteps(t *testing.T) {
 	const stores = 700
 	var names []string
@@ -339,26 +341,26 @@
 	}
 }
 
-// Where one zone may be lost, three copies stand in two zones: the lost zone loses no message, and one copy costs no bytes
+// Where one zone may be lost, three replicas stand in two zones: the lost zone loses no message, and one replica costs no bytes
 // between zones.
-func TestThreeCopiesStandInTwoZones(t *testing.T) {
+func TestThreeReplicasStandInTwoZones(t *testing.T) {
 	world := newPlacementWorld(t, 3, manyStores()...)
 	assert.NilError(t, world.plan())
 	world.checkSpread(2, 2)
-	world.checkEvenCopies()
+	world.checkEvenReplicas()
 }
 
-// Where no zone may be lost, all copies stand in one: nothing crosses a border between zones.
-func TestCopiesStandInOneZoneWhereNoneMayBeLost(t *testing.T) {
+// Where no zone may be lost, all replicas stand in one: nothing crosses a border between zones.
+func TestReplicasStandInOneZoneWhereNoneMayBeLost(t *testing.T) {
 	world := newPlacementWorld(t, 3, manyStores()...)
 	world.zones = 1
 	assert.NilError(t, world.plan())
 	world.checkSpread(1, 3)
-	world.checkEvenCopies()
+	world.checkEvenReplicas()
 }
 
-// A zone that has too few stores for all copies is helped out by others, and gets its copies back.
-func TestCopiesLeaveTheirZoneWhereItHasTooFewStores(t *testing.T) {
+// A zone that has too few stores for all replicas is helped out by others, and gets its replicas back.
+func TestReplicasLeaveTheirZoneWhereItHasTooFewStores(t *testing.T) {
 	world := newPlacementWorld(t, 3, manyStores()...)
 	world.zones = 1
 	assert.NilError(t, world.plan())
@@ -387,7 +389,7 @@
 	return stores
 }
 
-// checkSpread checks that the three copies of each partition stand in so many zones, so many of them in the primary's.
+// checkSpread checks that the three replicas of each partition stand in so many zones, so many of them in the primary's.
 func (w *placementWorld) checkSpread(zones, withPrimary int) {
 	w.t.Helper()
 	for _, partition := range w.current.Table.Partitions {
@@ -402,17 +404,17 @@
 	}
 }
 
-// checkEvenCopies checks that no store holds many more copies than another.
-func (w *placementWorld) checkEvenCopies() {
+// checkEvenReplicas checks that no store holds many more replicas than another.
+func (w *placementWorld) checkEvenReplicas() {
 	w.t.Helper()
 	for store := range w.nodes {
-		copies := 0
+		replicas := 0
 		for _, partition := range w.current.Table.Partitions {
 			if partition.IndexOf(store) >= 0 {
-				copies++
+				replicas++
 			}
 		}
 		even := 3 * MinPartitions / len(w.nodes)
-		assert.Assert(w.t, copies >= even-4 && copies <= even+4, "%s holds %d copies", store, copies)
+		assert.Assert(w.t, replicas >= even-4 && replicas <= even+4, "%s holds %d replicas", store, replicas)
 	}
 }
--- a/internal/controlplane/placement/rebalance.go
+++ b/internal/controlplane/placement/rebalance.go
@@ -12,7 +12,7 @@
 )
 
 // Rebalance gives partitions to active stores that lead far fewer than others. It begins only while every partition
-// has all its copies; a store that holds none first becomes a backup, and leads once it has synced.
+// has all its replicas; a store that holds none first becomes a backup, and leads once it has synced.
 func (b *Builder) Rebalance() {
 	if len(b.partitions) == 0 || !b.complete() {
 		return
@@ -25,6 +25,7 @@
 	}
 }
 
+// movesUnderway counts the partitions that are to change their primary.
 func (b *Builder) movesUnderway() int {
 	count := 0
 	for _, partition := range b.partitions {
@@ -52,7 +53,7 @@
 	return from, to, counts[from] > spreadLimit*counts[to]
 }
 
-// move prefers another primary for one partition, if possible for one that needs no copying for it.
+// move prefers another primary for one partition, if possible for one that needs no transfer of data for it.
 func (b *Builder) move(from, to string) bool {
 	best := -1
 	for i := range b.partitions {
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -11,7 +11,7 @@
 const repairsAtOnce = 512
 
 // Repair brings replica groups in line with the stores: it promotes a synced backup where a primary is down, replaces
-// copies that are lost or to be moved, and drops those that are too many. Partitions that nobody leads come first. It
+// replicas that are lost or to be moved, and drops those that are too many. Partitions that nobody leads come first. It
 // tells whether there may be more to do.
 func (b *Builder) Repair() bool {
 	changed := 0
@@ -40,6 +40,8 @@
 	return found && !b.alive(primary)
 }
 
+// repairPartition returns a partition's view after one repair. The view stays as it is where nothing is wrong, where
+// stores are expected back, and where no replica that may lead is alive.
 func (b *Builder) repairPartition(partition cluster.Partition) cluster.Partition {
 	if b.hasDesiredReplicas(partition) || slices.ContainsFunc(partition.Replicas, b.isExpectedBack) {
 		return partition
@@ -47,7 +49,7 @@
 	next := partition
 	next.Replicas = slices.Clone(partition.Replicas)
 	if !b.promote(&next) {
-		return partition // nobody who may lead is alive: the group waits for them
+		return partition // the replica group waits for one that may lead
 	}
 	b.dropDead(&next)
 	b.addMissing(&next)
@@ -61,10 +63,10 @@
 
 // hasDesiredReplicas tells whether a replica group is as it should be.
 func (b *Builder) hasDesiredReplicas(partition cluster.Partition) bool {
-	if partition.PreferredPrimary != "" || len(partition.Replicas) != b.Copies {
+	if partition.PreferredPrimary != "" || len(partition.Replicas) != b.ReplicationFactor {
 		return false
 	}
-	return b.stayingCopies(partition.Replicas) == b.Copies
+	return b.stayingReplicas(partition.Replicas) == b.ReplicationFactor
 }
 
 // promote makes sure that the first replica is alive. It returns false where no synced replica surely is.
@@ -86,6 +88,7 @@
 	return true
 }
 
+// allAlive tells whether every replica is alive.
 func (b *Builder) allAlive(replicas []cluster.Replica) bool {
 	return !slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return !b.alive(replica) })
 }
@@ -119,7 +122,7 @@
 	return best
 }
 
-// dropDead removes backups that are down, unless the group would have too few copies and no store can take their place.
+// dropDead removes backups that are down, unless the group would have too few replicas and no store can take their place.
 func (b *Builder) dropDead(partition *cluster.Partition) {
 	for i := len(partition.Replicas) - 1; i > 0; i-- {
 		if b.alive(partition.Replicas[i]) {
@@ -129,12 +132,12 @@
 	}
 }
 
-// dropBackup removes a backup, and puts another store in its place where copies are missing. It returns false, and
-// changes nothing, where copies would be missing and no store can be had.
+// dropBackup removes a backup, and puts another store in its place where replicas are missing. It returns false, and
+// changes nothing, where replicas would be missing and no store can be had.
 func (b *Builder) dropBackup(partition *cluster.Partition, position int) bool {
 	dropped := partition.Replicas[position]
 	remaining := slices.Delete(slices.Clone(partition.Replicas), position, position+1)
-	if b.stayingCopies(remaining) < b.Copies {
+	if b.stayingReplicas(remaining) < b.ReplicationFactor {
 		exclude := ""
 		if b.alive(dropped) {
 			exclude = dropped.Store
@@ -149,7 +152,8 @@
 	return true
 }
 
-func (b *Builder) stayingCopies(replicas []cluster.Replica) int {
+// stayingReplicas counts the replicas that are alive and are not to be emptied.
+func (b *Builder) stayingReplicas(replicas []cluster.Replica) int {
 	count := 0
 	for _, replica := range replicas {
 		if b.staying(replica) {
@@ -161,7 +165,7 @@
 
 // addMissing adds backups until enough stores that stay hold the partition.
 func (b *Builder) addMissing(partition *cluster.Partition) {
-	for b.stayingCopies(partition.Replicas) < b.Copies {
+	for b.stayingReplicas(partition.Replicas) < b.ReplicationFactor {
 		replacement := b.replacement(partition.Replicas, "")
 		if replacement == nil {
 			return
@@ -170,9 +174,9 @@
 	}
 }
 
-// dropSurplus removes backups that are not needed any more, for as long as enough complete copies stay.
+// dropSurplus removes backups that are not needed any more, for as long as enough complete replicas stay.
 func (b *Builder) dropSurplus(partition *cluster.Partition) {
-	for len(partition.Replicas) > b.Copies {
+	for len(partition.Replicas) > b.ReplicationFactor {
 		position := b.surplus(partition)
 		if position < 0 {
 			return
@@ -182,14 +186,14 @@
 }
 
 // surplus returns the position of the backup that can best be spared, or -1: a retiring one, then one that is not
-// synced, then the one whose store holds the most copies.
+// synced, then the one whose store holds the most replicas.
 func (b *Builder) surplus(partition *cluster.Partition) int {
 	load := b.replicaCounts()
 	best, bestRank := -1, 0
 	for i := 1; i < len(partition.Replicas); i++ {
 		replica := partition.Replicas[i]
 		rest := slices.Delete(slices.Clone(partition.Replicas), i, i+1)
-		if replica.Store == partition.PreferredPrimary || b.syncedCopies(rest) < b.Copies {
+		if replica.Store == partition.PreferredPrimary || b.syncedReplicas(rest) < b.ReplicationFactor {
 			continue
 		}
 		if rank := b.surplusRank(replica, load); best < 0 || rank > bestRank {
@@ -199,6 +203,7 @@
 	return best
 }
 
+// surplusRank tells how well a backup can be spared: the higher, the better. load counts the replicas by store.
 func (b *Builder) surplusRank(replica cluster.Replica, load map[string]int) int {
 	retiring, unsynced := 2*len(b.partitions), len(b.partitions)+1
 	switch {
--- a/internal/controlplane/placement/request.go
+++ b/internal/controlplane/placement/request.go
@@ -96,7 +96,7 @@
 	former, successor := partition.Replicas[0], partition.Replicas[position]
 	backups := slices.Delete(slices.Clone(partition.Replicas), position, position+1)[1:]
 	partition.Replicas = append([]cluster.Replica{successor}, backups...)
-	if !b.retiring(former) || b.syncedCopies(partition.Replicas) < b.Copies {
+	if !b.retiring(former) || b.syncedReplicas(partition.Replicas) < b.ReplicationFactor {
 		partition.Replicas = append(partition.Replicas, former)
 	}
 	partition.PreferredPrimary = ""
--- a/internal/controlplane/placement/request_test.go
+++ b/internal/controlplane/placement/request_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, after.Epoch, partition.Epoch+1)
 }
 
-func TestDropKeepsTheLastCopies(t *testing.T) {
+func TestDropKeepsTheLastReplicas(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b")
 	assert.NilError(t, world.plan())
 	partition := world.current.Table.Partitions[0]
@@ -59,7 +59,7 @@
 	assert.Equal(t, world.current.Table.Partitions[0].Replicas[0].Store, ready)
 	err := world.tryRequest(cluster.PartitionRequest{Handover: true, Ready: []string{"d"}}, 0)
 	if world.current.Table.Partitions[0].IndexOf("d") < 0 {
-		assert.Assert(t, err != nil, "it holds no copy")
+		assert.Assert(t, err != nil, "it holds no replica")
 	}
 }
 
--- a/internal/controlplane/placement/retire.go
+++ b/internal/controlplane/placement/retire.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// CompleteRetireJobs marks the jobs whose stores hold nothing any more, once every partition has all its copies
+// CompleteRetireJobs marks the jobs whose stores hold nothing any more, once every partition has all its replicas
 // elsewhere.
 func (b *Builder) CompleteRetireJobs() {
 	for i := range b.jobs {
--- a/internal/controlplane/placement/retire_test.go
+++ b/internal/controlplane/placement/retire_test.go
@@ -73,7 +73,7 @@
 	}))
 }
 
-// TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator has a store be given copies after it was emptied and before
+// TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator has a store be given replicas after it was emptied and before
 // its operator has heard of that.
 func TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator(t *testing.T) {
 	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
--- a/internal/controlplane/placement/stores.go
+++ b/internal/controlplane/placement/stores.go
@@ -8,9 +8,9 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// DelivererMemory is how long after the end of its lease a store still counts for the ceilings of services: what it
+// DeliveryMemory is how long after the end of its lease a store still counts for the rate limits of services: what it
 // delivered last is part of their windows.
-const DelivererMemory = 6 * time.Second
+const DeliveryMemory = 6 * time.Second
 
 // UpdateStores brings the entries of all stores in line with their leases.
 func (b *Builder) UpdateStores() {
@@ -67,30 +67,30 @@
 	return cluster.StoreActive
 }
 
-// UpdateDeliverers counts the stores that deliver, or did so lately. The count is not below the one that the primary
+// UpdateDeliveringStores counts the stores that deliver, or did so lately. The count is not below the one that the primary
 // before has left behind, where its stores may still deliver.
-func (b *Builder) UpdateDeliverers(now time.Time, inherited int) {
+func (b *Builder) UpdateDeliveringStores(now time.Time, inherited int) {
 	count := 0
 	for _, node := range b.nodes {
-		if node.Info.Store && now.Sub(node.Expires) < DelivererMemory {
+		if node.Info.Store && now.Sub(node.Expires) < DeliveryMemory {
 			count++
 		}
 	}
-	b.deliverers = max(count, 1, inherited)
+	b.deliveringStores = max(count, 1, inherited)
 }
 
-// complete tells whether every partition has as many synced and living copies as it should have.
+// complete tells whether every partition has as many synced and living replicas as it should have.
 func (b *Builder) complete() bool {
 	for _, partition := range b.partitions {
-		if b.syncedCopies(partition.Replicas) < b.Copies {
+		if b.syncedReplicas(partition.Replicas) < b.ReplicationFactor {
 			return false
 		}
 	}
 	return true
 }
 
-// syncedCopies counts the copies that are complete, at stores that are up and stay.
-func (b *Builder) syncedCopies(replicas []cluster.Replica) int {
+// syncedReplicas counts the replicas that are complete, at stores that are up and stay.
+func (b *Builder) syncedReplicas(replicas []cluster.Replica) int {
 	count := 0
 	for _, replica := range replicas {
 		if replica.Synced && b.staying(replica) {
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -56,24 +56,24 @@
 	Bootstrap bool   // this is the first start of the whole system
 	Tolerated int    // how many losses of disks the system must bear
 	// ToleratedZones is how many lost zones it must bear.
-	ToleratedZones int
-	Seeds          []string // control addresses, "ip:port"
-	InternalPort   int
-	CloudAddress   string         // where the platform's list of workers is; may be empty
-	Agent          *cluster.Agent // of this process; may be nil
-	Logger         *zap.Logger
-	Seed           uint64 // of random pauses
+	ToleratedZones  int
+	Seeds           []string // control addresses, "ip:port"
+	InternalPort    int
+	PlatformAddress string         // where the platform's list of workers is; may be empty
+	Agent           *cluster.Agent // of this process; may be nil
+	Logger          *zap.Logger
+	Seed            uint64 // of random pauses
 }
 
 // Plane is a process's part in the control plane.
 type Plane struct {
-	options      Options
-	logger       *zap.Logger
-	state        *controlstate.Machine
-	workers      workerlist.Cache
-	bootstrapper *bootstrap.Bootstrapper
-	member       localMember
-	cloud        atomic.Pointer[string] // the platform's address, where it has changed since the start
+	options                Options
+	logger                 *zap.Logger
+	state                  *controlstate.Machine
+	workers                workerlist.Cache
+	bootstrapper           *bootstrap.Bootstrapper
+	member                 localMember
+	changedPlatformAddress atomic.Pointer[string] // the platform's address, where it has changed since the start
 
 	// The following are nil on a process that cannot be a member.
 
@@ -85,7 +85,7 @@
 	operator *operatorapi.API
 
 	lifetime context.Context
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 }
 
 // New loads the control state from the disk and registers the calls. Run starts the part in the control plane.
@@ -113,7 +113,7 @@
 	}
 	plane := &Plane{options: options, logger: options.Logger, state: controlstate.NewMachine()}
 	plane.member.diskID = options.Info.DiskID
-	plane.lifetime, plane.end = context.WithCancel(context.Background())
+	plane.lifetime, plane.cancel = context.WithCancel(context.Background())
 	bootstrapper, err := bootstrap.New(bootstrap.Options{
 		Self:         options.Info.Address,
 		Seeds:        options.Seeds,
@@ -166,7 +166,7 @@
 		Cache:           &p.workers,
 		Network:         p.options.Network,
 		Pool:            p.options.Pool,
-		PlatformAddress: p.cloudAddress,
+		PlatformAddress: p.platformAddress,
 		Role:            func() replication.Role { return p.member.Role() },
 		Self:            p.options.Info.Address,
 		Logger:          p.logger,
@@ -189,14 +189,14 @@
 		Server:              p.options.Server,
 		FS:                  p.options.FS,
 		StateMachine:        p.state,
-		ReplicationFactor:   p.redundancy().Copies,
+		ReplicationFactor:   p.redundancy().ReplicationFactor,
 		AllowBootstrap:      p.options.Bootstrap,
 		Logger:              p.logger,
 		Seed:                p.options.Seed,
 		HeartbeatPayload:    p.reader.HeartbeatPayload,
 		OnHeartbeat:         p.reader.OnHeartbeat,
 		ResponsePayload:     func(number uint64) []byte { return p.leases.PendingRenewals(number, time.Now()) },
-		OnResponseEcho:      p.leases.ConfirmAnswer,
+		OnResponseEcho:      p.leases.ConfirmResponse,
 		OnHeartbeatResponse: p.onHeartbeatResponse,
 	}
 }
@@ -222,7 +222,7 @@
 // a process that may be a member also the group, the table's manager, the members' manager, the reader of the list of
 // workers and the announcements to the seeds.
 func (p *Plane) Run(ctx context.Context) {
-	defer p.end()
+	defer p.cancel()
 	loops := []func(context.Context){p.bootstrapper.Run}
 	if p.member.group != nil {
 		defer p.member.Close()
@@ -244,9 +244,9 @@
 	p.reader.Close()
 }
 
-// redundancy is what the copies of partitions must outlive, by what the operator says may be lost at once.
+// redundancy is what the replicas of partitions must outlive, by what the operator says may be lost at once.
 func (p *Plane) redundancy() placement.Redundancy {
-	return placement.Redundancy{Copies: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
+	return placement.Redundancy{ReplicationFactor: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
 }
 
 // document returns the configuration of a version where it is the current one here, or nil.
@@ -258,7 +258,7 @@
 	return document
 }
 
-// onHeartbeatResponse takes in the renewals that the answer of a backup to a heartbeat carries.
+// onHeartbeatResponse takes in the renewals that the response of a backup to a heartbeat carries.
 func (p *Plane) onHeartbeatResponse(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
@@ -268,13 +268,13 @@
 	}
 }
 
-// SetCloudAddress changes where the platform's list of workers is read from the next time. It may be empty.
-func (p *Plane) SetCloudAddress(address string) { p.cloud.Store(&address) }
+// SetPlatformAddress changes where the platform's list of workers is read from the next time. It may be empty.
+func (p *Plane) SetPlatformAddress(address string) { p.changedPlatformAddress.Store(&address) }
 
-// cloudAddress returns where the platform's list of workers is, or nothing.
-func (p *Plane) cloudAddress() string {
-	if changed := p.cloud.Load(); changed != nil {
+// platformAddress returns where the platform's list of workers is, or nothing.
+func (p *Plane) platformAddress() string {
+	if changed := p.changedPlatformAddress.Load(); changed != nil {
 		return *changed
 	}
-	return p.options.CloudAddress
+	return p.options.PlatformAddress
 }
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -32,7 +32,7 @@
 	}
 	// A renewal counts from before the look at the role: a primary that leads after it knows of it, or begins later.
 	arrived := time.Now()
-	role, fresh := p.member.freshRole()
+	role, fresh := p.member.currentRole()
 	if !fresh {
 		return nil, nil, unavailable("not in touch with the primary")
 	}
--- a/internal/controlplane/tablemanager/capacity_bench_test.go
+++ b/internal/controlplane/tablemanager/capacity_bench_test.go
@@ -71,14 +71,14 @@
 
 // benchStep does what the manager does in a step, up to the proposal.
 func benchStep(current *controlstate.State, leases *lease.Table) *controlstate.TableChange {
-	builder := placement.NewBuilder(current, leases.Statuses(time.Now()), placement.Redundancy{Copies: 2, Zones: 2})
+	builder := placement.NewBuilder(current, leases.Statuses(time.Now()), placement.Redundancy{ReplicationFactor: 2, Zones: 2})
 	builder.UpdateStores()
 	builder.UpdateStores()
 	builder.PlaceInitially()
 	builder.Repair()
 	builder.Rebalance()
 	builder.CompleteRetireJobs()
-	builder.UpdateDeliverers(time.Now(), 0)
+	builder.UpdateDeliveringStores(time.Now(), 0)
 	return builder.Diff(current)
 }
 
--- a/internal/controlplane/tablemanager/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -80,7 +80,7 @@
 func newDecisionTrace(t *testing.T, copies, zones int, seed uint64) *decisionTrace {
 	manager := New(Options{
 		State:      controlstate.NewMachine(),
-		Redundancy: placement.Redundancy{Copies: copies, Zones: zones},
+		Redundancy: placement.Redundancy{ReplicationFactor: copies, Zones: zones},
 	})
 	manager.options.Leases = lease.NewTable(manager.Nudge)
 	trace := &decisionTrace{
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -229,10 +229,10 @@
 	}
 	builder.CompleteRetireJobs()
 	inherited := 0
-	if now.Sub(m.leadingSince) < placement.DelivererMemory {
+	if now.Sub(m.leadingSince) < placement.DeliveryMemory {
 		inherited = m.inherited
 	}
-	builder.UpdateDeliverers(now, inherited)
+	builder.UpdateDeliveringStores(now, inherited)
 }
 
 // propose has the group take a change of the table, if there is any.
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -58,7 +58,7 @@
 		ToleratedZones: f.settings.FaultTolerance.Zones,
 		Seeds:          f.settings.Seeds,
 		InternalPort:   f.settings.InternalPorts.First,
-		CloudAddress:   f.settings.Cloud.Address,
+		PlatformAddress:   f.settings.Cloud.Address,
 		Agent:          f.agent,
 		Logger:         f.logger,
 		Seed:           f.options.Seed,
@@ -66,7 +66,7 @@
 }
 
 // SetCloudAddress changes the address from which the control plane reads the platform's list of workers.
-func (f *Front) SetCloudAddress(address string) { f.plane.SetCloudAddress(address) }
+func (f *Front) SetCloudAddress(address string) { f.plane.SetPlatformAddress(address) }
 
 // announce returns what the agent announces of the front with every renewal of its lease.
 func (f *Front) announce() cluster.NodeInfo {
