--- a/internal/dispatcher/agent/agent_test.go
+++ b/internal/dispatcher/agent/agent_test.go
@@ -1,5 +1,5 @@
-// These tests hold what the agent answers, and what the command line prints of it, against testdata/. How the agent
-// keeps its instances is tested beside the SNMP server.
+// These tests run an agent over processes that are not there, in time that the test moves on, and hold what it answers and
+// what the command line prints of it against testdata/.
 package agent_test
 
 import (
@@ -21,15 +21,6 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// process is an instance that runs until it is told to end.
-type process struct{ end chan error }
-
-func (p *process) PID() int         { return 42 }
-func (p *process) Wait() error      { return <-p.end }
-func (p *process) Reload() error    { return nil }
-func (p *process) Kill() error      { p.end <- errors.New("killed"); return nil }
-func (p *process) Terminate() error { p.end <- nil; return nil }
-
 // newAgent keeps three instances: one answers, one does not, one cannot be started.
 func newAgent() *agent.Agent {
 	conf := &config.Agent{Limits: config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: time.Hour, RestartBackoffMax: time.Hour,
@@ -42,16 +33,13 @@
 		if in.Name == "n2" {
 			return nil, errors.New("no such program")
 		}
-		return &process{make(chan error, 1)}, nil
+		return &process{end: make(chan error, 1)}, nil
 	}
 	a.FetchCounters = func(_ context.Context, listen string) (counts []dispatch.Count, err error) {
 		if listen != "127.0.0.1:1" {
 			return nil, errors.New("refused")
 		}
-		for i, name := range dispatch.CounterNames {
-			counts = append(counts, dispatch.Count{Name: name, Value: int64(100 + i)})
-		}
-		return counts, nil
+		return allCounters(), nil
 	}
 	return a
 }
--- a/internal/dispatcher/snmp/objects_test.go
+++ b/internal/dispatcher/snmp/objects_test.go
@@ -42,12 +42,12 @@
 func TestObjectsAsTheyAreWalked(t *testing.T) {
 	names := mibNames(t)
 	synctest.Test(t, func(t *testing.T) {
-		a, conf := agent.New(keep("n0", "n1")), keep("n0", "n1")
+		a, conf := agent.New(agentConfig("n0", "n1")), agentConfig("n0", "n1")
 		s := snmp.New(a, conf)
 		s.Uptime = func() time.Duration { return 90 * time.Second }
 		s.Statuses = func() []agent.Status {
 			return []agent.Status{
-				{Name: "n0", Listen: "127.0.0.1:5000", State: agent.Up, PID: 42, Restarts: 3, Since: time.Now().Add(-time.Minute), Counters: counts()},
+				{Name: "n0", Listen: "127.0.0.1:5000", State: agent.Up, PID: 42, Restarts: 3, Since: time.Now().Add(-time.Minute), Counters: allCounters()},
 				{Name: "n1", Listen: "127.0.0.1:5001", State: agent.Drained, LastEnd: "exited"},
 			}
 		}
--- a/internal/dispatcher/snmp/snmp_test.go
+++ b/internal/dispatcher/snmp/snmp_test.go
@@ -1,9 +1,7 @@
-// These tests run an agent over processes that are not there, in time that the
-// test moves on, and ask it as the command line and an SNMP manager do.
+// These tests run an agent over processes that are not there, and ask it as an SNMP manager does.
 package snmp_test
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"flag"
@@ -12,10 +10,7 @@
 	"os"
 	"regexp"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/gosnmp/gosnmp"
@@ -32,26 +27,17 @@
 var limits = config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond, RestartBackoffMax: time.Second,
 	StableAfter: 10 * time.Second, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 64, RequestBytes: 1 << 10}
 
-// process is one that runs until it is told to end, and then for as long as it likes.
-type process struct {
-	end    chan error
-	linger time.Duration
-	killed atomic.Bool
-	told   atomic.Int64 // reloads
-}
+// process is an instance that runs until it is told to end.
+type process struct{ end chan error }
 
-func (p *process) PID() int      { return 42 }
-func (p *process) Wait() error   { return <-p.end }
-func (p *process) Reload() error { p.told.Add(1); return nil }
-func (p *process) Kill() error   { p.killed.Store(true); p.end <- errors.New("killed"); return nil }
-func (p *process) Terminate() error {
-	if p.linger >= 0 {
-		time.AfterFunc(p.linger, func() { p.end <- nil })
-	}
-	return nil
-}
+func (p *process) PID() int         { return 42 }
+func (p *process) Wait() error      { return <-p.end }
+func (p *process) Reload() error    { return nil }
+func (p *process) Kill() error      { p.end <- errors.New("killed"); return nil }
+func (p *process) Terminate() error { p.end <- nil; return nil }
 
-func keep(names ...string) *config.Agent {
+// agentConfig is an agent's file with instances of these names.
+func agentConfig(names ...string) *config.Agent {
 	conf := &config.Agent{Community: "public", Limits: limits}
 	for i, name := range names {
 		conf.Instances = append(conf.Instances, config.Instance{Name: name, Listen: fmt.Sprint("127.0.0.1:", 5000+i)})
@@ -59,93 +45,21 @@
 	return conf
 }
 
-func counts() (out []dispatch.Count) {
+// allCounters has a value for each counter.
+func allCounters() (out []dispatch.Count) {
 	for i, name := range dispatch.CounterNames {
 		out = append(out, dispatch.Count{Name: name, Value: int64(100 + i)})
 	}
 	return out
 }
 
-func TestAgentKeepsInstances(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		a := agent.New(keep("n0"))
-		var mu sync.Mutex // guards what the agent and the test share
-		var started []*process
-		linger, answers := 3*time.Second, true
-		change := func(f func()) { mu.Lock(); f(); mu.Unlock() }
-		a.StartProcess = func(config.Instance) (agent.Process, error) {
-			mu.Lock()
-			defer mu.Unlock()
-			p := &process{end: make(chan error, 1), linger: linger}
-			started = append(started, p)
-			return p, nil
-		}
-		a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) {
-			mu.Lock()
-			defer mu.Unlock()
-			if !answers {
-				return nil, errors.New("refused")
-			}
-			return counts(), nil
-		}
-		ctx, cancel := context.WithCancel(context.Background())
-		over := make(chan bool)
-		go func() { a.Run(ctx); close(over) }()
-		expect := func(what string, state agent.State, restarts, processes int) {
-			t.Helper()
-			synctest.Wait()
-			mu.Lock()
-			defer mu.Unlock()
-			if s := a.Statuses()[0]; s.State != state || s.Restarts != restarts || len(started) != processes {
-				t.Errorf("%s: %+v with %d processes", what, s, len(started))
-			}
-		}
-		expect("started", agent.Up, 0, 1)
-		if err := a.Reload("n0"); err != nil || started[0].told.Load() != 1 {
-			t.Errorf("a reload of one that is up: %v, told %d times", err, started[0].told.Load())
-		}
-		change(func() { answers = false })
-		time.Sleep(1100 * time.Millisecond)
-		expect("silent", agent.Starting, 0, 1)
-		change(func() { answers = true })
-		started[0].end <- errors.New("exit status 2")
-		expect("crashed", agent.Waiting, 1, 1)
-		if a.Reload("n0") == nil || a.Reload("n9") == nil {
-			t.Error("a reload went to a process that is not there")
-		}
-		if s := a.Statuses()[0]; s.LastEnd != "exit status 2" || s.PID != 0 {
-			t.Errorf("after its crash: %+v", s)
-		}
-		time.Sleep(limits.RestartBackoff)
-		expect("again", agent.Up, 1, 2)
-		if err := a.Drain("n0"); err != nil {
-			t.Error(err)
-		}
-		expect("told to leave", agent.Draining, 1, 2)
-		time.Sleep(time.Minute)
-		expect("left", agent.Drained, 1, 2)
-		change(func() { linger = -1 }) // the next one does not listen
-		if err := errors.Join(a.StartInstance("n0")); err != nil || a.Drain("n9") == nil {
-			t.Error("an instance that is there is not found, or one that is not is")
-		}
-		expect("back", agent.Up, 1, 3)
-		cancel()
-		expect("leaving", agent.Draining, 1, 3)
-		<-over
-		if !started[2].killed.Load() {
-			t.Error("an instance that does not leave was not killed")
-		}
-		expect("over", agent.Drained, 1, 3)
-	})
-}
-
 // running is an agent whose instances answer, and that is asked over real loopback sockets.
 func running(t *testing.T, names ...string) (*agent.Agent, *config.Agent) {
-	conf := keep(names...)
+	conf := agentConfig(names...)
 	a := agent.New(conf)
 	looked := make(chan bool, 100)
-	a.StartProcess = func(config.Instance) (agent.Process, error) { return &process{end: make(chan error, 1)}, nil }
-	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return counts(), nil }
+	a.StartProcess = func(config.Instance) (agent.Process, error) { return &process{make(chan error, 1)}, nil }
+	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return allCounters(), nil }
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan bool)
 	go func() { a.Run(ctx); close(over) }()
@@ -156,40 +70,6 @@
 	return a, conf
 }
 
-func TestCommandLine(t *testing.T) {
-	a, _ := running(t, "n0", "n1")
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error)
-	go func() { done <- a.Serve(ctx, l) }()
-	say := func(command string, names ...string) (string, error) {
-		var out bytes.Buffer
-		err := agent.Command(ctx, &out, l.Addr().String(), command, names)
-		return out.String(), err
-	}
-	if s, err := say("status"); err != nil || !strings.Contains(s, "n0") || !strings.Contains(s, "n1") || !strings.Contains(s, "up") {
-		t.Errorf("status: %v\n%s", err, s)
-	}
-	if s, err := say("counters", "n1"); err != nil || strings.Contains(s, "n0") || !regexp.MustCompile(`taken +100\n`).MatchString(s) {
-		t.Errorf("counters: %v\n%s", err, s)
-	}
-	if _, err := say("drain", "n1"); err != nil {
-		t.Error(err)
-	}
-	for _, wrong := range [][]string{{"drain", "n9"}, {"drain"}, {"status", "n9"}} {
-		if _, err := say(wrong[0], wrong[1:]...); err == nil {
-			t.Errorf("%v is no error", wrong)
-		}
-	}
-	cancel()
-	if err := <-done; err != nil {
-		t.Error(err)
-	}
-}
-
 // A manager's own library walks the agent over UDP and must see every row in order.
 func TestManagerWalks(t *testing.T) {
 	a, conf := running(t, "n0", "n1")
--- /dev/null
+++ b/internal/dispatcher/snmp/variables.go
@@ -0,0 +1,143 @@
+package snmp
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/gosnmp/gosnmp"
+
+	"gladepick/internal/dispatcher/agent"
+	"gladepick/internal/dispatcher/dispatch"
+)
+
+// Base is the MIB's root: below the enterprise number that RFC 5612 sets aside for documentation. An operator with a
+// number of its own changes it here and in the MIB.
+const Base = "1.3.6.1.4.1.32473.17"
+
+// Below the base: the scalar, the table of instances, the table of their counters.
+const (
+	instanceCount = Base + ".1.1.0"
+	instanceEntry = Base + ".1.2.1."
+	counterEntry  = Base + ".1.3.1."
+)
+
+// The system group of RFC 3418, as far as there is one.
+const (
+	sysDescr    = "1.3.6.1.2.1.1.1.0"
+	sysObjectID = "1.3.6.1.2.1.1.2.0"
+	sysUpTime   = "1.3.6.1.2.1.1.3.0"
+)
+
+// The columns of the table of instances; 1 is its index, which is not shown.
+const (
+	columnName     = "2"
+	columnState    = "3"
+	columnListen   = "4"
+	columnPID      = "5"
+	columnRestarts = "6"
+	columnUpTime   = "7"
+)
+
+// tick is the unit of TimeTicks.
+const tick = 10 * time.Millisecond
+
+// oid is an object's identifier in a form that compares as SNMP orders them.
+type oid []uint32
+
+func parseOID(s string) (o oid, err error) {
+	for part := range strings.SplitSeq(strings.TrimPrefix(s, "."), ".") {
+		v, err := strconv.ParseUint(part, 10, 32)
+		if err != nil {
+			return nil, err
+		}
+		o = append(o, uint32(v))
+	}
+	return o, nil
+}
+
+// String returns the identifier with a leading dot.
+func (o oid) String() string {
+	var b strings.Builder
+	for _, v := range o {
+		b.WriteByte('.')
+		b.WriteString(strconv.FormatUint(uint64(v), 10))
+	}
+	return b.String()
+}
+
+// sameObject returns whether two identifiers differ in the row only: a table's column, or a scalar's zero.
+func sameObject(a, b oid) bool {
+	return len(a) > 0 && len(b) >= len(a)-1 && slices.Equal(a[:len(a)-1], b[:len(a)-1])
+}
+
+// variable is one instance of an object with its present value.
+type variable struct {
+	oid   oid
+	name  string // of the identifier, with a leading dot
+	kind  gosnmp.Asn1BER
+	value any // as the codec takes it for the kind
+}
+
+// variableList gathers variables in any order.
+type variableList []variable
+
+// add adds a variable. Its identifier is one of this package's: one that cannot be read is a fault of the program.
+func (l *variableList) add(identifier string, kind gosnmp.Asn1BER, value any) {
+	o, err := parseOID(identifier)
+	if err != nil {
+		panic(err)
+	}
+	*l = append(*l, variable{o, o.String(), kind, value})
+}
+
+// addTicks adds a time.
+func (l *variableList) addTicks(identifier string, d time.Duration) {
+	l.add(identifier, gosnmp.TimeTicks, uint32(d/tick))
+}
+
+// addInstance adds an instance's rows; row begins with a dot.
+func (l *variableList) addInstance(s agent.Status, row string) {
+	up := time.Duration(0)
+	if !s.Since.IsZero() {
+		up = time.Since(s.Since)
+	}
+	l.add(instanceEntry+columnName+row, gosnmp.OctetString, s.Name)
+	l.add(instanceEntry+columnState+row, gosnmp.Integer, int(s.State))
+	l.add(instanceEntry+columnListen+row, gosnmp.OctetString, s.Listen)
+	l.add(instanceEntry+columnPID+row, gosnmp.Gauge32, uint32(s.PID))
+	l.add(instanceEntry+columnRestarts+row, gosnmp.Counter32, uint32(s.Restarts))
+	l.addTicks(instanceEntry+columnUpTime+row, up)
+	for _, c := range s.Counters {
+		column := slices.Index(dispatch.CounterNames, c.Name)
+		if column < 0 {
+			continue
+		}
+		identifier := counterEntry + strconv.Itoa(column+1) + row
+		if isGauge(c.Name) {
+			l.add(identifier, gosnmp.Gauge32, uint32(c.Value))
+		} else {
+			l.add(identifier, gosnmp.Counter64, uint64(c.Value))
+		}
+	}
+}
+
+// isGauge returns whether a counter may fall.
+func isGauge(name string) bool { return name == "open" || strings.HasPrefix(name, "workers_") }
+
+// variables returns everything there is now, in the order of the identifiers.
+func (s *Server) variables() []variable {
+	var list variableList
+	statuses := s.Statuses()
+	list.add(sysDescr, gosnmp.OctetString, "gladepick: job dispatchers and their agent")
+	list.add(sysObjectID, gosnmp.ObjectIdentifier, "."+Base)
+	list.addTicks(sysUpTime, s.Uptime())
+	list.add(instanceCount, gosnmp.Gauge32, uint32(len(statuses)))
+	for i, status := range statuses {
+		list.addInstance(status, fmt.Sprintf(".%d", i+1))
+	}
+	slices.SortFunc(list, func(a, b variable) int { return slices.Compare(a.oid, b.oid) })
+	return list
+}
