--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -17,28 +17,28 @@
 func (c *calculation) storage() {
 	const part = "Keeping a message"
 	c.add(Row{Part: part, Quantity: "processor, two copies, of a dispatcher", Unit: percentOfCore, Limit: storeCore,
-		Need: eventsEach * c.slope("keep.processor") * micro * toPercent, Mechanism: "`messagestore/put.go`, `replicate.go`"})
+		Need: eventsEach * c.slope("keep.processor") * micro * toPercent, Mechanism: "`messagestore/put.go`, `replicator.go`"})
 	c.add(Row{Part: part, Quantity: "processor, all its life, of a dispatcher", Unit: percentOfCore, Limit: storeCore,
 		Need: eventsEach * c.slope("system.processor") * micro * toPercent, Mechanism: "`ingress`, `messagestore`, `delivery`"})
 	c.add(Row{Part: part, Quantity: "written to disk", Unit: bytesPerSecond, Limit: storeDiskRate,
-		Need: eventsEach * replicas * c.slope("keep.disk"), Mechanism: "`wal/flush.go`"})
+		Need: eventsEach * replicas * c.slope("keep.disk"), Mechanism: "`wal/group_commit.go`"})
 	c.add(Row{Part: part, Quantity: "syncs, if none were shared", Unit: perSecond, Limit: storeSyncsPerSecond,
-		Need: eventsEach * replicas, Mechanism: "`wal/flush.go` (group commit)"})
+		Need: eventsEach * replicas, Mechanism: "`wal/group_commit.go` (group commit)"})
 	c.add(Row{Part: part, Quantity: "syncs, shared as under load", Unit: perSecond, Limit: storeSyncsPerSecond,
-		Need: eventsEach * replicas * c.slope("keep.syncs"), Mechanism: "`wal/flush.go` (group commit)"})
+		Need: eventsEach * replicas * c.slope("keep.syncs"), Mechanism: "`wal/group_commit.go` (group commit)"})
 }
 
 // backlog is what messages that have not ended take up, and how long a partition's inventory takes to send.
 func (c *calculation) backlog() {
 	const part = "Backlog"
 	c.add(Row{Part: part, Quantity: "index in memory, of a dispatcher", Unit: bytes, Limit: storeMemory,
-		Need: storedEach * c.slope("keep.memory"), Mechanism: "`messagestore/index.go`"})
+		Need: storedEach * c.slope("keep.memory"), Mechanism: "`messagestore/partition.go`"})
 	c.add(Row{Part: part, Quantity: "delivery queue in memory", Unit: bytes, Limit: storeMemory,
 		Need: backlogEach * c.slope("queue.memory"), Mechanism: "`delivery/backlog.go`"})
 	c.add(Row{Part: part, Quantity: "on disk (today's disk)", Unit: bytes, Limit: storeDisk,
 		Need: storedEach * c.slope("keep.disk"), Mechanism: "`wal/log.go`"})
 	c.add(Row{Part: part, Quantity: "inventory of a partition, in one answer", Unit: seconds, Limit: inventorySeconds,
-		Need: backlogEach / partitionsEach * (c.slope("inventory.processor")*nano + c.slope("inventory.bytes")/memberLink), Mechanism: "`messagestore/resync.go`"})
+		Need: backlogEach / partitionsEach * (c.slope("inventory.processor")*nano + c.slope("inventory.bytes")/memberLink), Mechanism: "`messagestore/missing.go`"})
 }
 
 // retries are what services cost that are down, and the delivery engine's loop.
@@ -184,7 +184,7 @@
 // recovery is how long a restart of everything takes.
 func (c *calculation) recovery() {
 	c.add(Row{Part: "Recovery of all", Quantity: "a store's reading of its log", Unit: seconds, Limit: recoverSeconds,
-		Need: storedEach * c.slope("recover.processor") * micro, Mechanism: "`messagestore/store.go`, `wal/open.go`"})
+		Need: storedEach * c.slope("recover.processor") * micro, Mechanism: "`messagestore/index_snapshot.go`, `wal/replay.go`"})
 	c.add(Row{Part: "Recovery of all", Quantity: "a tenth comes back at once: time to the configuration", Unit: seconds,
 		Limit: recoverSeconds, Need: c.slope("restarted.max") / millisecondsPerSecond, Mechanism: "`controlplane/sync.go`"})
 }
--- a/internal/messagestore/client/put.go
+++ b/internal/messagestore/client/put.go
@@ -25,10 +25,6 @@
 	giveUpFraction = 0.45
 )
 
-// errUnresponsive means that a message was not sent, as the control plane finds that the store does not respond. One that has
-// an order key can go nowhere else: its caller hears of it at once, with time left to come back.
-var errUnresponsive = errors.New("the store does not answer")
-
 // placement is where a message is to be stored: its partition, and the ID that names it.
 type placement struct {
 	partition    int
@@ -100,7 +96,7 @@
 // putError returns the error of a message that is given up.
 func putError(sent bool) error {
 	if sent {
-		return errors.New("no answer from the stores")
+		return errOutcomeUnknown
 	}
 	return trace.Wrap(message.ErrNotStored)
 }
--- a/internal/messagestore/client/query.go
+++ b/internal/messagestore/client/query.go
@@ -49,12 +49,12 @@
 func (c *Client) queryReplicas(ctx context.Context, method string, partition int, id string, result any) ([]byte, error) {
 	table := c.table()
 	if table == nil {
-		return nil, errors.New("no cluster table yet")
+		return nil, errNoTable
 	}
 	if partition >= len(table.Partitions) {
 		return nil, trace.Wrap(message.ErrNotFound)
 	}
-	last := errors.New("the partition has no replica")
+	last := errNoReplica
 	for _, replica := range table.Partitions[partition].Replicas {
 		entry := table.Store(replica.Store)
 		if entry == nil {
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/message"
 )
 
-// A client that waits 800 ms hears of a message that could not be kept with time left to come back.
+// A caller with a deadline of 800 ms gets the error of a message that could not be stored with time left to come back.
 const (
 	callerTime = 800 * time.Millisecond
 	earlyLimit = callerTime / 2
@@ -22,7 +22,7 @@
 	minResponseTimeout = 60 * time.Millisecond
 )
 
-// putWithin hands a message in for a caller with little time, and tells how long that took.
+// putWithin stores a message for a caller with little time, and tells how long that took.
 func (h *harness) putWithin(orderKey string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(h.t.Context(), callerTime)
 	defer cancel()
@@ -69,7 +69,7 @@
 	})
 }
 
-// A process that was killed is back soon, and the message is kept under the same name.
+// A process that was killed is back soon, and the message is stored under the same ID.
 func TestMessageOutlastsTheRestartOfItsStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
@@ -92,31 +92,31 @@
 	})
 }
 
-// A store that the control plane finds silent gets nothing that can go elsewhere. What cannot is refused at once, with a
-// promise.
+// A store that the control plane finds unresponsive gets nothing that can go elsewhere. What cannot is rejected at once, with
+// the promise that it is not stored.
 func TestUnresponsiveStoresGetNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		h.mustPut("before", "key", "x")
-		setSilent := func(silent bool, stores ...string) {
+		setUnresponsive := func(unresponsive bool, stores ...string) {
 			h.update(func(table *cluster.Table) {
 				for _, store := range stores {
-					table.Store(store).Unresponsive = silent
+					table.Store(store).Unresponsive = unresponsive
 				}
 			})
 		}
-		setSilent(true, "a")
+		setUnresponsive(true, "a")
 		for range 20 {
 			took, err := h.putWithin("")
 			assert.NilError(t, err)
 			assert.Assert(t, took < minResponseTimeout, "%v", took)
 		}
-		setSilent(true, "b")
+		setUnresponsive(true, "b")
 		took, err := h.putWithin("key")
 		assert.Assert(t, errors.Is(err, message.ErrNotStored))
 		assert.Assert(t, took < time.Millisecond, "%v", took)
-		setSilent(false, "a", "b")
+		setUnresponsive(false, "a", "b")
 		_, err = h.putWithin("key")
 		assert.NilError(t, err)
 	})
--- a/internal/messagestore/delivery_fence_test.go
+++ b/internal/messagestore/delivery_fence_test.go
@@ -19,8 +19,8 @@
 	"gladepick/internal/rpc"
 )
 
-// promote gives a table in which other stores lead a partition to one machine only.
-func (h *harness) promote(told string, partition int, names ...string) {
+// promote gives one machine alone a table by which a partition has other replicas, the first of them the primary.
+func (h *harness) promote(receiver string, partition int, names ...string) {
 	table := *h.currentTable()
 	table.Revision += 100
 	table.Partitions = slices.Clone(table.Partitions)
@@ -29,7 +29,7 @@
 		view.Replicas = append(view.Replicas, h.replica(name))
 	}
 	table.Partitions[partition] = view
-	h.machines[told].store.ApplyTable(&table)
+	h.machines[receiver].store.ApplyTable(&table)
 }
 
 // TestFormerPrimaryWithoutLeaseStopsBeforeItsSuccessorDelivers has a primary that the control plane can't reach go on by
@@ -74,8 +74,8 @@
 	})
 }
 
-// TestIncompleteResyncIsNotCalledSynced has a backup lose one call in the middle of a copy. It may be called synced
-// only when it holds everything: it may be promoted from then on.
+// TestIncompleteResyncIsNotCalledSynced has a backup lose one call in the middle of a resync. It may be called synced
+// only when it holds everything, as it may be promoted from then on.
 func TestIncompleteResyncIsNotCalledSynced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -107,7 +107,7 @@
 		}
 		h.mu.Unlock()
 		h.replace(partition, backup)
-		assert.Assert(t, <-synced, "called synced without a part of the copy")
+		assert.Assert(t, <-synced, "called synced without a part of the resync")
 		assert.Assert(t, failed.Load())
 	})
 }
@@ -218,8 +218,8 @@
 	})
 }
 
-// TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown loses the answer to a handover that was granted: the store must not take
-// its deliveries up again before it knows of the next view.
+// TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown loses the answer to a granted request for a handover: the
+// store must not take up its deliveries again before it knows of the next view.
 func TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown(t *testing.T) {
 	for _, failure := range []error{cluster.ErrOutcomeUnknown, &rpc.Error{Code: rpc.CodeConflict}, &rpc.Error{Code: rpc.CodeInternal}} {
 		assert.Equal(t, handoverOutcomeOf(failure), handoverUnknown)
--- a/internal/messagestore/handover_test.go
+++ b/internal/messagestore/handover_test.go
@@ -96,7 +96,7 @@
 	return slices.DeleteFunc(slices.Clone(h.requests), func(request cluster.PartitionRequest) bool { return !request.Handover })
 }
 
-// A backup may be synced by the word of the control plane before its primary knows. What the primary did not wait for may
+// The control plane may call a backup synced before its primary knows. What the primary did not wait for may
 // still be on its way there: it must not be promoted.
 func TestHandoverNamesTheBackupsThatAreReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	})
 }
 
-// The end of a message may be lost on its way to a backup while the handover waits behind it.
+// An outcome may be lost on its way to a backup while the handover waits behind it.
 func TestHandoverLooksAgainAfterTheFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -66,7 +66,7 @@
 	ip      string
 	diskID  string
 	stopped atomic.Bool
-	noLease atomic.Bool
+	noLease atomic.Bool // its lease from the control plane is over
 
 	disk   *memfs.Disk
 	store  *Store
@@ -150,7 +150,7 @@
 	m.store.ApplyTable(table)
 }
 
-// stop ends a store's process without any farewell.
+// stop ends a store's process without a shutdown.
 func (h *harness) stop(name string) {
 	m := h.machines[name]
 	m.stopped.Store(true)
@@ -192,6 +192,7 @@
 	}
 }
 
+// setView puts a view with other replicas, all synced, in force under a new epoch.
 func (h *harness) setView(id int, names ...string) {
 	h.update(func(table *cluster.Table) {
 		view := &table.Partitions[id]
--- a/internal/messagestore/leadership_test.go
+++ b/internal/messagestore/leadership_test.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-// tableLedBy returns a table of some partitions, each with one store only.
+// tableWithPrimaries returns a table of some partitions, each with one store only.
 func tableWithPrimaries(revision uint64, stores ...string) *cluster.Table {
 	table := &cluster.Table{Revision: revision}
 	for id, store := range stores {
