--- a/internal/decision/discovery_calls.go
+++ b/internal/decision/discovery_calls.go
@@ -9,9 +9,9 @@
 // would come at once.
 const minDiscoverySilence = time.Second
 
-// A call comes at a random moment within the first third of the allowed silence, but not in the first tenth
-// of that third: dispatchers that start together must not call together, and a call that fails leaves time
-// for more.
+// A call comes at a random moment within the first third of the allowed silence, but not in the first
+// tenth of that third: dispatchers that start together must not call together, and a call that fails
+// leaves time for more.
 const (
 	callsPerSilence = 3
 	earliestCall    = 0.1
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -6,12 +6,6 @@
 	"time"
 )
 
-// The tokens of timers. Those of calls to discovery count on from the last one here.
-const (
-	checkToken      = 0 // look at the open jobs
-	drainCloseToken = 1 // close idle connections to draining workers once more
-)
-
 // ticksPerLatencyTarget is how often open jobs are looked at within the shortest latency target.
 const ticksPerLatencyTarget = 8
 
@@ -170,6 +164,7 @@
 	return d.actions
 }
 
+// handleList takes a list of workers, or a call to discovery that has failed.
 func (d *Dispatcher) handleList(event *Event) {
 	d.actions = d.calls.listReceived(event.List, d.actions)
 	if event.List == ListFailed {
@@ -183,6 +178,7 @@
 	}
 }
 
+// handleTimer takes a timer that has run out. Unknown tokens are passed over.
 func (d *Dispatcher) handleTimer(token uint32) {
 	switch {
 	case token == checkToken:
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -30,6 +30,7 @@
 //	load_shedding.go   the share of jobs that is let in under overload
 //	discovery_calls.go when the list of workers is asked for
 //	jobs.go            jobs and attempts that are open
+//	timers.go          the tokens by which timers are told apart
 //
 // The Dispatcher composes them: dispatcher.go takes events, arrivals.go admits, assigns and rejects jobs,
 // attempts.go sends and cancels, outcomes.go learns from starts and outcomes, overdue.go looks at open jobs
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -16,15 +16,15 @@
 // of workers that are in time alike the nearer one is taken.
 const delayPrice = 0.1
 
-// maxWaitShare is the part of its latency target that a job of the least value for its time may wait at a
-// worker.
+// maxWaitShare is the part of its latency target that a job of the least value for its time may wait
+// at a worker.
 const maxWaitShare = 0.25
 
 // maxDensity is the most that a job may count as denser in value than those of the least dense class.
 const maxDensity = 8
 
-// forecaster tells how long a job would take at a worker, how likely it is late there, and what that may
-// cost.
+// forecaster tells how long a job would take at a worker, how likely it is late there, and what
+// that may cost.
 type forecaster struct {
 	settings  *Settings
 	locality  locality
@@ -44,8 +44,8 @@
 	waitRisk float64
 }
 
-// waitSeconds is how long a job would wait for its slots at a worker: 0 where they are free, or nothing
-// tells.
+// waitSeconds is how long a job would wait for its slots at a worker: 0 where they are free,
+// or nothing tells.
 func (f *forecaster) waitSeconds(worker *workerState, slots float64, now time.Duration) float64 {
 	total := f.load.slots(worker.Kind)
 	missing := max(worker.ownSlots+f.load.peerSlots(worker, now)+slots-total-slotMargin, 0)
@@ -113,8 +113,8 @@
 	return promised / math.Pow(1+promised*promised*promised*promised, 0.25)
 }
 
-// maxWaitRisk is the chance of a late answer by waiting above which a job is rejected, by what it may still
-// earn.
+// maxWaitRisk is the chance of a late answer by waiting above which a job is rejected, by what it
+// may still earn.
 func (f *forecaster) maxWaitRisk(worker *workerState, job *jobState, now time.Duration) float64 {
 	class := &f.settings.Classes[job.Class]
 	leftSeconds := (job.Deadline - now).Seconds()
--- a/internal/decision/hash.go
+++ b/internal/decision/hash.go
@@ -14,8 +14,8 @@
 	return bits ^ bits>>31
 }
 
-// exponentialHash turns a hash into an exponentially distributed value, as weighted rendezvous hashing needs
-// it.
+// exponentialHash turns a hash into an exponentially distributed value, as weighted rendezvous
+// hashing needs it.
 func exponentialHash(first, second uint64) float64 {
 	return -math.Log((float64(hash(first, second)>>11) + 1) / (1 << 53))
 }
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -15,8 +15,8 @@
 // failure would be final.
 const errorAversion = 4
 
-// acceptedSlowness is how many times its kind's run time a worker may take before it gets a smaller part of
-// the jobs.
+// acceptedSlowness is how many times its kind's run time a worker may take before it gets a smaller
+// part of the jobs.
 const acceptedSlowness = 2
 
 // slownessSampleWeight is the weight of a run time in its worker's slowness: one worker has fewer samples
--- a/internal/decision/key_affinity.go
+++ b/internal/decision/key_affinity.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// workersPerKey is how many workers of a kind take the jobs of a key: each of them fetches what belongs to
-// the key.
+// workersPerKey is how many workers of a kind take the jobs of a key: each of them fetches what
+// belongs to the key.
 const workersPerKey = 3
 
-// slotsAheadOfNext is how many more own slots a key's worker has in use before the next one in rank takes
-// the job.
+// slotsAheadOfNext is how many more own slots a key's worker has in use before the next one in rank
+// takes the job.
 const slotsAheadOfNext = 2
 
 // keyWorkers is the workers that rank highest for a key by rendezvous hashing, highest first, alike at all
--- a/internal/decision/key_affinity_test.go
+++ b/internal/decision/key_affinity_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// A key's workers may be full while those of another kind have free slots: once rejected, its job may go
-// there.
+// A key's workers may be full while those of another kind have free slots: once rejected, its job
+// may go there.
 func TestKeyLeavesItsKindOnceRejected(t *testing.T) {
 	c := ready(t, 40, func(s *Settings) { s.MaxAttempts = 0 })
 	for id := JobID(1); id <= 20; id++ {
--- a/internal/decision/learned_times.go
+++ b/internal/decision/learned_times.go
@@ -91,6 +91,7 @@
 	return slices.IndexFunc(t.answers, func(answers float64) bool { return answers > 0 })
 }
 
+// adjustSlowness moves the slowness of a kind towards a run time relative to the expected one.
 func (t *learnedTimes) adjustSlowness(kind int, relative float64) {
 	weight := max(slownessWeight, 1/(t.answers[kind]+firstAnswers))
 	adjusted := t.slowness[kind] * (1 + weight*(relative-1))
@@ -98,8 +99,8 @@
 	t.middleSlowness = slices.Sorted(slices.Values(t.slowness))[len(t.slowness)/2]
 }
 
-// stretchSeconds is how much a class's latency target grows with a job's own running time, beyond that time
-// itself.
+// stretchSeconds is how much a class's latency target grows with a job's own running time, beyond
+// that time itself.
 func (t *learnedTimes) stretchSeconds(job *jobState, class *ClassSettings) float64 {
 	return max(class.Stretch-1, 0) * t.runSeconds[job.Class]
 }
--- a/internal/decision/load_estimate.go
+++ b/internal/decision/load_estimate.go
@@ -8,15 +8,15 @@
 // reportAge is about how old the loads are that a worker reports with an answer.
 const reportAge = 700 * time.Millisecond
 
-// peerLoadMemory is the time in which what was learned of one worker's load from peers gives way to its
-// group's mean.
+// peerLoadMemory is the time in which what was learned of one worker's load from peers gives way to
+// its group's mean.
 const peerLoadMemory = 5 * time.Second
 
 // groupLoadSpan is the time over which a group's mean load from peers is taken.
 const groupLoadSpan = 2 * time.Second
 
-// reportWeight is the weight of one report in the estimate of a worker's load from peers: reports are old
-// and noisy.
+// reportWeight is the weight of one report in the estimate of a worker's load from peers: reports are
+// old and noisy.
 const reportWeight = 0.12
 
 // maxGroupLoad bounds a sample of a group's load from peers, as a multiple of a worker's slots: a queue may
--- a/internal/decision/load_report.go
+++ b/internal/decision/load_report.go
@@ -29,8 +29,7 @@
 	return queued
 }
 
-// TotalSlots is how many slots a worker has, as far as it reports it: known while some are free, 0
-// otherwise.
+// TotalSlots is how many slots a worker has, as far as it reports it: known while some are free, 0 otherwise.
 func (layout LoadReportLayout) TotalSlots(load *Load) float64 {
 	if !layout.has(load, layout.FreeSlots) || !layout.has(load, layout.InFlight) {
 		return 0
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -8,8 +8,8 @@
 // lateStartDivisor tells a late start: it comes after this part of the latency target.
 const lateStartDivisor = 2
 
-// lateStartShed is the part of the admitted share that is taken off at a start that comes a whole latency
-// target late.
+// lateStartShed is the part of the admitted share that is taken off at a start that comes a whole
+// latency target late.
 const lateStartShed = 0.1
 
 // startRecovery is the part of all jobs that each start lets in again: with a quarter of the starts a whole
@@ -22,8 +22,8 @@
 // excessRecovery is the part of all excess that each answer lets in again.
 const excessRecovery = 0.005
 
-// minAdmittedShare is the least part of jobs that is let in: without any, nothing would tell when overload
-// is over.
+// minAdmittedShare is the least part of jobs that is let in: without any, nothing would tell when
+// overload is over.
 const minAdmittedShare = 0.02
 
 // retryAfterBase and retryAfterSpread bound the time, in ticks, after which a client is told to come back
@@ -52,6 +52,7 @@
 	return s.random.Float64() > s.effectiveShare()
 }
 
+// effectiveShare is the share of all jobs that is let in, but for excess.
 func (s *loadShedder) effectiveShare() float64 { return max(s.admittedShare, minAdmittedShare) }
 
 // observeStart lets a little more in.
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -63,8 +63,7 @@
 }
 
 // A rejection tells when to come back, where clients are told: within the stated limit, not all together,
-// later the less is let in. A failure tells nothing, and where clients are not told neither does a
-// rejection.
+// later the less is let in. A failure tells nothing, and where clients are not told neither does a rejection.
 func TestRejectionsTellRetryAfter(t *testing.T) {
 	times := func(told bool, let float64, class int) map[time.Duration]bool {
 		c := ready(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -150,8 +150,7 @@
 }
 
 // handleClientLeft ends a job whose client has left. Where waiting times can be told its attempt is not
-// cancelled: it works on and holds its slot there, and a cancel would only lose the connection and hide
-// that.
+// cancelled: it works on and holds its slot there, and a cancel would only lose the connection and hide that.
 func (d *Dispatcher) handleClientLeft(job *jobState) {
 	job.pending = false
 	job.ended = true
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -12,12 +12,12 @@
 // stood still: nobody else was silent then.
 const standstillTicks = 4
 
-// waitGrowth is how many times older an attempt has to be for its waiting to be taken into the estimate once
-// more.
+// waitGrowth is how many times older an attempt has to be for its waiting to be taken into the
+// estimate once more.
 const waitGrowth = 2
 
-// overdueChecks tells when open jobs were last looked at, and since when the dispatcher has run without a
-// standstill.
+// overdueChecks tells when open jobs were last looked at, and since when the dispatcher has run
+// without a standstill.
 type overdueChecks struct {
 	lastAt       time.Duration
 	runningSince time.Duration
@@ -31,8 +31,8 @@
 	c.lastAt = now
 }
 
-// checkOpenJobs looks at each tick at the jobs that are open: overdue attempts and jobs that wait for a
-// worker.
+// checkOpenJobs looks at each tick at the jobs that are open: overdue attempts and jobs that wait
+// for a worker.
 func (d *Dispatcher) checkOpenJobs() {
 	d.overdue.begin(d.now, d.tick)
 	d.jobs.removeEnded()
@@ -51,6 +51,7 @@
 	}
 }
 
+// setCheckTimer sets the timer for the next look at open jobs.
 func (d *Dispatcher) setCheckTimer() {
 	d.actions = append(d.actions, Action{Kind: SetTimer, Token: checkToken, Delay: d.tick})
 }
@@ -88,9 +89,9 @@
 	return d.now-silentSince > allowed && !attempt.worker.unhealthy
 }
 
-// observeWaiting takes the waiting of an attempt that has not started into the load estimate, where many
-// dispatchers share workers: its start, and the report with its answer, come too late for the jobs that are
-// sent meanwhile.
+// observeWaiting takes the waiting of an attempt that has not started into the load estimate, where
+// many dispatchers share workers: its start, and the report with its answer, come too late for the
+// jobs that are sent meanwhile.
 func (d *Dispatcher) observeWaiting(attempt *attemptState) {
 	if !d.shared || attempt.startedAt != 0 {
 		return
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -11,8 +11,7 @@
 // can take it.
 const poolsTried = 2
 
-// lastChanceTicks is for how many ticks before it stops waiting a job may go to a worker without a free
-// slot.
+// lastChanceTicks is for how many ticks before it stops waiting a job may go to a worker without a free slot.
 const lastChanceTicks = 2
 
 // picker chooses the worker for a job.
@@ -56,9 +55,9 @@
 	return best, anyReady
 }
 
-// mayWaitAtWorker tells whether workers without a free slot count for a job, too: at its last chance, where
-// waiting times can be told. A job beyond its tenant's share has no such chance where there are several
-// pools.
+// mayWaitAtWorker tells whether workers without a free slot count for a job, too: at its last
+// chance, where waiting times can be told. A job beyond its tenant's share has no such chance
+// where there are several pools.
 func (p *picker) mayWaitAtWorker(job *jobState, now time.Duration) bool {
 	waitingIsKnown := p.load.reported && !p.shared
 	if !waitingIsKnown || job.Key != 0 {
@@ -184,8 +183,8 @@
 	return best
 }
 
-// splitLocal parts the workers of a kind, which stand local ones first, by whether they are of the own
-// zone's group.
+// splitLocal parts the workers of a kind, which stand local ones first, by whether they are of the
+// own zone's group.
 func (p *picker) splitLocal(members []*workerState, kind int) (local, remote []*workerState) {
 	remoteGroup := localities * kind
 	firstRemote, _ := slices.BinarySearchFunc(members, remoteGroup, func(worker *workerState, target int) int {
@@ -194,8 +193,8 @@
 	return members[:firstRemote], members[firstRemote:]
 }
 
-// sooner is the worker with the lower cost for a job, of two that may be nil; the first one if they are
-// alike.
+// sooner is the worker with the lower cost for a job, of two that may be nil; the first one if
+// they are alike.
 func (p *picker) sooner(first, second *workerState, s search) *workerState {
 	if first == nil {
 		return second
--- a/internal/decision/pools.go
+++ b/internal/decision/pools.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// tenantBuckets is into how many buckets tenants are hashed: the first one has no label, each other one has
-// one.
+// tenantBuckets is into how many buckets tenants are hashed: the first one has no label, each other
+// one has one.
 const tenantBuckets = 2
 
 // unlabelled is the label of the bucket whose tenants share the workers that no other label has.
@@ -79,19 +79,21 @@
 	}
 }
 
-// size is how many of the free workers of a kind a label takes: its share of the kind, but never the last
-// one.
+// size is how many of the free workers of a kind a label takes: its share of the kind, but never
+// the last one.
 func (p *pools) size(label, kind, free int) int {
 	fair := int(math.Round(p.ready[kind] * min(maxLabelShare, p.shares[label])))
 	return max(min(fair, free-1), 0)
 }
 
+// sortByRank orders workers by their rank for a label, highest first.
 func sortByRank(workers []*workerState, label int) {
 	slices.SortStableFunc(workers, func(a, b *workerState) int {
 		return cmp.Compare(hash(uint64(b.Worker), uint64(label)), hash(uint64(a.Worker), uint64(label)))
 	})
 }
 
+// sortLocalFirst puts the workers of the own zone first, where these are a group by themselves.
 func (p *pools) sortLocalFirst(workers []*workerState) {
 	slices.SortStableFunc(workers, func(a, b *workerState) int {
 		return p.locality.group(b) - p.locality.group(a)
--- a/internal/decision/power_of_two.go
+++ b/internal/decision/power_of_two.go
@@ -1,8 +1,8 @@
 package decision
 
-// pickOfTwo draws two workers and takes the better one that accepts the job (Mitzenmacher, "The Power of Two
-// Choices in Randomized Load Balancing"). If neither does, the next one after a random position that does is
-// taken.
+// pickOfTwo draws two workers and takes the better one that accepts the job (Mitzenmacher, "The Power
+// of Two Choices in Randomized Load Balancing"). If neither does, the next one after a random position
+// that does is taken.
 func (p *picker) pickOfTwo(members []*workerState, s search) *workerState {
 	if len(members) == 0 {
 		return nil
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// A tenant far beyond its share is shed while there is strain, and others are not. Retries of the others'
-// clients, which multiply what they ask for, must not raise what it is due: an overload kept itself up that
-// way.
+// A tenant far beyond its share is shed while there is strain, and others are not. Retries of the
+// others' clients, which multiply what they ask for, must not raise what it is due: an overload kept
+// itself up that way.
 func TestExcessIsShedAndRetriesDoNotRaiseIt(t *testing.T) {
 	admitted := func(retries int) (big, small int) {
 		c := ready(t, 40, nil)
--- a/internal/decision/send_gate.go
+++ b/internal/decision/send_gate.go
@@ -15,8 +15,8 @@
 	return restrictsKinds || len(c.AllowedZones) > 0
 }
 
-// permits keeps placement: a class that restricts workers goes to no other one, and to none of unknown kind
-// or zone.
+// permits keeps placement: a class that restricts workers goes to no other one, and to none of unknown
+// kind or zone.
 func (c *ClassSettings) permits(worker *workerState) bool {
 	if !c.restrictsWorkers() {
 		return true
@@ -30,8 +30,8 @@
 	return isNeededKind && isAllowedKind && isAllowedZone
 }
 
-// retriesAnywhere tells whether a job of the class may be tried again at any worker, whatever became of its
-// attempts.
+// retriesAnywhere tells whether a job of the class may be tried again at any worker, whatever became
+// of its attempts.
 func (c *ClassSettings) retriesAnywhere() bool {
 	dropsAllRepeats := c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
 	return c.Idempotency == Idempotent || dropsAllRepeats
@@ -60,8 +60,8 @@
 	budget    *slowStartBudget
 }
 
-// allows tells whether a job may be sent to a worker now. For a warming worker that may draw whose turn it
-// is.
+// allows tells whether a job may be sent to a worker now. For a warming worker that may draw whose
+// turn it is.
 func (g *sendGate) allows(worker *workerState, job *jobState, now time.Duration) bool {
 	if worker.State != Ready || !g.allowsAttempt(job, now) {
 		return false
@@ -72,9 +72,9 @@
 	return g.slowStart.isWarm(worker, now) || g.budget.allows(worker, job, now)
 }
 
-// allowsAttempt tells whether a job may have another attempt at all: before its deadline, up to the stated
-// number, beside others only where that is allowed, and if it is not idempotent only while no attempt may
-// have run.
+// allowsAttempt tells whether a job may have another attempt at all: before its deadline, up to the
+// stated number, beside others only where that is allowed, and if it is not idempotent only while no
+// attempt may have run.
 func (g *sendGate) allowsAttempt(job *jobState, now time.Duration) bool {
 	if job.ended || now >= job.Deadline {
 		return false
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// The deduplication window counts from the earliest attempt that may have run, however often the job was
-// rejected since.
+// The deduplication window counts from the earliest attempt that may have run, however often the job
+// was rejected since.
 func TestDedupWindowCountsFromFirstUnprovenAttempt(t *testing.T) {
 	c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
 	c.event(Event{Kind: EventJob, Job: 1, Class: 4, Slots: 1, Deadline: c.now + 5*time.Second})
--- a/internal/decision/slow_start_budget.go
+++ b/internal/decision/slow_start_budget.go
@@ -31,9 +31,8 @@
 	drawnAt time.Duration // when hasTurn was last drawn, 0 for never
 }
 
-// slowStartBudget lets jobs to warming workers, by chance: all dispatchers together send such a worker what
-// a warm one bears, times the share of its capacity that it has. No dispatcher saves up what it did not
-// send.
+// slowStartBudget lets jobs to warming workers, by chance: all dispatchers together send such a worker what a
+// warm one bears, times the share of its capacity that it has. No dispatcher saves up what it did not send.
 type slowStartBudget struct {
 	settings  *Settings
 	random    *rand.Rand
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A worker that has just started gets no more from one dispatcher than its part, whatever the rest of the
-// fleet rejects.
+// A worker that has just started gets no more from one dispatcher than its part, whatever the rest of
+// the fleet rejects.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 4, 20} {
 		c := ready(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
--- a/internal/decision/start_delays.go
+++ b/internal/decision/start_delays.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A start delay follows a low quantile of what is observed, about a quarter: few of the quickest starts had
-// to wait for a slot. Each observation raises the estimate by startDelayRise, and a quicker one lowers it by
-// startDelayFall.
+// A start delay follows a low quantile of what is observed, about a quarter: few of the quickest
+// starts had to wait for a slot. Each observation raises the estimate by startDelayRise, and a quicker
+// one lowers it by startDelayFall.
 const (
 	startDelayRise = 1.1
 	startDelayFall = 0.68
@@ -19,8 +19,8 @@
 	locality locality
 	connIdle time.Duration // idle connections are closed after it
 
-	// seconds is the delay by whether the worker is local and by whether it has an idle connection, 0 for
-	// unknown.
+	// seconds is the delay by whether the worker is local and by whether it has an idle
+	// connection, 0 for unknown.
 	seconds [localities][2]float64
 }
 
--- a/internal/decision/start_delays_test.go
+++ b/internal/decision/start_delays_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A connection that has to be made takes several times the way to another zone. How long each kind of start
-// takes is learned from the quicker starts, and of workers that are alike the one that answers sooner is
-// taken.
+// A connection that has to be made takes several times the way to another zone. How long each kind of
+// start takes is learned from the quicker starts, and of workers that are alike the one that answers
+// sooner is taken.
 func TestStartDelaysCount(t *testing.T) {
 	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LatencyTarget = 200 * time.Millisecond })
 	near := 0
--- a/internal/decision/validation.go
+++ b/internal/decision/validation.go
@@ -24,6 +24,7 @@
 	return nil
 }
 
+// validateScalars checks the settings of the deployment as a whole.
 func (s *Settings) validateScalars() error {
 	for _, setting := range []struct {
 		name  string
--- a/internal/decision/workers.go
+++ b/internal/decision/workers.go
@@ -15,8 +15,8 @@
 // may still bring up its connection. The other part is left for closing it.
 const connectWindowDivisor = 2
 
-// workerState is what this dispatcher knows of one listed worker. Each concern's part is declared beside its
-// owner.
+// workerState is what this dispatcher knows of one listed worker. Each concern's part is declared
+// beside its owner.
 type workerState struct {
 	Entry
 	// unknownPlace: its kind or zone is none of the settings', so classes bound to kinds or zones avoid it.
@@ -88,6 +88,7 @@
 	}
 }
 
+// updateEntry takes one line of a list. A later start than the known one is a new process.
 func (t *workerTable) updateEntry(entry Entry, now time.Duration) {
 	unknownPlace := entry.normalize(t.settings)
 	worker := t.byID[entry.Worker]
