--- /dev/null
+++ b/internal/dispatcher/fleetsim/golden_test.go
@@ -0,0 +1,91 @@
+package fleetsim
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"gotest.tools/v3/golden"
+)
+
+// goldenDays are days in which each kind of fault, burst and limit has a part.
+func goldenDays() map[string]func(*Fleet, *Load) {
+	return map[string]func(*Fleet, *Load){
+		"1 calm": func(*Fleet, *Load) {},
+		"2 overload with retries": func(_ *Fleet, l *Load) {
+			l.Times, l.Retries.Most = 3, 3
+		},
+		"3 zone lost": func(f *Fleet, _ *Load) {
+			f.Troubles = []Trouble{{What: "zone_lost", Zone: "montreal", AtS: 3, ForS: 4}}
+		},
+		"4 deaths and drain": func(f *Fleet, _ *Load) {
+			f.Troubles = []Trouble{{What: "deaths", Part: 0.4, AtS: 2, ForS: 3}, {What: "drain", Part: 0.3, Kind: "std-2c", AtS: 5, ForS: 2}}
+		},
+		"5 shared machines and late reports": func(f *Fleet, _ *Load) {
+			f.Troubles = []Trouble{{What: "shared", Part: 0.5, AtS: 1, ForS: 8, Takes: 0.7, OnS: 1, OffS: 0.5}, {What: "reports_late", AtS: 2, ForS: 6, Takes: 2}}
+		},
+		"6 burst and few connections": func(f *Fleet, l *Load) {
+			l.Bursts = []Burst{{"univ-gaspesie", 8, 2, 5}}
+			f.Dispatchers[0].OpenJobs, f.Dispatchers[1].Connections = 6, 3
+		},
+	}
+}
+
+// TestGoldenDays holds the results of seeded days, every value of them, to those that an earlier build computed.
+func TestGoldenDays(t *testing.T) {
+	var out bytes.Buffer
+	days := goldenDays()
+	for _, name := range []string{"1 calm", "2 overload with retries", "3 zone lost", "4 deaths and drain", "5 shared machines and late reports", "6 burst and few connections"} {
+		for _, seed := range []uint64{1, 20261202} {
+			f, l := small(), usual(10, 110)
+			days[name](f, l)
+			result := play(t, f, l, seed)
+			text, err := json.Marshal(result)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&out, "day %s, seed %d: score %v, %d events, sha256 %x\n", name, seed, result.Score, result.Events, sha256.Sum256(text))
+		}
+	}
+	golden.AssertBytes(t, out.Bytes(), "days.txt")
+}
+
+// TestGoldenArrivals holds the order of random draws of a day's clients.
+func TestGoldenArrivals(t *testing.T) {
+	var out bytes.Buffer
+	for _, seed := range []uint64{1, 20261202} {
+		l := usual(10, 110)
+		l.Bursts = []Burst{{"univ-gaspesie", 8, 2, 5}}
+		l.Rate = append(l.Rate, Point{6, 40})
+		next, err := Arrivals(small(), l, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		sum, count := sha256.New(), 0
+		for a, ok := next(); ok; a, ok = next() {
+			fmt.Fprintln(sum, int64(a.At), a.Class, a.University, a.Node, a.Work)
+			count++
+		}
+		fmt.Fprintf(&out, "seed %d: %d requests, sha256 %x\n", seed, count, sum.Sum(nil))
+	}
+	golden.AssertBytes(t, out.Bytes(), "arrivals.txt")
+}
+
+// TestGoldenDescriptions holds the keys of the descriptions, the defaults and the keys of a result.
+func TestGoldenDescriptions(t *testing.T) {
+	f, l := small(), usual(1, 5)
+	f.Troubles = []Trouble{{What: "deaths", Part: 0.25}}
+	l.Bursts = []Burst{{"univ-gaspesie", 8, 0.2, 0.5}}
+	l.Universities = []Source{{"univ-gaspesie", 1}}
+	text, err := json.MarshalIndent(struct {
+		Fleet  *Fleet  `json:"fleet"`
+		Load   *Load   `json:"load"`
+		Result *Result `json:"result"`
+	}{f.Filled(), l, play(t, f, l, 1)}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.AssertBytes(t, append(text, '\n'), "descriptions.json")
+}
--- /dev/null
+++ b/internal/dispatcher/planner/golden_test.go
@@ -0,0 +1,48 @@
+package planner
+
+import (
+	"encoding/json"
+	"testing"
+
+	"gotest.tools/v3/golden"
+)
+
+// TestGoldenFit holds every figure that is fitted to a recorded day, and the fleet that it fills in.
+func TestGoldenFit(t *testing.T) {
+	set, fleet := recorded()
+	fit, err := FitCapture(set, fleet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, load := yard()
+	load.Rate[0].PerSec = 500
+	text, err := json.MarshalIndent(map[string]any{"fit": fit, "filled": fit.Fill(fleet), "extrapolates": fit.Extrapolates(load)}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.AssertBytes(t, append(text, '\n'), "fit.json")
+}
+
+// TestGoldenAnswers holds the answers to each question, as they are encoded.
+func TestGoldenAnswers(t *testing.T) {
+	fleet, load := yard()
+	load.Seconds = 4
+	p := planner(t, fleet, load, "service >= 0.9 and late <= 20% with zone sherbrooke lost at 1 for 2", Options{Days: 3, Most: 4, Seed: 7, Cores: 2})
+	breaks, err := p.Breaks()
+	if err != nil {
+		t.Fatal(err)
+	}
+	needs, err := p.Needs()
+	if err != nil {
+		t.Fatal(err)
+	}
+	losses, err := p.Losses()
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.MarshalIndent(map[string]any{"breaks": breaks, "needs": needs, "losses": losses, "days": p.DaysPlayed()}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.AssertBytes(t, append(text, '\n'), "answers.json")
+}
