--- a/internal/controlplane/replication/explorer_call_test.go
+++ b/internal/controlplane/replication/explorer_call_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// calls are what one process does upon calls that another has made in any epoch.
+// calls adds the steps of one process upon the calls that another has sent in any epoch.
 func (m *model) calls(state *modelState, from, to int, add addStep) {
 	for epoch := uint8(1); epoch <= m.limits.epochs; epoch++ {
 		sent := &state.candidacies[from][epoch]
@@ -20,7 +20,7 @@
 	}
 }
 
-// prepare handles a call for a promise.
+// prepare handles a prepare call.
 func (m *model) prepare(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
@@ -42,7 +42,7 @@
 	}
 }
 
-// attach makes a process follow another's log: where both logs end alike, or by a copy of the whole.
+// attach handles an attach call: where both logs end alike, or with a snapshot.
 func (m *model) attach(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
@@ -77,7 +77,7 @@
 	}
 }
 
-// accept handles a call to accept a view.
+// accept handles an accept call.
 func (m *model) accept(state *modelState, from, to int, epoch uint8, add addStep) {
 	view := state.candidacies[from][epoch].view
 	if view.epoch == 0 || !view.everyone().has(to) || !m.rules.allows(&state.disks[to], epoch, from) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// appendEntry handles a call with an entry.
+// appendEntry handles an append call with an entry.
 func (m *model) appendEntry(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
@@ -122,7 +122,7 @@
 	}
 }
 
-// confirm handles a call that asks whether an epoch still holds.
+// confirm handles an append call without entries, which asks whether an epoch still holds.
 func (m *model) confirm(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
@@ -138,7 +138,7 @@
 	add(next, "%s confirms %d to %s", diskName(to), epoch, diskName(from))
 }
 
-// heartbeat handles a primary's sign of life, which may have been on its way for long.
+// heartbeat handles a heartbeat, however long it was under way.
 func (m *model) heartbeat(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
--- a/internal/controlplane/replication/explorer_fault_test.go
+++ b/internal/controlplane/replication/explorer_fault_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// faults are crashes, lost disks and their replacement.
+// faults adds crashes, losses of disks and replacements.
 func (m *model) faults(state *modelState, disk int, add addStep) {
 	if state.crashes < m.limits.crashes {
 		next := *state
@@ -28,8 +28,8 @@
 	}
 }
 
-// mayLose reports whether a disk may be lost now. Where losses are borne one after the other, the next one comes when the
-// newest view in force has no lost member, nor former ones.
+// mayLose reports whether a disk may be lost now. Where losses are repaired one after the other, the next one comes
+// when the newest view in force has no lost member, nor previous members.
 func (m *model) mayLose(state *modelState, disk int) bool {
 	if !m.limits.repaired {
 		return !state.isSpare(disk)
--- a/internal/controlplane/replication/explorer_invariant_test.go
+++ b/internal/controlplane/replication/explorer_invariant_test.go
@@ -20,7 +20,7 @@
 	return s.violation()
 }
 
-// violation says which invariant of the log and of leaders a state breaks.
+// violation returns which invariant of the log or of primaries a state breaks; "" for none.
 func (s *modelState) violation() string {
 	for disk := range modelDisks {
 		d := &s.disks[disk]
--- a/internal/controlplane/replication/explorer_lease_test.go
+++ b/internal/controlplane/replication/explorer_lease_test.go
@@ -2,7 +2,8 @@
 
 package replication
 
-// expireLeases ends what holds for a time only: that a primary counts on a member, and that a witness stands by a primary.
+// expireLeases ends what holds for a time only: that a member renews a primary's lease, and that a witness supports
+// a primary.
 func (m *model) expireLeases(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	for _, member := range d.supporters.disks() {
@@ -24,12 +25,12 @@
 	add(next, "%s stands by %s no more", diskName(disk), diskName(int(d.supports-1)))
 }
 
-// supportsOther reports whether a witness stands by a primary other than a candidate.
+// supportsOther reports whether a witness supports a primary other than a candidate.
 func (m *model) supportsOther(witness *modelDisk, candidate int) bool {
 	return m.limits.leases && !m.rules.ignoresLeases && witness.supports != 0 && int(witness.supports) != candidate+1
 }
 
-// holdsLease reports whether a primary may answer from its own state.
+// holdsLease reports whether a primary may serve reads from its own state.
 func (m *model) holdsLease(disk int, d *modelDisk) bool {
 	return m.limits.leases && d.phase == primary && !d.leaseLapsed && m.rules.leaseValid(d.making, disk, d.supporters)
 }
--- a/internal/controlplane/replication/explorer_model_test.go
+++ b/internal/controlplane/replication/explorer_model_test.go
@@ -13,18 +13,18 @@
 // its receiver's steps are all optional, so it may as well have come early. The rules of quorums and witnesses are the
 // group's own code.
 //
-// Without leases the model allows more elections than the group does. With them (modelLimits.leases) a witness stands by a
-// primary that it has heard, and stops at any moment at which that primary does not count it any more: the primary counts
-// from the sending of a heartbeat, the witness from its arrival, and steady clocks run alike.
+// Without leases the model allows more elections than the group does. With them (modelLimits.leases) a witness supports a
+// primary that it has heard from, and may stop as soon as that primary does not count it any more: the primary counts
+// from the sending of a heartbeat, the witness from its arrival, and monotonic clocks run at the same rate.
 
-// modelStep is a state that may follow another, and how.
+// modelStep is a state that may follow another one, and how.
 type modelStep = modelcheck.Step[modelState]
 
-// model plays the protocol.
+// model is the protocol with its rules, within limits.
 type model struct {
 	rules  modelRules
 	limits modelLimits
-	named  bool // steps get names
+	named  bool // steps are given names
 }
 
 // Start implements modelcheck.Model.
@@ -61,7 +61,7 @@
 
 type addStep func(next modelState, format string, args ...any)
 
-// ownSteps are what a process does by itself.
+// ownSteps adds the steps of a process that no call causes.
 func (m *model) ownSteps(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	m.campaign(state, disk, add)
--- a/internal/controlplane/replication/explorer_primary_test.go
+++ b/internal/controlplane/replication/explorer_primary_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// propose logs a change at the primary.
+// propose appends a change at the primary.
 func (m *model) propose(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	if state.proposed >= m.limits.changes || d.log.len() >= maxChanges || d.promised != d.epoch {
@@ -18,7 +18,8 @@
 	add(next, "%s proposes change %d", diskName(disk), next.proposed)
 }
 
-// serveRead begins and ends the response to a question: a reading, or an order that is refused or was taken before.
+// serveRead begins and ends an operator's request that changes nothing: a read, or an order that is rejected or was
+// carried out before.
 func (m *model) serveRead(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	if d.promised != d.epoch {
--- a/internal/controlplane/replication/explorer_state_test.go
+++ b/internal/controlplane/replication/explorer_state_test.go
@@ -29,10 +29,10 @@
 
 func (v modelView) everyone() diskSet { return v.members.union(v.previous) }
 
-// modelEntry is a change in a log: the epoch in which it was made, and which change it is.
+// modelEntry is an entry of a log: the epoch in which it was appended, and which change it is.
 type modelEntry struct{ epoch, change uint8 }
 
-// modelLog is a log, as a string of pairs, so that states can be compared.
+// modelLog is a log, as a string of pairs of bytes, so that states are comparable.
 type modelLog string
 
 func (l modelLog) len() int                { return len(l) / 2 }
@@ -53,7 +53,7 @@
 	return position{Epoch: uint64(l.at(l.len() - 1).epoch), Index: uint64(l.len())}
 }
 
-// modelDisk is what one disk holds, and what its process has in memory.
+// modelDisk is what a disk holds, and what its process holds in memory.
 type modelDisk struct {
 	promised   uint8
 	promisedTo int8
@@ -63,24 +63,24 @@
 
 	follows     uint8 // the epoch whose primary's log this process follows; 0 after a restart
 	phase       modelPhase
-	epoch       uint8 // that it stands or leads in
+	epoch       uint8 // in which it is a candidate or the primary
 	granted     diskSet
-	newest      modelView // of those that have come with promises
+	newest      modelView // the newest view among those that came with promises
 	making      modelView
 	respondents diskSet // disks that have been aligned, then those that have accepted
 	acks        [maxChanges]diskSet
-	learners    diskSet // taught, to become members
+	learners    diskSet // processes that have the log and are to become members
 
-	reading         bool    // a question of an operator is open here
-	ackedBeforeRead uint8   // how much was acknowledged when it came
-	confirmedBy     diskSet // who has confirmed this primary since
+	reading         bool    // an operator's read is under way here
+	ackedBeforeRead uint8   // number of acknowledged changes when the read began
+	confirmedBy     diskSet // the disks that have confirmed this primary since
 
-	supports    int8    // the primary that this witness stands by, counted from 1; 0 for none
-	supporters  diskSet // whom this primary counts on
-	leaseLapsed bool    // its lease has run out in this view
+	supports    int8    // the primary that this witness supports, counted from 1; 0 for none
+	supporters  diskSet // the disks that renew this primary's lease
+	leaseLapsed bool    // its lease has expired in this view
 }
 
-// restart forgets what is in memory. A process that starts stands by the primary of the view that its disk has.
+// restart forgets what is in memory. A process that starts supports the primary of the view on its disk.
 func (d *modelDisk) restart(leases bool) {
 	*d = modelDisk{promised: d.promised, promisedTo: d.promisedTo, accepted: d.accepted, log: d.log}
 	if leases && d.accepted.epoch > 0 {
@@ -88,7 +88,7 @@
 	}
 }
 
-// promiseTo records a promise; a leadership or candidacy in a lower epoch ends.
+// promiseTo records a promise. A leadership or a candidacy in a lower epoch ends.
 func (d *modelDisk) promiseTo(epoch uint8, candidate int) {
 	if d.phase != following && d.epoch < epoch {
 		d.phase, d.making, d.respondents, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
@@ -102,7 +102,7 @@
 	d.promised, d.promisedTo = epoch, int8(candidate)
 }
 
-// modelPhase is how far a process has got in making a view.
+// modelPhase is how far a process has got in a view change.
 type modelPhase uint8
 
 const (
@@ -113,13 +113,13 @@
 	primary
 )
 
-// candidacy is what a process has sent out in an epoch: calls that may still be handled.
+// candidacy is what a process has sent in an epoch: calls that may still be handled.
 type candidacy struct {
 	active   bool
-	aligning bool // to follow its log, once it had a majority's promises
+	aligning bool // a majority has promised, so attach calls have been sent
 	base     modelView
-	log      modelLog // at the start of the epoch
-	extended modelLog // with what was proposed since
+	log      modelLog // at the beginning of the epoch
+	extended modelLog // with what was proposed since then
 	view     modelView
 }
 
@@ -127,7 +127,7 @@
 type modelState struct {
 	disks       [modelDisks]modelDisk
 	candidacies [modelDisks][maxEpochs + 1]candidacy
-	acked       modelLog // what was acknowledged, in order
+	acked       modelLog // the acknowledged changes, in order
 	crashes     uint8
 	losses      uint8
 	joined      uint8
@@ -135,13 +135,13 @@
 	led         uint8 // the highest epoch that anyone has led in
 	reads       uint8
 	changes     uint8 // of the members
-	staleRead   bool  // a question was answered by a process that lacked what was acknowledged before it came
+	staleRead   bool  // a read was served by a process that lacked what had been acknowledged before it began
 }
 
-// isSpare reports whether a disk is one that was added: they are counted from the last one down.
+// isSpare reports whether a disk was added after the bootstrap. Those are counted from the last one down.
 func (s *modelState) isSpare(disk int) bool { return disk >= modelDisks-int(s.joined) }
 
-// acknowledge notes the changes that the primary may acknowledge, in the order of its log.
+// acknowledge acknowledges the changes that a primary may, in the order of its log.
 func (s *modelState) acknowledge(m *model, disk int) {
 	d := &s.disks[disk]
 	for index := s.acked.len(); index < d.log.len(); index++ {
@@ -152,7 +152,7 @@
 	}
 }
 
-// bootstrapped is the state after the founding: the first disk leads all others.
+// bootstrapped returns the state after the bootstrap: the first disk leads all others.
 func bootstrapped(limits modelLimits) modelState {
 	var state modelState
 	all := setOf(limits.disks)
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -10,11 +10,11 @@
 	"gladepick/internal/modelcheck"
 )
 
-// exploredStates is how many states of each space are searched without EXPLORE_STATES.
+// exploredStates is how many states of each space are searched unless EXPLORE_STATES is set.
 const exploredStates = 90_000
 
-// exploredSpace is a part of the model's states, and what a search of the first exploredStates of them finds: a change of
-// the model or of the group's rules that lets other states be reached shows here.
+// exploredSpace is a part of the model's states, with what a search of exploredStates states finds. A change of the
+// model or of the group's rules by which other states are reached shows here.
 type exploredSpace struct {
 	limits   modelLimits
 	states   int
@@ -22,7 +22,7 @@
 	complete bool
 }
 
-// TestExplore goes through the protocol's states. EXPLORE_STATES sets how many.
+// TestExplore searches the protocol's states for violations. EXPLORE_STATES sets how many.
 func TestExplore(t *testing.T) {
 	spaces := map[string]exploredSpace{
 		"three disks, two elections":              {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, states: 90000, depth: 13, complete: false},
--- a/internal/controlplane/replication/explorer_view_change_test.go
+++ b/internal/controlplane/replication/explorer_view_change_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// campaign takes an epoch for a process: in an election, or as the primary for another view.
+// campaign takes an epoch for a process: as a candidate in an election, or as the primary for another view.
 func (m *model) campaign(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	base := d.accepted
@@ -62,7 +62,7 @@
 	}
 }
 
-// replacesLost reports whether a change of members takes lost ones out and as many others in.
+// replacesLost reports whether a change of the members removes lost ones only and adds as many.
 func (m *model) replacesLost(state *modelState, members, previous diskSet) bool {
 	removed := (previous &^ members).disks()
 	for _, disk := range removed {
--- a/internal/controlplane/replication/codec_test.go
+++ b/internal/controlplane/replication/snapshot_test.go
@@ -2,7 +2,10 @@
 
 import (
 	"bytes"
+	"fmt"
+	"strings"
 	"testing"
+	"time"
 
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
@@ -57,3 +60,25 @@
 		_, _ = decodeEntries(data)
 	})
 }
+
+func TestLongLogsAreShortened(t *testing.T) {
+	inCluster(t, 3, 2, 1, func(c *cluster) {
+		leader := c.awaitPrimary(time.Second)
+		for i := range 30 {
+			leader.mustPropose(fmt.Sprint(i, strings.Repeat("x", 200<<10)))
+		}
+		c.awaitAllHold(time.Second, leader.process().machine.list()...)
+		held := leader.process().machine.list()
+		for _, each := range c.nodes {
+			size := each.process().group.replica.log.Size()
+			assert.Assert(c.t, size < 24<<20, "%d bytes", size)
+			assert.Assert(c.t, len(each.process().group.replica.log.Segments()) < 3)
+			each.powerOff()
+		}
+		for _, each := range c.nodes {
+			each.restart()
+		}
+		c.awaitInSync(3*time.Second, 3)
+		c.awaitAllHold(time.Second, held...)
+	})
+}
