--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -1,10 +1,11 @@
-// Package cli is what the command lines of the programs share: exit codes,
-// checks of arguments, flags as they were once written. It must never know a
-// command.
+// Package cli is what the command lines of the programs share: the tree of
+// commands, checks of arguments, and flags as they were once written. It knows no
+// command. Errors carry the exit code that they end the program with.
+//
+// Start reading at Main.
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -14,59 +15,66 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes, as the README documents them.
-const (
-	ExitDone       = 0 // done
-	ExitFailed     = 1 // it could not be done
-	ExitMisuse     = 2 // wrong use: flags, arguments, words
-	ExitGoalMissed = 3 // no plan meets the goal
-)
+// suggestionDistance is how many letters may differ between an unknown command and one that is suggested.
+const suggestionDistance = 2
 
-// Exit is an error that ends the program with a code of its own.
-type ExitError struct {
-	Code int
-	Err  error
+// Main runs a program with its arguments, prints its error and ends it with its exit code.
+func Main(run func(args []string, out io.Writer) error) {
+	log.SetFlags(log.Ltime | log.Lmicroseconds)
+	err := run(os.Args[1:], os.Stdout)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "gladepick:", err)
+	}
+	os.Exit(ExitCode(err))
 }
 
-// Error returns the text of the error that ends the program.
-func (e *ExitError) Error() string { return e.Err.Error() }
-
-// Unwrap returns the error that ends the program.
-func (e *ExitError) Unwrap() error { return e.Err }
-
-// Misuse is an error in how a command was called.
-func MisuseErrorf(format string, v ...any) error {
-	return &ExitError{ExitMisuse, fmt.Errorf(format, v...)}
+// NewRoot makes a tree of commands that says what is wrong with an unknown word.
+func NewRoot(c *cobra.Command, commands ...*cobra.Command) *cobra.Command {
+	c.SilenceUsage, c.SilenceErrors = true, true
+	c.SuggestionsMinimumDistance = suggestionDistance
+	c.Args = checkCommand
+	c.RunE = func(c *cobra.Command, _ []string) error { return c.Help() }
+	c.AddCommand(commands...)
+	c.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return MisuseErrorf("%s: %w", c.Name(), err) })
+	return c
 }
 
-// Code is what the program ends with after err.
-func ExitCode(err error) int {
-	var e *ExitError
-	switch {
-	case err == nil:
-		return ExitDone
-	case errors.As(err, &e):
-		return e.Code
+// checkCommand is called with the words that are no command.
+func checkCommand(c *cobra.Command, args []string) error {
+	if len(args) == 0 {
+		return nil
+	}
+	hint := ""
+	if near := c.SuggestionsFor(args[0]); len(near) > 0 {
+		hint = fmt.Sprintf("; did you mean %s?", strings.Join(near, " or "))
 	}
-	return ExitFailed
+	return MisuseErrorf("unknown command %q%s; gladepick help lists them", args[0], hint)
+}
+
+// Execute runs a tree of commands.
+func Execute(c *cobra.Command, args []string, out io.Writer) error {
+	c.SetArgs(doubleDashes(args))
+	c.SetOut(out)
+	return c.Execute()
 }
 
-// words lets long flags stand behind one dash, as they did before there was a library for them.
-func words(args []string) []string {
+// doubleDashes lets the oldest long flags stand behind one dash, as they did before there was a library for them.
+func doubleDashes(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if a == "--" {
 			copy(out[i:], args[i:])
 			break
 		}
-		if out[i] = a; a == "-help" || a == "-agent" || strings.HasPrefix(a, "-agent=") {
+		out[i] = a
+		if a == "-help" || a == "-agent" || strings.HasPrefix(a, "-agent=") {
 			out[i] = "-" + a
 		}
 	}
 	return out
 }
 
-// Exactly makes a command take just so many arguments, which what names.
+// ExactArgs makes a command take n arguments; what names them in the error.
 func ExactArgs(n int, what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
@@ -76,7 +84,7 @@
 	}
 }
 
-// Some makes a command take one argument or more.
+// SomeArgs makes a command take one argument or more; what names them in the error.
 func SomeArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
@@ -85,39 +93,3 @@
 		return nil
 	}
 }
-
-// Root makes a tree of commands that says what is wrong with an unknown word.
-func NewRoot(c *cobra.Command, commands ...*cobra.Command) *cobra.Command {
-	c.SilenceUsage, c.SilenceErrors, c.SuggestionsMinimumDistance = true, true, 2
-	c.Args = func(c *cobra.Command, args []string) error {
-		if len(args) == 0 {
-			return nil
-		}
-		hint := ""
-		if near := c.SuggestionsFor(args[0]); len(near) > 0 {
-			hint = fmt.Sprintf("; did you mean %s?", strings.Join(near, " or "))
-		}
-		return MisuseErrorf("unknown command %q%s; gladepick help lists them", args[0], hint)
-	}
-	c.RunE = func(c *cobra.Command, _ []string) error { return c.Help() }
-	c.AddCommand(commands...)
-	c.SetFlagErrorFunc(func(c *cobra.Command, err error) error { return MisuseErrorf("%s: %w", c.Name(), err) })
-	return c
-}
-
-// Main runs a program and ends it with its exit code.
-func Main(run func(args []string, out io.Writer) error) {
-	log.SetFlags(log.Ltime | log.Lmicroseconds)
-	err := run(os.Args[1:], os.Stdout)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "gladepick:", err)
-	}
-	os.Exit(ExitCode(err))
-}
-
-// Run runs a tree.
-func Execute(c *cobra.Command, args []string, out io.Writer) error {
-	c.SetArgs(words(args))
-	c.SetOut(out)
-	return c.Execute()
-}
