--- a/cmd/gladepick/drain.go
+++ b/cmd/gladepick/drain.go
@@ -7,7 +7,7 @@
 )
 
 func drainCommand() *cobra.Command {
-	return question(&cobra.Command{
+	return queryCommand(&cobra.Command{
 		Use:     "drain NAME...",
 		Short:   "Tell instances to answer what they have, leave and stay away",
 		Example: "  gladepick drain n0",
--- a/cmd/gladepick/main.go
+++ b/cmd/gladepick/main.go
@@ -1,10 +1,9 @@
-// Command gladepick is the dispatcher and its operator's tool. Without
-// arguments it runs one dispatcher, as the NODE_ variables say; with them it is
-// a command line with one file a command. Start and memory of a dispatcher are
-// those of the platform, so what needs large libraries (recording, planning, promises) is
+// Command gladepick is the dispatcher and its operator's tool. Without arguments
+// it runs one dispatcher, as the NODE_ variables say; with them it is a command
+// line with one file a command. Start and memory of a dispatcher are those of the
+// platform, so what needs large libraries (recording, planning, durable jobs) is
 // another program, gladepick-full, which must lie beside this one and takes over
-// where it is needed. This file owns the tree of commands. It must never decide
-// anything about a job, a worker or a message.
+// where it is needed.
 package main
 
 import (
@@ -20,31 +19,37 @@
 	"gladepick/internal/dispatcher/instance"
 )
 
+// fullProgram is the program that has what needs large libraries.
+const fullProgram = "gladepick-full"
+
 func main() { cli.Main(run) }
 
 func run(args []string, out io.Writer) error {
 	switch {
 	case len(args) > 0:
-		return cli.Execute(root(), args, out)
+		return cli.Execute(newRoot(), args, out)
 	case os.Getenv("NODE_CAPTURE") != "" || os.Getenv("NODE_PROMISES") != "":
 		return runFull(nil)
 	}
 	return instance.Run(nil, nil) // the dispatcher waits for no command line
 }
 
-// runFull lets gladepick-full take this process over, with these arguments.
+// runFull lets gladepick-full take this process over, with these arguments. It returns only if that fails.
 func runFull(args []string) error {
-	here, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(here), "gladepick-full")
+	path := filepath.Join(filepath.Dir(executable), fullProgram)
 	err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
-	return errors.Join(errors.New("recording, planning and taking jobs for keeps need gladepick-full beside this program"), &os.PathError{Op: "exec", Path: path, Err: err})
+	return errors.Join(
+		errors.New("recording, planning and taking jobs for keeps need gladepick-full beside this program"),
+		&os.PathError{Op: "exec", Path: path, Err: err},
+	)
 }
 
-// root is the whole tree of commands.
-func root() *cobra.Command {
+// newRoot makes the whole tree of commands.
+func newRoot() *cobra.Command {
 	return cli.NewRoot(&cobra.Command{
 		Use:   "gladepick",
 		Short: "Dispatch course registration jobs to workers, and manage many dispatchers",
@@ -54,11 +59,22 @@
 commands below keep many of them running on a machine, ask after them, and plan.
 
 Exit codes: 0 done, 1 failed, 2 wrong use, 3 the goal cannot be met.`,
-	}, agentCommand(), statusCommand(), countersCommand(), drainCommand(), startCommand(), reloadCommand(), membersCommand(), leasesCommand(), planCommand(), schemaCommand())
+	},
+		agentCommand(),
+		statusCommand(),
+		countersCommand(),
+		drainCommand(),
+		startCommand(),
+		reloadCommand(),
+		membersCommand(),
+		leasesCommand(),
+		planCommand(),
+		schemaCommand(),
+	)
 }
 
-// elsewhere is a command that gladepick-full has: it reads its own flags and gives its own help.
-func elsewhere(c *cobra.Command) *cobra.Command {
+// fullCommand makes a command that gladepick-full has: it reads its own flags and gives its own help.
+func fullCommand(c *cobra.Command) *cobra.Command {
 	c.DisableFlagParsing = true
 	c.RunE = func(c *cobra.Command, args []string) error { return runFull(append([]string{c.Name()}, args...)) }
 	c.SetHelpFunc(func(c *cobra.Command, _ []string) {
--- a/cmd/gladepick/reload.go
+++ b/cmd/gladepick/reload.go
@@ -7,7 +7,7 @@
 )
 
 func reloadCommand() *cobra.Command {
-	return question(&cobra.Command{
+	return queryCommand(&cobra.Command{
 		Use:     "reload NAME...",
 		Short:   "Tell instances to read their configuration again",
 		Example: "  gladepick reload n0 n1",
--- a/cmd/gladepick/schema.go
+++ b/cmd/gladepick/schema.go
@@ -3,5 +3,5 @@
 import "github.com/spf13/cobra"
 
 func schemaCommand() *cobra.Command {
-	return elsewhere(&cobra.Command{Use: "schema [NAME]", Short: "Print the JSON Schema of an operator's file, or list the schemas"})
+	return fullCommand(&cobra.Command{Use: "schema [NAME]", Short: "Print the JSON Schema of an operator's file, or list the schemas"})
 }
--- a/cmd/gladepick/start.go
+++ b/cmd/gladepick/start.go
@@ -7,7 +7,7 @@
 )
 
 func startCommand() *cobra.Command {
-	return question(&cobra.Command{
+	return queryCommand(&cobra.Command{
 		Use:     "start NAME...",
 		Short:   "Bring drained instances back",
 		Example: "  gladepick start n0",
