--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -97,10 +97,3 @@
 func (b *Builder) recent(replica cluster.Replica) bool {
 	return b.alive(replica) && b.nodes[replica.Store].Recent
 }
-
-func (b *Builder) zone(store string) string {
-	if entry := b.store(store); entry != nil {
-		return entry.Zone
-	}
-	return ""
-}
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -71,29 +71,6 @@
 	return active
 }
 
-// InterleaveZones orders values so that neighbours stand in different zones where possible.
-func InterleaveZones[Value any](values []Value, zoneOf func(Value) string) []Value {
-	var zones []string
-	byZone := map[string][]Value{}
-	for _, value := range values {
-		zone := zoneOf(value)
-		if len(byZone[zone]) == 0 {
-			zones = append(zones, zone)
-		}
-		byZone[zone] = append(byZone[zone], value)
-	}
-	slices.Sort(zones)
-	ordered := make([]Value, 0, len(values))
-	for rank := 0; len(ordered) < len(values); rank++ {
-		for _, zone := range zones {
-			if rank < len(byZone[zone]) {
-				ordered = append(ordered, byZone[zone][rank])
-			}
-		}
-	}
-	return ordered
-}
-
 // replacement returns the active store that is the best place for one more replica beside the given ones, or nil: one in
 // a zone that suits the spread, then the one with the fewest replicas, then the first by name. One store may be excluded.
 func (b *Builder) replacement(replicas []cluster.Replica, exclude string) *cluster.StoreEntry {
@@ -122,25 +99,6 @@
 	return slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return replica.Store == store })
 }
 
-// zoneForReplica tells which zones suit one more replica beside those in the given zones, the primary's first, where the replicas
-// are to stand in a number of zones.
-func zoneForReplica(taken []string, spread int) func(zone string) bool {
-	distinct := slices.Compact(slices.Sorted(slices.Values(taken)))
-	if len(distinct) < spread {
-		return func(zone string) bool { return !slices.Contains(distinct, zone) }
-	}
-	return func(zone string) bool { return zone == taken[0] }
-}
-
-// zonesOf returns the zones that replicas stand in.
-func (b *Builder) zonesOf(replicas []cluster.Replica) []string {
-	zones := make([]string, 0, len(replicas))
-	for _, replica := range replicas {
-		zones = append(zones, b.zone(replica.Store))
-	}
-	return zones
-}
-
 // replicaCounts counts the replicas that each store holds. They are counted once and kept up to date.
 func (b *Builder) replicaCounts() map[string]int {
 	if b.replicaCountByStore != nil {
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -48,21 +48,23 @@
 
 // Options holds what a Plane needs.
 type Options struct {
-	Info      cluster.NodeInfo
-	Network   network.Network
-	Pool      *rpc.Pool
-	Server    *rpc.Server
-	FS        vfs.FS // nil without a disk
-	Bootstrap bool   // this is the first start of the whole system
-	Tolerated int    // how many losses of disks the system must bear
-	// ToleratedZones is how many lost zones it must bear.
-	ToleratedZones  int
-	Seeds           []string // control addresses, "ip:port"
-	InternalPort    int
-	PlatformAddress string         // where the platform's list of workers is; may be empty
-	Agent           *cluster.Agent // of this process; may be nil
-	Logger          *zap.Logger
-	Seed            uint64 // of random pauses
+	Info    cluster.NodeInfo // of this process
+	Network network.Network  // to the platform
+	Pool    *rpc.Pool        // to other processes
+	Server  *rpc.Server      // gets the handlers of the control plane's calls
+	FS      vfs.FS           // for the control state; nil without a disk
+
+	Bootstrap      bool // this is the first start of the whole system
+	Tolerated      int  // how many losses of disks the system must bear
+	ToleratedZones int  // how many lost zones it must bear
+
+	Seeds           []string // control addresses of the seeds, "ip:port"
+	InternalPort    int      // of every process's RPC server
+	PlatformAddress string   // where the platform's list of workers is, "ip:port"; may be empty
+
+	Agent  *cluster.Agent // of this process; may be nil
+	Logger *zap.Logger    // may be nil
+	Seed   uint64         // of the random pauses before elections
 }
 
 // Plane is a process's part in the control plane.
