--- a/internal/dispatcher/durablejobs/manager.go
+++ b/internal/dispatcher/durablejobs/manager.go
@@ -37,7 +37,7 @@
 	View(context.Context) (v membership.View, life uint64, joined, quorum bool)
 }
 
-// ErrUnready is Take's answer while nothing can be promised: there is no quorum, no founding, or no room.
+// ErrNotReady is the error of Submit while no job can be made durable: without a quorum, an assignment of the replicas, or room.
 var ErrNotReady = errors.New("nothing can be promised now")
 
 // Counters count since the start of the process.
