--- a/internal/dispatcher/amqp/messages_test.go
+++ b/internal/dispatcher/amqp/messages_test.go
@@ -65,7 +65,7 @@
 
 // newFixture makes an adapter; jobs takes what it reads. It belongs into a bubble of testing/synctest.
 func newFixture(t *testing.T) *fixture {
-	network, broker := new(testenv.Net), new(testenv.Broker)
+	network, broker := new(testenv.Network), new(testenv.Broker)
 	for _, name := range []string{"jobs", "answers", "work"} {
 		broker.Queue(name)
 	}
--- a/internal/dispatcher/capture/bench_test.go
+++ b/internal/dispatcher/capture/bench_test.go
@@ -32,7 +32,7 @@
 	const jobs, window = 5000, 32
 	var known []config.Worker
 	for i := range 12 {
-		known = append(known, testenv.Listing(fmt.Sprintf("s-%08x", i), "127.0.0.1:1", "ready"))
+		known = append(known, testenv.Worker(fmt.Sprintf("s-%08x", i), "127.0.0.1:1", "ready"))
 	}
 	n := testenv.Node(b, known, "")
 	n.Capture = &config.Capture{Dir: b.TempDir(), RotateMB: 64, RotateS: 300, GroupS: 10}
--- a/internal/dispatcher/capture/capture_test.go
+++ b/internal/dispatcher/capture/capture_test.go
@@ -50,7 +50,7 @@
 // job goes through the recorder with one attempt, as the core would show it.
 func (f *feeder) job(i int) {
 	j := &dispatch.Job{Class: i % 2, Tenant: i % 3, Slots: 1, AffinityKey: uint64(i % 5), Timeout: 5 * time.Second, Retry: i%4 == 0}
-	a := &dispatch.Attempt{Job: j, Worker: testenv.Listing("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
+	a := &dispatch.Attempt{Job: j, Worker: testenv.Worker("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
 	see := func(s dispatch.EventKind, after time.Duration, m dispatch.Event) {
 		f.at += after
 		m.Kind, m.At, m.Job = s, f.at, j
--- a/internal/dispatcher/clienthttp/answers_test.go
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -62,7 +62,7 @@
 
 // fixture is a server without workers, on a network in memory, whose jobs are answered by a fixedSubmitter.
 type fixture struct {
-	network   testenv.Net
+	network   testenv.Network
 	server    *clienthttp.Server
 	submitter fixedSubmitter
 }
--- a/internal/dispatcher/discovery/request_test.go
+++ b/internal/dispatcher/discovery/request_test.go
@@ -34,7 +34,7 @@
 func TestCallsAndListsOfAWatch(t *testing.T) {
 	node := testenv.Node(t, nil, "")
 	synctest.Test(t, func(t *testing.T) {
-		var network testenv.Net
+		var network testenv.Network
 		var mu sync.Mutex
 		var text bytes.Buffer
 		note := func(format string, v ...any) {
--- a/internal/dispatcher/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -117,7 +117,7 @@
 func TestCoreInvariantsUnderRandomSteps(t *testing.T) {
 	var list []config.Worker
 	for i, name := range workerNames {
-		list = append(list, testenv.Listing(name, fmt.Sprint("127.0.1.", i, ":5000"), "ready"))
+		list = append(list, testenv.Worker(name, fmt.Sprint("127.0.1.", i, ":5000"), "ready"))
 	}
 	node := testenv.Node(t, list, "")
 	synctest.Test(t, func(t *testing.T) {
@@ -222,7 +222,7 @@
 func (s *surroundings) updateList() {
 	name := rapid.SampledFrom(workerNames).Draw(s.t, "worker")
 	state := rapid.SampledFrom([]string{"ready", "draining", "gone", "odd"}).Draw(s.t, "state")
-	w := testenv.Listing(name, "127.0.1.9:5000", state)
+	w := testenv.Worker(name, "127.0.1.9:5000", state)
 	w.StartedAtMs = rapid.SampledFrom([]int64{0, time.Now().UnixMilli(), time.Now().UnixMilli() + 5000, -1}).Draw(s.t, "start")
 	s.unlocked(synctest.Wait)
 	s.state[name] = state
@@ -268,7 +268,7 @@
 // The machine's calendar may step and a list may say the same start again: the module must not see a restart in it.
 func TestWorkerStartIsConvertedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := testenv.Listing("s-00000001", "127.0.1.1:5000", "ready")
+		w := testenv.Worker("s-00000001", "127.0.1.1:5000", "ready")
 		w.StartedAtMs = time.Now().Add(-2 * time.Second).UnixMilli()
 		node := testenv.Node(t, []config.Worker{w}, "")
 		s := &surroundings{sends: map[string]int{}, state: map[string]string{"s-00000001": "ready"}}
--- a/internal/dispatcher/faultinjection/promises.go
+++ b/internal/dispatcher/faultinjection/durablejobs.go
@@ -27,8 +27,8 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// Trial is set up by its exported fields and read after the play.
-type Trial struct {
+// DurableJobsPlay is set up by its exported fields and read after the play.
+type DurableJobsPlay struct {
 	Jobs   int            // keys in all
 	Rate   float64        // new ones a second
 	Window time.Duration  // workers drop a repeat of a key for so long; the settings' class has it too
@@ -71,22 +71,24 @@
 
 const workers = 4
 
-// Copies are as many as a fleet of n gets here.
-func Copies(n int) int {
+// ReplicasOf are as many as a fleet of n gets here.
+func ReplicasOf(n int) int {
 	if n >= 9 {
 		return 5
 	}
 	return 3
 }
 
-func (t *Trial) worker(w int) string { return fmt.Sprintf("127.%d.200.%d:6000", t.play.Host, w+1) }
-func (t *Trial) discovery() string   { return fmt.Sprintf("127.%d.201.1:8500", t.play.Host) }
-func (t *Trial) copies(i, k int) string {
+func (t *DurableJobsPlay) worker(w int) string {
+	return fmt.Sprintf("127.%d.200.%d:6000", t.play.Host, w+1)
+}
+func (t *DurableJobsPlay) discovery() string { return fmt.Sprintf("127.%d.201.1:8500", t.play.Host) }
+func (t *DurableJobsPlay) copies(i, k int) string {
 	return fmt.Sprintf("127.%d.%d.%d:7500", t.play.Host, i+1, k+1)
 }
 
 // begin opens the workers and the links between dispatchers.
-func (t *Trial) begin(p *Play) error {
+func (t *DurableJobsPlay) begin(p *Play) error {
 	t.play, t.past, t.rng = p, map[string]*memory{}, rand.New(rand.NewPCG(p.line.Seed, 99))
 	t.Effects, t.Told, t.Asked, t.Crashed = map[string]int{}, map[string][]string{}, map[string]int{}, map[string]int{}
 	t.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 50, DisableCompression: true}, Timeout: 17 * time.Second}
@@ -122,7 +124,7 @@
 	return nil
 }
 
-func (t *Trial) accept(l net.Listener, serve func(net.Conn)) {
+func (t *DurableJobsPlay) accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -135,7 +137,7 @@
 	}
 }
 
-func (t *Trial) end() {
+func (t *DurableJobsPlay) end() {
 	t.over.Store(true)
 	for _, c := range t.closers {
 		c.Close()
@@ -144,10 +146,10 @@
 }
 
 // link carries what node i sends to node k. While that way is cut nothing passes, and nothing is said.
-func (t *Trial) link(from net.Conn, i, k int) {
+func (t *DurableJobsPlay) link(from net.Conn, i, k int) {
 	cut := func() bool {
 		p := t.play
-		return p.cuts[i*p.line.Nodes+k].Load() || p.deaf[k].Load()
+		return p.partitions[i*p.line.Nodes+k].Load() || p.deaf[k].Load()
 	}
 	wait := func() bool {
 		for cut() && !t.over.Load() {
@@ -191,7 +193,7 @@
 }
 
 // list is discovery: the workers never change.
-func (t *Trial) list(w http.ResponseWriter, r *http.Request) {
+func (t *DurableJobsPlay) list(w http.ResponseWriter, r *http.Request) {
 	var all []config.Worker
 	for k := range workers {
 		all = append(all, config.Worker{ID: fmt.Sprintf("s-%08x", k+1), Address: t.worker(k), Zone: []string{"montreal", "sherbrooke"}[k%2],
@@ -205,8 +207,8 @@
 	}
 }
 
-// tell gives what a dispatcher is told: where discovery is, and the file for its promises.
-func (t *Trial) tell(i int) (env []string) {
+// environmentOf gives what a dispatcher is told: where discovery is, and the file for its promises.
+func (t *DurableJobsPlay) environmentOf(i int) (env []string) {
 	if t.Bare {
 		os.WriteFile(t.play.events(i), nil, 0o600)
 		return []string{"NODE_DISCOVERY=" + t.discovery(), "NODE_MEMBERS="}
@@ -214,7 +216,7 @@
 		return []string{"NODE_DISCOVERY=" + t.discovery()}
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "[promises]\nlisten = %q\ncopies = %d\ngroups = 8\nkeep_s = 600\nskew_ms = 100\nevents = %q\n", t.copies(i, i), Copies(t.play.line.Nodes), filepath.Join(t.play.Dir, fmt.Sprintf("promises-%d.jsonl", i)))
+	fmt.Fprintf(&b, "[promises]\nlisten = %q\ncopies = %d\ngroups = 8\nkeep_s = 600\nskew_ms = 100\nevents = %q\n", t.copies(i, i), ReplicasOf(t.play.line.Nodes), filepath.Join(t.play.Dir, fmt.Sprintf("promises-%d.jsonl", i)))
 	if at := t.Crash[i]; at != "" && t.play.nodes[i].starts == 0 {
 		part := strings.Split(at, ":")
 		fmt.Fprintf(&b, "crash_at = %q\ncrash_on = %s\ncrash_by = %q\n", part[0], part[1], part[2])
@@ -230,7 +232,7 @@
 }
 
 // serve is a worker's side of a connection.
-func (t *Trial) serve(c net.Conn, w int) {
+func (t *DurableJobsPlay) serve(c net.Conn, w int) {
 	in := bufio.NewReader(c)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), uint64(w)))
 	for !t.over.Load() {
@@ -270,7 +272,7 @@
 }
 
 // run does a job, or drops it as a repeat of one that ran or runs. An effect is what cannot be taken back.
-func (t *Trial) run(key string, takes time.Duration) string {
+func (t *DurableJobsPlay) run(key string, takes time.Duration) string {
 	if key == "" {
 		time.Sleep(takes)
 		return "looked"
@@ -292,7 +294,7 @@
 }
 
 // load sends clients, each with a key of its own, until all have come.
-func (t *Trial) load() {
+func (t *DurableJobsPlay) load() {
 	time.Sleep(3 * time.Second) // the dispatchers find each other
 	began := time.Now()
 	for n := range t.Jobs {
@@ -301,24 +303,24 @@
 		}
 		key := fmt.Sprintf("key-%d-%d", t.play.line.Seed, n)
 		t.keys = append(t.keys, key)
-		t.all.Go(func() { t.come(key, uint64(n)) })
+		t.all.Go(func() { t.runClient(key, uint64(n)) })
 		time.Sleep(time.Until(began.Add(time.Duration(float64(n+1) / t.Rate * float64(time.Second)))))
 	}
 }
 
-// come is a client: it tries until it has an outcome, at a dispatcher of its choice each time, some at three at once.
-func (t *Trial) come(key string, n uint64) {
+// runClient is a client: it tries until it has an outcome, at a dispatcher of its choice each time, some at three at once.
+func (t *DurableJobsPlay) runClient(key string, n uint64) {
 	rng := rand.New(rand.NewPCG(t.play.line.Seed, n))
 	began := time.Now()
 	var side sync.WaitGroup
 	if rng.IntN(7) == 0 && !t.Calm {
 		for range 2 {
 			at := rng.IntN(t.play.line.Nodes)
-			side.Go(func() { t.try(key, at) })
+			side.Go(func() { t.sendJob(key, at) })
 		}
 	}
 	for time.Since(began) < 40*time.Second && !t.over.Load() {
-		if outcome := t.try(key, rng.IntN(t.play.line.Nodes)); outcome != "" {
+		if outcome := t.sendJob(key, rng.IntN(t.play.line.Nodes)); outcome != "" {
 			t.mu.Lock()
 			t.Took = append(t.Took, time.Since(began))
 			t.mu.Unlock()
@@ -329,8 +331,8 @@
 	side.Wait()
 }
 
-// try sends a job once, and notes what it was told. An empty outcome is none: it may come again.
-func (t *Trial) try(key string, node int) (outcome string) {
+// sendJob sends a job once, and notes what it was told. An empty outcome is none: it may come again.
+func (t *DurableJobsPlay) sendJob(key string, node int) (outcome string) {
 	r, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://127.%d.0.%d:5000/enrol/%016x", t.play.Host, node+1, 77), bytes.NewReader([]byte("{}")))
 	if err != nil {
 		return ""
@@ -369,8 +371,8 @@
 	return outcome
 }
 
-// settle is called after the quiet stretch: every key is asked for once more, and has to have an outcome.
-func (t *Trial) settle() {
+// awaitIdle is called after the quiet stretch: every key is asked for once more, and has to have an outcome.
+func (t *DurableJobsPlay) awaitIdle() {
 	if t.Calm {
 		return
 	}
@@ -386,7 +388,7 @@
 				if node.process == nil {
 					continue
 				}
-				if t.try(key, (i+k)%len(t.play.nodes)) != "" {
+				if t.sendJob(key, (i+k)%len(t.play.nodes)) != "" {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -407,7 +409,7 @@
 }
 
 // Faults is what the record breaks.
-func (t *Trial) Faults() (out []string) {
+func (t *DurableJobsPlay) Violations() (out []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key, n := range t.Effects {
--- a/internal/dispatcher/faultinjection/promises_test.go
+++ b/internal/dispatcher/faultinjection/durablejobs_test.go
@@ -38,11 +38,11 @@
 	// Where there are five copies, two at once, and the successors of what they had right after.
 	"successors too": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		x, at := rng.Perm(n), 1.0
-		for k := range Copies(n) / 2 {
+		for k := range ReplicasOf(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at, Do: "kill", Nodes: x[k : k+1]})
 			at += 2.2 // the first is taken for failed, and its leases move
 		}
-		for k := range Copies(n) / 2 {
+		for k := range ReplicasOf(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at + 4 + 4*float64(k), Do: "start", Nodes: x[k : k+1]})
 		}
 		return t, nil
@@ -128,7 +128,7 @@
 }
 
 // keep plays a timeline with clients and workers.
-func keep(t *testing.T, kind string, n int, seed uint64, host, jobs int, rate float64) *Trial {
+func keep(t *testing.T, kind string, n int, seed uint64, host, jobs int, rate float64) *DurableJobsPlay {
 	t.Helper()
 	path, err := program()
 	if err != nil {
@@ -144,16 +144,16 @@
 		last = max(last, line.Steps[k-1].AtS)
 	}
 	line.Steps = append(line.Steps, Step{AtS: last + 0.1, Do: "heal"})
-	trial := &Trial{Jobs: jobs, Rate: rate, Window: window, Crash: crash}
+	trial := &DurableJobsPlay{Jobs: jobs, Rate: rate, Window: window, Crash: crash}
 	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: strings.Replace(settings, `"window":7500000000`, fmt.Sprintf(`"window":%d`, window), 1),
-		Period: period, Bear: bear, Kept: trial}
+		Period: period, FailureTimeout: bear, DurableJobs: trial}
 	out, err := p.Run(&line)
 	if err != nil {
 		t.Fatal(err)
 	}
-	faults := trial.Faults()
+	faults := trial.Violations()
 	if len(crash) == 0 { // there nobody says when whom the membership may take for failed
-		faults = append(faults, out.Faults...)
+		faults = append(faults, out.Violations...)
 	}
 	if kind == "all at once" { // there only the new founding, and that they go on
 		faults = slices.DeleteFunc(faults, func(s string) bool { return !strings.Contains(s, "no outcome") && !strings.Contains(s, "clients came") })
@@ -275,9 +275,9 @@
 		for range 3 {
 			for _, what := range []string{"no membership", "membership alone", "3 copies in memory"} {
 				host++
-				trial := &Trial{Jobs: int(8 * perSec), Rate: perSec, Window: window, Off: what == "membership alone", Bare: what == "no membership", Calm: true}
+				trial := &DurableJobsPlay{Jobs: int(8 * perSec), Rate: perSec, Window: window, Off: what == "membership alone", Bare: what == "no membership", Calm: true}
 				line := Timeline{Kind: "cost", Nodes: 3, Seed: 1, QuietS: 0.5, Steps: []Step{{AtS: 11.2, Do: "heal"}}}
-				p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: 500 * time.Millisecond, Bear: 3 * time.Second, Kept: trial}
+				p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: 500 * time.Millisecond, FailureTimeout: 3 * time.Second, DurableJobs: trial}
 				if _, err := p.Run(&line); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/dispatcher/faultinjection/faults.go
+++ b/internal/dispatcher/faultinjection/faults.go
@@ -1,9 +1,7 @@
-// Package faultinjection plays real processes of the dispatcher on loopback with faults put
-// between them. It starts them, joins each pair by a relay that drops, delays, doubles
-// and cuts by direction, sends signals by process id, follows a timeline, and reads the
-// processes' own records afterwards. It owns what it started and ends nothing else; it
-// must never judge by a clock: safety is read from the records, liveness from what
-// stands there after a quiet stretch.
+// Package faultinjection runs real processes of the dispatcher on loopback and injects faults between them. It starts them,
+// joins each pair by a relay that drops, delays, duplicates and partitions by direction, sends signals by process id, follows
+// a timeline, and reads the processes' own event logs afterwards. It ends the processes that it started and no others. No
+// verdict depends on a clock: safety is read from the logs, liveness from the state after a quiet span.
 package faultinjection
 
 import (
@@ -79,63 +77,63 @@
 
 // Play is one timeline on real processes.
 type Play struct {
-	Program  string // bin/gladepick
-	Dir      string // of configurations, logs and records
-	Host     int    // 127.host.x.y: plays side by side keep apart
-	Settings string // a node's settings in the platform's form, with limits.peers
-	Period   time.Duration
-	Bear     time.Duration
-	Look     func() // called after the quiet stretch, while all still run
-	Kept     *Trial // jobs are taken for keeps, and clients and workers are played; nil: only the membership is
+	Program        string // bin/gladepick
+	Dir            string // of configurations, logs and records
+	Host           int    // 127.host.x.y: plays side by side keep apart
+	Settings       string // a node's settings in the platform's form, with limits.peers
+	Period         time.Duration
+	FailureTimeout time.Duration
+	OnQuiet        func()           // called after the quiet stretch, while all still run
+	DurableJobs    *DurableJobsPlay // jobs are taken for keeps, and clients and workers are played; nil: only the membership is
 
-	line   *Timeline
-	nodes  []*node
-	began  time.Time
-	loss   atomic.Uint64 // of 1<<20
-	double atomic.Uint64
-	delay  atomic.Int64 // from, in ms, above 16 bits of to
-	cuts   []atomic.Bool
-	deaf   []atomic.Bool
-	relays [][]*net.UDPConn
-	wait   sync.WaitGroup
-	world  *simulation.World
+	line       *Timeline
+	nodes      []*node
+	began      time.Time
+	loss       atomic.Uint64 // of 1<<20
+	double     atomic.Uint64
+	delay      atomic.Int64 // from, in ms, above 16 bits of to
+	partitions []atomic.Bool
+	deaf       []atomic.Bool
+	relays     [][]*net.UDPConn
+	wait       sync.WaitGroup
+	world      *simulation.World
 }
 
 type node struct {
 	name    string
 	process *exec.Cmd
-	over    chan struct{}
+	ended   chan struct{}
 	starts  int
 }
 
-// Outcome is what came of a play.
-type Outcome struct {
-	Faults   []string        // promises that were broken
-	Wrong    int             // accusations of members that were there
-	Detected []time.Duration // from a kill until all that were up had it for failed
-	Views    int
-	Agreed   bool
-	World    *simulation.World
+// Result is what came of a play.
+type Result struct {
+	Violations      []string        // promises that were broken
+	FalseSuspicions int             // accusations of members that were there
+	Detected        []time.Duration // from a kill until all that were up had it for failed
+	Views           int
+	Agreed          bool
+	World           *simulation.World
 }
 
 // Run plays a timeline to its end. Everything it started has ended when it returns.
-func (p *Play) Run(line *Timeline) (*Outcome, error) {
+func (p *Play) Run(line *Timeline) (*Result, error) {
 	if err := line.Check(); err != nil {
 		return nil, err
 	}
 	p.line = line
 	p.world = simulation.New(line.Nodes, 3, line.Seed)
-	p.world.FailureTimeout = p.Bear - p.Period
-	p.cuts, p.deaf = make([]atomic.Bool, line.Nodes*line.Nodes), make([]atomic.Bool, line.Nodes)
+	p.world.FailureTimeout = p.FailureTimeout - p.Period
+	p.partitions, p.deaf = make([]atomic.Bool, line.Nodes*line.Nodes), make([]atomic.Bool, line.Nodes)
 	defer p.end()
 	if err := p.connect(); err != nil {
 		return nil, err
 	}
-	if p.Kept != nil {
-		if err := p.Kept.begin(p); err != nil {
+	if p.DurableJobs != nil {
+		if err := p.DurableJobs.begin(p); err != nil {
 			return nil, err
 		}
-		defer p.Kept.end()
+		defer p.DurableJobs.end()
 	}
 	p.began = time.Now()
 	for i := range line.Nodes {
@@ -169,20 +167,20 @@
 			if s.Do == "kill" && p.nodes[i].process != nil {
 				kills = append(kills, killed{i, 0, p.world.Now})
 			}
-			if err := p.do(s, i); err != nil {
+			if err := p.runStep(s, i); err != nil {
 				return nil, err
 			}
 		}
 		switch s.Do {
 		case "heal":
-			for i := range p.cuts {
-				p.cuts[i].Store(false)
+			for i := range p.partitions {
+				p.partitions[i].Store(false)
 			}
 		case "revive": // whoever has ended or stopped by himself goes on
 			for i, n := range p.nodes {
 				n.process.Process.Signal(syscall.SIGCONT)
 				select {
-				case <-n.over:
+				case <-n.ended:
 					if err := p.start(i); err != nil {
 						return nil, err
 					}
@@ -199,16 +197,16 @@
 	}
 	time.Sleep(time.Duration(line.QuietS * float64(time.Second)))
 	p.world.Now = time.Since(p.began)
-	if p.Kept != nil {
-		p.Kept.settle()
+	if p.DurableJobs != nil {
+		p.DurableJobs.awaitIdle()
 	}
-	if p.Look != nil {
-		p.Look()
+	if p.OnQuiet != nil {
+		p.OnQuiet()
 	}
-	if err := p.read(); err != nil {
+	if err := p.readEventLogs(); err != nil {
 		return nil, err
 	}
-	out := &Outcome{Faults: p.world.Audit(), Wrong: p.world.FalseFailures(), Views: p.world.Views(0, time.Hour), World: p.world}
+	out := &Result{Violations: p.world.Audit(), FalseSuspicions: p.world.FalseFailures(), Views: p.world.Views(0, time.Hour), World: p.world}
 	_, out.Agreed = p.world.Agreed()
 	for _, k := range kills {
 		first, last := time.Duration(0), time.Duration(0)
@@ -224,8 +222,8 @@
 	return out, nil
 }
 
-// at is the address at which node i reaches node k; with itself it is where it listens.
-func (p *Play) at(i, k int) string { return fmt.Sprintf("127.%d.%d.%d:7400", p.Host, i+1, k+1) }
+// address is the address at which node i reaches node k; with itself it is where it listens.
+func (p *Play) address(i, k int) string { return fmt.Sprintf("127.%d.%d.%d:7400", p.Host, i+1, k+1) }
 
 // connect brings the relays up: a socket for each node and each other one that it reaches there.
 func (p *Play) connect() error {
@@ -235,7 +233,7 @@
 		p.relays[i] = make([]*net.UDPConn, n)
 		for k := range n {
 			if i != k {
-				a, err := net.ResolveUDPAddr("udp", p.at(i, k))
+				a, err := net.ResolveUDPAddr("udp", p.address(i, k))
 				if err != nil {
 					return err
 				}
@@ -257,7 +255,7 @@
 
 // relay carries what node i sends to node k: it comes out of the socket at which k knows i.
 func (p *Play) relay(i, k int) {
-	to, _ := netip.ParseAddrPort(p.at(k, k))
+	to, _ := netip.ParseAddrPort(p.address(k, k))
 	buffer := make([]byte, 2048)
 	rng := rand.New(rand.NewPCG(p.line.Seed, uint64(i*1000+k)))
 	for {
@@ -268,7 +266,7 @@
 			}
 			continue
 		}
-		if p.cuts[i*p.line.Nodes+k].Load() || p.deaf[k].Load() {
+		if p.partitions[i*p.line.Nodes+k].Load() || p.deaf[k].Load() {
 			continue
 		}
 		for copies := 1 + hit(rng, p.double.Load()); copies > 0; copies-- {
@@ -294,8 +292,8 @@
 	return 0
 }
 
-// do does a step to one node.
-func (p *Play) do(s Step, i int) error {
+// runStep does a step to one node.
+func (p *Play) runStep(s Step, i int) error {
 	n, w := p.nodes[i], p.world.Nodes[i]
 	signal := func(sig syscall.Signal) {
 		if n.process != nil {
@@ -306,7 +304,7 @@
 	case "start":
 		if n.process != nil {
 			select {
-			case <-n.over:
+			case <-n.ended:
 			case <-time.After(20 * time.Second): // who leaves may wait for others to get his copies
 				return fmt.Errorf("%s has not ended before its start", n.name)
 			}
@@ -336,7 +334,7 @@
 		}
 	case "cut":
 		for _, k := range s.To {
-			p.cuts[i*p.line.Nodes+k].Store(true)
+			p.partitions[i*p.line.Nodes+k].Store(true)
 		}
 	case "deaf", "hear":
 		p.deaf[i].Store(s.Do == "deaf")
@@ -351,16 +349,16 @@
 	n, w := p.nodes[i], p.world.Nodes[i]
 	conf, members := filepath.Join(p.Dir, fmt.Sprintf("node-%d.json", i)), filepath.Join(p.Dir, fmt.Sprintf("members-%d.toml", i))
 	env := []string(nil)
-	if p.Kept != nil {
-		env = p.Kept.tell(i)
+	if p.DurableJobs != nil {
+		env = p.DurableJobs.environmentOf(i)
 	}
 	text := fmt.Sprintf(`{"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":%s}`, p.line.Seed*1000+uint64(i),
 		strings.Replace(p.Settings, `"zone":0`, fmt.Sprintf(`"zone":%d`, i%2), 1))
 	var more strings.Builder
-	fmt.Fprintf(&more, "[members]\nlisten = %q\nperiod_ms = %d\nbear_ms = %d\nevents = %q\n", p.at(i, i), p.Period.Milliseconds(), p.Bear.Milliseconds(), p.events(i))
+	fmt.Fprintf(&more, "[members]\nlisten = %q\nperiod_ms = %d\nbear_ms = %d\nevents = %q\n", p.address(i, i), p.Period.Milliseconds(), p.FailureTimeout.Milliseconds(), p.events(i))
 	for k, other := range p.nodes {
 		if k != i && !slices.ContainsFunc(p.nodes[:k], func(o *node) bool { return o.name == other.name }) && other.name != n.name {
-			fmt.Fprintf(&more, "[[members.peer]]\nname = %q\naddress = %q\n", other.name, p.at(i, k))
+			fmt.Fprintf(&more, "[[members.peer]]\nname = %q\naddress = %q\n", other.name, p.address(i, k))
 		}
 	}
 	for path, text := range map[string]string{conf: text, members: more.String()} {
@@ -378,12 +376,12 @@
 	c.Env = append(c.Env, env...)
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	n.process, n.over = c, make(chan struct{})
+	n.process, n.ended = c, make(chan struct{})
 	n.starts++
 	if err := c.Start(); err != nil {
 		return err
 	}
-	over := n.over
+	over := n.ended
 	go func() { c.Wait(); close(over) }()
 	p.world.Now = time.Since(p.began)
 	w.Up, w.Started = true, p.world.Now
@@ -403,7 +401,7 @@
 	}
 	for _, n := range p.nodes {
 		if n.process != nil {
-			<-n.over
+			<-n.ended
 		}
 	}
 	for _, row := range p.relays {
@@ -416,8 +414,8 @@
 	p.wait.Wait()
 }
 
-// read puts the processes' records together, in the order of the machine's clock, for the auditor.
-func (p *Play) read() error {
+// readEventLogs puts the processes' records together, in the order of the machine's clock, for the auditor.
+func (p *Play) readEventLogs() error {
 	for i, w := range p.world.Nodes {
 		f, err := os.Open(p.events(i))
 		if errors.Is(err, os.ErrNotExist) && p.nodes[i].starts == 0 {
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -56,21 +56,21 @@
 }
 
 // play plays a timeline and fails the test for what its record shows.
-func play(t *testing.T, line Timeline, host int) *Outcome {
+func play(t *testing.T, line Timeline, host int) *Result {
 	t.Helper()
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, Bear: bear}
+	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: bear}
 	out, err := p.Run(&line)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(out.Faults) > 0 || !out.Agreed && line.Kind != "one name twice" {
+	if len(out.Violations) > 0 || !out.Agreed && line.Kind != "one name twice" {
 		text, _ := json.Marshal(line)
-		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d faults: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Faults),
-			strings.Join(out.Faults[:min(len(out.Faults), 5)], "; "), text)
+		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d faults: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Violations),
+			strings.Join(out.Violations[:min(len(out.Violations), 5)], "; "), text)
 		for _, e := range out.World.Record[max(0, len(out.World.Record)-40):] {
 			name := out.World.Nodes[e.Node].Name
 			switch {
@@ -100,7 +100,7 @@
 		all.Go(func() {
 			gate <- true
 			defer func() { <-gate }()
-			t.Run(kind, func(t *testing.T) { play(t, Draw(kind, 5, 1, bear.Seconds()), 100+i) })
+			t.Run(kind, func(t *testing.T) { play(t, DrawTimeline(kind, 5, 1, bear.Seconds()), 100+i) })
 		})
 	}
 	all.Wait()
@@ -113,8 +113,8 @@
 		t.Fatal(err)
 	}
 	const host = 98
-	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, Bear: bear}
-	p.Look = func() {
+	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: bear}
+	p.OnQuiet = func() {
 		from := fmt.Sprintf("127.%d.0.1:5000", host)
 		text, err := exec.Command(path, "members", "--from", from, "--output", "json").Output()
 		var s transport.Status
@@ -142,7 +142,7 @@
 	}
 	line := Timeline{Kind: "shown", Nodes: 4, Seed: 1, QuietS: 3, Steps: []Step{{AtS: 4, Do: "term", Nodes: []int{1}}}}
 	out, err := p.Run(&line)
-	if err != nil || len(out.Faults) > 0 || !out.Agreed {
+	if err != nil || len(out.Violations) > 0 || !out.Agreed {
 		t.Errorf("%v: %+v", err, out)
 	}
 }
@@ -160,7 +160,7 @@
 			t.Fatalf("%s: %v", file, err)
 		}
 		out := play(t, line, 99)
-		t.Logf("%s: %d nodes, agreed %v, %d wrong accusations, %d views, detected after %v", file, line.Nodes, out.Agreed, out.Wrong, out.Views, out.Detected)
+		t.Logf("%s: %d nodes, agreed %v, %d wrong accusations, %d views, detected after %v", file, line.Nodes, out.Agreed, out.FalseSuspicions, out.Views, out.Detected)
 		return
 	}
 	if seeds == 0 {
@@ -193,11 +193,11 @@
 						t.Parallel()
 						gate <- true
 						defer func() { <-gate }()
-						out := play(t, Draw(kind, n, uint64(seed+1), bear.Seconds()), own)
+						out := play(t, DrawTimeline(kind, n, uint64(seed+1), bear.Seconds()), own)
 						mu.Lock()
 						defer mu.Unlock()
-						runs, wrong, views, detected = runs+1, wrong+out.Wrong, views+out.Views, append(detected, out.Detected...)
-						if bad += min(len(out.Faults), 1); runs == seeds {
+						runs, wrong, views, detected = runs+1, wrong+out.FalseSuspicions, views+out.Views, append(detected, out.Detected...)
+						if bad += min(len(out.Violations), 1); runs == seeds {
 							slices.Sort(detected)
 							line := fmt.Sprintf("| %s | %d | %d | %d | %d | %.1f |", kind, n, runs, bad, wrong, float64(views)/float64(runs))
 							if len(detected) > 0 {
--- a/internal/dispatcher/faultinjection/kinds.go
+++ b/internal/dispatcher/faultinjection/timelines.go
@@ -98,8 +98,8 @@
 	},
 }
 
-// Draw makes a timeline of a kind: all have found each other before its first step, and its end is quiet.
-func Draw(kind string, n int, seed uint64, bearS float64) Timeline {
+// DrawTimeline makes a timeline of a kind: all have found each other before its first step, and its end is quiet.
+func DrawTimeline(kind string, n int, seed uint64, bearS float64) Timeline {
 	t := Kinds[kind](rand.New(rand.NewPCG(seed, uint64(n))), n, bearS)
 	t.Kind, t.Nodes, t.Seed, t.QuietS = kind, n, seed, max(6*bearS, 5)+float64(n)/10
 	found := 3.5 + float64(n)/10
--- a/internal/dispatcher/instance/client_connections_test.go
+++ b/internal/dispatcher/instance/client_connections_test.go
@@ -117,7 +117,7 @@
 	if got := second.readAnswer(); got != "503 refused: try again later" || r.counter("dialled") != 1 {
 		t.Errorf("with no connection to spare: %s; %s", got, r.core.CountersLine())
 	}
-	more := append([]config.Worker{testenv.Listing("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
+	more := append([]config.Worker{testenv.Worker("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
 	r.core.UpdateWorkers(decision.ListDelta, more)
 	r.waitUntil("the list", func() bool { return r.counter("roster_changes") == 2 })
 	if n := r.core.WorkerCounts(); n != [3]int{0, 3, 0} {
--- a/internal/dispatcher/instance/fixture_test.go
+++ b/internal/dispatcher/instance/fixture_test.go
@@ -73,7 +73,7 @@
 	go r.acceptWorkerConns(workers)
 	var known []config.Worker
 	for i := range 3 { // one machine plays all: where a job goes does not matter, how often does
-		known = append(known, testenv.Listing(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
+		known = append(known, testenv.Worker(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
 	}
 	r.node = testenv.Node(t, known, "")
 	r.node.Discovery = discoveryListener.Addr().String()
--- a/internal/dispatcher/testenv/broker.go
+++ b/internal/dispatcher/testenv/broker.go
@@ -14,13 +14,13 @@
 // Broker is a small AMQP 0-9-1 broker: the default exchange, queues, confirms, returns and redelivery. A message's
 // properties pass through as the bytes that came.
 type Broker struct {
-	mu       sync.Mutex
-	queues   map[string]*queue
-	links    map[*brokerLink]bool
-	named    int
-	Unsure   int // so many of the next confirms are nacks
-	Settled  int // deliveries acked
-	Rejected int // deliveries rejected without requeue
+	mu          sync.Mutex
+	queues      map[string]*queue
+	connections map[*brokerConnection]bool
+	named       int
+	NacksLeft   int // so many of the next confirms are nacks
+	Acked       int // deliveries acked
+	Rejected    int // deliveries rejected without requeue
 }
 
 type queue struct {
@@ -34,24 +34,24 @@
 }
 
 type consumer struct {
-	link    *brokerLink
+	link    *brokerConnection
 	channel uint16
 	tag     string
 	autoAck bool
 	queue   string
 }
 
-type brokerLink struct {
+type brokerConnection struct {
 	conn    net.Conn
 	send    chan []byte
-	over    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 	tags    uint64
-	unacked map[uint64]held
+	unacked map[uint64]unackedDelivery
 	confirm map[uint16]uint64 // publishes so far on channels in confirm mode
 }
 
-type held struct {
+type unackedDelivery struct {
 	message
 	from    *consumer
 	channel uint16
@@ -66,7 +66,7 @@
 
 func (b *Broker) queue(name string) *queue {
 	if b.queues == nil {
-		b.queues, b.links = map[string]*queue{}, map[*brokerLink]bool{}
+		b.queues, b.connections = map[string]*queue{}, map[*brokerConnection]bool{}
 	}
 	if b.queues[name] == nil {
 		b.queues[name] = &queue{}
@@ -81,11 +81,11 @@
 		if err != nil {
 			return
 		}
-		k := &brokerLink{conn: conn, send: make(chan []byte, 1024), over: make(chan struct{}),
-			unacked: map[uint64]held{}, confirm: map[uint16]uint64{}}
+		k := &brokerConnection{conn: conn, send: make(chan []byte, 1024), closed: make(chan struct{}),
+			unacked: map[uint64]unackedDelivery{}, confirm: map[uint16]uint64{}}
 		b.mu.Lock()
 		b.queue("")
-		b.links[k] = true
+		b.connections[k] = true
 		b.mu.Unlock()
 		go func() {
 			for {
@@ -94,7 +94,7 @@
 					if _, err := k.conn.Write(p); err != nil {
 						k.close()
 					}
-				case <-k.over:
+				case <-k.closed:
 					return
 				}
 			}
@@ -106,14 +106,14 @@
 	}
 }
 
-func (k *brokerLink) close() {
-	k.once.Do(func() { close(k.over); k.conn.Close() })
+func (k *brokerConnection) close() {
+	k.once.Do(func() { close(k.closed); k.conn.Close() })
 }
 
 // Drop breaks all connections that consume a queue; what they have not acked is delivered again.
 func (b *Broker) Drop(name string) {
 	b.mu.Lock()
-	var gone []*brokerLink
+	var gone []*brokerConnection
 	for _, c := range b.queue(name).consumers {
 		gone = append(gone, c.link)
 	}
@@ -123,14 +123,14 @@
 	}
 }
 
-func (b *Broker) drop(k *brokerLink) {
+func (b *Broker) drop(k *brokerConnection) {
 	k.close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.links[k] {
+	if !b.connections[k] {
 		return
 	}
-	delete(b.links, k)
+	delete(b.connections, k)
 	for _, q := range b.queues {
 		keep := q.consumers[:0]
 		for _, c := range q.consumers {
@@ -142,24 +142,24 @@
 	}
 	for tag := uint64(1); tag <= k.tags; tag++ {
 		if h, ok := k.unacked[tag]; ok {
-			b.again(h)
+			b.redeliver(h)
 		}
 	}
 }
 
-func (b *Broker) again(h held) {
+func (b *Broker) redeliver(h unackedDelivery) {
 	h.redelivered = true
-	b.put(h.from.queue, h.message)
+	b.enqueue(h.from.queue, h.message)
 }
 
-// put queues a message and delivers what can be.
-func (b *Broker) put(name string, m message) {
+// enqueue queues a message and delivers what can be.
+func (b *Broker) enqueue(name string, m message) {
 	q := b.queues[name]
 	q.waiting = append(q.waiting, m)
-	b.pump(q)
+	b.deliver(q)
 }
 
-func (b *Broker) pump(q *queue) {
+func (b *Broker) deliver(q *queue) {
 	for len(q.waiting) > 0 && len(q.consumers) > 0 {
 		m, c := q.waiting[0], q.consumers[0]
 		q.waiting = q.waiting[1:]
@@ -167,7 +167,7 @@
 		k := c.link
 		k.tags++
 		if !c.autoAck {
-			k.unacked[k.tags] = held{m, c, c.channel}
+			k.unacked[k.tags] = unackedDelivery{m, c, c.channel}
 		}
 		flag := byte(0)
 		if m.redelivered {
@@ -195,16 +195,16 @@
 func number(v uint32) []byte   { return binary.BigEndian.AppendUint32(nil, v) }
 func number16(v uint16) []byte { return binary.BigEndian.AppendUint16(nil, v) }
 
-func (k *brokerLink) put(p []byte) {
+func (k *brokerConnection) put(p []byte) {
 	select {
 	case k.send <- p:
-	case <-k.over:
+	case <-k.closed:
 	}
 }
 
-func (k *brokerLink) call(channel uint16, m []byte) { k.put(frame(1, channel, m)) }
+func (k *brokerConnection) call(channel uint16, m []byte) { k.put(frame(1, channel, m)) }
 
-func (k *brokerLink) content(channel uint16, m []byte, msg message) {
+func (k *brokerConnection) content(channel uint16, m []byte, msg message) {
 	p := append(frame(1, channel, m), frame(2, channel, msg.head)...)
 	for rest := msg.body; len(rest) > 0; {
 		n := min(len(rest), 100<<10)
@@ -230,7 +230,7 @@
 	return binary.BigEndian.Uint64(a.take(8))
 }
 
-func (b *Broker) read(k *brokerLink) {
+func (b *Broker) read(k *brokerConnection) {
 	head := make([]byte, 8)
 	if _, err := io.ReadFull(k.conn, head); err != nil || string(head[:4]) != "AMQP" {
 		return
@@ -255,14 +255,14 @@
 		case 2:
 			if p := publishing[channel]; p != nil {
 				p.head, p.size = payload, binary.BigEndian.Uint64(payload[4:])
-				b.whole(k, channel, publishing)
+				b.publishComplete(k, channel, publishing)
 			}
 		case 8: // a heartbeat for a heartbeat
 			k.put(frame(8, 0, nil))
 		case 3:
 			if p := publishing[channel]; p != nil {
 				p.body = append(p.body, payload...)
-				b.whole(k, channel, publishing)
+				b.publishComplete(k, channel, publishing)
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	size      uint64
 }
 
-func (b *Broker) whole(k *brokerLink, channel uint16, publishing map[uint16]*pending) {
+func (b *Broker) publishComplete(k *brokerConnection, channel uint16, publishing map[uint16]*pending) {
 	p := publishing[channel]
 	if p.head == nil || uint64(len(p.body)) < p.size {
 		return
@@ -286,14 +286,14 @@
 	n, confirming := k.confirm[channel]
 	if confirming {
 		k.confirm[channel] = n + 1
-		if b.Unsure > 0 {
-			b.Unsure--
+		if b.NacksLeft > 0 {
+			b.NacksLeft--
 			k.call(channel, method(60, 120, long64(n+1), []byte{0}))
 			return
 		}
 	}
 	if b.queues[string(p.key)] != nil {
-		b.put(string(p.key), p.message)
+		b.enqueue(string(p.key), p.message)
 	} else if p.mandatory {
 		k.content(channel, method(60, 50, number16(312), short("NO_ROUTE"), short(""), short(string(p.key))), p.message)
 	}
@@ -302,7 +302,7 @@
 	}
 }
 
-func (b *Broker) method(k *brokerLink, channel uint16, payload []byte, publishing map[uint16]*pending) bool {
+func (b *Broker) method(k *brokerConnection, channel uint16, payload []byte, publishing map[uint16]*pending) bool {
 	a := &args{payload}
 	id := binary.BigEndian.Uint32(a.take(4))
 	b.mu.Lock()
@@ -344,7 +344,7 @@
 		k.call(channel, method(60, 21, short(tag)))
 		q := b.queue(name)
 		q.consumers = append(q.consumers, c)
-		b.pump(q)
+		b.deliver(q)
 	case 60<<16 | 30: // cancel
 		tag := a.short()
 		for _, q := range b.queues {
@@ -362,7 +362,7 @@
 		publishing[channel] = &pending{message: message{key: []byte(key)}, mandatory: a.take(1)[0]&1 != 0}
 	case 60<<16 | 80: // ack
 		if tag := a.long64(); k.unacked[tag].from != nil {
-			b.Settled++
+			b.Acked++
 			delete(k.unacked, tag)
 		}
 	case 60<<16 | 90, 60<<16 | 120: // reject, nack
@@ -374,7 +374,7 @@
 		if h := k.unacked[tag]; h.from != nil {
 			delete(k.unacked, tag)
 			if requeue&1 != 0 {
-				b.again(h)
+				b.redeliver(h)
 			} else {
 				b.Rejected++
 			}
@@ -384,12 +384,12 @@
 }
 
 // Connect opens a client's connection to a broker on the network.
-func Connect(n *Net, address string) (*amqp.Connection, error) {
+func Connect(n *Network, address string) (*amqp.Connection, error) {
 	return amqp.DialConfig("amqp://guest:guest@"+address+"/", amqp.Config{Dial: Dialer(n)})
 }
 
 // QueueWorker takes jobs from a queue until its connection ends. It acks a delivery late: long after its answer.
-func (y *Yard) QueueWorker(c *amqp.Connection, name, queue string) error {
+func (y *WorkerGroup) QueueWorker(c *amqp.Connection, name, queue string) error {
 	ch, err := c.Channel()
 	if err != nil {
 		return err
@@ -402,10 +402,10 @@
 		for m := range jobs {
 			go func() {
 				id, _ := m.Headers["x-request-id"].(string)
-				word, takes := y.begin(id, name, string(m.Body))
+				word, takes := y.beginJob(id, name, string(m.Body))
 				time.Sleep(takes)
 				text, _ := lines(id, name, word)
-				y.end(id)
+				y.endJob(id)
 				for _, s := range text {
 					ch.Publish("", m.ReplyTo, false, false, amqp.Publishing{CorrelationId: m.CorrelationId, Body: []byte(s)})
 				}
@@ -417,19 +417,19 @@
 	return nil
 }
 
-// Doubt makes the next confirms nacks.
-func (b *Broker) Doubt(n int) {
+// NackNext makes the next confirms nacks.
+func (b *Broker) NackNext(n int) {
 	b.mu.Lock()
-	b.Unsure = n
+	b.NacksLeft = n
 	b.mu.Unlock()
 }
 
-// Left counts the messages in the queue of jobs and the deliveries of it that are not settled.
-func (b *Broker) Left() int {
+// Unsettled counts the messages in the queue of jobs and the deliveries of it that are not settled.
+func (b *Broker) Unsettled() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := len(b.queue("jobs").waiting)
-	for k := range b.links {
+	for k := range b.connections {
 		n += len(k.unacked)
 	}
 	return n
--- a/internal/dispatcher/testenv/broker_test.go
+++ b/internal/dispatcher/testenv/broker_test.go
@@ -21,7 +21,7 @@
 func TestClientLeavesBeforeItsJobIsPublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, leave := context.WithCancel(context.Background())
-		r := world(t).start(options{queues: true, sees: func(m *dispatch.Event) {
+		r := newTestDispatcher(t).start(options{queues: true, sees: func(m *dispatch.Event) {
 			if m.Kind == dispatch.AttemptSent {
 				leave()
 				synctest.Wait() // all have seen it go, but for the core, which stands here
@@ -36,8 +36,8 @@
 			t.Error("an answer came")
 		}
 		time.Sleep(time.Minute)
-		if c := r.core.Counters; len(r.yard.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.NeverSent].Load() != 1 || r.core.OpenJobs() != 0 {
-			t.Errorf("published %v; %s", r.yard.Sent("p1"), r.core.CountersLine())
+		if c := r.core.Counters; len(r.workers.Sent("p1")) != 0 || c.Sent.Load() != 1 || c.Outcomes[decision.NeverSent].Load() != 1 || r.core.OpenJobs() != 0 {
+			t.Errorf("published %v; %s", r.workers.Sent("p1"), r.core.CountersLine())
 		}
 	})
 }
@@ -45,7 +45,7 @@
 // Told to leave, the AMQP front takes nothing more, and what it took is answered and acked.
 func TestLeavingTheBroker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
 		q.put(task{"v1", "enrol", "k1", "done/3s", 5 * time.Second})
 		time.Sleep(time.Second)
@@ -59,8 +59,8 @@
 			t.Errorf("answered %+v", c)
 		}
 		q.none(t)
-		if len(r.yard.Sent("v2")) != 0 || r.broker.Settled != 1 {
-			t.Errorf("v2 was sent %v, %d deliveries acked", r.yard.Sent("v2"), r.broker.Settled)
+		if len(r.workers.Sent("v2")) != 0 || r.broker.Acked != 1 {
+			t.Errorf("v2 was sent %v, %d deliveries acked", r.workers.Sent("v2"), r.broker.Acked)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 func TestBrokerConnectionStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			r := world(t).start(options{amqp: true})
+			r := newTestDispatcher(t).start(options{amqp: true})
 			defer r.end()
 			q := r.queue()
 			jobs := map[string]task{}
@@ -86,7 +86,7 @@
 				case 3:
 					r.broker.Drop("jobs")
 				case 4:
-					r.broker.Doubt(rapid.IntRange(1, 3).Draw(rt, "nacks"))
+					r.broker.NackNext(rapid.IntRange(1, 3).Draw(rt, "nacks"))
 				case 5:
 					time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
 				}
@@ -102,12 +102,12 @@
 				if len(answers[id]) != 1 {
 					rt.Errorf("%+v: answered %v", k, answers[id])
 				}
-				if n := len(r.yard.Sent(id)); k.class == "enrol" && strings.HasPrefix(k.script, "done") && n > 1 {
+				if n := len(r.workers.Sent(id)); k.class == "enrol" && strings.HasPrefix(k.script, "done") && n > 1 {
 					rt.Errorf("%+v: sent %d times", k, n)
 				}
 			}
-			if len(r.yard.Broken) > 0 || r.core.OpenJobs() != 0 || r.broker.Left() != 0 {
-				rt.Errorf("%v; %d open; %d deliveries not settled", r.yard.Broken, r.core.OpenJobs(), r.broker.Left())
+			if len(r.workers.Violations) > 0 || r.core.OpenJobs() != 0 || r.broker.Unsettled() != 0 {
+				rt.Errorf("%v; %d open; %d deliveries not settled", r.workers.Violations, r.core.OpenJobs(), r.broker.Unsettled())
 			}
 		})
 	})
--- a/internal/dispatcher/testenv/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -23,7 +23,7 @@
 func TestClientGone(t *testing.T) {
 	for script, want := range map[string]decision.Outcome{"done/3s": decision.OK, "silent": decision.TimedOut} {
 		synctest.Test(t, func(t *testing.T) {
-			r := world(t).start(options{})
+			r := newTestDispatcher(t).start(options{})
 			ctx, cancel := context.WithCancel(context.Background())
 			req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+here+"/seat-check", strings.NewReader(script))
 			for k, v := range map[string]string{"X-Request-ID": "g1", "X-Priority-Class": "seat-check", "X-Tenant-Id": "univ-gaspesie", "X-Timeout": "5"} {
@@ -35,7 +35,7 @@
 			}
 			synctest.Wait()
 			c, idle, open := r.core.Counters, 0, 0
-			if idle, open = r.floor.ConnectionCounts(); r.core.OpenJobs() != 0 || c.Abandoned.Load() != 1 || idle != 0 || open != 1 {
+			if idle, open = r.transport.ConnectionCounts(); r.core.OpenJobs() != 0 || c.Abandoned.Load() != 1 || idle != 0 || open != 1 {
 				t.Errorf("%s, after it left: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 			time.Sleep(4 * time.Second)
@@ -43,15 +43,15 @@
 			if want == decision.OK {
 				kept = 1
 			}
-			if idle, open = r.floor.ConnectionCounts(); c.Outcomes[want].Load() != 1 || idle != kept || open != kept || len(r.yard.Sent("g1")) != 1 {
+			if idle, open = r.transport.ConnectionCounts(); c.Outcomes[want].Load() != 1 || idle != kept || open != kept || len(r.workers.Sent("g1")) != 1 {
 				t.Errorf("%s, in the end: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 		})
 	}
 }
 
-// visitor is one connection of a client that reads whatever it is sent.
-type visitor struct {
+// rawClient is one connection of a client that reads whatever it is sent.
+type rawClient struct {
 	net.Conn
 	since time.Time
 	mu    sync.Mutex
@@ -59,12 +59,12 @@
 	over  bool
 }
 
-func (r *rig) visit() *visitor {
+func (r *testDispatcher) visit() *rawClient {
 	c, err := r.net.Dial(context.Background(), here)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	v := &visitor{Conn: c, since: time.Now()}
+	v := &rawClient{Conn: c, since: time.Now()}
 	go func() {
 		for b := make([]byte, 4<<10); ; {
 			n, err := c.Read(b)
@@ -80,7 +80,7 @@
 }
 
 // says sends some text, as far as the other end takes it, and gives what has come back since the last time.
-func (v *visitor) says(text string) (heard string, over bool) {
+func (v *rawClient) says(text string) (heard string, over bool) {
 	go io.WriteString(v.Conn, text)
 	synctest.Wait()
 	v.mu.Lock()
@@ -95,12 +95,12 @@
 func TestClientConnectionStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) {
-			w := world(t)
+			w := newTestDispatcher(t)
 			w.spare = 12
 			r := w.start(options{})
 			defer r.end()
 			const usual = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
-			var waiting, kept []*visitor // those that have not said a whole head; those that were served
+			var waiting, kept []*rawClient // those that have not said a whole head; those that were served
 			for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 				switch rapid.IntRange(0, 5).Draw(rt, "step") {
 				case 0, 1:
@@ -153,8 +153,8 @@
 // The id of a job that is open is no id for another: that one gets an error, the first one its own answer.
 func TestIDOfAnOpenJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
-		first := make(chan came)
+		r := newTestDispatcher(t).start(options{amqp: true})
+		first := make(chan receivedAnswer)
 		go func() { first <- r.post(task{"o1", "enrol", "k1", "done/1s", 5 * time.Second}) }()
 		time.Sleep(500 * time.Millisecond)
 		if c := r.post(task{"o1", "enrol", "k2", "done", 5 * time.Second}); c.verdict != "failed" || c.took != 0 || !c.closed {
@@ -165,8 +165,8 @@
 		if c := q.answer(); c.verdict != "malformed" || c.took > 10*time.Millisecond {
 			t.Errorf("the third one: %+v", c)
 		}
-		if c := <-first; c.verdict != "served" || c.body != Result("o1") || len(r.yard.Sent("o1")) != 1 {
-			t.Errorf("the first one: %+v after %v", c, r.yard.Sent("o1"))
+		if c := <-first; c.verdict != "served" || c.body != Result("o1") || len(r.workers.Sent("o1")) != 1 {
+			t.Errorf("the first one: %+v after %v", c, r.workers.Sent("o1"))
 		}
 		if c := r.post(task{"o1", "seat-check", "", "done", 5 * time.Second}); c.verdict != "served" { // nobody has it any more
 			t.Errorf("after its end: %+v", c)
--- a/internal/dispatcher/testenv/fleet.go
+++ b/internal/dispatcher/testenv/fleet.go
@@ -23,28 +23,28 @@
 
 // Fleet is a described fleet at work on loopback.
 type Fleet struct {
-	desc    *fleetsim.Fleet
-	load    *fleetsim.Load
-	seed    uint64
-	program string
-	dir     string // of configurations and captures
-	host    int    // 127.host.x.y: days side by side keep apart
-	start   time.Time
-	workers []*machine
-	seats   []*seat
-	mu      sync.Mutex
-	past    map[string]chan bool // keys that ran or run; closed once done
-	late    atomic.Int64         // nanoseconds that reports are later just now
+	desc        *fleetsim.Fleet
+	load        *fleetsim.Load
+	seed        uint64
+	program     string
+	dir         string // of configurations and captures
+	host        int    // 127.host.x.y: days side by side keep apart
+	start       time.Time
+	workers     []*machine
+	dispatchers []*dispatcherProcess
+	mu          sync.Mutex
+	outcomes    map[string]chan bool // keys that ran or run; closed once done
+	late        atomic.Int64         // nanoseconds that reports are later just now
 }
 
-// seat is a dispatcher with what is its own: its view of discovery.
-type seat struct {
-	zone    string
-	address string
-	roster  *Roster
-	server  *http.Server
-	process *exec.Cmd
-	gen     int64
+// dispatcherProcess is a dispatcher with what is its own: its view of discovery.
+type dispatcherProcess struct {
+	zone      string
+	address   string
+	discovery *DiscoveryServer
+	server    *http.Server
+	process   *exec.Cmd
+	gen       int64
 }
 
 func dur(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -52,7 +52,7 @@
 // PlayOnSockets plays a day and gives its book. program is the dispatcher, dir holds what it is told, and its captures
 // below capture-N. host is a number from 1 to 250 that no other day has just now.
 func PlayOnSockets(desc *fleetsim.Fleet, load *fleetsim.Load, seed uint64, program, dir string, host int) (*fleetsim.Result, error) {
-	f := &Fleet{desc: desc.Filled(), load: load, seed: seed, program: program, dir: dir, host: host, past: map[string]chan bool{}}
+	f := &Fleet{desc: desc.Filled(), load: load, seed: seed, program: program, dir: dir, host: host, outcomes: map[string]chan bool{}}
 	book, err := fleetsim.NewBook(desc, load)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	f.start = time.Now()
-	f.troubles()
+	f.scheduleFaults()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -98,7 +98,7 @@
 	for try := 0; ; try++ {
 		left := time.Until(until)
 		ctx, cancel := context.WithDeadline(context.Background(), until)
-		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.seats[a.Node].address+"/"+c.Name, strings.NewReader(strconv.FormatFloat(a.Work, 'g', -1, 64)))
+		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.dispatchers[a.Node].address+"/"+c.Name, strings.NewReader(strconv.FormatFloat(a.Work, 'g', -1, 64)))
 		req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", f.seed, n, try))
 		req.Header.Set("X-Priority-Class", c.Name)
 		req.Header.Set("X-Tenant-Id", u.Name)
--- a/internal/dispatcher/testenv/fleet_troubles.go
+++ b/internal/dispatcher/testenv/fleet_faults.go
@@ -10,9 +10,9 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// tell lets every dispatcher's discovery say a worker's state, each after a delay of its own.
-func (f *Fleet) tell(m *machine, state string) {
-	for i, s := range f.seats {
+// announceWorker lets every dispatcher's discovery say a worker's state, each after a delay of its own.
+func (f *Fleet) announceWorker(m *machine, state string) {
+	for i, s := range f.dispatchers {
 		r := f.desc.RosterS
 		m.mu.Lock()
 		w := m.line(i, state)
@@ -22,13 +22,13 @@
 			defer f.mu.Unlock()
 			s.gen++
 			text, _ := json.Marshal(config.WorkerList{Generation: s.gen, Workers: []config.Worker{w}})
-			s.roster.Changes <- string(text)
+			s.discovery.Changes <- string(text)
 		})
 	}
 }
 
-// troubles sets up what the description says goes wrong.
-func (f *Fleet) troubles() {
+// scheduleFaults sets up what the description says goes wrong.
+func (f *Fleet) scheduleFaults() {
 	rng := rand.New(rand.NewPCG(f.seed, 78))
 	for _, t := range f.desc.Troubles {
 		var hit []int
@@ -50,19 +50,19 @@
 			return func(_ int, m *machine) {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.move()
+				m.advance()
 				m.taken = share
-				m.move()
+				m.advance()
 			}
 		}
 		end := t.AtS + t.ForS
 		switch t.What {
 		case "deaths":
-			each(t.AtS, func(_ int, m *machine) { m.die(); f.tell(m, "gone") })
-			each(end, func(i int, m *machine) { m.rise(i + 1); f.tell(m, "ready") })
+			each(t.AtS, func(_ int, m *machine) { m.kill(); f.announceWorker(m, "gone") })
+			each(end, func(i int, m *machine) { m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "drain":
-			each(t.AtS, func(_ int, m *machine) { f.tell(m, "draining") })
-			each(end, func(i int, m *machine) { m.die(); m.rise(i + 1); f.tell(m, "ready") })
+			each(t.AtS, func(_ int, m *machine) { f.announceWorker(m, "draining") })
+			each(end, func(i int, m *machine) { m.kill(); m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "shared":
 			for at := t.AtS; at < end; at += t.OnS + t.OffS {
 				each(at, set(t.Takes))
--- a/internal/dispatcher/testenv/fleet_start.go
+++ b/internal/dispatcher/testenv/fleet_start.go
@@ -21,7 +21,7 @@
 	rng := rand.New(rand.NewPCG(f.seed, 77))
 	for _, g := range f.desc.Dispatchers {
 		for range g.Count {
-			f.seats = append(f.seats, &seat{zone: g.Zone, gen: 1, address: fmt.Sprintf("127.%d.0.%d:5000", f.host, len(f.seats)+1)})
+			f.dispatchers = append(f.dispatchers, &dispatcherProcess{zone: g.Zone, gen: 1, address: fmt.Sprintf("127.%d.0.%d:5000", f.host, len(f.dispatchers)+1)})
 		}
 	}
 	for _, g := range f.desc.Workers {
@@ -37,23 +37,23 @@
 			}
 		}
 	}
-	for i, s := range f.seats {
-		s.roster = &Roster{Changes: make(chan string, 1000)}
+	for i, s := range f.dispatchers {
+		s.discovery = &DiscoveryServer{Changes: make(chan string, 1000)}
 		for _, m := range f.workers {
-			s.roster.Whole.Workers = append(s.roster.Whole.Workers, m.line(i, "ready"))
+			s.discovery.Complete.Workers = append(s.discovery.Complete.Workers, m.line(i, "ready"))
 		}
-		s.roster.Whole.Generation, s.roster.Whole.Reset = 1, true
+		s.discovery.Complete.Generation, s.discovery.Complete.Reset = 1, true
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.1.%d:8500", f.host, i+1))
 		if err != nil {
 			return err
 		}
-		s.server = &http.Server{Handler: s.roster}
+		s.server = &http.Server{Handler: s.discovery}
 		go s.server.Serve(l)
 		if err := f.dispatcher(i, s, l.Addr().String()); err != nil {
 			return err
 		}
 	}
-	for _, s := range f.seats {
+	for _, s := range f.dispatchers {
 		for n := 0; ; n++ {
 			if resp, err := http.Get("http://" + s.address + "/up"); err == nil {
 				resp.Body.Close()
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (f *Fleet) dispatcher(i int, s *seat, discovery string) error {
+func (f *Fleet) dispatcher(i int, s *dispatcherProcess, discovery string) error {
 	capture := filepath.Join(f.dir, fmt.Sprintf("capture-%d", i))
 	if err := os.MkdirAll(capture, 0o700); err != nil {
 		return err
@@ -87,7 +87,7 @@
 		sockets = max(min(group.OpenJobs*9/5*10/9+8, 1024), 64)
 	}
 	text, err := json.Marshal(map[string]any{"seed": fmt.Sprintf("%x", f.seed*1000+uint64(i)), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
-		"known": s.roster.Whole, "settings": f.settings(i)})
+		"known": s.discovery.Complete, "settings": f.settings(i)})
 	if err != nil {
 		return err
 	}
@@ -130,11 +130,11 @@
 	}
 	zone := 0
 	for z, name := range d.Zones {
-		if name == f.seats[i].zone {
+		if name == f.dispatchers[i].zone {
 			zone = z
 		}
 	}
-	return map[string]any{"position": i, "balancers": len(f.seats), "classes": classes, "tenants": tenants, "kinds": kinds, "zones": d.Zones, "zone": zone,
+	return map[string]any{"position": i, "balancers": len(f.dispatchers), "classes": classes, "tenants": tenants, "kinds": kinds, "zones": d.Zones, "zone": zone,
 		"discovery": "subscribe", "round": 2000000, "over_share_worth": d.OverWorth, "report": map[string]any{"fields": []string{"x0", "fail_rate", "rate", "q"}, "how": "piggyback"},
 		"invariants": map[string]any{"ask_within": ns(10), "cold_from": d.Cold.Share, "drain_grace": ns(d.DrainGraceS), "fall": ns(d.Cold.SpanS), "fall_multiple": d.Cold.Multiple,
 			"grace_to_answer": 8000000, "warm_after": ns(d.Cold.WarmS)},
@@ -143,12 +143,12 @@
 }
 
 func (f *Fleet) end() {
-	for _, s := range f.seats {
+	for _, s := range f.dispatchers {
 		if s.process != nil && s.process.Process != nil {
 			s.process.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	for _, s := range f.seats {
+	for _, s := range f.dispatchers {
 		if s.process != nil && s.process.Process != nil {
 			s.process.Wait()
 		}
@@ -157,6 +157,6 @@
 		}
 	}
 	for _, m := range f.workers {
-		m.die()
+		m.kill()
 	}
 }
--- a/internal/dispatcher/testenv/fronts_test.go
+++ b/internal/dispatcher/testenv/fronts_test.go
@@ -43,23 +43,23 @@
 	for _, o := range []options{{}, {amqp: true}, {amqp: true, queues: true}} {
 		t.Run(fmt.Sprintf("amqp=%v queues=%v", o.amqp, o.queues), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := world(t).start(o)
-				var q *university
+				r := newTestDispatcher(t).start(o)
+				var q *queueClient
 				if o.amqp {
 					q = r.queue()
 				}
 				earned, asked := 0.0, 0.0
 				for _, k := range sequence {
 					time.Sleep(2 * time.Second)
-					var c came
+					var c receivedAnswer
 					if q == nil {
 						c = r.post(k.task)
 					} else {
 						q.put(k.task)
 						c = q.answer()
 					}
-					if c.verdict != k.verdict || len(r.yard.Sent(k.id)) != k.sends {
-						t.Errorf("%s: %+v after sends to %v, wanted %s after %d", k.id, c, r.yard.Sent(k.id), k.verdict, k.sends)
+					if c.verdict != k.verdict || len(r.workers.Sent(k.id)) != k.sends {
+						t.Errorf("%s: %+v after sends to %v, wanted %s after %d", k.id, c, r.workers.Sent(k.id), k.verdict, k.sends)
 					}
 					if c.verdict == "served" && c.body != Result(k.id) {
 						t.Errorf("%s: the result is %q", k.id, c.body)
@@ -78,8 +78,8 @@
 						t.Errorf("%s: answered after %v, its client had left after %v", k.id, c.took, k.wait)
 					}
 				}
-				if len(r.yard.Broken) > 0 {
-					t.Error(r.yard.Broken)
+				if len(r.workers.Violations) > 0 {
+					t.Error(r.workers.Violations)
 				}
 				if r.core.OpenJobs() != 0 {
 					t.Errorf("%d jobs are left open", r.core.OpenJobs())
@@ -95,7 +95,7 @@
 
 func TestMalformedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
 		good := amqp.Publishing{CorrelationId: "m", MessageId: "k", Type: "enrol", ReplyTo: "answers", Expiration: "5000",
 			Headers: amqp.Table{"x-tenant-id": "univ-laurentie"}, Body: []byte("done")}
@@ -127,8 +127,8 @@
 		bad.ReplyTo, bad.Type = "", "render"
 		q.publish(bad)
 		synctest.Wait()
-		if r.broker.Rejected != 1 || len(r.yard.Sent("m")) != 0 {
-			t.Errorf("%d rejected, %d sent", r.broker.Rejected, len(r.yard.Sent("m")))
+		if r.broker.Rejected != 1 || len(r.workers.Sent("m")) != 0 {
+			t.Errorf("%d rejected, %d sent", r.broker.Rejected, len(r.workers.Sent("m")))
 		}
 	})
 }
@@ -136,7 +136,7 @@
 // What the HTTP/1.1 floor alone can meet, and what passes through as it came.
 func TestWorkersOverHTTP(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{})
+		r := newTestDispatcher(t).start(options{})
 		for _, k := range []struct {
 			script, verdict string
 			sends           int
@@ -146,29 +146,29 @@
 		} {
 			time.Sleep(2 * time.Second)
 			c := r.post(task{k.script, "enrol", "key " + k.script, k.script, 5 * time.Second})
-			if sent := r.yard.Sent(k.script); c.verdict != k.verdict || len(sent) != k.sends {
+			if sent := r.workers.Sent(k.script); c.verdict != k.verdict || len(sent) != k.sends {
 				t.Errorf("%s: %+v after %v", k.script, c, sent)
 			}
 			if c.verdict == "served" && c.body != Result(k.script) {
 				t.Errorf("%s: the result is %q", k.script, c.body)
 			}
-			h := r.yard.Heads[k.script]
-			if h.Get("Idempotency-Key") != "key "+k.script || r.yard.Target[k.script] != "/enrol/x?y=%20z" || h.Get("X-Attrs") != "slots=1" {
-				t.Errorf("%s: what passed on is %q with %v", k.script, r.yard.Target[k.script], h)
+			h := r.workers.Headers[k.script]
+			if h.Get("Idempotency-Key") != "key "+k.script || r.workers.Targets[k.script] != "/enrol/x?y=%20z" || h.Get("X-Attrs") != "slots=1" {
+				t.Errorf("%s: what passed on is %q with %v", k.script, r.workers.Targets[k.script], h)
 			}
 			if h.Get("X-Timeout") == "" || len(h["X-Request-Id"]) != 1 {
 				t.Errorf("%s: head %v", k.script, h)
 			}
 		}
-		if len(r.yard.Broken) > 0 {
-			t.Error(r.yard.Broken)
+		if len(r.workers.Violations) > 0 {
+			t.Error(r.workers.Violations)
 		}
 	})
 }
 
 func TestPortalRejectsWhatIsNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{})
+		r := newTestDispatcher(t).start(options{})
 		good := "POST /enrol HTTP/1.1\r\nHost: b\r\nX-Request-ID: p1\r\nX-Priority-Class: enrol\r\nX-Tenant-Id: univ-gaspesie\r\n" +
 			"X-Timeout: 2.5\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\ndone"
 		for name, k := range map[string]struct{ from, to, status string }{
@@ -241,11 +241,11 @@
 // On leaving, new connections are still served, answers close theirs, and what was taken is answered.
 func TestLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{})
-		slow := make(chan came)
+		r := newTestDispatcher(t).start(options{})
+		slow := make(chan receivedAnswer)
 		go func() { slow <- r.post(task{"l1", "seat-check", "", "done/4s", 5 * time.Second}) }()
 		time.Sleep(time.Second)
-		r.portal.Drain()
+		r.clientServer.Drain()
 		if status, _ := r.raw("GET /up HTTP/1.1\r\nHost: b\r\n\r\n"); status != "503" {
 			t.Errorf("/up answers %s", status)
 		}
@@ -262,7 +262,7 @@
 			t.Errorf("the job that was out: %+v", c)
 		}
 		done := make(chan error)
-		go func() { done <- r.portal.Shutdown(context.Background()) }()
+		go func() { done <- r.clientServer.Shutdown(context.Background()) }()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
--- a/internal/dispatcher/testenv/herd_test.go
+++ b/internal/dispatcher/testenv/herd_test.go
@@ -21,11 +21,11 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-// crowd is many dispatchers round one discovery and a few workers, all on one network in memory.
-type crowd struct {
+// dispatcherHerd is many dispatchers round one discovery and a few workers, all on one network in memory.
+type dispatcherHerd struct {
 	t      *testing.T
-	net    *Net
-	list   *Roster
+	net    *Network
+	list   *DiscoveryServer
 	known  []config.Worker
 	birth  time.Time
 	mu     sync.Mutex
@@ -36,7 +36,7 @@
 }
 
 // start brings dispatcher i up; what it gives ends it at once, as a kill does.
-func (c *crowd) start(i, life int) (kill func()) {
+func (c *dispatcherHerd) start(i, life int) (kill func()) {
 	n := Node(c.t, c.known, "")
 	n.Seed, n.Module.Self, n.Module.Dispatchers = uint64(i*1000+life), i, len(c.calls)
 	counters := new(dispatch.Counters)
@@ -87,7 +87,7 @@
 }
 
 // between counts the calls of all in a span, and gives the most by one dispatcher and in any tenth of a second.
-func (c *crowd) between(from, to time.Duration) (all, byOne, crest int) {
+func (c *dispatcherHerd) between(from, to time.Duration) (all, byOne, crest int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var at []time.Duration
@@ -109,7 +109,7 @@
 }
 
 // inStep counts the pairs whose calls of a span, three at least, all come within 20 ms of each other.
-func (c *crowd) inStep(from, to time.Duration) (pairs int) {
+func (c *dispatcherHerd) inStep(from, to time.Duration) (pairs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var rows [][]time.Duration
@@ -133,17 +133,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		const many = 60
 		const turn = 25 * time.Millisecond // discovery takes 40 calls a second
-		c := &crowd{t: t, net: &Net{Silent: map[string]bool{}}, birth: time.Now(), calls: make([][]time.Duration, many),
-			list: &Roster{Changes: make(chan string), Turn: turn, Bears: 600 * time.Millisecond}}
-		yard := &Yard{}
+		c := &dispatcherHerd{t: t, net: &Network{Silent: map[string]bool{}}, birth: time.Now(), calls: make([][]time.Duration, many),
+			list: &DiscoveryServer{Changes: make(chan string), CallDuration: turn, MaxWait: 600 * time.Millisecond}}
+		yard := &WorkerGroup{}
 		for i := range 8 {
 			name, address := fmt.Sprintf("s-%08x", (i+1)*0x1234567), fmt.Sprintf("127.0.1.%d:5000", i)
-			c.known = append(c.known, Listing(name, address, "ready"))
+			c.known = append(c.known, Worker(name, address, "ready"))
 			l := c.net.Listen(address)
 			t.Cleanup(func() { l.Close() })
 			go yard.Worker(l, name)
 		}
-		c.list.Whole = config.WorkerList{Generation: 8, Reset: true, Workers: c.known}
+		c.list.Complete = config.WorkerList{Generation: 8, Reset: true, Workers: c.known}
 		srv := &http.Server{Handler: c.list}
 		t.Cleanup(func() { srv.Close(); time.Sleep(time.Minute) })
 		go srv.Serve(c.net.Listen("127.0.0.1:8500"))
@@ -175,11 +175,11 @@
 				}
 			}, 2, 15, many},
 			{"all watches end and all are turned away", 16 * time.Second, func() {
-				c.list.set(func() { c.list.Status = http.StatusServiceUnavailable; c.list.drop() })
+				c.list.update(func() { c.list.Status = http.StatusServiceUnavailable; c.list.closeWatches() })
 			}, 20, many, 0},
-			{"discovery is back", 12 * time.Second, func() { c.list.set(func() { c.list.Status = 0 }) }, 5, 15, many},
+			{"discovery is back", 12 * time.Second, func() { c.list.update(func() { c.list.Status = 0 }) }, 5, 15, many},
 			{"it holds", 10 * time.Second, func() {}, 0, 0, many},
-			{"all watches end once more", 10 * time.Second, func() { c.list.set(c.list.drop) }, 6, many, many},
+			{"all watches end once more", 10 * time.Second, func() { c.list.update(c.list.closeWatches) }, 6, many, many},
 			{"it holds again", 10 * time.Second, func() {}, 0, 0, many},
 		} {
 			began := time.Since(c.birth)
@@ -187,7 +187,7 @@
 			time.Sleep(part.lasts)
 			all, byOne, crest := c.between(began, time.Since(c.birth))
 			pairs, up := c.inStep(began, time.Since(c.birth)), 0
-			c.list.set(func() { up = c.list.up })
+			c.list.update(func() { up = c.list.openWatches })
 			t.Logf("%s: %d calls, %d by one at most, %d within 0.1 s at most, %d pairs in step", part.name, all, byOne, crest, pairs)
 			if byOne > part.byOne || crest > part.crest {
 				t.Errorf("%s: %d calls, %d by one, %d within 0.1 s; %d and %d are allowed", part.name, all, byOne, crest, part.byOne, part.crest)
@@ -198,7 +198,7 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		t.Logf("%d calls came, %d were turned away, %d jobs answered", len(c.list.Calls()), c.list.turned, c.served)
+		t.Logf("%d calls came, %d were turned away, %d jobs answered", len(c.list.Calls()), c.list.rejectedCalls, c.served)
 		if len(c.lost) > 0 || c.served < 5000 {
 			t.Errorf("%d jobs were answered, %d of them not served: %s", c.served, len(c.lost), strings.Join(c.lost[:min(len(c.lost), 10)], ", "))
 		}
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -21,31 +21,31 @@
 
 // machine is one worker.
 type machine struct {
-	f       *Fleet
-	id      string
-	kind    fleetsim.Kind
-	zone    string
-	speed   float64
-	mu      sync.Mutex
-	up      bool
-	born    time.Time // zero: warm
-	process int
-	taken   float64
-	each    float64
-	counted time.Time
-	running priorityqueue.Queue[*piece]
-	waiting []*piece
-	timer   *time.Timer
-	ports   []net.Listener
-	conns   map[net.Conn]bool
-	views   []view
-	every   time.Duration
-	delay   time.Duration
-	done    int
+	f         *Fleet
+	id        string
+	kind      fleetsim.Kind
+	zone      string
+	speed     float64
+	mu        sync.Mutex
+	up        bool
+	startedAt time.Time // zero: warm
+	process   int
+	taken     float64
+	each      float64
+	counted   time.Time
+	running   priorityqueue.Queue[*runningJob]
+	waiting   []*runningJob
+	timer     *time.Timer
+	ports     []net.Listener
+	conns     map[net.Conn]bool
+	views     []view
+	every     time.Duration
+	delay     time.Duration
+	done      int
 }
 
-// hop is the time one way between a zone and a machine.
-func (m *machine) hop(zone string) time.Duration {
+// oneWayDelay is the time one way between a zone and a machine.
+func (m *machine) oneWayDelay(zone string) time.Duration {
 	base := m.f.desc.SameZoneMs
 	if zone != m.zone {
 		base = m.f.desc.CrossZoneMs
@@ -58,8 +58,8 @@
 	if len(m.ports) > dispatcher {
 		w.Address = m.ports[dispatcher].Addr().String()
 	}
-	if !m.born.IsZero() {
-		w.StartedAtMs = m.born.UnixMilli()
+	if !m.startedAt.IsZero() {
+		w.StartedAtMs = m.startedAt.UnixMilli()
 	}
 	return w
 }
@@ -67,7 +67,7 @@
 // listen opens a port for each dispatcher, so that a connection tells from how far it comes.
 func (m *machine) listen(number int) error {
 	m.ports = nil
-	for i, s := range m.f.seats {
+	for i, s := range m.f.dispatchers {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:%d", m.f.host, 10+i, number, 5000))
 		if err != nil {
 			return err
@@ -105,7 +105,7 @@
 	}()
 	in := bufio.NewReader(conn)
 	more := m.kind.ConnectionMs / 1000
-	came := 2 * time.Duration(m.f.desc.Trips*float64(m.hop(zone))) // the connection itself takes so long
+	came := 2 * time.Duration(m.f.desc.Trips*float64(m.oneWayDelay(zone))) // the connection itself takes so long
 	for {
 		conn.SetReadDeadline(time.Now().Add(dur(m.f.desc.ConnIdleS)))
 		r, err := http.ReadRequest(in)
@@ -120,7 +120,7 @@
 		if err != nil {
 			return
 		}
-		time.Sleep(came + m.hop(zone))
+		time.Sleep(came + m.oneWayDelay(zone))
 		if !m.answer(conn, r, work+more, zone) {
 			return
 		}
@@ -132,7 +132,7 @@
 func (m *machine) answer(conn net.Conn, r *http.Request, work float64, zone string) bool {
 	id, key := r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key")
 	write := func(at time.Time, text string) bool {
-		time.Sleep(time.Until(at.Add(m.hop(zone))))
+		time.Sleep(time.Until(at.Add(m.oneWayDelay(zone))))
 		_, err := io.WriteString(conn, text)
 		return err == nil
 	}
@@ -145,10 +145,10 @@
 	var first chan bool
 	if key != "" {
 		m.f.mu.Lock()
-		before := m.f.past[key]
+		before := m.f.outcomes[key]
 		if before == nil {
 			first = make(chan bool)
-			m.f.past[key] = first
+			m.f.outcomes[key] = first
 		}
 		m.f.mu.Unlock()
 		if before != nil {
@@ -159,7 +159,7 @@
 	forget := func() {
 		if first != nil {
 			m.f.mu.Lock()
-			delete(m.f.past, key)
+			delete(m.f.outcomes, key)
 			m.f.mu.Unlock()
 			close(first)
 		}
@@ -193,10 +193,10 @@
 	}
 }
 
-func (m *machine) die() {
+func (m *machine) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.move()
+	m.advance()
 	m.up = false
 	if m.timer != nil {
 		m.timer.Stop()
@@ -215,11 +215,11 @@
 	m.ports, m.conns = nil, map[net.Conn]bool{}
 }
 
-func (m *machine) rise(number int) {
+func (m *machine) restart(number int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.process++
-	m.up, m.born, m.counted, m.each = true, time.Now(), time.Now(), 0
+	m.up, m.startedAt, m.counted, m.each = true, time.Now(), time.Now(), 0
 	if err := m.listen(number); err != nil {
 		panic(err) // a port of this day's own was taken: nothing that is measured now means anything
 	}
--- a/internal/dispatcher/testenv/machine_service.go
+++ b/internal/dispatcher/testenv/machine_service.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// piece is a job at a machine; its stages come out in order.
-type piece struct {
+// runningJob is a job at a machine; its stages come out in order.
+type runningJob struct {
 	work, finish float64
 	stage        chan time.Time // started, then done; closed without if the machine died
 }
 
 // Before orders running jobs by the service at which they are done.
-func (p *piece) Before(other *piece) bool { return p.finish < other.finish }
+func (p *runningJob) Before(other *runningJob) bool { return p.finish < other.finish }
 
 // rate is the service a second of each running job.
 func (m *machine) rate(at time.Time) float64 {
 	capacity := 1.0
-	if !m.born.IsZero() {
-		capacity = min(m.kind.ColdShare+(1-m.kind.ColdShare)*at.Sub(m.born).Seconds()/max(m.kind.WarmS, 1e-9), 1)
+	if !m.startedAt.IsZero() {
+		capacity = min(m.kind.ColdShare+(1-m.kind.ColdShare)*at.Sub(m.startedAt).Seconds()/max(m.kind.WarmS, 1e-9), 1)
 	}
 	return m.speed * capacity * min(1, m.kind.Cores*(1-m.taken)/float64(max(len(m.running), 1)))
 }
 
-// move brings the service up to now, lets jobs end and begin, and sets the next look. The lock is held.
-func (m *machine) move() {
+// advance brings the service up to now, lets jobs end and begin, and sets the next look. The lock is held.
+func (m *machine) advance() {
 	now := time.Now()
 	if span := now.Sub(m.counted); len(m.running) > 0 && span > 0 {
 		m.each += m.rate(m.counted.Add(span/2)) * span.Seconds()
@@ -48,28 +48,28 @@
 		if r := m.rate(now); r > 0 {
 			wait = dur(min((m.running[0].finish-m.each)/r, 1000))
 		}
-		if !m.born.IsZero() {
+		if !m.startedAt.IsZero() {
 			wait = min(wait, 20*time.Millisecond)
 		}
 		m.timer = time.AfterFunc(wait, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.move()
+			m.advance()
 		})
 	}
 }
 
-func (m *machine) begin(p *piece, now time.Time) {
+func (m *machine) begin(p *runningJob, now time.Time) {
 	p.finish = m.each + p.work
 	m.running.Push(p)
 	p.stage <- now
 }
 
-func (m *machine) take(work float64) *piece {
+func (m *machine) take(work float64) *runningJob {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.move()
-	p := &piece{work: work, stage: make(chan time.Time, 2)}
+	m.advance()
+	p := &runningJob{work: work, stage: make(chan time.Time, 2)}
 	switch {
 	case !m.up:
 		close(p.stage)
@@ -81,6 +81,6 @@
 	default:
 		return nil
 	}
-	m.move()
+	m.advance()
 	return p
 }
--- /dev/null
+++ b/internal/dispatcher/testenv/network.go
@@ -0,0 +1,91 @@
+package testenv
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+)
+
+// Network is a network in memory. A connection to an address without a listener is refused; one to an address in Silent is never answered.
+type Network struct {
+	mu     sync.Mutex
+	at     map[string]*listener
+	Silent map[string]bool
+	Dials  int
+}
+
+type listener struct {
+	net     *Network
+	address string
+	conns   chan net.Conn
+	over    chan struct{}
+	once    sync.Once
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.over:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.over)
+		l.net.mu.Lock()
+		delete(l.net.at, l.address)
+		l.net.mu.Unlock()
+	})
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+
+// Listen opens an address.
+func (n *Network) Listen(address string) net.Listener {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.at == nil {
+		n.at = map[string]*listener{}
+	}
+	l := &listener{net: n, address: address, conns: make(chan net.Conn), over: make(chan struct{})}
+	n.at[address] = l
+	return l
+}
+
+// Dial connects to an address.
+func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
+	n.mu.Lock()
+	l, silent := n.at[address], n.Silent[address]
+	n.Dials++
+	n.mu.Unlock()
+	if silent {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	if l == nil {
+		return nil, errors.New("connection refused")
+	}
+	here, there := net.Pipe()
+	select {
+	case l.conns <- there:
+		return here, nil
+	case <-l.over:
+		return nil, errors.New("connection refused")
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// Dialer is the network in the form that the AMQP library wants.
+func Dialer(n *Network) func(network, address string) (net.Conn, error) {
+	return func(_, address string) (net.Conn, error) { return n.Dial(context.Background(), address) }
+}
+
+// dialContext is the network in the form that discovery's client wants.
+func dialContext(n *Network) func(ctx context.Context, network, address string) (net.Conn, error) {
+	return func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, address) }
+}
--- a/internal/dispatcher/testenv/payouts_test.go
+++ b/internal/dispatcher/testenv/payouts_test.go
@@ -24,12 +24,12 @@
 )
 
 // payouts is a dispatcher of that kind, with workers in two zones.
-func payouts(t *testing.T, workers int, stops bool) (*dispatch.Core, *Yard, map[string]string) {
-	c := &Net{Silent: map[string]bool{}}
-	yard, zones := &Yard{Stops: stops}, map[string]string{}
+func payouts(t *testing.T, workers int, stops bool) (*dispatch.Core, *WorkerGroup, map[string]string) {
+	c := &Network{Silent: map[string]bool{}}
+	yard, zones := &WorkerGroup{StopsOnCancel: stops}, map[string]string{}
 	var known []config.Worker
 	for i := range workers {
-		w := Listing(fmt.Sprintf("s-%08x", (i+1)*0x1234567), fmt.Sprintf("127.0.1.%d:5000", i), "ready")
+		w := Worker(fmt.Sprintf("s-%08x", (i+1)*0x1234567), fmt.Sprintf("127.0.1.%d:5000", i), "ready")
 		w.Zone = []string{"montreal", "sherbrooke"}[i%2]
 		zones[w.ID], known = w.Zone, append(known, w)
 		l := c.Listen(w.Address)
@@ -42,7 +42,7 @@
 	m.Classes[0] = decision.ClassSettings{LatencyTarget: 300 * time.Millisecond, Stretch: 2.5, Deadline: 6 * time.Second, Idempotency: decision.NotIdempotent, Value: 10, WorkerKind: -1}
 	m.Classes[1] = decision.ClassSettings{LatencyTarget: 250 * time.Millisecond, Stretch: 2.5, Deadline: 12 * time.Second, Idempotency: decision.Deduplicated, DedupScope: decision.DedupByZone,
 		DedupWindow: 20 * time.Second, Value: 8, WorkerKind: -1}
-	srv := &http.Server{Handler: &Roster{Changes: make(chan string), Whole: config.WorkerList{Generation: 8, Reset: true, Workers: known}}}
+	srv := &http.Server{Handler: &DiscoveryServer{Changes: make(chan string), Complete: config.WorkerList{Generation: 8, Reset: true, Workers: known}}}
 	go srv.Serve(c.Listen("127.0.0.1:8500"))
 	counters := new(dispatch.Counters)
 	f, watch := workerhttp.New(n, counters), discovery.New(n)
@@ -122,8 +122,8 @@
 				t.Errorf("%s got %d answers", id, answers[id])
 			}
 		}
-		if len(yard.Broken) > 0 || again < 10 {
-			t.Errorf("%d jobs were sent again in their zone; broken: %v", again, yard.Broken)
+		if len(yard.Violations) > 0 || again < 10 {
+			t.Errorf("%d jobs were sent again in their zone; broken: %v", again, yard.Violations)
 		}
 	})
 }
@@ -145,8 +145,8 @@
 		a := <-done
 		time.Sleep(time.Second)
 		if took := time.Since(began) - time.Second; a.Kind != dispatch.Failed || took < 300*time.Millisecond || took > 2*time.Second ||
-			len(yard.Sent("long")) != 1 || !slices.Contains(yard.Halted, "long") {
-			t.Errorf("%+v after %v, sent to %v, halted %v", a, took, yard.Sent("long"), yard.Halted)
+			len(yard.Sent("long")) != 1 || !slices.Contains(yard.Stopped, "long") {
+			t.Errorf("%+v after %v, sent to %v, halted %v", a, took, yard.Sent("long"), yard.Stopped)
 		}
 	})
 }
--- a/internal/dispatcher/testenv/redelivery_test.go
+++ b/internal/dispatcher/testenv/redelivery_test.go
@@ -14,7 +14,7 @@
 // A broker delivers an enrol again when its channel drops while the job is out: one send, one answer.
 func TestRedeliveredEnrolJoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
 		q.put(task{"r1", "enrol", "k1", "done/2s", 5 * time.Second})
 		time.Sleep(time.Second)
@@ -23,8 +23,8 @@
 			t.Errorf("answered %+v", c)
 		}
 		q.none(t)
-		if n := len(r.yard.Sent("r1")); n != 1 || r.broker.Settled != 1 {
-			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Settled)
+		if n := len(r.workers.Sent("r1")); n != 1 || r.broker.Acked != 1 {
+			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Acked)
 		}
 	})
 }
@@ -32,16 +32,16 @@
 // The same when the drop comes between the answer's publish and its confirm: the ledger gives the outcome again.
 func TestUnconfirmedAnswerIsGivenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
-		r.broker.Doubt(2)
+		r.broker.NackNext(2)
 		q.put(task{"r1", "enrol", "k1", "done/100ms", 5 * time.Second})
 		if c := q.answer(); c.verdict != "served" {
 			t.Errorf("answered %+v", c)
 		}
 		q.none(t)
-		if n := len(r.yard.Sent("r1")); n != 1 || r.broker.Settled != 1 {
-			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Settled)
+		if n := len(r.workers.Sent("r1")); n != 1 || r.broker.Acked != 1 {
+			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Acked)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 func TestRedeliveredAfterRestart(t *testing.T) {
 	for class, want := range map[string]string{"enrol": "failed", "seat-check": "served"} {
 		synctest.Test(t, func(t *testing.T) {
-			r := world(t).start(options{amqp: true})
+			r := newTestDispatcher(t).start(options{amqp: true})
 			q := r.queue()
 			q.put(task{"r1", class, "k1", "silent,done", 5 * time.Second})
 			time.Sleep(time.Second)
@@ -62,7 +62,7 @@
 			if c := q.answer(); c.verdict != want {
 				t.Errorf("%s: answered %+v", class, c)
 			}
-			if n := len(r.yard.Sent("r1")); (n == 1) != (class == "enrol") {
+			if n := len(r.workers.Sent("r1")); (n == 1) != (class == "enrol") {
 				t.Errorf("%s: sent %d times", class, n)
 			}
 		})
@@ -83,7 +83,7 @@
 // and the successor's client gets the outcome that stands.
 func TestRedeliveredAsksTheCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
 		q.put(task{"r1", "enrol", "k1", "silent,done", 5 * time.Second})
 		time.Sleep(time.Second)
@@ -92,8 +92,8 @@
 		time.Sleep(time.Second)
 		kept := &copies{}
 		r.start(options{amqp: true, taker: kept})
-		if c := q.answer(); c.verdict != "served" || c.body != "as it stands" || len(kept.asked) != 1 || len(r.yard.Sent("r1")) != 1 {
-			t.Errorf("answered %+v, the copies were asked for %q, it was sent %d times", c, kept.asked, len(r.yard.Sent("r1")))
+		if c := q.answer(); c.verdict != "served" || c.body != "as it stands" || len(kept.asked) != 1 || len(r.workers.Sent("r1")) != 1 {
+			t.Errorf("answered %+v, the copies were asked for %q, it was sent %d times", c, kept.asked, len(r.workers.Sent("r1")))
 		}
 	})
 }
@@ -101,18 +101,18 @@
 // A worker's queue that is not there proves that nothing ran; a channel that drops after a publish does not.
 func TestReturnedAndLostPublishes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true, queues: true, lostQueue: true})
+		r := newTestDispatcher(t).start(options{amqp: true, queues: true, lostQueue: true})
 		q := r.queue()
 		q.put(task{"r1", "enrol", "k1", "done", 5 * time.Second})
 		if c := q.answer(); c.verdict != "refused" || c.after == "" {
 			t.Errorf("answered %+v", c)
 		}
-		if n := r.core.Counters.Outcomes[decision.ConnectFailed].Load(); n == 0 || len(r.yard.Sent("r1")) != 0 {
-			t.Errorf("%d attempts count as never run, %v sent", n, r.yard.Sent("r1"))
+		if n := r.core.Counters.Outcomes[decision.ConnectFailed].Load(); n == 0 || len(r.workers.Sent("r1")) != 0 {
+			t.Errorf("%d attempts count as never run, %v sent", n, r.workers.Sent("r1"))
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true, queues: true})
+		r := newTestDispatcher(t).start(options{amqp: true, queues: true})
 		q := r.queue()
 		q.put(task{"r2", "enrol", "k2", "done/4s", 3 * time.Second})
 		time.Sleep(time.Second)
@@ -131,7 +131,7 @@
 // A client's own new try of a key: with a served one it gets the result and nothing is sent; after a refusal it runs.
 func TestNewTryOfAKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := world(t).start(options{amqp: true})
+		r := newTestDispatcher(t).start(options{amqp: true})
 		q := r.queue()
 		for _, k := range []struct {
 			task
@@ -145,8 +145,8 @@
 			{task{"t5", "seat-check", "k1", "done", 5 * time.Second}, "served", Result("t5"), 1},
 		} {
 			q.put(k.task)
-			if c := q.answer(); c.verdict != k.verdict || c.body != k.body || len(r.yard.Sent(k.id)) != k.sends {
-				t.Errorf("%s: %+v after %v", k.id, c, r.yard.Sent(k.id))
+			if c := q.answer(); c.verdict != k.verdict || c.body != k.body || len(r.workers.Sent(k.id)) != k.sends {
+				t.Errorf("%s: %+v after %v", k.id, c, r.workers.Sent(k.id))
 			}
 			time.Sleep(2 * time.Second)
 		}
--- a/internal/dispatcher/testenv/rig_test.go
+++ b/internal/dispatcher/testenv/rig_test.go
@@ -31,24 +31,24 @@
 
 var names = []string{"s-0badcafe", "s-1ce9565e", "s-3f2d6233", "s-9adcbe7d"}
 
-// rig is a whole dispatcher on the network in memory.
-type rig struct {
-	t      *testing.T
-	net    *Net
-	yard   *Yard
-	broker *Broker
-	list   *Roster
-	watch  *discovery.Watcher
-	node   *config.Node
-	core   *dispatch.Core
-	floor  *workerhttp.Transport
-	portal *clienthttp.Server
-	desk   *desk.Adapter
-	stop   func()
-	client *http.Client
-	ends   []func()
-	spare  int // client connections allowed, where not the usual number
-	pushed bool
+// testDispatcher is a whole dispatcher on the network in memory.
+type testDispatcher struct {
+	t               *testing.T
+	net             *Network
+	workers         *WorkerGroup
+	broker          *Broker
+	discoveryServer *DiscoveryServer
+	watch           *discovery.Watcher
+	node            *config.Node
+	core            *dispatch.Core
+	transport       *workerhttp.Transport
+	clientServer    *clienthttp.Server
+	desk            *desk.Adapter
+	stop            func()
+	client          *http.Client
+	ends            []func()
+	spare           int // client connections allowed, where not the usual number
+	pushed          bool
 }
 
 type options struct {
@@ -61,19 +61,19 @@
 
 func (s seen) Observe(m *dispatch.Event) { s(m) }
 
-// world makes the surroundings: four workers over HTTP, or as many at queues, a roster and a broker.
-func world(t *testing.T) *rig {
-	r := &rig{t: t, net: &Net{Silent: map[string]bool{}}, yard: &Yard{}, broker: &Broker{}, list: &Roster{Changes: make(chan string)}}
+// newTestDispatcher makes the surroundings: four workers over HTTP, or as many at queues, a roster and a broker.
+func newTestDispatcher(t *testing.T) *testDispatcher {
+	r := &testDispatcher{t: t, net: &Network{Silent: map[string]bool{}}, workers: &WorkerGroup{}, broker: &Broker{}, discoveryServer: &DiscoveryServer{Changes: make(chan string)}}
 	r.broker.Queue("jobs")
 	bl, dl := r.net.Listen(broker), r.net.Listen("127.0.0.1:8500")
 	go r.broker.Serve(bl)
-	srv := &http.Server{Handler: r.list}
+	srv := &http.Server{Handler: r.discoveryServer}
 	go srv.Serve(dl)
 	var open []net.Listener
 	for i, name := range names {
 		l := r.net.Listen(fmt.Sprintf("127.0.1.%d:5000", i))
 		open = append(open, l)
-		go r.yard.Worker(l, name)
+		go r.workers.Worker(l, name)
 	}
 	r.client = &http.Client{Transport: &http.Transport{DialContext: dialContext(r.net)}}
 	t.Cleanup(r.end)
@@ -94,14 +94,14 @@
 }
 
 // end closes everything, the last first.
-func (r *rig) end() {
+func (r *testDispatcher) end() {
 	for ; len(r.ends) > 0; r.ends = r.ends[:len(r.ends)-1] {
 		r.ends[len(r.ends)-1]()
 	}
 }
 
 // start brings a dispatcher up in it.
-func (r *rig) start(o options) *rig {
+func (r *testDispatcher) start(o options) *testDispatcher {
 	text := ""
 	var listed []config.Worker
 	if o.amqp || o.queues {
@@ -109,7 +109,7 @@
 	}
 	for i, name := range names {
 		if !o.queues {
-			listed = append(listed, Listing(name, fmt.Sprintf("127.0.1.%d:5000", i), "ready"))
+			listed = append(listed, Worker(name, fmt.Sprintf("127.0.1.%d:5000", i), "ready"))
 			continue
 		}
 		text += fmt.Sprintf("[[amqp.worker]]\nid = %q\nqueue = %q\nzone = \"montreal\"\nkind = \"std-2c\"\n", name, name)
@@ -121,13 +121,13 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		if err := r.yard.QueueWorker(c, name, name); err != nil {
+		if err := r.workers.QueueWorker(c, name, name); err != nil {
 			r.t.Fatal(err)
 		}
 	}
-	r.list.mu.Lock()
-	r.list.Whole = config.WorkerList{Generation: 8, Reset: true, Workers: listed}
-	r.list.mu.Unlock()
+	r.discoveryServer.mu.Lock()
+	r.discoveryServer.Complete = config.WorkerList{Generation: 8, Reset: true, Workers: listed}
+	r.discoveryServer.mu.Unlock()
 	n := Node(r.t, listed, text)
 	if r.pushed {
 		n.Module.Discovery = decision.DiscoveryPush
@@ -136,8 +136,8 @@
 		n.Limits.ClientConns, n.Limits.ClientConnsWithoutHead = r.spare, r.spare/3
 	}
 	counters := new(dispatch.Counters)
-	r.node, r.floor = n, workerhttp.New(n, counters)
-	r.floor.Dial = r.net.Dial
+	r.node, r.transport = n, workerhttp.New(n, counters)
+	r.transport.Dial = r.net.Dial
 	watch := discovery.New(n)
 	watch.Dial = dialContext(r.net)
 	var queues dispatch.Transport
@@ -148,7 +148,7 @@
 		queues, fixed = r.desk, r.desk.Workers()
 	}
 	var err error
-	if r.core, err = dispatch.New(n, counters, r.floor, queues, watch, fixed); err != nil {
+	if r.core, err = dispatch.New(n, counters, r.transport, queues, watch, fixed); err != nil {
 		r.t.Fatal(err)
 	}
 	if o.sees != nil {
@@ -164,18 +164,18 @@
 		}
 		go r.desk.Run(ctx)
 	}
-	r.portal = clienthttp.New(n, r.core)
+	r.clientServer = clienthttp.New(n, r.core)
 	l := r.net.Listen(here)
-	go r.portal.Serve(l)
+	go r.clientServer.Serve(l)
 	r.stop = func() {
 		cancel()
 		done, over := context.WithCancel(context.Background())
 		over()
-		r.portal.Shutdown(done)
+		r.clientServer.Shutdown(done)
 		l.Close()
 		r.client.CloseIdleConnections()
 		for _, w := range listed {
-			r.floor.CloseIdle(w)
+			r.transport.CloseIdle(w)
 		}
 	}
 	r.ends = append(r.ends, r.stop)
@@ -188,15 +188,15 @@
 	wait                   time.Duration
 }
 
-// came is what a client sees of a job.
-type came struct {
+// receivedAnswer is what a client sees of a job.
+type receivedAnswer struct {
 	id, verdict, body, after string
 	took                     time.Duration
 	closed                   bool // the answer closed its connection
 }
 
 // post hands a job in over HTTP/1.1.
-func (r *rig) post(k task) came {
+func (r *testDispatcher) post(k task) receivedAnswer {
 	req, _ := http.NewRequest("POST", "http://"+here+"/"+k.class+"/x?y=%20z", strings.NewReader(k.script))
 	req.Header.Set("X-Request-ID", k.id)
 	req.Header.Set("X-Priority-Class", k.class)
@@ -209,11 +209,11 @@
 	began := time.Now()
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return came{verdict: err.Error()}
+		return receivedAnswer{verdict: err.Error()}
 	}
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
-	c := came{verdict: "failed", after: resp.Header.Get("Retry-After"), took: time.Since(began), closed: resp.Close}
+	c := receivedAnswer{verdict: "failed", after: resp.Header.Get("Retry-After"), took: time.Since(began), closed: resp.Close}
 	switch resp.StatusCode {
 	case 200:
 		c.verdict, c.body = "served", string(body)
@@ -223,15 +223,15 @@
 	return c
 }
 
-// university is a client that puts jobs into a queue.
-type university struct {
-	r       *rig
+// queueClient is a client that puts jobs into a queue.
+type queueClient struct {
+	r       *testDispatcher
 	conn    *amqp.Connection
 	ch      *amqp.Channel
 	answers <-chan amqp.Delivery
 }
 
-func (r *rig) queue() *university {
+func (r *testDispatcher) queue() *queueClient {
 	c, err := Connect(r.net, broker)
 	if err != nil {
 		r.t.Fatal(err)
@@ -246,22 +246,22 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return &university{r, c, ch, answers}
+	return &queueClient{r, c, ch, answers}
 }
 
-func (q *university) put(k task) {
+func (q *queueClient) put(k task) {
 	q.publish(amqp.Publishing{CorrelationId: k.id, MessageId: k.key, Type: k.class, ReplyTo: "answers",
 		Expiration: fmt.Sprint(k.wait.Milliseconds()), Headers: amqp.Table{"x-tenant-id": "univ-laurentie", "x-slots": "1"}, Body: []byte(k.script)})
 }
 
-func (q *university) publish(p amqp.Publishing) {
+func (q *queueClient) publish(p amqp.Publishing) {
 	if err := q.ch.Publish("", "jobs", false, false, p); err != nil {
 		q.r.t.Fatal(err)
 	}
 }
 
 // answer waits for the next answer; none within a minute is one that never comes.
-func (q *university) answer() came {
+func (q *queueClient) answer() receivedAnswer {
 	began := time.Now()
 	select {
 	case m := <-q.answers:
@@ -271,13 +271,13 @@
 		if reason != "" {
 			body = reason
 		}
-		return came{id: m.CorrelationId, verdict: m.Type, body: body, after: after, took: time.Since(began)}
+		return receivedAnswer{id: m.CorrelationId, verdict: m.Type, body: body, after: after, took: time.Since(began)}
 	case <-time.After(time.Minute):
-		return came{verdict: "none"}
+		return receivedAnswer{verdict: "none"}
 	}
 }
 
-func (q *university) none(t *testing.T) {
+func (q *queueClient) none(t *testing.T) {
 	t.Helper()
 	if c := q.answer(); c.verdict != "none" {
 		t.Errorf("a second answer came: %+v", c)
@@ -292,7 +292,7 @@
 }
 
 // raw sends bytes on a connection of its own and gives the status line and what follows.
-func (r *rig) raw(text string) (string, string) {
+func (r *testDispatcher) raw(text string) (string, string) {
 	conn, err := r.net.Dial(context.Background(), here)
 	if err != nil {
 		return err.Error(), ""
--- a/internal/dispatcher/workerhttp/request_test.go
+++ b/internal/dispatcher/workerhttp/request_test.go
@@ -32,9 +32,9 @@
 
 // testdata/request.http holds what a worker is sent, write by write.
 func TestRequestAsItIsWritten(t *testing.T) {
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		network, yard := &testenv.Net{}, &testenv.Yard{}
+		network, yard := &testenv.Network{}, &testenv.WorkerGroup{}
 		l := network.Listen(address)
 		go yard.Worker(l, "s-00000001")
 		var text bytes.Buffer
@@ -68,7 +68,7 @@
 
 // testdata/lines.txt holds what each line of a worker's answer means.
 func TestAnswerLinesAsTheyAreRead(t *testing.T) {
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	const load = `,"load":{"x0":2.5,"fail_rate":0,"rate":1.5,"q":0}`
 	var text bytes.Buffer
 	for _, line := range []string{
--- a/internal/dispatcher/workerhttp/transport_test.go
+++ b/internal/dispatcher/workerhttp/transport_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestConnectionStates(t *testing.T) {
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	type expectation struct {
 		answer  dispatch.AnswerKind
 		outcome decision.Outcome
@@ -86,7 +86,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			network, yard := &testenv.Net{}, &testenv.Yard{}
+			network, yard := &testenv.Network{}, &testenv.WorkerGroup{}
 			l := network.Listen(address)
 			go yard.Worker(l, "s-00000001")
 			b := newFixture(t, n, network.Dial)
@@ -143,10 +143,10 @@
 
 // A connection that never comes up, or is refused, proves that nothing ran.
 func TestNoConnection(t *testing.T) {
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			network := &testenv.Net{Silent: map[string]bool{address: silent}}
+			network := &testenv.Network{Silent: map[string]bool{address: silent}}
 			b := newFixture(t, n, network.Dial)
 			began := time.Now()
 			a := b.serve("n1", "done")
@@ -166,7 +166,7 @@
 
 // The request breaks before its last byte: it never ran.
 func TestBreakWhileWriting(t *testing.T) {
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", address, "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, n, func(context.Context, string) (net.Conn, error) {
 			here, there := net.Pipe()
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := testenv.Node(t, []config.Worker{testenv.Listing("s-00000001", l.Addr().String(), "ready")}, "")
+	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", l.Addr().String(), "ready")}, "")
 	b := newFixture(t, n, nil)
 	defer b.stop()
 	conns := make(chan net.Conn)
@@ -242,7 +242,7 @@
 
 // A worker may begin to leave while the connection to it comes up: nothing is written to it then, and the job never ran.
 func TestDrainWhileConnecting(t *testing.T) {
-	w := testenv.Listing("s-00000001", address, "ready")
+	w := testenv.Worker("s-00000001", address, "ready")
 	n := testenv.Node(t, []config.Worker{w}, "")
 	synctest.Test(t, func(t *testing.T) {
 		written := false
