--- a/internal/dispatcher/faultinjection/durablejobs.go
+++ b/internal/dispatcher/faultinjection/durablejobs.go
@@ -408,7 +408,7 @@
 	}
 }
 
-// Faults is what the record breaks.
+// Violations is what the record breaks.
 func (t *DurableJobsPlay) Violations() (out []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
