--- a/internal/cluster/agent_seeds.go
+++ b/internal/cluster/agent_seeds.go
@@ -1,9 +1,24 @@
 package cluster
 
-import "github.com/gravitational/trace"
+import (
+	"context"
+	"net"
+	"strconv"
+	"sync"
+	"time"
 
-// SetSeeds replaces the seeds by others, given as control addresses. Where one of them is not an address, the seeds stay
-// as they are, and the error names all that are wrong.
+	"github.com/gravitational/trace"
+
+	"gladepick/internal/ctxtime"
+)
+
+const (
+	seedTimeout  = 400 * time.Millisecond // for one request to a seed
+	seedInterval = 200 * time.Millisecond // between two rounds of requests while no member is known
+)
+
+// SetSeeds replaces the seeds, given as control addresses. Where one of them is not an address with a port, the
+// seeds stay as they are, and the error names all such ones.
 func (a *Agent) SetSeeds(seeds []string) error {
 	addresses, err := internalAddresses(seeds, a.options.InternalPort)
 	if err != nil {
@@ -22,7 +37,8 @@
 	return a.seeds
 }
 
-// internalAddresses returns the internal addresses of the seeds, or an error that names all that are wrong.
+// internalAddresses returns the internal RPC addresses of seeds, or an error that names all seeds that are not
+// addresses with a port.
 func internalAddresses(seeds []string, internalPort int) ([]string, error) {
 	var findings []error
 	addresses := make([]string, 0, len(seeds))
@@ -39,3 +55,61 @@
 	}
 	return addresses, nil
 }
+
+// InternalAddress returns the address of the internal RPC server of the machine that has the given control address.
+// The internal port is the same on all machines.
+func InternalAddress(controlAddress string, internalPort int) (string, error) {
+	host, _, err := net.SplitHostPort(controlAddress)
+	if err != nil {
+		return "", trace.BadParameter("seed %q is not an address with a port", controlAddress)
+	}
+	return net.JoinHostPort(host, strconv.Itoa(internalPort)), nil
+}
+
+// discover queries all seeds for the members of the control group until some are known or the context ends.
+func (a *Agent) discover(ctx context.Context) {
+	for ctx.Err() == nil && len(a.Core()) == 0 {
+		if !a.querySeeds(ctx) {
+			ctxtime.Sleep(ctx, seedInterval)
+		}
+	}
+}
+
+// querySeeds queries every seed once, concurrently, and reports whether one of them named the control group. The
+// first one that does ends the round.
+func (a *Agent) querySeeds(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
+	defer cancel()
+	var wait sync.WaitGroup
+	seeds := a.seedAddresses()
+	responses := make([][]CoreMember, len(seeds))
+	for i, seed := range seeds {
+		wait.Go(func() {
+			responses[i] = a.querySeed(ctx, seed)
+			if len(responses[i]) > 0 {
+				cancel()
+			}
+		})
+	}
+	wait.Wait()
+	for _, core := range responses {
+		if len(core) > 0 {
+			a.learnCore(core)
+			return true
+		}
+	}
+	return false
+}
+
+// querySeed returns the members that a seed names, or none.
+func (a *Agent) querySeed(ctx context.Context, seed string) []CoreMember {
+	var response CoreResponse
+	method, params := MethodCore, any(struct{}{})
+	if a.options.Register {
+		method, params = MethodRegister, a.options.Info()
+	}
+	if _, err := a.options.Pool.Get(seed).Call(ctx, method, params, nil, &response); err != nil {
+		return nil
+	}
+	return response.Core
+}
--- a/internal/cluster/agent_sync.go
+++ b/internal/cluster/agent_sync.go
@@ -8,25 +8,24 @@
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
 
-	"gladepick/internal/configuration"
 	"gladepick/internal/ctxtime"
 )
 
 const (
-	syncWait     = 400 * time.Millisecond // how long a member may hold back its answer
-	syncTimeout  = 350 * time.Millisecond // how long an answer may take beyond that
-	unleasedWait = 100 * time.Millisecond // the same while no lease runs: it begins when the primary knows of a renewal
-	roundPause   = 100 * time.Millisecond // after every known member has failed
-	// A large configuration takes a while to pass: while no member serves, answers get more and more time.
-	longestSyncTimeout = 4 * time.Second
-	// After so long with a member that is not the preferred one, the preferred one is tried again.
+	syncWait        = 400 * time.Millisecond // how long a member may hold back its response
+	syncTimeout     = 350 * time.Millisecond // how long a response may take beyond that
+	noLeaseWait     = 100 * time.Millisecond // syncWait while there is no lease: one begins when the primary knows of a renewal
+	roundRetryDelay = 100 * time.Millisecond // between two rounds in which no known member has served
+	// A large configuration takes a while to transfer: the time limit of responses doubles up to this while no member serves.
+	maxSyncTimeout = 4 * time.Second
+	// An agent that is not served by the preferred member tries that one again after so long.
 	preferenceInterval = 10 * time.Second
 )
 
-// Run keeps the lease and the snapshots current until the context ends.
+// Run renews the lease and keeps the snapshots current until the context ends.
 func (a *Agent) Run(ctx context.Context) {
-	failed := "" // the member that served last and then did not answer
-	a.patience.Store(int64(syncTimeout))
+	failed := "" // the member that served last and then failed
+	a.responseTimeout.Store(int64(syncTimeout))
 	for ctx.Err() == nil {
 		a.discover(ctx)
 		served, reason := a.syncRound(ctx, failed)
@@ -35,9 +34,9 @@
 		}
 		if served == "" {
 			failed = ""
-			a.patience.Store(min(2*a.patience.Load(), int64(longestSyncTimeout)))
-			a.askSeeds(ctx)
-			ctxtime.Sleep(ctx, roundPause)
+			a.responseTimeout.Store(min(2*a.responseTimeout.Load(), int64(maxSyncTimeout)))
+			a.querySeeds(ctx)
+			ctxtime.Sleep(ctx, roundRetryDelay)
 			continue
 		}
 		failed = ""
@@ -47,9 +46,9 @@
 	}
 }
 
-// syncRound tries each known member in turn and stays with the first that serves, for as long as it does. It returns
-// that member and why it was left: an error, or nil where another member is to be preferred. The member to avoid comes
-// last.
+// syncRound tries each known member in turn, the one to avoid last, and stays with the first that serves, for as
+// long as it does. It returns that member and why it was left: an error, or nil where another member is to be
+// preferred.
 func (a *Agent) syncRound(ctx context.Context, avoid string) (string, error) {
 	addresses := a.candidates()
 	if i := slices.Index(addresses, avoid); i >= 0 {
@@ -64,7 +63,7 @@
 	return "", nil
 }
 
-// syncWith syncs with one member until that fails or another one is to be preferred, and tells whether it served.
+// syncWith syncs with one member until that fails or another one is to be preferred, and reports whether it served.
 func (a *Agent) syncWith(ctx context.Context, address string) (bool, error) {
 	served := false
 	wait := time.Duration(0)
@@ -77,10 +76,10 @@
 		served = true
 		wait = syncWait
 		if !a.LeaseValid() {
-			wait = unleasedWait
+			wait = noLeaseWait
 		}
-		a.patience.Store(int64(syncTimeout))
-		a.member.Store(&address)
+		a.responseTimeout.Store(int64(syncTimeout))
+		a.servingMember.Store(&address)
 		if time.Since(begin) > preferenceInterval {
 			begin = time.Now()
 			if candidates := a.candidates(); len(candidates) > 0 && candidates[0] != address {
@@ -91,18 +90,18 @@
 	return served, ctx.Err()
 }
 
-// Renew announces the process at once, as after a change of what it announces. It is no more than an extra sync.
+// Renew announces the process at once, by an extra sync, as after a change of what it announces.
 func (a *Agent) Renew(ctx context.Context) error {
-	member := a.member.Load()
+	member := a.servingMember.Load()
 	if member == nil {
 		return trace.ConnectionProblem(nil, "no member of the control group has served yet")
 	}
 	return a.sync(ctx, *member, 0)
 }
 
-// sync renews the lease at a member and takes over what is newer there.
+// sync renews the lease at a member and adopts what is newer there.
 func (a *Agent) sync(ctx context.Context, address string, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait+time.Duration(a.patience.Load()))
+	ctx, cancel := context.WithTimeout(ctx, wait+time.Duration(a.responseTimeout.Load()))
 	defer cancel()
 	request := a.syncRequest(wait)
 	sent := time.Now()
@@ -114,6 +113,7 @@
 	return trace.Wrap(a.accept(&request, &response, body, sent))
 }
 
+// syncRequest returns the request that names the versions held here.
 func (a *Agent) syncRequest(wait time.Duration) SyncRequest {
 	request := SyncRequest{Node: a.options.Info(), WaitMS: wait.Milliseconds()}
 	if config := a.config.Load(); config != nil {
@@ -128,15 +128,16 @@
 	return request
 }
 
-// accept takes over an answer. The lease counts from the sending of this request or of an earlier one.
+// accept applies a response. The lease counts from the sending of this request, or from an earlier time that the
+// response names.
 func (a *Agent) accept(request *SyncRequest, response *SyncResponse, body []byte, sent time.Time) error {
-	body, err := unpackIfPacked(response, body)
+	body, err := decompressBody(response, body)
 	if err != nil {
 		return err
 	}
-	// The lease is taken up after the snapshots have been passed on: who acts by it acts by the newest table.
-	a.apply.Lock()
-	defer a.apply.Unlock()
+	// The lease is renewed after the subscribers have the snapshots: whoever acts by the lease acts by the newest table.
+	a.applying.Lock()
+	defer a.applying.Unlock()
 	changed, err := a.acceptConfig(request, response, body)
 	changed = a.acceptTable(response.Table) || changed
 	changed = a.acceptTableChanges(response.TableChanges) || changed
@@ -144,144 +145,33 @@
 	changed = a.acceptWorkerChanges(response.WorkerChanges) || changed
 	if response.WorkersAgeMS >= 0 {
 		read := time.Now().Add(-time.Duration(response.WorkersAgeMS) * time.Millisecond)
-		a.read.Store(&read)
-		a.count.Store(int64(response.WorkerCount))
+		a.workersReadAt.Store(&read)
+		a.workerCount.Store(int64(response.WorkerCount))
 	}
 	if changed {
 		a.notify()
-		a.rememberCore()
+		a.saveCoreInBackground()
 	}
 	if err == nil && response.LeaseAgeMS != NoLease {
-		a.noteRenewal(sent.Add(-time.Duration(response.LeaseAgeMS) * time.Millisecond))
+		a.recordRenewal(sent.Add(-time.Duration(response.LeaseAgeMS) * time.Millisecond))
 	}
 	return err
 }
 
-// unpackIfPacked returns an answer's body as it was before it was compressed.
-func unpackIfPacked(response *SyncResponse, body []byte) ([]byte, error) {
+// decompressBody returns the body of a response as it was before Compress.
+func decompressBody(response *SyncResponse, body []byte) ([]byte, error) {
 	if !response.Compressed {
 		return body, nil
 	}
 	return Decompress(body)
 }
 
-// rememberCore keeps the members of the control group on the disk whenever they have changed. A disk that hangs holds
-// up nothing else.
-func (a *Agent) rememberCore() {
-	if a.options.Disk == nil || !a.saving.TryLock() {
-		return
-	}
-	if !a.unsavedCore() {
-		a.saving.Unlock()
-		return
-	}
-	go func() {
-		defer a.saving.Unlock()
-		for a.unsavedCore() {
-			core := a.table.Load().Core
-			if err := saveCore(a.options.Disk, core); err != nil {
-				a.logger.Warn("members of the control group not saved", zap.Error(err))
-				return
-			}
-			a.saved = core
-		}
-	}()
-}
-
-// unsavedCore tells whether the members differ from those that the disk holds. The caller holds the lock for saving.
-func (a *Agent) unsavedCore() bool {
-	table := a.table.Load()
-	return table != nil && len(table.Core) > 0 && !slices.Equal(a.saved, table.Core)
-}
-
-// noteRenewal remembers the latest sending of a renewal that succeeded.
-func (a *Agent) noteRenewal(sent time.Time) {
+// recordRenewal remembers when the latest successful renewal was sent.
+func (a *Agent) recordRenewal(sent time.Time) {
 	for {
-		known := a.renewed.Load()
-		if known != nil && !sent.After(*known) || a.renewed.CompareAndSwap(known, &sent) {
+		known := a.leaseRenewedAt.Load()
+		if known != nil && !sent.After(*known) || a.leaseRenewedAt.CompareAndSwap(known, &sent) {
 			return
 		}
 	}
 }
-
-func (a *Agent) acceptConfig(request *SyncRequest, response *SyncResponse, body []byte) (bool, error) {
-	current := a.config.Load()
-	if response.ConfigVersion == 0 || current != nil && current.Version() >= response.ConfigVersion {
-		return false, nil
-	}
-	document, err := a.readConfig(current, request, response, body)
-	if err != nil {
-		return false, trace.Wrap(err, "reading configuration %d", response.ConfigVersion)
-	}
-	a.config.Store(document)
-	return true, nil
-}
-
-func (a *Agent) readConfig(
-	current *configuration.Document, request *SyncRequest, response *SyncResponse, body []byte,
-) (*configuration.Document, error) {
-	if document := a.localDocument(response.ConfigVersion); document != nil {
-		return document, nil
-	}
-	if len(response.ConfigUpdates) == 0 {
-		return configuration.ParseAfter(current, body)
-	}
-	if current == nil || current.Version() != request.ConfigVersion {
-		return nil, trace.CompareFailed("updates do not start at the configuration held here")
-	}
-	document := current
-	for _, length := range response.ConfigUpdates {
-		if length < 0 || length > len(body) {
-			return nil, trace.BadParameter("update is longer than the body")
-		}
-		next, err := document.Update(body[:length])
-		if err != nil {
-			return nil, err
-		}
-		document, body = next, body[length:]
-	}
-	return document, nil
-}
-
-func (a *Agent) acceptTable(table *Table) bool {
-	if table == nil {
-		return false
-	}
-	if current := a.table.Load(); current != nil && current.Revision >= table.Revision {
-		return false
-	}
-	a.table.Store(table)
-	return true
-}
-
-// acceptTableChanges applies the changes that the table here lacks.
-func (a *Agent) acceptTableChanges(changes []TableChange) bool {
-	before := a.table.Load()
-	if before == nil {
-		return false
-	}
-	table := before
-	for i := range changes {
-		table, _ = table.Apply(&changes[i])
-	}
-	a.table.Store(table)
-	return table != before
-}
-
-func (a *Agent) acceptWorkers(workers *WorkerList) bool {
-	if workers == nil || !workers.NewerThan(a.workers.Load()) {
-		return false
-	}
-	workers.ReadAt = time.Now()
-	a.workers.Store(workers)
-	return true
-}
-
-// acceptWorkerChanges applies changes that start at the list held here.
-func (a *Agent) acceptWorkerChanges(changes []WorkerChange) bool {
-	if len(changes) == 0 {
-		return false
-	}
-	workers, applied := a.workers.Load().ApplyAll(changes)
-	return applied && a.acceptWorkers(workers)
-}
--- a/internal/cluster/packing.go
+++ b/internal/cluster/compression.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// packFrom is the size of a body from which compressing it pays.
-	packFrom = 4 << 10
-	// longestUnpacked bounds what a compressed body may grow to.
-	longestUnpacked = 64 << 20
+	// minCompressBytes is the size from which on a body is compressed.
+	minCompressBytes = 4 << 10
+	// maxDecompressedBytes bounds the size of a decompressed body.
+	maxDecompressedBytes = 64 << 20
 )
 
-// Compress compresses a body, and returns false where that would not pay.
+// Compress compresses a body with DEFLATE (RFC 1951), and returns false where the body is small or does not shrink.
 func Compress(body []byte) ([]byte, bool) {
-	if len(body) < packFrom {
+	if len(body) < minCompressBytes {
 		return nil, false
 	}
 	var packed bytes.Buffer
@@ -37,15 +37,15 @@
 	return packed.Bytes(), true
 }
 
-// Decompress returns the body that Compress has compressed.
+// Decompress returns the body that Compress has compressed. It fails where that is malformed or larger than 64 MiB.
 func Decompress(packed []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
-	body, err := io.ReadAll(io.LimitReader(reader, longestUnpacked+1))
+	body, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, trace.Wrap(err, "unpacking a body")
 	}
-	if len(body) > longestUnpacked {
-		return nil, trace.LimitExceeded("a body of more than %d bytes", longestUnpacked)
+	if len(body) > maxDecompressedBytes {
+		return nil, trace.LimitExceeded("a body of more than %d bytes", maxDecompressedBytes)
 	}
 	return body, nil
 }
--- /dev/null
+++ b/internal/cluster/control_messages.go
@@ -0,0 +1,45 @@
+package cluster
+
+// Method strings of the control plane's calls, with their parameters and results. See package controlplane.
+const (
+	MethodSync             = "control.sync"          // SyncRequest -> SyncResponse, at any core member that is up to date
+	MethodFailureReport    = "control.report"        // FailureReport -> empty, at any core member
+	MethodOperator         = "control.operator"      // OperatorRequest with the body -> OperatorResponse with the body
+	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty, at any core member: a primary asks for a change of its replica group
+)
+
+// FailureReport tells the control plane that a process could not be reached. The control plane checks for itself.
+type FailureReport struct {
+	Node    string `json:"node"`    // name of the process that seems to have failed
+	Address string `json:"address"` // address that was called
+	Refused bool   `json:"refused"` // the connection was refused or reset, rather than timed out
+}
+
+// PartitionRequest is a primary's request to change its replica group. It is rejected unless the epoch is the
+// current one.
+type PartitionRequest struct {
+	Partition int    `json:"partition"`
+	Epoch     uint64 `json:"epoch"`
+	Store     string `json:"store"` // name of the primary that makes the request
+	// Drop names a backup that does not respond. Another store takes its place where there is one.
+	Drop string `json:"drop,omitempty"`
+	// Synced names a backup that now holds every committed message.
+	Synced string `json:"synced,omitempty"`
+	// Handover asks for another synced replica to become the primary. The store has stopped delivering.
+	Handover bool `json:"handover,omitempty"`
+	// Ready names the backups that may take over: they surely hold the result of every message. A backup that the
+	// control plane knows as synced may still lack the latest results. Empty stands for any backup.
+	Ready []string `json:"ready,omitempty"`
+}
+
+// OperatorRequest is a request to the operator's API that is forwarded to the control group's primary.
+type OperatorRequest struct {
+	Method      string `json:"method"`
+	Path        string `json:"path"`
+	BaseVersion string `json:"base,omitempty"` // value of the header X-If-Base-Version
+}
+
+// OperatorResponse is the response to an OperatorRequest.
+type OperatorResponse struct {
+	Status int `json:"status"` // HTTP status code
+}
--- a/internal/cluster/corefile.go
+++ b/internal/cluster/core_member.go
@@ -9,10 +9,19 @@
 	"gladepick/internal/wal"
 )
 
-// coreFile is the file in which a process with a disk remembers the members of the control group.
+// CoreMember is a member of the control group (the core).
+type CoreMember struct {
+	Name    string `json:"name"`
+	Address string `json:"address"`
+	DiskID  string `json:"diskId"`
+	Zone    string `json:"zone,omitempty"` // empty until the member's first renewal
+}
+
+// coreFile is the file in which a process with a disk stores the members of the control group, as JSON, so that it
+// finds them after a restart without its seeds.
 const coreFile = "core"
 
-// loadCore returns the members remembered, or none.
+// loadCore returns the stored members, or none where there are none that can be read.
 func loadCore(disk vfs.FS) []CoreMember {
 	data, err := wal.LoadFile(disk, coreFile)
 	if err != nil {
@@ -25,6 +34,7 @@
 	return core
 }
 
+// saveCore stores the members durably.
 func saveCore(disk vfs.FS, core []CoreMember) error {
 	data, err := json.Marshal(core)
 	if err != nil {
--- a/internal/cluster/tablechange.go
+++ b/internal/cluster/table_change.go
@@ -1,13 +1,11 @@
 package cluster
 
-import (
-	"slices"
-	"strings"
-)
+import "slices"
 
-// TableChange holds the parts of a cluster table that differ from one revision to the next. Absent parts stay.
+// TableChange holds the parts of a cluster table that differ from one revision to the next. Zero values stand for
+// parts that have not changed.
 type TableChange struct {
-	Base              uint64       `json:"base"` // the revision it changes
+	Base              uint64       `json:"base"` // the revision to which it is applied
 	Primary           string       `json:"primary,omitempty"`
 	Core              []CoreMember `json:"core,omitempty"`
 	Stores            []StoreEntry `json:"stores,omitempty"`
@@ -16,8 +14,8 @@
 	DeliveringStores  int          `json:"deliverers,omitempty"`
 }
 
-// Apply returns the table with a change, and false where the change was made from another revision. The table itself
-// stays as it is.
+// Apply returns the table of the next revision, and false where the change is for another revision. The table itself
+// is not changed.
 func (t *Table) Apply(change *TableChange) (*Table, bool) {
 	if t.Revision != change.Base {
 		return t, false
@@ -41,6 +39,7 @@
 	return &next, true
 }
 
+// mergeStores returns the stores, sorted by name, with changed and new entries.
 func mergeStores(stores, changed []StoreEntry) []StoreEntry {
 	if len(changed) == 0 {
 		return stores
@@ -57,9 +56,7 @@
 	return merged
 }
 
-// CompareStoreName compares the name of a store's entry, for searches in a table's stores.
-func CompareStoreName(entry StoreEntry, name string) int { return strings.Compare(entry.Name, name) }
-
+// mergePartitions returns the partitions with changed and new ones.
 func mergePartitions(partitions, changed []Partition) []Partition {
 	if len(changed) == 0 {
 		return partitions
--- a/internal/cluster/workerchange.go
+++ b/internal/cluster/worker_change.go
@@ -5,33 +5,19 @@
 	"strings"
 )
 
-// WorkerVersion names a version of the list of workers. An epoch's revisions begin anew.
-type WorkerVersion struct {
-	Epoch    uint64 `json:"epoch"`
-	Revision uint64 `json:"revision"`
-}
-
-// Version returns the list's version; the zero value for no list.
-func (l *WorkerList) Version() WorkerVersion {
-	if l == nil {
-		return WorkerVersion{}
-	}
-	return WorkerVersion{l.Epoch, l.Revision}
-}
-
 // WorkerChange leads from one version of the list of workers to a newer one.
 type WorkerChange struct {
 	From    WorkerVersion `json:"from"`
 	To      WorkerVersion `json:"to"`
-	Set     []Worker      `json:"set,omitempty"`     // new entries, and those that differ, by id
-	Removed []string      `json:"removed,omitempty"` // ids of entries that are gone
+	Set     []Worker      `json:"set,omitempty"`     // new and changed entries, sorted by id
+	Removed []string      `json:"removed,omitempty"` // ids of the entries that are gone, sorted
 }
 
-// Size is the number of entries that the change touches.
+// Size returns the number of entries that the change touches.
 func (c *WorkerChange) Size() int { return len(c.Set) + len(c.Removed) }
 
-// DiffWorkers returns the change that leads from one list to another. The entries of both are sorted by id; same tells
-// which of them need not travel again.
+// DiffWorkers returns the change that leads from one list to another. The entries of both must be sorted by id. An
+// entry is left out of the change where same reports that the two lists agree on it.
 func DiffWorkers(from, to *WorkerList, same func(a, b Worker) bool) *WorkerChange {
 	change := &WorkerChange{From: from.Version(), To: to.Version()}
 	position := 0
@@ -55,8 +41,8 @@
 	return change
 }
 
-// Apply returns the list with a change, and false where the change was made from another version. The list itself stays
-// as it is.
+// Apply returns the list with a change applied, and false where the change starts from another version. The list
+// itself is not changed.
 func (l *WorkerList) Apply(change *WorkerChange) (*WorkerList, bool) {
 	if l == nil || l.Version() != change.From {
 		return l, false
@@ -84,7 +70,7 @@
 	return next, true
 }
 
-// ApplyAll applies the changes one after the other, and returns false where one of them starts from another version.
+// ApplyAll applies changes one after the other, and returns false where one of them starts from another version.
 func (l *WorkerList) ApplyAll(changes []WorkerChange) (*WorkerList, bool) {
 	for i := range changes {
 		next, applied := l.Apply(&changes[i])
