--- a/internal/messagestore/errors.go
+++ b/internal/messagestore/errors.go
@@ -10,7 +10,7 @@
 var errSteppedDown = errors.New("the partition has a new primary")
 
 // errResyncIncomplete means that a record of a resync did not reach the backup.
-var errResyncIncomplete = errors.New("a part of the copy was not taken")
+var errResyncIncomplete = errors.New("a record of the resync was not taken")
 
 // Errors that a caller gets over the wire. They are shared and never changed.
 var (
@@ -22,7 +22,7 @@
 	errCommitTimeout = &rpc.Error{Code: rpc.CodeInternal, Message: "replicas have not answered in time"}
 	// errNotReplica tells that the partition's view does not list this store's disk.
 	errNotReplica = &rpc.Error{Code: rpc.CodeUnavailable, Message: "not a replica"}
-	// errUnknownMessage tells that there surely is no such message.
+	// errUnknownMessage tells that there is no such message, for sure.
 	errUnknownMessage = &rpc.Error{Code: rpc.CodeNotFound}
 	// errNotHeld tells that another replica may have the message.
 	errNotHeld = &rpc.Error{Code: rpc.CodeUnavailable, Message: "not held here"}
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -87,9 +87,9 @@
 		"a lease comes without the newest table": {failover, func(rules *modelRules) {
 			rules.onLeaseRenewal = func(*modelState, int) {}
 		}, 197},
-		"a refusal counts as a grant":                     {failover, func(rules *modelRules) { rules.grantOnRejection = true }, 198},
+		"a rejection counts as a lease":                   {failover, func(rules *modelRules) { rules.grantOnRejection = true }, 198},
 		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.ignoresGrants = true }, 172},
-		"a backup counts as synced before it is whole": {twice, func(rules *modelRules) {
+		"a backup counts as synced before it is complete": {twice, func(rules *modelRules) {
 			rules.maySync = func(messageSet, messageSet) bool { return true }
 		}, 4511},
 		"one disk is enough": {failover, func(rules *modelRules) {
@@ -103,7 +103,7 @@
 			},
 			38577,
 		},
-		"a store is taken away before others are whole": {
+		"a store is removed before others are complete": {
 			modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true},
 			func(rules *modelRules) { rules.mayComplete = func(*modelState, int) bool { return true } },
 			336,
--- a/internal/messagestore/limits.go
+++ b/internal/messagestore/limits.go
@@ -2,44 +2,66 @@
 
 import "time"
 
+// Sequence numbers have the epoch in the upper half and a counter below.
 const (
-	// restartGap is left in the numbering after a restart, for records that were lost with their power.
-	restartGap = 1 << 16
-	// epochShift places the epoch above the counter in a sequence number.
 	epochShift = 32
+	// restartGap is left out of the counter after a start, for records that were lost with the power.
+	restartGap = 1 << 16
+)
 
-	backupLease             = time.Second            // for how long a backup grants a lease
-	backupLeaseMargin       = 300 * time.Millisecond // before the end of its lease a primary begins to ask its backups for one
-	unresponsiveAfter       = 150 * time.Millisecond
-	outcomeTimeout          = time.Second
-	replicateTimeout        = 300 * time.Millisecond // after it another backup is asked for: writes wait, clients leave soon
-	inventoryTimeout        = time.Second
-	controlTimeout          = time.Second
-	replacementDelay        = 50 * time.Millisecond // before a backup that refuses is dropped: others may have died with it
-	resyncTimeout           = 5 * time.Second
-	resyncRetryInterval     = 200 * time.Millisecond
-	resyncGracePeriod       = 600 * time.Millisecond
-	maintainInterval        = 200 * time.Millisecond
-	expiryInterval          = 5 * time.Second
-	heartbeatInterval       = 300 * time.Millisecond
-	reportInterval          = 200 * time.Millisecond
-	handoverPollInterval    = 10 * time.Millisecond
-	unknownOutcomeInterval  = 100 * time.Millisecond // between two asks for a handover whose outcome is not known
-	unknownOutcomeTimeout   = 4 * time.Second        // after it an ask whose outcome was not known is surely not carried out any more
-	preferredPrimaryTimeout = 2 * time.Second
+// Leases of backups.
+const (
+	backupLease       = time.Second            // for how long a backup grants one
+	backupLeaseMargin = 300 * time.Millisecond // before the end of its lease from the control plane a primary begins to request them
+	heartbeatInterval = 300 * time.Millisecond // between two requests
+)
+
+// Calls to other processes.
+const (
+	replicateTimeout  = 300 * time.Millisecond // after it another backup is requested: writes wait, clients leave soon
+	inventoryTimeout  = time.Second
+	outcomeTimeout    = time.Second
+	controlTimeout    = time.Second
+	unresponsiveAfter = 150 * time.Millisecond // a call that is out for longer has new messages go to other partitions
+	reportInterval    = 200 * time.Millisecond // between two reports of a store
 
 	batchBytes = 256 << 10 // records in one call to a backup, about
+)
+
+// Resync and replacement of backups.
+const (
+	resyncTimeout       = 5 * time.Second
+	resyncRetryInterval = 200 * time.Millisecond
+	resyncGracePeriod   = 600 * time.Millisecond // a backup whose resync fails for longer is replaced
+	replacementDelay    = 50 * time.Millisecond  // before a backup that fails is replaced: others may have died with it
+)
+
+// Handovers.
+const (
+	handoverPollInterval    = 10 * time.Millisecond  // between two looks for attempts that are out
+	preferredPrimaryTimeout = 2 * time.Second        // after it deliveries are taken up again
+	unknownOutcomeInterval  = 100 * time.Millisecond // between two requests while an outcome is unknown
+	unknownOutcomeTimeout   = 4 * time.Second        // after it a request whose outcome is unknown is not carried out any more
+)
 
+// Maintenance.
+const (
+	maintainInterval = 200 * time.Millisecond
+	expiryInterval   = 5 * time.Second // between two looks for expired messages, and for a log to compact
+)
+
+// Sizes of the log.
+const (
 	minSegmentBytes     = 1 << 20
 	maxSegmentBytes     = 8 << 20
-	minSegmentsOnDisk   = 24 // of the disk's size, at least
-	compactionThreshold = 3  // the log may take one part in so many of the disk before it is compacted
+	minSegmentsOnDisk   = 24 // that fit on the disk
+	compactionThreshold = 3  // the log is compacted when it takes more than one part in so many of the disk
 	compactionShare     = 2  // of all segments, one in so many is emptied at a time
-	fullNumerator       = 9  // the log takes no message when it fills so many parts
-	fullDenominator     = 10 // of so many
+	fullNumerator       = 9  // no message is taken when the log fills more than so many parts
+	fullDenominator     = 10 // of so many of the disk
 )
 
-// segmentBytes returns the size of a segment for a disk.
+// segmentBytes returns the size of a segment for a disk of some bytes, 0 for no limit.
 func segmentBytes(disk int64) int64 {
 	if disk <= 0 {
 		return maxSegmentBytes
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -16,7 +16,7 @@
 	view         cluster.Partition // the newest applied
 	isReplica    bool              // the newest view lists this store's disk
 	isPrimary    bool
-	fenced       bool // a backup knows a newer epoch: another store may lead
+	fenced       bool // a backup knows a newer epoch: another store may be the primary
 	paused       bool // deliveries are stopped for a handover
 	handingOver  bool // handOverToPreferred runs
 	entries      map[string]*entry
