--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -54,6 +54,7 @@
 	"internal/messagestore":              planeStorage,
 	"internal/messagestore/client":       planeStorage,
 	"internal/messagestore/protocol":     planeStorage,
+	"internal/messagestore/record":       planeStorage,
 	"internal/delivery":                  planeDelivery,
 	"internal/ingress":                   planeIngress,
 	"internal/systemnode":                planeAssembly,
--- a/internal/messagestore/backup_lease.go
+++ b/internal/messagestore/backup_lease.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/messagestore/record"
 )
 
 // requestBackupLeases asks the backups of every partition for a lease while the control plane does not renew this store's.
@@ -14,7 +15,7 @@
 		if !p.isPrimary || p.fenced {
 			continue
 		}
-		line, err := (&record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch}).encode()
+		line, err := (&record.Record{Kind: record.Epoch, Partition: p.id, Epoch: p.epoch}).Encode()
 		if err != nil {
 			continue
 		}
--- a/internal/messagestore/commit.go
+++ b/internal/messagestore/commit.go
@@ -1,6 +1,10 @@
 package messagestore
 
-import "go.uber.org/zap"
+import (
+	"go.uber.org/zap"
+
+	"gladepick/internal/messagestore/record"
+)
 
 // pendingWrite is a message that waits for the disks of all replicas. Store.mu guards it; done may be waited for without.
 type pendingWrite struct {
@@ -57,8 +61,8 @@
 }
 
 // appendAndReplicate logs a record that nobody waits for, and sends it to the backups. The caller holds the lock.
-func (s *Store) appendAndReplicate(p *partition, r *record) {
-	line, err := r.encode()
+func (s *Store) appendAndReplicate(p *partition, r *record.Record) {
+	line, err := r.Encode()
 	if err != nil {
 		s.logger.Error("encoding a record failed", zap.Error(err))
 		return
--- a/internal/messagestore/compaction.go
+++ b/internal/messagestore/compaction.go
@@ -3,6 +3,8 @@
 import (
 	"github.com/gravitational/trace"
 	"go.uber.org/zap"
+
+	"gladepick/internal/messagestore/record"
 )
 
 // diskFull tells whether the log has no room for further messages.
@@ -74,10 +76,10 @@
 	if !moved.entry.needsBody() {
 		return nil
 	}
-	line, err := (&record{
-		Kind: recordAccepted, Partition: moved.partition.id, Epoch: moved.partition.epoch,
+	line, err := (&record.Record{
+		Kind: record.Accepted, Partition: moved.partition.id, Epoch: moved.partition.epoch,
 		Message: moved.entry.message, Failures: moved.entry.failures,
-	}).encode()
+	}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/messagestore/doc.go
+++ b/internal/messagestore/doc.go
@@ -32,12 +32,13 @@
 //
 // Store.mu guards all of the store's state, and that of its partitions, entries and replicators. It is held while records
 // are appended to the log, which is done in memory, and while a snapshot of the index is written, with its I/O; otherwise
-// never during a sync of the log, and never during a call. deliveryFence.mutex is taken under Store.mu, or alone; the log's locks under Store.mu. MayDeliver takes
-// neither Store.mu nor the log's locks, as it is asked for each delivery.
+// never during a sync of the log, and never during a call. deliveryFence.mutex is taken under Store.mu or alone, the log's
+// locks under Store.mu. MayDeliver takes neither Store.mu nor the log's locks, as it is asked for each delivery.
 //
 // # Where to start reading
 //
 // store.go, then put.go and commit.go for the way of a message, follower.go for the other end, leadership.go for what a new
-// table changes, delivery_fence.go for who may deliver, resync.go for how a backup is brought up to date. The calls are
-// defined in package protocol; fronts use package client. The protocol's model is in the files model_*_test.go.
+// table changes, delivery_fence.go for who may deliver, resync.go for how a backup is brought up to date. What is logged
+// and sent is defined in package record, the calls in package protocol; fronts use package client. The protocol's model is
+// in the files model_*_test.go.
 package messagestore
--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -6,6 +6,7 @@
 	"github.com/gravitational/trace"
 
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/wal"
 )
 
@@ -45,7 +46,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "reading a message's body")
 	}
-	_, body, err := decodeRecord(data)
+	_, body, err := record.Decode(data)
 	return body, trace.Wrap(err)
 }
 
@@ -59,8 +60,8 @@
 		return
 	}
 	found.failures = max(found.failures, failures)
-	s.appendAndReplicate(p, &record{
-		Kind: recordFailed, Partition: p.id, Epoch: p.epoch, ID: m.ID, Failures: failures,
+	s.appendAndReplicate(p, &record.Record{
+		Kind: record.Failed, Partition: p.id, Epoch: p.epoch, ID: m.ID, Failures: failures,
 	})
 }
 
@@ -84,8 +85,8 @@
 		return
 	}
 	s.cachedBytes -= int64(len(found.body))
-	ended := &record{
-		Kind: recordEnded, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: time.Now(),
+	ended := &record.Record{
+		Kind: record.Ended, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: time.Now(),
 	}
 	p.applyEnded(ended)
 	s.appendAndReplicate(p, ended)
--- a/internal/messagestore/follower.go
+++ b/internal/messagestore/follower.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/rpc"
 )
 
@@ -74,11 +75,11 @@
 
 // appendReceivedRecord appends and applies one record. The caller holds the lock.
 func (s *Store) appendReceivedRecord(header protocol.RecordHeader, data []byte) error {
-	decoded, _, err := decodeRecord(data)
+	decoded, _, err := record.Decode(data)
 	if err != nil || decoded.Partition != header.Partition {
 		return errUnreadableRecord
 	}
-	if decoded.Kind == recordForget {
+	if decoded.Kind == record.Forget {
 		return errLocalRecord
 	}
 	position, err := s.log.Append(data)
--- a/internal/messagestore/index_snapshot.go
+++ b/internal/messagestore/index_snapshot.go
@@ -7,6 +7,7 @@
 	"github.com/gravitational/trace"
 
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/wal"
 )
 
@@ -71,7 +72,7 @@
 
 // replay takes a record of the log in.
 func (s *Store) replay(position wal.Position, data []byte) error {
-	decoded, _, err := decodeRecord(data)
+	decoded, _, err := record.Decode(data)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -4,6 +4,7 @@
 	"go.uber.org/zap"
 
 	"gladepick/internal/cluster"
+	"gladepick/internal/messagestore/record"
 )
 
 // ApplyTable takes in a cluster table, which makes this store the primary of partitions, or a backup, or neither. A table that
@@ -69,7 +70,7 @@
 // becomePrimary makes this store the partition's primary: queued messages are submitted, and the backups are resynced. The caller holds the lock.
 func (s *Store) becomePrimary(p *partition) {
 	p.isPrimary, p.paused = true, false
-	s.appendAndReplicate(p, &record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch})
+	s.appendAndReplicate(p, &record.Record{Kind: record.Epoch, Partition: p.id, Epoch: p.epoch})
 	clear(p.resync)
 	clear(p.unsyncedSince)
 	for _, replica := range p.backups() {
@@ -160,7 +161,7 @@
 			return
 		}
 	}
-	line, err := (&record{Kind: recordForget, Partition: p.id, Epoch: p.epoch}).encode()
+	line, err := (&record.Record{Kind: record.Forget, Partition: p.id, Epoch: p.epoch}).Encode()
 	if err != nil {
 		return
 	}
--- a/internal/messagestore/missing.go
+++ b/internal/messagestore/missing.go
@@ -5,6 +5,7 @@
 
 	"gladepick/internal/message"
 	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/rpc"
 )
 
@@ -74,12 +75,12 @@
 	defer s.mu.Unlock()
 	size := 0
 	for _, each := range s.missingRecords(p, missing) {
-		line, err := each.encode()
+		line, err := each.Encode()
 		if err != nil {
 			return 0, err
 		}
 		queued := queuedRecord{partition: p.id, epoch: p.epoch, line: line}
-		if each.Kind == recordAccepted {
+		if each.Kind == record.Accepted {
 			queued.body = body
 		}
 		size += queued.size()
@@ -89,16 +90,16 @@
 }
 
 // missingRecords returns the records that bring a backup up to an entry's present state. The caller holds the lock.
-func (s *Store) missingRecords(p *partition, missing missingEntry) []*record {
-	var records []*record
+func (s *Store) missingRecords(p *partition, missing missingEntry) []*record.Record {
+	var records []*record.Record
 	if missing.needsAccepted && missing.entry.message != nil {
-		records = append(records, &record{
-			Kind: recordAccepted, Partition: p.id, Epoch: p.epoch,
+		records = append(records, &record.Record{
+			Kind: record.Accepted, Partition: p.id, Epoch: p.epoch,
 			Message: missing.entry.message, Failures: missing.entry.failures,
 		})
 	} else if !missing.entry.ended() && missing.entry.failures > 0 {
-		records = append(records, &record{
-			Kind: recordFailed, Partition: p.id, Epoch: p.epoch, ID: missing.id, Failures: missing.entry.failures,
+		records = append(records, &record.Record{
+			Kind: record.Failed, Partition: p.id, Epoch: p.epoch, ID: missing.id, Failures: missing.entry.failures,
 		})
 	}
 	if missing.entry.ended() {
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -6,6 +6,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/message"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/wal"
 )
 
@@ -62,24 +63,24 @@
 }
 
 // apply takes a record into the index, at a replay as at a backup. The position is where the record stands in this store's log.
-func (p *partition) apply(r *record, position wal.Position) {
+func (p *partition) apply(r *record.Record, position wal.Position) {
 	p.epoch = max(p.epoch, r.Epoch)
 	switch r.Kind {
-	case recordAccepted:
+	case record.Accepted:
 		p.applyAccepted(r, position)
-	case recordFailed:
+	case record.Failed:
 		if found := p.entries[r.ID]; found != nil {
 			found.failures = max(found.failures, r.Failures)
 		}
-	case recordEnded:
+	case record.Ended:
 		p.applyEnded(r)
-	case recordForget:
+	case record.Forget:
 		clear(p.entries)
 	}
 }
 
 // applyAccepted adds a message. For one that is known the record is where its body stands from now on.
-func (p *partition) applyAccepted(r *record, position wal.Position) {
+func (p *partition) applyAccepted(r *record.Record, position wal.Position) {
 	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
 		found.position = position
@@ -97,7 +98,7 @@
 }
 
 // applyEnded notes an outcome, also of a message that is not known.
-func (p *partition) applyEnded(r *record) {
+func (p *partition) applyEnded(r *record.Record) {
 	if r.Outcome == nil {
 		return
 	}
@@ -114,9 +115,9 @@
 }
 
 // endedRecord returns the record that tells how an entry ended.
-func (p *partition) endedRecord(id string, e *entry) *record {
+func (p *partition) endedRecord(id string, e *entry) *record.Record {
 	outcome := e.outcome
-	return &record{
-		Kind: recordEnded, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: e.endedAt,
+	return &record.Record{
+		Kind: record.Ended, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: e.endedAt,
 	}
 }
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -6,6 +6,7 @@
 
 	"gladepick/internal/message"
 	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/rpc"
 	"gladepick/internal/wal"
 )
@@ -50,7 +51,7 @@
 		return nil, false, errTooFewDisks
 	}
 	accepted := s.assignSequence(p, submission)
-	line, err := (&record{Kind: recordAccepted, Partition: p.id, Epoch: p.epoch, Message: accepted}).encode()
+	line, err := (&record.Record{Kind: record.Accepted, Partition: p.id, Epoch: p.epoch, Message: accepted}).Encode()
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -11,6 +11,7 @@
 
 	"gladepick/internal/cluster"
 	"gladepick/internal/messagestore/protocol"
+	"gladepick/internal/messagestore/record"
 	"gladepick/internal/rpc"
 )
 
@@ -227,7 +228,7 @@
 func (r *replicator) flush(ctx context.Context, p *partition) error {
 	answered := make(chan error, 1)
 	r.store.mu.Lock()
-	line, err := (&record{Kind: recordEpoch, Partition: p.id, Epoch: p.epoch}).encode()
+	line, err := (&record.Record{Kind: record.Epoch, Partition: p.id, Epoch: p.epoch}).Encode()
 	if err != nil {
 		r.store.mu.Unlock()
 		return err
