--- a/cmd/gladepick-full/main.go
+++ b/cmd/gladepick-full/main.go
@@ -1,7 +1,7 @@
 // Command gladepick-full is the part of gladepick that needs large libraries. It
 // is not called by hand: gladepick hands over to it, for a dispatcher that is
-// recorded or takes jobs for keeps (without arguments) and for the commands plan and schema. This file
-// owns that hand-over. It must never decide anything about a job.
+// recorded or has durable jobs (without arguments) and for the commands plan and
+// schema.
 package main
 
 import (
@@ -31,13 +31,14 @@
 
 func run(args []string, out io.Writer) error {
 	if len(args) == 0 {
-		return instance.Run(record, keeper)
+		return instance.Run(startRecorder, newDurableJobs)
 	}
-	return cli.Execute(cli.NewRoot(&cobra.Command{Use: "gladepick", Short: "The commands of gladepick that need large libraries"}, planCommand(), schemaCommand()), args, out)
+	root := &cobra.Command{Use: "gladepick", Short: "The commands of gladepick that need large libraries"}
+	return cli.Execute(cli.NewRoot(root, planCommand(), schemaCommand()), args, out)
 }
 
-// record puts a recorder on a dispatcher whose operator's file asks for one.
-func record(n *config.Node, counters *dispatch.Counters, core *dispatch.Core) (func(context.Context) error, error) {
+// startRecorder puts a recorder on a dispatcher whose operator's file asks for one. It is an instance.StartRecorder.
+func startRecorder(n *config.Node, counters *dispatch.Counters, core *dispatch.Core) (func(context.Context) error, error) {
 	path := os.Getenv("NODE_CAPTURE")
 	if path == "" {
 		return nil, nil
@@ -52,7 +53,7 @@
 	return r.Close, nil
 }
 
-// keeper makes jobs be taken for keeps.
-func keeper(n *config.Node, members *transport.Transport) (instance.DurableJobs, error) {
+// newDurableJobs makes jobs outlive their dispatcher. It is an instance.NewDurableJobs.
+func newDurableJobs(n *config.Node, members *transport.Transport) (instance.DurableJobs, error) {
 	return durablejobs.New(n, members)
 }
