--- a/internal/controlplane/replication/explorer_mutation_test.go
+++ b/internal/controlplane/replication/explorer_mutation_test.go
@@ -140,10 +140,10 @@
 		t.Run(name, func(t *testing.T) {
 			mutant := &model{rules: groupRules(), limits: each.limits}
 			each.mutate(&mutant.rules)
-			state, missing := modelcheck.Follow(mutant, each.steps)
+			state, missing := modelcheck.Replay(mutant, each.steps)
 			assert.Equal(t, missing, "")
 			assert.Assert(t, mutant.Violation(&state) != "")
-			_, stopped := modelcheck.Follow(&model{rules: groupRules(), limits: each.limits}, each.steps)
+			_, stopped := modelcheck.Replay(&model{rules: groupRules(), limits: each.limits}, each.steps)
 			assert.Equal(t, stopped, each.forbidden)
 		})
 	}
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			searched := &model{rules: groupRules(), limits: space.limits}
-			bound := modelcheck.Bound("EXPLORE_STATES", exploredStates)
+			bound := modelcheck.EnvInt("EXPLORE_STATES", exploredStates)
 			found := modelcheck.Explore(searched, bound)
 			t.Logf("%d states, depth %d, complete: %v", found.States, found.Depth, found.Complete)
 			assert.Equal(t, found.Violation, "", "%q", found.Trace)
@@ -59,8 +59,8 @@
 func TestRandomWalks(t *testing.T) {
 	limits := modelLimits{disks: 4, replicationFactor: 2, epochs: maxEpochs, changes: maxChanges, crashes: 2, losses: 1, joins: 1}
 	walked := &model{rules: groupRules(), limits: limits}
-	for walk := range modelcheck.Bound("EXPLORE_WALKS", 300) {
-		if steps := modelcheck.Walk(walked, uint64(walk), 80); steps != nil {
+	for walk := range modelcheck.EnvInt("EXPLORE_WALKS", 300) {
+		if steps := modelcheck.RandomWalk(walked, uint64(walk), 80); steps != nil {
 			t.Fatalf("%q", steps)
 		}
 	}
--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for times within contexts.
+// Package ctxtime waits for durations that a context may cut short. It owns no goroutines and no locks.
 package ctxtime
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration, or until the context ends. It tells whether the duration has passed. A duration of zero or
-// less has passed at once, unless the context has ended.
+// Sleep waits for a duration, or until the context ends, and reports whether the whole duration has passed. For a
+// duration of zero or less it returns at once, and reports whether the context has not ended.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -38,7 +38,7 @@
 		"two copies, emptied, then a lost disk":        {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retirement: true, losses: 1}, 150000, 9, false},
 		"two copies, a handover":                       {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 12, false},
 	}
-	bound := modelcheck.Bound("EXPLORE_STATES", explorerStates)
+	bound := modelcheck.EnvInt("EXPLORE_STATES", explorerStates)
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,8 +59,8 @@
 func TestWalkPartition(t *testing.T) {
 	limits := modelLimits{stores: 4, replicas: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retirement: true, handovers: true}
 	walked := &partitionModel{rules: storeRules(limits), limits: limits}
-	for walk := range modelcheck.Bound("EXPLORE_WALKS", 2000) {
-		if steps := modelcheck.Walk(walked, uint64(walk), 80); steps != nil {
+	for walk := range modelcheck.EnvInt("EXPLORE_WALKS", 2000) {
+		if steps := modelcheck.RandomWalk(walked, uint64(walk), 80); steps != nil {
 			t.Fatalf("%q", steps)
 		}
 	}
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -53,12 +53,12 @@
 }
 
 func TestWalksAndScripts(t *testing.T) {
-	broken := Walk(counter{limit: 9, forbidden: 9}, 1, 20)
+	broken := RandomWalk(counter{limit: 9, forbidden: 9}, 1, 20)
 	assert.Equal(t, broken[len(broken)-1], "forbidden")
-	assert.Assert(t, Walk(counter{limit: 9, forbidden: -1}, 1, 20) == nil)
-	state, missing := Follow(counter{limit: 3}, []string{"two", "one"})
+	assert.Assert(t, RandomWalk(counter{limit: 9, forbidden: -1}, 1, 20) == nil)
+	state, missing := Replay(counter{limit: 3}, []string{"two", "one"})
 	assert.Equal(t, state, 3)
 	assert.Equal(t, missing, "")
-	_, missing = Follow(counter{limit: 3}, []string{"two", "two"})
+	_, missing = Replay(counter{limit: 3}, []string{"two", "two"})
 	assert.Equal(t, missing, "two")
 }
