--- a/internal/architecture/links_test.go
+++ b/internal/architecture/links_test.go
@@ -88,3 +88,53 @@
 	}
 	return "no such heading"
 }
+
+var (
+	// wayStep is a row of the tables that follow a message and a configuration change: packages, then functions.
+	wayStep       = regexp.MustCompile(`(?m)^\| \d+\. .* \| (.+) \| (.+) \|$`)
+	quoted        = regexp.MustCompile("`([^`]+)`")
+	declaredFuncs = regexp.MustCompile(`(?m)^func (?:\(\w+ \*?(\w+)(?:\[[^\]]*\])?\) )?(\w+)[(\[]`)
+)
+
+// TestWaysNameFunctionsThatExist checks the tables of the architecture page that follow a message and a configuration
+// change: each function of a step is declared in one of the packages of that step.
+func TestWaysNameFunctionsThatExist(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(moduleRoot, handbook))
+	assert.NilError(t, err)
+	steps := wayStep.FindAllStringSubmatch(string(text), -1)
+	assert.Assert(t, len(steps) > 10, "%d steps were found", len(steps))
+	var problems []string
+	for _, step := range steps {
+		declared := map[string]bool{}
+		for _, folder := range quoted.FindAllStringSubmatch(step[1], -1) {
+			addDeclaredFunctions(t, filepath.Join(moduleRoot, filepath.FromSlash(folder[1])), declared)
+		}
+		for _, function := range quoted.FindAllStringSubmatch(step[2], -1) {
+			if !declared[function[1]] {
+				problems = append(problems, fmt.Sprintf("%s is in none of %s", function[1], step[1]))
+			}
+		}
+	}
+	assert.Equal(t, strings.Join(problems, "\n"), "")
+}
+
+// addDeclaredFunctions adds the functions and methods ("Type.Method") that a folder's files declare outside tests.
+func addDeclaredFunctions(t *testing.T, folder string, declared map[string]bool) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	assert.NilError(t, err)
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		text, err := os.ReadFile(name)
+		assert.NilError(t, err)
+		for _, match := range declaredFuncs.FindAllStringSubmatch(string(text), -1) {
+			qualified := match[2]
+			if match[1] != "" {
+				qualified = match[1] + "." + match[2]
+			}
+			declared[qualified] = true
+		}
+	}
+}
