--- a/internal/dispatcher/planner/golden_test.go
+++ b/internal/dispatcher/planner/golden_test.go
@@ -1,7 +1,9 @@
 package planner
 
 import (
+	"bytes"
 	"encoding/json"
+	"fmt"
 	"testing"
 
 	"gotest.tools/v3/golden"
@@ -46,3 +48,14 @@
 	}
 	golden.AssertBytes(t, append(text, '\n'), "answers.json")
 }
+
+// TestGoldenGoalErrors holds what is said of goals that cannot be read.
+func TestGoldenGoalErrors(t *testing.T) {
+	var out bytes.Buffer
+	for _, text := range []string{"", "service", "service > 0.9", "service >= 95", "service >= 0.9 and speed >= 0.2", "service >= 0.9 with", "service(", "service >= 0.9 with 5 apples",
+		"service >= 0.9;", "service >= 0.9 with zone", "service >= 0.9 with 5 % dead at", "service >= 0.9 with x times", "(", "score(x) >= 1"} {
+		_, err := ParseGoal(text)
+		fmt.Fprintf(&out, "%s: %v\n", text, err)
+	}
+	golden.AssertBytes(t, out.Bytes(), "goal-errors.txt")
+}
