--- a/cmd/gladepick-full/main_test.go
+++ b/cmd/gladepick-full/main_test.go
@@ -77,7 +77,7 @@
 		t.Error(err)
 	}
 	s, err := capture.Read(dir)
-	if err != nil || len(s.Tries) != 1 || s.Tries[0].Verdict != "refused" || s.Tries[0].University != "univ-gaspesie" || s.Tries[0].RetryAfter == 0 {
+	if err != nil || len(s.Requests) != 1 || s.Requests[0].Outcome != "refused" || s.Requests[0].Tenant != "univ-gaspesie" || s.Requests[0].RetryAfter == 0 {
 		t.Errorf("recorded: %v, %+v", err, s)
 	}
 }
--- a/cmd/gladepick-full/plan.go
+++ b/cmd/gladepick-full/plan.go
@@ -72,10 +72,10 @@
 	flags.StringSliceVar(&f.ask, "ask", questions, "which questions")
 	flags.StringVarP(&f.output, "output", "o", "table", "table or json")
 	flags.Uint64Var(&f.options.Seed, "seed", 1, "of all random numbers; the same gives the same answer")
-	flags.IntVar(&f.options.Days, "days", 16, "played for one verdict at most")
+	flags.IntVar(&f.options.MaxDays, "days", 16, "played for one verdict at most")
 	flags.Float64Var(&f.options.Confidence, "confidence", 0.95, "of intervals and verdicts")
-	flags.Float64Var(&f.options.Most, "most", 16, "times the load or the fleet that are tried at most")
-	flags.IntVar(&f.options.Cores, "cores", 0, "days played at a time; 0 for all cores")
+	flags.Float64Var(&f.options.MaxFactor, "most", 16, "times the load or the fleet that are tried at most")
+	flags.IntVar(&f.options.Parallelism, "cores", 0, "days played at a time; 0 for all cores")
 	c.MarkFlagRequired("fleet")
 }
 
@@ -108,8 +108,8 @@
 	if err != nil {
 		return err
 	}
-	load.Times = cmp.Or(load.Times, 1) * f.times
-	if !(load.Times > 0) {
+	load.Factor = cmp.Or(load.Factor, 1) * f.times
+	if !(load.Factor > 0) {
 		return cli.MisuseErrorf("plan: --times %v is not above 0", f.times)
 	}
 	p, err := planner.New(fleet, load, goal, f.options)
@@ -118,7 +118,7 @@
 	}
 	a := answers{Goal: goalText, Seed: p.Seed, Fit: fit}
 	if fit != nil {
-		a.Extrapolates = fit.Extrapolates(load)
+		a.Extrapolates = fit.Extrapolations(load)
 	}
 	return a.search(out, p, f)
 }
@@ -143,16 +143,16 @@
 		return nil, nil, nil, err
 	}
 	if f.load == "" {
-		return fit.Fill(fleet), fit.Load, fit, nil
+		return fit.FillFleet(fleet), fit.Load, fit, nil
 	}
 	if len(load.Classes) == 0 {
 		load.Classes = fit.Load.Classes
 	}
-	if len(load.Universities) == 0 {
-		load.Universities = fit.Load.Universities
+	if len(load.Tenants) == 0 {
+		load.Tenants = fit.Load.Tenants
 	}
 	if load.Retries == (fleetsim.Retries{}) {
 		load.Retries = fit.Load.Retries
 	}
-	return fit.Fill(fleet), load, fit, nil
+	return fit.FillFleet(fleet), load, fit, nil
 }
--- a/cmd/gladepick-full/plan_answers.go
+++ b/cmd/gladepick-full/plan_answers.go
@@ -24,15 +24,15 @@
 
 // answers is all that plan prints; what was not asked or not reached is left out.
 type answers struct {
-	Goal         string          `json:"goal"`
-	Seed         uint64          `json:"seed"`
-	Breaks       *planner.Breaks `json:"breaks,omitempty"`
-	Needs        *planner.Needs  `json:"needs,omitempty"`
-	Zones        []planner.Loss  `json:"zones,omitempty"`
-	Fit          *planner.Fit    `json:"fit,omitempty"`
-	Extrapolates []string        `json:"extrapolates,omitempty"`
-	Days         int             `json:"days"`
-	Stopped      bool            `json:"stopped,omitempty"`
+	Goal         string                 `json:"goal"`
+	Seed         uint64                 `json:"seed"`
+	Breaks       *planner.BreakingPoint `json:"breaks,omitempty"`
+	Needs        *planner.Sizing        `json:"needs,omitempty"`
+	Zones        []planner.ZoneLoss     `json:"zones,omitempty"`
+	Fit          *planner.Fit           `json:"fit,omitempty"`
+	Extrapolates []string               `json:"extrapolates,omitempty"`
+	Days         int                    `json:"days"`
+	Stopped      bool                   `json:"stopped,omitempty"`
 }
 
 // search asks the questions in turn. Ctrl-C ends the search, and what is known by then is printed.
@@ -60,11 +60,11 @@
 	for _, q := range questions {
 		switch q {
 		case askBreaks:
-			a.Breaks, err = p.Breaks()
+			a.Breaks, err = p.FindBreakingPoint()
 		case askNeeds:
-			a.Needs, err = p.Needs()
+			a.Needs, err = p.FindSizing()
 		case askZones:
-			a.Zones, err = p.Losses()
+			a.Zones, err = p.ZoneLosses()
 		}
 		if err != nil {
 			return err
@@ -83,8 +83,8 @@
 		progressbar.OptionThrottle(progressInterval),
 		progressbar.OptionClearOnFinish(),
 	)
-	p.Played = func(n int) { bar.Add(n) }
-	p.Note = func(format string, v ...any) { bar.Describe(fmt.Sprintf(format, v...)) }
+	p.OnDayPlayed = func(n int) { bar.Add(n) }
+	p.OnProgress = func(format string, v ...any) { bar.Describe(fmt.Sprintf(format, v...)) }
 	return bar.Finish
 }
 
@@ -99,7 +99,7 @@
 		io.WriteString(out, text)
 	}
 	if f.page != "" {
-		err = errors.Join(err, report.Write(f.page, report.Page{Goal: a.Goal, Text: text, Needs: a.Needs, Zones: a.Zones}))
+		err = errors.Join(err, report.Write(f.page, report.Page{Goal: a.Goal, Table: text, Sizing: a.Needs, ZoneLosses: a.Zones}))
 	}
 	return err
 }
--- a/cmd/gladepick-full/plan_table.go
+++ b/cmd/gladepick-full/plan_table.go
@@ -50,8 +50,8 @@
 	t.line("\nWHAT THE CAPTURES TELL")
 	for _, x := range fit.Figures {
 		reach := ""
-		if x.Reach >= 0 {
-			reach = fmt.Sprintf("± %.3g", x.Reach)
+		if x.HalfWidth >= 0 {
+			reach = fmt.Sprintf("± %.3g", x.HalfWidth)
 		}
 		t.line("  %s\t%.4g\t%s\t%d rows", x.Name, x.Value, reach, x.Rows)
 	}
@@ -74,39 +74,39 @@
 	}
 }
 
-func (t table) writeReliefs(reliefs []planner.Relief) {
+func (t table) writeReliefs(reliefs []planner.LimitEffect) {
 	for _, r := range reliefs[:min(shownReliefs, len(reliefs))] {
 		t.line("    lifted: %s\tworst test %+.3f\tgain %+.3f", r.Resource, r.Slack, r.Gain)
 	}
 }
 
-func (t table) writeBreaks(b *planner.Breaks) {
+func (t table) writeBreaks(b *planner.BreakingPoint) {
 	t.line("\nWHAT BREAKS FIRST")
-	t.writeFindings(b.Now)
+	t.writeFindings(b.Baseline)
 	switch {
-	case b.BreaksAt == 0:
-		t.line("  the goal holds up to %.2f times the load, the most that was tried", b.HoldsAt)
-	case b.HoldsAt == 0:
+	case b.BreaksAtFactor == 0:
+		t.line("  the goal holds up to %.2f times the load, the most that was tried", b.HoldsAtFactor)
+	case b.HoldsAtFactor == 0:
 		t.line("  the goal holds at no load that was tried")
 	default:
-		t.line("  the goal holds up to %.2f times the load and breaks at %.2f", b.HoldsAt, b.BreaksAt)
+		t.line("  the goal holds up to %.2f times the load and breaks at %.2f", b.HoldsAtFactor, b.BreaksAtFactor)
 	}
-	if b.First == "" {
+	if b.FirstLimit == "" {
 		return
 	}
-	t.line("  first to break: %s", b.First)
-	t.writeReliefs(b.Reliefs)
-	for _, k := range b.Busy {
+	t.line("  first to break: %s", b.FirstLimit)
+	t.writeReliefs(b.LimitEffects)
+	for _, k := range b.Utilization {
 		t.line("    %s", k)
 	}
 }
 
-func (t table) writeNeeds(n *planner.Needs) {
+func (t table) writeNeeds(n *planner.Sizing) {
 	t.line("\nHOW MANY WORKERS")
 	if !n.Reached {
 		t.line("  no number that was tried holds the goal:")
 		t.writeFindings(n.Findings)
-		t.writeReliefs(n.Why)
+		t.writeReliefs(n.LimitEffects)
 		return
 	}
 	t.line("  %d workers at a cost of %.4g (now %.4g), %d fleets looked at", n.Count, n.Cost, n.CostNow, n.Fleets)
@@ -120,7 +120,7 @@
 	}
 }
 
-func (t table) writeZones(zones []planner.Loss, f *fleetsim.Fleet) {
+func (t table) writeZones(zones []planner.ZoneLoss, f *fleetsim.Fleet) {
 	var classes []string
 	for _, c := range f.Classes {
 		classes = append(classes, c.Name)
@@ -129,8 +129,8 @@
 	t.line("  zone\tspares\tday\tduring\t10 s after\t%s\tworst university", strings.Join(classes, "\t"))
 	for _, z := range zones {
 		worst := 0
-		for i := range z.Universities {
-			if z.Universities[i].Mean > z.Universities[worst].Mean {
+		for i := range z.Tenants {
+			if z.Tenants[i].Mean > z.Tenants[worst].Mean {
 				worst = i
 			}
 		}
@@ -138,7 +138,7 @@
 		for _, c := range z.Classes {
 			losses = append(losses, c.String())
 		}
-		t.line("  %s\t%v\t%v\t%v\t%v\t%s\t%s %v", z.Zone, z.Spares, z.Worth, z.During, z.After,
-			strings.Join(losses, "\t"), f.Universities[worst].Name, z.Universities[worst])
+		t.line("  %s\t%v\t%v\t%v\t%v\t%s\t%s %v", z.Zone, z.Spares, z.Total, z.During, z.After,
+			strings.Join(losses, "\t"), f.Tenants[worst].Name, z.Tenants[worst])
 	}
 }
--- a/internal/dispatcher/capture/capture.go
+++ b/internal/dispatcher/capture/capture.go
@@ -53,7 +53,7 @@
 	jobs     map[*dispatch.Job]open
 	attempts map[*dispatch.Attempt]under
 
-	tries chan Try
+	tries chan Request
 	sends chan Attempt
 	lost  atomic.Int64 // rows since the last file began
 	stop  chan struct{}
@@ -66,7 +66,7 @@
 	at, now := clock()
 	r := &Recorder{node: n, conf: n.Capture, counters: counters, zero: now.Add(-at), boot: now.UnixNano(), calendar: time.Now,
 		jobs: map[*dispatch.Job]open{}, attempts: map[*dispatch.Attempt]under{},
-		tries: make(chan Try, n.Limits.CaptureQueueRows), sends: make(chan Attempt, n.Limits.CaptureQueueRows),
+		tries: make(chan Request, n.Limits.CaptureQueueRows), sends: make(chan Attempt, n.Limits.CaptureQueueRows),
 		stop: make(chan struct{}), done: make(chan struct{})}
 	r.create = func(name string) (disk, error) {
 		return os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_EXCL, 0o640)
@@ -116,12 +116,12 @@
 }
 
 func (r *Recorder) try(j *dispatch.Job, o open, at time.Duration, verdict string, after time.Duration) {
-	row := Try{Node: r.node.Name, Boot: r.boot, Job: o.job, Came: o.came, Class: word(r.node.Classes, j.Class),
-		University: word(r.node.Tenants, j.Tenant), Repeat: j.Retry, Slots: j.Slots, Memory: j.Memory,
-		Patience: int64(j.Timeout), Verdict: verdict, Took: r.unix(at) - o.came, RetryAfter: int64(after), Attempts: o.attempts}
-	row.Clock = r.calendar().UnixNano() - r.unix(at)
+	row := Request{Node: r.node.Name, Boot: r.boot, Job: o.job, Arrived: o.came, Class: word(r.node.Classes, j.Class),
+		Tenant: word(r.node.Tenants, j.Tenant), Retry: j.Retry, Slots: j.Slots, Memory: j.Memory,
+		Timeout: int64(j.Timeout), Outcome: verdict, Duration: r.unix(at) - o.came, RetryAfter: int64(after), Attempts: o.attempts}
+	row.ClockOffset = r.calendar().UnixNano() - r.unix(at)
 	if j.AffinityKey != 0 {
-		row.Subject = max(xxhash.Sum64String(r.conf.Salt+"/"+strconv.FormatUint(j.AffinityKey, 16)), 1)
+		row.AffinityHash = max(xxhash.Sum64String(r.conf.Salt+"/"+strconv.FormatUint(j.AffinityKey, 16)), 1)
 	}
 	select {
 	case r.tries <- row:
@@ -134,7 +134,7 @@
 	s := &r.node.Module.Report
 	row := Attempt{Node: r.node.Name, Boot: r.boot, Job: u.job, Attempt: int32(a.Number()), Class: word(r.node.Classes, a.Job.Class),
 		Worker: a.Worker.ID, Kind: a.Worker.Kind, Zone: a.Worker.Zone, Sent: u.sent, Started: u.started, Ended: took, Outcome: outcome,
-		Free: figure(l, s.FreeSlots), Queue: figure(l, s.Queue), Errors: figure(l, s.Errors), Rate: figure(l, r.node.LoadFieldIndex("rate"))}
+		FreeSlots: figure(l, s.FreeSlots), Queue: figure(l, s.Queue), Errors: figure(l, s.Errors), Rate: figure(l, r.node.LoadFieldIndex("rate"))}
 	select {
 	case r.sends <- row:
 	default:
@@ -161,7 +161,7 @@
 	var p *pair
 	tick := time.NewTicker(time.Duration(min(r.conf.GroupS, 1) * float64(time.Second) / 4))
 	defer tick.Stop()
-	var tries []Try
+	var tries []Request
 	var sends []Attempt
 	var since time.Time // when the oldest of these came
 	retry := time.Time{}
--- a/internal/dispatcher/capture/capture_test.go
+++ b/internal/dispatcher/capture/capture_test.go
@@ -90,31 +90,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Tries) != 1000 || len(s.Attempts) != 980 || s.Lost != 0 || s.Files != 2 || len(s.Notes) > 0 {
-		t.Fatalf("%d tries, %d attempts, %d lost, %d files, %v", len(s.Tries), len(s.Attempts), s.Lost, s.Files, s.Notes)
+	if len(s.Requests) != 1000 || len(s.Attempts) != 980 || s.DroppedRows != 0 || s.Files != 2 || len(s.Warnings) > 0 {
+		t.Fatalf("%d tries, %d attempts, %d lost, %d files, %v", len(s.Requests), len(s.Attempts), s.DroppedRows, s.Files, s.Warnings)
 	}
 	if n := f.count.Captured.Load(); n != 1980 {
 		t.Errorf("%d rows are counted as captured", n)
 	}
 	words := map[string]int{}
-	for _, row := range s.Tries {
-		words[row.Verdict+" "+row.University+" "+row.Class]++
+	for _, row := range s.Requests {
+		words[row.Outcome+" "+row.Tenant+" "+row.Class]++
 	}
-	got, want := s.Tries[3], Try{Node: "n0", Job: 4, Class: "enrol", University: "univ-laurentie", Slots: 1, Patience: 5e9,
-		Verdict: "served", Took: 32e6, Attempts: 1}
-	want.Boot, want.Came, want.Clock, want.Subject = got.Boot, got.Came, got.Clock, got.Subject
-	if got != want || got.Subject == 0 || got.Subject == 3 {
+	got, want := s.Requests[3], Request{Node: "n0", Job: 4, Class: "enrol", Tenant: "univ-laurentie", Slots: 1, Timeout: 5e9,
+		Outcome: "served", Duration: 32e6, Attempts: 1}
+	want.Boot, want.Arrived, want.ClockOffset, want.AffinityHash = got.Boot, got.Arrived, got.ClockOffset, got.AffinityHash
+	if got != want || got.AffinityHash == 0 || got.AffinityHash == 3 {
 		t.Errorf("a try: %+v", got)
 	}
 	if words["turned univ-gaspesie enrol"] == 0 || words["left univ-laurentie seat-check"] == 0 {
 		t.Errorf("verdicts: %v", words)
 	}
 	a := s.Attempts[4]
-	if a.Job != 5 || a.Started != 2e6 || a.Ended != 32e6 || a.Outcome != "ok" || a.Free != 2 || a.Queue != 3 || a.Rate != 10 || a.Errors != 0.5 ||
+	if a.Job != 5 || a.Started != 2e6 || a.Ended != 32e6 || a.Outcome != "ok" || a.FreeSlots != 2 || a.Queue != 3 || a.Rate != 10 || a.Errors != 0.5 ||
 		a.Kind != "std-2c" || a.Zone != "montreal" {
 		t.Errorf("an attempt: %+v", a)
 	}
-	if open := slices.IndexFunc(s.Attempts, func(a Attempt) bool { return a.Outcome == "open" && a.Ended == -1 && math.IsNaN(a.Free) }); open < 0 {
+	if open := slices.IndexFunc(s.Attempts, func(a Attempt) bool { return a.Outcome == "open" && a.Ended == -1 && math.IsNaN(a.FreeSlots) }); open < 0 {
 		t.Error("attempts that were out at the end are not told")
 	}
 }
@@ -132,10 +132,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := s.Tries[1].Came - s.Tries[0].Came; d < 0 || d > 1e9 {
+	if d := s.Requests[1].Arrived - s.Requests[0].Arrived; d < 0 || d > 1e9 {
 		t.Errorf("the second came %d ns after the first", d)
 	}
-	if d := s.Tries[1].Clock - s.Tries[0].Clock; d > -59*60*1e9 {
+	if d := s.Requests[1].ClockOffset - s.Requests[0].ClockOffset; d > -59*60*1e9 {
 		t.Errorf("a step of an hour shows as %d ns", d)
 	}
 }
@@ -211,8 +211,8 @@
 			}
 			s, err := Read(dir)
 			if read := int64(0); err == nil {
-				if read = int64(len(s.Tries) + len(s.Attempts)); read != captured || len(s.Notes) > 0 {
-					t.Errorf("%d rows read of %d; %v", read, captured, s.Notes)
+				if read = int64(len(s.Requests) + len(s.Attempts)); read != captured || len(s.Warnings) > 0 {
+					t.Errorf("%d rows read of %d; %v", read, captured, s.Warnings)
 				}
 			} else if captured > 0 {
 				t.Error(err)
@@ -277,15 +277,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, note := range s.Notes {
+		for _, note := range s.Warnings {
 			if told++; !strings.Contains(note, "was never closed") && !strings.Contains(note, "no manifest seals it") {
 				t.Error(note)
 			}
 		}
-		if len(s.Tries) == 0 || s.Files != 2*len(closed(dir)) {
-			t.Errorf("%d rows from %d files, with %d manifests", len(s.Tries), s.Files, len(closed(dir)))
+		if len(s.Requests) == 0 || s.Files != 2*len(closed(dir)) {
+			t.Errorf("%d rows from %d files, with %d manifests", len(s.Requests), s.Files, len(closed(dir)))
 		}
-		read += len(s.Tries)
+		read += len(s.Requests)
 	}
 	t.Logf("%d kills: %d tries in closed files, all read; %d open files told of", rounds, read, told)
 }
@@ -315,7 +315,7 @@
 	}
 	os.WriteFile(name, []byte("PAR1 and some rows"), 0o600)
 	s, err := Read(dir)
-	if err != nil || len(s.Notes) != 1 || !strings.Contains(s.Notes[0], "the rows from 20261201T101112.000000000 to ") {
+	if err != nil || len(s.Warnings) != 1 || !strings.Contains(s.Warnings[0], "the rows from 20261201T101112.000000000 to ") {
 		t.Errorf("%v, %+v", err, s)
 	}
 }
@@ -376,8 +376,8 @@
 			if said := fmt.Sprint(err, s); !strings.Contains(said, k.says) {
 				t.Errorf("%s; %q is wanted", said, k.says)
 			}
-			if s != nil && len(s.Tries) != k.tries {
-				t.Errorf("%d tries", len(s.Tries))
+			if s != nil && len(s.Requests) != k.tries {
+				t.Errorf("%d tries", len(s.Requests))
 			}
 		})
 	}
--- a/internal/dispatcher/capture/files.go
+++ b/internal/dispatcher/capture/files.go
@@ -33,7 +33,7 @@
 	names [2]string
 	files [2]disk
 	size  [2]counted
-	tries *parquet.GenericWriter[Try]
+	tries *parquet.GenericWriter[Request]
 	sends *parquet.GenericWriter[Attempt]
 	stem  string // of all their names
 	began time.Time
@@ -41,6 +41,9 @@
 	each  [2]int64 // rows in each
 }
 
+// requestSchema is named as in files of format version 1, whatever the Go type is called.
+var requestSchema = parquet.NewSchema("Try", parquet.SchemaOf(Request{}))
+
 // counted counts and sums up what is written.
 type counted struct {
 	to    io.Writer
@@ -58,14 +61,14 @@
 // Manifest seals the files of a capture. The library that reads them takes damaged bytes at their word, down to the
 // process's end; so no byte is given to it that is not the one that was written.
 type Manifest struct {
-	Version int    `json:"version"`
-	Node    string `json:"node"`
-	Lost    int64  `json:"lost"` // rows that found no room since the manifest before
-	Files   []Seal `json:"files"`
+	Version     int          `json:"version"`
+	Node        string       `json:"node"`
+	DroppedRows int64        `json:"lost"` // rows that found no room since the manifest before
+	Files       []SealedFile `json:"files"`
 }
 
-// Seal is one sealed file.
-type Seal struct {
+// SealedFile is one sealed file.
+type SealedFile struct {
 	Name  string `json:"name"` // beside the manifest
 	Bytes int64  `json:"bytes"`
 	Rows  int64  `json:"rows"`
@@ -88,8 +91,8 @@
 		p.files[i], p.size[i].to, p.size[i].sum = f, f, xxhash.New()
 	}
 	about := []parquet.WriterOption{parquet.Compression(&parquet.Snappy), parquet.PageBufferSize(64 << 10),
-		parquet.KeyValueMetadata("gladepick.version", strconv.Itoa(Version))}
-	p.tries = parquet.NewGenericWriter[Try](&p.size[0], about...)
+		parquet.KeyValueMetadata("gladepick.version", strconv.Itoa(FormatVersion))}
+	p.tries = parquet.NewGenericWriter[Request](&p.size[0], append(about, requestSchema)...)
 	p.sends = parquet.NewGenericWriter[Attempt](&p.size[1], about...)
 	return p, nil
 }
@@ -107,7 +110,7 @@
 func (p *pair) bytes() int64 { return p.size[0].bytes + p.size[1].bytes }
 
 // write adds a group of rows to each file, whole.
-func (p *pair) write(tries []Try, sends []Attempt) error {
+func (p *pair) write(tries []Request, sends []Attempt) error {
 	p.rows += len(tries) + len(sends)
 	p.each[0] += int64(len(tries))
 	p.each[1] += int64(len(sends))
@@ -134,9 +137,9 @@
 		return err
 	}
 	p.files = [2]disk{}
-	m := Manifest{Version: Version, Node: node, Lost: lost}
+	m := Manifest{Version: FormatVersion, Node: node, DroppedRows: lost}
 	for i, name := range p.names {
-		m.Files = append(m.Files, Seal{filepath.Base(name), p.size[i].bytes, p.each[i], fmt.Sprintf("%016x", p.size[i].sum.Sum64())})
+		m.Files = append(m.Files, SealedFile{filepath.Base(name), p.size[i].bytes, p.each[i], fmt.Sprintf("%016x", p.size[i].sum.Sum64())})
 		if err := os.Rename(name+partial, name); err != nil {
 			return err
 		}
--- a/internal/dispatcher/capture/golden_test.go
+++ b/internal/dispatcher/capture/golden_test.go
@@ -52,13 +52,13 @@
 		version, _ := file.Lookup("gladepick.version")
 		fmt.Fprintf(&out, "gladepick.version %s\n%s\n", version, file.Schema())
 	}
-	for _, row := range set.Tries {
+	for _, row := range set.Requests {
 		dumpRow(&out, "try", row)
 	}
 	for _, row := range set.Attempts {
 		dumpRow(&out, "attempt", row)
 	}
-	fmt.Fprintf(&out, "%d lost, %d files, %d notes\n", set.Lost, set.Files, len(set.Notes))
+	fmt.Fprintf(&out, "%d lost, %d files, %d notes\n", set.DroppedRows, set.Files, len(set.Warnings))
 	return out.Bytes()
 }
 
@@ -107,3 +107,10 @@
 		t.Errorf("the manifest is written as\n%s\nit was\n%s", again, text)
 	}
 }
+
+// TestRequestSchema holds the schema's name in the file, and that the library still takes its direct way from rows to columns.
+func TestRequestSchema(t *testing.T) {
+	if requestSchema.Name() != "Try" || !parquet.EqualNodes(requestSchema, parquet.SchemaOf(Request{})) {
+		t.Errorf("%s", requestSchema)
+	}
+}
--- a/internal/dispatcher/capture/read.go
+++ b/internal/dispatcher/capture/read.go
@@ -1,6 +1,6 @@
 // Reading of captures: whole files only, of this version or older, with every
 // column that the planner needs. It must never pass over damage in silence:
-// what is left out is an error or stands in Set.Notes.
+// what is left out is an error or stands in Set.Warnings.
 
 package capture
 
@@ -25,15 +25,15 @@
 
 // Set is what was read from many files.
 type Set struct {
-	Tries    []Try
-	Attempts []Attempt
-	Lost     int64    // rows that recorders could not keep
-	Files    int      // that were read
-	Notes    []string // what is wrong with the files, and what was left out for it
+	Requests    []Request
+	Attempts    []Attempt
+	DroppedRows int64    // rows that recorders could not keep
+	Files       int      // that were read
+	Warnings    []string // what is wrong with the files, and what was left out for it
 }
 
 // Read reads the captures that manifests or directories name. What is damaged, foreign or unsealed is left out, and
-// Notes says which and why; that nothing at all can be read is an error.
+// Warnings says which and why; that nothing at all can be read is an error.
 func Read(paths ...string) (*Set, error) {
 	s := &Set{}
 	var names []string
@@ -63,15 +63,15 @@
 		switch {
 		case sealed[name] || strings.HasSuffix(name, manifest):
 		case strings.HasSuffix(name, partial):
-			s.Notes = append(s.Notes, orphan(name))
+			s.Warnings = append(s.Warnings, orphan(name))
 		case strings.HasSuffix(name, ".parquet"):
-			s.Notes = append(s.Notes, fmt.Sprintf("%s: left out: no manifest seals it", name))
+			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: left out: no manifest seals it", name))
 		}
 	}
 	if s.Files == 0 {
-		return nil, fmt.Errorf("no capture can be read: %s", strings.Join(append([]string{strings.Join(paths, ", ")}, s.Notes...), "; "))
+		return nil, fmt.Errorf("no capture can be read: %s", strings.Join(append([]string{strings.Join(paths, ", ")}, s.Warnings...), "; "))
 	}
-	slices.SortStableFunc(s.Tries, func(a, b Try) int { return cmp.Compare(a.Came, b.Came) })
+	slices.SortStableFunc(s.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	slices.SortStableFunc(s.Attempts, func(a, b Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
 	return s, nil
 }
@@ -80,15 +80,15 @@
 func (s *Set) sealed(name string, seen map[string]bool) {
 	m, err := readManifest(name)
 	if err != nil {
-		s.Notes = append(s.Notes, fmt.Sprintf("left out: %v", err))
+		s.Warnings = append(s.Warnings, fmt.Sprintf("left out: %v", err))
 		return
 	}
-	s.Lost += m.Lost
+	s.DroppedRows += m.DroppedRows
 	for _, f := range m.Files {
 		path := filepath.Join(filepath.Dir(name), f.Name)
 		seen[path] = true
 		if err := s.file(path, f); err != nil {
-			s.Notes = append(s.Notes, fmt.Sprintf("%s: left out, %d rows: %v", path, f.Rows, err))
+			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: left out, %d rows: %v", path, f.Rows, err))
 		}
 	}
 }
@@ -108,11 +108,11 @@
 	if err := json.Unmarshal(text, m); err != nil {
 		return nil, fmt.Errorf("%s: no whole manifest: %w", name, err)
 	}
-	if m.Version < 1 || m.Version > Version {
-		return nil, fmt.Errorf("%s: key version: the columns are of version %d, this program knows 1 to %d", name, m.Version, Version)
+	if m.Version < 1 || m.Version > FormatVersion {
+		return nil, fmt.Errorf("%s: key version: the columns are of version %d, this program knows 1 to %d", name, m.Version, FormatVersion)
 	}
-	if m.Lost < 0 || len(m.Files) == 0 {
-		return nil, fmt.Errorf("%s: no whole manifest: keys lost and files are %d and %d long", name, m.Lost, len(m.Files))
+	if m.DroppedRows < 0 || len(m.Files) == 0 {
+		return nil, fmt.Errorf("%s: no whole manifest: keys lost and files are %d and %d long", name, m.DroppedRows, len(m.Files))
 	}
 	for i, s := range m.Files {
 		if s.Name != filepath.Base(s.Name) || s.Name == "." || s.Rows < 0 || s.Bytes < 0 {
@@ -122,7 +122,7 @@
 	return m, nil
 }
 
-func (s *Set) file(name string, seal Seal) (err error) {
+func (s *Set) file(name string, seal SealedFile) (err error) {
 	defer func() {
 		// Sealed bytes may still be a foreign program's; what the library stumbles over is then its error.
 		if r := recover(); r != nil {
@@ -152,7 +152,7 @@
 	if _, ok := file.Schema().Lookup("sent"); ok {
 		err = rows(file, &s.Attempts)
 	} else {
-		err = rows(file, &s.Tries)
+		err = rows(file, &s.Requests)
 	}
 	if err == nil {
 		s.Files++
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -28,22 +28,22 @@
 // rateAt is the rate of all universities without bursts.
 func (s *site) rateAt(at float64) float64 {
 	r := s.load.Rate
-	i := sort.Search(len(r), func(i int) bool { return r[i].AtS > at })
+	i := sort.Search(len(r), func(i int) bool { return r[i].AtSeconds > at })
 	switch {
 	case i == 0:
-		return r[0].PerSec * s.load.Times
+		return r[0].PerSecond * s.load.Factor
 	case i == len(r):
-		return r[i-1].PerSec * s.load.Times
+		return r[i-1].PerSecond * s.load.Factor
 	}
-	part := (at - r[i-1].AtS) / (r[i].AtS - r[i-1].AtS)
-	return (r[i-1].PerSec + part*(r[i].PerSec-r[i-1].PerSec)) * s.load.Times
+	part := (at - r[i-1].AtSeconds) / (r[i].AtSeconds - r[i-1].AtSeconds)
+	return (r[i-1].PerSecond + part*(r[i].PerSecond-r[i-1].PerSecond)) * s.load.Factor
 }
 
 // Arrival is a request as its client makes it.
 type Arrival struct {
-	At                      time.Duration
-	Class, University, Node int     // places in the descriptions; dispatchers are counted through their groups
-	Work                    float64 // seconds on a core of speed 1
+	At                        time.Duration
+	Class, Tenant, Dispatcher int     // places in the descriptions; dispatchers are counted through their groups
+	WorkSeconds               float64 // seconds on a core of speed 1
 }
 
 // Arrivals draws a day's requests one after the other, until the day is over: a Poisson process whose rate moves,
@@ -60,7 +60,7 @@
 	rng, work := stream(seed, forArrivals), stream(seed, forWork)
 	peak, sum, most, classes, weight, at := 0.0, 0.0, 1.0, 0.0, 0.0, 0.0
 	for _, p := range s.load.Rate {
-		peak = max(peak, p.PerSec*s.load.Times)
+		peak = max(peak, p.PerSecond*s.load.Factor)
 	}
 	var shares, weights []float64 // cumulative
 	for _, p := range s.portion {
@@ -74,16 +74,16 @@
 		}
 	}
 	for _, b := range s.load.Bursts {
-		most += max(b.Times-1, 0) * s.portion[s.tenant[b.University]] / sum
+		most += max(b.Factor-1, 0) * s.portion[s.tenant[b.Tenant]] / sum
 	}
 	peak *= most
 	sizes := make([]func() float64, len(s.work))
 	for i, w := range s.work {
 		classes += w.Share
-		sizes[i] = func() float64 { return w.Ms / 1000 }
+		sizes[i] = func() float64 { return w.WorkMs / 1000 }
 		if w.CV > 0 {
 			v := math.Log(1 + w.CV*w.CV)
-			sizes[i] = distuv.LogNormal{Mu: math.Log(w.Ms/1000) - v/2, Sigma: math.Sqrt(v), Src: work}.Rand
+			sizes[i] = distuv.LogNormal{Mu: math.Log(w.WorkMs/1000) - v/2, Sigma: math.Sqrt(v), Src: work}.Rand
 		}
 	}
 	return func() (Arrival, bool) {
@@ -99,9 +99,9 @@
 			} else {
 				x -= base
 				for _, b := range s.load.Bursts {
-					if at >= b.AtS && at < b.AtS+b.ForS && who < 0 {
-						t := s.tenant[b.University]
-						if x -= base * s.portion[t] / sum * max(b.Times-1, 0); x < 0 {
+					if at >= b.StartSeconds && at < b.StartSeconds+b.DurationSeconds && who < 0 {
+						t := s.tenant[b.Tenant]
+						if x -= base * s.portion[t] / sum * max(b.Factor-1, 0); x < 0 {
 							who = t
 						}
 					}
@@ -110,11 +110,11 @@
 			if who < 0 {
 				continue
 			}
-			a := Arrival{At: sec(at), University: who, Node: min(sort.SearchFloat64s(weights, rng.Float64()*weight), len(weights)-1)}
+			a := Arrival{At: sec(at), Tenant: who, Dispatcher: min(sort.SearchFloat64s(weights, rng.Float64()*weight), len(weights)-1)}
 			for u := rng.Float64() * classes; a.Class < len(s.work)-1 && u >= s.work[a.Class].Share; a.Class++ {
 				u -= s.work[a.Class].Share
 			}
-			a.Work = sizes[a.Class]()
+			a.WorkSeconds = sizes[a.Class]()
 			return a, true
 		}
 		return Arrival{}, false
@@ -122,13 +122,13 @@
 }
 
 // request makes a client's request of an arrival and books it.
-func (b *Book) request(a Arrival) *request {
+func (b *Accounting) request(a Arrival) *request {
 	c := &b.s.Classes[a.Class]
-	q := &request{class: a.Class, tenant: a.University, work: a.Work, came: a.At, until: a.At + sec(c.DeadlineS), left: b.s.load.Retries.Most}
-	if b.number++; effects[c.Effect] == decision.Deduplicated {
+	q := &request{class: a.Class, tenant: a.Tenant, work: a.WorkSeconds, came: a.At, until: a.At + sec(c.DeadlineSeconds), left: b.s.load.Retries.Max}
+	if b.number++; effects[c.Idempotency] == decision.Deduplicated {
 		q.key = b.number
 	}
-	q.within = b.buckets[q.tenant].take(a.At, b.s.Universities[q.tenant].PerSecS)
+	q.within = b.buckets[q.tenant].take(a.At, b.s.Tenants[q.tenant].RatePerSecond)
 	b.res.asked(b.s, q)
 	return q
 }
@@ -144,7 +144,7 @@
 		}
 		d.at(a.At-d.now, func() {
 			q := d.book.request(a)
-			q.came, q.node = d.now, d.nodes[a.Node]
+			q.came, q.node = d.now, d.nodes[a.Dispatcher]
 			d.pending++
 			next()
 			q.node.take(q, false)
@@ -175,7 +175,7 @@
 // end is a request's one final end, seen by its client.
 func (d *day) end(q *request, verdict verdict) {
 	if q.over {
-		d.res.Broken["two answers"]++
+		d.res.Violations["two answers"]++
 		return
 	}
 	q.over = true
@@ -186,14 +186,14 @@
 // again lets a client try once more, if it does; it tells whether.
 func (d *day) again(q *request, after time.Duration) bool {
 	wait := ms(d.load.Retries.WaitMs)
-	if d.load.Retries.Honours {
+	if d.load.Retries.HonourRetryAfter {
 		wait = max(wait, after)
 	}
 	if q.left <= 0 || d.now+wait >= q.until {
 		return false
 	}
 	q.left--
-	d.res.Repeats++
+	d.res.Retries++
 	d.at(wait, func() { q.node.take(q, true) })
 	return true
 }
--- a/internal/dispatcher/fleetsim/day.go
+++ b/internal/dispatcher/fleetsim/day.go
@@ -47,7 +47,7 @@
 	late    time.Duration // reports are this much later just now
 	pending int           // requests without a final end
 	came    bool          // the last request has come
-	book    *Book
+	book    *Accounting
 	res     *Result         // the book's
 	ran     map[uint64]*run // keys that ran or run, as all workers know
 }
@@ -78,8 +78,8 @@
 	return d
 }
 
-// Play plays a day. stop may end it early; the result then holds what was seen so far.
-func Play(fleet *Fleet, load *Load, seed uint64, stop func() bool) (*Result, error) {
+// Simulate plays a day. stop may end it early; the result then holds what was seen so far.
+func Simulate(fleet *Fleet, load *Load, seed uint64, stop func() bool) (*Result, error) {
 	s, err := together(fleet, load)
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	for n := 0; len(d.queue) > 0 && !(d.came && d.pending == 0); n++ {
 		d.step()
 		if n%4096 == 0 && stop != nil && stop() {
-			d.res.Cut = true
+			d.res.Stopped = true
 			break
 		}
 	}
@@ -133,7 +133,7 @@
 
 // troubles sets up what goes wrong.
 func (d *day) troubles(rng *rand.Rand) {
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		var hit []*worker
 		for _, w := range d.workers {
 			if (t.Zone == "" || w.zone == d.zone[t.Zone]) && (t.Kind == "" || w.k == d.kind[t.Kind]) {
@@ -141,8 +141,8 @@
 			}
 		}
 		rng.Shuffle(len(hit), func(i, k int) { hit[i], hit[k] = hit[k], hit[i] })
-		if t.What != "zone_lost" {
-			hit = hit[:int(math.Round(t.Part*float64(len(hit))))]
+		if t.Type != "zone_lost" {
+			hit = hit[:int(math.Round(t.Fraction*float64(len(hit))))]
 		}
 		each := func(after float64, do func(*worker)) {
 			d.at(sec(after), func() {
@@ -151,19 +151,19 @@
 				}
 			})
 		}
-		end := t.AtS + t.ForS
-		switch t.What {
+		end := t.StartSeconds + t.DurationSeconds
+		switch t.Type {
 		case "zone_lost":
-			each(t.AtS, func(w *worker) { w.die(true) })
+			each(t.StartSeconds, func(w *worker) { w.die(true) })
 			each(end, func(w *worker) { w.rise() })
 		case "deaths":
-			each(t.AtS, func(w *worker) { w.die(false) })
+			each(t.StartSeconds, func(w *worker) { w.die(false) })
 			each(end, func(w *worker) { w.rise() })
 		case "drain":
-			each(t.AtS, func(w *worker) {
+			each(t.StartSeconds, func(w *worker) {
 				if w.drains = w.up; w.drains {
 					for _, n := range d.nodes {
-						n.learns(w, decision.Draining, d.RosterS.Draw(d.net))
+						n.learns(w, decision.Draining, d.DiscoveryDelaySeconds.Draw(d.net))
 					}
 				}
 			})
@@ -181,13 +181,13 @@
 					w.replan()
 				}
 			}
-			for at := t.AtS; at < end; at += max(t.OnS, 0.01) + t.OffS {
-				each(at, set(t.Takes))
-				each(min(at+max(t.OnS, 0.01), end), set(0))
+			for at := t.StartSeconds; at < end; at += max(t.OnSeconds, 0.01) + t.OffSeconds {
+				each(at, set(t.Amount))
+				each(min(at+max(t.OnSeconds, 0.01), end), set(0))
 			}
 		case "reports_late":
-			d.at(sec(t.AtS), func() { d.late += sec(t.Takes) })
-			d.at(sec(end), func() { d.late -= sec(t.Takes) })
+			d.at(sec(t.StartSeconds), func() { d.late += sec(t.Amount) })
+			d.at(sec(end), func() { d.late -= sec(t.Amount) })
 		}
 	}
 }
--- a/internal/dispatcher/fleetsim/describe.go
+++ b/internal/dispatcher/fleetsim/describe.go
@@ -32,28 +32,28 @@
 
 // Kind is a kind of machine.
 type Kind struct {
-	Name         string  `json:"name"`
-	Cores        float64 `json:"cores"`
-	Speed        Range   `json:"speed"` // a core's, 1 being the yardstick of Work; drawn for each machine
-	Slots        int     `json:"slots"` // jobs at work at a time
-	Queue        int     `json:"queue"` // slots that wait at most; beyond it a job is turned away
-	ColdShare    float64 `json:"cold_share"`
-	WarmS        float64 `json:"warm_s"`
-	ConnectionMs float64 `json:"connection_ms"` // work that a new connection costs the worker
-	Connections  int     `json:"connections"`   // open ones at most
-	Cost         float64 `json:"cost"`          // of one machine, in any unit
+	Name             string  `json:"name"`
+	Cores            float64 `json:"cores"`
+	Speed            Range   `json:"speed"` // a core's, 1 being the yardstick of Work; drawn for each machine
+	Slots            int     `json:"slots"` // jobs at work at a time
+	Queue            int     `json:"queue"` // slots that wait at most; beyond it a job is turned away
+	SlowStartShare   float64 `json:"cold_share"`
+	SlowStartSeconds float64 `json:"warm_s"`
+	ConnectionMs     float64 `json:"connection_ms"` // work that a new connection costs the worker
+	Connections      int     `json:"connections"`   // open ones at most
+	Cost             float64 `json:"cost"`          // of one machine, in any unit
 }
 
-// Group is machines of a kind in a zone.
-type Group struct {
+// WorkerGroup is machines of a kind in a zone.
+type WorkerGroup struct {
 	Kind  string `json:"kind"`
 	Zone  string `json:"zone"`
 	Count int    `json:"count"`
 	Spare bool   `json:"spare"` // switched on beyond the usual ones
 }
 
-// Dispatchers are dispatchers in a zone.
-type Dispatchers struct {
+// DispatcherGroup is dispatchers in a zone.
+type DispatcherGroup struct {
 	Zone        string  `json:"zone"`
 	Count       int     `json:"count"`
 	Share       float64 `json:"share"` // of the traffic that each gets, against the others
@@ -63,114 +63,114 @@
 
 // Class is a class of job as the settings have it.
 type Class struct {
-	Name      string  `json:"name"`
-	Effect    string  `json:"effect"` // safe, keyed or unsafe
-	WindowS   float64 `json:"window_s"`
-	AimS      float64 `json:"aim_s"`
-	Stretch   float64 `json:"stretch"`
-	DeadlineS float64 `json:"deadline_s"`
-	Worth     float64 `json:"worth"`
-	LateWorth float64 `json:"late_worth"`
+	Name                 string  `json:"name"`
+	Idempotency          string  `json:"effect"` // safe, keyed or unsafe
+	DedupWindowSeconds   float64 `json:"window_s"`
+	LatencyTargetSeconds float64 `json:"aim_s"`
+	Stretch              float64 `json:"stretch"`
+	DeadlineSeconds      float64 `json:"deadline_s"`
+	Value                float64 `json:"worth"`
+	LateValue            float64 `json:"late_worth"`
 }
 
-// University is a customer with a share.
-type University struct {
-	Name    string  `json:"name"`
-	Share   float64 `json:"share"`
-	PerSecS float64 `json:"allowance_per_s"` // beyond it a job is worth OverWorth of the usual
+// Tenant is a customer with a quota share.
+type Tenant struct {
+	Name          string  `json:"name"`
+	Share         float64 `json:"share"`
+	RatePerSecond float64 `json:"allowance_per_s"` // beyond it a job is worth OverWorth of the usual
 }
 
-// Cold is the rule on workers that have just started.
-type Cold struct {
-	Share    float64 `json:"share"`
-	WarmS    float64 `json:"warm_s"`
-	Multiple float64 `json:"multiple"`
-	SpanS    float64 `json:"span_s"`
+// SlowStart is the rule for workers that have just started.
+type SlowStart struct {
+	Share               float64 `json:"share"`
+	DurationSeconds     float64 `json:"warm_s"`
+	OverloadMultiple    float64 `json:"multiple"`
+	OverloadSpanSeconds float64 `json:"span_s"`
 }
 
-// Trouble is something that goes wrong on a day.
-type Trouble struct {
-	What  string  `json:"what"` // zone_lost, deaths, drain, shared, reports_late
-	Zone  string  `json:"zone"`
-	Kind  string  `json:"kind"`
-	Part  float64 `json:"part"` // of the workers that Zone and Kind leave
-	AtS   float64 `json:"at_s"`
-	ForS  float64 `json:"for_s"`
-	Takes float64 `json:"takes"` // shared: of the machine; reports_late: seconds more
-	OnS   float64 `json:"on_s"`  // shared: seconds on, and
-	OffS  float64 `json:"off_s"` // off, in turn
+// Fault is something that goes wrong on a day.
+type Fault struct {
+	Type            string  `json:"what"` // zone_lost, deaths, drain, shared, reports_late
+	Zone            string  `json:"zone"`
+	Kind            string  `json:"kind"`
+	Fraction        float64 `json:"part"` // of the workers that Zone and Kind leave
+	StartSeconds    float64 `json:"at_s"`
+	DurationSeconds float64 `json:"for_s"`
+	Amount          float64 `json:"takes"` // shared: of the machine; reports_late: seconds more
+	OnSeconds       float64 `json:"on_s"`  // shared: seconds on, and
+	OffSeconds      float64 `json:"off_s"` // off, in turn
 }
 
 // Fleet describes what balances and what is balanced.
 type Fleet struct {
-	Zones        []string      `json:"zones"`
-	SameZoneMs   float64       `json:"same_zone_ms"`
-	CrossZoneMs  float64       `json:"cross_zone_ms"`
-	Jitter       float64       `json:"jitter"`
-	Kinds        []Kind        `json:"kinds"`
-	Workers      []Group       `json:"workers"`
-	Dispatchers  []Dispatchers `json:"dispatchers"`
-	Classes      []Class       `json:"classes"`
-	Universities []University  `json:"universities"`
-	RosterS      Range         `json:"roster_delay_s"` // until a change of a worker that closes its connections is told
-	SilentS      Range         `json:"silent_delay_s"` // and of one that says nothing
-	ReportEveryS Range         `json:"report_every_s"` // between a worker's reports, drawn for each
-	ReportDelayS Range         `json:"report_delay_s"` // their age beyond that
-	ConnIdleS    float64       `json:"conn_idle_s"`    // idle connections are closed after it
-	ConnectMs    float64       `json:"connect_timeout_ms"`
-	Trips        float64       `json:"connection_trips"` // round trips that a new connection takes
-	Attempts     int           `json:"attempts"`
-	DrainGraceS  float64       `json:"drain_grace_s"`
-	Cold         Cold          `json:"cold"`
-	OverWorth    float64       `json:"over_worth"`
-	RetryAfterMs float64       `json:"retry_after_ms"`
-	Troubles     []Trouble     `json:"troubles"`
+	Zones                    []string          `json:"zones"`
+	SameZoneMs               float64           `json:"same_zone_ms"`
+	CrossZoneMs              float64           `json:"cross_zone_ms"`
+	Jitter                   float64           `json:"jitter"`
+	Kinds                    []Kind            `json:"kinds"`
+	Workers                  []WorkerGroup     `json:"workers"`
+	Dispatchers              []DispatcherGroup `json:"dispatchers"`
+	Classes                  []Class           `json:"classes"`
+	Tenants                  []Tenant          `json:"universities"`
+	DiscoveryDelaySeconds    Range             `json:"roster_delay_s"` // until a change of a worker that closes its connections is told
+	UnresponsiveDelaySeconds Range             `json:"silent_delay_s"` // and of one that says nothing
+	ReportIntervalSeconds    Range             `json:"report_every_s"` // between a worker's reports, drawn for each
+	ReportDelaySeconds       Range             `json:"report_delay_s"` // their age beyond that
+	ConnectionIdleSeconds    float64           `json:"conn_idle_s"`    // idle connections are closed after it
+	ConnectTimeoutMs         float64           `json:"connect_timeout_ms"`
+	ConnectionRoundTrips     float64           `json:"connection_trips"` // round trips that a new connection takes
+	MaxAttempts              int               `json:"attempts"`
+	DrainGraceSeconds        float64           `json:"drain_grace_s"`
+	SlowStart                SlowStart         `json:"cold"`
+	OverQuotaValue           float64           `json:"over_worth"`
+	RetryAfterMs             float64           `json:"retry_after_ms"`
+	Faults                   []Fault           `json:"troubles"`
 }
 
-// Point is a rate at a moment; between two of them it changes evenly.
-type Point struct {
-	AtS    float64 `json:"at_s"`
-	PerSec float64 `json:"per_s"`
+// RatePoint is a rate at a moment; between two of them it changes evenly.
+type RatePoint struct {
+	AtSeconds float64 `json:"at_s"`
+	PerSecond float64 `json:"per_s"`
 }
 
-// Work is a class's share of the jobs and their running time on a core of speed 1.
-type Work struct {
-	Name  string  `json:"name"`
-	Share float64 `json:"share"`
-	Ms    float64 `json:"work_ms"`
-	CV    float64 `json:"cv"` // standard deviation over mean; lognormal, constant at 0
+// ClassLoad is a class's share of the jobs and their running time on a core of speed 1.
+type ClassLoad struct {
+	Name   string  `json:"name"`
+	Share  float64 `json:"share"`
+	WorkMs float64 `json:"work_ms"`
+	CV     float64 `json:"cv"` // standard deviation over mean; lognormal, constant at 0
 }
 
-// Source is a university's share of the jobs.
-type Source struct {
+// TenantLoad is a university's share of the jobs.
+type TenantLoad struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 }
 
 // Burst is a university that sends more for a while.
 type Burst struct {
-	University string  `json:"university"`
-	Times      float64 `json:"times"`
-	AtS        float64 `json:"at_s"`
-	ForS       float64 `json:"for_s"`
+	Tenant          string  `json:"university"`
+	Factor          float64 `json:"times"`
+	StartSeconds    float64 `json:"at_s"`
+	DurationSeconds float64 `json:"for_s"`
 }
 
 // Retries are what clients do by themselves after a refusal or a failure.
 type Retries struct {
-	Most    int     `json:"most"`
-	WaitMs  float64 `json:"wait_ms"`
-	Honours bool    `json:"honours_retry_after"`
+	Max              int     `json:"most"`
+	WaitMs           float64 `json:"wait_ms"`
+	HonourRetryAfter bool    `json:"honours_retry_after"`
 }
 
 // Load describes what clients send on a day.
 type Load struct {
-	Seconds      float64  `json:"seconds"`
-	Times        float64  `json:"times"` // all rates
-	Rate         []Point  `json:"rate"`
-	Classes      []Work   `json:"classes"`
-	Universities []Source `json:"universities"`
-	Bursts       []Burst  `json:"bursts"`
-	Retries      Retries  `json:"retries"`
+	Seconds float64      `json:"seconds"`
+	Factor  float64      `json:"times"` // all rates
+	Rate    []RatePoint  `json:"rate"`
+	Classes []ClassLoad  `json:"classes"`
+	Tenants []TenantLoad `json:"universities"`
+	Bursts  []Burst      `json:"bursts"`
+	Retries Retries      `json:"retries"`
 }
 
 // fill puts the figures in that a description leaves out. They are those of a small site; nothing that a score
@@ -188,27 +188,27 @@
 	}
 	or(&f.SameZoneMs, 0.2)
 	or(&f.CrossZoneMs, 15)
-	or(&f.ConnIdleS, 5)
-	or(&f.ConnectMs, 250)
-	or(&f.Trips, 1)
-	or(&f.DrainGraceS, 0.5)
-	or(&f.OverWorth, 0.1)
+	or(&f.ConnectionIdleSeconds, 5)
+	or(&f.ConnectTimeoutMs, 250)
+	or(&f.ConnectionRoundTrips, 1)
+	or(&f.DrainGraceSeconds, 0.5)
+	or(&f.OverQuotaValue, 0.1)
 	or(&f.RetryAfterMs, 50)
-	or(&f.Cold.Share, 0.3)
-	or(&f.Cold.WarmS, 8.9)
-	or(&f.Cold.Multiple, 3)
-	or(&f.Cold.SpanS, 1)
-	between(&f.RosterS, 0.8, 4)
-	between(&f.SilentS, 4, 11)
-	between(&f.ReportEveryS, 0.33, 1.3)
-	between(&f.ReportDelayS, 0.05, 0.28)
-	if f.Attempts == 0 {
-		f.Attempts = 3
+	or(&f.SlowStart.Share, 0.3)
+	or(&f.SlowStart.DurationSeconds, 8.9)
+	or(&f.SlowStart.OverloadMultiple, 3)
+	or(&f.SlowStart.OverloadSpanSeconds, 1)
+	between(&f.DiscoveryDelaySeconds, 0.8, 4)
+	between(&f.UnresponsiveDelaySeconds, 4, 11)
+	between(&f.ReportIntervalSeconds, 0.33, 1.3)
+	between(&f.ReportDelaySeconds, 0.05, 0.28)
+	if f.MaxAttempts == 0 {
+		f.MaxAttempts = 3
 	}
 	for i := range f.Kinds {
 		k := &f.Kinds[i]
-		or(&k.ColdShare, 0.45)
-		or(&k.WarmS, 6)
+		or(&k.SlowStartShare, 0.45)
+		or(&k.SlowStartSeconds, 6)
 		or(&k.Cost, 1)
 		if k.Slots == 0 {
 			k.Slots = max(int(math.Round(k.Cores)), 1)
@@ -232,8 +232,8 @@
 	}
 }
 
-// Filled is a copy with the defaults put in for what a description leaves out.
-func (f *Fleet) Filled() *Fleet {
+// WithDefaults returns a copy with the defaults put in for what a description leaves out.
+func (f *Fleet) WithDefaults() *Fleet {
 	out := *f
 	out.Kinds, out.Dispatchers = slices.Clone(f.Kinds), slices.Clone(f.Dispatchers)
 	out.fill()
@@ -264,18 +264,18 @@
 	kind    map[string]int
 	class   map[string]int
 	tenant  map[string]int
-	work    []Work    // by class
-	portion []float64 // by university
+	work    []ClassLoad // by class
+	portion []float64   // by university
 }
 
 // together checks a fleet and a load against each other. Its errors name the key.
 func together(fleet *Fleet, load *Load) (*site, error) {
-	f, l := *fleet.Filled(), *load
+	f, l := *fleet.WithDefaults(), *load
 	s := &site{Fleet: &f, load: &l, zone: map[string]int{}}
 	var errs [3]error
 	s.kind, errs[0] = names("kinds", f.Kinds, func(k *Kind) string { return k.Name })
 	s.class, errs[1] = names("classes", f.Classes, func(c *Class) string { return c.Name })
-	s.tenant, errs[2] = names("universities", f.Universities, func(u *University) string { return u.Name })
+	s.tenant, errs[2] = names("universities", f.Tenants, func(u *Tenant) string { return u.Name })
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
@@ -298,7 +298,7 @@
 		}
 	}
 	for i, k := range f.Kinds {
-		if !(k.Cores > 0) || !(k.Speed[0] > 0) || k.Speed[1] < k.Speed[0] || k.Slots < 1 || k.Queue < 0 || k.ColdShare > 1 {
+		if !(k.Cores > 0) || !(k.Speed[0] > 0) || k.Speed[1] < k.Speed[0] || k.Slots < 1 || k.Queue < 0 || k.SlowStartShare > 1 {
 			check(fmt.Errorf("key kinds.%d: %q needs cores, slots and a speed above 0, the least first", i, k.Name))
 		}
 	}
@@ -316,32 +316,32 @@
 		check(errors.New("key dispatchers: there is none"))
 	}
 	for i, c := range f.Classes {
-		if _, ok := effects[c.Effect]; !ok {
-			check(fmt.Errorf("key classes.%d.effect: %q is none of safe, keyed and unsafe", i, c.Effect))
+		if _, ok := effects[c.Idempotency]; !ok {
+			check(fmt.Errorf("key classes.%d.effect: %q is none of safe, keyed and unsafe", i, c.Idempotency))
 		}
-		if !(c.DeadlineS > 0) || !(c.Worth >= 0) || c.AimS < 0 {
+		if !(c.DeadlineSeconds > 0) || !(c.Value >= 0) || c.LatencyTargetSeconds < 0 {
 			check(fmt.Errorf("key classes.%d: a deadline above 0 and a worth are needed", i))
 		}
 	}
-	for i, t := range f.Troubles {
-		check(known(s.zone, t.Zone, t.What != "zone_lost", "troubles.%d.zone", i))
+	for i, t := range f.Faults {
+		check(known(s.zone, t.Zone, t.Type != "zone_lost", "troubles.%d.zone", i))
 		check(known(s.kind, t.Kind, true, "troubles.%d.kind", i))
-		if !slices.Contains([]string{"zone_lost", "deaths", "drain", "shared", "reports_late"}, t.What) {
-			check(fmt.Errorf("key troubles.%d.what: %q is no trouble", i, t.What))
+		if !slices.Contains([]string{"zone_lost", "deaths", "drain", "shared", "reports_late"}, t.Type) {
+			check(fmt.Errorf("key troubles.%d.what: %q is no trouble", i, t.Type))
 		}
 	}
-	s.work, s.portion = make([]Work, len(f.Classes)), make([]float64, len(f.Universities))
+	s.work, s.portion = make([]ClassLoad, len(f.Classes)), make([]float64, len(f.Tenants))
 	for i, w := range l.Classes {
 		if e := known(s.class, w.Name, false, "load: classes.%d.name", i); e != nil {
 			check(e)
 			continue
 		}
-		if !(w.Ms > 0) || w.CV < 0 || w.Share < 0 {
+		if !(w.WorkMs > 0) || w.CV < 0 || w.Share < 0 {
 			check(fmt.Errorf("load: key classes.%d: %q needs work_ms above 0", i, w.Name))
 		}
 		s.work[s.class[w.Name]] = w
 	}
-	for i, u := range l.Universities {
+	for i, u := range l.Tenants {
 		if e := known(s.tenant, u.Name, false, "load: universities.%d.name", i); e != nil {
 			check(e)
 			continue
@@ -349,15 +349,15 @@
 		s.portion[s.tenant[u.Name]] += u.Share
 	}
 	for i, b := range l.Bursts {
-		check(known(s.tenant, b.University, false, "load: bursts.%d.university", i))
+		check(known(s.tenant, b.Tenant, false, "load: bursts.%d.university", i))
 	}
-	if len(l.Universities) == 0 { // as the fleet shares them out
-		for i, u := range f.Universities {
+	if len(l.Tenants) == 0 { // as the fleet shares them out
+		for i, u := range f.Tenants {
 			s.portion[i] = u.Share
 		}
 	}
-	if l.Times == 0 {
-		l.Times = 1
+	if l.Factor == 0 {
+		l.Factor = 1
 	}
 	total, share := 0.0, 0.0
 	for _, p := range s.portion {
@@ -378,7 +378,7 @@
 		err = errors.New("load: key classes: their shares come to nothing")
 	}
 	for i, p := range l.Rate {
-		if i > 0 && p.AtS <= l.Rate[i-1].AtS || !(p.PerSec >= 0) {
+		if i > 0 && p.AtSeconds <= l.Rate[i-1].AtSeconds || !(p.PerSecond >= 0) {
 			check(fmt.Errorf("load: key rate.%d: moments must grow, rates be 0 or more", i))
 		}
 	}
@@ -397,18 +397,18 @@
 func (s *site) settings(self, count, zone int) decision.Settings {
 	out := decision.Settings{
 		Self: self, Dispatchers: count, Zone: zone, Kinds: len(s.Kinds), Zones: len(s.Zones),
-		Discovery: decision.DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: sec(s.DrainGraceS), AnswerGrace: 8 * time.Millisecond,
-		SlowStartShare: s.Cold.Share, SlowStartDuration: sec(s.Cold.WarmS), OverloadMultiple: s.Cold.Multiple, OverloadSpan: sec(s.Cold.SpanS),
-		ConnIdle: sec(s.ConnIdleS), MaxAttempts: s.Attempts, Cancel: true, MaxRetryAfter: 2 * time.Second, OverQuotaValue: s.OverWorth,
+		Discovery: decision.DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: sec(s.DrainGraceSeconds), AnswerGrace: 8 * time.Millisecond,
+		SlowStartShare: s.SlowStart.Share, SlowStartDuration: sec(s.SlowStart.DurationSeconds), OverloadMultiple: s.SlowStart.OverloadMultiple, OverloadSpan: sec(s.SlowStart.OverloadSpanSeconds),
+		ConnIdle: sec(s.ConnectionIdleSeconds), MaxAttempts: s.MaxAttempts, Cancel: true, MaxRetryAfter: 2 * time.Second, OverQuotaValue: s.OverQuotaValue,
 		ReportsStart: true, ProgressInterval: progress, ReportsLoad: true, Tick: 2 * time.Millisecond,
 		Report: decision.LoadReportLayout{FreeSlots: 0, FreeMemory: -1, Queue: 3, InFlight: -1, Util: -1, Errors: 1},
 	}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, decision.ClassSettings{LatencyTarget: sec(c.AimS), Stretch: c.Stretch, Deadline: sec(c.DeadlineS),
-			Idempotency: effects[c.Effect], DedupScope: decision.DedupByAll, DedupWindow: sec(c.WindowS), Value: c.Worth, LateValue: c.LateWorth, WorkerKind: -1})
+		out.Classes = append(out.Classes, decision.ClassSettings{LatencyTarget: sec(c.LatencyTargetSeconds), Stretch: c.Stretch, Deadline: sec(c.DeadlineSeconds),
+			Idempotency: effects[c.Idempotency], DedupScope: decision.DedupByAll, DedupWindow: sec(c.DedupWindowSeconds), Value: c.Value, LateValue: c.LateValue, WorkerKind: -1})
 	}
-	for _, u := range s.Universities {
-		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, RatePerSecond: u.PerSecS})
+	for _, u := range s.Tenants {
+		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, RatePerSecond: u.RatePerSecond})
 	}
 	return out
 }
--- a/internal/dispatcher/fleetsim/golden_test.go
+++ b/internal/dispatcher/fleetsim/golden_test.go
@@ -15,16 +15,16 @@
 	return map[string]func(*Fleet, *Load){
 		"1 calm": func(*Fleet, *Load) {},
 		"2 overload with retries": func(_ *Fleet, l *Load) {
-			l.Times, l.Retries.Most = 3, 3
+			l.Factor, l.Retries.Max = 3, 3
 		},
 		"3 zone lost": func(f *Fleet, _ *Load) {
-			f.Troubles = []Trouble{{What: "zone_lost", Zone: "montreal", AtS: 3, ForS: 4}}
+			f.Faults = []Fault{{Type: "zone_lost", Zone: "montreal", StartSeconds: 3, DurationSeconds: 4}}
 		},
 		"4 deaths and drain": func(f *Fleet, _ *Load) {
-			f.Troubles = []Trouble{{What: "deaths", Part: 0.4, AtS: 2, ForS: 3}, {What: "drain", Part: 0.3, Kind: "std-2c", AtS: 5, ForS: 2}}
+			f.Faults = []Fault{{Type: "deaths", Fraction: 0.4, StartSeconds: 2, DurationSeconds: 3}, {Type: "drain", Fraction: 0.3, Kind: "std-2c", StartSeconds: 5, DurationSeconds: 2}}
 		},
 		"5 shared machines and late reports": func(f *Fleet, _ *Load) {
-			f.Troubles = []Trouble{{What: "shared", Part: 0.5, AtS: 1, ForS: 8, Takes: 0.7, OnS: 1, OffS: 0.5}, {What: "reports_late", AtS: 2, ForS: 6, Takes: 2}}
+			f.Faults = []Fault{{Type: "shared", Fraction: 0.5, StartSeconds: 1, DurationSeconds: 8, Amount: 0.7, OnSeconds: 1, OffSeconds: 0.5}, {Type: "reports_late", StartSeconds: 2, DurationSeconds: 6, Amount: 2}}
 		},
 		"6 burst and few connections": func(f *Fleet, l *Load) {
 			l.Bursts = []Burst{{"univ-gaspesie", 8, 2, 5}}
@@ -58,14 +58,14 @@
 	for _, seed := range []uint64{1, 20261202} {
 		l := usual(10, 110)
 		l.Bursts = []Burst{{"univ-gaspesie", 8, 2, 5}}
-		l.Rate = append(l.Rate, Point{6, 40})
+		l.Rate = append(l.Rate, RatePoint{6, 40})
 		next, err := Arrivals(small(), l, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sum, count := sha256.New(), 0
 		for a, ok := next(); ok; a, ok = next() {
-			fmt.Fprintln(sum, int64(a.At), a.Class, a.University, a.Node, a.Work)
+			fmt.Fprintln(sum, int64(a.At), a.Class, a.Tenant, a.Dispatcher, a.WorkSeconds)
 			count++
 		}
 		fmt.Fprintf(&out, "seed %d: %d requests, sha256 %x\n", seed, count, sum.Sum(nil))
@@ -76,14 +76,14 @@
 // TestGoldenDescriptions holds the keys of the descriptions, the defaults and the keys of a result.
 func TestGoldenDescriptions(t *testing.T) {
 	f, l := small(), usual(1, 5)
-	f.Troubles = []Trouble{{What: "deaths", Part: 0.25}}
+	f.Faults = []Fault{{Type: "deaths", Fraction: 0.25}}
 	l.Bursts = []Burst{{"univ-gaspesie", 8, 0.2, 0.5}}
-	l.Universities = []Source{{"univ-gaspesie", 1}}
+	l.Tenants = []TenantLoad{{"univ-gaspesie", 1}}
 	text, err := json.MarshalIndent(struct {
 		Fleet  *Fleet  `json:"fleet"`
 		Load   *Load   `json:"load"`
 		Result *Result `json:"result"`
-	}{f.Filled(), l, play(t, f, l, 1)}, "", " ")
+	}{f.WithDefaults(), l, play(t, f, l, 1)}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/fleetsim/model_test.go
+++ b/internal/dispatcher/fleetsim/model_test.go
@@ -30,27 +30,27 @@
 			{Name: "std-2c", Cores: 2, Speed: Range{0.85, 1.1}, Slots: 2, Queue: 24, ConnectionMs: 3, Cost: 1.5},
 			{Name: "slow-4c", Cores: 4, Speed: Range{0.51, 0.69}, Slots: 4, Queue: 50, ConnectionMs: 3, Cost: 1.6},
 		},
-		Workers: []Group{
+		Workers: []WorkerGroup{
 			{Kind: "fast-3c", Zone: "montreal", Count: 2}, {Kind: "fast-3c", Zone: "quebec-city", Count: 1}, {Kind: "fast-3c", Zone: "sherbrooke", Count: 2},
 			{Kind: "std-2c", Zone: "montreal", Count: 1}, {Kind: "std-2c", Zone: "quebec-city", Count: 2}, {Kind: "std-2c", Zone: "sherbrooke", Count: 1},
 			{Kind: "slow-4c", Zone: "montreal", Count: 2}, {Kind: "slow-4c", Zone: "quebec-city", Count: 2}, {Kind: "slow-4c", Zone: "sherbrooke", Count: 1},
 		},
-		Dispatchers: []Dispatchers{{Zone: "montreal", Count: 2, Share: 3}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
-		Classes: []Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
-			{Name: "enrol", Effect: "keyed", WindowS: 7.5, AimS: 0.15, Stretch: 2.5, DeadlineS: 5, Worth: 8, LateWorth: 0.2}},
-		Universities: []University{{"univ-laurentie", 0.3, 36}, {"univ-saint-fleuve", 0.16, 19}, {"univ-estrie-nord", 0.13, 16}, {"univ-outaouais-ouest", 0.11, 13},
+		Dispatchers: []DispatcherGroup{{Zone: "montreal", Count: 2, Share: 3}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
+		Classes: []Class{{Name: "seat-check", Idempotency: "safe", LatencyTargetSeconds: 0.15, Stretch: 1.75, DeadlineSeconds: 5, Value: 2, LateValue: 0.2},
+			{Name: "enrol", Idempotency: "keyed", DedupWindowSeconds: 7.5, LatencyTargetSeconds: 0.15, Stretch: 2.5, DeadlineSeconds: 5, Value: 8, LateValue: 0.2}},
+		Tenants: []Tenant{{"univ-laurentie", 0.3, 36}, {"univ-saint-fleuve", 0.16, 19}, {"univ-estrie-nord", 0.13, 16}, {"univ-outaouais-ouest", 0.11, 13},
 			{"univ-mauricie", 0.11, 13}, {"univ-bas-fleuve", 0.08, 10}, {"univ-gaspesie", 0.06, 7}, {"univ-abitibi-lac", 0.05, 6}},
 	}
 }
 
 func usual(seconds, perSec float64) *Load {
-	return &Load{Seconds: seconds, Rate: []Point{{0, perSec}}, Retries: Retries{Most: 1, WaitMs: 30, Honours: true},
-		Classes: []Work{{"seat-check", 0.8, 200, 1}, {"enrol", 0.2, 120, 1}}}
+	return &Load{Seconds: seconds, Rate: []RatePoint{{0, perSec}}, Retries: Retries{Max: 1, WaitMs: 30, HonourRetryAfter: true},
+		Classes: []ClassLoad{{"seat-check", 0.8, 200, 1}, {"enrol", 0.2, 120, 1}}}
 }
 
 func play(t testing.TB, f *Fleet, l *Load, seed uint64) *Result {
 	t.Helper()
-	r, err := Play(f, l, seed, nil)
+	r, err := Simulate(f, l, seed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 func queue(t *testing.T, slots int, load, cv float64, jobs int, seed uint64) (wait, there, number, rate float64) {
 	f := small()
 	f.Kinds = []Kind{{Name: "one", Cores: float64(slots), Speed: Range{1, 1}, Slots: slots, Queue: 1 << 30}}
-	f.Workers = []Group{{Kind: "one", Zone: "montreal", Count: 1}}
+	f.Workers = []WorkerGroup{{Kind: "one", Zone: "montreal", Count: 1}}
 	s, err := together(f, usual(1, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -176,13 +176,13 @@
 func TestRulesHoldOnRandomDays(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f, l := small(), usual(6, rapid.Float64Range(10, 220).Draw(rt, "rate"))
-		l.Retries.Most = rapid.IntRange(0, 3).Draw(rt, "retries")
+		l.Retries.Max = rapid.IntRange(0, 3).Draw(rt, "retries")
 		for range rapid.IntRange(0, 4).Draw(rt, "troubles") {
-			f.Troubles = append(f.Troubles, Trouble{
-				What: rapid.SampledFrom([]string{"zone_lost", "deaths", "drain", "shared", "reports_late"}).Draw(rt, "what"),
-				Zone: rapid.SampledFrom(f.Zones).Draw(rt, "zone"), Part: rapid.Float64Range(0, 1).Draw(rt, "part"),
-				AtS: rapid.Float64Range(0, 6).Draw(rt, "at"), ForS: rapid.Float64Range(0, 4).Draw(rt, "for"),
-				Takes: rapid.Float64Range(0, 0.9).Draw(rt, "takes"), OnS: 0.5, OffS: 0.5})
+			f.Faults = append(f.Faults, Fault{
+				Type: rapid.SampledFrom([]string{"zone_lost", "deaths", "drain", "shared", "reports_late"}).Draw(rt, "what"),
+				Zone: rapid.SampledFrom(f.Zones).Draw(rt, "zone"), Fraction: rapid.Float64Range(0, 1).Draw(rt, "part"),
+				StartSeconds: rapid.Float64Range(0, 6).Draw(rt, "at"), DurationSeconds: rapid.Float64Range(0, 4).Draw(rt, "for"),
+				Amount: rapid.Float64Range(0, 0.9).Draw(rt, "takes"), OnSeconds: 0.5, OffSeconds: 0.5})
 		}
 		if rapid.Bool().Draw(rt, "burst") {
 			l.Bursts = []Burst{{"univ-gaspesie", 8, 1, 3}}
@@ -191,11 +191,11 @@
 		f.Dispatchers[1].Connections = rapid.SampledFrom([]int{0, 3}).Draw(rt, "links")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		r := play(t, f, l, seed)
-		for rule, n := range r.Broken {
+		for rule, n := range r.Violations {
 			rt.Errorf("%s: %d times", rule, n)
 		}
-		for _, y := range append(append([]Tally{r.Whole}, r.Classes...), r.Seconds...) {
-			if y.Jobs != y.InTime+y.Late+y.Lost || y.Earned > y.Asked+1e-6 || y.Earned < 0 {
+		for _, y := range append(append([]Tally{r.Total}, r.Classes...), r.Seconds...) {
+			if y.Jobs != y.InTime+y.Late+y.Failed || y.EarnedValue > y.OfferedValue+1e-6 || y.EarnedValue < 0 {
 				rt.Errorf("it does not add up: %+v", y)
 			}
 		}
@@ -203,8 +203,8 @@
 		for _, n := range r.Outcomes {
 			outcomes += n
 		}
-		if r.Tries != r.Whole.Jobs+r.Repeats || outcomes != r.Sent+r.Outcomes[8] && outcomes < r.Sent {
-			rt.Errorf("%d tries of %d requests with %d repeats; %d sends with %d outcomes", r.Tries, r.Whole.Jobs, r.Repeats, r.Sent, outcomes)
+		if r.Requests != r.Total.Jobs+r.Retries || outcomes != r.AttemptsSent+r.Outcomes[8] && outcomes < r.AttemptsSent {
+			rt.Errorf("%d tries of %d requests with %d repeats; %d sends with %d outcomes", r.Requests, r.Total.Jobs, r.Retries, r.AttemptsSent, outcomes)
 		}
 		one, _ := json.Marshal(r)
 		if two, _ := json.Marshal(play(t, f, l, seed)); string(one) != string(two) {
@@ -228,17 +228,17 @@
 		t.Errorf("a calm day scores %.3f", calm)
 	}
 	for name, change := range map[string]func(*Fleet, *Load){
-		"three times the load": func(_ *Fleet, l *Load) { l.Times = 3 },
+		"three times the load": func(_ *Fleet, l *Load) { l.Factor = 3 },
 		"a zone lost": func(f *Fleet, l *Load) {
-			f.Troubles = []Trouble{{What: "zone_lost", Zone: "montreal", AtS: 7, ForS: 7}}
+			f.Faults = []Fault{{Type: "zone_lost", Zone: "montreal", StartSeconds: 7, DurationSeconds: 7}}
 		},
 		"a quarter dies": func(f *Fleet, l *Load) {
-			f.Troubles = []Trouble{{What: "deaths", Part: 0.25, AtS: 7, ForS: 7}}
-			l.Times = 1.3
+			f.Faults = []Fault{{Type: "deaths", Fraction: 0.25, StartSeconds: 7, DurationSeconds: 7}}
+			l.Factor = 1.3
 		},
 		"shared machines": func(f *Fleet, l *Load) {
-			f.Troubles = []Trouble{{What: "shared", Part: 0.5, AtS: 0, ForS: 30, Takes: 0.8, OnS: 3, OffS: 2}}
-			l.Times = 1.3
+			f.Faults = []Fault{{Type: "shared", Fraction: 0.5, StartSeconds: 0, DurationSeconds: 30, Amount: 0.8, OnSeconds: 3, OffSeconds: 2}}
+			l.Factor = 1.3
 		},
 		"few open jobs": func(f *Fleet, l *Load) {
 			for i := range f.Dispatchers {
@@ -255,17 +255,17 @@
 // Thousands of universities, most of which send next to nothing, are a day like any other.
 func TestThousandsOfUniversities(t *testing.T) {
 	f, l := small(), usual(3, 80)
-	f.Universities = nil
+	f.Tenants = nil
 	for i := range 3000 {
-		f.Universities = append(f.Universities, University{fmt.Sprintf("univ-%d", i), 1. / 3000, 0.04})
+		f.Tenants = append(f.Tenants, Tenant{fmt.Sprintf("univ-%d", i), 1. / 3000, 0.04})
 	}
 	l.Bursts = []Burst{{"univ-7", 3000, 1, 1}}
 	r := play(t, f, l, 1)
-	if len(r.Broken) > 0 || r.Whole.Jobs < 200 || r.Whole.Jobs != r.Whole.InTime+r.Whole.Late+r.Whole.Lost || len(r.Universities) != 3000 {
-		t.Errorf("%+v, broken %v", r.Whole, r.Broken)
+	if len(r.Violations) > 0 || r.Total.Jobs < 200 || r.Total.Jobs != r.Total.InTime+r.Total.Late+r.Total.Failed || len(r.Tenants) != 3000 {
+		t.Errorf("%+v, broken %v", r.Total, r.Violations)
 	}
 	// What the burst sends beyond its university's share is worth little: few jobs of it count as within.
-	if within := r.Universities[7].Jobs; within > 5 {
+	if within := r.Tenants[7].Jobs; within > 5 {
 		t.Errorf("%d jobs of the burst count as within the share", within)
 	}
 }
@@ -274,16 +274,16 @@
 	for says, change := range map[string]func(*Fleet, *Load){
 		"key workers.1.kind: there is no \"fast\"":     func(f *Fleet, l *Load) { f.Workers[1].Kind = "fast" },
 		"key kinds.1.name":                             func(f *Fleet, l *Load) { f.Kinds[1].Name = "fast-3c" },
-		"key troubles.0.zone":                          func(f *Fleet, l *Load) { f.Troubles = []Trouble{{What: "zone_lost"}} },
-		"key classes.0.effect":                         func(f *Fleet, l *Load) { f.Classes[0].Effect = "free" },
+		"key troubles.0.zone":                          func(f *Fleet, l *Load) { f.Faults = []Fault{{Type: "zone_lost"}} },
+		"key classes.0.effect":                         func(f *Fleet, l *Load) { f.Classes[0].Idempotency = "free" },
 		"load: key seconds":                            func(f *Fleet, l *Load) { l.Seconds = math.NaN() },
-		"load: key rate.1":                             func(f *Fleet, l *Load) { l.Rate = append(l.Rate, Point{0, 1}) },
+		"load: key rate.1":                             func(f *Fleet, l *Load) { l.Rate = append(l.Rate, RatePoint{0, 1}) },
 		"load: key classes: their shares come to noth": func(f *Fleet, l *Load) { l.Classes = nil },
 		"key dispatchers":                              func(f *Fleet, l *Load) { f.Dispatchers = nil },
 	} {
 		f, l := small(), usual(1, 10)
 		change(f, l)
-		if _, err := Play(f, l, 1, nil); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := Simulate(f, l, 1, nil); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%v does not say %q", err, says)
 		}
 	}
@@ -297,19 +297,19 @@
 			f.Workers = nil
 			for i, k := range f.Kinds {
 				for z, zone := range f.Zones {
-					f.Workers = append(f.Workers, Group{Kind: k.Name, Zone: zone, Count: size.workers*(i*3+z+1)/9 - size.workers*(i*3+z)/9})
+					f.Workers = append(f.Workers, WorkerGroup{Kind: k.Name, Zone: zone, Count: size.workers*(i*3+z+1)/9 - size.workers*(i*3+z)/9})
 				}
 			}
-			f.Dispatchers = []Dispatchers{{Zone: "montreal", Count: size.dispatchers}}
-			for i := range f.Universities {
-				f.Universities[i].PerSecS *= float64(size.workers) / 14
+			f.Dispatchers = []DispatcherGroup{{Zone: "montreal", Count: size.dispatchers}}
+			for i := range f.Tenants {
+				f.Tenants[i].RatePerSecond *= float64(size.workers) / 14
 			}
 			l := usual(60*14/float64(size.workers), 9*float64(size.workers))
 			l.Seconds = max(l.Seconds, 1)
 			events, span, decisions := 0, time.Duration(0), 0
 			for i := range b.N {
 				r := play(b, f, l, uint64(i))
-				events, span, decisions = events+r.Events, span+r.Span, decisions+r.Decisions
+				events, span, decisions = events+r.Events, span+r.Duration, decisions+r.Decisions
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 			b.ReportMetric(float64(decisions)/b.Elapsed().Seconds(), "decisions/s")
--- a/internal/dispatcher/fleetsim/node.go
+++ b/internal/dispatcher/fleetsim/node.go
@@ -54,7 +54,7 @@
 type node struct {
 	d        *day
 	zone     int
-	lim      Dispatchers
+	lim      DispatcherGroup
 	module   *decision.Dispatcher
 	acts     []decision.Action
 	last     decision.JobID
@@ -67,7 +67,7 @@
 	news     int
 }
 
-func newNode(d *day, self, count int, lim Dispatchers, seed uint64) (*node, error) {
+func newNode(d *day, self, count int, lim DispatcherGroup, seed uint64) (*node, error) {
 	zone := d.zone[lim.Zone]
 	m, err := decision.New(d.settings(self, count, zone), seed)
 	if err != nil {
@@ -155,14 +155,14 @@
 
 // take is a client's try. Beyond the open jobs allowed it is turned away at the door.
 func (n *node) take(q *request, repeat bool) {
-	n.d.res.Tries++
+	n.d.res.Requests++
 	if n.open >= n.lim.OpenJobs {
-		n.d.res.Turned++
+		n.d.res.Overflowed++
 		n.client(q, refused, ms(n.d.RetryAfterMs))
 		return
 	}
 	n.open++
-	n.d.res.Open = max(n.d.res.Open, n.open)
+	n.d.res.PeakOpenJobs = max(n.d.res.PeakOpenJobs, n.open)
 	for n.last++; n.last == 0 || n.jobs[n.last] != nil; n.last++ {
 	}
 	patience := q.until - n.d.now
@@ -181,13 +181,13 @@
 
 func (n *node) answer(t *try, v verdict, after time.Duration) {
 	if t.answered {
-		n.d.res.Broken["two answers"]++
+		n.d.res.Violations["two answers"]++
 		return
 	}
 	t.answered = true
 	n.open--
 	if v == refused {
-		n.d.res.Refusals++
+		n.d.res.Rejections++
 		if after <= 0 {
 			after = ms(n.d.RetryAfterMs)
 		}
@@ -213,7 +213,7 @@
 		}
 	}
 	if !t.answered {
-		n.d.res.Broken["deadline passed by the module"]++
+		n.d.res.Violations["deadline passed by the module"]++
 		n.answer(t, failed, 0)
 	}
 }
@@ -222,39 +222,39 @@
 	s := n.byID[act.Worker]
 	a := &attempt{try: t, number: len(t.sends)}
 	if t.out > 0 {
-		n.d.res.Broken["two attempts at a time"]++
+		n.d.res.Violations["two attempts at a time"]++
 	}
 	t.sends = append(t.sends, a)
 	t.out++
 	if s == nil || s.state != decision.Ready || t.answered {
-		n.d.res.Broken["sent to a worker that is not ready"]++
+		n.d.res.Violations["sent to a worker that is not ready"]++
 		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
 	a.w, a.process, a.work = s.w, s.w.process, t.work
-	n.d.res.Sent++
+	n.d.res.AttemptsSent++
 	hop := n.d.hop(n.zone, a.w.zone)
 	if a.w.zone != n.zone {
-		n.d.res.Crossed++
+		n.d.res.CrossZoneAttempts++
 	}
 	if n.reuse(s) {
 		n.d.at(hop, func() { a.w.arrive(a) })
 		return
 	}
-	n.d.res.Dialled++
+	n.d.res.ConnectionsDialled++
 	if n.links >= n.lim.Connections && !n.spare() {
-		n.d.res.NoLink++
+		n.d.res.ConnectionsExhausted++
 		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
-	trip := time.Duration(2 * n.d.Trips * float64(hop))
+	trip := time.Duration(2 * n.d.ConnectionRoundTrips * float64(hop))
 	switch {
-	case a.w.silent || trip > ms(n.d.ConnectMs):
-		n.d.at(ms(n.d.ConnectMs), func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
+	case a.w.silent || trip > ms(n.d.ConnectTimeoutMs):
+		n.d.at(ms(n.d.ConnectTimeoutMs), func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
 	case !a.w.up:
 		n.d.at(trip, func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
 	case a.w.conns >= a.w.kind.Connections:
-		n.d.res.Kinds[a.w.k].NoConn++
+		n.d.res.Kinds[a.w.k].RejectedConnections++
 		n.d.at(trip, func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
 	default:
 		n.links++
@@ -306,8 +306,8 @@
 // keep puts a connection into the pool for a while.
 func (n *node) keep(s *seat) {
 	s.idle = append(s.idle, n.d.now)
-	n.d.at(sec(n.d.ConnIdleS*4/5), func() {
-		for len(s.idle) > 0 && n.d.now-s.idle[0] >= sec(n.d.ConnIdleS*4/5) {
+	n.d.at(sec(n.d.ConnectionIdleSeconds*4/5), func() {
+		for len(s.idle) > 0 && n.d.now-s.idle[0] >= sec(n.d.ConnectionIdleSeconds*4/5) {
 			s.idle = s.idle[1:]
 			n.drop(s.w, s.w.process)
 		}
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -66,7 +66,7 @@
 	k := &d.Kinds[kind]
 	id := decision.WorkerID(uint32(len(d.workers)+1) * 2654435761)
 	w := &worker{d: d, id: id, k: kind, kind: k, zone: zone, speed: k.Speed.Draw(d.draw), up: true, warm: true,
-		every: sec(d.ReportEveryS.Draw(d.draw)), delay: sec(d.ReportDelayS.Draw(d.draw))}
+		every: sec(d.ReportIntervalSeconds.Draw(d.draw)), delay: sec(d.ReportDelaySeconds.Draw(d.draw))}
 	d.workers = append(d.workers, w)
 }
 
@@ -75,8 +75,8 @@
 	if w.warm || w.born == 0 {
 		return 1
 	}
-	age := (at - w.born).Seconds() / max(w.kind.WarmS, 1e-9)
-	return min(w.kind.ColdShare+(1-w.kind.ColdShare)*age, 1)
+	age := (at - w.born).Seconds() / max(w.kind.SlowStartSeconds, 1e-9)
+	return min(w.kind.SlowStartShare+(1-w.kind.SlowStartShare)*age, 1)
 }
 
 // rate is the service a second of each running job at a moment.
@@ -163,7 +163,7 @@
 	case len(w.waiting) < w.kind.Queue:
 		w.waiting = append(w.waiting, a)
 	default:
-		w.d.res.Kinds[w.k].Full++
+		w.d.res.Kinds[w.k].RejectedJobs++
 		w.d.forget(a.try.request)
 		a.back(decision.Rejected, w)
 	}
@@ -171,10 +171,10 @@
 
 // repeats gives the run of a key that has run or runs anywhere, as all workers know, and notes it if there is none.
 func (d *day) repeats(q *request) *run {
-	if r := d.ran[q.key]; r != nil && (!r.done || d.now-r.at < sec(d.Classes[q.class].WindowS)) {
+	if r := d.ran[q.key]; r != nil && (!r.done || d.now-r.at < sec(d.Classes[q.class].DedupWindowSeconds)) {
 		return r
 	} else if r != nil {
-		d.res.Broken["ran twice"]++
+		d.res.Violations["ran twice"]++
 	}
 	d.ran[q.key] = &run{}
 	return nil
@@ -188,7 +188,7 @@
 
 // pushedOver notes work sent to a cold worker; beyond the rule's multiple of what it can do, it falls for good.
 func (w *worker) pushedOver(work float64) bool {
-	now, span := w.d.now, sec(w.d.Cold.SpanS)
+	now, span := w.d.now, sec(w.d.SlowStart.OverloadSpanSeconds)
 	w.sent = append(w.sent, sent{now, work})
 	for len(w.sent) > 0 && now-w.sent[0].at > span {
 		w.sent = w.sent[1:]
@@ -197,10 +197,10 @@
 	for _, s := range w.sent {
 		total += s.work
 	}
-	if total <= w.d.Cold.Multiple*w.kind.Cores*w.speed*w.capacity(now)*span.Seconds()+work {
+	if total <= w.d.SlowStart.OverloadMultiple*w.kind.Cores*w.speed*w.capacity(now)*span.Seconds()+work {
 		return false
 	}
-	w.d.res.Broken["cold worker pushed over"]++
+	w.d.res.Violations["cold worker pushed over"]++
 	w.fallen = true
 	w.die(false)
 	return true
@@ -228,8 +228,8 @@
 func (w *worker) finish(a *attempt) {
 	a.ended = true
 	w.done++
-	w.d.res.Kinds[w.k].Done++
-	w.d.res.Worked += a.work
+	w.d.res.Kinds[w.k].Completed++
+	w.d.res.WorkSeconds += a.work
 	a.back(decision.OK, w)
 	if q := a.try.request; q.key != 0 {
 		if r := w.d.ran[q.key]; r != nil {
@@ -280,12 +280,12 @@
 		}
 	}
 	for _, n := range w.d.nodes {
-		delay := w.d.RosterS
+		delay := w.d.DiscoveryDelaySeconds
 		if !silent {
 			n.cut(w)
 		}
 		if silent {
-			delay = w.d.SilentS
+			delay = w.d.UnresponsiveDelaySeconds
 		}
 		n.learns(w, decision.Gone, delay.Draw(w.d.net))
 	}
@@ -296,7 +296,7 @@
 	if w.up || w.fallen {
 		return
 	}
-	w.up, w.silent, w.drains, w.warm = true, false, false, w.kind.ColdShare >= 1
+	w.up, w.silent, w.drains, w.warm = true, false, false, w.kind.SlowStartShare >= 1
 	w.process++
 	w.born, w.counted, w.each = w.d.now, w.d.now, 0
 	w.views = 0
@@ -306,7 +306,7 @@
 	w.mute = nil
 	for _, n := range w.d.nodes {
 		n.cut(w)
-		n.learns(w, decision.Ready, w.d.RosterS.Draw(w.d.net))
+		n.learns(w, decision.Ready, w.d.DiscoveryDelaySeconds.Draw(w.d.net))
 	}
 }
 
--- a/internal/dispatcher/planner/breaks.go
+++ b/internal/dispatcher/planner/breaks.go
@@ -12,45 +12,45 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Relief is what lifting one limit does where the goal breaks.
-type Relief struct {
+// LimitEffect is what lifting one limit does where the goal breaks.
+type LimitEffect struct {
 	Resource string  `json:"resource"`
 	Slack    float64 `json:"slack"` // of the worst test once it is lifted
 	Gain     float64 `json:"gain"`  // over what it was
 }
 
-// Breaks answers what breaks first.
-type Breaks struct {
-	Now      []Finding `json:"now"`
-	HoldsAt  float64   `json:"holds_at"`  // times the load
-	BreaksAt float64   `json:"breaks_at"` // times the load; 0 if it does not break within what was tried
-	First    string    `json:"first"`     // the resource that does it
-	Failing  []Finding `json:"failing"`   // there
-	Reliefs  []Relief  `json:"reliefs"`   // most first
-	Busy     []string  `json:"busy"`      // how busy each kind is there
+// BreakingPoint tells up to which load the goal holds, and which limit breaks it.
+type BreakingPoint struct {
+	Baseline       []Finding     `json:"now"`
+	HoldsAtFactor  float64       `json:"holds_at"`  // times the load
+	BreaksAtFactor float64       `json:"breaks_at"` // times the load; 0 if it does not break within what was tried
+	FirstLimit     string        `json:"first"`     // the resource that does it
+	Failing        []Finding     `json:"failing"`   // there
+	LimitEffects   []LimitEffect `json:"reliefs"`   // most first
+	Utilization    []string      `json:"busy"`      // how busy each kind is there
 }
 
-// Breaks raises the load until the goal breaks, and then lifts one limit after the other on the same days: what gives
+// FindBreakingPoint raises the load until the goal breaks, and then lifts one limit after the other on the same days: what gives
 // most relief is what broke.
-func (p *Planner) Breaks() (*Breaks, error) {
-	out := &Breaks{}
+func (p *Planner) FindBreakingPoint() (*BreakingPoint, error) {
+	out := &BreakingPoint{}
 	f := p.usual(false)
 	now, err := p.evaluate(f, p.times(1))
 	if err != nil {
 		return out, err
 	}
-	out.Now = now.findings
+	out.Baseline = now.findings
 	low, high := 0.0, 1.0
 	if now.holds {
 		for low = 1; ; low = high {
-			if high = low * 1.5; high > p.Most {
-				out.HoldsAt = low
+			if high = low * 1.5; high > p.MaxFactor {
+				out.HoldsAtFactor = low
 				return out, nil
 			}
 			p.note("what breaks first: %.2f times the load", high)
 			e, err := p.evaluate(f, p.times(high))
 			if err != nil {
-				out.HoldsAt = low
+				out.HoldsAtFactor = low
 				return out, err
 			}
 			if !e.holds {
@@ -63,7 +63,7 @@
 		p.note("what breaks first: %.2f times the load", middle)
 		e, err := p.evaluate(f, p.times(middle))
 		if err != nil {
-			out.HoldsAt, out.BreaksAt = low, high
+			out.HoldsAtFactor, out.BreaksAtFactor = low, high
 			return out, err
 		}
 		if e.holds {
@@ -72,7 +72,7 @@
 			high = middle
 		}
 	}
-	out.HoldsAt, out.BreaksAt = low, high
+	out.HoldsAtFactor, out.BreaksAtFactor = low, high
 	// A little beyond, lest chance decide; where the goal breaks already, right here.
 	at := p.times(max(high*1.1, 1))
 	e, err := p.evaluate(f, at)
@@ -80,13 +80,13 @@
 		return out, err
 	}
 	out.Failing = slices.DeleteFunc(slices.Clone(e.findings), func(f Finding) bool { return f.Holds })
-	out.Busy = e.busy
-	if out.Reliefs, err = p.reliefs(f, at, e.slack); err != nil {
+	out.Utilization = e.busy
+	if out.LimitEffects, err = p.reliefs(f, at, e.slack); err != nil {
 		return out, err
 	}
-	out.First = out.Reliefs[0].Resource
-	if out.Reliefs[0].Gain <= 0 {
-		out.First = "nothing that can be lifted alone"
+	out.FirstLimit = out.LimitEffects[0].Resource
+	if out.LimitEffects[0].Gain <= 0 {
+		out.FirstLimit = "nothing that can be lifted alone"
 	}
 	return out, nil
 }
@@ -95,8 +95,8 @@
 	for i, k := range f.Kinds {
 		sum, full := 0.0, 0
 		for _, r := range days {
-			sum += r.Kinds[i].Busy / float64(len(days))
-			full += r.Kinds[i].Full
+			sum += r.Kinds[i].Utilization / float64(len(days))
+			full += r.Kinds[i].RejectedJobs
 		}
 		if days[0].Kinds[i].Count > 0 {
 			out = append(out, fmt.Sprintf("%s: slots %.0f%% at work, %d jobs a day met a full waiting room", k.Name, 100*sum, full/len(days)))
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	dispatchers := func(change func(*fleetsim.Dispatchers)) func(*fleetsim.Fleet, *fleetsim.Load) {
+	dispatchers := func(change func(*fleetsim.DispatcherGroup)) func(*fleetsim.Fleet, *fleetsim.Load) {
 		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.Dispatchers = slices.Clone(f.Dispatchers)
 			for i := range f.Dispatchers {
@@ -135,17 +135,17 @@
 		"connections that workers accept": kinds(func(k *fleetsim.Kind) { k.Connections = 1 << 30 }),
 		"the cost of new connections":     kinds(func(k *fleetsim.Kind) { k.ConnectionMs = 0 }),
 		"the cold budget after a start": func(f *fleetsim.Fleet, l *fleetsim.Load) {
-			kinds(func(k *fleetsim.Kind) { k.ColdShare = 1 })(f, l)
-			f.Cold.Share = 1
+			kinds(func(k *fleetsim.Kind) { k.SlowStartShare = 1 })(f, l)
+			f.SlowStart.Share = 1
 		},
-		"open jobs of the dispatchers":      dispatchers(func(d *fleetsim.Dispatchers) { d.OpenJobs = 1 << 30 }),
-		"worker connections of dispatchers": dispatchers(func(d *fleetsim.Dispatchers) { d.Connections = 1 << 30 }),
-		"clients' repeats":                  func(_ *fleetsim.Fleet, l *fleetsim.Load) { l.Retries.Most = 0 },
+		"open jobs of the dispatchers":      dispatchers(func(d *fleetsim.DispatcherGroup) { d.OpenJobs = 1 << 30 }),
+		"worker connections of dispatchers": dispatchers(func(d *fleetsim.DispatcherGroup) { d.Connections = 1 << 30 }),
+		"clients' repeats":                  func(_ *fleetsim.Fleet, l *fleetsim.Load) { l.Retries.Max = 0 },
 		"the roster's delay": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
-			f.RosterS, f.SilentS = fleetsim.Range{1e-3, 1e-3}, fleetsim.Range{1e-3, 1e-3}
+			f.DiscoveryDelaySeconds, f.UnresponsiveDelaySeconds = fleetsim.Range{1e-3, 1e-3}, fleetsim.Range{1e-3, 1e-3}
 		},
 		"the age of load reports": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
-			f.ReportEveryS, f.ReportDelayS = fleetsim.Range{0.02, 0.02}, fleetsim.Range{1e-3, 1e-3}
+			f.ReportIntervalSeconds, f.ReportDelaySeconds = fleetsim.Range{0.02, 0.02}, fleetsim.Range{1e-3, 1e-3}
 		},
 		"the pools of universities by label": onePool,
 	}
@@ -153,18 +153,18 @@
 
 // onePool takes the labels away: without a share no university gets a pool of its own. The load keeps its mix.
 func onePool(f *fleetsim.Fleet, l *fleetsim.Load) {
-	mixed := len(l.Universities) > 0
-	f.Universities = slices.Clone(f.Universities)
-	for i := range f.Universities {
-		u := &f.Universities[i]
+	mixed := len(l.Tenants) > 0
+	f.Tenants = slices.Clone(f.Tenants)
+	for i := range f.Tenants {
+		u := &f.Tenants[i]
 		if !mixed {
-			l.Universities = append(l.Universities, fleetsim.Source{Name: u.Name, Share: u.Share})
+			l.Tenants = append(l.Tenants, fleetsim.TenantLoad{Name: u.Name, Share: u.Share})
 		}
 		u.Share = 0
 	}
 }
 
-func (p *Planner) reliefs(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []Relief, err error) {
+func (p *Planner) reliefs(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
 	all := lifts(f)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		p.note("what gives relief: %s", name)
@@ -174,8 +174,8 @@
 		if err != nil {
 			return out, err
 		}
-		out = append(out, Relief{name, e.slack, e.slack - slack})
+		out = append(out, LimitEffect{name, e.slack, e.slack - slack})
 	}
-	slices.SortStableFunc(out, func(a, b Relief) int { return cmp.Compare(b.Gain, a.Gain) })
+	slices.SortStableFunc(out, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
 	return out, nil
 }
--- a/internal/dispatcher/planner/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -15,18 +15,18 @@
 
 // Figure is one thing that was fitted.
 type Figure struct {
-	Name  string  `json:"name"`
-	Value float64 `json:"value"`
-	Reach float64 `json:"reach"` // half the 95 % interval; -1 where that is not known
-	Rows  int     `json:"rows"`  // that it rests on
+	Name      string  `json:"name"`
+	Value     float64 `json:"value"`
+	HalfWidth float64 `json:"reach"` // half the 95 % interval; -1 where that is not known
+	Rows      int     `json:"rows"`  // that it rests on
 }
 
 // Fit is what captures tell.
 type Fit struct {
-	Load     *fleetsim.Load `json:"load"`
-	Figures  []Figure       `json:"figures"`
-	Warnings []string       `json:"warnings"`
-	Peak     float64        `json:"peak"` // most jobs in a second, repeats left out
+	Load          *fleetsim.Load `json:"load"`
+	Figures       []Figure       `json:"figures"`
+	Warnings      []string       `json:"warnings"`
+	PeakPerSecond float64        `json:"peak"` // most jobs in a second, repeats left out
 
 	speed       map[string]fleetsim.Range
 	slots       map[string]int
@@ -44,25 +44,25 @@
 
 // FitCapture fits captures of any number of dispatchers to a fleet, whose speeds, where it gives some, are the yardstick.
 func FitCapture(s *capture.Set, f *fleetsim.Fleet) (*Fit, error) {
-	if len(s.Tries) == 0 {
+	if len(s.Requests) == 0 {
 		return nil, errors.New("the captures hold no tries")
 	}
-	x := &Fit{Load: &fleetsim.Load{Times: 1}, speed: map[string]fleetsim.Range{}, slots: map[string]int{}, queue: map[string]int{}, ways: map[way]float64{}}
-	x.Warnings = append(x.Warnings, s.Notes...)
-	if s.Lost > 0 {
-		x.warn("%d rows could not be kept by the recorders: rates are that much too low", s.Lost)
+	x := &Fit{Load: &fleetsim.Load{Factor: 1}, speed: map[string]fleetsim.Range{}, slots: map[string]int{}, queue: map[string]int{}, ways: map[way]float64{}}
+	x.Warnings = append(x.Warnings, s.Warnings...)
+	if s.DroppedRows > 0 {
+		x.warn("%d rows could not be kept by the recorders: rates are that much too low", s.DroppedRows)
 	}
-	x.clocks(s.Tries)
-	x.arrivals(s.Tries, f)
+	x.clocks(s.Requests)
+	x.arrivals(s.Requests, f)
 	x.running(s.Attempts, f)
 	x.hops(s.Attempts)
 	x.room(s.Attempts)
-	x.repeats(s.Tries)
+	x.repeats(s.Requests)
 	return x, nil
 }
 
-// Fill gives a copy of the fleet with what it leaves out put in from the capture, as far as that is known.
-func (x *Fit) Fill(f *fleetsim.Fleet) *fleetsim.Fleet {
+// FillFleet returns a copy of the fleet with what it leaves out put in from the capture, as far as that is known.
+func (x *Fit) FillFleet(f *fleetsim.Fleet) *fleetsim.Fleet {
 	out := *f
 	out.Kinds = slices.Clone(f.Kinds)
 	for i := range out.Kinds {
@@ -81,14 +81,14 @@
 	return &out
 }
 
-// Extrapolates tells where a plan leaves what the capture has seen.
-func (x *Fit) Extrapolates(l *fleetsim.Load) (out []string) {
+// Extrapolations tells where a plan leaves what the capture has seen.
+func (x *Fit) Extrapolations(l *fleetsim.Load) (out []string) {
 	peak := 0.0
 	for _, p := range l.Rate {
-		peak = max(peak, p.PerSec*max(l.Times, 1))
+		peak = max(peak, p.PerSecond*max(l.Factor, 1))
 	}
-	if peak > 1.2*x.Peak {
-		out = append(out, fmt.Sprintf("the plan has up to %.0f jobs a second, the capture no more than %.0f: what lies beyond is the model's word alone", peak, x.Peak))
+	if peak > 1.2*x.PeakPerSecond {
+		out = append(out, fmt.Sprintf("the plan has up to %.0f jobs a second, the capture no more than %.0f: what lies beyond is the model's word alone", peak, x.PeakPerSecond))
 	}
 	if len(l.Bursts) > 0 && len(x.Load.Bursts) == 0 {
 		out = append(out, "the plan has bursts of universities, the capture has none: what repeats and refusals do then is the model's word alone")
@@ -97,7 +97,7 @@
 }
 
 // clocks looks for steps of the calendar and for captures that do not lie side by side.
-func (x *Fit) clocks(tries []capture.Try) {
+func (x *Fit) clocks(tries []capture.Request) {
 	type process struct {
 		node string
 		boot int64
@@ -106,9 +106,9 @@
 	for _, t := range tries {
 		p := process{t.Node, t.Boot}
 		if _, ok := least[p]; !ok {
-			least[p], most[p] = t.Clock, t.Clock
+			least[p], most[p] = t.ClockOffset, t.ClockOffset
 		}
-		least[p], most[p] = min(least[p], t.Clock), max(most[p], t.Clock)
+		least[p], most[p] = min(least[p], t.ClockOffset), max(most[p], t.ClockOffset)
 	}
 	for p := range least {
 		if d := float64(most[p]-least[p]) / 1e9; d > 0.1 {
--- a/internal/dispatcher/planner/fit_arrivals.go
+++ b/internal/dispatcher/planner/fit_arrivals.go
@@ -16,8 +16,8 @@
 )
 
 // arrivals fits rates, mixes and bursts.
-func (x *Fit) arrivals(tries []capture.Try, f *fleetsim.Fleet) {
-	first, last := tries[0].Came, tries[len(tries)-1].Came
+func (x *Fit) arrivals(tries []capture.Request, f *fleetsim.Fleet) {
+	first, last := tries[0].Arrived, tries[len(tries)-1].Arrived
 	seconds := max(float64(last-first)/1e9, 1)
 	width := max(seconds/120, 1)
 	bins := int(seconds/width) + 1
@@ -27,21 +27,21 @@
 	all := 0
 	perSecond := map[int64]int{}
 	for _, t := range tries {
-		if t.Repeat {
+		if t.Retry {
 			continue
 		}
-		bin := min(int(float64(t.Came-first)/1e9/width), bins-1)
+		bin := min(int(float64(t.Arrived-first)/1e9/width), bins-1)
 		count[bin]++
-		if by[t.University] == nil {
-			by[t.University] = make([]float64, bins)
+		if by[t.Tenant] == nil {
+			by[t.Tenant] = make([]float64, bins)
 		}
-		by[t.University][bin]++
+		by[t.Tenant][bin]++
 		classes[t.Class]++
 		all++
-		perSecond[(t.Came-first)/1e9]++
+		perSecond[(t.Arrived-first)/1e9]++
 	}
 	for _, n := range perSecond {
-		x.Peak = max(x.Peak, float64(n))
+		x.PeakPerSecond = max(x.PeakPerSecond, float64(n))
 	}
 	if all == 0 {
 		x.warn("all tries are repeats: there is no rate to fit")
@@ -79,7 +79,7 @@
 				plain[i] -= by[u][i] - expect
 			} else if begin >= 0 {
 				if due > 0 && over-due > 20 && i-begin > 1 { // one bin alone is chance
-					x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{University: u, Times: over / due, AtS: float64(begin) * width, ForS: float64(i-begin) * width})
+					x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{Tenant: u, Factor: over / due, StartSeconds: float64(begin) * width, DurationSeconds: float64(i-begin) * width})
 				}
 				begin = -1
 			}
@@ -116,12 +116,12 @@
 	for _, s := range segments {
 		rate := s.n / max(s.to-s.from, 1e-9)
 		if len(x.Load.Rate) > 0 {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.Point{AtS: s.from + 1e-3, PerSec: rate})
+			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: s.from + 1e-3, PerSecond: rate})
 		} else {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.Point{AtS: 0, PerSec: rate})
+			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: 0, PerSecond: rate})
 		}
 		if s.to > s.from+2e-3 {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.Point{AtS: s.to, PerSec: rate})
+			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: s.to, PerSecond: rate})
 		}
 		for i, n := range plain {
 			if from := float64(i) * width; from >= s.from-1e-9 && from < s.to-1e-9 && i < bins-1 {
@@ -139,7 +139,7 @@
 	for _, c := range f.Classes {
 		n := classes[c.Name]
 		share := float64(n) / float64(all)
-		x.Load.Classes = append(x.Load.Classes, fleetsim.Work{Name: c.Name, Share: share})
+		x.Load.Classes = append(x.Load.Classes, fleetsim.ClassLoad{Name: c.Name, Share: share})
 		x.figure("share of "+c.Name, share, 1.96*math.Sqrt(share*(1-share)/float64(all)), n)
 		delete(classes, c.Name)
 	}
@@ -150,8 +150,8 @@
 		if universityOf(f, u) < 0 {
 			x.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(by[u], nil)*float64(bins), u)
 		} else if parts[u] > 0 {
-			x.Load.Universities = append(x.Load.Universities, fleetsim.Source{Name: u, Share: parts[u] / float64(all)})
+			x.Load.Tenants = append(x.Load.Tenants, fleetsim.TenantLoad{Name: u, Share: parts[u] / float64(all)})
 		}
 	}
-	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return universityOf(f, b.University) < 0 })
+	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return universityOf(f, b.Tenant) < 0 })
 }
--- a/internal/dispatcher/planner/fit_clients.go
+++ b/internal/dispatcher/planner/fit_clients.go
@@ -13,20 +13,20 @@
 )
 
 // repeats fits what clients do after a refusal or a failure.
-func (x *Fit) repeats(tries []capture.Try) {
+func (x *Fit) repeats(tries []capture.Request) {
 	type who struct {
 		university string
 		subject    uint64
 	}
-	ended := map[who]capture.Try{}
+	ended := map[who]capture.Request{}
 	bad, repeats := 0, 0
 	var waits []float64
 	honoured, told := 0, 0
 	for _, t := range tries {
-		if t.Repeat {
+		if t.Retry {
 			repeats++
-			if before, ok := ended[who{t.University, t.Subject}]; ok && t.Subject != 0 {
-				wait := float64(t.Came-before.Came-before.Took) / 1e6
+			if before, ok := ended[who{t.Tenant, t.AffinityHash}]; ok && t.AffinityHash != 0 {
+				wait := float64(t.Arrived-before.Arrived-before.Duration) / 1e6
 				if wait >= 0 && wait < 5000 {
 					waits = append(waits, wait)
 					if before.RetryAfter > 0 {
@@ -37,12 +37,12 @@
 				}
 			}
 		}
-		if t.Verdict == "refused" || t.Verdict == "turned" || t.Verdict == "failed" {
-			if !t.Repeat {
+		if t.Outcome == "refused" || t.Outcome == "turned" || t.Outcome == "failed" {
+			if !t.Retry {
 				bad++
 			}
-			if t.Subject != 0 {
-				ended[who{t.University, t.Subject}] = t
+			if t.AffinityHash != 0 {
+				ended[who{t.Tenant, t.AffinityHash}] = t
 			}
 		}
 	}
@@ -50,19 +50,19 @@
 	switch {
 	case bad < 20:
 		x.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", bad)
-		*r = fleetsim.Retries{Most: 1, WaitMs: 50, Honours: true}
+		*r = fleetsim.Retries{Max: 1, WaitMs: 50, HonourRetryAfter: true}
 		return
 	case repeats > 0:
-		r.Most = max(int(math.Round(float64(repeats)/float64(bad))), 1)
+		r.Max = max(int(math.Round(float64(repeats)/float64(bad))), 1)
 	}
 	x.figure("repeats for a first try that was refused or failed", float64(repeats)/float64(bad), 1.96*math.Sqrt(float64(repeats))/float64(bad), bad)
 	if len(waits) >= 10 {
 		sort.Float64s(waits)
 		r.WaitMs = stat.Quantile(0.5, stat.Empirical, waits, nil)
-		r.Honours = honoured*2 > told
+		r.HonourRetryAfter = honoured*2 > told
 		x.figure("wait before a repeat, ms", r.WaitMs, -1, len(waits))
 	} else if repeats > 0 {
 		x.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
-		r.WaitMs, r.Honours = 50, true
+		r.WaitMs, r.HonourRetryAfter = 50, true
 	}
 }
--- a/internal/dispatcher/planner/fit_machines.go
+++ b/internal/dispatcher/planner/fit_machines.go
@@ -98,9 +98,9 @@
 		sort.Float64s(left)
 		dev := stat.StdDev(left, nil)
 		mean := math.Exp(mu[c] + shift + dev*dev/2)
-		at := slices.IndexFunc(x.Load.Classes, func(w fleetsim.Work) bool { return w.Name == f.Classes[c].Name })
+		at := slices.IndexFunc(x.Load.Classes, func(w fleetsim.ClassLoad) bool { return w.Name == f.Classes[c].Name })
 		if at >= 0 {
-			x.Load.Classes[at].Ms, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(dev*dev)-1)
+			x.Load.Classes[at].WorkMs, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(dev*dev)-1)
 		}
 		n := float64(len(left))
 		x.figure("work of "+f.Classes[c].Name+", ms", mean, 1.96*mean*math.Sqrt(dev*dev/n+dev*dev*dev*dev/(2*n)), len(left))
--- a/internal/dispatcher/planner/fit_test.go
+++ b/internal/dispatcher/planner/fit_test.go
@@ -46,21 +46,21 @@
 			continue
 		}
 		job++
-		t := capture.Try{Node: "n0", Boot: base, Job: job, Came: base + int64(at*1e9), Class: "seat-check", University: who, Subject: uint64(job), Patience: 5e9,
-			Verdict: "served", Took: 100e6, Attempts: 1}
+		t := capture.Request{Node: "n0", Boot: base, Job: job, Arrived: base + int64(at*1e9), Class: "seat-check", Tenant: who, AffinityHash: uint64(job), Timeout: 5e9,
+			Outcome: "served", Duration: 100e6, Attempts: 1}
 		work := 0.1
 		if rng.Float64() < 0.2 {
 			t.Class, work = "enrol", 0.08
 		}
 		work *= math.Exp(0.6*rng.NormFloat64() - 0.18)
 		if rng.Float64() < 0.05 {
-			t.Verdict, t.Took, t.Attempts, t.RetryAfter = "refused", 1e6, 0, 20e6
+			t.Outcome, t.Duration, t.Attempts, t.RetryAfter = "refused", 1e6, 0, 20e6
 			again := t
-			again.Job, again.Repeat, again.Verdict, again.Came = -job, true, "failed", t.Came+t.Took+40e6
-			s.Tries = append(s.Tries, t, again)
+			again.Job, again.Retry, again.Outcome, again.Arrived = -job, true, "failed", t.Arrived+t.Duration+40e6
+			s.Requests = append(s.Requests, t, again)
 			continue
 		}
-		s.Tries = append(s.Tries, t)
+		s.Requests = append(s.Requests, t)
 		w := &workers[rng.IntN(len(workers))]
 		zone, hop := "montreal", int64(1e6)
 		if w.name == "s-2" || w.name == "s-4" {
@@ -72,10 +72,10 @@
 				slot = i
 			}
 		}
-		begin := max(t.Came+hop, w.slots[slot])
+		begin := max(t.Arrived+hop, w.slots[slot])
 		w.slots[slot] = begin + int64(work/w.speed*1e9)
-		s.Attempts = append(s.Attempts, capture.Attempt{Node: "n0", Boot: base, Job: job, Class: t.Class, Worker: w.name, Kind: w.kind, Zone: zone, Sent: t.Came,
-			Started: begin + hop - t.Came, Ended: w.slots[slot] + hop - t.Came, Outcome: "ok", Free: 1, Queue: 0})
+		s.Attempts = append(s.Attempts, capture.Attempt{Node: "n0", Boot: base, Job: job, Class: t.Class, Worker: w.name, Kind: w.kind, Zone: zone, Sent: t.Arrived,
+			Started: begin + hop - t.Arrived, Ended: w.slots[slot] + hop - t.Arrived, Outcome: "ok", FreeSlots: 1, Queue: 0})
 	}
 	return s, f
 }
@@ -93,26 +93,26 @@
 		}
 	}
 	l := x.Load
-	near("the first rate", l.Rate[0].PerSec, 60, 0.1)
-	near("the last rate", l.Rate[len(l.Rate)-1].PerSec, 90, 0.1)
+	near("the first rate", l.Rate[0].PerSecond, 60, 0.1)
+	near("the last rate", l.Rate[len(l.Rate)-1].PerSecond, 90, 0.1)
 	if len(l.Rate) > 6 {
 		t.Errorf("two rates are told with %v", l.Rate)
 	}
-	if len(l.Bursts) != 1 || l.Bursts[0].University != "univ-gaspesie" {
+	if len(l.Bursts) != 1 || l.Bursts[0].Tenant != "univ-gaspesie" {
 		t.Fatalf("bursts: %+v", l.Bursts)
 	}
-	near("the burst", l.Bursts[0].Times, 5, 0.2)
-	near("its beginning", l.Bursts[0].AtS, 80, 0.03)
-	near("its length", l.Bursts[0].ForS, 10, 0.25)
+	near("the burst", l.Bursts[0].Factor, 5, 0.2)
+	near("its beginning", l.Bursts[0].StartSeconds, 80, 0.03)
+	near("its length", l.Bursts[0].DurationSeconds, 10, 0.25)
 	near("the share of enrol", l.Classes[1].Share, 0.2, 0.1)
-	near("work of seat-check", l.Classes[0].Ms, 100, 0.06)
-	near("work of enrol", l.Classes[1].Ms, 80, 0.08)
+	near("work of seat-check", l.Classes[0].WorkMs, 100, 0.06)
+	near("work of enrol", l.Classes[1].WorkMs, 80, 0.08)
 	near("its variation", l.Classes[0].CV, math.Sqrt(math.Exp(0.36)-1), 0.1)
 	near("the wait before a repeat", l.Retries.WaitMs, 40, 0.02)
-	if l.Retries.Most != 1 || !l.Retries.Honours {
+	if l.Retries.Max != 1 || !l.Retries.HonourRetryAfter {
 		t.Errorf("%+v", l.Retries)
 	}
-	full := x.Fill(f)
+	full := x.FillFleet(f)
 	if fast := full.Kinds[1]; fast.Slots != 3 || full.Kinds[0].Slots != 2 {
 		t.Errorf("slots: %d and %d", full.Kinds[0].Slots, fast.Slots)
 	}
@@ -121,20 +121,20 @@
 		t.Errorf("what the fleet gives was changed: %+v", full.Kinds[0])
 	}
 	near("one way within a zone", full.SameZoneMs, 1, 0.2)
-	if f.CrossZoneMs = 0; math.Abs(x.Fill(f).CrossZoneMs-9) > 1 {
-		t.Errorf("one way between zones: %v ms", x.Fill(f).CrossZoneMs)
+	if f.CrossZoneMs = 0; math.Abs(x.FillFleet(f).CrossZoneMs-9) > 1 {
+		t.Errorf("one way between zones: %v ms", x.FillFleet(f).CrossZoneMs)
 	}
 	for _, w := range x.Figures {
-		if math.IsNaN(w.Value) || math.IsNaN(w.Reach) {
+		if math.IsNaN(w.Value) || math.IsNaN(w.HalfWidth) {
 			t.Errorf("%+v", w)
 		}
 	}
-	beyond := &fleetsim.Load{Rate: []fleetsim.Point{{AtS: 0, PerSec: 900}}}
-	if said := x.Extrapolates(beyond); len(said) != 1 || !strings.Contains(said[0], "900 jobs a second") || len(x.Extrapolates(l)) != 0 {
-		t.Errorf("%v, %v", said, x.Extrapolates(l))
+	beyond := &fleetsim.Load{Rate: []fleetsim.RatePoint{{AtSeconds: 0, PerSecond: 900}}}
+	if said := x.Extrapolations(beyond); len(said) != 1 || !strings.Contains(said[0], "900 jobs a second") || len(x.Extrapolations(l)) != 0 {
+		t.Errorf("%v, %v", said, x.Extrapolations(l))
 	}
 	// The fitted load can be planned for.
-	if _, err := fleetsim.Play(x.Fill(f), l, 1, nil); err != nil {
+	if _, err := fleetsim.Simulate(x.FillFleet(f), l, 1, nil); err != nil {
 		t.Error(err)
 	}
 }
@@ -148,30 +148,30 @@
 		if err != nil {
 			return err.Error()
 		}
-		return strings.Join(append(x.Warnings, x.Extrapolates(&fleetsim.Load{Rate: x.Load.Rate, Bursts: []fleetsim.Burst{{}}})...), "; ")
+		return strings.Join(append(x.Warnings, x.Extrapolations(&fleetsim.Load{Rate: x.Load.Rate, Bursts: []fleetsim.Burst{{}}})...), "; ")
 	}
 	for says, change := range map[string]func(*capture.Set){
-		"hold no tries":                              func(s *capture.Set) { s.Tries = nil },
-		"the calendar of n0 stepped by 3600.0 s":     func(s *capture.Set) { s.Tries[500].Clock = 3600e9 },
-		"17 rows could not be kept":                  func(s *capture.Set) { s.Lost = 17 },
-		"was never closed":                           func(s *capture.Set) { s.Notes = []string{"x was never closed"} },
-		"class \"drop\", which the fleet does not":   func(s *capture.Set) { s.Tries[3].Class = "drop" },
-		"university \"univ-x\", which the fleet":     func(s *capture.Set) { s.Tries[3].University = "univ-x" },
+		"hold no tries":                              func(s *capture.Set) { s.Requests = nil },
+		"the calendar of n0 stepped by 3600.0 s":     func(s *capture.Set) { s.Requests[500].ClockOffset = 3600e9 },
+		"17 rows could not be kept":                  func(s *capture.Set) { s.DroppedRows = 17 },
+		"was never closed":                           func(s *capture.Set) { s.Warnings = []string{"x was never closed"} },
+		"class \"drop\", which the fleet does not":   func(s *capture.Set) { s.Requests[3].Class = "drop" },
+		"university \"univ-x\", which the fleet":     func(s *capture.Set) { s.Requests[3].Tenant = "univ-x" },
 		"only 0 jobs tell their running time":        func(s *capture.Set) { s.Attempts = nil },
-		"all tries are repeats":                      func(s *capture.Set) { s.Tries = []capture.Try{{Repeat: true}} },
+		"all tries are repeats":                      func(s *capture.Set) { s.Requests = []capture.Request{{Retry: true}} },
 		"no job met a full worker":                   func(s *capture.Set) {},
 		"running times of seat-check are no lognorm": func(s *capture.Set) { fixed(s) },
 		"only 0 first tries were refused or failed": func(s *capture.Set) {
-			for i := range s.Tries {
-				s.Tries[i].Verdict = "served"
+			for i := range s.Requests {
+				s.Requests[i].Outcome = "served"
 			}
 		},
 		"the capture has none": func(s *capture.Set) { // a calm day alone, asked about a burst
-			for i := range s.Tries {
-				if s.Tries[i].Came%5 < 2 {
-					s.Tries[i].University = "univ-gaspesie"
+			for i := range s.Requests {
+				if s.Requests[i].Arrived%5 < 2 {
+					s.Requests[i].Tenant = "univ-gaspesie"
 				} else {
-					s.Tries[i].University = "univ-laurentie"
+					s.Requests[i].Tenant = "univ-laurentie"
 				}
 			}
 		},
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -25,30 +25,30 @@
 
 // Clause is tests on days with certain troubles, or on days without.
 type Clause struct {
-	Tests []*Test      `parser:"@@ ('and' @@)*"`
-	With  []*Condition `parser:"('with' @@ ('and' @@)*)?"`
+	Tests      []*Test      `parser:"@@ ('and' @@)*"`
+	Conditions []*Condition `parser:"('with' @@ ('and' @@)*)?"`
 }
 
 // Test holds a measure against a bound.
 type Test struct {
-	Pos     lexer.Position
-	Measure string  `parser:"@Ident"`
-	Of      string  `parser:"('(' @Ident ')')?"`
-	Op      string  `parser:"@('>=' | '<=')"`
-	Value   float64 `parser:"@Number"`
-	Percent bool    `parser:"@'%'?"`
+	Pos      lexer.Position
+	Measure  string  `parser:"@Ident"`
+	Subject  string  `parser:"('(' @Ident ')')?"`
+	Operator string  `parser:"@('>=' | '<=')"`
+	Bound    float64 `parser:"@Number"`
+	Percent  bool    `parser:"@'%'?"`
 }
 
 // Condition is a trouble or a load that a clause's days have.
 type Condition struct {
-	Pos    lexer.Position
-	Zone   string  `parser:"(  'zone' @Ident 'lost'"`
-	Dead   float64 `parser:" | @Number '%' 'dead'"`
-	Shared float64 `parser:" | @Number '%' 'shared'"`
-	Who    string  `parser:" | @Ident 'times'"`
-	Times  float64 `parser:"   @Number )"`
-	At     float64 `parser:"('at' @Number"`
-	For    float64 `parser:" 'for' @Number)?"`
+	Pos           lexer.Position
+	LostZone      string  `parser:"(  'zone' @Ident 'lost'"`
+	DeadPercent   float64 `parser:" | @Number '%' 'dead'"`
+	SharedPercent float64 `parser:" | @Number '%' 'shared'"`
+	LoadTarget    string  `parser:" | @Ident 'times'"`
+	Factor        float64 `parser:"   @Number )"`
+	AtSeconds     float64 `parser:"('at' @Number"`
+	ForSeconds    float64 `parser:" 'for' @Number)?"`
 }
 
 var (
@@ -81,14 +81,14 @@
 			switch {
 			case !ok:
 				return nil, fault(t.Pos, "%q is no measure; there are service, late, lost, in_time, score and worst10", t.Measure)
-			case !of && t.Of != "":
-				return nil, fault(t.Pos, "%s is of the whole day, not of %s", t.Measure, t.Of)
+			case !of && t.Subject != "":
+				return nil, fault(t.Pos, "%s is of the whole day, not of %s", t.Measure, t.Subject)
 			}
 			if t.Percent {
-				t.Value /= 100
+				t.Bound /= 100
 			}
-			if t.Value > 1 {
-				return nil, fault(t.Pos, "%v is more than all", t.Value)
+			if t.Bound > 1 {
+				return nil, fault(t.Pos, "%v is more than all", t.Bound)
 			}
 		}
 	}
@@ -103,17 +103,17 @@
 func (g *Goal) Check(f *fleetsim.Fleet) error {
 	for _, c := range g.Clauses {
 		for _, t := range c.Tests {
-			if t.Of != "" && classOf(f, t.Of) < 0 && universityOf(f, t.Of) < 0 {
-				return fault(t.Pos, "%q is neither a class nor a university of the fleet", t.Of)
+			if t.Subject != "" && classOf(f, t.Subject) < 0 && universityOf(f, t.Subject) < 0 {
+				return fault(t.Pos, "%q is neither a class nor a university of the fleet", t.Subject)
 			}
 		}
-		for _, w := range c.With {
+		for _, w := range c.Conditions {
 			switch {
-			case w.Zone != "" && !slices.Contains(f.Zones, w.Zone):
-				return fault(w.Pos, "there is no zone %q; there are %s", w.Zone, strings.Join(f.Zones, ", "))
-			case w.Who != "" && w.Who != "load" && universityOf(f, w.Who) < 0:
-				return fault(w.Pos, "%q is neither load nor a university of the fleet", w.Who)
-			case w.Dead > 100 || w.Shared > 100:
+			case w.LostZone != "" && !slices.Contains(f.Zones, w.LostZone):
+				return fault(w.Pos, "there is no zone %q; there are %s", w.LostZone, strings.Join(f.Zones, ", "))
+			case w.LoadTarget != "" && w.LoadTarget != "load" && universityOf(f, w.LoadTarget) < 0:
+				return fault(w.Pos, "%q is neither load nor a university of the fleet", w.LoadTarget)
+			case w.DeadPercent > 100 || w.SharedPercent > 100:
 				return fault(w.Pos, "more than all workers")
 			}
 		}
@@ -126,16 +126,16 @@
 }
 
 func universityOf(f *fleetsim.Fleet, name string) int {
-	return slices.IndexFunc(f.Universities, func(u fleetsim.University) bool { return u.Name == name })
+	return slices.IndexFunc(f.Tenants, func(u fleetsim.Tenant) bool { return u.Name == name })
 }
 
 // of measures a day. Of a day without such jobs every measure is perfect.
 func (t *Test) of(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
-	tally := &r.Whole
-	if i := classOf(f, t.Of); i >= 0 {
+	tally := &r.Total
+	if i := classOf(f, t.Subject); i >= 0 {
 		tally = &r.Classes[i]
-	} else if i := universityOf(f, t.Of); i >= 0 {
-		tally = &r.Universities[i]
+	} else if i := universityOf(f, t.Subject); i >= 0 {
+		tally = &r.Tenants[i]
 	}
 	jobs := float64(max(tally.Jobs, 1))
 	switch t.Measure {
@@ -144,60 +144,60 @@
 	case "late":
 		return float64(tally.Late) / jobs
 	case "lost":
-		return float64(tally.Lost) / jobs
+		return float64(tally.Failed) / jobs
 	case "in_time":
 		if tally.Jobs == 0 {
 			return 1
 		}
 		return float64(tally.InTime) / jobs
 	case "worst10":
-		return r.Worst10
+		return r.WorstTenSeconds
 	}
 	return r.Score
 }
 
 // slack is how far a day lies on the good side of the bound, below zero if on the bad one.
 func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
-	if t.Op == ">=" {
-		return t.of(f, r) - t.Value
+	if t.Operator == ">=" {
+		return t.of(f, r) - t.Bound
 	}
-	return t.Value - t.of(f, r)
+	return t.Bound - t.of(f, r)
 }
 
 // String returns the goal as it is written on the command line.
 func (t *Test) String() string {
 	of := ""
-	if t.Of != "" {
-		of = "(" + t.Of + ")"
+	if t.Subject != "" {
+		of = "(" + t.Subject + ")"
 	}
-	return fmt.Sprintf("%s%s %s %g", t.Measure, of, t.Op, t.Value)
+	return fmt.Sprintf("%s%s %s %g", t.Measure, of, t.Operator, t.Bound)
 }
 
 // when is the time that a condition lasts: a third of the day, from its first third on, where nothing else is said.
 func (c *Condition) when(l *fleetsim.Load) (at, span float64) {
-	if c.For > 0 {
-		return c.At, c.For
+	if c.ForSeconds > 0 {
+		return c.AtSeconds, c.ForSeconds
 	}
 	return l.Seconds / 3, l.Seconds / 3
 }
 
 // apply puts a clause's conditions into copies of the descriptions.
 func (c *Clause) apply(f fleetsim.Fleet, l fleetsim.Load) (*fleetsim.Fleet, *fleetsim.Load) {
-	f.Troubles, l.Bursts = slices.Clone(f.Troubles), slices.Clone(l.Bursts)
-	l.Times = cmp.Or(l.Times, 1)
-	for _, w := range c.With {
+	f.Faults, l.Bursts = slices.Clone(f.Faults), slices.Clone(l.Bursts)
+	l.Factor = cmp.Or(l.Factor, 1)
+	for _, w := range c.Conditions {
 		at, span := w.when(&l)
 		switch {
-		case w.Zone != "":
-			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "zone_lost", Zone: w.Zone, AtS: at, ForS: span})
-		case w.Dead > 0:
-			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "deaths", Part: w.Dead / 100, AtS: at, ForS: span})
-		case w.Shared > 0:
-			f.Troubles = append(f.Troubles, fleetsim.Trouble{What: "shared", Part: w.Shared / 100, Takes: 0.55, OnS: 2.5, OffS: 2.5, AtS: at, ForS: span})
-		case w.Who == "load":
-			l.Times *= w.Times
+		case w.LostZone != "":
+			f.Faults = append(f.Faults, fleetsim.Fault{Type: "zone_lost", Zone: w.LostZone, StartSeconds: at, DurationSeconds: span})
+		case w.DeadPercent > 0:
+			f.Faults = append(f.Faults, fleetsim.Fault{Type: "deaths", Fraction: w.DeadPercent / 100, StartSeconds: at, DurationSeconds: span})
+		case w.SharedPercent > 0:
+			f.Faults = append(f.Faults, fleetsim.Fault{Type: "shared", Fraction: w.SharedPercent / 100, Amount: 0.55, OnSeconds: 2.5, OffSeconds: 2.5, StartSeconds: at, DurationSeconds: span})
+		case w.LoadTarget == "load":
+			l.Factor *= w.Factor
 		default:
-			l.Bursts = append(l.Bursts, fleetsim.Burst{University: w.Who, Times: w.Times, AtS: at, ForS: span})
+			l.Bursts = append(l.Bursts, fleetsim.Burst{Tenant: w.LoadTarget, Factor: w.Factor, StartSeconds: at, DurationSeconds: span})
 		}
 	}
 	return &f, &l
--- a/internal/dispatcher/planner/golden_test.go
+++ b/internal/dispatcher/planner/golden_test.go
@@ -17,8 +17,8 @@
 		t.Fatal(err)
 	}
 	_, load := yard()
-	load.Rate[0].PerSec = 500
-	text, err := json.MarshalIndent(map[string]any{"fit": fit, "filled": fit.Fill(fleet), "extrapolates": fit.Extrapolates(load)}, "", " ")
+	load.Rate[0].PerSecond = 500
+	text, err := json.MarshalIndent(map[string]any{"fit": fit, "filled": fit.FillFleet(fleet), "extrapolates": fit.Extrapolations(load)}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,16 +29,16 @@
 func TestGoldenAnswers(t *testing.T) {
 	fleet, load := yard()
 	load.Seconds = 4
-	p := planner(t, fleet, load, "service >= 0.9 and late <= 20% with zone sherbrooke lost at 1 for 2", Options{Days: 3, Most: 4, Seed: 7, Cores: 2})
-	breaks, err := p.Breaks()
+	p := planner(t, fleet, load, "service >= 0.9 and late <= 20% with zone sherbrooke lost at 1 for 2", Options{MaxDays: 3, MaxFactor: 4, Seed: 7, Parallelism: 2})
+	breaks, err := p.FindBreakingPoint()
 	if err != nil {
 		t.Fatal(err)
 	}
-	needs, err := p.Needs()
+	needs, err := p.FindSizing()
 	if err != nil {
 		t.Fatal(err)
 	}
-	losses, err := p.Losses()
+	losses, err := p.ZoneLosses()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/planner/losses.go
+++ b/internal/dispatcher/planner/losses.go
@@ -4,41 +4,41 @@
 
 import "gladepick/internal/dispatcher/fleetsim"
 
-// Loss is what losing a zone costs, as a share of the worth asked.
-type Loss struct {
-	Zone         string     `json:"zone"`
-	Spares       bool       `json:"spares"` // with the spare workers switched on
-	Worth        Estimate   `json:"worth"`  // of the whole day
-	During       Estimate   `json:"during"` // of what came while it was lost
-	After        Estimate   `json:"after"`  // of what came in the ten seconds after
-	Classes      []Estimate `json:"classes"`
-	Universities []Estimate `json:"universities"`
-	Seconds      []float64  `json:"seconds"` // worth lost in each second, on average
-	Fell         int        `json:"fell"`    // cold workers pushed over, all days together
+// ZoneLoss is what losing a zone costs, as a share of the worth asked.
+type ZoneLoss struct {
+	Zone              string     `json:"zone"`
+	Spares            bool       `json:"spares"` // with the spare workers switched on
+	Total             Estimate   `json:"worth"`  // of the whole day
+	During            Estimate   `json:"during"` // of what came while it was lost
+	After             Estimate   `json:"after"`  // of what came in the ten seconds after
+	Classes           []Estimate `json:"classes"`
+	Tenants           []Estimate `json:"universities"`
+	Seconds           []float64  `json:"seconds"` // worth lost in each second, on average
+	OverloadedWorkers int        `json:"fell"`    // cold workers pushed over, all days together
 }
 
-// Losses answers what losing each zone costs: the same days with and without, and the difference.
-func (p *Planner) Losses() (out []Loss, err error) {
+// ZoneLosses tells what losing each zone costs: the same days with and without, and the difference.
+func (p *Planner) ZoneLosses() (out []ZoneLoss, err error) {
 	for _, spares := range []bool{false, true} {
 		f := p.usual(spares)
 		if spares && len(f.Workers) == len(p.usual(false).Workers) {
 			break
 		}
 		l := p.times(1)
-		whole, err := p.play(f, l, 0, p.Options.Days)
+		whole, err := p.play(f, l, 0, p.Options.MaxDays)
 		if err != nil {
 			return out, err
 		}
 		for _, zone := range f.Zones {
 			p.note("what a zone costs: %s", zone)
-			c := Clause{With: []*Condition{{Zone: zone}}}
+			c := Clause{Conditions: []*Condition{{LostZone: zone}}}
 			lf, ll := c.apply(*f, *l)
-			at, span := c.With[0].when(ll)
-			lost, err := p.play(lf, ll, 0, p.Options.Days)
+			at, span := c.Conditions[0].when(ll)
+			lost, err := p.play(lf, ll, 0, p.Options.MaxDays)
 			if err != nil {
 				return out, err
 			}
-			loss := Loss{Zone: zone, Spares: spares, Seconds: make([]float64, len(whole[0].Seconds))}
+			loss := ZoneLoss{Zone: zone, Spares: spares, Seconds: make([]float64, len(whole[0].Seconds))}
 			diff := func(of func(*fleetsim.Result) fleetsim.Tally) Estimate {
 				var x []float64
 				for i := range whole {
@@ -51,28 +51,28 @@
 				return func(r *fleetsim.Result) (t fleetsim.Tally) {
 					for i, s := range r.Seconds {
 						if float64(i) >= from && float64(i) < to {
-							t.Asked += s.Asked
-							t.Earned += s.Earned
+							t.OfferedValue += s.OfferedValue
+							t.EarnedValue += s.EarnedValue
 						}
 					}
 					return t
 				}
 			}
-			loss.Worth = diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Whole })
+			loss.Total = diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Total })
 			loss.During, loss.After = diff(window(at, at+span)), diff(window(at+span, at+span+10))
 			for i := range f.Classes {
 				loss.Classes = append(loss.Classes, diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Classes[i] }))
 			}
-			for i := range f.Universities {
-				loss.Universities = append(loss.Universities, diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Universities[i] }))
+			for i := range f.Tenants {
+				loss.Tenants = append(loss.Tenants, diff(func(r *fleetsim.Result) fleetsim.Tally { return r.Tenants[i] }))
 			}
 			for i := range loss.Seconds {
 				for d := range whole {
-					loss.Seconds[i] += (whole[d].Seconds[i].Earned - lost[d].Seconds[i].Earned) / float64(len(whole))
+					loss.Seconds[i] += (whole[d].Seconds[i].EarnedValue - lost[d].Seconds[i].EarnedValue) / float64(len(whole))
 				}
 			}
 			for _, r := range lost {
-				loss.Fell += r.Broken["cold worker pushed over"]
+				loss.OverloadedWorkers += r.Violations["cold worker pushed over"]
 			}
 			out = append(out, loss)
 		}
--- a/internal/dispatcher/planner/needs.go
+++ b/internal/dispatcher/planner/needs.go
@@ -10,18 +10,18 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Needs answers how many workers the goal needs.
-type Needs struct {
-	Reached  bool             `json:"reached"`
-	Workers  []fleetsim.Group `json:"workers"`
-	Count    int              `json:"count"`
-	Cost     float64          `json:"cost"`
-	CostNow  float64          `json:"cost_now"`
-	Findings []Finding        `json:"findings"`
-	Why      []Relief         `json:"why,omitempty"` // what would give relief where no number of workers does
-	Limits   map[string]int   `json:"limits"`        // the least that the goal needs with these workers
-	Curve    []Sample         `json:"curve"`         // service against workers
-	Fleets   int              `json:"fleets"`        // that were looked at
+// Sizing tells how many workers the goal needs.
+type Sizing struct {
+	Reached      bool                   `json:"reached"`
+	Workers      []fleetsim.WorkerGroup `json:"workers"`
+	Count        int                    `json:"count"`
+	Cost         float64                `json:"cost"`
+	CostNow      float64                `json:"cost_now"`
+	Findings     []Finding              `json:"findings"`
+	LimitEffects []LimitEffect          `json:"why,omitempty"` // what would give relief where no number of workers does
+	Limits       map[string]int         `json:"limits"`        // the least that the goal needs with these workers
+	Curve        []Sample               `json:"curve"`         // service against workers
+	Fleets       int                    `json:"fleets"`        // that were looked at
 }
 
 // Sample is a fleet that was looked at.
@@ -60,10 +60,10 @@
 	return &out
 }
 
-// Needs searches the cheapest mix that holds the goal: first the least multiple of the fleet that does, then machine by
+// FindSizing searches the cheapest mix that holds the goal: first the least multiple of the fleet that does, then machine by
 // machine downwards, the dearest first, and exchanges of one kind for another in a zone.
-func (p *Planner) Needs() (*Needs, error) {
-	out := &Needs{Limits: map[string]int{}}
+func (p *Planner) FindSizing() (*Sizing, error) {
+	out := &Sizing{Limits: map[string]int{}}
 	base := p.usual(true)
 	_, out.CostNow = cost(p.usual(false))
 	try := func(f *fleetsim.Fleet) (*evaluation, error) {
@@ -81,11 +81,11 @@
 		out.Reached, out.Findings = true, e.findings
 		out.Workers = nil
 		for _, g := range f.Workers {
-			at := slices.IndexFunc(out.Workers, func(o fleetsim.Group) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
+			at := slices.IndexFunc(out.Workers, func(o fleetsim.WorkerGroup) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
 			if at >= 0 {
 				out.Workers[at].Count += g.Count
 			} else if g.Count > 0 {
-				out.Workers = append(out.Workers, fleetsim.Group{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
+				out.Workers = append(out.Workers, fleetsim.WorkerGroup{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
 			}
 		}
 		out.Count, out.Cost = cost(f)
@@ -103,9 +103,9 @@
 			keep(f, e)
 			break
 		}
-		if low, high = high, high*1.6; high > p.Most {
+		if low, high = high, high*1.6; high > p.MaxFactor {
 			out.Findings = e.findings
-			if out.Why, err = p.reliefs(f, p.times(1), e.slack); err != nil {
+			if out.LimitEffects, err = p.reliefs(f, p.times(1), e.slack); err != nil {
 				return out, err
 			}
 			return out, nil
@@ -149,7 +149,7 @@
 
 // neighbours are fleets a step cheaper, the cheapest first: a machine less, or one kind for another in a zone.
 func neighbours(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
-	with := func(change func([]fleetsim.Group)) {
+	with := func(change func([]fleetsim.WorkerGroup)) {
 		n := *f
 		n.Workers = slices.Clone(f.Workers)
 		change(n.Workers)
@@ -159,10 +159,10 @@
 		if g.Count == 0 {
 			continue
 		}
-		with(func(w []fleetsim.Group) { w[i].Count-- })
+		with(func(w []fleetsim.WorkerGroup) { w[i].Count-- })
 		for k, other := range f.Workers {
 			if other.Zone == g.Zone && price[other.Kind] < price[g.Kind] {
-				with(func(w []fleetsim.Group) { w[i].Count--; w[k].Count++ })
+				with(func(w []fleetsim.WorkerGroup) { w[i].Count--; w[k].Count++ })
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 // limits finds the least open jobs, worker connections and attempts with which the goal still holds.
-func (p *Planner) limits(f *fleetsim.Fleet, out *Needs) error {
+func (p *Planner) limits(f *fleetsim.Fleet, out *Sizing) error {
 	for _, limit := range []struct {
 		name string
 		most int
@@ -191,7 +191,7 @@
 				f.Dispatchers[i].Connections = v
 			}
 		}},
-		{"attempts", 8, func(f *fleetsim.Fleet, v int) { f.Attempts = v }},
+		{"attempts", 8, func(f *fleetsim.Fleet, v int) { f.MaxAttempts = v }},
 	} {
 		low, high := 0, limit.most
 		for high-low > max(high/16, 1) {
--- a/internal/dispatcher/planner/plan.go
+++ b/internal/dispatcher/planner/plan.go
@@ -22,14 +22,14 @@
 
 // Options say how sure answers must be and how long the search may go on.
 type Options struct {
-	Seed       uint64
-	Confidence float64              // that a goal holds where it is said to; 0.95 where 0
-	Days       int                  // played for one verdict at most; 16 where 0
-	Cores      int                  // that play at a time; all where 0
-	Most       float64              // times the fleet or the load, at most; 16 where 0
-	Played     func(days int)       // told of each day
-	Stop       func() bool          // ends the search early; what is known so far comes back with ErrStopped
-	Note       func(string, ...any) // told what is looked at
+	Seed        uint64
+	Confidence  float64              // that a goal holds where it is said to; 0.95 where 0
+	MaxDays     int                  // played for one verdict at most; 16 where 0
+	Parallelism int                  // that play at a time; all where 0
+	MaxFactor   float64              // times the fleet or the load, at most; 16 where 0
+	OnDayPlayed func(days int)       // told of each day
+	Stop        func() bool          // ends the search early; what is known so far comes back with ErrStopped
+	OnProgress  func(string, ...any) // told what is looked at
 }
 
 // ErrStopped is what a search that was ended early comes back with.
@@ -53,10 +53,10 @@
 		return nil, err
 	}
 	o.Confidence = cmp.Or(o.Confidence, 0.95)
-	o.Days, o.Most = cmp.Or(o.Days, 16), cmp.Or(o.Most, 16)
-	o.Cores = cmp.Or(o.Cores, runtime.GOMAXPROCS(0))
-	if o.Days < 2 || o.Days > 10000 {
-		return nil, fmt.Errorf("%d days for a verdict are not in 2 to 10000", o.Days)
+	o.MaxDays, o.MaxFactor = cmp.Or(o.MaxDays, 16), cmp.Or(o.MaxFactor, 16)
+	o.Parallelism = cmp.Or(o.Parallelism, runtime.GOMAXPROCS(0))
+	if o.MaxDays < 2 || o.MaxDays > 10000 {
+		return nil, fmt.Errorf("%d days for a verdict are not in 2 to 10000", o.MaxDays)
 	}
 	if !(o.Confidence > 0.5 && o.Confidence < 1) {
 		return nil, fmt.Errorf("a confidence of %v is not in 0.5 to 1", o.Confidence)
@@ -73,16 +73,16 @@
 func (p *Planner) play(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
 	out, errs := make([]*fleetsim.Result, count), make([]error, count)
 	var all sync.WaitGroup
-	room := make(chan bool, p.Cores)
+	room := make(chan bool, p.Parallelism)
 	for i := range count {
 		all.Add(1)
 		room <- true
 		go func() {
 			defer func() { <-room; all.Done() }()
-			if out[i], errs[i] = fleetsim.Play(f, l, p.Seed*1_000_003+uint64(first+i), p.Stop); errs[i] == nil {
+			if out[i], errs[i] = fleetsim.Simulate(f, l, p.Seed*1_000_003+uint64(first+i), p.Stop); errs[i] == nil {
 				p.days.Add(1)
-				if p.Played != nil {
-					p.Played(1)
+				if p.OnDayPlayed != nil {
+					p.OnDayPlayed(1)
 				}
 			}
 		}()
@@ -99,13 +99,13 @@
 
 // Estimate is a mean over days and how far it may be off, with the confidence asked for.
 type Estimate struct {
-	Mean  float64 `json:"mean"`
-	Reach float64 `json:"reach"`
-	Days  int     `json:"days"`
+	Mean      float64 `json:"mean"`
+	HalfWidth float64 `json:"reach"`
+	Days      int     `json:"days"`
 }
 
 // String returns the mean and half the width of its interval.
-func (e Estimate) String() string { return fmt.Sprintf("%.3f ± %.3f", e.Mean, e.Reach) }
+func (e Estimate) String() string { return fmt.Sprintf("%.3f ± %.3f", e.Mean, e.HalfWidth) }
 
 // estimate is the mean of some days with its two-sided interval.
 func (p *Planner) estimate(x []float64) Estimate {
@@ -148,7 +148,7 @@
 		cf, cl := c.apply(*f, *l)
 		var days []*fleetsim.Result
 		for {
-			more, err := p.play(cf, cl, len(days), min(batch, p.Options.Days-len(days)))
+			more, err := p.play(cf, cl, len(days), min(batch, p.Options.MaxDays-len(days)))
 			if err != nil {
 				return nil, err
 			}
@@ -168,7 +168,7 @@
 				worst = min(worst, mean)
 				found = append(found, Finding{t.String(), c.with(), p.estimate(values), holds})
 			}
-			if surelyNot || !open || len(days) >= p.Options.Days {
+			if surelyNot || !open || len(days) >= p.Options.MaxDays {
 				e.findings = append(e.findings, found...)
 				e.holds = e.holds && !open && !surelyNot
 				e.slack = min(e.slack, worst)
@@ -188,39 +188,39 @@
 }
 
 func (c *Clause) with() (out string) {
-	for i, w := range c.With {
+	for i, w := range c.Conditions {
 		if i > 0 {
 			out += " and "
 		}
 		switch {
-		case w.Zone != "":
-			out += "zone " + w.Zone + " lost"
-		case w.Dead > 0:
-			out += fmt.Sprintf("%g%% dead", w.Dead)
-		case w.Shared > 0:
-			out += fmt.Sprintf("%g%% shared", w.Shared)
+		case w.LostZone != "":
+			out += "zone " + w.LostZone + " lost"
+		case w.DeadPercent > 0:
+			out += fmt.Sprintf("%g%% dead", w.DeadPercent)
+		case w.SharedPercent > 0:
+			out += fmt.Sprintf("%g%% shared", w.SharedPercent)
 		default:
-			out += fmt.Sprintf("%s times %g", w.Who, w.Times)
+			out += fmt.Sprintf("%s times %g", w.LoadTarget, w.Factor)
 		}
 	}
 	return out
 }
 
 func (p *Planner) note(format string, v ...any) {
-	if p.Note != nil {
-		p.Note(format, v...)
+	if p.OnProgress != nil {
+		p.OnProgress(format, v...)
 	}
 }
 
 // usual is the fleet without its spare machines, or with them.
 func (p *Planner) usual(spares bool) *fleetsim.Fleet {
 	f := *p.Fleet
-	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g fleetsim.Group) bool { return g.Spare && !spares })
+	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g fleetsim.WorkerGroup) bool { return g.Spare && !spares })
 	return &f
 }
 
 func (p *Planner) times(x float64) *fleetsim.Load {
 	l := *p.Load
-	l.Times = cmp.Or(l.Times, 1) * x
+	l.Factor = cmp.Or(l.Factor, 1) * x
 	return &l
 }
--- a/internal/dispatcher/planner/plan_test.go
+++ b/internal/dispatcher/planner/plan_test.go
@@ -18,14 +18,14 @@
 	f := &fleetsim.Fleet{
 		Zones:       []string{"montreal", "sherbrooke"},
 		CrossZoneMs: 5,
-		Kinds:       []fleetsim.Kind{{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{1, 1}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1}},
-		Workers:     []fleetsim.Group{{Kind: "std-2c", Zone: "montreal", Count: 4}, {Kind: "std-2c", Zone: "sherbrooke", Count: 4}},
-		Dispatchers: []fleetsim.Dispatchers{{Zone: "montreal", Count: 1, OpenJobs: 1000, Connections: 1000}},
-		Classes: []fleetsim.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
-			{Name: "enrol", Effect: "keyed", WindowS: 7.5, AimS: 0.15, Stretch: 2.5, DeadlineS: 5, Worth: 8, LateWorth: 0.2}},
-		Universities: []fleetsim.University{{Name: "univ-laurentie", Share: 0.6, PerSecS: 0}, {Name: "univ-gaspesie", Share: 0.4, PerSecS: 0}},
-	}
-	l := &fleetsim.Load{Seconds: 10, Rate: []fleetsim.Point{{AtS: 0, PerSec: 70}}, Classes: []fleetsim.Work{{Name: "seat-check", Share: 0.8, Ms: 100, CV: 0.5}, {Name: "enrol", Share: 0.2, Ms: 80, CV: 0.5}}}
+		Kinds:       []fleetsim.Kind{{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{1, 1}, Slots: 2, Queue: 24, SlowStartShare: 1, Cost: 1}},
+		Workers:     []fleetsim.WorkerGroup{{Kind: "std-2c", Zone: "montreal", Count: 4}, {Kind: "std-2c", Zone: "sherbrooke", Count: 4}},
+		Dispatchers: []fleetsim.DispatcherGroup{{Zone: "montreal", Count: 1, OpenJobs: 1000, Connections: 1000}},
+		Classes: []fleetsim.Class{{Name: "seat-check", Idempotency: "safe", LatencyTargetSeconds: 0.15, Stretch: 1.75, DeadlineSeconds: 5, Value: 2, LateValue: 0.2},
+			{Name: "enrol", Idempotency: "keyed", DedupWindowSeconds: 7.5, LatencyTargetSeconds: 0.15, Stretch: 2.5, DeadlineSeconds: 5, Value: 8, LateValue: 0.2}},
+		Tenants: []fleetsim.Tenant{{Name: "univ-laurentie", Share: 0.6, RatePerSecond: 0}, {Name: "univ-gaspesie", Share: 0.4, RatePerSecond: 0}},
+	}
+	l := &fleetsim.Load{Seconds: 10, Rate: []fleetsim.RatePoint{{AtSeconds: 0, PerSecond: 70}}, Classes: []fleetsim.ClassLoad{{Name: "seat-check", Share: 0.8, WorkMs: 100, CV: 0.5}, {Name: "enrol", Share: 0.2, WorkMs: 80, CV: 0.5}}}
 	return f, l
 }
 
@@ -52,29 +52,29 @@
 		},
 		"connections that workers accept": func(f *fleetsim.Fleet, l *fleetsim.Load) { f.Kinds[0].Connections = 1 },
 		"the cost of new connections": func(f *fleetsim.Fleet, l *fleetsim.Load) {
-			f.Kinds[0].ConnectionMs, f.ConnIdleS = 400, 0.05
+			f.Kinds[0].ConnectionMs, f.ConnectionIdleSeconds = 400, 0.05
 		},
 		"the running time itself": func(f *fleetsim.Fleet, l *fleetsim.Load) {
-			f.Classes[0].AimS, f.Classes[1].AimS, f.Classes[0].Stretch, f.Classes[1].Stretch = 0.5, 0.5, 0, 0
+			f.Classes[0].LatencyTargetSeconds, f.Classes[1].LatencyTargetSeconds, f.Classes[0].Stretch, f.Classes[1].Stretch = 0.5, 0.5, 0, 0
 			f.Workers[0].Count, f.Workers[1].Count = 100, 100
-			l.Classes[0].Ms, l.Classes[1].Ms, l.Rate[0].PerSec = 430, 430, 20
+			l.Classes[0].WorkMs, l.Classes[1].WorkMs, l.Rate[0].PerSecond = 430, 430, 20
 		},
 		"the cold budget after a start": func(f *fleetsim.Fleet, l *fleetsim.Load) {
-			f.Kinds[0].ColdShare, f.Kinds[0].WarmS, f.Cold = 0.05, 12, fleetsim.Cold{Share: 0.05, WarmS: 12, Multiple: 3, SpanS: 1}
-			f.RosterS = fleetsim.Range{0.1, 0.1}
-			f.Troubles = []fleetsim.Trouble{{What: "deaths", Part: 1, AtS: 3, ForS: 0.05}}
-			l.Rate[0].PerSec = 60
+			f.Kinds[0].SlowStartShare, f.Kinds[0].SlowStartSeconds, f.SlowStart = 0.05, 12, fleetsim.SlowStart{Share: 0.05, DurationSeconds: 12, OverloadMultiple: 3, OverloadSpanSeconds: 1}
+			f.DiscoveryDelaySeconds = fleetsim.Range{0.1, 0.1}
+			f.Faults = []fleetsim.Fault{{Type: "deaths", Fraction: 1, StartSeconds: 3, DurationSeconds: 0.05}}
+			l.Rate[0].PerSecond = 60
 		},
 	} {
 		t.Run(first, func(t *testing.T) {
 			f, l := yard()
 			set(f, l)
-			b, err := planner(t, f, l, "service >= 0.9", Options{Days: 6}).Breaks()
-			if err != nil || b.First != first {
-				t.Errorf("%v; %q breaks first at %.2f, after %.2f: %+v", err, b.First, b.BreaksAt, b.HoldsAt, b.Reliefs[:min(3, len(b.Reliefs))])
+			b, err := planner(t, f, l, "service >= 0.9", Options{MaxDays: 6}).FindBreakingPoint()
+			if err != nil || b.FirstLimit != first {
+				t.Errorf("%v; %q breaks first at %.2f, after %.2f: %+v", err, b.FirstLimit, b.BreaksAtFactor, b.HoldsAtFactor, b.LimitEffects[:min(3, len(b.LimitEffects))])
 			}
-			if len(b.Failing) == 0 || b.HoldsAt >= b.BreaksAt {
-				t.Errorf("it holds at %v, breaks at %v, with %v", b.HoldsAt, b.BreaksAt, b.Failing)
+			if len(b.Failing) == 0 || b.HoldsAtFactor >= b.BreaksAtFactor {
+				t.Errorf("it holds at %v, breaks at %v, with %v", b.HoldsAtFactor, b.BreaksAtFactor, b.Failing)
 			}
 		})
 	}
@@ -83,10 +83,10 @@
 // The mix found holds the goal, and none that is a step cheaper does.
 func TestTheCheapestMix(t *testing.T) {
 	f, l := yard()
-	f.Kinds = append(f.Kinds, fleetsim.Kind{Name: "fast-2c", Cores: 2, Speed: fleetsim.Range{2, 2}, Slots: 2, Queue: 24, ColdShare: 1, Cost: 1.5})
-	f.Workers = append(f.Workers, fleetsim.Group{Kind: "fast-2c", Zone: "montreal", Count: 1}, fleetsim.Group{Kind: "fast-2c", Zone: "sherbrooke", Count: 1})
-	p := planner(t, f, l, "service >= 0.95 and late(enrol) <= 5%", Options{Days: 6})
-	n, err := p.Needs()
+	f.Kinds = append(f.Kinds, fleetsim.Kind{Name: "fast-2c", Cores: 2, Speed: fleetsim.Range{2, 2}, Slots: 2, Queue: 24, SlowStartShare: 1, Cost: 1.5})
+	f.Workers = append(f.Workers, fleetsim.WorkerGroup{Kind: "fast-2c", Zone: "montreal", Count: 1}, fleetsim.WorkerGroup{Kind: "fast-2c", Zone: "sherbrooke", Count: 1})
+	p := planner(t, f, l, "service >= 0.95 and late(enrol) <= 5%", Options{MaxDays: 6})
+	n, err := p.FindSizing()
 	if err != nil || !n.Reached {
 		t.Fatal(err, n)
 	}
@@ -116,15 +116,15 @@
 	for why, set := range map[string]func(*fleetsim.Fleet, *fleetsim.Load){
 		"the running time itself": func(f *fleetsim.Fleet, l *fleetsim.Load) {
 			f.Classes[0].Stretch, f.Classes[1].Stretch = 0, 0
-			l.Classes[0].Ms, l.Classes[1].Ms, l.Rate[0].PerSec = 140, 140, 10
+			l.Classes[0].WorkMs, l.Classes[1].WorkMs, l.Rate[0].PerSecond = 140, 140, 10
 		},
 		"open jobs of the dispatchers": func(f *fleetsim.Fleet, l *fleetsim.Load) { f.Dispatchers[0].OpenJobs = 4 },
 	} {
 		f, l := yard()
 		set(f, l)
-		n, err := planner(t, f, l, "service >= 0.9", Options{Days: 4, Most: 6}).Needs()
-		if err != nil || n.Reached || len(n.Why) == 0 || n.Why[0].Resource != why {
-			t.Errorf("%v, %q was set up: %+v", err, why, n.Why[:min(2, len(n.Why))])
+		n, err := planner(t, f, l, "service >= 0.9", Options{MaxDays: 4, MaxFactor: 6}).FindSizing()
+		if err != nil || n.Reached || len(n.LimitEffects) == 0 || n.LimitEffects[0].Resource != why {
+			t.Errorf("%v, %q was set up: %+v", err, why, n.LimitEffects[:min(2, len(n.LimitEffects))])
 		}
 	}
 }
@@ -133,16 +133,16 @@
 func TestWhatAZoneCosts(t *testing.T) {
 	f, l := yard()
 	f.Workers[0].Count = 7
-	f.Workers = append(f.Workers, fleetsim.Group{Kind: "std-2c", Zone: "sherbrooke", Count: 4, Spare: true})
-	all, err := planner(t, f, l, "service >= 0.9", Options{Days: 6}).Losses()
+	f.Workers = append(f.Workers, fleetsim.WorkerGroup{Kind: "std-2c", Zone: "sherbrooke", Count: 4, Spare: true})
+	all, err := planner(t, f, l, "service >= 0.9", Options{MaxDays: 6}).ZoneLosses()
 	if err != nil || len(all) != 4 {
 		t.Fatal(err, len(all))
 	}
 	big, small, spared := all[0], all[1], all[2]
-	if big.Worth.Mean-big.Worth.Reach <= small.Worth.Mean || spared.Worth.Mean+spared.Worth.Reach >= big.Worth.Mean {
-		t.Errorf("montreal costs %v, sherbrooke %v, montreal with spares %v", big.Worth, small.Worth, spared.Worth)
+	if big.Total.Mean-big.Total.HalfWidth <= small.Total.Mean || spared.Total.Mean+spared.Total.HalfWidth >= big.Total.Mean {
+		t.Errorf("montreal costs %v, sherbrooke %v, montreal with spares %v", big.Total, small.Total, spared.Total)
 	}
-	if big.During.Mean+big.During.Reach <= big.Worth.Mean || len(big.Classes) != 2 || len(big.Universities) != 2 || len(big.Seconds) != 10 {
+	if big.During.Mean+big.During.HalfWidth <= big.Total.Mean || len(big.Classes) != 2 || len(big.Tenants) != 2 || len(big.Seconds) != 10 {
 		t.Errorf("%+v", big)
 	}
 }
@@ -151,14 +151,14 @@
 func TestCoresChangeNothing(t *testing.T) {
 	f, l := yard()
 	all := map[string]int{}
-	for _, o := range []Options{{Cores: 1}, {Cores: 7}, {Cores: 7, Seed: 5}} {
-		o.Days = 5
+	for _, o := range []Options{{Parallelism: 1}, {Parallelism: 7}, {Parallelism: 7, Seed: 5}} {
+		o.MaxDays = 5
 		p := planner(t, f, l, "service >= 0.97 with 25% dead", o)
-		b, err := p.Breaks()
+		b, err := p.FindBreakingPoint()
 		if err != nil {
 			t.Fatal(err)
 		}
-		z, err := p.Losses()
+		z, err := p.ZoneLosses()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,11 +174,11 @@
 func TestStoppedEarly(t *testing.T) {
 	f, l := yard()
 	var played atomic.Int64
-	p := planner(t, f, l, "service >= 0.9", Options{Days: 4, Cores: 2})
-	p.Played = func(n int) { played.Add(int64(n)) }
+	p := planner(t, f, l, "service >= 0.9", Options{MaxDays: 4, Parallelism: 2})
+	p.OnDayPlayed = func(n int) { played.Add(int64(n)) }
 	p.Stop = func() bool { return played.Load() > 12 }
-	b, err := p.Breaks()
-	if !errors.Is(err, ErrStopped) || b == nil || len(b.Now) == 0 || b.HoldsAt < 1 {
+	b, err := p.FindBreakingPoint()
+	if !errors.Is(err, ErrStopped) || b == nil || len(b.Baseline) == 0 || b.HoldsAtFactor < 1 {
 		t.Errorf("%v, %+v", err, b)
 	}
 }
@@ -209,13 +209,13 @@
 		}
 	}
 	g, err := ParseGoal("service >= 0.95 and late(enrol) <= 2% with zone montreal lost at 5 for 6 and load times 1.4; score >= 0.5 with 25% dead and univ-gaspesie times 5")
-	if err != nil || g.Check(f) != nil || len(g.Clauses) != 2 || g.Clauses[0].Tests[1].Value != 0.02 || g.Clauses[0].With[0].For != 6 {
+	if err != nil || g.Check(f) != nil || len(g.Clauses) != 2 || g.Clauses[0].Tests[1].Bound != 0.02 || g.Clauses[0].Conditions[0].ForSeconds != 6 {
 		t.Errorf("%v, %+v", err, g)
 	}
 	_, l := yard()
 	lf, ll := g.Clauses[0].apply(*f, *l)
-	if len(lf.Troubles) != 1 || lf.Troubles[0].AtS != 5 || ll.Times != 1.4 || len(f.Troubles) != 0 {
-		t.Errorf("%+v, %+v", lf.Troubles, ll.Times)
+	if len(lf.Faults) != 1 || lf.Faults[0].StartSeconds != 5 || ll.Factor != 1.4 || len(f.Faults) != 0 {
+		t.Errorf("%+v, %+v", lf.Faults, ll.Factor)
 	}
 }
 
@@ -235,7 +235,7 @@
 		if g.Check(fleet) == nil {
 			for _, c := range g.Clauses {
 				c.apply(*fleet, *load)
-				if slices.ContainsFunc(c.Tests, func(t *Test) bool { return t.Value < 0 || t.Value > 1 }) {
+				if slices.ContainsFunc(c.Tests, func(t *Test) bool { return t.Bound < 0 || t.Bound > 1 }) {
 					t.Errorf("%q has a bound out of range", text)
 				}
 			}
--- a/internal/dispatcher/planner/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -23,10 +23,10 @@
 
 // Page is what a page shows.
 type Page struct {
-	Goal  string
-	Text  string // the table that a person reads first
-	Needs *planner.Needs
-	Zones []planner.Loss
+	Goal       string
+	Table      string // the table that a person reads first
+	Sizing     *planner.Sizing
+	ZoneLosses []planner.ZoneLoss
 }
 
 // picture is a plot in both forms.
@@ -69,7 +69,7 @@
 		pictures = append(pictures, pic)
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, map[string]any{"Goal": p.Goal, "Text": p.Text, "Pictures": pictures}); err != nil {
+	if err := page.Execute(&out, map[string]any{"Goal": p.Goal, "Text": p.Table, "Pictures": pictures}); err != nil {
 		return err
 	}
 	f, err := os.CreateTemp(filepath.Dir(path), ".report-*")
@@ -114,19 +114,19 @@
 
 // service plots the score against the number of workers, those that hold the goal apart from those that do not.
 func service(page Page) (*plot.Plot, error) {
-	if page.Needs == nil || len(page.Needs.Curve) == 0 {
+	if page.Sizing == nil || len(page.Sizing.Curve) == 0 {
 		return nil, nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Service score against workers", "workers", "score"
-	all := slices.Clone(page.Needs.Curve)
+	all := slices.Clone(page.Sizing.Curve)
 	slices.SortStableFunc(all, func(a, b planner.Sample) int { return a.Workers - b.Workers })
 	for i, holds := range []bool{true, false} {
 		var c curve
 		for _, s := range all {
 			if s.Holds == holds {
 				c.XYs = append(c.XYs, plotter.XY{X: float64(s.Workers), Y: s.Service.Mean})
-				c.YErrors = append(c.YErrors, struct{ Low, High float64 }{s.Service.Reach, s.Service.Reach})
+				c.YErrors = append(c.YErrors, struct{ Low, High float64 }{s.Service.HalfWidth, s.Service.HalfWidth})
 			}
 		}
 		if len(c.XYs) == 0 {
@@ -151,13 +151,13 @@
 
 // zones plots the worth lost in each second, smoothed over three.
 func zones(page Page) (*plot.Plot, error) {
-	if len(page.Zones) == 0 {
+	if len(page.ZoneLosses) == 0 {
 		return nil, nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth lost with a zone, over the day", "seconds", "worth a second"
 	names := map[string]int{}
-	for _, z := range page.Zones {
+	for _, z := range page.ZoneLosses {
 		if _, ok := names[z.Zone]; !ok {
 			names[z.Zone] = len(names)
 		}
--- a/internal/dispatcher/testenv/fleet.go
+++ b/internal/dispatcher/testenv/fleet.go
@@ -52,8 +52,8 @@
 // PlayOnSockets plays a day and gives its book. program is the dispatcher, dir holds what it is told, and its captures
 // below capture-N. host is a number from 1 to 250 that no other day has just now.
 func PlayOnSockets(desc *fleetsim.Fleet, load *fleetsim.Load, seed uint64, program, dir string, host int) (*fleetsim.Result, error) {
-	f := &Fleet{desc: desc.Filled(), load: load, seed: seed, program: program, dir: dir, host: host, outcomes: map[string]chan bool{}}
-	book, err := fleetsim.NewBook(desc, load)
+	f := &Fleet{desc: desc.WithDefaults(), load: load, seed: seed, program: program, dir: dir, host: host, outcomes: map[string]chan bool{}}
+	book, err := fleetsim.NewAccounting(desc, load)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 		}
 		time.Sleep(time.Until(f.start.Add(a.At)))
 		mu.Lock()
-		ended := book.Request(a)
+		ended := book.RecordRequest(a)
 		mu.Unlock()
 		all.Go(func() {
 			ok, took := f.client(client, a, n)
@@ -87,23 +87,23 @@
 		})
 	}
 	all.Wait()
-	return book.Close(), nil
+	return book.Result(), nil
 }
 
 // client makes a request and repeats it as the load says; it tells whether it was served, and when after its arrival.
 func (f *Fleet) client(client *http.Client, a fleetsim.Arrival, n int) (bool, time.Duration) {
-	c, u := f.desc.Classes[a.Class], f.desc.Universities[a.University]
+	c, u := f.desc.Classes[a.Class], f.desc.Tenants[a.Tenant]
 	came := time.Now()
-	until := came.Add(dur(c.DeadlineS))
+	until := came.Add(dur(c.DeadlineSeconds))
 	for try := 0; ; try++ {
 		left := time.Until(until)
 		ctx, cancel := context.WithDeadline(context.Background(), until)
-		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.dispatchers[a.Node].address+"/"+c.Name, strings.NewReader(strconv.FormatFloat(a.Work, 'g', -1, 64)))
+		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+f.dispatchers[a.Dispatcher].address+"/"+c.Name, strings.NewReader(strconv.FormatFloat(a.WorkSeconds, 'g', -1, 64)))
 		req.Header.Set("X-Request-ID", fmt.Sprintf("%x-%d-%d", f.seed, n, try))
 		req.Header.Set("X-Priority-Class", c.Name)
 		req.Header.Set("X-Tenant-Id", u.Name)
 		req.Header.Set("X-Timeout", strconv.FormatFloat(left.Seconds(), 'f', 4, 64))
-		if c.Effect == "keyed" {
+		if c.Idempotency == "keyed" {
 			req.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", n+1))
 		}
 		if try > 0 {
@@ -122,10 +122,10 @@
 			return true, time.Since(came)
 		}
 		wait := dur(f.load.Retries.WaitMs / 1000)
-		if f.load.Retries.Honours {
+		if f.load.Retries.HonourRetryAfter {
 			wait = max(wait, dur(after))
 		}
-		if try >= f.load.Retries.Most || time.Now().Add(wait).After(until) {
+		if try >= f.load.Retries.Max || time.Now().Add(wait).After(until) {
 			return false, time.Since(came)
 		}
 		time.Sleep(wait)
--- a/internal/dispatcher/testenv/fleet_faults.go
+++ b/internal/dispatcher/testenv/fleet_faults.go
@@ -13,7 +13,7 @@
 // announceWorker lets every dispatcher's discovery say a worker's state, each after a delay of its own.
 func (f *Fleet) announceWorker(m *machine, state string) {
 	for i, s := range f.dispatchers {
-		r := f.desc.RosterS
+		r := f.desc.DiscoveryDelaySeconds
 		m.mu.Lock()
 		w := m.line(i, state)
 		m.mu.Unlock()
@@ -30,7 +30,7 @@
 // scheduleFaults sets up what the description says goes wrong.
 func (f *Fleet) scheduleFaults() {
 	rng := rand.New(rand.NewPCG(f.seed, 78))
-	for _, t := range f.desc.Troubles {
+	for _, t := range f.desc.Faults {
 		var hit []int
 		for i, m := range f.workers {
 			if (t.Zone == "" || m.zone == t.Zone) && (t.Kind == "" || m.kind.Name == t.Kind) {
@@ -38,7 +38,7 @@
 			}
 		}
 		rng.Shuffle(len(hit), func(i, k int) { hit[i], hit[k] = hit[k], hit[i] })
-		hit = hit[:int(t.Part*float64(len(hit))+0.5)]
+		hit = hit[:int(t.Fraction*float64(len(hit))+0.5)]
 		each := func(at float64, do func(i int, m *machine)) {
 			time.AfterFunc(dur(at), func() {
 				for _, i := range hit {
@@ -55,21 +55,21 @@
 				m.advance()
 			}
 		}
-		end := t.AtS + t.ForS
-		switch t.What {
+		end := t.StartSeconds + t.DurationSeconds
+		switch t.Type {
 		case "deaths":
-			each(t.AtS, func(_ int, m *machine) { m.kill(); f.announceWorker(m, "gone") })
+			each(t.StartSeconds, func(_ int, m *machine) { m.kill(); f.announceWorker(m, "gone") })
 			each(end, func(i int, m *machine) { m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "drain":
-			each(t.AtS, func(_ int, m *machine) { f.announceWorker(m, "draining") })
+			each(t.StartSeconds, func(_ int, m *machine) { f.announceWorker(m, "draining") })
 			each(end, func(i int, m *machine) { m.kill(); m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "shared":
-			for at := t.AtS; at < end; at += t.OnS + t.OffS {
-				each(at, set(t.Takes))
-				each(min(at+t.OnS, end), set(0))
+			for at := t.StartSeconds; at < end; at += t.OnSeconds + t.OffSeconds {
+				each(at, set(t.Amount))
+				each(min(at+t.OnSeconds, end), set(0))
 			}
 		case "reports_late":
-			time.AfterFunc(dur(t.AtS), func() { f.late.Store(int64(dur(t.Takes))) })
+			time.AfterFunc(dur(t.StartSeconds), func() { f.late.Store(int64(dur(t.Amount))) })
 			time.AfterFunc(dur(end), func() { f.late.Store(0) })
 		}
 	}
--- a/internal/dispatcher/testenv/fleet_start.go
+++ b/internal/dispatcher/testenv/fleet_start.go
@@ -28,7 +28,7 @@
 		for _, k := range f.desc.Kinds {
 			for n := 0; k.Name == g.Kind && n < g.Count; n++ {
 				m := &machine{f: f, id: fmt.Sprintf("s-%08x", uint32(len(f.workers)+1)*2654435761), kind: k, zone: g.Zone, speed: k.Speed.Draw(rng), up: true,
-					conns: map[net.Conn]bool{}, every: dur(f.desc.ReportEveryS.Draw(rng)), delay: dur(f.desc.ReportDelayS.Draw(rng))}
+					conns: map[net.Conn]bool{}, every: dur(f.desc.ReportIntervalSeconds.Draw(rng)), delay: dur(f.desc.ReportDelaySeconds.Draw(rng))}
 				f.workers = append(f.workers, m)
 				if err := m.listen(len(f.workers)); err != nil {
 					return err
@@ -118,12 +118,12 @@
 	var kinds, stretch, class []any
 	effect := map[string]string{"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 	for _, c := range d.Classes {
-		classes = append(classes, map[string]any{"name": c.Name, "aim": ns(c.AimS), "deadline": ns(c.DeadlineS), "effect": effect[c.Effect], "group": "all",
-			"late_value": c.LateWorth, "value": c.Worth, "window": ns(c.WindowS)})
+		classes = append(classes, map[string]any{"name": c.Name, "aim": ns(c.LatencyTargetSeconds), "deadline": ns(c.DeadlineSeconds), "effect": effect[c.Idempotency], "group": "all",
+			"late_value": c.LateValue, "value": c.Value, "window": ns(c.DedupWindowSeconds)})
 		stretch, class = append(stretch, c.Stretch), append(class, -1)
 	}
-	for _, u := range d.Universities {
-		tenants = append(tenants, map[string]any{"name": u.Name, "portion": u.Share, "allowance_per_s": u.PerSecS})
+	for _, u := range d.Tenants {
+		tenants = append(tenants, map[string]any{"name": u.Name, "portion": u.Share, "allowance_per_s": u.RatePerSecond})
 	}
 	for _, k := range d.Kinds {
 		kinds = append(kinds, k.Name)
@@ -135,10 +135,10 @@
 		}
 	}
 	return map[string]any{"position": i, "balancers": len(f.dispatchers), "classes": classes, "tenants": tenants, "kinds": kinds, "zones": d.Zones, "zone": zone,
-		"discovery": "subscribe", "round": 2000000, "over_share_worth": d.OverWorth, "report": map[string]any{"fields": []string{"x0", "fail_rate", "rate", "q"}, "how": "piggyback"},
-		"invariants": map[string]any{"ask_within": ns(10), "cold_from": d.Cold.Share, "drain_grace": ns(d.DrainGraceS), "fall": ns(d.Cold.SpanS), "fall_multiple": d.Cold.Multiple,
-			"grace_to_answer": 8000000, "warm_after": ns(d.Cold.WarmS)},
-		"limits":    map[string]any{"cancelling": true, "conn_idle": ns(d.ConnIdleS), "connect_timeout": ns(d.ConnectMs / 1000), "max_attempts": d.Attempts, "max_retry_after": ns(2)},
+		"discovery": "subscribe", "round": 2000000, "over_share_worth": d.OverQuotaValue, "report": map[string]any{"fields": []string{"x0", "fail_rate", "rate", "q"}, "how": "piggyback"},
+		"invariants": map[string]any{"ask_within": ns(10), "cold_from": d.SlowStart.Share, "drain_grace": ns(d.DrainGraceSeconds), "fall": ns(d.SlowStart.OverloadSpanSeconds), "fall_multiple": d.SlowStart.OverloadMultiple,
+			"grace_to_answer": 8000000, "warm_after": ns(d.SlowStart.DurationSeconds)},
+		"limits":    map[string]any{"cancelling": true, "conn_idle": ns(d.ConnectionIdleSeconds), "connect_timeout": ns(d.ConnectTimeoutMs / 1000), "max_attempts": d.MaxAttempts, "max_retry_after": ns(2)},
 		"specifics": map[string]any{"class_kind": class, "class_stretch": stretch, "progress": ns(1), "tells_start": true}}
 }
 
--- a/internal/dispatcher/testenv/fleet_test.go
+++ b/internal/dispatcher/testenv/fleet_test.go
@@ -23,30 +23,30 @@
 	f := &fleetsim.Fleet{
 		Zones: zones, SameZoneMs: 0.3, CrossZoneMs: 14, Jitter: 0.15,
 		Kinds: []fleetsim.Kind{
-			{Name: "fast-3c", Cores: 3, Speed: fleetsim.Range{1.45, 1.75}, Slots: 3, Queue: 36, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2000, Cost: 3},
-			{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{0.88, 1.08}, Slots: 2, Queue: 24, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 1400, Cost: 1.3},
-			{Name: "slow-4c", Cores: 4, Speed: fleetsim.Range{0.53, 0.67}, Slots: 4, Queue: 50, ColdShare: 0.4, WarmS: 6, ConnectionMs: 3, Connections: 2800, Cost: 1.6}},
-		Dispatchers: []fleetsim.Dispatchers{{Zone: "montreal", Count: 2, Share: 1.5}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
-		Classes: []fleetsim.Class{{Name: "seat-check", Effect: "safe", AimS: 0.15, Stretch: 1.75, DeadlineS: 5, Worth: 2, LateWorth: 0.2},
-			{Name: "enrol", Effect: "keyed", WindowS: 7.5, AimS: 0.15, Stretch: 2.5, DeadlineS: 5, Worth: 8, LateWorth: 0.2}},
+			{Name: "fast-3c", Cores: 3, Speed: fleetsim.Range{1.45, 1.75}, Slots: 3, Queue: 36, SlowStartShare: 0.4, SlowStartSeconds: 6, ConnectionMs: 3, Connections: 2000, Cost: 3},
+			{Name: "std-2c", Cores: 2, Speed: fleetsim.Range{0.88, 1.08}, Slots: 2, Queue: 24, SlowStartShare: 0.4, SlowStartSeconds: 6, ConnectionMs: 3, Connections: 1400, Cost: 1.3},
+			{Name: "slow-4c", Cores: 4, Speed: fleetsim.Range{0.53, 0.67}, Slots: 4, Queue: 50, SlowStartShare: 0.4, SlowStartSeconds: 6, ConnectionMs: 3, Connections: 2800, Cost: 1.6}},
+		Dispatchers: []fleetsim.DispatcherGroup{{Zone: "montreal", Count: 2, Share: 1.5}, {Zone: "quebec-city", Count: 2, Share: 1}, {Zone: "sherbrooke", Count: 1, Share: 1}},
+		Classes: []fleetsim.Class{{Name: "seat-check", Idempotency: "safe", LatencyTargetSeconds: 0.15, Stretch: 1.75, DeadlineSeconds: 5, Value: 2, LateValue: 0.2},
+			{Name: "enrol", Idempotency: "keyed", DedupWindowSeconds: 7.5, LatencyTargetSeconds: 0.15, Stretch: 2.5, DeadlineSeconds: 5, Value: 8, LateValue: 0.2}},
 	}
 	for _, u := range []struct {
 		name  string
 		share float64
 	}{{"univ-laurentie", 0.3}, {"univ-saint-fleuve", 0.16}, {"univ-estrie-nord", 0.13}, {"univ-outaouais-ouest", 0.11}, {"univ-mauricie", 0.11}, {"univ-bas-fleuve", 0.08}, {"univ-gaspesie", 0.06}, {"univ-abitibi-lac", 0.05}} {
-		f.Universities = append(f.Universities, fleetsim.University{Name: u.name, Share: u.share, PerSecS: 150 * u.share})
+		f.Tenants = append(f.Tenants, fleetsim.Tenant{Name: u.name, Share: u.share, RatePerSecond: 150 * u.share})
 	}
 	for i, n := range []int{fast, std, slow} {
 		for z, zone := range zones {
-			f.Workers = append(f.Workers, fleetsim.Group{Kind: f.Kinds[i].Name, Zone: zone, Count: (n + 2 - z) / 3})
+			f.Workers = append(f.Workers, fleetsim.WorkerGroup{Kind: f.Kinds[i].Name, Zone: zone, Count: (n + 2 - z) / 3})
 		}
 	}
 	return f
 }
 
 func traffic(seconds, perSec float64) *fleetsim.Load {
-	return &fleetsim.Load{Seconds: seconds, Rate: []fleetsim.Point{{AtS: 0, PerSec: perSec}}, Retries: fleetsim.Retries{Most: 1, WaitMs: 30, Honours: true},
-		Classes: []fleetsim.Work{{Name: "seat-check", Share: 0.8, Ms: 200, CV: 1}, {Name: "enrol", Share: 0.2, Ms: 140, CV: 1}}}
+	return &fleetsim.Load{Seconds: seconds, Rate: []fleetsim.RatePoint{{AtSeconds: 0, PerSecond: perSec}}, Retries: fleetsim.Retries{Max: 1, WaitMs: 30, HonourRetryAfter: true},
+		Classes: []fleetsim.ClassLoad{{Name: "seat-check", Share: 0.8, WorkMs: 200, CV: 1}, {Name: "enrol", Share: 0.2, WorkMs: 140, CV: 1}}}
 }
 
 // scenario is a day to predict.
@@ -62,21 +62,21 @@
 		change(f, l)
 		out = append(out, scenario{name, f, l})
 	}
-	trouble := func(t fleetsim.Trouble) func(*fleetsim.Fleet, *fleetsim.Load) {
-		t.AtS, t.ForS = 0.3*seconds, 0.35*seconds
-		return func(f *fleetsim.Fleet, _ *fleetsim.Load) { f.Troubles = []fleetsim.Trouble{t} }
+	trouble := func(t fleetsim.Fault) func(*fleetsim.Fleet, *fleetsim.Load) {
+		t.StartSeconds, t.DurationSeconds = 0.3*seconds, 0.35*seconds
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) { f.Faults = []fleetsim.Fault{t} }
 	}
 	add("12 workers, calm", 4, 4, 4, 110, func(*fleetsim.Fleet, *fleetsim.Load) {})
 	add("12 workers, busy", 4, 4, 4, 160, func(*fleetsim.Fleet, *fleetsim.Load) {})
 	add("12 workers, overload", 4, 4, 4, 230, func(*fleetsim.Fleet, *fleetsim.Load) {})
-	add("montreal lost and back cold", 4, 4, 4, 120, trouble(fleetsim.Trouble{What: "deaths", Zone: "montreal", Part: 1}))
-	add("25 % dead at once", 4, 4, 4, 130, trouble(fleetsim.Trouble{What: "deaths", Part: 0.25}))
+	add("montreal lost and back cold", 4, 4, 4, 120, trouble(fleetsim.Fault{Type: "deaths", Zone: "montreal", Fraction: 1}))
+	add("25 % dead at once", 4, 4, 4, 130, trouble(fleetsim.Fault{Type: "deaths", Fraction: 0.25}))
 	add("univ-laurentie times 5", 4, 4, 4, 100, func(_ *fleetsim.Fleet, l *fleetsim.Load) {
-		l.Bursts = []fleetsim.Burst{{University: "univ-laurentie", Times: 5, AtS: 0.3 * seconds, ForS: 0.35 * seconds}}
+		l.Bursts = []fleetsim.Burst{{Tenant: "univ-laurentie", Factor: 5, StartSeconds: 0.3 * seconds, DurationSeconds: 0.35 * seconds}}
 	})
-	add("half the machines shared", 4, 4, 4, 120, trouble(fleetsim.Trouble{What: "shared", Part: 0.5, Takes: 0.7, OnS: 2.5, OffS: 1.5}))
-	add("25 % drained and restarted", 4, 4, 4, 130, trouble(fleetsim.Trouble{What: "drain", Part: 0.25}))
-	add("reports 3 s late", 4, 4, 4, 150, trouble(fleetsim.Trouble{What: "reports_late", Takes: 3}))
+	add("half the machines shared", 4, 4, 4, 120, trouble(fleetsim.Fault{Type: "shared", Fraction: 0.5, Amount: 0.7, OnSeconds: 2.5, OffSeconds: 1.5}))
+	add("25 % drained and restarted", 4, 4, 4, 130, trouble(fleetsim.Fault{Type: "drain", Fraction: 0.25}))
+	add("reports 3 s late", 4, 4, 4, 150, trouble(fleetsim.Fault{Type: "reports_late", Amount: 3}))
 	add("mostly slow workers", 2, 1, 9, 130, func(*fleetsim.Fleet, *fleetsim.Load) {})
 	add("a dispatcher with a third", 4, 4, 4, 150, func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 		f.Dispatchers[2].Share = 3
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	for _, x := range fit.Figures {
-		fmt.Printf("fitted: %-55s %8.3f ± %.3f (%d rows)\n", x.Name, x.Value, x.Reach, x.Rows)
+		fmt.Printf("fitted: %-55s %8.3f ± %.3f (%d rows)\n", x.Name, x.Value, x.HalfWidth, x.Rows)
 	}
 	for _, w := range fit.Warnings {
 		fmt.Println("warning:", w)
@@ -165,21 +165,21 @@
 	fmt.Println("| day | predicted | 1 | 2 | 3 | mean | off by | worst seed off by |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for i, s := range all {
-		told := fit.Fill(hidden(s.fleet))
+		told := fit.FillFleet(hidden(s.fleet))
 		load := *s.load
-		load.Classes, load.Universities = fit.Load.Classes, fit.Load.Universities
+		load.Classes, load.Tenants = fit.Load.Classes, fit.Load.Tenants
 		predicted := 0.0
 		const days = 12
 		var whole, class, worst float64
 		for d := range uint64(days) {
-			r, err := fleetsim.Play(told, &load, 5000+d, nil)
+			r, err := fleetsim.Simulate(told, &load, 5000+d, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			predicted += r.Score / days
-			whole += r.Whole.Service() / days
+			whole += r.Total.Service() / days
 			class += r.Classes[0].Service() / days
-			worst += r.Worst10 / days
+			worst += r.WorstTenSeconds / days
 		}
 		mean, most := 0.0, 0.0
 		for _, r := range measured[i] {
@@ -193,7 +193,7 @@
 		if os.Getenv("PLAN_MORE") != "" {
 			fmt.Printf("  model: whole %.3f, seat-check %.3f, worst 10 s %.3f\n", whole, class, worst)
 			for _, r := range measured[i] {
-				fmt.Printf("  socket: whole %.3f, seat-check %.3f, worst 10 s %.3f, %+v\n", r.Whole.Service(), r.Classes[0].Service(), r.Worst10, r.Whole)
+				fmt.Printf("  socket: whole %.3f, seat-check %.3f, worst 10 s %.3f, %+v\n", r.Total.Service(), r.Classes[0].Service(), r.WorstTenSeconds, r.Total)
 			}
 		}
 		if math.Abs(predicted/mean-1) > 0.1 {
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -105,9 +105,9 @@
 	}()
 	in := bufio.NewReader(conn)
 	more := m.kind.ConnectionMs / 1000
-	came := 2 * time.Duration(m.f.desc.Trips*float64(m.oneWayDelay(zone))) // the connection itself takes so long
+	came := 2 * time.Duration(m.f.desc.ConnectionRoundTrips*float64(m.oneWayDelay(zone))) // the connection itself takes so long
 	for {
-		conn.SetReadDeadline(time.Now().Add(dur(m.f.desc.ConnIdleS)))
+		conn.SetReadDeadline(time.Now().Add(dur(m.f.desc.ConnectionIdleSeconds)))
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
--- a/internal/dispatcher/testenv/machine_service.go
+++ b/internal/dispatcher/testenv/machine_service.go
@@ -19,7 +19,7 @@
 func (m *machine) rate(at time.Time) float64 {
 	capacity := 1.0
 	if !m.startedAt.IsZero() {
-		capacity = min(m.kind.ColdShare+(1-m.kind.ColdShare)*at.Sub(m.startedAt).Seconds()/max(m.kind.WarmS, 1e-9), 1)
+		capacity = min(m.kind.SlowStartShare+(1-m.kind.SlowStartShare)*at.Sub(m.startedAt).Seconds()/max(m.kind.SlowStartSeconds, 1e-9), 1)
 	}
 	return m.speed * capacity * min(1, m.kind.Cores*(1-m.taken)/float64(max(len(m.running), 1)))
 }
