--- a/internal/cluster/agent_lease_test.go
+++ b/internal/cluster/agent_lease_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLeaseIsTakenUpAfterTheTable checks that whoever acts by a lease acts by the table that came with it.
-func TestLeaseIsTakenUpAfterTheTable(t *testing.T) {
+// TestLeaseIsRenewedAfterTheTable checks that whoever acts by a lease acts by the table that came with it.
+func TestLeaseIsRenewedAfterTheTable(t *testing.T) {
 	agent, err := NewAgent(AgentOptions{Info: func() NodeInfo { return NodeInfo{} }})
 	assert.NilError(t, err)
 	told := 0
--- a/internal/cluster/agent_seeds_test.go
+++ b/internal/cluster/agent_seeds_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSetSeedsReplacesThemAsAWhole(t *testing.T) {
+func TestSetSeedsReplacesAllOrNone(t *testing.T) {
 	agent, err := NewAgent(AgentOptions{Seeds: []string{"10.0.0.1:8002"}, InternalPort: 7000})
 	assert.NilError(t, err)
 	assert.NilError(t, agent.SetSeeds([]string{"10.0.0.2:8002", "10.0.0.3:8002"}))
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -43,17 +43,17 @@
 	change(m)
 }
 
-// world is a process with an agent and some stand-ins for members.
-type world struct {
+// testbed is a process with an agent and some stand-ins for members.
+type testbed struct {
 	network *simulated.Network
 	members []*member
 	pool    *rpc.Pool
 	agent   *cluster.Agent
 }
 
-func run(t *testing.T, members int, test func(*testing.T, *world)) {
+func runTestbed(t *testing.T, members int, test func(*testing.T, *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{network: simulated.New(1)}
+		w := &testbed{network: simulated.New(1)}
 		var wait sync.WaitGroup
 		for i := range members {
 			m := &member{ip: fmt.Sprintf("10.0.0.%d", i+1), server: rpc.NewServer(zap.NewNop())}
@@ -81,7 +81,7 @@
 	})
 }
 
-func (w *world) newAgent(t *testing.T, disk vfs.FS, seeds ...string) *cluster.Agent {
+func (w *testbed) newAgent(t *testing.T, disk vfs.FS, seeds ...string) *cluster.Agent {
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Info: func() cluster.NodeInfo { return cluster.NodeInfo{Name: "node", Address: "10.0.1.1:7240"} },
 		Pool: w.pool, Seeds: seeds, InternalPort: port, Disk: disk,
@@ -90,7 +90,7 @@
 	return agent
 }
 
-func (w *world) core() []cluster.CoreMember {
+func (w *testbed) core() []cluster.CoreMember {
 	var core []cluster.CoreMember
 	for _, m := range w.members {
 		core = append(core, cluster.CoreMember{Name: m.ip, Address: m.address()})
@@ -98,7 +98,7 @@
 	return core
 }
 
-func (w *world) serve(m *member) {
+func (w *testbed) serve(m *member) {
 	m.response.WorkersAgeMS = -1
 	m.server.Handle(cluster.MethodCore, func(context.Context, *rpc.Call) (any, []byte, error) {
 		return cluster.CoreResponse{Core: w.core()}, nil, nil
@@ -135,7 +135,7 @@
 }
 
 func TestSnapshotsNeverGoBack(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		m := w.members[0]
 		m.set(func(m *member) {
 			m.response.Table = &cluster.Table{Revision: 5, Core: w.core()}
@@ -156,8 +156,8 @@
 	})
 }
 
-func TestChangesInPlaceOfWholeValues(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+func TestChangesReplaceCompleteValues(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		m := w.members[0]
 		m.set(func(m *member) {
 			m.response.Table = &cluster.Table{Revision: 5, Core: w.core(), ReplicationFactor: 2}
@@ -180,7 +180,7 @@
 }
 
 func TestConfigurationThatCannotBeReadIsNotTakenOver(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		w.members[0].set(func(m *member) { m.response.ConfigVersion, m.body = 7, `{"version":7` })
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, w.agent.Config() == nil)
@@ -189,7 +189,7 @@
 }
 
 func TestLeaseSurvivesTheLossOfAMember(t *testing.T) {
-	run(t, 3, func(t *testing.T, w *world) {
+	runTestbed(t, 3, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		for _, lost := range w.members {
 			w.network.PowerOff(lost.ip)
@@ -207,7 +207,7 @@
 }
 
 func TestLeaseRunsOutWithoutMembers(t *testing.T) {
-	run(t, 2, func(t *testing.T, w *world) {
+	runTestbed(t, 2, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		assert.Assert(t, w.agent.LeaseValid())
 		for _, m := range w.members {
@@ -221,8 +221,8 @@
 	})
 }
 
-func TestIdleAgentAsksSeldom(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+func TestIdleAgentSyncsRarely(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		w.members[0].set(func(m *member) { m.syncs = nil })
 		time.Sleep(10 * time.Second)
@@ -231,7 +231,7 @@
 }
 
 func TestCallsFollowThePrimary(t *testing.T) {
-	run(t, 3, func(t *testing.T, w *world) {
+	runTestbed(t, 3, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		last := w.members[2]
 		for _, m := range w.members[:2] {
@@ -248,7 +248,7 @@
 }
 
 func TestCallsWithoutAPrimaryEndInTime(t *testing.T) {
-	run(t, 3, func(t *testing.T, w *world) {
+	runTestbed(t, 3, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		for _, m := range w.members {
 			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader} })
@@ -265,8 +265,8 @@
 	})
 }
 
-func TestRefusedAskIsReported(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+func TestRejectedPartitionRequestIsReported(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		time.Sleep(time.Second)
 		w.members[0].set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeConflict} })
 		err := w.agent.RequestPartitionChange(t.Context(), cluster.PartitionRequest{})
@@ -274,8 +274,8 @@
 	})
 }
 
-func TestMembersAreRememberedOnTheDisk(t *testing.T) {
-	run(t, 1, func(t *testing.T, w *world) {
+func TestCoreMembersAreStoredOnTheDisk(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, w *testbed) {
 		w.members[0].set(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, Core: w.core()} })
 		disk := memfs.New(1)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/cluster/compression_test.go
+++ b/internal/cluster/compression_test.go
@@ -11,7 +11,7 @@
 	"gladepick/internal/cluster"
 )
 
-func TestPackedBodiesComeBack(t *testing.T) {
+func TestCompressedBodiesComeBack(t *testing.T) {
 	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 2000))
 	packed, ok := cluster.Compress(body)
 	assert.Assert(t, ok)
@@ -21,7 +21,7 @@
 	assert.Assert(t, bytes.Equal(unpacked, body))
 }
 
-func TestPackingIsLeftWhereItDoesNotPay(t *testing.T) {
+func TestBodiesThatDoNotShrinkStayUncompressed(t *testing.T) {
 	_, ok := cluster.Compress([]byte("short"))
 	assert.Assert(t, !ok)
 	noise := make([]byte, 64<<10)
@@ -33,7 +33,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestDamagedPackedBodyIsRefused(t *testing.T) {
+func TestMalformedCompressedBodyIsRejected(t *testing.T) {
 	_, err := cluster.Decompress([]byte("no such thing"))
 	assert.Assert(t, err != nil)
 }
--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -8,9 +8,9 @@
 	"gladepick/internal/cluster"
 )
 
-// TestSharesStayWithinTheWhole checks that the parts of all stores never add up to more than the whole, and that a
+// TestPartsStayWithinTheLimit checks that the parts of all stores never add up to more than the whole, and that a
 // store that leads more gets more.
-func TestSharesStayWithinTheWhole(t *testing.T) {
+func TestPartsStayWithinTheLimit(t *testing.T) {
 	table := &cluster.Table{}
 	for id := range 64 {
 		leader := []string{"a", "a", "a", "b", "b", "c"}[id%6]
--- a/internal/controlplane/replication/accept.go
+++ b/internal/controlplane/replication/accept.go
@@ -8,8 +8,8 @@
 )
 
 // collectAcceptances asks all members to accept a view. It returns, as soon as a majority and this process have,
-// which members have accepted by then, each with the time at which it was sentAt.
-func (g *Group) collectAcceptances(ctx context.Context, view View, founding bool) (map[string]time.Time, error) {
+// which members have accepted by then, each with the time at which the call was sent.
+func (g *Group) collectAcceptances(ctx context.Context, view View, bootstrap bool) (map[string]time.Time, error) {
 	sentAt := time.Now()
 	accepted := map[string]time.Time{}
 	members := view.allMembers()
@@ -18,7 +18,7 @@
 			ok, err := g.witness.accept(view)
 			return acceptResponse{Accepted: ok}, err
 		}
-		return g.sendAccept(g.ctx, to, view, founding)
+		return g.sendAccept(g.ctx, to, view, bootstrap)
 	})
 	inForce := func() bool {
 		return view.hasQuorum(func(diskID string) bool { return !accepted[diskID].IsZero() })
@@ -37,9 +37,9 @@
 }
 
 // sendAccept asks a member to accept a view.
-func (g *Group) sendAccept(ctx context.Context, to Member, view View, founding bool) (acceptResponse, error) {
+func (g *Group) sendAccept(ctx context.Context, to Member, view View, bootstrap bool) (acceptResponse, error) {
 	var response acceptResponse
-	request := acceptRequest{Target: to.DiskID, View: view, Bootstrap: founding}
+	request := acceptRequest{Target: to.DiskID, View: view, Bootstrap: bootstrap}
 	_, err := g.call(ctx, g.timing.RoundTimeout, to, methodAccept, request, nil, &response)
 	return response, err
 }
--- a/internal/controlplane/replication/alignment.go
+++ b/internal/controlplane/replication/alignment.go
@@ -14,10 +14,10 @@
 	ctx context.Context, view View, last position, change viewChange, granted map[string]bool,
 ) ([]string, error) {
 	var shared lazySnapshot
-	wanted := membersThat(view.Members, func(diskID string) bool {
+	chosen := membersThat(view.Members, func(diskID string) bool {
 		return diskID == change.required || (granted[diskID] && !change.excluded[diskID] && diskID != g.self.DiskID)
 	})
-	aligned := g.alignAll(ctx, wanted, view.Epoch, last, func(diskID string) *lazySnapshot {
+	aligned := g.alignAll(ctx, chosen, view.Epoch, last, func(diskID string) *lazySnapshot {
 		if change.alwaysSendSnapshot || diskID == change.required {
 			return &shared
 		}
@@ -42,7 +42,7 @@
 }
 
 // alignAll aligns several members concurrently and returns the disks of those where it succeeded. A member for which
-// offer returns nil gets no snapshot.
+// snapshotFor returns nil gets no snapshot.
 func (g *Group) alignAll(
 	ctx context.Context, members []Member, epoch uint64, last position, snapshotFor func(diskID string) *lazySnapshot,
 ) []string {
@@ -59,17 +59,17 @@
 }
 
 // align makes a member follow this process's log in an epoch, and reports whether it does. Where the logs differ, it
-// sends the snapshot, unless that is nil.
+// sends the state, unless that is nil.
 func (g *Group) align(
-	ctx context.Context, to Member, epoch uint64, last position, shared *lazySnapshot,
+	ctx context.Context, to Member, epoch uint64, last position, state *lazySnapshot,
 ) (bool, error) {
 	request := attachRequest{Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, Last: last}
 	var response attachResponse
 	_, err := g.call(ctx, g.timing.RoundTimeout, to, methodAttach, request, nil, &response)
-	if err != nil || response.Attached || response.Promised > epoch || shared == nil {
+	if err != nil || response.Attached || response.Promised > epoch || state == nil {
 		return response.Attached, err
 	}
-	data, snapshotLast, err := shared.get(g.replica)
+	data, snapshotLast, err := state.get(g.replica)
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
--- a/internal/controlplane/replication/backup_test.go
+++ b/internal/controlplane/replication/backup_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackupIsDroppedAndTakenBack(t *testing.T) {
+func TestBackupLeavesTheInSyncSetAndReturns(t *testing.T) {
 	inCluster(t, 3, 2, 2, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		backup := c.nodes[1]
@@ -39,7 +39,7 @@
 	})
 }
 
-const awayChanges = 300
+const missedChanges = 300
 
 // TestMemberThatMissedHundredsOfChangesCatchesUp has changes go on while the member comes back, cuts it off once more in
 // the middle of the copy, and then lets it lead with what it has caught up.
@@ -59,7 +59,7 @@
 				proposed = append(proposed, fmt.Sprintf("%d-%s", len(proposed), large))
 				primary.mustPropose(proposed[len(proposed)-1])
 			}
-			for range awayChanges {
+			for range missedChanges {
 				propose()
 			}
 			c.rejoin(away)
@@ -73,7 +73,7 @@
 				propose()
 				assert.Assert(c.t, time.Since(rejoined) < 4*time.Second, "it never catches up")
 			}
-			c.t.Logf("in sync %v after the cut, with %d changes meanwhile", time.Since(rejoined), len(proposed)-awayChanges-1)
+			c.t.Logf("in sync %v after the cut, with %d changes meanwhile", time.Since(rejoined), len(proposed)-missedChanges-1)
 			for _, other := range c.nodes {
 				if other != away && other != primary {
 					other.kill()
@@ -86,7 +86,7 @@
 				}
 			}
 			next := c.awaitOtherPrimary(5*time.Second, primary)
-			assert.NilError(c.t, next.confirm(3*time.Second))
+			assert.NilError(c.t, next.readBarrier(3*time.Second))
 			assert.DeepEqual(c.t, next.process().machine.list(), proposed)
 			c.await(3*time.Second, "the member has everything", func() bool {
 				return slices.Equal(away.process().machine.list(), proposed)
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -84,7 +84,7 @@
 	}
 	if len(failed) == 0 {
 		if attached, _ := g.replica.commit(view.Epoch, after.Index+count); !attached {
-			g.resign(l, "overtaken")
+			g.resign(l, "superseded")
 			return trace.Wrap(errSuperseded)
 		}
 		return nil
@@ -96,12 +96,12 @@
 // index.
 func (l *leadership) completeBatch(batch []*request, index uint64) {
 	for _, queued := range batch {
-		var outcome error
+		var result error
 		if queued.kind == requestChange {
 			index++
-			outcome = l.group.replica.takeApplyError(index)
+			result = l.group.replica.takeApplyError(index)
 		}
-		queued.done <- outcome
+		queued.done <- result
 	}
 }
 
--- a/internal/controlplane/replication/bootstrap.go
+++ b/internal/controlplane/replication/bootstrap.go
@@ -13,24 +13,24 @@
 	if g.newestKnownView() != nil {
 		return nil
 	}
-	genesis := View{Members: members}
+	first := View{Members: members}
 	for _, member := range members {
-		genesis.InSync = append(genesis.InSync, member.DiskID)
+		first.InSync = append(first.InSync, member.DiskID)
 	}
-	if !g.mayBootstrap(genesis) {
+	if !g.mayBootstrap(first) {
 		return trace.Wrap(ErrBootstrapRefused)
 	}
-	made, err := g.changeView(ctx, viewChange{base: genesis, bootstrap: true, derive: g.deriveSuccessorView})
+	established, err := g.changeView(ctx, viewChange{base: first, bootstrap: true, derive: g.deriveSuccessorView})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return g.startLeadership(made)
+	return g.startLeadership(established)
 }
 
 // mayBootstrap reports whether this process may take part in the bootstrap of a group: that is allowed to it, it is
 // a member, and its disk holds nothing of another group.
-func (g *Group) mayBootstrap(genesis View) bool {
-	_, member := findMember(genesis.Members, g.self.DiskID)
+func (g *Group) mayBootstrap(first View) bool {
+	_, member := findMember(first.Members, g.self.DiskID)
 	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
 	return member && blank && g.options.AllowBootstrap
 }
--- a/internal/controlplane/replication/bootstrap_test.go
+++ b/internal/controlplane/replication/bootstrap_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFoundingTakesAllMembersIn(t *testing.T) {
+func TestBootstrapAddsAllMembers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 4, 5, 8} {
 		inCluster(t, size, 1, uint64(size), func(c *cluster) {
 			c.awaitInSync(time.Second, size)
@@ -16,13 +16,13 @@
 			assert.Equal(c.t, leader.member.Name, "member-1")
 			assert.Assert(c.t, leader.process().group.Role().Epoch >= 1)
 			leader.mustPropose("a")
-			assert.NilError(c.t, leader.confirm(time.Second))
+			assert.NilError(c.t, leader.readBarrier(time.Second))
 			c.awaitAllHold(time.Second, "a")
 		})
 	}
 }
 
-func TestNobodyFoundsWithoutLeave(t *testing.T) {
+func TestBootstrapIsRefusedWithoutPermission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 0, 2, 1)
 		defer c.close()
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestOnlyOneOfTwoFoundersLeads(t *testing.T) {
+func TestOnlyOneOfTwoBootstrapsWins(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, 4, 2, seed)
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -313,7 +313,7 @@
 	assert.NilError(n.cluster.t, n.propose(change, 3*time.Second))
 }
 
-func (n *node) confirm(limit time.Duration) error {
+func (n *node) readBarrier(limit time.Duration) error {
 	running := n.process()
 	if running == nil {
 		return ErrNotPrimary
--- a/internal/controlplane/replication/disk_fault_test.go
+++ b/internal/controlplane/replication/disk_fault_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestStalledDiskOfBackupIsLeftOut(t *testing.T) {
+func TestBackupWithAStalledDiskLeavesTheInSyncSet(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -53,12 +53,12 @@
 
 // nextCheckDelay returns the delay until the primary has to be checked, unless a heartbeat comes before.
 func (g *Group) nextCheckDelay() time.Duration {
-	silence, _ := g.monitor.sinceContact(time.Now())
+	elapsed, _ := g.monitor.sinceContact(time.Now())
 	limit := g.timing.suspectAfter()
-	if silence >= limit {
-		limit = min(g.timing.LeaseDuration, silence+g.timing.StatusTimeout)
+	if elapsed >= limit {
+		limit = min(g.timing.LeaseDuration, elapsed+g.timing.StatusTimeout)
 	}
-	return max(minCheckInterval, limit-silence)
+	return max(minCheckInterval, limit-elapsed)
 }
 
 // campaignAfterDelay campaigns after a random delay, unless another candidate, or the primary, has been heard by
@@ -77,17 +77,17 @@
 	return g.timing.suspectAfter()
 }
 
-// primaryDown reports whether the primary has failed, leads no more, or has not been heard from for the lease.
+// primaryDown reports whether the primary has failed, no longer leads, or has not been heard from for the lease.
 func (g *Group) primaryDown(ctx context.Context) bool {
 	record := g.witness.record()
 	if record.Accepted == nil || record.Accepted.Primary == g.self.DiskID {
 		return g.leadership.Load() == nil
 	}
-	silence, gone := g.monitor.sinceContact(time.Now())
-	if gone || silence >= g.timing.LeaseDuration {
+	elapsed, down := g.monitor.sinceContact(time.Now())
+	if down || elapsed >= g.timing.LeaseDuration {
 		return true
 	}
-	if silence < g.timing.suspectAfter() {
+	if elapsed < g.timing.suspectAfter() {
 		return false
 	}
 	return g.checkPrimary(ctx, *record.Accepted)
@@ -128,11 +128,11 @@
 	if known.Primary != g.self.DiskID {
 		change.unresponsive = map[string]bool{known.Primary: true}
 	}
-	made, err := g.changeView(ctx, change)
+	established, err := g.changeView(ctx, change)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return g.startLeadership(made)
+	return g.startLeadership(established)
 }
 
 // deriveSuccessorView derives the view of a new primary from the newest accepted one. It returns errNotInSync where
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestCutPrimaryStopsClaimingAndComesBack(t *testing.T) {
+func TestIsolatedPrimaryStopsClaimingAndRejoins(t *testing.T) {
 	inCluster(t, 5, 3, 3, func(c *cluster) {
 		old := c.awaitPrimary(time.Second)
 		old.mustPropose("a")
@@ -42,7 +42,7 @@
 		assert.ErrorIs(c.t, old.propose("lost", 5*time.Second), ErrOutcomeUnknown)
 		next := c.awaitOtherPrimary(time.Second, old)
 		assert.Assert(c.t, !old.process().group.Role().Primary)
-		assert.ErrorIs(c.t, old.confirm(time.Second), ErrNotPrimary)
+		assert.ErrorIs(c.t, old.readBarrier(time.Second), ErrNotPrimary)
 		next.mustPropose("b")
 		c.rejoin(old)
 		c.awaitInSync(3*time.Second, 5)
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestOneWayCutDoesNotUnseatThePrimary(t *testing.T) {
+func TestOneWayPartitionDoesNotReplaceThePrimary(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		deaf := c.nodes[1]
--- a/internal/controlplane/replication/heartbeat_test.go
+++ b/internal/controlplane/replication/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackupsAreFreshOnlyWhileTheyHear(t *testing.T) {
+func TestBackupsAreUpToDateOnlyWhileTheyHearThePrimary(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
 		c.await(time.Second, "fresh", func() bool { return backup.process().group.Role().UpToDate })
@@ -54,10 +54,10 @@
 	})
 }
 
-// TestHeartbeatThatWasLongOnItsWayMakesNothingFresh replays a heartbeat of the primary at a backup that was cut off, as
+// TestDelayedHeartbeatMakesNoBackupUpToDate replays a heartbeat of the primary at a backup that was cut off, as
 // the network does with what a cut has held up. The backup lacks what was committed meanwhile and must not pass for
 // current, however lately the heartbeat has come.
-func TestHeartbeatThatWasLongOnItsWayMakesNothingFresh(t *testing.T) {
+func TestDelayedHeartbeatMakesNoBackupUpToDate(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		primary := c.awaitPrimary(time.Second)
 		primary.mustPropose("a")
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -38,16 +38,16 @@
 
 // startLeadership begins a leadership in a view that is in force. It returns errSuperseded where another process has
 // been promised a newer epoch meanwhile.
-func (g *Group) startLeadership(made establishedView) error {
+func (g *Group) startLeadership(established establishedView) error {
 	l := &leadership{group: g, wake: make(chan struct{}, 1), peers: map[string]*peer{}}
 	l.ctx, l.cancel = context.WithCancel(g.ctx)
-	l.enterView(made)
+	l.enterView(established)
 	if !g.leadership.CompareAndSwap(nil, l) {
 		l.cancel()
 		return trace.Wrap(errSuperseded)
 	}
-	if g.witness.record().Promised != made.view.Epoch || g.ctx.Err() != nil {
-		g.resign(l, "overtaken")
+	if g.witness.record().Promised != established.view.Epoch || g.ctx.Err() != nil {
+		g.resign(l, "superseded")
 		return trace.Wrap(errSuperseded)
 	}
 	go l.run()
@@ -131,8 +131,8 @@
 		}
 		return 0, false
 	}
-	grow, wait := l.mayImprove(time.Now())
-	if grow {
+	improve, wait := l.mayImprove(time.Now())
+	if improve {
 		_ = l.reconfigure(nil) // it is tried again later
 		l.postponeImprovement()
 		return 0, false
--- a/internal/controlplane/replication/membership_test.go
+++ b/internal/controlplane/replication/membership_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestWipedMemberIsAStrangerUntilReplaced(t *testing.T) {
+func TestWipedMemberIsNoMemberUntilReplaced(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -162,27 +162,27 @@
 
 // enterView makes a view the one that this process leads. It starts the heartbeats to new members and stops those to
 // removed ones.
-func (l *leadership) enterView(made establishedView) {
+func (l *leadership) enterView(established establishedView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.view = made.view
+	l.view = established.view
 	l.leaseLapsed = false
 	for diskID, known := range l.peers {
-		if _, member := made.view.Member(diskID); !member {
+		if _, member := established.view.Member(diskID); !member {
 			known.cancel()
 			delete(l.peers, diskID)
 		}
 	}
-	for _, member := range made.view.allMembers() {
+	for _, member := range established.view.allMembers() {
 		if member.DiskID == l.group.self.DiskID {
 			continue
 		}
-		l.updatePeer(member, made)
+		l.updatePeer(member, established)
 	}
 }
 
 // updatePeer records what a view change has shown of a member. The caller holds the lock.
-func (l *leadership) updatePeer(member Member, made establishedView) {
+func (l *leadership) updatePeer(member Member, established establishedView) {
 	known := l.peers[member.DiskID]
 	if known != nil && known.member != member {
 		known.cancel() // its name or address has changed
@@ -195,12 +195,12 @@
 		ctx, known.cancel = context.WithCancel(l.ctx)
 		go l.sendHeartbeats(ctx, known)
 	}
-	if at, accepted := made.acceptedAt[member.DiskID]; accepted {
+	if at, accepted := established.acceptedAt[member.DiskID]; accepted {
 		known.markContact(at)
 		known.markLeaseRenewed(at)
 	}
-	if made.view.HasInSync(member.DiskID) {
-		known.markAligned(made.alignedAt)
+	if established.view.HasInSync(member.DiskID) {
+		known.markAligned(established.alignedAt)
 	} else {
 		known.setAligned(false)
 	}
--- a/internal/controlplane/replication/random_test.go
+++ b/internal/controlplane/replication/random_test.go
@@ -33,13 +33,13 @@
 			if size == 5 {
 				copies = 3
 			}
-			inCluster(t, size, copies, seed, func(c *cluster) { runRandomFaults(c, seed) })
+			inCluster(t, size, copies, seed, func(c *cluster) { injectRandomFaults(c, seed) })
 		})
 	}
 }
 
-// faults is a random play of faults against a cluster, with a history of what its clients saw.
-type faults struct {
+// faultInjector is a random play of faults against a cluster, with a history of what its clients saw.
+type faultInjector struct {
 	c       *cluster
 	random  *rand.Rand
 	wiped   map[*node]string // members that lost a disk, not yet replaced, with the old disk's id
@@ -50,32 +50,32 @@
 // history is what the clients saw.
 type history struct {
 	acknowledged []string
-	refused      []string // surely not done
+	rejected     []string // surely not done
 	writes       int
 }
 
-func runRandomFaults(c *cluster, seed uint64) {
-	play := &faults{c: c, random: rand.New(rand.NewPCG(seed, 7)), wiped: map[*node]string{}}
+func injectRandomFaults(c *cluster, seed uint64) {
+	play := &faultInjector{c: c, random: rand.New(rand.NewPCG(seed, 7)), wiped: map[*node]string{}}
 	var clients sync.WaitGroup
 	finish := func() {
 		play.ended.Store(true)
 		clients.Wait()
 	}
 	defer finish()
-	clients.Go(play.watchClaims)
+	clients.Go(play.checkClaims)
 	clients.Go(play.proposeAll)
 	for started := time.Now(); time.Since(started) < randomDuration; {
 		play.step()
 		time.Sleep(time.Duration(play.random.IntN(1200)) * time.Millisecond)
 	}
-	play.repair()
+	play.recoverAll()
 	time.Sleep(calmDuration)
 	finish()
 	play.check()
 }
 
 // step makes one fault, or mends one.
-func (f *faults) step() {
+func (f *faultInjector) step() {
 	victim := f.c.nodes[f.random.IntN(len(f.c.nodes))]
 	if leading := f.c.primaries(); len(leading) == 1 && f.random.IntN(2) == 0 {
 		victim = leading[0]
@@ -107,15 +107,15 @@
 	case 10:
 		victim.disk.SetFull(f.random.IntN(2) == 0)
 	case 11, 12, 13:
-		f.healAll()
+		f.healNetwork()
 	default:
 		victim.kill()
 	}
-	f.admitOne()
+	f.replaceWipedMember()
 }
 
 // killAllAtOnce ends all processes and starts them again within a second.
-func (f *faults) killAllAtOnce() {
+func (f *faultInjector) killAllAtOnce() {
 	for _, each := range f.c.nodes {
 		if each.process() != nil {
 			each.kill()
@@ -127,14 +127,14 @@
 	}
 }
 
-func (f *faults) healAll() {
+func (f *faultInjector) healNetwork() {
 	for _, each := range f.c.nodes {
 		f.c.rejoin(each)
 	}
 }
 
 // wipe takes a member's disk, unless as many are lost as the group tolerates.
-func (f *faults) wipe(victim *node) {
+func (f *faultInjector) wipe(victim *node) {
 	if f.wiped[victim] != "" || len(f.wiped) >= f.c.copies-1 {
 		return
 	}
@@ -143,8 +143,8 @@
 	victim.restart()
 }
 
-// admitOne asks the primary to replace a disk that was lost by the machine's new one.
-func (f *faults) admitOne() {
+// replaceWipedMember asks the primary to replace a disk that was lost by the machine's new one.
+func (f *faultInjector) replaceWipedMember() {
 	leading := f.c.primaries()
 	if len(leading) != 1 {
 		return
@@ -162,9 +162,9 @@
 	}
 }
 
-// repair mends everything that is still broken.
-func (f *faults) repair() {
-	f.healAll()
+// recoverAll mends everything that is still broken.
+func (f *faultInjector) recoverAll() {
+	f.healNetwork()
 	for _, each := range f.c.nodes {
 		each.disk.SetSyncDelay(0)
 		each.disk.SetFull(false)
@@ -173,14 +173,14 @@
 		}
 	}
 	f.c.await(settleLimit, "all replaced", func() bool {
-		f.admitOne()
+		f.replaceWipedMember()
 		return len(f.wiped) == 0
 	})
 	f.c.awaitInSync(settleLimit, len(f.c.nodes))
 }
 
-// watchClaims checks that no two members claim to lead at once.
-func (f *faults) watchClaims() {
+// checkClaims checks that no two members claim to lead at once.
+func (f *faultInjector) checkClaims() {
 	for !f.ended.Load() {
 		if claiming := f.c.primaries(); len(claiming) > 1 {
 			f.c.describe()
@@ -192,7 +192,7 @@
 }
 
 // proposeAll proposes one change after the other, and reads between them.
-func (f *faults) proposeAll() {
+func (f *faultInjector) proposeAll() {
 	for !f.ended.Load() {
 		leading := f.c.primaries()
 		if len(leading) == 0 {
@@ -205,9 +205,9 @@
 	}
 }
 
-func (f *faults) writesPause() int { return (f.history.writes * 7) % 60 }
+func (f *faultInjector) writesPause() int { return (f.history.writes * 7) % 60 }
 
-func (f *faults) write(at *node) {
+func (f *faultInjector) write(at *node) {
 	process := at.process()
 	if process == nil {
 		return
@@ -219,14 +219,14 @@
 	case err == nil:
 		f.history.acknowledged = append(f.history.acknowledged, change)
 	case errors.Is(err, ErrNotPrimary):
-		f.history.refused = append(f.history.refused, change)
+		f.history.rejected = append(f.history.rejected, change)
 	}
 }
 
 // read checks that a confirmed primary has everything that was acknowledged before.
-func (f *faults) read(at *node) {
+func (f *faultInjector) read(at *node) {
 	process := at.process()
-	if process == nil || at.confirm(time.Second) != nil || at.process() != process {
+	if process == nil || at.readBarrier(time.Second) != nil || at.process() != process {
 		return
 	}
 	held := process.machine.list()
@@ -236,13 +236,13 @@
 }
 
 // check compares the end with the history.
-func (f *faults) check() {
+func (f *faultInjector) check() {
 	c := f.c
 	c.awaitInSync(settleLimit, len(c.nodes))
 	held := c.awaitPrimary(time.Second).process().machine.list()
 	c.awaitAllHold(2*time.Second, held...)
 	assert.Equal(c.t, firstMissing(held, f.history.acknowledged), "")
-	for _, refused := range f.history.refused {
+	for _, refused := range f.history.rejected {
 		assert.Assert(c.t, !slices.Contains(held, refused), "%s was refused and is there", refused)
 	}
 	assert.Equal(c.t, len(slices.Compact(slices.Sorted(slices.Values(held)))), len(held))
--- a/internal/controlplane/replication/reconfiguration.go
+++ b/internal/controlplane/replication/reconfiguration.go
@@ -49,13 +49,13 @@
 		}
 		return derive(newest)
 	}
-	made, err := l.group.changeView(l.ctx, change)
+	established, err := l.group.changeView(l.ctx, change)
 	switch {
 	case err == nil:
-		l.enterView(made)
+		l.enterView(established)
 		l.group.notify()
 	case errors.Is(err, errSuperseded):
-		l.group.resign(l, "overtaken")
+		l.group.resign(l, "superseded")
 	}
 	return trace.Wrap(err)
 }
@@ -64,9 +64,9 @@
 func (l *leadership) unusablePeers(failed map[string]bool) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	absent := maps.Clone(failed)
-	if absent == nil {
-		absent = map[string]bool{}
+	unusable := maps.Clone(failed)
+	if unusable == nil {
+		unusable = map[string]bool{}
 	}
 	now := time.Now()
 	for diskID, known := range l.peers {
@@ -75,10 +75,10 @@
 			usable = known.mayJoinInSync(now, l.group.timing)
 		}
 		if !usable {
-			absent[diskID] = true
+			unusable[diskID] = true
 		}
 	}
-	return absent
+	return unusable
 }
 
 // mustReconfigure reports whether nothing can be committed until a new view is made.
@@ -103,21 +103,21 @@
 
 // mayImprove reports whether a new view would be better than the current one: with more disks in sync, or without
 // the previous members. Otherwise it returns when to ask again; 0 stands for never.
-func (l *leadership) mayImprove(now time.Time) (grow bool, wait time.Duration) {
+func (l *leadership) mayImprove(now time.Time) (improve bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wanted := len(l.view.Previous) > 0
+	better := len(l.view.Previous) > 0
 	for _, member := range l.view.Members {
 		known := l.peers[member.DiskID]
 		if known != nil && !l.view.HasInSync(member.DiskID) && known.mayJoinInSync(now, l.group.timing) {
-			wanted = true
+			better = true
 		}
 	}
-	if !wanted {
+	if !better {
 		return false, 0
 	}
-	if rest := l.nextImprovement.Sub(now); rest > 0 {
-		return false, rest
+	if remaining := l.nextImprovement.Sub(now); remaining > 0 {
+		return false, remaining
 	}
 	return true, 0
 }
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -228,9 +228,9 @@
 func (r *replica) takeApplyError(index uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outcome := r.applyErrors[index]
+	result := r.applyErrors[index]
 	delete(r.applyErrors, index)
-	return outcome
+	return result
 }
 
 // end returns the position of the end of the log.
--- a/internal/controlplane/replication/snapshot_test.go
+++ b/internal/controlplane/replication/snapshot_test.go
@@ -23,7 +23,7 @@
 	return one.position == other.position && one.Commit == other.Commit && bytes.Equal(one.Change, other.Change)
 }
 
-func TestImageSurvivesItsEncoding(t *testing.T) {
+func TestSnapshotSurvivesItsEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original := snapshot{
 			applied:   position{rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "index")},
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestCutEntriesAreRefused(t *testing.T) {
+func TestTruncatedEntriesAreRejected(t *testing.T) {
 	whole := appendFrame(nil, entry{position: position{3, 4}, Commit: 2, Change: []byte("change")}.encode(nil))
 	decoded, err := decodeEntries(append(bytes.Clone(whole), whole...))
 	assert.NilError(t, err)
@@ -53,7 +53,7 @@
 	}
 }
 
-func FuzzDecodeImage(f *testing.F) {
+func FuzzDecodeSnapshot(f *testing.F) {
 	f.Add(snapshot{unapplied: []entry{{Change: []byte("a")}}, state: []byte("state")}.encode())
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = decodeSnapshot(data)
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestLongLogsAreShortened(t *testing.T) {
+func TestLongLogsAreCompacted(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		for i := range 30 {
--- a/internal/controlplane/replication/view_change.go
+++ b/internal/controlplane/replication/view_change.go
@@ -50,7 +50,7 @@
 		return establishedView{}, trace.Wrap(err)
 	}
 	view.Epoch, view.Primary = epoch, g.self.DiskID
-	aligned := time.Now()
+	alignedAt := time.Now()
 	view.InSync, err = g.alignInSync(ctx, view, last, change, collected.granted)
 	if err != nil {
 		return establishedView{}, trace.Wrap(err)
@@ -64,7 +64,7 @@
 	}
 	g.logger.Info("view in force", zap.Uint64("epoch", epoch), zap.Int("members", len(view.Members)),
 		zap.Int("inSync", len(view.InSync)), zap.Uint64("index", last.Index))
-	return establishedView{view: view, alignedAt: aligned, acceptedAt: accepted}, nil
+	return establishedView{view: view, alignedAt: alignedAt, acceptedAt: accepted}, nil
 }
 
 // prepareEpoch takes an epoch for this process: by its own promise, after which its log takes nothing from primaries
--- a/internal/controlplane/replication/view_test.go
+++ b/internal/controlplane/replication/view_test.go
@@ -52,7 +52,7 @@
 	return false
 }
 
-func TestLeastInSync(t *testing.T) {
+func TestMinInSync(t *testing.T) {
 	cases := []struct{ members, copies, least int }{{1, 2, 1}, {3, 2, 2}, {3, 3, 2}, {4, 2, 2}, {5, 3, 3}, {8, 3, 3}}
 	for _, each := range cases {
 		view := View{Members: make([]Member, each.members)}
--- a/internal/controlplane/replication/witness_test.go
+++ b/internal/controlplane/replication/witness_test.go
@@ -16,7 +16,7 @@
 	return opened
 }
 
-func TestWitnessKeepsItsWordThroughPowerLoss(t *testing.T) {
+func TestPromisesSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		disk := memfs.New(seed)
 		w := reopen(t, disk)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWitnessWithoutDiskSpaceGivesNoWord(t *testing.T) {
+func TestWitnessWithoutDiskSpacePromisesNothing(t *testing.T) {
 	disk := memfs.New(1)
 	w := reopen(t, disk)
 	disk.SetFull(true)
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -21,7 +21,8 @@
 }
 
 // Explore searches the states breadth first, up to a number of different states, for the first violation. Its
-// trace is a shortest one, unless the limit has cut states off. States are told apart by a 64-bit hash. The initial state is not checked itself.
+// trace is a shortest one, unless the limit has cut states off. States are told apart by a 64-bit hash. The initial
+// state is not checked.
 func Explore[State comparable](model Model[State], limit int) Result {
 	seed := maphash.MakeSeed()
 	start := model.Start()
