--- a/cmd/gladepick-sim/main.go
+++ b/cmd/gladepick-sim/main.go
@@ -1,5 +1,5 @@
-// Command gladepick-sim plays dispatchers on the simulator's wire: batches of
-// events on standard input, one reply a batch on standard output.
+// Command gladepick-sim plays dispatchers on the simulator's wire: batches of events on
+// standard input, one reply a batch on standard output. Package simadapter does the work.
 package main
 
 import (
--- a/internal/dispatcher/simadapter/golden_test.go
+++ b/internal/dispatcher/simadapter/golden_test.go
@@ -16,22 +16,22 @@
 // testdata/events.txt holds a frame with each record that the wire has, and what it is read as.
 func TestEventFrames(t *testing.T) {
 	le := binary.LittleEndian
-	b := (&batch{}).rec(evContext, context(3)).configure("classes.count=1\nkinds=a,b\n")
-	page := make([]byte, 2*entryLen)
+	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("classes.count=1\nkinds=a,b\n")
+	page := make([]byte, 2*entryBytes)
 	le.PutUint64(page, 5)
 	le.PutUint16(page[8:], 6)
 	le.PutUint32(page[10:], math.Float32bits(1.5))
 	page[14], page[15], page[16] = 1, 2, 3
 	le.PutUint32(page[17:], 0x0badcafe)
-	page[entryLen+14] = 2
+	page[entryBytes+14] = 2
 	at := b.blob(string(page))
-	b.rec(evPage, func(r []byte) {
+	b.rec(eventPage, func(r []byte) {
 		le.PutUint32(r, 4)
 		le.PutUint32(r[4:], at)
 		le.PutUint32(r[8:], 2)
 	})
 	for kind := range listKinds {
-		b.rec(evFleet, func(r []byte) {
+		b.rec(eventList, func(r []byte) {
 			r[0] = byte(kind)
 			le.PutUint32(r[5:], 4)
 		})
@@ -41,36 +41,36 @@
 			r[i] = byte(i + 1)
 		}
 	}
-	b.rec(evDemand, fill)
+	b.rec(eventJob, fill)
 	for _, code := range []uint16{10, 20, 30, 40, 50, 60, 70, 80} {
-		b.rec(evVerdict, func(r []byte) {
+		b.rec(eventOutcome, func(r []byte) {
 			fill(r)
 			le.PutUint16(r[9:], code)
 			r[25] = 4
 		})
 	}
-	b.rec(evHealth, func(r []byte) {
+	b.rec(eventHealthChecked, func(r []byte) {
 		fill(r)
 		le.PutUint16(r[12:], 10)
 		r[14] = 1
 	})
-	b.rec(evNote, fill).rec(evOpened, fill).rec(evCancelled, fill).rec(evWake, fill)
+	b.rec(eventProgress, fill).rec(eventStreamStarted, fill).rec(eventClientLeft, fill).rec(eventTimer, fill)
 	at = b.blob("two w")
-	b.rec(evPeer, func(r []byte) {
+	b.rec(eventPeerMessage, func(r []byte) {
 		le.PutUint32(r, 9)
 		le.PutUint32(r[4:], at)
 		le.PutUint32(r[8:], 5)
 	})
-	m := &script{}
+	m := &scriptedModule{}
 	in := b.frame(time.Second)
-	out, err := serve(t, m, in)
+	out, err := serveFrames(t, m, in)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	fmt.Fprintf(&text, "header %x\n", in[:headerLen])
-	for i := headerLen; i < headerLen+len(b.records); i += eventLen {
-		fmt.Fprintf(&text, "record %x\n", in[i:i+eventLen])
+	fmt.Fprintf(&text, "header %x\n", in[:headerBytes])
+	for i := headerBytes; i < headerBytes+len(b.records); i += eventBytes {
+		fmt.Fprintf(&text, "record %x\n", in[i:i+eventBytes])
 	}
 	fmt.Fprintf(&text, "tail %x\n", b.tail)
 	for _, ev := range m.seen {
@@ -82,7 +82,7 @@
 
 // testdata/actions.txt holds the reply to a frame for two instances, with each action that the module has.
 func TestActionFrames(t *testing.T) {
-	m := &script{acts: []decision.Action{
+	m := &scriptedModule{acts: []decision.Action{
 		{Kind: decision.Send, Job: 0x01020304, Worker: 0x05060708, Timeout: 9 * time.Millisecond},
 		{Kind: decision.Reject, Job: 0x01020304, RetryAfter: 50 * time.Millisecond},
 		{Kind: decision.Fail, Job: 0x01020304},
@@ -98,8 +98,8 @@
 		{Kind: decision.SendPeer, Peer: 1, Data: []byte("note")},
 		{Kind: decision.Log, Data: []byte("words")},
 	}}
-	b := (&batch{}).rec(evContext, context(3)).configure("").rec(evWake, nil).rec(evContext, context(5)).configure("").rec(evWake, nil)
-	out, err := serve(t, m, b.frame(time.Second))
+	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("").rec(eventTimer, nil).rec(eventContext, inContext(5)).configure("").rec(eventTimer, nil)
+	out, err := serveFrames(t, m, b.frame(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,9 +107,9 @@
 	count := int(binary.LittleEndian.Uint32(out[4:]))
 	fmt.Fprintf(&text, "header %x\n", out[:8])
 	for i := range count {
-		fmt.Fprintf(&text, "record %x\n", out[8+i*actionLen:8+(i+1)*actionLen])
+		fmt.Fprintf(&text, "record %x\n", out[8+i*actionBytes:8+(i+1)*actionBytes])
 	}
-	fmt.Fprintf(&text, "tail %x\n", out[8+count*actionLen:])
+	fmt.Fprintf(&text, "tail %x\n", out[8+count*actionBytes:])
 	golden.AssertBytes(t, text.Bytes(), "actions.txt")
 }
 
