--- a/Makefile
+++ b/Makefile
@@ -14,6 +14,7 @@
 	@unformatted="$$(gofmt -l .)"; test -z "$$unformatted" || { echo "gofmt would change: $$unformatted" >&2; exit 1; }
 	go vet ./...
 	go tool staticcheck ./...
+	go test -count=1 ./internal/architecture # import order, doc comments, direction of imports, links of pages
 
 # The random steps of the tests have a fixed seed, set in their files: every run gives the same verdict.
 # The lease tables and the copies have no goroutine, and are gone through without the race detector. Plays of real processes
