--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -7,8 +7,6 @@
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
-	"sync"
 	"time"
 
 	"gotest.tools/v3/assert"
@@ -26,19 +24,6 @@
 	stopAfterDrain      = 4 * time.Second
 )
 
-// workerService is a service and its workers. The mutex guards what is below it.
-type workerService struct {
-	cluster *Cluster
-	Service
-
-	mutex    sync.Mutex
-	workers  []*Worker
-	started  int
-	stamps   map[string]string // by request id, of a service that deduplicates
-	running  map[string]bool
-	arrivals []time.Time // of the last second
-}
-
 // Worker simulates a worker. Each start is an incarnation with an id of its own.
 type Worker struct {
 	service *workerService
@@ -192,145 +177,3 @@
 	writer.WriteHeader(end.status)
 	_, _ = io.WriteString(writer, string(end.result))
 }
-
-// delivery is one request at a worker.
-type delivery struct {
-	worker   *Worker
-	writer   http.ResponseWriter
-	request  *http.Request
-	id       string
-	deadline *time.Timer
-}
-
-// outcome is how a worker ended a delivery.
-type outcome struct {
-	result Result
-	status int
-	stamp  string
-}
-
-// serve rejects a delivery, or runs it.
-func (d *delivery) serve() outcome {
-	service := d.worker.service
-	if expected := d.request.Header.Get("X-Expect-Instance"); expected != "" && expected != d.worker.entry.ID {
-		return d.reject(http.StatusMisdirectedRequest)
-	}
-	if !service.admit() {
-		return d.reject(http.StatusTooManyRequests)
-	}
-	if service.Deduplicates {
-		if stamp := service.stampOf(d.id); stamp != "" {
-			d.writer.Header().Set("X-Server-Stamp", stamp)
-			return outcome{Repeated, http.StatusOK, stamp}
-		}
-		if !service.begin(d.id) {
-			return d.reject(http.StatusConflict)
-		}
-		defer service.finish(d.id)
-	}
-	return d.awaitSlot()
-}
-
-// reject answers that the message has not run and will not run because of this request.
-func (d *delivery) reject(status int) outcome {
-	d.writer.Header().Set("X-Not-Executed", "1")
-	return outcome{result: NotRun, status: status}
-}
-
-// awaitSlot runs the delivery once the worker has a free slot.
-func (d *delivery) awaitSlot() outcome {
-	select {
-	case d.worker.waiting <- struct{}{}:
-	default:
-		return d.reject(http.StatusServiceUnavailable)
-	}
-	defer func() { <-d.worker.waiting }()
-	select {
-	case d.worker.slots <- struct{}{}:
-	case <-d.deadline.C:
-		return d.reject(http.StatusServiceUnavailable)
-	case <-d.request.Context().Done():
-		return outcome{result: NotRun, status: http.StatusServiceUnavailable}
-	}
-	defer func() { <-d.worker.slots }()
-	return d.work()
-}
-
-// work runs the delivery and draws its result.
-func (d *delivery) work() outcome {
-	service := d.worker.service
-	random := service.cluster.random
-	span := time.Duration((0.5 + random.fraction()) * float64(service.Work))
-	work := time.NewTimer(span)
-	defer work.Stop()
-	select {
-	case <-work.C:
-	case <-d.deadline.C:
-		return outcome{result: Overdue, status: http.StatusGatewayTimeout}
-	case <-d.worker.abandoned(d.request):
-		return outcome{result: Broken}
-	}
-	switch {
-	case strings.Contains(d.request.RequestURI, scriptedResultQuery+scriptedReject):
-		return outcome{result: Rejected, status: http.StatusUnprocessableEntity}
-	case strings.Contains(d.request.RequestURI, scriptedResultQuery+scriptedFailure), random.fraction() < service.FailureShare:
-		return outcome{result: Failed, status: http.StatusInternalServerError}
-	}
-	stamp := fmt.Sprintf("%s.%x", d.worker.entry.ID, random.uint64())
-	service.storeStamp(d.id, stamp)
-	d.writer.Header().Set("X-Server-Stamp", stamp)
-	return outcome{Succeeded, http.StatusOK, stamp}
-}
-
-// abandoned returns a channel that is ready when the worker gives a message up because its connection has ended.
-// One worker of three never does, and gets no channel.
-func (w *Worker) abandoned(request *http.Request) <-chan struct{} {
-	if w.number%persistentEvery == 0 {
-		return nil
-	}
-	return request.Context().Done()
-}
-
-// admit tells whether the service's rate limit allows one more arrival.
-func (s *workerService) admit() bool {
-	if s.RatePerSecond <= 0 {
-		return true
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	now := time.Now()
-	for len(s.arrivals) > 0 && now.Sub(s.arrivals[0]) >= time.Second {
-		s.arrivals = s.arrivals[1:]
-	}
-	s.arrivals = append(s.arrivals, now)
-	return float64(len(s.arrivals)) <= s.RatePerSecond*rateLimitAllowance+1
-}
-
-func (s *workerService) stampOf(id string) string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.stamps[id]
-}
-
-func (s *workerService) storeStamp(id, stamp string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.stamps[id] = stamp
-}
-
-// begin tells whether no other run of a message is in progress, and marks this one as such.
-func (s *workerService) begin(id string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.running[id] {
-		return false
-	}
-	s.running[id] = true
-	return true
-}
-
-func (s *workerService) finish(id string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	delete(s.running, id)
-}
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// SetCloudAddress changes the address from which the control plane reads the platform's list of workers.
-func (f *Front) SetCloudAddress(address string) { f.plane.SetPlatformAddress(address) }
+// SetPlatformAddress changes the address from which the control plane reads the platform's list of workers.
+func (f *Front) SetPlatformAddress(address string) { f.plane.SetPlatformAddress(address) }
 
 // announce returns what the agent announces of the front with every renewal of its lease.
 func (f *Front) announce() cluster.NodeInfo {
@@ -128,6 +128,6 @@
 	ctx, cancel := context.WithTimeout(ctx, f.settings.Bounds.Grace-exitReserve)
 	defer cancel()
 	if err := f.ingress.Drain(ctx); err != nil {
-		f.logger.Warn("draining", zap.Error(err))
+		f.logger.Warn("draining clients failed", zap.Error(err))
 	}
 }
--- a/internal/systemnode/frontlisteners.go
+++ b/internal/systemnode/frontlisteners.go
@@ -32,7 +32,7 @@
 // logEnd logs a listener that has failed.
 func (f *Front) logEnd(listener string, err error) {
 	if err != nil {
-		f.logger.Error("listener ended", zap.String("listener", listener), zap.Error(err))
+		f.logger.Error("listener failed", zap.String("listener", listener), zap.Error(err))
 	}
 }
 
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -116,7 +116,7 @@
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		if err := n.agent.ReportFailure(ctx, report); err != nil {
-			n.logger.Debug("reporting a process", zap.String("node", report.Node), zap.Error(err))
+			n.logger.Debug("reporting a process failed", zap.String("node", report.Node), zap.Error(err))
 		}
 	}()
 }
@@ -129,7 +129,7 @@
 	}
 	n.running.Go(func() {
 		if err := n.server.Serve(listener); err != nil && ctx.Err() == nil {
-			n.logger.Error("serving internal calls", zap.Error(err))
+			n.logger.Error("internal server failed", zap.Error(err))
 		}
 	})
 	n.running.Go(func() { n.agent.Run(ctx) })
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -15,7 +15,7 @@
 // settingsTarget applies the settings that take effect while a process runs. Front and Store are such targets.
 type settingsTarget interface {
 	SetSeeds(seeds []string) error
-	SetCloudAddress(address string)
+	SetPlatformAddress(address string)
 }
 
 // settingsWatch reads the settings file again when it has changed, or upon SIGHUP. All of its methods run on the
@@ -113,7 +113,7 @@
 		}
 	}
 	if slices.Contains(differing, keyCloudAddress) {
-		w.target.SetCloudAddress(next.Settings.Cloud.Address)
+		w.target.SetPlatformAddress(next.Settings.Cloud.Address)
 	}
 	return nil
 }
--- a/internal/systemnode/settingswatch_test.go
+++ b/internal/systemnode/settingswatch_test.go
@@ -33,9 +33,9 @@
 
 // fakeTarget records what it is told.
 type fakeTarget struct {
-	seeds   [][]string
-	clouds  []string
-	refusal error
+	seeds     [][]string
+	platforms []string
+	refusal   error
 }
 
 func (f *fakeTarget) SetSeeds(seeds []string) error {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (f *fakeTarget) SetCloudAddress(address string) { f.clouds = append(f.clouds, address) }
+func (f *fakeTarget) SetPlatformAddress(address string) { f.platforms = append(f.platforms, address) }
 
 // watched is a settings file that a watch looks at, in a synctest bubble.
 type watched struct {
@@ -95,7 +95,7 @@
 		w.await()
 		w.hangup <- syscall.SIGHUP
 		w.await()
-		assert.Equal(t, len(w.target.seeds)+len(w.target.clouds), 0)
+		assert.Equal(t, len(w.target.seeds)+len(w.target.platforms), 0)
 		assert.Equal(t, w.logs.Len(), 0)
 	})
 }
@@ -109,7 +109,7 @@
 		w.write(t, strings.ReplaceAll(text, "200", "300"))
 		w.await()
 		assert.DeepEqual(t, w.target.seeds, [][]string{{"10.0.0.2:8002"}})
-		assert.DeepEqual(t, w.target.clouds, []string{"10.0.0.8:80"})
+		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 		logged := w.logs.AllUntimed()
 		assert.Equal(t, len(logged), 1)
 		assert.Equal(t, logged[0].Message, "settings read again")
@@ -126,7 +126,7 @@
 		w.write(t, strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80"))
 		w.hangup <- syscall.SIGHUP
 		synctest.Wait()
-		assert.DeepEqual(t, w.target.clouds, []string{"10.0.0.8:80"})
+		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
 }
 
@@ -150,7 +150,7 @@
 				w.write(t, test.text)
 				w.await()
 				w.await()
-				assert.Equal(t, len(w.target.seeds)+len(w.target.clouds), 0)
+				assert.Equal(t, len(w.target.seeds)+len(w.target.platforms), 0)
 				logged := w.logs.AllUntimed()
 				assert.Equal(t, len(logged), 1)
 				assert.Equal(t, logged[0].Message, "settings refused")
@@ -170,10 +170,10 @@
 		next := strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80")
 		w.write(t, next[:len(next)-4])
 		w.await()
-		assert.Equal(t, len(w.target.clouds), 0)
+		assert.Equal(t, len(w.target.platforms), 0)
 		w.write(t, next)
 		w.await()
-		assert.DeepEqual(t, w.target.clouds, []string{"10.0.0.8:80"})
+		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
 }
 
@@ -184,7 +184,7 @@
 		text := strings.ReplaceAll(sampleSettings, "10.0.0.1:8002", "nowhere")
 		w.write(t, strings.ReplaceAll(text, "10.0.0.9:80", "10.0.0.8:80"))
 		w.await()
-		assert.Equal(t, len(w.target.clouds), 0)
+		assert.Equal(t, len(w.target.platforms), 0)
 		assert.Equal(t, w.logs.FilterMessage("settings refused").Len(), 1)
 	})
 }
@@ -198,6 +198,6 @@
 		assert.Equal(t, w.logs.FilterMessage("settings not read").Len(), 1)
 		w.write(t, strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80"))
 		w.await()
-		assert.DeepEqual(t, w.target.clouds, []string{"10.0.0.8:80"})
+		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
 }
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -39,7 +39,7 @@
 	if err := base.newAgent(s.announce); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s.SetCloudAddress(base.settings.Cloud.Address)
+	s.SetPlatformAddress(base.settings.Cloud.Address)
 	if s.messages, err = messagestore.Open(s.messageOptions()); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -120,7 +120,7 @@
 
 func (s *Store) closeMessages() {
 	if err := s.messages.Close(); err != nil {
-		s.logger.Warn("closing the message log", zap.Error(err))
+		s.logger.Warn("closing the message log failed", zap.Error(err))
 	}
 }
 
--- a/internal/systemnode/workerlist.go
+++ b/internal/systemnode/workerlist.go
@@ -9,9 +9,9 @@
 	"gladepick/internal/controlplane/workerlist"
 )
 
-// SetCloudAddress changes the address from which the store reads the platform's list of workers when the control
+// SetPlatformAddress changes the address from which the store reads the platform's list of workers when the control
 // plane brings none.
-func (s *Store) SetCloudAddress(address string) { s.platformAddress.Store(&address) }
+func (s *Store) SetPlatformAddress(address string) { s.platformAddress.Store(&address) }
 
 // watchWorkers reads the platform's list of workers while the control plane brings no current one.
 func (s *Store) watchWorkers(ctx context.Context) {
@@ -40,7 +40,7 @@
 	defer cancel()
 	workers, err := workerlist.Read(ctx, s.platformClient, *s.platformAddress.Load())
 	if err != nil {
-		s.logger.Info("reading the list of workers", zap.Error(err))
+		s.logger.Info("reading the list of workers failed", zap.Error(err))
 		return
 	}
 	s.engine.SetWorkers(workers)
