--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -1,13 +1,13 @@
 // Package bootstrap makes the control group at the first start of the whole system, and finds it at every later start.
 //
 // Every process registers with the seeds. The first seed waits until no new process registers, chooses the members,
-// spread over the zones, and tells one of them to found the group. Where the first seed does not answer, a later one
+// spread over the zones, and tells one of them to make the group. Where the first seed does not answer, a later one
 // acts in its place. From then on the members announce themselves to the seeds again and again, since a seed without a
 // disk knows nothing after a restart.
 //
 // A Bootstrapper owns the registrations, behind one mutex. It runs two loops, each in a goroutine of the caller: Run at
-// every process, and Announce at those that may be members. Its handlers are called concurrently. Founding twice is
-// harmless: a process that already knows a group answers with its members and founds none. Start reading at
+// every process, and Announce at those that may be members. Its handlers are called concurrently. Making the group twice is
+// harmless: a process that already knows a group answers with its members and makes none. Start reading at
 // Bootstrapper.Run.
 package bootstrap
 
@@ -26,19 +26,19 @@
 	"gladepick/internal/rpc"
 )
 
-// MethodFound is the name of the call that tells a process to found the control group with the given members. It is
+// MethodBootstrap is the name of the call that tells a process to make the control group of the given members. It is
 // served by processes that may be members, and may be repeated.
-const MethodFound = "cluster.found"
+const MethodBootstrap = "cluster.found"
 
 const (
-	checkInterval       = 200 * time.Millisecond
-	startDelay          = 1200 * time.Millisecond // after the start of the first seed
-	registrationsSettle = 600 * time.Millisecond  // without a new registration
-	otherSeedDelay      = 4 * time.Second         // after which another seed acts, if those before it do not answer
-	seedProbeTimeout    = 300 * time.Millisecond
-	foundTimeout        = 2 * time.Second
-	attemptsPerFounder  = 10 // before another member is told to found
-	announceInterval    = 2 * time.Second
+	checkInterval           = 200 * time.Millisecond
+	startDelay              = 1200 * time.Millisecond // after the start of the first seed
+	registrationQuietPeriod = 600 * time.Millisecond  // without a new registration
+	otherSeedDelay          = 4 * time.Second         // after which another seed acts, if those before it do not answer
+	seedProbeTimeout        = 300 * time.Millisecond
+	bootstrapTimeout        = 2 * time.Second
+	attemptsPerMember       = 10 // before another member is told to make the group
+	announceInterval        = 2 * time.Second
 )
 
 // Group is what a Bootstrapper needs of this process's part in the control group.
@@ -47,7 +47,7 @@
 	Members() []cluster.CoreMember
 	// Fresh tells whether this process is a member whose knowledge of the group may be passed on.
 	UpToDate() bool
-	// Bootstrap founds the group. It is called only at processes that may be members.
+	// Bootstrap makes the group. It is called only at processes that may be members.
 	Bootstrap(ctx context.Context, members []replication.Member) error
 }
 
@@ -63,8 +63,8 @@
 	Logger       *zap.Logger
 }
 
-// foundRequest tells a process to found the control group with the given members.
-type foundRequest struct {
+// foundRequest tells a process to make the control group of the given members.
+type bootstrapRequest struct {
 	Members []replication.Member `json:"members"`
 }
 
@@ -157,9 +157,9 @@
 	return nil, nil, nil
 }
 
-// HandleFound serves MethodFound.
-func (b *Bootstrapper) HandleFound(ctx context.Context, call *rpc.Call) (any, []byte, error) {
-	var request foundRequest
+// HandleBootstrap serves MethodBootstrap.
+func (b *Bootstrapper) HandleBootstrap(ctx context.Context, call *rpc.Call) (any, []byte, error) {
+	var request bootstrapRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
@@ -222,20 +222,20 @@
 			return
 		case <-ticker.C:
 		}
-		if !b.registrationsSettled() || !b.leads(ctx, rank) {
+		if !b.registrationsQuiet() || !b.leads(ctx, rank) {
 			continue
 		}
-		b.found(ctx, attempts/attemptsPerFounder)
+		b.bootstrapGroup(ctx, attempts/attemptsPerMember)
 		attempts++
 	}
 }
 
-// registrationsSettled tells whether nobody new has registered for a while.
-func (b *Bootstrapper) registrationsSettled() bool {
+// registrationsQuiet tells whether nobody new has registered for a while.
+func (b *Bootstrapper) registrationsQuiet() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
-	return now.Sub(b.started) >= startDelay && now.Sub(b.lastNew) >= registrationsSettle
+	return now.Sub(b.started) >= startDelay && now.Sub(b.lastNew) >= registrationQuietPeriod
 }
 
 // leads tells whether a seed of the given rank is to act: the first always, another late and only while none before it
@@ -275,9 +275,9 @@
 	b.members = core
 }
 
-// found chooses the members and tells one of them to found the group: the first by name, or a later one where the
+// bootstrapGroup chooses the members and tells one of them to make the group: the first by name, or a later one where the
 // ones before did not manage it.
-func (b *Bootstrapper) found(ctx context.Context, founder int) {
+func (b *Bootstrapper) bootstrapGroup(ctx context.Context, rank int) {
 	members := chooseMembers(b.candidates())
 	if len(members) == 0 {
 		return
@@ -287,15 +287,15 @@
 			return
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, foundTimeout)
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
-	address := members[founder%len(members)].Address
-	request := foundRequest{Members: members}
-	if _, err := b.options.Pool.Get(address).Call(ctx, MethodFound, request, nil, nil); err != nil {
-		b.options.Logger.Info("founding failed", zap.Error(err))
+	address := members[rank%len(members)].Address
+	request := bootstrapRequest{Members: members}
+	if _, err := b.options.Pool.Get(address).Call(ctx, MethodBootstrap, request, nil, nil); err != nil {
+		b.options.Logger.Info("bootstrap of the control group failed", zap.Error(err))
 		return
 	}
-	b.options.Logger.Info("control group founded", zap.Int("members", len(members)))
+	b.options.Logger.Info("control group bootstrapped", zap.Int("members", len(members)))
 	b.setMembers(membership.CoreMembers(members))
 }
 
--- a/internal/controlplane/bootstrap/golden_test.go
+++ b/internal/controlplane/bootstrap/golden_test.go
@@ -11,7 +11,7 @@
 	"gladepick/internal/controlplane/replication"
 )
 
-// TestMessagesKeepTheirBytes encodes what tells a process to found the group. The golden file was written once, by the
+// TestMessagesKeepTheirBytes encodes what tells a process to make the group. The golden file was written once, by the
 // flag -update, and is never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	var members []replication.Member
@@ -20,7 +20,7 @@
 			Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.0.%d:7240", i), DiskID: fmt.Sprintf("disk-m%d", i),
 		})
 	}
-	line, err := json.Marshal(foundRequest{Members: members})
+	line, err := json.Marshal(bootstrapRequest{Members: members})
 	assert.NilError(t, err)
 	golden.AssertBytes(t, append(line, '\n'), "messages")
 }
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -217,7 +217,7 @@
 	server.Handle(cluster.MethodOperator, p.operator.Handle)
 	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
 	server.Handle(workerlist.Method, p.reader.HandleWorkers)
-	server.Handle(bootstrap.MethodFound, p.bootstrapper.HandleFound)
+	server.Handle(bootstrap.MethodBootstrap, p.bootstrapper.HandleBootstrap)
 }
 
 // Run takes part in the control plane until the context ends. Each loop has a goroutine: the bootstrap everywhere, and at
