--- a/internal/dispatcher/agent/supervise_test.go
+++ b/internal/dispatcher/agent/supervise_test.go
@@ -24,15 +24,15 @@
 
 // process is one that runs until it is told to end, and then for as long as it likes.
 type process struct {
-	end    chan error
-	linger time.Duration
-	killed atomic.Bool
-	told   atomic.Int64 // reloads
+	end     chan error
+	linger  time.Duration
+	killed  atomic.Bool
+	reloads atomic.Int64
 }
 
 func (p *process) PID() int      { return 42 }
 func (p *process) Wait() error   { return <-p.end }
-func (p *process) Reload() error { p.told.Add(1); return nil }
+func (p *process) Reload() error { p.reloads.Add(1); return nil }
 func (p *process) Kill() error   { p.killed.Store(true); p.end <- errors.New("killed"); return nil }
 func (p *process) Terminate() error {
 	if p.linger >= 0 {
@@ -58,76 +58,102 @@
 	return out
 }
 
+// supervised is an agent with one instance, whose processes and answers are the test's.
+type supervised struct {
+	*agent.Agent
+	t *testing.T
+
+	mu      sync.Mutex // guards what the agent and the test share
+	started []*process
+	linger  time.Duration // of the processes to come; negative: they do not listen
+	answers bool          // the process answers when its counters are read
+}
+
+func newSupervised(t *testing.T) *supervised {
+	s := &supervised{Agent: agent.New(agentConfig("n0")), t: t, linger: 3 * time.Second, answers: true}
+	s.StartProcess = func(config.Instance) (agent.Process, error) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		p := &process{end: make(chan error, 1), linger: s.linger}
+		s.started = append(s.started, p)
+		return p, nil
+	}
+	s.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if !s.answers {
+			return nil, errors.New("refused")
+		}
+		return allCounters(), nil
+	}
+	return s
+}
+
+func (s *supervised) setAnswers(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.answers = on
+}
+
+func (s *supervised) setLinger(d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.linger = d
+}
+
+// expect checks the instance once all goroutines wait.
+func (s *supervised) expect(what string, state agent.State, restarts, processes int) {
+	s.t.Helper()
+	synctest.Wait()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if status := s.Statuses()[0]; status.State != state || status.Restarts != restarts || len(s.started) != processes {
+		s.t.Errorf("%s: %+v with %d processes", what, status, len(s.started))
+	}
+}
+
 func TestAgentKeepsInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := agent.New(agentConfig("n0"))
-		var mu sync.Mutex // guards what the agent and the test share
-		var started []*process
-		linger, answers := 3*time.Second, true
-		change := func(f func()) { mu.Lock(); f(); mu.Unlock() }
-		a.StartProcess = func(config.Instance) (agent.Process, error) {
-			mu.Lock()
-			defer mu.Unlock()
-			p := &process{end: make(chan error, 1), linger: linger}
-			started = append(started, p)
-			return p, nil
-		}
-		a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) {
-			mu.Lock()
-			defer mu.Unlock()
-			if !answers {
-				return nil, errors.New("refused")
-			}
-			return allCounters(), nil
-		}
+		s := newSupervised(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		over := make(chan bool)
-		go func() { a.Run(ctx); close(over) }()
-		expect := func(what string, state agent.State, restarts, processes int) {
-			t.Helper()
-			synctest.Wait()
-			mu.Lock()
-			defer mu.Unlock()
-			if s := a.Statuses()[0]; s.State != state || s.Restarts != restarts || len(started) != processes {
-				t.Errorf("%s: %+v with %d processes", what, s, len(started))
-			}
-		}
-		expect("started", agent.Up, 0, 1)
-		if err := a.Reload("n0"); err != nil || started[0].told.Load() != 1 {
-			t.Errorf("a reload of one that is up: %v, told %d times", err, started[0].told.Load())
+		go func() { s.Run(ctx); close(over) }()
+		s.expect("started", agent.Up, 0, 1)
+		if err := s.Reload("n0"); err != nil || s.started[0].reloads.Load() != 1 {
+			t.Errorf("a reload of one that is up: %v, %d reloads", err, s.started[0].reloads.Load())
 		}
-		change(func() { answers = false })
+		s.setAnswers(false)
 		time.Sleep(1100 * time.Millisecond)
-		expect("silent", agent.Starting, 0, 1)
-		change(func() { answers = true })
-		started[0].end <- errors.New("exit status 2")
-		expect("crashed", agent.Waiting, 1, 1)
-		if a.Reload("n0") == nil || a.Reload("n9") == nil {
+		s.expect("silent", agent.Starting, 0, 1)
+		s.setAnswers(true)
+		s.started[0].end <- errors.New("exit status 2")
+		s.expect("crashed", agent.Waiting, 1, 1)
+		if s.Reload("n0") == nil || s.Reload("n9") == nil {
 			t.Error("a reload went to a process that is not there")
 		}
-		if s := a.Statuses()[0]; s.LastEnd != "exit status 2" || s.PID != 0 {
-			t.Errorf("after its crash: %+v", s)
+		if status := s.Statuses()[0]; status.LastEnd != "exit status 2" || status.PID != 0 {
+			t.Errorf("after its crash: %+v", status)
 		}
 		time.Sleep(limits.RestartBackoff)
-		expect("again", agent.Up, 1, 2)
-		if err := a.Drain("n0"); err != nil {
+		s.expect("again", agent.Up, 1, 2)
+		if err := s.Drain("n0"); err != nil {
 			t.Error(err)
 		}
-		expect("told to leave", agent.Draining, 1, 2)
+		s.expect("told to leave", agent.Draining, 1, 2)
 		time.Sleep(time.Minute)
-		expect("left", agent.Drained, 1, 2)
-		change(func() { linger = -1 }) // the next one does not listen
-		if err := errors.Join(a.StartInstance("n0")); err != nil || a.Drain("n9") == nil {
+		s.expect("left", agent.Drained, 1, 2)
+		s.setLinger(-1) // the next one does not listen
+		if err := s.StartInstance("n0"); err != nil || s.Drain("n9") == nil {
 			t.Error("an instance that is there is not found, or one that is not is")
 		}
-		expect("back", agent.Up, 1, 3)
+		s.expect("back", agent.Up, 1, 3)
 		cancel()
-		expect("leaving", agent.Draining, 1, 3)
+		s.expect("leaving", agent.Draining, 1, 3)
 		<-over
-		if !started[2].killed.Load() {
+		if !s.started[2].killed.Load() {
 			t.Error("an instance that does not leave was not killed")
 		}
-		expect("over", agent.Drained, 1, 3)
+		s.expect("over", agent.Drained, 1, 3)
 	})
 }
 
--- a/internal/dispatcher/simadapter/golden_test.go
+++ b/internal/dispatcher/simadapter/golden_test.go
@@ -13,10 +13,9 @@
 	"gladepick/internal/decision"
 )
 
-// testdata/events.txt holds a frame with each record that the wire has, and what it is read as.
-func TestEventFrames(t *testing.T) {
+// twoWorkers is a page with two workers.
+func twoWorkers() []byte {
 	le := binary.LittleEndian
-	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("classes.count=1\nkinds=a,b\n")
 	page := make([]byte, 2*entryBytes)
 	le.PutUint64(page, 5)
 	le.PutUint16(page[8:], 6)
@@ -24,7 +23,14 @@
 	page[14], page[15], page[16] = 1, 2, 3
 	le.PutUint32(page[17:], 0x0badcafe)
 	page[entryBytes+14] = 2
-	at := b.blob(string(page))
+	return page
+}
+
+// everyEvent has each record that the wire has.
+func everyEvent() *frameBuilder {
+	le := binary.LittleEndian
+	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("classes.count=1\nkinds=a,b\n")
+	at := b.blob(string(twoWorkers()))
 	b.rec(eventPage, func(r []byte) {
 		le.PutUint32(r, 4)
 		le.PutUint32(r[4:], at)
@@ -61,6 +67,12 @@
 		le.PutUint32(r[4:], at)
 		le.PutUint32(r[8:], 5)
 	})
+	return b
+}
+
+// testdata/events.txt holds a frame with each record that the wire has, and what it is read as.
+func TestEventFrames(t *testing.T) {
+	b := everyEvent()
 	m := &scriptedModule{}
 	in := b.frame(time.Second)
 	out, err := serveFrames(t, m, in)
--- a/internal/dispatcher/simadapter/settings_test.go
+++ b/internal/dispatcher/simadapter/settings_test.go
@@ -50,11 +50,17 @@
 		!slices.Equal(c[0].AllowedKinds, []int{1}) || len(c[0].AllowedZones) > 0 || !slices.Equal(c[1].AllowedZones, []int{0, 2}) || len(c[1].AllowedKinds) > 0 {
 		t.Errorf("read %+v", s)
 	}
+}
+
+func TestSettingsThatCannotBeRead(t *testing.T) {
 	for _, bad := range []string{"invariants.full_unproven=perhaps", "classes.count=-1", "classes.count=99999999", "limits.peers=maybe", "invariants.cold_from=NaN"} {
 		if _, err := ParseSettings(bad); err == nil || !strings.Contains(err.Error(), strings.Split(bad, "=")[0]) {
 			t.Errorf("%s: error %v", bad, err)
 		}
 	}
+}
+
+func TestSettingsOutOfBounds(t *testing.T) {
 	for _, bad := range []struct{ key, value, right string }{ // key, value and what would be right are named
 		{"discovery", "shout", "one of automatic, subscribe"},
 		{"report.how", "post", "one of piggyback, pull, silent"},
--- a/internal/dispatcher/workerhttp/transport_test.go
+++ b/internal/dispatcher/workerhttp/transport_test.go
@@ -63,84 +63,115 @@
 	return <-answers
 }
 
+// expectation is what an answer of a worker comes to.
+type expectation struct {
+	answer  dispatch.AnswerKind
+	outcome decision.Outcome
+	pooled  bool // the connection can serve again
+}
+
+// expectations are by the scripts that testenv's workers know.
+var expectations = map[string]expectation{
+	"done":      {dispatch.Served, decision.OK, true},
+	"done-odd":  {dispatch.Served, decision.OK, true},
+	"failed":    {dispatch.Rejected, decision.Error, true},
+	"returned":  {dispatch.Rejected, decision.Rejected, true},
+	"503":       {dispatch.Rejected, decision.Rejected, true},
+	"500":       {dispatch.Rejected, decision.Error, true},
+	"503-maybe": {dispatch.Rejected, decision.Error, true},
+	"break":     {dispatch.Rejected, decision.Reset, false},
+	"truncated": {dispatch.Rejected, decision.Reset, false},
+	"foreign":   {dispatch.Rejected, decision.Reset, false},
+	"lost":      {dispatch.Rejected, decision.Reset, false},
+	"silent":    {dispatch.Rejected, decision.TimedOut, false},
+}
+
+// steps are the scripts, and what else can happen to a connection.
+var steps = []string{"done", "done-odd", "failed", "returned", "503", "500", "503-maybe", "break",
+	"truncated", "foreign", "lost", "silent", "wait", "close"}
+
+// connectionModel is what must be true of the one connection to a worker.
+type connectionModel struct {
+	*fixture
+	t       *rapid.T
+	network *testenv.Network
+	workers *testenv.WorkerGroup
+	idle    bool // there is one in the pool
+	dials   int
+}
+
 func TestConnectionStates(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
-	type expectation struct {
-		answer  dispatch.AnswerKind
-		outcome decision.Outcome
-		pooled  bool // the connection can serve again
-	}
-	expectations := map[string]expectation{
-		"done":      {dispatch.Served, decision.OK, true},
-		"done-odd":  {dispatch.Served, decision.OK, true},
-		"failed":    {dispatch.Rejected, decision.Error, true},
-		"returned":  {dispatch.Rejected, decision.Rejected, true},
-		"503":       {dispatch.Rejected, decision.Rejected, true},
-		"500":       {dispatch.Rejected, decision.Error, true},
-		"503-maybe": {dispatch.Rejected, decision.Error, true},
-		"break":     {dispatch.Rejected, decision.Reset, false},
-		"truncated": {dispatch.Rejected, decision.Reset, false},
-		"foreign":   {dispatch.Rejected, decision.Reset, false},
-		"lost":      {dispatch.Rejected, decision.Reset, false},
-		"silent":    {dispatch.Rejected, decision.TimedOut, false},
-	}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			network, yard := &testenv.Network{}, &testenv.WorkerGroup{}
-			l := network.Listen(address)
-			go yard.Worker(l, "s-00000001")
-			b := newFixture(t, n, network.Dial)
-			idle, dials := false, 0
+			m := &connectionModel{t: rt, network: &testenv.Network{}, workers: &testenv.WorkerGroup{}}
+			l := m.network.Listen(address)
+			go m.workers.Worker(l, "s-00000001")
+			m.fixture = newFixture(t, n, m.network.Dial)
 			for i := range rapid.IntRange(1, 12).Draw(rt, "steps") {
-				name := rapid.SampledFrom([]string{"done", "done-odd", "failed", "returned", "503", "500", "503-maybe", "break",
-					"truncated", "foreign", "lost", "silent", "wait", "close"}).Draw(rt, "word")
-				switch w, ok := expectations[name]; {
-				case name == "wait":
-					ms := time.Duration(rapid.IntRange(1, 6000).Draw(rt, "ms")) * time.Millisecond
-					time.Sleep(ms)
-					idle = idle && ms < n.Limits.WorkerIdleTimeout
-				case name == "close":
-					b.transport.CloseIdle(config.Worker{Address: address})
-					idle = false
-				case ok:
-					id := fmt.Sprint("c", i)
-					before := b.counters.Outcomes[w.outcome].Load()
-					a := b.serve(id, name)
-					synctest.Wait()
-					sent := len(yard.Sent(id))
-					if sent == 0 { // the module held it back: nothing may have touched a connection
-						break
-					}
-					if !idle {
-						dials++
-					}
-					idle = w.pooled
-					if sent != 1 || a.Kind != w.answer || b.counters.Outcomes[w.outcome].Load() != before+1 {
-						rt.Errorf("%s: answer %v after %d sends; %s", name, a, sent, b.core.CountersLine())
-					}
-					if a.Kind == dispatch.Served && string(a.Result) != testenv.Result(id) {
-						rt.Errorf("%s: the result is %q", name, a.Result)
-					}
-				}
+				name := rapid.SampledFrom(steps).Draw(rt, "word")
+				m.step(name, fmt.Sprint("c", i), n.Limits.WorkerIdleTimeout)
 				synctest.Wait()
-				want := 0
-				if idle {
-					want = 1
-				}
-				if have, open := b.transport.ConnectionCounts(); have != want || open != want || network.Dials != dials {
-					rt.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", name, have, open, network.Dials, want, dials)
-				}
+				m.check(name)
 				time.Sleep(1200 * time.Millisecond) // a trial of an unhealthy worker may come
-				idle = idle && func() bool { have, _ := b.transport.ConnectionCounts(); return have == 1 }()
+				have, _ := m.transport.ConnectionCounts()
+				m.idle = m.idle && have == 1
 			}
-			b.transport.CloseIdle(config.Worker{Address: address})
-			b.stop()
+			m.transport.CloseIdle(config.Worker{Address: address})
+			m.stop()
 			l.Close()
 			time.Sleep(time.Minute)
 		})
 	})
 }
 
+// step does one step on both sides: at the transport and in the model.
+func (m *connectionModel) step(name, id string, idleTimeout time.Duration) {
+	switch name {
+	case "wait":
+		ms := time.Duration(rapid.IntRange(1, 6000).Draw(m.t, "ms")) * time.Millisecond
+		time.Sleep(ms)
+		m.idle = m.idle && ms < idleTimeout
+	case "close":
+		m.transport.CloseIdle(config.Worker{Address: address})
+		m.idle = false
+	default:
+		m.serveStep(name, id, expectations[name])
+	}
+}
+
+// serveStep has a job served by a script.
+func (m *connectionModel) serveStep(name, id string, want expectation) {
+	before := m.counters.Outcomes[want.outcome].Load()
+	a := m.serve(id, name)
+	synctest.Wait()
+	sent := len(m.workers.Sent(id))
+	if sent == 0 { // the module held it back: nothing may have touched a connection
+		return
+	}
+	if !m.idle {
+		m.dials++
+	}
+	m.idle = want.pooled
+	if sent != 1 || a.Kind != want.answer || m.counters.Outcomes[want.outcome].Load() != before+1 {
+		m.t.Errorf("%s: answer %v after %d sends; %s", name, a, sent, m.core.CountersLine())
+	}
+	if a.Kind == dispatch.Served && string(a.Result) != testenv.Result(id) {
+		m.t.Errorf("%s: the result is %q", name, a.Result)
+	}
+}
+
+// check compares the transport with the model.
+func (m *connectionModel) check(after string) {
+	want := 0
+	if m.idle {
+		want = 1
+	}
+	if have, open := m.transport.ConnectionCounts(); have != want || open != want || m.network.Dials != m.dials {
+		m.t.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", after, have, open, m.network.Dials, want, m.dials)
+	}
+}
+
 // A connection that never comes up, or is refused, proves that nothing ran.
 func TestNoConnection(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
