--- a/internal/operatorcli/command.go
+++ b/internal/operatorcli/command.go
@@ -2,7 +2,7 @@
 // calls the fronts of a running system over HTTP, or checks a file without calling anybody.
 //
 // Register adds the commands to a kingpin application; the caller parses the command line and runs the function of
-// the selected command. Output goes to a writer, as a table or as JSON. Errors are *RefusedError,
+// the selected command. Output goes to a writer, as a table or as JSON. Errors are or wrap *RefusedError,
 // *InvalidFileError, *UnavailableError, or others, and ExitCode turns them into exit codes. Commands, flags,
 // output and exit codes are an interface: operators' scripts depend on them, and the golden files under testdata
 // hold them.
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	seedCount       = 3
-	observerIP      = "10.7.0.1"
-	zoneDelay       = 3 * time.Millisecond // between machines in different zones, one way
-	foundingTimeout = 20 * time.Second
-	finishTimeout   = 10 * time.Second // for the messages that are left when the load ends
-	pollInterval    = 100 * time.Millisecond
+	seedCount        = 3
+	observerIP       = "10.7.0.1"
+	zoneDelay        = 3 * time.Millisecond // between machines in different zones, one way
+	bootstrapTimeout = 20 * time.Second
+	finishTimeout    = 10 * time.Second // for the messages that are left when the load ends
+	pollInterval     = 100 * time.Millisecond
 )
 
 // Cluster is a running system with everything around it. Its methods may be called from any goroutine of the
@@ -91,10 +91,10 @@
 		machine.Start()
 	}
 	first := Configuration{Version: 1, Routes: options.Routes, Services: options.Services}
-	if !c.Operator.Replace(0, first, foundingTimeout) {
-		t.Fatalf("no first configuration within %v", foundingTimeout)
+	if !c.Operator.Replace(0, first, bootstrapTimeout) {
+		t.Fatalf("no first configuration within %v", bootstrapTimeout)
 	}
-	c.Await(foundingTimeout, "the cluster takes messages", c.loadBalancer.allReady)
+	c.Await(bootstrapTimeout, "the cluster takes messages", c.loadBalancer.allReady)
 	c.Load = newLoad(c)
 	return c
 }
--- a/internal/simcluster/history.go
+++ b/internal/simcluster/history.go
@@ -121,7 +121,7 @@
 // Fault is a fault that was injected into a machine.
 type Fault struct {
 	Machine string
-	Kind    string
+	Kind    FaultKind
 	Planned bool
 	From    time.Duration
 	Until   time.Duration // 0 while it lasts
@@ -196,18 +196,18 @@
 }
 
 // beginFault records a fault that begins. Planned ones are operations such as a restart.
-func (r *recorder) beginFault(machine, kind string, planned bool) {
+func (r *recorder) beginFault(machine string, kind FaultKind, planned bool) {
 	r.write(func(history *History) {
 		history.Faults = append(history.Faults, Fault{Machine: machine, Kind: kind, Planned: planned, From: r.now()})
 	})
 }
 
-// endFaults records the end of a machine's faults of a kind; an empty kind stands for all kinds.
-func (r *recorder) endFaults(machine, kind string) {
+// endFaults records the end of a machine's faults of a kind, or of allFaults.
+func (r *recorder) endFaults(machine string, kind FaultKind) {
 	r.write(func(history *History) {
 		for i := range history.Faults {
 			fault := &history.Faults[i]
-			if fault.Machine == machine && fault.Until == 0 && (kind == "" || fault.Kind == kind) {
+			if fault.Machine == machine && fault.Until == 0 && (kind == allFaults || fault.Kind == kind) {
 				fault.Until = r.now()
 			}
 		}
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -27,17 +27,21 @@
 	deadDialTime = time.Second     // until a connection attempt of an ended process fails
 )
 
-// Kinds of faults.
+// FaultKind is what was done to a machine.
+type FaultKind string
+
+// Kinds of faults. allFaults stands for every kind where faults end.
 const (
-	faultKill        = "kill"
-	faultPowerLoss   = "power loss"
-	faultDiskLoss    = "wiped disk"
-	faultTermination = "SIGTERM"
-	faultDisk        = "disk"
-	faultNetwork     = "network"
-	faultStart       = "start"
-	faultReplacement = "replacement"
-	faultRemoval     = "removal"
+	allFaults        FaultKind = ""
+	faultKill        FaultKind = "kill"
+	faultPowerLoss   FaultKind = "power loss"
+	faultDiskLoss    FaultKind = "wiped disk"
+	faultTermination FaultKind = "SIGTERM"
+	faultDisk        FaultKind = "disk"
+	faultNetwork     FaultKind = "network"
+	faultStart       FaultKind = "start"
+	faultReplacement FaultKind = "replacement"
+	faultRemoval     FaultKind = "removal"
 )
 
 // Machine is a simulated machine, which runs one process at a time.
@@ -61,7 +65,7 @@
 	network  *processNetwork
 	cancel   context.CancelFunc
 	ended    chan struct{}
-	notified atomic.Bool // that it is to end
+	notified atomic.Bool // asked to end, so that its end is no unexpected exit
 }
 
 // program is a front or a store.
@@ -77,7 +81,7 @@
 		return
 	}
 	m.cluster.network.PowerOn(m.ip)
-	m.cluster.recorder.endFaults(m.Name, "")
+	m.cluster.recorder.endFaults(m.Name, allFaults)
 	m.cluster.recorder.addStart(m.Name)
 	if !m.bootstrap {
 		m.cluster.recorder.beginFault(m.Name, faultStart, false)
