--- a/internal/dispatcher/amqp/messages_test.go
+++ b/internal/dispatcher/amqp/messages_test.go
@@ -7,6 +7,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -36,15 +37,26 @@
 
 // fixedSubmitter gives each job the same answer, or the same error.
 type fixedSubmitter struct {
+	mu     sync.Mutex
 	answer dispatch.Answer
 	err    error
 }
 
+// set changes what the jobs to come get.
+func (f *fixedSubmitter) set(a dispatch.Answer, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.answer, f.err = a, err
+}
+
 func (f *fixedSubmitter) Submit(j *dispatch.Job) error {
-	if f.err == nil {
-		j.Reply(f.answer)
+	f.mu.Lock()
+	answer, err := f.answer, f.err
+	f.mu.Unlock()
+	if err == nil {
+		j.Reply(answer)
 	}
-	return f.err
+	return err
 }
 
 func (f *fixedSubmitter) Abandon(*dispatch.Job) {}
@@ -151,13 +163,13 @@
 			{"the id is open", dispatch.Answer{}, dispatch.ErrDuplicateID},
 			{"not taken", dispatch.Answer{}, errors.New("whatever else")},
 		} {
-			jobs.answer, jobs.err = k.answer, k.err
+			jobs.set(k.answer, k.err)
 			p := goodJob()
 			p.CorrelationId, p.MessageId = fmt.Sprint("c", i), fmt.Sprint("k", i)
 			f.publish(t, "jobs", p)
 			f.record(k.name, answers)
 		}
-		jobs.answer, jobs.err = dispatch.Answer{Kind: dispatch.Failed}, nil
+		jobs.set(dispatch.Answer{Kind: dispatch.Failed}, nil)
 		again := goodJob()
 		again.CorrelationId, again.MessageId = "c9", "k0"
 		f.publish(t, "jobs", again)
--- a/internal/dispatcher/clienthttp/answers_test.go
+++ b/internal/dispatcher/clienthttp/answers_test.go
@@ -11,6 +11,7 @@
 	"net"
 	"regexp"
 	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -35,15 +36,26 @@
 
 // fixedSubmitter gives each job the same answer, or the same error.
 type fixedSubmitter struct {
+	mu     sync.Mutex
 	answer dispatch.Answer
 	err    error
 }
 
+// set changes what the jobs to come get.
+func (f *fixedSubmitter) set(a dispatch.Answer, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.answer, f.err = a, err
+}
+
 func (f *fixedSubmitter) Submit(j *dispatch.Job) error {
-	if f.err == nil {
-		j.Reply(f.answer)
+	f.mu.Lock()
+	answer, err := f.answer, f.err
+	f.mu.Unlock()
+	if err == nil {
+		j.Reply(answer)
 	}
-	return f.err
+	return err
 }
 
 func (f *fixedSubmitter) Abandon(*dispatch.Job) {}
@@ -78,7 +90,7 @@
 		t.Fatal(err)
 	}
 	f := &fixture{server: clienthttp.New(node, core)}
-	f.submitter.answer = dispatch.Answer{Kind: dispatch.Served, Result: []byte("result of p1")}
+	f.submitter.set(dispatch.Answer{Kind: dispatch.Served, Result: []byte("result of p1")}, nil)
 	f.server.Jobs = &f.submitter
 	ctx, cancel := context.WithCancel(context.Background())
 	go core.Run(ctx)
@@ -164,17 +176,17 @@
 		answers.add("served, in chunks", f.exchange(t, chunked))
 		answers.add("served, two on one connection", f.exchange(t, goodRequest+goodRequest))
 		answers.add("served, HTTP/1.0", f.exchange(t, strings.Replace(goodRequest, "HTTP/1.1", "HTTP/1.0", 1)))
-		f.submitter.answer = dispatch.Answer{Kind: dispatch.Served}
+		f.submitter.set(dispatch.Answer{Kind: dispatch.Served}, nil)
 		answers.add("served, empty result", f.exchange(t, goodRequest))
-		f.submitter.answer = dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: 1250 * time.Millisecond}
+		f.submitter.set(dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: 1250 * time.Millisecond}, nil)
 		answers.add("refused", f.exchange(t, goodRequest))
-		f.submitter.answer = dispatch.Answer{Kind: dispatch.Failed}
+		f.submitter.set(dispatch.Answer{Kind: dispatch.Failed}, nil)
 		answers.add("failed", f.exchange(t, goodRequest))
-		f.submitter.err = dispatch.ErrBusy
+		f.submitter.set(dispatch.Answer{}, dispatch.ErrBusy)
 		answers.add("too many open jobs", f.exchange(t, goodRequest))
-		f.submitter.err = dispatch.ErrDuplicateID
+		f.submitter.set(dispatch.Answer{}, dispatch.ErrDuplicateID)
 		answers.add("the id is open", f.exchange(t, goodRequest))
-		f.submitter.err = errors.New("whatever else")
+		f.submitter.set(dispatch.Answer{}, errors.New("whatever else"))
 		answers.add("not taken", f.exchange(t, goodRequest))
 		golden.AssertBytes(t, answers.Bytes(), "jobs.http")
 	})
--- a/internal/dispatcher/discovery/request_test.go
+++ b/internal/dispatcher/discovery/request_test.go
@@ -22,11 +22,14 @@
 // written records what is written to a connection.
 type written struct {
 	net.Conn
+	mu   *sync.Mutex // guards text
 	text *bytes.Buffer
 }
 
 func (w written) Write(p []byte) (int, error) {
+	w.mu.Lock()
 	w.text.Write(p)
+	w.mu.Unlock()
 	return w.Conn.Write(p)
 }
 
@@ -47,7 +50,7 @@
 		watch.Dial = func(ctx context.Context, _, address string) (net.Conn, error) {
 			note("== a call to %s ==", address)
 			conn, err := network.Dial(ctx, address)
-			return written{conn, &text}, err
+			return written{conn, &mu, &text}, err
 		}
 		entry := `{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000","zone":"montreal","machineType":"std-2c","cell":1,"lifecycle":"ready","weight":1,"startedAtMs":5}`
 		serve := func(address, answer string) net.Listener {
