--- a/internal/cluster/agent_lease_test.go
+++ b/internal/cluster/agent_lease_test.go
@@ -11,15 +11,15 @@
 func TestLeaseIsRenewedAfterTheTable(t *testing.T) {
 	agent, err := NewAgent(AgentOptions{Info: func() NodeInfo { return NodeInfo{} }})
 	assert.NilError(t, err)
-	told := 0
+	notified := 0
 	agent.Subscribe(func() {
-		told++
+		notified++
 		assert.Assert(t, !agent.LeaseValid(), "the table has not been passed on yet")
 		assert.Equal(t, agent.Table().Revision, uint64(7))
 	})
 	response := &SyncResponse{Table: &Table{Revision: 7}, WorkersAgeMS: -1}
 	assert.NilError(t, agent.accept(&SyncRequest{}, response, nil, time.Now()))
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notified, 1)
 	assert.Assert(t, agent.LeaseValid())
 	none := &SyncResponse{WorkersAgeMS: -1, LeaseAgeMS: NoLease}
 	later := time.Now().Add(LeaseDuration)
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -22,7 +22,7 @@
 
 const port = 7240
 
-// member is a stand-in for a member of the control group.
+// member is a fake member of the control group.
 type member struct {
 	ip     string
 	server *rpc.Server
@@ -43,7 +43,7 @@
 	change(m)
 }
 
-// testbed is a process with an agent and some stand-ins for members.
+// testbed is a process with an agent, and fake members of the control group.
 type testbed struct {
 	network *simulated.Network
 	members []*member
--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/cluster"
 )
 
-// TestPartsStayWithinTheLimit checks that the parts of all stores never add up to more than the whole, and that a
+// TestPartsStayWithinTheLimit checks that the parts of all stores never add up to more than the limit, and that a
 // store that leads more gets more.
 func TestPartsStayWithinTheLimit(t *testing.T) {
 	table := &cluster.Table{}
--- a/internal/controlplane/replication/backup_test.go
+++ b/internal/controlplane/replication/backup_test.go
@@ -41,8 +41,8 @@
 
 const missedChanges = 300
 
-// TestMemberThatMissedHundredsOfChangesCatchesUp has changes go on while the member comes back, cuts it off once more in
-// the middle of the copy, and then lets it lead with what it has caught up.
+// TestMemberThatMissedHundredsOfChangesCatchesUp has changes go on while the member returns, isolates it once more
+// while it receives the snapshot, and then lets it lead with what it has.
 func TestMemberThatMissedHundredsOfChangesCatchesUp(t *testing.T) {
 	for seed := range uint64(4) {
 		inCluster(t, 4, 2, seed, func(c *cluster) {
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -82,7 +82,7 @@
 	options func(*Options)
 }
 
-// cluster is a whole group in one process.
+// cluster is a group of simulated machines, all in one process.
 type cluster struct {
 	t       *testing.T
 	network *simulated.Network
@@ -91,7 +91,7 @@
 	nodes   []*node
 }
 
-// inCluster runs a test with a founded group in a bubble of simulated time.
+// inCluster runs a test with a bootstrapped group in a bubble of simulated time.
 func inCluster(t *testing.T, members, copies int, seed uint64, test func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -175,7 +175,7 @@
 
 func serve(server *rpc.Server, listener net.Listener) { _ = server.Serve(listener) }
 
-// stop ends the process without leave of the disk or the network.
+// stop ends the process, without closing its log first.
 func (n *node) stop() {
 	ended := n.current.Swap(nil)
 	if ended == nil {
@@ -200,7 +200,7 @@
 	n.stop()
 }
 
-// restart starts the process again, on a machine with power.
+// restart starts the process again, after turning the machine's power on.
 func (n *node) restart() {
 	if n.off {
 		n.cluster.network.PowerOn(n.ip)
@@ -217,10 +217,10 @@
 	n.newDisk()
 }
 
-// isolate cuts a set of nodes from all others.
-func (c *cluster) isolate(cut ...*node) { c.eachBorder(cut, c.network.Isolate) }
+// isolate separates some nodes from all others by a network partition.
+func (c *cluster) isolate(isolated ...*node) { c.eachBorder(isolated, c.network.Isolate) }
 
-func (c *cluster) rejoin(cut ...*node) { c.eachBorder(cut, c.network.Heal) }
+func (c *cluster) rejoin(isolated ...*node) { c.eachBorder(isolated, c.network.Heal) }
 
 func (c *cluster) eachBorder(inside []*node, do func(a, b string)) {
 	for _, one := range inside {
--- a/internal/controlplane/replication/explorer_call_test.go
+++ b/internal/controlplane/replication/explorer_call_test.go
@@ -126,15 +126,15 @@
 func (m *model) confirm(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
 	w := &state.disks[to]
-	asks := &state.disks[from]
-	if !asks.reading || asks.phase != primary || asks.epoch != epoch || !sent.view.inSync.has(to) {
+	caller := &state.disks[from]
+	if !caller.reading || caller.phase != primary || caller.epoch != epoch || !sent.view.inSync.has(to) {
 		return
 	}
 	if !m.rules.allows(w, epoch, from) || !m.rules.mayAppend(w, epoch, from) {
 		return
 	}
 	next := *state
-	next.disks[from].confirmedBy = asks.confirmedBy.with(to)
+	next.disks[from].confirmedBy = caller.confirmedBy.with(to)
 	add(next, "%s confirms %d to %s", diskName(to), epoch, diskName(from))
 }
 
--- a/internal/controlplane/replication/explorer_mutation_test.go
+++ b/internal/controlplane/replication/explorer_mutation_test.go
@@ -24,49 +24,101 @@
 
 // mutations are the broken rules that a search finds, by what is wrong with them.
 var mutations = map[string]mutation{
-	"half is a quorum": {103_186, modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2}, func(rules *modelRules) {
-		rules.quorum = func(view modelView, has diskSet) bool {
-			return 2*len((has&view.members).disks()) >= len(view.members.disks())
-		}
-	}},
-	"promises are forgotten at a restart": {400_000, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, crashes: 1, candidates: 2}, func(rules *modelRules) {
-		rules.restart = func(disk *modelDisk) { disk.promised, disk.promisedTo = disk.accepted.epoch, disk.accepted.primary }
-	}},
-	"witnesses accept lower epochs": {400_000, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, candidates: 2}, func(rules *modelRules) {
-		rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.accepted.epoch }
-	}},
-	"one epoch is promised twice": {37_411, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2}, func(rules *modelRules) {
-		rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.promised }
-	}},
-	"anyone may succeed": {148_665, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
-		rules.maySucceed = func(modelView, int) bool { return true }
-	}},
-	"one copy is enough": {289, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
-		rules.committed = func(view modelView, acks diskSet) bool { return acks != 0 }
-	}},
-	"all in-sync disks but one are enough": {1_049, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1}, func(rules *modelRules) {
-		rules.committed = func(view modelView, acks diskSet) bool {
-			return len((view.inSync &^ acks).disks()) <= 1
-		}
-	}},
-	"a question is answered without contact": {6_676, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2}, func(rules *modelRules) {
-		rules.mayServeRead = func(modelView, diskSet) bool { return true }
-	}},
-	"a copy of the state forgets the last entry": {30_418, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, func(rules *modelRules) {
-		rules.snapshotOf = func(log modelLog) modelLog { return log.prefix(max(0, log.len()-1)) }
-	}},
-	"a lease runs without answers": {7_888, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
-		rules.leaseValid = func(modelView, int, diskSet) bool { return true }
-	}},
-	"processes stand and vote while they stand by a primary": {4_290, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
-		rules.ignoresLeases = true
-	}},
-	"a witness leaves a primary that counts on it": {7_490, modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2}, func(rules *modelRules) {
-		rules.leavesPrimaryEarly = true
-	}},
-	"a wiped disk votes under its old name": {199_596, modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1}, func(rules *modelRules) {
-		rules.wipedReturns = true
-	}},
+	"half is a quorum": {
+		states: 103_186,
+		limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.quorum = func(view modelView, has diskSet) bool {
+				return 2*len((has&view.members).disks()) >= len(view.members.disks())
+			}
+		},
+	},
+	"promises are forgotten at a restart": {
+		states: 400_000,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, crashes: 1, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.restart = func(disk *modelDisk) { disk.promised, disk.promisedTo = disk.accepted.epoch, disk.accepted.primary }
+		},
+	},
+	"witnesses accept lower epochs": {
+		states: 400_000,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.accepted.epoch }
+		},
+	},
+	"one epoch is promised twice": {
+		states: 37_411,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.allows = func(disk *modelDisk, epoch uint8, _ int) bool { return epoch >= disk.promised }
+		},
+	},
+	"anyone may succeed": {
+		states: 148_665,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1},
+		mutate: func(rules *modelRules) {
+			rules.maySucceed = func(modelView, int) bool { return true }
+		},
+	},
+	"one copy is enough": {
+		states: 289,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1},
+		mutate: func(rules *modelRules) {
+			rules.committed = func(view modelView, acks diskSet) bool { return acks != 0 }
+		},
+	},
+	"all in-sync disks but one are enough": {
+		states: 1_049,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1},
+		mutate: func(rules *modelRules) {
+			rules.committed = func(view modelView, acks diskSet) bool {
+				return len((view.inSync &^ acks).disks()) <= 1
+			}
+		},
+	},
+	"a question is answered without contact": {
+		states: 6_676,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.mayServeRead = func(modelView, diskSet) bool { return true }
+		},
+	},
+	"a copy of the state forgets the last entry": {
+		states: 30_418,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1},
+		mutate: func(rules *modelRules) {
+			rules.snapshotOf = func(log modelLog) modelLog { return log.prefix(max(0, log.len()-1)) }
+		},
+	},
+	"a lease runs without answers": {
+		states: 7_888,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.leaseValid = func(modelView, int, diskSet) bool { return true }
+		},
+	},
+	"processes stand and vote while they stand by a primary": {
+		states: 4_290,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.ignoresLeases = true
+		},
+	},
+	"a witness leaves a primary that counts on it": {
+		states: 7_490,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, candidates: 2},
+		mutate: func(rules *modelRules) {
+			rules.leavesPrimaryEarly = true
+		},
+	},
+	"a wiped disk votes under its old name": {
+		states: 199_596,
+		limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1},
+		mutate: func(rules *modelRules) {
+			rules.wipedReturns = true
+		},
+	},
 }
 
 // TestMutationsAreFound breaks one rule at a time, and expects that the search finds a violation.
--- a/internal/controlplane/replication/explorer_state_test.go
+++ b/internal/controlplane/replication/explorer_state_test.go
@@ -20,7 +20,10 @@
 }
 
 func (v modelView) view() View {
-	view := View{Epoch: uint64(v.epoch), Primary: diskName(int(v.primary)), Members: v.members.members(), Previous: v.previous.members()}
+	view := View{
+		Epoch: uint64(v.epoch), Primary: diskName(int(v.primary)),
+		Members: v.members.members(), Previous: v.previous.members(),
+	}
 	for _, disk := range v.inSync.disks() {
 		view.InSync = append(view.InSync, diskName(disk))
 	}
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -25,18 +25,54 @@
 // TestExplore searches the protocol's states for violations. EXPLORE_STATES sets how many.
 func TestExplore(t *testing.T) {
 	spaces := map[string]exploredSpace{
-		"three disks, two elections":              {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1}, states: 90000, depth: 13, complete: false},
-		"three disks, a restart":                  {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 2, crashes: 1}, states: 81945, depth: 18, complete: true},
-		"four disks, an election":                 {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1}, states: 85971, depth: 18, complete: true},
-		"three disks, a loss":                     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1}, states: 90000, depth: 11, complete: false},
-		"three disks, a loss and its replacement": {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1, joins: 1, candidates: 1}, states: 90000, depth: 17, complete: false},
-		"three disks, questions":                  {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, reads: 2, candidates: 2}, states: 90000, depth: 13, complete: false},
-		"four disks, a question":                  {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2}, states: 90000, depth: 15, complete: false},
-		"three disks, leases":                     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, leases: true, candidates: 2}, states: 90000, depth: 15, complete: false},
-		"three disks, leases and a restart":       {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, crashes: 1}, states: 90000, depth: 17, complete: false},
-		"three disks, two changes of members":     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, candidates: 1}, states: 90000, depth: 10, complete: false},
-		"four disks, a removal":                   {limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 3, changes: 1, memberChanges: 1, candidates: 2}, states: 90000, depth: 11, complete: false},
-		"three disks, two losses and repairs":     {limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, losses: 2, joins: 2, candidates: 1, repaired: true}, states: 90000, depth: 11, complete: false},
+		"three disks, two elections": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1},
+			states: 90_000, depth: 13, complete: false,
+		},
+		"three disks, a restart": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 2, crashes: 1},
+			states: 81_945, depth: 18, complete: true,
+		},
+		"four disks, an election": {
+			limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1},
+			states: 85_971, depth: 18, complete: true,
+		},
+		"three disks, a loss": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1},
+			states: 90_000, depth: 11, complete: false,
+		},
+		"three disks, a loss and its replacement": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1, joins: 1, candidates: 1},
+			states: 90_000, depth: 17, complete: false,
+		},
+		"three disks, questions": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, reads: 2, candidates: 2},
+			states: 90_000, depth: 13, complete: false,
+		},
+		"four disks, a question": {
+			limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2},
+			states: 90_000, depth: 15, complete: false,
+		},
+		"three disks, leases": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, leases: true, candidates: 2},
+			states: 90_000, depth: 15, complete: false,
+		},
+		"three disks, leases and a restart": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 2, changes: 1, leases: true, crashes: 1},
+			states: 90_000, depth: 17, complete: false,
+		},
+		"three disks, two changes of members": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, joins: 1, memberChanges: 2, candidates: 1},
+			states: 90_000, depth: 10, complete: false,
+		},
+		"four disks, a removal": {
+			limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 3, changes: 1, memberChanges: 1, candidates: 2},
+			states: 90_000, depth: 11, complete: false,
+		},
+		"three disks, two losses and repairs": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, losses: 2, joins: 2, candidates: 1, repaired: true},
+			states: 90_000, depth: 11, complete: false,
+		},
 	}
 	for name, space := range spaces {
 		t.Run(name, func(t *testing.T) {
--- a/internal/controlplane/replication/golden_test.go
+++ b/internal/controlplane/replication/golden_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, opened.log.Close())
 }
 
-// proposeAt proposes changes by their numbers.
+// proposeAt proposes changes and returns their framed records.
 func proposeAt(t *testing.T, at *replica, epoch uint64, changes ...string) []byte {
 	t.Helper()
 	var proposed [][]byte
--- a/internal/controlplane/replication/heartbeat_test.go
+++ b/internal/controlplane/replication/heartbeat_test.go
@@ -11,12 +11,12 @@
 func TestBackupsAreUpToDateOnlyWhileTheyHearThePrimary(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
-		c.await(time.Second, "fresh", func() bool { return backup.process().group.Role().UpToDate })
+		c.await(time.Second, "up to date", func() bool { return backup.process().group.Role().UpToDate })
 		c.isolate(backup)
 		time.Sleep(time.Second)
 		assert.Assert(c.t, !backup.process().group.Role().UpToDate)
 		c.rejoin(backup)
-		c.await(2*time.Second, "fresh again", func() bool { return backup.process().group.Role().UpToDate })
+		c.await(2*time.Second, "up to date again", func() bool { return backup.process().group.Role().UpToDate })
 	})
 }
 
@@ -54,9 +54,9 @@
 	})
 }
 
-// TestDelayedHeartbeatMakesNoBackupUpToDate replays a heartbeat of the primary at a backup that was cut off, as
-// the network does with what a cut has held up. The backup lacks what was committed meanwhile and must not pass for
-// current, however lately the heartbeat has come.
+// TestDelayedHeartbeatMakesNoBackupUpToDate replays a heartbeat of the primary at a backup that was isolated, as the
+// network does with what a partition has delayed. The backup lacks what was committed meanwhile and must not count
+// as up to date, however recently the heartbeat has arrived.
 func TestDelayedHeartbeatMakesNoBackupUpToDate(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		primary := c.awaitPrimary(time.Second)
@@ -66,7 +66,7 @@
 		if backup == primary {
 			backup = c.nodes[2]
 		}
-		c.await(time.Second, "the backup is fresh", func() bool { return backup.process().group.Role().UpToDate })
+		c.await(time.Second, "the backup is up to date", func() bool { return backup.process().group.Role().UpToDate })
 		group := backup.process().group
 		group.monitor.mu.Lock()
 		echo := group.monitor.responses.last
@@ -87,7 +87,7 @@
 			assert.Assert(t, !group.Role().UpToDate, "its state is 20 s old")
 		}
 		c.rejoin(backup)
-		c.await(3*time.Second, "the backup is fresh again", func() bool { return group.Role().UpToDate })
+		c.await(3*time.Second, "the backup is up to date again", func() bool { return group.Role().UpToDate })
 		assert.DeepEqual(t, backup.process().machine.list(), []string{"a", "b"})
 	})
 }
--- a/internal/controlplane/replication/random_test.go
+++ b/internal/controlplane/replication/random_test.go
@@ -21,11 +21,12 @@
 	calmDuration   = 3 * time.Second // at the end, without faults
 )
 
-// randomSeeds is how many random plays the test goes through.
+// randomSeeds is the number of random runs.
 var randomSeeds = flag.Uint64("random-seeds", 20, "random plays of faults")
 
-// TestAcknowledgedChangesSurviveRandomFaults lets clients propose changes while members are killed, lose their power,
-// are cut off and lose their disks, never more disks at once than the group tolerates to lose. Whatever was acknowledged must be there at the end, once and in order, on all members.
+// TestAcknowledgedChangesSurviveRandomFaults lets clients propose changes while members are killed, lose their
+// power, are isolated and lose their disks, never more disks at once than the group tolerates. All acknowledged
+// changes must be there at the end, once and in order, on all members.
 func TestAcknowledgedChangesSurviveRandomFaults(t *testing.T) {
 	for seed := range *randomSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// faultInjector is a random play of faults against a cluster, with a history of what its clients saw.
+// faultInjector injects random faults into a cluster, and keeps a history of what its clients saw.
 type faultInjector struct {
 	c       *cluster
 	random  *rand.Rand
@@ -50,31 +51,31 @@
 // history is what the clients saw.
 type history struct {
 	acknowledged []string
-	rejected     []string // surely not done
+	rejected     []string // surely not made
 	writes       int
 }
 
 func injectRandomFaults(c *cluster, seed uint64) {
-	play := &faultInjector{c: c, random: rand.New(rand.NewPCG(seed, 7)), wiped: map[*node]string{}}
+	injector := &faultInjector{c: c, random: rand.New(rand.NewPCG(seed, 7)), wiped: map[*node]string{}}
 	var clients sync.WaitGroup
 	finish := func() {
-		play.ended.Store(true)
+		injector.ended.Store(true)
 		clients.Wait()
 	}
 	defer finish()
-	clients.Go(play.checkClaims)
-	clients.Go(play.proposeAll)
+	clients.Go(injector.checkClaims)
+	clients.Go(injector.proposeAll)
 	for started := time.Now(); time.Since(started) < randomDuration; {
-		play.step()
-		time.Sleep(time.Duration(play.random.IntN(1200)) * time.Millisecond)
+		injector.step()
+		time.Sleep(time.Duration(injector.random.IntN(1200)) * time.Millisecond)
 	}
-	play.recoverAll()
+	injector.recoverAll()
 	time.Sleep(calmDuration)
 	finish()
-	play.check()
+	injector.check()
 }
 
-// step makes one fault, or mends one.
+// step injects one fault, or ends one.
 func (f *faultInjector) step() {
 	victim := f.c.nodes[f.random.IntN(len(f.c.nodes))]
 	if leading := f.c.primaries(); len(leading) == 1 && f.random.IntN(2) == 0 {
@@ -143,7 +144,7 @@
 	victim.restart()
 }
 
-// replaceWipedMember asks the primary to replace a disk that was lost by the machine's new one.
+// replaceWipedMember has the primary replace a lost disk by the machine's new one.
 func (f *faultInjector) replaceWipedMember() {
 	leading := f.c.primaries()
 	if len(leading) != 1 {
@@ -162,7 +163,7 @@
 	}
 }
 
-// recoverAll mends everything that is still broken.
+// recoverAll ends all faults.
 func (f *faultInjector) recoverAll() {
 	f.healNetwork()
 	for _, each := range f.c.nodes {
@@ -191,7 +192,7 @@
 	}
 }
 
-// proposeAll proposes one change after the other, and reads between them.
+// proposeAll proposes one change after the other, with reads between them.
 func (f *faultInjector) proposeAll() {
 	for !f.ended.Load() {
 		leading := f.c.primaries()
@@ -223,7 +224,7 @@
 	}
 }
 
-// read checks that a confirmed primary has everything that was acknowledged before.
+// read checks that a confirmed primary has all that was acknowledged before.
 func (f *faultInjector) read(at *node) {
 	process := at.process()
 	if process == nil || at.readBarrier(time.Second) != nil || at.process() != process {
@@ -235,7 +236,7 @@
 	}
 }
 
-// check compares the end with the history.
+// check compares the final state with the history.
 func (f *faultInjector) check() {
 	c := f.c
 	c.awaitInSync(settleLimit, len(c.nodes))
@@ -249,7 +250,7 @@
 	assert.Assert(c.t, len(f.history.acknowledged) > 20, "only %d acknowledged", len(f.history.acknowledged))
 }
 
-// firstMissing returns the first of the wanted changes that is not held in their order, or "".
+// firstMissing returns the first of the wanted changes that is missing or out of order, or "".
 func firstMissing(held, wanted []string) string {
 	position := 0
 	for _, change := range wanted {
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -37,7 +37,12 @@
 
 // openReplica restores the replica from the newest snapshot and the log on the disk.
 func openReplica(options Options) (*replica, error) {
-	r := &replica{machine: options.StateMachine, logger: options.Logger, snapshotting: newSemaphore(), applyErrors: map[uint64]error{}}
+	r := &replica{
+		machine:      options.StateMachine,
+		logger:       options.Logger,
+		snapshotting: newSemaphore(),
+		applyErrors:  map[uint64]error{},
+	}
 	log, err := wal.Open(wal.Options{FS: options.FS, Logger: options.Logger}, r.restoreSnapshot, r.replayRecord)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/controlplane/replication/snapshot_test.go
+++ b/internal/controlplane/replication/snapshot_test.go
@@ -43,12 +43,12 @@
 }
 
 func TestTruncatedEntriesAreRejected(t *testing.T) {
-	whole := appendFrame(nil, entry{position: position{3, 4}, Commit: 2, Change: []byte("change")}.encode(nil))
-	decoded, err := decodeEntries(append(bytes.Clone(whole), whole...))
+	frame := appendFrame(nil, entry{position: position{3, 4}, Commit: 2, Change: []byte("change")}.encode(nil))
+	decoded, err := decodeEntries(append(bytes.Clone(frame), frame...))
 	assert.NilError(t, err)
 	assert.Equal(t, len(decoded), 2)
-	for length := 1; length < len(whole); length++ {
-		_, err := decodeEntries(whole[:length])
+	for length := 1; length < len(frame); length++ {
+		_, err := decodeEntries(frame[:length])
 		assert.ErrorIs(t, err, errMalformed)
 	}
 }
--- a/internal/controlplane/replication/view_test.go
+++ b/internal/controlplane/replication/view_test.go
@@ -16,8 +16,9 @@
 	return members
 }
 
-// TestQuorumsOfFollowingViewsMeet checks what the safety of a change of membership stands on: a view during the change
-// shares a member with each quorum of the view before it and of the one after it.
+// TestQuorumsOfFollowingViewsMeet checks what the safety of a change of the membership relies on: each quorum of a
+// view during the change shares a member with each quorum of the view before it, of the view after it, and of its
+// own.
 func TestQuorumsOfFollowingViewsMeet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.IntRange(0, 9)
