--- a/internal/dispatcher/capture/recorder_test.go
+++ b/internal/dispatcher/capture/recorder_test.go
@@ -19,7 +19,6 @@
 	"testing"
 	"time"
 
-
 	"gladepick/internal/decision"
 	"gladepick/internal/dispatcher/config"
 	"gladepick/internal/dispatcher/dispatch"
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -16,17 +16,17 @@
 type request struct {
 	class, tenant int
 	work          float64 // seconds on a core of speed 1
-	came          time.Duration
-	until         time.Duration // when the client gives up
-	key           uint64
-	left          int  // tries that may still follow
-	within        bool // its university's share
-	node          *node
-	over          bool
+	arrived       time.Duration
+	deadline      time.Duration // when the client gives up
+	dedupKey      uint64
+	retriesLeft   int  // tries that may still follow
+	withinQuota   bool // its university's share
+	dispatcher    *dispatcher
+	ended         bool
 }
 
 // rateAt is the rate of all universities without bursts.
-func (s *site) rateAt(at float64) float64 {
+func (s *scenario) rateAt(at float64) float64 {
 	r := s.load.Rate
 	i := sort.Search(len(r), func(i int) bool { return r[i].AtSeconds > at })
 	switch {
@@ -49,21 +49,21 @@
 // Arrivals draws a day's requests one after the other, until the day is over: a Poisson process whose rate moves,
 // thinned from its peak.
 func Arrivals(f *Fleet, l *Load, seed uint64) (next func() (Arrival, bool), err error) {
-	s, err := together(f, l)
+	s, err := newScenario(f, l)
 	if err != nil {
 		return nil, err
 	}
 	return s.arrivals(seed), nil
 }
 
-func (s *site) arrivals(seed uint64) func() (Arrival, bool) {
-	rng, work := stream(seed, forArrivals), stream(seed, forWork)
+func (s *scenario) arrivals(seed uint64) func() (Arrival, bool) {
+	rng, work := newStream(seed, arrivalStream), newStream(seed, workStream)
 	peak, sum, most, classes, weight, at := 0.0, 0.0, 1.0, 0.0, 0.0, 0.0
 	for _, p := range s.load.Rate {
 		peak = max(peak, p.PerSecond*s.load.Factor)
 	}
 	var shares, weights []float64 // cumulative
-	for _, p := range s.portion {
+	for _, p := range s.tenantShares {
 		sum += p
 		shares = append(shares, sum)
 	}
@@ -74,11 +74,11 @@
 		}
 	}
 	for _, b := range s.load.Bursts {
-		most += max(b.Factor-1, 0) * s.portion[s.tenant[b.Tenant]] / sum
+		most += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / sum
 	}
 	peak *= most
-	sizes := make([]func() float64, len(s.work))
-	for i, w := range s.work {
+	sizes := make([]func() float64, len(s.classLoads))
+	for i, w := range s.classLoads {
 		classes += w.Share
 		sizes[i] = func() float64 { return w.WorkMs / 1000 }
 		if w.CV > 0 {
@@ -100,8 +100,8 @@
 				x -= base
 				for _, b := range s.load.Bursts {
 					if at >= b.StartSeconds && at < b.StartSeconds+b.DurationSeconds && who < 0 {
-						t := s.tenant[b.Tenant]
-						if x -= base * s.portion[t] / sum * max(b.Factor-1, 0); x < 0 {
+						t := s.tenantIndex[b.Tenant]
+						if x -= base * s.tenantShares[t] / sum * max(b.Factor-1, 0); x < 0 {
 							who = t
 						}
 					}
@@ -111,8 +111,8 @@
 				continue
 			}
 			a := Arrival{At: sec(at), Tenant: who, Dispatcher: min(sort.SearchFloat64s(weights, rng.Float64()*weight), len(weights)-1)}
-			for u := rng.Float64() * classes; a.Class < len(s.work)-1 && u >= s.work[a.Class].Share; a.Class++ {
-				u -= s.work[a.Class].Share
+			for u := rng.Float64() * classes; a.Class < len(s.classLoads)-1 && u >= s.classLoads[a.Class].Share; a.Class++ {
+				u -= s.classLoads[a.Class].Share
 			}
 			a.WorkSeconds = sizes[a.Class]()
 			return a, true
@@ -122,32 +122,32 @@
 }
 
 // request makes a client's request of an arrival and books it.
-func (b *Accounting) request(a Arrival) *request {
-	c := &b.s.Classes[a.Class]
-	q := &request{class: a.Class, tenant: a.Tenant, work: a.WorkSeconds, came: a.At, until: a.At + sec(c.DeadlineSeconds), left: b.s.load.Retries.Max}
-	if b.number++; effects[c.Idempotency] == decision.Deduplicated {
-		q.key = b.number
+func (b *Accounting) newRequest(a Arrival) *request {
+	c := &b.scenario.Classes[a.Class]
+	q := &request{class: a.Class, tenant: a.Tenant, work: a.WorkSeconds, arrived: a.At, deadline: a.At + sec(c.DeadlineSeconds), retriesLeft: b.scenario.load.Retries.Max}
+	if b.requests++; idempotencies[c.Idempotency] == decision.Deduplicated {
+		q.dedupKey = b.requests
 	}
-	q.within = b.buckets[q.tenant].take(a.At, b.s.Tenants[q.tenant].RatePerSecond)
-	b.res.asked(b.s, q)
+	q.withinQuota = b.buckets[q.tenant].take(a.At, b.scenario.Tenants[q.tenant].RatePerSecond)
+	b.result.addOffered(b.scenario, q)
 	return q
 }
 
 // clients lets all requests come, one after the other.
-func (d *day) clients(seed uint64) {
+func (d *simulation) scheduleArrivals(seed uint64) {
 	arrivals := d.arrivals(seed)
 	var next func()
 	next = func() {
 		a, ok := arrivals()
-		if d.came = !ok; !ok {
+		if d.allArrived = !ok; !ok {
 			return
 		}
-		d.at(a.At-d.now, func() {
-			q := d.book.request(a)
-			q.came, q.node = d.now, d.nodes[a.Dispatcher]
-			d.pending++
+		d.schedule(a.At-d.now, func() {
+			q := d.accounting.newRequest(a)
+			q.arrived, q.dispatcher = d.now, d.dispatchers[a.Dispatcher]
+			d.openRequests++
 			next()
-			q.node.take(q, false)
+			q.dispatcher.accept(q, false)
 		})
 	}
 	next()
@@ -173,27 +173,27 @@
 }
 
 // end is a request's one final end, seen by its client.
-func (d *day) end(q *request, verdict verdict) {
-	if q.over {
-		d.res.Violations["two answers"]++
+func (d *simulation) finishRequest(q *request, verdict requestOutcome) {
+	if q.ended {
+		d.result.Violations["two answers"]++
 		return
 	}
-	q.over = true
-	d.pending--
-	d.res.ended(d.site, q, verdict, d.now-q.came)
+	q.ended = true
+	d.openRequests--
+	d.result.addEnded(d.scenario, q, verdict, d.now-q.arrived)
 }
 
 // again lets a client try once more, if it does; it tells whether.
-func (d *day) again(q *request, after time.Duration) bool {
+func (d *simulation) retry(q *request, after time.Duration) bool {
 	wait := ms(d.load.Retries.WaitMs)
 	if d.load.Retries.HonourRetryAfter {
 		wait = max(wait, after)
 	}
-	if q.left <= 0 || d.now+wait >= q.until {
+	if q.retriesLeft <= 0 || d.now+wait >= q.deadline {
 		return false
 	}
-	q.left--
-	d.res.Retries++
-	d.at(wait, func() { q.node.take(q, true) })
+	q.retriesLeft--
+	d.result.Retries++
+	d.schedule(wait, func() { q.dispatcher.accept(q, true) })
 	return true
 }
--- a/internal/dispatcher/fleetsim/day.go
+++ b/internal/dispatcher/fleetsim/day.go
@@ -16,12 +16,12 @@
 // Streams of random numbers: what one part draws changes nothing for the others, so that two fleets meet the same
 // clients.
 const (
-	forArrivals uint64 = iota + 1
-	forWork
-	forWorkers
-	forNetwork
-	forTroubles
-	forModules
+	arrivalStream uint64 = iota + 1
+	workStream
+	workerStream
+	networkStream
+	faultStream
+	moduleStream
 )
 
 type event struct {
@@ -35,108 +35,108 @@
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-type day struct {
-	*site
-	now     time.Duration
-	queue   priorityqueue.Queue[event]
-	seq     uint64
-	net     *rand.Rand
-	draw    *rand.Rand
-	nodes   []*node
-	workers []*worker
-	late    time.Duration // reports are this much later just now
-	pending int           // requests without a final end
-	came    bool          // the last request has come
-	book    *Accounting
-	res     *Result         // the book's
-	ran     map[uint64]*run // keys that ran or run, as all workers know
+type simulation struct {
+	*scenario
+	now              time.Duration
+	queue            priorityqueue.Queue[event]
+	nextSequence     uint64
+	networkRandom    *rand.Rand
+	workerRandom     *rand.Rand
+	dispatchers      []*dispatcher
+	workers          []*worker
+	extraReportDelay time.Duration // reports are this much later just now
+	openRequests     int           // requests without a final end
+	allArrived       bool          // the last request has come
+	accounting       *Accounting
+	result           *Result              // the book's
+	dedupRuns        map[uint64]*dedupRun // keys that ran or run, as all workers know
 }
 
 // at lets something happen after a while.
-func (d *day) at(after time.Duration, do func()) {
-	d.seq++
-	d.queue.Push(event{d.now + max(after, 0), d.seq, do})
+func (d *simulation) schedule(after time.Duration, do func()) {
+	d.nextSequence++
+	d.queue.Push(event{d.now + max(after, 0), d.nextSequence, do})
 }
 
-func stream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
+func newStream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
 
 // Draw is a figure between the two, any as likely as another.
 func (r Range) Draw(rng *rand.Rand) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
 // hop is the time one way between zones.
-func (d *day) hop(a, b int) time.Duration {
+func (d *simulation) networkDelay(a, b int) time.Duration {
 	base := d.SameZoneMs
 	if a != b {
 		base = d.CrossZoneMs
 	}
-	return ms(base * (1 + d.Jitter*(2*d.net.Float64()-1)))
+	return ms(base * (1 + d.Jitter*(2*d.networkRandom.Float64()-1)))
 }
 
-func newDay(s *site, seed uint64) *day {
-	d := &day{site: s, net: stream(seed, forNetwork), draw: stream(seed, forWorkers), book: newBook(s), ran: map[uint64]*run{}}
-	d.res = d.book.res
+func newSimulation(s *scenario, seed uint64) *simulation {
+	d := &simulation{scenario: s, networkRandom: newStream(seed, networkStream), workerRandom: newStream(seed, workerStream), accounting: newAccounting(s), dedupRuns: map[uint64]*dedupRun{}}
+	d.result = d.accounting.result
 	return d
 }
 
 // Simulate plays a day. stop may end it early; the result then holds what was seen so far.
 func Simulate(fleet *Fleet, load *Load, seed uint64, stop func() bool) (*Result, error) {
-	s, err := together(fleet, load)
+	s, err := newScenario(fleet, load)
 	if err != nil {
 		return nil, err
 	}
-	d := newDay(s, seed)
+	d := newSimulation(s, seed)
 	for _, g := range s.Workers {
 		for range g.Count {
-			d.addWorker(s.kind[g.Kind], s.zone[g.Zone])
+			d.addWorker(s.kindIndex[g.Kind], s.zoneIndex[g.Zone])
 		}
 	}
-	modules := stream(seed, forModules)
+	modules := newStream(seed, moduleStream)
 	count := 0
 	for _, g := range s.Dispatchers {
 		count += g.Count
 	}
 	for _, g := range s.Dispatchers {
 		for range g.Count {
-			n, err := newNode(d, len(d.nodes), count, g, modules.Uint64())
+			n, err := newDispatcher(d, len(d.dispatchers), count, g, modules.Uint64())
 			if err != nil {
 				return nil, err
 			}
-			d.nodes = append(d.nodes, n)
+			d.dispatchers = append(d.dispatchers, n)
 		}
 	}
-	for _, n := range d.nodes {
-		n.begin()
+	for _, n := range d.dispatchers {
+		n.start()
 	}
-	d.troubles(stream(seed, forTroubles))
-	d.clients(seed)
+	d.scheduleFaults(newStream(seed, faultStream))
+	d.scheduleArrivals(seed)
 	for _, w := range d.workers {
-		w.report()
+		w.scheduleReports()
 	}
-	for n := 0; len(d.queue) > 0 && !(d.came && d.pending == 0); n++ {
+	for n := 0; len(d.queue) > 0 && !(d.allArrived && d.openRequests == 0); n++ {
 		d.step()
 		if n%4096 == 0 && stop != nil && stop() {
-			d.res.Stopped = true
+			d.result.Stopped = true
 			break
 		}
 	}
-	d.finish()
-	return d.res, nil
+	d.closeAccounting()
+	return d.result, nil
 }
 
 // step lets the next thing happen.
-func (d *day) step() {
+func (d *simulation) step() {
 	e := d.queue.Pop()
 	d.now = e.at
 	e.do()
-	d.res.Events++
+	d.result.Events++
 }
 
 // troubles sets up what goes wrong.
-func (d *day) troubles(rng *rand.Rand) {
+func (d *simulation) scheduleFaults(rng *rand.Rand) {
 	for _, t := range d.Faults {
 		var hit []*worker
 		for _, w := range d.workers {
-			if (t.Zone == "" || w.zone == d.zone[t.Zone]) && (t.Kind == "" || w.k == d.kind[t.Kind]) {
+			if (t.Zone == "" || w.zone == d.zoneIndex[t.Zone]) && (t.Kind == "" || w.kindIndex == d.kindIndex[t.Kind]) {
 				hit = append(hit, w)
 			}
 		}
@@ -145,7 +145,7 @@
 			hit = hit[:int(math.Round(t.Fraction*float64(len(hit))))]
 		}
 		each := func(after float64, do func(*worker)) {
-			d.at(sec(after), func() {
+			d.schedule(sec(after), func() {
 				for _, w := range hit {
 					do(w)
 				}
@@ -154,31 +154,31 @@
 		end := t.StartSeconds + t.DurationSeconds
 		switch t.Type {
 		case "zone_lost":
-			each(t.StartSeconds, func(w *worker) { w.die(true) })
-			each(end, func(w *worker) { w.rise() })
+			each(t.StartSeconds, func(w *worker) { w.stop(true) })
+			each(end, func(w *worker) { w.restart() })
 		case "deaths":
-			each(t.StartSeconds, func(w *worker) { w.die(false) })
-			each(end, func(w *worker) { w.rise() })
+			each(t.StartSeconds, func(w *worker) { w.stop(false) })
+			each(end, func(w *worker) { w.restart() })
 		case "drain":
 			each(t.StartSeconds, func(w *worker) {
-				if w.drains = w.up; w.drains {
-					for _, n := range d.nodes {
-						n.learns(w, decision.Draining, d.DiscoveryDelaySeconds.Draw(d.net))
+				if w.draining = w.up; w.draining {
+					for _, n := range d.dispatchers {
+						n.learnState(w, decision.Draining, d.DiscoveryDelaySeconds.Draw(d.networkRandom))
 					}
 				}
 			})
 			each(end, func(w *worker) {
-				if w.drains {
-					w.die(false)
-					w.rise()
+				if w.draining {
+					w.stop(false)
+					w.restart()
 				}
 			})
 		case "shared":
 			set := func(share float64) func(*worker) {
 				return func(w *worker) {
-					w.count()
-					w.taken = share
-					w.replan()
+					w.advance()
+					w.externalShare = share
+					w.planNextCompletion()
 				}
 			}
 			for at := t.StartSeconds; at < end; at += max(t.OnSeconds, 0.01) + t.OffSeconds {
@@ -186,8 +186,8 @@
 				each(min(at+max(t.OnSeconds, 0.01), end), set(0))
 			}
 		case "reports_late":
-			d.at(sec(t.StartSeconds), func() { d.late += sec(t.Amount) })
-			d.at(sec(end), func() { d.late -= sec(t.Amount) })
+			d.schedule(sec(t.StartSeconds), func() { d.extraReportDelay += sec(t.Amount) })
+			d.schedule(sec(end), func() { d.extraReportDelay -= sec(t.Amount) })
 		}
 	}
 }
--- a/internal/dispatcher/fleetsim/describe.go
+++ b/internal/dispatcher/fleetsim/describe.go
@@ -241,7 +241,7 @@
 }
 
 // names gives the places of names; a name twice, or none, is an error.
-func names[T any](key string, list []T, name func(*T) string) (map[string]int, error) {
+func indexNames[T any](key string, list []T, name func(*T) string) (map[string]int, error) {
 	at := map[string]int{}
 	for i := range list {
 		n := name(&list[i])
@@ -257,33 +257,33 @@
 }
 
 // site is a fleet and a load that fit together, with names resolved to places.
-type site struct {
+type scenario struct {
 	*Fleet
-	load    *Load
-	zone    map[string]int
-	kind    map[string]int
-	class   map[string]int
-	tenant  map[string]int
-	work    []ClassLoad // by class
-	portion []float64   // by university
+	load         *Load
+	zoneIndex    map[string]int
+	kindIndex    map[string]int
+	classIndex   map[string]int
+	tenantIndex  map[string]int
+	classLoads   []ClassLoad // by class
+	tenantShares []float64   // by university
 }
 
 // together checks a fleet and a load against each other. Its errors name the key.
-func together(fleet *Fleet, load *Load) (*site, error) {
+func newScenario(fleet *Fleet, load *Load) (*scenario, error) {
 	f, l := *fleet.WithDefaults(), *load
-	s := &site{Fleet: &f, load: &l, zone: map[string]int{}}
+	s := &scenario{Fleet: &f, load: &l, zoneIndex: map[string]int{}}
 	var errs [3]error
-	s.kind, errs[0] = names("kinds", f.Kinds, func(k *Kind) string { return k.Name })
-	s.class, errs[1] = names("classes", f.Classes, func(c *Class) string { return c.Name })
-	s.tenant, errs[2] = names("universities", f.Tenants, func(u *Tenant) string { return u.Name })
+	s.kindIndex, errs[0] = indexNames("kinds", f.Kinds, func(k *Kind) string { return k.Name })
+	s.classIndex, errs[1] = indexNames("classes", f.Classes, func(c *Class) string { return c.Name })
+	s.tenantIndex, errs[2] = indexNames("universities", f.Tenants, func(u *Tenant) string { return u.Name })
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
 	for i, z := range f.Zones {
-		if _, twice := s.zone[z]; twice || z == "" {
+		if _, twice := s.zoneIndex[z]; twice || z == "" {
 			return nil, fmt.Errorf("key zones.%d: %q is missing or double", i, z)
 		}
-		s.zone[z] = i
+		s.zoneIndex[z] = i
 	}
 	known := func(m map[string]int, name string, none bool, key string, v ...any) error {
 		if _, ok := m[name]; !ok && !(none && name == "") {
@@ -303,11 +303,11 @@
 		}
 	}
 	for i, g := range f.Workers {
-		check(known(s.kind, g.Kind, false, "workers.%d.kind", i))
-		check(known(s.zone, g.Zone, false, "workers.%d.zone", i))
+		check(known(s.kindIndex, g.Kind, false, "workers.%d.kind", i))
+		check(known(s.zoneIndex, g.Zone, false, "workers.%d.zone", i))
 	}
 	for i, d := range f.Dispatchers {
-		check(known(s.zone, d.Zone, false, "dispatchers.%d.zone", i))
+		check(known(s.zoneIndex, d.Zone, false, "dispatchers.%d.zone", i))
 		if d.Count < 1 || d.Share < 0 {
 			check(fmt.Errorf("key dispatchers.%d: a count of 1 or more and a share are needed", i))
 		}
@@ -316,7 +316,7 @@
 		check(errors.New("key dispatchers: there is none"))
 	}
 	for i, c := range f.Classes {
-		if _, ok := effects[c.Idempotency]; !ok {
+		if _, ok := idempotencies[c.Idempotency]; !ok {
 			check(fmt.Errorf("key classes.%d.effect: %q is none of safe, keyed and unsafe", i, c.Idempotency))
 		}
 		if !(c.DeadlineSeconds > 0) || !(c.Value >= 0) || c.LatencyTargetSeconds < 0 {
@@ -324,46 +324,46 @@
 		}
 	}
 	for i, t := range f.Faults {
-		check(known(s.zone, t.Zone, t.Type != "zone_lost", "troubles.%d.zone", i))
-		check(known(s.kind, t.Kind, true, "troubles.%d.kind", i))
+		check(known(s.zoneIndex, t.Zone, t.Type != "zone_lost", "troubles.%d.zone", i))
+		check(known(s.kindIndex, t.Kind, true, "troubles.%d.kind", i))
 		if !slices.Contains([]string{"zone_lost", "deaths", "drain", "shared", "reports_late"}, t.Type) {
 			check(fmt.Errorf("key troubles.%d.what: %q is no trouble", i, t.Type))
 		}
 	}
-	s.work, s.portion = make([]ClassLoad, len(f.Classes)), make([]float64, len(f.Tenants))
+	s.classLoads, s.tenantShares = make([]ClassLoad, len(f.Classes)), make([]float64, len(f.Tenants))
 	for i, w := range l.Classes {
-		if e := known(s.class, w.Name, false, "load: classes.%d.name", i); e != nil {
+		if e := known(s.classIndex, w.Name, false, "load: classes.%d.name", i); e != nil {
 			check(e)
 			continue
 		}
 		if !(w.WorkMs > 0) || w.CV < 0 || w.Share < 0 {
 			check(fmt.Errorf("load: key classes.%d: %q needs work_ms above 0", i, w.Name))
 		}
-		s.work[s.class[w.Name]] = w
+		s.classLoads[s.classIndex[w.Name]] = w
 	}
 	for i, u := range l.Tenants {
-		if e := known(s.tenant, u.Name, false, "load: universities.%d.name", i); e != nil {
+		if e := known(s.tenantIndex, u.Name, false, "load: universities.%d.name", i); e != nil {
 			check(e)
 			continue
 		}
-		s.portion[s.tenant[u.Name]] += u.Share
+		s.tenantShares[s.tenantIndex[u.Name]] += u.Share
 	}
 	for i, b := range l.Bursts {
-		check(known(s.tenant, b.Tenant, false, "load: bursts.%d.university", i))
+		check(known(s.tenantIndex, b.Tenant, false, "load: bursts.%d.university", i))
 	}
 	if len(l.Tenants) == 0 { // as the fleet shares them out
 		for i, u := range f.Tenants {
-			s.portion[i] = u.Share
+			s.tenantShares[i] = u.Share
 		}
 	}
 	if l.Factor == 0 {
 		l.Factor = 1
 	}
 	total, share := 0.0, 0.0
-	for _, p := range s.portion {
+	for _, p := range s.tenantShares {
 		total += p
 	}
-	for _, w := range s.work {
+	for _, w := range s.classLoads {
 		share += w.Share
 	}
 	switch {
@@ -385,7 +385,7 @@
 	return s, err
 }
 
-var effects = map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.Deduplicated, "unsafe": decision.NotIdempotent}
+var idempotencies = map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.Deduplicated, "unsafe": decision.NotIdempotent}
 
 func sec(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 func ms(v float64) time.Duration  { return time.Duration(v * float64(time.Millisecond)) }
@@ -394,18 +394,18 @@
 const reportFields = 4
 
 // settings are what the module of a dispatcher in a zone is told, as the platform would word it.
-func (s *site) settings(self, count, zone int) decision.Settings {
+func (s *scenario) moduleSettings(self, count, zone int) decision.Settings {
 	out := decision.Settings{
 		Self: self, Dispatchers: count, Zone: zone, Kinds: len(s.Kinds), Zones: len(s.Zones),
 		Discovery: decision.DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: sec(s.DrainGraceSeconds), AnswerGrace: 8 * time.Millisecond,
 		SlowStartShare: s.SlowStart.Share, SlowStartDuration: sec(s.SlowStart.DurationSeconds), OverloadMultiple: s.SlowStart.OverloadMultiple, OverloadSpan: sec(s.SlowStart.OverloadSpanSeconds),
 		ConnIdle: sec(s.ConnectionIdleSeconds), MaxAttempts: s.MaxAttempts, Cancel: true, MaxRetryAfter: 2 * time.Second, OverQuotaValue: s.OverQuotaValue,
-		ReportsStart: true, ProgressInterval: progress, ReportsLoad: true, Tick: 2 * time.Millisecond,
+		ReportsStart: true, ProgressInterval: progressInterval, ReportsLoad: true, Tick: 2 * time.Millisecond,
 		Report: decision.LoadReportLayout{FreeSlots: 0, FreeMemory: -1, Queue: 3, InFlight: -1, Util: -1, Errors: 1},
 	}
 	for _, c := range s.Classes {
 		out.Classes = append(out.Classes, decision.ClassSettings{LatencyTarget: sec(c.LatencyTargetSeconds), Stretch: c.Stretch, Deadline: sec(c.DeadlineSeconds),
-			Idempotency: effects[c.Idempotency], DedupScope: decision.DedupByAll, DedupWindow: sec(c.DedupWindowSeconds), Value: c.Value, LateValue: c.LateValue, WorkerKind: -1})
+			Idempotency: idempotencies[c.Idempotency], DedupScope: decision.DedupByAll, DedupWindow: sec(c.DedupWindowSeconds), Value: c.Value, LateValue: c.LateValue, WorkerKind: -1})
 	}
 	for _, u := range s.Tenants {
 		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, RatePerSecond: u.RatePerSecond})
@@ -413,4 +413,4 @@
 	return out
 }
 
-const progress = time.Second
+const progressInterval = time.Second
--- a/internal/dispatcher/fleetsim/model_test.go
+++ b/internal/dispatcher/fleetsim/model_test.go
@@ -62,19 +62,19 @@
 	f := small()
 	f.Kinds = []Kind{{Name: "one", Cores: float64(slots), Speed: Range{1, 1}, Slots: slots, Queue: 1 << 30}}
 	f.Workers = []WorkerGroup{{Kind: "one", Zone: "montreal", Count: 1}}
-	s, err := together(f, usual(1, 1))
+	s, err := newScenario(f, usual(1, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDay(s, seed)
+	d := newSimulation(s, seed)
 	d.addWorker(0, 0)
-	n, err := newNode(d, 0, 1, s.Fleet.Dispatchers[0], 1)
+	n, err := newDispatcher(d, 0, 1, s.Fleet.Dispatchers[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.nodes = []*node{n}
+	d.dispatchers = []*dispatcher{n}
 	w := d.workers[0]
-	rng := stream(seed, forArrivals)
+	rng := newStream(seed, arrivalStream)
 	draw := rng.ExpFloat64 // of mean 1, and cv 1
 	if cv != 1 {
 		v := math.Log(1 + cv*cv)
@@ -91,13 +91,13 @@
 	came := map[*attempt]time.Duration{}
 	var arrive func()
 	arrive = func() {
-		a := &attempt{w: w, work: draw(), try: &try{request: &request{until: math.MaxInt64}, node: n, answered: true}}
+		a := &attempt{worker: w, work: draw(), job: &job{request: &request{deadline: math.MaxInt64}, dispatcher: n, answered: true}}
 		came[a] = d.now
 		all = append(all, a)
 		change(1)
 		w.arrive(a)
 		if seen++; seen < jobs {
-			d.at(sec(rng.ExpFloat64()/(load*float64(slots))), arrive)
+			d.schedule(sec(rng.ExpFloat64()/(load*float64(slots))), arrive)
 		}
 	}
 	arrive()
@@ -109,14 +109,14 @@
 				began[a] = true
 				wait += (d.now - came[a]).Seconds()
 			}
-			if a.ended {
+			if a.endedAtWorker {
 				there += (d.now - came[a]).Seconds()
 				change(-1)
 			}
 		}
 		k := 0
 		for _, a := range all {
-			if !a.ended {
+			if !a.endedAtWorker {
 				all[k] = a
 				k++
 			}
--- a/internal/dispatcher/fleetsim/node.go
+++ b/internal/dispatcher/fleetsim/node.go
@@ -12,87 +12,87 @@
 )
 
 // past is where a module's clock starts, as in the core: workers that started before have times above zero.
-const past = time.Hour
+const clockStart = time.Hour
 
 // try is one try of a client at a dispatcher.
-type try struct {
+type job struct {
 	*request
-	node     *node
-	id       decision.JobID
-	until    time.Duration
-	sends    []*attempt
-	out      int
-	answered bool
+	dispatcher *dispatcher
+	id         decision.JobID
+	deadline   time.Duration
+	attempts   []*attempt
+	inFlight   int
+	answered   bool
 }
 
 // attempt is one send. finish and started are the worker's side.
 type attempt struct {
-	try      *try
-	w        *worker
-	number   int
-	process  int
-	work     float64
-	finish   float64
-	fresh    bool // on a connection of its own
-	started  bool
-	ended    bool // at the worker
-	over     bool // at the dispatcher
-	recalled bool
-	lost     bool // its connection is closed
+	job               *job
+	worker            *worker
+	number            int
+	incarnation       int
+	work              float64
+	completesAt       float64
+	newConnection     bool // on a connection of its own
+	started           bool
+	endedAtWorker     bool // at the worker
+	endedAtDispatcher bool // at the dispatcher
+	cancelled         bool
+	connectionClosed  bool // its connection is closed
 }
 
 // seat is what a dispatcher knows of a worker.
-type seat struct {
-	w       *worker
-	state   decision.State
-	started time.Duration
-	told    time.Duration // when it was told to leave
-	idle    []time.Duration
-	gone    int // counts news, so that late ones do not undo newer ones
+type workerView struct {
+	worker       *worker
+	state        decision.State
+	started      time.Duration
+	leavingSince time.Duration // when it was told to leave
+	idleSince    []time.Duration
+	updateSeen   int // counts news, so that late ones do not undo newer ones
 }
 
-type node struct {
-	d        *day
-	zone     int
-	lim      DispatcherGroup
-	module   *decision.Dispatcher
-	acts     []decision.Action
-	last     decision.JobID
-	jobs     map[decision.JobID]*try
-	open     int
-	links    int
-	seats    []*seat
-	byID     map[decision.WorkerID]*seat
-	watching bool
-	news     int
+type dispatcher struct {
+	sim         *simulation
+	zone        int
+	limits      DispatcherGroup
+	module      *decision.Dispatcher
+	actions     []decision.Action
+	lastJobID   decision.JobID
+	jobs        map[decision.JobID]*job
+	openJobs    int
+	connections int
+	workers     []*workerView
+	workersByID map[decision.WorkerID]*workerView
+	watching    bool
+	updates     int
 }
 
-func newNode(d *day, self, count int, lim DispatcherGroup, seed uint64) (*node, error) {
-	zone := d.zone[lim.Zone]
-	m, err := decision.New(d.settings(self, count, zone), seed)
+func newDispatcher(d *simulation, self, count int, lim DispatcherGroup, seed uint64) (*dispatcher, error) {
+	zone := d.zoneIndex[lim.Zone]
+	m, err := decision.New(d.moduleSettings(self, count, zone), seed)
 	if err != nil {
 		return nil, err
 	}
-	n := &node{d: d, zone: zone, lim: lim, module: m, jobs: map[decision.JobID]*try{}, byID: map[decision.WorkerID]*seat{}}
+	n := &dispatcher{sim: d, zone: zone, limits: lim, module: m, jobs: map[decision.JobID]*job{}, workersByID: map[decision.WorkerID]*workerView{}}
 	for _, w := range d.workers {
-		s := &seat{w: w, state: decision.Ready}
-		n.seats = append(n.seats, s)
-		n.byID[w.id] = s
+		s := &workerView{worker: w, state: decision.Ready}
+		n.workers = append(n.workers, s)
+		n.workersByID[w.id] = s
 	}
 	return n, nil
 }
 
-func (n *node) entry(s *seat) decision.Entry {
-	e := decision.Entry{Worker: s.w.id, Zone: s.w.zone, Kind: s.w.k, Weight: 1, State: s.state}
+func (n *dispatcher) entry(s *workerView) decision.Entry {
+	e := decision.Entry{Worker: s.worker.id, Zone: s.worker.zone, Kind: s.worker.kindIndex, Weight: 1, State: s.state}
 	if s.started > 0 {
-		e.Started = past + s.started
+		e.Started = clockStart + s.started
 	}
 	return e
 }
 
-func (n *node) whole(kind decision.ListKind) {
+func (n *dispatcher) sendFullList(kind decision.ListKind) {
 	ev := decision.Event{Kind: decision.EventList, List: kind}
-	for _, s := range n.seats {
+	for _, s := range n.workers {
 		if s.state != decision.Gone {
 			ev.Entries = append(ev.Entries, n.entry(s))
 		}
@@ -100,31 +100,31 @@
 	n.handle(&ev)
 }
 
-func (n *node) begin() { n.whole(decision.ListCached) }
+func (n *dispatcher) start() { n.sendFullList(decision.ListCached) }
 
 // learns lets the roster tell of a worker's state after a delay.
-func (n *node) learns(w *worker, state decision.State, delay float64) {
-	n.news++
-	news := n.news
-	started := w.born
-	n.d.at(sec(delay), func() {
-		s := n.byID[w.id]
-		if news < s.gone { // a newer word has come before
+func (n *dispatcher) learnState(w *worker, state decision.State, delay float64) {
+	n.updates++
+	news := n.updates
+	started := w.startedAt
+	n.sim.schedule(sec(delay), func() {
+		s := n.workersByID[w.id]
+		if news < s.updateSeen { // a newer word has come before
 			return
 		}
-		s.gone, s.state, s.started = news, state, started
+		s.updateSeen, s.state, s.started = news, state, started
 		if state != decision.Ready {
-			s.told = n.d.now
+			s.leavingSince = n.sim.now
 		}
 		n.handle(&decision.Event{Kind: decision.EventList, List: decision.ListDelta, Entries: []decision.Entry{n.entry(s)}})
 	})
 }
 
 // handle gives the module an event and carries out what follows.
-func (n *node) handle(ev *decision.Event) {
-	n.d.res.Decisions++
-	n.acts = n.module.Handle(past+n.d.now, ev, n.acts[:0])
-	for _, a := range slices.Clone(n.acts) {
+func (n *dispatcher) handle(ev *decision.Event) {
+	n.sim.result.Decisions++
+	n.actions = n.module.Handle(clockStart+n.sim.now, ev, n.actions[:0])
+	for _, a := range slices.Clone(n.actions) {
 		t := n.jobs[a.Job]
 		switch a.Kind {
 		case decision.Send:
@@ -133,241 +133,241 @@
 			}
 		case decision.Reject, decision.Fail:
 			if t != nil {
-				n.answer(t, map[decision.ActionKind]verdict{decision.Reject: refused, decision.Fail: failed}[a.Kind], a.RetryAfter)
+				n.answer(t, map[decision.ActionKind]requestOutcome{decision.Reject: rejected, decision.Fail: failed}[a.Kind], a.RetryAfter)
 			}
 		case decision.Cancel:
-			if t != nil && a.Attempt < len(t.sends) {
-				c := t.sends[a.Attempt]
-				c.recalled, c.lost = true, true
-				n.d.at(0, func() { n.ends(c, decision.Cancelled, decision.Load{}) })
+			if t != nil && a.Attempt < len(t.attempts) {
+				c := t.attempts[a.Attempt]
+				c.cancelled, c.connectionClosed = true, true
+				n.sim.schedule(0, func() { n.attemptEnded(c, decision.Cancelled, decision.Load{}) })
 			}
 		case decision.SetTimer:
 			token := a.Token
-			n.d.at(a.Delay, func() { n.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
+			n.sim.schedule(a.Delay, func() { n.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
 		case decision.Watch, decision.Fetch:
 			if !n.watching {
 				n.watching = true
-				n.d.at(ms(50+100*n.d.net.Float64()), func() { n.whole(decision.ListFull) })
+				n.sim.schedule(ms(50+100*n.sim.networkRandom.Float64()), func() { n.sendFullList(decision.ListFull) })
 			}
 		}
 	}
 }
 
 // take is a client's try. Beyond the open jobs allowed it is turned away at the door.
-func (n *node) take(q *request, repeat bool) {
-	n.d.res.Requests++
-	if n.open >= n.lim.OpenJobs {
-		n.d.res.Overflowed++
-		n.client(q, refused, ms(n.d.RetryAfterMs))
+func (n *dispatcher) accept(q *request, repeat bool) {
+	n.sim.result.Requests++
+	if n.openJobs >= n.limits.OpenJobs {
+		n.sim.result.Overflowed++
+		n.answerClient(q, rejected, ms(n.sim.RetryAfterMs))
 		return
 	}
-	n.open++
-	n.d.res.PeakOpenJobs = max(n.d.res.PeakOpenJobs, n.open)
-	for n.last++; n.last == 0 || n.jobs[n.last] != nil; n.last++ {
+	n.openJobs++
+	n.sim.result.PeakOpenJobs = max(n.sim.result.PeakOpenJobs, n.openJobs)
+	for n.lastJobID++; n.lastJobID == 0 || n.jobs[n.lastJobID] != nil; n.lastJobID++ {
 	}
-	patience := q.until - n.d.now
-	t := &try{request: q, node: n, id: n.last, until: n.d.now + patience - min(40*time.Millisecond, patience/4)}
+	patience := q.deadline - n.sim.now
+	t := &job{request: q, dispatcher: n, id: n.lastJobID, deadline: n.sim.now + patience - min(40*time.Millisecond, patience/4)}
 	n.jobs[t.id] = t
-	n.d.at(t.until-n.d.now, func() { n.overdue(t) })
-	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: past + t.until, Slots: 1, Retry: repeat})
+	n.sim.schedule(t.deadline-n.sim.now, func() { n.deadlinePassed(t) })
+	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: repeat})
 }
 
 // client is the final answer of a try at the client.
-func (n *node) client(q *request, v verdict, after time.Duration) {
-	if v == served || !n.d.again(q, after) {
-		n.d.end(q, v)
+func (n *dispatcher) answerClient(q *request, v requestOutcome, after time.Duration) {
+	if v == served || !n.sim.retry(q, after) {
+		n.sim.finishRequest(q, v)
 	}
 }
 
-func (n *node) answer(t *try, v verdict, after time.Duration) {
+func (n *dispatcher) answer(t *job, v requestOutcome, after time.Duration) {
 	if t.answered {
-		n.d.res.Violations["two answers"]++
+		n.sim.result.Violations["two answers"]++
 		return
 	}
 	t.answered = true
-	n.open--
-	if v == refused {
-		n.d.res.Rejections++
+	n.openJobs--
+	if v == rejected {
+		n.sim.result.Rejections++
 		if after <= 0 {
-			after = ms(n.d.RetryAfterMs)
+			after = ms(n.sim.RetryAfterMs)
 		}
 	}
-	n.client(t.request, v, after)
-	n.forget(t)
+	n.answerClient(t.request, v, after)
+	n.forgetIfDone(t)
 }
 
-func (n *node) forget(t *try) {
-	if t.answered && t.out == 0 {
+func (n *dispatcher) forgetIfDone(t *job) {
+	if t.answered && t.inFlight == 0 {
 		delete(n.jobs, t.id)
 	}
 }
 
-func (n *node) overdue(t *try) {
+func (n *dispatcher) deadlinePassed(t *job) {
 	if t.answered {
 		return
 	}
-	for _, a := range t.sends {
-		if !a.over {
-			a.lost = true
-			n.ends(a, decision.TimedOut, decision.Load{})
+	for _, a := range t.attempts {
+		if !a.endedAtDispatcher {
+			a.connectionClosed = true
+			n.attemptEnded(a, decision.TimedOut, decision.Load{})
 		}
 	}
 	if !t.answered {
-		n.d.res.Violations["deadline passed by the module"]++
+		n.sim.result.Violations["deadline passed by the module"]++
 		n.answer(t, failed, 0)
 	}
 }
 
-func (n *node) send(t *try, act decision.Action) {
-	s := n.byID[act.Worker]
-	a := &attempt{try: t, number: len(t.sends)}
-	if t.out > 0 {
-		n.d.res.Violations["two attempts at a time"]++
+func (n *dispatcher) send(t *job, act decision.Action) {
+	s := n.workersByID[act.Worker]
+	a := &attempt{job: t, number: len(t.attempts)}
+	if t.inFlight > 0 {
+		n.sim.result.Violations["two attempts at a time"]++
 	}
-	t.sends = append(t.sends, a)
-	t.out++
+	t.attempts = append(t.attempts, a)
+	t.inFlight++
 	if s == nil || s.state != decision.Ready || t.answered {
-		n.d.res.Violations["sent to a worker that is not ready"]++
-		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
+		n.sim.result.Violations["sent to a worker that is not ready"]++
+		n.sim.schedule(0, func() { n.attemptEnded(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
-	a.w, a.process, a.work = s.w, s.w.process, t.work
-	n.d.res.AttemptsSent++
-	hop := n.d.hop(n.zone, a.w.zone)
-	if a.w.zone != n.zone {
-		n.d.res.CrossZoneAttempts++
+	a.worker, a.incarnation, a.work = s.worker, s.worker.incarnation, t.work
+	n.sim.result.AttemptsSent++
+	hop := n.sim.networkDelay(n.zone, a.worker.zone)
+	if a.worker.zone != n.zone {
+		n.sim.result.CrossZoneAttempts++
 	}
-	if n.reuse(s) {
-		n.d.at(hop, func() { a.w.arrive(a) })
+	if n.takeIdle(s) {
+		n.sim.schedule(hop, func() { a.worker.arrive(a) })
 		return
 	}
-	n.d.res.ConnectionsDialled++
-	if n.links >= n.lim.Connections && !n.spare() {
-		n.d.res.ConnectionsExhausted++
-		n.d.at(0, func() { n.ends(a, decision.NeverSent, decision.Load{}) })
+	n.sim.result.ConnectionsDialled++
+	if n.connections >= n.limits.Connections && !n.closeOldestIdle() {
+		n.sim.result.ConnectionsExhausted++
+		n.sim.schedule(0, func() { n.attemptEnded(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
-	trip := time.Duration(2 * n.d.ConnectionRoundTrips * float64(hop))
+	trip := time.Duration(2 * n.sim.ConnectionRoundTrips * float64(hop))
 	switch {
-	case a.w.silent || trip > ms(n.d.ConnectTimeoutMs):
-		n.d.at(ms(n.d.ConnectTimeoutMs), func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
-	case !a.w.up:
-		n.d.at(trip, func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
-	case a.w.conns >= a.w.kind.Connections:
-		n.d.res.Kinds[a.w.k].RejectedConnections++
-		n.d.at(trip, func() { n.ends(a, decision.ConnectFailed, decision.Load{}) })
+	case a.worker.unresponsive || trip > ms(n.sim.ConnectTimeoutMs):
+		n.sim.schedule(ms(n.sim.ConnectTimeoutMs), func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
+	case !a.worker.up:
+		n.sim.schedule(trip, func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
+	case a.worker.connections >= a.worker.kind.Connections:
+		n.sim.result.Kinds[a.worker.kindIndex].RejectedConnections++
+		n.sim.schedule(trip, func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
 	default:
-		n.links++
-		a.w.conns++
-		a.fresh = true
-		a.work += a.w.kind.ConnectionMs / 1000
-		n.d.at(trip, func() {
+		n.connections++
+		a.worker.connections++
+		a.newConnection = true
+		a.work += a.worker.kind.ConnectionMs / 1000
+		n.sim.schedule(trip, func() {
 			if s.state != decision.Ready { // told off while the connection came up
-				n.ends(a, decision.NeverSent, decision.Load{})
+				n.attemptEnded(a, decision.NeverSent, decision.Load{})
 				return
 			}
-			n.d.at(hop, func() { a.w.arrive(a) })
+			n.sim.schedule(hop, func() { a.worker.arrive(a) })
 		})
 	}
 }
 
 // reuse takes an idle connection.
-func (n *node) reuse(s *seat) bool {
-	if k := len(s.idle); k > 0 && (s.w.up || s.w.silent) { // nothing shows that a machine says nothing any more
-		s.idle = s.idle[:k-1]
+func (n *dispatcher) takeIdle(s *workerView) bool {
+	if k := len(s.idleSince); k > 0 && (s.worker.up || s.worker.unresponsive) { // nothing shows that a machine says nothing any more
+		s.idleSince = s.idleSince[:k-1]
 		return true
 	}
 	return false
 }
 
 // spare closes the connection that has been idle longest.
-func (n *node) spare() bool {
-	var oldest *seat
-	for _, s := range n.seats {
-		if len(s.idle) > 0 && (oldest == nil || s.idle[0] < oldest.idle[0]) {
+func (n *dispatcher) closeOldestIdle() bool {
+	var oldest *workerView
+	for _, s := range n.workers {
+		if len(s.idleSince) > 0 && (oldest == nil || s.idleSince[0] < oldest.idleSince[0]) {
 			oldest = s
 		}
 	}
 	if oldest != nil {
-		oldest.idle = oldest.idle[1:]
-		n.drop(oldest.w, oldest.w.process)
+		oldest.idleSince = oldest.idleSince[1:]
+		n.closeConnection(oldest.worker, oldest.worker.incarnation)
 	}
 	return oldest != nil
 }
 
 // drop closes a connection that a process had.
-func (n *node) drop(w *worker, process int) {
-	n.links--
-	if process == w.process && w.up {
-		w.conns--
+func (n *dispatcher) closeConnection(w *worker, process int) {
+	n.connections--
+	if process == w.incarnation && w.up {
+		w.connections--
 	}
 }
 
 // keep puts a connection into the pool for a while.
-func (n *node) keep(s *seat) {
-	s.idle = append(s.idle, n.d.now)
-	n.d.at(sec(n.d.ConnectionIdleSeconds*4/5), func() {
-		for len(s.idle) > 0 && n.d.now-s.idle[0] >= sec(n.d.ConnectionIdleSeconds*4/5) {
-			s.idle = s.idle[1:]
-			n.drop(s.w, s.w.process)
+func (n *dispatcher) keepIdle(s *workerView) {
+	s.idleSince = append(s.idleSince, n.sim.now)
+	n.sim.schedule(sec(n.sim.ConnectionIdleSeconds*4/5), func() {
+		for len(s.idleSince) > 0 && n.sim.now-s.idleSince[0] >= sec(n.sim.ConnectionIdleSeconds*4/5) {
+			s.idleSince = s.idleSince[1:]
+			n.closeConnection(s.worker, s.worker.incarnation)
 		}
 	})
 }
 
 // cut loses all connections to a worker that died.
-func (n *node) cut(w *worker) {
-	s := n.byID[w.id]
-	n.links -= len(s.idle)
-	s.idle = nil
+func (n *dispatcher) loseConnections(w *worker) {
+	s := n.workersByID[w.id]
+	n.connections -= len(s.idleSince)
+	s.idleSince = nil
 }
 
 // note carries a worker's note to the dispatcher.
-func (a *attempt) note(kind decision.ProgressKind, share float64) {
-	n := a.try.node
-	n.d.at(n.d.hop(a.w.zone, n.zone), func() {
-		if !a.over && !a.lost {
-			n.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.try.id, Attempt: a.number, Worker: a.w.id, Progress: kind, Value: share})
+func (a *attempt) sendProgress(kind decision.ProgressKind, share float64) {
+	n := a.job.dispatcher
+	n.sim.schedule(n.sim.networkDelay(a.worker.zone, n.zone), func() {
+		if !a.endedAtDispatcher && !a.connectionClosed {
+			n.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.job.id, Attempt: a.number, Worker: a.worker.id, Progress: kind, Value: share})
 		}
 	})
 }
 
 // back carries an outcome to the dispatcher, with the load report that the worker has just then.
-func (a *attempt) back(o decision.Outcome, from *worker) {
-	n := a.try.node
+func (a *attempt) sendOutcome(o decision.Outcome, from *worker) {
+	n := a.job.dispatcher
 	var load decision.Load
 	if from != nil {
-		load = from.seen()
+		load = from.latestReport()
 	}
-	n.d.at(n.d.hop(a.w.zone, n.zone), func() {
-		if !a.lost {
-			n.ends(a, o, load)
+	n.sim.schedule(n.sim.networkDelay(a.worker.zone, n.zone), func() {
+		if !a.connectionClosed {
+			n.attemptEnded(a, o, load)
 		}
 	})
 }
 
 // ends is an attempt's one outcome at the dispatcher.
-func (n *node) ends(a *attempt, o decision.Outcome, load decision.Load) {
-	if a.over {
+func (n *dispatcher) attemptEnded(a *attempt, o decision.Outcome, load decision.Load) {
+	if a.endedAtDispatcher {
 		return
 	}
-	a.over = true
-	t := a.try
-	t.out--
-	n.d.res.Outcomes[o]++
-	if a.w != nil {
-		if s := n.byID[a.w.id]; (o == decision.OK || o == decision.Rejected) && a.process == a.w.process && a.w.up {
-			n.keep(s)
-		} else if o != decision.NeverSent && o != decision.ConnectFailed || a.fresh {
-			n.drop(a.w, a.process)
+	a.endedAtDispatcher = true
+	t := a.job
+	t.inFlight--
+	n.sim.result.Outcomes[o]++
+	if a.worker != nil {
+		if s := n.workersByID[a.worker.id]; (o == decision.OK || o == decision.Rejected) && a.incarnation == a.worker.incarnation && a.worker.up {
+			n.keepIdle(s)
+		} else if o != decision.NeverSent && o != decision.ConnectFailed || a.newConnection {
+			n.closeConnection(a.worker, a.incarnation)
 		}
 	}
 	if o == decision.OK && !t.answered {
 		n.answer(t, served, 0)
 	}
 	id := decision.WorkerID(0)
-	if a.w != nil {
-		id = a.w.id
+	if a.worker != nil {
+		id = a.worker.id
 	}
 	n.handle(&decision.Event{Kind: decision.EventOutcome, Job: t.id, Attempt: a.number, Worker: id, Outcome: o, JobEnded: t.answered, Load: load})
-	n.forget(t)
+	n.forgetIfDone(t)
 }
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-type verdict uint8
+type requestOutcome uint8
 
 const (
-	served verdict = iota
-	refused
+	served requestOutcome = iota
+	rejected
 	failed
 )
 
@@ -70,49 +70,49 @@
 	Stopped              bool           `json:"cut"`
 }
 
-func newResult(s *site) *Result {
+func newResult(s *scenario) *Result {
 	r := &Result{Violations: map[string]int{}, Classes: make([]Tally, len(s.Classes)), Tenants: make([]Tally, len(s.Tenants)),
 		Kinds: make([]WorkerStats, len(s.Kinds)), Seconds: make([]Tally, int(math.Ceil(s.load.Seconds)))}
 	for _, g := range s.Workers {
-		r.Kinds[s.kind[g.Kind]].Count += g.Count
+		r.Kinds[s.kindIndex[g.Kind]].Count += g.Count
 	}
 	return r
 }
 
 // tallies are those that a request counts in.
 func (r *Result) tallies(q *request) []*Tally {
-	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.came.Seconds()), len(r.Seconds)-1)]}
-	if q.within {
+	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.arrived.Seconds()), len(r.Seconds)-1)]}
+	if q.withinQuota {
 		out = append(out, &r.Tenants[q.tenant])
 	}
 	return out
 }
 
 // worth is what a request is worth in time.
-func (s *site) worth(q *request) float64 {
+func (s *scenario) value(q *request) float64 {
 	w := s.Classes[q.class].Value
-	if !q.within {
+	if !q.withinQuota {
 		w *= s.OverQuotaValue
 	}
 	return w
 }
 
-func (r *Result) asked(s *site, q *request) {
+func (r *Result) addOffered(s *scenario, q *request) {
 	for _, t := range r.tallies(q) {
-		t.OfferedValue += s.worth(q)
+		t.OfferedValue += s.value(q)
 		t.Jobs++
 	}
 }
 
-func (r *Result) ended(s *site, q *request, v verdict, took time.Duration) {
+func (r *Result) addEnded(s *scenario, q *request, v requestOutcome, took time.Duration) {
 	c := &s.Classes[q.class]
 	worth := 0.0
 	inTime := v == served && took <= sec(c.LatencyTargetSeconds+c.Stretch*q.work)
 	switch {
 	case inTime:
-		worth = s.worth(q)
+		worth = s.value(q)
 	case v == served:
-		worth = s.worth(q) * c.LateValue
+		worth = s.value(q) * c.LateValue
 	}
 	for _, t := range r.tallies(q) {
 		t.EarnedValue += worth
@@ -129,7 +129,7 @@
 
 // weigh gives the score: 40 % the whole, 15 % the worst 10 s, 20 % the worst class, 25 % the worst university within its
 // share.
-func (r *Result) weigh() {
+func (r *Result) computeScore() {
 	r.WorstTenSeconds = 1
 	width := min(10, len(r.Seconds))
 	for i := 0; i+width <= len(r.Seconds); i++ {
@@ -151,19 +151,19 @@
 }
 
 // finish closes a day's book and looks for what must not be left.
-func (d *day) finish() {
-	r := d.res
+func (d *simulation) closeAccounting() {
+	r := d.result
 	r.Duration = d.now
-	r.weigh()
+	r.computeScore()
 	for _, w := range d.workers {
-		w.count()
-		k := &r.Kinds[w.k]
-		k.Utilization += w.busy / max(d.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
+		w.advance()
+		k := &r.Kinds[w.kindIndex]
+		k.Utilization += w.busySlotSeconds / max(d.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
 	}
-	if left := d.pending; left > 0 && !r.Stopped {
+	if left := d.openRequests; left > 0 && !r.Stopped {
 		r.Violations["no answer"] += left
 	}
-	for _, n := range d.nodes {
+	for _, n := range d.dispatchers {
 		for _, t := range n.jobs {
 			if !t.answered && !r.Stopped {
 				r.Violations["no answer"]++
@@ -174,39 +174,39 @@
 
 // Accounting counts requests as they come and end, for days that are played elsewhere: on sockets.
 type Accounting struct {
-	s       *site
-	res     *Result
-	buckets []bucket
-	number  uint64
+	scenario *scenario
+	result   *Result
+	buckets  []bucket
+	requests uint64
 }
 
-func newBook(s *site) *Accounting {
-	return &Accounting{s: s, res: newResult(s), buckets: make([]bucket, len(s.Tenants))}
+func newAccounting(s *scenario) *Accounting {
+	return &Accounting{scenario: s, result: newResult(s), buckets: make([]bucket, len(s.Tenants))}
 }
 
 // NewAccounting makes an accounting of a day of a fleet and a load.
 func NewAccounting(f *Fleet, l *Load) (*Accounting, error) {
-	s, err := together(f, l)
+	s, err := newScenario(f, l)
 	if err != nil {
 		return nil, err
 	}
-	return newBook(s), nil
+	return newAccounting(s), nil
 }
 
 // RecordRequest notes that a request has come. Exactly one call of what it returns must follow, with its end.
 func (b *Accounting) RecordRequest(a Arrival) (ended func(served bool, took time.Duration)) {
-	q := b.request(a)
+	q := b.newRequest(a)
 	return func(ok bool, took time.Duration) {
 		v := failed
 		if ok {
 			v = served
 		}
-		b.res.ended(b.s, q, v, took)
+		b.result.addEnded(b.scenario, q, v, took)
 	}
 }
 
 // Result returns what the day came to.
 func (b *Accounting) Result() *Result {
-	b.res.weigh()
-	return b.res
+	b.result.computeScore()
+	return b.result
 }
