--- a/internal/dispatcher/discovery/watcher.go
+++ b/internal/dispatcher/discovery/watcher.go
@@ -157,7 +157,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		log.Printf("the watch on the roster has ended: %v", err)
+		log.Printf("the watch on the list of workers has ended: %v", err)
 		w.OnList(decision.ListFailed, nil)
 		// Spread, lest all dispatchers call together when discovery comes back: it takes calls in turn. The module asks
 		// again by itself, but later than a drain may wait that was announced meanwhile.
