--- a/internal/dispatcher/faultinjection/faults.go
+++ b/internal/dispatcher/faultinjection/play.go
@@ -5,18 +5,12 @@
 package faultinjection
 
 import (
-	"bufio"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
-	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -27,54 +21,6 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// Step is one thing that is done to some nodes at a time.
-type Step struct {
-	AtS   float64 `json:"at_s"`
-	Do    string  `json:"do"` // start, kill, term, stop, cut, heal, loss, delay, double, deaf, hear, rename, revive
-	Nodes []int   `json:"nodes,omitempty"`
-	To    []int   `json:"to,omitempty"`    // cut: what goes from Nodes to these is lost
-	ForS  float64 `json:"for_s,omitempty"` // stop
-	Share float64 `json:"share,omitempty"` // loss, double
-	Ms    [2]int  `json:"ms,omitempty"`    // delay
-	Hurts []int   `json:"hurts,omitempty"` // nodes that others may take for failed from here on
-	Eases []int   `json:"eases,omitempty"` // and no longer
-	As    string  `json:"as,omitempty"`    // rename: the name it is started under next time
-}
-
-// Timeline is a play: a file of it can be given to `make faults`.
-type Timeline struct {
-	Kind   string  `json:"kind"`
-	Nodes  int     `json:"nodes"`
-	Seed   uint64  `json:"seed"`
-	QuietS float64 `json:"quiet_s"`        // after the last step, before the end is looked at
-	Late   []int   `json:"late,omitempty"` // nodes that are not started at the beginning
-	Steps  []Step  `json:"steps"`
-}
-
-// Check tells what cannot be played.
-func (t *Timeline) Check() error {
-	if t.Nodes < 1 || t.Nodes > 60 || t.QuietS < 0 || t.QuietS > 120 || len(t.Steps) > 1000 {
-		return errors.New("nodes are 1 to 60, quiet_s 0 to 120, steps 1000 at most")
-	}
-	known := []string{"start", "kill", "term", "stop", "cut", "heal", "loss", "delay", "double", "deaf", "hear", "rename", "revive"}
-	for i, s := range t.Steps {
-		switch {
-		case !slices.Contains(known, s.Do):
-			return fmt.Errorf("steps.%d.do: %q is none of %s", i, s.Do, strings.Join(known, ", "))
-		case !(s.AtS >= 0 && s.AtS <= 300) || !(s.ForS >= 0 && s.ForS <= 120):
-			return fmt.Errorf("steps.%d: at_s is 0 to 300, for_s 0 to 120", i)
-		case !(s.Share >= 0 && s.Share <= 1) || s.Ms[0] < 0 || s.Ms[1] < s.Ms[0] || s.Ms[1] > 5000:
-			return fmt.Errorf("steps.%d: share is 0 to 1, ms from and to up to 5000", i)
-		}
-		for _, n := range slices.Concat(s.Nodes, s.To, s.Hurts, s.Eases) {
-			if n < 0 || n >= t.Nodes {
-				return fmt.Errorf("steps.%d: node %d of %d", i, n, t.Nodes)
-			}
-		}
-	}
-	return nil
-}
-
 // Play is one timeline on real processes.
 type Play struct {
 	Program        string // bin/gladepick
@@ -116,17 +62,19 @@
 	World           *simulation.World
 }
 
+// kill is one SIGKILL of a play: whom it hit, and when.
+type kill struct {
+	node int
+	at   time.Duration
+}
+
 // Run plays a timeline to its end. Everything it started has ended when it returns.
 func (p *Play) Run(line *Timeline) (*Result, error) {
 	if err := line.Check(); err != nil {
 		return nil, err
 	}
-	p.line = line
-	p.world = simulation.New(line.Nodes, 3, line.Seed)
-	p.world.FailureTimeout = p.FailureTimeout - p.Period
-	p.partitions, p.deaf = make([]atomic.Bool, line.Nodes*line.Nodes), make([]atomic.Bool, line.Nodes)
 	defer p.end()
-	if err := p.connect(); err != nil {
+	if err := p.prepare(line); err != nil {
 		return nil, err
 	}
 	if p.DurableJobs != nil {
@@ -135,67 +83,118 @@
 		}
 		defer p.DurableJobs.end()
 	}
+	if err := p.startNodes(); err != nil {
+		return nil, err
+	}
+	kills, err := p.runSteps()
+	if err != nil {
+		return nil, err
+	}
+	p.awaitQuiet()
+	if err := p.readEventLogs(); err != nil {
+		return nil, err
+	}
+	return p.result(kills), nil
+}
+
+// prepare makes the world that the record is kept in, and the relays between the nodes.
+func (p *Play) prepare(line *Timeline) error {
+	p.line = line
+	p.world = simulation.New(line.Nodes, 3, line.Seed)
+	p.world.FailureTimeout = p.FailureTimeout - p.Period
+	p.partitions = make([]atomic.Bool, line.Nodes*line.Nodes)
+	p.deaf = make([]atomic.Bool, line.Nodes)
+	return p.connect()
+}
+
+// startNodes starts all nodes but those that the timeline starts later.
+func (p *Play) startNodes() error {
 	p.began = time.Now()
-	for i := range line.Nodes {
+	for i := range p.line.Nodes {
 		p.nodes = append(p.nodes, &node{name: fmt.Sprintf("n%d", i)})
 	}
-	for i := range line.Nodes {
-		if !slices.Contains(line.Late, i) {
-			if err := p.start(i); err != nil {
-				return nil, err
-			}
+	for i := range p.line.Nodes {
+		if slices.Contains(p.line.Late, i) {
+			continue
+		}
+		if err := p.start(i); err != nil {
+			return err
 		}
 	}
-	steps := slices.Clone(line.Steps)
+	return nil
+}
+
+// runSteps runs the steps of the timeline, each at its time, and returns the kills among them.
+func (p *Play) runSteps() ([]kill, error) {
+	steps := slices.Clone(p.line.Steps)
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(1000 * (a.AtS - b.AtS)) })
-	type killed struct {
-		node int
-		life uint64
-		at   time.Duration
-	}
-	var kills []killed
+	var kills []kill
 	for _, s := range steps {
 		time.Sleep(time.Until(p.began.Add(time.Duration(s.AtS * float64(time.Second)))))
 		p.world.Now = time.Since(p.began)
-		for _, i := range s.Hurts {
-			p.world.BeginFault(p.world.Nodes[i])
-		}
-		for _, i := range s.Eases {
-			p.world.EndFault(p.world.Nodes[i])
-		}
+		p.markFaults(s)
 		for _, i := range s.Nodes {
 			if s.Do == "kill" && p.nodes[i].process != nil {
-				kills = append(kills, killed{i, 0, p.world.Now})
+				kills = append(kills, kill{node: i, at: p.world.Now})
 			}
 			if err := p.runStep(s, i); err != nil {
 				return nil, err
 			}
 		}
-		switch s.Do {
-		case "heal":
-			for i := range p.partitions {
-				p.partitions[i].Store(false)
-			}
-		case "revive": // whoever has ended or stopped by himself goes on
-			for i, n := range p.nodes {
-				n.process.Process.Signal(syscall.SIGCONT)
-				select {
-				case <-n.ended:
-					if err := p.start(i); err != nil {
-						return nil, err
-					}
-				default:
-				}
+		if err := p.runStepForAll(s); err != nil {
+			return nil, err
+		}
+	}
+	return kills, nil
+}
+
+// markFaults notes from when on, or until when, nodes may be taken for failed.
+func (p *Play) markFaults(s Step) {
+	for _, i := range s.Hurts {
+		p.world.BeginFault(p.world.Nodes[i])
+	}
+	for _, i := range s.Eases {
+		p.world.EndFault(p.world.Nodes[i])
+	}
+}
+
+// runStepForAll does the part of a step that concerns all nodes or links.
+func (p *Play) runStepForAll(s Step) error {
+	switch s.Do {
+	case "heal":
+		for i := range p.partitions {
+			p.partitions[i].Store(false)
+		}
+	case "revive":
+		return p.reviveAll()
+	case "loss":
+		p.loss.Store(uint64(s.Share * (1 << 20)))
+	case "double":
+		p.double.Store(uint64(s.Share * (1 << 20)))
+	case "delay":
+		p.delay.Store(int64(s.Ms[0])<<16 | int64(s.Ms[1]))
+	}
+	return nil
+}
+
+// reviveAll continues processes that were stopped, and starts those that have ended.
+func (p *Play) reviveAll() error {
+	for i, n := range p.nodes {
+		n.process.Process.Signal(syscall.SIGCONT)
+		select {
+		case <-n.ended:
+			if err := p.start(i); err != nil {
+				return err
 			}
-		case "loss":
-			p.loss.Store(uint64(s.Share * (1 << 20)))
-		case "double":
-			p.double.Store(uint64(s.Share * (1 << 20)))
-		case "delay":
-			p.delay.Store(int64(s.Ms[0])<<16 | int64(s.Ms[1]))
+		default:
 		}
 	}
-	time.Sleep(time.Duration(line.QuietS * float64(time.Second)))
+	return nil
+}
+
+// awaitQuiet waits for the quiet span at the end of the timeline, in which the processes have to agree.
+func (p *Play) awaitQuiet() {
+	time.Sleep(time.Duration(p.line.QuietS * float64(time.Second)))
 	p.world.Now = time.Since(p.began)
 	if p.DurableJobs != nil {
 		p.DurableJobs.awaitIdle()
@@ -203,94 +202,41 @@
 	if p.OnQuiet != nil {
 		p.OnQuiet()
 	}
-	if err := p.readEventLogs(); err != nil {
-		return nil, err
-	}
+}
+
+// result audits the record.
+func (p *Play) result(kills []kill) *Result {
 	out := &Result{Violations: p.world.Audit(), FalseSuspicions: p.world.FalseFailures(), Views: p.world.Views(0, time.Hour), World: p.world}
 	_, out.Agreed = p.world.Agreed()
-	for _, k := range kills {
-		first, last := time.Duration(0), time.Duration(0)
-		for _, e := range p.world.Record {
-			if c := e.Change; c != nil && c.Name == p.nodes[k.node].name && c.State == membership.Failed && e.At >= k.at && e.At < k.at+20*time.Second {
-				first, last = max(first, 1), max(last, e.At-k.at)
-			}
-		}
-		if first > 0 {
-			out.Detected = append(out.Detected, last)
+	for _, killed := range kills {
+		if detected, known := p.detectedAfter(killed); known {
+			out.Detected = append(out.Detected, detected)
 		}
 	}
-	return out, nil
+	return out
 }
 
-// address is the address at which node i reaches node k; with itself it is where it listens.
-func (p *Play) address(i, k int) string { return fmt.Sprintf("127.%d.%d.%d:7400", p.Host, i+1, k+1) }
+// detectionWindow is how long after a kill a node's failure counts as detected.
+const detectionWindow = 20 * time.Second
 
-// connect brings the relays up: a socket for each node and each other one that it reaches there.
-func (p *Play) connect() error {
-	n := p.line.Nodes
-	p.relays = make([][]*net.UDPConn, n)
-	for i := range n {
-		p.relays[i] = make([]*net.UDPConn, n)
-		for k := range n {
-			if i != k {
-				a, err := net.ResolveUDPAddr("udp", p.address(i, k))
-				if err != nil {
-					return err
-				}
-				if p.relays[i][k], err = net.ListenUDP("udp", a); err != nil {
-					return err
-				}
-			}
-		}
-	}
-	for i := range n {
-		for k := range n {
-			if i != k {
-				p.wait.Go(func() { p.relay(i, k) })
-			}
-		}
-	}
-	return nil
-}
-
-// relay carries what node i sends to node k: it comes out of the socket at which k knows i.
-func (p *Play) relay(i, k int) {
-	to, _ := netip.ParseAddrPort(p.address(k, k))
-	buffer := make([]byte, 2048)
-	rng := rand.New(rand.NewPCG(p.line.Seed, uint64(i*1000+k)))
-	for {
-		n, _, err := p.relays[i][k].ReadFromUDPAddrPort(buffer)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
+// detectedAfter returns how long after a kill the last node took the killed one for failed, and whether any did.
+func (p *Play) detectedAfter(killed kill) (last time.Duration, known bool) {
+	name := p.nodes[killed.node].name
+	for _, e := range p.world.Record {
+		c := e.Change
+		if c == nil || c.Name != name || c.State != membership.Failed {
 			continue
 		}
-		if p.partitions[i*p.line.Nodes+k].Load() || p.deaf[k].Load() {
-			continue
-		}
-		for copies := 1 + hit(rng, p.double.Load()); copies > 0; copies-- {
-			if hit(rng, p.loss.Load()) == 1 {
-				continue
-			}
-			d := p.delay.Load()
-			from, upTo := d>>16, d&0xffff
-			if upTo == 0 {
-				p.relays[k][i].WriteToUDPAddrPort(buffer[:n], to)
-				continue
-			}
-			data := append([]byte(nil), buffer[:n]...)
-			time.AfterFunc(time.Duration(from+rng.Int64N(upTo-from+1))*time.Millisecond, func() { p.relays[k][i].WriteToUDPAddrPort(data, to) })
+		if e.At >= killed.at && e.At < killed.at+detectionWindow {
+			known = true
+			last = max(last, e.At-killed.at)
 		}
 	}
+	return last, known
 }
 
-func hit(rng *rand.Rand, share uint64) int {
-	if share > 0 && rng.Uint64N(1<<20) < share {
-		return 1
-	}
-	return 0
-}
+// address is the address at which node i reaches node k; with itself it is where it listens.
+func (p *Play) address(i, k int) string { return fmt.Sprintf("127.%d.%d.%d:7400", p.Host, i+1, k+1) }
 
 // runStep does a step to one node.
 func (p *Play) runStep(s Step, i int) error {
@@ -413,62 +359,3 @@
 	}
 	p.wait.Wait()
 }
-
-// readEventLogs puts the processes' records together, in the order of the machine's clock, for the auditor.
-func (p *Play) readEventLogs() error {
-	for i, w := range p.world.Nodes {
-		f, err := os.Open(p.events(i))
-		if errors.Is(err, os.ErrNotExist) && p.nodes[i].starts == 0 {
-			continue
-		} else if err != nil {
-			return err
-		}
-		life := uint64(0)
-		in := bufio.NewScanner(f)
-		in.Buffer(nil, 1<<20)
-		for in.Scan() {
-			var l struct {
-				At                 int64
-				Life, Start, Of    uint64
-				Member, State, Why string
-				Notice, Text       string
-				View               uint64
-				Epoch, Fleet       uint32
-				Digest             string
-				Members            []string
-			}
-			if json.Unmarshal(in.Bytes(), &l) != nil {
-				continue // a line that a kill cut off
-			}
-			e := simulation.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
-			switch {
-			case l.Start > 0:
-				life, w.Incarnation = l.Start, l.Start
-				continue
-			case l.Notice != "":
-				e.Notice = &membership.Notice{Kind: l.Notice, Text: l.Text}
-			case l.Digest != "":
-				d, _ := strconv.ParseUint(l.Digest, 16, 64)
-				e.View = &membership.View{ViewID: membership.ViewID{FleetID: l.Fleet, Epoch: l.Epoch, Number: l.View, Digest: d}}
-				for _, id := range l.Members {
-					name, number, _ := strings.Cut(id, ".")
-					v, _ := strconv.ParseUint(number, 10, 64)
-					e.View.Members = append(e.View.Members, membership.Record{Name: name, Incarnation: v})
-				}
-			default:
-				state := membership.Alive
-				for s := membership.Alive; s <= membership.Failed; s++ {
-					if s.String() == l.State {
-						state = s
-					}
-				}
-				e.Change = &membership.Change{Name: l.Member, Incarnation: l.Of, State: state, Reason: l.Why}
-			}
-			e.Incarnation = life
-			p.world.Record = append(p.world.Record, e)
-		}
-		f.Close()
-	}
-	slices.SortStableFunc(p.world.Record, func(a, b simulation.Entry) int { return int(a.At - b.At) })
-	return nil
-}
