--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -72,14 +72,14 @@
 	c.add(Row{Part: part, Quantity: "time to read it", Unit: seconds, Limit: listFreshSeconds,
 		Need: destinations / listPageEntries / listPagesPerSecond, Mechanism: "`controlplane/workerlist/read.go`"})
 	c.add(Row{Part: part, Quantity: "its changes, to every dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
-		Need: workerChangesPerDay / secondsPerDay * c.slope("workers.bytes"), Mechanism: "`cluster/workerchange.go`, `controlplane/workerlist/history.go`"})
+		Need: workerChangesPerDay / secondsPerDay * c.slope("workers.bytes"), Mechanism: "`cluster/worker_change.go`, `controlplane/workerlist/history.go`"})
 	c.add(Row{Part: part, Quantity: "the whole list, to those that start", Unit: bytesPerSecond, Limit: memberLink,
 		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * destinations * c.slope("workers.bytes"),
 		Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "in memory, of a dispatcher", Unit: bytes, Limit: controlMemoryLimit,
-		Need: destinations * c.slope("workers.memory"), Mechanism: "`cluster/types.go`"})
+		Need: destinations * c.slope("workers.memory"), Mechanism: "`cluster/worker_list.go`"})
 	c.add(Row{Part: part, Quantity: "taking in its changes, two versions a second, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
-		Need: listVersionsPerSecond * destinations * c.slope("workers.change") * nano * toPercent, Mechanism: "`cluster/workerchange.go`"})
+		Need: listVersionsPerSecond * destinations * c.slope("workers.change") * nano * toPercent, Mechanism: "`cluster/worker_change.go`"})
 	c.add(Row{Part: part, Quantity: "the same in the delivery engine, for all services", Unit: percentOfCore, Limit: storeCore,
 		Need: listVersionsPerSecond * destinations * c.slope("workers.take") * nano * toPercent, Mechanism: "`delivery/reconfigure.go`"})
 	c.add(Row{Part: part, Quantity: "reading the whole list at a start", Unit: seconds, Limit: recoverSeconds,
@@ -148,13 +148,13 @@
 	c.add(Row{Part: part, Quantity: "dispatchers that can lead a partition", Unit: dimensionless, Limit: partitionsAtTarget,
 		Need: dispatchers, Mechanism: "`controlplane/placement/placement.go`"})
 	c.add(Row{Part: part, Quantity: "table of 32,500 partitions in memory", Unit: bytes, Limit: controlMemoryLimit,
-		Need: partitionsNeeded*c.slope("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/types.go`"})
+		Need: partitionsNeeded*c.slope("table.memory") + dispatchers*storeEntryBytes, Mechanism: "`cluster/table.go`"})
 	c.add(Row{Part: part, Quantity: "whole table, to those that start", Unit: bytesPerSecond, Limit: memberLink,
 		Need:      (restartsPerDay + failuresPerDay) / secondsPerDay * (partitionsNeeded*c.slope("table.bytes") + dispatchers*storeEntryBytes),
 		Mechanism: "`controlplane/sync.go`"})
 	c.add(Row{Part: part, Quantity: "its changes, to every dispatcher", Unit: bytesPerSecond, Limit: controlBytesLimit,
 		Need:      (restartsPerDay + failuresPerDay) * changesPerLoss / secondsPerDay * 2 * partitionsEach * c.slope("table.bytes"),
-		Mechanism: "`cluster/tablechange.go`"})
+		Mechanism: "`cluster/table_change.go`"})
 }
 
 // changesPerLoss is how often a partition's view changes for one end of a store: without it, with another, whole again,
--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -11,16 +11,6 @@
 	"gladepick/internal/decision"
 )
 
-const (
-	tenantCount      = 8 // route names are hashed to so many tenants of the decision module
-	maxSendsPerJob   = 6
-	moduleTick       = 50 * time.Millisecond
-	timeoutsPerJob   = 2 // a job's deadline, in timeouts of its route
-	minLatencyTarget = 100 * time.Millisecond
-	ownZone          = 0
-	workerKinds      = 1
-)
-
 // decisionAdapter connects a service to a decision module of its own: it translates what happens into the module's events
 // and executes the module's actions. The module does no I/O and starts no goroutines; everything here runs on the event
 // loop.
@@ -63,47 +53,6 @@
 	return made, nil
 }
 
-// moduleSettings are the decision module's settings for a service's routes.
-func moduleSettings(routes []*configuration.Route) decision.Settings {
-	settings := decision.Settings{
-		Dispatchers: 1,
-		Zone:        ownZone,
-		Kinds:       workerKinds,
-		Tenants:     make([]decision.TenantSettings, tenantCount),
-		Discovery:   decision.DiscoveryPush,
-		ConnIdle:    maxIdleTimeout,
-		MaxAttempts: maxSendsPerJob,
-		Report:      decision.LoadReportLayout{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1},
-		Tick:        moduleTick,
-	}
-	for _, route := range routes {
-		settings.Classes = append(settings.Classes, classSettings(route))
-		settings.Tenants[tenantOf(route.Name)].Share += 1 / float64(len(routes))
-	}
-	for _, allZones := range settings.Classes[:len(routes)] {
-		ownZoneOnly := allZones
-		ownZoneOnly.AllowedZones = []int{ownZone}
-		settings.Classes = append(settings.Classes, ownZoneOnly)
-	}
-	return settings
-}
-
-// classSettings describes a route's messages. By the latency target the module also judges when a worker does not answer,
-// so it is no shorter than an attempt may take.
-func classSettings(route *configuration.Route) decision.ClassSettings {
-	return decision.ClassSettings{
-		LatencyTarget: max(route.StartTarget, route.Timeout, minLatencyTarget),
-		Deadline:      timeoutsPerJob * max(route.StartTarget, route.Timeout, minLatencyTarget),
-		Idempotency:   decision.Idempotent,
-		Value:         1,
-		WorkerKind:    -1,
-		Priority:      route.Priority,
-	}
-}
-
-// tenantOf hashes a route's name to a tenant, alike at all stores.
-func tenantOf(route string) int { return int(stableHash(route) % tenantCount) }
-
 // sendWorkerList tells the module of all endpoints, unless it knows that list already.
 func (d *decisionAdapter) sendWorkerList() {
 	event := decision.Event{Kind: decision.EventList, List: decision.ListFull}
@@ -198,7 +147,7 @@
 	d.jobs[j.id] = j
 	d.handle(&decision.Event{
 		Kind: decision.EventJob, Job: j.id, Class: d.class(j), Tenant: tenantOf(j.route.Name), Slots: 1,
-		Deadline: now + timeoutsPerJob*max(j.route.StartTarget, j.route.Timeout, minLatencyTarget),
+		Deadline: now + jobTimeout(j.route),
 	})
 }
 
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -55,8 +55,8 @@
 		slots := math.Ceil(float64(e.worker.Capacity) * slotOvercommit / float64(share))
 		limit = min(limit, max(slots, min(minSlots, float64(e.worker.Capacity))))
 	}
-	if whole := max(int(limit), 1); whole != e.limit {
-		e.limit = whole
+	if attempts := max(int(limit), 1); attempts != e.limit {
+		e.limit = attempts
 		e.renewTransport(dial)
 	}
 }
--- a/internal/delivery/event_queue.go
+++ b/internal/delivery/event_queue.go
@@ -7,7 +7,7 @@
 	"gladepick/internal/message"
 )
 
-// event is an input of the event loop. Apply runs on the loop's goroutine.
+// event is an input of the event loop. The method apply runs on the loop's goroutine.
 type event interface{ apply(e *Engine) }
 
 // eventQueue collects events for the event loop. It is unbounded: pushing never blocks.
@@ -39,22 +39,31 @@
 	return taken
 }
 
+// The events. Each is pushed by the exported method of its meaning; attemptEnded is pushed by the attempt's goroutine.
 type (
+	// configurationChanged brings a new configuration.
 	configurationChanged struct{ table *configuration.Table }
-	workersChanged       struct{}
-	deliverersChanged    struct{ count int }
-	submitted            struct {
+	// workersChanged announces a list of workers that has been published to the endpoint set.
+	workersChanged struct{}
+	// deliverersChanged brings the number of stores among which rate limits are divided.
+	deliverersChanged struct{ count int }
+	// submitted brings a message, with its failures so far and its partition's generation at that time.
+	submitted struct {
 		message    *message.Message
 		failures   int
 		generation uint64
 	}
+	// released ends the delivery of a partition's messages that are older than a generation.
 	released struct {
 		partition  int
-		generation uint64 // messages of an older one are dropped
+		generation uint64
 	}
-	resumed          struct{}
+	// resumed announces the end of a pause of all partitions.
+	resumed struct{}
+	// partitionResumed announces the end of a pause of one partition.
 	partitionResumed struct{ partition int }
-	attemptEnded     struct {
+	// attemptEnded brings what came of an attempt. The owner of the messages has been notified of it.
+	attemptEnded struct {
 		attempt *attempt
 		report  attemptReport
 	}
