--- a/internal/delivery/decision_settings.go
+++ b/internal/delivery/decision_settings.go
@@ -61,7 +61,9 @@
 }
 
 // jobTimeout is how long the module may keep a job of a route.
-func jobTimeout(route *configuration.Route) time.Duration { return timeoutsPerJob * latencyTarget(route) }
+func jobTimeout(route *configuration.Route) time.Duration {
+	return timeoutsPerJob * latencyTarget(route)
+}
 
 // tenantOf hashes a route's name to a tenant, alike at all stores.
 func tenantOf(route string) int { return int(stableHash(route) % tenantCount) }
