--- a/internal/dispatcher/fleetsim/node.go
+++ b/internal/dispatcher/fleetsim/dispatcher.go
@@ -1,7 +1,3 @@
-// A dispatcher of the model: the decision module and what the core does round
-// it, in virtual time. It holds itself to the core's promises and counts where
-// one is broken.
-
 package fleetsim
 
 import (
@@ -11,46 +7,51 @@
 	"gladepick/internal/decision"
 )
 
-// past is where a module's clock starts, as in the core: workers that started before have times above zero.
+// clockStart is where a decision module's clock starts, as in the core: so workers that started before have times above
+// zero.
 const clockStart = time.Hour
 
-// try is one try of a client at a dispatcher.
+// maxAnswerMargin is the most time before the client's deadline at which the dispatcher's own deadline lies.
+const maxAnswerMargin = 40 * time.Millisecond
+
+// job is one attempt of a client at a dispatcher.
 type job struct {
 	*request
 	dispatcher *dispatcher
 	id         decision.JobID
 	deadline   time.Duration
 	attempts   []*attempt
-	inFlight   int
+	inFlight   int // attempts
 	answered   bool
 }
 
-// attempt is one send. finish and started are the worker's side.
+// attempt is one delivery of a job to a worker.
 type attempt struct {
 	job               *job
 	worker            *worker
-	number            int
-	incarnation       int
-	work              float64
-	completesAt       float64
-	newConnection     bool // on a connection of its own
+	number            int     // within its job, from 0
+	incarnation       int     // of the worker, when the attempt was sent
+	work              float64 // seconds on a core of speed 1
+	completesAt       float64 // the worker's servedEach at which the attempt is complete
+	newConnection     bool    // not one that was idle
 	started           bool
-	endedAtWorker     bool // at the worker
-	endedAtDispatcher bool // at the dispatcher
+	endedAtWorker     bool
+	endedAtDispatcher bool
 	cancelled         bool
-	connectionClosed  bool // its connection is closed
+	connectionClosed  bool // so nothing of it reaches the dispatcher
 }
 
-// seat is what a dispatcher knows of a worker.
+// workerView is what a dispatcher knows of a worker.
 type workerView struct {
 	worker       *worker
 	state        decision.State
 	started      time.Duration
-	leavingSince time.Duration // when it was told to leave
-	idleSince    []time.Duration
-	updateSeen   int // counts news, so that late ones do not undo newer ones
+	leavingSince time.Duration   // when discovery told that it leaves
+	idleSince    []time.Duration // of each idle connection, the oldest first
+	updateSeen   int             // the newest update, so that late ones do not undo it
 }
 
+// dispatcher is a real decision module, and a model of the core around it. It counts the core's rules that are broken.
 type dispatcher struct {
 	sim         *simulation
 	zone        int
@@ -63,8 +64,8 @@
 	connections int
 	workers     []*workerView
 	workersByID map[decision.WorkerID]*workerView
-	watching    bool
-	updates     int
+	watching    bool // discovery has been asked for
+	updates     int  // of discovery so far
 }
 
 func newDispatcher(d *simulation, self, count int, lim DispatcherGroup, seed uint64) (*dispatcher, error) {
@@ -90,6 +91,7 @@
 	return e
 }
 
+// sendFullList gives the module the whole list of workers.
 func (n *dispatcher) sendFullList(kind decision.ListKind) {
 	ev := decision.Event{Kind: decision.EventList, List: kind}
 	for _, s := range n.workers {
@@ -102,17 +104,17 @@
 
 func (n *dispatcher) start() { n.sendFullList(decision.ListCached) }
 
-// learns lets the roster tell of a worker's state after a delay.
+// learnState lets discovery tell of a worker's state after a delay in seconds.
 func (n *dispatcher) learnState(w *worker, state decision.State, delay float64) {
 	n.updates++
-	news := n.updates
+	update := n.updates
 	started := w.startedAt
 	n.sim.schedule(sec(delay), func() {
 		s := n.workersByID[w.id]
-		if news < s.updateSeen { // a newer word has come before
+		if update < s.updateSeen { // a newer update has come before
 			return
 		}
-		s.updateSeen, s.state, s.started = news, state, started
+		s.updateSeen, s.state, s.started = update, state, started
 		if state != decision.Ready {
 			s.leavingSince = n.sim.now
 		}
@@ -120,7 +122,7 @@
 	})
 }
 
-// handle gives the module an event and carries out what follows.
+// handle gives the module an event and carries out the actions that it answers with.
 func (n *dispatcher) handle(ev *decision.Event) {
 	n.sim.result.Decisions++
 	n.actions = n.module.Handle(clockStart+n.sim.now, ev, n.actions[:0])
@@ -153,8 +155,8 @@
 	}
 }
 
-// take is a client's try. Beyond the open jobs allowed it is turned away at the door.
-func (n *dispatcher) accept(q *request, repeat bool) {
+// accept takes a client's request. Beyond the limit of open jobs it is rejected at once.
+func (n *dispatcher) accept(q *request, retry bool) {
 	n.sim.result.Requests++
 	if n.openJobs >= n.limits.OpenJobs {
 		n.sim.result.Overflowed++
@@ -166,22 +168,23 @@
 	for n.lastJobID++; n.lastJobID == 0 || n.jobs[n.lastJobID] != nil; n.lastJobID++ {
 	}
 	patience := q.deadline - n.sim.now
-	t := &job{request: q, dispatcher: n, id: n.lastJobID, deadline: n.sim.now + patience - min(40*time.Millisecond, patience/4)}
+	t := &job{request: q, dispatcher: n, id: n.lastJobID, deadline: n.sim.now + patience - min(maxAnswerMargin, patience/4)}
 	n.jobs[t.id] = t
 	n.sim.schedule(t.deadline-n.sim.now, func() { n.deadlinePassed(t) })
-	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: repeat})
+	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: retry})
 }
 
-// client is the final answer of a try at the client.
+// answerClient gives the client the answer to one attempt of its own; it may retry.
 func (n *dispatcher) answerClient(q *request, v requestOutcome, after time.Duration) {
 	if v == served || !n.sim.retry(q, after) {
 		n.sim.finishRequest(q, v)
 	}
 }
 
+// answer ends a job.
 func (n *dispatcher) answer(t *job, v requestOutcome, after time.Duration) {
 	if t.answered {
-		n.sim.result.Violations["two answers"]++
+		n.sim.result.Violations[violationTwoAnswers]++
 		return
 	}
 	t.answered = true
@@ -196,12 +199,14 @@
 	n.forgetIfDone(t)
 }
 
+// forgetIfDone removes a job that has its answer and no attempt in flight.
 func (n *dispatcher) forgetIfDone(t *job) {
 	if t.answered && t.inFlight == 0 {
 		delete(n.jobs, t.id)
 	}
 }
 
+// deadlinePassed fails a job that the module should have answered by now.
 func (n *dispatcher) deadlinePassed(t *job) {
 	if t.answered {
 		return
@@ -213,21 +218,22 @@
 		}
 	}
 	if !t.answered {
-		n.sim.result.Violations["deadline passed by the module"]++
+		n.sim.result.Violations[violationDeadline]++
 		n.answer(t, failed, 0)
 	}
 }
 
+// send starts an attempt, over an idle connection or a new one.
 func (n *dispatcher) send(t *job, act decision.Action) {
 	s := n.workersByID[act.Worker]
 	a := &attempt{job: t, number: len(t.attempts)}
 	if t.inFlight > 0 {
-		n.sim.result.Violations["two attempts at a time"]++
+		n.sim.result.Violations[violationTwoAttempts]++
 	}
 	t.attempts = append(t.attempts, a)
 	t.inFlight++
 	if s == nil || s.state != decision.Ready || t.answered {
-		n.sim.result.Violations["sent to a worker that is not ready"]++
+		n.sim.result.Violations[violationNotReady]++
 		n.sim.schedule(0, func() { n.attemptEnded(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
@@ -262,7 +268,7 @@
 		a.newConnection = true
 		a.work += a.worker.kind.ConnectionMs / 1000
 		n.sim.schedule(trip, func() {
-			if s.state != decision.Ready { // told off while the connection came up
+			if s.state != decision.Ready { // it left while the connection was set up
 				n.attemptEnded(a, decision.NeverSent, decision.Load{})
 				return
 			}
@@ -271,57 +277,7 @@
 	}
 }
 
-// reuse takes an idle connection.
-func (n *dispatcher) takeIdle(s *workerView) bool {
-	if k := len(s.idleSince); k > 0 && (s.worker.up || s.worker.unresponsive) { // nothing shows that a machine says nothing any more
-		s.idleSince = s.idleSince[:k-1]
-		return true
-	}
-	return false
-}
-
-// spare closes the connection that has been idle longest.
-func (n *dispatcher) closeOldestIdle() bool {
-	var oldest *workerView
-	for _, s := range n.workers {
-		if len(s.idleSince) > 0 && (oldest == nil || s.idleSince[0] < oldest.idleSince[0]) {
-			oldest = s
-		}
-	}
-	if oldest != nil {
-		oldest.idleSince = oldest.idleSince[1:]
-		n.closeConnection(oldest.worker, oldest.worker.incarnation)
-	}
-	return oldest != nil
-}
-
-// drop closes a connection that a process had.
-func (n *dispatcher) closeConnection(w *worker, process int) {
-	n.connections--
-	if process == w.incarnation && w.up {
-		w.connections--
-	}
-}
-
-// keep puts a connection into the pool for a while.
-func (n *dispatcher) keepIdle(s *workerView) {
-	s.idleSince = append(s.idleSince, n.sim.now)
-	n.sim.schedule(sec(n.sim.ConnectionIdleSeconds*4/5), func() {
-		for len(s.idleSince) > 0 && n.sim.now-s.idleSince[0] >= sec(n.sim.ConnectionIdleSeconds*4/5) {
-			s.idleSince = s.idleSince[1:]
-			n.closeConnection(s.worker, s.worker.incarnation)
-		}
-	})
-}
-
-// cut loses all connections to a worker that died.
-func (n *dispatcher) loseConnections(w *worker) {
-	s := n.workersByID[w.id]
-	n.connections -= len(s.idleSince)
-	s.idleSince = nil
-}
-
-// note carries a worker's note to the dispatcher.
+// sendProgress carries a worker's progress report to the dispatcher.
 func (a *attempt) sendProgress(kind decision.ProgressKind, share float64) {
 	n := a.job.dispatcher
 	n.sim.schedule(n.sim.networkDelay(a.worker.zone, n.zone), func() {
@@ -331,7 +287,7 @@
 	})
 }
 
-// back carries an outcome to the dispatcher, with the load report that the worker has just then.
+// sendOutcome carries an outcome to the dispatcher, with the worker's newest load report where from is given.
 func (a *attempt) sendOutcome(o decision.Outcome, from *worker) {
 	n := a.job.dispatcher
 	var load decision.Load
@@ -345,7 +301,7 @@
 	})
 }
 
-// ends is an attempt's one outcome at the dispatcher.
+// attemptEnded is an attempt's one outcome at the dispatcher.
 func (n *dispatcher) attemptEnded(a *attempt, o decision.Outcome, load decision.Load) {
 	if a.endedAtDispatcher {
 		return
--- /dev/null
+++ b/internal/dispatcher/fleetsim/fleet.go
@@ -0,0 +1,205 @@
+// Package fleetsim simulates days of a fleet in virtual time. The decision module is the real one, an instance for each
+// dispatcher, and gets the events that the dispatcher's core would give it; workers, network, discovery and clients are
+// models. The same descriptions and seed give the same result to the last bit, so the package does no I/O, reads no clock,
+// and runs on its caller's goroutine alone. Random numbers come from one stream for each concern: what one part draws
+// changes nothing for the others.
+//
+// Start reading at Fleet and Load, which describe a day, and at Simulate, which plays it. Accounting counts days that are
+// played elsewhere, by the same rules.
+package fleetsim
+
+import (
+	"encoding/json"
+	"math"
+	"slices"
+)
+
+// Range is a least and a greatest value. In JSON it is two numbers, or one that is both.
+type Range [2]float64
+
+// UnmarshalJSON reads either form.
+func (r *Range) UnmarshalJSON(text []byte) error {
+	var one float64
+	if json.Unmarshal(text, &one) == nil {
+		*r = Range{one, one}
+		return nil
+	}
+	return json.Unmarshal(text, (*[2]float64)(r))
+}
+
+// Kind is a kind of worker. Simulated workers run their jobs by processor sharing.
+type Kind struct {
+	Name             string  `json:"name"`
+	Cores            float64 `json:"cores"`
+	Speed            Range   `json:"speed"`         // of a core, relative to the one of ClassLoad.WorkMs; drawn for each worker
+	Slots            int     `json:"slots"`         // jobs that run at a time
+	Queue            int     `json:"queue"`         // jobs that wait at most; beyond it a job is rejected
+	SlowStartShare   float64 `json:"cold_share"`    // of its speed right after a start
+	SlowStartSeconds float64 `json:"warm_s"`        // until it has its full speed
+	ConnectionMs     float64 `json:"connection_ms"` // work that a new connection costs the worker
+	Connections      int     `json:"connections"`   // open at most
+	Cost             float64 `json:"cost"`          // of one machine, in any unit
+}
+
+// WorkerGroup is a number of workers of a kind in a zone.
+type WorkerGroup struct {
+	Kind  string `json:"kind"`
+	Zone  string `json:"zone"`
+	Count int    `json:"count"`
+	Spare bool   `json:"spare"` // switched on beyond the usual ones
+}
+
+// DispatcherGroup is a number of dispatchers in a zone.
+type DispatcherGroup struct {
+	Zone        string  `json:"zone"`
+	Count       int     `json:"count"`
+	Share       float64 `json:"share"` // of the traffic that each gets, against the others
+	OpenJobs    int     `json:"open_jobs"`
+	Connections int     `json:"worker_connections"`
+}
+
+// Class is a priority class as the settings have it. A job is in time within LatencyTargetSeconds plus Stretch times its
+// work in seconds.
+type Class struct {
+	Name                 string  `json:"name"`
+	Idempotency          string  `json:"effect"` // safe, keyed or unsafe
+	DedupWindowSeconds   float64 `json:"window_s"`
+	LatencyTargetSeconds float64 `json:"aim_s"`
+	Stretch              float64 `json:"stretch"`
+	DeadlineSeconds      float64 `json:"deadline_s"`
+	Value                float64 `json:"worth"`
+	LateValue            float64 `json:"late_worth"`
+}
+
+// Tenant is a customer with a quota share.
+type Tenant struct {
+	Name          string  `json:"name"`
+	Share         float64 `json:"share"`
+	RatePerSecond float64 `json:"allowance_per_s"` // beyond it a job earns OverQuotaValue of the usual
+}
+
+// SlowStart is the settings' rule for workers that have just started. A worker that gets more than OverloadMultiple of what
+// it can do within OverloadSpanSeconds is overloaded and stops for good.
+type SlowStart struct {
+	Share               float64 `json:"share"`
+	DurationSeconds     float64 `json:"warm_s"`
+	OverloadMultiple    float64 `json:"multiple"`
+	OverloadSpanSeconds float64 `json:"span_s"`
+}
+
+// Fault types.
+const (
+	faultZoneLost    = "zone_lost"    // all workers of a zone stop without closing their connections
+	faultDeaths      = "deaths"       // some workers stop and close their connections
+	faultDrain       = "drain"        // some workers drain, and restart at the end
+	faultShared      = "shared"       // other programs take a part of some machines, on and off
+	faultReportsLate = "reports_late" // load reports come later
+)
+
+var faultTypes = []string{faultZoneLost, faultDeaths, faultDrain, faultShared, faultReportsLate}
+
+// Fault is something that goes wrong on a day.
+type Fault struct {
+	Type            string  `json:"what"` // one of the fault types
+	Zone            string  `json:"zone"`
+	Kind            string  `json:"kind"`
+	Fraction        float64 `json:"part"` // of the workers that Zone and Kind select
+	StartSeconds    float64 `json:"at_s"`
+	DurationSeconds float64 `json:"for_s"`
+	Amount          float64 `json:"takes"` // shared: the part of the machine; reports_late: seconds
+	OnSeconds       float64 `json:"on_s"`  // shared: how long it lasts at a time
+	OffSeconds      float64 `json:"off_s"` // shared: the pause in between
+}
+
+// Fleet describes dispatchers, workers and the network between them. Zero values stand for the defaults of WithDefaults.
+type Fleet struct {
+	Zones                    []string          `json:"zones"`
+	SameZoneMs               float64           `json:"same_zone_ms"`
+	CrossZoneMs              float64           `json:"cross_zone_ms"`
+	Jitter                   float64           `json:"jitter"`
+	Kinds                    []Kind            `json:"kinds"`
+	Workers                  []WorkerGroup     `json:"workers"`
+	Dispatchers              []DispatcherGroup `json:"dispatchers"`
+	Classes                  []Class           `json:"classes"`
+	Tenants                  []Tenant          `json:"universities"`
+	DiscoveryDelaySeconds    Range             `json:"roster_delay_s"` // until discovery tells of a change of a worker
+	UnresponsiveDelaySeconds Range             `json:"silent_delay_s"` // until it tells of a worker that stopped without closing its connections
+	ReportIntervalSeconds    Range             `json:"report_every_s"` // between a worker's load reports; drawn for each worker
+	ReportDelaySeconds       Range             `json:"report_delay_s"` // from a load report to its arrival; drawn for each worker
+	ConnectionIdleSeconds    float64           `json:"conn_idle_s"`    // idle connections are closed after it
+	ConnectTimeoutMs         float64           `json:"connect_timeout_ms"`
+	ConnectionRoundTrips     float64           `json:"connection_trips"` // round trips that a new connection takes
+	MaxAttempts              int               `json:"attempts"`
+	DrainGraceSeconds        float64           `json:"drain_grace_s"`
+	SlowStart                SlowStart         `json:"cold"`
+	OverQuotaValue           float64           `json:"over_worth"`
+	RetryAfterMs             float64           `json:"retry_after_ms"`
+	Faults                   []Fault           `json:"troubles"`
+}
+
+// fill puts the figures in that a description leaves out. They are those of a small site; nothing that a score
+// hangs on strongly (kinds, counts, rates, times) has a default.
+func (f *Fleet) fill() {
+	or := func(v *float64, otherwise float64) {
+		if *v == 0 {
+			*v = otherwise
+		}
+	}
+	between := func(r *Range, least, most float64) {
+		if *r == (Range{}) {
+			*r = Range{least, most}
+		}
+	}
+	or(&f.SameZoneMs, 0.2)
+	or(&f.CrossZoneMs, 15)
+	or(&f.ConnectionIdleSeconds, 5)
+	or(&f.ConnectTimeoutMs, 250)
+	or(&f.ConnectionRoundTrips, 1)
+	or(&f.DrainGraceSeconds, 0.5)
+	or(&f.OverQuotaValue, 0.1)
+	or(&f.RetryAfterMs, 50)
+	or(&f.SlowStart.Share, 0.3)
+	or(&f.SlowStart.DurationSeconds, 8.9)
+	or(&f.SlowStart.OverloadMultiple, 3)
+	or(&f.SlowStart.OverloadSpanSeconds, 1)
+	between(&f.DiscoveryDelaySeconds, 0.8, 4)
+	between(&f.UnresponsiveDelaySeconds, 4, 11)
+	between(&f.ReportIntervalSeconds, 0.33, 1.3)
+	between(&f.ReportDelaySeconds, 0.05, 0.28)
+	if f.MaxAttempts == 0 {
+		f.MaxAttempts = 3
+	}
+	for i := range f.Kinds {
+		k := &f.Kinds[i]
+		or(&k.SlowStartShare, 0.45)
+		or(&k.SlowStartSeconds, 6)
+		or(&k.Cost, 1)
+		if k.Slots == 0 {
+			k.Slots = max(int(math.Round(k.Cores)), 1)
+		}
+		if k.Queue == 0 {
+			k.Queue = 12 * k.Slots
+		}
+		if k.Connections == 0 {
+			k.Connections = 2000
+		}
+	}
+	for i := range f.Dispatchers {
+		d := &f.Dispatchers[i]
+		or(&d.Share, 1)
+		if d.OpenJobs == 0 {
+			d.OpenJobs = 500
+		}
+		if d.Connections == 0 {
+			d.Connections = 400
+		}
+	}
+}
+
+// WithDefaults returns a copy with the defaults put in for what a description leaves out.
+func (f *Fleet) WithDefaults() *Fleet {
+	out := *f
+	out.Kinds, out.Dispatchers = slices.Clone(f.Kinds), slices.Clone(f.Dispatchers)
+	out.fill()
+	return &out
+}
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -1,6 +1,3 @@
-// What a day came to: the service score as the brief counts it, and what
-// stood in the way of more.
-
 package fleetsim
 
 import (
@@ -8,6 +5,7 @@
 	"time"
 )
 
+// requestOutcome is how a request ended.
 type requestOutcome uint8
 
 const (
@@ -16,17 +14,30 @@
 	failed
 )
 
-// Tally is worth asked and earned, and requests by how they ended.
+// Rules that a day may break, as Result.Violations names them.
+const (
+	// ViolationOverload counts workers that got more during their slow start than they can bear.
+	ViolationOverload = "cold worker pushed over"
+
+	violationTwoAnswers  = "two answers"
+	violationNoAnswer    = "no answer"
+	violationTwoAttempts = "two attempts at a time"
+	violationNotReady    = "sent to a worker that is not ready"
+	violationDeadline    = "deadline passed by the module"
+	violationRanTwice    = "ran twice"
+)
+
+// Tally is the value offered and earned, and requests by how they ended.
 type Tally struct {
-	OfferedValue float64 `json:"asked"`  // worth
-	EarnedValue  float64 `json:"earned"` // worth
+	OfferedValue float64 `json:"asked"`
+	EarnedValue  float64 `json:"earned"`
 	Jobs         int     `json:"jobs"`
 	InTime       int     `json:"in_time"`
 	Late         int     `json:"late"`
-	Failed       int     `json:"lost"` // refused or failed for good
+	Failed       int     `json:"lost"` // rejected or failed for good
 }
 
-// Service is the share of the worth that was earned; 1 where none was asked.
+// Service returns the share of the offered value that was earned; 1 where none was offered.
 func (t *Tally) Service() float64 {
 	if t.OfferedValue == 0 {
 		return 1
@@ -34,35 +45,35 @@
 	return t.EarnedValue / t.OfferedValue
 }
 
-// WorkerStats is what the machines of a kind did.
+// WorkerStats is what the workers of a kind did.
 type WorkerStats struct {
 	Count               int     `json:"count"`
 	Completed           int     `json:"done"`
-	Utilization         float64 `json:"busy"`    // share of the slots' time at work
-	RejectedJobs        int     `json:"full"`    // jobs turned away by a full waiting room
-	RejectedConnections int     `json:"no_conn"` // connections turned away
+	Utilization         float64 `json:"busy"`    // share of the slots' time in use
+	RejectedJobs        int     `json:"full"`    // by workers with a full queue
+	RejectedConnections int     `json:"no_conn"` // by workers at their limit
 }
 
-// Result is what a day came to.
+// Result is what happened on a day.
 type Result struct {
-	Score                float64        `json:"score"` // as the brief weighs it
+	Score                float64        `json:"score"` // see computeScore
 	Total                Tally          `json:"whole"`
 	Classes              []Tally        `json:"classes"`
-	Tenants              []Tally        `json:"universities"` // within their shares
-	Seconds              []Tally        `json:"seconds"`      // by the second in which the request came
+	Tenants              []Tally        `json:"universities"` // only what lay within their quotas
+	Seconds              []Tally        `json:"seconds"`      // by the second in which the request arrived
 	Kinds                []WorkerStats  `json:"kinds"`
 	WorstTenSeconds      float64        `json:"worst_10_s"`
 	Requests             int            `json:"tries"`
 	Retries              int            `json:"repeats"`
-	Rejections           int            `json:"refusals"` // by the module
-	Overflowed           int            `json:"turned"`   // at the door: too many open jobs
+	Rejections           int            `json:"refusals"` // by the decision module
+	Overflowed           int            `json:"turned"`   // rejected by a dispatcher with too many open jobs
 	AttemptsSent         int            `json:"sent"`
 	ConnectionsDialled   int            `json:"dialled"`
-	CrossZoneAttempts    int            `json:"crossed"` // sends to another zone
-	ConnectionsExhausted int            `json:"no_link"` // sends for which a dispatcher had no connection left
-	PeakOpenJobs         int            `json:"open"`    // most open jobs at a dispatcher
+	CrossZoneAttempts    int            `json:"crossed"` // to a worker in another zone
+	ConnectionsExhausted int            `json:"no_link"` // attempts for which a dispatcher had no connection left
+	PeakOpenJobs         int            `json:"open"`    // at one dispatcher
 	Outcomes             [9]int         `json:"outcomes"`
-	Violations           map[string]int `json:"broken"` // rules, by name
+	Violations           map[string]int `json:"broken"` // by rule: how often it was broken
 	WorkSeconds          float64        `json:"worked"` // seconds on a core of speed 1
 	Events               int            `json:"events"`
 	Decisions            int            `json:"decisions"`
@@ -79,7 +90,7 @@
 	return r
 }
 
-// tallies are those that a request counts in.
+// tallies returns those in which a request counts.
 func (r *Result) tallies(q *request) []*Tally {
 	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.arrived.Seconds()), len(r.Seconds)-1)]}
 	if q.withinQuota {
@@ -88,7 +99,7 @@
 	return out
 }
 
-// worth is what a request is worth in time.
+// value returns what a request earns in time.
 func (s *scenario) value(q *request) float64 {
 	w := s.Classes[q.class].Value
 	if !q.withinQuota {
@@ -127,8 +138,8 @@
 	}
 }
 
-// weigh gives the score: 40 % the whole, 15 % the worst 10 s, 20 % the worst class, 25 % the worst university within its
-// share.
+// computeScore weighs the service: 40 % for the whole day, 15 % for the worst ten seconds, 20 % for the worst class and 25 %
+// for the worst tenant within its quota.
 func (r *Result) computeScore() {
 	r.WorstTenSeconds = 1
 	width := min(10, len(r.Seconds))
@@ -149,64 +160,3 @@
 	}
 	r.Score = 0.4*r.Total.Service() + 0.15*r.WorstTenSeconds + 0.2*class + 0.25*university
 }
-
-// finish closes a day's book and looks for what must not be left.
-func (d *simulation) closeAccounting() {
-	r := d.result
-	r.Duration = d.now
-	r.computeScore()
-	for _, w := range d.workers {
-		w.advance()
-		k := &r.Kinds[w.kindIndex]
-		k.Utilization += w.busySlotSeconds / max(d.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
-	}
-	if left := d.openRequests; left > 0 && !r.Stopped {
-		r.Violations["no answer"] += left
-	}
-	for _, n := range d.dispatchers {
-		for _, t := range n.jobs {
-			if !t.answered && !r.Stopped {
-				r.Violations["no answer"]++
-			}
-		}
-	}
-}
-
-// Accounting counts requests as they come and end, for days that are played elsewhere: on sockets.
-type Accounting struct {
-	scenario *scenario
-	result   *Result
-	buckets  []bucket
-	requests uint64
-}
-
-func newAccounting(s *scenario) *Accounting {
-	return &Accounting{scenario: s, result: newResult(s), buckets: make([]bucket, len(s.Tenants))}
-}
-
-// NewAccounting makes an accounting of a day of a fleet and a load.
-func NewAccounting(f *Fleet, l *Load) (*Accounting, error) {
-	s, err := newScenario(f, l)
-	if err != nil {
-		return nil, err
-	}
-	return newAccounting(s), nil
-}
-
-// RecordRequest notes that a request has come. Exactly one call of what it returns must follow, with its end.
-func (b *Accounting) RecordRequest(a Arrival) (ended func(served bool, took time.Duration)) {
-	q := b.newRequest(a)
-	return func(ok bool, took time.Duration) {
-		v := failed
-		if ok {
-			v = served
-		}
-		b.result.addEnded(b.scenario, q, v, took)
-	}
-}
-
-// Result returns what the day came to.
-func (b *Accounting) Result() *Result {
-	b.result.computeScore()
-	return b.result
-}
--- a/internal/dispatcher/fleetsim/model_test.go
+++ b/internal/dispatcher/fleetsim/simulation_test.go
@@ -1,5 +1,5 @@
-// These tests hold the model against theory where there is one, and against
-// the rules on random days: the module must keep them, the model must see it.
+// These tests hold the simulation against queueing theory where there is one, and against
+// the rules on random days: the decision module must keep them, and the simulation must see it where it does not.
 package fleetsim
 
 import (
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -1,5 +1,3 @@
-// The workers of a day: slots, queues, warming up, failing.
-
 package fleetsim
 
 import (
@@ -11,7 +9,11 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// worker is one machine.
+// slowStartReplanInterval is how often completions are planned anew while a worker's speed grows.
+const slowStartReplanInterval = 50 * time.Millisecond
+
+// worker is one worker: slots that share its cores, a queue, slow start and failures. Service is counted in seconds on a core
+// of speed 1.
 type worker struct {
 	sim                  *simulation
 	id                   decision.WorkerID
@@ -19,47 +21,49 @@
 	kind                 *Kind
 	speed                float64
 	up                   bool
-	unresponsive         bool // dead without a word
+	unresponsive         bool // stopped without closing its connections
 	draining             bool
-	overloaded           bool // pushed over while cold: down for good
+	overloaded           bool // stopped for good, as it got too much while it was starting
 	startedAt            time.Duration
 	warmedUp             bool
-	incarnation          int     // counts restarts
-	externalShare        float64 // of the machine, by other programs
-	servedEach           float64 // service that every running job has got
-	servedUntil          time.Duration
-	planNumber           int // the planned next end; older ones are void
+	incarnation          int           // counts restarts
+	externalShare        float64       // of the machine, taken by other programs
+	servedEach           float64       // service that a job has got that runs since the start
+	servedUntil          time.Duration // up to when servedEach is counted
+	planNumber           int           // of the planned next completion; older plans are void
 	running              priorityqueue.Queue[*attempt]
 	waiting              []*attempt
-	unreported           []*attempt // lost without a word: reset once it is back
+	unreported           []*attempt // attempts lost without a response: reset once the worker is back
 	connections          int
-	sentWhileCold        []sentWork // while cold
+	sentWhileCold        []sentWork // within the last OverloadSpanSeconds
 	reports              [32]loadReport
 	reportCount          int
 	reportInterval       time.Duration
 	reportDelay          time.Duration
-	completedSinceReport int // since the last snapshot
+	completedSinceReport int
 	busySlotSeconds      float64
 }
 
+// sentWork is work that arrived at a worker.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// run is what a worker group remembers of a key.
+// dedupRun is what the workers remember of a deduplication key.
 type dedupRun struct {
-	doneAt     time.Duration // when it was done
+	doneAt     time.Duration
 	done       bool
-	duplicates []*attempt // repeats that came while it ran
+	duplicates []*attempt // that came while it ran
 }
 
+// loadReport is a worker's load at a moment.
 type loadReport struct {
 	at   time.Duration
 	load decision.Load
 }
 
-// Before orders running attempts by the service at which they are done.
+// Before orders running attempts by the service at which they are complete.
 func (a *attempt) Before(other *attempt) bool { return a.completesAt < other.completesAt }
 
 func (d *simulation) addWorker(kind, zone int) {
@@ -70,7 +74,7 @@
 	d.workers = append(d.workers, w)
 }
 
-// capacity is the share of its speed that a worker has since its start.
+// speedShare returns the share of its speed that a worker has at a moment, which grows linearly after its start.
 func (w *worker) speedShare(at time.Duration) float64 {
 	if w.warmedUp || w.startedAt == 0 {
 		return 1
@@ -79,7 +83,7 @@
 	return min(w.kind.SlowStartShare+(1-w.kind.SlowStartShare)*age, 1)
 }
 
-// rate is the service a second of each running job at a moment.
+// rate returns the service a second that each running job gets at a moment.
 func (w *worker) rate(at time.Duration) float64 {
 	n := float64(len(w.running))
 	if n == 0 {
@@ -88,7 +92,7 @@
 	return w.speed * w.speedShare(at) * min(1, w.kind.Cores*(1-w.externalShare)/n)
 }
 
-// count brings the service up to now. Capacity grows evenly, so the middle of the time stands for it.
+// advance counts the service up to now. As the speed grows linearly, the one in the middle of the time stands for it.
 func (w *worker) advance() {
 	span := (w.sim.now - w.servedUntil).Seconds()
 	if span > 0 {
@@ -98,7 +102,7 @@
 	w.servedUntil = w.sim.now
 }
 
-// replan sets the next end. It is called whenever the rate has changed, after count.
+// planNextCompletion schedules the next completion. It is called whenever the rate has changed, after advance.
 func (w *worker) planNextCompletion() {
 	w.planNumber++
 	if len(w.running) == 0 {
@@ -110,8 +114,8 @@
 	if r > 0 {
 		wait = sec(min(left/r, 1e6)) + 1
 	}
-	if !w.warmedUp { // the rate grows meanwhile: look again soon
-		wait = min(wait, 50*time.Millisecond)
+	if !w.warmedUp { // the rate grows meanwhile, so plan again soon
+		wait = min(wait, slowStartReplanInterval)
 	}
 	if wait == math.MaxInt64 {
 		return // nothing moves until something changes
@@ -132,7 +136,7 @@
 	})
 }
 
-// arrive is an attempt's last byte at the worker.
+// arrive is the arrival of an attempt's last byte at the worker.
 func (w *worker) arrive(a *attempt) {
 	if !w.up || a.incarnation != w.incarnation {
 		if w.unresponsive {
@@ -169,12 +173,13 @@
 	}
 }
 
-// repeats gives the run of a key that has run or runs anywhere, as all workers know, and notes it if there is none.
+// dedup returns the run of a request's key that has run or runs at any worker. If there is none, it starts one and returns
+// nil.
 func (d *simulation) dedup(q *request) *dedupRun {
 	if r := d.dedupRuns[q.dedupKey]; r != nil && (!r.done || d.now-r.doneAt < sec(d.Classes[q.class].DedupWindowSeconds)) {
 		return r
 	} else if r != nil {
-		d.result.Violations["ran twice"]++
+		d.result.Violations[violationRanTwice]++
 	}
 	d.dedupRuns[q.dedupKey] = &dedupRun{}
 	return nil
@@ -186,7 +191,8 @@
 	}
 }
 
-// pushedOver notes work sent to a cold worker; beyond the rule's multiple of what it can do, it falls for good.
+// overload notes work that arrived at a starting worker. Beyond the multiple of what it can do the worker stops for good,
+// and overload returns true.
 func (w *worker) overload(work float64) bool {
 	now, span := w.sim.now, sec(w.sim.SlowStart.OverloadSpanSeconds)
 	w.sentWhileCold = append(w.sentWhileCold, sentWork{now, work})
@@ -200,12 +206,13 @@
 	if total <= w.sim.SlowStart.OverloadMultiple*w.kind.Cores*w.speed*w.speedShare(now)*span.Seconds()+work {
 		return false
 	}
-	w.sim.result.Violations["cold worker pushed over"]++
+	w.sim.result.Violations[ViolationOverload]++
 	w.overloaded = true
 	w.stop(false)
 	return true
 }
 
+// start runs an attempt in a slot.
 func (w *worker) start(a *attempt) {
 	a.started = true
 	a.completesAt = w.servedEach + a.work
@@ -214,7 +221,7 @@
 	a.reportProgress()
 }
 
-// runsOn tells progress once a second.
+// reportProgress reports progress at regular intervals, while the attempt runs.
 func (a *attempt) reportProgress() {
 	a.worker.sim.schedule(progressInterval, func() {
 		if a.started && !a.endedAtWorker && a.worker.up && a.incarnation == a.worker.incarnation {
@@ -225,6 +232,7 @@
 	})
 }
 
+// complete ends a running attempt, and the duplicates that waited for it.
 func (w *worker) complete(a *attempt) {
 	a.endedAtWorker = true
 	w.completedSinceReport++
@@ -242,7 +250,7 @@
 	}
 }
 
-// next lets waiting jobs in, in order.
+// startWaiting starts waiting attempts, in their order, while there are free slots.
 func (w *worker) startWaiting() {
 	for len(w.waiting) > 0 && len(w.running) < w.kind.Slots {
 		a := w.waiting[0]
@@ -252,13 +260,13 @@
 	}
 }
 
-// die ends the process. What it had is lost: its dispatchers see a reset, or nothing.
-func (w *worker) stop(silent bool) {
+// stop ends the process. What it had is lost: its dispatchers see a reset or, where it is unresponsive, nothing.
+func (w *worker) stop(unresponsive bool) {
 	if !w.up {
 		return
 	}
 	w.advance()
-	w.up, w.unresponsive, w.draining = false, silent, false
+	w.up, w.unresponsive, w.draining = false, unresponsive, false
 	lost := append(slices.Clone([]*attempt(w.running)), w.waiting...)
 	w.running, w.waiting, w.connections, w.sentWhileCold = nil, nil, 0, nil
 	w.planNextCompletion()
@@ -272,7 +280,7 @@
 			}
 		}
 		for _, a := range append(dups, a) {
-			if silent {
+			if unresponsive {
 				w.unreported = append(w.unreported, a)
 			} else {
 				a.sendOutcome(decision.Reset, nil)
@@ -281,17 +289,17 @@
 	}
 	for _, n := range w.sim.dispatchers {
 		delay := w.sim.DiscoveryDelaySeconds
-		if !silent {
+		if !unresponsive {
 			n.loseConnections(w)
 		}
-		if silent {
+		if unresponsive {
 			delay = w.sim.UnresponsiveDelaySeconds
 		}
 		n.learnState(w, decision.Gone, delay.Draw(w.sim.networkRandom))
 	}
 }
 
-// rise starts a new process, cold.
+// restart starts a new process, which begins with its slow start.
 func (w *worker) restart() {
 	if w.up || w.overloaded {
 		return
@@ -310,11 +318,12 @@
 	}
 }
 
-// report looks at the worker now and then, as its load reports will show it later.
+// scheduleReports schedules the worker's load reports, from a random moment on.
 func (w *worker) scheduleReports() {
 	w.sim.schedule(time.Duration(w.sim.networkRandom.Float64()*float64(w.reportInterval)), func() { w.takeReport() })
 }
 
+// takeReport notes the worker's load, as a report will show it later.
 func (w *worker) takeReport() {
 	if w.up {
 		w.reports[w.reportCount%len(w.reports)] = loadReport{w.sim.now, decision.Load{Count: reportFields, Values: [4]float64{
@@ -325,7 +334,7 @@
 	w.sim.schedule(w.reportInterval, w.takeReport)
 }
 
-// seen is the newest report that has had the time to come through.
+// latestReport returns the newest report that has had the time to arrive, or an empty one.
 func (w *worker) latestReport() decision.Load {
 	for i := w.reportCount - 1; i >= 0 && i > w.reportCount-len(w.reports); i-- {
 		if s := w.reports[i%len(w.reports)]; w.sim.now-s.at >= w.reportDelay+w.sim.extraReportDelay {
--- a/internal/dispatcher/planner/losses.go
+++ b/internal/dispatcher/planner/losses.go
@@ -72,7 +72,7 @@
 				}
 			}
 			for _, r := range lost {
-				loss.OverloadedWorkers += r.Violations["cold worker pushed over"]
+				loss.OverloadedWorkers += r.Violations[fleetsim.ViolationOverload]
 			}
 			out = append(out, loss)
 		}
