--- a/internal/controlplane/replication/explorer_call_test.go
+++ b/internal/controlplane/replication/explorer_call_test.go
@@ -23,20 +23,20 @@
 // prepare handles a prepare call.
 func (m *model) prepare(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
-	w := &state.disks[to]
-	if !sent.base.everyone().has(to) || !m.rules.allows(w, epoch, from) || !m.rules.vote(w, to, sent.base) {
+	receiver := &state.disks[to]
+	if !sent.base.everyone().has(to) || !m.rules.allows(receiver, epoch, from) || !m.rules.vote(receiver, to, sent.base) {
 		return
 	}
-	if m.supportsOther(w, from) || !m.rules.ignoresLeases && m.holdsLease(to, w) {
+	if m.supportsOther(receiver, from) || !m.rules.ignoresLeases && m.holdsLease(to, receiver) {
 		return
 	}
 	next := *state
 	next.disks[to].promiseTo(epoch, from)
 	add(next, "%s promises %d to %s", diskName(to), epoch, diskName(from))
-	if c := &next.disks[from]; c.phase == collecting && c.epoch == epoch {
-		c.granted = c.granted.with(to)
-		if w.accepted.epoch > c.newest.epoch {
-			c.newest = w.accepted
+	if caller := &next.disks[from]; caller.phase == collecting && caller.epoch == epoch {
+		caller.granted = caller.granted.with(to)
+		if receiver.accepted.epoch > caller.newest.epoch {
+			caller.newest = receiver.accepted
 		}
 		add(next, "%s promises %d to %s, which hears of it", diskName(to), epoch, diskName(from))
 	}
@@ -45,8 +45,8 @@
 // attach handles an attach call: where both logs end alike, or with a snapshot.
 func (m *model) attach(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
-	w := &state.disks[to]
-	if !sent.aligning || !m.rules.allows(w, epoch, from) || epoch < w.follows {
+	receiver := &state.disks[to]
+	if !sent.aligning || !m.rules.allows(receiver, epoch, from) || epoch < receiver.follows {
 		return
 	}
 	attached := func(log modelLog, what string) {
@@ -54,23 +54,23 @@
 		next.disks[to].promiseTo(epoch, from)
 		next.disks[to].follows, next.disks[to].log = epoch, log
 		add(next, "%s follows %s in %d%s", diskName(to), diskName(from), epoch, what)
-		if c := &next.disks[from]; c.epoch == epoch && c.log == log {
+		if caller := &next.disks[from]; caller.epoch == epoch && caller.log == log {
 			switch {
-			case c.phase == aligning:
-				c.respondents = c.respondents.with(to)
-			case c.phase == primary && state.isSpare(to):
-				c.learners = c.learners.with(to)
+			case caller.phase == aligning:
+				caller.respondents = caller.respondents.with(to)
+			case caller.phase == primary && state.isSpare(to):
+				caller.learners = caller.learners.with(to)
 			default:
 				return
 			}
 			add(next, "%s follows %s in %d%s, which hears of it", diskName(to), diskName(from), epoch, what)
 		}
 	}
-	if sent.base.everyone().has(to) && w.log.last() == sent.log.last() {
-		attached(w.log, "")
+	if sent.base.everyone().has(to) && receiver.log.last() == sent.log.last() {
+		attached(receiver.log, "")
 	}
 	for length := sent.log.len(); length <= sent.extended.len(); length++ {
-		ahead := w.log.len() > length && w.log.last().Epoch == uint64(epoch)
+		ahead := receiver.log.len() > length && receiver.log.last().Epoch == uint64(epoch)
 		if !ahead {
 			attached(m.rules.snapshotOf(sent.extended.prefix(length)), " by a copy")
 		}
@@ -90,8 +90,8 @@
 		next.disks[to].supports = int8(from + 1)
 	}
 	add(next, "%s accepts the view %d of %s", diskName(to), epoch, diskName(from))
-	if c := &next.disks[from]; c.phase == accepting && c.epoch == epoch {
-		c.respondents = c.respondents.with(to)
+	if caller := &next.disks[from]; caller.phase == accepting && caller.epoch == epoch {
+		caller.respondents = caller.respondents.with(to)
 		add(next, "%s accepts the view %d of %s, which hears of it", diskName(to), epoch, diskName(from))
 	}
 }
@@ -99,23 +99,23 @@
 // appendEntry handles an append call with an entry.
 func (m *model) appendEntry(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
-	w := &state.disks[to]
-	if !sent.view.inSync.has(to) || !m.rules.allows(w, epoch, from) || !m.rules.mayAppend(w, epoch, from) {
+	receiver := &state.disks[to]
+	if !sent.view.inSync.has(to) || !m.rules.allows(receiver, epoch, from) || !m.rules.mayAppend(receiver, epoch, from) {
 		return
 	}
 	for index := sent.log.len(); index < sent.extended.len(); index++ {
-		follows := w.log.last() == sent.extended.prefix(index).last()
-		repeated := w.log.len() > index && w.log.last() == sent.extended.prefix(w.log.len()).last()
+		follows := receiver.log.last() == sent.extended.prefix(index).last()
+		repeated := receiver.log.len() > index && receiver.log.last() == sent.extended.prefix(receiver.log.len()).last()
 		if !follows && !repeated {
 			continue
 		}
 		next := *state
 		if follows {
-			next.disks[to].log = w.log.append(sent.extended.at(index))
+			next.disks[to].log = receiver.log.append(sent.extended.at(index))
 		}
 		add(next, "%s logs entry %d of %s", diskName(to), index+1, diskName(from))
-		if c := &next.disks[from]; c.phase == primary && c.epoch == epoch && c.promised == epoch {
-			c.acks[index] = c.acks[index].with(to)
+		if caller := &next.disks[from]; caller.phase == primary && caller.epoch == epoch && caller.promised == epoch {
+			caller.acks[index] = caller.acks[index].with(to)
 			next.acknowledge(m, from)
 			add(next, "%s logs entry %d of %s, which hears of it", diskName(to), index+1, diskName(from))
 		}
@@ -125,12 +125,12 @@
 // confirm handles an append call without entries, which asks whether an epoch still holds.
 func (m *model) confirm(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
-	w := &state.disks[to]
+	receiver := &state.disks[to]
 	caller := &state.disks[from]
 	if !caller.reading || caller.phase != primary || caller.epoch != epoch || !sent.view.inSync.has(to) {
 		return
 	}
-	if !m.rules.allows(w, epoch, from) || !m.rules.mayAppend(w, epoch, from) {
+	if !m.rules.allows(receiver, epoch, from) || !m.rules.mayAppend(receiver, epoch, from) {
 		return
 	}
 	next := *state
@@ -141,17 +141,17 @@
 // heartbeat handles a heartbeat, however long it was under way.
 func (m *model) heartbeat(state *modelState, from, to int, epoch uint8, add addStep) {
 	sent := &state.candidacies[from][epoch]
-	w := &state.disks[to]
-	if sent.view.epoch == 0 || !sent.view.everyone().has(to) || !m.rules.allows(w, epoch, from) {
+	receiver := &state.disks[to]
+	if sent.view.epoch == 0 || !sent.view.everyone().has(to) || !m.rules.allows(receiver, epoch, from) {
 		return
 	}
 	next := *state
 	next.disks[to].supports = int8(from + 1)
 	add(next, "%s hears %s in %d", diskName(to), diskName(from), epoch)
-	c := &next.disks[from]
-	if c.phase != primary || c.epoch != epoch || c.leaseLapsed || w.accepted.epoch < epoch {
+	caller := &next.disks[from]
+	if caller.phase != primary || caller.epoch != epoch || caller.leaseLapsed || receiver.accepted.epoch < epoch {
 		return
 	}
-	c.supporters = c.supporters.with(to)
+	caller.supporters = caller.supporters.with(to)
 	add(next, "%s hears %s in %d, which counts on it", diskName(to), diskName(from), epoch)
 }
--- a/internal/controlplane/replication/explorer_fault_test.go
+++ b/internal/controlplane/replication/explorer_fault_test.go
@@ -34,12 +34,12 @@
 	if !m.limits.repaired {
 		return !state.isSpare(disk)
 	}
-	for leader := range modelDisks {
-		d := &state.disks[leader]
-		if d.phase != primary || d.epoch != state.led || d.making.previous != 0 {
+	for number := range modelDisks {
+		leader := &state.disks[number]
+		if leader.phase != primary || leader.epoch != state.led || leader.making.previous != 0 {
 			continue
 		}
-		for _, member := range d.making.members.disks() {
+		for _, member := range leader.making.members.disks() {
 			if state.disks[member].lost {
 				return false
 			}
--- a/internal/controlplane/replication/explorer_primary_test.go
+++ b/internal/controlplane/replication/explorer_primary_test.go
@@ -4,16 +4,16 @@
 
 // propose appends a change at the primary.
 func (m *model) propose(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	if state.proposed >= m.limits.changes || d.log.len() >= maxChanges || d.promised != d.epoch {
+	current := &state.disks[disk]
+	if state.proposed >= m.limits.changes || current.log.len() >= maxChanges || current.promised != current.epoch {
 		return
 	}
 	next := *state
-	c := &next.disks[disk]
+	changed := &next.disks[disk]
 	next.proposed++
-	c.log = c.log.append(modelEntry{d.epoch, next.proposed})
-	c.acks[c.log.len()-1] = diskSet(0).with(disk)
-	next.candidacies[disk][d.epoch].extended = c.log
+	changed.log = changed.log.append(modelEntry{current.epoch, next.proposed})
+	changed.acks[changed.log.len()-1] = diskSet(0).with(disk)
+	next.candidacies[disk][current.epoch].extended = changed.log
 	next.acknowledge(m, disk)
 	add(next, "%s proposes change %d", diskName(disk), next.proposed)
 }
@@ -21,27 +21,27 @@
 // serveRead begins and ends an operator's request that changes nothing: a read, or an order that is rejected or was
 // carried out before.
 func (m *model) serveRead(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	if d.promised != d.epoch {
+	current := &state.disks[disk]
+	if current.promised != current.epoch {
 		return
 	}
-	if !d.reading {
+	if !current.reading {
 		if state.reads >= m.limits.reads {
 			return
 		}
 		next := *state
 		next.reads++
-		c := &next.disks[disk]
-		c.reading, c.ackedBeforeRead, c.confirmedBy = true, uint8(state.acked.len()), diskSet(0).with(disk)
+		changed := &next.disks[disk]
+		changed.reading, changed.ackedBeforeRead, changed.confirmedBy = true, uint8(state.acked.len()), diskSet(0).with(disk)
 		add(next, "%s is asked", diskName(disk))
 		return
 	}
-	if !m.rules.mayServeRead(d.making, d.confirmedBy) {
+	if !m.rules.mayServeRead(current.making, current.confirmedBy) {
 		return
 	}
 	next := *state
-	c := &next.disks[disk]
-	c.reading, c.ackedBeforeRead, c.confirmedBy = false, 0, 0
-	next.staleRead = !d.log.extends(state.acked.prefix(int(d.ackedBeforeRead)))
+	changed := &next.disks[disk]
+	changed.reading, changed.ackedBeforeRead, changed.confirmedBy = false, 0, 0
+	next.staleRead = !current.log.extends(state.acked.prefix(int(current.ackedBeforeRead)))
 	add(next, "%s answers", diskName(disk))
 }
--- a/internal/controlplane/replication/explorer_view_change_test.go
+++ b/internal/controlplane/replication/explorer_view_change_test.go
@@ -4,26 +4,26 @@
 
 // campaign takes an epoch for a process: as a candidate in an election, or as the primary for another view.
 func (m *model) campaign(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	base := d.accepted
+	current := &state.disks[disk]
+	base := current.accepted
 	if base.epoch == 0 || !m.maySucceed(base, disk) || m.limits.candidates > 0 && disk >= m.limits.candidates {
 		return
 	}
-	if m.supportsOther(d, disk) {
+	if m.supportsOther(current, disk) {
 		return
 	}
-	for epoch := d.promised + 1; epoch <= m.limits.epochs; epoch++ {
+	for epoch := current.promised + 1; epoch <= m.limits.epochs; epoch++ {
 		if state.candidacies[disk][epoch].active {
 			continue
 		}
 		next := *state
-		c := &next.disks[disk]
-		c.promised, c.promisedTo, c.follows = epoch, int8(disk), epoch
-		c.phase, c.epoch, c.granted, c.newest = collecting, epoch, diskSet(0).with(disk), base
-		c.making, c.respondents, c.acks = modelView{}, 0, [maxChanges]diskSet{}
-		c.reading, c.ackedBeforeRead, c.confirmedBy = false, 0, 0
-		c.supports, c.supporters, c.leaseLapsed = 0, 0, false
-		next.candidacies[disk][epoch] = candidacy{active: true, base: base, log: c.log, extended: c.log}
+		changed := &next.disks[disk]
+		changed.promised, changed.promisedTo, changed.follows = epoch, int8(disk), epoch
+		changed.phase, changed.epoch, changed.granted, changed.newest = collecting, epoch, diskSet(0).with(disk), base
+		changed.making, changed.respondents, changed.acks = modelView{}, 0, [maxChanges]diskSet{}
+		changed.reading, changed.ackedBeforeRead, changed.confirmedBy = false, 0, 0
+		changed.supports, changed.supporters, changed.leaseLapsed = 0, 0, false
+		next.candidacies[disk][epoch] = candidacy{active: true, base: base, log: changed.log, extended: changed.log}
 		add(next, "%s stands in %d", diskName(disk), epoch)
 	}
 }
@@ -34,30 +34,30 @@
 
 // beginAligning derives the new view, once a majority has promised.
 func (m *model) beginAligning(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	if d.newest.epoch >= d.epoch || !m.rules.quorum(d.newest, d.granted) || !m.maySucceed(d.newest, disk) {
+	current := &state.disks[disk]
+	if current.newest.epoch >= current.epoch || !m.rules.quorum(current.newest, current.granted) || !m.maySucceed(current.newest, disk) {
 		return
 	}
 	begin := func(members, previous diskSet, what string) {
 		next := *state
-		c := &next.disks[disk]
-		c.phase = aligning
-		c.making = modelView{epoch: d.epoch, primary: int8(disk), members: members, previous: previous}
-		c.respondents = diskSet(0).with(disk)
-		next.candidacies[disk][d.epoch].aligning = true
-		if previous != d.newest.previous && previous != 0 && !m.replacesLost(state, members, previous) {
+		changed := &next.disks[disk]
+		changed.phase = aligning
+		changed.making = modelView{epoch: current.epoch, primary: int8(disk), members: members, previous: previous}
+		changed.respondents = diskSet(0).with(disk)
+		next.candidacies[disk][current.epoch].aligning = true
+		if previous != current.newest.previous && previous != 0 && !m.replacesLost(state, members, previous) {
 			next.changes++
 		}
-		add(next, "%s aligns in %d%s", diskName(disk), d.epoch, what)
+		add(next, "%s aligns in %d%s", diskName(disk), current.epoch, what)
 	}
-	begin(d.newest.members, d.newest.previous, "")
-	if int(d.newest.primary) != disk {
+	begin(current.newest.members, current.newest.previous, "")
+	if int(current.newest.primary) != disk {
 		return
 	}
-	if d.newest.previous != 0 && d.newest == d.accepted {
-		begin(d.newest.members, 0, " without the former members")
+	if current.newest.previous != 0 && current.newest == current.accepted {
+		begin(current.newest.members, 0, " without the former members")
 	}
-	if m.rules.mayChangeMembers(d.newest) {
+	if m.rules.mayChangeMembers(current.newest) {
 		m.changeMembers(state, disk, begin)
 	}
 }
@@ -75,9 +75,9 @@
 
 // changeMembers derives views with other members.
 func (m *model) changeMembers(state *modelState, disk int, begin func(members, previous diskSet, what string)) {
-	d := &state.disks[disk]
-	members := d.newest.members
-	for _, learner := range d.learners.disks() {
+	current := &state.disks[disk]
+	members := current.newest.members
+	for _, learner := range current.learners.disks() {
 		if members.has(learner) {
 			continue
 		}
@@ -100,9 +100,9 @@
 
 // beginAccepting fixes the in-sync set, once enough disks are aligned.
 func (m *model) beginAccepting(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	view := d.making
-	view.inSync = m.rules.inSync(view, d.respondents)
+	current := &state.disks[disk]
+	view := current.making
+	view.inSync = m.rules.inSync(view, current.respondents)
 	if len(view.inSync.disks()) < view.view().minInSync(m.limits.replicationFactor) {
 		return
 	}
@@ -113,9 +113,9 @@
 		return
 	}
 	next := *state
-	c := &next.disks[disk]
-	c.phase, c.making, c.respondents = accepting, view, diskSet(0).with(disk)
-	c.accepted = view
+	changed := &next.disks[disk]
+	changed.phase, changed.making, changed.respondents = accepting, view, diskSet(0).with(disk)
+	changed.accepted = view
 	next.candidacies[disk][view.epoch].view = view
 	add(next, "%s accepts its view %d with %v in sync", diskName(disk), view.epoch, view.inSync.disks())
 }
@@ -126,23 +126,23 @@
 
 // enterView begins to lead, once a majority has accepted. The whole log is committed then.
 func (m *model) enterView(state *modelState, disk int, add addStep) {
-	d := &state.disks[disk]
-	if !m.rules.quorum(d.making, d.respondents) || d.promised != d.epoch {
+	current := &state.disks[disk]
+	if !m.rules.quorum(current.making, current.respondents) || current.promised != current.epoch {
 		return
 	}
 	next := *state
-	c := &next.disks[disk]
-	c.phase, c.acks = primary, [maxChanges]diskSet{}
-	c.leaseLapsed = false
-	for _, member := range d.respondents.without(disk).disks() {
+	changed := &next.disks[disk]
+	changed.phase, changed.acks = primary, [maxChanges]diskSet{}
+	changed.leaseLapsed = false
+	for _, member := range current.respondents.without(disk).disks() {
 		if m.limits.leases && int(state.disks[member].supports) == disk+1 {
-			c.supporters = c.supporters.with(member)
+			changed.supporters = changed.supporters.with(member)
 		}
 	}
-	c.leaseLapsed = m.limits.leases && !m.rules.leaseValid(c.making, disk, c.supporters)
-	next.led = max(next.led, c.epoch)
-	if c.log.len() > next.acked.len() && c.log.extends(next.acked) {
-		next.acked = c.log
+	changed.leaseLapsed = m.limits.leases && !m.rules.leaseValid(changed.making, disk, changed.supporters)
+	next.led = max(next.led, changed.epoch)
+	if changed.log.len() > next.acked.len() && changed.log.extends(next.acked) {
+		next.acked = changed.log
 	}
-	add(next, "%s leads in %d", diskName(disk), d.epoch)
+	add(next, "%s leads in %d", diskName(disk), current.epoch)
 }
