--- a/internal/controlplane/replication/member.go
+++ b/internal/controlplane/replication/member.go
@@ -8,9 +8,9 @@
 // Member is a process that takes part in the group. Its identity is its disk: a process that has lost its disk is
 // another member.
 type Member struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	DiskID  string `json:"diskId"`
+	Name    string `json:"name"`    // the machine's name
+	Address string `json:"address"` // address of its internal RPC server, "ip:port"
+	DiskID  string `json:"diskId"`  // drawn at random when the data directory was first used
 }
 
 // String returns the member's name and disk, for messages.
--- a/internal/controlplane/replication/view.go
+++ b/internal/controlplane/replication/view.go
@@ -4,7 +4,7 @@
 
 // View says which process leads the group and which disks hold every acknowledged change. Views are immutable.
 type View struct {
-	Epoch   uint64   `json:"epoch"`
+	Epoch   uint64   `json:"epoch"`   // higher than that of each earlier view; the fencing token of its primary
 	Primary string   `json:"primary"` // disk id
 	InSync  []string `json:"inSync"`  // disk ids, the primary's among them
 	Members []Member `json:"members"` // all of them are witnesses
