--- a/internal/delivery/doc.go
+++ b/internal/delivery/doc.go
@@ -6,12 +6,12 @@
 // A message takes these steps through an Engine:
 //
 //   - Submitted: Engine.Submit pushes an event; the event loop adds the message to the backlog (enqueue.go, backlog.go).
-//   - Due: the queue of its route holds it until its due time and its backoff are over (route_queue.go).
+//   - Due: it waits in the queue of its route until its due time has come and its backoff is over (route_queue.go).
 //   - Ordered: of the messages with one order key in one partition, only the first may go on (order_group.go).
-//   - Permitted: the partition gate is open and the owner of the messages may deliver, or the message is parked
-//     (partition_gate.go, parking.go).
 //   - Limited: the concurrency limit and the rate limiter of its service have capacity (service.go, concurrency_limit.go,
 //     token_bucket.go).
+//   - Permitted: its partition's gate is open and the owner allows deliveries of the partition; else the message is parked
+//     (partition_gate.go, parking.go).
 //   - Assigned: the decision module chooses an endpoint (decision_adapter.go, endpoint.go, endpoint_set.go).
 //   - Sent: an attempt makes the request and classifies the answer (attempt.go, attempt_result.go, transport.go).
 //   - Reported: the attempt's goroutine notifies the owner, which makes the result durable.
@@ -24,7 +24,8 @@
 // # Invariants
 //
 //   - Order: at most one message of an order key and partition is dispatched at any time, and the next follows after the
-//     end of the one before. If that was an attempt's, the owner has been notified of it by then.
+//     end of the one before. If that was an attempt's, the owner has been notified of it by then. After a release, this
+//     relies on the owner to submit the messages again by their sequence numbers.
 //   - Attempts: an answer 500 counts as one failure. The failure that reaches the route's limit ends the message; no other
 //     result is counted.
 //   - Rate: the attempts of a service keep to this store's part of its rate limit, with bursts of a few requests. An
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -117,6 +117,7 @@
 
 // Submit hands in a committed message of a partition that this store leads, and how often workers have answered 500 to it
 // so far.
+// After a Release, the messages of a partition that comes back are submitted again in the order of their sequence numbers.
 func (e *Engine) Submit(m *message.Message, failures int) {
 	e.events.push(submitted{m, failures, e.gates.generation(m.Partition)})
 }
--- a/internal/delivery/golden_scenarios_test.go
+++ b/internal/delivery/golden_scenarios_test.go
@@ -219,7 +219,8 @@
 		r.worker("i-1", "s", "10.0.1.1", succeed)
 		r.worker("i-2", "s", "10.0.1.2", succeed, answerWith(500))
 		fixed := r.worker("fixed", "t", "10.0.1.9", succeed, succeed, answerWith(503))
-		r.engine.SetConfiguration(table(r.t, version, []route{{name: "r", service: "s"}, {name: "q", service: "s"}, {name: "t", service: "t"}},
+		routes := []route{{name: "r", service: "s"}, {name: "q", service: "s"}, {name: "t", service: "t"}}
+		r.engine.SetConfiguration(table(r.t, version, routes,
 			[]service{{name: "s", maxConnections: 6}, {name: "t", static: fixed.listed.Address, maxConnections: 3}}))
 		r.listAll()
 		for i := range 90 {
--- a/internal/delivery/golden_trace_test.go
+++ b/internal/delivery/golden_trace_test.go
@@ -68,7 +68,12 @@
 }
 
 func newTrace(h *harness, name string) *trace {
-	recorded := &trace{harness: h, random: rand.New(rand.NewPCG(hashOf(name), 1)), tries: map[string]int{}, seen: map[string]int{}}
+	recorded := &trace{
+		harness: h,
+		random:  rand.New(rand.NewPCG(hashOf(name), 1)),
+		tries:   map[string]int{},
+		seen:    map[string]int{},
+	}
 	h.owner.observer = recorded
 	return recorded
 }
