--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -45,7 +45,7 @@
 type Group interface {
 	// Members lists the members as this process remembers them; none where it cannot be a member.
 	Members() []cluster.CoreMember
-	// Fresh tells whether this process is a member whose knowledge of the group may be passed on.
+	// UpToDate tells whether this process is a member whose knowledge of the group may be passed on.
 	UpToDate() bool
 	// Bootstrap makes the group. It is called only at processes that may be members.
 	Bootstrap(ctx context.Context, members []replication.Member) error
@@ -63,7 +63,7 @@
 	Logger       *zap.Logger
 }
 
-// foundRequest tells a process to make the control group of the given members.
+// bootstrapRequest tells a process to make the control group of the given members.
 type bootstrapRequest struct {
 	Members []replication.Member `json:"members"`
 }
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -46,13 +46,14 @@
 	return membership.CoreMembers(m.Role().View.Members)
 }
 
-// Fresh tells whether the state here may be passed on.
+// UpToDate tells whether this process's replica of the control state may be served to others.
 func (m *localMember) UpToDate() bool {
 	_, fresh := m.currentRole()
 	return fresh
 }
 
-// freshRole returns the role of this process in the group, and whether the state here may be passed on.
+// currentRole returns the role of this process in the group, and whether its replica of the control state may be served
+// to others.
 func (m *localMember) currentRole() (replication.Role, bool) {
 	role := m.Role()
 	return role, role.UpToDate && slices.Contains(role.View.InSync, m.diskID)
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -93,7 +93,8 @@
 	return controlstate.FindJob(b.jobs, replica.Store, replica.DiskID) != nil
 }
 
-// recent tells whether a replica's store surely outlived those that have been found dead now.
+// recent tells whether a replica's store has renewed its lease so lately that it cannot have failed together with the
+// stores that are found down now.
 func (b *Builder) recent(replica cluster.Replica) bool {
 	return b.alive(replica) && b.nodes[replica.Store].Recent
 }
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -69,7 +69,9 @@
 	return b.stayingReplicas(partition.Replicas) == b.ReplicationFactor
 }
 
-// promote makes sure that the first replica is alive. It returns false where no synced replica surely is.
+// promote moves a synced, live backup to the first place if the primary is down. It returns false if the group must not be
+// changed now: no replica may lead, or the primary may itself have failed with the stores just found down (see
+// lease.Status.Recent).
 func (b *Builder) promote(partition *cluster.Partition) bool {
 	primary, found := partition.Primary()
 	if !found {
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -78,7 +78,7 @@
 	return tick
 }
 
-// sharesWorkers tells whether many dispatchers share the workers, which tell who is full.
+// sharesWorkers tells whether many dispatchers share the workers, and the workers report their load.
 func sharesWorkers(settings *Settings) bool {
 	crossingCounts := settings.CrossZoneCost >= highCrossZoneCost
 	return reportsLoad(settings) && (settings.Dispatchers >= manyDispatchers || crossingCounts)
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,6 +1,6 @@
-// Package decision makes the decisions of a dispatcher that stands beside a submitter and pushes its jobs to
-// workers: which worker takes a job, whether a failed attempt is retried and where, and whether a job is let
-// in at all.
+// Package decision makes the decisions of a dispatcher that serves one submitter (a front of the dispatcher,
+// or a store's delivery engine) and pushes its jobs to workers: which worker takes a job, whether a failed
+// attempt is retried and where, and whether a job is admitted at all.
 //
 // A Dispatcher is a state machine without I/O. Its host tells it the time and one Event after the other
 // through Dispatcher.Handle and carries out the Actions that come back. It owns no goroutine, lock, clock or
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -5,7 +5,7 @@
 // Identifiers. They carry no meaning beyond identity.
 type (
 	WorkerID uint32 // a worker, unchanged when its process restarts
-	JobID    uint32 // one try of a client, never reused while it is open
+	JobID    uint32 // one request of a client, never reused while it is open
 )
 
 // EventKind tells which fields of an Event count.
@@ -63,7 +63,7 @@
 const (
 	OK            Outcome = iota + 1
 	Error                 // it may have run
-	Rejected              // turned away unseen: it never ran
+	Rejected              // rejected before it started: it never ran
 	TimedOut              // it may have run or may run still
 	ConnectFailed         // no connection: it never ran
 	Reset                 // connection lost: it may have run
@@ -87,7 +87,7 @@
 	Outcome  Outcome
 	Progress ProgressKind
 	JobEnded bool // the job has ended, with this outcome or before
-	Retry    bool // marked by the client as a repeat of an earlier try
+	Retry    bool // marked by the client as a retry of an earlier request
 	HasHint  bool
 	Job      JobID
 	Worker   WorkerID
@@ -95,7 +95,7 @@
 	Class    int
 	Tenant   int
 	Key      uint64        // jobs of one key go to few workers; 0 for none
-	Deadline time.Duration // when the client gives this try up
+	Deadline time.Duration // when the client stops waiting
 	Hint     time.Duration
 	Slots    float64 // how many of a worker's slots the job takes
 	Memory   float64
--- a/internal/decision/load_estimate.go
+++ b/internal/decision/load_estimate.go
@@ -54,7 +54,7 @@
 // peers; what was learned of one worker drifts back to it.
 type loadEstimator struct {
 	layout    LoadReportLayout
-	reported  bool // as reportsLoad tells: only then can waiting times be told
+	reported  bool // as reportsLoad tells: only then can waiting times be estimated
 	locality  locality
 	slowStart slowStart
 	times     *learnedTimes
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -125,7 +125,7 @@
 }
 
 // sendPending gives a slot that has just been freed to a waiting job that may go there: the one worth most
-// for its time where waiting times can be told, else the oldest.
+// for its time where workers report their load, else the oldest.
 func (d *Dispatcher) sendPending(worker *workerState) {
 	var next *jobState
 	for _, job := range d.jobs.open {
@@ -149,7 +149,7 @@
 	return d.load.reported && d.forecasts.density(job) > d.forecasts.density(older)
 }
 
-// handleClientLeft ends a job whose client has left. Where waiting times can be told its attempt is not
+// handleClientLeft ends a job whose client has left. Where workers report their load its attempt is not
 // cancelled: it works on and holds its slot there, and a cancel would only lose the connection and hide that.
 func (d *Dispatcher) handleClientLeft(job *jobState) {
 	job.pending = false
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -56,7 +56,7 @@
 }
 
 // mayWaitAtWorker tells whether workers without a free slot count for a job, too: at its last
-// chance, where waiting times can be told. A job beyond its tenant's share has no such chance
+// chance, where workers report their load. A job beyond its tenant's share has no such chance
 // where there are several pools.
 func (p *picker) mayWaitAtWorker(job *jobState, now time.Duration) bool {
 	waitingIsKnown := p.load.reported && !p.shared
@@ -165,7 +165,7 @@
 	return load
 }
 
-// searchKinds looks for a worker in the kinds of a pool, in their order. Where waiting times can be told the
+// searchKinds looks for a worker in the kinds of a pool, in their order. Where workers report their load the
 // best of all kinds is taken, else that of the first kind that has any.
 func (p *picker) searchKinds(kinds []int, candidates [][]*workerState, s search) *workerState {
 	if s.job.Key != 0 {
--- a/internal/messagestore/backup_lease.go
+++ b/internal/messagestore/backup_lease.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// recordLeaseGrants remembers until when a primary may count on a lease from this store, or others on one that the primary
-// itself waits for. The caller holds the lock.
+// recordLeaseGrants records until when another store may still deliver: the requesting primary by a lease that this store
+// grants now, or an earlier primary by a lease that the requesting one reports. The caller holds the lock.
 func (s *Store) recordLeaseGrants(request *protocol.ReplicateRequest, now time.Time) {
 	until := now.Add(time.Duration(request.LeaseGrantsMS) * time.Millisecond)
 	if request.WantsLease {
--- a/internal/messagestore/client/client.go
+++ b/internal/messagestore/client/client.go
@@ -5,7 +5,7 @@
 // that surely is not (message.ErrNotStored), and one whose fate is unknown.
 //
 // Invariants: once a message may have reached a store, its ID and partition stay, so that a store that has it already takes
-// a repeated put for the same message; ErrNotStored is returned only for messages that were never sent.
+// a repeated put for the same message; ErrNotStored is returned only for messages that no store was sent, or that every store rejected before logging them.
 //
 // The package starts no goroutines but the timers of a put that is out. Client.mu guards what is learnt of the stores and is
 // never held during a call. Start reading at Client.Put in put.go; routing.go picks partitions, health.go remembers which
--- a/internal/messagestore/commit.go
+++ b/internal/messagestore/commit.go
@@ -48,7 +48,8 @@
 	s.engine.Submit(write.entry.message, write.entry.failures)
 }
 
-// abort ends a write whose record this store's disk does not hold. The caller holds the lock.
+// abort fails a write that could not be synced to this store's disk. It may already be on backups, so for the client
+// its outcome is unknown. The caller holds the lock.
 func (s *Store) abort(p *partition, write *pendingWrite, err error) {
 	if !p.pending[write] {
 		return
--- a/internal/messagestore/control.go
+++ b/internal/messagestore/control.go
@@ -27,7 +27,7 @@
 	return s.options.Control.RequestPartitionChange(ctx, request)
 }
 
-// reportUnreachable tells the control plane of a store that can't be reached. refused tells that its process has ended.
+// reportUnreachable tells the control plane of a store that can't be reached. refused means that the connection was refused or reset.
 func (s *Store) reportUnreachable(store, address string, refused bool) {
 	if !s.isReportDue(store, time.Now()) {
 		return
--- a/internal/messagestore/entry.go
+++ b/internal/messagestore/entry.go
@@ -24,7 +24,7 @@
 // needsBody tells whether the body may still be asked for.
 func (e *entry) needsBody() bool { return e.message != nil && e.outcome.State != message.Completed }
 
-// positionOf returns where an entry's accepted record stands.
+// positionOf returns the position of an entry's accepted record.
 func (s *Store) positionOf(e *entry) wal.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/limits.go
+++ b/internal/messagestore/limits.go
@@ -5,7 +5,8 @@
 // Sequence numbers have the epoch in the upper half and a counter below.
 const (
 	epochShift = 32
-	// restartGap is left out of the counter after a start, for records that were lost with the power.
+	// restartGap is added to each partition's counter at a start, so that sequence numbers of records lost in a crash are
+	// not assigned again.
 	restartGap = 1 << 16
 )
 
@@ -18,7 +19,7 @@
 
 // Calls to other processes.
 const (
-	replicateTimeout  = 300 * time.Millisecond // after it another backup is requested: writes wait, clients leave soon
+	replicateTimeout  = 300 * time.Millisecond // of one call; after it the control plane is asked to replace the backup, since writes wait for it
 	inventoryTimeout  = time.Second
 	outcomeTimeout    = time.Second
 	controlTimeout    = time.Second
@@ -33,7 +34,7 @@
 	resyncTimeout       = 5 * time.Second
 	resyncRetryInterval = 200 * time.Millisecond
 	resyncGracePeriod   = 600 * time.Millisecond // a backup whose resync fails for longer is replaced
-	replacementDelay    = 50 * time.Millisecond  // before a backup that fails is replaced: others may have died with it
+	replacementDelay    = 50 * time.Millisecond  // before a failing backup is replaced, so that further stores that failed with it are known by then
 )
 
 // Handovers.
@@ -41,7 +42,7 @@
 	handoverPollInterval    = 10 * time.Millisecond  // between two looks for attempts that are out
 	preferredPrimaryTimeout = 2 * time.Second        // after it deliveries are taken up again
 	unknownOutcomeInterval  = 100 * time.Millisecond // between two requests while an outcome is unknown
-	unknownOutcomeTimeout   = 4 * time.Second        // after it a request whose outcome is unknown is not carried out any more
+	unknownOutcomeTimeout   = 4 * time.Second        // after this time the control plane can no longer execute a request whose outcome is unknown
 )
 
 // Maintenance.
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -62,7 +62,7 @@
 	return found
 }
 
-// apply takes a record into the index, at a replay as at a backup. The position is where the record stands in this store's log.
+// apply takes a record into the index, at a replay as at a backup. The position is that of the record in this store's log.
 func (p *partition) apply(r *record.Record, position wal.Position) {
 	p.epoch = max(p.epoch, r.Epoch)
 	switch r.Kind {
@@ -79,7 +79,7 @@
 	}
 }
 
-// applyAccepted adds a message. For one that is known the record is where its body stands from now on.
+// applyAccepted adds a message. For a known message it only updates the position of the body.
 func (p *partition) applyAccepted(r *record.Record, position wal.Position) {
 	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -139,7 +139,7 @@
 	r.callStarted = started
 }
 
-// isUnresponsive tells whether the backup has owed an answer for so long that nothing new should wait for it. The caller holds
+// isUnresponsive tells whether the backup has not answered the current call for so long that new messages should go to other partitions. The caller holds
 // the lock.
 func (r *replicator) isUnresponsive() bool {
 	return !r.callStarted.IsZero() && time.Since(r.callStarted) > unresponsiveAfter
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -14,7 +14,7 @@
 type resyncState struct {
 	running   bool
 	failed    bool      // a record was not taken while the resync was running
-	replace   bool      // the backup holds up writes: another store shall take its place
+	replace   bool      // writes wait for this backup: the control plane is asked to replace it
 	notBefore time.Time // of the next resync
 	since     time.Time // when the backup was first found lacking
 }
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -45,7 +45,7 @@
 	fences      sync.Map               // by partition ID: *deliveryFence
 	replicators map[string]*replicator // by disk ID
 	lastReports map[string]time.Time   // by store: when it was last reported
-	leaseGrants map[string]time.Time   // by store: until when it may count on a lease from a backup
+	leaseGrants map[string]time.Time   // by store: when the last lease that lets it deliver ends, as far as this store knows
 	cachedBytes int64                  // bytes of bodies in memory
 	wake        chan struct{}          // to maintain; holds one signal at the most
 	context     context.Context
--- a/internal/wal/atomic_file.go
+++ b/internal/wal/atomic_file.go
@@ -14,7 +14,7 @@
 // The layout of a file written by SaveFile: magic (8 bytes), format version (4), length of the data (8), CRC-32C over all
 // of these and the data (4), data. All integers are little-endian.
 const (
-	fileMagic       = "ivyfile\n"
+	fileMagic       = "ivyfile\n" // from the project's former name; it is on disk, so it never changes
 	fileHeaderSize  = 24
 	fileLengthStart = 12
 	fileCheckStart  = 20
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -10,7 +10,8 @@
 //
 //   - Once Sync has returned nil, every record appended before the call outlives a loss of power.
 //   - A replay hands over a prefix of the appended records: all durable ones, in order, and none behind a torn or corrupt
-//     one. Only the end of the last segment may be torn; anything else is ErrCorrupt.
+//     one. In the last segment the replay stops at the first torn or corrupt record and cuts off the rest; damage in an
+//     earlier segment is ErrCorrupt.
 //   - Segments have consecutive numbers. A segment's file is made only after the one before it is complete and synced.
 //   - A snapshot is durable before older snapshots are removed.
 //   - After an error of the disk other than a full one, the log takes nothing any more: what a failed sync has left on the
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -12,7 +12,7 @@
 //
 // All integers are little-endian.
 const (
-	segmentMagic      = "ivyfseg\n"
+	segmentMagic      = "ivyfseg\n" // from the project's former name; it is on disk, so it never changes
 	formatVersion     = 1
 	segmentHeaderSize = 24
 	recordHeaderSize  = 8
--- a/internal/wal/group_commit.go
+++ b/internal/wal/group_commit.go
@@ -229,7 +229,7 @@
 	}
 }
 
-// noteFailure draws the consequences of a failed sync.
+// noteFailure handles a failed sync: it schedules a retry if the disk is full, and fails the log for good at any other error.
 func (l *Log) noteFailure(err error) {
 	if !IsDiskFull(err) {
 		l.failure = err
