--- a/internal/dispatcher/planner/breaks.go
+++ b/internal/dispatcher/planner/breaks.go
@@ -34,8 +34,8 @@
 // most relief is what broke.
 func (p *Planner) FindBreakingPoint() (*BreakingPoint, error) {
 	out := &BreakingPoint{}
-	f := p.usual(false)
-	now, err := p.evaluate(f, p.times(1))
+	f := p.baseFleet(false)
+	now, err := p.evaluate(f, p.scaledLoad(1))
 	if err != nil {
 		return out, err
 	}
@@ -47,8 +47,8 @@
 				out.HoldsAtFactor = low
 				return out, nil
 			}
-			p.note("what breaks first: %.2f times the load", high)
-			e, err := p.evaluate(f, p.times(high))
+			p.reportProgress("what breaks first: %.2f times the load", high)
+			e, err := p.evaluate(f, p.scaledLoad(high))
 			if err != nil {
 				out.HoldsAtFactor = low
 				return out, err
@@ -60,8 +60,8 @@
 	}
 	for steps := 0; high-low > 0.02*high && steps < 12; steps++ {
 		middle := (low + high) / 2
-		p.note("what breaks first: %.2f times the load", middle)
-		e, err := p.evaluate(f, p.times(middle))
+		p.reportProgress("what breaks first: %.2f times the load", middle)
+		e, err := p.evaluate(f, p.scaledLoad(middle))
 		if err != nil {
 			out.HoldsAtFactor, out.BreaksAtFactor = low, high
 			return out, err
@@ -74,14 +74,14 @@
 	}
 	out.HoldsAtFactor, out.BreaksAtFactor = low, high
 	// A little beyond, lest chance decide; where the goal breaks already, right here.
-	at := p.times(max(high*1.1, 1))
+	at := p.scaledLoad(max(high*1.1, 1))
 	e, err := p.evaluate(f, at)
 	if err != nil {
 		return out, err
 	}
 	out.Failing = slices.DeleteFunc(slices.Clone(e.findings), func(f Finding) bool { return f.Holds })
-	out.Utilization = e.busy
-	if out.LimitEffects, err = p.reliefs(f, at, e.slack); err != nil {
+	out.Utilization = e.utilization
+	if out.LimitEffects, err = p.limitEffects(f, at, e.slack); err != nil {
 		return out, err
 	}
 	out.FirstLimit = out.LimitEffects[0].Resource
@@ -91,7 +91,7 @@
 	return out, nil
 }
 
-func busy(f *fleetsim.Fleet, days []*fleetsim.Result) (out []string) {
+func describeUtilization(f *fleetsim.Fleet, days []*fleetsim.Result) (out []string) {
 	for i, k := range f.Kinds {
 		sum, full := 0.0, 0
 		for _, r := range days {
@@ -106,7 +106,7 @@
 }
 
 // lifts are the limits that can be lifted one at a time.
-func lifts(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
+func liftableLimits(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
 	kinds := func(change func(*fleetsim.Kind)) func(*fleetsim.Fleet, *fleetsim.Load) {
 		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.Kinds = slices.Clone(f.Kinds)
@@ -147,12 +147,12 @@
 		"the age of load reports": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
 			f.ReportIntervalSeconds, f.ReportDelaySeconds = fleetsim.Range{0.02, 0.02}, fleetsim.Range{1e-3, 1e-3}
 		},
-		"the pools of universities by label": onePool,
+		"the pools of universities by label": removeTenantPools,
 	}
 }
 
 // onePool takes the labels away: without a share no university gets a pool of its own. The load keeps its mix.
-func onePool(f *fleetsim.Fleet, l *fleetsim.Load) {
+func removeTenantPools(f *fleetsim.Fleet, l *fleetsim.Load) {
 	mixed := len(l.Tenants) > 0
 	f.Tenants = slices.Clone(f.Tenants)
 	for i := range f.Tenants {
@@ -164,10 +164,10 @@
 	}
 }
 
-func (p *Planner) reliefs(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
-	all := lifts(f)
+func (p *Planner) limitEffects(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
+	all := liftableLimits(f)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		p.note("what gives relief: %s", name)
+		p.reportProgress("what gives relief: %s", name)
 		lf, ll := *f, *l
 		all[name](&lf, &ll)
 		e, err := p.evaluate(&lf, &ll)
--- a/internal/dispatcher/planner/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -28,17 +28,17 @@
 	Warnings      []string       `json:"warnings"`
 	PeakPerSecond float64        `json:"peak"` // most jobs in a second, repeats left out
 
-	speed       map[string]fleetsim.Range
-	slots       map[string]int
-	queue       map[string]int
-	same, cross float64 // milliseconds one way
-	ways        map[way]float64
+	kindSpeed               map[string]fleetsim.Range
+	kindSlots               map[string]int
+	kindQueue               map[string]int
+	sameZoneMs, crossZoneMs float64 // milliseconds one way
+	pathMs                  map[path]float64
 }
 
 func (x *Fit) warn(format string, v ...any) {
 	x.Warnings = append(x.Warnings, fmt.Sprintf(format, v...))
 }
-func (x *Fit) figure(name string, value, reach float64, rows int) {
+func (x *Fit) addFigure(name string, value, reach float64, rows int) {
 	x.Figures = append(x.Figures, Figure{name, value, reach, rows})
 }
 
@@ -47,17 +47,17 @@
 	if len(s.Requests) == 0 {
 		return nil, errors.New("the captures hold no tries")
 	}
-	x := &Fit{Load: &fleetsim.Load{Factor: 1}, speed: map[string]fleetsim.Range{}, slots: map[string]int{}, queue: map[string]int{}, ways: map[way]float64{}}
+	x := &Fit{Load: &fleetsim.Load{Factor: 1}, kindSpeed: map[string]fleetsim.Range{}, kindSlots: map[string]int{}, kindQueue: map[string]int{}, pathMs: map[path]float64{}}
 	x.Warnings = append(x.Warnings, s.Warnings...)
 	if s.DroppedRows > 0 {
 		x.warn("%d rows could not be kept by the recorders: rates are that much too low", s.DroppedRows)
 	}
-	x.clocks(s.Requests)
-	x.arrivals(s.Requests, f)
-	x.running(s.Attempts, f)
-	x.hops(s.Attempts)
-	x.room(s.Attempts)
-	x.repeats(s.Requests)
+	x.checkClocks(s.Requests)
+	x.fitArrivals(s.Requests, f)
+	x.fitRunTimes(s.Attempts, f)
+	x.fitNetwork(s.Attempts)
+	x.fitCapacity(s.Attempts)
+	x.fitRetries(s.Requests)
 	return x, nil
 }
 
@@ -67,17 +67,17 @@
 	out.Kinds = slices.Clone(f.Kinds)
 	for i := range out.Kinds {
 		k := &out.Kinds[i]
-		if r, ok := x.speed[k.Name]; ok && k.Speed == (fleetsim.Range{}) {
+		if r, ok := x.kindSpeed[k.Name]; ok && k.Speed == (fleetsim.Range{}) {
 			k.Speed = r
 		}
-		if n := x.slots[k.Name]; n > 0 && k.Slots == 0 {
+		if n := x.kindSlots[k.Name]; n > 0 && k.Slots == 0 {
 			k.Slots = n
 		}
-		if n := x.queue[k.Name]; n > 0 && k.Queue == 0 {
+		if n := x.kindQueue[k.Name]; n > 0 && k.Queue == 0 {
 			k.Queue = n
 		}
 	}
-	out.SameZoneMs, out.CrossZoneMs = cmp.Or(f.SameZoneMs, x.same), cmp.Or(f.CrossZoneMs, x.cross)
+	out.SameZoneMs, out.CrossZoneMs = cmp.Or(f.SameZoneMs, x.sameZoneMs), cmp.Or(f.CrossZoneMs, x.crossZoneMs)
 	return &out
 }
 
@@ -97,7 +97,7 @@
 }
 
 // clocks looks for steps of the calendar and for captures that do not lie side by side.
-func (x *Fit) clocks(tries []capture.Request) {
+func (x *Fit) checkClocks(tries []capture.Request) {
 	type process struct {
 		node string
 		boot int64
--- a/internal/dispatcher/planner/fit_arrivals.go
+++ b/internal/dispatcher/planner/fit_arrivals.go
@@ -16,7 +16,7 @@
 )
 
 // arrivals fits rates, mixes and bursts.
-func (x *Fit) arrivals(tries []capture.Request, f *fleetsim.Fleet) {
+func (x *Fit) fitArrivals(tries []capture.Request, f *fleetsim.Fleet) {
 	first, last := tries[0].Arrived, tries[len(tries)-1].Arrived
 	seconds := max(float64(last-first)/1e9, 1)
 	width := max(seconds/120, 1)
@@ -128,10 +128,10 @@
 				chi += (n - rate*width) * (n - rate*width) / max(rate*width, 1e-9)
 			}
 		}
-		x.figure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, 1.96*math.Sqrt(s.n)/max(s.to-s.from, 1e-9), int(s.n))
+		x.addFigure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, 1.96*math.Sqrt(s.n)/max(s.to-s.from, 1e-9), int(s.n))
 	}
 	if free := bins - 1 - len(segments); free > 0 {
-		x.figure("variance of arrivals over that of chance", chi/float64(free), 1.96*math.Sqrt(2/float64(free)), bins)
+		x.addFigure("variance of arrivals over that of chance", chi/float64(free), 1.96*math.Sqrt(2/float64(free)), bins)
 		if chi/float64(free) > 1+4*math.Sqrt(2/float64(free)) {
 			x.warn("arrivals are burstier than the fitted rates (%.1f times the variance of chance): plans come out too well", chi/float64(free))
 		}
@@ -140,18 +140,18 @@
 		n := classes[c.Name]
 		share := float64(n) / float64(all)
 		x.Load.Classes = append(x.Load.Classes, fleetsim.ClassLoad{Name: c.Name, Share: share})
-		x.figure("share of "+c.Name, share, 1.96*math.Sqrt(share*(1-share)/float64(all)), n)
+		x.addFigure("share of "+c.Name, share, 1.96*math.Sqrt(share*(1-share)/float64(all)), n)
 		delete(classes, c.Name)
 	}
 	for _, c := range slices.Sorted(maps.Keys(classes)) {
 		x.warn("%d jobs are of class %q, which the fleet does not have: they are left out", classes[c], c)
 	}
 	for _, u := range names {
-		if universityOf(f, u) < 0 {
+		if tenantIndex(f, u) < 0 {
 			x.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(by[u], nil)*float64(bins), u)
 		} else if parts[u] > 0 {
 			x.Load.Tenants = append(x.Load.Tenants, fleetsim.TenantLoad{Name: u, Share: parts[u] / float64(all)})
 		}
 	}
-	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return universityOf(f, b.Tenant) < 0 })
+	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return tenantIndex(f, b.Tenant) < 0 })
 }
--- a/internal/dispatcher/planner/fit_clients.go
+++ b/internal/dispatcher/planner/fit_clients.go
@@ -13,7 +13,7 @@
 )
 
 // repeats fits what clients do after a refusal or a failure.
-func (x *Fit) repeats(tries []capture.Request) {
+func (x *Fit) fitRetries(tries []capture.Request) {
 	type who struct {
 		university string
 		subject    uint64
@@ -55,12 +55,12 @@
 	case repeats > 0:
 		r.Max = max(int(math.Round(float64(repeats)/float64(bad))), 1)
 	}
-	x.figure("repeats for a first try that was refused or failed", float64(repeats)/float64(bad), 1.96*math.Sqrt(float64(repeats))/float64(bad), bad)
+	x.addFigure("repeats for a first try that was refused or failed", float64(repeats)/float64(bad), 1.96*math.Sqrt(float64(repeats))/float64(bad), bad)
 	if len(waits) >= 10 {
 		sort.Float64s(waits)
 		r.WaitMs = stat.Quantile(0.5, stat.Empirical, waits, nil)
 		r.HonourRetryAfter = honoured*2 > told
-		x.figure("wait before a repeat, ms", r.WaitMs, -1, len(waits))
+		x.addFigure("wait before a repeat, ms", r.WaitMs, -1, len(waits))
 	} else if repeats > 0 {
 		x.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
 		r.WaitMs, r.HonourRetryAfter = 50, true
--- a/internal/dispatcher/planner/fit_machines.go
+++ b/internal/dispatcher/planner/fit_machines.go
@@ -17,10 +17,10 @@
 )
 
 // way is from a dispatcher to a zone.
-type way struct{ node, zone string }
+type path struct{ node, zone string }
 
 // running fits a class's running time and each kind's speed: the logarithm of a time is the class's less the worker's.
-func (x *Fit) running(attempts []capture.Attempt, f *fleetsim.Fleet) {
+func (x *Fit) fitRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) {
 	type row struct {
 		class  int
 		worker string
@@ -30,7 +30,7 @@
 	kind := map[string]string{}
 	per := map[string]int{}
 	for _, a := range attempts {
-		c := classOf(f, a.Class)
+		c := classIndex(f, a.Class)
 		if a.Outcome != "ok" || a.Started < 0 || a.Ended <= a.Started || c < 0 {
 			continue
 		}
@@ -103,14 +103,14 @@
 			x.Load.Classes[at].WorkMs, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(dev*dev)-1)
 		}
 		n := float64(len(left))
-		x.figure("work of "+f.Classes[c].Name+", ms", mean, 1.96*mean*math.Sqrt(dev*dev/n+dev*dev*dev*dev/(2*n)), len(left))
+		x.addFigure("work of "+f.Classes[c].Name+", ms", mean, 1.96*mean*math.Sqrt(dev*dev/n+dev*dev*dev*dev/(2*n)), len(left))
 		// Kolmogorov and Smirnov's distance to the lognormal.
 		normal, far := distuv.Normal{Mu: 0, Sigma: dev}, 0.0
 		for i, v := range left {
 			p := normal.CDF(v)
 			far = max(far, math.Abs(p-float64(i)/n), math.Abs(p-float64(i+1)/n))
 		}
-		x.figure("distance of "+f.Classes[c].Name+"'s work to the lognormal", far, 1.36/math.Sqrt(n), len(left))
+		x.addFigure("distance of "+f.Classes[c].Name+"'s work to the lognormal", far, 1.36/math.Sqrt(n), len(left))
 		if far > 0.1 {
 			x.warn("running times of %s are no lognormal (distance %.2f)", f.Classes[c].Name, far)
 		}
@@ -130,8 +130,8 @@
 		} else {
 			x.warn("one machine of %s was seen: how they differ is not known", k)
 		}
-		x.speed[k] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
-		x.figure("speed of "+k, math.Exp(mean), 1.96*math.Exp(mean)*math.Sqrt(noise/float64(len(all))+between*between/float64(len(all))), jobs)
+		x.kindSpeed[k] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
+		x.addFigure("speed of "+k, math.Exp(mean), 1.96*math.Exp(mean)*math.Sqrt(noise/float64(len(all))+between*between/float64(len(all))), jobs)
 	}
 	for _, k := range f.Kinds {
 		if len(of[k.Name]) == 0 && k.Speed[0] == 0 {
@@ -141,7 +141,7 @@
 }
 
 // room fits slots by the jobs that ran together, and waiting rooms by those that lay there when one was turned away.
-func (x *Fit) room(attempts []capture.Attempt) {
+func (x *Fit) fitCapacity(attempts []capture.Attempt) {
 	type edge struct {
 		at int64
 		by int
@@ -154,12 +154,12 @@
 	for _, a := range attempts {
 		kind[a.Worker] = a.Kind
 		if a.Started >= 0 && a.Ended > a.Started+crossing {
-			seen := a.Sent - int64(x.ways[way{a.Node, a.Zone}]*1e6)
+			seen := a.Sent - int64(x.pathMs[path{a.Node, a.Zone}]*1e6)
 			edges[a.Worker] = append(edges[a.Worker], edge{seen + a.Started + crossing, 1}, edge{seen + a.Ended, -1})
 		}
 		if a.Outcome == "full" {
 			full++
-			x.queue[a.Kind] = max(x.queue[a.Kind], int(a.Queue))
+			x.kindQueue[a.Kind] = max(x.kindQueue[a.Kind], int(a.Queue))
 		}
 	}
 	for _, w := range slices.Sorted(maps.Keys(edges)) {
@@ -180,13 +180,13 @@
 		}
 		for l := len(e); l > 0; l-- {
 			if above += span[l]; float64(above) > 0.002*float64(total) {
-				x.slots[kind[w]] = max(x.slots[kind[w]], l)
+				x.kindSlots[kind[w]] = max(x.kindSlots[kind[w]], l)
 				break
 			}
 		}
 	}
-	for _, k := range slices.Sorted(maps.Keys(x.slots)) {
-		x.figure("slots of "+k+", at least", float64(x.slots[k]), -1, 0)
+	for _, k := range slices.Sorted(maps.Keys(x.kindSlots)) {
+		x.addFigure("slots of "+k+", at least", float64(x.kindSlots[k]), -1, 0)
 	}
 	if full == 0 {
 		x.warn("no job met a full worker: waiting rooms are not known, and slots only where all were seen at work")
@@ -194,11 +194,11 @@
 }
 
 // hops fits the time one way: a start that comes at once is there and back.
-func (x *Fit) hops(attempts []capture.Attempt) {
-	all := map[way][]float64{}
+func (x *Fit) fitNetwork(attempts []capture.Attempt) {
+	all := map[path][]float64{}
 	for _, a := range attempts {
 		if a.Started >= 0 {
-			all[way{a.Node, a.Zone}] = append(all[way{a.Node, a.Zone}], float64(a.Started)/2e6)
+			all[path{a.Node, a.Zone}] = append(all[path{a.Node, a.Zone}], float64(a.Started)/2e6)
 		}
 	}
 	near, far := map[string]float64{}, map[string][]float64{}
@@ -210,7 +210,7 @@
 		rows += len(v)
 		sort.Float64s(v)
 		q := stat.Quantile(0.25, stat.Empirical, v, nil)
-		x.ways[w] = q
+		x.pathMs[w] = q
 		far[w.node] = append(far[w.node], q)
 		if n, ok := near[w.node]; !ok || q < n {
 			near[w.node] = q
@@ -226,11 +226,11 @@
 		}
 	}
 	if len(same) > 0 {
-		x.same = stat.Mean(same, nil)
-		x.figure("one way within a zone, ms", x.same, -1, rows)
+		x.sameZoneMs = stat.Mean(same, nil)
+		x.addFigure("one way within a zone, ms", x.sameZoneMs, -1, rows)
 	}
 	if len(cross) > 0 {
-		x.cross = stat.Mean(cross, nil)
-		x.figure("one way between zones, ms", x.cross, -1, rows)
+		x.crossZoneMs = stat.Mean(cross, nil)
+		x.addFigure("one way between zones, ms", x.crossZoneMs, -1, rows)
 	}
 }
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -52,14 +52,14 @@
 }
 
 var (
-	words = lexer.MustSimple([]lexer.SimpleRule{
+	goalLexer = lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Ident", Pattern: `[A-Za-z_][A-Za-z0-9_.-]*`},
 		{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?`},
 		{Name: "Op", Pattern: `>=|<=`},
 		{Name: "Mark", Pattern: `[()%;]`},
 		{Name: "space", Pattern: `\s+`},
 	})
-	grammar = participle.MustBuild[Goal](participle.Lexer(words), participle.UseLookahead(2))
+	goalParser = participle.MustBuild[Goal](participle.Lexer(goalLexer), participle.UseLookahead(2))
 )
 
 // measures are what can be tested, and whether a class or university may be named.
@@ -67,11 +67,11 @@
 
 // ParseGoal reads a goal. Errors give the column.
 func ParseGoal(text string) (*Goal, error) {
-	g, err := grammar.ParseString("goal", text)
+	g, err := goalParser.ParseString("goal", text)
 	if err != nil {
 		var at participle.Error
 		if errors.As(err, &at) {
-			return nil, fault(at.Position(), "%s", at.Message())
+			return nil, goalErrorf(at.Position(), "%s", at.Message())
 		}
 		return nil, err
 	}
@@ -80,22 +80,22 @@
 			of, ok := measures[t.Measure]
 			switch {
 			case !ok:
-				return nil, fault(t.Pos, "%q is no measure; there are service, late, lost, in_time, score and worst10", t.Measure)
+				return nil, goalErrorf(t.Pos, "%q is no measure; there are service, late, lost, in_time, score and worst10", t.Measure)
 			case !of && t.Subject != "":
-				return nil, fault(t.Pos, "%s is of the whole day, not of %s", t.Measure, t.Subject)
+				return nil, goalErrorf(t.Pos, "%s is of the whole day, not of %s", t.Measure, t.Subject)
 			}
 			if t.Percent {
 				t.Bound /= 100
 			}
 			if t.Bound > 1 {
-				return nil, fault(t.Pos, "%v is more than all", t.Bound)
+				return nil, goalErrorf(t.Pos, "%v is more than all", t.Bound)
 			}
 		}
 	}
 	return g, nil
 }
 
-func fault(at lexer.Position, format string, v ...any) error {
+func goalErrorf(at lexer.Position, format string, v ...any) error {
 	return fmt.Errorf("goal, line %d, column %d: %s", at.Line, at.Column, fmt.Sprintf(format, v...))
 }
 
@@ -103,38 +103,38 @@
 func (g *Goal) Check(f *fleetsim.Fleet) error {
 	for _, c := range g.Clauses {
 		for _, t := range c.Tests {
-			if t.Subject != "" && classOf(f, t.Subject) < 0 && universityOf(f, t.Subject) < 0 {
-				return fault(t.Pos, "%q is neither a class nor a university of the fleet", t.Subject)
+			if t.Subject != "" && classIndex(f, t.Subject) < 0 && tenantIndex(f, t.Subject) < 0 {
+				return goalErrorf(t.Pos, "%q is neither a class nor a university of the fleet", t.Subject)
 			}
 		}
 		for _, w := range c.Conditions {
 			switch {
 			case w.LostZone != "" && !slices.Contains(f.Zones, w.LostZone):
-				return fault(w.Pos, "there is no zone %q; there are %s", w.LostZone, strings.Join(f.Zones, ", "))
-			case w.LoadTarget != "" && w.LoadTarget != "load" && universityOf(f, w.LoadTarget) < 0:
-				return fault(w.Pos, "%q is neither load nor a university of the fleet", w.LoadTarget)
+				return goalErrorf(w.Pos, "there is no zone %q; there are %s", w.LostZone, strings.Join(f.Zones, ", "))
+			case w.LoadTarget != "" && w.LoadTarget != "load" && tenantIndex(f, w.LoadTarget) < 0:
+				return goalErrorf(w.Pos, "%q is neither load nor a university of the fleet", w.LoadTarget)
 			case w.DeadPercent > 100 || w.SharedPercent > 100:
-				return fault(w.Pos, "more than all workers")
+				return goalErrorf(w.Pos, "more than all workers")
 			}
 		}
 	}
 	return nil
 }
 
-func classOf(f *fleetsim.Fleet, name string) int {
+func classIndex(f *fleetsim.Fleet, name string) int {
 	return slices.IndexFunc(f.Classes, func(c fleetsim.Class) bool { return c.Name == name })
 }
 
-func universityOf(f *fleetsim.Fleet, name string) int {
+func tenantIndex(f *fleetsim.Fleet, name string) int {
 	return slices.IndexFunc(f.Tenants, func(u fleetsim.Tenant) bool { return u.Name == name })
 }
 
 // of measures a day. Of a day without such jobs every measure is perfect.
-func (t *Test) of(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
+func (t *Test) measure(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	tally := &r.Total
-	if i := classOf(f, t.Subject); i >= 0 {
+	if i := classIndex(f, t.Subject); i >= 0 {
 		tally = &r.Classes[i]
-	} else if i := universityOf(f, t.Subject); i >= 0 {
+	} else if i := tenantIndex(f, t.Subject); i >= 0 {
 		tally = &r.Tenants[i]
 	}
 	jobs := float64(max(tally.Jobs, 1))
@@ -159,9 +159,9 @@
 // slack is how far a day lies on the good side of the bound, below zero if on the bad one.
 func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	if t.Operator == ">=" {
-		return t.of(f, r) - t.Bound
+		return t.measure(f, r) - t.Bound
 	}
-	return t.Bound - t.of(f, r)
+	return t.Bound - t.measure(f, r)
 }
 
 // String returns the goal as it is written on the command line.
@@ -174,7 +174,7 @@
 }
 
 // when is the time that a condition lasts: a third of the day, from its first third on, where nothing else is said.
-func (c *Condition) when(l *fleetsim.Load) (at, span float64) {
+func (c *Condition) period(l *fleetsim.Load) (at, span float64) {
 	if c.ForSeconds > 0 {
 		return c.AtSeconds, c.ForSeconds
 	}
@@ -186,7 +186,7 @@
 	f.Faults, l.Bursts = slices.Clone(f.Faults), slices.Clone(l.Bursts)
 	l.Factor = cmp.Or(l.Factor, 1)
 	for _, w := range c.Conditions {
-		at, span := w.when(&l)
+		at, span := w.period(&l)
 		switch {
 		case w.LostZone != "":
 			f.Faults = append(f.Faults, fleetsim.Fault{Type: "zone_lost", Zone: w.LostZone, StartSeconds: at, DurationSeconds: span})
--- a/internal/dispatcher/planner/losses.go
+++ b/internal/dispatcher/planner/losses.go
@@ -20,21 +20,21 @@
 // ZoneLosses tells what losing each zone costs: the same days with and without, and the difference.
 func (p *Planner) ZoneLosses() (out []ZoneLoss, err error) {
 	for _, spares := range []bool{false, true} {
-		f := p.usual(spares)
-		if spares && len(f.Workers) == len(p.usual(false).Workers) {
+		f := p.baseFleet(spares)
+		if spares && len(f.Workers) == len(p.baseFleet(false).Workers) {
 			break
 		}
-		l := p.times(1)
-		whole, err := p.play(f, l, 0, p.Options.MaxDays)
+		l := p.scaledLoad(1)
+		whole, err := p.simulateDays(f, l, 0, p.Options.MaxDays)
 		if err != nil {
 			return out, err
 		}
 		for _, zone := range f.Zones {
-			p.note("what a zone costs: %s", zone)
+			p.reportProgress("what a zone costs: %s", zone)
 			c := Clause{Conditions: []*Condition{{LostZone: zone}}}
 			lf, ll := c.apply(*f, *l)
-			at, span := c.Conditions[0].when(ll)
-			lost, err := p.play(lf, ll, 0, p.Options.MaxDays)
+			at, span := c.Conditions[0].period(ll)
+			lost, err := p.simulateDays(lf, ll, 0, p.Options.MaxDays)
 			if err != nil {
 				return out, err
 			}
--- a/internal/dispatcher/planner/needs.go
+++ b/internal/dispatcher/planner/needs.go
@@ -33,7 +33,7 @@
 }
 
 // prices are what a machine of each kind costs.
-func prices(f *fleetsim.Fleet) map[string]float64 {
+func kindCosts(f *fleetsim.Fleet) map[string]float64 {
 	of := map[string]float64{}
 	for _, k := range f.Kinds {
 		of[k.Name] = cmp.Or(k.Cost, 1)
@@ -41,17 +41,17 @@
 	return of
 }
 
-func cost(f *fleetsim.Fleet) (workers int, cost float64) {
-	of := prices(f)
+func fleetCost(f *fleetsim.Fleet) (workers int, fleetCost float64) {
+	of := kindCosts(f)
 	for _, g := range f.Workers {
 		workers += g.Count
-		cost += float64(g.Count) * of[g.Kind]
+		fleetCost += float64(g.Count) * of[g.Kind]
 	}
-	return workers, cost
+	return workers, fleetCost
 }
 
 // scaled is a fleet of some times the workers, each group rounded up.
-func scaled(f *fleetsim.Fleet, x float64) *fleetsim.Fleet {
+func scaledFleet(f *fleetsim.Fleet, x float64) *fleetsim.Fleet {
 	out := *f
 	out.Workers = slices.Clone(f.Workers)
 	for i := range out.Workers {
@@ -64,13 +64,13 @@
 // machine downwards, the dearest first, and exchanges of one kind for another in a zone.
 func (p *Planner) FindSizing() (*Sizing, error) {
 	out := &Sizing{Limits: map[string]int{}}
-	base := p.usual(true)
-	_, out.CostNow = cost(p.usual(false))
+	base := p.baseFleet(true)
+	_, out.CostNow = fleetCost(p.baseFleet(false))
 	try := func(f *fleetsim.Fleet) (*evaluation, error) {
-		n, c := cost(f)
-		p.note("how many: %d workers at a cost of %.4g", n, c)
+		n, c := fleetCost(f)
+		p.reportProgress("how many: %d workers at a cost of %.4g", n, c)
 		before := len(p.cache)
-		e, err := p.evaluate(f, p.times(1))
+		e, err := p.evaluate(f, p.scaledLoad(1))
 		if err == nil && len(p.cache) > before {
 			out.Fleets++
 			out.Curve = append(out.Curve, Sample{n, c, e.score, e.holds})
@@ -88,12 +88,12 @@
 				out.Workers = append(out.Workers, fleetsim.WorkerGroup{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
 			}
 		}
-		out.Count, out.Cost = cost(f)
+		out.Count, out.Cost = fleetCost(f)
 	}
 	low, high := 0.0, 1.0
 	var best *fleetsim.Fleet
 	for {
-		f := scaled(base, high)
+		f := scaledFleet(base, high)
 		e, err := try(f)
 		if err != nil {
 			return out, err
@@ -105,7 +105,7 @@
 		}
 		if low, high = high, high*1.6; high > p.MaxFactor {
 			out.Findings = e.findings
-			if out.LimitEffects, err = p.reliefs(f, p.times(1), e.slack); err != nil {
+			if out.LimitEffects, err = p.limitEffects(f, p.scaledLoad(1), e.slack); err != nil {
 				return out, err
 			}
 			return out, nil
@@ -113,7 +113,7 @@
 	}
 	for steps := 0; high-low > 0.04*high && steps < 8; steps++ {
 		middle := (low + high) / 2
-		f := scaled(base, middle)
+		f := scaledFleet(base, middle)
 		e, err := try(f)
 		if err != nil {
 			return out, err
@@ -125,12 +125,12 @@
 			low = middle
 		}
 	}
-	price := prices(base)
+	price := kindCosts(base)
 	for better := true; better; {
 		better = false
-		_, now := cost(best)
-		for _, f := range neighbours(best, price) {
-			if _, c := cost(f); c >= now-1e-9 {
+		_, now := fleetCost(best)
+		for _, f := range cheaperFleets(best, price) {
+			if _, c := fleetCost(f); c >= now-1e-9 {
 				continue
 			}
 			e, err := try(f)
@@ -144,11 +144,11 @@
 			}
 		}
 	}
-	return out, p.limits(best, out)
+	return out, p.findLimits(best, out)
 }
 
 // neighbours are fleets a step cheaper, the cheapest first: a machine less, or one kind for another in a zone.
-func neighbours(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
+func cheaperFleets(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
 	with := func(change func([]fleetsim.WorkerGroup)) {
 		n := *f
 		n.Workers = slices.Clone(f.Workers)
@@ -167,15 +167,15 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b *fleetsim.Fleet) int {
-		_, x := cost(a)
-		_, y := cost(b)
+		_, x := fleetCost(a)
+		_, y := fleetCost(b)
 		return cmp.Compare(x, y)
 	})
 	return out
 }
 
 // limits finds the least open jobs, worker connections and attempts with which the goal still holds.
-func (p *Planner) limits(f *fleetsim.Fleet, out *Sizing) error {
+func (p *Planner) findLimits(f *fleetsim.Fleet, out *Sizing) error {
 	for _, limit := range []struct {
 		name string
 		most int
@@ -199,8 +199,8 @@
 			lf := *f
 			lf.Dispatchers = slices.Clone(f.Dispatchers)
 			limit.set(&lf, middle)
-			p.note("which limits: %s %d", limit.name, middle)
-			e, err := p.evaluate(&lf, p.times(1))
+			p.reportProgress("which limits: %s %d", limit.name, middle)
+			e, err := p.evaluate(&lf, p.scaledLoad(1))
 			if err != nil {
 				return err
 			}
--- a/internal/dispatcher/planner/plan.go
+++ b/internal/dispatcher/planner/plan.go
@@ -35,7 +35,7 @@
 // ErrStopped is what a search that was ended early comes back with.
 var ErrStopped = errors.New("stopped")
 
-const batch = 4
+const daysPerBatch = 4
 
 // Planner searches for one fleet, load and goal.
 type Planner struct {
@@ -43,8 +43,8 @@
 	Load  *fleetsim.Load
 	Goal  *Goal
 	Options
-	days  atomic.Int64
-	cache map[string]*evaluation // by description
+	daysPlayed atomic.Int64
+	cache      map[string]*evaluation // by description
 }
 
 // New checks what belongs together.
@@ -65,12 +65,12 @@
 }
 
 // DaysPlayed is how many days have been played so far.
-func (p *Planner) DaysPlayed() int { return int(p.days.Load()) }
+func (p *Planner) DaysPlayed() int { return int(p.daysPlayed.Load()) }
 
 func (p *Planner) stopped() bool { return p.Stop != nil && p.Stop() }
 
 // play plays some days of one description, each with its seed.
-func (p *Planner) play(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
+func (p *Planner) simulateDays(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
 	out, errs := make([]*fleetsim.Result, count), make([]error, count)
 	var all sync.WaitGroup
 	room := make(chan bool, p.Parallelism)
@@ -80,7 +80,7 @@
 		go func() {
 			defer func() { <-room; all.Done() }()
 			if out[i], errs[i] = fleetsim.Simulate(f, l, p.Seed*1_000_003+uint64(first+i), p.Stop); errs[i] == nil {
-				p.days.Add(1)
+				p.daysPlayed.Add(1)
 				if p.OnDayPlayed != nil {
 					p.OnDayPlayed(1)
 				}
@@ -109,12 +109,12 @@
 
 // estimate is the mean of some days with its two-sided interval.
 func (p *Planner) estimate(x []float64) Estimate {
-	mean, reach := interval(x, 1-(1-p.Confidence)/2)
+	mean, reach := confidenceInterval(x, 1-(1-p.Confidence)/2)
 	return Estimate{mean, reach, len(x)}
 }
 
 // interval is the mean of two figures or more and, by Student's t, how far the true one may lie to a side of it.
-func interval(x []float64, confidence float64) (mean, reach float64) {
+func confidenceInterval(x []float64, confidence float64) (mean, reach float64) {
 	mean, dev := stat.MeanStdDev(x, nil)
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(confidence) * dev / math.Sqrt(float64(len(x)))
 }
@@ -129,11 +129,11 @@
 
 // evaluation is a verdict on one fleet and load.
 type evaluation struct {
-	holds    bool // each test, with the confidence asked for
-	findings []Finding
-	slack    float64  // of the worst test, on average
-	score    Estimate // of the first clause
-	busy     []string // how busy each kind is on its days
+	holds       bool // each test, with the confidence asked for
+	findings    []Finding
+	slack       float64  // of the worst test, on average
+	score       Estimate // of the first clause
+	utilization []string // how busy each kind is on its days
 }
 
 // evaluate plays days until each test is surely held or one surely is not, or the days are up: what is not sure by
@@ -148,7 +148,7 @@
 		cf, cl := c.apply(*f, *l)
 		var days []*fleetsim.Result
 		for {
-			more, err := p.play(cf, cl, len(days), min(batch, p.Options.MaxDays-len(days)))
+			more, err := p.simulateDays(cf, cl, len(days), min(daysPerBatch, p.Options.MaxDays-len(days)))
 			if err != nil {
 				return nil, err
 			}
@@ -159,14 +159,14 @@
 			for _, t := range c.Tests {
 				var values, slacks []float64
 				for _, r := range days {
-					values, slacks = append(values, t.of(cf, r)), append(slacks, t.slack(cf, r))
+					values, slacks = append(values, t.measure(cf, r)), append(slacks, t.slack(cf, r))
 				}
-				mean, reach := interval(slacks, p.Confidence) // one side: what lies on the good one does no harm
+				mean, reach := confidenceInterval(slacks, p.Confidence) // one side: what lies on the good one does no harm
 				holds := mean >= reach
 				open = open || !holds && mean >= -reach
 				surelyNot = surelyNot || mean < -reach
 				worst = min(worst, mean)
-				found = append(found, Finding{t.String(), c.with(), p.estimate(values), holds})
+				found = append(found, Finding{t.String(), c.conditionsText(), p.estimate(values), holds})
 			}
 			if surelyNot || !open || len(days) >= p.Options.MaxDays {
 				e.findings = append(e.findings, found...)
@@ -180,14 +180,14 @@
 			for _, r := range days {
 				scores = append(scores, r.Score)
 			}
-			e.score, e.busy = p.estimate(scores), busy(f, days)
+			e.score, e.utilization = p.estimate(scores), describeUtilization(f, days)
 		}
 	}
 	p.cache[id] = e
 	return e, nil
 }
 
-func (c *Clause) with() (out string) {
+func (c *Clause) conditionsText() (out string) {
 	for i, w := range c.Conditions {
 		if i > 0 {
 			out += " and "
@@ -206,20 +206,20 @@
 	return out
 }
 
-func (p *Planner) note(format string, v ...any) {
+func (p *Planner) reportProgress(format string, v ...any) {
 	if p.OnProgress != nil {
 		p.OnProgress(format, v...)
 	}
 }
 
 // usual is the fleet without its spare machines, or with them.
-func (p *Planner) usual(spares bool) *fleetsim.Fleet {
+func (p *Planner) baseFleet(spares bool) *fleetsim.Fleet {
 	f := *p.Fleet
 	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g fleetsim.WorkerGroup) bool { return g.Spare && !spares })
 	return &f
 }
 
-func (p *Planner) times(x float64) *fleetsim.Load {
+func (p *Planner) scaledLoad(x float64) *fleetsim.Load {
 	l := *p.Load
 	l.Factor = cmp.Or(l.Factor, 1) * x
 	return &l
--- a/internal/dispatcher/planner/plan_test.go
+++ b/internal/dispatcher/planner/plan_test.go
@@ -98,9 +98,9 @@
 	best := *f
 	best.Workers = n.Workers
 	price := map[string]float64{"std-2c": 1, "fast-2c": 1.5}
-	for _, cheaper := range neighbours(&best, price) {
+	for _, cheaper := range cheaperFleets(&best, price) {
 		if e, err := p.evaluate(cheaper, l); err != nil || e.holds {
-			_, c := cost(cheaper)
+			_, c := fleetCost(cheaper)
 			t.Errorf("%v at %v holds too, found was %v at %v", cheaper.Workers, c, n.Workers, n.Cost)
 		}
 	}
