--- /dev/null
+++ b/internal/dispatcher/planner/evaluation.go
@@ -0,0 +1,124 @@
+package planner
+
+import (
+	"fmt"
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+	"gonum.org/v1/gonum/stat/distuv"
+
+	"gladepick/internal/dispatcher/fleetsim"
+)
+
+// Estimate is a mean over days with its two-sided confidence interval.
+type Estimate struct {
+	Mean      float64 `json:"mean"`
+	HalfWidth float64 `json:"reach"`
+	Days      int     `json:"days"`
+}
+
+// String returns the mean and half the width of its interval.
+func (e Estimate) String() string { return fmt.Sprintf("%.3f ± %.3f", e.Mean, e.HalfWidth) }
+
+// estimate returns the mean of some days' values with its two-sided interval.
+func (p *Planner) estimate(x []float64) Estimate {
+	mean, reach := confidenceInterval(x, 1-(1-p.Confidence)/2)
+	return Estimate{mean, reach, len(x)}
+}
+
+// confidenceInterval returns the mean of two values or more and, by Student's t distribution, how far the true one may lie to
+// a side of it.
+func confidenceInterval(x []float64, confidence float64) (mean, reach float64) {
+	mean, dev := stat.MeanStdDev(x, nil)
+	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(confidence) * dev / math.Sqrt(float64(len(x)))
+}
+
+// Finding is the result of one test.
+type Finding struct {
+	Test  string   `json:"test"`
+	With  string   `json:"with,omitempty"`
+	Value Estimate `json:"value"`
+	Holds bool     `json:"holds"`
+}
+
+// evaluation is the result of all tests on one fleet and load.
+type evaluation struct {
+	holds       bool // every test, with the confidence asked for
+	findings    []Finding
+	slack       float64  // mean of the worst test
+	score       Estimate // of the first clause
+	utilization []string // of each kind of worker, on the first clause's days
+}
+
+// evaluate simulates days until each test of each clause surely holds or one surely does not, or the greatest number of days
+// is reached: what is not sure by then does not hold.
+func (p *Planner) evaluate(f *fleetsim.Fleet, l *fleetsim.Load) (*evaluation, error) {
+	id := fmt.Sprintf("%v|%v", *f, *l)
+	if e := p.cache[id]; e != nil {
+		return e, nil
+	}
+	e := &evaluation{holds: true, slack: math.Inf(1)}
+	for i, clause := range p.Goal.Clauses {
+		result, days, err := p.evaluateClause(clause, f, l)
+		if err != nil {
+			return nil, err
+		}
+		e.findings = append(e.findings, result.findings...)
+		e.holds = e.holds && !result.undecided && !result.surelyNot
+		e.slack = min(e.slack, result.slack)
+		if i == 0 {
+			var scores []float64
+			for _, day := range days {
+				scores = append(scores, day.Score)
+			}
+			e.score, e.utilization = p.estimate(scores), describeUtilization(f, days)
+		}
+	}
+	p.cache[id] = e
+	return e, nil
+}
+
+// evaluateClause simulates days of one clause until its result is decided.
+func (p *Planner) evaluateClause(c *Clause, f *fleetsim.Fleet, l *fleetsim.Load) (*clauseResult, []*fleetsim.Result, error) {
+	clauseFleet, clauseLoad := c.apply(*f, *l)
+	var days []*fleetsim.Result
+	for {
+		more, err := p.simulateDays(clauseFleet, clauseLoad, len(days), min(daysPerBatch, p.MaxDays-len(days)))
+		if err != nil {
+			return nil, nil, err
+		}
+		days = append(days, more...)
+		result := p.judge(c, clauseFleet, days)
+		if result.surelyNot || !result.undecided || len(days) >= p.MaxDays {
+			return result, days, nil
+		}
+	}
+}
+
+// clauseResult is the result of a clause's tests on some days.
+type clauseResult struct {
+	findings  []Finding
+	slack     float64 // mean of the worst test
+	undecided bool    // a test may hold or not
+	surelyNot bool    // a test does not hold, with the confidence asked for
+}
+
+// judge applies a clause's tests to days.
+func (p *Planner) judge(c *Clause, f *fleetsim.Fleet, days []*fleetsim.Result) *clauseResult {
+	result := &clauseResult{slack: math.Inf(1)}
+	for _, test := range c.Tests {
+		var values, slacks []float64
+		for _, day := range days {
+			values = append(values, test.measure(f, day))
+			slacks = append(slacks, test.slack(f, day))
+		}
+		// One side counts: a slack that may be greater does no harm.
+		mean, halfWidth := confidenceInterval(slacks, p.Confidence)
+		holds := mean >= halfWidth
+		result.undecided = result.undecided || !holds && mean >= -halfWidth
+		result.surelyNot = result.surelyNot || mean < -halfWidth
+		result.slack = min(result.slack, mean)
+		result.findings = append(result.findings, Finding{Test: test.String(), With: c.conditionsText(), Value: p.estimate(values), Holds: holds})
+	}
+	return result
+}
--- a/internal/dispatcher/planner/fit_arrivals.go
+++ b/internal/dispatcher/planner/fit_arrivals.go
@@ -1,5 +1,3 @@
-// Fitting rates, mixes and bursts of universities.
-
 package planner
 
 import (
@@ -15,104 +13,170 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// arrivals fits rates, mixes and bursts.
-func (x *Fit) fitArrivals(tries []capture.Request, f *fleetsim.Fleet) {
-	first, last := tries[0].Arrived, tries[len(tries)-1].Arrived
+// normalQuantile is the 97.5 % quantile of the normal distribution: half the width of a 95 % interval in deviations.
+const normalQuantile = 1.96
+
+// Constants of the fit of arrivals.
+const (
+	maxBins         = 120
+	minBinSeconds   = 1
+	burstFactor     = 1.8 // of the expected requests, from which a bin is part of a burst
+	burstDeviations = 4   // beyond the expected requests, as well
+	minBurstExcess  = 20  // requests
+	// mergeDeviations are those between neighbouring segments that chance may make: among a hundred neighbours some differ by
+	// three.
+	mergeDeviations = 4
+)
+
+// arrivalCounts are first requests (no retries), counted in bins of equal width.
+type arrivalCounts struct {
+	seconds  float64 // of the capture
+	width    float64 // of a bin, in seconds
+	bins     []float64
+	byTenant map[string][]float64 // bins of each tenant
+	tenants  []string             // in their order
+	byClass  map[string]int
+	total    int
+}
+
+// fitArrivals fits rates, mixes and bursts.
+func (x *Fit) fitArrivals(requests []capture.Request, f *fleetsim.Fleet) {
+	counts := x.countArrivals(requests)
+	if counts.total == 0 {
+		x.warn("all tries are repeats: there is no rate to fit")
+		return
+	}
+	plain, parts := x.fitBursts(counts)
+	segments := mergeSegments(plain, counts)
+	x.fitRates(segments, plain, counts)
+	x.fitMix(counts, parts, f)
+}
+
+// countArrivals counts requests in bins, and finds the greatest number within a second.
+func (x *Fit) countArrivals(requests []capture.Request) *arrivalCounts {
+	first, last := requests[0].Arrived, requests[len(requests)-1].Arrived
 	seconds := max(float64(last-first)/1e9, 1)
-	width := max(seconds/120, 1)
+	width := max(seconds/maxBins, minBinSeconds)
 	bins := int(seconds/width) + 1
-	count := make([]float64, bins)
-	by := map[string][]float64{}
-	classes := map[string]int{}
-	all := 0
+	c := &arrivalCounts{seconds: seconds, width: width, bins: make([]float64, bins), byTenant: map[string][]float64{}, byClass: map[string]int{}}
 	perSecond := map[int64]int{}
-	for _, t := range tries {
-		if t.Retry {
+	for _, r := range requests {
+		if r.Retry {
 			continue
 		}
-		bin := min(int(float64(t.Arrived-first)/1e9/width), bins-1)
-		count[bin]++
-		if by[t.Tenant] == nil {
-			by[t.Tenant] = make([]float64, bins)
+		bin := min(int(float64(r.Arrived-first)/1e9/width), bins-1)
+		c.bins[bin]++
+		if c.byTenant[r.Tenant] == nil {
+			c.byTenant[r.Tenant] = make([]float64, bins)
 		}
-		by[t.Tenant][bin]++
-		classes[t.Class]++
-		all++
-		perSecond[(t.Arrived-first)/1e9]++
+		c.byTenant[r.Tenant][bin]++
+		c.byClass[r.Class]++
+		c.total++
+		perSecond[(r.Arrived-first)/1e9]++
 	}
 	for _, n := range perSecond {
 		x.PeakPerSecond = max(x.PeakPerSecond, float64(n))
 	}
-	if all == 0 {
-		x.warn("all tries are repeats: there is no rate to fit")
-		return
+	c.tenants = slices.Sorted(maps.Keys(c.byTenant))
+	return c
+}
+
+// fitBursts finds the tenants that send far more for some bins than their part of the others' requests, and takes that off.
+// It returns the bins without bursts, and each tenant's requests without them.
+func (x *Fit) fitBursts(c *arrivalCounts) (plain []float64, parts map[string]float64) {
+	plain = slices.Clone(c.bins)
+	parts = map[string]float64{}
+	for _, tenant := range c.tenants {
+		own := c.byTenant[tenant]
+		usual, ok := usualRatio(own, c.bins)
+		if !ok {
+			continue
+		}
+		x.fitTenantBursts(tenant, usual, c, plain)
+		for i, n := range own {
+			parts[tenant] += min(n, max(usual*(c.bins[i]-n), 0)+3*math.Sqrt(n+1))
+		}
 	}
-	// A university that sends far more than its part of the others' for some bins has a burst there; it comes off.
-	names := slices.Sorted(maps.Keys(by))
-	plain := slices.Clone(count)
-	parts := map[string]float64{}
-	for _, u := range names {
-		ratios := make([]float64, 0, bins)
-		for i, n := range by[u] {
-			if rest := count[i] - n; rest > 0 {
-				ratios = append(ratios, n/rest)
-			}
+	return plain, parts
+}
+
+// usualRatio returns the median, over the bins, of a tenant's requests to all others'; false where no other has any.
+func usualRatio(own, all []float64) (float64, bool) {
+	ratios := make([]float64, 0, len(all))
+	for i, n := range own {
+		if rest := all[i] - n; rest > 0 {
+			ratios = append(ratios, n/rest)
 		}
-		if len(ratios) == 0 {
-			continue
+	}
+	if len(ratios) == 0 {
+		return 0, false
+	}
+	sort.Float64s(ratios)
+	return stat.Quantile(0.5, stat.Empirical, ratios, nil), true
+}
+
+// fitTenantBursts finds the bursts of one tenant, and takes them off plain.
+func (x *Fit) fitTenantBursts(tenant string, usual float64, c *arrivalCounts, plain []float64) {
+	own := c.byTenant[tenant]
+	begin, seen, expected := -1, 0.0, 0.0
+	for i := 0; i <= len(c.bins); i++ {
+		expect, burst := 0.0, false
+		if i < len(c.bins) {
+			expect = usual * (c.bins[i] - own[i])
+			// The others' number, on which the expectation rests, has a deviation as well.
+			burst = own[i] > burstFactor*expect && own[i] > expect+burstDeviations*math.Sqrt(expect*(1+usual)+1)
 		}
-		sort.Float64s(ratios)
-		usual := stat.Quantile(0.5, stat.Empirical, ratios, nil)
-		begin, over, due := -1, 0.0, 0.0
-		for i := 0; i <= bins; i++ {
-			expect, hot := 0.0, false
-			if i < bins {
-				expect = usual * (count[i] - by[u][i])
-				// The others' number, which the expectation rests on, is chance as well.
-				hot = by[u][i] > 1.8*expect && by[u][i] > expect+4*math.Sqrt(expect*(1+usual)+1)
+		if burst {
+			if begin < 0 {
+				begin, seen, expected = i, 0, 0
 			}
-			if hot {
-				if begin < 0 {
-					begin, over, due = i, 0, 0
-				}
-				over, due = over+by[u][i], due+expect
-				plain[i] -= by[u][i] - expect
-			} else if begin >= 0 {
-				if due > 0 && over-due > 20 && i-begin > 1 { // one bin alone is chance
-					x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{Tenant: u, Factor: over / due, StartSeconds: float64(begin) * width, DurationSeconds: float64(i-begin) * width})
-				}
-				begin = -1
+			seen, expected = seen+own[i], expected+expect
+			plain[i] -= own[i] - expect
+		} else if begin >= 0 {
+			if expected > 0 && seen-expected > minBurstExcess && i-begin > 1 { // one bin alone may be chance
+				x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{Tenant: tenant, Factor: seen / expected,
+					StartSeconds: float64(begin) * c.width, DurationSeconds: float64(i-begin) * c.width})
 			}
-		}
-		for i, n := range by[u] {
-			parts[u] += min(n, max(usual*(count[i]-n), 0)+3*math.Sqrt(n+1))
+			begin = -1
 		}
 	}
-	// Bins beside each other that chance alone could tell apart are one.
-	type segment struct{ from, to, n float64 }
+}
+
+// segment is a time with one rate: n requests between two moments in seconds.
+type segment struct{ from, to, n float64 }
+
+// deviations returns by how many standard deviations the rates of two neighbouring segments differ.
+func (s segment) deviations(next segment) float64 {
+	length, nextLength := max(s.to-s.from, 1e-9), max(next.to-next.from, 1e-9)
+	mean := (s.n + next.n) / (length + nextLength)
+	return math.Abs(s.n/length-next.n/nextLength) / math.Sqrt(max(mean, 1e-9)*(1/length+1/nextLength))
+}
+
+// mergeSegments joins neighbouring bins that chance alone could make different, the most alike first.
+func mergeSegments(plain []float64, c *arrivalCounts) []segment {
 	var segments []segment
 	for i, n := range plain {
-		segments = append(segments, segment{float64(i) * width, min(float64(i+1)*width, seconds), n})
+		segments = append(segments, segment{float64(i) * c.width, min(float64(i+1)*c.width, c.seconds), n})
 	}
 	for {
-		best, at := 4.0, -1 // standard deviations: among a hundred neighbours some differ by three
+		best, at := float64(mergeDeviations), -1
 		for i := 0; i+1 < len(segments); i++ {
-			a, b := segments[i], segments[i+1]
-			sa, sb := max(a.to-a.from, 1e-9), max(b.to-b.from, 1e-9)
-			mean := (a.n + b.n) / (sa + sb)
-			z := math.Abs(a.n/sa-b.n/sb) / math.Sqrt(max(mean, 1e-9)*(1/sa+1/sb))
-			if z < best {
+			if z := segments[i].deviations(segments[i+1]); z < best {
 				best, at = z, i
 			}
 		}
 		if at < 0 {
-			break
+			return segments
 		}
 		segments[at] = segment{segments[at].from, segments[at+1].to, segments[at].n + segments[at+1].n}
 		segments = slices.Delete(segments, at+1, at+2)
 	}
-	x.Load.Seconds = seconds
-	chi := 0.0
+}
+
+// fitRates makes the load's rates of the segments, and tests whether arrivals vary as a Poisson process does.
+func (x *Fit) fitRates(segments []segment, plain []float64, c *arrivalCounts) {
+	x.Load.Seconds = c.seconds
+	chiSquare := 0.0
 	for _, s := range segments {
 		rate := s.n / max(s.to-s.from, 1e-9)
 		if len(x.Load.Rate) > 0 {
@@ -124,33 +188,37 @@
 			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: s.to, PerSecond: rate})
 		}
 		for i, n := range plain {
-			if from := float64(i) * width; from >= s.from-1e-9 && from < s.to-1e-9 && i < bins-1 {
-				chi += (n - rate*width) * (n - rate*width) / max(rate*width, 1e-9)
+			if from := float64(i) * c.width; from >= s.from-1e-9 && from < s.to-1e-9 && i < len(c.bins)-1 {
+				chiSquare += (n - rate*c.width) * (n - rate*c.width) / max(rate*c.width, 1e-9)
 			}
 		}
-		x.addFigure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, 1.96*math.Sqrt(s.n)/max(s.to-s.from, 1e-9), int(s.n))
+		x.addFigure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, normalQuantile*math.Sqrt(s.n)/max(s.to-s.from, 1e-9), int(s.n))
 	}
-	if free := bins - 1 - len(segments); free > 0 {
-		x.addFigure("variance of arrivals over that of chance", chi/float64(free), 1.96*math.Sqrt(2/float64(free)), bins)
-		if chi/float64(free) > 1+4*math.Sqrt(2/float64(free)) {
-			x.warn("arrivals are burstier than the fitted rates (%.1f times the variance of chance): plans come out too well", chi/float64(free))
+	if free := len(c.bins) - 1 - len(segments); free > 0 {
+		x.addFigure("variance of arrivals over that of chance", chiSquare/float64(free), normalQuantile*math.Sqrt(2/float64(free)), len(c.bins))
+		if chiSquare/float64(free) > 1+4*math.Sqrt(2/float64(free)) {
+			x.warn("arrivals are burstier than the fitted rates (%.1f times the variance of chance): plans come out too well", chiSquare/float64(free))
 		}
 	}
-	for _, c := range f.Classes {
-		n := classes[c.Name]
-		share := float64(n) / float64(all)
-		x.Load.Classes = append(x.Load.Classes, fleetsim.ClassLoad{Name: c.Name, Share: share})
-		x.addFigure("share of "+c.Name, share, 1.96*math.Sqrt(share*(1-share)/float64(all)), n)
-		delete(classes, c.Name)
+}
+
+// fitMix fits the shares of classes and tenants, and leaves out those that the fleet lacks.
+func (x *Fit) fitMix(c *arrivalCounts, parts map[string]float64, f *fleetsim.Fleet) {
+	for _, class := range f.Classes {
+		n := c.byClass[class.Name]
+		share := float64(n) / float64(c.total)
+		x.Load.Classes = append(x.Load.Classes, fleetsim.ClassLoad{Name: class.Name, Share: share})
+		x.addFigure("share of "+class.Name, share, normalQuantile*math.Sqrt(share*(1-share)/float64(c.total)), n)
+		delete(c.byClass, class.Name)
 	}
-	for _, c := range slices.Sorted(maps.Keys(classes)) {
-		x.warn("%d jobs are of class %q, which the fleet does not have: they are left out", classes[c], c)
+	for _, class := range slices.Sorted(maps.Keys(c.byClass)) {
+		x.warn("%d jobs are of class %q, which the fleet does not have: they are left out", c.byClass[class], class)
 	}
-	for _, u := range names {
-		if tenantIndex(f, u) < 0 {
-			x.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(by[u], nil)*float64(bins), u)
-		} else if parts[u] > 0 {
-			x.Load.Tenants = append(x.Load.Tenants, fleetsim.TenantLoad{Name: u, Share: parts[u] / float64(all)})
+	for _, tenant := range c.tenants {
+		if tenantIndex(f, tenant) < 0 {
+			x.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(c.byTenant[tenant], nil)*float64(len(c.bins)), tenant)
+		} else if parts[tenant] > 0 {
+			x.Load.Tenants = append(x.Load.Tenants, fleetsim.TenantLoad{Name: tenant, Share: parts[tenant] / float64(c.total)})
 		}
 	}
 	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return tenantIndex(f, b.Tenant) < 0 })
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -1,8 +1,3 @@
-// Package planner answers what breaks first, how many workers a goal needs, and
-// what losing a zone costs, by playing days of the model. This file is the
-// language in which goals are written. The package must never do I/O or read a
-// clock; what it finds hangs on the descriptions and the seed alone, not on
-// how many cores it is given.
 package planner
 
 import (
@@ -18,18 +13,19 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Goal is what a fleet must reach: every clause of it.
+// Goal is what a fleet must reach: every clause of it. The parser tags are its grammar; the names of the types stand in the
+// parser's messages.
 type Goal struct {
 	Clauses []*Clause `parser:"@@ (';' @@)*"`
 }
 
-// Clause is tests on days with certain troubles, or on days without.
+// Clause is tests on days with certain conditions, or on days without any.
 type Clause struct {
 	Tests      []*Test      `parser:"@@ ('and' @@)*"`
 	Conditions []*Condition `parser:"('with' @@ ('and' @@)*)?"`
 }
 
-// Test holds a measure against a bound.
+// Test compares a measure of a day with a bound.
 type Test struct {
 	Pos      lexer.Position
 	Measure  string  `parser:"@Ident"`
@@ -39,7 +35,7 @@
 	Percent  bool    `parser:"@'%'?"`
 }
 
-// Condition is a trouble or a load that a clause's days have.
+// Condition is a fault or a change of the load that a clause's days have.
 type Condition struct {
 	Pos           lexer.Position
 	LostZone      string  `parser:"(  'zone' @Ident 'lost'"`
@@ -62,10 +58,10 @@
 	goalParser = participle.MustBuild[Goal](participle.Lexer(goalLexer), participle.UseLookahead(2))
 )
 
-// measures are what can be tested, and whether a class or university may be named.
+// measures tells for each measure whether it may be of a class or tenant.
 var measures = map[string]bool{"service": true, "late": true, "lost": true, "in_time": true, "score": false, "worst10": false}
 
-// ParseGoal reads a goal. Errors give the column.
+// ParseGoal reads a goal. Its errors name the line and the column.
 func ParseGoal(text string) (*Goal, error) {
 	g, err := goalParser.ParseString("goal", text)
 	if err != nil {
@@ -95,11 +91,12 @@
 	return g, nil
 }
 
+// goalErrorf makes an error that names a place in the goal.
 func goalErrorf(at lexer.Position, format string, v ...any) error {
 	return fmt.Errorf("goal, line %d, column %d: %s", at.Line, at.Column, fmt.Sprintf(format, v...))
 }
 
-// Check holds a goal's names against a fleet.
+// Check compares the names in a goal with those of a fleet.
 func (g *Goal) Check(f *fleetsim.Fleet) error {
 	for _, c := range g.Clauses {
 		for _, t := range c.Tests {
@@ -129,7 +126,7 @@
 	return slices.IndexFunc(f.Tenants, func(u fleetsim.Tenant) bool { return u.Name == name })
 }
 
-// of measures a day. Of a day without such jobs every measure is perfect.
+// measure computes the test's measure of a day. On a day without such jobs every measure is perfect.
 func (t *Test) measure(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	tally := &r.Total
 	if i := classIndex(f, t.Subject); i >= 0 {
@@ -156,7 +153,7 @@
 	return r.Score
 }
 
-// slack is how far a day lies on the good side of the bound, below zero if on the bad one.
+// slack returns how far a day lies on the good side of the bound; it is negative on the bad side.
 func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	if t.Operator == ">=" {
 		return t.measure(f, r) - t.Bound
@@ -164,7 +161,7 @@
 	return t.Bound - t.measure(f, r)
 }
 
-// String returns the goal as it is written on the command line.
+// String returns the test as it is written in a goal.
 func (t *Test) String() string {
 	of := ""
 	if t.Subject != "" {
@@ -173,8 +170,8 @@
 	return fmt.Sprintf("%s%s %s %g", t.Measure, of, t.Operator, t.Bound)
 }
 
-// when is the time that a condition lasts: a third of the day, from its first third on, where nothing else is said.
-func (c *Condition) period(l *fleetsim.Load) (at, span float64) {
+// period returns when a condition begins and how long it lasts, in seconds: by default for the second third of the day.
+func (c *Condition) period(l *fleetsim.Load) (start, duration float64) {
 	if c.ForSeconds > 0 {
 		return c.AtSeconds, c.ForSeconds
 	}
@@ -202,3 +199,23 @@
 	}
 	return &f, &l
 }
+
+// conditionsText returns a clause's conditions as they are written in a goal, without their times.
+func (c *Clause) conditionsText() (out string) {
+	for i, w := range c.Conditions {
+		if i > 0 {
+			out += " and "
+		}
+		switch {
+		case w.LostZone != "":
+			out += "zone " + w.LostZone + " lost"
+		case w.DeadPercent > 0:
+			out += fmt.Sprintf("%g%% dead", w.DeadPercent)
+		case w.SharedPercent > 0:
+			out += fmt.Sprintf("%g%% shared", w.SharedPercent)
+		default:
+			out += fmt.Sprintf("%s times %g", w.LoadTarget, w.Factor)
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/dispatcher/planner/limits.go
@@ -0,0 +1,96 @@
+package planner
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+
+	"gladepick/internal/dispatcher/fleetsim"
+)
+
+const unlimited = 1 << 30
+
+// LimitEffect is what lifting one limit does where the goal is missed.
+type LimitEffect struct {
+	Resource string  `json:"resource"`
+	Slack    float64 `json:"slack"` // of the worst test once the limit is lifted
+	Gain     float64 `json:"gain"`  // by how much that is better
+}
+
+// liftableLimits returns the limits that can be lifted one at a time, by name, each with the change of copies of the
+// descriptions that lifts it.
+func liftableLimits(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
+	kinds := func(change func(*fleetsim.Kind)) func(*fleetsim.Fleet, *fleetsim.Load) {
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.Kinds = slices.Clone(f.Kinds)
+			for i := range f.Kinds {
+				change(&f.Kinds[i])
+			}
+		}
+	}
+	dispatchers := func(change func(*fleetsim.DispatcherGroup)) func(*fleetsim.Fleet, *fleetsim.Load) {
+		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.Dispatchers = slices.Clone(f.Dispatchers)
+			for i := range f.Dispatchers {
+				change(&f.Dispatchers[i])
+			}
+		}
+	}
+	return map[string]func(*fleetsim.Fleet, *fleetsim.Load){
+		"slots of the workers": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.Workers = slices.Clone(f.Workers)
+			for i := range f.Workers {
+				f.Workers[i].Count = int(math.Ceil(1.5 * float64(f.Workers[i].Count)))
+			}
+		},
+		"the running time itself":         kinds(func(k *fleetsim.Kind) { k.Speed[0] *= 2; k.Speed[1] *= 2; k.Cores /= 2 }),
+		"waiting rooms of the workers":    kinds(func(k *fleetsim.Kind) { k.Queue = max(10*k.Queue, 10) }),
+		"connections that workers accept": kinds(func(k *fleetsim.Kind) { k.Connections = unlimited }),
+		"the cost of new connections":     kinds(func(k *fleetsim.Kind) { k.ConnectionMs = 0 }),
+		"the cold budget after a start": func(f *fleetsim.Fleet, l *fleetsim.Load) {
+			kinds(func(k *fleetsim.Kind) { k.SlowStartShare = 1 })(f, l)
+			f.SlowStart.Share = 1
+		},
+		"open jobs of the dispatchers":      dispatchers(func(d *fleetsim.DispatcherGroup) { d.OpenJobs = unlimited }),
+		"worker connections of dispatchers": dispatchers(func(d *fleetsim.DispatcherGroup) { d.Connections = unlimited }),
+		"clients' repeats":                  func(_ *fleetsim.Fleet, l *fleetsim.Load) { l.Retries.Max = 0 },
+		"the roster's delay": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.DiscoveryDelaySeconds, f.UnresponsiveDelaySeconds = fleetsim.Range{1e-3, 1e-3}, fleetsim.Range{1e-3, 1e-3}
+		},
+		"the age of load reports": func(f *fleetsim.Fleet, _ *fleetsim.Load) {
+			f.ReportIntervalSeconds, f.ReportDelaySeconds = fleetsim.Range{0.02, 0.02}, fleetsim.Range{1e-3, 1e-3}
+		},
+		"the pools of universities by label": removeTenantPools,
+	}
+}
+
+// removeTenantPools takes the quota shares away: without a share no tenant gets a pool of its own. The load keeps its mix.
+func removeTenantPools(f *fleetsim.Fleet, l *fleetsim.Load) {
+	mixed := len(l.Tenants) > 0
+	f.Tenants = slices.Clone(f.Tenants)
+	for i := range f.Tenants {
+		u := &f.Tenants[i]
+		if !mixed {
+			l.Tenants = append(l.Tenants, fleetsim.TenantLoad{Name: u.Name, Share: u.Share})
+		}
+		u.Share = 0
+	}
+}
+
+// limitEffects lifts one limit after the other, and orders them by what that gains over the given slack.
+func (p *Planner) limitEffects(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
+	all := liftableLimits(f)
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		p.reportProgress("what gives relief: %s", name)
+		lf, ll := *f, *l
+		all[name](&lf, &ll)
+		e, err := p.evaluate(&lf, &ll)
+		if err != nil {
+			return out, err
+		}
+		out = append(out, LimitEffect{name, e.slack, e.slack - slack})
+	}
+	slices.SortStableFunc(out, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
+	return out, nil
+}
--- /dev/null
+++ b/internal/dispatcher/planner/sizing.go
@@ -0,0 +1,259 @@
+package planner
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"gladepick/internal/dispatcher/fleetsim"
+)
+
+// Sizing tells how many workers the goal needs.
+type Sizing struct {
+	Reached      bool                   `json:"reached"`
+	Workers      []fleetsim.WorkerGroup `json:"workers"`
+	Count        int                    `json:"count"`
+	Cost         float64                `json:"cost"`
+	CostNow      float64                `json:"cost_now"`
+	Findings     []Finding              `json:"findings"`
+	LimitEffects []LimitEffect          `json:"why,omitempty"` // where no number of workers tried holds the goal
+	Limits       map[string]int         `json:"limits"`        // the least with which the goal holds, by key
+	Curve        []Sample               `json:"curve"`         // score against number of workers
+	Fleets       int                    `json:"fleets"`        // that were evaluated
+}
+
+// Sample is a fleet that was evaluated.
+type Sample struct {
+	Workers int      `json:"workers"`
+	Cost    float64  `json:"cost"`
+	Service Estimate `json:"service"`
+	Holds   bool     `json:"holds"`
+}
+
+// kindCosts returns what a worker of each kind costs.
+func kindCosts(f *fleetsim.Fleet) map[string]float64 {
+	of := map[string]float64{}
+	for _, k := range f.Kinds {
+		of[k.Name] = cmp.Or(k.Cost, 1)
+	}
+	return of
+}
+
+// fleetCost returns the number of workers of a fleet and what they cost together.
+func fleetCost(f *fleetsim.Fleet) (workers int, fleetCost float64) {
+	of := kindCosts(f)
+	for _, g := range f.Workers {
+		workers += g.Count
+		fleetCost += float64(g.Count) * of[g.Kind]
+	}
+	return workers, fleetCost
+}
+
+// scaledFleet returns a fleet with x times the workers, each group rounded up.
+func scaledFleet(f *fleetsim.Fleet, x float64) *fleetsim.Fleet {
+	out := *f
+	out.Workers = slices.Clone(f.Workers)
+	for i := range out.Workers {
+		out.Workers[i].Count = max(int(math.Ceil(x*float64(out.Workers[i].Count)-1e-9)), 0)
+	}
+	return &out
+}
+
+// Constants of the search for the cheapest fleet.
+const (
+	fleetGrowth        = 1.6  // from one fleet to the next, until the goal holds
+	fleetPrecision     = 0.04 // of the least multiple that holds the goal
+	maxFleetBisections = 8
+	costTolerance      = 1e-9
+)
+
+// sizingSearch is a search for the cheapest fleet that holds the goal.
+type sizingSearch struct {
+	*Planner
+	out  *Sizing
+	base *fleetsim.Fleet // with the spare workers
+	best *fleetsim.Fleet // the cheapest so far that holds the goal
+}
+
+// FindSizing searches for the cheapest mix of workers that holds the goal: first the least multiple of the fleet that does;
+// from there downwards worker by worker, and by exchanges of one kind for another in a zone. What is known so far comes back
+// with an error.
+func (p *Planner) FindSizing() (*Sizing, error) {
+	search := &sizingSearch{Planner: p, out: &Sizing{Limits: map[string]int{}}, base: p.baseFleet(true)}
+	_, search.out.CostNow = fleetCost(p.baseFleet(false))
+	low, high, err := search.grow()
+	if err != nil || search.best == nil {
+		return search.out, err
+	}
+	if err := search.bisect(low, high); err != nil {
+		return search.out, err
+	}
+	if err := search.descend(); err != nil {
+		return search.out, err
+	}
+	return search.out, p.findLimits(search.best, search.out)
+}
+
+// try evaluates a fleet, and keeps it as the best one if it holds the goal.
+func (s *sizingSearch) try(fleet *fleetsim.Fleet) (*evaluation, error) {
+	workers, cost := fleetCost(fleet)
+	s.reportProgress("how many: %d workers at a cost of %.4g", workers, cost)
+	before := len(s.cache)
+	e, err := s.evaluate(fleet, s.scaledLoad(1))
+	if err != nil {
+		return nil, err
+	}
+	if len(s.cache) > before {
+		s.out.Fleets++
+		s.out.Curve = append(s.out.Curve, Sample{Workers: workers, Cost: cost, Service: e.score, Holds: e.holds})
+	}
+	if e.holds {
+		s.keep(fleet, e)
+	}
+	return e, nil
+}
+
+// keep makes a fleet the best one.
+func (s *sizingSearch) keep(fleet *fleetsim.Fleet, e *evaluation) {
+	s.best = fleet
+	s.out.Reached, s.out.Findings = true, e.findings
+	s.out.Workers = nil
+	for _, g := range fleet.Workers {
+		at := slices.IndexFunc(s.out.Workers, func(o fleetsim.WorkerGroup) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
+		if at >= 0 {
+			s.out.Workers[at].Count += g.Count
+		} else if g.Count > 0 {
+			s.out.Workers = append(s.out.Workers, fleetsim.WorkerGroup{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
+		}
+	}
+	s.out.Count, s.out.Cost = fleetCost(fleet)
+}
+
+// grow multiplies the fleet until the goal holds. Where it does not up to the greatest factor, best stays nil, and the effects
+// of limits tell why.
+func (s *sizingSearch) grow() (low, high float64, err error) {
+	for low, high = 0, 1; ; {
+		fleet := scaledFleet(s.base, high)
+		e, err := s.try(fleet)
+		if err != nil || e.holds {
+			return low, high, err
+		}
+		if low, high = high, high*fleetGrowth; high > s.MaxFactor {
+			s.out.Findings = e.findings
+			s.out.LimitEffects, err = s.limitEffects(fleet, s.scaledLoad(1), e.slack)
+			return low, high, err
+		}
+	}
+}
+
+// bisect narrows down the least multiple of the fleet that holds the goal.
+func (s *sizingSearch) bisect(low, high float64) error {
+	for steps := 0; high-low > fleetPrecision*high && steps < maxFleetBisections; steps++ {
+		middle := (low + high) / 2
+		e, err := s.try(scaledFleet(s.base, middle))
+		if err != nil {
+			return err
+		}
+		if e.holds {
+			high = middle
+		} else {
+			low = middle
+		}
+	}
+	return nil
+}
+
+// descend goes from the best fleet to the cheapest of its neighbours that holds the goal, while there is one.
+func (s *sizingSearch) descend() error {
+	costs := kindCosts(s.base)
+	for {
+		better, err := s.tryCheaper(cheaperFleets(s.best, costs))
+		if err != nil || !better {
+			return err
+		}
+	}
+}
+
+// tryCheaper tries fleets in their order, and tells whether one holds the goal.
+func (s *sizingSearch) tryCheaper(fleets []*fleetsim.Fleet) (bool, error) {
+	_, now := fleetCost(s.best)
+	for _, fleet := range fleets {
+		if _, cost := fleetCost(fleet); cost >= now-costTolerance {
+			continue
+		}
+		e, err := s.try(fleet)
+		if err != nil || e.holds {
+			return err == nil, err
+		}
+	}
+	return false, nil
+}
+
+// cheaperFleets returns the fleets that are a step cheaper, the cheapest first: with a worker less, or with one of a cheaper
+// kind in its zone.
+func cheaperFleets(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
+	with := func(change func([]fleetsim.WorkerGroup)) {
+		n := *f
+		n.Workers = slices.Clone(f.Workers)
+		change(n.Workers)
+		out = append(out, &n)
+	}
+	for i, g := range f.Workers {
+		if g.Count == 0 {
+			continue
+		}
+		with(func(w []fleetsim.WorkerGroup) { w[i].Count-- })
+		for k, other := range f.Workers {
+			if other.Zone == g.Zone && price[other.Kind] < price[g.Kind] {
+				with(func(w []fleetsim.WorkerGroup) { w[i].Count--; w[k].Count++ })
+			}
+		}
+	}
+	slices.SortStableFunc(out, func(a, b *fleetsim.Fleet) int {
+		_, x := fleetCost(a)
+		_, y := fleetCost(b)
+		return cmp.Compare(x, y)
+	})
+	return out
+}
+
+// findLimits finds the least open jobs, worker connections and attempts with which the goal still holds.
+func (p *Planner) findLimits(f *fleetsim.Fleet, out *Sizing) error {
+	for _, limit := range []struct {
+		name string
+		most int
+		set  func(*fleetsim.Fleet, int)
+	}{
+		{"open_jobs", 4096, func(f *fleetsim.Fleet, v int) {
+			for i := range f.Dispatchers {
+				f.Dispatchers[i].OpenJobs = v
+			}
+		}},
+		{"worker_connections", 4096, func(f *fleetsim.Fleet, v int) {
+			for i := range f.Dispatchers {
+				f.Dispatchers[i].Connections = v
+			}
+		}},
+		{"attempts", 8, func(f *fleetsim.Fleet, v int) { f.MaxAttempts = v }},
+	} {
+		low, high := 0, limit.most
+		for high-low > max(high/16, 1) {
+			middle := (low + high) / 2
+			lf := *f
+			lf.Dispatchers = slices.Clone(f.Dispatchers)
+			limit.set(&lf, middle)
+			p.reportProgress("which limits: %s %d", limit.name, middle)
+			e, err := p.evaluate(&lf, p.scaledLoad(1))
+			if err != nil {
+				return err
+			}
+			if e.holds {
+				high = middle
+			} else {
+				low = middle
+			}
+		}
+		out.Limits[limit.name] = high
+	}
+	return nil
+}
