--- a/internal/operatorcli/config.go
+++ b/internal/operatorcli/config.go
@@ -19,6 +19,7 @@
 	pathConfigUpdate  = "/api/config/update"
 )
 
+// registerConfiguration adds the command config, with its subcommands.
 func registerConfiguration(application *kingpin.Application, out io.Writer, commands Commands) {
 	config := application.Command("config", "Read, check and change the configuration.")
 	registerConfigGet(config, out, commands)
--- a/internal/operatorcli/configcheck.go
+++ b/internal/operatorcli/configcheck.go
@@ -11,6 +11,7 @@
 	"gladepick/internal/configuration"
 )
 
+// registerConfigCheck adds the command config check.
 func registerConfigCheck(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	check := config.Command("check", "Check a complete configuration without calling any process.")
 	path := check.Arg("file", "JSON file.").Required().String()
--- a/internal/operatorcli/configdiff.go
+++ b/internal/operatorcli/configdiff.go
@@ -11,6 +11,7 @@
 	"gladepick/internal/configuration"
 )
 
+// registerConfigDiff adds the command config diff.
 func registerConfigDiff(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	diff := config.Command("diff", "Tell what a file would change in the configuration in force.")
 	connection := addConnection(diff, listenerControl)
--- a/internal/operatorcli/configget.go
+++ b/internal/operatorcli/configget.go
@@ -8,6 +8,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
+// registerConfigGet adds the command config get.
 func registerConfigGet(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	get := config.Command("get", "Print the newest configuration as it was sent.")
 	connection := addConnection(get, listenerControl)
--- a/internal/operatorcli/configput.go
+++ b/internal/operatorcli/configput.go
@@ -12,6 +12,7 @@
 	"github.com/gravitational/trace"
 )
 
+// registerConfigPut adds the command config put.
 func registerConfigPut(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	put := config.Command("put", "Put a complete configuration, or an update, in force.")
 	connection := addConnection(put, listenerControl)
--- a/internal/operatorcli/members.go
+++ b/internal/operatorcli/members.go
@@ -9,6 +9,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
+// registerMembers adds the command members.
 func registerMembers(application *kingpin.Application, out io.Writer, commands Commands) {
 	members := application.Command("members", "List the control members and the stores.")
 	commands.add(members, newView(members, inspection.PathMembers, out, printMembers))
--- a/internal/operatorcli/messageshow.go
+++ b/internal/operatorcli/messageshow.go
@@ -24,6 +24,7 @@
 	Stamp string `json:"stamp,omitempty"`
 }
 
+// registerMessage adds the command message show.
 func registerMessage(application *kingpin.Application, out io.Writer, commands Commands) {
 	message := application.Command("message", "Look at a message.")
 	show := message.Command("show", "Show how a message stands, or its body.")
--- a/internal/operatorcli/metrics.go
+++ b/internal/operatorcli/metrics.go
@@ -12,6 +12,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
+// registerMetrics adds the command metrics.
 func registerMetrics(application *kingpin.Application, out io.Writer, commands Commands) {
 	metrics := application.Command("metrics", "Print the metrics of a process.")
 	connection := addConnection(metrics, listenerControl)
--- a/internal/operatorcli/partitions.go
+++ b/internal/operatorcli/partitions.go
@@ -10,6 +10,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
+// registerPartitions adds the command partitions.
 func registerPartitions(application *kingpin.Application, out io.Writer, commands Commands) {
 	partitions := application.Command("partitions", "List the partitions and the stores that keep them.")
 	commands.add(partitions, newView(partitions, inspection.PathPartitions, out, printPartitions))
--- a/internal/operatorcli/retire.go
+++ b/internal/operatorcli/retire.go
@@ -12,6 +12,7 @@
 	retireReadPath  = "/read"
 )
 
+// registerRetire adds the command retire, with its subcommands.
 func registerRetire(application *kingpin.Application, out io.Writer, commands Commands) {
 	retire := application.Command("retire", "Empty stores, so that their machines can be removed.")
 	registerRetireStart(retire, out, commands)
--- a/internal/operatorcli/retireshow.go
+++ b/internal/operatorcli/retireshow.go
@@ -17,6 +17,7 @@
 	State string `json:"state"`
 }
 
+// registerRetireShow adds the command retire show.
 func registerRetireShow(retire *kingpin.CmdClause, out io.Writer, commands Commands) {
 	show := retire.Command("show", "Show how far the emptying of a store is.")
 	connection := addConnection(show, listenerControl)
--- a/internal/operatorcli/retirestart.go
+++ b/internal/operatorcli/retirestart.go
@@ -21,6 +21,7 @@
 	DurationS float64 `json:"duration-s"`
 }
 
+// registerRetireStart adds the command retire start.
 func registerRetireStart(retire *kingpin.CmdClause, out io.Writer, commands Commands) {
 	start := retire.Command("start", "Order that a store is emptied.")
 	connection := addConnection(start, listenerControl)
--- a/internal/operatorcli/settingscheck.go
+++ b/internal/operatorcli/settingscheck.go
@@ -10,6 +10,7 @@
 	"gladepick/internal/settings"
 )
 
+// registerSettings adds the command settings check.
 func registerSettings(application *kingpin.Application, out io.Writer, commands Commands) {
 	parent := application.Command("settings", "Look at settings files.")
 	check := parent.Command("check", "Check the settings file of a process without starting one.")
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -14,6 +14,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
+// registerStatus adds the command status.
 func registerStatus(application *kingpin.Application, out io.Writer, commands Commands) {
 	status := application.Command("status", "Show what a front knows of the system as a whole.")
 	commands.add(status, newView(status, inspection.PathStatus, out, printStatus))
