--- a/internal/dispatcher/planner/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -1,6 +1,3 @@
-// Fitting: what captures tell of the load and of the machines, how sure that
-// is, and what they do not tell.
-
 package planner
 
 import (
@@ -13,36 +10,40 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Figure is one thing that was fitted.
+// Figure is one value that was fitted.
 type Figure struct {
 	Name      string  `json:"name"`
 	Value     float64 `json:"value"`
-	HalfWidth float64 `json:"reach"` // half the 95 % interval; -1 where that is not known
-	Rows      int     `json:"rows"`  // that it rests on
+	HalfWidth float64 `json:"reach"` // of the 95 % interval; -1 where it is not known
+	Rows      int     `json:"rows"`  // on which it rests
 }
 
-// Fit is what captures tell.
+// Fit is what captures tell of the load and of the workers, how sure that is, and what they do not tell.
 type Fit struct {
 	Load          *fleetsim.Load `json:"load"`
 	Figures       []Figure       `json:"figures"`
 	Warnings      []string       `json:"warnings"`
-	PeakPerSecond float64        `json:"peak"` // most jobs in a second, repeats left out
+	PeakPerSecond float64        `json:"peak"` // most requests within a second, without retries
 
 	kindSpeed               map[string]fleetsim.Range
 	kindSlots               map[string]int
 	kindQueue               map[string]int
-	sameZoneMs, crossZoneMs float64 // milliseconds one way
+	sameZoneMs, crossZoneMs float64 // milliseconds one way, within a zone and between zones
 	pathMs                  map[path]float64
 }
 
+// warn adds a warning.
 func (x *Fit) warn(format string, v ...any) {
 	x.Warnings = append(x.Warnings, fmt.Sprintf(format, v...))
 }
-func (x *Fit) addFigure(name string, value, reach float64, rows int) {
-	x.Figures = append(x.Figures, Figure{name, value, reach, rows})
+
+// addFigure adds a fitted value.
+func (x *Fit) addFigure(name string, value, halfWidth float64, rows int) {
+	x.Figures = append(x.Figures, Figure{Name: name, Value: value, HalfWidth: halfWidth, Rows: rows})
 }
 
-// FitCapture fits captures of any number of dispatchers to a fleet, whose speeds, where it gives some, are the yardstick.
+// FitCapture fits captures of any number of dispatchers to a fleet. Where the fleet gives speeds of workers, the fitted ones
+// are on their scale.
 func FitCapture(s *capture.Set, f *fleetsim.Fleet) (*Fit, error) {
 	if len(s.Requests) == 0 {
 		return nil, errors.New("the captures hold no tries")
@@ -61,7 +62,7 @@
 	return x, nil
 }
 
-// FillFleet returns a copy of the fleet with what it leaves out put in from the capture, as far as that is known.
+// FillFleet returns a copy of the fleet in which what it leaves out is filled in from the captures, as far as that is known.
 func (x *Fit) FillFleet(f *fleetsim.Fleet) *fleetsim.Fleet {
 	out := *f
 	out.Kinds = slices.Clone(f.Kinds)
@@ -81,7 +82,7 @@
 	return &out
 }
 
-// Extrapolations tells where a plan leaves what the capture has seen.
+// Extrapolations tells where a load goes beyond what the captures have seen.
 func (x *Fit) Extrapolations(l *fleetsim.Load) (out []string) {
 	peak := 0.0
 	for _, p := range l.Rate {
@@ -96,7 +97,7 @@
 	return out
 }
 
-// clocks looks for steps of the calendar and for captures that do not lie side by side.
+// checkClocks looks for steps of the wall clock while a dispatcher ran.
 func (x *Fit) checkClocks(tries []capture.Request) {
 	type process struct {
 		node string
--- /dev/null
+++ b/internal/dispatcher/planner/fit_capacity.go
@@ -0,0 +1,75 @@
+package planner
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"gladepick/internal/dispatcher/capture"
+)
+
+// fitCapacity fits the slots of each kind by the jobs that ran at the same time at a worker, and queues by their lengths when
+// a job was rejected.
+func (x *Fit) fitCapacity(attempts []capture.Attempt) {
+	edges, kind := map[string][]runEdge{}, map[string]string{}
+	full := 0
+	for _, a := range attempts {
+		kind[a.Worker] = a.Kind
+		if a.Started >= 0 && a.Ended > a.Started+overlapNanos {
+			seen := a.Sent - int64(x.pathMs[path{a.Node, a.Zone}]*1e6)
+			edges[a.Worker] = append(edges[a.Worker], runEdge{seen + a.Started + overlapNanos, 1}, runEdge{seen + a.Ended, -1})
+		}
+		if a.Outcome == "full" {
+			full++
+			x.kindQueue[a.Kind] = max(x.kindQueue[a.Kind], int(a.Queue))
+		}
+	}
+	for _, worker := range slices.Sorted(maps.Keys(edges)) {
+		if slots := usedSlots(edges[worker]); slots > 0 {
+			x.kindSlots[kind[worker]] = max(x.kindSlots[kind[worker]], slots)
+		}
+	}
+	for _, k := range slices.Sorted(maps.Keys(x.kindSlots)) {
+		x.addFigure("slots of "+k+", at least", float64(x.kindSlots[k]), -1, 0)
+	}
+	if full == 0 {
+		x.warn("no job met a full worker: waiting rooms are not known, and slots only where all were seen at work")
+	}
+}
+
+// overlapNanos is the time by which the start of a run is moved. One job's end and the next one's start are one moment at the
+// worker, but reach their dispatchers apart: by the network's delays, which are taken off, and by how much these vary.
+const overlapNanos = 10e6
+
+// minLevelShare is the part of a worker's busy time for which a number of jobs must have run together to count.
+const minLevelShare = 0.002
+
+// runEdge is the start (by 1) or the end (by -1) of a run at a moment in nanoseconds.
+type runEdge struct {
+	at int64
+	by int
+}
+
+// usedSlots returns the greatest number of jobs that ran together at a worker for more than an instant, or 0.
+func usedSlots(edges []runEdge) int {
+	slices.SortFunc(edges, func(a, b runEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.by, b.by)) })
+	level, nanosAt := 0, map[int]int64{}
+	for i := range edges {
+		if i > 0 {
+			nanosAt[level] += edges[i].at - edges[i-1].at
+		}
+		level += edges[i].by
+	}
+	busy, above := int64(0), int64(0)
+	for level, nanos := range nanosAt {
+		if level > 0 {
+			busy += nanos
+		}
+	}
+	for level := len(edges); level > 0; level-- {
+		if above += nanosAt[level]; float64(above) > minLevelShare*float64(busy) {
+			return level
+		}
+	}
+	return 0
+}
--- a/internal/dispatcher/planner/fit_retries.go
+++ b/internal/dispatcher/planner/fit_retries.go
@@ -1,5 +1,3 @@
-// Fitting what clients do after a refusal or a failure.
-
 package planner
 
 import (
@@ -12,20 +10,20 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// repeats fits what clients do after a refusal or a failure.
+// fitRetries fits what clients do after a rejection or a failure.
 func (x *Fit) fitRetries(tries []capture.Request) {
-	type who struct {
+	type client struct {
 		university string
 		subject    uint64
 	}
-	ended := map[who]capture.Request{}
+	ended := map[client]capture.Request{}
 	bad, repeats := 0, 0
 	var waits []float64
 	honoured, told := 0, 0
 	for _, t := range tries {
 		if t.Retry {
 			repeats++
-			if before, ok := ended[who{t.Tenant, t.AffinityHash}]; ok && t.AffinityHash != 0 {
+			if before, ok := ended[client{t.Tenant, t.AffinityHash}]; ok && t.AffinityHash != 0 {
 				wait := float64(t.Arrived-before.Arrived-before.Duration) / 1e6
 				if wait >= 0 && wait < 5000 {
 					waits = append(waits, wait)
@@ -42,7 +40,7 @@
 				bad++
 			}
 			if t.AffinityHash != 0 {
-				ended[who{t.Tenant, t.AffinityHash}] = t
+				ended[client{t.Tenant, t.AffinityHash}] = t
 			}
 		}
 	}
--- /dev/null
+++ b/internal/dispatcher/planner/fit_run_times.go
@@ -0,0 +1,188 @@
+package planner
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"sort"
+
+	"gonum.org/v1/gonum/stat"
+	"gonum.org/v1/gonum/stat/distuv"
+
+	"gladepick/internal/dispatcher/capture"
+	"gladepick/internal/dispatcher/fleetsim"
+)
+
+// Constants of the fit of run times.
+const (
+	minRunTimes          = 50 // of all classes together
+	minClassRunTimes     = 20
+	runTimeIterations    = 30
+	maxLognormalDistance = 0.1  // beyond which run times do not follow a lognormal distribution
+	kolmogorovQuantile   = 1.36 // 95 % quantile of the Kolmogorov-Smirnov statistic, times the square root of the rows
+)
+
+// runTime is the run time of one attempt.
+type runTime struct {
+	class  int
+	worker string
+	log    float64 // natural logarithm of milliseconds
+}
+
+// runTimeFit is an additive model of run times: the logarithm of one is its class's mean less its worker's speed.
+type runTimeFit struct {
+	rows      []runTime
+	kind      map[string]string    // by worker
+	perWorker map[string]int       // rows
+	classMean []float64            // by class: the mean logarithm, up to shift
+	speed     map[string]float64   // by worker: the logarithm of its speed, up to shift
+	shift     float64              // moves speeds to the fleet's scale
+	byKind    map[string][]float64 // speeds of the workers of a kind
+}
+
+// fitRunTimes fits each class's work and each kind's speed.
+func (x *Fit) fitRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) {
+	t := collectRunTimes(attempts, f)
+	if len(t.rows) < minRunTimes {
+		x.warn("only %d jobs tell their running time: give work_ms and speeds by hand", len(t.rows))
+		return
+	}
+	t.iterate(len(f.Classes))
+	t.scaleSpeeds(x, f)
+	for class := range t.classMean {
+		t.fitClass(x, class, f)
+	}
+	for _, kind := range slices.Sorted(maps.Keys(t.byKind)) {
+		t.fitKind(x, kind)
+	}
+	for _, k := range f.Kinds {
+		if len(t.byKind[k.Name]) == 0 && k.Speed[0] == 0 {
+			x.warn("no job of the captures ran on %s: its speed must be given", k.Name)
+		}
+	}
+}
+
+// collectRunTimes takes the run times of attempts that succeeded.
+func collectRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) *runTimeFit {
+	t := &runTimeFit{kind: map[string]string{}, perWorker: map[string]int{}}
+	for _, a := range attempts {
+		class := classIndex(f, a.Class)
+		if a.Outcome != "ok" || a.Started < 0 || a.Ended <= a.Started || class < 0 {
+			continue
+		}
+		t.rows = append(t.rows, runTime{class, a.Worker, math.Log(float64(a.Ended-a.Started) / 1e6)})
+		t.kind[a.Worker] = a.Kind
+		t.perWorker[a.Worker]++
+	}
+	return t
+}
+
+// iterate fits classes and workers in turn, each to what the other leaves.
+func (t *runTimeFit) iterate(classes int) {
+	t.classMean, t.speed = make([]float64, classes), map[string]float64{}
+	for range runTimeIterations {
+		sum, n := make([]float64, classes), make([]float64, classes)
+		for _, r := range t.rows {
+			sum[r.class] += r.log + t.speed[r.worker]
+			n[r.class]++
+		}
+		for class := range t.classMean {
+			t.classMean[class] = sum[class] / max(n[class], 1)
+		}
+		byWorker := map[string]float64{}
+		for _, r := range t.rows {
+			byWorker[r.worker] += t.classMean[r.class] - r.log
+		}
+		for worker := range byWorker {
+			t.speed[worker] = byWorker[worker] / float64(t.perWorker[worker])
+		}
+	}
+}
+
+// scaleSpeeds finds the shift to the speeds that the fleet gives, or else to a speed of 1 of the first kind that was seen.
+func (t *runTimeFit) scaleSpeeds(x *Fit, f *fleetsim.Fleet) {
+	t.byKind = map[string][]float64{}
+	for worker, speed := range t.speed {
+		t.byKind[t.kind[worker]] = append(t.byKind[t.kind[worker]], speed)
+	}
+	known := 0.0
+	for _, k := range f.Kinds {
+		if k.Speed[0] > 0 && len(t.byKind[k.Name]) > 0 {
+			n := float64(len(t.byKind[k.Name]))
+			t.shift += n * (math.Log((k.Speed[0]+k.Speed[1])/2) - stat.Mean(t.byKind[k.Name], nil))
+			known += n
+		}
+	}
+	if known > 0 {
+		t.shift /= known
+		return
+	}
+	for _, k := range f.Kinds {
+		if len(t.byKind[k.Name]) > 0 {
+			t.shift = -stat.Mean(t.byKind[k.Name], nil)
+			x.warn("the fleet gives no speed: %s counts as 1, and stretch is counted in its running times", k.Name)
+			return
+		}
+	}
+}
+
+// fitClass fits the work of a class, and tests whether it follows a lognormal distribution.
+func (t *runTimeFit) fitClass(x *Fit, class int, f *fleetsim.Fleet) {
+	name := f.Classes[class].Name
+	var residuals []float64
+	for _, r := range t.rows {
+		if r.class == class {
+			residuals = append(residuals, r.log+t.speed[r.worker]-t.classMean[class])
+		}
+	}
+	if len(residuals) < minClassRunTimes {
+		x.warn("only %d jobs of %s tell their running time", len(residuals), name)
+		return
+	}
+	sort.Float64s(residuals)
+	deviation := stat.StdDev(residuals, nil)
+	mean := math.Exp(t.classMean[class] + t.shift + deviation*deviation/2)
+	at := slices.IndexFunc(x.Load.Classes, func(c fleetsim.ClassLoad) bool { return c.Name == name })
+	if at >= 0 {
+		x.Load.Classes[at].WorkMs, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(deviation*deviation)-1)
+	}
+	n := float64(len(residuals))
+	halfWidth := normalQuantile * mean * math.Sqrt(deviation*deviation/n+deviation*deviation*deviation*deviation/(2*n))
+	x.addFigure("work of "+name+", ms", mean, halfWidth, len(residuals))
+	distance := normalDistance(residuals, deviation)
+	x.addFigure("distance of "+name+"'s work to the lognormal", distance, kolmogorovQuantile/math.Sqrt(n), len(residuals))
+	if distance > maxLognormalDistance {
+		x.warn("running times of %s are no lognormal (distance %.2f)", name, distance)
+	}
+}
+
+// normalDistance returns the Kolmogorov-Smirnov distance of sorted values to the normal distribution of mean 0.
+func normalDistance(sorted []float64, deviation float64) float64 {
+	normal, distance, n := distuv.Normal{Mu: 0, Sigma: deviation}, 0.0, float64(len(sorted))
+	for i, v := range sorted {
+		p := normal.CDF(v)
+		distance = max(distance, math.Abs(p-float64(i)/n), math.Abs(p-float64(i+1)/n))
+	}
+	return distance
+}
+
+// fitKind fits the range of a kind's speeds: a uniform distribution with the variance that is left between its workers.
+func (t *runTimeFit) fitKind(x *Fit, kind string) {
+	speeds := t.byKind[kind]
+	noise, jobs := 0.0, 0
+	for worker, n := range t.perWorker {
+		if t.kind[worker] == kind {
+			noise += 1 / float64(n) / float64(len(speeds))
+			jobs += n
+		}
+	}
+	mean, between := stat.Mean(speeds, nil)+t.shift, 0.0
+	if len(speeds) > 1 {
+		between = math.Sqrt(max(stat.Variance(speeds, nil)-noise, 0))
+	} else {
+		x.warn("one machine of %s was seen: how they differ is not known", kind)
+	}
+	x.kindSpeed[kind] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
+	halfWidth := normalQuantile * math.Exp(mean) * math.Sqrt(noise/float64(len(speeds))+between*between/float64(len(speeds)))
+	x.addFigure("speed of "+kind, math.Exp(mean), halfWidth, jobs)
+}
