--- a/internal/dispatcher/capture/recorder.go
+++ b/internal/dispatcher/capture/recorder.go
@@ -28,13 +28,13 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Values of the column verdict. They are part of the file format.
+// Values of Request.Outcome. They are part of the file format.
 const (
-	outcomeServed     = "served"
-	outcomeRejected   = "refused"
-	outcomeFailed     = "failed"
-	outcomeAbandoned  = "left"
-	outcomeOverflowed = "turned"
+	OutcomeServed     = "served"
+	OutcomeRejected   = "refused"
+	OutcomeFailed     = "failed"
+	OutcomeAbandoned  = "left"
+	OutcomeOverflowed = "turned"
 )
 
 // attemptOpen is the value of the column outcome of an attempt that was out when the dispatcher ended.
@@ -44,9 +44,9 @@
 const notSeen = -1
 
 var answerNames = map[dispatch.AnswerKind]string{
-	dispatch.Served:   outcomeServed,
-	dispatch.Rejected: outcomeRejected,
-	dispatch.Failed:   outcomeFailed,
+	dispatch.Served:   OutcomeServed,
+	dispatch.Rejected: OutcomeRejected,
+	dispatch.Failed:   OutcomeFailed,
 }
 
 // openJob is a job without an answer.
@@ -120,7 +120,7 @@
 		r.jobs[event.Job] = openJob{job: r.acceptedJobs, arrived: r.unixNanos(event.At)}
 	case dispatch.JobOverflowed:
 		// This event comes on a front's goroutine, so nothing that the core's goroutine owns may be touched.
-		r.recordRequest(event.Job, openJob{arrived: r.unixNanos(event.At)}, event.At, outcomeOverflowed, r.node.Limits.RetryAfter)
+		r.recordRequest(event.Job, openJob{arrived: r.unixNanos(event.At)}, event.At, OutcomeOverflowed, r.node.Limits.RetryAfter)
 	case dispatch.AttemptSent:
 		r.attemptSent(event)
 	case dispatch.AttemptStarted:
@@ -154,7 +154,7 @@
 		return
 	}
 	delete(r.jobs, event.Job)
-	outcome := outcomeAbandoned
+	outcome := OutcomeAbandoned
 	if event.Kind == dispatch.JobAnswered {
 		outcome = answerNames[event.Answer.Kind]
 	}
--- a/internal/dispatcher/planner/fit_retries.go
+++ b/internal/dispatcher/planner/fit_retries.go
@@ -10,57 +10,88 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
+// Constants of the fit of retries.
+const (
+	minFailedRequests  = 20
+	minRetryWaits      = 10
+	maxRetryWaitMs     = 5000 // beyond which a request is not a retry of the one before
+	defaultRetryWaitMs = 50
+	honouredRetryShare = 0.95 // of Retry-After, from which a wait counts as having honoured it
+)
+
+// retryWaits are the times from a failed request's end to its retry, where an affinity key tells which retry that is.
+type retryWaits struct {
+	failed     int // first requests that were rejected or failed
+	retries    int
+	waitsMs    []float64
+	retryAfter int // waits after an answer with Retry-After
+	honoured   int // those of them that were long enough
+}
+
 // fitRetries fits what clients do after a rejection or a failure.
-func (x *Fit) fitRetries(tries []capture.Request) {
+func (x *Fit) fitRetries(requests []capture.Request) {
+	w := collectRetryWaits(requests)
+	retries := &x.Load.Retries
+	if w.failed < minFailedRequests {
+		x.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", w.failed)
+		*retries = fleetsim.Retries{Max: 1, WaitMs: defaultRetryWaitMs, HonourRetryAfter: true}
+		return
+	}
+	if w.retries > 0 {
+		retries.Max = max(int(math.Round(float64(w.retries)/float64(w.failed))), 1)
+	}
+	x.addFigure("repeats for a first try that was refused or failed", float64(w.retries)/float64(w.failed), normalQuantile*math.Sqrt(float64(w.retries))/float64(w.failed), w.failed)
+	if len(w.waitsMs) >= minRetryWaits {
+		sort.Float64s(w.waitsMs)
+		retries.WaitMs = stat.Quantile(0.5, stat.Empirical, w.waitsMs, nil)
+		retries.HonourRetryAfter = w.honoured*2 > w.retryAfter
+		x.addFigure("wait before a repeat, ms", retries.WaitMs, -1, len(w.waitsMs))
+	} else if w.retries > 0 {
+		x.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
+		retries.WaitMs, retries.HonourRetryAfter = defaultRetryWaitMs, true
+	}
+}
+
+// collectRetryWaits looks for each retry's request before it. Requests are in the order of their arrival.
+func collectRetryWaits(requests []capture.Request) *retryWaits {
 	type client struct {
-		university string
-		subject    uint64
+		tenant       string
+		affinityHash uint64
 	}
-	ended := map[client]capture.Request{}
-	bad, repeats := 0, 0
-	var waits []float64
-	honoured, told := 0, 0
-	for _, t := range tries {
-		if t.Retry {
-			repeats++
-			if before, ok := ended[client{t.Tenant, t.AffinityHash}]; ok && t.AffinityHash != 0 {
-				wait := float64(t.Arrived-before.Arrived-before.Duration) / 1e6
-				if wait >= 0 && wait < 5000 {
-					waits = append(waits, wait)
-					if before.RetryAfter > 0 {
-						if told++; wait >= float64(before.RetryAfter)/1e6*0.95 {
-							honoured++
-						}
-					}
-				}
+	w := &retryWaits{}
+	failed := map[client]capture.Request{}
+	for _, r := range requests {
+		from := client{r.Tenant, r.AffinityHash}
+		if r.Retry {
+			w.retries++
+			if before, ok := failed[from]; ok && r.AffinityHash != 0 {
+				w.add(before, r)
 			}
 		}
-		if t.Outcome == "refused" || t.Outcome == "turned" || t.Outcome == "failed" {
-			if !t.Retry {
-				bad++
+		if r.Outcome == capture.OutcomeRejected || r.Outcome == capture.OutcomeOverflowed || r.Outcome == capture.OutcomeFailed {
+			if !r.Retry {
+				w.failed++
 			}
-			if t.AffinityHash != 0 {
-				ended[client{t.Tenant, t.AffinityHash}] = t
+			if r.AffinityHash != 0 {
+				failed[from] = r
 			}
 		}
 	}
-	r := &x.Load.Retries
-	switch {
-	case bad < 20:
-		x.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", bad)
-		*r = fleetsim.Retries{Max: 1, WaitMs: 50, HonourRetryAfter: true}
+	return w
+}
+
+// add counts the wait between a failed request and its retry.
+func (w *retryWaits) add(before, retry capture.Request) {
+	waitMs := float64(retry.Arrived-before.Arrived-before.Duration) / 1e6
+	if waitMs < 0 || waitMs >= maxRetryWaitMs {
+		return
+	}
+	w.waitsMs = append(w.waitsMs, waitMs)
+	if before.RetryAfter <= 0 {
 		return
-	case repeats > 0:
-		r.Max = max(int(math.Round(float64(repeats)/float64(bad))), 1)
 	}
-	x.addFigure("repeats for a first try that was refused or failed", float64(repeats)/float64(bad), 1.96*math.Sqrt(float64(repeats))/float64(bad), bad)
-	if len(waits) >= 10 {
-		sort.Float64s(waits)
-		r.WaitMs = stat.Quantile(0.5, stat.Empirical, waits, nil)
-		r.HonourRetryAfter = honoured*2 > told
-		x.addFigure("wait before a repeat, ms", r.WaitMs, -1, len(waits))
-	} else if repeats > 0 {
-		x.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
-		r.WaitMs, r.HonourRetryAfter = 50, true
+	w.retryAfter++
+	if waitMs >= float64(before.RetryAfter)/1e6*honouredRetryShare {
+		w.honoured++
 	}
 }
--- a/internal/dispatcher/planner/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns what the planner found into one HTML page with plots. It
-// must never work anything out that the planner has not, nor leave half a page.
+// Package report writes the planner's answers as one HTML page with plots. It computes nothing that the planner has not, and
+// leaves no incomplete page behind. Start reading at Write.
 package report
 
 import (
@@ -21,15 +21,15 @@
 	"gladepick/internal/dispatcher/planner"
 )
 
-// Page is what a page shows.
+// Page is the content of a page. Plots whose answers are missing are left out.
 type Page struct {
 	Goal       string
-	Table      string // the table that a person reads first
+	Table      string // the answers as text
 	Sizing     *planner.Sizing
 	ZoneLosses []planner.ZoneLoss
 }
 
-// picture is a plot in both forms.
+// picture is a plot as vector graphics and as pixels.
 type picture struct {
 	Title string
 	SVG   template.HTML
@@ -37,13 +37,13 @@
 }
 
 const (
-	width  = 18 * vg.Centimeter
-	height = 9 * vg.Centimeter
+	pictureWidth  = 18 * vg.Centimeter
+	pictureHeight = 9 * vg.Centimeter
 )
 
 var colours = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 96, 18, 255}, color.RGBA{44, 140, 44, 255}, color.RGBA{150, 70, 170, 255}}
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>gladepick plan</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto;padding:0 1em}pre{overflow:auto;background:#f4f4f4;padding:1em}svg{max-width:100%;height:auto}</style>
 </head><body><h1>gladepick plan</h1><p>Goal: <code>{{.Goal}}</code></p><pre>{{.Text}}</pre>
@@ -51,11 +51,11 @@
 {{end}}</body></html>
 `))
 
-// Write puts the page into a file, whole or not at all.
+// Write writes the page to a file, which is there completely or not at all.
 func Write(path string, p Page) error {
 	var pictures []picture
-	for _, make := range []func(Page) (*plot.Plot, error){service, zones} {
-		drawn, err := make(p)
+	for _, plotAnswer := range []func(Page) (*plot.Plot, error){plotScores, plotZoneLosses} {
+		drawn, err := plotAnswer(p)
 		if err != nil {
 			return err
 		}
@@ -69,15 +69,20 @@
 		pictures = append(pictures, pic)
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, map[string]any{"Goal": p.Goal, "Text": p.Table, "Pictures": pictures}); err != nil {
+	if err := pageTemplate.Execute(&out, map[string]any{"Goal": p.Goal, "Text": p.Table, "Pictures": pictures}); err != nil {
 		return err
 	}
+	return writeFileAtomically(path, out.Bytes())
+}
+
+// writeFileAtomically writes a file beside its place and then renames it.
+func writeFileAtomically(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".report-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	if _, err := f.Write(out.Bytes()); err != nil {
+	if _, err := f.Write(text); err != nil {
 		f.Close()
 		return err
 	}
@@ -87,8 +92,9 @@
 	return os.Rename(f.Name(), path)
 }
 
+// render draws a plot in both forms.
 func render(p *plot.Plot) (picture, error) {
-	vector, pixels := vgsvg.New(width, height), vgimg.New(width, height)
+	vector, pixels := vgsvg.New(pictureWidth, pictureHeight), vgimg.New(pictureWidth, pictureHeight)
 	p.Draw(draw.New(vector))
 	p.Draw(draw.New(pixels))
 	var svg, png bytes.Buffer
@@ -106,14 +112,14 @@
 		PNG: template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png.Bytes()))}, nil
 }
 
-// curve is points with intervals.
+// curve is points with confidence intervals.
 type curve struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// service plots the score against the number of workers, those that hold the goal apart from those that do not.
-func service(page Page) (*plot.Plot, error) {
+// plotScores plots the score against the number of workers. Fleets that hold the goal have a colour of their own.
+func plotScores(page Page) (*plot.Plot, error) {
 	if page.Sizing == nil || len(page.Sizing.Curve) == 0 {
 		return nil, nil
 	}
@@ -149,34 +155,25 @@
 	return p, nil
 }
 
-// zones plots the worth lost in each second, smoothed over three.
-func zones(page Page) (*plot.Plot, error) {
+// plotZoneLosses plots the value lost in each second, as a mean over three seconds.
+func plotZoneLosses(page Page) (*plot.Plot, error) {
 	if len(page.ZoneLosses) == 0 {
 		return nil, nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth lost with a zone, over the day", "seconds", "worth a second"
-	names := map[string]int{}
-	for _, z := range page.ZoneLosses {
-		if _, ok := names[z.Zone]; !ok {
-			names[z.Zone] = len(names)
-		}
-		var xys plotter.XYs
-		for i := range z.Seconds {
-			from, to := max(i-1, 0), min(i+2, len(z.Seconds))
-			sum := 0.0
-			for _, v := range z.Seconds[from:to] {
-				sum += v
-			}
-			xys = append(xys, plotter.XY{X: float64(i), Y: sum / float64(to-from)})
+	names := map[string]int{} // indexes of the zones' colours
+	for _, loss := range page.ZoneLosses {
+		if _, ok := names[loss.Zone]; !ok {
+			names[loss.Zone] = len(names)
 		}
-		line, err := plotter.NewLine(xys)
+		line, err := plotter.NewLine(smooth(loss.Seconds))
 		if err != nil {
 			return nil, err
 		}
-		line.Color = colours[names[z.Zone]%len(colours)]
-		label := z.Zone
-		if z.Spares {
+		line.Color = colours[names[loss.Zone]%len(colours)]
+		label := loss.Zone
+		if loss.Spares {
 			line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 			label += " with spares"
 		}
@@ -187,3 +184,17 @@
 	p.Add(plotter.NewGrid())
 	return p, nil
 }
+
+// smooth returns the mean of each second's value and its neighbours'.
+func smooth(seconds []float64) plotter.XYs {
+	var points plotter.XYs
+	for i := range seconds {
+		from, to := max(i-1, 0), min(i+2, len(seconds))
+		sum := 0.0
+		for _, v := range seconds[from:to] {
+			sum += v
+		}
+		points = append(points, plotter.XY{X: float64(i), Y: sum / float64(to-from)})
+	}
+	return points
+}
