--- a/internal/architecture/links_test.go
+++ b/internal/architecture/links_test.go
@@ -89,6 +89,67 @@
 	return "no such heading"
 }
 
+var (
+	namedTest = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)`")
+	namedFile = regexp.MustCompile("`([a-z][a-z0-9_/]*/[a-z0-9_]+\\.go)`")
+	testFunc  = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)\(`)
+)
+
+// folderOfIncidents holds accounts of what once happened; they name files as they were then.
+const folderOfIncidents = "incidents"
+
+// TestPagesNameTestsAndFilesThatExist checks that each test and each source file that a page names is there. A file is
+// named by its path from the root of the module or from internal.
+func TestPagesNameTestsAndFilesThatExist(t *testing.T) {
+	existing := existingTests(t)
+	var problems []string
+	for _, page := range markdownPages(t) {
+		if filepath.Base(filepath.Dir(page)) == folderOfIncidents {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		assert.NilError(t, err)
+		for _, match := range namedTest.FindAllStringSubmatch(string(text), -1) {
+			if !existing[match[1]] {
+				problems = append(problems, fmt.Sprintf("%s: there is no %s", page, match[1]))
+			}
+		}
+		for _, match := range namedFile.FindAllStringSubmatch(string(text), -1) {
+			if !sourceExists(match[1]) {
+				problems = append(problems, fmt.Sprintf("%s: there is no %s", page, match[1]))
+			}
+		}
+	}
+	assert.Equal(t, strings.Join(problems, "\n"), "")
+}
+
+func sourceExists(name string) bool {
+	for _, base := range []string{moduleRoot, filepath.Join(moduleRoot, "internal")} {
+		if _, err := os.Stat(filepath.Join(base, filepath.FromSlash(name))); err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// existingTests returns the names of all tests, benchmarks and fuzz targets of the module.
+func existingTests(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(moduleRoot, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, "_test.go") {
+			return err
+		}
+		text, err := os.ReadFile(name)
+		for _, match := range testFunc.FindAllStringSubmatch(string(text), -1) {
+			names[match[1]] = true
+		}
+		return err
+	})
+	assert.NilError(t, err)
+	return names
+}
+
 var (
 	// wayStep is a row of the tables that follow a message and a configuration change: packages, then functions.
 	wayStep       = regexp.MustCompile(`(?m)^\| \d+\. .* \| (.+) \| (.+) \|$`)
--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -98,7 +98,7 @@
 	c.add(Row{Part: part, Quantity: "processor, of a dispatcher", Unit: percentOfCore, Limit: controlCoreLimit,
 		Need: c.slope("lease.dispatcher"), Mechanism: "`cluster/agent_sync.go`"})
 	c.add(Row{Part: part, Quantity: "processor, of a member, mean of nine", Unit: percentOfCore, Limit: memberCore,
-		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `lease/table.go`"})
+		Need: dispatchers * c.slope("lease.members") / controlMachines, Mechanism: "`controlplane/sync.go`, `controlplane/lease/table.go`"})
 	c.add(Row{Part: part, Quantity: "primary's look at the leases, 64 partitions", Unit: percentOfCore, Limit: memberCore,
 		Need: c.slope("manager.step.64") * nano * managerStepsPerSec * toPercent, Mechanism: "`controlplane/tablemanager/manager.go`"})
 	c.add(Row{Part: part, Quantity: "the same, 32,768 partitions", Unit: percentOfCore, Limit: memberCore,
--- a/internal/delivery/commit.go
+++ b/internal/delivery/apply_result.go
@@ -20,8 +20,8 @@
 // deadLetter is the outcome of a message that will never be completed.
 var deadLetter = message.Outcome{State: message.DeadLetter}
 
-// commitAttempt applies an attempt's result to the engine's state. The owner of the messages has been notified of it before.
-func (e *Engine) commitAttempt(a *attempt, report attemptReport) {
+// applyAttemptReport applies an attempt's result to the engine's state. The owner of the messages has been notified of it before.
+func (e *Engine) applyAttemptReport(a *attempt, report attemptReport) {
 	j, adapter := a.job, a.adapter
 	a.endpoint.inFlight--
 	j.inFlight = false
--- a/internal/delivery/concurrency_limit.go
+++ b/internal/delivery/concurrency_limit.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	minOutageFailures    = 3 // in a row, and one more for each ready worker: the service is down
+	minOutageFailures    = 3 // consecutive failures after which the service is down, plus one for each ready worker
 	maxOutageFailures    = 12
 	minOutageBackoff     = 20 * time.Millisecond
 	shortOutageBackoff   = 80 * time.Millisecond // between attempts at a service that has not been down for long
 	maxOutageBackoff     = time.Minute           // the same, however long it has been down
 	outageBackoffDivisor = 100                   // after a longer outage: one part in so many of it
 	limitAfterOutage     = 2
-	minGrowth            = 0.1                    // for each answer; a rejection takes one off
+	minGrowth            = 0.1                    // for each answer; a rejection decreases the limit by one
 	throttledBackoff     = 250 * time.Millisecond // after a worker said that the service gets too much
 )
 
@@ -23,7 +23,7 @@
 type concurrencyLimit struct {
 	current             float64
 	slowStartThreshold  float64 // up to here it grows by one for each answer
-	consecutiveFailures int     // attempts in a row without a worker's answer
+	consecutiveFailures int     // consecutive attempts that no worker processed
 	down                bool
 	downSince           time.Duration
 	backoff             time.Duration
@@ -31,8 +31,9 @@
 	lastMaximum         int           // the service's limit, as last seen
 }
 
-// allowed is how many messages may be in flight, of at most limit. It grows along with the limit.
-func (c *concurrencyLimit) allowed(limit int) int {
+// updateLimit returns how many messages may be in flight, at most limit. If limit has grown since the last call, the
+// window grows by the same amount.
+func (c *concurrencyLimit) updateLimit(limit int) int {
 	if more := float64(limit - c.lastMaximum); more > 0 {
 		c.current += more
 		c.slowStartThreshold += more
@@ -84,8 +85,8 @@
 	return min(max((now-c.downSince)/outageBackoffDivisor, shortOutageBackoff), maxOutageBackoff)
 }
 
-// onThrottled starts nothing for a while, not as long as other stores do: else they all come back at once, and the same
-// caller is the last in every round.
+// onThrottled pauses the service for the throttled backoff plus a random part, so that the stores do not resume at the same
+// moment, in which the same one would be last every time.
 func (c *concurrencyLimit) onThrottled(now time.Duration, random *rand.Rand) {
 	spread := time.Duration(random.Float64() * float64(throttledBackoff) / 2)
 	c.resumeAt = max(c.resumeAt, now+throttledBackoff+spread)
--- a/internal/delivery/concurrency_limit_test.go
+++ b/internal/delivery/concurrency_limit_test.go
@@ -25,24 +25,24 @@
 func TestConcurrencyLimit(t *testing.T) {
 	var w concurrencyLimit
 	random := rand.New(rand.NewPCG(1, 1))
-	assert.Equal(t, w.allowed(0), 0)
-	assert.Equal(t, w.allowed(10), 10)
+	assert.Equal(t, w.updateLimit(0), 0)
+	assert.Equal(t, w.updateLimit(10), 10)
 	for range 4 {
 		w.onRejection()
 	}
-	assert.Equal(t, w.allowed(10), 6)
-	assert.Equal(t, w.allowed(20), 16)
+	assert.Equal(t, w.updateLimit(10), 6)
+	assert.Equal(t, w.updateLimit(20), 16)
 	for range 20 {
 		w.onFailure(time.Second, 5, random)
 	}
-	assert.Equal(t, w.allowed(20), 1)
+	assert.Equal(t, w.updateLimit(20), 1)
 	assert.Assert(t, w.resumeAt > time.Second && w.resumeAt <= time.Second+100*time.Millisecond)
 	w.onAnswer(20)
-	assert.Equal(t, w.allowed(20), 3)
+	assert.Equal(t, w.updateLimit(20), 3)
 	for range 30 {
 		w.onAnswer(20)
 	}
-	assert.Equal(t, w.allowed(20), 20)
+	assert.Equal(t, w.updateLimit(20), 20)
 }
 
 // TestBackoffGrowsWithTheOutage checks that a service that stays down is probed ever less often, and found within a
--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -96,20 +96,20 @@
 		hasToken:    d.service.rateLimiter.tryTake(now),
 		ownZoneOnly: d.service.hasOwnZoneCapacity(),
 	}
-	d.service.pending++
+	d.service.dispatched++
 	d.submit(offered, now)
 	if offered.ownZoneOnly && d.isPending(offered) {
 		d.offerToAllZones(offered)
 	}
 	if d.isPending(offered) && d.service.resetIdleHealth(now) {
-		d.withdraw(offered)
+		d.cancelPending(offered)
 		d.submit(offered, now)
 	}
 }
 
 // offerToAllZones submits a job that the own zone's workers can't take to the workers of all zones.
 func (d *decisionAdapter) offerToAllZones(j *job) {
-	d.withdraw(j)
+	d.cancelPending(j)
 	j.ownZoneOnly = false
 	d.submit(j, d.service.engine.now())
 }
@@ -124,8 +124,9 @@
 	return class
 }
 
-// withdraw takes a pending job back from the module.
-func (d *decisionAdapter) withdraw(pending *job) {
+// cancelPending removes a pending job from the module. The module has no event for this, so it is told that the client has
+// left.
+func (d *decisionAdapter) cancelPending(pending *job) {
 	d.handle(&decision.Event{Kind: decision.EventClientLeft, Job: pending.id})
 	delete(d.jobs, pending.id)
 }
@@ -134,7 +135,7 @@
 func (d *decisionAdapter) returnPending() {
 	for _, j := range d.jobs {
 		if d.isPending(j) {
-			d.withdraw(j)
+			d.cancelPending(j)
 			d.returnToQueue(j, 0)
 		}
 	}
@@ -243,7 +244,7 @@
 // forget ends a job. A token that it has not used is returned.
 func (d *decisionAdapter) forget(j *job) {
 	delete(d.jobs, j.id)
-	d.service.pending--
+	d.service.dispatched--
 	if j.hasToken {
 		d.service.rateLimiter.refund()
 	}
--- a/internal/delivery/doc.go
+++ b/internal/delivery/doc.go
@@ -1,7 +1,7 @@
 // Package delivery hands committed messages to workers over HTTP/1.1 when they are due, in the order of their order keys
 // and within the limits of their services.
 //
-// # The way of a message
+// # The path of a message
 //
 // A message takes these steps through an Engine:
 //
@@ -14,9 +14,10 @@
 //     (partition_gate.go, parking.go).
 //   - Assigned: the decision module chooses an endpoint (decision_adapter.go, endpoint.go, endpoint_set.go).
 //   - Sent: an attempt makes the request and classifies the answer (attempt.go, attempt_result.go, transport.go).
-//   - Reported: the attempt's goroutine notifies the owner, which makes the result durable.
-//   - Committed: the event loop applies the result: the message has ended, the decision module sends it again, or it is
-//     queued again after a backoff (commit.go).
+//   - Reported: the attempt's goroutine notifies the owner, which appends the result to its log and sends it to
+//     the backups, without waiting for the disks.
+//   - Applied: the event loop applies the result: the message has ended, the decision module sends it again, or it is
+//     queued again after a backoff (apply_result.go).
 //
 // Messages also end without an attempt: when their retention is over or the operator drops their route (expiry.go,
 // reconfigure.go).
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// recordAnswer ends the ejection: the worker answers.
+// recordAnswer ends the endpoint's ejection and resets its backoff.
 func (e *endpoint) recordAnswer() { e.backoff, e.ejectedUntil = 0, 0 }
 
 // eject leaves the worker alone for a time that doubles with each ejection: it is full or silent or does not answer
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -58,7 +58,7 @@
 	random          *rand.Rand // the order of draws is part of the behaviour
 	timers          timerQueue
 	table           *configuration.Table
-	deliverers      int // the stores among which rate limits are divided
+	rateDivisor     int // a service's rate limit is divided by it; see cluster.Table.LimitDivisor
 	backlog         *backlog
 	services        map[string]*service
 	endpoints       *endpointSet
@@ -80,7 +80,7 @@
 		started:         time.Now(),
 		gates:           newPartitionGates(),
 		random:          rand.New(rand.NewPCG(options.Seed, options.Seed+1)),
-		deliverers:      1,
+		rateDivisor:     1,
 		backlog:         newBacklog(),
 		services:        make(map[string]*service),
 		parkedRecheckAt: make(map[int]time.Duration),
@@ -112,8 +112,8 @@
 	e.events.push(workersChanged{})
 }
 
-// SetDeliverers sets the number of stores among which the services' rate limits are divided.
-func (e *Engine) SetDeliverers(n int) { e.events.push(deliverersChanged{max(n, 1)}) }
+// SetDeliverers sets the divisor by which this store's part of each rate limit is computed (cluster.Table.LimitDivisor).
+func (e *Engine) SetDeliverers(n int) { e.events.push(rateDivisorChanged{max(n, 1)}) }
 
 // Submit hands in a committed message of a partition that this store leads, and how often workers have answered 500 to it
 // so far.
--- a/internal/delivery/event_queue.go
+++ b/internal/delivery/event_queue.go
@@ -45,8 +45,8 @@
 	configurationChanged struct{ table *configuration.Table }
 	// workersChanged announces a list of workers that has been published to the endpoint set.
 	workersChanged struct{}
-	// deliverersChanged brings the number of stores among which rate limits are divided.
-	deliverersChanged struct{ count int }
+	// rateDivisorChanged brings the divisor by which this store's part of each rate limit is computed.
+	rateDivisorChanged struct{ count int }
 	// submitted brings a message, with its failures so far and its partition's generation at that time.
 	submitted struct {
 		message    *message.Message
@@ -71,9 +71,9 @@
 
 func (ev configurationChanged) apply(e *Engine) { e.applyConfiguration(ev.table) }
 func (workersChanged) apply(e *Engine)          { e.applyWorkers() }
-func (ev deliverersChanged) apply(e *Engine)    { e.applyDeliverers(ev.count) }
+func (ev rateDivisorChanged) apply(e *Engine)   { e.applyRateDivisor(ev.count) }
 func (ev submitted) apply(e *Engine)            { e.enqueue(ev.message, ev.failures, ev.generation) }
 func (ev released) apply(e *Engine)             { e.dropPartition(ev.partition, ev.generation) }
 func (resumed) apply(e *Engine)                 { e.recheckAll() }
 func (ev partitionResumed) apply(e *Engine)     { e.parkedRecheckAt[ev.partition] = e.now() }
-func (ev attemptEnded) apply(e *Engine)         { e.commitAttempt(ev.attempt, ev.report) }
+func (ev attemptEnded) apply(e *Engine)         { e.applyAttemptReport(ev.attempt, ev.report) }
--- a/internal/delivery/partition_gate.go
+++ b/internal/delivery/partition_gate.go
@@ -58,7 +58,7 @@
 	return true
 }
 
-// leave ends the count of an attempt that has entered.
+// leave counts an attempt that enter has admitted as finished.
 func (g *partitionGates) leave(partition int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -59,7 +59,7 @@
 		s.retireAdapter()
 	}
 	s.definition, s.routes, s.signature = definition, routes, signature
-	s.rateLimiter.setRate(s.engine.now(), definition.RateLimitPerSecond, s.engine.deliverers)
+	s.rateLimiter.setRate(s.engine.now(), definition.RateLimitPerSecond, s.engine.rateDivisor)
 }
 
 // retireAdapter drops the service's adapter. Its attempts in flight still end there; messages that are pending in it return
@@ -152,9 +152,9 @@
 	e.markAllDirty()
 }
 
-// applyDeliverers divides the rate limits among another number of stores.
-func (e *Engine) applyDeliverers(count int) {
-	e.deliverers = count
+// applyRateDivisor applies another divisor to the rate limits of all services.
+func (e *Engine) applyRateDivisor(count int) {
+	e.rateDivisor = count
 	now := e.now()
 	for _, s := range e.services {
 		s.rateLimiter.setRate(now, s.definition.RateLimitPerSecond, count)
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -21,7 +21,7 @@
 	concurrency       concurrencyLimit
 	endpoints         []*endpoint
 	share             int           // the callers among which its workers' limits are divided
-	pending           int           // messages that are dispatched
+	dispatched        int           // messages that are dispatched
 	starts            int           // messages dispatched so far
 	healthResetCursor int           // the endpoint whose health was reset last, while the service is down
 	healthResetAt     time.Duration // when idle endpoints' health was reset last
@@ -40,7 +40,7 @@
 	next := s.restoreMisdirected(now)
 	for !s.engine.gates.isPaused() {
 		queued := s.nextMessage(now)
-		if queued == nil || !s.ensureAdapter() || s.pending >= s.concurrency.allowed(s.maxConcurrency()) {
+		if queued == nil || !s.ensureAdapter() || s.dispatched >= s.concurrency.updateLimit(s.maxConcurrency()) {
 			return next
 		}
 		if s.concurrency.resumeAt > now {
--- a/internal/delivery/stats.go
+++ b/internal/delivery/stats.go
@@ -18,7 +18,7 @@
 	Pending          int  // messages that are dispatched: with the decision module or in flight
 	ConcurrencyLimit int  // how many messages may be dispatched
 	Ready            int  // workers that take messages
-	Down             bool // no worker has answered of late
+	Down             bool // the last attempts all ended without a worker processing the message
 }
 
 // gauges are what the event loop publishes: of a service, after each run.
@@ -54,8 +54,8 @@
 	}
 	limit := s.maxConcurrency()
 	s.gauge.due.Store(int64(due))
-	s.gauge.pending.Store(int64(s.pending))
-	s.gauge.concurrencyLimit.Store(int64(s.concurrency.allowed(limit)))
+	s.gauge.pending.Store(int64(s.dispatched))
+	s.gauge.concurrencyLimit.Store(int64(s.concurrency.updateLimit(limit)))
 	s.gauge.ready.Store(int64(s.readyCount()))
 	s.gauge.down.Store(s.concurrency.down)
 }
--- a/internal/delivery/token_bucket.go
+++ b/internal/delivery/token_bucket.go
@@ -19,10 +19,10 @@
 }
 
 // setRate gives the bucket this store's part of a service's rate limit, of so many requests a second.
-func (b *tokenBucket) setRate(now time.Duration, perSecond float64, deliverers int) {
+func (b *tokenBucket) setRate(now time.Duration, perSecond float64, divisor int) {
 	b.refill(now)
 	fresh := b.burst == 0
-	b.rate = perSecond * usableRate / float64(max(deliverers, 1))
+	b.rate = perSecond * usableRate / float64(max(divisor, 1))
 	b.burst = min(max(b.rate*burstDuration.Seconds(), 1), maxBurst)
 	b.tokens = min(b.tokens, b.burst)
 	if fresh {
--- a/internal/messagestore/errors.go
+++ b/internal/messagestore/errors.go
@@ -16,8 +16,9 @@
 var (
 	// errNotPrimary tells that this store is not the partition's primary.
 	errNotPrimary = &rpc.Error{Code: rpc.CodeNotLeader}
-	// errTooFewDisks tells that a message could not be committed now. It was not taken.
-	errTooFewDisks = &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few disks for another message"}
+	// errCannotCommit rejects a message before it is logged: too few replicas, a full or failing disk, or a backup that does
+	// not answer.
+	errCannotCommit = &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few disks for another message"}
 	// errCommitTimeout tells that a message was taken, and its commit is not known.
 	errCommitTimeout = &rpc.Error{Code: rpc.CodeInternal, Message: "replicas have not answered in time"}
 	// errNotReplica tells that the partition's view does not list this store's disk.
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -48,7 +48,7 @@
 		return found.pending, false, nil
 	}
 	if !s.canCommit(p) {
-		return nil, false, errTooFewDisks
+		return nil, false, errCannotCommit
 	}
 	accepted := s.assignSequence(p, submission)
 	line, err := (&record.Record{Kind: record.Accepted, Partition: p.id, Epoch: p.epoch, Message: accepted}).Encode()
--- a/internal/wal/group_commit.go
+++ b/internal/wal/group_commit.go
@@ -52,7 +52,7 @@
 // makes the log failed for good.
 func (l *Log) Sync(ctx context.Context) error {
 	l.mutex.Lock()
-	err := l.usable()
+	err := l.checkUsable()
 	l.mutex.Unlock()
 	if err != nil {
 		return trace.Wrap(err)
@@ -118,7 +118,7 @@
 }
 
 // beginBatch takes the gathering batch and all that is pending.
-func (l *Log) beginBatch() (*commitBatch, []*run) {
+func (l *Log) beginBatch() (*commitBatch, []*extent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	batch := l.group.gathering
@@ -136,7 +136,7 @@
 }
 
 // writeRuns writes runs and makes them durable. It returns how many of them, from the first, are.
-func (l *Log) writeRuns(runs []*run) (durable int, err error) {
+func (l *Log) writeRuns(runs []*extent) (durable int, err error) {
 	for i, each := range runs {
 		if each.offset == 0 {
 			if err := l.syncActive(); err != nil {
@@ -192,7 +192,7 @@
 }
 
 // cutBack removes from the active segment what a failed attempt to write these runs has left there.
-func (l *Log) cutBack(runs []*run) error {
+func (l *Log) cutBack(runs []*extent) error {
 	if len(runs) == 0 || l.active.segment != runs[0].segment {
 		return nil
 	}
@@ -213,14 +213,14 @@
 		l.full = false
 	} else {
 		l.pending = append(unwritten, l.pending...)
-		l.noteFailure(err)
+		l.handleSyncError(err)
 	}
 	batch.err = err
 	close(batch.done)
 }
 
 // release accounts for runs that are durable now, and keeps a small buffer for the next run.
-func (l *Log) release(runs []*run) {
+func (l *Log) release(runs []*extent) {
 	for _, each := range runs {
 		l.backlog -= int64(len(each.data))
 		if l.spare == nil && cap(each.data) <= maxSpareBytes {
@@ -229,8 +229,8 @@
 	}
 }
 
-// noteFailure handles a failed sync: it schedules a retry if the disk is full, and fails the log for good at any other error.
-func (l *Log) noteFailure(err error) {
+// handleSyncError handles a failed sync: it schedules a retry if the disk is full, and fails the log for good at any other error.
+func (l *Log) handleSyncError(err error) {
 	if !IsDiskFull(err) {
 		l.failure = err
 		l.logger.Error("log failed", zap.Error(err))
@@ -259,7 +259,7 @@
 func (l *Log) retryFull() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.full && l.usable() == nil {
+	if l.full && l.checkUsable() == nil {
 		l.gather()
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -26,8 +26,8 @@
 
 	mutex    sync.Mutex
 	segments []*segment // by number; the last one takes new records
-	pending  []*run     // what the next sync writes
-	inFlight []*run     // what the running sync writes
+	pending  []*extent  // what the next sync writes
+	inFlight []*extent  // what the running sync writes
 	backlog  int64      // bytes in pending and inFlight
 	spare    []byte     // an empty buffer for the next run
 	appended uint64     // count of records appended
@@ -83,7 +83,7 @@
 
 // checkAppend returns why the log takes no record now, or nil.
 func (l *Log) checkAppend() error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if l.backlog >= maxBacklogBytes || l.full && l.backlog >= maxFullBacklogBytes {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// usable returns why the log is of no use any more, or nil.
-func (l *Log) usable() error {
+// checkUsable returns an error if the log has failed or is closed.
+func (l *Log) checkUsable() error {
 	if l.failure != nil {
 		return l.failure
 	}
@@ -104,7 +104,7 @@
 }
 
 // targetRun returns the run that takes the next record; it begins a new segment where the current one is full.
-func (l *Log) targetRun(recordSize int64) *run {
+func (l *Log) targetRun(recordSize int64) *extent {
 	tail := l.tail()
 	if tail.size > segmentHeaderSize && tail.size+recordSize > l.segmentBytes {
 		tail = l.rollSegment()
@@ -115,7 +115,7 @@
 			return last
 		}
 	}
-	next := &run{segment: tail, offset: tail.size, data: l.spare}
+	next := &extent{segment: tail, offset: tail.size, data: l.spare}
 	l.spare = nil
 	l.pending = append(l.pending, next)
 	if tail.size == 0 {
@@ -126,7 +126,7 @@
 }
 
 // grow accounts for bytes that were added to a run.
-func (l *Log) grow(target *run, bytes int) {
+func (l *Log) grow(target *extent, bytes int) {
 	target.segment.size += int64(bytes)
 	l.backlog += int64(bytes)
 }
@@ -179,8 +179,8 @@
 	return errors.Join(errs...)
 }
 
-// run is a stretch of consecutive bytes of one segment that wait to be written.
-type run struct {
+// extent is a range of consecutive bytes of one segment that is not written yet.
+type extent struct {
 	segment *segment
 	offset  int64 // 0 where the run begins with the segment's header
 	data    []byte
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -47,7 +47,7 @@
 
 // findBuffered returns a copy of a payload that is not written yet, or nil. The caller holds the mutex.
 func (l *Log) findBuffered(in *segment, position Position) []byte {
-	for _, runs := range [][]*run{l.inFlight, l.pending} {
+	for _, runs := range [][]*extent{l.inFlight, l.pending} {
 		for _, candidate := range runs {
 			start := position.Offset - candidate.offset
 			end := start + int64(position.Length)
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -95,7 +95,7 @@
 func (l *Log) removable(before uint64) ([]uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, err
 	}
 	var numbers []uint64
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -19,7 +19,7 @@
 func (l *Log) BeginSnapshot() (*Snapshot, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	tail := l.tail()
