--- a/internal/dispatcher/capture/recorder.go
+++ b/internal/dispatcher/capture/recorder.go
@@ -2,7 +2,7 @@
 // file format of docs/capture-format.md: a capture is a pair of Parquet files, one with a row per client request and one
 // with a row per attempt, and a manifest beside them that seals both with lengths and checksums.
 //
-// Recorder is an observer of the dispatcher's core. The core's goroutine builds whole rows and offers them to two bounded
+// Recorder is an observer of the dispatcher's core. The core's goroutine builds complete rows and offers them to two bounded
 // channels; the goroutine of Recorder.Run alone touches files. Recording must never block the core or cost a job: a row
 // that finds no room in a channel or on the disk is counted and left out. A file without its manifest does not count as
 // closed.
--- a/internal/dispatcher/fleetsim/accounting.go
+++ b/internal/dispatcher/fleetsim/accounting.go
@@ -59,19 +59,19 @@
 }
 
 // closeAccounting completes the result of a simulated day, and looks for requests without an answer.
-func (d *simulation) closeAccounting() {
-	r := d.result
-	r.Duration = d.now
+func (sim *simulation) closeAccounting() {
+	r := sim.result
+	r.Duration = sim.now
 	r.computeScore()
-	for _, w := range d.workers {
+	for _, w := range sim.workers {
 		w.advance()
 		k := &r.Kinds[w.kindIndex]
-		k.Utilization += w.busySlotSeconds / max(d.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
+		k.Utilization += w.busySlotSeconds / max(sim.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
 	}
-	if left := d.openRequests; left > 0 && !r.Stopped {
+	if left := sim.openRequests; left > 0 && !r.Stopped {
 		r.Violations[violationNoAnswer] += left
 	}
-	for _, n := range d.dispatchers {
+	for _, n := range sim.dispatchers {
 		for _, t := range n.jobs {
 			if !t.answered && !r.Stopped {
 				r.Violations[violationNoAnswer]++
--- a/internal/dispatcher/fleetsim/clients.go
+++ b/internal/dispatcher/fleetsim/clients.go
@@ -18,18 +18,18 @@
 }
 
 // scheduleArrivals lets all requests arrive, each of which schedules the next one.
-func (d *simulation) scheduleArrivals(seed uint64) {
-	arrivals := d.arrivals(seed)
+func (sim *simulation) scheduleArrivals(seed uint64) {
+	arrivals := sim.arrivals(seed)
 	var next func()
 	next = func() {
 		a, ok := arrivals()
-		if d.allArrived = !ok; !ok {
+		if sim.allArrived = !ok; !ok {
 			return
 		}
-		d.schedule(a.At-d.now, func() {
-			q := d.accounting.newRequest(a)
-			q.arrived, q.dispatcher = d.now, d.dispatchers[a.Dispatcher]
-			d.openRequests++
+		sim.schedule(a.At-sim.now, func() {
+			q := sim.accounting.newRequest(a)
+			q.arrived, q.dispatcher = sim.now, sim.dispatchers[a.Dispatcher]
+			sim.openRequests++
 			next()
 			q.dispatcher.accept(q, false)
 		})
@@ -57,27 +57,27 @@
 }
 
 // finishRequest is a request's one final end, as its client sees it.
-func (d *simulation) finishRequest(q *request, verdict requestOutcome) {
+func (sim *simulation) finishRequest(q *request, verdict requestOutcome) {
 	if q.ended {
-		d.result.Violations[violationTwoAnswers]++
+		sim.result.Violations[violationTwoAnswers]++
 		return
 	}
 	q.ended = true
-	d.openRequests--
-	d.result.addEnded(d.scenario, q, verdict, d.now-q.arrived)
+	sim.openRequests--
+	sim.result.addEnded(sim.scenario, q, verdict, sim.now-q.arrived)
 }
 
 // retry lets a client send its request again, if it does so, and tells whether.
-func (d *simulation) retry(q *request, after time.Duration) bool {
-	wait := ms(d.load.Retries.WaitMs)
-	if d.load.Retries.HonourRetryAfter {
+func (sim *simulation) retry(q *request, after time.Duration) bool {
+	wait := ms(sim.load.Retries.WaitMs)
+	if sim.load.Retries.HonourRetryAfter {
 		wait = max(wait, after)
 	}
-	if q.retriesLeft <= 0 || d.now+wait >= q.deadline {
+	if q.retriesLeft <= 0 || sim.now+wait >= q.deadline {
 		return false
 	}
 	q.retriesLeft--
-	d.result.Retries++
-	d.schedule(wait, func() { q.dispatcher.accept(q, true) })
+	sim.result.Retries++
+	sim.schedule(wait, func() { q.dispatcher.accept(q, true) })
 	return true
 }
--- a/internal/dispatcher/fleetsim/dispatcher.go
+++ b/internal/dispatcher/fleetsim/dispatcher.go
@@ -46,7 +46,7 @@
 	worker       *worker
 	state        decision.State
 	started      time.Duration
-	leavingSince time.Duration   // when discovery told that it leaves
+	leavingSince time.Duration   // when discovery said that it leaves
 	idleSince    []time.Duration // of each idle connection, the oldest first
 	updateSeen   int             // the newest update, so that late ones do not undo it
 }
@@ -68,22 +68,22 @@
 	updates     int  // of discovery so far
 }
 
-func newDispatcher(d *simulation, self, count int, lim DispatcherGroup, seed uint64) (*dispatcher, error) {
-	zone := d.zoneIndex[lim.Zone]
-	m, err := decision.New(d.moduleSettings(self, count, zone), seed)
+func newDispatcher(sim *simulation, self, count int, lim DispatcherGroup, seed uint64) (*dispatcher, error) {
+	zone := sim.zoneIndex[lim.Zone]
+	m, err := decision.New(sim.moduleSettings(self, count, zone), seed)
 	if err != nil {
 		return nil, err
 	}
-	n := &dispatcher{sim: d, zone: zone, limits: lim, module: m, jobs: map[decision.JobID]*job{}, workersByID: map[decision.WorkerID]*workerView{}}
-	for _, w := range d.workers {
+	d := &dispatcher{sim: sim, zone: zone, limits: lim, module: m, jobs: map[decision.JobID]*job{}, workersByID: map[decision.WorkerID]*workerView{}}
+	for _, w := range sim.workers {
 		s := &workerView{worker: w, state: decision.Ready}
-		n.workers = append(n.workers, s)
-		n.workersByID[w.id] = s
+		d.workers = append(d.workers, s)
+		d.workersByID[w.id] = s
 	}
-	return n, nil
+	return d, nil
 }
 
-func (n *dispatcher) entry(s *workerView) decision.Entry {
+func (d *dispatcher) entry(s *workerView) decision.Entry {
 	e := decision.Entry{Worker: s.worker.id, Zone: s.worker.zone, Kind: s.worker.kindIndex, Weight: 1, State: s.state}
 	if s.started > 0 {
 		e.Started = clockStart + s.started
@@ -91,239 +91,239 @@
 	return e
 }
 
-// sendFullList gives the module the whole list of workers.
-func (n *dispatcher) sendFullList(kind decision.ListKind) {
+// sendFullList gives the module the full list of workers.
+func (d *dispatcher) sendFullList(kind decision.ListKind) {
 	ev := decision.Event{Kind: decision.EventList, List: kind}
-	for _, s := range n.workers {
+	for _, s := range d.workers {
 		if s.state != decision.Gone {
-			ev.Entries = append(ev.Entries, n.entry(s))
+			ev.Entries = append(ev.Entries, d.entry(s))
 		}
 	}
-	n.handle(&ev)
+	d.handle(&ev)
 }
 
-func (n *dispatcher) start() { n.sendFullList(decision.ListCached) }
+func (d *dispatcher) start() { d.sendFullList(decision.ListCached) }
 
 // learnState lets discovery tell of a worker's state after a delay in seconds.
-func (n *dispatcher) learnState(w *worker, state decision.State, delay float64) {
-	n.updates++
-	update := n.updates
+func (d *dispatcher) learnState(w *worker, state decision.State, delay float64) {
+	d.updates++
+	update := d.updates
 	started := w.startedAt
-	n.sim.schedule(sec(delay), func() {
-		s := n.workersByID[w.id]
+	d.sim.schedule(sec(delay), func() {
+		s := d.workersByID[w.id]
 		if update < s.updateSeen { // a newer update has come before
 			return
 		}
 		s.updateSeen, s.state, s.started = update, state, started
 		if state != decision.Ready {
-			s.leavingSince = n.sim.now
+			s.leavingSince = d.sim.now
 		}
-		n.handle(&decision.Event{Kind: decision.EventList, List: decision.ListDelta, Entries: []decision.Entry{n.entry(s)}})
+		d.handle(&decision.Event{Kind: decision.EventList, List: decision.ListDelta, Entries: []decision.Entry{d.entry(s)}})
 	})
 }
 
 // handle gives the module an event and carries out the actions that it answers with.
-func (n *dispatcher) handle(ev *decision.Event) {
-	n.sim.result.Decisions++
-	n.actions = n.module.Handle(clockStart+n.sim.now, ev, n.actions[:0])
-	for _, a := range slices.Clone(n.actions) {
-		t := n.jobs[a.Job]
+func (d *dispatcher) handle(ev *decision.Event) {
+	d.sim.result.Decisions++
+	d.actions = d.module.Handle(clockStart+d.sim.now, ev, d.actions[:0])
+	for _, a := range slices.Clone(d.actions) {
+		t := d.jobs[a.Job]
 		switch a.Kind {
 		case decision.Send:
 			if t != nil {
-				n.send(t, a)
+				d.send(t, a)
 			}
 		case decision.Reject, decision.Fail:
 			if t != nil {
-				n.answer(t, map[decision.ActionKind]requestOutcome{decision.Reject: rejected, decision.Fail: failed}[a.Kind], a.RetryAfter)
+				d.answer(t, map[decision.ActionKind]requestOutcome{decision.Reject: rejected, decision.Fail: failed}[a.Kind], a.RetryAfter)
 			}
 		case decision.Cancel:
 			if t != nil && a.Attempt < len(t.attempts) {
 				c := t.attempts[a.Attempt]
 				c.cancelled, c.connectionClosed = true, true
-				n.sim.schedule(0, func() { n.attemptEnded(c, decision.Cancelled, decision.Load{}) })
+				d.sim.schedule(0, func() { d.attemptEnded(c, decision.Cancelled, decision.Load{}) })
 			}
 		case decision.SetTimer:
 			token := a.Token
-			n.sim.schedule(a.Delay, func() { n.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
+			d.sim.schedule(a.Delay, func() { d.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
 		case decision.Watch, decision.Fetch:
-			if !n.watching {
-				n.watching = true
-				n.sim.schedule(ms(50+100*n.sim.networkRandom.Float64()), func() { n.sendFullList(decision.ListFull) })
+			if !d.watching {
+				d.watching = true
+				d.sim.schedule(ms(50+100*d.sim.networkRandom.Float64()), func() { d.sendFullList(decision.ListFull) })
 			}
 		}
 	}
 }
 
 // accept takes a client's request. Beyond the limit of open jobs it is rejected at once.
-func (n *dispatcher) accept(q *request, retry bool) {
-	n.sim.result.Requests++
-	if n.openJobs >= n.limits.OpenJobs {
-		n.sim.result.Overflowed++
-		n.answerClient(q, rejected, ms(n.sim.RetryAfterMs))
+func (d *dispatcher) accept(q *request, retry bool) {
+	d.sim.result.Requests++
+	if d.openJobs >= d.limits.OpenJobs {
+		d.sim.result.Overflowed++
+		d.answerClient(q, rejected, ms(d.sim.RetryAfterMs))
 		return
 	}
-	n.openJobs++
-	n.sim.result.PeakOpenJobs = max(n.sim.result.PeakOpenJobs, n.openJobs)
-	for n.lastJobID++; n.lastJobID == 0 || n.jobs[n.lastJobID] != nil; n.lastJobID++ {
+	d.openJobs++
+	d.sim.result.PeakOpenJobs = max(d.sim.result.PeakOpenJobs, d.openJobs)
+	for d.lastJobID++; d.lastJobID == 0 || d.jobs[d.lastJobID] != nil; d.lastJobID++ {
 	}
-	patience := q.deadline - n.sim.now
-	t := &job{request: q, dispatcher: n, id: n.lastJobID, deadline: n.sim.now + patience - min(maxAnswerMargin, patience/4)}
-	n.jobs[t.id] = t
-	n.sim.schedule(t.deadline-n.sim.now, func() { n.deadlinePassed(t) })
-	n.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: retry})
+	patience := q.deadline - d.sim.now
+	t := &job{request: q, dispatcher: d, id: d.lastJobID, deadline: d.sim.now + patience - min(maxAnswerMargin, patience/4)}
+	d.jobs[t.id] = t
+	d.sim.schedule(t.deadline-d.sim.now, func() { d.deadlinePassed(t) })
+	d.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: retry})
 }
 
 // answerClient gives the client the answer to one attempt of its own; it may retry.
-func (n *dispatcher) answerClient(q *request, v requestOutcome, after time.Duration) {
-	if v == served || !n.sim.retry(q, after) {
-		n.sim.finishRequest(q, v)
+func (d *dispatcher) answerClient(q *request, v requestOutcome, after time.Duration) {
+	if v == served || !d.sim.retry(q, after) {
+		d.sim.finishRequest(q, v)
 	}
 }
 
 // answer ends a job.
-func (n *dispatcher) answer(t *job, v requestOutcome, after time.Duration) {
+func (d *dispatcher) answer(t *job, v requestOutcome, after time.Duration) {
 	if t.answered {
-		n.sim.result.Violations[violationTwoAnswers]++
+		d.sim.result.Violations[violationTwoAnswers]++
 		return
 	}
 	t.answered = true
-	n.openJobs--
+	d.openJobs--
 	if v == rejected {
-		n.sim.result.Rejections++
+		d.sim.result.Rejections++
 		if after <= 0 {
-			after = ms(n.sim.RetryAfterMs)
+			after = ms(d.sim.RetryAfterMs)
 		}
 	}
-	n.answerClient(t.request, v, after)
-	n.forgetIfDone(t)
+	d.answerClient(t.request, v, after)
+	d.forgetIfDone(t)
 }
 
 // forgetIfDone removes a job that has its answer and no attempt in flight.
-func (n *dispatcher) forgetIfDone(t *job) {
+func (d *dispatcher) forgetIfDone(t *job) {
 	if t.answered && t.inFlight == 0 {
-		delete(n.jobs, t.id)
+		delete(d.jobs, t.id)
 	}
 }
 
 // deadlinePassed fails a job that the module should have answered by now.
-func (n *dispatcher) deadlinePassed(t *job) {
+func (d *dispatcher) deadlinePassed(t *job) {
 	if t.answered {
 		return
 	}
 	for _, a := range t.attempts {
 		if !a.endedAtDispatcher {
 			a.connectionClosed = true
-			n.attemptEnded(a, decision.TimedOut, decision.Load{})
+			d.attemptEnded(a, decision.TimedOut, decision.Load{})
 		}
 	}
 	if !t.answered {
-		n.sim.result.Violations[violationDeadline]++
-		n.answer(t, failed, 0)
+		d.sim.result.Violations[violationDeadline]++
+		d.answer(t, failed, 0)
 	}
 }
 
 // send starts an attempt, over an idle connection or a new one.
-func (n *dispatcher) send(t *job, act decision.Action) {
-	s := n.workersByID[act.Worker]
+func (d *dispatcher) send(t *job, act decision.Action) {
+	s := d.workersByID[act.Worker]
 	a := &attempt{job: t, number: len(t.attempts)}
 	if t.inFlight > 0 {
-		n.sim.result.Violations[violationTwoAttempts]++
+		d.sim.result.Violations[violationTwoAttempts]++
 	}
 	t.attempts = append(t.attempts, a)
 	t.inFlight++
 	if s == nil || s.state != decision.Ready || t.answered {
-		n.sim.result.Violations[violationNotReady]++
-		n.sim.schedule(0, func() { n.attemptEnded(a, decision.NeverSent, decision.Load{}) })
+		d.sim.result.Violations[violationNotReady]++
+		d.sim.schedule(0, func() { d.attemptEnded(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
 	a.worker, a.incarnation, a.work = s.worker, s.worker.incarnation, t.work
-	n.sim.result.AttemptsSent++
-	hop := n.sim.networkDelay(n.zone, a.worker.zone)
-	if a.worker.zone != n.zone {
-		n.sim.result.CrossZoneAttempts++
+	d.sim.result.AttemptsSent++
+	hop := d.sim.networkDelay(d.zone, a.worker.zone)
+	if a.worker.zone != d.zone {
+		d.sim.result.CrossZoneAttempts++
 	}
-	if n.takeIdle(s) {
-		n.sim.schedule(hop, func() { a.worker.arrive(a) })
+	if d.takeIdle(s) {
+		d.sim.schedule(hop, func() { a.worker.arrive(a) })
 		return
 	}
-	n.sim.result.ConnectionsDialled++
-	if n.connections >= n.limits.Connections && !n.closeOldestIdle() {
-		n.sim.result.ConnectionsExhausted++
-		n.sim.schedule(0, func() { n.attemptEnded(a, decision.NeverSent, decision.Load{}) })
+	d.sim.result.ConnectionsDialled++
+	if d.connections >= d.limits.Connections && !d.closeOldestIdle() {
+		d.sim.result.ConnectionsExhausted++
+		d.sim.schedule(0, func() { d.attemptEnded(a, decision.NeverSent, decision.Load{}) })
 		return
 	}
-	trip := time.Duration(2 * n.sim.ConnectionRoundTrips * float64(hop))
+	trip := time.Duration(2 * d.sim.ConnectionRoundTrips * float64(hop))
 	switch {
-	case a.worker.unresponsive || trip > ms(n.sim.ConnectTimeoutMs):
-		n.sim.schedule(ms(n.sim.ConnectTimeoutMs), func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
+	case a.worker.unresponsive || trip > ms(d.sim.ConnectTimeoutMs):
+		d.sim.schedule(ms(d.sim.ConnectTimeoutMs), func() { d.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
 	case !a.worker.up:
-		n.sim.schedule(trip, func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
+		d.sim.schedule(trip, func() { d.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
 	case a.worker.connections >= a.worker.kind.Connections:
-		n.sim.result.Kinds[a.worker.kindIndex].RejectedConnections++
-		n.sim.schedule(trip, func() { n.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
+		d.sim.result.Kinds[a.worker.kindIndex].RejectedConnections++
+		d.sim.schedule(trip, func() { d.attemptEnded(a, decision.ConnectFailed, decision.Load{}) })
 	default:
-		n.connections++
+		d.connections++
 		a.worker.connections++
 		a.newConnection = true
 		a.work += a.worker.kind.ConnectionMs / 1000
-		n.sim.schedule(trip, func() {
+		d.sim.schedule(trip, func() {
 			if s.state != decision.Ready { // it left while the connection was set up
-				n.attemptEnded(a, decision.NeverSent, decision.Load{})
+				d.attemptEnded(a, decision.NeverSent, decision.Load{})
 				return
 			}
-			n.sim.schedule(hop, func() { a.worker.arrive(a) })
+			d.sim.schedule(hop, func() { a.worker.arrive(a) })
 		})
 	}
 }
 
 // sendProgress carries a worker's progress report to the dispatcher.
 func (a *attempt) sendProgress(kind decision.ProgressKind, share float64) {
-	n := a.job.dispatcher
-	n.sim.schedule(n.sim.networkDelay(a.worker.zone, n.zone), func() {
+	d := a.job.dispatcher
+	d.sim.schedule(d.sim.networkDelay(a.worker.zone, d.zone), func() {
 		if !a.endedAtDispatcher && !a.connectionClosed {
-			n.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.job.id, Attempt: a.number, Worker: a.worker.id, Progress: kind, Value: share})
+			d.handle(&decision.Event{Kind: decision.EventJobProgress, Job: a.job.id, Attempt: a.number, Worker: a.worker.id, Progress: kind, Value: share})
 		}
 	})
 }
 
 // sendOutcome carries an outcome to the dispatcher, with the worker's newest load report where from is given.
 func (a *attempt) sendOutcome(o decision.Outcome, from *worker) {
-	n := a.job.dispatcher
+	d := a.job.dispatcher
 	var load decision.Load
 	if from != nil {
 		load = from.latestReport()
 	}
-	n.sim.schedule(n.sim.networkDelay(a.worker.zone, n.zone), func() {
+	d.sim.schedule(d.sim.networkDelay(a.worker.zone, d.zone), func() {
 		if !a.connectionClosed {
-			n.attemptEnded(a, o, load)
+			d.attemptEnded(a, o, load)
 		}
 	})
 }
 
 // attemptEnded is an attempt's one outcome at the dispatcher.
-func (n *dispatcher) attemptEnded(a *attempt, o decision.Outcome, load decision.Load) {
+func (d *dispatcher) attemptEnded(a *attempt, o decision.Outcome, load decision.Load) {
 	if a.endedAtDispatcher {
 		return
 	}
 	a.endedAtDispatcher = true
 	t := a.job
 	t.inFlight--
-	n.sim.result.Outcomes[o]++
+	d.sim.result.Outcomes[o]++
 	if a.worker != nil {
-		if s := n.workersByID[a.worker.id]; (o == decision.OK || o == decision.Rejected) && a.incarnation == a.worker.incarnation && a.worker.up {
-			n.keepIdle(s)
+		if s := d.workersByID[a.worker.id]; (o == decision.OK || o == decision.Rejected) && a.incarnation == a.worker.incarnation && a.worker.up {
+			d.keepIdle(s)
 		} else if o != decision.NeverSent && o != decision.ConnectFailed || a.newConnection {
-			n.closeConnection(a.worker, a.incarnation)
+			d.closeConnection(a.worker, a.incarnation)
 		}
 	}
 	if o == decision.OK && !t.answered {
-		n.answer(t, served, 0)
+		d.answer(t, served, 0)
 	}
 	id := decision.WorkerID(0)
 	if a.worker != nil {
 		id = a.worker.id
 	}
-	n.handle(&decision.Event{Kind: decision.EventOutcome, Job: t.id, Attempt: a.number, Worker: id, Outcome: o, JobEnded: t.answered, Load: load})
-	n.forgetIfDone(t)
+	d.handle(&decision.Event{Kind: decision.EventOutcome, Job: t.id, Attempt: a.number, Worker: id, Outcome: o, JobEnded: t.answered, Load: load})
+	d.forgetIfDone(t)
 }
--- a/internal/dispatcher/fleetsim/dispatcher_connections.go
+++ b/internal/dispatcher/fleetsim/dispatcher_connections.go
@@ -1,7 +1,7 @@
 package fleetsim
 
 // takeIdle takes an idle connection, and tells whether there was one.
-func (n *dispatcher) takeIdle(s *workerView) bool {
+func (d *dispatcher) takeIdle(s *workerView) bool {
 	if k := len(s.idleSince); k > 0 && (s.worker.up || s.worker.unresponsive) { // nothing shows that a worker does not answer any more
 		s.idleSince = s.idleSince[:k-1]
 		return true
@@ -10,42 +10,42 @@
 }
 
 // closeOldestIdle closes the connection that has been idle longest, and tells whether there was one.
-func (n *dispatcher) closeOldestIdle() bool {
+func (d *dispatcher) closeOldestIdle() bool {
 	var oldest *workerView
-	for _, s := range n.workers {
+	for _, s := range d.workers {
 		if len(s.idleSince) > 0 && (oldest == nil || s.idleSince[0] < oldest.idleSince[0]) {
 			oldest = s
 		}
 	}
 	if oldest != nil {
 		oldest.idleSince = oldest.idleSince[1:]
-		n.closeConnection(oldest.worker, oldest.worker.incarnation)
+		d.closeConnection(oldest.worker, oldest.worker.incarnation)
 	}
 	return oldest != nil
 }
 
 // closeConnection closes a connection to an incarnation of a worker.
-func (n *dispatcher) closeConnection(w *worker, incarnation int) {
-	n.connections--
+func (d *dispatcher) closeConnection(w *worker, incarnation int) {
+	d.connections--
 	if incarnation == w.incarnation && w.up {
 		w.connections--
 	}
 }
 
 // keepIdle keeps a connection for reuse, for a time somewhat shorter than that after which the worker would close it.
-func (n *dispatcher) keepIdle(s *workerView) {
-	s.idleSince = append(s.idleSince, n.sim.now)
-	n.sim.schedule(sec(n.sim.ConnectionIdleSeconds*4/5), func() {
-		for len(s.idleSince) > 0 && n.sim.now-s.idleSince[0] >= sec(n.sim.ConnectionIdleSeconds*4/5) {
+func (d *dispatcher) keepIdle(s *workerView) {
+	s.idleSince = append(s.idleSince, d.sim.now)
+	d.sim.schedule(sec(d.sim.ConnectionIdleSeconds*4/5), func() {
+		for len(s.idleSince) > 0 && d.sim.now-s.idleSince[0] >= sec(d.sim.ConnectionIdleSeconds*4/5) {
 			s.idleSince = s.idleSince[1:]
-			n.closeConnection(s.worker, s.worker.incarnation)
+			d.closeConnection(s.worker, s.worker.incarnation)
 		}
 	})
 }
 
 // loseConnections forgets all idle connections to a worker that stopped.
-func (n *dispatcher) loseConnections(w *worker) {
-	s := n.workersByID[w.id]
-	n.connections -= len(s.idleSince)
+func (d *dispatcher) loseConnections(w *worker) {
+	s := d.workersByID[w.id]
+	d.connections -= len(s.idleSince)
 	s.idleSince = nil
 }
--- a/internal/dispatcher/fleetsim/faults.go
+++ b/internal/dispatcher/fleetsim/faults.go
@@ -11,35 +11,35 @@
 const minOnSeconds = 0.01
 
 // scheduleFaults schedules the day's faults, each with the workers that it hits.
-func (d *simulation) scheduleFaults(random *rand.Rand) {
-	for _, fault := range d.Faults {
-		hit := d.drawHit(fault, random)
+func (sim *simulation) scheduleFaults(random *rand.Rand) {
+	for _, fault := range sim.Faults {
+		hit := sim.drawHit(fault, random)
 		end := fault.StartSeconds + fault.DurationSeconds
 		switch fault.Type {
 		case faultZoneLost:
-			d.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(true) })
-			d.scheduleEach(end, hit, (*worker).restart)
+			sim.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(true) })
+			sim.scheduleEach(end, hit, (*worker).restart)
 		case faultDeaths:
-			d.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(false) })
-			d.scheduleEach(end, hit, (*worker).restart)
+			sim.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(false) })
+			sim.scheduleEach(end, hit, (*worker).restart)
 		case faultDrain:
-			d.scheduleEach(fault.StartSeconds, hit, d.drain)
-			d.scheduleEach(end, hit, endDrain)
+			sim.scheduleEach(fault.StartSeconds, hit, sim.drain)
+			sim.scheduleEach(end, hit, endDrain)
 		case faultShared:
-			d.scheduleShared(fault, hit)
+			sim.scheduleShared(fault, hit)
 		case faultReportsLate:
-			d.schedule(sec(fault.StartSeconds), func() { d.extraReportDelay += sec(fault.Amount) })
-			d.schedule(sec(end), func() { d.extraReportDelay -= sec(fault.Amount) })
+			sim.schedule(sec(fault.StartSeconds), func() { sim.extraReportDelay += sec(fault.Amount) })
+			sim.schedule(sec(end), func() { sim.extraReportDelay -= sec(fault.Amount) })
 		}
 	}
 }
 
 // drawHit draws the workers that a fault hits. A lost zone hits all workers that the fault selects.
-func (d *simulation) drawHit(fault Fault, random *rand.Rand) []*worker {
+func (sim *simulation) drawHit(fault Fault, random *rand.Rand) []*worker {
 	var hit []*worker
-	for _, w := range d.workers {
-		inZone := fault.Zone == "" || w.zone == d.zoneIndex[fault.Zone]
-		ofKind := fault.Kind == "" || w.kindIndex == d.kindIndex[fault.Kind]
+	for _, w := range sim.workers {
+		inZone := fault.Zone == "" || w.zone == sim.zoneIndex[fault.Zone]
+		ofKind := fault.Kind == "" || w.kindIndex == sim.kindIndex[fault.Kind]
 		if inZone && ofKind {
 			hit = append(hit, w)
 		}
@@ -52,8 +52,8 @@
 }
 
 // scheduleEach schedules one event in which do is done to each worker.
-func (d *simulation) scheduleEach(atSeconds float64, workers []*worker, do func(*worker)) {
-	d.schedule(sec(atSeconds), func() {
+func (sim *simulation) scheduleEach(atSeconds float64, workers []*worker, do func(*worker)) {
+	sim.schedule(sec(atSeconds), func() {
 		for _, w := range workers {
 			do(w)
 		}
@@ -61,13 +61,13 @@
 }
 
 // drain marks a running worker as draining, and lets each dispatcher learn of it.
-func (d *simulation) drain(w *worker) {
+func (sim *simulation) drain(w *worker) {
 	w.draining = w.up
 	if !w.draining {
 		return
 	}
-	for _, n := range d.dispatchers {
-		n.learnState(w, decision.Draining, d.DiscoveryDelaySeconds.Draw(d.networkRandom))
+	for _, n := range sim.dispatchers {
+		n.learnState(w, decision.Draining, sim.DiscoveryDelaySeconds.Draw(sim.networkRandom))
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 // scheduleShared lets other programs use a part of the machines, on and off.
-func (d *simulation) scheduleShared(fault Fault, hit []*worker) {
+func (sim *simulation) scheduleShared(fault Fault, hit []*worker) {
 	setShare := func(share float64) func(*worker) {
 		return func(w *worker) {
 			w.advance()
@@ -91,7 +91,7 @@
 	on := max(fault.OnSeconds, minOnSeconds)
 	end := fault.StartSeconds + fault.DurationSeconds
 	for at := fault.StartSeconds; at < end; at += on + fault.OffSeconds {
-		d.scheduleEach(at, hit, setShare(fault.Amount))
-		d.scheduleEach(min(at+on, end), hit, setShare(0))
+		sim.scheduleEach(at, hit, setShare(fault.Amount))
+		sim.scheduleEach(min(at+on, end), hit, setShare(0))
 	}
 }
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -117,16 +117,16 @@
 
 func (r *Result) addEnded(s *scenario, q *request, v requestOutcome, took time.Duration) {
 	c := &s.Classes[q.class]
-	worth := 0.0
+	earned := 0.0
 	inTime := v == served && took <= sec(c.LatencyTargetSeconds+c.Stretch*q.work)
 	switch {
 	case inTime:
-		worth = s.value(q)
+		earned = s.value(q)
 	case v == served:
-		worth = s.value(q) * c.LateValue
+		earned = s.value(q) * c.LateValue
 	}
 	for _, t := range r.tallies(q) {
-		t.EarnedValue += worth
+		t.EarnedValue += earned
 		switch {
 		case inTime:
 			t.InTime++
--- a/internal/dispatcher/fleetsim/simulation.go
+++ b/internal/dispatcher/fleetsim/simulation.go
@@ -50,9 +50,9 @@
 }
 
 // schedule lets do happen after a time.
-func (d *simulation) schedule(after time.Duration, do func()) {
-	d.nextSequence++
-	d.queue.Push(event{d.now + max(after, 0), d.nextSequence, do})
+func (sim *simulation) schedule(after time.Duration, do func()) {
+	sim.nextSequence++
+	sim.queue.Push(event{sim.now + max(after, 0), sim.nextSequence, do})
 }
 
 func newStream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
@@ -61,24 +61,24 @@
 func (r Range) Draw(rng *rand.Rand) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
 // networkDelay returns the time that a message takes from one zone to another.
-func (d *simulation) networkDelay(from, to int) time.Duration {
-	base := d.SameZoneMs
+func (sim *simulation) networkDelay(from, to int) time.Duration {
+	base := sim.SameZoneMs
 	if from != to {
-		base = d.CrossZoneMs
+		base = sim.CrossZoneMs
 	}
-	return ms(base * (1 + d.Jitter*(2*d.networkRandom.Float64()-1)))
+	return ms(base * (1 + sim.Jitter*(2*sim.networkRandom.Float64()-1)))
 }
 
 func newSimulation(s *scenario, seed uint64) *simulation {
-	d := &simulation{
+	sim := &simulation{
 		scenario:      s,
 		networkRandom: newStream(seed, networkStream),
 		workerRandom:  newStream(seed, workerStream),
 		accounting:    newAccounting(s),
 		dedupRuns:     map[uint64]*dedupRun{},
 	}
-	d.result = d.accounting.result
-	return d
+	sim.result = sim.accounting.result
+	return sim
 }
 
 // Simulate plays a day. stop, which may be nil, is asked now and then whether to end it early; the result then holds what
@@ -88,64 +88,64 @@
 	if err != nil {
 		return nil, err
 	}
-	d := newSimulation(s, seed)
-	d.addWorkers()
-	if err := d.addDispatchers(newStream(seed, moduleStream)); err != nil {
+	sim := newSimulation(s, seed)
+	sim.addWorkers()
+	if err := sim.addDispatchers(newStream(seed, moduleStream)); err != nil {
 		return nil, err
 	}
-	for _, n := range d.dispatchers {
+	for _, n := range sim.dispatchers {
 		n.start()
 	}
-	d.scheduleFaults(newStream(seed, faultStream))
-	d.scheduleArrivals(seed)
-	for _, w := range d.workers {
+	sim.scheduleFaults(newStream(seed, faultStream))
+	sim.scheduleArrivals(seed)
+	for _, w := range sim.workers {
 		w.scheduleReports()
 	}
-	d.run(stop)
-	d.closeAccounting()
-	return d.result, nil
+	sim.run(stop)
+	sim.closeAccounting()
+	return sim.result, nil
 }
 
-func (d *simulation) addWorkers() {
-	for _, g := range d.Workers {
+func (sim *simulation) addWorkers() {
+	for _, g := range sim.Workers {
 		for range g.Count {
-			d.addWorker(d.kindIndex[g.Kind], d.zoneIndex[g.Zone])
+			sim.addWorker(sim.kindIndex[g.Kind], sim.zoneIndex[g.Zone])
 		}
 	}
 }
 
-func (d *simulation) addDispatchers(seeds *rand.Rand) error {
+func (sim *simulation) addDispatchers(seeds *rand.Rand) error {
 	count := 0
-	for _, g := range d.Dispatchers {
+	for _, g := range sim.Dispatchers {
 		count += g.Count
 	}
-	for _, g := range d.Dispatchers {
+	for _, g := range sim.Dispatchers {
 		for range g.Count {
-			n, err := newDispatcher(d, len(d.dispatchers), count, g, seeds.Uint64())
+			n, err := newDispatcher(sim, len(sim.dispatchers), count, g, seeds.Uint64())
 			if err != nil {
 				return err
 			}
-			d.dispatchers = append(d.dispatchers, n)
+			sim.dispatchers = append(sim.dispatchers, n)
 		}
 	}
 	return nil
 }
 
 // run lets everything happen until all requests have ended, or stop says so.
-func (d *simulation) run(stop func() bool) {
-	for n := 0; len(d.queue) > 0 && !(d.allArrived && d.openRequests == 0); n++ {
-		d.step()
+func (sim *simulation) run(stop func() bool) {
+	for n := 0; len(sim.queue) > 0 && !(sim.allArrived && sim.openRequests == 0); n++ {
+		sim.step()
 		if n%eventsPerStopCheck == 0 && stop != nil && stop() {
-			d.result.Stopped = true
+			sim.result.Stopped = true
 			return
 		}
 	}
 }
 
 // step lets the next event happen.
-func (d *simulation) step() {
-	e := d.queue.Pop()
-	d.now = e.at
+func (sim *simulation) step() {
+	e := sim.queue.Pop()
+	sim.now = e.at
 	e.do()
-	d.result.Events++
+	sim.result.Events++
 }
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -66,12 +66,12 @@
 // Before orders running attempts by the service at which they are complete.
 func (a *attempt) Before(other *attempt) bool { return a.completesAt < other.completesAt }
 
-func (d *simulation) addWorker(kind, zone int) {
-	k := &d.Kinds[kind]
-	id := decision.WorkerID(uint32(len(d.workers)+1) * 2654435761)
-	w := &worker{sim: d, id: id, kindIndex: kind, kind: k, zone: zone, speed: k.Speed.Draw(d.workerRandom), up: true, warmedUp: true,
-		reportInterval: sec(d.ReportIntervalSeconds.Draw(d.workerRandom)), reportDelay: sec(d.ReportDelaySeconds.Draw(d.workerRandom))}
-	d.workers = append(d.workers, w)
+func (sim *simulation) addWorker(kind, zone int) {
+	k := &sim.Kinds[kind]
+	id := decision.WorkerID(uint32(len(sim.workers)+1) * 2654435761)
+	w := &worker{sim: sim, id: id, kindIndex: kind, kind: k, zone: zone, speed: k.Speed.Draw(sim.workerRandom), up: true, warmedUp: true,
+		reportInterval: sec(sim.ReportIntervalSeconds.Draw(sim.workerRandom)), reportDelay: sec(sim.ReportDelaySeconds.Draw(sim.workerRandom))}
+	sim.workers = append(sim.workers, w)
 }
 
 // speedShare returns the share of its speed that a worker has at a moment, which grows linearly after its start.
@@ -175,19 +175,19 @@
 
 // dedup returns the run of a request's key that has run or runs at any worker. If there is none, it starts one and returns
 // nil.
-func (d *simulation) dedup(q *request) *dedupRun {
-	if r := d.dedupRuns[q.dedupKey]; r != nil && (!r.done || d.now-r.doneAt < sec(d.Classes[q.class].DedupWindowSeconds)) {
+func (sim *simulation) dedup(q *request) *dedupRun {
+	if r := sim.dedupRuns[q.dedupKey]; r != nil && (!r.done || sim.now-r.doneAt < sec(sim.Classes[q.class].DedupWindowSeconds)) {
 		return r
 	} else if r != nil {
-		d.result.Violations[violationRanTwice]++
+		sim.result.Violations[violationRanTwice]++
 	}
-	d.dedupRuns[q.dedupKey] = &dedupRun{}
+	sim.dedupRuns[q.dedupKey] = &dedupRun{}
 	return nil
 }
 
-func (d *simulation) forgetRun(q *request) {
+func (sim *simulation) forgetRun(q *request) {
 	if q.dedupKey != 0 {
-		delete(d.dedupRuns, q.dedupKey)
+		delete(sim.dedupRuns, q.dedupKey)
 	}
 }
 
