--- a/internal/cluster/agent_primary.go
+++ b/internal/cluster/agent_primary.go
@@ -22,7 +22,7 @@
 
 // The calls that are retried at the next member where a response is lost.
 const (
-	idempotentOperator         rpc.Idempotent = MethodOperator         // orders name the version that they change, and digests of the carried out ones are kept
+	idempotentOperator         rpc.Idempotent = MethodOperator         // a configuration change names its base version, and the digests of accepted changes are stored
 	idempotentPartitionRequest rpc.Idempotent = MethodPartitionRequest // requests name the epoch that they change
 	idempotentFailureReport    rpc.Idempotent = MethodFailureReport    // the control plane checks the process itself
 )
--- a/internal/cluster/control_messages.go
+++ b/internal/cluster/control_messages.go
@@ -12,7 +12,7 @@
 type FailureReport struct {
 	Node    string `json:"node"`    // name of the process that seems to have failed
 	Address string `json:"address"` // address that was called
-	Refused bool   `json:"refused"` // the connection was refused or reset, rather than timed out
+	Refused bool   `json:"refused"` // the connection was refused or reset; informative only, the control primary pings the process itself
 }
 
 // PartitionRequest is a primary's request to change its replica group. It is rejected unless the epoch is the
--- a/internal/controlplane/replication/options.go
+++ b/internal/controlplane/replication/options.go
@@ -46,11 +46,11 @@
 	}
 	setDefault(&o.Timing.HeartbeatInterval, defaultHeartbeatInterval)
 	setDefault(&o.Timing.LeaseDuration, defaultLeaseDuration)
-	setDefault(&o.Timing.BackupTimeout, defaultDropAfter)
-	setDefault(&o.Timing.RefusedTimeout, defaultRefusedDropAfter)
+	setDefault(&o.Timing.BackupTimeout, defaultBackupTimeout)
+	setDefault(&o.Timing.RefusedTimeout, defaultRefusedTimeout)
 	setDefault(&o.Timing.RoundTimeout, defaultRoundTimeout)
-	setDefault(&o.Timing.StatusTimeout, defaultProbeTimeout)
-	setDefault(&o.Timing.SnapshotTimeout, defaultCopyTimeout)
+	setDefault(&o.Timing.StatusTimeout, defaultStatusTimeout)
+	setDefault(&o.Timing.SnapshotTimeout, defaultSnapshotTimeout)
 	return o
 }
 
@@ -68,11 +68,11 @@
 const (
 	defaultHeartbeatInterval = 150 * time.Millisecond
 	defaultLeaseDuration     = 900 * time.Millisecond
-	defaultDropAfter         = 600 * time.Millisecond
-	defaultRefusedDropAfter  = 100 * time.Millisecond
+	defaultBackupTimeout     = 600 * time.Millisecond
+	defaultRefusedTimeout    = 100 * time.Millisecond
 	defaultRoundTimeout      = 500 * time.Millisecond
-	defaultProbeTimeout      = 200 * time.Millisecond
-	defaultCopyTimeout       = 3 * time.Second
+	defaultStatusTimeout     = 200 * time.Millisecond
+	defaultSnapshotTimeout   = 3 * time.Second
 )
 
 // setDefault replaces a duration that is not positive.
