--- a/internal/architecture/links_test.go
+++ b/internal/architecture/links_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"go/ast"
 	"io/fs"
 	"net/url"
 	"os"
@@ -199,3 +200,41 @@
 		}
 	}
 }
+
+// identifier matches a Go identifier.
+var identifier = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
+
+// goNameColumn is the column of the glossary's tables that has the names in the code.
+const goNameColumn = 3
+
+// TestGlossaryNamesExist checks that the code declares or uses each Go name of the glossary.
+func TestGlossaryNamesExist(t *testing.T) {
+	known := map[string]bool{}
+	for _, file := range parseModule(t) {
+		ast.Inspect(file.syntax, func(node ast.Node) bool {
+			if name, ok := node.(*ast.Ident); ok {
+				known[name.Name] = true
+			}
+			return true
+		})
+	}
+	text, err := os.ReadFile(filepath.Join(moduleRoot, "docs", "glossary.md"))
+	assert.NilError(t, err)
+	var problems []string
+	rows := 0
+	for line := range strings.Lines(string(text)) {
+		cells := strings.Split(line, "|")
+		if len(cells) != 7 { // a table of five columns has an empty cell at each end
+			continue
+		}
+		rows++
+		for _, match := range quoted.FindAllStringSubmatch(cells[goNameColumn], -1) {
+			parts := identifier.FindAllString(match[1], -1)
+			if len(parts) == 0 || !known[parts[len(parts)-1]] {
+				problems = append(problems, fmt.Sprintf("the code has no %s", match[1]))
+			}
+		}
+	}
+	assert.Assert(t, rows > 50, "%d rows were found", rows)
+	assert.Equal(t, strings.Join(problems, "\n"), "")
+}
