--- a/internal/controlplane/operatorapi/api.go
+++ b/internal/controlplane/operatorapi/api.go
@@ -1,11 +1,12 @@
-// Package operatorapi is the operator's API at the control group's primary: replacing, updating and reading the
-// configuration, and decommissioning stores.
+// Package operatorapi serves the operator's API at the control group's primary: it replaces, updates and reads the
+// configuration, and retires stores.
 //
-// An order is a call that replaces or updates the configuration. It builds on a version of the configuration and is
-// taken at most once: it is known by its digest, so that an order that is sent again is acknowledged and not carried
-// out twice. Orders are decided one after the other, under a semaphore; everything else is concurrent. The package owns
-// no state: the configuration, the digests and the retire jobs are in package controlstate, and the cluster table is
-// changed through a TableEditor. It starts no goroutine. Start reading at API.Serve.
+// A configuration request is a call that replaces or updates the configuration. It names the version of the
+// configuration that it is based on, and it is applied at most once: its digest identifies it, so a repeated request is
+// acknowledged and not applied again. Configuration requests are processed one at a time, under a semaphore; all other
+// calls are concurrent. The package owns no state: the configuration, the digests and the retire jobs are in package
+// controlstate, and the cluster table is changed through a TableEditor. The package starts no goroutine. Start reading
+// at API.Serve.
 package operatorapi
 
 import (
@@ -31,58 +32,58 @@
 	pathReplace = "/api/config/replace"
 	pathUpdate  = "/api/config/update"
 	pathRead    = "/api/config/read"
-	pathRetire  = "/api/retire/" // followed by the store's name and one of the two below
+	pathRetire  = "/api/retire/" // followed by the store's name and retireStart or retireRead
 	retireStart = "/start"
 	retireRead  = "/read"
 )
 
 const (
-	orderTimeout  = 3 * time.Second // for an order, from its arrival at the primary
-	bytesPerExtra = 200             // a long configuration gets a millisecond more for so many bytes
+	callTimeout              = 3 * time.Second // from the arrival of a call at the primary
+	bytesPerExtraMillisecond = 200             // callTimeout grows by 1 ms for each 200 bytes of the body
 )
 
-// Group is what the API needs of the control group.
+// Group is the part of the control group's API that this package uses.
 type Group interface {
-	// Propose returns after a change is in force on enough disks.
+	// Propose returns nil after the change is in force and stored on enough disks.
 	Propose(ctx context.Context, change []byte) error
-	// ReadBarrier returns nil only where this process has been the primary since the call.
+	// ReadBarrier returns nil only if this process was still the primary after the call began.
 	ReadBarrier(ctx context.Context) error
-	// DurableBarrier does the same, and makes sure that enough disks hold what is in force here.
+	// DurableBarrier does the same, and waits until enough disks hold the state that is in force at this process.
 	DurableBarrier(ctx context.Context) error
 }
 
-// Leadership tells callers of a process that does not lead the control group who does.
+// Leadership returns the errors that redirect callers to the primary of the control group.
 type Leadership interface {
-	// RequirePrimary returns an error that tells where the primary is, unless it is here.
+	// RequirePrimary returns nil if this process is the primary, and otherwise the same error as NotLeader.
 	RequirePrimary() error
-	// NotLeader returns the error that tells where the primary is.
+	// NotLeader returns a CodeNotLeader error that holds the primary's address, if it is known.
 	NotLeader() error
 }
 
 // TableEditor changes the cluster table.
 type TableEditor interface {
-	// Edit has a function change the table in the making, and returns after the change is in force, or an error.
+	// Edit calls apply on the table that is being built. It returns nil after the change is in force, or an error.
 	Edit(ctx context.Context, apply func(*placement.Builder) error) error
 }
 
-// Options holds what an API works with.
+// Options configures an API.
 type Options struct {
 	Group      Group
 	Leadership Leadership
 	Editor     TableEditor
 	State      *controlstate.Machine
-	Tolerated  int // how many losses of disks the system must bear
+	Tolerated  int // number of lost disks that the system must survive
 	Logger     *zap.Logger
 }
 
-// API serves the operator's calls.
+// API serves the operator's calls. It is safe for concurrent use.
 type API struct {
-	options Options
-	orders  syncutil.Semaphore // held while an order is decided
+	options  Options
+	requests syncutil.Semaphore // held while a configuration request is processed
 }
 
-// New returns an API.
-func New(options Options) *API { return &API{options: options, orders: syncutil.NewSemaphore()} }
+// New returns an API that serves calls at the primary.
+func New(options Options) *API { return &API{options: options, requests: syncutil.NewSemaphore()} }
 
 // Handle serves cluster.MethodOperator at the primary.
 func (a *API) Handle(ctx context.Context, call *rpc.Call) (any, []byte, error) {
@@ -93,9 +94,9 @@
 	if err := a.options.Leadership.RequirePrimary(); err != nil {
 		return nil, nil, err
 	}
-	// An order that has begun is carried through also when its caller has gone: it is going to be sent again.
-	extra := time.Duration(len(call.Body)/bytesPerExtra) * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout+extra)
+	// A call that has begun is completed even if its caller cancels it, because the caller is going to repeat it.
+	extra := time.Duration(len(call.Body)/bytesPerExtraMillisecond) * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout+extra)
 	defer cancel()
 	result, err := a.Serve(ctx, request, call.Body)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return cluster.OperatorResponse{Status: result.Status}, result.Body, nil
 }
 
-// Serve answers one call. An error is one for the caller's process, which sends the call to the primary; any other
-// failure is a Response.
+// Serve handles one call. It returns an error only if the calling process has to send the call to the primary. Any
+// other failure is a Response.
 func (a *API) Serve(ctx context.Context, call cluster.OperatorRequest, body []byte) (Response, error) {
 	result, err := a.route(ctx, call, body)
 	if err != nil {
@@ -114,7 +115,8 @@
 	return result, nil
 }
 
-// failedCall turns a failure of the group into a response. A call that surely was not carried out goes to the primary.
+// failedCall converts a failure of the group to a response. If the call was certainly not applied, it returns an error
+// instead, and the caller sends the call to the primary.
 func (a *API) failedCall(err error) (Response, error) {
 	if errors.Is(err, replication.ErrNotPrimary) {
 		return Response{}, a.options.Leadership.NotLeader()
@@ -122,15 +124,15 @@
 	if rpc.CodeOf(err) != "" {
 		return Response{}, err
 	}
-	return errorResponse(http.StatusServiceUnavailable, "the outcome is not known: "+trace.UserMessage(err)), nil
+	return errorResponse(http.StatusServiceUnavailable, "the outcome is unknown: "+trace.UserMessage(err)), nil
 }
 
 func (a *API) route(ctx context.Context, call cluster.OperatorRequest, body []byte) (Response, error) {
 	switch {
 	case call.Path == pathReplace && call.Method == http.MethodPost:
-		return a.takeOrder(ctx, call, false, body)
+		return a.handleConfigRequest(ctx, call, false, body)
 	case call.Path == pathUpdate && call.Method == http.MethodPost:
-		return a.takeOrder(ctx, call, true, body)
+		return a.handleConfigRequest(ctx, call, true, body)
 	case call.Path == pathRead && call.Method == http.MethodGet:
 		return a.readConfiguration(ctx)
 	case strings.HasPrefix(call.Path, pathRetire):
@@ -139,7 +141,7 @@
 	return errorResponse(http.StatusNotFound, "no such call"), nil
 }
 
-// readConfiguration returns the newest configuration, after making sure that this process still is the primary.
+// readConfiguration returns the current configuration after it has checked that this process is still the primary.
 func (a *API) readConfiguration(ctx context.Context) (Response, error) {
 	if err := a.options.Group.ReadBarrier(ctx); err != nil {
 		return Response{}, err
--- a/internal/controlplane/operatorapi/digest.go
+++ b/internal/controlplane/operatorapi/digest.go
@@ -15,11 +15,12 @@
 	"gladepick/internal/cluster"
 )
 
-// largestExactInteger is the largest integer up to which a float64 holds every integer.
+// largestExactInteger is the largest integer up to which a float64 represents every integer exactly.
 const largestExactInteger = 1 << 53
 
-// orderDigest returns the same text for orders with the same method, path, base version and JSON value.
-func orderDigest(call cluster.OperatorRequest, base uint64, body []byte) (string, error) {
+// requestDigest returns the digest of a configuration request, in hexadecimal. Requests with the same method, path,
+// base version and JSON value have the same digest. Digests are stored in logs and snapshots, so they must not change.
+func requestDigest(call cluster.OperatorRequest, base uint64, body []byte) (string, error) {
 	canonical, err := canonicalJSON(body)
 	if err != nil {
 		return "", trace.Wrap(err)
@@ -33,7 +34,8 @@
 	return hex.EncodeToString(hash.Sum(nil)[:16]), nil
 }
 
-// canonicalJSON returns one text for all texts of a JSON value: without space, members sorted, numbers in one form.
+// canonicalJSON returns the canonical form of a JSON value: no space between tokens, members sorted by name, and equal
+// numbers written alike.
 func canonicalJSON(body []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -64,7 +66,7 @@
 	return value
 }
 
-// canonicalNumber gives 90, 90.0 and 9e1 one form. Integers keep all their digits.
+// canonicalNumber returns the same value for 90, 90.0 and 9e1. Integers keep all their digits.
 func canonicalNumber(number json.Number) any {
 	if !strings.ContainsAny(number.String(), ".eE") {
 		return number
--- a/internal/controlplane/operatorapi/response.go
+++ b/internal/controlplane/operatorapi/response.go
@@ -12,17 +12,17 @@
 
 // Response is the answer to an operator's call.
 type Response struct {
-	Status int    // of HTTP
+	Status int    // HTTP status code
 	Body   []byte // JSON
 }
 
-// errorBody is the body of a response other than 200.
+// errorBody is the body of a response whose status is not 200.
 type errorBody struct {
 	Error    string        `json:"error"`
 	Findings []findingBody `json:"findings,omitempty"`
 }
 
-// findingBody is one thing that is wrong with a configuration.
+// findingBody is one problem of a configuration.
 type findingBody struct {
 	Place   string `json:"place,omitempty"`
 	Problem string `json:"problem"`
@@ -38,7 +38,7 @@
 	return Response{Status: status, Body: body}
 }
 
-// invalidResponse tells everything that is wrong with a configuration.
+// invalidResponse returns a response with status 400 that lists all problems of a configuration.
 func invalidResponse(err error) Response {
 	var found configuration.Findings
 	if !errors.As(err, &found) {
--- a/internal/controlplane/operatorapi/retire.go
+++ b/internal/controlplane/operatorapi/retire.go
@@ -13,12 +13,12 @@
 	"gladepick/internal/controlplane/placement"
 )
 
-// retireState is the body of the answer to a question about a retiring store.
+// retireState is the body of the response to a read of a retire job.
 type retireState struct {
 	State string `json:"state"`
 }
 
-// The states of a retire job as the operator reads them.
+// States of a retire job in responses to the operator.
 const (
 	retireRunning   = "running"
 	retireCompleted = "completed"
@@ -32,7 +32,7 @@
 func retireResponse(state string) Response {
 	body, err := json.Marshal(retireState{State: state})
 	if err != nil {
-		panic(err) // a struct of one string
+		panic(err) // cannot happen: encoding a struct of one string does not fail
 	}
 	return Response{Status: http.StatusOK, Body: body}
 }
@@ -48,8 +48,8 @@
 	return errorResponse(http.StatusNotFound, "no such call"), nil
 }
 
-// startRetire orders that a store gives away all its data. As many stores must stay as are needed after the tolerated
-// losses.
+// startRetire starts the job that moves all data off a store. It is refused unless 2*Tolerated+1 active stores remain,
+// which are enough after the tolerated losses.
 func (a *API) startRetire(ctx context.Context, store string) (Response, error) {
 	if err := a.options.Group.ReadBarrier(ctx); err != nil {
 		return Response{}, err
@@ -57,12 +57,12 @@
 	var refusal error
 	err := a.options.Editor.Edit(ctx, func(builder *placement.Builder) error {
 		refusal = builder.StartRetire(store, 2*a.options.Tolerated+1)
-		return nil // a refusal is answered after the table's other changes are in force
+		return nil // the table's other changes come into force before a refusal is returned
 	})
 	return startedResponse(refusal), err
 }
 
-// startedResponse is the answer to the order to empty a store, by what the placement said to it.
+// startedResponse returns the response to a request to retire a store, given the error of Builder.StartRetire.
 func startedResponse(refusal error) Response {
 	var tooFew *placement.TooFewStoresError
 	switch {
@@ -75,7 +75,8 @@
 	return emptyResponse(http.StatusOK)
 }
 
-// readRetire tells how far the newest job for a store is.
+// readRetire returns the state of a store's newest retire job. If the store has come back with another disk since that
+// job completed, the store is retired again.
 func (a *API) readRetire(ctx context.Context, store string) (Response, error) {
 	if err := a.options.Group.ReadBarrier(ctx); err != nil {
 		return Response{}, err
