--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -1,20 +1,20 @@
 // Package placement decides which stores hold and lead which partitions.
 //
-// It is a state machine without I/O: a Builder starts as a copy of the current cluster table, takes in what the leases
-// say of the stores and what primaries and operators ask for, and places, repairs and balances the partitions; Diff
-// returns the change of the table that results. The package starts no goroutine, takes no lock and reads no clock: the
-// time is an argument. A Builder belongs to one goroutine.
+// The package does no I/O. A Builder starts as a copy of the current cluster table. It applies the state of the stores'
+// leases and the requests of primaries and operators, and it places, repairs and balances the partitions. Diff returns
+// the resulting change of the table. The package starts no goroutine, takes no lock and reads no clock: the time is an
+// argument. A Builder belongs to one goroutine.
 //
-// The published table is immutable: replica lists are shared with it and replaced, never changed in place. Of every
-// change it holds that
+// The published table is immutable. Replica lists are shared with it, so they are replaced and never changed in place.
+// Every change of the table keeps these invariants:
 //
-//   - only a replica that is synced becomes a primary, so no partition is led without its data;
+//   - only a synced replica becomes a primary, so no partition is led by a store that lacks its data;
 //   - a partition's epoch grows with every change of its replicas, which fences the former primary;
 //   - a replica is dropped only while enough others stay, or another store takes its place;
 //   - a store that is listed with another disk is another replica.
 //
-// Steps that look at all partitions are bounded (repairsAtOnce, movesAtOnce), so that the loss of a zone does not hold
-// up the primary of the control group. Start reading at Builder, then repairPartition in repair.go.
+// The changes of one step are bounded (repairsAtOnce, movesAtOnce), so that the loss of a zone does not block the
+// primary of the control group. Start reading at Builder, then at repairPartition in repair.go.
 package placement
 
 import (
@@ -25,15 +25,16 @@
 	"gladepick/internal/controlplane/lease"
 )
 
-// Redundancy is what the replicas of a partition must outlive.
+// Redundancy is the number of replicas of a partition and of the zones that hold them.
 type Redundancy struct {
-	ReplicationFactor int // of each partition: one more than disks may be lost at once
-	// Zones is in how many zones the replicas stand where there are stores: one more than zones may be lost at once. All
-	// further replicas stand in the primary's zone, where their bytes cross no border.
+	ReplicationFactor int // replicas of each partition: one more than the disks that may be lost at once
+	// Zones is the number of zones that hold the replicas of a partition, as far as there are stores in them: one more
+	// than the zones that may be lost at once. All further replicas are in the primary's zone, because replication within
+	// a zone causes no traffic between zones.
 	Zones int
 }
 
-// Builder is a cluster table in the making.
+// Builder is a cluster table that is being built.
 type Builder struct {
 	Redundancy
 
@@ -44,12 +45,12 @@
 	jobs                []controlstate.RetireJob
 	deliveringStores    int
 	nodes               map[string]lease.Status
-	expectedBack        map[string]bool   // stores that are down, and are expected back soon
-	aliveDisks          map[string]string // the disks of the stores that can serve, by store; see indexAliveDisks
-	replicaCountByStore map[string]int    // by store, see replicaCounts; nil until they are needed
+	expectedBack        map[string]bool   // stores that are down and are expected to restart soon
+	aliveDisks          map[string]string // disk of each store that can serve, by store; see indexAliveDisks
+	replicaCountByStore map[string]int    // see replicaCounts; nil until it is needed
 }
 
-// NewBuilder returns a copy of the current table, to be changed by what the leases say.
+// NewBuilder returns a Builder that starts from the current table. nodes holds the lease of each process by its name.
 func NewBuilder(current *controlstate.State, nodes map[string]lease.Status, required Redundancy) *Builder {
 	table := current.Table
 	made := &Builder{
@@ -78,18 +79,18 @@
 	return &b.stores[position]
 }
 
-// alive tells whether a replica can serve: its store is up, and has the disk that holds the replica.
+// alive reports whether a replica can serve: its store is up and has the disk that holds the replica.
 func (b *Builder) alive(replica cluster.Replica) bool {
 	disk, up := b.aliveDisks[replica.Store]
 	return up && disk == replica.DiskID
 }
 
-// staying tells whether a replica is alive and is not to be replaced.
+// staying reports whether a replica is alive and is not going to be replaced.
 func (b *Builder) staying(replica cluster.Replica) bool {
 	return b.alive(replica) && !b.leaving(replica)
 }
 
-// leaving tells whether a replica is to be dropped once another one is synced in its place.
+// leaving reports whether a replica is going to be dropped once another one is synced in its place.
 func (b *Builder) leaving(replica cluster.Replica) bool {
 	return replica.Suspected || b.retiring(replica)
 }
@@ -98,8 +99,8 @@
 	return controlstate.FindJob(b.jobs, replica.Store, replica.DiskID) != nil
 }
 
-// recent tells whether a replica's store has renewed its lease so lately that it cannot have failed together with the
-// stores that are found down now.
+// recent reports whether a replica is alive and its store has renewed its lease so recently that it did not fail
+// together with the stores that are found down now.
 func (b *Builder) recent(replica cluster.Replica) bool {
 	return b.alive(replica) && b.nodes[replica.Store].Recent
 }
--- a/internal/controlplane/placement/core.go
+++ b/internal/controlplane/placement/core.go
@@ -8,8 +8,8 @@
 	"gladepick/internal/cluster"
 )
 
-// UpdateCore lists the members of the control group, and its primary by its disk. It takes the list over, and adds the
-// zones that the members have announced.
+// UpdateCore sets the table's list of members of the control group, and its primary, which is identified by its disk.
+// The Builder takes ownership of the slice and fills in the zones that the members have announced.
 func (b *Builder) UpdateCore(members []cluster.CoreMember, primaryDiskID string) {
 	for i := range members {
 		member := &members[i]
@@ -24,7 +24,7 @@
 	b.core = members
 }
 
-// zoneOfMember returns the zone that a member has announced, as far as it is known.
+// zoneOfMember returns the zone that a member has announced, or "" if it is not known.
 func (b *Builder) zoneOfMember(name string) string {
 	if node, found := b.nodes[name]; found {
 		return node.Info.Zone
--- a/internal/controlplane/placement/diff.go
+++ b/internal/controlplane/placement/diff.go
@@ -7,8 +7,8 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// Diff returns the change that leads from the current state to what was built, or nil where they are alike. Its proposer
-// gives it an id.
+// Diff returns the change from the current state to the table that was built, or nil if there is none. The caller that
+// proposes the change sets its ID.
 func (b *Builder) Diff(current *controlstate.State) *controlstate.TableChange {
 	table := current.Table
 	change := &controlstate.TableChange{}
@@ -35,7 +35,8 @@
 	return change
 }
 
-// changedPartitions returns the views that differ from those of another list. A partition's place in both is its id.
+// changedPartitions returns the partitions whose views differ from those in another list. In both lists, a partition's
+// index is its id.
 func changedPartitions(partitions, others []cluster.Partition) []cluster.Partition {
 	var changed []cluster.Partition
 	for i, partition := range partitions {
--- a/internal/controlplane/placement/outage.go
+++ b/internal/controlplane/placement/outage.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// restartGrace is how long stores that were found dead together are left their places. Processes that were killed
-	// are back within it, with all they held; replacing their replicas would take longer.
+	// restartGrace is how long stores that were found dead together keep their replicas. Processes that were killed
+	// restart within this time with all their data; replacing their replicas would take longer.
 	restartGrace = cluster.LeaseDuration
-	// stabilizationTime passes between a first store found dead and the repair, so that others that died with it are known.
+	// stabilizationTime is the delay between the last store found dead and the repair, so that other stores that failed
+	// with it are found first.
 	stabilizationTime = 50 * time.Millisecond
-	// newPrimaryStabilizationTime is the same after a new primary of the control group began: what ended the one before may have
-	// ended stores too, and reports of them are on their way.
+	// newPrimaryStabilizationTime is the delay between the start of a new primary of the control group and the repair.
+	// The failure that ended the former primary may have ended stores too, whose failure reports are still on their way.
 	newPrimaryStabilizationTime = 300 * time.Millisecond
 )
 
-// outage is what is known of the stores that were found dead lately and are still listed as replicas.
+// outage describes the stores that were found dead within restartGrace and are still listed as replicas.
 type outage struct {
 	down    map[string]bool // by name
 	latest  time.Time       // when the last of them was found dead
-	expires time.Time       // when the grace of the first of them is over
+	expires time.Time       // when restartGrace of the first of them is over
 }
 
-// AwaitRestarts has the replicas of stores that were found dead lately keep their places, where such stores are expected
-// back. It tells until when, so that its caller looks again; leadingSince is when the primary of the control group began
-// to lead.
+// AwaitRestarts keeps the replicas of stores that were found dead recently, while these stores are expected to restart.
+// The caller plans again at the returned time. leadingSince is when the primary of the control group began to lead.
 func (b *Builder) AwaitRestarts(now, leadingSince time.Time) (until time.Time, waits bool) {
 	found := b.findOutage(now)
 	if len(found.down) == 0 {
 		return time.Time{}, false
 	}
-	until = found.keepPlacesUntil(b.ReplicationFactor-1, leadingSince)
+	until = found.keepReplicasUntil(b.ReplicationFactor-1, leadingSince)
 	if !until.After(now) {
 		return time.Time{}, false
 	}
@@ -40,25 +40,25 @@
 	return until, true
 }
 
-// findOutage looks for stores that were found dead lately.
+// findOutage returns the stores that hold replicas and were found dead within restartGrace before now.
 func (b *Builder) findOutage(now time.Time) outage {
 	var found outage
-	var places map[string]int // counted only where a store is dead
+	var counts map[string]int // counted only if a store is dead
 	for name, node := range b.nodes {
 		if node.Live || now.Sub(node.Revoked) >= restartGrace {
 			continue
 		}
-		if places == nil {
-			places = b.replicaCounts()
+		if counts == nil {
+			counts = b.replicaCounts()
 		}
-		if places[name] > 0 {
+		if counts[name] > 0 {
 			found.add(name, node.Revoked)
 		}
 	}
 	return found
 }
 
-// add notes a store that was found dead at a moment.
+// add adds a store that was found dead at the given time.
 func (o *outage) add(name string, foundDead time.Time) {
 	if o.down == nil {
 		o.down = map[string]bool{}
@@ -72,9 +72,9 @@
 	}
 }
 
-// keepPlacesUntil returns until when the dead stores keep their places. More of them than the system is made to lose are
-// expected to come back.
-func (o outage) keepPlacesUntil(tolerated int, leadingSince time.Time) time.Time {
+// keepReplicasUntil returns the time until which the dead stores keep their replicas. If more stores are dead than the
+// number of tolerated losses, they are expected to restart.
+func (o outage) keepReplicasUntil(tolerated int, leadingSince time.Time) time.Time {
 	if len(o.down) > tolerated {
 		return o.expires
 	}
@@ -85,7 +85,7 @@
 	return stable
 }
 
-// isExpectedBack tells whether a replica keeps its place although its store is down.
+// isExpectedBack reports whether a replica is kept although its store is down.
 func (b *Builder) isExpectedBack(replica cluster.Replica) bool {
 	entry := b.store(replica.Store)
 	return b.expectedBack[replica.Store] && entry != nil && entry.DiskID == replica.DiskID
--- a/internal/controlplane/placement/outage_test.go
+++ b/internal/controlplane/placement/outage_test.go
@@ -13,10 +13,10 @@
 	longAgo := start.Add(-time.Hour)
 	var one outage
 	one.add("a", start)
-	assert.Equal(t, one.keepPlacesUntil(tolerated, longAgo), start.Add(stabilizationTime))
-	assert.Equal(t, one.keepPlacesUntil(tolerated, start), start.Add(newPrimaryStabilizationTime))
+	assert.Equal(t, one.keepReplicasUntil(tolerated, longAgo), start.Add(stabilizationTime))
+	assert.Equal(t, one.keepReplicasUntil(tolerated, start), start.Add(newPrimaryStabilizationTime))
 	two := one
 	two.add("b", start.Add(time.Millisecond))
-	assert.Equal(t, two.keepPlacesUntil(tolerated, longAgo), start.Add(restartGrace))
-	assert.Equal(t, two.keepPlacesUntil(2, longAgo), start.Add(time.Millisecond+stabilizationTime))
+	assert.Equal(t, two.keepReplicasUntil(tolerated, longAgo), start.Add(restartGrace))
+	assert.Equal(t, two.keepReplicasUntil(2, longAgo), start.Add(time.Millisecond+stabilizationTime))
 }
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// MinPartitions is the number of partitions of a small system.
+	// MinPartitions is the smallest number of partitions.
 	MinPartitions = 64
-	// partitionsPerStore is how many there are at least for each store that is there at the first placement.
+	// partitionsPerStore is the smallest number of partitions for each store that is active at the first placement.
 	partitionsPerStore = 3
 )
 
-// partitionCount is the number of partitions of a system that is first placed on so many stores, a power of two. It stays
-// for as long as the system exists: message ids name their partitions.
+// partitionCount returns the number of partitions, a power of two, of a system whose first placement is on the given
+// number of stores. It never changes afterwards, because message ids contain the number of their partition.
 func partitionCount(stores int) int {
 	count := MinPartitions
 	for count < partitionsPerStore*stores {
@@ -23,7 +23,8 @@
 	return count
 }
 
-// PlaceInitially spreads all partitions over the active stores, if there are enough of them for all replicas.
+// PlaceInitially places all partitions on the active stores. It does nothing if partitions are placed already, or if
+// there are fewer active stores than replicas of a partition.
 func (b *Builder) PlaceInitially() {
 	stores := b.activeStores()
 	if len(b.partitions) > 0 || len(stores) < b.ReplicationFactor {
@@ -42,7 +43,7 @@
 	}
 }
 
-// setPartition puts a partition's view into the table in the making. All changes of views go through it.
+// setPartition sets a partition's view. All changes of views go through it, because it updates replicaCountByStore.
 func (b *Builder) setPartition(id int, view cluster.Partition) {
 	if b.replicaCountByStore != nil {
 		for _, replica := range b.partitions[id].Replicas {
@@ -55,12 +56,12 @@
 	b.partitions[id] = view
 }
 
-// replicaAt returns the replica at a store's current disk.
+// replicaAt returns a replica on a store's current disk.
 func replicaAt(store cluster.StoreEntry, synced bool) cluster.Replica {
 	return cluster.Replica{Store: store.Name, DiskID: store.DiskID, Synced: synced}
 }
 
-// activeStores returns the stores that may be given partitions, by name.
+// activeStores returns the stores that may be given partitions, sorted by name.
 func (b *Builder) activeStores() []cluster.StoreEntry {
 	var active []cluster.StoreEntry
 	for _, entry := range b.stores {
@@ -71,8 +72,9 @@
 	return active
 }
 
-// replacement returns the active store that is the best place for one more replica beside the given ones, or nil: one in
-// a zone that suits the spread, then the one with the fewest replicas, then the first by name. One store may be excluded.
+// replacement returns the best active store for one more replica beside the given ones, or nil if there is none. It
+// prefers stores in a zone that zoneForReplica accepts, then the store with the fewest replicas, then the first by
+// name. The store named exclude, if any, is not considered.
 func (b *Builder) replacement(replicas []cluster.Replica, exclude string) *cluster.StoreEntry {
 	load := b.replicaCounts()
 	suits := zoneForReplica(b.zonesOf(replicas), b.Zones)
@@ -94,12 +96,13 @@
 	return best
 }
 
-// hasReplicaAt tells whether one of the replicas is at a store.
+// hasReplicaAt reports whether one of the replicas is at a store.
 func hasReplicaAt(replicas []cluster.Replica, store string) bool {
 	return slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return replica.Store == store })
 }
 
-// replicaCounts counts the replicas that each store holds. They are counted once and kept up to date.
+// replicaCounts returns the number of replicas at each store. They are counted on the first call; setPartition keeps
+// the counts up to date.
 func (b *Builder) replicaCounts() map[string]int {
 	if b.replicaCountByStore != nil {
 		return b.replicaCountByStore
@@ -113,7 +116,8 @@
 	return b.replicaCountByStore
 }
 
-// primaryCounts counts the partitions that each store leads, or is to lead.
+// primaryCounts returns the number of partitions that each store leads. A partition with a preferred primary counts for
+// that store.
 func (b *Builder) primaryCounts() map[string]int {
 	counts := make(map[string]int, len(b.stores))
 	for _, partition := range b.partitions {
--- a/internal/controlplane/placement/placement_random_test.go
+++ b/internal/controlplane/placement/placement_random_test.go
@@ -82,5 +82,5 @@
 	for _, store := range stores {
 		least, most = min(least, w.leads(store)), max(most, w.leads(store))
 	}
-	assert.Assert(w.t, least > 0 && most <= spreadLimit*least, "the stores lead %d to %d partitions", least, most)
+	assert.Assert(w.t, least > 0 && most <= maxPrimariesRatio*least, "the stores lead %d to %d partitions", least, most)
 }
--- a/internal/controlplane/placement/rebalance.go
+++ b/internal/controlplane/placement/rebalance.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	movesAtOnce = 4 // partitions that change their primary for balance at the same time
-	spreadLimit = 2 // the most loaded store may lead so many times as many partitions as the least loaded one
+	movesAtOnce       = 4 // partitions that may have a preferred primary at the same time
+	maxPrimariesRatio = 2 // largest allowed ratio of the partitions led by the most and by the least loaded store
 )
 
-// Rebalance gives partitions to active stores that lead far fewer than others. It begins only while every partition
-// has all its replicas; a store that holds none first becomes a backup, and leads once it has synced.
+// Rebalance moves the leadership of partitions to active stores that lead far fewer than others. It starts moves only
+// while every partition has all its replicas. A store that holds no replica of a partition first becomes a backup, and
+// leads once it has synced.
 func (b *Builder) Rebalance() {
 	if len(b.partitions) == 0 || !b.complete() {
 		return
 	}
-	for b.movesUnderway() < movesAtOnce {
+	for b.pendingMoves() < movesAtOnce {
 		from, to, found := b.unbalanced()
 		if !found || !b.move(from, to) {
 			return
@@ -25,8 +26,8 @@
 	}
 }
 
-// movesUnderway counts the partitions that are to change their primary.
-func (b *Builder) movesUnderway() int {
+// pendingMoves returns the number of partitions that have a preferred primary which does not lead them yet.
+func (b *Builder) pendingMoves() int {
 	count := 0
 	for _, partition := range b.partitions {
 		if partition.PreferredPrimary != "" {
@@ -36,7 +37,8 @@
 	return count
 }
 
-// unbalanced returns the most and the least loaded of the active stores, and false where they are near enough.
+// unbalanced returns the active stores that lead the most and the fewest partitions. It returns false if their ratio is
+// within maxPrimariesRatio.
 func (b *Builder) unbalanced() (from, to string, found bool) {
 	counts := b.primaryCounts()
 	for _, entry := range b.activeStores() {
@@ -50,10 +52,11 @@
 	if from == to || counts[from] < 2 {
 		return "", "", false
 	}
-	return from, to, counts[from] > spreadLimit*counts[to]
+	return from, to, counts[from] > maxPrimariesRatio*counts[to]
 }
 
-// move prefers another primary for one partition, if possible for one that needs no transfer of data for it.
+// move sets another preferred primary for one partition of a store. It chooses a partition that can move without a
+// transfer of data, if there is one. It returns false if no partition can move.
 func (b *Builder) move(from, to string) bool {
 	best := -1
 	for i := range b.partitions {
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -6,13 +6,13 @@
 	"gladepick/internal/cluster"
 )
 
-// repairsAtOnce bounds the views that one step changes, so that the loss of a zone does not hold up the primary of the
-// control group for longer than its lease.
+// repairsAtOnce bounds the number of views that one step changes, so that the loss of a zone does not block the primary
+// of the control group for longer than its lease.
 const repairsAtOnce = 512
 
-// Repair brings replica groups in line with the stores: it promotes a synced backup where a primary is down, replaces
-// replicas that are lost or to be moved, and drops those that are too many. Partitions that nobody leads come first. It
-// tells whether there may be more to do.
+// Repair adjusts the replica groups to the state of the stores: it promotes a synced backup if a primary is down,
+// replaces replicas that are lost or leaving, and drops surplus replicas. Partitions whose primary is down come first.
+// It reports whether it stopped at repairsAtOnce, so that there may be more to repair.
 func (b *Builder) Repair() bool {
 	changed := 0
 	for _, urgent := range []bool{true, false} {
@@ -34,14 +34,14 @@
 	return false
 }
 
-// leaderless tells whether a partition's primary is down.
+// leaderless reports whether a partition's primary is down.
 func (b *Builder) leaderless(partition cluster.Partition) bool {
 	primary, found := partition.Primary()
 	return found && !b.alive(primary)
 }
 
-// repairPartition returns a partition's view after one repair. The view stays as it is where nothing is wrong, where
-// stores are expected back, and where no replica that may lead is alive.
+// repairPartition returns a partition's view after one repair. The view is unchanged if it needs no repair, if one of
+// its stores is expected to restart, or if no replica that may lead is alive.
 func (b *Builder) repairPartition(partition cluster.Partition) cluster.Partition {
 	if b.hasDesiredReplicas(partition) || slices.ContainsFunc(partition.Replicas, b.isExpectedBack) {
 		return partition
@@ -49,7 +49,7 @@
 	next := partition
 	next.Replicas = slices.Clone(partition.Replicas)
 	if !b.promote(&next) {
-		return partition // the replica group waits for one that may lead
+		return partition // unchanged until a replica that may lead is alive
 	}
 	b.dropDead(&next)
 	b.addMissing(&next)
@@ -61,7 +61,8 @@
 	return next
 }
 
-// hasDesiredReplicas tells whether a replica group is as it should be.
+// hasDesiredReplicas reports whether a replica group needs no repair: it has ReplicationFactor replicas, all of them
+// stay, and no other primary is preferred.
 func (b *Builder) hasDesiredReplicas(partition cluster.Partition) bool {
 	if partition.PreferredPrimary != "" || len(partition.Replicas) != b.ReplicationFactor {
 		return false
@@ -69,9 +70,9 @@
 	return b.stayingReplicas(partition.Replicas) == b.ReplicationFactor
 }
 
-// promote moves a synced, live backup to the first place if the primary is down. It returns false if the group must not be
-// changed now: no replica may lead, or the primary may itself have failed with the stores just found down (see
-// lease.Status.Recent).
+// promote makes a synced, live backup the primary if the primary is down. It returns false if the replica group must
+// not be changed now: because no replica may lead, or because the primary itself may have failed together with the
+// stores that were just found down (see lease.Status.Recent).
 func (b *Builder) promote(partition *cluster.Partition) bool {
 	primary, found := partition.Primary()
 	if !found {
@@ -91,14 +92,15 @@
 	return true
 }
 
-// allAlive tells whether every replica is alive.
+// allAlive reports whether every replica is alive.
 func (b *Builder) allAlive(replicas []cluster.Replica) bool {
 	return !slices.ContainsFunc(replicas, func(replica cluster.Replica) bool { return !b.alive(replica) })
 }
 
-// successor returns the position of the backup that is to lead next, or -1: the preferred one, else the first that stays,
-// else the first that is still alive. Where some are named, it is one of them. A suspected backup is as complete as any, and
-// comes last.
+// successor returns the position of the synced backup that is to lead next, or -1 if there is none. It prefers the
+// preferred primary, then the first backup that is not suspected and whose store is active, then the first of the
+// others: a suspected backup holds all data, but is a last choice. If among is not empty, only the stores that it names
+// are considered.
 func (b *Builder) successor(partition *cluster.Partition, among []string) int {
 	fallback := -1
 	best := -1
@@ -126,7 +128,8 @@
 	return best
 }
 
-// dropDead removes backups that are down, unless the group would have too few replicas and no store can take their place.
+// dropDead removes backups that are down. A backup is kept if the group would have too few replicas and no other store
+// can replace it.
 func (b *Builder) dropDead(partition *cluster.Partition) {
 	for i := len(partition.Replicas) - 1; i > 0; i-- {
 		if b.alive(partition.Replicas[i]) {
@@ -136,8 +139,8 @@
 	}
 }
 
-// dropBackup removes a backup, and puts another store in its place where replicas are missing. It returns false, and
-// changes nothing, where replicas would be missing and no store can be had.
+// dropBackup removes a backup. If too few replicas would remain, it adds an unsynced replica at another store. If no
+// store is available for that, it returns false and changes nothing.
 func (b *Builder) dropBackup(partition *cluster.Partition, position int) bool {
 	dropped := partition.Replicas[position]
 	remaining := slices.Delete(slices.Clone(partition.Replicas), position, position+1)
@@ -156,7 +159,7 @@
 	return true
 }
 
-// stayingReplicas counts the replicas that are alive and are not to be replaced.
+// stayingReplicas returns the number of replicas that are alive and are not going to be replaced.
 func (b *Builder) stayingReplicas(replicas []cluster.Replica) int {
 	count := 0
 	for _, replica := range replicas {
@@ -167,7 +170,7 @@
 	return count
 }
 
-// addMissing adds backups until enough stores that stay hold the partition.
+// addMissing adds unsynced backups until enough replicas stay or no store is available.
 func (b *Builder) addMissing(partition *cluster.Partition) {
 	for b.stayingReplicas(partition.Replicas) < b.ReplicationFactor {
 		replacement := b.replacement(partition.Replicas, "")
@@ -178,7 +181,7 @@
 	}
 }
 
-// dropSurplus removes backups that are not needed any more, for as long as enough complete replicas stay.
+// dropSurplus removes backups that are no longer needed, as long as enough synced replicas stay.
 func (b *Builder) dropSurplus(partition *cluster.Partition) {
 	for len(partition.Replicas) > b.ReplicationFactor {
 		position := b.surplus(partition)
@@ -189,8 +192,8 @@
 	}
 }
 
-// surplus returns the position of the backup that can best be spared, or -1: one that is to be replaced, then one that is
-// not synced, then the one whose store holds the most replicas.
+// surplus returns the position of the backup to remove, or -1 if all are needed. It prefers a backup that is leaving,
+// then one that is not synced, then the one whose store holds the most replicas.
 func (b *Builder) surplus(partition *cluster.Partition) int {
 	load := b.replicaCounts()
 	best, bestRank := -1, 0
@@ -207,7 +210,8 @@
 	return best
 }
 
-// surplusRank tells how well a backup can be spared: the higher, the better. load counts the replicas by store.
+// surplusRank returns the rank of a backup in the choice of surplus: the backup with the highest rank is removed. load
+// is the number of replicas at each store.
 func (b *Builder) surplusRank(replica cluster.Replica, load map[string]int) int {
 	leaving, unsynced := 2*len(b.partitions), len(b.partitions)+1
 	switch {
@@ -219,8 +223,8 @@
 	return load[replica.Store]
 }
 
-// choosePreferredPrimary keeps the preference for another primary only while it makes sense, and prefers one where the
-// primary's store is to be emptied.
+// choosePreferredPrimary clears the preferred primary if it may not lead any more. If the primary's store is retiring
+// and no other primary is preferred, it sets a synced backup that may lead.
 func (b *Builder) choosePreferredPrimary(partition *cluster.Partition) {
 	primary := partition.Replicas[0]
 	if partition.PreferredPrimary != "" && !b.mayLead(partition, partition.PreferredPrimary) {
@@ -237,7 +241,7 @@
 	}
 }
 
-// mayLead tells whether a store is an active backup of a partition.
+// mayLead reports whether a store is active and holds a backup of the partition that stays.
 func (b *Builder) mayLead(partition *cluster.Partition, store string) bool {
 	position := partition.IndexOf(store)
 	if position <= 0 || !b.staying(partition.Replicas[position]) {
--- a/internal/controlplane/placement/request.go
+++ b/internal/controlplane/placement/request.go
@@ -14,38 +14,39 @@
 	ErrUnknownPartition = errors.New("placement: unknown partition")
 	// ErrConflict means that the request does not fit the partition's current view.
 	ErrConflict = errors.New("placement: conflict with the current view")
-	// ErrUnavailable means that the request cannot be granted at present, and may be repeated.
+	// ErrUnavailable means that the request cannot be granted now. The caller may repeat it.
 	ErrUnavailable = errors.New("placement: unavailable at present")
 )
 
-// RequestError tells why a primary's request was not granted.
+// RequestError is the reason why a partition primary's request was not granted.
 type RequestError struct {
 	Kind    error  // one of the sentinel errors above
-	Message string // for the primary's log
+	Message string // for the log of the partition's primary
 }
 
 // Error implements error.
 func (e *RequestError) Error() string { return e.Message }
 
-// Unwrap returns the kind.
+// Unwrap returns the kind, so that errors.Is matches the sentinel errors.
 func (e *RequestError) Unwrap() error { return e.Kind }
 
-// viewChange changes a copy of a partition's view as its primary asks.
+// viewChange applies a part of a primary's request to a copy of the partition's view.
 type viewChange func(*cluster.Partition, *cluster.PartitionRequest) error
 
-// ApplyRequest changes a replica group as its primary asks. It fails with a RequestError, and then changes nothing.
+// ApplyRequest applies a request of a partition's primary to its replica group. If it fails, it returns a *RequestError
+// and changes nothing.
 func (b *Builder) ApplyRequest(request *cluster.PartitionRequest) error {
 	return b.applyChanges(request, b.applySynced, b.applyDrop, b.applyHandover)
 }
 
-// SuspectBackup does what ApplyRequest does with a request to drop a backup, where that backup's store responds to the
-// control plane: a synced backup stays until another one is synced in its place. Dropped at once, it would leave the
-// primary with the only complete replica while a second disk with all messages is there.
+// SuspectBackup applies a request to drop a backup whose store still responds to the control plane. Unlike
+// ApplyRequest, it keeps a synced backup until another one is synced in its place. If the backup were dropped at once,
+// the primary would hold the only complete replica although a second disk has all messages.
 func (b *Builder) SuspectBackup(request *cluster.PartitionRequest) error {
 	return b.applyChanges(request, b.applySuspicion)
 }
 
-// applyChanges makes changes of one partition's view, all or none.
+// applyChanges applies all changes to one partition's view, or none of them.
 func (b *Builder) applyChanges(request *cluster.PartitionRequest, changes ...viewChange) error {
 	if request.Partition < 0 || request.Partition >= len(b.partitions) {
 		return &RequestError{Kind: ErrUnknownPartition, Message: fmt.Sprintf("no partition %d", request.Partition)}
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// applySynced marks a backup as complete. The view stays the same, and so does its epoch.
+// applySynced marks a backup as synced. The replicas stay the same, and so does the epoch.
 func (b *Builder) applySynced(partition *cluster.Partition, request *cluster.PartitionRequest) error {
 	if request.Synced == "" {
 		return nil
@@ -79,8 +80,9 @@
 	return nil
 }
 
-// applySuspicion marks a synced backup as suspected, and drops it only where enough other replicas are synced. The repair
-// that follows adds the replica that is to take its place. One that is not synced has nothing that only it could save.
+// applySuspicion marks a synced backup as suspected. The repair that follows adds the replica that is to replace it.
+// The backup is dropped at once if enough other replicas are synced, if it is down, or if it is not synced and
+// therefore no safeguard against a loss of the primary.
 func (b *Builder) applySuspicion(partition *cluster.Partition, request *cluster.PartitionRequest) error {
 	position := partition.IndexOf(request.Drop)
 	if position <= 0 {
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// applyDrop replaces a backup that does not answer its primary.
+// applyDrop removes a backup that does not answer its primary, and replaces it if too few replicas would remain.
 func (b *Builder) applyDrop(partition *cluster.Partition, request *cluster.PartitionRequest) error {
 	if request.Drop == "" {
 		return nil
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// applyHandover makes another replica the primary. The one that asks stays as the last backup, unless its store is to
-// be emptied.
+// applyHandover makes another replica the primary. The former primary becomes the last backup, unless its store is
+// retiring and enough other replicas are synced.
 func (b *Builder) applyHandover(partition *cluster.Partition, request *cluster.PartitionRequest) error {
 	if !request.Handover {
 		return nil
--- a/internal/controlplane/placement/retire.go
+++ b/internal/controlplane/placement/retire.go
@@ -8,13 +8,13 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// ErrUnknownStore means that the table lists no store of that name.
+// ErrUnknownStore means that the table lists no store of the given name.
 var ErrUnknownStore = errors.New("placement: no such store")
 
-// TooFewStoresError means that too few active stores would stay beside the one that is to be emptied.
+// TooFewStoresError means that too few active stores would remain beside the store that is to be retired.
 type TooFewStoresError struct {
-	Remaining int // active stores beside it
-	Needed    int // of them
+	Remaining int // active stores that would remain
+	Needed    int // active stores that must remain
 }
 
 // Error implements error.
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("placement: %d active stores would remain, %d are needed", e.Remaining, e.Needed)
 }
 
-// StartRetire adds the job to empty a store. At least so many active stores must stay as are needed. It may be
-// repeated; it fails with ErrUnknownStore or a TooFewStoresError, and then changes nothing.
+// StartRetire adds a job that moves all data off a store. At least needed active stores must remain. The call may be
+// repeated. If it fails, it returns ErrUnknownStore or a *TooFewStoresError and changes nothing.
 func (b *Builder) StartRetire(store string, needed int) error {
 	entry := b.store(store)
 	if entry == nil {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// continueRetire goes on emptying a store that has come back with another disk before it was emptied.
+// continueRetire adds a job for the new disk of a store that came back with another disk before its retire job
+// completed.
 func (b *Builder) continueRetire(store, diskID string) {
 	job := controlstate.NewestJob(b.jobs, store)
 	if job != nil && !job.Completed && job.DiskID != diskID {
@@ -47,8 +48,9 @@
 	}
 }
 
-// ResumeRetire empties a store again that has come back with another disk while its operator waits for its end: it would
-// be taken away with what it was given meanwhile.
+// ResumeRetire retires a store again that has come back with another disk after its job completed, while the operator
+// still waits for the result. Otherwise the operator would remove the machine with the data that it has received since
+// then.
 func (b *Builder) ResumeRetire(store string) {
 	job, entry := controlstate.NewestJob(b.jobs, store), b.store(store)
 	if job != nil && job.Outdated(entry) {
@@ -56,8 +58,8 @@
 	}
 }
 
-// CompleteRetireJobs marks the jobs whose stores hold nothing any more, once every partition has all its replicas
-// elsewhere.
+// CompleteRetireJobs marks a job as completed once the disk that it retires holds no replica and every partition has
+// all its replicas elsewhere.
 func (b *Builder) CompleteRetireJobs() {
 	for i := range b.jobs {
 		job := &b.jobs[i]
@@ -67,7 +69,7 @@
 	}
 }
 
-// holdsNothing tells whether the disk of a job is a replica of no partition.
+// holdsNothing reports whether the disk of a job holds no replica of any partition.
 func (b *Builder) holdsNothing(job *controlstate.RetireJob) bool {
 	for _, partition := range b.partitions {
 		for _, replica := range partition.Replicas {
@@ -79,12 +81,13 @@
 	return true
 }
 
-// activeStoresBeside counts the other stores that stay, also those that are about to stop for a while.
+// activeStoresBeside returns the number of other stores that are active or draining. A draining store stops only for a
+// while.
 func (b *Builder) activeStoresBeside(store string) int {
 	count := 0
 	for _, entry := range b.stores {
-		takesPart := entry.State == cluster.StoreActive || entry.State == cluster.StoreDraining
-		if entry.Name != store && takesPart {
+		remains := entry.State == cluster.StoreActive || entry.State == cluster.StoreDraining
+		if entry.Name != store && remains {
 			count++
 		}
 	}
--- a/internal/controlplane/placement/stores.go
+++ b/internal/controlplane/placement/stores.go
@@ -9,13 +9,13 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// DeliveryMemory is how long after the end of its lease a store still counts for the rate limits of services: what it
-// delivered last is part of their windows.
+// DeliveryMemory is how long after the end of its lease a store still counts as a delivering store. Its last deliveries
+// are still within the windows of the services' rate limits.
 const DeliveryMemory = 6 * time.Second
 
-// UpdateStores brings the entries of all stores in line with their leases.
+// UpdateStores updates the entries of all stores from their leases. It adds an entry for each new store.
 func (b *Builder) UpdateStores() {
-	for _, name := range slices.Sorted(maps.Keys(b.nodes)) { // in order, as retire jobs may be added
+	for _, name := range slices.Sorted(maps.Keys(b.nodes)) { // sorted: the order of added retire jobs must be fixed
 		node := b.nodes[name]
 		if !node.Live || !node.Info.Store || node.Info.DiskID == "" {
 			continue
@@ -41,7 +41,7 @@
 	b.indexAliveDisks()
 }
 
-// indexAliveDisks collects the disks of the stores that can serve. Every partition's replicas are looked up in it.
+// indexAliveDisks rebuilds aliveDisks from the states of the stores.
 func (b *Builder) indexAliveDisks() {
 	b.aliveDisks = make(map[string]string, len(b.stores))
 	for _, entry := range b.stores {
@@ -52,7 +52,7 @@
 	}
 }
 
-// stateOf returns what the control plane does with a store, by its lease and its jobs.
+// stateOf returns the state of a store, which follows from its lease and its retire jobs.
 func (b *Builder) stateOf(entry *cluster.StoreEntry) cluster.StoreState {
 	job := controlstate.FindJob(b.jobs, entry.Name, entry.DiskID)
 	node, known := b.nodes[entry.Name]
@@ -69,8 +69,9 @@
 	return cluster.StoreActive
 }
 
-// UpdateDeliveringStores counts the stores that deliver, or did so lately. The count is not below the one that the primary
-// before has left behind, where its stores may still deliver.
+// UpdateDeliveringStores counts the stores that deliver or may have delivered within the last DeliveryMemory. inherited
+// is the count of the former primary, whose stores may still deliver, or 0 if they cannot any more. The result is at
+// least inherited and at least 1.
 func (b *Builder) UpdateDeliveringStores(now time.Time, inherited int) {
 	count := 0
 	for _, node := range b.nodes {
@@ -81,7 +82,7 @@
 	b.deliveringStores = max(count, 1, inherited)
 }
 
-// complete tells whether every partition has as many synced and living replicas as it should have.
+// complete reports whether every partition has at least ReplicationFactor synced replicas that stay.
 func (b *Builder) complete() bool {
 	for _, partition := range b.partitions {
 		if b.syncedReplicas(partition.Replicas) < b.ReplicationFactor {
@@ -91,7 +92,7 @@
 	return true
 }
 
-// syncedReplicas counts the replicas that are complete, at stores that are up and stay.
+// syncedReplicas returns the number of replicas that are synced, alive and not going to be replaced.
 func (b *Builder) syncedReplicas(replicas []cluster.Replica) int {
 	count := 0
 	for _, replica := range replicas {
--- a/internal/controlplane/placement/zones.go
+++ b/internal/controlplane/placement/zones.go
@@ -6,7 +6,8 @@
 	"gladepick/internal/cluster"
 )
 
-// InterleaveZones orders values so that neighbours stand in different zones where possible.
+// InterleaveZones orders values so that neighbours are in different zones where possible. The order within a zone
+// stays.
 func InterleaveZones[Value any](values []Value, zoneOf func(Value) string) []Value {
 	var zones []string
 	byZone := map[string][]Value{}
@@ -29,8 +30,9 @@
 	return ordered
 }
 
-// zoneForReplica tells which zones suit one more replica beside those in the given zones, the primary's first, where the replicas
-// are to stand in a number of zones.
+// zoneForReplica returns a function that reports whether a zone suits one more replica. taken holds the zones of the
+// existing replicas, the primary's first. spread is the number of zones that the replicas are to be in: while they are
+// in fewer, a zone that holds none of them suits; after that, only the primary's zone does.
 func zoneForReplica(taken []string, spread int) func(zone string) bool {
 	distinct := slices.Compact(slices.Sorted(slices.Values(taken)))
 	if len(distinct) < spread {
@@ -39,7 +41,7 @@
 	return func(zone string) bool { return zone == taken[0] }
 }
 
-// zonesOf returns the zones that replicas stand in.
+// zonesOf returns the zone of each replica.
 func (b *Builder) zonesOf(replicas []cluster.Replica) []string {
 	zones := make([]string, 0, len(replicas))
 	for _, replica := range replicas {
@@ -48,7 +50,7 @@
 	return zones
 }
 
-// zone returns the zone of a store, or nothing where the table does not list it.
+// zone returns the zone of a store, or "" if the table does not list it.
 func (b *Builder) zone(store string) string {
 	if entry := b.store(store); entry != nil {
 		return entry.Zone
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -1,12 +1,13 @@
-// Package tablemanager keeps the cluster table right while its process is the control group's primary.
+// Package tablemanager keeps the cluster table up to date while its process is the control group's primary.
 //
-// Manager.Run looks at the leases ten times a second, and at once after Nudge or Edit. In each step it builds a table
-// from the current one (package placement) and has the group take the change, if there is one. It alone proposes
-// changes of the table; all requests that wait at one moment go into one change. A change is without effect where the
-// table has changed meanwhile: its requests then fail with ErrOutdated, and the next step starts from the newer table.
+// Manager.Run reads the leases ten times a second, and at once after Nudge or Edit. In each step it builds a table from
+// the current one (package placement) and proposes the change, if there is one, to the group. Only the manager proposes
+// changes of the table. All edits that are pending at the start of a step go into one change. If the table has changed
+// before the group applies the change, the change has no effect: its edits fail with ErrOutdated, and the next step
+// starts from the newer table.
 //
-// The manager has one goroutine, that of Run, which owns its fields; Nudge and Edit reach it through channels and may be
-// called from anywhere. Start reading at Manager.step.
+// The manager has one goroutine, that of Run, which owns its fields. Nudge and Edit reach it through channels and may
+// be called from any goroutine. Start reading at Manager.step.
 package tablemanager
 
 import (
@@ -27,25 +28,25 @@
 )
 
 const (
-	manageInterval     = 100 * time.Millisecond // between two looks at the leases
+	manageInterval     = 100 * time.Millisecond // between two reads of the leases
 	rebalanceInterval  = time.Second
-	placementDelay     = 300 * time.Millisecond // without a new store before the first placement
+	placementDelay     = 300 * time.Millisecond // without a new store, before the first placement
 	proposeTimeout     = 2 * time.Second
 	requestQueueLength = 256
 )
 
-// ErrOutdated means that a change of the table was computed from a table that is not the current one any more. Nothing
-// was done.
-var ErrOutdated = errors.New("controlplane: the table changed meanwhile")
+// ErrOutdated means that a change had no effect, because the table that it was computed from is no longer the current
+// one.
+var ErrOutdated = errors.New("controlplane: the cluster table has changed since the change was computed")
 
-// Group is what a Manager needs of the control group.
+// Group is the part of the control group's API that a Manager uses.
 type Group interface {
 	Role() replication.Role
-	// Propose returns after a change is in force on enough disks.
+	// Propose returns nil after the change is in force and stored on enough disks.
 	Propose(ctx context.Context, change []byte) error
 }
 
-// Options holds what a Manager works with.
+// Options configures a Manager.
 type Options struct {
 	Group       Group
 	State       *controlstate.Machine
@@ -55,13 +56,13 @@
 	Logger      *zap.Logger
 }
 
-// editRequest asks the manager for a change of the table.
+// editRequest is a call of Edit that waits for the manager's goroutine.
 type editRequest struct {
 	apply  func(*placement.Builder) error
 	result chan error
 }
 
-// Manager keeps the cluster table right.
+// Manager keeps the cluster table up to date while its process is the primary.
 type Manager struct {
 	options Options
 	edits   chan editRequest
@@ -71,9 +72,9 @@
 	leadingSince  time.Time
 	lastNewStore  time.Time
 	knownStores   int
-	inherited     int // delivering stores as the primary before counted them
+	inherited     int // number of delivering stores that the former primary counted
 	lastRebalance time.Time
-	changes       uint64 // proposed by this process, for their ids
+	changes       uint64 // changes proposed by this process; a part of their ids
 }
 
 // New returns a manager. It does nothing before Run.
@@ -85,7 +86,7 @@
 	}
 }
 
-// Nudge has the manager look at once.
+// Nudge wakes the manager, so that it starts a step at once. It never blocks.
 func (m *Manager) Nudge() {
 	select {
 	case m.wake <- struct{}{}:
@@ -93,8 +94,9 @@
 	}
 }
 
-// Edit has a function change the table in the making, and returns after the change is in force, or an error: that of the
-// function, or one of the group, or ErrOutdated.
+// Edit calls apply, in the manager's goroutine, on the table that is being built. It returns nil after the change is in
+// force. Otherwise it returns the error of apply, an error of the group, or ErrOutdated. If the context ends first, it
+// returns replication.ErrNotPrimary if the edit was not queued, and replication.ErrOutcomeUnknown if it was.
 func (m *Manager) Edit(ctx context.Context, apply func(*placement.Builder) error) error {
 	request := editRequest{apply: apply, result: make(chan error, 1)}
 	select {
@@ -110,14 +112,14 @@
 	}
 }
 
-// Run manages the table until the context ends. While its process is not the primary, it answers requests by
+// Run manages the table until the context ends. While its process is not the primary, edits fail with
 // replication.ErrNotPrimary.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(manageInterval)
 	defer ticker.Stop()
 	for {
 		var requests []editRequest
-		var tick <-chan time.Time // only the primary looks at the leases
+		var tick <-chan time.Time // nil unless this process is the primary: only the primary reads the leases
 		if m.leading {
 			tick = ticker.C
 		}
@@ -133,7 +135,7 @@
 	}
 }
 
-// collect adds all requests that wait.
+// collect appends all requests that are already queued.
 func (m *Manager) collect(requests []editRequest) []editRequest {
 	for {
 		select {
@@ -145,7 +147,8 @@
 	}
 }
 
-// step brings the table up to date once.
+// step updates the table once: it applies the requests, plans the further changes, proposes them and answers the
+// requests.
 func (m *Manager) step(ctx context.Context, requests []editRequest) {
 	role := m.options.Group.Role()
 	if !role.Primary {
@@ -166,14 +169,15 @@
 	finish(applied, m.propose(ctx, builder.Diff(current)))
 }
 
-// awaitRestarts keeps replicas in their places for a while after their stores were found dead.
+// awaitRestarts keeps the replicas of stores that were found dead recently and may restart, and wakes the manager when
+// that time is over.
 func (m *Manager) awaitRestarts(builder *placement.Builder, now time.Time) {
 	if until, waits := builder.AwaitRestarts(now, m.leadingSince); waits {
 		time.AfterFunc(until.Sub(now), m.Nudge)
 	}
 }
 
-// begin starts the leadership of this process: every store that is not known to be down gets a full lease.
+// begin starts the leadership of this process. It grants a full lease to every store that is not known to be down.
 func (m *Manager) begin(now time.Time) {
 	m.leading, m.leadingSince = true, now
 	m.lastNewStore, m.knownStores = now, 0
@@ -191,7 +195,8 @@
 	}
 }
 
-// applyEdits has each request change the table in the making. It answers those that fail, and returns the others.
+// applyEdits applies each request to the table that is being built. It answers the requests that fail and returns the
+// others.
 func applyEdits(builder *placement.Builder, requests []editRequest) []editRequest {
 	var applied []editRequest
 	for _, request := range requests {
@@ -204,13 +209,14 @@
 	return applied
 }
 
+// finish answers the requests with the result of their change.
 func finish(requests []editRequest, err error) {
 	for _, request := range requests {
 		request.result <- err
 	}
 }
 
-// plan makes all changes of the table that follow from the leases and the group's view.
+// plan makes all changes of the table that follow from the leases, the group's view and the time.
 func (m *Manager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
 	builder.UpdateCore(membership.CoreMembers(role.View.Members), role.View.Primary)
 	builder.UpdateStores() // edits may have made stores retire
@@ -235,7 +241,7 @@
 	builder.UpdateDeliveringStores(now, inherited)
 }
 
-// propose has the group take a change of the table, if there is any.
+// propose proposes a change of the table to the group. It does nothing if the change is nil.
 func (m *Manager) propose(ctx context.Context, change *controlstate.TableChange) error {
 	if change == nil {
 		return nil
@@ -249,7 +255,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	if err := m.options.Group.Propose(ctx, record); err != nil {
-		m.options.Logger.Info("change of the table failed", zap.Error(err))
+		m.options.Logger.Info("failed to propose a change of the cluster table", zap.Error(err))
 		return err
 	}
 	if m.options.State.Current().LastChangeID != change.ID {
