--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -1,13 +1,14 @@
-// Package bootstrap makes the control group at the first start of the whole system, and finds it at every later start.
+// Package bootstrap creates the control group at the first start of the whole system, and finds it at every later
+// start.
 //
-// Every process registers with the seeds. The first seed waits until no new process registers, chooses the members,
-// spread over the zones, and tells one of them to make the group. Where the first seed does not answer, a later one
-// acts in its place. From then on the members announce themselves to the seeds again and again, since a seed without a
-// disk knows nothing after a restart.
+// Every process registers with the seeds. The first seed waits until no new process registers, chooses members that are
+// spread over the zones, and tells one of them to create the group. If the first seed does not answer, a later one acts
+// in its place. From then on the members announce themselves to the seeds periodically, because a seed without a disk
+// knows nothing after a restart.
 //
-// A Bootstrapper owns the registrations, behind one mutex. It runs two loops, each in a goroutine of the caller: Run at
-// every process, and Announce at those that may be members. Its handlers are called concurrently. Making the group twice is
-// harmless: a process that already knows a group answers with its members and makes none. Start reading at
+// A Bootstrapper owns the registrations and guards them with one mutex. It runs two loops, each in a goroutine of the
+// caller: Run at every process, and Announce at those that may be members. Its handlers are called concurrently. A
+// repeated request to create the group is harmless: a process that already knows a group creates none. Start reading at
 // Bootstrapper.Run.
 package bootstrap
 
@@ -26,36 +27,36 @@
 	"gladepick/internal/rpc"
 )
 
-// MethodBootstrap is the name of the call that tells a process to make the control group of the given members. It is
-// served by processes that may be members, and may be repeated.
+// MethodBootstrap is the RPC that tells a process to create the control group with the given members. Processes that
+// may be members serve it. It may be repeated.
 const MethodBootstrap = "cluster.found"
 
 const (
 	checkInterval           = 200 * time.Millisecond
-	startDelay              = 1200 * time.Millisecond // after the start of the first seed
+	startDelay              = 1200 * time.Millisecond // from the start of a seed to its first attempt
 	registrationQuietPeriod = 600 * time.Millisecond  // without a new registration
-	otherSeedDelay          = 4 * time.Second         // after which another seed acts, if those before it do not answer
+	otherSeedDelay          = 4 * time.Second         // after which a later seed acts if those before it do not answer
 	seedProbeTimeout        = 300 * time.Millisecond
 	bootstrapTimeout        = 2 * time.Second
-	attemptsPerMember       = 10 // before another member is told to make the group
+	attemptsPerMember       = 10 // before another member is told to create the group
 	announceInterval        = 2 * time.Second
 )
 
-// Group is what a Bootstrapper needs of this process's part in the control group.
+// Group is the part of the control group's API that a Bootstrapper uses.
 type Group interface {
-	// Members lists the members as this process remembers them; none where it cannot be a member.
+	// Members returns the members that this process last knew, or none if it cannot be a member.
 	Members() []cluster.CoreMember
-	// UpToDate tells whether this process is a member whose knowledge of the group may be passed on.
+	// UpToDate reports whether this process is a member whose list of members may be served to other processes.
 	UpToDate() bool
-	// Bootstrap makes the group. It is called only at processes that may be members.
+	// Bootstrap creates the group. It is called only at processes that may be members.
 	Bootstrap(ctx context.Context, members []replication.Member) error
 }
 
-// Options holds what a Bootstrapper works with.
+// Options configures a Bootstrapper.
 type Options struct {
 	Self         string   // this process's internal address, "ip:port"
 	Seeds        []string // control addresses, "ip:port"
-	InternalPort int      // of every process
+	InternalPort int      // port of every process's RPC server
 	FirstStart   bool     // this is the first start of the whole system
 	Group        Group
 	Agent        *cluster.Agent // of this process; may be nil
@@ -63,12 +64,12 @@
 	Logger       *zap.Logger
 }
 
-// bootstrapRequest tells a process to make the control group of the given members.
+// bootstrapRequest is the argument of MethodBootstrap.
 type bootstrapRequest struct {
 	Members []replication.Member `json:"members"`
 }
 
-// Bootstrapper is a process's part in the first start of the whole system.
+// Bootstrapper creates the control group at the first start, and tells other processes who its members are.
 type Bootstrapper struct {
 	options Options
 	seeds   []string // internal addresses
@@ -76,11 +77,11 @@
 
 	mutex      sync.Mutex
 	registered map[string]cluster.NodeInfo // by name
-	lastNew    time.Time                   // when a process last registered for the first time since its start
-	members    []cluster.CoreMember        // of the group, as chosen here or as another process named them
+	lastNew    time.Time                   // when an incarnation last registered for the first time
+	members    []cluster.CoreMember        // of the group, as chosen here or as reported by another process
 }
 
-// New returns a bootstrapper. It fails where a seed's address is wrong.
+// New returns a bootstrapper. It fails if a seed's address is invalid.
 func New(options Options) (*Bootstrapper, error) {
 	made := &Bootstrapper{options: options, registered: map[string]cluster.NodeInfo{}}
 	for _, seed := range options.Seeds {
@@ -93,8 +94,8 @@
 	return made, nil
 }
 
-// HandleRegister serves cluster.MethodRegister: it keeps the registration of a process and answers with the members of
-// the group, if they are known.
+// HandleRegister serves cluster.MethodRegister. It responds with the members of the group if they are known. While they
+// are not, it keeps the caller's registration at the first start of the system.
 func (b *Bootstrapper) HandleRegister(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var info cluster.NodeInfo
 	if err := call.Decode(&info); err != nil {
@@ -117,7 +118,7 @@
 	b.registered[info.Name] = info
 }
 
-// HandleCore serves cluster.MethodCore: it answers with the members of the group, if they are known.
+// HandleCore serves cluster.MethodCore: it responds with the members of the group if they are known.
 func (b *Bootstrapper) HandleCore(context.Context, *rpc.Call) (any, []byte, error) {
 	return b.response(b.core()), nil, nil
 }
@@ -126,7 +127,7 @@
 	return cluster.CoreResponse{Core: core, Bootstrap: b.options.FirstStart}
 }
 
-// core returns the members of the group as this process knows them.
+// core returns the members of the group as the agent knows them, or KnownMembers if there is no agent.
 func (b *Bootstrapper) core() []cluster.CoreMember {
 	if agent := b.options.Agent; agent != nil {
 		return agent.Core()
@@ -134,7 +135,8 @@
 	return b.KnownMembers()
 }
 
-// KnownMembers returns the members that this process's disk or another process has named.
+// KnownMembers returns the members from this process's replica of the control state or, if it has none, those that
+// another process reported.
 func (b *Bootstrapper) KnownMembers() []cluster.CoreMember {
 	if core := b.options.Group.Members(); len(core) > 0 {
 		return core
@@ -144,8 +146,8 @@
 	return b.members
 }
 
-// HandleAnnounce serves cluster.MethodAnnounce: it remembers the members of the group. After a restart a process without
-// a disk knows nothing else.
+// HandleAnnounce serves cluster.MethodAnnounce: it stores the announced members of the group. After a restart, a
+// process without a disk has no other source of them.
 func (b *Bootstrapper) HandleAnnounce(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var announced cluster.CoreResponse
 	if err := call.Decode(&announced); err != nil {
@@ -157,7 +159,7 @@
 	return nil, nil, nil
 }
 
-// HandleBootstrap serves MethodBootstrap.
+// HandleBootstrap serves MethodBootstrap. If this process already knows a group, it changes nothing and succeeds.
 func (b *Bootstrapper) HandleBootstrap(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request bootstrapRequest
 	if err := call.Decode(&request); err != nil {
@@ -172,7 +174,8 @@
 	return nil, nil, trace.Wrap(b.options.Group.Bootstrap(ctx, request.Members))
 }
 
-// Announce tells the seeds every few seconds who the members are, where this process is one, until the context ends.
+// Announce sends the list of members to the seeds every announceInterval while this process is an up-to-date member. It
+// returns when the context ends.
 func (b *Bootstrapper) Announce(ctx context.Context) {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -206,8 +209,8 @@
 	wait.Wait()
 }
 
-// Run leads the bootstrap where this process is a seed and nobody else does, until the group is known. At any other
-// process, and at any later start of the system, it returns at once.
+// Run leads the bootstrap until the group is known, if this process is a seed and no earlier seed leads it. At any
+// other process, and at any later start of the system, it returns at once.
 func (b *Bootstrapper) Run(ctx context.Context) {
 	rank := slices.Index(b.seeds, b.options.Self)
 	if !b.options.FirstStart || rank < 0 {
@@ -230,7 +233,8 @@
 	}
 }
 
-// registrationsQuiet tells whether nobody new has registered for a while.
+// registrationsQuiet reports whether startDelay has passed and no new process has registered for
+// registrationQuietPeriod.
 func (b *Bootstrapper) registrationsQuiet() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -238,8 +242,9 @@
 	return now.Sub(b.started) >= startDelay && now.Sub(b.lastNew) >= registrationQuietPeriod
 }
 
-// leads tells whether a seed of the given rank is to act: the first always, another late and only while none before it
-// answers. One that has been restarted since leads no bootstrap any more.
+// leads reports whether the seed of the given rank leads the bootstrap. The first seed always does. A later seed does
+// so only after otherSeedDelay, and only while no seed before it answers that it takes part in the first start. An
+// earlier seed that has been restarted answers that it does not, and no longer leads.
 func (b *Bootstrapper) leads(ctx context.Context, rank int) bool {
 	if rank == 0 {
 		return true
@@ -257,7 +262,7 @@
 	return true
 }
 
-// fetchMembers asks a process for the members of the group and remembers them.
+// fetchMembers asks a process for the members of the group and stores them if the process knows any.
 func (b *Bootstrapper) fetchMembers(ctx context.Context, address string) (cluster.CoreResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedProbeTimeout)
 	defer cancel()
@@ -275,8 +280,8 @@
 	b.members = core
 }
 
-// bootstrapGroup chooses the members and tells one of them to make the group: the first by name, or a later one where the
-// ones before did not manage it.
+// bootstrapGroup chooses the members and tells one of them to create the group, unless a member already knows one. The
+// rank selects the member in the order of names: it grows when earlier members have failed.
 func (b *Bootstrapper) bootstrapGroup(ctx context.Context, rank int) {
 	members := chooseMembers(b.candidates())
 	if len(members) == 0 {
@@ -299,7 +304,7 @@
 	b.setMembers(membership.CoreMembers(members))
 }
 
-// candidates returns the registered processes that may be members, in no order.
+// candidates returns the registered processes that may be members, in no particular order.
 func (b *Bootstrapper) candidates() []cluster.NodeInfo {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/controlplane/bootstrap/members.go
+++ b/internal/controlplane/bootstrap/members.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/controlplane/replication"
 )
 
-// chooseMembers picks as many candidates as a group may have, spread over the zones, and returns them by name.
+// chooseMembers returns up to membership.MaxMembers candidates, spread over the zones and sorted by name.
 func chooseMembers(candidates []cluster.NodeInfo) []replication.Member {
 	slices.SortFunc(candidates, func(a, b cluster.NodeInfo) int { return strings.Compare(a.Name, b.Name) })
 	chosen := placement.InterleaveZones(candidates, func(info cluster.NodeInfo) string { return info.Zone })
--- a/internal/controlplane/diskid.go
+++ b/internal/controlplane/diskid.go
@@ -17,7 +17,7 @@
 	diskIDBytes = 8
 )
 
-// DiskID returns the random id of a disk. It is drawn when the disk is first used.
+// DiskID returns the id of a disk. On first use of the disk it generates a random id and stores it there.
 func DiskID(disk vfs.FS) (string, error) {
 	known, err := wal.LoadFile(disk, diskIDFile)
 	if err == nil {
--- a/internal/controlplane/failurereport.go
+++ b/internal/controlplane/failurereport.go
@@ -10,10 +10,10 @@
 	"gladepick/internal/rpc"
 )
 
-// handleFailureReport takes in that a process could not be reached. The primary pings it: where nothing listens at the
-// address any more, or another process answers, the lease ends at once; a process that does not answer is marked as
-// unresponsive until it renews its lease. Many report the same process; those that come when that is known change
-// nothing.
+// handleFailureReport serves cluster.MethodFailureReport, which reports that a process could not be reached. The
+// primary pings the reported process. If nothing listens at its address any more, or another process answers, its lease
+// ends at once. If it does not answer, it is marked as unresponsive until it renews its lease. Several callers may
+// report the same process; a report that adds nothing new changes nothing.
 func (p *Plane) handleFailureReport(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var report cluster.FailureReport
 	if err := call.Decode(&report); err != nil {
@@ -30,7 +30,7 @@
 	switch ping.result {
 	case pingDead:
 		if p.leases.Revoke(info, time.Now()) {
-			p.logger.Info("process found dead", zap.String("node", info.Name))
+			p.logger.Info("process found dead, lease revoked", zap.String("node", info.Name))
 		}
 	case pingUnanswered:
 		p.leases.MarkUnresponsive(info, ping.started)
--- a/internal/controlplane/lease/renewal.go
+++ b/internal/controlplane/lease/renewal.go
@@ -11,28 +11,29 @@
 	"gladepick/internal/cluster"
 )
 
-// completeRenewalInterval: every so many renewals are forwarded to the primary with the complete NodeInfo.
+// completeRenewalInterval is the number of forwarded renewals after which the complete NodeInfo is sent again.
 const completeRenewalInterval = 3
 
-// Renewal is one renewal as a backup forwards it to the primary.
+// Renewal is one lease renewal as a backup forwards it to the primary.
 type Renewal struct {
-	Node        *cluster.NodeInfo `json:"node,omitempty"` // where the primary may not know it; else name and incarnation
+	Node        *cluster.NodeInfo `json:"node,omitempty"` // nil if the primary knows it; then Name and Incarnation are set
 	Name        string            `json:"name,omitempty"`
 	Incarnation string            `json:"incarnation,omitempty"`
-	AgeMS       int64             `json:"ageMs"` // how long ago it arrived at the backup
+	AgeMS       int64             `json:"ageMs"` // time since its arrival at the backup, in milliseconds
 }
 
-// forwardedRenewal is what this member has forwarded to the primary of a lease.
+// forwardedRenewal records what this member has forwarded to the primary about one lease.
 type forwardedRenewal struct {
 	pending  bool      // renewed since the last response to the primary
-	complete bool      // info as it is now has been forwarded completely
-	response uint64    // number of the response that is not known to have arrived; 0 where there is none
-	renewed  time.Time // the renewal that went with that response
-	count    int
+	complete bool      // the complete NodeInfo has been forwarded since it last changed
+	response uint64    // number of the last response that carried a renewal and is not confirmed; 0 if there is none
+	renewed  time.Time // arrival of the renewal that this response carried
+	count    int       // of forwarded renewals
 }
 
-// PendingRenewals returns the renewals since the last call, for the primary, as a part of the response with a number. Only
-// stores and members of the core matter to it.
+// PendingRenewals returns the renewals since the last call, encoded as JSON. The caller sends them to the primary as a
+// part of the response with the given number. Only renewals of stores and core processes are included; the primary does
+// not need the others. It returns nil if there are none.
 func (t *Table) PendingRenewals(response uint64, now time.Time) []byte {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -57,7 +58,7 @@
 	return payload
 }
 
-// forward returns the newest renewal, and notes that it goes with a response.
+// forward returns the newest renewal, and records that the response with the given number carries it.
 func (e *entry) forward(response uint64, now time.Time) Renewal {
 	e.forwarded.response, e.forwarded.renewed = response, e.renewed
 	renewal := Renewal{Name: e.info.Name, AgeMS: now.Sub(e.renewed).Milliseconds()}
@@ -72,8 +73,8 @@
 	return renewal
 }
 
-// ConfirmResponse records that a response with forwarded renewals has reached the primary. What went with earlier responses
-// that were not confirmed may have been lost, and is forwarded again.
+// ConfirmResponse records that the response with the given number has reached the primary. Renewals that earlier,
+// unconfirmed responses carried may have been lost and are forwarded again.
 func (t *Table) ConfirmResponse(response uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -98,7 +99,7 @@
 	return one
 }
 
-// ConfirmRenewal records that the primary knows of a renewal that arrived at a moment.
+// ConfirmRenewal records that the primary knows of the renewal that arrived at the given time.
 func (t *Table) ConfirmRenewal(node *cluster.NodeInfo, arrived time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -108,7 +109,8 @@
 	}
 }
 
-// ConfirmedAt returns when the newest renewal of a process arrived that the primary is known to have.
+// ConfirmedAt returns the time of arrival of a process's newest renewal that the primary is known to have, and false if
+// there is none.
 func (t *Table) ConfirmedAt(name, incarnation string) (time.Time, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -119,7 +121,7 @@
 	return known.confirmed, true
 }
 
-// ApplyRenewals takes in the renewals that a backup has forwarded.
+// ApplyRenewals applies the renewals that a backup has forwarded: the payload that its PendingRenewals returned.
 func (t *Table) ApplyRenewals(payload []byte, now time.Time) error {
 	var renewals []Renewal
 	if err := json.Unmarshal(payload, &renewals); err != nil {
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -1,16 +1,16 @@
 // Package lease keeps the leases of all processes at one member of the control group.
 //
-// A process renews its lease at any member; a backup forwards the renewals of stores and members to the primary with its
-// responses to heartbeats (PendingRenewals, ApplyRenewals). The primary decides by the leases who is alive. A store counts
-// its lease from a renewal that the primary surely knows of (ConfirmedAt), so that it stops before the primary gives its
-// partitions to others.
+// A process renews its lease at any member. A backup forwards the renewals of stores and members to the primary with
+// its responses to heartbeats (PendingRenewals, ApplyRenewals). The primary decides by the leases which processes are
+// alive. A store measures its lease from a renewal that the primary is known to have (ConfirmedAt), so the store stops
+// before the primary gives its partitions to other stores.
 //
-// Invariants: a lease ends no later than a process may act on it; a renewal that arrived before a process was found dead
-// does not revive it; a later incarnation outlives the end of an earlier one.
+// Invariants: a lease ends no later than a process may act on it; a renewal that arrived before a process was found
+// dead does not revive it; the end of an earlier incarnation's lease does not end the lease of a later incarnation.
 //
-// A Table is in memory only and is safe for concurrent use: one mutex guards it, and is never held during a callback. The
-// package starts no goroutine and reads no clock. Start reading at Table.Renew and Table.Statuses; renewal.go holds what
-// backups forward.
+// A Table is in memory only and is safe for concurrent use. One mutex guards it and is never held during a callback.
+// The package starts no goroutine and reads no clock. Start reading at Table.Renew and Table.Statuses; renewal.go holds
+// the renewals that backups forward.
 package lease
 
 import (
@@ -21,29 +21,30 @@
 )
 
 const (
-	// recentRenewal bounds the age of a renewal that shows a process to be alive after others have been found dead.
-	// Leases are renewed far more often than they run out; so where all processes died at one moment, the renewals
-	// of all are older than this by the time the first of their leases runs out.
+	// recentRenewal is the age below which a renewal shows that a process did not fail together with processes whose
+	// leases have just expired. A lease lasts much longer than the interval between its renewals. If all processes
+	// failed at once, the renewals of all are therefore older than this when the first of their leases expires.
 	recentRenewal = 900 * time.Millisecond
-	// memory is how long a lease that has run out is remembered.
-	memory = time.Minute
+	// expiredLeaseRetention is how long an expired lease stays in the table.
+	expiredLeaseRetention = time.Minute
 )
 
-// entry is what a member knows of one process.
+// entry is the lease of one process.
 type entry struct {
 	info    cluster.NodeInfo
-	renewed time.Time // when the newest renewal arrived; zero where there was none
+	renewed time.Time // when the newest renewal arrived; zero if there was none
 	expires time.Time
-	revoked time.Time // when the process was last found dead; renewals from before do not count
-	// unresponsive is when the process was last found not to answer; a renewal from after that shows that it does again.
+	revoked time.Time // when the process was last found dead; renewals that arrived earlier are ignored
+	// unresponsive is when the process last failed to answer a ping. A later renewal shows that it responds again.
 	unresponsive time.Time
-	// confirmed is when the newest renewal arrived that the primary is known to have; zero where there was none. Whoever
-	// must not act after the end of its lease counts it from here: the primary may not know of later renewals.
+	// confirmed is the arrival of the newest renewal that the primary is known to have; zero if there was none. A process
+	// that must not act after the end of its lease measures the lease from here: the primary may not know of later
+	// renewals.
 	confirmed time.Time
 	forwarded forwardedRenewal
 }
 
-// isUnresponsive tells whether nothing was heard of the process since it was found not to answer.
+// isUnresponsive reports whether the process has not renewed its lease since it failed to answer a ping.
 func (e *entry) isUnresponsive() bool { return e.unresponsive.After(e.renewed) }
 
 // Table holds the leases of all processes.
@@ -53,13 +54,13 @@
 	changed func()
 }
 
-// NewTable returns an empty table. It calls a function, without its lock, when a process is new, announces something
-// else, or is found dead or unresponsive.
+// NewTable returns an empty table. The table calls changed, without holding its lock, when a process is new, announces
+// different properties, renews an expired lease, responds again, or is found dead or unresponsive.
 func NewTable(changed func()) *Table {
 	return &Table{entries: map[string]*entry{}, changed: changed}
 }
 
-// Renew takes in a renewal that arrived at a member at the given time.
+// Renew applies a renewal that arrived at a member at the given time.
 func (t *Table) Renew(info cluster.NodeInfo, at time.Time) {
 	t.mutex.Lock()
 	changed := t.renewLocked(info, at)
@@ -69,7 +70,7 @@
 	}
 }
 
-// renewLocked takes in a renewal and tells whether it is more than a repetition. The caller holds the lock.
+// renewLocked applies a renewal and reports whether it does more than extend the lease. The caller holds the lock.
 func (t *Table) renewLocked(info cluster.NodeInfo, at time.Time) bool {
 	known, found := t.entries[info.Name]
 	if !found {
@@ -95,7 +96,8 @@
 	return changed
 }
 
-// Grant gives a store a full lease without a renewal. A new primary does so for all that are not known to be down.
+// Grant gives a store a full lease without a renewal. A new primary grants one to each store that is not known to be
+// down.
 func (t *Table) Grant(info cluster.NodeInfo, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -107,8 +109,8 @@
 	known.expires = now.Add(cluster.LeaseDuration)
 }
 
-// Revoke ends the lease of a process that was found dead, unless a later incarnation has taken the lease up. It tells
-// whether the lease ran until then.
+// Revoke ends the lease of a process that was found dead, unless another incarnation now holds the lease. It reports
+// whether the lease was valid until then.
 func (t *Table) Revoke(dead cluster.NodeInfo, now time.Time) bool {
 	t.mutex.Lock()
 	known, found := t.entries[dead.Name]
@@ -124,7 +126,8 @@
 	return ended
 }
 
-// MarkUnresponsive notes that a process with a running lease does not answer. It keeps its lease, as it may be alive.
+// MarkUnresponsive records that a process with a valid lease did not answer. The process keeps its lease because it may
+// be alive.
 func (t *Table) MarkUnresponsive(info cluster.NodeInfo, now time.Time) {
 	t.mutex.Lock()
 	known, found := t.entries[info.Name]
@@ -138,7 +141,7 @@
 	}
 }
 
-// Live returns what a process last announced, where its lease runs.
+// Live returns the properties that a process last announced, and false if its lease is not valid.
 func (t *Table) Live(name string, now time.Time) (cluster.NodeInfo, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -149,7 +152,7 @@
 	return known.info, true
 }
 
-// find returns what a process last announced.
+// find returns the properties that a process last announced, also if its lease has expired.
 func (t *Table) find(name string) (cluster.NodeInfo, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -160,23 +163,24 @@
 	return known.info, true
 }
 
-// Status is a process as its lease shows it.
+// Status is the state of a process according to its lease.
 type Status struct {
 	Info         cluster.NodeInfo
-	Live         bool      // the lease runs
-	Recent       bool      // renewed so lately that it surely outlived those whose lease has run out now
-	Expires      time.Time // when the lease runs out or ran out
-	Revoked      time.Time // when the process was last found dead; zero where it was not
-	Unresponsive bool      // it was found not to answer, and has not renewed the lease since
+	Live         bool      // the lease is valid
+	Recent       bool      // renewed so recently that it did not fail together with processes whose leases expire now
+	Expires      time.Time // when the lease expires or expired
+	Revoked      time.Time // when the process was last found dead; zero if never
+	Unresponsive bool      // the process failed to answer a ping and has not renewed its lease since
 }
 
-// Statuses returns all processes by their names, and forgets those whose leases ran out long ago.
+// Statuses returns the status of each process by its name. It removes leases that expired more than
+// expiredLeaseRetention ago.
 func (t *Table) Statuses(now time.Time) map[string]Status {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	statuses := make(map[string]Status, len(t.entries))
 	for name, known := range t.entries {
-		if now.Sub(known.expires) > memory {
+		if now.Sub(known.expires) > expiredLeaseRetention {
 			delete(t.entries, name)
 			continue
 		}
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -12,10 +12,11 @@
 	"gladepick/internal/rpc"
 )
 
-// roleCheckInterval bounds how late a loop that works only at the primary notices that its process has become it.
+// roleCheckInterval bounds how late a loop that runs only at the primary notices that its process has become the
+// primary.
 const roleCheckInterval = time.Second
 
-// group is what the control plane needs of the replicated group.
+// group is the part of the replicated group's API that the control plane uses.
 type group interface {
 	Run(ctx context.Context)
 	Close()
@@ -30,15 +31,15 @@
 	OnRoleChange(changed func(replication.Role))
 }
 
-// localMember is this process's part in the control group, as the other parts of the plane see it.
+// localMember is this process's membership in the control group, as the other packages of the control plane see it.
 type localMember struct {
 	group // nil on a process that cannot be a member
 
 	diskID      string            // of this process
-	roleChanged syncutil.Notifier // at each change of the group's role here
+	roleChanged syncutil.Notifier // notified at each change of this process's role in the group
 }
 
-// Members lists the members of the group as this process remembers them.
+// Members returns the members of the group that this process last knew, or nil if it cannot be a member.
 func (m *localMember) Members() []cluster.CoreMember {
 	if m.group == nil {
 		return nil
@@ -46,20 +47,20 @@
 	return membership.CoreMembers(m.Role().View.Members)
 }
 
-// UpToDate tells whether this process's replica of the control state may be served to others.
+// UpToDate reports whether this process may serve its replica of the control state to other processes.
 func (m *localMember) UpToDate() bool {
 	_, fresh := m.currentRole()
 	return fresh
 }
 
-// currentRole returns the role of this process in the group, and whether its replica of the control state may be served
-// to others.
+// currentRole returns the role of this process in the group. The boolean reports whether the process may serve its
+// replica of the control state to other processes.
 func (m *localMember) currentRole() (replication.Role, bool) {
 	role := m.Role()
 	return role, role.UpToDate && slices.Contains(role.View.InSync, m.diskID)
 }
 
-// RequirePrimary returns an error that tells where the primary is, unless it is here.
+// RequirePrimary returns nil if this process is the primary, and otherwise an error that holds the primary's address.
 func (m *localMember) RequirePrimary() error {
 	if m.Role().Primary {
 		return nil
@@ -67,7 +68,7 @@
 	return m.NotLeader()
 }
 
-// NotLeader returns the error that tells where the primary is.
+// NotLeader returns a CodeNotLeader error. Its message is the primary's address, or empty if no other primary is known.
 func (m *localMember) NotLeader() error {
 	view := m.Role().View
 	for _, member := range view.Members {
@@ -78,8 +79,8 @@
 	return &rpc.Error{Code: rpc.CodeNotLeader}
 }
 
-// whilePrimary calls a function again and again, with pauses, while this process is the primary. Before the first
-// call of each such time it calls begin.
+// whilePrimary calls step repeatedly while this process is the primary, and waits for the interval after each call. It
+// calls begin before the first step of each leadership. It returns when the context ends.
 func (m *localMember) whilePrimary(ctx context.Context, interval time.Duration, begin func(), step func(context.Context)) {
 	leading := false
 	for ctx.Err() == nil {
--- a/internal/controlplane/membership/manager.go
+++ b/internal/controlplane/membership/manager.go
@@ -1,11 +1,12 @@
-// Package membership decides who is a member of the control group.
+// Package membership decides which processes are members of the control group.
 //
-// Its one job is Manager.Step, which the control plane calls every Interval at the primary. A process that may be a
-// member joins; one whose name is listed with another disk takes that member's place; a member that has not answered for
-// long is removed, but never so far that further tolerated losses could leave no majority. One change is made at a time.
+// The control plane calls Manager.Step every Interval at the primary. A process that may be a member joins the group.
+// If its name is listed with another disk, it replaces that member. A member that has not answered for removeAfter is
+// removed, but only while the group stays large enough to have a majority after the tolerated losses. One change is
+// made at a time.
 //
 // A Manager has no goroutine and no lock: Begin and Step are called by one goroutine. The decisions (plan, planJoin,
-// planRemoval) are pure functions of the view, the leases and the time. Start reading at Manager.Step.
+// planRemoval) make no calls and depend on the view, the leases and the time alone. Start reading at Manager.Step.
 package membership
 
 import (
@@ -21,22 +22,23 @@
 )
 
 const (
-	// Interval is the pause between two looks at the members.
+	// Interval is the pause between two calls of Manager.Step.
 	Interval = 300 * time.Millisecond
-	// MaxMembers is the size up to which a group takes processes in.
+	// MaxMembers is the size of the group from which on no process is added.
 	MaxMembers = 9
 
 	changeTimeout    = 6 * time.Second
-	removeAfter      = 5 * time.Second // without an answer, a member is removed
-	replaceableAfter = time.Second     // without an answer, a member's place may be given to a process that wants to join
+	removeAfter      = 5 * time.Second // a member that has not answered for longer is removed
+	replaceableAfter = time.Second     // a member that has not answered for as long may be replaced by a joining process
 	smallestGroup    = 3               // no member is removed from a group of this size
 )
 
-// minMembers is the size down to which members are removed. A smaller group would have no majority left after the
-// losses that the system must bear: members that do not answer keep their places, and count again when they are back.
+// minMembers returns the size of the group at which no more members are removed. A smaller group would have no majority
+// after the tolerated losses. At this size, members that do not answer stay in the group and count again when they are
+// back.
 func minMembers(tolerated int) int { return max(smallestGroup, 2*tolerated+1) }
 
-// Group is what a Manager needs of the control group.
+// Group is the part of the control group's API that a Manager uses.
 type Group interface {
 	Role() replication.Role
 	AddMember(ctx context.Context, member replication.Member) error
@@ -44,24 +46,24 @@
 	ReplaceMember(ctx context.Context, oldDiskID string, member replication.Member) error
 }
 
-// Options holds what a Manager works with.
+// Options configures a Manager.
 type Options struct {
 	Group     Group
 	Leases    *lease.Table
 	DiskID    string // of this process
-	Tolerated int    // how many members may be lost at once
+	Tolerated int    // number of members that may be lost at once
 	// OnChange is called after each attempt to change the members.
 	OnChange func()
 	Logger   *zap.Logger
 }
 
-// memberChange is one change of the group's members. Exactly one of the fields is set, or both to replace.
+// memberChange is one change of the group's members. Both fields are set to replace a member, otherwise exactly one.
 type memberChange struct {
 	remove string              // disk id
 	add    *replication.Member // new member
 }
 
-// Manager adds processes to the group and removes those that are gone for good, while its process is the primary.
+// Manager adds processes to the group, and removes members that do not come back, while its process is the primary.
 type Manager struct {
 	options      Options
 	leadingSince time.Time
@@ -71,12 +73,12 @@
 // NewManager returns a manager. Begin must be called before the first Step.
 func NewManager(options Options) *Manager { return &Manager{options: options} }
 
-// Begin starts the leadership of this process: of no member it is known yet how long it has not answered.
+// Begin is called when this process becomes the primary. It resets the record of when members were last alive.
 func (m *Manager) Begin() {
 	m.lastAlive, m.leadingSince = map[string]time.Time{}, time.Now()
 }
 
-// Step makes at most one change of the members.
+// Step makes at most one change of the members, and waits until the change has succeeded or failed.
 func (m *Manager) Step(ctx context.Context) {
 	now := time.Now()
 	view := m.options.Group.Role().View
@@ -87,12 +89,12 @@
 		return
 	}
 	if err := m.apply(ctx, change); err != nil {
-		m.options.Logger.Info("change of the members failed", zap.Error(err))
+		m.options.Logger.Info("failed to change the members of the control group", zap.Error(err))
 	}
 	m.options.OnChange()
 }
 
-// recordAlive remembers when each member was last known to be alive.
+// recordAlive records the members that are alive now. This process is always alive.
 func (m *Manager) recordAlive(members []replication.Member, nodes map[string]lease.Status, now time.Time) {
 	for _, member := range members {
 		node, found := nodes[member.Name]
@@ -102,6 +104,7 @@
 	}
 }
 
+// unresponsiveFor returns the time since a member was last alive, at most the time since this process began to lead.
 func (m *Manager) unresponsiveFor(member replication.Member, now time.Time) time.Duration {
 	since, found := m.lastAlive[member.DiskID]
 	if !found {
@@ -118,9 +121,9 @@
 	return m.planRemoval(view, now)
 }
 
-// replaceUnresponsive has a process that joins take the place of a member that does not answer: beside it, the group
-// would need one more for its majority and have none for it. While a member has not answered for a moment only, nobody
-// joins.
+// replaceUnresponsive lets a joining process replace the member that has not answered for longest. If the process were
+// added beside that member, the larger group could need one more vote for its majority and would have gained none.
+// While that member has not answered for less than replaceableAfter, it returns nil and no process joins.
 func (m *Manager) replaceUnresponsive(
 	change *memberChange, members []replication.Member, now time.Time,
 ) *memberChange {
@@ -143,8 +146,8 @@
 	return &memberChange{remove: unresponsive, add: change.add}
 }
 
-// planJoin returns the change that takes in a process that may be a member and is not. One whose name is listed with
-// another disk takes that member's place.
+// planJoin returns the change that adds a process that may be a member and is not, or nil. A process whose name is
+// listed with another disk replaces that member.
 func planJoin(members []replication.Member, nodes map[string]lease.Status) *memberChange {
 	byName := make(map[string]replication.Member, len(members))
 	for _, member := range members {
@@ -171,13 +174,14 @@
 	return &memberChange{add: joining}
 }
 
-// mayJoin tells whether a process that is alive can be a member for longer.
+// mayJoin reports whether a process is alive, can be a member, and is expected to stay: it neither drains nor reports a
+// failing disk.
 func mayJoin(node lease.Status) bool {
 	return node.Recent && node.Info.Core && node.Info.DiskID != "" && !node.Info.Draining && !node.Info.DiskFailing
 }
 
-// planRemoval returns the change that removes a member that has not answered for long, while a majority of the others
-// is alive.
+// planRemoval returns the change that removes a member that has not answered for longer than removeAfter, or nil. It
+// requires that a majority of the other members is alive.
 func (m *Manager) planRemoval(view replication.View, now time.Time) *memberChange {
 	if len(view.Members) <= minMembers(m.options.Tolerated) {
 		return nil
@@ -204,12 +208,12 @@
 	group := m.options.Group
 	switch {
 	case change.add == nil:
-		m.options.Logger.Info("removing a member", zap.String("disk", change.remove))
+		m.options.Logger.Info("removing a member of the control group", zap.String("disk", change.remove))
 		return group.RemoveMember(ctx, change.remove)
 	case change.remove == "":
-		m.options.Logger.Info("adding a member", zap.String("member", change.add.Name))
+		m.options.Logger.Info("adding a member to the control group", zap.String("member", change.add.Name))
 		return group.AddMember(ctx, *change.add)
 	}
-	m.options.Logger.Info("replacing a member", zap.String("member", change.add.Name))
+	m.options.Logger.Info("replacing a member of the control group", zap.String("member", change.add.Name))
 	return group.ReplaceMember(ctx, change.remove, *change.add)
 }
--- a/internal/controlplane/membership/members.go
+++ b/internal/controlplane/membership/members.go
@@ -5,7 +5,7 @@
 	"gladepick/internal/controlplane/replication"
 )
 
-// CoreMembers lists members of the control group as the cluster table does, without their zones.
+// CoreMembers converts members of the control group to entries of the cluster table. It leaves their zones empty.
 func CoreMembers(members []replication.Member) []cluster.CoreMember {
 	listed := make([]cluster.CoreMember, 0, len(members))
 	for _, member := range members {
--- a/internal/controlplane/partitionrequest.go
+++ b/internal/controlplane/partitionrequest.go
@@ -11,8 +11,9 @@
 	"gladepick/internal/rpc"
 )
 
-// handlePartitionRequest changes a replica group as its primary asks. A backup that the primary wants dropped is pinged
-// first: one that responds stays until another replica is complete.
+// handlePartitionRequest serves cluster.MethodPartitionRequest: the primary of a partition asks for a change of its
+// replica group. Before a backup is dropped, it is pinged. A backup that responds stays until another replica is
+// synced.
 func (p *Plane) handlePartitionRequest(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request cluster.PartitionRequest
 	if err := call.Decode(&request); err != nil {
@@ -32,7 +33,7 @@
 	return nil, nil, nil
 }
 
-// callError turns a failure into one that the caller of a call understands.
+// callError converts a failure into an RPC error that the caller can act on.
 func (p *Plane) callError(err error) error {
 	var refused *placement.RequestError
 	switch {
@@ -46,7 +47,7 @@
 	return err
 }
 
-// codeOf returns the code by which the caller knows a kind of refused requests.
+// codeOf returns the RPC code for the kind of a placement.RequestError.
 func codeOf(kind error) rpc.Code {
 	switch {
 	case errors.Is(kind, placement.ErrUnknownPartition):
--- a/internal/controlplane/pinger.go
+++ b/internal/controlplane/pinger.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	// pingTimeout is how long a process that was reported has to answer.
+	// pingTimeout bounds one ping, including all its attempts.
 	pingTimeout = 120 * time.Millisecond
-	// pingAttempts: the first may find no more than that a connection from before has ended.
+	// pingAttempts is more than 1 because the first attempt may fail only because a pooled connection has ended.
 	pingAttempts = 3
 )
 
-// pingResult is what a ping shows of a process.
+// pingResult is the state of a process as a ping shows it.
 type pingResult uint8
 
 const (
 	pingAlive      pingResult = iota
-	pingDead                  // it surely has ended
-	pingUnanswered            // nothing is heard of it
+	pingDead                  // the process has certainly ended
+	pingUnanswered            // no answer within pingTimeout
 )
 
-// pingReport is a ping and what it has shown.
+// pingReport is the result of a ping and the time at which the ping started.
 type pingReport struct {
 	result  pingResult
 	started time.Time
 }
 
-// pinger pings processes. Many want to know of the same process at one moment, as each partition has a primary and each
-// front reports on its own; they share one ping.
+// pinger pings processes. Many callers may ask about the same process at once, because every partition's primary and
+// every front reports failures on its own. Concurrent callers share one ping.
 type pinger struct {
 	leases   *lease.Table
 	pool     *rpc.Pool
-	underway singleflight.Group // by name and incarnation
+	inFlight singleflight.Group // keyed by name and incarnation
 }
 
-// newPinger returns a pinger of the processes that have leases.
+// newPinger returns a pinger for the processes that have leases.
 func newPinger(leases *lease.Table, pool *rpc.Pool) *pinger {
 	return &pinger{leases: leases, pool: pool}
 }
 
-// responds tells whether a process whose lease runs answers a ping.
+// responds reports whether a process holds a valid lease and answers a ping.
 func (p *pinger) responds(ctx context.Context, name string) bool {
 	info, live := p.leases.Live(name, time.Now())
 	return live && p.ping(ctx, info).result == pingAlive
 }
 
-// ping asks a process whether it is there, or waits for a ping of it that is under way.
+// ping pings a process, or waits for the result of a ping of the same incarnation that is already in flight.
 func (p *pinger) ping(ctx context.Context, info cluster.NodeInfo) pingReport {
 	asked := time.Now()
-	shared := p.underway.DoChan(info.Name+"/"+info.Incarnation, func() (any, error) {
+	shared := p.inFlight.DoChan(info.Name+"/"+info.Incarnation, func() (any, error) {
 		started := time.Now()
 		return pingReport{result: p.call(info), started: started}, nil
 	})
@@ -69,7 +69,7 @@
 	}
 }
 
-// call makes the calls of one ping.
+// call sends the RPCs of one ping, up to pingAttempts of them.
 func (p *pinger) call(info cluster.NodeInfo) pingResult {
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -1,23 +1,24 @@
-// Package controlplane assembles the control plane of one process, on top of a replicated group.
+// Package controlplane assembles the control plane of one process on top of a replicated group.
 //
-// One member of the group, the primary, decides; its decisions are changes of a replicated state machine. Every member
-// that is in touch with the primary renews leases and distributes the state. The parts, a package each:
+// One member of the group, the primary, makes all decisions. Each decision is a change of a replicated state machine.
+// Every member that is in touch with the primary renews leases and distributes the state. Each part is a package:
 //
 //   - controlstate: the replicated state, the records of its log and its snapshots
 //   - lease: which processes are alive
 //   - placement: which stores hold and lead which partitions, as a pure computation
-//   - tablemanager: the loop that has the group take the placement's changes of the cluster table
+//   - tablemanager: the loop that proposes the placement's changes of the cluster table to the group
 //   - membership: who is a member of the group
 //   - bootstrap: the first start of the whole system
 //   - operatorapi: the operator's calls
 //   - workerlist: the platform's list of workers
-//   - updates: what a process lacks of all that
+//   - updates: the part of this state that a process does not hold yet
 //   - replication: the group itself
 //
-// This package connects them, and adds the handlers of other processes' calls: syncs, renewals, reports of failures and
-// partition requests. Plane.Run starts a goroutine for the group and for each loop; the handlers run in goroutines of the
-// RPC server. The package has no locks of its own: what goroutines share is behind the locks of the parts, or immutable,
-// or set before Run. Start reading at Plane and Plane.Run, then at handleSync, and at tablemanager for the decisions.
+// This package connects the parts. It also handles other processes' calls: syncs, lease renewals, failure reports and
+// partition requests. Plane.Run starts a goroutine for the group and one for each loop; the handlers run in goroutines
+// of the RPC server. The package has no locks of its own: state that goroutines share is guarded by the locks of the
+// parts, is immutable, or is set before Run. Start reading at Plane and Plane.Run, then at handleSync. The decisions
+// are made in tablemanager.
 package controlplane
 
 import (
@@ -46,28 +47,28 @@
 	"gladepick/internal/vfs"
 )
 
-// Options holds what a Plane needs.
+// Options configures a Plane.
 type Options struct {
 	Info    cluster.NodeInfo // of this process
 	Network network.Network  // to the platform
 	Pool    *rpc.Pool        // to other processes
-	Server  *rpc.Server      // gets the handlers of the control plane's calls
+	Server  *rpc.Server      // New registers the control plane's handlers on it
 	FS      vfs.FS           // for the control state; nil without a disk
 
 	Bootstrap      bool // this is the first start of the whole system
-	Tolerated      int  // how many losses of disks the system must bear
-	ToleratedZones int  // how many lost zones it must bear
+	Tolerated      int  // number of lost disks that the system must survive
+	ToleratedZones int  // number of lost zones that the system must survive
 
 	Seeds           []string // control addresses of the seeds, "ip:port"
-	InternalPort    int      // of every process's RPC server
-	PlatformAddress string   // where the platform's list of workers is, "ip:port"; may be empty
+	InternalPort    int      // port of every process's RPC server
+	PlatformAddress string   // serves the platform's list of workers, "ip:port"; may be empty
 
 	Agent  *cluster.Agent // of this process; may be nil
 	Logger *zap.Logger    // may be nil
-	Seed   uint64         // of the random pauses before elections
+	Seed   uint64         // seeds the random delays before elections
 }
 
-// Plane is a process's part in the control plane.
+// Plane is the control plane of one process. New builds it and Run runs it.
 type Plane struct {
 	options                Options
 	logger                 *zap.Logger
@@ -75,7 +76,7 @@
 	workers                workerlist.Cache
 	bootstrapper           *bootstrap.Bootstrapper
 	member                 localMember
-	changedPlatformAddress atomic.Pointer[string] // the platform's address, where it has changed since the start
+	changedPlatformAddress atomic.Pointer[string] // overrides Options.PlatformAddress; nil until SetPlatformAddress
 
 	// The following are nil on a process that cannot be a member.
 
@@ -91,7 +92,7 @@
 	cancel   context.CancelFunc
 }
 
-// New loads the control state from the disk and registers the calls. Run starts the part in the control plane.
+// New loads the control state from the disk and registers the RPC handlers. Run starts the loops.
 func New(options Options) (*Plane, error) {
 	plane, err := newPlane(options)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return plane, nil
 }
 
-// newPlane makes a plane that does no more than a seed must.
+// newPlane returns a plane that can only act as a seed: it takes part in the bootstrap but not in the group.
 func newPlane(options Options) (*Plane, error) {
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
@@ -145,7 +146,7 @@
 	return p.options.Info.Core && p.options.FS != nil && p.options.Info.DiskID != ""
 }
 
-// makeParts makes what only a process needs that may be a member of the group.
+// makeParts creates the parts that only a possible member of the group needs.
 func (p *Plane) makeParts() {
 	p.leases = lease.NewTable(func() { p.manager.Nudge() })
 	p.pinger = newPinger(p.leases, p.options.Pool)
@@ -205,7 +206,7 @@
 	}
 }
 
-// join takes part in a group: it registers the calls that its members serve.
+// join connects the plane to the group and registers the handlers that only members of the group serve.
 func (p *Plane) join(group group) {
 	p.member.group = group
 	group.OnRoleChange(func(replication.Role) {
@@ -222,9 +223,9 @@
 	server.Handle(bootstrap.MethodBootstrap, p.bootstrapper.HandleBootstrap)
 }
 
-// Run takes part in the control plane until the context ends. Each loop has a goroutine: the bootstrap everywhere, and at
-// a process that may be a member also the group, the table's manager, the members' manager, the reader of the list of
-// workers and the announcements to the seeds.
+// Run runs the control plane until the context ends. Each loop has a goroutine. Every process runs the bootstrap. A
+// process that may be a member also runs the group, the table manager, the membership manager, the reader of the list
+// of workers and the announcements to the seeds.
 func (p *Plane) Run(ctx context.Context) {
 	defer p.cancel()
 	loops := []func(context.Context){p.bootstrapper.Run}
@@ -248,12 +249,12 @@
 	p.reader.Close()
 }
 
-// redundancy is what the replicas of partitions must outlive, by what the operator says may be lost at once.
+// redundancy returns the redundancy of partitions that survives the configured losses of disks and zones.
 func (p *Plane) redundancy() placement.Redundancy {
 	return placement.Redundancy{ReplicationFactor: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
 }
 
-// document returns the configuration of a version where it is the current one here, or nil.
+// document returns the current configuration if it has the given version, and nil otherwise.
 func (p *Plane) document(version uint64) *configuration.Document {
 	document := p.state.Current().Document
 	if document == nil || document.Version() != version {
@@ -262,20 +263,21 @@
 	return document
 }
 
-// onHeartbeatResponse takes in the renewals that the response of a backup to a heartbeat carries.
+// onHeartbeatResponse applies the lease renewals that a backup forwards with its response to a heartbeat.
 func (p *Plane) onHeartbeatResponse(_ replication.Member, payload []byte) {
 	if len(payload) == 0 {
 		return
 	}
 	if err := p.leases.ApplyRenewals(payload, time.Now()); err != nil {
-		p.logger.Warn("leases of a backup not read", zap.Error(err))
+		p.logger.Warn("failed to apply lease renewals forwarded by a backup", zap.Error(err))
 	}
 }
 
-// SetPlatformAddress changes where the platform's list of workers is read from the next time. It may be empty.
+// SetPlatformAddress sets the address, "ip:port", from which later reads fetch the platform's list of workers. If it is
+// empty, the list is not read.
 func (p *Plane) SetPlatformAddress(address string) { p.changedPlatformAddress.Store(&address) }
 
-// platformAddress returns where the platform's list of workers is, or nothing.
+// platformAddress returns the address that serves the platform's list of workers, or "" if there is none.
 func (p *Plane) platformAddress() string {
 	if changed := p.changedPlatformAddress.Load(); changed != nil {
 		return *changed
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -12,25 +12,27 @@
 	"gladepick/internal/rpc"
 )
 
-// longestSyncWait bounds how long the answer to a sync is held back.
-const longestSyncWait = 400 * time.Millisecond
+// maxSyncWait bounds how long the response to a sync is delayed while there are no updates.
+const maxSyncWait = 400 * time.Millisecond
 
 const (
 	methodRenew = "control.renew" // lease.Renewal -> empty, at the primary
 
-	// directRenewalAfter is the age from which on a store's confirmed renewal is too old to wait for the next heartbeat.
+	// directRenewalAfter is the age of a store's newest confirmed renewal from which on a backup forwards the next one
+	// to the primary at once instead of with the next response to a heartbeat.
 	directRenewalAfter   = 600 * time.Millisecond
 	directRenewalTimeout = 150 * time.Millisecond
 )
 
-// handleSync renews the caller's lease and answers with what is newer than what it holds, as soon as there is
-// something or the time has passed.
+// handleSync serves cluster.MethodSync. It renews the caller's lease and responds with the state that is newer than the
+// caller's, as soon as there is any, or with none after the requested wait.
 func (p *Plane) handleSync(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request cluster.SyncRequest
 	if err := call.Decode(&request); err != nil {
 		return nil, nil, err
 	}
-	// A renewal counts from before the look at the role: a primary that leads after it knows of it, or begins later.
+	// The time of the renewal is taken before the role is read. A later primary then either knows of the renewal or
+	// began to lead after it.
 	arrived := time.Now()
 	role, fresh := p.member.currentRole()
 	if !fresh {
@@ -41,9 +43,10 @@
 	return p.awaitUpdates(ctx, &request, arrived)
 }
 
-// awaitUpdates answers a sync as soon as there is something newer than what the caller holds, or the time has passed.
+// awaitUpdates responds to a sync as soon as there is newer state than the caller's, or when the requested wait is
+// over.
 func (p *Plane) awaitUpdates(ctx context.Context, request *cluster.SyncRequest, arrived time.Time) (any, []byte, error) {
-	wait := min(time.Duration(request.WaitMS)*time.Millisecond, longestSyncWait)
+	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxSyncWait)
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
@@ -63,13 +66,14 @@
 		case <-deadline.C:
 			wait = 0
 		case <-ctx.Done():
-			return nil, nil, unavailable("the caller has gone")
+			return nil, nil, unavailable("the caller cancelled the sync")
 		}
 	}
 }
 
-// confirmLease sees to it that the primary knows of a store's renewal. Most become known with the next answer to a
-// heartbeat; where the last one that did is missing or old, as after a start, the primary is told at once.
+// confirmLease makes sure that the primary learns of a store's renewal. A backup forwards most renewals with its next
+// response to a heartbeat. If the store has no confirmed renewal, or only an old one, as after a start, confirmLease
+// forwards the renewal at once.
 func (p *Plane) confirmLease(ctx context.Context, role replication.Role, node *cluster.NodeInfo, arrived time.Time) {
 	if role.Primary {
 		p.leases.ConfirmRenewal(node, arrived)
@@ -87,20 +91,21 @@
 	defer cancel()
 	renewal := lease.Renewal{Node: node, AgeMS: time.Since(arrived).Milliseconds()}
 	if _, err := p.options.Pool.Get(primary.Address).Call(ctx, methodRenew, renewal, nil, nil); err != nil {
-		p.logger.Debug("renewal not forwarded", zap.String("node", node.Name), zap.Error(err))
+		p.logger.Debug("failed to forward a lease renewal to the primary", zap.String("node", node.Name), zap.Error(err))
 		return
 	}
 	p.leases.ConfirmRenewal(node, arrived)
 }
 
-// handleRenew takes in a renewal that arrived at a backup. Where this succeeds, this process was the primary after that.
+// handleRenew serves methodRenew: it applies a renewal that arrived at a backup. If it succeeds, this process was still
+// the primary after the renewal arrived.
 func (p *Plane) handleRenew(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var renewal lease.Renewal
 	if err := call.Decode(&renewal); err != nil {
 		return nil, nil, err
 	}
 	if renewal.Node == nil {
-		return nil, nil, &rpc.Error{Code: rpc.CodeInvalid, Message: "no process is named"}
+		return nil, nil, &rpc.Error{Code: rpc.CodeInvalid, Message: "the renewal names no process"}
 	}
 	at := time.Now().Add(-time.Duration(renewal.AgeMS) * time.Millisecond)
 	if err := p.member.RequirePrimary(); err != nil {
@@ -110,8 +115,9 @@
 	return nil, nil, nil
 }
 
-// leaseAge returns how long before an arrival the lease of a process began that the primary surely knows of, or
-// cluster.NoLease where there is none. Only a store must not act after its end.
+// leaseAge returns the age, in milliseconds at the time of arrival, of the caller's newest renewal that the primary is
+// known to have, or cluster.NoLease if there is none. It returns 0 for a process that is no store, because only a store
+// must stop when its lease ends.
 func (p *Plane) leaseAge(node *cluster.NodeInfo, arrived time.Time) int64 {
 	if !node.Store {
 		return 0
--- a/internal/controlplane/updates/compress.go
+++ b/internal/controlplane/updates/compress.go
@@ -6,14 +6,16 @@
 	"gladepick/internal/cluster"
 )
 
-// bodyCompressor compresses what leads to the current configuration, once for all processes that ask for the same.
+// bodyCompressor compresses the updates that lead to the current configuration. It compresses each of them once for all
+// processes that hold the same version. The zero value is ready to use.
 type bodyCompressor struct {
 	mutex      sync.Mutex
-	version    uint64            // the configuration that the bodies lead to
-	compressed map[uint64][]byte // by the version they start from; nil where compressing does not pay
+	version    uint64            // of the configuration that the bodies lead to
+	compressed map[uint64][]byte // by the version that a body starts from; nil if the body is small or does not shrink
 }
 
-// compress returns a body compressed, and false where that does not pay.
+// compress returns the compressed form of the body that leads from one version to another, and false if
+// the body is small or does not shrink.
 func (c *bodyCompressor) compress(from, to uint64, body []byte) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/updates/updates.go
+++ b/internal/controlplane/updates/updates.go
@@ -1,11 +1,11 @@
-// Package updates answers what a process lacks of the control state: the configuration, the cluster table and the list
-// of workers.
+// Package updates computes the parts of the control state that a process does not hold yet: the configuration, the
+// cluster table and the list of workers.
 //
-// A process names the versions that it holds; Source.Since returns what leads from them to the newest ones, as changes
-// where they are known and shorter, else as a whole. Many processes hold the same versions and ask at the same moment,
-// so each part is encoded, and the configuration compressed, once for all of them. The caches have a mutex each and are
-// used concurrently; the package starts no goroutine and waits for nothing. What it reads is immutable. Start reading
-// at Source.Since.
+// A process names the versions that it holds. Source.Since returns the updates from these versions to the newest ones:
+// as changes if they are known and shorter, and otherwise in full. Many processes hold the same versions and sync at
+// the same time, so each part is encoded, and the configuration is compressed, once for all of them. Each cache has a
+// mutex and is used concurrently. The package starts no goroutine and never blocks on a change. The state that it reads
+// is immutable. Start reading at Source.Since.
 package updates
 
 import (
@@ -19,8 +19,8 @@
 	"gladepick/internal/controlplane/workerlist"
 )
 
-// Response is an answer to a sync. Its parts that many callers get alike are encoded once for all of them; they stand in
-// the place of the fields of SyncResponse with the same names.
+// Response is the response to a sync. Its raw fields hold parts that are encoded once for many callers. They shadow the
+// fields of SyncResponse with the same names.
 type Response struct {
 	cluster.SyncResponse
 	Table         json.RawMessage `json:"table,omitempty"`
@@ -29,12 +29,12 @@
 	WorkerChanges json.RawMessage `json:"workerChanges,omitempty"`
 }
 
-// HasUpdates tells whether there is anything that the caller does not hold.
+// HasUpdates reports whether the response holds anything that the caller does not hold.
 func (r *Response) HasUpdates() bool {
 	return r.ConfigVersion != 0 || len(r.Table)+len(r.TableChanges)+len(r.Workers)+len(r.WorkerChanges) > 0
 }
 
-// Source knows the newest state, and what leads to it.
+// Source computes the updates that lead to the newest state. It is safe for concurrent use.
 type Source struct {
 	state      *controlstate.Machine
 	workers    *workerlist.Cache
@@ -43,13 +43,14 @@
 	lists      encodeCache[cluster.WorkerVersion]
 }
 
-// NewSource returns a source of what a state machine and a list of workers hold.
+// NewSource returns a source of the updates of a state machine and a list of workers.
 func NewSource(state *controlstate.Machine, workers *workerlist.Cache) *Source {
 	return &Source{state: state, workers: workers}
 }
 
-// Changed returns channels that are closed at the next change of the state, and of the list of workers. The second is
-// nil for a process that delivers nothing: it does not get the list and waits for no change of it.
+// Changed returns a channel that is closed at the next change of the state, and one that is closed at the next change
+// of the list of workers. The second is nil for a process that is no store, because such a process does not receive the
+// list.
 func (s *Source) Changed(request *cluster.SyncRequest) (state, workers <-chan struct{}) {
 	state = s.state.Changed()
 	if request.Node.Store {
@@ -58,7 +59,8 @@
 	return state, workers
 }
 
-// Since collects what is newer than what the caller holds. The bytes are the configuration, uncompressed.
+// Since returns the parts of the state that are newer than the caller's. The returned bytes are the uncompressed body:
+// the complete configuration, or the updates of it.
 func (s *Source) Since(request *cluster.SyncRequest) (*Response, []byte, error) {
 	current := s.state.Current()
 	response := &Response{}
@@ -71,7 +73,7 @@
 	return response, addConfiguration(response, current, request.ConfigVersion), nil
 }
 
-// addTable adds what is newer than a revision of the table.
+// addTable adds the changes of the table since a revision, or the complete table if these changes are not known.
 func (s *Source) addTable(response *Response, current *controlstate.State, revision uint64) error {
 	newest := current.Table.Revision
 	if newest <= revision {
@@ -87,7 +89,8 @@
 	return trace.Wrap(err)
 }
 
-// addWorkers adds what is newer than the list of workers that the caller holds.
+// addWorkers adds the age of the list of workers and, if the caller is a store, the changes since the list that it
+// holds or the complete list.
 func (s *Source) addWorkers(response *Response, request *cluster.SyncRequest) error {
 	workers, readAt := s.workers.Load()
 	response.WorkersAgeMS = -1
@@ -110,7 +113,8 @@
 	return trace.Wrap(err)
 }
 
-// addConfiguration announces what is newer than a version of the configuration, and returns it.
+// addConfiguration returns the updates of the configuration since a version, or the complete configuration if these
+// updates are not known. It adds the version and the lengths of the updates to the response.
 func addConfiguration(response *Response, current *controlstate.State, version uint64) []byte {
 	if current.ConfigVersion() <= version {
 		return nil
@@ -128,8 +132,9 @@
 	return body
 }
 
-// Compress compresses the body of a response, and notes in the response that it did; where that does not pay, the body
-// stays. A configuration of many routes takes long over the links of small machines, and all processes ask for it at once.
+// Compress returns the compressed body of a response and sets Compressed in the response. If the body is small or
+// does not shrink, it returns the body unchanged. Compression matters because a configuration with many routes takes
+// long over the links of small machines, and all processes fetch it at once.
 func (s *Source) Compress(request *cluster.SyncRequest, response *Response, body []byte) []byte {
 	if len(body) == 0 {
 		return body
--- a/internal/controlplane/workerlist/cache.go
+++ b/internal/controlplane/workerlist/cache.go
@@ -1,12 +1,12 @@
 // Package workerlist keeps the platform's list of workers at one member of the control group.
 //
-// The primary reads the list from the platform (Reader.Step, Read) and announces its version with each heartbeat; a
-// backup that holds another one fetches what is missing. Cache holds the newest list of this member and the changes that
-// led to it, so that most processes are sent changes and not the list. Lists are immutable and are replaced as a whole;
-// of two, the one with the higher epoch and revision is the newer one.
+// The primary reads the list from the platform (Reader.Step, Read) and announces its version with each heartbeat. A
+// backup with an older list fetches the changes from the primary. Cache holds the newest list of this member and the
+// changes that led to it, so that most processes receive changes instead of the whole list. Lists are immutable and
+// replaced as a whole. Of two lists, the one with the higher epoch, then the higher revision, is the newer one.
 //
-// One mutex guards the cache. The package starts a goroutine for each fetch, at most one at a time. Start reading at
-// Cache and Reader.
+// One mutex guards the cache. The package starts a goroutine for each fetch, and at most one fetch runs at a time.
+// Start reading at Cache and Reader.
 package workerlist
 
 import (
@@ -27,7 +27,7 @@
 	changed syncutil.Notifier
 }
 
-// Changed returns a channel that is closed by the next change of the list.
+// Changed returns a channel that is closed at the next change of the list.
 func (c *Cache) Changed() <-chan struct{} { return c.changed.Receive() }
 
 // Load returns the list, which may be nil, and when it was last read from the platform.
@@ -37,21 +37,21 @@
 	return c.list, c.readAt
 }
 
-// ChangesSince returns the changes that lead from a version to the newest list, and false where they are not known.
+// ChangesSince returns the changes from a version to the newest list, and false if they are not known.
 func (c *Cache) ChangesSince(version cluster.WorkerVersion) ([]cluster.WorkerChange, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.history.since(version)
 }
 
-// replace puts a newer list in the place of the one held. The caller holds the lock.
+// replace replaces the list by a newer one and adds the change to the history. The caller holds the lock.
 func (c *Cache) replace(next *cluster.WorkerList) {
 	c.history.add(c.list, next)
 	c.list = next
 }
 
-// RecordRead takes in what the primary has read from the platform in an epoch of the control group. The list gets a new
-// revision only where something has changed that matters for a choice between workers.
+// RecordRead stores the workers that the primary has read from the platform in an epoch of the control group. The list
+// gets a new revision only if something other than remaining warm-up times has changed.
 func (c *Cache) RecordRead(epoch uint64, workers []cluster.Worker, now time.Time) {
 	c.mutex.Lock()
 	c.readAt = now
@@ -69,13 +69,14 @@
 	c.changed.Notify()
 }
 
-// sameWorker compares two entries apart from the time that is left for warming up.
+// sameWorker reports whether two entries are equal except for the remaining warm-up time.
 func sameWorker(a, b cluster.Worker) bool {
 	a.WarmupRemainingMS, b.WarmupRemainingMS = 0, 0
 	return a == b
 }
 
-// Adopt takes over a list that the primary has read, where it is newer.
+// Adopt stores a list that was fetched from the primary if it is newer than the current one. readAt is when the primary
+// read it from the platform.
 func (c *Cache) Adopt(list *cluster.WorkerList, readAt time.Time) {
 	c.mutex.Lock()
 	if !list.NewerThan(c.list) {
@@ -89,8 +90,8 @@
 	c.changed.Notify()
 }
 
-// confirmUnchanged notes that the list was read again and found unchanged. It returns false where the list here is
-// older.
+// confirmUnchanged records that the primary has read the announced list from the platform at readAt. It returns false
+// if this member has no list or an older one, and therefore has to fetch it.
 func (c *Cache) confirmUnchanged(announced *announcement, readAt time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/workerlist/history.go
+++ b/internal/controlplane/workerlist/history.go
@@ -3,20 +3,22 @@
 import "gladepick/internal/cluster"
 
 const (
-	// maxHistoryChanges bounds the changes of the list of workers that are kept for processes that hold an older version.
+	// maxHistoryChanges bounds the number of changes that are kept for processes that hold an older version of the list.
 	maxHistoryChanges = 256
-	// historyFraction bounds their entries: more than this part of the list's travel as the whole list.
+	// historyFraction bounds the entries of these changes to 1/historyFraction of the list's entries. Beyond that, the
+	// whole list is sent.
 	historyFraction = 2
 )
 
-// history holds the latest changes of the list of workers, the oldest first. Each starts where the one before
-// ends. The zero value is an empty history.
+// history holds the latest changes of the list of workers, the oldest first. Each change starts at the version at which
+// the one before ends. The zero value is an empty history.
 type history struct {
 	changes []cluster.WorkerChange
-	entries int // that all changes touch
+	entries int // sum of the sizes of all changes
 }
 
-// add takes in the change between two lists that follow each other.
+// add appends the change between two consecutive lists and removes the oldest changes beyond the bounds. It clears the
+// history if there is no earlier list.
 func (h *history) add(from, to *cluster.WorkerList) {
 	if from == nil {
 		*h = history{}
@@ -31,7 +33,7 @@
 	}
 }
 
-// since returns the changes that lead from a version to the newest one, and false where they are not known.
+// since returns the changes from a version to the newest one, and false if they are not known.
 func (h *history) since(version cluster.WorkerVersion) ([]cluster.WorkerChange, bool) {
 	for i := len(h.changes) - 1; i >= 0; i-- {
 		if h.changes[i].From == version {
--- a/internal/controlplane/workerlist/read.go
+++ b/internal/controlplane/workerlist/read.go
@@ -19,7 +19,7 @@
 	pageTokenField  = "page-token"
 	stateDraining   = "draining"
 	pageCountLimit  = 1000
-	pageLengthLimit = 16 << 20
+	pageLengthLimit = 16 << 20 // bytes
 )
 
 // instancePage is a page of the platform's list of workers.
@@ -40,7 +40,8 @@
 	WarmupLeftMS float64 `json:"warmup-left-ms"`
 }
 
-// Read reads the platform's whole list of workers, sorted by id. The address is "ip:port".
+// Read reads all pages of the platform's list of workers and returns the workers sorted by id, each id once. The
+// address is "ip:port".
 func Read(ctx context.Context, client *http.Client, address string) ([]cluster.Worker, error) {
 	var workers []cluster.Worker
 	token := ""
@@ -93,11 +94,11 @@
 		return nil, trace.Wrap(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, trace.ConnectionProblem(nil, "the list of workers answered %d", response.StatusCode)
+		return nil, trace.ConnectionProblem(nil, "the list of workers: unexpected HTTP status %d", response.StatusCode)
 	}
 	page := &instancePage{}
 	if err := json.Unmarshal(body, page); err != nil {
-		return nil, trace.Wrap(err, "reading the list of workers")
+		return nil, trace.Wrap(err, "decoding the list of workers")
 	}
 	return page, nil
 }
--- a/internal/controlplane/workerlist/reader.go
+++ b/internal/controlplane/workerlist/reader.go
@@ -26,33 +26,34 @@
 	idleConnections = 5 * time.Second
 )
 
-// Method is the name of the call by which a backup fetches the list from the primary. The argument is the
-// cluster.WorkerVersion that the backup holds.
+// Method is the RPC by which a backup fetches the list from the primary. The argument is the cluster.WorkerVersion that
+// the backup holds.
 const Method = "control.workers"
 
-// listResponse leads from the version that the caller holds to the newest list of workers: by changes where they are
-// known, else as the complete list.
+// listResponse is the response to Method. It holds the changes from the caller's version to the newest list of workers
+// if they are known, and otherwise the complete list.
 type listResponse struct {
 	Changes []cluster.WorkerChange `json:"changes,omitempty"`
 	List    *cluster.WorkerList    `json:"list,omitempty"`
 }
 
-// announcement is what the primary tells its backups of the list of workers with each heartbeat.
+// announcement is the payload of the primary's heartbeats: the version and the age of its list of workers.
 type announcement struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
 	AgeMS    int64  `json:"ageMs"`
-	Address  string `json:"address"` // where the list can be fetched
+	Address  string `json:"address"` // of the primary, which serves Method
 }
 
-// ReaderOptions holds what a Reader works with.
+// ReaderOptions configures a Reader.
 type ReaderOptions struct {
 	Cache   *Cache
 	Network network.Network // to the platform
 	Pool    *rpc.Pool       // to the other members
-	// PlatformAddress returns where the platform's list is, "ip:port", or nothing. It may change.
+	// PlatformAddress returns the address that serves the platform's list, "ip:port", or "" if there is none. The result
+	// may change between calls.
 	PlatformAddress func() string
-	// Role returns the part that this process plays in the control group.
+	// Role returns the role of this process in the control group.
 	Role   func() replication.Role
 	Self   string // this process's internal address, "ip:port"
 	Logger *zap.Logger
@@ -67,7 +68,7 @@
 	lifetime context.Context
 }
 
-// NewReader returns a reader. Its fetches end with the context.
+// NewReader returns a reader. Its fetches end when the lifetime context ends.
 func NewReader(lifetime context.Context, options ReaderOptions) *Reader {
 	return &Reader{
 		options:  options,
@@ -77,11 +78,12 @@
 	}
 }
 
-// NewPlatformClient returns an HTTP client for the platform's interface.
+// NewPlatformClient returns an HTTP client for the platform's API.
 func NewPlatformClient(network network.Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			// A dial outlives the call for which it was begun.
+			// The transport may continue a dial after the request that started it has ended, so the dial needs its own
+			// time-out.
 			ctx, cancel := context.WithTimeout(ctx, readTimeout)
 			defer cancel()
 			return network.Dial(ctx, address)
@@ -102,7 +104,7 @@
 	defer cancel()
 	workers, err := Read(ctx, r.client, address)
 	if err != nil {
-		r.options.Logger.Debug("list of workers not read", zap.Error(err))
+		r.options.Logger.Debug("failed to read the list of workers", zap.Error(err))
 		return
 	}
 	if after := r.options.Role(); after.Primary {
@@ -113,7 +115,7 @@
 // Close closes the idle connections to the platform.
 func (r *Reader) Close() { r.client.CloseIdleConnections() }
 
-// HeartbeatPayload is what the primary tells its backups with each heartbeat.
+// HeartbeatPayload returns the announcement that the primary sends with each heartbeat, or nil if there is no list yet.
 func (r *Reader) HeartbeatPayload() []byte {
 	list, readAt := r.options.Cache.Load()
 	if list == nil {
@@ -131,7 +133,9 @@
 	return payload
 }
 
-// OnHeartbeat fetches the list where the primary has a newer one. The heartbeat was sent after the given moment.
+// OnHeartbeat starts a fetch of the list if the primary announces a newer one. The heartbeat was sent after sentAfter,
+// so
+// the computed time of the read is never later than the actual one.
 func (r *Reader) OnHeartbeat(payload []byte, sentAfter time.Time) {
 	if len(payload) == 0 {
 		return
@@ -149,6 +153,7 @@
 	}
 }
 
+// fetch fetches the list from the primary and stores it. readAt is when the primary read the announced list.
 func (r *Reader) fetch(address string, readAt time.Time) {
 	defer r.fetching.Release()
 	ctx, cancel := context.WithTimeout(r.lifetime, fetchTimeout)
@@ -157,7 +162,7 @@
 	var response listResponse
 	_, err := r.options.Pool.Get(address).Call(ctx, Method, known.Version(), nil, &response)
 	if err != nil {
-		r.options.Logger.Debug("list of workers not fetched", zap.Error(trace.Wrap(err)))
+		r.options.Logger.Debug("failed to fetch the list of workers from the primary", zap.Error(trace.Wrap(err)))
 		return
 	}
 	list := response.List
@@ -169,7 +174,7 @@
 	}
 }
 
-// HandleWorkers serves Method: it gives the list to another member.
+// HandleWorkers serves Method.
 func (r *Reader) HandleWorkers(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var known cluster.WorkerVersion
 	if err := call.Decode(&known); err != nil {
