--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -83,15 +83,15 @@
 
 // New returns a bootstrapper. It fails if a seed's address is invalid.
 func New(options Options) (*Bootstrapper, error) {
-	made := &Bootstrapper{options: options, registered: map[string]cluster.NodeInfo{}}
+	bootstrapper := &Bootstrapper{options: options, registered: map[string]cluster.NodeInfo{}}
 	for _, seed := range options.Seeds {
 		address, err := cluster.InternalAddress(seed, options.InternalPort)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		made.seeds = append(made.seeds, address)
+		bootstrapper.seeds = append(bootstrapper.seeds, address)
 	}
-	return made, nil
+	return bootstrapper, nil
 }
 
 // HandleRegister serves cluster.MethodRegister. It responds with the members of the group if they are known. While they
--- a/internal/controlplane/bootstrap/golden_test.go
+++ b/internal/controlplane/bootstrap/golden_test.go
@@ -11,8 +11,8 @@
 	"gladepick/internal/controlplane/replication"
 )
 
-// TestMessagesKeepTheirBytes encodes what tells a process to make the group. The golden file was written once, by the
-// flag -update, and is never edited.
+// TestMessagesKeepTheirBytes encodes the argument of MethodBootstrap. The golden file was written once, by the flag
+// -update, and is never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	var members []replication.Member
 	for i := range 3 {
--- a/internal/controlplane/faults_test.go
+++ b/internal/controlplane/faults_test.go
@@ -15,29 +15,29 @@
 	"gladepick/internal/cluster"
 )
 
-func TestBootstrapWithSeedsThatHaveNoDisk(t *testing.T) {
-	runLayout(t, layout{fronts: 8, stores: 3, diskless: 3}, func(t *testing.T, w *world) {
-		w.awaitPlacement()
-		status, body := w.orderUntilClear(3*time.Second, http.MethodPost, replace, "0", document(1))
+func TestBootstrapWithDisklessSeeds(t *testing.T) {
+	runLayout(t, layout{fronts: 8, stores: 3, diskless: 3}, func(t *testing.T, sim *simulation) {
+		sim.awaitPlacement()
+		status, body := sim.operatorCallUntilAnswered(3*time.Second, http.MethodPost, replace, "0", document(1))
 		assert.Equal(t, status, http.StatusOK, body)
-		w.requireInForce(time.Second, 1)
-		for _, m := range w.machines {
+		sim.awaitConfigurationVersion(time.Second, 1)
+		for _, m := range sim.machines {
 			m.kill()
 		}
-		for _, m := range w.machines {
+		for _, m := range sim.machines {
 			m.start()
 		}
-		w.requireInForce(5*time.Second, 1)
+		sim.awaitConfigurationVersion(5*time.Second, 1)
 	})
 }
 
 func TestBootstrapWithoutTheFirstSeed(t *testing.T) {
-	runLayout(t, layout{fronts: 5, stores: 3, absent: 1}, func(t *testing.T, w *world) {
-		w.awaitPlacement()
-		late := w.machines[0]
+	runLayout(t, layout{fronts: 5, stores: 3, absent: 1}, func(t *testing.T, sim *simulation) {
+		sim.awaitPlacement()
+		late := sim.machines[0]
 		late.bootstrap = false
 		late.start()
-		w.eventually(5*time.Second, "the first seed is a member", func() bool {
+		sim.eventually(5*time.Second, "the first seed is a member", func() bool {
 			table := late.agent().Table()
 			return table != nil && len(table.Core) == 5
 		})
@@ -45,62 +45,62 @@
 }
 
 func TestFirstSeedRestartsBeforeTheBootstrap(t *testing.T) {
-	run(t, 5, 3, func(t *testing.T, w *world) {
+	run(t, 5, 3, func(t *testing.T, sim *simulation) {
 		time.Sleep(500 * time.Millisecond)
-		w.machines[0].kill()
+		sim.machines[0].kill()
 		time.Sleep(100 * time.Millisecond)
-		w.machines[0].start()
-		w.awaitPlacement()
-		w.eventually(5*time.Second, "all are members", func() bool { return len(w.machines[0].agent().Table().Core) == 5 })
+		sim.machines[0].start()
+		sim.awaitPlacement()
+		sim.eventually(5*time.Second, "all are members", func() bool { return len(sim.machines[0].agent().Table().Core) == 5 })
 	})
 }
 
-func TestMinorityThatIsCutOffServesNobody(t *testing.T) {
-	run(t, 5, 3, func(t *testing.T, w *world) {
-		w.awaitPlacement()
-		cut := w.primary()
-		for _, other := range w.machines {
+func TestIsolatedPrimaryServesNoCalls(t *testing.T) {
+	run(t, 5, 3, func(t *testing.T, sim *simulation) {
+		sim.awaitPlacement()
+		cut := sim.primary()
+		for _, other := range sim.machines {
 			if other != cut {
-				w.network.Isolate(cut.ip, other.ip)
+				sim.network.Isolate(cut.ip, other.ip)
 			}
 		}
-		time.Sleep(time.Second + cluster.LeaseDuration) // a primary serves no longer than its own lease runs
+		time.Sleep(time.Second + cluster.LeaseDuration) // a primary serves no calls after the end of its own lease
 		assert.Assert(t, !cut.agent().LeaseValid())
-		_, _, err := cut.order(http.MethodGet, read, "", "")
+		_, _, err := cut.operatorCall(http.MethodGet, read, "", "")
 		assert.Assert(t, err != nil)
-		running := w.machines[0]
+		running := sim.machines[0]
 		if running == cut {
-			running = w.machines[1]
+			running = sim.machines[1]
 		}
-		status, body, err := running.order(http.MethodPost, replace, "0", document(1))
+		status, body, err := running.operatorCall(http.MethodPost, replace, "0", document(1))
 		assert.NilError(t, err)
 		assert.Equal(t, status, http.StatusOK, body)
-		for _, other := range w.machines {
+		for _, other := range sim.machines {
 			if other != cut {
-				w.network.Heal(cut.ip, other.ip)
+				sim.network.Heal(cut.ip, other.ip)
 			}
 		}
-		w.requireInForce(3*time.Second, 1)
+		sim.awaitConfigurationVersion(3*time.Second, 1)
 	})
 }
 
-// writer is an operator that sends one configuration after the other.
+// writer is an operator that sends one configuration after another.
 type writer struct {
 	acknowledged int // the newest version that was acknowledged
 	sent         int // the newest version that was sent
 }
 
-// write sends versions until the context ends. A version without a clear answer may be in force or not; the writer
-// reads which one is.
-func (o *writer) write(w *world, random *rand.Rand, stop *atomic.Bool) {
+// write sends versions until stop is set. A version without a definite answer may be in force or not, so the writer
+// reads the current version before each one.
+func (o *writer) write(sim *simulation, random *rand.Rand, stop *atomic.Bool) {
 	for !stop.Load() {
-		base := o.readVersion(w, random, stop)
+		base := o.readVersion(sim, random, stop)
 		if base < 0 {
 			return
 		}
 		o.sent++
-		target := w.randomRunning(random)
-		status, _, err := target.order(http.MethodPost, replace, strconv.Itoa(base), document(o.sent))
+		target := sim.randomRunning(random)
+		status, _, err := target.operatorCall(http.MethodPost, replace, strconv.Itoa(base), document(o.sent))
 		if err == nil && status == http.StatusOK {
 			o.acknowledged = o.sent
 		}
@@ -108,28 +108,28 @@
 	}
 }
 
-// randomRunning waits until a process runs and returns one.
-func (w *world) randomRunning(random *rand.Rand) *machine {
+// randomRunning returns a random running machine. It waits until there is one.
+func (sim *simulation) randomRunning(random *rand.Rand) *machine {
 	for {
-		if running := w.running(); len(running) > 0 {
+		if running := sim.running(); len(running) > 0 {
 			return running[random.IntN(len(running))]
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (o *writer) readVersion(w *world, random *rand.Rand, stop *atomic.Bool) int {
+func (o *writer) readVersion(sim *simulation, random *rand.Rand, stop *atomic.Bool) int {
 	for !stop.Load() {
-		target := w.randomRunning(random)
-		status, body, err := target.order(http.MethodGet, read, "", "")
+		target := sim.randomRunning(random)
+		status, body, err := target.operatorCall(http.MethodGet, read, "", "")
 		if err == nil && status == http.StatusNotFound {
-			assert.Equal(w.t, o.acknowledged, 0)
+			assert.Equal(sim.t, o.acknowledged, 0)
 			return 0
 		}
 		if err == nil && status == http.StatusOK {
 			var version int
 			_, _ = fmt.Sscanf(body, `{"version":%d`, &version)
-			assert.Check(w.t, version >= o.acknowledged, "read %d after %d was acknowledged", version, o.acknowledged)
+			assert.Check(sim.t, version >= o.acknowledged, "read version %d after version %d was acknowledged", version, o.acknowledged)
 			return version
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -137,42 +137,43 @@
 	return -1
 }
 
-// TestAcknowledgedConfigurationsSurviveFaults plays random faults, one lost machine at a time or the death of all.
+// TestAcknowledgedConfigurationsSurviveFaults injects random faults: the loss or isolation of one machine at a time, or
+// a power loss of all. No acknowledged configuration may be lost.
 func TestAcknowledgedConfigurationsSurviveFaults(t *testing.T) {
 	const seeds, faults = 4, 6
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			run(t, 4+int(seed%2), 3, func(t *testing.T, w *world) {
-				w.awaitPlacement()
+			run(t, 4+int(seed%2), 3, func(t *testing.T, sim *simulation) {
+				sim.awaitPlacement()
 				random := rand.New(rand.NewPCG(seed, seed))
 				operator := &writer{}
 				var stop atomic.Bool
 				var wait sync.WaitGroup
-				wait.Go(func() { operator.write(w, rand.New(rand.NewPCG(seed, 1)), &stop) })
+				wait.Go(func() { operator.write(sim, rand.New(rand.NewPCG(seed, 1)), &stop) })
 				for range faults {
-					w.playFault(random)
+					sim.injectFault(random)
 				}
 				stop.Store(true)
 				wait.Wait()
 				assert.Assert(t, operator.acknowledged > faults)
-				status, body := w.orderUntilClear(5*time.Second, http.MethodGet, read, "", "")
+				status, body := sim.operatorCallUntilAnswered(5*time.Second, http.MethodGet, read, "", "")
 				assert.Equal(t, status, http.StatusOK)
 				var version int
 				_, err := fmt.Sscanf(body, `{"version":%d`, &version)
 				assert.NilError(t, err)
 				assert.Assert(t, version >= operator.acknowledged)
 				assert.Equal(t, body, document(version))
-				w.requireInForce(2*time.Second, uint64(version))
+				sim.awaitConfigurationVersion(2*time.Second, uint64(version))
 			})
 		})
 	}
 }
 
-// playFault plays one fault and lets the system recover.
-func (w *world) playFault(random *rand.Rand) {
-	victim := w.machines[random.IntN(len(w.machines))]
+// injectFault injects one fault and waits until the system has recovered.
+func (sim *simulation) injectFault(random *rand.Rand) {
+	victim := sim.machines[random.IntN(len(sim.machines))]
 	down := time.Duration(random.IntN(4000)) * time.Millisecond
-	w.t.Logf("fault at %s for %v", victim.name, down)
+	sim.t.Logf("fault at %s for %v", victim.name, down)
 	switch random.IntN(5) {
 	case 0:
 		victim.kill()
@@ -180,9 +181,9 @@
 		victim.start()
 	case 1:
 		victim.powerLoss()
-		w.network.PowerOff(victim.ip)
+		sim.network.PowerOff(victim.ip)
 		time.Sleep(down)
-		w.network.PowerOn(victim.ip)
+		sim.network.PowerOn(victim.ip)
 		victim.start()
 	case 2:
 		victim.kill()
@@ -190,85 +191,85 @@
 		time.Sleep(down)
 		victim.start()
 	case 3:
-		w.restartAll()
+		sim.restartAll()
 	case 4:
-		w.isolate(victim, down)
+		sim.isolate(victim, down)
 	}
 	time.Sleep(4*time.Second + 400*time.Millisecond)
 }
 
-func (w *world) restartAll() {
-	for _, m := range w.machines {
+func (sim *simulation) restartAll() {
+	for _, m := range sim.machines {
 		m.powerLoss()
 	}
 	time.Sleep(500 * time.Millisecond)
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		m.start()
 	}
 }
 
-func (w *world) isolate(victim *machine, duration time.Duration) {
-	for _, other := range w.machines {
+func (sim *simulation) isolate(victim *machine, duration time.Duration) {
+	for _, other := range sim.machines {
 		if other != victim {
-			w.network.Isolate(victim.ip, other.ip)
+			sim.network.Isolate(victim.ip, other.ip)
 		}
 	}
 	time.Sleep(duration)
-	for _, other := range w.machines {
+	for _, other := range sim.machines {
 		if other != victim {
-			w.network.Heal(victim.ip, other.ip)
+			sim.network.Heal(victim.ip, other.ip)
 		}
 	}
 }
 
-// TestStoreBesideACutOffMemberLosesItsLeaseInTime has a store renew its lease at a backup of the group that is cut off
-// together with it. The backup counts as fresh for a while longer; the store's lease must not outlast what the primary
-// knows of it, or two stores would deliver the same messages.
-func TestStoreBesideACutOffMemberLosesItsLeaseInTime(t *testing.T) {
+// TestStoreIsolatedWithABackupLosesItsLeaseBeforeAnotherLeads isolates a store together with the backup of the group at
+// which it renews its lease. The backup counts as up to date for a while longer. The store's lease must not outlast the
+// lease that the primary knows, or two stores would deliver the same messages.
+func TestStoreIsolatedWithABackupLosesItsLeaseBeforeAnotherLeads(t *testing.T) {
 	for seed := range 6 {
-		run(t, 5, 4, func(t *testing.T, w *world) {
-			w.awaitPlacement()
-			store := w.machine("store-0")
-			member := w.backupOf()
-			for _, other := range w.machines {
+		run(t, 5, 4, func(t *testing.T, sim *simulation) {
+			sim.awaitPlacement()
+			store := sim.machine("store-0")
+			member := sim.backup()
+			for _, other := range sim.machines {
 				if other != member && other != store && other.core {
-					w.network.Isolate(store.ip, other.ip)
+					sim.network.Isolate(store.ip, other.ip)
 				}
 			}
 			time.Sleep(3*time.Second + time.Duration(seed)*70*time.Millisecond)
-			assert.Assert(t, store.agent().LeaseValid(), "the store renews at the member that it reaches")
-			for _, other := range w.machines {
+			assert.Assert(t, store.agent().LeaseValid(), "the store does not renew at the only member that it reaches")
+			for _, other := range sim.machines {
 				if other != member && other != store {
-					w.network.Isolate(store.ip, other.ip)
-					w.network.Isolate(member.ip, other.ip)
+					sim.network.Isolate(store.ip, other.ip)
+					sim.network.Isolate(member.ip, other.ip)
 				}
 			}
-			w.eventually(5*time.Second, "another store leads", func() bool {
-				leads := w.leads(store.name)
+			sim.eventually(5*time.Second, "another store leads", func() bool {
+				leads := sim.leads(store.name)
 				valid := store.agent().LeaseValid()
-				assert.Assert(t, leads || !valid, "another store leads while the lease runs")
+				assert.Assert(t, leads || !valid, "another store leads while the lease is valid")
 				return !leads
 			})
 		})
 	}
 }
 
-// backupOf returns a member of the control group that is not its primary.
-func (w *world) backupOf() *machine {
-	primary := w.primary()
-	for _, m := range w.machines {
+// backup returns a member of the control group that is not its primary.
+func (sim *simulation) backup() *machine {
+	primary := sim.primary()
+	for _, m := range sim.machines {
 		if m.core && m != primary {
 			return m
 		}
 	}
-	w.t.Fatal("no backup")
+	sim.t.Fatal("no backup")
 	return nil
 }
 
-// leads tells whether a store leads a partition according to the newest table of any process.
-func (w *world) leads(store string) bool {
+// leads reports whether a store leads a partition according to the newest table of any process.
+func (sim *simulation) leads(store string) bool {
 	var newest *cluster.Table
-	for _, m := range w.running() {
+	for _, m := range sim.running() {
 		if table := m.agent().Table(); table != nil && (newest == nil || table.Revision > newest.Revision) {
 			newest = table
 		}
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -23,8 +23,8 @@
 	platformAddress = platformIP + ":8040"
 )
 
-// world is a whole system in one process, on a simulated network and clock.
-type world struct {
+// simulation is a whole system in one process, on a simulated network and clock.
+type simulation struct {
 	t         *testing.T
 	network   *simulated.Network
 	logger    *zap.Logger
@@ -34,78 +34,78 @@
 	platform  *platform
 }
 
-// layout says which machines a world has. The first three fronts are the seeds.
+// layout describes the machines of a simulation. The first three fronts are the seeds.
 type layout struct {
 	fronts   int
 	stores   int
-	diskless int // so many of the first fronts have no disk; the next coreLimit ones are members of the core
-	absent   int // so many of the first fronts are not started
+	diskless int // number of first fronts without a disk; the next coreLimit ones are members of the core
+	absent   int // number of first fronts that are not started
 }
 
 const coreLimit = 5
 
-// run runs a test with fronts and stores in its own simulated time.
-func run(t *testing.T, fronts, stores int, test func(*testing.T, *world)) {
+// run runs a test with the given numbers of fronts and stores in its own simulated time.
+func run(t *testing.T, fronts, stores int, test func(*testing.T, *simulation)) {
 	runLayout(t, layout{fronts: fronts, stores: stores}, test)
 }
 
-func runLayout(t *testing.T, layout layout, test func(*testing.T, *world)) {
+func runLayout(t *testing.T, layout layout, test func(*testing.T, *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, network: simulated.New(1), logger: zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)), tolerated: 1}
-		w.platform = startPlatform(w)
+		sim := &simulation{t: t, network: simulated.New(1), logger: zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)), tolerated: 1}
+		sim.platform = startPlatform(sim)
 		for i := range layout.fronts {
 			core := i >= layout.diskless && i < layout.diskless+coreLimit
-			w.add(fmt.Sprintf("front-%d", i), fmt.Sprintf("zone-%d", i%3), core, false)
+			sim.add(fmt.Sprintf("front-%d", i), fmt.Sprintf("zone-%d", i%3), core, false)
 		}
 		for i := range layout.stores {
-			w.add(fmt.Sprintf("store-%d", i), fmt.Sprintf("zone-%d", i%3), false, true)
+			sim.add(fmt.Sprintf("store-%d", i), fmt.Sprintf("zone-%d", i%3), false, true)
 		}
 		for i := range min(3, layout.fronts) {
-			w.seeds = append(w.seeds, fmt.Sprintf("%s:%d", w.machines[i].ip, controlPort))
+			sim.seeds = append(sim.seeds, fmt.Sprintf("%s:%d", sim.machines[i].ip, controlPort))
 		}
-		for i, m := range w.machines {
+		for i, m := range sim.machines {
 			m.bootstrap = true
 			if i >= layout.absent {
 				m.start()
 			}
 		}
 		defer func() {
-			for _, m := range w.machines {
+			for _, m := range sim.machines {
 				m.kill()
 			}
-			w.platform.stop()
+			sim.platform.stop()
 		}()
-		test(t, w)
+		test(t, sim)
 	})
 }
 
-func (w *world) add(name, zone string, core, store bool) *machine {
-	m := &machine{world: w, name: name, zone: zone, core: core, store: store}
-	m.ip = fmt.Sprintf("10.0.0.%d", len(w.machines)+1)
+func (sim *simulation) add(name, zone string, core, store bool) *machine {
+	m := &machine{simulation: sim, name: name, zone: zone, core: core, store: store}
+	m.ip = fmt.Sprintf("10.0.0.%d", len(sim.machines)+1)
 	if core || store {
-		m.disk = memfs.New(uint64(len(w.machines)) + 1)
+		m.disk = memfs.New(uint64(len(sim.machines)) + 1)
 	}
-	w.machines = append(w.machines, m)
+	sim.machines = append(sim.machines, m)
 	return m
 }
 
-func (w *world) machine(name string) *machine {
-	for _, m := range w.machines {
+func (sim *simulation) machine(name string) *machine {
+	for _, m := range sim.machines {
 		if m.name == name {
 			return m
 		}
 	}
-	w.t.Fatalf("no machine %s", name)
+	sim.t.Fatalf("no machine is named %q", name)
 	return nil
 }
 
-// eventually waits until a condition holds, and returns how long that took.
-func (w *world) eventually(limit time.Duration, what string, condition func() bool) time.Duration {
-	w.t.Helper()
+// eventually waits until a condition holds, and returns how long that took. It fails the test after the limit.
+func (sim *simulation) eventually(limit time.Duration, what string, condition func() bool) time.Duration {
+	sim.t.Helper()
 	begin := time.Now()
 	for !condition() {
 		if time.Since(begin) > limit {
-			w.t.Fatalf("not within %v: %s", limit, what)
+			sim.t.Fatalf("condition does not hold within %v: %s", limit, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -113,9 +113,9 @@
 }
 
 // running returns the machines whose processes run.
-func (w *world) running() []*machine {
+func (sim *simulation) running() []*machine {
 	var running []*machine
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.running.Load() {
 			running = append(running, m)
 		}
@@ -123,34 +123,35 @@
 	return running
 }
 
-// order makes a call of the operator at a machine.
-func (m *machine) order(method, path, base, body string) (int, string, error) {
+// operatorCall makes an operator's call at a machine. It returns the HTTP status and the body of the response.
+func (m *machine) operatorCall(method, path, base, body string) (int, string, error) {
 	call := cluster.OperatorRequest{Method: method, Path: path, BaseVersion: base}
 	answer, answerBody, err := m.agent().Operator(context.Background(), call, []byte(body))
 	return answer.Status, string(answerBody), err
 }
 
-// orderUntilClear sends an order to the running machines in turn until one answers clearly.
-func (w *world) orderUntilClear(limit time.Duration, method, path, base, body string) (int, string) {
-	w.t.Helper()
+// operatorCallUntilAnswered makes an operator's call at the running machines in turn until one responds with a status
+// below 500.
+func (sim *simulation) operatorCallUntilAnswered(limit time.Duration, method, path, base, body string) (int, string) {
+	sim.t.Helper()
 	begin := time.Now()
 	for i := 0; time.Since(begin) < limit; i++ {
-		running := w.running()
-		status, answer, err := running[i%len(running)].order(method, path, base, body)
+		running := sim.running()
+		status, answer, err := running[i%len(running)].operatorCall(method, path, base, body)
 		if err == nil && status < 500 {
 			return status, answer
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatalf("no clear answer to %s within %v", path, limit)
+	sim.t.Fatalf("no response to %s with a status below 500 within %v", path, limit)
 	return 0, ""
 }
 
-// requireInForce waits until every running process has a version of the configuration.
-func (w *world) requireInForce(limit time.Duration, version uint64) {
-	w.t.Helper()
-	w.eventually(limit, fmt.Sprintf("version %d in force everywhere", version), func() bool {
-		for _, m := range w.running() {
+// awaitConfigurationVersion waits until every running process has the given version of the configuration.
+func (sim *simulation) awaitConfigurationVersion(limit time.Duration, version uint64) {
+	sim.t.Helper()
+	sim.eventually(limit, fmt.Sprintf("version %d in force everywhere", version), func() bool {
+		for _, m := range sim.running() {
 			if m.agent().Config() == nil || m.agent().Config().Version() != version {
 				return false
 			}
@@ -159,10 +160,10 @@
 	})
 }
 
-func (w *world) awaitPlacement() {
-	w.t.Helper()
-	w.eventually(8*time.Second, "partitions placed", func() bool {
-		for _, m := range w.running() {
+func (sim *simulation) awaitPlacement() {
+	sim.t.Helper()
+	sim.eventually(8*time.Second, "partitions placed", func() bool {
+		for _, m := range sim.running() {
 			if m.agent().Table() == nil || len(m.agent().Table().Partitions) != placement.MinPartitions {
 				return false
 			}
@@ -171,18 +172,18 @@
 	})
 }
 
-// primary returns the machine that leads the control group according to the newest table of any process.
-func (w *world) primary() *machine {
+// primary returns the machine of the control group's primary according to the newest table of any process.
+func (sim *simulation) primary() *machine {
 	var newest *cluster.Table
-	for _, m := range w.running() {
+	for _, m := range sim.running() {
 		if table := m.agent().Table(); table != nil && (newest == nil || table.Revision > newest.Revision) {
 			newest = table
 		}
 	}
-	return w.machine(newest.Primary)
+	return sim.machine(newest.Primary)
 }
 
-// document returns a valid configuration of a version.
+// document returns a valid configuration with the given version.
 func document(version int) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r-1","host":"a.example","path-prefix":"/p/",`+
 		`"route-type":"async","timeout-ms":%d,"service":"s-1","max-attempts":3,"retention-s":90.0}],`+
--- a/internal/controlplane/lease/capacity_bench_test.go
+++ b/internal/controlplane/lease/capacity_bench_test.go
@@ -9,7 +9,8 @@
 	"gladepick/internal/cluster"
 )
 
-// BenchmarkLeaseTable renews, forwards and reads the leases of stores, per lease.
+// BenchmarkLeaseTable measures the time and bytes per lease of renewing leases, forwarding them (pass) and applying
+// forwarded renewals (take).
 func BenchmarkLeaseTable(b *testing.B) {
 	for _, stores := range []int{100, 1000, 6500} {
 		infos := benchStores(stores)
@@ -51,8 +52,8 @@
 	}
 }
 
-// processorTime is what this process has used so far. The machine may have other work, which shows in the time on the
-// clock.
+// processorTime returns the processor time that this process has used. Unlike elapsed time, it excludes other
+// processes' load on the machine.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -74,7 +75,7 @@
 	return infos
 }
 
-// filledLeases holds leases that run for longer than a benchmark does.
+// filledLeases returns a table of leases that do not expire during a benchmark.
 func filledLeases(infos []cluster.NodeInfo) *Table {
 	leases := NewTable(func() {})
 	for _, info := range infos {
--- a/internal/controlplane/lease/golden_test.go
+++ b/internal/controlplane/lease/golden_test.go
@@ -10,7 +10,8 @@
 	"gladepick/internal/cluster"
 )
 
-// TestMessagesKeepTheirBytes encodes what a backup forwards to the primary. The golden file was written once, by the flag -update, and is never edited.
+// TestMessagesKeepTheirBytes encodes the renewals that a backup forwards to the primary. The golden file was written
+// once, by the flag -update, and is never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	node := &cluster.NodeInfo{
 		Name: "store-0", Class: "store", Zone: "zone-0", Address: "10.0.1.1:7240", Incarnation: "first", DiskID: "disk-0", Store: true,
--- a/internal/controlplane/lease/table_test.go
+++ b/internal/controlplane/lease/table_test.go
@@ -20,7 +20,7 @@
 	return cluster.NodeInfo{Name: name, Incarnation: incarnation, Store: true, DiskID: "disk-" + name}
 }
 
-func TestLeaseRunsOut(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	begin := time.Now()
 	leases := NewTable(func() {})
 	leases.Renew(storeInfo("a", "1"), begin)
@@ -63,7 +63,7 @@
 	assert.Equal(t, info, storeInfo("a", "1"))
 }
 
-func TestLaterIncarnationOutlivesTheRevocationOfAnEarlierOne(t *testing.T) {
+func TestRevocationDoesNotEndTheLeaseOfALaterIncarnation(t *testing.T) {
 	begin := time.Now()
 	leases := NewTable(func() {})
 	leases.Renew(storeInfo("a", "1"), begin)
@@ -75,7 +75,7 @@
 	assert.Equal(t, status.Info.Incarnation, "2")
 }
 
-func TestGrantedLeaseIsNoSignOfLife(t *testing.T) {
+func TestGrantedLeaseIsNotRecent(t *testing.T) {
 	now := time.Now()
 	leases := NewTable(func() {})
 	leases.Grant(storeInfo("a", "1"), now)
@@ -104,7 +104,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestCompleteRenewalIsForwardedAgainWhereItWasLost(t *testing.T) {
+func TestLostCompleteRenewalIsForwardedAgain(t *testing.T) {
 	now := time.Now()
 	backup, primary := NewTable(func() {}), NewTable(func() {})
 	backup.Renew(storeInfo("a", "1"), now)
@@ -126,35 +126,35 @@
 	leases.Renew(storeInfo("a", "1"), now)
 	leases.Renew(storeInfo("a", "1"), now.Add(time.Millisecond))
 	assert.Equal(t, changes, 1)
-	leaving := storeInfo("a", "1")
-	leaving.Draining = true
-	leases.Renew(leaving, now.Add(2*time.Millisecond))
+	draining := storeInfo("a", "1")
+	draining.Draining = true
+	leases.Renew(draining, now.Add(2*time.Millisecond))
 	assert.Equal(t, changes, 2)
 }
 
-func TestLeaseBeginsWithARenewalThatThePrimaryKnows(t *testing.T) {
+func TestLeaseIsMeasuredFromTheConfirmedRenewal(t *testing.T) {
 	begin := time.Now()
 	backup := NewTable(func() {})
 	backup.Renew(storeInfo("a", "1"), begin)
 	_, found := backup.ConfirmedAt("a", "1")
-	assert.Assert(t, !found, "nothing has been forwarded yet")
+	assert.Assert(t, !found, "confirmed before anything was forwarded")
 	backup.PendingRenewals(firstResponse, begin.Add(50*time.Millisecond))
 	later := begin.Add(100 * time.Millisecond)
 	backup.Renew(storeInfo("a", "1"), later)
 	backup.ConfirmResponse(firstResponse)
 	confirmed, found := backup.ConfirmedAt("a", "1")
 	assert.Assert(t, found)
-	assert.Equal(t, confirmed, begin, "the renewal after the answer is not confirmed by it")
+	assert.Equal(t, confirmed, begin, "the response does not confirm a renewal that arrived after it")
 	backup.PendingRenewals(secondResponse, later)
 	backup.ConfirmResponse(secondResponse)
 	confirmed, _ = backup.ConfirmedAt("a", "1")
 	assert.Equal(t, confirmed, later)
 	backup.Renew(storeInfo("a", "2"), later.Add(time.Millisecond))
 	_, found = backup.ConfirmedAt("a", "2")
-	assert.Assert(t, !found, "another process of the store has renewed nothing yet")
+	assert.Assert(t, !found, "a new incarnation has no confirmed renewal yet")
 }
 
-func TestRenewalIsForwardedAgainWhereItsAnswerWasLost(t *testing.T) {
+func TestRenewalIsForwardedAgainAfterALostResponse(t *testing.T) {
 	begin := time.Now()
 	backup, primary := NewTable(func() {}), NewTable(func() {})
 	backup.Renew(storeInfo("a", "1"), begin)
@@ -171,27 +171,27 @@
 	assert.Equal(t, confirmed, begin)
 }
 
-func TestUnresponsiveProcessKeepsItsLeaseUntilItIsHeardAgain(t *testing.T) {
+func TestUnresponsiveProcessKeepsItsLeaseAndRecoversWithARenewal(t *testing.T) {
 	begin := time.Now()
 	changes := 0
 	leases := NewTable(func() { changes++ })
 	leases.Renew(storeInfo("a", "1"), begin)
-	asked := begin.Add(100 * time.Millisecond)
-	leases.MarkUnresponsive(storeInfo("a", "1"), asked)
-	status := leases.Statuses(asked)["a"]
+	pinged := begin.Add(100 * time.Millisecond)
+	leases.MarkUnresponsive(storeInfo("a", "1"), pinged)
+	status := leases.Statuses(pinged)["a"]
 	assert.Assert(t, status.Live && status.Unresponsive)
 	assert.Equal(t, changes, 2)
-	leases.MarkUnresponsive(storeInfo("a", "1"), asked.Add(time.Millisecond))
-	assert.Equal(t, changes, 2, "known already")
+	leases.MarkUnresponsive(storeInfo("a", "1"), pinged.Add(time.Millisecond))
+	assert.Equal(t, changes, 2, "a repeated mark is no change")
 
 	leases.Renew(storeInfo("a", "1"), begin.Add(50*time.Millisecond))
-	assert.Assert(t, leases.Statuses(asked)["a"].Unresponsive, "a renewal from before shows nothing")
-	leases.Renew(storeInfo("a", "1"), asked.Add(200*time.Millisecond))
-	assert.Assert(t, !leases.Statuses(asked.Add(200 * time.Millisecond))["a"].Unresponsive)
+	assert.Assert(t, leases.Statuses(pinged)["a"].Unresponsive, "a renewal from before the ping does not count")
+	leases.Renew(storeInfo("a", "1"), pinged.Add(200*time.Millisecond))
+	assert.Assert(t, !leases.Statuses(pinged.Add(200 * time.Millisecond))["a"].Unresponsive)
 	assert.Equal(t, changes, 3)
 }
 
-func TestProcessThatWasHeardMeanwhileIsNotUnresponsive(t *testing.T) {
+func TestProcessThatRenewedAfterThePingIsNotUnresponsive(t *testing.T) {
 	begin := time.Now()
 	leases := NewTable(func() {})
 	leases.Renew(storeInfo("a", "1"), begin.Add(100*time.Millisecond))
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -49,8 +49,8 @@
 
 // UpToDate reports whether this process may serve its replica of the control state to other processes.
 func (m *localMember) UpToDate() bool {
-	_, fresh := m.currentRole()
-	return fresh
+	_, upToDate := m.currentRole()
+	return upToDate
 }
 
 // currentRole returns the role of this process in the group. The boolean reports whether the process may serve its
--- a/internal/controlplane/machine_test.go
+++ b/internal/controlplane/machine_test.go
@@ -19,26 +19,26 @@
 
 // machine is a simulated machine with one process at a time.
 type machine struct {
-	world     *world
-	name      string
-	zone      string
-	ip        string
-	core      bool
-	store     bool
-	disk      *memfs.Disk // nil without a disk
-	diskID    string
-	starts    int
-	leaving   atomic.Bool
-	bootstrap bool
-
-	latest  atomic.Pointer[cluster.Agent] // of the process that runs, or ran last
+	simulation *simulation
+	name       string
+	zone       string
+	ip         string
+	core       bool
+	store      bool
+	disk       *memfs.Disk // nil without a disk
+	diskID     string
+	starts     int
+	draining   atomic.Bool
+	bootstrap  bool
+
+	latest  atomic.Pointer[cluster.Agent] // of the running process, or of the last one that ran
 	running atomic.Bool
 	stop    func()
 }
 
 func (m *machine) agent() *cluster.Agent { return m.latest.Load() }
 
-// process is what runs on a machine.
+// process is the process that runs on a machine.
 type process struct {
 	info   cluster.NodeInfo
 	disk   vfs.FS // nil without a disk
@@ -49,9 +49,9 @@
 	plane  *controlplane.Plane
 }
 
-// start starts the machine's process, on the disk that the one before has left.
+// start starts the machine's process with the disk as the former process has left it.
 func (m *machine) start() {
-	t := m.world.t
+	t := m.simulation.t
 	t.Helper()
 	m.starts++
 	p := m.newProcess()
@@ -71,31 +71,31 @@
 	if m.disk != nil {
 		disk = m.disk.Mount()
 		id, err := controlplane.DiskID(disk)
-		assert.NilError(m.world.t, err)
+		assert.NilError(m.simulation.t, err)
 		m.diskID, info.DiskID = id, id
 	}
-	host := m.world.network.Host(m.ip)
+	host := m.simulation.network.Host(m.ip)
 	return &process{
-		info: info, disk: disk, host: host, pool: rpc.NewPool(host), server: rpc.NewServer(m.world.logger),
+		info: info, disk: disk, host: host, pool: rpc.NewPool(host), server: rpc.NewServer(m.simulation.logger),
 	}
 }
 
 func (m *machine) addAgent(p *process) {
 	disk := p.disk
 	if m.core {
-		disk = nil // the group remembers its members
+		disk = nil // the control state holds the members
 	}
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Disk: disk,
 		Info: func() cluster.NodeInfo {
 			now := p.info
-			now.Draining = m.leaving.Load()
+			now.Draining = m.draining.Load()
 			return now
 		},
-		Pool: p.pool, Server: p.server, Seeds: m.world.seeds, InternalPort: internalPort,
-		Register: m.bootstrap, Logger: m.world.logger,
+		Pool: p.pool, Server: p.server, Seeds: m.simulation.seeds, InternalPort: internalPort,
+		Register: m.bootstrap, Logger: m.simulation.logger,
 	})
-	assert.NilError(m.world.t, err)
+	assert.NilError(m.simulation.t, err)
 	p.agent = agent
 }
 
@@ -106,17 +106,17 @@
 	}
 	plane, err := controlplane.New(controlplane.Options{
 		Info: p.info, Network: p.host, Pool: p.pool, Server: p.server, FS: disk, Bootstrap: m.bootstrap,
-		Tolerated: m.world.tolerated, Seeds: m.world.seeds, InternalPort: internalPort, PlatformAddress: platformAddress,
-		Agent: p.agent, Logger: m.world.logger, Seed: uint64(m.starts),
+		Tolerated: m.simulation.tolerated, Seeds: m.simulation.seeds, InternalPort: internalPort, PlatformAddress: platformAddress,
+		Agent: p.agent, Logger: m.simulation.logger, Seed: uint64(m.starts),
 	})
-	assert.NilError(m.world.t, err)
+	assert.NilError(m.simulation.t, err)
 	p.plane = plane
 }
 
-// run starts a process's goroutines. They end when the machine is stopped.
+// run starts a process's goroutines. They end when the machine's stop function is called.
 func (m *machine) run(p *process) {
 	listener, err := p.host.Listen(p.info.Address)
-	assert.NilError(m.world.t, err)
+	assert.NilError(m.simulation.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	wait.Go(func() { _ = p.server.Serve(listener) })
@@ -128,7 +128,7 @@
 	m.latest.Store(p.agent)
 	m.bootstrap = false
 	m.stop = sync.OnceFunc(func() {
-		m.world.network.Kill(m.ip)
+		m.simulation.network.Kill(m.ip)
 		if m.disk != nil {
 			m.disk.Crash()
 		}
@@ -140,7 +140,7 @@
 	m.running.Store(true)
 }
 
-// followTable does what a store does for its partitions as far as the control plane sees it.
+// followTable sends the partition requests of a store: it reports its backups as synced and hands over its partitions.
 func (m *machine) followTable(ctx context.Context, agent *cluster.Agent) {
 	for ctx.Err() == nil {
 		if table := agent.Table(); table != nil {
@@ -168,7 +168,7 @@
 			request.Handover = true
 		}
 	}
-	request.Handover = request.Handover || m.leaving.Load()
+	request.Handover = request.Handover || m.draining.Load()
 	if request.Synced != "" || request.Handover {
 		_ = agent.RequestPartitionChange(ctx, request)
 	}
--- a/internal/controlplane/membership/manager_test.go
+++ b/internal/controlplane/membership/manager_test.go
@@ -37,13 +37,13 @@
 	assert.Equal(t, *change.add, replication.Member{Name: "x", DiskID: "dx", Address: "x:1"})
 }
 
-func TestFullGroupTakesNobodyIn(t *testing.T) {
+func TestFullGroupAddsNoMember(t *testing.T) {
 	members, nodes := membersOf(MaxMembers)
 	nodes["x"] = coreNode("x", "dx")
 	assert.Assert(t, planJoin(members, nodes) == nil)
 }
 
-func TestAnotherDiskTakesTheMembersPlace(t *testing.T) {
+func TestNewDiskReplacesTheMemberOfTheSameName(t *testing.T) {
 	members, nodes := membersOf(MaxMembers)
 	nodes["m-2"] = coreNode("m-2", "new")
 	change := planJoin(members, nodes)
@@ -51,8 +51,9 @@
 	assert.Equal(t, change.add.DiskID, "new")
 }
 
-// TestFirstOfSeveralNewDisksTakesItsPlaceFirst draws no member at random.
-func TestFirstOfSeveralNewDisksTakesItsPlaceFirst(t *testing.T) {
+// TestNewDisksReplaceMembersInOrderOfNames checks that the choice among several new disks does not depend on the order
+// of the map.
+func TestNewDisksReplaceMembersInOrderOfNames(t *testing.T) {
 	for range 20 {
 		members, nodes := membersOf(5)
 		for _, name := range []string{"m-3", "m-1", "m-4"} {
@@ -62,7 +63,7 @@
 	}
 }
 
-func TestUnresponsiveMemberIsRemovedWhileAMajorityLives(t *testing.T) {
+func TestUnresponsiveMemberIsRemovedWhileAMajorityIsAlive(t *testing.T) {
 	members, nodes := membersOf(5)
 	begin := time.Now()
 	manager := newTestManager(0, begin)
@@ -77,11 +78,11 @@
 	delete(nodes, "m-2")
 	later := late.Add(removeAfter + time.Second)
 	manager.recordAlive(members, nodes, later)
-	assert.Assert(t, manager.planRemoval(view, later) == nil, "two of five are no majority of the rest")
+	assert.Assert(t, manager.planRemoval(view, later) == nil, "two alive members are no majority of the other four")
 	assert.Assert(t, manager.planRemoval(replication.View{Members: members[:3]}, later) == nil)
 }
 
-// newTestManager returns the manager of the first member, which begins to lead at a moment.
+// newTestManager returns the manager of the first member, which begins to lead at the given time.
 func newTestManager(tolerated int, begin time.Time) *Manager {
 	return &Manager{
 		options:   Options{DiskID: "d-m-0", Tolerated: tolerated},
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestJoiningProcessTakesThePlaceOfAnUnresponsiveMember replaces a machine by an empty one at another address: the group must
-// not grow by a member that is gone.
-func TestJoiningProcessTakesThePlaceOfAnUnresponsiveMember(t *testing.T) {
+// TestJoiningProcessReplacesAnUnresponsiveMember replaces a machine by an empty one at another address. The group must
+// not keep the lost member beside the new one.
+func TestJoiningProcessReplacesAnUnresponsiveMember(t *testing.T) {
 	members, nodes := membersOf(5)
 	begin := time.Now()
 	manager := newTestManager(2, begin)
@@ -103,7 +104,7 @@
 	delete(nodes, "m-3")
 	soon := begin.Add(replaceableAfter / 2)
 	manager.recordAlive(members, nodes, soon)
-	assert.Assert(t, manager.plan(view, nodes, soon) == nil, "the member may be back at once")
+	assert.Assert(t, manager.plan(view, nodes, soon) == nil, "the member may come back soon")
 	late := begin.Add(replaceableAfter)
 	manager.recordAlive(members, nodes, late)
 	change = manager.plan(view, nodes, late)
@@ -112,8 +113,8 @@
 	assert.Equal(t, manager.plan(replication.View{Members: members[:4]}, nodes, late).remove, "", "the group is too small")
 }
 
-// TestGroupKeepsAMajorityAfterToleratedLosses checks every size of a group and every number of tolerated losses: members
-// are never removed so far that further losses could leave no majority.
+// TestGroupKeepsAMajorityAfterToleratedLosses checks every group size and several numbers of tolerated losses. Members
+// must not be removed to a size at which the tolerated losses could leave no majority.
 func TestGroupKeepsAMajorityAfterToleratedLosses(t *testing.T) {
 	for tolerated := range 4 {
 		for size := 3; size <= MaxMembers; size++ {
@@ -132,7 +133,7 @@
 				}
 				members = membersWithout(members, change.remove)
 			}
-			assert.Assert(t, len(members) >= min(size, 2*tolerated+1), "%d left of %d, %d may be lost", len(members), size, tolerated)
+			assert.Assert(t, len(members) >= min(size, 2*tolerated+1), "%d members left of %d, %d losses tolerated", len(members), size, tolerated)
 		}
 	}
 }
--- a/internal/controlplane/operatorapi/configrequest.go
+++ b/internal/controlplane/operatorapi/configrequest.go
@@ -81,22 +81,22 @@
 // whose base is older than that of every remembered request may have been applied, so it is not rejected: its outcome
 // is unknown.
 func checkOutdated(current *controlstate.State, request *configRequest) Response {
-	otherwise := errorResponse(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.ConfigVersion()))
+	fallback := errorResponse(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.ConfigVersion()))
 	if request.base < current.ForgottenBelow {
-		otherwise = errorResponse(http.StatusServiceUnavailable, "the base version is too old to tell whether the request was applied")
+		fallback = errorResponse(http.StatusServiceUnavailable, "the base version is too old to tell whether the request was applied")
 	}
-	return checkRepeated(current, request, otherwise)
+	return checkRepeated(current, request, fallback)
 }
 
 // checkRepeated acknowledges a request to replace the configuration by one that is equal to the current one. For any
 // other request it returns the given response.
-func checkRepeated(current *controlstate.State, request *configRequest, otherwise Response) Response {
+func checkRepeated(current *controlstate.State, request *configRequest, fallback Response) Response {
 	if request.update || current.Document == nil {
-		return otherwise
+		return fallback
 	}
 	document, err := configuration.ParseAfter(current.Document, request.body)
 	if err != nil || !document.Equal(current.Document) {
-		return otherwise
+		return fallback
 	}
 	return emptyResponse(http.StatusOK)
 }
--- a/internal/controlplane/operatorapi/digest_test.go
+++ b/internal/controlplane/operatorapi/digest_test.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/cluster"
 )
 
-func TestDigestsAreAlikeForOneValue(t *testing.T) {
+func TestEqualRequestsHaveEqualDigests(t *testing.T) {
 	call := cluster.OperatorRequest{Method: "POST", Path: pathReplace}
 	digest := func(base uint64, body string) string {
 		value, err := requestDigest(call, base, []byte(body))
@@ -24,7 +24,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestDigestsStayTheSame holds digests as they stand in logs and snapshots.
+// TestDigestsStayTheSame compares digests with those that existing logs and snapshots hold.
 func TestDigestsStayTheSame(t *testing.T) {
 	call := cluster.OperatorRequest{Method: "POST", Path: pathUpdate}
 	for body, recorded := range map[string]string{
--- a/internal/controlplane/operatorapi/golden_test.go
+++ b/internal/controlplane/operatorapi/golden_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestMessagesKeepTheirBytes encodes bodies of answers to the operator. The golden file was written once, by the flag
-// -update, and is never edited.
+// TestMessagesKeepTheirBytes encodes the bodies of responses to the operator. The golden file was written once, by the
+// flag -update, and is never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	findings := []findingBody{{Place: "routes[0]", Problem: "no name"}, {Problem: "no version"}}
 	var lines []byte
--- a/internal/controlplane/operatorapi/retire_test.go
+++ b/internal/controlplane/operatorapi/retire_test.go
@@ -9,8 +9,8 @@
 	"gladepick/internal/controlplane/placement"
 )
 
-// TestRefusedRetirementsHaveStatuses checks what an operator is told who orders that a store is to be emptied.
-func TestRefusedRetirementsHaveStatuses(t *testing.T) {
+// TestRefusedRetireHasHTTPStatus checks the response to a request to retire a store, for each result.
+func TestRefusedRetireHasHTTPStatus(t *testing.T) {
 	assert.Equal(t, startedResponse(nil).Status, http.StatusOK)
 	unknown := startedResponse(placement.ErrUnknownStore)
 	assert.Equal(t, unknown.Status, http.StatusNotFound)
--- a/internal/controlplane/partitionrequest_test.go
+++ b/internal/controlplane/partitionrequest_test.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/rpc"
 )
 
-// TestRefusedRequestsHaveCodes checks what the caller of a partition request is told.
-func TestRefusedRequestsHaveCodes(t *testing.T) {
+// TestRefusedPartitionRequestsHaveErrorCodes checks the RPC error for each kind of refusal.
+func TestRefusedPartitionRequestsHaveErrorCodes(t *testing.T) {
 	plane := &Plane{}
 	for kind, code := range map[error]rpc.Code{
 		placement.ErrUnknownPartition: rpc.CodeNotFound,
--- a/internal/controlplane/pinger_test.go
+++ b/internal/controlplane/pinger_test.go
@@ -24,7 +24,7 @@
 	server *rpc.Server
 }
 
-// startPinged starts a process on a simulated network; it answers as a given incarnation.
+// startPinged starts a process on a simulated network. It answers pings as the given incarnation.
 func startPinged(t *testing.T, network *simulated.Network, incarnation string) *pingedProcess {
 	t.Helper()
 	process := &pingedProcess{
@@ -44,7 +44,7 @@
 
 func TestPing(t *testing.T) {
 	cases := map[string]struct {
-		incarnation string // that answers
+		incarnation string // of the process that answers
 		isolated    bool
 		killed      bool
 		want        pingResult
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestPingsAtOneMomentAreShared has many callers ask for one process, one of which goes away.
-func TestPingsAtOneMomentAreShared(t *testing.T) {
+// TestConcurrentPingsAreShared pings one process from many callers at once, one of which cancels its call. The process
+// must receive a single ping.
+func TestConcurrentPingsAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulated.New(1)
 		process := startPinged(t, network, "i-1")
@@ -90,9 +91,9 @@
 		leases := lease.NewTable(func() {})
 		leases.Renew(process.info, time.Now())
 		pinger := newPinger(leases, pool)
-		gone, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		var callers sync.WaitGroup
-		callers.Go(func() { assert.Check(t, !pinger.responds(gone, process.info.Name)) })
+		callers.Go(func() { assert.Check(t, !pinger.responds(cancelled, process.info.Name)) })
 		for range 20 {
 			callers.Go(func() { assert.Check(t, pinger.responds(t.Context(), process.info.Name)) })
 		}
@@ -103,6 +104,6 @@
 		assert.Assert(t, pinger.responds(t.Context(), process.info.Name))
 		assert.Equal(t, process.pings.Load(), int32(2))
 		time.Sleep(cluster.LeaseDuration)
-		assert.Assert(t, !pinger.responds(t.Context(), process.info.Name), "its lease is over")
+		assert.Assert(t, !pinger.responds(t.Context(), process.info.Name), "the lease has expired")
 	})
 }
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -53,7 +53,7 @@
 // NewBuilder returns a Builder that starts from the current table. nodes holds the lease of each process by its name.
 func NewBuilder(current *controlstate.State, nodes map[string]lease.Status, required Redundancy) *Builder {
 	table := current.Table
-	made := &Builder{
+	builder := &Builder{
 		Redundancy:       required,
 		primary:          table.Primary,
 		core:             table.Core,
@@ -63,8 +63,8 @@
 		deliveringStores: table.DeliveringStores,
 		nodes:            nodes,
 	}
-	made.indexAliveDisks()
-	return made
+	builder.indexAliveDisks()
+	return builder
 }
 
 // StoreCount returns how many stores the table lists.
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -13,47 +13,47 @@
 	"gladepick/internal/controlplane/lease"
 )
 
-// placementWorld drives the planning functions as the manager does, without a group.
-type placementWorld struct {
+// placementSimulation calls the planning functions as the table manager does, without a group.
+type placementSimulation struct {
 	t        *testing.T
 	current  *controlstate.State
 	nodes    map[string]lease.Status
 	replicas int
-	zones    int // in which the replicas of a partition stand
+	zones    int // number of zones that hold the replicas of a partition
 }
 
-func newPlacementWorld(t *testing.T, replicas int, stores ...string) *placementWorld {
-	world := &placementWorld{t: t, current: &controlstate.State{Table: &cluster.Table{}}, nodes: map[string]lease.Status{}, replicas: replicas, zones: 2}
+func newPlacementSimulation(t *testing.T, replicas int, stores ...string) *placementSimulation {
+	sim := &placementSimulation{t: t, current: &controlstate.State{Table: &cluster.Table{}}, nodes: map[string]lease.Status{}, replicas: replicas, zones: 2}
 	for i, store := range stores {
-		world.start(store, fmt.Sprintf("zone-%d", i%3), "disk-"+store)
+		sim.start(store, fmt.Sprintf("zone-%d", i%3), "disk-"+store)
 	}
-	return world
+	return sim
 }
 
-func (w *placementWorld) redundancy() Redundancy {
-	return Redundancy{ReplicationFactor: w.replicas, Zones: w.zones}
+func (s *placementSimulation) redundancy() Redundancy {
+	return Redundancy{ReplicationFactor: s.replicas, Zones: s.zones}
 }
 
-func (w *placementWorld) start(store, zone, disk string) {
+func (s *placementSimulation) start(store, zone, disk string) {
 	info := cluster.NodeInfo{Name: store, Zone: zone, DiskID: disk, Store: true, Incarnation: "i", Address: store + ":1"}
-	w.nodes[store] = lease.Status{Info: info, Live: true, Recent: true, Expires: time.Now().Add(time.Hour)}
+	s.nodes[store] = lease.Status{Info: info, Live: true, Recent: true, Expires: time.Now().Add(time.Hour)}
 }
 
-func (w *placementWorld) stop(store string) {
-	node := w.nodes[store]
+func (s *placementSimulation) stop(store string) {
+	node := s.nodes[store]
 	node.Live, node.Recent, node.Expires = false, false, time.Now()
-	w.nodes[store] = node
+	s.nodes[store] = node
 }
 
-func (w *placementWorld) change(store string, change func(*cluster.NodeInfo)) {
-	node := w.nodes[store]
+func (s *placementSimulation) change(store string, change func(*cluster.NodeInfo)) {
+	node := s.nodes[store]
 	change(&node.Info)
-	w.nodes[store] = node
+	s.nodes[store] = node
 }
 
-// plan plans once, with edits before, checks the result, and puts it in force.
-func (w *placementWorld) plan(edits ...func(*Builder) error) error {
-	builder := NewBuilder(w.current, w.nodes, w.redundancy())
+// plan applies the edits, plans once, checks the resulting change and puts it into force.
+func (s *placementSimulation) plan(edits ...func(*Builder) error) error {
+	builder := NewBuilder(s.current, s.nodes, s.redundancy())
 	builder.UpdateStores()
 	for _, edit := range edits {
 		if err := edit(builder); err != nil {
@@ -65,25 +65,25 @@
 	builder.Repair()
 	builder.Rebalance()
 	builder.CompleteRetireJobs()
-	change := builder.Diff(w.current)
+	change := builder.Diff(s.current)
 	if change == nil {
 		return nil
 	}
-	next := w.current.WithTableChange(change)
-	w.check(w.current.Table, next.Table)
-	w.current = next
+	next := s.current.WithTableChange(change)
+	s.check(s.current.Table, next.Table)
+	s.current = next
 	return nil
 }
 
-// check holds what is true of every change of the table.
-func (w *placementWorld) check(before, after *cluster.Table) {
-	w.t.Helper()
-	assert.Equal(w.t, after.Revision, before.Revision+1)
+// check checks the invariants of a change of the table.
+func (s *placementSimulation) check(before, after *cluster.Table) {
+	s.t.Helper()
+	assert.Equal(s.t, after.Revision, before.Revision+1)
 	for id, partition := range after.Partitions {
-		assert.Equal(w.t, partition.ID, id)
+		assert.Equal(s.t, partition.ID, id)
 		seen := map[string]bool{}
 		for _, replica := range partition.Replicas {
-			assert.Assert(w.t, !seen[replica.Store], "partition %d holds %s twice", id, replica.Store)
+			assert.Assert(s.t, !seen[replica.Store], "partition %d has two replicas at %s", id, replica.Store)
 			seen[replica.Store] = true
 		}
 		if id >= len(before.Partitions) {
@@ -91,11 +91,11 @@
 		}
 		known := before.Partitions[id]
 		if partition.Epoch == known.Epoch {
-			assert.Equal(w.t, storesOf(partition), storesOf(known), "the view changed without its epoch")
+			assert.Equal(s.t, storesOf(partition), storesOf(known), "the replicas changed and the epoch did not")
 		}
 		primary, _ := partition.Primary()
 		was := known.IndexOf(primary.Store)
-		assert.Assert(w.t, primary.Synced && was >= 0, "partition %d is led by %s, which held no replica", id, primary.Store)
+		assert.Assert(s.t, primary.Synced && was >= 0, "partition %d is led by %s, which held no synced replica", id, primary.Store)
 	}
 }
 
@@ -107,54 +107,55 @@
 	return text
 }
 
-// settle plans until nothing changes, with every primary syncing its backups and handing over as preferred.
-func (w *placementWorld) settle() {
-	w.t.Helper()
+// converge plans until the table no longer changes. Between the plans, every primary syncs its backups and hands over
+// to the preferred primary.
+func (s *placementSimulation) converge() {
+	s.t.Helper()
 	for range 200 {
-		before := w.current.Table.Revision
-		assert.NilError(w.t, w.plan())
-		w.followPreferences()
-		if w.current.Table.Revision == before {
+		before := s.current.Table.Revision
+		assert.NilError(s.t, s.plan())
+		s.followPreferences()
+		if s.current.Table.Revision == before {
 			return
 		}
 	}
-	w.t.Fatal("the placement does not come to rest")
+	s.t.Fatal("the placement does not converge")
 }
 
-func (w *placementWorld) followPreferences() {
-	for _, partition := range w.current.Table.Partitions {
+func (s *placementSimulation) followPreferences() {
+	for _, partition := range s.current.Table.Partitions {
 		primary, _ := partition.Primary()
-		if !w.nodes[primary.Store].Live {
+		if !s.nodes[primary.Store].Live {
 			continue
 		}
 		for _, replica := range partition.Replicas[1:] {
-			if !replica.Synced && w.nodes[replica.Store].Live {
-				w.request(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
+			if !replica.Synced && s.nodes[replica.Store].Live {
+				s.request(cluster.PartitionRequest{Synced: replica.Store}, partition.ID)
 			}
 		}
-		latest := w.current.Table.Partitions[partition.ID]
+		latest := s.current.Table.Partitions[partition.ID]
 		position := latest.IndexOf(latest.PreferredPrimary)
 		if position > 0 && latest.Replicas[position].Synced {
-			w.request(cluster.PartitionRequest{Handover: true}, partition.ID)
+			s.request(cluster.PartitionRequest{Handover: true}, partition.ID)
 		}
 	}
 }
 
-// request fills in the partition's primary and epoch.
-func (w *placementWorld) request(request cluster.PartitionRequest, id int) {
-	w.t.Helper()
-	assert.NilError(w.t, w.tryRequest(request, id))
+// request makes a request of a partition's primary, which must be granted. It sets the partition, epoch and primary.
+func (s *placementSimulation) request(request cluster.PartitionRequest, id int) {
+	s.t.Helper()
+	assert.NilError(s.t, s.tryRequest(request, id))
 }
 
-func (w *placementWorld) tryRequest(request cluster.PartitionRequest, id int) error {
-	partition := w.current.Table.Partitions[id]
+func (s *placementSimulation) tryRequest(request cluster.PartitionRequest, id int) error {
+	partition := s.current.Table.Partitions[id]
 	request.Partition, request.Epoch, request.Store = id, partition.Epoch, partition.Replicas[0].Store
-	return w.plan(func(builder *Builder) error { return builder.ApplyRequest(&request) })
+	return s.plan(func(builder *Builder) error { return builder.ApplyRequest(&request) })
 }
 
-func (w *placementWorld) leads(store string) int {
+func (s *placementSimulation) primaryCount(store string) int {
 	count := 0
-	for _, partition := range w.current.Table.Partitions {
+	for _, partition := range s.current.Table.Partitions {
 		if partition.Replicas[0].Store == store {
 			count++
 		}
@@ -162,13 +163,13 @@
 	return count
 }
 
-func (w *placementWorld) requireComplete() {
-	w.t.Helper()
-	builder := NewBuilder(w.current, w.nodes, w.redundancy())
-	assert.Assert(w.t, builder.complete())
-	for _, partition := range w.current.Table.Partitions {
-		assert.Equal(w.t, len(partition.Replicas), w.replicas, "partition %d: %s", partition.ID, storesOf(partition))
-		assert.Equal(w.t, partition.PreferredPrimary, "")
+func (s *placementSimulation) requireComplete() {
+	s.t.Helper()
+	builder := NewBuilder(s.current, s.nodes, s.redundancy())
+	assert.Assert(s.t, builder.complete())
+	for _, partition := range s.current.Table.Partitions {
+		assert.Equal(s.t, len(partition.Replicas), s.replicas, "partition %d: %s", partition.ID, storesOf(partition))
+		assert.Equal(s.t, partition.PreferredPrimary, "")
 	}
 }
 
@@ -178,164 +179,165 @@
 		for i := range count {
 			stores = append(stores, fmt.Sprintf("store-%d", i))
 		}
-		world := newPlacementWorld(t, 2, stores...)
-		assert.NilError(t, world.plan())
-		world.requireComplete()
+		sim := newPlacementSimulation(t, 2, stores...)
+		assert.NilError(t, sim.plan())
+		sim.requireComplete()
 		for _, store := range stores {
-			leads := world.leads(store)
-			assert.Assert(t, leads >= MinPartitions/count && leads <= MinPartitions/count+1, "%s leads %d", store, leads)
+			primaryCount := sim.primaryCount(store)
+			assert.Assert(t, primaryCount >= MinPartitions/count && primaryCount <= MinPartitions/count+1, "%s leads %d", store, primaryCount)
 		}
-		for _, partition := range world.current.Table.Partitions {
+		for _, partition := range sim.current.Table.Partitions {
 			first, second := partition.Replicas[0].Store, partition.Replicas[1].Store
-			assert.Assert(t, world.nodes[first].Info.Zone != world.nodes[second].Info.Zone)
+			assert.Assert(t, sim.nodes[first].Info.Zone != sim.nodes[second].Info.Zone)
 		}
 	}
 }
 
 func TestInitialPlacementWaitsForEnoughStores(t *testing.T) {
-	world := newPlacementWorld(t, 3, "a", "b")
-	assert.NilError(t, world.plan())
-	assert.Equal(t, len(world.current.Table.Partitions), 0)
+	sim := newPlacementSimulation(t, 3, "a", "b")
+	assert.NilError(t, sim.plan())
+	assert.Equal(t, len(sim.current.Table.Partitions), 0)
 }
 
 func TestStoreDownIsReplacedAndBackupsArePromoted(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	world.stop("a")
-	assert.NilError(t, world.plan())
-	for _, partition := range world.current.Table.Partitions {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
+	sim.stop("a")
+	assert.NilError(t, sim.plan())
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.IndexOf("a"), -1)
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
-	world.settle()
-	world.requireComplete()
+	sim.converge()
+	sim.requireComplete()
 }
 
 func TestReturnedStoreGetsPartitionsAgain(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	world.stop("a")
-	world.settle()
-	assert.Equal(t, world.leads("a"), 0)
-	world.start("a", "zone-0", "another-disk")
-	world.settle()
-	world.requireComplete()
+	sim := newPlacementSimulation(t, 2, "a", "b", "c")
+	assert.NilError(t, sim.plan())
+	sim.stop("a")
+	sim.converge()
+	assert.Equal(t, sim.primaryCount("a"), 0)
+	sim.start("a", "zone-0", "another-disk")
+	sim.converge()
+	sim.requireComplete()
 	for _, store := range []string{"a", "b", "c"} {
-		assert.Assert(t, world.leads(store) >= 10, "%s leads %d", store, world.leads(store))
+		assert.Assert(t, sim.primaryCount(store) >= 10, "%s leads %d", store, sim.primaryCount(store))
 	}
 }
 
 func TestAnotherDiskIsAnotherReplica(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	world.start("a", "zone-0", "another-disk")
-	assert.NilError(t, world.plan())
-	for _, partition := range world.current.Table.Partitions {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c")
+	assert.NilError(t, sim.plan())
+	sim.start("a", "zone-0", "another-disk")
+	assert.NilError(t, sim.plan())
+	for _, partition := range sim.current.Table.Partitions {
 		for i, replica := range partition.Replicas {
 			assert.Assert(t, replica.DiskID != "disk-a")
 			assert.Assert(t, replica.Store != "a" || !replica.Synced && i > 0)
 		}
 	}
-	world.settle()
-	world.requireComplete()
+	sim.converge()
+	sim.requireComplete()
 }
 
-func TestGroupWithoutLivingSyncedReplicaWaits(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	before := world.current.Table.Partitions
-	for store := range world.nodes {
-		world.stop(store)
+func TestPartitionWithoutALiveSyncedReplicaIsNotChanged(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
+	before := sim.current.Table.Partitions
+	for store := range sim.nodes {
+		sim.stop(store)
 	}
-	assert.NilError(t, world.plan())
-	for id, partition := range world.current.Table.Partitions {
+	assert.NilError(t, sim.plan())
+	for id, partition := range sim.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 	for _, store := range []string{"a", "b", "c", "d"} {
-		world.start(store, "zone", "disk-"+store)
+		sim.start(store, "zone", "disk-"+store)
 	}
-	assert.NilError(t, world.plan())
-	for id, partition := range world.current.Table.Partitions {
+	assert.NilError(t, sim.plan())
+	for id, partition := range sim.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 }
 
-func TestNothingIsDroppedByTheLeasesOfStoresThatMayHaveDiedAsWell(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	before := world.current.Table.Partitions
-	for store, node := range world.nodes {
-		node.Recent = false // the leases of the others still run, but were not renewed lately
-		world.nodes[store] = node
+func TestReplicasAreKeptWhileOtherStoresMayHaveFailedToo(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
+	before := sim.current.Table.Partitions
+	for store, node := range sim.nodes {
+		node.Recent = false // the leases of the others are valid but were not renewed recently
+		sim.nodes[store] = node
 	}
-	world.stop("a")
-	assert.NilError(t, world.plan())
-	for id, partition := range world.current.Table.Partitions {
+	sim.stop("a")
+	assert.NilError(t, sim.plan())
+	for id, partition := range sim.current.Table.Partitions {
 		assert.Assert(t, equalPartitions(partition, before[id]))
 	}
 }
 
-func TestDeadBackupStaysWhereNoStoreCanTakeItsPlace(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b")
-	assert.NilError(t, world.plan())
-	world.stop("a")
-	assert.NilError(t, world.plan())
-	for _, partition := range world.current.Table.Partitions {
+func TestDeadBackupIsKeptWhenNoStoreCanReplaceIt(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b")
+	assert.NilError(t, sim.plan())
+	sim.stop("a")
+	assert.NilError(t, sim.plan())
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.Replicas[0].Store, "b")
 		assert.Equal(t, partition.Replicas[1].Store, "a")
 	}
 }
 
 func TestFailingDiskCountsAsDown(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	world.change("a", func(info *cluster.NodeInfo) { info.DiskFailing = true })
-	world.settle()
-	world.requireComplete()
-	for _, partition := range world.current.Table.Partitions {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c")
+	assert.NilError(t, sim.plan())
+	sim.change("a", func(info *cluster.NodeInfo) { info.DiskFailing = true })
+	sim.converge()
+	sim.requireComplete()
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 }
 
-func TestPartitionsGrowWithTheStoresAtTheFirstPlacement(t *testing.T) {
+func TestPartitionCountGrowsWithTheStores(t *testing.T) {
 	for stores, partitions := range map[int]int{1: 64, 17: 64, 22: 128, 100: 512, 6500: 32_768} {
 		assert.Equal(t, partitionCount(stores), partitions, "%d stores", stores)
 	}
 }
 
-// A large loss is repaired in steps: first the partitions that nobody leads, then those that lack a replica.
+// TestLargeLossIsRepairedInSteps loses a quarter of 700 stores. Each step must repair at most repairsAtOnce partitions,
+// those whose primary is down first.
 func TestLargeLossIsRepairedInSteps(t *testing.T) {
 	const stores = 700
 	var names []string
 	for i := range stores {
 		names = append(names, fmt.Sprintf("store-%03d", i))
 	}
-	world := newPlacementWorld(t, 2, names...)
-	assert.NilError(t, world.plan())
+	sim := newPlacementSimulation(t, 2, names...)
+	assert.NilError(t, sim.plan())
 	for i := 0; i < stores; i += 4 {
-		world.stop(names[i])
+		sim.stop(names[i])
 	}
 	steps := 0
-	for before := uint64(0); world.current.Table.Revision != before; steps++ {
-		before = world.current.Table.Revision
-		builder := NewBuilder(world.current, world.nodes, world.redundancy())
+	for before := uint64(0); sim.current.Table.Revision != before; steps++ {
+		before = sim.current.Table.Revision
+		builder := NewBuilder(sim.current, sim.nodes, sim.redundancy())
 		builder.UpdateStores()
 		more := builder.Repair()
-		changed := changedPartitions(builder.partitions, world.current.Table.Partitions)
+		changed := changedPartitions(builder.partitions, sim.current.Table.Partitions)
 		assert.Assert(t, len(changed) <= repairsAtOnce)
 		assert.Equal(t, more, len(changed) == repairsAtOnce)
 		if more {
 			leaderless := slices.ContainsFunc(builder.partitions, builder.leaderless)
 			assert.Assert(t, !leaderless || steps == 0)
 		}
-		if change := builder.Diff(world.current); change != nil {
-			world.current = world.current.WithTableChange(change)
+		if change := builder.Diff(sim.current); change != nil {
+			sim.current = sim.current.WithTableChange(change)
 		}
 	}
 	assert.Assert(t, steps > 2, "%d steps", steps)
-	for _, partition := range world.current.Table.Partitions {
+	for _, partition := range sim.current.Table.Partitions {
 		for _, replica := range partition.Replicas {
-			assert.Assert(t, world.nodes[replica.Store].Live)
+			assert.Assert(t, sim.nodes[replica.Store].Live)
 		}
 		assert.Equal(t, len(partition.Replicas), 2)
 	}
--- a/internal/controlplane/placement/retire_test.go
+++ b/internal/controlplane/placement/retire_test.go
@@ -10,34 +10,34 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-func TestRetiredStoreIsEmptiedForGood(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
+func TestRetiredStoreStaysEmpty(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
 	retire := func(builder *Builder) error {
 		assert.NilError(t, builder.StartRetire("a", 3))
 		return nil
 	}
-	assert.NilError(t, world.plan(retire))
-	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetiring)
-	assert.Assert(t, !world.current.Jobs[0].Completed)
-	world.settle()
-	assert.Assert(t, world.current.Jobs[0].Completed)
-	assert.Equal(t, world.current.Table.Store("a").State, cluster.StoreRetired)
-	world.requireComplete()
-	world.stop("b")
-	world.settle()
-	for _, partition := range world.current.Table.Partitions {
+	assert.NilError(t, sim.plan(retire))
+	assert.Equal(t, sim.current.Table.Store("a").State, cluster.StoreRetiring)
+	assert.Assert(t, !sim.current.Jobs[0].Completed)
+	sim.converge()
+	assert.Assert(t, sim.current.Jobs[0].Completed)
+	assert.Equal(t, sim.current.Table.Store("a").State, cluster.StoreRetired)
+	sim.requireComplete()
+	sim.stop("b")
+	sim.converge()
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
-	world.start("a", "zone-0", "another-disk")
-	world.settle()
-	assert.Assert(t, world.leads("a") > 0)
+	sim.start("a", "zone-0", "another-disk")
+	sim.converge()
+	assert.Assert(t, sim.primaryCount("a") > 0)
 }
 
-func TestRetireIsRefusedWhereTooFewWouldRemain(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(builder *Builder) error {
+func TestRetireIsRefusedWhenTooFewStoresWouldRemain(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c")
+	assert.NilError(t, sim.plan())
+	assert.NilError(t, sim.plan(func(builder *Builder) error {
 		var tooFew *TooFewStoresError
 		assert.Assert(t, errors.As(builder.StartRetire("a", 3), &tooFew))
 		assert.Equal(t, *tooFew, TooFewStoresError{Remaining: 2, Needed: 3})
@@ -46,57 +46,57 @@
 	}))
 }
 
-// TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame has a store come back with an empty disk while it is emptied: when
-// the operator reads that this is completed, the machine may be taken away whichever disk it has.
-func TestRetiringStoreThatLosesItsDiskIsEmptiedAllTheSame(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(builder *Builder) error {
+// TestRetireContinuesAfterTheStoreLosesItsDisk restarts a retiring store with an empty disk. Once the operator reads
+// that the job is completed, the machine may be removed whichever disk it has.
+func TestRetireContinuesAfterTheStoreLosesItsDisk(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
+	assert.NilError(t, sim.plan(func(builder *Builder) error {
 		assert.NilError(t, builder.StartRetire("a", 3))
 		return nil
 	}))
 	for _, disk := range []string{"second-disk", "third-disk"} {
-		assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
-		world.start("a", "zone-0", disk)
-		assert.NilError(t, world.plan())
-		assert.Equal(t, controlstate.NewestJob(world.current.Jobs, "a").DiskID, disk)
+		assert.Assert(t, !controlstate.NewestJob(sim.current.Jobs, "a").Completed)
+		sim.start("a", "zone-0", disk)
+		assert.NilError(t, sim.plan())
+		assert.Equal(t, controlstate.NewestJob(sim.current.Jobs, "a").DiskID, disk)
 	}
-	world.settle()
-	world.requireComplete()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	for _, partition := range world.current.Table.Partitions {
+	sim.converge()
+	sim.requireComplete()
+	assert.Assert(t, controlstate.NewestJob(sim.current.Jobs, "a").Completed)
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
-	assert.NilError(t, world.plan(func(builder *Builder) error {
-		assert.NilError(t, builder.StartRetire("a", 3), "sent again")
+	assert.NilError(t, sim.plan(func(builder *Builder) error {
+		assert.NilError(t, builder.StartRetire("a", 3), "a repeated request")
 		return nil
 	}))
 }
 
-// TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator has a store be given replicas after it was emptied and before
-// its operator has heard of that.
-func TestEmptiedStoreThatReturnsIsEmptiedAgainForAWaitingOperator(t *testing.T) {
-	world := newPlacementWorld(t, 2, "a", "b", "c", "d")
-	assert.NilError(t, world.plan())
-	assert.NilError(t, world.plan(func(builder *Builder) error {
+// TestRetiredStoreThatReturnsIsRetiredAgain lets a retired store come back with another disk and receive replicas
+// before the operator has read that its job is completed.
+func TestRetiredStoreThatReturnsIsRetiredAgain(t *testing.T) {
+	sim := newPlacementSimulation(t, 2, "a", "b", "c", "d")
+	assert.NilError(t, sim.plan())
+	assert.NilError(t, sim.plan(func(builder *Builder) error {
 		assert.NilError(t, builder.StartRetire("a", 3))
 		return nil
 	}))
-	world.settle()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
-	world.start("a", "zone-0", "another-disk")
-	world.settle()
-	assert.Assert(t, world.leads("a") > 0)
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Outdated(world.current.Table.Store("a")))
-	assert.NilError(t, world.plan(func(builder *Builder) error {
+	sim.converge()
+	assert.Assert(t, controlstate.NewestJob(sim.current.Jobs, "a").Completed)
+	assert.Assert(t, !controlstate.NewestJob(sim.current.Jobs, "a").Outdated(sim.current.Table.Store("a")))
+	sim.start("a", "zone-0", "another-disk")
+	sim.converge()
+	assert.Assert(t, sim.primaryCount("a") > 0)
+	assert.Assert(t, controlstate.NewestJob(sim.current.Jobs, "a").Outdated(sim.current.Table.Store("a")))
+	assert.NilError(t, sim.plan(func(builder *Builder) error {
 		builder.ResumeRetire("a")
 		return nil
 	}))
-	assert.Assert(t, !controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	world.settle()
-	assert.Assert(t, controlstate.NewestJob(world.current.Jobs, "a").Completed)
-	for _, partition := range world.current.Table.Partitions {
+	assert.Assert(t, !controlstate.NewestJob(sim.current.Jobs, "a").Completed)
+	sim.converge()
+	assert.Assert(t, controlstate.NewestJob(sim.current.Jobs, "a").Completed)
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, partition.IndexOf("a"), -1)
 	}
 }
--- a/internal/controlplane/placement/zones_test.go
+++ b/internal/controlplane/placement/zones_test.go
@@ -7,46 +7,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// Where one zone may be lost, three replicas stand in two zones: the lost zone loses no message, and one replica costs no bytes
-// between zones.
-func TestThreeReplicasStandInTwoZones(t *testing.T) {
-	world := newPlacementWorld(t, 3, manyStores()...)
-	assert.NilError(t, world.plan())
-	world.checkSpread(2, 2)
-	world.checkEvenReplicas()
+// TestThreeReplicasAreInTwoZones checks the placement if one zone may be lost. The loss of a zone then loses no
+// message, and the replica in the primary's zone causes no traffic between zones.
+func TestThreeReplicasAreInTwoZones(t *testing.T) {
+	sim := newPlacementSimulation(t, 3, manyStores()...)
+	assert.NilError(t, sim.plan())
+	sim.checkSpread(2, 2)
+	sim.checkEvenReplicas()
 }
 
-// Where no zone may be lost, all replicas stand in one: nothing crosses a border between zones.
-func TestReplicasStandInOneZoneWhereNoneMayBeLost(t *testing.T) {
-	world := newPlacementWorld(t, 3, manyStores()...)
-	world.zones = 1
-	assert.NilError(t, world.plan())
-	world.checkSpread(1, 3)
-	world.checkEvenReplicas()
+// TestReplicasAreInOneZoneWhenNoZoneMayBeLost checks that all replicas are in one zone if no zone may be lost, so that
+// replication causes no traffic between zones.
+func TestReplicasAreInOneZoneWhenNoZoneMayBeLost(t *testing.T) {
+	sim := newPlacementSimulation(t, 3, manyStores()...)
+	sim.zones = 1
+	assert.NilError(t, sim.plan())
+	sim.checkSpread(1, 3)
+	sim.checkEvenReplicas()
 }
 
-// A zone that has too few stores for all replicas is helped out by others, and gets its replicas back.
-func TestReplicasLeaveTheirZoneWhereItHasTooFewStores(t *testing.T) {
-	world := newPlacementWorld(t, 3, manyStores()...)
-	world.zones = 1
-	assert.NilError(t, world.plan())
+// TestReplicasLeaveTheirZoneWhenItHasTooFewStores checks that a zone with too few stores for all replicas gets replicas
+// in other zones, at live stores only.
+func TestReplicasLeaveTheirZoneWhenItHasTooFewStores(t *testing.T) {
+	sim := newPlacementSimulation(t, 3, manyStores()...)
+	sim.zones = 1
+	assert.NilError(t, sim.plan())
 	for i, store := range manyStores() {
 		if i%3 == 0 && i > 3 {
-			world.stop(store) // two are left in the first zone
+			sim.stop(store) // two are left in the first zone
 		}
 	}
 	for range 10 {
-		assert.NilError(t, world.plan())
+		assert.NilError(t, sim.plan())
 	}
-	for _, partition := range world.current.Table.Partitions {
+	for _, partition := range sim.current.Table.Partitions {
 		assert.Equal(t, len(partition.Replicas), 3)
 		for _, replica := range partition.Replicas {
-			assert.Assert(t, world.nodes[replica.Store].Live, "partition %d", partition.ID)
+			assert.Assert(t, sim.nodes[replica.Store].Live, "partition %d", partition.ID)
 		}
 	}
 }
 
-// manyStores names stores of which newPlacementWorld puts four into each of three zones.
+// manyStores returns the names of twelve stores. newPlacementSimulation puts four of them into each of three zones.
 func manyStores() []string {
 	var stores []string
 	for i := range 12 {
@@ -55,32 +57,33 @@
 	return stores
 }
 
-// checkSpread checks that the three replicas of each partition stand in so many zones, so many of them in the primary's.
-func (w *placementWorld) checkSpread(zones, withPrimary int) {
-	w.t.Helper()
-	for _, partition := range w.current.Table.Partitions {
+// checkSpread checks that each partition's three replicas are in the given number of zones, and that the primary's zone
+// holds withPrimary of them.
+func (s *placementSimulation) checkSpread(zones, withPrimary int) {
+	s.t.Helper()
+	for _, partition := range s.current.Table.Partitions {
 		counts := map[string]int{}
 		for _, replica := range partition.Replicas {
-			counts[w.nodes[replica.Store].Info.Zone]++
+			counts[s.nodes[replica.Store].Info.Zone]++
 		}
-		assert.Equal(w.t, len(partition.Replicas), 3)
-		assert.Equal(w.t, len(counts), zones, "partition %d", partition.ID)
-		primary := w.nodes[partition.Replicas[0].Store].Info.Zone
-		assert.Equal(w.t, counts[primary], withPrimary, "partition %d", partition.ID)
+		assert.Equal(s.t, len(partition.Replicas), 3)
+		assert.Equal(s.t, len(counts), zones, "partition %d", partition.ID)
+		primary := s.nodes[partition.Replicas[0].Store].Info.Zone
+		assert.Equal(s.t, counts[primary], withPrimary, "partition %d", partition.ID)
 	}
 }
 
-// checkEvenReplicas checks that no store holds many more replicas than another.
-func (w *placementWorld) checkEvenReplicas() {
-	w.t.Helper()
-	for store := range w.nodes {
+// checkEvenReplicas checks that the number of replicas at each store differs from the average by at most 4.
+func (s *placementSimulation) checkEvenReplicas() {
+	s.t.Helper()
+	for store := range s.nodes {
 		replicas := 0
-		for _, partition := range w.current.Table.Partitions {
+		for _, partition := range s.current.Table.Partitions {
 			if partition.IndexOf(store) >= 0 {
 				replicas++
 			}
 		}
-		even := 3 * MinPartitions / len(w.nodes)
-		assert.Assert(w.t, replicas >= even-4 && replicas <= even+4, "%s holds %d replicas", store, replicas)
+		even := 3 * MinPartitions / len(s.nodes)
+		assert.Assert(s.t, replicas >= even-4 && replicas <= even+4, "%s holds %d replicas", store, replicas)
 	}
 }
--- a/internal/controlplane/platform_test.go
+++ b/internal/controlplane/platform_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// platform is a stand-in for the platform's list of workers.
+// platform is a fake of the platform's list of workers.
 type platform struct {
 	mutex     sync.Mutex
 	instances []map[string]any
@@ -17,11 +17,11 @@
 	server    *http.Server
 }
 
-func startPlatform(w *world) *platform {
+func startPlatform(sim *simulation) *platform {
 	p := &platform{}
 	p.server = &http.Server{Handler: http.HandlerFunc(p.serve)}
-	listener, err := w.network.Host(platformIP).Listen(platformAddress)
-	assert.NilError(w.t, err)
+	listener, err := sim.network.Host(platformIP).Listen(platformAddress)
+	assert.NilError(sim.t, err)
 	go func() { _ = p.server.Serve(listener) }()
 	return p
 }
@@ -34,7 +34,7 @@
 	p.instances = instances
 }
 
-// serve answers with pages of two entries.
+// serve serves the list in pages of two entries.
 func (p *platform) serve(writer http.ResponseWriter, request *http.Request) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -34,8 +34,8 @@
 	// The time of the renewal is taken before the role is read. A later primary then either knows of the renewal or
 	// began to lead after it.
 	arrived := time.Now()
-	role, fresh := p.member.currentRole()
-	if !fresh {
+	role, upToDate := p.member.currentRole()
+	if !upToDate {
 		return nil, nil, unavailable("not in touch with the primary")
 	}
 	p.leases.Renew(request.Node, arrived)
--- a/internal/controlplane/tablemanager/capacity_bench_test.go
+++ b/internal/controlplane/tablemanager/capacity_bench_test.go
@@ -12,7 +12,7 @@
 	"gladepick/internal/controlplane/placement"
 )
 
-// BenchmarkManagerStep is one look of the primary at the leases with nothing to do, as it happens ten times a second.
+// BenchmarkManagerStep measures a step of the manager without changes, as the primary runs it ten times a second.
 func BenchmarkManagerStep(b *testing.B) {
 	for _, size := range []struct{ stores, partitions int }{
 		{100, 64}, {1000, 64}, {6500, 64}, {100, 1024}, {1000, 10_240}, {6500, 32_768},
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkLostStore plans the replacement of a store that is lost.
+// BenchmarkLostStore measures the planning of the replacement of one lost store.
 func BenchmarkLostStore(b *testing.B) {
 	for _, size := range []struct{ stores, partitions int }{{100, 1024}, {300, 3072}, {1000, 10_240}} {
 		b.Run(fmt.Sprintf("stores=%d/partitions=%d", size.stores, size.partitions), func(b *testing.B) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkLostZone plans the replacement of a seventh of all stores.
+// BenchmarkLostZone measures the planning of the replacement of a lost seventh of all stores.
 func BenchmarkLostZone(b *testing.B) {
 	for _, size := range []struct{ stores, partitions int }{{300, 1500}, {1000, 5000}, {3000, 15_000}, {6500, 32_500}} {
 		b.Run(fmt.Sprintf("stores=%d/partitions=%d", size.stores, size.partitions), func(b *testing.B) {
@@ -82,8 +82,8 @@
 	return builder.Diff(current)
 }
 
-// processorTime is what this process has used so far. The machine may have other work, which shows in the time on the
-// clock.
+// processorTime returns the processor time that this process has used. Unlike elapsed time, it excludes other
+// processes' load on the machine.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -105,7 +105,7 @@
 	return infos
 }
 
-// filledLeases holds leases that run for longer than a benchmark does.
+// filledLeases returns a table of leases that do not expire during a benchmark.
 func filledLeases(infos []cluster.NodeInfo) *lease.Table {
 	leases := lease.NewTable(func() {})
 	for _, info := range infos {
@@ -114,7 +114,7 @@
 	return leases
 }
 
-// benchContent is the state when all stores are active and all partitions placed.
+// benchContent returns a state in which all stores are active and all partitions are placed.
 func benchContent(infos []cluster.NodeInfo, partitions int) *controlstate.State {
 	table := &cluster.Table{Revision: 1, ReplicationFactor: 2, DeliveringStores: len(infos)}
 	for _, info := range infos {
--- a/internal/controlplane/tablemanager/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -30,9 +30,9 @@
 	traceTolerated = 1
 )
 
-// TestDecisionsStayTheSame plays a seeded sequence of faults and requests on a clock of its own, and hashes the record of
-// every change of the table that the manager decides on, and the answer to every request. The hashes were recorded once.
-// A change of one means that some decision is another one now: the hash is never edited to fit a change of the code.
+// TestDecisionsStayTheSame runs a seeded sequence of faults and requests on a simulated clock. It hashes the record of
+// every change of the table that the manager proposes, and the answer to every request. The hashes were recorded once.
+// A different hash means that a decision has changed. The hash is never edited to fit a change of the code.
 func TestDecisionsStayTheSame(t *testing.T) {
 	for _, sequence := range []struct {
 		name          string
@@ -60,11 +60,11 @@
 type traceStore struct {
 	info    cluster.NodeInfo
 	running bool
-	frozen  bool // it runs and says nothing
+	frozen  bool // the process runs and does not renew its lease
 	starts  int
 }
 
-// decisionTrace drives the table's manager without a group, goroutines and the clock.
+// decisionTrace runs the table manager's decisions without a group, without goroutines and on a simulated clock.
 type decisionTrace struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -111,7 +111,7 @@
 	return members
 }
 
-// step lets a tick pass, in which leases are renewed and at most one thing happens, and has the manager decide.
+// step advances the clock by one tick, renews leases, injects at most one fault, and makes the manager's decisions.
 func (d *decisionTrace) step() {
 	d.now = d.now.Add(traceTick)
 	for _, store := range d.stores {
@@ -125,13 +125,13 @@
 		}
 	}
 	if d.random.IntN(12) == 0 {
-		d.disturb(d.stores[d.random.IntN(len(d.stores))])
+		d.injectFault(d.stores[d.random.IntN(len(d.stores))])
 	}
 	d.decide(d.request())
 }
 
-// disturb changes one store, or who leads the control group.
-func (d *decisionTrace) disturb(store *traceStore) {
+// injectFault changes one store, several stores or the primary of the control group.
+func (d *decisionTrace) injectFault(store *traceStore) {
 	switch action := d.random.IntN(16); {
 	case !store.running:
 		switch action {
@@ -141,12 +141,12 @@
 			store.info.Zone = fmt.Sprintf("zone-%d", d.random.IntN(traceZones))
 		}
 		d.start(store)
-	case action <= 2: // it ends, and its machine says so
+	case action <= 2: // the process ends and is found dead at once
 		store.running = false
 		d.manager.options.Leases.Revoke(store.info, d.now)
-	case action == 3: // it ends, and nothing tells so before its lease has run out
+	case action == 3: // the process ends and is noticed only when its lease expires
 		store.running = false
-	case action == 4: // some end together
+	case action == 4: // all processes of a zone end together
 		for _, other := range d.stores {
 			if other.info.Zone == store.info.Zone && other.running {
 				other.running = false
@@ -162,10 +162,10 @@
 	case action == 9:
 		store.info.DiskFailing = !store.info.DiskFailing
 		d.manager.options.Leases.Renew(store.info, d.now)
-	case action == 10: // another member leads
+	case action == 10: // another member becomes the primary
 		d.role.View.Primary = d.role.View.Members[d.random.IntN(len(d.role.View.Members))].DiskID
 		d.manager.begin(d.now)
-	default: // it starts anew with what it held
+	default: // the process restarts with the same disk
 		d.start(store)
 	}
 }
@@ -178,10 +178,10 @@
 	d.manager.options.Leases.Renew(store.info, d.now)
 }
 
-// traceRequest is a request for a change of the table. Its answer goes into the hash.
+// traceRequest is a request for a change of the table. It returns the answer, which is added to the hash.
 type traceRequest func(*placement.Builder) string
 
-// request returns the requests of this step: those of an operator, or those of some partitions' primaries.
+// request returns the requests of this step: one of an operator, or those of some partitions' primaries.
 func (d *decisionTrace) request() []traceRequest {
 	switch d.random.IntN(60) {
 	case 0:
@@ -212,7 +212,7 @@
 	return requests
 }
 
-// partitionRequest returns what the primary of a partition asks for, or nil. Some requests are wrong.
+// partitionRequest returns a request of a partition's primary, or nil. Some requests are invalid.
 func (d *decisionTrace) partitionRequest(partition cluster.Partition) *cluster.PartitionRequest {
 	request := &cluster.PartitionRequest{Partition: partition.ID, Epoch: partition.Epoch, Store: partition.Replicas[0].Store}
 	backup := partition.Replicas[d.random.IntN(len(partition.Replicas))]
@@ -247,7 +247,7 @@
 	return request
 }
 
-// decide has the manager take requests and decide, and puts the change into force.
+// decide applies the requests, plans as the manager does, and puts the resulting change into force.
 func (d *decisionTrace) decide(requests []traceRequest) {
 	manager, current := d.manager, d.manager.options.State.Current()
 	builder := placement.NewBuilder(current, d.manager.options.Leases.Statuses(d.now), d.manager.options.Redundancy)
@@ -272,7 +272,7 @@
 	assert.Equal(d.t, d.manager.options.State.Current().LastChangeID, decided.ID)
 }
 
-// describeRetire orders that a store is to be emptied and tells the status that the operator would get.
+// describeRetire starts the retirement of a store and returns the HTTP status that the operator would receive.
 func describeRetire(builder *placement.Builder, store string) string {
 	err := builder.StartRetire(store, 2*traceTolerated+1)
 	var tooFew *placement.TooFewStoresError
@@ -285,7 +285,7 @@
 	return "retire 200"
 }
 
-// describeError tells what the caller of a partition request would be told.
+// describeError returns the result that the caller of a partition request would receive.
 func describeError(err error) string {
 	if err == nil {
 		return "granted"
--- a/internal/controlplane/updates/compress_test.go
+++ b/internal/controlplane/updates/compress_test.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/cluster"
 )
 
-// TestBodiesAreCompressedOnce checks that all who ask for the same step get the same compressed bytes.
+// TestBodiesAreCompressedOnce checks that all callers with the same version receive the same compressed bytes.
 func TestBodiesAreCompressedOnce(t *testing.T) {
 	var compressor bodyCompressor
 	body := []byte(strings.Repeat(`{"name":"r-1","path-prefix":"/p/"},`, 1000))
@@ -23,5 +23,5 @@
 	assert.Assert(t, bytes.Equal(decompressed, body))
 	_, pays = compressor.compress(5, 6, []byte("{}"))
 	assert.Assert(t, !pays)
-	assert.Equal(t, len(compressor.compressed), 1, "steps to older versions are forgotten")
+	assert.Equal(t, len(compressor.compressed), 1, "bodies that lead to older versions are dropped")
 }
--- a/internal/controlplane/updates/golden_test.go
+++ b/internal/controlplane/updates/golden_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestMessagesKeepTheirBytes encodes answers to syncs. The golden file was written once, by the flag -update, and is never
-// edited.
+// TestMessagesKeepTheirBytes encodes responses to syncs. The golden file was written once, by the flag -update, and is
+// never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	table, err := json.Marshal(goldenTable())
 	assert.NilError(t, err)
--- a/internal/controlplane/workerlist/golden_test.go
+++ b/internal/controlplane/workerlist/golden_test.go
@@ -10,7 +10,8 @@
 	"gladepick/internal/cluster"
 )
 
-// TestMessagesKeepTheirBytes encodes what the primary tells its backups. The golden file was written once, by the flag -update, and is never edited.
+// TestMessagesKeepTheirBytes encodes the announcements and lists that the primary sends to its backups. The golden file
+// was written once, by the flag -update, and is never edited.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	worker := cluster.Worker{
 		ID: "i-1", Service: "s-1", Address: "10.0.2.1:80", Zone: "zone-0", Version: "v2", Capacity: 4, Draining: true,
--- a/internal/controlplane/workerlist/history_test.go
+++ b/internal/controlplane/workerlist/history_test.go
@@ -18,7 +18,7 @@
 	return workers
 }
 
-func TestWorkersTravelAsChanges(t *testing.T) {
+func TestWorkerListIsSentAsChanges(t *testing.T) {
 	var cache Cache
 	const count = 1000
 	var versions []cluster.WorkerVersion
@@ -35,9 +35,9 @@
 	assert.Assert(t, applied)
 	assert.DeepEqual(t, got.Workers, newest.Workers)
 	_, known = cache.ChangesSince(versions[0])
-	assert.Assert(t, !known, "too old: the whole list is sent")
+	assert.Assert(t, !known, "the version is too old, so the whole list is sent")
 
 	cache.RecordRead(1, listOf(count, -1)[:count/4], time.Now())
 	_, known = cache.ChangesSince(versions[len(versions)-1])
-	assert.Assert(t, !known, "most entries have changed: the whole list is sent")
+	assert.Assert(t, !known, "most entries have changed, so the whole list is sent")
 }
