--- a/internal/delivery/apply_result.go
+++ b/internal/delivery/apply_result.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	failureBackoff        = 20 * time.Millisecond // after an answer 500
-	failureJitter         = 30 * time.Millisecond // added to it at most
-	runningBackoff        = 50 * time.Millisecond // while another attempt of the message is running
-	minRetryBackoff       = 20 * time.Millisecond // doubles with each
-	maxRetryBackoff       = time.Second
-	maxNotRunBackoff      = 250 * time.Millisecond
+	failureBackoff        = 20 * time.Millisecond  // after a response with status 500
+	failureJitter         = 30 * time.Millisecond  // the largest random addition to failureBackoff
+	runningBackoff        = 50 * time.Millisecond  // while another attempt of the message is running
+	minRetryBackoff       = 20 * time.Millisecond  // doubles with each consecutive backoff of a message
+	maxRetryBackoff       = time.Second            // if a worker may have run the message
+	maxNotRunBackoff      = 250 * time.Millisecond // if no worker ran the message
 	maxBackoffDoublings   = 6
 	unreadableBodyBackoff = time.Second
 )
@@ -20,7 +20,8 @@
 // deadLetter is the outcome of a message that will never be completed.
 var deadLetter = message.Outcome{State: message.DeadLetter}
 
-// applyAttemptReport applies an attempt's result to the engine's state. The owner of the messages has been notified of it before.
+// applyAttemptReport applies the result of an attempt to the state of the engine. The owner has already been notified
+// of it.
 func (e *Engine) applyAttemptReport(a *attempt, report attemptReport) {
 	j, adapter := a.job, a.adapter
 	a.endpoint.inFlight--
@@ -46,8 +47,8 @@
 	}
 }
 
-// shouldRequeue tells whether a message that has not ended is to be queued again rather than left to the decision module,
-// which may send it again at once.
+// shouldRequeue reports whether a message that has not ended is queued again. If it is not, the message is left to the
+// decision module, which may send it again at once.
 func (e *Engine) shouldRequeue(a *attempt, result attemptResult) bool {
 	queued := a.job.queued
 	s := a.adapter.service
@@ -55,7 +56,7 @@
 		queued.orphan || queued.expired(e.now()) || s.adapter != a.adapter || s.concurrency.down
 }
 
-// forgetEnded drops a message that has ended with an attempt.
+// forgetEnded removes a message that ended with an attempt.
 func (e *Engine) forgetEnded(queued *queuedMessage) {
 	if queued.orphan {
 		delete(e.backlog.orphans, keyOf(queued.message))
@@ -81,7 +82,7 @@
 	e.place(queued)
 }
 
-// requeueBackoff is for how long a message of a job that has ended is not dispatched again.
+// requeueBackoff returns how long the message of a job that has ended is not dispatched again.
 func (e *Engine) requeueBackoff(j *job) time.Duration {
 	switch j.lastResult {
 	case resultFailed:
@@ -94,7 +95,7 @@
 		return e.exponentialBackoff(j.queued, maxRetryBackoff)
 	}
 	if !e.mayDeliver(j.queued) || j.lastResult != 0 && e.serviceDown(j) {
-		return 0 // its partition is parked, or the service as a whole is in backoff
+		return 0 // its partition is parked, or its service as a whole is in backoff
 	}
 	return e.exponentialBackoff(j.queued, maxNotRunBackoff)
 }
@@ -104,7 +105,7 @@
 	return s != nil && s.concurrency.down
 }
 
-// exponentialBackoff doubles with each backoff of a message in a row.
+// exponentialBackoff returns a backoff that doubles with each consecutive one of the message, up to longest.
 func (e *Engine) exponentialBackoff(queued *queuedMessage, longest time.Duration) time.Duration {
 	backoff := min(minRetryBackoff<<queued.backoffs, longest)
 	queued.backoffs = min(queued.backoffs+1, maxBackoffDoublings)
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -21,11 +21,11 @@
 
 const (
 	maxAnswerBytes    = 1 << 20
-	ownerRecheckAfter = 20 * time.Millisecond // MayDeliver is called again if the first byte is so late
+	ownerRecheckAfter = 20 * time.Millisecond // MayDeliver is called again for a first byte later than this
 )
 
-// attempt is one send of a message to a worker. The event loop makes it and copies what it needs of the loop's state: it
-// runs on a goroutine of its own.
+// attempt is one send of a message to a worker. The event loop creates it and copies into it what it needs of the
+// loop's state, because the attempt runs on a goroutine of its own.
 type attempt struct {
 	engine    *Engine
 	adapter   *decisionAdapter
@@ -40,11 +40,11 @@
 	startedAt time.Time
 
 	started    atomic.Bool // its first byte may have been sent
-	withdrawn  atomic.Bool // it was called off before its first byte
+	withdrawn  atomic.Bool // it was cancelled before its first byte
 	connection atomic.Pointer[workerConnection]
 }
 
-// startAttempt starts an attempt that has entered the partition gate. Its goroutine is the attempt's own; Run waits for it.
+// startAttempt starts the goroutine of an attempt that the partition gate has admitted. Run waits for that goroutine.
 func (e *Engine) startAttempt(adapter *decisionAdapter, j *job, target *endpoint) {
 	a := &attempt{
 		engine:    e,
@@ -64,8 +64,8 @@
 	e.ownerCalls.Go(a.run)
 }
 
-// run makes the attempt, notifies the owner of its result, and then the event loop. The owner comes first: what the loop
-// commits is known to it.
+// run sends the message, notifies the owner of the result, and then the event loop. The owner is notified first, so
+// that it knows of every result that the loop applies.
 func (a *attempt) run() {
 	report := a.send()
 	a.notifyOwner(&report)
@@ -73,8 +73,7 @@
 	a.engine.events.push(attemptEnded{a, report})
 }
 
-// notifyOwner tells the owner of the messages what came of the attempt, and notes in the report whether the message has
-// ended.
+// notifyOwner reports the result to the owner, and sets report.ended if the message has ended.
 func (a *attempt) notifyOwner(report *attemptReport) {
 	owner := a.engine.options.Owner
 	switch report.result {
@@ -94,7 +93,7 @@
 	}
 }
 
-// send sends the message and reads the answer.
+// send sends the message and reads the response.
 func (a *attempt) send() attemptReport {
 	body, err := a.engine.options.Owner.Body(a.message)
 	if err != nil {
@@ -111,7 +110,7 @@
 	return a.readAnswer(ctx, answer)
 }
 
-// request makes the HTTP request of the attempt.
+// request returns the HTTP request of the attempt.
 func (a *attempt) request(ctx context.Context, body []byte) *http.Request {
 	request := &http.Request{
 		Method:     a.message.Method,
@@ -136,7 +135,7 @@
 	header := http.Header{
 		headerRequestID: {a.message.RequestID},
 		headerDeadline:  {strconv.FormatInt(max(left.Milliseconds(), 1), 10)},
-		headerUserAgent: {""}, // none is sent
+		headerUserAgent: {""}, // the header is not sent
 	}
 	optional := []struct{ name, value string }{
 		{headerOrderKey, a.message.OrderKey},
@@ -151,12 +150,12 @@
 	return header
 }
 
-// targetURL makes a URL that net/http writes byte for byte as the target was received.
+// targetURL returns a URL that net/http writes byte for byte as the target was received.
 func targetURL(address, target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
 	}
-	// An opaque part with two slashes in front would be written with the scheme.
+	// net/http would write an opaque part that starts with two slashes together with the scheme.
 	path, query, hasQuery := strings.Cut(target, "?")
 	made := &url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
 	if plain, err := url.PathUnescape(path); err == nil {
@@ -165,15 +164,16 @@
 	return made
 }
 
-// gotConnection notes which connection the attempt uses.
+// gotConnection binds a connection to the attempt that uses it.
 func (a *attempt) gotConnection(info httptrace.GotConnInfo) {
 	if connection, ok := info.Conn.(*workerConnection); ok {
 		connection.attempt.Store(a)
 	}
 }
 
-// admitWrite is called before each write of a connection. The first write is admitted only if the attempt may still start;
-// later ones only on the same connection, so that no attempt is sent twice.
+// admitWrite reports whether a connection may write bytes of the attempt. The connection calls it before each write.
+// The first write is admitted only if the attempt may still start; later writes are admitted only on the same
+// connection, so that no attempt is sent twice.
 func (a *attempt) admitWrite(on *workerConnection) bool {
 	if a.started.Load() {
 		return a.connection.Load() == on
@@ -187,12 +187,12 @@
 	return true
 }
 
-// ownerForbids calls MayDeliver again if some time has passed since the event loop did.
+// ownerForbids calls MayDeliver again if the event loop's call is longer ago than ownerRecheckAfter.
 func (a *attempt) ownerForbids() bool {
 	return time.Since(a.startedAt) > ownerRecheckAfter && !a.engine.options.Owner.MayDeliver(a.message.Partition)
 }
 
-// resultWithoutAnswer is the result of an attempt that got no complete answer.
+// resultWithoutAnswer returns the result of an attempt that got no complete response.
 func (a *attempt) resultWithoutAnswer(ctx context.Context) attemptResult {
 	switch {
 	case a.started.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -206,11 +206,11 @@
 	}
 }
 
-// readAnswer reads the answer to its end and classifies it. A connection whose state is unclear is closed.
+// readAnswer reads the response to its end and classifies it. It closes a connection whose state is unclear.
 func (a *attempt) readAnswer(ctx context.Context, answer *http.Response) attemptReport {
 	report := classifyAnswer(answer, a.message.RequestID)
 	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes))
-	_ = answer.Body.Close() // closes the connection unless all was read
+	_ = answer.Body.Close() // closes the connection unless the whole body was read
 	if err != nil && report.result.needsCompleteBody() {
 		report.result = a.resultWithoutAnswer(ctx)
 	}
--- a/internal/delivery/attempt_result.go
+++ b/internal/delivery/attempt_result.go
@@ -9,26 +9,26 @@
 	"gladepick/internal/decision"
 )
 
-// attemptResult says how an attempt ended for its message.
+// attemptResult is how an attempt ended, as seen by its message.
 type attemptResult uint8
 
 const (
-	resultCompleted        attemptResult = iota + 1 // the worker did it
-	resultRejected                                  // it can never be done
-	resultFailed                                    // this attempt failed and is counted; a later one may succeed
+	resultCompleted        attemptResult = iota + 1 // the worker completed the message
+	resultRejected                                  // the message can never be completed
+	resultFailed                                    // the attempt counts as a failure; a later one may succeed
 	resultFull                                      // the worker had no capacity: not run
 	resultThrottled                                 // the service gets too many requests: not run
 	resultRunning                                   // another attempt of the message is still running: not run
 	resultMisdirected                               // another worker has the address now: not run
-	resultUncertain                                 // it may have run
-	resultTimedOut                                  // it may have run or run still
-	resultDeadlineExceeded                          // the worker gave up at its deadline: it may have run
+	resultUncertain                                 // the worker may have run the message
+	resultTimedOut                                  // the worker may have run the message, or may still run it
+	resultDeadlineExceeded                          // the worker stopped at its deadline: it may have run the message
 	resultUnreachable                               // no byte was sent
-	resultWithdrawn                                 // called off before the first byte
-	resultBodyUnreadable                            // the message's body could not be read
+	resultWithdrawn                                 // cancelled before the first byte
+	resultBodyUnreadable                            // the body of the message could not be read
 )
 
-// The headers of deliveries and their answers.
+// Headers of delivery requests and of their responses.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerOrderKey       = "X-Order-Key"
@@ -41,20 +41,21 @@
 	headerUserAgent      = "User-Agent"
 )
 
-// attemptReport is an attempt's result with its details.
+// attemptReport is the result of an attempt and its details.
 type attemptReport struct {
 	result    attemptResult
-	stamp     string        // of resultCompleted
+	stamp     string        // only with resultCompleted
 	ended     bool          // the message has ended with this attempt
-	keepAlive time.Duration // after which the worker closes idle connections, if it said so
+	keepAlive time.Duration // when the worker closes idle connections; 0 if it did not say
 }
 
-// answered tells whether a worker dealt with the message.
+// answered reports whether a worker processed the message, or another attempt of it is running there.
 func (r attemptResult) answered() bool {
 	return r == resultCompleted || r == resultRejected || r == resultFailed || r == resultRunning
 }
 
-// moduleOutcome is the result in the decision module's terms. Ended tells whether the message has ended with the attempt.
+// moduleOutcome returns the outcome that the decision module has for the result. The argument ended says whether the
+// message ended with the attempt.
 func (r attemptResult) moduleOutcome(ended bool) decision.Outcome {
 	switch r {
 	case resultCompleted, resultRejected:
@@ -77,8 +78,9 @@
 	}
 }
 
-// classifyAnswer reads the result from an answer's head; the caller checks that the body is complete. An answer that does
-// not name this request says nothing about it: it may be another one's.
+// classifyAnswer returns the result that the status and the headers of a response state. The caller checks that the
+// body is complete. A response that does not name this request may belong to another request, so it does not show that
+// this one was processed.
 func classifyAnswer(answer *http.Response, requestID string) attemptReport {
 	report := attemptReport{keepAlive: keepAliveOf(answer.Header)}
 	echoed := answer.Header.Get(headerRequestID)
@@ -100,7 +102,7 @@
 	return report
 }
 
-// classifyFailure reads the result from the head of an answer that is not a success.
+// classifyFailure returns the result that the status and the headers of an unsuccessful response state.
 func classifyFailure(answer *http.Response) attemptResult {
 	switch answer.StatusCode {
 	case http.StatusConflict:
@@ -126,12 +128,12 @@
 	}
 }
 
-// needsCompleteBody tells whether the result holds only if the answer was read to its end.
+// needsCompleteBody reports whether the result holds only if the response was read to its end.
 func (r attemptResult) needsCompleteBody() bool {
 	return r == resultCompleted || r == resultRejected || r == resultFailed
 }
 
-// keepAliveOf reads the time-out from a Keep-Alive header; 0 where there is none.
+// keepAliveOf returns the timeout parameter of a Keep-Alive header, or 0 if it is missing or invalid.
 func keepAliveOf(header http.Header) time.Duration {
 	for parameter := range strings.SplitSeq(header.Get(headerKeepAlive), ",") {
 		name, value, _ := strings.Cut(parameter, "=")
--- a/internal/delivery/backlog.go
+++ b/internal/delivery/backlog.go
@@ -6,34 +6,34 @@
 	"gladepick/internal/message"
 )
 
-// queueState says where a message waits.
+// queueState is where a message waits.
 type queueState uint8
 
 const (
 	blockedByOrder queueState = iota // an earlier message of its order group has not ended
-	inRouteQueue                     // in one of its route queue's heaps
+	inRouteQueue                     // in one of the heaps of its route queue
 	parked                           // its partition may not deliver now
-	dispatched                       // the decision module has it, or an attempt is in flight
+	dispatched                       // held by the decision module, or an attempt is in flight
 )
 
-// queuedMessage is a message that has not ended, as the event loop keeps it. Times are on the engine's clock.
+// queuedMessage is the event loop's record of a message that has not ended. Times are on the engine's clock.
 type queuedMessage struct {
 	message    *message.Message
-	generation uint64 // the partition's, when the message was submitted
-	failures   int    // answers 500 so far
-	backoffs   uint8  // backoffs in a row without an answer from a worker
+	generation uint64 // of the partition, when the message was submitted
+	failures   int    // responses with status 500 so far
+	backoffs   uint8  // consecutive exponential backoffs; reset when a worker processes the message
 	state      queueState
-	linked     bool // it is on its partition's list
+	linked     bool // it is on the list of its partition
 	orphan     bool // its partition was released while an attempt was in flight
 	due        time.Duration
 	expires    time.Duration
-	notBefore  time.Duration // when it may be dispatched next
+	notBefore  time.Duration // the earliest time at which it may be dispatched next
 	rank       time.Duration // its order among the overdue messages of its route
 	heap       *messageHeap  // the heap it is in, or nil
 	heapIndex  int
 	routeQueue *routeQueue
 	orderGroup *orderGroup    // nil without an order key
-	previous   *queuedMessage // on its partition's list
+	previous   *queuedMessage // on the list of its partition
 	next       *queuedMessage
 }
 
@@ -47,16 +47,16 @@
 
 func keyOf(m *message.Message) messageKey { return messageKey{m.Partition, m.Sequence} }
 
-// backlog holds all messages that have not ended, by partition, by route and by order key.
+// backlog indexes all messages that have not ended by partition, by route and by order key.
 type backlog struct {
 	routeQueues map[string]*routeQueue // by route name
 	orderGroups map[orderGroupKey]*orderGroup
 	partitions  map[int]*partition
 	orphans     map[messageKey]*queuedMessage
-	size        int // without orphans
+	size        int // number of messages, without orphans
 }
 
-// partition lists a partition's messages, in no particular order.
+// partition is a linked list of the messages of one partition, in no particular order.
 type partition struct {
 	first  *queuedMessage
 	parked []*queuedMessage
@@ -71,7 +71,7 @@
 	}
 }
 
-// link adds a message to its partition and its order group.
+// link adds a message to its partition and to its order group.
 func (b *backlog) link(queued *queuedMessage) {
 	p := b.partitions[queued.message.Partition]
 	if p == nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// unlink removes a message from its partition, its order group and wherever it waits. It returns the message that is
-// now the first of the order group, if that has changed.
+// unlink removes a message from its partition, from its order group and from the heap or list in which it waits. If the
+// order group has a new first message, unlink returns it.
 func (b *backlog) unlink(queued *queuedMessage) (successor *queuedMessage) {
 	p := b.partitions[queued.message.Partition]
 	if queued.previous != nil {
@@ -147,8 +147,8 @@
 	return found
 }
 
-// each calls a function for every message that is not an orphan. The function may unlink the message that it is given,
-// and no other.
+// each calls a function for every message that is not an orphan. The function may unlink the message that it is called
+// with, but no other.
 func (b *backlog) each(visit func(*queuedMessage)) {
 	for _, p := range b.partitions {
 		p.each(visit)
--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -11,9 +11,8 @@
 	"gladepick/internal/decision"
 )
 
-// decisionAdapter connects a service to a decision module of its own: it translates what happens into the module's events
-// and executes the module's actions. The module does no I/O and starts no goroutines; everything here runs on the event
-// loop.
+// decisionAdapter connects a service to its own decision module. It translates what happens into events of the module
+// and executes the module's actions. The module does no I/O and starts no goroutines. All of it runs on the event loop.
 type decisionAdapter struct {
 	service  *service
 	module   *decision.Dispatcher
@@ -22,24 +21,24 @@
 	lastID   decision.JobID
 	events   []decision.Event // not handled yet
 	actions  []decision.Action
-	lastList []decision.Entry // the last full list, unless changes were sent since
+	lastList []decision.Entry // the last full list; nil once changes were sent after it
 	handling bool
 }
 
-// job is a message that the decision module has, until its attempt has ended or the message is queued again.
+// job is a message that is submitted to the decision module. The job ends when its message ends or is queued again.
 type job struct {
 	id          decision.JobID
 	queued      *queuedMessage
 	route       *configuration.Route
-	sends       int
+	sends       int               // number of sends that the module has requested for the current id
 	worker      decision.WorkerID // of the last send
-	hasToken    bool              // a token of the rate limiter is taken for the next send
+	hasToken    bool              // it has taken a token of the rate limiter for its next send
 	inFlight    bool
-	ownZoneOnly bool          // only workers of the own zone may take it
-	lastResult  attemptResult // of the last attempt
+	ownZoneOnly bool          // only workers of the store's zone may take it
+	lastResult  attemptResult // of its last attempt; 0 before that
 }
 
-// newDecisionAdapter makes a decision module for a service as it is now.
+// newDecisionAdapter creates a decision module for the current routes and endpoints of a service.
 func newDecisionAdapter(s *service) (*decisionAdapter, error) {
 	module, err := decision.New(moduleSettings(s.routes), s.engine.random.Uint64())
 	if err != nil {
@@ -53,7 +52,7 @@
 	return made, nil
 }
 
-// sendWorkerList tells the module of all endpoints, unless it knows that list already.
+// sendWorkerList sends all endpoints to the module, unless the module already has that list.
 func (d *decisionAdapter) sendWorkerList() {
 	event := decision.Event{Kind: decision.EventList, List: decision.ListFull}
 	event.Entries = make([]decision.Entry, 0, len(d.service.endpoints))
@@ -65,7 +64,7 @@
 	}
 }
 
-// sendWorkerChanges tells the module of some endpoints.
+// sendWorkerChanges sends some endpoints to the module, as a change of the list.
 func (d *decisionAdapter) sendWorkerChanges(changed []*endpoint) {
 	event := decision.Event{Kind: decision.EventList, List: decision.ListDelta}
 	for _, target := range changed {
@@ -75,7 +74,8 @@
 	d.handle(&event)
 }
 
-// isLastList tells whether a list is the one that the module knows already. If it is not, it becomes that list.
+// isLastList reports whether the module already has a list. If it does not, isLastList records the list as the last
+// one.
 func (d *decisionAdapter) isLastList(entries []decision.Entry) bool {
 	if d.lastList != nil && slices.Equal(d.lastList, entries) {
 		return true
@@ -84,9 +84,9 @@
 	return false
 }
 
-// offer submits a message to the module, when the rate limiter is known to have a token. If the module finds no worker for
-// it although some are not ejected and have capacity, it is submitted once more after their health has been reset: the
-// module suspects a worker as soon as one of its answers is slow.
+// offer submits a message to the module. The caller has checked that the rate limiter has a token. The module suspects
+// a worker as soon as one of its responses is slow. So if the module finds no worker, although some are not ejected and
+// have capacity, offer resets the health of those and submits the message once more.
 func (d *decisionAdapter) offer(queued *queuedMessage, route *configuration.Route) {
 	now := d.service.engine.now()
 	queued.state = dispatched
@@ -107,15 +107,16 @@
 	}
 }
 
-// offerToAllZones submits a job that the own zone's workers can't take to the workers of all zones.
+// offerToAllZones submits a job again, now to the workers of all zones, because the workers of the store's zone cannot
+// take it.
 func (d *decisionAdapter) offerToAllZones(j *job) {
 	d.cancelPending(j)
 	j.ownZoneOnly = false
 	d.submit(j, d.service.engine.now())
 }
 
-// class is the decision module's class of a job. Each route has two: the first half are for the workers of all zones, the
-// second half for those of the own zone.
+// class returns the decision module's class of a job. Each route has two classes: the first half of the classes allows
+// the workers of all zones, the second half only those of the store's zone.
 func (d *decisionAdapter) class(j *job) int {
 	class := d.classes[j.route.Name]
 	if j.ownZoneOnly {
@@ -124,8 +125,8 @@
 	return class
 }
 
-// cancelPending removes a pending job from the module. The module has no event for this, so it is told that the client has
-// left.
+// cancelPending removes a pending job from the module. The module has no event for a cancellation, so the adapter
+// reports that the client has left.
 func (d *decisionAdapter) cancelPending(pending *job) {
 	d.handle(&decision.Event{Kind: decision.EventClientLeft, Job: pending.id})
 	delete(d.jobs, pending.id)
@@ -152,11 +153,11 @@
 	})
 }
 
-// isPending tells whether the module has a job and no attempt of it is in flight.
+// isPending reports whether the module has a job and no attempt of it is in flight.
 func (d *decisionAdapter) isPending(j *job) bool { return d.jobs[j.id] == j && !j.inFlight }
 
-// handle gives the module an event and executes the actions that follow, in order. Events that they cause are handled after
-// them.
+// handle passes an event to the module and executes the resulting actions in order. Events that these actions cause are
+// handled after them.
 func (d *decisionAdapter) handle(event *decision.Event) {
 	d.events = append(d.events, *event)
 	if d.handling {
@@ -175,7 +176,7 @@
 	d.handling = false
 }
 
-// execute carries out one action of the module.
+// execute executes one action of the module.
 func (d *decisionAdapter) execute(action *decision.Action) {
 	switch action.Kind {
 	case decision.Send:
@@ -191,13 +192,14 @@
 	case decision.SetTimer:
 		due := d.service.engine.now() + action.Delay
 		d.service.engine.timers.add(timer{due: due, adapter: d, token: action.Token})
-	default: // the module's settings rule the others out
-		d.service.engine.logger.Warn("decision module asked for an unsupported action",
+	default: // the module's settings rule out all other actions
+		d.service.engine.logger.Warn("decision module requested an unsupported action",
 			zap.Uint8("action", uint8(action.Kind)))
 	}
 }
 
-// send starts an attempt at a worker if everything permits it, else tells the module why there is none.
+// send starts an attempt at a worker if all limits and gates permit it. If they do not, it reports to the module why
+// nothing was sent.
 func (d *decisionAdapter) send(j *job, to decision.WorkerID) {
 	j.sends++
 	j.worker = to
@@ -222,13 +224,13 @@
 	}
 }
 
-// decline ends a job whose message may not be sent now.
+// decline ends a job whose message may not be sent now, and returns the message to its route queue.
 func (d *decisionAdapter) decline(j *job) {
 	d.reportOutcome(j, decision.NeverSent, true)
 	d.returnToQueue(j, 0)
 }
 
-// reportOutcome tells the module how the last send of a job ended, and whether the job has ended with it.
+// reportOutcome reports to the module how the last send of a job ended, and whether the job has ended with it.
 func (d *decisionAdapter) reportOutcome(j *job, outcome decision.Outcome, closed bool) {
 	d.handle(&decision.Event{
 		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, JobEnded: closed,
@@ -241,7 +243,7 @@
 	d.service.engine.requeue(j, retryAfter)
 }
 
-// forget ends a job. A token that it has not used is returned.
+// forget removes a job. If the job holds an unused token, the token is returned to the rate limiter.
 func (d *decisionAdapter) forget(j *job) {
 	delete(d.jobs, j.id)
 	d.service.dispatched--
--- a/internal/delivery/decision_settings.go
+++ b/internal/delivery/decision_settings.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	tenantCount      = 8 // route names are hashed to so many tenants of the decision module
+	tenantCount      = 8 // tenants of the decision module; route names are hashed to them
 	maxSendsPerJob   = 6
 	moduleTick       = 50 * time.Millisecond
-	timeoutsPerJob   = 2 // a job's deadline, in latency targets of its route
+	timeoutsPerJob   = 2 // the deadline of a job, in latency targets of its route
 	minLatencyTarget = 100 * time.Millisecond
 	ownZone          = 0
 	workerKinds      = 1
 )
 
-// moduleSettings are the decision module's settings for a service's routes.
+// moduleSettings returns the decision module's settings for the routes of a service.
 func moduleSettings(routes []*configuration.Route) decision.Settings {
 	settings := decision.Settings{
 		Dispatchers: 1,
@@ -42,7 +42,7 @@
 	return settings
 }
 
-// classSettings describes a route's messages.
+// classSettings returns the settings of the decision module's class for a route.
 func classSettings(route *configuration.Route) decision.ClassSettings {
 	return decision.ClassSettings{
 		LatencyTarget: latencyTarget(route),
@@ -54,16 +54,16 @@
 	}
 }
 
-// latencyTarget is how long an attempt of a route's messages may take. By it the module also judges that a worker does not
-// answer, so it is no shorter than the route's timeout.
+// latencyTarget returns how long an attempt at a message of a route may take. The module also uses it to detect that a
+// worker does not respond, so it is not shorter than the route's time-out.
 func latencyTarget(route *configuration.Route) time.Duration {
 	return max(route.StartTarget, route.Timeout, minLatencyTarget)
 }
 
-// jobTimeout is how long the module may keep a job of a route.
+// jobTimeout returns how long the module may hold a job of a route.
 func jobTimeout(route *configuration.Route) time.Duration {
 	return timeoutsPerJob * latencyTarget(route)
 }
 
-// tenantOf hashes a route's name to a tenant, alike at all stores.
+// tenantOf returns the tenant to which the name of a route is hashed. It is the same at all stores.
 func tenantOf(route string) int { return int(stableHash(route) % tenantCount) }
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	usableConnections  = 0.9 // the share of a worker's connections that all callers use together
-	slotOvercommit     = 1.5 // of a worker's capacity, by all callers together: some messages wait at the worker
-	minSlots           = 2   // that each caller may use where the worker has them, or a backlog drains too slowly
-	defaultConnections = 32  // where the service's definition states none
+	usableConnections  = 0.9 // fraction of a worker's connections that all callers together use
+	slotOvercommit     = 1.5 // multiple of a worker's capacity that all callers use: some messages wait at the worker
+	minSlots           = 2   // per caller, if the worker has them; with fewer, a backlog drains too slowly
+	defaultConnections = 32  // if the definition of the service states none
 	maxIdleTimeout     = 4 * time.Second
-	idleTimeoutShare   = 0.8 // of the time after which the worker closes idle connections
-	misdirectedPause   = 2 * time.Second
-	minEjection        = 50 * time.Millisecond
+	idleTimeoutShare   = 0.8                   // fraction of the time after which the worker closes idle connections
+	misdirectedPause   = 2 * time.Second       // after another worker responded at the address
+	minEjection        = 50 * time.Millisecond // doubles with each consecutive ejection
 	maxEjection        = time.Second
 )
 
-// endpoint is one worker, or a service's static endpoint. Everything but unavailable belongs to the event loop.
+// endpoint is a worker, or the static endpoint of a service. The event loop owns all fields except unavailable.
 type endpoint struct {
 	worker      cluster.Worker
 	static      bool
 	workerID    decision.WorkerID
 	zone        int
-	unavailable atomic.Bool // it drains, has left or is another worker than expected: nothing may be sent to it
+	unavailable atomic.Bool // it drains, has left, or is not the expected worker: nothing may be sent to it
 
 	inFlight         int           // attempts
 	limit            int           // of attempts in flight
-	crowded          bool          // the worker takes fewer connections than it has callers: none may stay open while idle
-	backoff          time.Duration // how long the last ejection lasts
-	ejectedUntil     time.Duration // its last attempts failed: its health is not reset before
-	misdirectedUntil time.Duration // another worker answered at its address; 0 for no
-	healthResetAt    time.Duration // when the decision module was last told to forget its failures
+	crowded          bool          // fewer connections than callers: no connection stays open while idle
+	backoff          time.Duration // duration of the last ejection
+	ejectedUntil     time.Duration // its last attempts failed: its health is not reset earlier
+	misdirectedUntil time.Duration // another worker responded at its address; 0 if none did
+	healthResetAt    time.Duration // when the decision module was last told to reset its health
 	idleTimeout      time.Duration
 	transport        *http.Transport
 }
 
-// ready tells whether messages may be sent to it.
+// ready reports whether messages may be sent to the endpoint.
 func (e *endpoint) ready() bool { return !e.unavailable.Load() }
 
-// setLimit bounds the attempts in flight by the service's definition and the number of callers that share the worker. Where
-// the worker takes fewer connections than there are callers, their idle ones would keep others out.
+// setLimit limits the attempts in flight by the definition of the service and by the number of callers that share the
+// worker. If the worker accepts fewer connections than it has callers, the idle connections of some callers would lock
+// out the others, so they are closed.
 func (e *endpoint) setLimit(service *configuration.Service, share int, dial dialer) {
 	connections := float64(defaultConnections)
 	if service.MaxConnections > 0 {
@@ -64,8 +65,8 @@
 	}
 }
 
-// renewTransport replaces the transport, as the limits of one in use can't change. Attempts in flight end at the old
-// one, which closes its connections after them.
+// renewTransport replaces the transport, because the limits of a transport in use cannot be changed. Attempts in flight
+// finish on the old transport, which closes its connections after them.
 func (e *endpoint) renewTransport(dial dialer) {
 	e.closeIdle()
 	idle := e.idleTimeout
@@ -81,7 +82,7 @@
 	}
 }
 
-// shortenIdleTimeout has idle connections closed before the worker closes them.
+// shortenIdleTimeout sets the idle time-out so that connections are closed before the worker closes them.
 func (e *endpoint) shortenIdleTimeout(keepAlive time.Duration, dial dialer) {
 	idle := time.Duration(float64(keepAlive) * idleTimeoutShare)
 	if keepAlive > 0 && idle < e.idleTimeout {
@@ -90,17 +91,17 @@
 	}
 }
 
-// recordAnswer ends the endpoint's ejection and resets its backoff.
+// recordAnswer ends the ejection of the endpoint and resets its backoff.
 func (e *endpoint) recordAnswer() { e.backoff, e.ejectedUntil = 0, 0 }
 
-// eject leaves the worker alone for a time that doubles with each ejection: it is full or silent or does not answer
-// properly.
+// eject takes the endpoint out of health resets for a time that doubles with each consecutive ejection. It is called
+// when the worker is full or did not respond properly.
 func (e *endpoint) eject(now time.Duration) {
 	e.backoff = min(max(2*e.backoff, minEjection), maxEjection)
 	e.ejectedUntil = now + e.backoff
 }
 
-// listEntry is the endpoint as the decision module's list has it.
+// listEntry returns the entry of the endpoint in the decision module's list of workers.
 func (e *endpoint) listEntry() decision.Entry {
 	state := decision.Ready
 	if !e.ready() {
--- a/internal/delivery/endpoint_set.go
+++ b/internal/delivery/endpoint_set.go
@@ -11,20 +11,20 @@
 	"gladepick/internal/decision"
 )
 
-// staticPrefix marks the ids of static endpoints, which are on no list.
+// staticPrefix marks the ids of static endpoints. They are not on the list of workers.
 const staticPrefix = "static "
 
-// endpointSet holds the endpoints of all services. Workers that have left are in no set any more, but attempts in flight
-// keep theirs.
+// endpointSet holds the endpoints of all services. A worker that has left is removed, but its attempts in flight still
+// refer to its endpoint.
 type endpointSet struct {
 	dial  dialer
-	zones map[string]int // the own zone is 0
+	zones map[string]int // number of each zone; the store's zone is 0
 
-	mutex  sync.Mutex // guards latest and byID; the event loop alone changes byID
+	mutex  sync.Mutex // guards latest and byID; only the event loop changes byID
 	latest []cluster.Worker
 	byID   map[string]*endpoint
 
-	byWorkerID map[decision.WorkerID]*endpoint // belongs to the event loop
+	byWorkerID map[decision.WorkerID]*endpoint // owned by the event loop
 }
 
 func newEndpointSet(options Options) *endpointSet {
@@ -36,8 +36,8 @@
 	}
 }
 
-// publish takes over a new list. From now on no attempt is sent to workers that are not ready on it, even if the event loop
-// has not seen the list yet.
+// publish sets the list of workers. Once it has returned, no attempt is sent to a worker that is not ready on the list,
+// even if the event loop has not applied the list yet.
 func (s *endpointSet) publish(workers []cluster.Worker) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,7 +45,7 @@
 	s.markUnavailable()
 }
 
-// markUnavailable marks the workers that the latest list does not show as ready. The mutex is held.
+// markUnavailable marks the endpoints whose workers are not ready on the latest list. The caller holds the mutex.
 func (s *endpointSet) markUnavailable() {
 	ready := make(map[string]cluster.Worker, len(s.latest))
 	for _, worker := range s.latest {
@@ -61,7 +61,7 @@
 	}
 }
 
-// reconcile brings the endpoints in line with the latest list.
+// reconcile adds, replaces and removes endpoints to match the latest list.
 func (s *endpointSet) reconcile() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -80,8 +80,8 @@
 
 func compareWorkerIDs(a, b cluster.Worker) int { return cmp.Compare(a.ID, b.ID) }
 
-// upsert adds or updates one worker of the list. A worker that moved, or is back after it was unavailable, becomes a new
-// endpoint: attempts in flight to the old one still see that it left.
+// upsert adds or updates a worker of the list. A worker that has moved, or that is back after it was unavailable, gets
+// a new endpoint, so that attempts in flight at the old endpoint still see that it is unavailable.
 func (s *endpointSet) upsert(worker cluster.Worker) {
 	known := s.byID[worker.ID]
 	moved := known != nil && (known.worker.Address != worker.Address || known.worker.Service != worker.Service)
@@ -97,7 +97,7 @@
 	fresh.unavailable.Store(worker.Draining)
 }
 
-// add makes an endpoint. Its worker id is a hash of the worker's name, except where two have the same.
+// add creates an endpoint. Its worker id is the hash of its id, or the next free number if that one is taken.
 func (s *endpointSet) add(id string, worker cluster.Worker) *endpoint {
 	fresh := &endpoint{worker: worker, workerID: stableHash(id), zone: s.zoneOf(worker.Zone), idleTimeout: maxIdleTimeout}
 	for s.byWorkerID[fresh.workerID] != nil {
@@ -123,7 +123,7 @@
 	return number
 }
 
-// byService returns the endpoints on the list by the names of their services, in the order of their worker ids.
+// byService returns the endpoints of listed workers by the name of their service, sorted by worker id.
 func (s *endpointSet) byService() map[string][]*endpoint {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,7 +139,7 @@
 	return found
 }
 
-// staticEndpoint returns a service's static endpoint, and makes it if there is none.
+// staticEndpoint returns the static endpoint of a service. It creates the endpoint if there is none.
 func (s *endpointSet) staticEndpoint(service *configuration.Service) *endpoint {
 	id := staticPrefix + service.Name + " " + service.StaticEndpoint
 	s.mutex.Lock()
@@ -152,7 +152,7 @@
 	return fresh
 }
 
-// removeUnusedStatic removes the static endpoints that no service has any more.
+// removeUnusedStatic removes the static endpoints that no service uses any more.
 func (s *endpointSet) removeUnusedStatic(used map[*endpoint]bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -171,7 +171,8 @@
 	}
 }
 
-// stableHash makes the decision module's number of a worker or a route from its name, alike in all processes.
+// stableHash returns the number by which the decision module knows a worker or a route. It depends on the name alone
+// and is the same in all processes.
 func stableHash(name string) decision.WorkerID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name)) // never fails
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -14,37 +14,38 @@
 	"gladepick/internal/network"
 )
 
-// Owner keeps the messages that an Engine delivers. Its methods are called without locks of the engine, and from several
-// goroutines. MayDeliver is also called by the event loop, so it returns at once; the others may take their time.
+// Owner stores the messages that an Engine delivers. The engine calls its methods without holding locks, and from
+// several goroutines. The event loop calls MayDeliver too, so MayDeliver must not block; the other methods may block.
 type Owner interface {
-	// Body returns a message's body. It is called once for each attempt; after an error the message is tried again later.
+	// Body returns the body of a message. It is called once for each attempt. If it returns an error, the message is
+	// tried again later.
 	Body(m *message.Message) ([]byte, error)
-	// MayDeliver tells whether deliveries of a partition may start now.
+	// MayDeliver reports whether attempts at messages of a partition may start now.
 	MayDeliver(partition int) bool
-	// Failed reports that a worker answered 500, and how often that has happened to the message by now. The last failure
-	// that a route allows is reported by Ended alone.
+	// Failed reports that a worker responded with status 500, and the number of such failures of the message so far.
+	// The last failure that a route allows is reported by Ended alone.
 	Failed(m *message.Message, failures int)
-	// Ended reports once for each message how it ended.
+	// Ended reports how a message ended. It is called once for each message.
 	Ended(m *message.Message, outcome message.Outcome)
 }
 
 // Options configure an Engine.
 type Options struct {
 	Name    string // the store's name, for logs
-	Zone    string // the store's zone, whose workers are preferred
+	Zone    string // the store's zone; its workers are preferred
 	Network network.Network
 	Owner   Owner
 	Logger  *zap.Logger
-	Seed    uint64 // of all random choices
-	// Drain is how long after a worker is known to drain a message may still reach it.
+	Seed    uint64 // of all random choices of the engine
+	// Drain is how long a message may still reach a worker after the engine has learned that the worker drains.
 	Drain time.Duration
-	// ConnectionShare returns the number of callers among which a worker's connections and slots are divided. The event
-	// loop calls it often. Nil means one.
+	// ConnectionShare returns the number of callers that share the connections and slots of each worker. The event loop
+	// calls it often, so it must not block. Nil means one caller.
 	ConnectionShare func() int
 }
 
-// Engine delivers messages. Make it with New and start it with Run; messages may be submitted before that. All methods may
-// be called at any time, by any goroutine.
+// Engine delivers messages. It is created by New and started by Run. Messages may be submitted before Run is called.
+// All methods are safe for concurrent use.
 type Engine struct {
 	options    Options
 	logger     *zap.Logger
@@ -54,22 +55,22 @@
 	ownerCalls sync.WaitGroup // goroutines that call the owner: attempts and notifications
 	gauges     gauges
 
-	// What follows belongs to the event loop. Times are on the engine's clock.
+	// The event loop owns the following fields. Times are on the engine's clock.
 	random          *rand.Rand // the order of draws is part of the behaviour
 	timers          timerQueue
 	table           *configuration.Table
-	rateDivisor     int // a service's rate limit is divided by it; see cluster.Table.LimitDivisor
+	rateDivisor     int // divides the rate limit of each service; see cluster.Table.LimitDivisor
 	backlog         *backlog
 	services        map[string]*service
 	endpoints       *endpointSet
-	parkedRecheckAt map[int]time.Duration // when to recheck the partitions that have parked messages
-	ended           []endedMessage        // collected in a turn, reported at its end
-	nextExpiry      time.Duration         // no message expires before
+	parkedRecheckAt map[int]time.Duration // by partition with parked messages: when to check it again
+	ended           []endedMessage        // ended without an attempt in this turn; reported at its end
+	nextExpiry      time.Duration         // no message expires earlier
 	schedule        serviceSchedule
-	lastFullSweep   time.Duration // when all services were run last
+	lastFullSweep   time.Duration // when all services were last run
 }
 
-// New makes an engine. It starts no goroutine.
+// New creates an engine. It starts no goroutine.
 func New(options Options) *Engine {
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
@@ -91,9 +92,9 @@
 	return engine
 }
 
-// Run delivers messages until the context ends. Then it starts no more attempts, waits for those in flight, which take
-// up to the longest timeout of a route, and returns when the owner has been notified of their results. The event loop runs
-// on the caller's goroutine.
+// Run delivers messages until the context ends. Then it starts no more attempts and waits for those in flight, which
+// take up to the longest timeout of a route. It returns when the owner has been notified of their results. The event
+// loop runs on the caller's goroutine.
 func (e *Engine) Run(ctx context.Context) {
 	e.loop(ctx)
 	e.gates.pause()
@@ -101,58 +102,64 @@
 	e.endpoints.closeAll()
 }
 
-// SetConfiguration replaces the operator's configuration. An older version than the present one is ignored.
+// SetConfiguration replaces the operator's configuration. A configuration that is older than the current one is
+// ignored.
 func (e *Engine) SetConfiguration(table *configuration.Table) {
 	e.events.push(configurationChanged{table})
 }
 
-// SetWorkers replaces the list of workers. No attempt is sent to a worker that drains or is missing once it has returned.
+// SetWorkers replaces the list of workers. Once it has returned, no attempt is sent to a worker that drains or is not
+// on the list.
 func (e *Engine) SetWorkers(workers []cluster.Worker) {
 	e.endpoints.publish(workers)
 	e.events.push(workersChanged{})
 }
 
-// SetDeliverers sets the divisor by which this store's part of each rate limit is computed (cluster.Table.LimitDivisor).
+// SetDeliverers sets the number by which the rate limit of each service is divided to get this store's part of it
+// (cluster.Table.LimitDivisor).
 func (e *Engine) SetDeliverers(n int) { e.events.push(rateDivisorChanged{max(n, 1)}) }
 
-// Submit hands in a committed message of a partition that this store leads, and how often workers have answered 500 to it
-// so far.
-// After a Release, the messages of a partition that comes back are submitted again in the order of their sequence numbers.
+// Submit adds a committed message of a partition that this store leads. The failures are the number of responses with
+// status 500 so far. If a released partition comes back, the owner submits its messages again in the order of their
+// sequence numbers.
 func (e *Engine) Submit(m *message.Message, failures int) {
 	e.events.push(submitted{m, failures, e.gates.generation(m.Partition)})
 }
 
-// Release drops the queued messages of a partition that is led elsewhere now. No attempt of them starts after Release has
-// returned; those in flight go on, and the owner is notified of their results.
+// Release drops the queued messages of a partition that another store leads now. Once Release has returned, no attempt
+// at them starts. Attempts in flight run to their end, and the owner is notified of their results.
 func (e *Engine) Release(partition int) {
 	e.events.push(released{partition, e.gates.release(partition)})
 }
 
-// Pause lets no attempt start until Resume. It is in force when it returns.
+// Pause prevents attempts from starting until Resume is called. It takes effect before it returns.
 func (e *Engine) Pause() { e.gates.pause() }
 
-// Resume ends a Pause.
+// Resume ends a pause of all partitions. Partitions that PausePartition has paused stay paused.
 func (e *Engine) Resume() {
 	e.gates.resume()
 	e.events.push(resumed{})
 }
 
-// PausePartition lets no attempt of a partition start until ResumePartition. It is in force when it returns.
+// PausePartition prevents attempts of one partition from starting until ResumePartition is called. It takes effect
+// before it returns.
 func (e *Engine) PausePartition(partition int) { e.gates.pausePartition(partition) }
 
-// ResumePartition ends a PausePartition.
+// ResumePartition ends a pause of one partition.
 func (e *Engine) ResumePartition(partition int) {
 	e.gates.resumePartition(partition)
 	e.events.push(partitionResumed{partition})
 }
 
-// InFlight is the number of attempts that have started and of whose result the owner has not been notified yet.
+// InFlight returns the number of attempts in flight: those that have started and whose result has not been reported to
+// the owner yet.
 func (e *Engine) InFlight() int { return e.gates.inFlight() }
 
-// InFlightOf is InFlight of one partition.
+// InFlightOf returns the number of attempts of one partition that are in flight.
 func (e *Engine) InFlightOf(partition int) int { return e.gates.inFlightOf(partition) }
 
-// now is the time on the engine's clock. It starts above zero, as the decision module takes zero for "never".
+// now returns the time on the engine's clock. The clock starts above zero, because the decision module takes zero for
+// "never".
 func (e *Engine) now() time.Duration { return clockStart + time.Since(e.started) }
 
 // at converts a time to the engine's clock. The zero time stays zero.
@@ -164,6 +171,6 @@
 }
 
 const (
-	clockStart = time.Hour                // on the engine's clock, when the engine is made
-	never      = time.Duration(1<<63 - 1) // later than all times on the engine's clock
+	clockStart = time.Hour                // the time on the engine's clock at which the engine is created
+	never      = time.Duration(1<<63 - 1) // later than any other time on the engine's clock
 )
--- a/internal/delivery/enqueue.go
+++ b/internal/delivery/enqueue.go
@@ -2,10 +2,10 @@
 
 import "gladepick/internal/message"
 
-// enqueue takes in a submitted message.
+// enqueue adds a submitted message to the backlog.
 func (e *Engine) enqueue(m *message.Message, failures int, generation uint64) {
 	if generation < e.gates.generation(m.Partition) {
-		return // its partition was released meanwhile
+		return // its partition was released after Submit
 	}
 	if orphan := e.backlog.orphans[keyOf(m)]; orphan != nil {
 		e.reclaim(orphan, failures, generation)
@@ -20,8 +20,7 @@
 	e.place(queued)
 }
 
-// reclaim takes an orphan back into the backlog: its partition was released and has come back while its attempt is in
-// flight.
+// reclaim returns an orphan to the backlog: its partition was released and came back while its attempt is in flight.
 func (e *Engine) reclaim(orphan *queuedMessage, failures int, generation uint64) {
 	delete(e.backlog.orphans, keyOf(orphan.message))
 	orphan.orphan, orphan.generation = false, generation
@@ -33,15 +32,15 @@
 	}
 }
 
-// place puts a message where it waits: behind the first of its order group, or in the queue of its route. A message whose
-// route is gone ends.
+// place blocks a message behind the first message of its order group, or adds it to the queue of its route. If the
+// operator has removed the route, the message ends.
 func (e *Engine) place(queued *queuedMessage) {
 	if queued.orderGroup != nil && !queued.orderGroup.first(queued) {
 		queued.state = blockedByOrder
 		return
 	}
 	if queued.orderGroup != nil && len(queued.orderGroup.messages) > 1 {
-		e.blockByOrder(queued.orderGroup.messages[1]) // it was first until now
+		e.blockByOrder(queued.orderGroup.messages[1]) // it was the first until now
 	}
 	if e.routeDropped(queued) {
 		e.endWithoutAttempt(queued, deadLetter)
@@ -52,8 +51,8 @@
 	e.schedule.markDirty(q.service)
 }
 
-// blockByOrder takes a message out of its route queue, as an earlier one of its order group has come. One that is
-// dispatched stays so.
+// blockByOrder removes a message from its route queue or from the parked messages, because an earlier message of its
+// order group was added. A message that is dispatched stays dispatched.
 func (e *Engine) blockByOrder(queued *queuedMessage) {
 	switch queued.state {
 	case inRouteQueue:
@@ -66,7 +65,7 @@
 	queued.state = blockedByOrder
 }
 
-// remove drops a message; the next of its order group may be dispatched.
+// remove removes a message from the backlog and places the next message of its order group.
 func (e *Engine) remove(queued *queuedMessage) {
 	if successor := e.backlog.unlink(queued); successor != nil && successor.state == blockedByOrder {
 		e.place(successor)
--- a/internal/delivery/event_queue.go
+++ b/internal/delivery/event_queue.go
@@ -7,14 +7,14 @@
 	"gladepick/internal/message"
 )
 
-// event is an input of the event loop. The method apply runs on the loop's goroutine.
+// event is an input of the event loop. The loop calls apply on its goroutine.
 type event interface{ apply(e *Engine) }
 
-// eventQueue collects events for the event loop. It is unbounded: pushing never blocks.
+// eventQueue collects events for the event loop. It is unbounded, so push never blocks.
 type eventQueue struct {
 	mutex  sync.Mutex // guards events and spare
 	events []event
-	spare  []event       // the slice that takeAll returned last, to be used again
+	spare  []event       // the slice that takeAll returned last; reused by the next call
 	wake   chan struct{} // holds one signal while events wait
 }
 
@@ -29,7 +29,7 @@
 	}
 }
 
-// takeAll returns all events pushed so far. The slice is valid until the next call.
+// takeAll removes and returns all events pushed so far. The slice is valid until the next call.
 func (q *eventQueue) takeAll() []event {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -39,21 +39,21 @@
 	return taken
 }
 
-// The events. Each is pushed by the exported method of its meaning; attemptEnded is pushed by the attempt's goroutine.
+// The exported method that causes an event pushes it; attemptEnded is pushed by the goroutine of the attempt.
 type (
-	// configurationChanged brings a new configuration.
+	// configurationChanged carries a new configuration.
 	configurationChanged struct{ table *configuration.Table }
-	// workersChanged announces a list of workers that has been published to the endpoint set.
+	// workersChanged announces that a list of workers has been published to the endpoint set.
 	workersChanged struct{}
-	// rateDivisorChanged brings the divisor by which this store's part of each rate limit is computed.
+	// rateDivisorChanged carries the number by which the rate limit of each service is divided.
 	rateDivisorChanged struct{ count int }
-	// submitted brings a message, with its failures so far and its partition's generation at that time.
+	// submitted carries a message, its failures so far, and the generation of its partition at the time of Submit.
 	submitted struct {
 		message    *message.Message
 		failures   int
 		generation uint64
 	}
-	// released ends the delivery of a partition's messages that are older than a generation.
+	// released drops the messages of a partition that are older than the generation.
 	released struct {
 		partition  int
 		generation uint64
@@ -62,7 +62,7 @@
 	resumed struct{}
 	// partitionResumed announces the end of a pause of one partition.
 	partitionResumed struct{ partition int }
-	// attemptEnded brings what came of an attempt. The owner of the messages has been notified of it.
+	// attemptEnded carries the result of an attempt. The owner has already been notified of it.
 	attemptEnded struct {
 		attempt *attempt
 		report  attemptReport
--- a/internal/delivery/expiry.go
+++ b/internal/delivery/expiry.go
@@ -6,7 +6,7 @@
 	"gladepick/internal/message"
 )
 
-// minExpiryInterval is the least time between two searches for expired messages.
+// minExpiryInterval is the shortest time between two searches for expired messages.
 const minExpiryInterval = time.Second
 
 // endedMessage is a message that ended without an attempt.
@@ -15,7 +15,7 @@
 	outcome message.Outcome
 }
 
-// expire ends the messages whose retention is over, but for those that are dispatched.
+// expire ends the messages whose retention is over, except those that are dispatched.
 func (e *Engine) expire(now time.Duration) {
 	if now < e.nextExpiry {
 		return
@@ -32,7 +32,8 @@
 	e.deadLetterAll(expired)
 }
 
-// deadLetterAll ends messages that will never be delivered. Ending one may end others that waited behind it.
+// deadLetterAll ends messages that will never be delivered. Ending one message can end others that waited behind it, so
+// messages that have already ended are skipped.
 func (e *Engine) deadLetterAll(messages []*queuedMessage) {
 	for _, queued := range messages {
 		if queued.linked {
@@ -41,14 +42,14 @@
 	}
 }
 
-// endWithoutAttempt ends a message without an attempt. The owner of the messages is notified at the end of the turn.
+// endWithoutAttempt ends a message. The owner is notified at the end of the turn.
 func (e *Engine) endWithoutAttempt(queued *queuedMessage, outcome message.Outcome) {
 	e.ended = append(e.ended, endedMessage{queued.message, outcome})
 	e.remove(queued)
 }
 
-// notifyEnded tells the owner of the messages about those that ended without an attempt. It does so on a goroutine of its
-// own, which Run waits for, as the owner may take its time and the loop must not.
+// notifyEnded reports to the owner the messages that ended without an attempt. It calls the owner on a separate
+// goroutine, because the owner may block and the loop must not. Run waits for that goroutine.
 func (e *Engine) notifyEnded() {
 	if len(e.ended) == 0 {
 		return
--- a/internal/delivery/loop.go
+++ b/internal/delivery/loop.go
@@ -7,10 +7,10 @@
 	"gladepick/internal/decision"
 )
 
-// maxIdle is how long the loop sleeps at most.
+// maxIdle is the longest time for which the loop sleeps.
 const maxIdle = time.Minute
 
-// loop runs turns until the context ends. It is the only goroutine that uses the engine's state.
+// loop runs turns until the context ends. No other goroutine uses the state that the event loop owns.
 func (e *Engine) loop(ctx context.Context) {
 	wake := time.NewTimer(maxIdle)
 	defer wake.Stop()
@@ -24,8 +24,8 @@
 	}
 }
 
-// turn does everything that there is to do now, and returns for how long there will be nothing more: it applies the events,
-// fires the timers, and dispatches what is due.
+// turn runs one turn of the event loop: it applies the events, fires the timers, and dispatches the messages that are
+// due. It returns how long the loop may sleep until the next turn.
 func (e *Engine) turn() time.Duration {
 	for _, ev := range e.events.takeAll() {
 		ev.apply(e)
@@ -36,7 +36,7 @@
 	e.expire(now)
 	next := e.dispatchServices(now)
 	if len(e.ended) > 0 {
-		next = now // the messages that waited behind them may be due
+		next = now // the messages that waited for these to end may be due
 	}
 	e.notifyEnded()
 	e.gauges.queued.Store(int64(e.backlog.size))
@@ -44,7 +44,7 @@
 	return min(max(next-e.now(), 0), maxIdle)
 }
 
-// fireTimers gives the decision modules their timers that are due.
+// fireTimers passes the timers that are due to their decision modules.
 func (e *Engine) fireTimers(now time.Duration) {
 	for {
 		due, found := e.timers.popDue(now)
@@ -56,7 +56,7 @@
 	}
 }
 
-// nextTimer is when something comes due that no event announces.
+// nextTimer returns the earliest time at which the loop has work that no event announces.
 func (e *Engine) nextTimer() time.Duration {
 	next := min(e.timers.nextDue(), e.nextExpiry)
 	for _, at := range e.parkedRecheckAt {
@@ -65,7 +65,7 @@
 	return next
 }
 
-// drainAttempts waits for the attempts in flight after the loop has ended, and commits their results.
+// drainAttempts waits for the attempts that are in flight after the loop has ended, and applies their results.
 func (e *Engine) drainAttempts() {
 	e.ownerCalls.Wait()
 	for _, ev := range e.events.takeAll() {
--- a/internal/delivery/order_group.go
+++ b/internal/delivery/order_group.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// orderGroupKey identifies the messages that are delivered strictly one after the other.
+// orderGroupKey identifies an order group: messages that are delivered strictly one after the other.
 type orderGroupKey struct {
 	partition int
 	orderKey  string
 }
 
-// orderGroup holds the messages of one order key by their sequence numbers. Only the first may be dispatched; the next
-// follows when the first has ended.
+// orderGroup holds the messages of one order key and partition by their sequence numbers. Only the first message may be
+// dispatched; the next one follows when the first has ended.
 type orderGroup struct{ messages []*queuedMessage }
 
-// insert adds a message by its sequence number. One that is dispatched stays the first, whatever is added: two messages
-// of a group are never in flight together.
+// insert adds a message by its sequence number. A message that is dispatched stays the first, whatever is added: two
+// messages of a group are never in flight at the same time.
 func (g *orderGroup) insert(queued *queuedMessage) {
 	queued.orderGroup = g
 	at, _ := slices.BinarySearchFunc(g.messages, queued, func(a, b *queuedMessage) int {
@@ -28,10 +28,11 @@
 	g.messages = slices.Insert(g.messages, at, queued)
 }
 
-// first tells whether a message is the one that may be dispatched.
+// first reports whether a message is the one that may be dispatched.
 func (g *orderGroup) first(queued *queuedMessage) bool { return g.messages[0] == queued }
 
-// remove takes a message out. It returns the next that may be dispatched, if the message was the first.
+// remove removes a message. If the message was the first, remove returns the new first message, or nil if there is
+// none.
 func (g *orderGroup) remove(queued *queuedMessage) *queuedMessage {
 	at := slices.Index(g.messages, queued)
 	if at < 0 {
--- a/internal/delivery/parking.go
+++ b/internal/delivery/parking.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// parkedRecheckInterval is how often the loop checks whether a partition with parked messages may deliver again.
+// parkedRecheckInterval is the time between two checks whether a partition with parked messages may deliver again.
 const parkedRecheckInterval = 50 * time.Millisecond
 
-// mayDeliver tells whether a message's partition may deliver now.
+// mayDeliver reports whether the partition of a message may deliver now.
 func (e *Engine) mayDeliver(queued *queuedMessage) bool {
 	return e.gates.isOpen(queued.message.Partition, queued.generation) && e.options.Owner.MayDeliver(queued.message.Partition)
 }
 
-// park sets a message aside until its partition may deliver.
+// park holds a message back until its partition may deliver.
 func (e *Engine) park(queued *queuedMessage, now time.Duration) {
 	queued.state = parked
 	p := e.backlog.partitions[queued.message.Partition]
@@ -23,7 +23,7 @@
 	}
 }
 
-// recheckParked returns the parked messages of partitions that may deliver again to their route queues.
+// recheckParked returns parked messages to their route queues if their partition may deliver again.
 func (e *Engine) recheckParked(now time.Duration) {
 	for id, at := range e.parkedRecheckAt {
 		if now < at {
@@ -51,7 +51,7 @@
 	}
 }
 
-// recheckAll has all partitions rechecked and all services run in this turn.
+// recheckAll makes the current turn check all partitions that have parked messages, and run all services.
 func (e *Engine) recheckAll() {
 	e.markAllDirty()
 	for id := range e.parkedRecheckAt {
@@ -59,8 +59,8 @@
 	}
 }
 
-// dropPartition drops a released partition's messages that are older than a generation. Those that are dispatched stay
-// known as orphans, in case the partition comes back before their attempts have ended.
+// dropPartition drops the messages of a released partition that are older than a generation. Messages that are
+// dispatched are kept as orphans, because the partition may come back before their attempts have ended.
 func (e *Engine) dropPartition(id int, generation uint64) {
 	p := e.backlog.partitions[id]
 	if p == nil {
--- a/internal/delivery/partition_gate.go
+++ b/internal/delivery/partition_gate.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// partitionGates decide whether an attempt may start, and count the attempts in flight. Pauses and releases take effect
-// as soon as they return, without waiting for the event loop: a partition's generation fences off messages that were
-// submitted before its release.
+// partitionGates decides whether an attempt may start, and counts the attempts in flight. Pauses and releases take
+// effect before they return, without waiting for the event loop. The generation of a partition acts as a fencing token:
+// messages that were submitted before a release may not start after it.
 type partitionGates struct {
 	mutex      sync.Mutex // guards everything below
 	paused     bool       // all partitions
@@ -23,7 +23,7 @@
 	return &partitionGates{partitions: make(map[int]*partitionGate)}
 }
 
-// of returns a partition's gate. The mutex is held.
+// of returns the gate of a partition and creates it if there is none. The caller holds the mutex.
 func (g *partitionGates) of(partition int) *partitionGate {
 	found := g.partitions[partition]
 	if found == nil {
@@ -33,19 +33,19 @@
 	return found
 }
 
-// isOpen tells whether an attempt could start now.
+// isOpen reports whether an attempt could start now.
 func (g *partitionGates) isOpen(partition int, generation uint64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.admits(g.of(partition), generation)
 }
 
-// admits tells whether a gate lets an attempt of a generation start. The mutex is held.
+// admits reports whether a gate lets an attempt of a generation start. The caller holds the mutex.
 func (g *partitionGates) admits(p *partitionGate, generation uint64) bool {
 	return !g.paused && !p.paused && p.generation == generation
 }
 
-// enter counts an attempt as in flight and returns true, or returns false if it may not start.
+// enter reports whether an attempt may start. If it may, enter counts it as in flight.
 func (g *partitionGates) enter(partition int, generation uint64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// leave counts an attempt that enter has admitted as finished.
+// leave ends an attempt that enter has admitted.
 func (g *partitionGates) leave(partition int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -72,7 +72,7 @@
 	return g.of(partition).generation
 }
 
-// release begins a partition's next generation and returns it.
+// release starts the next generation of a partition and returns it.
 func (g *partitionGates) release(partition int) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -7,8 +7,8 @@
 	"gladepick/internal/configuration"
 )
 
-// applyConfiguration takes over a newer configuration. Messages whose route is gone end as dead letters, but for those that
-// are dispatched.
+// applyConfiguration applies a configuration unless it is older than the current one. Messages whose route was removed
+// end as dead letters, except those that are dispatched.
 func (e *Engine) applyConfiguration(table *configuration.Table) {
 	if table == nil || e.table != nil && table.Version < e.table.Version {
 		return
@@ -26,7 +26,8 @@
 	e.deadLetterAll(dropped)
 }
 
-// rebuildServices brings the services in line with the configuration. Attempts in flight end at their old adapters.
+// rebuildServices creates, updates and removes services to match the configuration. Attempts in flight end at the
+// adapters that started them.
 func (e *Engine) rebuildServices() {
 	routes := make(map[string][]*configuration.Route)
 	for _, route := range e.table.Routes() {
@@ -52,7 +53,8 @@
 	e.gauges.keep(kept)
 }
 
-// redefine gives a service its new definition and routes. A change that matters to the decision module retires the adapter.
+// redefine sets the definition and the routes of a service. If the change concerns the decision module, the adapter is
+// retired.
 func (s *service) redefine(definition *configuration.Service, routes []*configuration.Route) {
 	signature := signatureOf(definition, routes)
 	if signature != s.signature {
@@ -62,7 +64,7 @@
 	s.rateLimiter.setRate(s.engine.now(), definition.RateLimitPerSecond, s.engine.rateDivisor)
 }
 
-// retireAdapter drops the service's adapter. Its attempts in flight still end there; messages that are pending in it return
+// retireAdapter removes the adapter of the service. Its attempts in flight still end there. Its pending messages return
 // to their route queues.
 func (s *service) retireAdapter() {
 	if s.adapter == nil {
@@ -73,7 +75,7 @@
 	retired.returnPending()
 }
 
-// signatureOf describes what an adapter is made from.
+// signatureOf returns a text that differs if an adapter made from the definition and the routes would differ.
 func signatureOf(definition *configuration.Service, routes []*configuration.Route) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%q", definition.StaticEndpoint)
@@ -83,8 +85,8 @@
 	return text.String()
 }
 
-// rebuildRouteQueues connects the route queues with their routes and services, and drops those that are empty and have no
-// route.
+// rebuildRouteQueues connects the route queues to their routes and services. It deletes the queues that are empty and
+// have no route.
 func (e *Engine) rebuildRouteQueues() {
 	for _, s := range e.services {
 		s.routeQueues = s.routeQueues[:0]
@@ -97,7 +99,7 @@
 	}
 }
 
-// connect finds a route queue's route and service.
+// connect sets the route and the service of a route queue.
 func (e *Engine) connect(q *routeQueue) {
 	q.route, q.service = e.table.Route(q.name), nil
 	if q.route == nil {
@@ -108,7 +110,7 @@
 	}
 }
 
-// routeQueueFor returns a route's queue, and makes it if there is none.
+// routeQueueFor returns the queue of a route. It creates the queue if there is none.
 func (e *Engine) routeQueueFor(route string) *routeQueue {
 	if found := e.backlog.routeQueues[route]; found != nil {
 		return found
@@ -119,19 +121,19 @@
 	return fresh
 }
 
-// routeDropped tells whether the operator has removed a message's route. A message that was submitted under a newer
-// configuration waits for it.
+// routeDropped reports whether the operator has removed the route of a message. A message that was submitted under a
+// newer configuration waits for that configuration instead.
 func (e *Engine) routeDropped(queued *queuedMessage) bool {
 	return e.table != nil && e.table.Version >= queued.message.ConfigVersion && e.table.Route(queued.message.Route) == nil
 }
 
-// applyWorkers takes over the latest list of workers.
+// applyWorkers applies the latest list of workers.
 func (e *Engine) applyWorkers() {
 	e.endpoints.reconcile()
 	e.refreshEndpoints()
 }
 
-// refreshEndpoints gives each service its endpoints, and tells the decision modules of changes.
+// refreshEndpoints sets the endpoints of each service and sends them to the decision modules.
 func (e *Engine) refreshEndpoints() {
 	used := make(map[*endpoint]bool)
 	listed := e.endpoints.byService()
@@ -152,7 +154,7 @@
 	e.markAllDirty()
 }
 
-// applyRateDivisor applies another divisor to the rate limits of all services.
+// applyRateDivisor applies a new divisor to the rate limits of all services.
 func (e *Engine) applyRateDivisor(count int) {
 	e.rateDivisor = count
 	now := e.now()
@@ -162,7 +164,7 @@
 	e.markAllDirty()
 }
 
-// connectionShare is the number of stores among which a worker's connections and slots are divided.
+// connectionShare returns the number of callers that share the connections and slots of each worker.
 func (e *Engine) connectionShare() int {
 	if e.options.ConnectionShare == nil {
 		return 1
--- a/internal/delivery/route_queue.go
+++ b/internal/delivery/route_queue.go
@@ -7,20 +7,21 @@
 	"gladepick/internal/configuration"
 )
 
-// routeQueue holds the messages of one route that may be dispatched, without those that are parked or dispatched.
+// routeQueue holds the messages of one route that are not blocked by order, parked or dispatched.
 type routeQueue struct {
 	name      string
 	route     *configuration.Route // nil while the configuration has no such route
-	service   *service             // nil with the route
-	scheduled messageHeap          // not due yet, or in backoff: by the time from which they may be dispatched
-	ready     messageHeap          // due, the oldest first
-	overdue   messageHeap          // too late to start within the route's target, by their rank
+	service   *service             // nil if route is nil
+	scheduled messageHeap          // not due yet, or in backoff; ordered by the time from which they may be dispatched
+	ready     messageHeap          // due; the oldest first
+	overdue   messageHeap          // too late to start within the route's target; ordered by rank
 }
 
 const (
-	// rankPerFollower is by how much later an overdue message ranks for each message that waits behind it.
+	// rankPerFollower is added to the rank of an overdue message for each message that waits behind it.
 	rankPerFollower = 4 * time.Second
-	// longestRankDelay bounds that, so that a message is overtaken only by those that were due at most so much later.
+	// longestRankDelay bounds what is added to a rank. A message is overtaken only by messages that were due at most
+	// this much later.
 	longestRankDelay = 12 * time.Second
 )
 
@@ -47,8 +48,9 @@
 	return olderFirst(a, b)
 }
 
-// overdueRank orders overdue messages. Those with few followers go first: after an outage the small order groups are
-// soon empty, and new messages with their order keys can start in time again.
+// overdueRank returns the rank of an overdue message; a lower rank starts first. Messages with few followers start
+// first: after an outage the small order groups are soon empty, and new messages with their order keys can start in
+// time again.
 func (queued *queuedMessage) overdueRank() time.Duration {
 	if queued.orderGroup == nil {
 		return queued.due
@@ -57,7 +59,7 @@
 	return queued.due + min(followers*rankPerFollower, longestRankDelay)
 }
 
-// add queues a message until it may be dispatched.
+// add queues a message until it is dispatched.
 func (q *routeQueue) add(queued *queuedMessage, now time.Duration) {
 	queued.state = inRouteQueue
 	queued.routeQueue = q
@@ -69,7 +71,7 @@
 	q.ready.add(queued)
 }
 
-// promote moves the scheduled messages whose time has come to the ready ones.
+// promote moves the scheduled messages that may be dispatched now to the ready messages.
 func (q *routeQueue) promote(now time.Duration) {
 	for len(q.scheduled.messages) > 0 && q.scheduled.messages[0].notBefore <= now {
 		queued := q.scheduled.messages[0]
@@ -78,7 +80,7 @@
 	}
 }
 
-// nextDue is when the first scheduled message may be dispatched.
+// nextDue returns when the first scheduled message may be dispatched.
 func (q *routeQueue) nextDue() time.Duration {
 	if len(q.scheduled.messages) == 0 {
 		return never
@@ -86,7 +88,7 @@
 	return q.scheduled.messages[0].notBefore
 }
 
-// moveOverdue sets the ready messages aside that can't start within the route's target any more.
+// moveOverdue moves the ready messages that can no longer start within the route's target to the overdue messages.
 func (q *routeQueue) moveOverdue(now time.Duration) {
 	for queued := q.ready.first(); queued != nil && queued.startBy() < now; queued = q.ready.first() {
 		q.ready.remove(queued)
@@ -99,18 +101,19 @@
 
 func (q *routeQueue) empty() bool { return len(q.scheduled.messages)+q.dueCount() == 0 }
 
-// startBy is when a message should have started at the latest. Its route queue has a route.
+// startBy returns the latest time at which a message starts within the target of its route. The route of its queue must
+// not be nil.
 func (queued *queuedMessage) startBy() time.Duration {
 	return queued.due + queued.routeQueue.route.StartTarget
 }
 
-// messageHeap is a heap of messages that know their index in it.
+// messageHeap is a heap of messages. Each message records its index in the heap.
 type messageHeap struct {
 	messages []*queuedMessage
 	less     func(a, b *queuedMessage) bool
 }
 
-// first is the top of the heap, or nil.
+// first returns the top of the heap, or nil if the heap is empty.
 func (h *messageHeap) first() *queuedMessage {
 	if len(h.messages) == 0 {
 		return nil
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -8,33 +8,34 @@
 	"gladepick/internal/configuration"
 )
 
-// service is what the event loop keeps of one service.
+// service is the event loop's state of one configured service.
 type service struct {
 	engine            *Engine
 	definition        *configuration.Service
 	routes            []*configuration.Route // by name
 	routeQueues       []*routeQueue
 	adapter           *decisionAdapter // nil until the service has work
-	signature         string           // of what the adapter was made from
+	signature         string           // of the definition and routes that the adapter was made from
 	gauge             *serviceGauge
 	rateLimiter       tokenBucket
 	concurrency       concurrencyLimit
 	endpoints         []*endpoint
-	share             int           // the callers among which its workers' limits are divided
-	dispatched        int           // messages that are dispatched
-	starts            int           // messages dispatched so far
-	healthResetCursor int           // the endpoint whose health was reset last, while the service is down
-	healthResetAt     time.Duration // when idle endpoints' health was reset last
+	share             int           // number of callers that share the limits of its workers
+	dispatched        int           // number of messages that are dispatched now
+	starts            int           // number of messages dispatched so far
+	healthResetCursor int           // index of the endpoint whose health was last reset while the service is down
+	healthResetAt     time.Duration // when the health of idle endpoints was last reset
 	dirty             bool          // to be run in this turn
 	nextRun           time.Duration // when it is to be run next
-	scheduleIndex     int           // its index among the services by that time; -1 where it has none
+	scheduleIndex     int           // its index in the heap of services by nextRun; -1 if it is not there
 }
 
-// startsPerOverdue is how many messages start for each that is overdue, while others can start in time.
+// startsPerOverdue is the number of starts of which one goes to an overdue message while other messages can start in
+// time.
 const startsPerOverdue = 4
 
-// dispatch hands due messages to the decision module while the limits permit it. It returns when the service is to be run
-// again at the latest; ends of attempts and messages that come due have it run before.
+// dispatch passes due messages to the decision module while the limits permit it. It returns the latest time at which
+// the service must run again. It runs earlier if an attempt ends or a message comes due.
 func (s *service) dispatch(now time.Duration) time.Duration {
 	s.refreshShare()
 	next := s.restoreMisdirected(now)
@@ -54,7 +55,7 @@
 	return next
 }
 
-// start hands a message to the decision module, unless it has expired or its partition may not deliver.
+// start passes a message to the decision module, unless the message has expired or its partition may not deliver.
 func (s *service) start(queued *queuedMessage, now time.Duration) {
 	queued.heap.remove(queued)
 	switch {
@@ -71,22 +72,23 @@
 	}
 }
 
-// ensureAdapter makes the service's adapter to the decision module if there is none. It tells whether there is one.
+// ensureAdapter creates the adapter of the service if there is none. It reports whether the service has one.
 func (s *service) ensureAdapter() bool {
 	if s.adapter != nil {
 		return true
 	}
 	made, err := newDecisionAdapter(s)
 	if err != nil {
-		s.engine.logger.Error("no decision module for a service", zap.String("service", s.definition.Name), zap.Error(err))
+		s.engine.logger.Error("cannot create the decision module of a service",
+			zap.String("service", s.definition.Name), zap.Error(err))
 		return false
 	}
 	s.adapter = made
 	return true
 }
 
-// nextMessage is the message that should start next, or nil. Those that can start in time come first; of the overdue ones,
-// one is taken now and then, so that they are not starved under any load.
+// nextMessage returns the message that starts next, or nil. Messages that can start in time come first. An overdue
+// message is taken at fixed intervals, so that overdue messages are not starved under any load.
 func (s *service) nextMessage(now time.Duration) *queuedMessage {
 	inTime, overdue := s.candidates(now)
 	if inTime == nil || overdue != nil && s.starts%startsPerOverdue == 0 {
@@ -95,8 +97,8 @@
 	return inTime
 }
 
-// candidates finds the message that should start first among those that can start in time, and among the overdue ones. Of
-// equal ones it is that with the higher priority.
+// candidates returns the message that should start first among those that can start in time, and the one among the
+// overdue messages. Between messages with equal start times, the higher priority wins.
 func (s *service) candidates(now time.Duration) (inTime, overdue *queuedMessage) {
 	for _, q := range s.routeQueues {
 		q.moveOverdue(now)
@@ -106,7 +108,7 @@
 	return inTime, overdue
 }
 
-// earlierStart returns the message that should start first; either may be nil.
+// earlierStart returns the message that should start first. Either argument may be nil.
 func earlierStart(a, b *queuedMessage) *queuedMessage {
 	switch {
 	case a == nil:
--- a/internal/delivery/service_health.go
+++ b/internal/delivery/service_health.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// healthResetInterval is the least time between two resets of the idle endpoints' health while messages are pending.
+	// healthResetInterval is the shortest time between two resets of the health of idle endpoints while messages are
+	// pending.
 	healthResetInterval = 5 * time.Millisecond
-	// ownZoneShare is how much of its share of the service's slots a store fills at the workers of its own zone before it
-	// uses those of other zones.
+	// ownZoneShare is the fraction of the store's part of the service's slots that the store fills at workers of its
+	// own zone before it uses workers of other zones.
 	ownZoneShare = 0.8
 )
 
-// maxConcurrency is how many attempts may be in flight to the ready endpoints together.
+// maxConcurrency returns how many attempts may be in flight to all ready endpoints together.
 func (s *service) maxConcurrency() int {
 	sum := 0
 	for _, target := range s.endpoints {
@@ -25,8 +26,8 @@
 	return sum
 }
 
-// hasOwnZoneCapacity tells whether the next message should go to a worker in the store's own zone, so that its bytes do
-// not cross a border between zones.
+// hasOwnZoneCapacity reports whether the next message goes to a worker in the store's zone, to avoid traffic between
+// zones.
 func (s *service) hasOwnZoneCapacity() bool {
 	inFlight, workers, slots := 0, 0, 0
 	for _, target := range s.endpoints {
@@ -52,7 +53,7 @@
 	return count
 }
 
-// refreshShare applies a change in the number of callers that share the workers.
+// refreshShare applies a change of the number of callers that share the workers.
 func (s *service) refreshShare() {
 	if share := s.engine.connectionShare(); share != s.share {
 		s.share = share
@@ -66,8 +67,8 @@
 	}
 }
 
-// restoreMisdirected makes the endpoints available again at whose address another worker answered a while ago, if they
-// still are on the list. It returns when there will be more to restore.
+// restoreMisdirected makes endpoints at whose address another worker responded available again after a pause, if they
+// are still on the list. It returns when the next endpoint is to be restored.
 func (s *service) restoreMisdirected(now time.Duration) time.Duration {
 	next := never
 	for _, target := range s.endpoints {
@@ -85,7 +86,8 @@
 	return next
 }
 
-// resetNextHealth has the decision module try one more worker, each in turn, while the service is down.
+// resetNextHealth resets the health of the next ready endpoint, so that the decision module tries each worker in turn
+// while the service is down.
 func (s *service) resetNextHealth(now time.Duration) {
 	for range s.endpoints {
 		s.healthResetCursor = (s.healthResetCursor + 1) % len(s.endpoints)
@@ -96,8 +98,8 @@
 	}
 }
 
-// resetIdleHealth has the decision module trust all endpoints that are not ejected and have capacity. It tells whether
-// there are any.
+// resetIdleHealth resets the health of all endpoints that are not ejected and have capacity. It reports whether there
+// are any.
 func (s *service) resetIdleHealth(now time.Duration) bool {
 	if now-s.healthResetAt < healthResetInterval {
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// resetHealth tells the decision module of a restart of workers, upon which it forgets their failures.
+// resetHealth reports workers as restarted to the decision module. The module then forgets their failures.
 func (s *service) resetHealth(now time.Duration, targets ...*endpoint) {
 	if s.adapter == nil {
 		return
@@ -127,7 +129,7 @@
 	s.adapter.sendWorkerChanges(targets)
 }
 
-// recordResult learns from the result of an attempt at an endpoint.
+// recordResult applies the result of an attempt at an endpoint to the health of the endpoint and the service.
 func (s *service) recordResult(target *endpoint, result attemptResult) {
 	wasDown := s.concurrency.down
 	s.applyResult(target, result)
@@ -163,8 +165,8 @@
 	}
 }
 
-// throttle applies a worker's answer that it gets too many requests: to the whole service where the workers share a rate
-// limit, else to the endpoint.
+// throttle applies a response with status 429. If the workers share a rate limit or the endpoint is static, it pauses
+// the whole service; otherwise it ejects the endpoint for the throttled backoff.
 func (s *service) throttle(target *endpoint, now time.Duration) {
 	if s.definition.RateLimitPerSecond > 0 || target.static {
 		s.concurrency.onThrottled(now, s.engine.random)
--- a/internal/delivery/service_schedule.go
+++ b/internal/delivery/service_schedule.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// fullSweepInterval is how often all services are run while messages are queued. Events and the schedule's times lead to
-// all runs that are needed; the sweep bounds what a missed one would cost.
+// fullSweepInterval is the time between two runs of all services while messages are queued. Events and the schedule
+// already cause every run that is needed; the sweep bounds the delay if one is missed.
 const fullSweepInterval = 250 * time.Millisecond
 
-// serviceSchedule knows which services the loop has to run: those that something happened to, and those whose time has
-// come. A turn of the loop costs nothing for the others, however many there are.
+// serviceSchedule determines which services the loop runs: those that an event concerns, and those whose next run is
+// due. In a turn of the loop, the other services cost nothing, however many there are.
 type serviceSchedule struct {
-	dirty []*service
+	dirty []*service // to be run in this turn, or in the next one
 	timed serviceHeap
 }
 
-// markDirty has a service run in this turn, or in the next one if this one is past its runs. A nil service is ignored.
+// markDirty makes a service run in this turn, or in the next turn if this one has already run its services. A nil
+// service is ignored.
 func (schedule *serviceSchedule) markDirty(s *service) {
 	if s == nil || s.dirty {
 		return
@@ -25,7 +26,7 @@
 	schedule.dirty = append(schedule.dirty, s)
 }
 
-// takeDue returns the services to run now: those that are dirty, and those whose time has come.
+// takeDue removes and returns the services to run now: those that are dirty, and those whose next run is due.
 func (schedule *serviceSchedule) takeDue(now time.Duration) []*service {
 	for len(schedule.timed) > 0 && schedule.timed[0].nextRun <= now {
 		s := schedule.timed[0]
@@ -40,7 +41,7 @@
 	return taken
 }
 
-// setTime sets when a service is to be run again if nothing happens to it before.
+// setTime sets when a service runs next if no event causes an earlier run.
 func (schedule *serviceSchedule) setTime(s *service, at time.Duration) {
 	s.nextRun = at
 	switch {
@@ -54,10 +55,10 @@
 	}
 }
 
-// remove drops a service that the configuration has no more.
+// remove removes a service that is no longer configured.
 func (schedule *serviceSchedule) remove(s *service) { schedule.setTime(s, never) }
 
-// nextTime is when the next run is due.
+// nextTime returns when the next run is due.
 func (schedule *serviceSchedule) nextTime(now time.Duration) time.Duration {
 	switch {
 	case len(schedule.dirty) > 0:
@@ -68,7 +69,7 @@
 	return never
 }
 
-// serviceHeap holds services by the time of their next run.
+// serviceHeap is a heap of services, the earliest next run first.
 type serviceHeap []*service
 
 // Len implements heap.Interface.
@@ -100,14 +101,14 @@
 	return s
 }
 
-// markAllDirty has all services run.
+// markAllDirty makes all services run.
 func (e *Engine) markAllDirty() {
 	for _, s := range e.services {
 		e.schedule.markDirty(s)
 	}
 }
 
-// dispatchServices runs the services that are due, and returns when there is more to do.
+// dispatchServices runs the services that are due, and returns when the next run is due.
 func (e *Engine) dispatchServices(now time.Duration) time.Duration {
 	if e.backlog.size > 0 && now-e.lastFullSweep >= fullSweepInterval {
 		e.lastFullSweep = now
@@ -124,7 +125,7 @@
 	return next
 }
 
-// dispatchDue starts the messages of a service that are due, and returns when it is to be run again.
+// dispatchDue starts the messages of a service that are due, and returns when the service must run again.
 func (s *service) dispatchDue(now time.Duration) time.Duration {
 	for _, q := range s.routeQueues {
 		q.promote(now)
--- a/internal/delivery/stats.go
+++ b/internal/delivery/stats.go
@@ -5,23 +5,24 @@
 	"sync/atomic"
 )
 
-// Stats are figures about an engine, as of the event loop's last turn.
+// Stats are figures of an engine. All except InFlight are as of the last turn of the event loop.
 type Stats struct {
-	Queued   int // messages that have not ended
-	InFlight int // attempts
-	Services map[string]ServiceStats
+	Queued   int                     // messages that have not ended
+	InFlight int                     // attempts in flight
+	Services map[string]ServiceStats // by service name
 }
 
-// ServiceStats are figures about one service.
+// ServiceStats are figures of one service.
 type ServiceStats struct {
-	Due              int  // messages that wait and may be dispatched
-	Pending          int  // messages that are dispatched: with the decision module or in flight
-	ConcurrencyLimit int  // how many messages may be dispatched
-	Ready            int  // workers that take messages
-	Down             bool // the last attempts all ended without a worker processing the message
+	Due              int  // messages that are due and wait to be dispatched
+	Pending          int  // messages that are dispatched: held by the decision module or in flight
+	ConcurrencyLimit int  // how many messages may be dispatched at the same time
+	Ready            int  // workers to which messages may be sent
+	Down             bool // consecutive attempts have ended without a worker processing the message
 }
 
-// gauges are what the event loop publishes: of a service, after each run.
+// gauges holds the figures that the event loop publishes: for each service after each of its runs, for the backlog
+// after each turn.
 type gauges struct {
 	queued atomic.Int64
 	mutex  sync.Mutex // guards byName; the gauges themselves are atomic
@@ -33,7 +34,7 @@
 	down                                  atomic.Bool
 }
 
-// keep gives each service its gauge and drops the others.
+// keep creates a gauge for each service that has none, and drops the gauges of other services.
 func (g *gauges) keep(services map[string]*service) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// publishGauge publishes the service's figures after a run.
+// publishGauge publishes the figures of the service after a run.
 func (s *service) publishGauge() {
 	due := 0
 	for _, q := range s.routeQueues {
@@ -60,7 +61,7 @@
 	s.gauge.down.Store(s.concurrency.down)
 }
 
-// Stats returns the figures of the event loop's last turn.
+// Stats returns the current figures of the engine.
 func (e *Engine) Stats() Stats {
 	e.gauges.mutex.Lock()
 	defer e.gauges.mutex.Unlock()
--- a/internal/delivery/timer_queue.go
+++ b/internal/delivery/timer_queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// timer is a wake-up that a decision module has asked for, at a time on the engine's clock.
+// timer is a wake-up that a decision module has requested, at a time on the engine's clock.
 type timer struct {
 	due     time.Duration
 	adapter *decisionAdapter
 	token   uint32
 }
 
-// timerQueue keeps the decision modules' timers, the earliest first.
+// timerQueue is a heap of the timers of all decision modules, the earliest first.
 type timerQueue []timer
 
 // Len implements heap.Interface.
@@ -46,7 +46,7 @@
 	return heap.Pop(t).(timer), true
 }
 
-// nextDue is when the earliest timer is due.
+// nextDue returns when the earliest timer is due.
 func (t timerQueue) nextDue() time.Duration {
 	if len(t) == 0 {
 		return never
--- a/internal/delivery/token_bucket.go
+++ b/internal/delivery/token_bucket.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// How much of a service's rate limit is used. The rest is left for clocks and links that differ, and for attempts that
-// several stores start at one moment.
+// The part of a service's rate limit that is used. The rest allows for clock drift, for varying network delays, and for
+// attempts that several stores start at the same moment.
 const (
-	usableRate    = 0.92                   // of the rate limit, by all stores together
-	burstDuration = 250 * time.Millisecond // so much of a store's part may be saved up
-	maxBurst      = 3
+	usableRate    = 0.92                   // fraction of the rate limit that all stores together use
+	burstDuration = 250 * time.Millisecond // tokens of this duration may accumulate
+	maxBurst      = 3                      // in tokens
 )
 
-// tokenBucket limits the rate of sends. A rate of zero is no limit. Times are on the engine's clock.
+// tokenBucket limits the rate of sends. If the rate is zero, sends are not limited. Times are on the engine's clock.
 type tokenBucket struct {
-	rate       float64 // tokens a second
-	burst      float64
+	rate       float64 // tokens per second
+	burst      float64 // the largest number of tokens; 0 before the first call of setRate
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// setRate gives the bucket this store's part of a service's rate limit, of so many requests a second.
+// setRate sets the rate to this store's part of a service's rate limit, in requests per second.
 func (b *tokenBucket) setRate(now time.Duration, perSecond float64, divisor int) {
 	b.refill(now)
 	fresh := b.burst == 0
@@ -38,7 +38,7 @@
 	}
 }
 
-// wait is how long it takes until a token is available.
+// wait returns how long it takes until a token is available.
 func (b *tokenBucket) wait(now time.Duration) time.Duration {
 	if b.rate <= 0 {
 		return 0
@@ -50,7 +50,7 @@
 	return time.Duration((1-b.tokens)/b.rate*float64(time.Second)) + time.Microsecond
 }
 
-// tryTake takes a token if there is one.
+// tryTake takes a token and reports whether one was available.
 func (b *tokenBucket) tryTake(now time.Duration) bool {
 	if b.wait(now) > 0 {
 		return false
@@ -59,5 +59,5 @@
 	return true
 }
 
-// refund returns a token that was not used.
+// refund returns an unused token.
 func (b *tokenBucket) refund() { b.tokens = min(b.tokens+1, b.burst) }
--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -12,16 +12,16 @@
 const (
 	maxDialDuration      = time.Second
 	maxAnswerHeaderBytes = 64 << 10
-	bufferSize           = 4 << 10
+	bufferSize           = 4 << 10 // bytes of each read and write buffer
 )
 
-// errWithdrawn is the error of a write whose attempt was called off before its first byte.
+// errWithdrawn is the error of a write whose attempt was cancelled before its first byte.
 var errWithdrawn = errors.New("delivery: attempt withdrawn")
 
 // dialer opens a connection to a worker.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newDialer makes the dialer of an engine. Its connections ask their attempt before each write.
+// newDialer returns the dialer of an engine. Each connection asks its attempt for admission before each write.
 func newDialer(options Options) dialer {
 	limit := maxDialDuration
 	if options.Drain > 0 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// newTransport makes the HTTP/1.1 transport to one worker, without proxies and compression. Where idle is 0, each connection
-// is closed after its attempt.
+// newTransport creates the HTTP/1.1 transport to one worker, without proxies and compression. If idle is 0, each
+// connection is closed after its attempt.
 func newTransport(dial dialer, connections int, idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -55,10 +55,10 @@
 	}
 }
 
-// workerConnection is a connection that lets an attempt's bytes pass only if the attempt may still start.
+// workerConnection writes the bytes of an attempt only if the attempt may still start.
 type workerConnection struct {
 	net.Conn
-	attempt atomic.Pointer[attempt] // the one that uses it
+	attempt atomic.Pointer[attempt] // the attempt that uses the connection
 }
 
 // Write implements net.Conn.
