--- a/internal/delivery/apply_result.go
+++ b/internal/delivery/apply_result.go
@@ -33,16 +33,16 @@
 	if report.result == resultFailed {
 		j.queued.failures = a.failures + 1
 	}
-	if report.result.answered() {
+	if report.result.processed() {
 		j.queued.backoffs = 0
 	}
-	closed := report.ended || e.shouldRequeue(a, report.result)
-	adapter.reportOutcome(j, report.result.moduleOutcome(report.ended), closed)
+	jobEnded := report.ended || e.shouldRequeue(a, report.result)
+	adapter.reportOutcome(j, report.result.moduleOutcome(report.ended), jobEnded)
 	switch {
 	case report.ended:
-		adapter.forget(j)
-		e.forgetEnded(j.queued)
-	case closed:
+		adapter.removeJob(j)
+		e.removeEnded(j.queued)
+	case jobEnded:
 		adapter.returnToQueue(j, 0)
 	}
 }
@@ -56,8 +56,8 @@
 		queued.orphan || queued.expired(e.now()) || s.adapter != a.adapter || s.concurrency.down
 }
 
-// forgetEnded removes a message that ended with an attempt.
-func (e *Engine) forgetEnded(queued *queuedMessage) {
+// removeEnded removes a message that ended with an attempt.
+func (e *Engine) removeEnded(queued *queuedMessage) {
 	if queued.orphan {
 		delete(e.backlog.orphans, keyOf(queued.message))
 		return
--- a/internal/delivery/attempt.go
+++ b/internal/delivery/attempt.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxAnswerBytes    = 1 << 20
+	maxResponseBytes  = 1 << 20
 	ownerRecheckAfter = 20 * time.Millisecond // MayDeliver is called again for a first byte later than this
 )
 
@@ -40,7 +40,7 @@
 	startedAt time.Time
 
 	started    atomic.Bool // its first byte may have been sent
-	withdrawn  atomic.Bool // it was cancelled before its first byte
+	cancelled  atomic.Bool // it was cancelled before its first byte
 	connection atomic.Pointer[workerConnection]
 }
 
@@ -103,11 +103,11 @@
 	ctx, cancel := context.WithDeadline(context.Background(), a.startedAt.Add(a.route.Timeout))
 	defer cancel()
 	request := a.request(ctx, body)
-	answer, err := a.transport.RoundTrip(request)
+	response, err := a.transport.RoundTrip(request)
 	if err != nil {
-		return attemptReport{result: a.resultWithoutAnswer(ctx)}
+		return attemptReport{result: a.resultWithoutResponse(ctx)}
 	}
-	return a.readAnswer(ctx, answer)
+	return a.readResponse(ctx, response)
 }
 
 // request returns the HTTP request of the attempt.
@@ -131,10 +131,10 @@
 }
 
 func (a *attempt) header() http.Header {
-	left := a.route.Timeout - time.Since(a.startedAt)
+	remaining := a.route.Timeout - time.Since(a.startedAt)
 	header := http.Header{
 		headerRequestID: {a.message.RequestID},
-		headerDeadline:  {strconv.FormatInt(max(left.Milliseconds(), 1), 10)},
+		headerDeadline:  {strconv.FormatInt(max(remaining.Milliseconds(), 1), 10)},
 		headerUserAgent: {""}, // the header is not sent
 	}
 	optional := []struct{ name, value string }{
@@ -157,11 +157,11 @@
 	}
 	// net/http would write an opaque part that starts with two slashes together with the scheme.
 	path, query, hasQuery := strings.Cut(target, "?")
-	made := &url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
-	if plain, err := url.PathUnescape(path); err == nil {
-		made.Path, made.RawPath = plain, path
+	parsed := &url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
+	if unescaped, err := url.PathUnescape(path); err == nil {
+		parsed.Path, parsed.RawPath = unescaped, path
 	}
-	return made
+	return parsed
 }
 
 // gotConnection binds a connection to the attempt that uses it.
@@ -174,15 +174,15 @@
 // admitWrite reports whether a connection may write bytes of the attempt. The connection calls it before each write.
 // The first write is admitted only if the attempt may still start; later writes are admitted only on the same
 // connection, so that no attempt is sent twice.
-func (a *attempt) admitWrite(on *workerConnection) bool {
+func (a *attempt) admitWrite(conn *workerConnection) bool {
 	if a.started.Load() {
-		return a.connection.Load() == on
+		return a.connection.Load() == conn
 	}
 	if a.endpoint.unavailable.Load() || a.ownerForbids() {
-		a.withdrawn.Store(true)
+		a.cancelled.Store(true)
 		return false
 	}
-	a.connection.Store(on)
+	a.connection.Store(conn)
 	a.started.Store(true)
 	return true
 }
@@ -192,29 +192,29 @@
 	return time.Since(a.startedAt) > ownerRecheckAfter && !a.engine.options.Owner.MayDeliver(a.message.Partition)
 }
 
-// resultWithoutAnswer returns the result of an attempt that got no complete response.
-func (a *attempt) resultWithoutAnswer(ctx context.Context) attemptResult {
+// resultWithoutResponse returns the result of an attempt that got no complete response.
+func (a *attempt) resultWithoutResponse(ctx context.Context) attemptResult {
 	switch {
 	case a.started.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return resultTimedOut
 	case a.started.Load():
 		return resultUncertain
-	case a.withdrawn.Load():
-		return resultWithdrawn
+	case a.cancelled.Load():
+		return resultCancelled
 	default:
 		return resultUnreachable
 	}
 }
 
-// readAnswer reads the response to its end and classifies it. It closes a connection whose state is unclear.
-func (a *attempt) readAnswer(ctx context.Context, answer *http.Response) attemptReport {
-	report := classifyAnswer(answer, a.message.RequestID)
-	size, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes))
-	_ = answer.Body.Close() // closes the connection unless the whole body was read
+// readResponse reads the response to its end and classifies it. It closes a connection whose state is unclear.
+func (a *attempt) readResponse(ctx context.Context, response *http.Response) attemptReport {
+	report := classifyResponse(response, a.message.RequestID)
+	size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
+	_ = response.Body.Close() // closes the connection unless the whole body was read
 	if err != nil && report.result.needsCompleteBody() {
-		report.result = a.resultWithoutAnswer(ctx)
+		report.result = a.resultWithoutResponse(ctx)
 	}
-	if err != nil || size == maxAnswerBytes || report.result == resultUncertain {
+	if err != nil || size == maxResponseBytes || report.result == resultUncertain {
 		a.closeConnection()
 	}
 	return report
--- a/internal/delivery/attempt_result.go
+++ b/internal/delivery/attempt_result.go
@@ -24,7 +24,7 @@
 	resultTimedOut                                  // the worker may have run the message, or may still run it
 	resultDeadlineExceeded                          // the worker stopped at its deadline: it may have run the message
 	resultUnreachable                               // no byte was sent
-	resultWithdrawn                                 // cancelled before the first byte
+	resultCancelled                                 // cancelled before the first byte
 	resultBodyUnreadable                            // the body of the message could not be read
 )
 
@@ -49,8 +49,8 @@
 	keepAlive time.Duration // when the worker closes idle connections; 0 if it did not say
 }
 
-// answered reports whether a worker processed the message, or another attempt of it is running there.
-func (r attemptResult) answered() bool {
+// processed reports whether a worker has processed the message or is processing it in another attempt.
+func (r attemptResult) processed() bool {
 	return r == resultCompleted || r == resultRejected || r == resultFailed || r == resultRunning
 }
 
@@ -78,24 +78,24 @@
 	}
 }
 
-// classifyAnswer returns the result that the status and the headers of a response state. The caller checks that the
+// classifyResponse returns the result that the status and the headers of a response state. The caller checks that the
 // body is complete. A response that does not name this request may belong to another request, so it does not show that
 // this one was processed.
-func classifyAnswer(answer *http.Response, requestID string) attemptReport {
-	report := attemptReport{keepAlive: keepAliveOf(answer.Header)}
-	echoed := answer.Header.Get(headerRequestID)
+func classifyResponse(response *http.Response, requestID string) attemptReport {
+	report := attemptReport{keepAlive: keepAliveOf(response.Header)}
+	echoed := response.Header.Get(headerRequestID)
 	switch {
 	case echoed != "" && echoed != requestID:
 		report.result = resultUncertain
-	case answer.StatusCode >= 200 && answer.StatusCode < 300:
-		report.stamp = answer.Header.Get(headerStamp)
+	case response.StatusCode >= 200 && response.StatusCode < 300:
+		report.stamp = response.Header.Get(headerStamp)
 		report.result = resultUncertain
 		if report.stamp != "" && echoed == requestID {
 			report.result = resultCompleted
 		}
 	default:
-		report.result = classifyFailure(answer)
-		if report.result.answered() && echoed != requestID {
+		report.result = classifyFailure(response)
+		if report.result.processed() && echoed != requestID {
 			report.result = resultUncertain
 		}
 	}
@@ -103,8 +103,8 @@
 }
 
 // classifyFailure returns the result that the status and the headers of an unsuccessful response state.
-func classifyFailure(answer *http.Response) attemptResult {
-	switch answer.StatusCode {
+func classifyFailure(response *http.Response) attemptResult {
+	switch response.StatusCode {
 	case http.StatusConflict:
 		return resultRunning
 	case http.StatusTooManyRequests:
@@ -115,13 +115,13 @@
 		return resultFull
 	}
 	switch {
-	case answer.Header.Get(headerNotExecuted) != "":
+	case response.Header.Get(headerNotExecuted) != "":
 		return resultFull
-	case answer.StatusCode == http.StatusUnprocessableEntity:
+	case response.StatusCode == http.StatusUnprocessableEntity:
 		return resultRejected
-	case answer.StatusCode == http.StatusInternalServerError:
+	case response.StatusCode == http.StatusInternalServerError:
 		return resultFailed
-	case answer.StatusCode == http.StatusGatewayTimeout:
+	case response.StatusCode == http.StatusGatewayTimeout:
 		return resultDeadlineExceeded
 	default:
 		return resultUncertain
@@ -140,8 +140,8 @@
 		if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
 			continue
 		}
-		if span, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && span > 0 && span < 3600 {
-			return time.Duration(span * float64(time.Second))
+		if seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && seconds > 0 && seconds < 3600 {
+			return time.Duration(seconds * float64(time.Second))
 		}
 	}
 	return 0
--- a/internal/delivery/attempt_result_test.go
+++ b/internal/delivery/attempt_result_test.go
@@ -9,13 +9,13 @@
 )
 
 // TestResultsOfARunNeedTheRequestID classifies answers that name this request, another one, or none. A worker may send
-// a second answer late, when the connection carries the next request.
+// a second response late, when the connection carries the next request.
 func TestResultsOfARunNeedTheRequestID(t *testing.T) {
 	const requestID = "r-1"
 	cases := []struct {
 		status      int
 		notExecuted bool
-		named       attemptResult // where the answer names this request
+		named       attemptResult // where the response names this request
 		unnamed     attemptResult // where it names none
 	}{
 		{http.StatusOK, false, resultCompleted, resultUncertain},
@@ -30,14 +30,14 @@
 	}
 	for _, each := range cases {
 		for echoed, wanted := range map[string]attemptResult{requestID: each.named, "": each.unnamed, "r-2": resultUncertain} {
-			answer := &http.Response{StatusCode: each.status, Header: http.Header{headerStamp: {"stamp"}}}
+			response := &http.Response{StatusCode: each.status, Header: http.Header{headerStamp: {"stamp"}}}
 			if echoed != "" {
-				answer.Header.Set(headerRequestID, echoed)
+				response.Header.Set(headerRequestID, echoed)
 			}
 			if each.notExecuted {
-				answer.Header.Set(headerNotExecuted, "1")
+				response.Header.Set(headerNotExecuted, "1")
 			}
-			assert.Equal(t, classifyAnswer(answer, requestID).result, wanted, "%d naming %q", each.status, echoed)
+			assert.Equal(t, classifyResponse(response, requestID).result, wanted, "%d naming %q", each.status, echoed)
 		}
 	}
 }
--- a/internal/delivery/backlog.go
+++ b/internal/delivery/backlog.go
@@ -139,23 +139,23 @@
 
 func (b *backlog) orderGroupOf(queued *queuedMessage) *orderGroup {
 	key := orderGroupKey{queued.message.Partition, queued.message.OrderKey}
-	found := b.orderGroups[key]
-	if found == nil {
-		found = &orderGroup{}
-		b.orderGroups[key] = found
+	group := b.orderGroups[key]
+	if group == nil {
+		group = &orderGroup{}
+		b.orderGroups[key] = group
 	}
-	return found
+	return group
 }
 
-// each calls a function for every message that is not an orphan. The function may unlink the message that it is called
-// with, but no other.
-func (b *backlog) each(visit func(*queuedMessage)) {
+// forEach calls a function for every message that is not an orphan. The function may unlink the message that it is
+// called with, but no other.
+func (b *backlog) forEach(visit func(*queuedMessage)) {
 	for _, p := range b.partitions {
-		p.each(visit)
+		p.forEach(visit)
 	}
 }
 
-func (p *partition) each(visit func(*queuedMessage)) {
+func (p *partition) forEach(visit func(*queuedMessage)) {
 	for queued := p.first; queued != nil; {
 		next := queued.next
 		visit(queued)
--- a/internal/delivery/concurrency_limit.go
+++ b/internal/delivery/concurrency_limit.go
@@ -34,9 +34,9 @@
 // updateLimit returns how many messages may be in flight, at most limit. If limit has grown since the last call, the
 // window grows by the same amount.
 func (c *concurrencyLimit) updateLimit(limit int) int {
-	if more := float64(limit - c.lastMaximum); more > 0 {
-		c.current += more
-		c.slowStartThreshold += more
+	if growth := float64(limit - c.lastMaximum); growth > 0 {
+		c.current += growth
+		c.slowStartThreshold += growth
 	}
 	c.lastMaximum = limit
 	if c.down {
@@ -45,8 +45,8 @@
 	return min(max(int(c.current), 1), limit)
 }
 
-// onAnswer records that a worker processed a message. It ends an outage.
-func (c *concurrencyLimit) onAnswer(limit int) {
+// onResponse records that a worker processed a message. It ends an outage.
+func (c *concurrencyLimit) onResponse(limit int) {
 	if c.down {
 		c.down, c.current, c.slowStartThreshold = false, limitAfterOutage, float64(limit)
 		c.resumeAt = 0
@@ -90,8 +90,8 @@
 // onThrottled pauses the service for the throttled backoff plus a random part. Without the random part all stores would
 // resume at the same moment, and the same store would be the last each time.
 func (c *concurrencyLimit) onThrottled(now time.Duration, random *rand.Rand) {
-	spread := time.Duration(random.Float64() * float64(throttledBackoff) / 2)
-	c.resumeAt = max(c.resumeAt, now+throttledBackoff+spread)
+	randomPart := time.Duration(random.Float64() * float64(throttledBackoff) / 2)
+	c.resumeAt = max(c.resumeAt, now+throttledBackoff+randomPart)
 }
 
 // jitter varies a duration at random by up to a quarter up or down.
--- a/internal/delivery/concurrency_limit_test.go
+++ b/internal/delivery/concurrency_limit_test.go
@@ -37,10 +37,10 @@
 	}
 	assert.Equal(t, w.updateLimit(20), 1)
 	assert.Assert(t, w.resumeAt > time.Second && w.resumeAt <= time.Second+100*time.Millisecond)
-	w.onAnswer(20)
+	w.onResponse(20)
 	assert.Equal(t, w.updateLimit(20), 3)
 	for range 30 {
-		w.onAnswer(20)
+		w.onResponse(20)
 	}
 	assert.Equal(t, w.updateLimit(20), 20)
 }
@@ -64,7 +64,7 @@
 		}
 		assert.Assert(t, w.resumeAt > now && w.resumeAt-now <= limit, "after %v: %v", outage, w.resumeAt-now)
 	}
-	w.onAnswer(10)
+	w.onResponse(10)
 	w.onFailure(48*time.Hour, 1, random)
 	assert.Assert(t, !w.down)
 }
--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -44,12 +44,12 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	made := &decisionAdapter{service: s, module: module, jobs: make(map[decision.JobID]*job), classes: make(map[string]int)}
+	adapter := &decisionAdapter{service: s, module: module, jobs: make(map[decision.JobID]*job), classes: make(map[string]int)}
 	for i, route := range s.routes {
-		made.classes[route.Name] = i
+		adapter.classes[route.Name] = i
 	}
-	made.sendWorkerList()
-	return made, nil
+	adapter.sendWorkerList()
+	return adapter, nil
 }
 
 // sendWorkerList sends all endpoints to the module, unless the module already has that list.
@@ -200,11 +200,11 @@
 
 // send starts an attempt at a worker if all limits and gates permit it. If they do not, it reports to the module why
 // nothing was sent.
-func (d *decisionAdapter) send(j *job, to decision.WorkerID) {
+func (d *decisionAdapter) send(j *job, workerID decision.WorkerID) {
 	j.sends++
-	j.worker = to
+	j.worker = workerID
 	engine := d.service.engine
-	target := engine.endpoints.byWorkerID[to]
+	target := engine.endpoints.byWorkerID[workerID]
 	switch {
 	case target == nil || !target.ready():
 		d.reportOutcome(j, decision.NeverSent, false)
@@ -231,20 +231,20 @@
 }
 
 // reportOutcome reports to the module how the last send of a job ended, and whether the job has ended with it.
-func (d *decisionAdapter) reportOutcome(j *job, outcome decision.Outcome, closed bool) {
+func (d *decisionAdapter) reportOutcome(j *job, outcome decision.Outcome, jobEnded bool) {
 	d.handle(&decision.Event{
-		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, JobEnded: closed,
+		Kind: decision.EventOutcome, Job: j.id, Attempt: j.sends - 1, Worker: j.worker, Outcome: outcome, JobEnded: jobEnded,
 	})
 }
 
 // returnToQueue ends a job and returns its message to its route queue.
 func (d *decisionAdapter) returnToQueue(j *job, retryAfter time.Duration) {
-	d.forget(j)
+	d.removeJob(j)
 	d.service.engine.requeue(j, retryAfter)
 }
 
-// forget removes a job. If the job holds an unused token, the token is returned to the rate limiter.
-func (d *decisionAdapter) forget(j *job) {
+// removeJob removes a job. If the job holds an unused token, the token is returned to the rate limiter.
+func (d *decisionAdapter) removeJob(j *job) {
 	delete(d.jobs, j.id)
 	d.service.dispatched--
 	if j.hasToken {
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	usableConnections  = 0.9 // fraction of a worker's connections that all callers together use
-	slotOvercommit     = 1.5 // multiple of a worker's capacity that all callers use: some messages wait at the worker
-	minSlots           = 2   // per caller, if the worker has them; with fewer, a backlog drains too slowly
-	defaultConnections = 32  // if the definition of the service states none
-	maxIdleTimeout     = 4 * time.Second
-	idleTimeoutShare   = 0.8                   // fraction of the time after which the worker closes idle connections
-	misdirectedPause   = 2 * time.Second       // after another worker responded at the address
-	minEjection        = 50 * time.Millisecond // doubles with each consecutive ejection
-	maxEjection        = time.Second
+	usableConnectionShare = 0.9 // fraction of a worker's connections that all callers together use
+	slotOvercommit        = 1.5 // multiple of a worker's capacity that all callers use: some messages wait at the worker
+	minSlots              = 2   // per caller, if the worker has them; with fewer, a backlog drains too slowly
+	defaultConnections    = 32  // if the definition of the service states none
+	maxIdleTimeout        = 4 * time.Second
+	idleTimeoutShare      = 0.8                   // fraction of the time after which the worker closes idle connections
+	misdirectedPause      = 2 * time.Second       // after another worker responded at the address
+	minEjection           = 50 * time.Millisecond // doubles with each consecutive ejection
+	maxEjection           = time.Second
 )
 
 // endpoint is a worker, or the static endpoint of a service. The event loop owns all fields except unavailable.
@@ -33,7 +33,7 @@
 
 	inFlight         int           // attempts
 	limit            int           // of attempts in flight
-	crowded          bool          // fewer connections than callers: no connection stays open while idle
+	oversubscribed   bool          // fewer connections than callers: no connection stays open while idle
 	backoff          time.Duration // duration of the last ejection
 	ejectedUntil     time.Duration // its last attempts failed: its health is not reset earlier
 	misdirectedUntil time.Duration // another worker responded at its address; 0 if none did
@@ -48,19 +48,19 @@
 // setLimit limits the attempts in flight by the definition of the service and by the number of callers that share the
 // worker. If the worker accepts fewer connections than it has callers, the idle connections of some callers would lock
 // out the others, so they are closed.
-func (e *endpoint) setLimit(service *configuration.Service, share int, dial dialer) {
+func (e *endpoint) setLimit(service *configuration.Service, callers int, dial dialer) {
 	connections := float64(defaultConnections)
 	if service.MaxConnections > 0 {
-		connections = float64(service.MaxConnections) * usableConnections
+		connections = float64(service.MaxConnections) * usableConnectionShare
 	}
-	limit := math.Floor(connections / float64(share))
-	crowded := limit < 1
+	limit := math.Floor(connections / float64(callers))
+	oversubscribed := limit < 1
 	if e.worker.Capacity > 0 {
-		slots := math.Ceil(float64(e.worker.Capacity) * slotOvercommit / float64(share))
+		slots := math.Ceil(float64(e.worker.Capacity) * slotOvercommit / float64(callers))
 		limit = min(limit, max(slots, min(minSlots, float64(e.worker.Capacity))))
 	}
-	if attempts := max(int(limit), 1); attempts != e.limit || crowded != e.crowded {
-		e.limit, e.crowded = attempts, crowded
+	if attempts := max(int(limit), 1); attempts != e.limit || oversubscribed != e.oversubscribed {
+		e.limit, e.oversubscribed = attempts, oversubscribed
 		e.renewTransport(dial)
 	}
 }
@@ -70,7 +70,7 @@
 func (e *endpoint) renewTransport(dial dialer) {
 	e.closeIdle()
 	idle := e.idleTimeout
-	if e.crowded {
+	if e.oversubscribed {
 		idle = 0
 	}
 	e.transport = newTransport(dial, e.limit, idle)
@@ -91,8 +91,8 @@
 	}
 }
 
-// recordAnswer ends the ejection of the endpoint and resets its backoff.
-func (e *endpoint) recordAnswer() { e.backoff, e.ejectedUntil = 0, 0 }
+// recordResponse ends the ejection of the endpoint and resets its backoff.
+func (e *endpoint) recordResponse() { e.backoff, e.ejectedUntil = 0, 0 }
 
 // eject takes the endpoint out of health resets for a time that doubles with each consecutive ejection. It is called
 // when the worker is full or did not respond properly.
--- a/internal/delivery/endpoint_set.go
+++ b/internal/delivery/endpoint_set.go
@@ -53,10 +53,10 @@
 			ready[worker.ID] = worker
 		}
 	}
-	for id, known := range s.byID {
+	for id, existing := range s.byID {
 		listed, found := ready[id]
-		if !known.static && (!found || listed.Address != known.worker.Address) {
-			known.unavailable.Store(true)
+		if !existing.static && (!found || listed.Address != existing.worker.Address) {
+			existing.unavailable.Store(true)
 		}
 	}
 }
@@ -71,9 +71,9 @@
 		listed[worker.ID] = true
 		s.upsert(worker)
 	}
-	for id, known := range s.byID {
-		if !known.static && !listed[id] {
-			s.remove(id, known)
+	for id, existing := range s.byID {
+		if !existing.static && !listed[id] {
+			s.remove(id, existing)
 		}
 	}
 }
@@ -83,40 +83,40 @@
 // upsert adds or updates a worker of the list. A worker that has moved, or that is back after it was unavailable, gets
 // a new endpoint, so that attempts in flight at the old endpoint still see that it is unavailable.
 func (s *endpointSet) upsert(worker cluster.Worker) {
-	known := s.byID[worker.ID]
-	moved := known != nil && (known.worker.Address != worker.Address || known.worker.Service != worker.Service)
-	returned := known != nil && known.unavailable.Load() && !worker.Draining && known.misdirectedUntil == 0
-	if known != nil && !moved && !returned {
-		known.worker = worker
+	existing := s.byID[worker.ID]
+	moved := existing != nil && (existing.worker.Address != worker.Address || existing.worker.Service != worker.Service)
+	returned := existing != nil && existing.unavailable.Load() && !worker.Draining && existing.misdirectedUntil == 0
+	if existing != nil && !moved && !returned {
+		existing.worker = worker
 		return
 	}
-	if known != nil {
-		s.remove(worker.ID, known)
+	if existing != nil {
+		s.remove(worker.ID, existing)
 	}
-	fresh := s.add(worker.ID, worker)
-	fresh.unavailable.Store(worker.Draining)
+	added := s.add(worker.ID, worker)
+	added.unavailable.Store(worker.Draining)
 }
 
 // add creates an endpoint. Its worker id is the hash of its id, or the next free number if that one is taken.
 func (s *endpointSet) add(id string, worker cluster.Worker) *endpoint {
-	fresh := &endpoint{worker: worker, workerID: stableHash(id), zone: s.zoneOf(worker.Zone), idleTimeout: maxIdleTimeout}
-	for s.byWorkerID[fresh.workerID] != nil {
-		fresh.workerID++
+	added := &endpoint{worker: worker, workerID: stableHash(id), zone: s.zoneOf(worker.Zone), idleTimeout: maxIdleTimeout}
+	for s.byWorkerID[added.workerID] != nil {
+		added.workerID++
 	}
-	s.byID[id], s.byWorkerID[fresh.workerID] = fresh, fresh
-	return fresh
+	s.byID[id], s.byWorkerID[added.workerID] = added, added
+	return added
 }
 
-func (s *endpointSet) remove(id string, known *endpoint) {
-	known.unavailable.Store(true)
-	known.closeIdle()
+func (s *endpointSet) remove(id string, existing *endpoint) {
+	existing.unavailable.Store(true)
+	existing.closeIdle()
 	delete(s.byID, id)
-	delete(s.byWorkerID, known.workerID)
+	delete(s.byWorkerID, existing.workerID)
 }
 
 func (s *endpointSet) zoneOf(zone string) int {
-	number, known := s.zones[zone]
-	if !known {
+	number, found := s.zones[zone]
+	if !found {
 		number = len(s.zones)
 		s.zones[zone] = number
 	}
@@ -128,9 +128,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	found := make(map[string][]*endpoint)
-	for _, known := range s.byID {
-		if !known.static {
-			found[known.worker.Service] = append(found[known.worker.Service], known)
+	for _, existing := range s.byID {
+		if !existing.static {
+			found[existing.worker.Service] = append(found[existing.worker.Service], existing)
 		}
 	}
 	for _, workers := range found {
@@ -144,21 +144,21 @@
 	id := staticPrefix + service.Name + " " + service.StaticEndpoint
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if known := s.byID[id]; known != nil {
-		return known
+	if existing := s.byID[id]; existing != nil {
+		return existing
 	}
-	fresh := s.add(id, cluster.Worker{ID: id, Service: service.Name, Address: service.StaticEndpoint})
-	fresh.static = true
-	return fresh
+	added := s.add(id, cluster.Worker{ID: id, Service: service.Name, Address: service.StaticEndpoint})
+	added.static = true
+	return added
 }
 
 // removeUnusedStatic removes the static endpoints that no service uses any more.
 func (s *endpointSet) removeUnusedStatic(used map[*endpoint]bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for id, known := range s.byID {
-		if known.static && !used[known] {
-			s.remove(id, known)
+	for id, existing := range s.byID {
+		if existing.static && !used[existing] {
+			s.remove(id, existing)
 		}
 	}
 }
@@ -166,8 +166,8 @@
 func (s *endpointSet) closeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, known := range s.byID {
-		known.closeIdle()
+	for _, existing := range s.byID {
+		existing.closeIdle()
 	}
 }
 
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -162,12 +162,12 @@
 // "never".
 func (e *Engine) now() time.Duration { return clockStart + time.Since(e.started) }
 
-// at converts a time to the engine's clock. The zero time stays zero.
-func (e *Engine) at(moment time.Time) time.Duration {
-	if moment.IsZero() {
+// clockTime converts a time to the engine's clock. The zero time stays zero.
+func (e *Engine) clockTime(t time.Time) time.Duration {
+	if t.IsZero() {
 		return 0
 	}
-	return clockStart + moment.Sub(e.started)
+	return clockStart + t.Sub(e.started)
 }
 
 const (
--- a/internal/delivery/enqueue.go
+++ b/internal/delivery/enqueue.go
@@ -11,9 +11,9 @@
 		e.reclaim(orphan, failures, generation)
 		return
 	}
-	queued := &queuedMessage{message: m, failures: failures, generation: generation, due: e.at(m.DueAt), expires: never}
+	queued := &queuedMessage{message: m, failures: failures, generation: generation, due: e.clockTime(m.DueAt), expires: never}
 	if !m.ExpiresAt.IsZero() {
-		queued.expires = e.at(m.ExpiresAt)
+		queued.expires = e.clockTime(m.ExpiresAt)
 	}
 	e.nextExpiry = min(e.nextExpiry, queued.expires)
 	e.backlog.link(queued)
@@ -27,7 +27,7 @@
 	orphan.failures = max(orphan.failures, failures)
 	e.nextExpiry = min(e.nextExpiry, orphan.expires)
 	e.backlog.link(orphan)
-	if orphan.orderGroup != nil && orphan.orderGroup.first(orphan) && len(orphan.orderGroup.messages) > 1 {
+	if orphan.orderGroup != nil && orphan.orderGroup.isFirst(orphan) && len(orphan.orderGroup.messages) > 1 {
 		e.blockByOrder(orphan.orderGroup.messages[1])
 	}
 }
@@ -35,7 +35,7 @@
 // place blocks a message behind the first message of its order group, or adds it to the queue of its route. If the
 // operator has removed the route, the message ends.
 func (e *Engine) place(queued *queuedMessage) {
-	if queued.orderGroup != nil && !queued.orderGroup.first(queued) {
+	if queued.orderGroup != nil && !queued.orderGroup.isFirst(queued) {
 		queued.state = blockedByOrder
 		return
 	}
--- a/internal/delivery/expiry.go
+++ b/internal/delivery/expiry.go
@@ -22,7 +22,7 @@
 	}
 	e.nextExpiry = never
 	var expired []*queuedMessage
-	e.backlog.each(func(queued *queuedMessage) {
+	e.backlog.forEach(func(queued *queuedMessage) {
 		if queued.expired(now) && queued.state != dispatched {
 			expired = append(expired, queued)
 			return
@@ -54,10 +54,10 @@
 	if len(e.ended) == 0 {
 		return
 	}
-	all := e.ended
+	messages := e.ended
 	e.ended = nil
 	e.ownerCalls.Go(func() {
-		for _, ended := range all {
+		for _, ended := range messages {
 			e.options.Owner.Ended(ended.message, ended.outcome)
 		}
 	})
--- a/internal/delivery/order_group.go
+++ b/internal/delivery/order_group.go
@@ -19,27 +19,27 @@
 // messages of a group are never in flight at the same time.
 func (g *orderGroup) insert(queued *queuedMessage) {
 	queued.orderGroup = g
-	at, _ := slices.BinarySearchFunc(g.messages, queued, func(a, b *queuedMessage) int {
+	index, _ := slices.BinarySearchFunc(g.messages, queued, func(a, b *queuedMessage) int {
 		return cmp.Compare(a.message.Sequence, b.message.Sequence)
 	})
-	if at == 0 && len(g.messages) > 0 && g.messages[0].state == dispatched && queued.state != dispatched {
-		at = 1
+	if index == 0 && len(g.messages) > 0 && g.messages[0].state == dispatched && queued.state != dispatched {
+		index = 1
 	}
-	g.messages = slices.Insert(g.messages, at, queued)
+	g.messages = slices.Insert(g.messages, index, queued)
 }
 
-// first reports whether a message is the one that may be dispatched.
-func (g *orderGroup) first(queued *queuedMessage) bool { return g.messages[0] == queued }
+// isFirst reports whether a message is the one that may be dispatched.
+func (g *orderGroup) isFirst(queued *queuedMessage) bool { return g.messages[0] == queued }
 
 // remove removes a message. If the message was the first, remove returns the new first message, or nil if there is
 // none.
 func (g *orderGroup) remove(queued *queuedMessage) *queuedMessage {
-	at := slices.Index(g.messages, queued)
-	if at < 0 {
+	index := slices.Index(g.messages, queued)
+	if index < 0 {
 		return nil
 	}
-	g.messages = slices.Delete(g.messages, at, at+1)
-	if at > 0 || len(g.messages) == 0 {
+	g.messages = slices.Delete(g.messages, index, index+1)
+	if index > 0 || len(g.messages) == 0 {
 		return nil
 	}
 	return g.messages[0]
--- a/internal/delivery/order_group_test.go
+++ b/internal/delivery/order_group_test.go
@@ -17,13 +17,13 @@
 	for _, queued := range []*queuedMessage{third, first, second} {
 		q.link(queued)
 	}
-	assert.Assert(t, first.orderGroup.first(first))
+	assert.Assert(t, first.orderGroup.isFirst(first))
 	assert.Assert(t, q.unlink(second) == nil)
 	assert.Assert(t, q.unlink(first) == third)
 	third.state = dispatched
 	early := entryOf(0)
 	q.link(early)
-	assert.Assert(t, third.orderGroup.first(third), "one that is out stays the first")
+	assert.Assert(t, third.orderGroup.isFirst(third), "one that is out stays the first")
 	assert.Assert(t, q.unlink(third) == early)
 	assert.Assert(t, q.unlink(early) == nil)
 	assert.Equal(t, len(q.orderGroups)+len(q.partitions)+q.size, 0)
--- a/internal/delivery/parking.go
+++ b/internal/delivery/parking.go
@@ -67,7 +67,7 @@
 		return
 	}
 	p.parked = slices.DeleteFunc(p.parked, func(queued *queuedMessage) bool { return queued.generation < generation })
-	p.each(func(queued *queuedMessage) {
+	p.forEach(func(queued *queuedMessage) {
 		if queued.generation >= generation {
 			return
 		}
--- a/internal/delivery/partition_gate.go
+++ b/internal/delivery/partition_gate.go
@@ -23,21 +23,21 @@
 	return &partitionGates{partitions: make(map[int]*partitionGate)}
 }
 
-// of returns the gate of a partition and creates it if there is none. The caller holds the mutex.
-func (g *partitionGates) of(partition int) *partitionGate {
-	found := g.partitions[partition]
-	if found == nil {
-		found = &partitionGate{}
-		g.partitions[partition] = found
+// gate returns the gate of a partition and creates it if there is none. The caller holds the mutex.
+func (g *partitionGates) gate(partition int) *partitionGate {
+	p := g.partitions[partition]
+	if p == nil {
+		p = &partitionGate{}
+		g.partitions[partition] = p
 	}
-	return found
+	return p
 }
 
 // isOpen reports whether an attempt could start now.
 func (g *partitionGates) isOpen(partition int, generation uint64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.admits(g.of(partition), generation)
+	return g.admits(g.gate(partition), generation)
 }
 
 // admits reports whether a gate lets an attempt of a generation start. The caller holds the mutex.
@@ -49,7 +49,7 @@
 func (g *partitionGates) enter(partition int, generation uint64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	p := g.of(partition)
+	p := g.gate(partition)
 	if !g.admits(p, generation) {
 		return false
 	}
@@ -62,21 +62,21 @@
 func (g *partitionGates) leave(partition int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.of(partition).attempts--
+	g.gate(partition).attempts--
 	g.attempts--
 }
 
 func (g *partitionGates) generation(partition int) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.of(partition).generation
+	return g.gate(partition).generation
 }
 
 // release starts the next generation of a partition and returns it.
 func (g *partitionGates) release(partition int) uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	p := g.of(partition)
+	p := g.gate(partition)
 	p.generation++
 	return p.generation
 }
@@ -99,7 +99,7 @@
 func (g *partitionGates) setPartitionPaused(partition int, paused bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.of(partition).paused = paused
+	g.gate(partition).paused = paused
 }
 
 func (g *partitionGates) pausePartition(partition int)  { g.setPartitionPaused(partition, true) }
@@ -114,5 +114,5 @@
 func (g *partitionGates) inFlightOf(partition int) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.of(partition).attempts
+	return g.gate(partition).attempts
 }
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -18,7 +18,7 @@
 	e.rebuildRouteQueues()
 	e.refreshEndpoints()
 	var dropped []*queuedMessage
-	e.backlog.each(func(queued *queuedMessage) {
+	e.backlog.forEach(func(queued *queuedMessage) {
 		if queued.state != dispatched && e.routeDropped(queued) {
 			dropped = append(dropped, queued)
 		}
@@ -33,24 +33,24 @@
 	for _, route := range e.table.Routes() {
 		routes[route.Service] = append(routes[route.Service], route)
 	}
-	kept := make(map[string]*service)
+	configured := make(map[string]*service)
 	for _, definition := range e.table.Services() {
 		s := e.services[definition.Name]
 		if s == nil {
-			s = &service{engine: e, share: e.connectionShare(), nextRun: never, scheduleIndex: -1}
+			s = &service{engine: e, callerCount: e.countCallers(), nextRun: never, scheduleIndex: -1}
 		}
 		s.redefine(definition, routes[definition.Name])
-		kept[definition.Name] = s
+		configured[definition.Name] = s
 	}
 	for name, s := range e.services {
-		if kept[name] == nil {
+		if configured[name] == nil {
 			s.retireAdapter()
 			s.routeQueues = nil
 			e.schedule.remove(s)
 		}
 	}
-	e.services = kept
-	e.gauges.keep(kept)
+	e.services = configured
+	e.gauges.setServices(configured)
 }
 
 // redefine sets the definition and the routes of a service. If the change concerns the decision module, the adapter is
@@ -115,10 +115,10 @@
 	if found := e.backlog.routeQueues[route]; found != nil {
 		return found
 	}
-	fresh := newRouteQueue(route)
-	e.backlog.routeQueues[route] = fresh
-	e.connect(fresh)
-	return fresh
+	created := newRouteQueue(route)
+	e.backlog.routeQueues[route] = created
+	e.connect(created)
+	return created
 }
 
 // routeDropped reports whether the operator has removed the route of a message. A message that was submitted under a
@@ -164,8 +164,8 @@
 	e.markAllDirty()
 }
 
-// connectionShare returns the number of callers that share the connections and slots of each worker.
-func (e *Engine) connectionShare() int {
+// countCallers returns the number of callers that share the connections and slots of each worker.
+func (e *Engine) countCallers() int {
 	if e.options.ConnectionShare == nil {
 		return 1
 	}
--- a/internal/delivery/route_queue_test.go
+++ b/internal/delivery/route_queue_test.go
@@ -21,7 +21,7 @@
 		sequence++
 		queued := &queuedMessage{message: &message.Message{Sequence: sequence, OrderKey: key}, due: due, expires: never}
 		q.link(queued)
-		if queued.orderGroup.first(queued) {
+		if queued.orderGroup.isFirst(queued) {
 			l.add(queued, time.Minute)
 		}
 	}
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -20,7 +20,7 @@
 	rateLimiter       tokenBucket
 	concurrency       concurrencyLimit
 	endpoints         []*endpoint
-	share             int           // number of callers that share the limits of its workers
+	callerCount       int           // number of callers that share the limits of its workers
 	dispatched        int           // number of messages that are dispatched now
 	starts            int           // number of messages dispatched so far
 	healthResetCursor int           // index of the endpoint whose health was last reset while the service is down
@@ -37,7 +37,7 @@
 // dispatch passes due messages to the decision module while the limits permit it. It returns the latest time at which
 // the service must run again. It runs earlier if an attempt ends or a message comes due.
 func (s *service) dispatch(now time.Duration) time.Duration {
-	s.refreshShare()
+	s.refreshCallerCount()
 	next := s.restoreMisdirected(now)
 	for !s.engine.gates.isPaused() {
 		queued := s.nextMessage(now)
@@ -77,13 +77,13 @@
 	if s.adapter != nil {
 		return true
 	}
-	made, err := newDecisionAdapter(s)
+	created, err := newDecisionAdapter(s)
 	if err != nil {
 		s.engine.logger.Error("cannot create the decision module of a service",
 			zap.String("service", s.definition.Name), zap.Error(err))
 		return false
 	}
-	s.adapter = made
+	s.adapter = created
 	return true
 }
 
--- a/internal/delivery/service_health.go
+++ b/internal/delivery/service_health.go
@@ -40,7 +40,7 @@
 			inFlight += target.inFlight
 		}
 	}
-	return workers > 0 && float64(inFlight) < ownZoneShare*float64(slots)/float64(max(s.share, 1))
+	return workers > 0 && float64(inFlight) < ownZoneShare*float64(slots)/float64(max(s.callerCount, 1))
 }
 
 func (s *service) readyCount() int {
@@ -53,17 +53,17 @@
 	return count
 }
 
-// refreshShare applies a change of the number of callers that share the workers.
-func (s *service) refreshShare() {
-	if share := s.engine.connectionShare(); share != s.share {
-		s.share = share
+// refreshCallerCount applies a change of the number of callers that share the workers.
+func (s *service) refreshCallerCount() {
+	if callerCount := s.engine.countCallers(); callerCount != s.callerCount {
+		s.callerCount = callerCount
 		s.setLimits()
 	}
 }
 
 func (s *service) setLimits() {
 	for _, target := range s.endpoints {
-		target.setLimit(s.definition, s.share, s.engine.endpoints.dial)
+		target.setLimit(s.definition, s.callerCount, s.engine.endpoints.dial)
 	}
 }
 
@@ -143,8 +143,8 @@
 	now := s.engine.now()
 	switch result {
 	case resultCompleted, resultRejected, resultFailed, resultRunning:
-		target.recordAnswer()
-		s.concurrency.onAnswer(s.maxConcurrency())
+		target.recordResponse()
+		s.concurrency.onResponse(s.maxConcurrency())
 	case resultFull:
 		target.eject(now)
 		s.concurrency.onRejection()
--- a/internal/delivery/service_schedule.go
+++ b/internal/delivery/service_schedule.go
@@ -12,8 +12,8 @@
 // serviceSchedule determines which services the loop runs: those that an event concerns, and those whose next run is
 // due. In a turn of the loop, the other services cost nothing, however many there are.
 type serviceSchedule struct {
-	dirty []*service // to be run in this turn, or in the next one
-	timed serviceHeap
+	dirty     []*service // to be run in this turn, or in the next one
+	byNextRun serviceHeap
 }
 
 // markDirty makes a service run in this turn, or in the next turn if this one has already run its services. A nil
@@ -28,9 +28,9 @@
 
 // takeDue removes and returns the services to run now: those that are dirty, and those whose next run is due.
 func (schedule *serviceSchedule) takeDue(now time.Duration) []*service {
-	for len(schedule.timed) > 0 && schedule.timed[0].nextRun <= now {
-		s := schedule.timed[0]
-		heap.Remove(&schedule.timed, s.scheduleIndex)
+	for len(schedule.byNextRun) > 0 && schedule.byNextRun[0].nextRun <= now {
+		s := schedule.byNextRun[0]
+		heap.Remove(&schedule.byNextRun, s.scheduleIndex)
 		schedule.markDirty(s)
 	}
 	taken := schedule.dirty
@@ -41,30 +41,30 @@
 	return taken
 }
 
-// setTime sets when a service runs next if no event causes an earlier run.
-func (schedule *serviceSchedule) setTime(s *service, at time.Duration) {
-	s.nextRun = at
+// setNextRun sets when a service runs next if no event causes an earlier run.
+func (schedule *serviceSchedule) setNextRun(s *service, next time.Duration) {
+	s.nextRun = next
 	switch {
-	case at == never && s.scheduleIndex >= 0:
-		heap.Remove(&schedule.timed, s.scheduleIndex)
-	case at == never:
+	case next == never && s.scheduleIndex >= 0:
+		heap.Remove(&schedule.byNextRun, s.scheduleIndex)
+	case next == never:
 	case s.scheduleIndex >= 0:
-		heap.Fix(&schedule.timed, s.scheduleIndex)
+		heap.Fix(&schedule.byNextRun, s.scheduleIndex)
 	default:
-		heap.Push(&schedule.timed, s)
+		heap.Push(&schedule.byNextRun, s)
 	}
 }
 
 // remove removes a service that is no longer configured.
-func (schedule *serviceSchedule) remove(s *service) { schedule.setTime(s, never) }
+func (schedule *serviceSchedule) remove(s *service) { schedule.setNextRun(s, never) }
 
-// nextTime returns when the next run is due.
-func (schedule *serviceSchedule) nextTime(now time.Duration) time.Duration {
+// nextDue returns when the next run is due.
+func (schedule *serviceSchedule) nextDue(now time.Duration) time.Duration {
 	switch {
 	case len(schedule.dirty) > 0:
 		return now
-	case len(schedule.timed) > 0:
-		return schedule.timed[0].nextRun
+	case len(schedule.byNextRun) > 0:
+		return schedule.byNextRun[0].nextRun
 	}
 	return never
 }
@@ -115,10 +115,10 @@
 		e.markAllDirty()
 	}
 	for _, s := range e.schedule.takeDue(now) {
-		e.schedule.setTime(s, s.dispatchDue(now))
+		e.schedule.setNextRun(s, s.dispatchDue(now))
 		s.publishGauge()
 	}
-	next := e.schedule.nextTime(now)
+	next := e.schedule.nextDue(now)
 	if e.backlog.size > 0 {
 		next = min(next, e.lastFullSweep+fullSweepInterval)
 	}
--- a/internal/delivery/stats.go
+++ b/internal/delivery/stats.go
@@ -34,8 +34,8 @@
 	down                                  atomic.Bool
 }
 
-// keep creates a gauge for each service that has none, and drops the gauges of other services.
-func (g *gauges) keep(services map[string]*service) {
+// setServices creates a gauge for each service that has none, and drops the gauges of other services.
+func (g *gauges) setServices(services map[string]*service) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.byName = make(map[string]*serviceGauge, len(services))
--- a/internal/delivery/token_bucket.go
+++ b/internal/delivery/token_bucket.go
@@ -5,9 +5,9 @@
 // The part of a service's rate limit that is used. The rest allows for clock drift, for varying network delays, and for
 // attempts that several stores start at the same moment.
 const (
-	usableRate    = 0.92                   // fraction of the rate limit that all stores together use
-	burstDuration = 250 * time.Millisecond // tokens of this duration may accumulate
-	maxBurst      = 3                      // in tokens
+	usableRateShare = 0.92                   // fraction of the rate limit that all stores together use
+	burstDuration   = 250 * time.Millisecond // tokens of this duration may accumulate
+	maxBurst        = 3                      // in tokens
 )
 
 // tokenBucket limits the rate of sends. If the rate is zero, sends are not limited. Times are on the engine's clock.
@@ -21,11 +21,11 @@
 // setRate sets the rate to this store's part of a service's rate limit, in requests per second.
 func (b *tokenBucket) setRate(now time.Duration, perSecond float64, divisor int) {
 	b.refill(now)
-	fresh := b.burst == 0
-	b.rate = perSecond * usableRate / float64(max(divisor, 1))
+	firstCall := b.burst == 0
+	b.rate = perSecond * usableRateShare / float64(max(divisor, 1))
 	b.burst = min(max(b.rate*burstDuration.Seconds(), 1), maxBurst)
 	b.tokens = min(b.tokens, b.burst)
-	if fresh {
+	if firstCall {
 		b.tokens = 1
 	}
 }
--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxDialDuration      = time.Second
-	maxAnswerHeaderBytes = 64 << 10
-	bufferSize           = 4 << 10 // bytes of each read and write buffer
+	maxDialDuration        = time.Second
+	maxResponseHeaderBytes = 64 << 10
+	bufferSize             = 4 << 10 // bytes of each read and write buffer
 )
 
-// errWithdrawn is the error of a write whose attempt was cancelled before its first byte.
-var errWithdrawn = errors.New("delivery: attempt withdrawn")
+// errCancelled is the error of a write whose attempt was cancelled before its first byte.
+var errCancelled = errors.New("delivery: attempt cancelled")
 
 // dialer opens a connection to a worker.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // newDialer returns the dialer of an engine. Each connection asks its attempt for admission before each write.
 func newDialer(options Options) dialer {
-	limit := maxDialDuration
+	timeout := maxDialDuration
 	if options.Drain > 0 {
-		limit = min(limit, options.Drain/2)
+		timeout = min(timeout, options.Drain/2)
 	}
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, limit)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		connection, err := options.Network.Dial(ctx, address)
 		if err != nil {
@@ -49,7 +49,7 @@
 		MaxIdleConns:           connections,
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
-		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
 	}
@@ -64,7 +64,7 @@
 // Write implements net.Conn.
 func (c *workerConnection) Write(data []byte) (int, error) {
 	if user := c.attempt.Load(); user != nil && !user.admitWrite(c) {
-		return 0, errWithdrawn
+		return 0, errCancelled
 	}
 	return c.Conn.Write(data)
 }
