--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -115,9 +115,9 @@
 	e.events.push(workersChanged{})
 }
 
-// SetDeliverers sets the number by which the rate limit of each service is divided to get this store's part of it
+// SetRateDivisor sets the number by which the rate limit of each service is divided to get this store's part of it
 // (cluster.Table.LimitDivisor).
-func (e *Engine) SetDeliverers(n int) { e.events.push(rateDivisorChanged{max(n, 1)}) }
+func (e *Engine) SetRateDivisor(divisor int) { e.events.push(rateDivisorChanged{max(divisor, 1)}) }
 
 // Submit adds a committed message of a partition that this store leads. The failures are the number of responses with
 // status 500 so far. If a released partition comes back, the owner submits its messages again in the order of their
--- a/internal/delivery/event_queue.go
+++ b/internal/delivery/event_queue.go
@@ -46,7 +46,7 @@
 	// workersChanged announces that a list of workers has been published to the endpoint set.
 	workersChanged struct{}
 	// rateDivisorChanged carries the number by which the rate limit of each service is divided.
-	rateDivisorChanged struct{ count int }
+	rateDivisorChanged struct{ divisor int }
 	// submitted carries a message, its failures so far, and the generation of its partition at the time of Submit.
 	submitted struct {
 		message    *message.Message
@@ -71,7 +71,7 @@
 
 func (ev configurationChanged) apply(e *Engine) { e.applyConfiguration(ev.table) }
 func (workersChanged) apply(e *Engine)          { e.applyWorkers() }
-func (ev rateDivisorChanged) apply(e *Engine)   { e.applyRateDivisor(ev.count) }
+func (ev rateDivisorChanged) apply(e *Engine)   { e.applyRateDivisor(ev.divisor) }
 func (ev submitted) apply(e *Engine)            { e.enqueue(ev.message, ev.failures, ev.generation) }
 func (ev released) apply(e *Engine)             { e.dropPartition(ev.partition, ev.generation) }
 func (resumed) apply(e *Engine)                 { e.recheckAll() }
--- a/internal/delivery/golden_scenarios_test.go
+++ b/internal/delivery/golden_scenarios_test.go
@@ -99,11 +99,11 @@
 	}},
 	{"rate limits", "94b32beefd434752", func(r *trace) {
 		r.three(succeed, answerWith(500), answerWith(429), succeed)
-		r.engine.SetDeliverers(2)
+		r.engine.SetRateDivisor(2)
 		r.one(version+1, 3, 40)
 		r.submitMany("m", "r", 150, 12*time.Millisecond)
 		r.watch(3 * time.Second)
-		r.engine.SetDeliverers(5)
+		r.engine.SetRateDivisor(5)
 		r.watch(5 * time.Second)
 		r.one(version+2, 3, 200)
 		r.watch(10 * time.Second)
--- a/internal/delivery/limits_test.go
+++ b/internal/delivery/limits_test.go
@@ -16,7 +16,7 @@
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
 		fake.respondWith(inSequence(answerWith(500), answerWith(503), abort, succeedAfter(10*time.Millisecond)))
 		h.engine.SetConfiguration(table(t, version, []route{{name: "r", service: "s"}}, []service{{name: "s", rate: rate}}))
-		h.engine.SetDeliverers(deliverers)
+		h.engine.SetRateDivisor(deliverers)
 		h.listAll()
 		for i := range 600 { // more than may be sent
 			h.submit(fmt.Sprint("m", i), "r")
--- a/internal/delivery/random_faults_test.go
+++ b/internal/delivery/random_faults_test.go
@@ -116,7 +116,7 @@
 	case 10, 11:
 		h.owner.block(which, false)
 	case 12:
-		h.engine.SetDeliverers(1 + which)
+		h.engine.SetRateDivisor(1 + which)
 	default:
 		key := func(*message.Message) {}
 		if kind%2 == 0 {
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -155,11 +155,11 @@
 }
 
 // applyRateDivisor applies a new divisor to the rate limits of all services.
-func (e *Engine) applyRateDivisor(count int) {
-	e.rateDivisor = count
+func (e *Engine) applyRateDivisor(divisor int) {
+	e.rateDivisor = divisor
 	now := e.now()
 	for _, s := range e.services {
-		s.rateLimiter.setRate(now, s.definition.RateLimitPerSecond, count)
+		s.rateLimiter.setRate(now, s.definition.RateLimitPerSecond, divisor)
 	}
 	e.markAllDirty()
 }
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -136,7 +136,7 @@
 	}
 	if table := s.agent.Table(); table != nil {
 		s.leadingStores.Store(int64(table.LeadingStores()))
-		s.engine.SetDeliverers(table.LimitDivisor(s.info.Name))
+		s.engine.SetRateDivisor(table.LimitDivisor(s.info.Name))
 		s.messages.ApplyTable(table)
 	}
 }
