--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -37,11 +37,11 @@
 	Owner   Owner
 	Logger  *zap.Logger
 	Seed    uint64 // of all random choices of the engine
-	// Drain is how long a message may still reach a worker after the engine has learned that the worker drains.
-	Drain time.Duration
-	// ConnectionShare returns the number of callers that share the connections and slots of each worker. The event loop
+	// DrainGrace is how long a message may still reach a worker after the engine has learned that the worker drains.
+	DrainGrace time.Duration
+	// CallerCount returns the number of callers that share the connections and slots of each worker. The event loop
 	// calls it often, so it must not block. Nil means one caller.
-	ConnectionShare func() int
+	CallerCount func() int
 }
 
 // Engine delivers messages. It is created by New and started by Run. Messages may be submitted before Run is called.
--- a/internal/delivery/harness_test.go
+++ b/internal/delivery/harness_test.go
@@ -99,7 +99,7 @@
 	h.owner = &recordingOwner{harness: h, bodies: map[string]string{}, outcomes: map[string]message.Outcome{},
 		endedAt: map[string]time.Duration{}, failures: map[string][]int{}, blocked: map[int]bool{}}
 	h.engine = delivery.New(delivery.Options{Name: "store", Zone: zone, Network: h.network.Host(storeIP), Owner: h.owner,
-		Seed: 7, Drain: 2 * time.Second})
+		Seed: 7, DrainGrace: 2 * time.Second})
 	var ctx context.Context
 	ctx, h.cancel = context.WithCancel(context.Background())
 	go func() {
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -166,8 +166,8 @@
 
 // countCallers returns the number of callers that share the connections and slots of each worker.
 func (e *Engine) countCallers() int {
-	if e.options.ConnectionShare == nil {
+	if e.options.CallerCount == nil {
 		return 1
 	}
-	return max(e.options.ConnectionShare(), 1)
+	return max(e.options.CallerCount(), 1)
 }
--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -24,8 +24,8 @@
 // newDialer returns the dialer of an engine. Each connection asks its attempt for admission before each write.
 func newDialer(options Options) dialer {
 	timeout := maxDialDuration
-	if options.Drain > 0 {
-		timeout = min(timeout, options.Drain/2)
+	if options.DrainGrace > 0 {
+		timeout = min(timeout, options.DrainGrace/2)
 	}
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -67,14 +67,14 @@
 
 func (s *Store) deliveryOptions() delivery.Options {
 	return delivery.Options{
-		Name:            s.info.Name,
-		Zone:            s.info.Zone,
-		Network:         s.options.Network,
-		Owner:           s.messages,
-		Logger:          s.logger,
-		Seed:            s.options.Seed,
-		Drain:           s.settings.Bounds.Drain,
-		ConnectionShare: s.connectionShare,
+		Name:        s.info.Name,
+		Zone:        s.info.Zone,
+		Network:     s.options.Network,
+		Owner:       s.messages,
+		Logger:      s.logger,
+		Seed:        s.options.Seed,
+		DrainGrace:  s.settings.Bounds.Drain,
+		CallerCount: s.connectionShare,
 	}
 }
 
