--- a/internal/delivery/attempt_result_test.go
+++ b/internal/delivery/attempt_result_test.go
@@ -8,15 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestResultsOfARunNeedTheRequestID classifies answers that name this request, another one, or none. A worker may send
-// a second response late, when the connection carries the next request.
-func TestResultsOfARunNeedTheRequestID(t *testing.T) {
+// TestClassifyResponseRequiresMatchingRequestID guards against taking the response to another request for the response
+// to this one: a worker may send a second response late, when the connection already carries the next request. It
+// classifies responses that name this request, another request, or none.
+func TestClassifyResponseRequiresMatchingRequestID(t *testing.T) {
 	const requestID = "r-1"
 	cases := []struct {
 		status      int
 		notExecuted bool
-		named       attemptResult // where the response names this request
-		unnamed     attemptResult // where it names none
+		named       attemptResult // if the response names this request
+		unnamed     attemptResult // if the response names no request
 	}{
 		{http.StatusOK, false, resultCompleted, resultUncertain},
 		{http.StatusUnprocessableEntity, false, resultRejected, resultUncertain},
@@ -42,7 +43,7 @@
 	}
 }
 
-func TestKeepAliveTimeouts(t *testing.T) {
+func TestInvalidKeepAliveTimeoutIsIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "timeout=5": 5 * time.Second, "max=3, Timeout = 1.5": 1500 * time.Millisecond,
 		"timeout=-1": 0, "timeout=x": 0, "timeout": 0} {
 		assert.Equal(t, keepAliveOf(http.Header{headerKeepAlive: {text}}), want, text)
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -13,7 +13,7 @@
 
 const (
 	usableConnectionShare = 0.9 // fraction of a worker's connections that all callers together use
-	slotOvercommit        = 1.5 // multiple of a worker's capacity that all callers use: some messages wait at the worker
+	slotOvercommit        = 1.5 // multiple of a worker's capacity that all callers use; the excess waits at the worker
 	minSlots              = 2   // per caller, if the worker has them; with fewer, a backlog drains too slowly
 	defaultConnections    = 32  // if the definition of the service states none
 	maxIdleTimeout        = 4 * time.Second
--- a/internal/delivery/endpoint_set_test.go
+++ b/internal/delivery/endpoint_set_test.go
@@ -9,8 +9,9 @@
 	"gladepick/internal/configuration"
 )
 
-// TestIdleConnectionsAreClosedWhereCallersOutnumberThem shares a worker's connections among more and more callers.
-func TestIdleConnectionsAreClosedWhereCallersOutnumberThem(t *testing.T) {
+// TestIdleConnectionsDoNotLockOutOtherCallers checks that idle connections are closed once a worker has more callers
+// than connections.
+func TestIdleConnectionsDoNotLockOutOtherCallers(t *testing.T) {
 	cases := []struct {
 		connections, callers int
 		attempts             int
@@ -31,8 +32,8 @@
 	}
 }
 
-func TestWorkerNumbersThatCollide(t *testing.T) {
-	all := newEndpointSet(Options{})
-	all.byWorkerID[stableHash("i-2")] = all.add("i-1", cluster.Worker{ID: "i-1"})
-	assert.Equal(t, all.add("i-2", cluster.Worker{ID: "i-2"}).workerID, stableHash("i-2")+1)
+func TestCollidingWorkerIDsStayDistinct(t *testing.T) {
+	endpoints := newEndpointSet(Options{})
+	endpoints.byWorkerID[stableHash("i-2")] = endpoints.add("i-1", cluster.Worker{ID: "i-1"})
+	assert.Equal(t, endpoints.add("i-2", cluster.Worker{ID: "i-2"}).workerID, stableHash("i-2")+1)
 }
--- a/internal/delivery/engine_bench_test.go
+++ b/internal/delivery/engine_bench_test.go
@@ -14,7 +14,8 @@
 	"gladepick/internal/network"
 )
 
-// BenchmarkTurn is one turn of the loop with nothing to do, by the number of services. Every event leads to one.
+// BenchmarkTurn measures a turn of the event loop that has no work, by the number of services. Every event causes a
+// turn.
 func BenchmarkTurn(b *testing.B) {
 	for _, services := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// BenchmarkFullLook looks at all services, of which none has anything to do.
+// BenchmarkFullLook measures a run of all services when none has work.
 func BenchmarkFullLook(b *testing.B) {
 	const services = 10_000
 	engine := New(Options{Name: "store", Zone: "a", Network: network.TCP{}})
@@ -44,7 +45,7 @@
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/services, "cpu-ns/service")
 }
 
-// BenchmarkSetWorkers takes in a list of workers that differs from the one before in one entry.
+// BenchmarkSetWorkers measures applying a list of workers that differs from the previous one in one entry.
 func BenchmarkSetWorkers(b *testing.B) {
 	const services, workers = 1000, 10_000
 	engine := New(Options{Name: "store", Zone: "a", Network: network.TCP{}})
@@ -68,7 +69,7 @@
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N)/workers, "cpu-ns/worker")
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used so far.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
--- a/internal/delivery/engine_test.go
+++ b/internal/delivery/engine_test.go
@@ -12,11 +12,11 @@
 	"gladepick/internal/message"
 )
 
-func TestDeliversTheRequestAsItCame(t *testing.T) {
+func TestRequestIsDeliveredUnchanged(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r", withKey("k"), func(m *message.Message) { m.ContentType = "text/plain" })
 		time.Sleep(time.Second)
 		all := h.requests()
@@ -38,44 +38,46 @@
 	})
 }
 
-func TestKeepsToTheDueTime(t *testing.T) {
+func TestMessageIsSentAtDueTime(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("late", "r", dueAfter(1500*time.Millisecond))
 		h.submit("soon", "r", dueAfter(300*time.Millisecond))
 		time.Sleep(3 * time.Second)
 		for id, delay := range map[string]time.Duration{"late": 1500 * time.Millisecond, "soon": 300 * time.Millisecond} {
-			came := h.requestsOf(id)
-			assert.Equal(t, len(came), 1)
-			assert.Assert(t, came[0].at >= delay && came[0].at < delay+10*time.Millisecond, "%s came at %v", id, came[0].at)
+			requests := h.requestsOf(id)
+			assert.Equal(t, len(requests), 1)
+			assert.Assert(t, requests[0].at >= delay && requests[0].at < delay+10*time.Millisecond, "%s arrived at %v",
+				id, requests[0].at)
 		}
 	})
 }
 
-// TestOrderUnderFailures checks that messages with one order key run one after the other, whatever fails meanwhile.
-func TestOrderUnderFailures(t *testing.T) {
+// TestFailuresDoNotReorderMessagesOfAKey checks that messages with one order key run one after the other, whichever
+// failures occur meanwhile.
+func TestFailuresDoNotReorderMessagesOfAKey(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		wrongID := func(_ receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Set("X-Request-Id", "another")
-			answer.WriteHeader(http.StatusOK)
+		wrongID := func(_ receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Set("X-Request-Id", "another")
+			writer.WriteHeader(http.StatusOK)
 		}
-		faults := []func(receivedRequest, http.ResponseWriter){answerWith(500), abort, answerWith(503), wrongID, answerWith(504),
-			answerWith(429), succeedAfter(5 * time.Millisecond), succeedAfter(5 * time.Millisecond), answerWith(422)}
+		faults := []func(receivedRequest, http.ResponseWriter){respondStatus(500), abort, respondStatus(503), wrongID,
+			respondStatus(504), respondStatus(429), succeedAfter(5 * time.Millisecond), succeedAfter(5 * time.Millisecond), respondStatus(422)}
 		for i := range 3 {
 			fake := h.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1))
-			turns := 0
-			fake.respondWith(func(a receivedRequest, answer http.ResponseWriter) {
+			calls := 0
+			fake.respondWith(func(request receivedRequest, writer http.ResponseWriter) {
 				fake.mutex.Lock()
-				turns++
-				handle := faults[(turns+i)%len(faults)]
+				calls++
+				handle := faults[(calls+i)%len(faults)]
 				fake.mutex.Unlock()
-				handle(a, answer)
+				handle(request, writer)
 			})
 		}
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		const keys, each = 4, 10
 		for i := range keys * each {
 			h.submit(fmt.Sprintf("m%02d", i), "r", withKey(fmt.Sprint("k", i%keys)))
@@ -86,31 +88,32 @@
 	})
 }
 
-// checkOrder holds the arrivals of each key against the ends of the messages before.
+// checkOrder checks for each order key that a message arrives at a worker only after the previous message has ended.
 func (h *harness) checkOrder() {
 	h.t.Helper()
-	first := map[string]string{} // the message that was last seen, by key
-	for _, a := range h.requests() {
-		id := a.id[len("request-"):]
-		before := first[a.key]
-		if before == id || a.key == "" {
+	lastArrived := map[string]string{} // message id, by order key
+	for _, request := range h.requests() {
+		id := request.id[len("request-"):]
+		previous := lastArrived[request.key]
+		if previous == id || request.key == "" {
 			continue
 		}
-		assert.Assert(h.t, before < id, "%s came after %s", id, before)
-		if before != "" {
-			assert.Assert(h.t, h.owner.endOf(before) <= a.at, "%s came at %v, %s ended at %v", id, a.at, before,
-				h.owner.endOf(before))
+		assert.Assert(h.t, previous < id, "%s arrived after %s", id, previous)
+		if previous != "" {
+			assert.Assert(h.t, h.owner.endOf(previous) <= request.at, "%s arrived at %v, but %s ended at %v", id, request.at, previous,
+				h.owner.endOf(previous))
 		}
-		first[a.key] = id
+		lastArrived[request.key] = id
 	}
 }
 
 func TestDeadLetterAfterMaxAttempts(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(inSequence(answerWith(500), answerWith(503), abort, answerWith(500), answerWith(409), answerWith(500)))
+		fake.respondWith(inSequence(respondStatus(500), respondStatus(503), abort, respondStatus(500),
+			respondStatus(409), respondStatus(500)))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
@@ -119,12 +122,12 @@
 	})
 }
 
-func TestEarlierFailuresCount(t *testing.T) {
+func TestFailuresBeforeSubmitCount(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(answerWith(500))
+		fake.respondWith(respondStatus(500))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.owner.setBody("m", "x")
 		h.engine.Submit(&message.Message{ID: "m", Sequence: 1, Route: "r", Method: "POST", Target: "/r/", Host: "h.example",
 			RequestID: "request-m", DueAt: time.Now(), ExpiresAt: time.Now().Add(time.Minute)}, 2)
@@ -134,12 +137,12 @@
 	})
 }
 
-func TestRejectedForGood(t *testing.T) {
+func TestUnprocessableMessageIsNotRetried(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(answerWith(422))
+		fake.respondWith(respondStatus(422))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.state("m"), message.DeadLetter)
@@ -147,40 +150,40 @@
 	})
 }
 
-// TestGarbledAnswersAreTriedAgain checks that nothing but a complete success with a stamp and the right id ends a
-// message.
-func TestGarbledAnswersAreTriedAgain(t *testing.T) {
+// TestInvalidResponsesAreRetried guards against ending a message on a response that is incomplete, has no stamp, or
+// does not name the request.
+func TestInvalidResponsesAreRetried(t *testing.T) {
 	garbled := map[string]func(receivedRequest, http.ResponseWriter){
-		"no stamp": answerWith(200),
-		"wrong id": func(a receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Set("X-Request-Id", "another")
-			succeed(a, answer)
+		"no stamp": respondStatus(200),
+		"wrong id": func(request receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Set("X-Request-Id", "another")
+			succeed(request, writer)
 		},
-		"no id": func(a receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Del("X-Request-Id")
-			succeed(a, answer)
+		"no id": func(request receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Del("X-Request-Id")
+			succeed(request, writer)
 		},
-		"cut short": func(a receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Set("Content-Length", "100")
-			succeed(a, answer)
-			_ = http.NewResponseController(answer).Flush()
+		"cut short": func(request receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Set("Content-Length", "100")
+			succeed(request, writer)
+			_ = http.NewResponseController(writer).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"cut 422": func(_ receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Set("Content-Length", "100")
-			answer.WriteHeader(422)
-			_ = http.NewResponseController(answer).Flush()
+		"cut 422": func(_ receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Set("Content-Length", "100")
+			writer.WriteHeader(422)
+			_ = http.NewResponseController(writer).Flush()
 			panic(http.ErrAbortHandler)
 		},
-		"422 of another": func(_ receivedRequest, answer http.ResponseWriter) {
-			answer.Header().Set("X-Request-Id", "another")
-			answer.WriteHeader(422)
+		"422 of another": func(_ receivedRequest, writer http.ResponseWriter) {
+			writer.Header().Set("X-Request-Id", "another")
+			writer.WriteHeader(422)
 		},
 		"silence": func(receivedRequest, http.ResponseWriter) {
 			time.Sleep(2 * time.Second)
 			panic(http.ErrAbortHandler)
 		},
-		"gateway timeout": answerWith(504),
+		"gateway timeout": respondStatus(504),
 	}
 	for name, handle := range garbled {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +191,7 @@
 				fake := h.addWorker("i-1", "s", "10.0.1.1")
 				fake.respondWith(inSequence(handle, succeedAfter(5*time.Millisecond)))
 				h.configure()
-				h.listAll()
+				h.setWorkers()
 				h.submit("m", "r")
 				time.Sleep(5 * time.Second)
 				assert.Equal(t, h.owner.state("m"), message.Completed)
@@ -199,7 +202,7 @@
 	}
 }
 
-func TestExpiry(t *testing.T) {
+func TestExpiredMessagesBecomeDeadLetters(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.configure() // there is no worker
 		h.submit("m", "r", expiringAfter(3*time.Second))
@@ -213,13 +216,13 @@
 		assert.Equal(t, h.owner.state("o"), message.Queued)
 		assert.Assert(t, h.owner.endOf("m") >= 3*time.Second && h.owner.endOf("m") < 4500*time.Millisecond)
 		h.addWorker("i-1", "s", "10.0.1.1")
-		h.listAll()
+		h.setWorkers()
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.state("o"), message.Completed)
 	})
 }
 
-func TestDroppedRoutesEnd(t *testing.T) {
+func TestMessagesOfRemovedRoutesBecomeDeadLetters(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.submit("early", "r")
 		h.submit("gone", "gone")
@@ -229,7 +232,7 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.countEnded(), 0) // no configuration yet
 		h.addWorker("i-1", "s", "10.0.1.1")
-		h.listAll()
+		h.setWorkers()
 		h.configure()
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.state("early"), message.Completed)
@@ -244,11 +247,11 @@
 	})
 }
 
-func TestRouteThatMovesToAnotherService(t *testing.T) {
+func TestQueuedMessageFollowsRouteToAnotherService(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-2", "s2", "10.0.1.2")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(time.Second)
 		assert.Equal(t, len(h.requests()), 0)
--- a/internal/delivery/fake_worker_test.go
+++ b/internal/delivery/fake_worker_test.go
@@ -15,7 +15,7 @@
 	"gladepick/internal/cluster"
 )
 
-// receivedRequest is a request at a worker.
+// receivedRequest is a request that reached a worker.
 type receivedRequest struct {
 	at     time.Duration
 	id     string // X-Request-Id
@@ -35,12 +35,12 @@
 	server      *http.Server
 	mutex       sync.Mutex
 	received    []receivedRequest
-	handle      func(a receivedRequest, answer http.ResponseWriter) // what it does
-	inFlight    int                                                 // requests at work
+	handle      func(request receivedRequest, writer http.ResponseWriter) // responds to a request
+	inFlight    int                                                       // requests that are being handled
 	maxInFlight int
 }
 
-// addWorker starts a worker of a service on a machine of its own. Its default is to succeed after 20 ms.
+// addWorker starts a worker of a service on a host of its own. By default each request succeeds after 20 ms.
 func (h *harness) addWorker(id, service, ip string) *fakeWorker {
 	fake := &fakeWorker{harness: h, handle: succeedAfter(20 * time.Millisecond),
 		listed: cluster.Worker{ID: id, Service: service, Address: ip + workerPort, Zone: zone, Capacity: 4}}
@@ -65,23 +65,23 @@
 
 func (w *fakeWorker) stop() { _ = w.server.Close() }
 
-func (w *fakeWorker) respondWith(handle func(a receivedRequest, answer http.ResponseWriter)) {
+func (w *fakeWorker) respondWith(handle func(request receivedRequest, writer http.ResponseWriter)) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.handle = handle
 }
 
 // ServeHTTP implements http.Handler.
-func (w *fakeWorker) ServeHTTP(answer http.ResponseWriter, request *http.Request) {
+func (w *fakeWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	a := receivedRequest{at: w.harness.elapsed(), id: request.Header.Get("X-Request-Id"), key: request.Header.Get("X-Order-Key"),
+	arrived := receivedRequest{at: w.harness.elapsed(), id: request.Header.Get("X-Request-Id"), key: request.Header.Get("X-Order-Key"),
 		worker: w.listed.ID, method: request.Method, target: request.RequestURI, host: request.Host, body: string(body),
 		header: request.Header.Clone()}
 	w.mutex.Lock()
-	w.received = append(w.received, a)
+	w.received = append(w.received, arrived)
 	w.inFlight++
 	w.maxInFlight = max(w.maxInFlight, w.inFlight)
 	handle := w.handle
@@ -91,8 +91,8 @@
 		w.inFlight--
 		w.mutex.Unlock()
 	}()
-	answer.Header().Set("X-Request-Id", a.id)
-	handle(a, answer)
+	writer.Header().Set("X-Request-Id", arrived.id)
+	handle(arrived, writer)
 }
 
 func (w *fakeWorker) requests() []receivedRequest {
@@ -101,42 +101,42 @@
 	return slices.Clone(w.received)
 }
 
-func (w *fakeWorker) mostAtOnce() int {
+func (w *fakeWorker) peakInFlight() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.maxInFlight
 }
 
-// succeedAfter answers with a stamp after a while.
+// succeedAfter responds with a stamp after a delay.
 func succeedAfter(span time.Duration) func(receivedRequest, http.ResponseWriter) {
-	return func(a receivedRequest, answer http.ResponseWriter) {
+	return func(request receivedRequest, writer http.ResponseWriter) {
 		time.Sleep(span)
-		succeed(a, answer)
+		succeed(request, writer)
 	}
 }
 
-func succeed(a receivedRequest, answer http.ResponseWriter) {
-	answer.Header().Set("X-Server-Stamp", "stamp-"+a.id)
-	_, _ = io.WriteString(answer, "done")
+func succeed(request receivedRequest, writer http.ResponseWriter) {
+	writer.Header().Set("X-Server-Stamp", "stamp-"+request.id)
+	_, _ = io.WriteString(writer, "done")
 }
 
-// answerWith answers with a status.
-func answerWith(status int) func(receivedRequest, http.ResponseWriter) {
-	return func(_ receivedRequest, answer http.ResponseWriter) { answer.WriteHeader(status) }
+// respondStatus responds with a status.
+func respondStatus(status int) func(receivedRequest, http.ResponseWriter) {
+	return func(_ receivedRequest, writer http.ResponseWriter) { writer.WriteHeader(status) }
 }
 
-// abort ends the connection without an answer.
+// abort closes the connection without a response.
 func abort(receivedRequest, http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
-// inSequence behaves in one way after the other, and in the last way for ever.
+// inSequence uses one handler per request, in order, and the last handler for all further requests.
 func inSequence(handlers ...func(receivedRequest, http.ResponseWriter)) func(receivedRequest, http.ResponseWriter) {
 	var mutex sync.Mutex
 	next := 0
-	return func(a receivedRequest, answer http.ResponseWriter) {
+	return func(request receivedRequest, writer http.ResponseWriter) {
 		mutex.Lock()
 		handle := handlers[next]
 		next = min(next+1, len(handlers)-1)
 		mutex.Unlock()
-		handle(a, answer)
+		handle(request, writer)
 	}
 }
--- a/internal/delivery/golden_trace_test.go
+++ b/internal/delivery/golden_trace_test.go
@@ -23,13 +23,14 @@
 	"gladepick/internal/message"
 )
 
-// traceDirectory names an environment variable: the whole traces are written into the directory that it holds, so that
-// two versions can be compared line by line.
+// traceDirectory is the name of an environment variable. If it is set, the test writes the whole traces into the
+// directory that it names, so that the traces of two versions can be compared line by line.
 const traceDirectory = "GOLDEN_TRACE_DIRECTORY"
 
-// TestGoldenTraces plays fixed scenarios in virtual time and compares the hash of everything that the engine did: each
-// request at a worker, each call to the message owner and the statistics, with their times. The hashes were recorded
-// before the engine was restructured and are never edited: a change here is a change of behaviour.
+// TestGoldenTraces guards against unintended changes of the engine's behaviour. It runs fixed scenarios in virtual time
+// and compares the hash of everything that the engine does: each request at a worker, each call to the owner, and the
+// statistics, with their times. The hashes were recorded before the engine was restructured and are never edited: a
+// different hash is a change of behaviour.
 func TestGoldenTraces(t *testing.T) {
 	for _, scenario := range goldenScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -37,7 +38,7 @@
 			withHarness(t, func(h *harness) {
 				recorded := newTrace(h, scenario.name)
 				scenario.play(recorded)
-				lines = recorded.sorted()
+				lines = recorded.sortedLines()
 			})
 			text := strings.Join(lines, "\n")
 			if directory := os.Getenv(traceDirectory); directory != "" {
@@ -50,29 +51,29 @@
 	}
 }
 
-// trace plays a scenario and records what the engine does. No two things happen at one moment, as far as the scenario
-// can bring it about: goroutines that run at the same moment run in any order.
+// trace runs a scenario and records what the engine does. Goroutines that run at the same moment run in any order, so
+// the scenario avoids simultaneous events as far as it can.
 type trace struct {
 	*harness
-	random *rand.Rand
-	lines  []line
-	tries  map[string]int // of a message, by name: the bodies that were read
-	seen   map[string]int // of a message, by request: the requests that reached a worker
-	mutex  sync.Mutex     // guards lines, tries and seen
+	random        *rand.Rand
+	lines         []traceLine
+	bodyReads     map[string]int // by message id: how often its body was read
+	requestCounts map[string]int // by request id: how many requests reached a worker
+	mutex         sync.Mutex     // guards lines, bodyReads and requestCounts
 }
 
-// line is a line of the trace.
-type line struct {
+// traceLine is one recorded event with its time.
+type traceLine struct {
 	at   time.Duration
 	text string
 }
 
 func newTrace(h *harness, name string) *trace {
 	recorded := &trace{
-		harness: h,
-		random:  rand.New(rand.NewPCG(hashOf(name), 1)),
-		tries:   map[string]int{},
-		seen:    map[string]int{},
+		harness:       h,
+		random:        rand.New(rand.NewPCG(hashOf(name), 1)),
+		bodyReads:     map[string]int{},
+		requestCounts: map[string]int{},
 	}
 	h.owner.observer = recorded
 	return recorded
@@ -87,14 +88,14 @@
 func (r *trace) record(format string, values ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lines = append(r.lines, line{r.elapsed(), fmt.Sprintf(format, values...)})
+	r.lines = append(r.lines, traceLine{r.elapsed(), fmt.Sprintf(format, values...)})
 }
 
-// sorted returns the trace in order. What happened at one moment stands in the order of its text.
-func (r *trace) sorted() []string {
+// sortedLines returns the recorded lines by time. Lines of the same moment are sorted by their text.
+func (r *trace) sortedLines() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	slices.SortFunc(r.lines, func(a, b line) int {
+	slices.SortFunc(r.lines, func(a, b traceLine) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text))
 	})
 	var texts []string
@@ -104,11 +105,11 @@
 	return texts
 }
 
-// bodyRead holds an attempt up for a time of its own, so that attempts which start together go on at different times.
+// bodyRead delays each attempt by a different time, so that attempts that start together continue at different times.
 func (r *trace) bodyRead(m *message.Message) {
 	r.mutex.Lock()
-	r.tries[m.ID]++
-	try := r.tries[m.ID]
+	r.bodyReads[m.ID]++
+	try := r.bodyReads[m.ID]
 	r.mutex.Unlock()
 	draw := hashOf(fmt.Sprint(m.ID, " ", try))
 	time.Sleep(time.Duration(draw%900)*time.Microsecond + time.Duration(m.Sequence))
@@ -120,54 +121,56 @@
 	r.record("ended %s %s %q", m.ID, outcome.State, outcome.Stamp)
 }
 
-// behaviour is what a worker does with a request.
-type behaviour func(a receivedRequest, answer http.ResponseWriter)
+// behaviour is how a worker responds to a request.
+type behaviour func(request receivedRequest, writer http.ResponseWriter)
 
-// worker starts a worker that behaves in any of several ways, as the message and the number of its request decide.
+// worker starts a worker with several behaviours. The message and the number of the request determine which one it
+// shows.
 func (r *trace) worker(id, service, ip string, behaviours ...behaviour) *fakeWorker {
 	fake := r.addWorker(id, service, ip)
-	fake.respondWith(func(a receivedRequest, answer http.ResponseWriter) {
+	fake.respondWith(func(request receivedRequest, writer http.ResponseWriter) {
 		r.mutex.Lock()
-		r.seen[a.id]++
-		number := r.seen[a.id]
+		r.requestCounts[request.id]++
+		number := r.requestCounts[request.id]
 		r.mutex.Unlock()
-		r.record("request %s %s %s %s %q", a.worker, a.id, a.key, a.header.Get("X-Deadline-Ms"), a.header.Get("X-Expect-Instance"))
-		draw := hashOf(fmt.Sprint(a.id, " ", number, " ", r.t.Name()))
+		r.record("request %s %s %s %s %q", request.worker, request.id, request.key,
+			request.header.Get("X-Deadline-Ms"), request.header.Get("X-Expect-Instance"))
+		draw := hashOf(fmt.Sprint(request.id, " ", number, " ", r.t.Name()))
 		time.Sleep(time.Duration(draw%60_000)*time.Microsecond + time.Duration(draw>>32%1000))
-		behaviours[(draw>>16)%uint64(len(behaviours))](a, answer)
+		behaviours[(draw>>16)%uint64(len(behaviours))](request, writer)
 	})
 	r.network.SetDelay(storeIP, ip, 0)
 	return fake
 }
 
-// silent does not answer in time.
+// silent does not respond in time.
 func silent(receivedRequest, http.ResponseWriter) {
 	time.Sleep(5 * time.Second)
 	panic(http.ErrAbortHandler)
 }
 
-// submitMany submits messages, one after the other, with random pauses of up to a span between them.
+// submitMany submits messages one after the other, with random pauses of at most span between them.
 func (r *trace) submitMany(prefix, route string, count int, span time.Duration, changes ...func(*message.Message)) {
 	for i := range count {
 		r.submit(fmt.Sprintf("%s-%03d", prefix, i), route, changes...)
-		r.pause(span)
+		r.sleepUpTo(span)
 	}
 }
 
-// pause lets a random time pass, of up to a span.
-func (r *trace) pause(span time.Duration) {
+// sleepUpTo sleeps for a random time of at most span.
+func (r *trace) sleepUpTo(span time.Duration) {
 	time.Sleep(time.Duration(r.random.Int64N(int64(span))) + time.Microsecond)
 }
 
-// watch samples the engine's statistics over a span.
-func (r *trace) watch(span time.Duration) {
+// sampleFor samples the engine's statistics for a time.
+func (r *trace) sampleFor(span time.Duration) {
 	for until := r.elapsed() + span; r.elapsed() < until; {
-		r.pause(400 * time.Millisecond)
+		r.sleepUpTo(400 * time.Millisecond)
 		r.sample()
 	}
 }
 
-// sample records the statistics once the engine has done all that there is to do at this moment.
+// sample records the engine's statistics once all goroutines are blocked.
 func (r *trace) sample() {
 	synctest.Wait()
 	stats := r.engine.Stats()
@@ -178,18 +181,18 @@
 	}
 }
 
-// keyed draws one of several order keys for a message, or none.
-func (r *trace) keyed(m *message.Message) {
+// randomKey gives a message one of four order keys, or none.
+func (r *trace) randomKey(m *message.Message) {
 	if key := r.random.IntN(5); key > 0 {
 		m.OrderKey = fmt.Sprint("k", key)
 	}
 }
 
-// spread draws one of four partitions for a message.
-func (r *trace) spread(m *message.Message) { m.Partition = r.random.IntN(4) }
+// randomPartition gives a message one of four partitions.
+func (r *trace) randomPartition(m *message.Message) { m.Partition = r.random.IntN(4) }
 
-// one configures one route and one service with a limit of attempts and a rate.
-func (r *trace) one(version, maxAttempts int, rate float64) {
+// configureRoute configures one route and one service, with the given attempts per message and rate limit.
+func (r *trace) configureRoute(version, maxAttempts int, rate float64) {
 	r.engine.SetConfiguration(table(r.t, version, []route{{name: "r", service: "s", maxAttempts: maxAttempts}},
 		[]service{{name: "s", rate: rate}}))
 }
--- a/internal/delivery/harness_test.go
+++ b/internal/delivery/harness_test.go
@@ -27,14 +27,14 @@
 	version    = 5
 )
 
-// route is a route of a test's configuration. Fields left out are filled in.
+// route is a route of a test's configuration. Fields that are zero get defaults.
 type route struct {
 	name, service string
 	timeout       time.Duration
 	maxAttempts   int
 }
 
-// service is a service of a test's configuration.
+// service is a service of a test's configuration. Fields that are zero get defaults.
 type service struct {
 	name           string
 	static         string
@@ -42,7 +42,7 @@
 	maxConnections int
 }
 
-// table makes a configuration.
+// table returns a configuration with the routes and services.
 func table(t *testing.T, version int, routes []route, services []service) *configuration.Table {
 	t.Helper()
 	var routeTexts, serviceTexts []string
@@ -72,7 +72,7 @@
 	return document.Table()
 }
 
-// harness is a store's engine with simulated workers, in a bubble of testing/synctest.
+// harness runs the engine of a store with simulated workers in a bubble of testing/synctest.
 type harness struct {
 	t            *testing.T
 	network      *simulated.Network
@@ -82,15 +82,15 @@
 	ended        chan struct{}
 	workers      []*fakeWorker
 	start        time.Time
-	lastSequence uint64 // sequence
+	lastSequence uint64
 }
 
-// withHarness runs a test in a bubble. The engine has ended when it returns.
-func withHarness(t *testing.T, play func(h *harness)) {
+// withHarness runs a test in a bubble. The engine has stopped when it returns.
+func withHarness(t *testing.T, test func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		defer h.close()
-		play(h)
+		test(h)
 	})
 }
 
@@ -112,21 +112,21 @@
 func (h *harness) close() {
 	h.cancel()
 	<-h.ended
-	if flying := h.engine.InFlight(); flying != 0 {
-		h.t.Errorf("%d attempts are out after the end", flying)
+	if inFlight := h.engine.InFlight(); inFlight != 0 {
+		h.t.Errorf("%d attempts are in flight after Run has returned", inFlight)
 	}
 	for _, fake := range h.workers {
 		fake.stop()
 	}
 }
 
-// configure gives the engine the simplest configuration: one route and one service.
+// configure sets the simplest configuration: one route and one service.
 func (h *harness) configure() {
 	h.engine.SetConfiguration(table(h.t, version, []route{{name: "r", service: "s"}}, []service{{name: "s"}}))
 }
 
-// listAll gives the engine the list of the workers that are not static.
-func (h *harness) listAll() {
+// setWorkers gives the engine the list of all started workers.
+func (h *harness) setWorkers() {
 	var list []cluster.Worker
 	for _, fake := range h.workers {
 		list = append(list, fake.listed)
@@ -134,10 +134,10 @@
 	h.engine.SetWorkers(list)
 }
 
-// elapsed is the time that has passed in the bubble.
+// elapsed returns the virtual time since the start of the test.
 func (h *harness) elapsed() time.Duration { return time.Since(h.start) }
 
-// submit hands in a message on a route, due at once unless it is changed.
+// submit submits a message of a route. The message is due at once unless a change sets another time.
 func (h *harness) submit(id, route string, change ...func(*message.Message)) *message.Message {
 	h.lastSequence++
 	m := &message.Message{ID: id, Sequence: h.lastSequence, Route: route, Host: "h.example", Method: http.MethodPost,
@@ -167,7 +167,7 @@
 	return func(m *message.Message) { m.ExpiresAt = time.Now().Add(span) }
 }
 
-// requests are the requests that reached any worker, by time.
+// requests returns the requests that reached any worker, sorted by time.
 func (h *harness) requests() []receivedRequest {
 	var all []receivedRequest
 	for _, fake := range h.workers {
@@ -177,12 +177,12 @@
 	return all
 }
 
-// requestsOf are the requests of one message.
+// requestsOf returns the requests of one message that reached any worker.
 func (h *harness) requestsOf(id string) []receivedRequest {
-	return slices.DeleteFunc(h.requests(), func(a receivedRequest) bool { return a.id != "request-"+id })
+	return slices.DeleteFunc(h.requests(), func(request receivedRequest) bool { return request.id != "request-"+id })
 }
 
-// recordingOwner keeps the messages' bodies and records the results that the engine reports.
+// recordingOwner stores the bodies of the messages and records the results that the engine reports.
 type recordingOwner struct {
 	harness         *harness
 	mutex           sync.Mutex
@@ -191,12 +191,12 @@
 	endedAt         map[string]time.Duration
 	failures        map[string][]int
 	blocked         map[int]bool
-	order           []string // of ends
-	mayDeliverCalls int      // how often MayDeliver was called
-	observer        observer // nil for none
+	order           []string // ids of messages in the order of their ends
+	mayDeliverCalls int      // number of calls of MayDeliver
+	observer        observer // may be nil
 }
 
-// observer is notified of the engine's calls. It is called without the owner's mutex.
+// observer is notified of the engine's calls to the owner. It is called without the owner's mutex.
 type observer interface {
 	bodyRead(m *message.Message)
 	failed(m *message.Message, failures int)
--- a/internal/delivery/limits_test.go
+++ b/internal/delivery/limits_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRateLimitOverEveryWindow checks that the requests of a service with a rate limit stay under this store's part of
-// it in every window.
-func TestRateLimitOverEveryWindow(t *testing.T) {
+// TestRateLimitHoldsInEveryWindow checks that the requests of a service with a rate limit stay below this store's part
+// of it in every window.
+func TestRateLimitHoldsInEveryWindow(t *testing.T) {
 	const rate, deliverers, window = 30.0, 2, 5 * time.Second
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(inSequence(answerWith(500), answerWith(503), abort, succeedAfter(10*time.Millisecond)))
+		fake.respondWith(inSequence(respondStatus(500), respondStatus(503), abort, succeedAfter(10*time.Millisecond)))
 		h.engine.SetConfiguration(table(t, version, []route{{name: "r", service: "s"}}, []service{{name: "s", rate: rate}}))
 		h.engine.SetRateDivisor(deliverers)
-		h.listAll()
-		for i := range 600 { // more than may be sent
+		h.setWorkers()
+		for i := range 600 { // more than the rate limit permits in this time
 			h.submit(fmt.Sprint("m", i), "r")
 		}
 		time.Sleep(40 * time.Second)
@@ -27,8 +27,8 @@
 		assert.Assert(t, len(all) > int(0.8*40*part), "%d sends are too few", len(all))
 		for i, first := range all {
 			count := 0
-			for _, a := range all[i:] {
-				if a.at < first.at+window {
+			for _, request := range all[i:] {
+				if request.at < first.at+window {
 					count++
 				}
 			}
@@ -37,13 +37,13 @@
 	})
 }
 
-// TestLimitsOfAWorker checks that no more connections are used than this store's part of them, and that no more
-// messages are in flight than the worker's slots permit.
-func TestLimitsOfAWorker(t *testing.T) {
+// TestWorkerLimitsAreNotExceeded checks that the engine uses no more connections than this store's part of them, and
+// has no more messages in flight than the worker's slots permit.
+func TestWorkerLimitsAreNotExceeded(t *testing.T) {
 	for _, limit := range []struct {
 		name                  string
 		connections, capacity int
-		most                  int
+		wantInFlight          int
 	}{
 		{"connections", 5, 40, 4},
 		{"slots", 100, 4, 6},
@@ -54,41 +54,41 @@
 				fake.listed.Capacity = limit.capacity
 				services := []service{{name: "s", maxConnections: limit.connections}}
 				h.engine.SetConfiguration(table(t, version, []route{{name: "r", service: "s"}}, services))
-				h.listAll()
+				h.setWorkers()
 				for i := range 100 {
 					h.submit(fmt.Sprint("m", i), "r")
 				}
 				time.Sleep(10 * time.Second)
 				assert.Equal(t, h.owner.countEnded(), 100)
-				assert.Equal(t, fake.mostAtOnce(), limit.most)
+				assert.Equal(t, fake.peakInFlight(), limit.wantInFlight)
 			})
 		})
 	}
 }
 
-// TestAllWorkersShareTheLoad checks that all workers are used at high load, whatever pools the decision module makes
-// of them.
-func TestAllWorkersShareTheLoad(t *testing.T) {
+// TestHighLoadReachesAllWorkers checks that all workers are used at high load, whichever pools the decision module
+// makes of them.
+func TestHighLoadReachesAllWorkers(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		for i := range 6 {
 			h.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1)).respondWith(succeedAfter(100 * time.Millisecond))
 		}
 		h.configure()
-		h.listAll()
-		const messages = 1000 // at 4 a worker: 240 a second are possible
+		h.setWorkers()
+		const messages = 1000 // 4 slots per worker permit 240 messages per second
 		for i := range messages {
 			h.submit(fmt.Sprint("m", i), "r")
 		}
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, h.owner.countEnded(), messages)
 		for _, fake := range h.workers {
-			assert.Assert(t, len(fake.requests()) > messages/12, "%s got %d", fake.listed.ID, len(fake.requests()))
+			assert.Assert(t, len(fake.requests()) > messages/12, "%s received only %d requests", fake.listed.ID, len(fake.requests()))
 		}
 	})
 }
 
-// TestNoRouteStarves checks that the messages of each route start at once, whatever pool its name falls into, and
-// however few workers there are.
+// TestNoRouteStarves checks that the messages of each route start at once, whichever pool the name of the route hashes
+// to, and however few workers there are.
 func TestNoRouteStarves(t *testing.T) {
 	for count := 1; count <= 3; count++ {
 		withHarness(t, func(h *harness) {
@@ -100,29 +100,29 @@
 				routes = append(routes, route{name: fmt.Sprint("r", i), service: "s"})
 			}
 			h.engine.SetConfiguration(table(t, version, routes, []service{{name: "s"}}))
-			h.listAll()
+			h.setWorkers()
 			for i := range 60 {
 				id := fmt.Sprint("m", i)
 				sent := h.elapsed()
 				h.submit(id, routes[i%len(routes)].name)
 				time.Sleep(30 * time.Millisecond)
-				came := h.requestsOf(id)
-				assert.Equal(t, len(came), 1)
-				assert.Assert(t, came[0].at < sent+10*time.Millisecond)
+				requests := h.requestsOf(id)
+				assert.Equal(t, len(requests), 1)
+				assert.Assert(t, requests[0].at < sent+10*time.Millisecond)
 			}
 		})
 	}
 }
 
-// TestOverload checks that, under a load that exceeds the capacity, part of the messages starts in time all the same,
-// and none waits for ever.
-func TestOverload(t *testing.T) {
+// TestOverloadDoesNotDelayAllMessages checks that under a load above the capacity, a part of the messages still starts
+// in time, and that no message waits forever.
+func TestOverloadDoesNotDelayAllMessages(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		h.addWorker("i-1", "s", "10.0.1.1").respondWith(succeedAfter(100 * time.Millisecond)) // 60 a second with 6 at once
+		h.addWorker("i-1", "s", "10.0.1.1").respondWith(succeedAfter(100 * time.Millisecond)) // 6 in flight: 60 per second
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		sent := map[string]time.Duration{}
-		for i := range 1000 { // 100 a second
+		for i := range 1000 { // 100 per second
 			id := fmt.Sprint("m", i)
 			sent["request-"+id] = h.elapsed()
 			h.submit(id, "r")
@@ -131,11 +131,11 @@
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, h.owner.countEnded(), 1000)
 		inTime := 0
-		for _, a := range h.requests() { // one for each message, as nothing fails
-			if a.at < sent[a.id]+600*time.Millisecond {
+		for _, request := range h.requests() { // one for each message, because none fails
+			if request.at < sent[request.id]+600*time.Millisecond {
 				inTime++
 			}
 		}
-		assert.Assert(t, inTime > 350, "%d of 1000 came in time", inTime)
+		assert.Assert(t, inTime > 350, "%d of 1000 messages started in time", inTime)
 	})
 }
--- a/internal/delivery/order_group_test.go
+++ b/internal/delivery/order_group_test.go
@@ -8,23 +8,23 @@
 	"gladepick/internal/message"
 )
 
-func TestOrderGroupsKeepTheSequence(t *testing.T) {
-	q := newBacklog()
+func TestOrderGroupKeepsSequenceOrder(t *testing.T) {
+	b := newBacklog()
 	entryOf := func(sequence uint64) *queuedMessage {
 		return &queuedMessage{message: &message.Message{Sequence: sequence, OrderKey: "k"}}
 	}
 	first, second, third := entryOf(1), entryOf(2), entryOf(3)
 	for _, queued := range []*queuedMessage{third, first, second} {
-		q.link(queued)
+		b.link(queued)
 	}
 	assert.Assert(t, first.orderGroup.isFirst(first))
-	assert.Assert(t, q.unlink(second) == nil)
-	assert.Assert(t, q.unlink(first) == third)
+	assert.Assert(t, b.unlink(second) == nil)
+	assert.Assert(t, b.unlink(first) == third)
 	third.state = dispatched
 	early := entryOf(0)
-	q.link(early)
-	assert.Assert(t, third.orderGroup.isFirst(third), "one that is out stays the first")
-	assert.Assert(t, q.unlink(third) == early)
-	assert.Assert(t, q.unlink(early) == nil)
-	assert.Equal(t, len(q.orderGroups)+len(q.partitions)+q.size, 0)
+	b.link(early)
+	assert.Assert(t, third.orderGroup.isFirst(third), "a dispatched message stays the first")
+	assert.Assert(t, b.unlink(third) == early)
+	assert.Assert(t, b.unlink(early) == nil)
+	assert.Equal(t, len(b.orderGroups)+len(b.partitions)+b.size, 0)
 }
--- a/internal/delivery/partitions_test.go
+++ b/internal/delivery/partitions_test.go
@@ -10,11 +10,11 @@
 	"gladepick/internal/message"
 )
 
-func TestPausedPartitions(t *testing.T) {
+func TestPausedPartitionsDeliverNothing(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1").respondWith(succeedAfter(100 * time.Millisecond))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.engine.PausePartition(1)
 		h.owner.block(2, true)
 		for partition := range 3 {
@@ -40,14 +40,14 @@
 	})
 }
 
-// TestReleasedPartition checks that the queued messages of a released partition are dropped, and that attempts in
-// flight end, also when the partition comes back meanwhile.
-func TestReleasedPartition(t *testing.T) {
+// TestReleaseDropsQueuedMessagesOnly checks that the queued messages of a released partition are dropped, and that
+// attempts in flight run to their end, even if the partition comes back meanwhile.
+func TestReleaseDropsQueuedMessagesOnly(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
 		fake.respondWith(succeedAfter(300 * time.Millisecond))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		first := h.submit("first", "r", withKey("k"))
 		second := h.submit("second", "r", withKey("k"))
 		time.Sleep(100 * time.Millisecond)
--- a/internal/delivery/random_faults_test.go
+++ b/internal/delivery/random_faults_test.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/message"
 )
 
-// randomFaults causes random faults in a harness, and checks what may not happen meanwhile.
+// randomFaults injects random faults into a harness, and checks the invariants that hold despite them.
 type randomFaults struct {
 	*harness
 	random   *rand.Rand
@@ -28,24 +28,24 @@
 	from, to time.Duration
 }
 
-// maxTransit is how long a request may take that was sent just before a drain was known.
+// maxTransit is the longest time in which a request arrives that was sent just before the engine learned of a drain.
 const maxTransit = 5 * time.Millisecond
 
-// TestRandomFaults checks that, whatever workers, lists, configurations and partitions do, each message ends once, in the
-// order of its key, and does not run after its success was read.
+// TestRandomFaults checks that under random faults of workers, lists, configurations and partitions each message ends
+// once, messages of an order key end in order, and no message runs again after its success was read.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			withHarness(t, func(h *harness) {
-				play := &randomFaults{harness: h, random: rand.New(rand.NewPCG(seed, 1)), version: version}
-				play.start()
+				faults := &randomFaults{harness: h, random: rand.New(rand.NewPCG(seed, 1)), version: version}
+				faults.start()
 				for range 300 {
-					play.step()
-					time.Sleep(time.Duration(play.draw(100)) * time.Millisecond)
+					faults.step()
+					time.Sleep(time.Duration(faults.draw(100)) * time.Millisecond)
 				}
-				play.heal()
+				faults.heal()
 				time.Sleep(60 * time.Second)
-				play.check()
+				faults.check()
 			})
 		})
 	}
@@ -58,7 +58,7 @@
 	return h.random.IntN(n)
 }
 
-// restart ends a worker's process and starts it again.
+// restart stops a worker's process and starts it again.
 func (h *randomFaults) restart(fake *fakeWorker) {
 	fake.stop()
 	time.Sleep(300 * time.Millisecond)
@@ -70,21 +70,21 @@
 		h.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1)).respondWith(h.faultyWorker)
 	}
 	h.reconfigure()
-	h.listAll()
+	h.setWorkers()
 }
 
-// faultyWorker answers well or in any of many wrong ways.
-func (h *randomFaults) faultyWorker(a receivedRequest, answer http.ResponseWriter) {
+// faultyWorker responds with a success or with one of many faults.
+func (h *randomFaults) faultyWorker(request receivedRequest, writer http.ResponseWriter) {
 	kind := h.draw(14)
 	time.Sleep(time.Duration(h.draw(80)) * time.Millisecond)
 	statuses := []int{500, 503, 504, 429, 409, 400, 404}
 	switch {
 	case kind < len(statuses):
-		answerWith(statuses[kind])(a, answer)
+		respondStatus(statuses[kind])(request, writer)
 	case kind == len(statuses):
-		abort(a, answer)
+		abort(request, writer)
 	default:
-		succeed(a, answer)
+		succeed(request, writer)
 	}
 }
 
@@ -96,8 +96,8 @@
 }
 
 func (h *randomFaults) step() {
-	kind, which := h.draw(20), h.draw(3)
-	fake := h.workers[which]
+	kind, index := h.draw(20), h.draw(3)
+	fake := h.workers[index]
 	switch kind {
 	case 0:
 		h.restart(fake)
@@ -106,17 +106,17 @@
 	case 4:
 		h.drain(fake, !fake.listed.Draining)
 	case 5:
-		h.reload(which)
+		h.releaseAndResubmit(index)
 	case 6:
 		h.engine.Pause()
 	case 7, 8:
 		h.engine.Resume()
 	case 9:
-		h.owner.block(which, true)
+		h.owner.block(index, true)
 	case 10, 11:
-		h.owner.block(which, false)
+		h.owner.block(index, false)
 	case 12:
-		h.engine.SetRateDivisor(1 + which)
+		h.engine.SetRateDivisor(1 + index)
 	default:
 		key := func(*message.Message) {}
 		if kind%2 == 0 {
@@ -127,7 +127,7 @@
 			partition = kind % 3
 		}
 		id := fmt.Sprintf("m%03d", len(h.messages))
-		h.messages = append(h.messages, h.submit(id, []string{"r", "q"}[which%2], key, withPartition(partition)))
+		h.messages = append(h.messages, h.submit(id, []string{"r", "q"}[index%2], key, withPartition(partition)))
 	}
 }
 
@@ -141,14 +141,14 @@
 		}
 	}
 	fake.listed.Draining = draining
-	h.listAll()
+	h.setWorkers()
 	if draining {
 		h.drains = append(h.drains, drainPeriod{worker: id, from: h.elapsed()})
 	}
 }
 
-// reload releases a partition and takes it back, as after two changes of its leader.
-func (h *randomFaults) reload(partition int) {
+// releaseAndResubmit releases a partition and submits its messages again, as after two changes of its leader.
+func (h *randomFaults) releaseAndResubmit(partition int) {
 	h.engine.Release(partition)
 	for _, m := range h.messages {
 		if m.Partition == partition && h.owner.state(m.ID) == message.Queued {
@@ -168,47 +168,49 @@
 
 func (h *randomFaults) check() {
 	last := map[string]time.Duration{}
-	for _, a := range h.requests() {
-		last[a.id] = a.at
+	for _, request := range h.requests() {
+		last[request.id] = request.at
 	}
 	for _, m := range h.messages {
 		assert.Equal(h.t, h.owner.state(m.ID), message.Completed, m.ID)
 		assert.Assert(h.t, last[m.RequestID] <= h.owner.endOf(m.ID), "%s ran again after its end", m.ID)
 	}
 	h.checkOrder()
-	for _, a := range h.requests() {
+	for _, request := range h.requests() {
 		for _, d := range h.drains {
-			assert.Assert(h.t, a.worker != d.worker || a.at < d.from+maxTransit || a.at >= d.to, "a send to %s at %v", a.worker, a.at)
+			assert.Assert(h.t, request.worker != d.worker || request.at < d.from+maxTransit || request.at >= d.to,
+				"%s, which was draining, received a request at %v", request.worker, request.at)
 		}
 	}
 }
 
-// TestListsThatChangeAllTheTime checks that such lists do not delay messages, and that none reaches a worker that left.
-func TestListsThatChangeAllTheTime(t *testing.T) {
+// TestWorkerListChurnDoesNotDelayMessages checks that lists of workers that change all the time do not delay messages,
+// and that no message reaches a worker that has left.
+func TestWorkerListChurnDoesNotDelayMessages(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		for i := range 4 {
 			h.addWorker(fmt.Sprint("i-", i), "s", fmt.Sprint("10.0.1.", i+1))
 		}
 		h.configure()
-		left := map[string]time.Duration{}
+		leftAt := map[string]time.Duration{}
 		for step := range 200 {
 			var list []cluster.Worker
 			for i, fake := range h.workers {
 				if (step/5+i)%4 < 2 {
 					list = append(list, fake.listed)
-					delete(left, fake.listed.ID)
-				} else if left[fake.listed.ID] == 0 {
-					left[fake.listed.ID] = h.elapsed()
+					delete(leftAt, fake.listed.ID)
+				} else if leftAt[fake.listed.ID] == 0 {
+					leftAt[fake.listed.ID] = h.elapsed()
 				}
 			}
 			h.engine.SetWorkers(list)
 			h.submit(fmt.Sprint("m", step), "r")
 			time.Sleep(10 * time.Millisecond)
 			for _, fake := range h.workers {
-				since, gone := left[fake.listed.ID]
+				since, gone := leftAt[fake.listed.ID]
 				seen := fake.requests()
 				late := gone && len(seen) > 0 && seen[len(seen)-1].at >= since+maxTransit
-				assert.Assert(t, !late, "a send to %s, which has left", fake.listed.ID)
+				assert.Assert(t, !late, "%s, which has left, received a request", fake.listed.ID)
 			}
 		}
 		time.Sleep(time.Second)
--- a/internal/delivery/route_queue_test.go
+++ b/internal/delivery/route_queue_test.go
@@ -10,19 +10,19 @@
 	"gladepick/internal/message"
 )
 
-// TestOverdueMessagesRankByTheirFollowers checks that after an outage the order groups with few messages are emptied
-// first, but that nothing is overtaken by what came much later.
-func TestOverdueMessagesRankByTheirFollowers(t *testing.T) {
-	q := newBacklog()
-	l := newRouteQueue("r")
-	l.route = &configuration.Route{Name: "r", StartTarget: time.Second}
+// TestSmallOrderGroupsDrainFirst checks that after an outage the order groups with few messages are emptied first, but
+// that no message is overtaken by one that was due much later.
+func TestSmallOrderGroupsDrainFirst(t *testing.T) {
+	b := newBacklog()
+	queue := newRouteQueue("r")
+	queue.route = &configuration.Route{Name: "r", StartTarget: time.Second}
 	sequence := uint64(0)
 	submit := func(key string, due time.Duration) {
 		sequence++
 		queued := &queuedMessage{message: &message.Message{Sequence: sequence, OrderKey: key}, due: due, expires: never}
-		q.link(queued)
+		b.link(queued)
 		if queued.orderGroup.isFirst(queued) {
-			l.add(queued, time.Minute)
+			queue.add(queued, time.Minute)
 		}
 	}
 	for range 100 {
@@ -32,11 +32,11 @@
 	submit("pair", time.Second)
 	submit("single", 2*time.Second)
 	submit("much later", longestRankDelay+time.Second)
-	l.moveOverdue(time.Minute)
+	queue.moveOverdue(time.Minute)
 	var order []string
-	for queued := l.overdue.first(); queued != nil; queued = l.overdue.first() {
+	for queued := queue.overdue.first(); queued != nil; queued = queue.overdue.first() {
 		order = append(order, queued.message.OrderKey)
-		l.overdue.remove(queued)
+		queue.overdue.remove(queued)
 	}
 	assert.DeepEqual(t, order, []string{"single", "pair", "long", "much later"})
 }
--- a/internal/delivery/token_bucket_test.go
+++ b/internal/delivery/token_bucket_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTokenBucket(t *testing.T) {
+func TestTokenBucketKeepsToRateAndBurst(t *testing.T) {
 	var bucket tokenBucket
 	now := time.Second
-	assert.Assert(t, bucket.tryTake(now), "without a rate limit there is always a token")
-	bucket.setRate(now, 100, 2) // 46 a second, of which 3 may be saved up
+	assert.Assert(t, bucket.tryTake(now), "no token although there is no rate limit")
+	bucket.setRate(now, 100, 2) // 46 per second, of which 3 may accumulate
 	assert.Assert(t, bucket.tryTake(now))
 	assert.Assert(t, !bucket.tryTake(now))
 	assert.Assert(t, bucket.wait(now) <= time.Second/46+time.Millisecond)
@@ -20,7 +20,7 @@
 		assert.Assert(t, bucket.tryTake(now))
 	}
 	assert.Assert(t, !bucket.tryTake(now))
-	bucket.setRate(now, 100, 100) // 0.92 a second
+	bucket.setRate(now, 100, 100) // 0.92 per second
 	assert.Assert(t, bucket.wait(now) > time.Second)
 	bucket.refund()
 	assert.Assert(t, bucket.tryTake(now))
--- a/internal/delivery/worker_faults_test.go
+++ b/internal/delivery/worker_faults_test.go
@@ -12,7 +12,7 @@
 	"gladepick/internal/message"
 )
 
-func TestServiceThatIsDownAndBack(t *testing.T) {
+func TestServiceRecoversAfterOutage(t *testing.T) {
 	for _, static := range []bool{false, true} {
 		t.Run(fmt.Sprint("static ", static), func(t *testing.T) {
 			withHarness(t, func(h *harness) {
@@ -22,7 +22,7 @@
 					h.engine.SetConfiguration(table(t, version, []route{{name: "r", service: "s"}}, services))
 				} else {
 					h.configure()
-					h.listAll()
+					h.setWorkers()
 				}
 				fake.stop()
 				for i := range 50 {
@@ -32,11 +32,12 @@
 				assert.Equal(t, h.owner.countEnded(), 0)
 				assert.Assert(t, h.engine.Stats().Services["s"].Down)
 				fake.run()
-				back := h.elapsed()
+				recoveredAt := h.elapsed()
 				time.Sleep(200 * time.Millisecond)
 				all := h.requests()
 				assert.Assert(t, len(all) > 0)
-				assert.Assert(t, all[0].at-back < 150*time.Millisecond, "the first came %v after the return", all[0].at-back)
+				assert.Assert(t, all[0].at-recoveredAt < 150*time.Millisecond,
+					"the first request arrived %v after the worker was back", all[0].at-recoveredAt)
 				time.Sleep(5 * time.Second)
 				assert.Equal(t, h.owner.countEnded(), 50)
 				assert.Equal(t, len(h.requests()), 50)
@@ -45,35 +46,36 @@
 	}
 }
 
-// TestServiceThatRejects checks that a service that rejects everything gets few requests, and is used again soon after
-// it has capacity.
-func TestServiceThatRejects(t *testing.T) {
+// TestRejectingServiceIsNotFlooded checks that a service that rejects every request receives few requests, and is used
+// again soon after it has capacity.
+func TestRejectingServiceIsNotFlooded(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(answerWith(503))
+		fake.respondWith(respondStatus(503))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		for i := range 50 {
 			h.submit(fmt.Sprint("m", i), "r")
 		}
 		time.Sleep(5 * time.Second)
-		asked := len(h.requests())
-		assert.Assert(t, asked < 100 && asked > 20, "%d asked", asked)
+		requestsBefore := len(h.requests())
+		assert.Assert(t, requestsBefore < 100 && requestsBefore > 20, "%d requests reached the rejecting worker", requestsBefore)
 		fake.respondWith(succeedAfter(20 * time.Millisecond))
-		back := h.elapsed()
+		recoveredAt := h.elapsed()
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, h.owner.countEnded(), 50)
-		assert.Assert(t, h.requests()[asked].at-back < 150*time.Millisecond)
+		assert.Assert(t, h.requests()[requestsBefore].at-recoveredAt < 150*time.Millisecond)
 	})
 }
 
-// TestOneOfTwoWorkersDoesNotAnswer checks that a worker that does not answer delays nothing beside a good one.
-func TestOneOfTwoWorkersDoesNotAnswer(t *testing.T) {
+// TestUnresponsiveWorkerDoesNotDelayMessages checks that a worker that does not respond delays no message while another
+// worker responds.
+func TestUnresponsiveWorkerDoesNotDelayMessages(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1")
 		h.addWorker("i-2", "s", "10.0.1.2")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.network.Isolate(storeIP, "10.0.1.2")
 		for i := range 40 {
 			h.submit(fmt.Sprint("m", i), "r")
@@ -85,36 +87,36 @@
 	})
 }
 
-func TestAllWorkersGone(t *testing.T) {
+func TestMessageWaitsWhileNoWorkerIsListed(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(time.Second)
 		h.engine.SetWorkers(nil)
 		h.submit("n", "r")
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(h.requests()), 1)
-		h.listAll()
+		h.setWorkers()
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, h.owner.state("n"), message.Completed)
 	})
 }
 
-// TestDrainingWorker checks that nothing starts at a worker after the list has shown it as draining, and that attempts
-// in flight go on.
-func TestDrainingWorker(t *testing.T) {
+// TestDrainingWorkerGetsNoNewAttempts checks that no attempt starts at a worker after the list has shown it as
+// draining, and that attempts in flight run to their end.
+func TestDrainingWorkerGetsNoNewAttempts(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		leaving := h.addWorker("i-1", "s", "10.0.1.1")
 		leaving.respondWith(succeedAfter(300 * time.Millisecond))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("out", "r")
 		time.Sleep(100 * time.Millisecond)
 		staying := h.addWorker("i-2", "s", "10.0.1.2")
 		leaving.listed.Draining = true
-		h.listAll()
+		h.setWorkers()
 		for i := range 30 {
 			h.submit(fmt.Sprint("m", i), "r")
 		}
@@ -125,37 +127,38 @@
 	})
 }
 
-// TestDrainWhileConnecting checks that a worker gets nothing that drains while a connection to it is made.
-func TestDrainWhileConnecting(t *testing.T) {
+// TestWorkerThatDrainsDuringConnectGetsNothing checks that a worker that starts to drain while the engine connects to
+// it receives no request.
+func TestWorkerThatDrainsDuringConnectGetsNothing(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
 		h.network.SetDelay(storeIP, "10.0.1.1", 100*time.Millisecond)
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(150 * time.Millisecond)
 		fake.listed.Draining = true
-		h.listAll()
+		h.setWorkers()
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(h.requests()), 0)
 		assert.Equal(t, h.owner.state("m"), message.Queued)
 	})
 }
 
-func TestAnotherWorkerAtTheAddress(t *testing.T) {
+func TestMisdirectedEndpointIsAvoided(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		wrong := h.addWorker("i-1", "s", "10.0.1.1")
-		wrong.respondWith(answerWith(421))
+		wrong.respondWith(respondStatus(421))
 		h.addWorker("i-2", "s", "10.0.1.2")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		for i := range 50 {
 			h.submit(fmt.Sprint("m", i), "r")
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.countEnded(), 50)
-		assert.Assert(t, len(wrong.requests()) <= 4, "%d sends to the wrong worker", len(wrong.requests()))
+		assert.Assert(t, len(wrong.requests()) <= 4, "%d requests to the misdirected endpoint", len(wrong.requests()))
 		wrong.respondWith(succeedAfter(10 * time.Millisecond))
 		h.engine.SetWorkers([]cluster.Worker{wrong.listed})
 		h.submit("m", "r")
@@ -164,14 +167,14 @@
 	})
 }
 
-// TestRunningElsewhere checks that after a 409, which says that another attempt is still running, the message waits
-// for that one's result.
-func TestRunningElsewhere(t *testing.T) {
+// TestConflictWaitsForRunningAttempt checks that after a response with status 409, which says that another attempt is
+// still running, the message waits for the result of that attempt.
+func TestConflictWaitsForRunningAttempt(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(inSequence(abort, answerWith(409), answerWith(409), succeedAfter(time.Millisecond)))
+		fake.respondWith(inSequence(abort, respondStatus(409), respondStatus(409), succeedAfter(time.Millisecond)))
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.state("m"), message.Completed)
@@ -179,13 +182,14 @@
 	})
 }
 
-// TestThrottledService checks that after an answer 429 a service with a rate limit gets nothing for a while.
-func TestThrottledService(t *testing.T) {
+// TestThrottledServiceIsPaused checks that a service with a rate limit receives no requests for a while after a
+// response with status 429.
+func TestThrottledServiceIsPaused(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
-		fake.respondWith(inSequence(answerWith(429), answerWith(429), succeedAfter(time.Millisecond)))
+		fake.respondWith(inSequence(respondStatus(429), respondStatus(429), succeedAfter(time.Millisecond)))
 		h.engine.SetConfiguration(table(t, version, []route{{name: "r", service: "s"}}, []service{{name: "s", rate: 1000}}))
-		h.listAll()
+		h.setWorkers()
 		h.submit("m", "r")
 		time.Sleep(time.Second)
 		all := h.requests()
@@ -195,15 +199,15 @@
 	})
 }
 
-// TestRouteMovesWhileMessagesAreOut checks that messages which are in flight or pending when their route moves to
-// another service go on there, and that the old one gets no more.
-func TestRouteMovesWhileMessagesAreOut(t *testing.T) {
+// TestDispatchedMessagesFollowRouteToAnotherService checks that messages that are in flight or pending when their route
+// moves to another service are delivered to that service, and that the old service receives no more requests.
+func TestDispatchedMessagesFollowRouteToAnotherService(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		old := h.addWorker("i-1", "s", "10.0.1.1")
 		old.respondWith(func(receivedRequest, http.ResponseWriter) { time.Sleep(time.Hour) })
 		h.addWorker("i-2", "s2", "10.0.1.2")
 		h.configure()
-		h.listAll()
+		h.setWorkers()
 		for i := range 20 {
 			h.submit(fmt.Sprint("m", i), "r")
 		}
@@ -216,23 +220,24 @@
 		assert.Equal(t, h.owner.countEnded(), 20)
 		assert.Equal(t, len(old.requests()), seen)
 		old.stop()
-		time.Sleep(2 * time.Hour) // its handlers end
+		time.Sleep(2 * time.Hour) // until its handlers have returned
 	})
 }
 
-// TestSlowRunAtASingleEndpoint checks that a slow request does not keep a single endpoint from its other messages.
-func TestSlowRunAtASingleEndpoint(t *testing.T) {
+// TestSlowRequestDoesNotBlockStaticEndpoint checks that a slow request does not delay the other messages of a static
+// endpoint.
+func TestSlowRequestDoesNotBlockStaticEndpoint(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("static", "s", "10.0.1.1")
-		fake.respondWith(func(a receivedRequest, answer http.ResponseWriter) {
-			if a.id == "request-slow" {
+		fake.respondWith(func(request receivedRequest, writer http.ResponseWriter) {
+			if request.id == "request-slow" {
 				time.Sleep(1800 * time.Millisecond)
 			}
-			succeed(a, answer)
+			succeed(request, writer)
 		})
 		routes := []route{{name: "r", service: "s", timeout: 2 * time.Second}}
 		h.engine.SetConfiguration(table(t, version, routes, []service{{name: "s", static: fake.listed.Address}}))
-		for i := range 100 { // the usual answer is a quick one
+		for i := range 100 { // most requests are quick
 			h.submit(fmt.Sprint("m", i), "r")
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -247,8 +252,8 @@
 	})
 }
 
-// TestQueueWithoutWorkersSleeps checks that messages for which there is no worker cost nothing while they wait.
-func TestQueueWithoutWorkersSleeps(t *testing.T) {
+// TestQueueWithoutWorkersDoesNotPoll checks that messages for which there is no worker cost nothing while they wait.
+func TestQueueWithoutWorkersDoesNotPoll(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.addWorker("i-1", "s", "10.0.1.1")
 		h.configure()
@@ -256,10 +261,10 @@
 			h.submit(fmt.Sprint("m", i), "r", expiringAfter(2*time.Hour))
 		}
 		time.Sleep(time.Second)
-		asked := h.owner.countMayDeliver()
+		callsBefore := h.owner.countMayDeliver()
 		time.Sleep(time.Hour)
-		assert.Equal(t, h.owner.countMayDeliver(), asked)
-		h.listAll()
+		assert.Equal(t, h.owner.countMayDeliver(), callsBefore)
+		h.setWorkers()
 		time.Sleep(time.Second)
 		assert.Equal(t, h.owner.countEnded(), 100)
 	})
