--- a/internal/delivery/decision_adapter.go
+++ b/internal/delivery/decision_adapter.go
@@ -31,7 +31,7 @@
 	queued      *queuedMessage
 	route       *configuration.Route
 	sends       int               // number of sends that the module has requested for the current id
-	worker      decision.WorkerID // of the last send
+	worker      decision.WorkerID // that the last send went to
 	hasToken    bool              // it has taken a token of the rate limiter for its next send
 	inFlight    bool
 	ownZoneOnly bool          // only workers of the store's zone may take it
@@ -74,8 +74,8 @@
 	d.handle(&event)
 }
 
-// isLastList reports whether the module already has a list. If it does not, isLastList records the list as the last
-// one.
+// isLastList reports whether entries is the list that the module already has. If it is not, isLastList records it as
+// that list.
 func (d *decisionAdapter) isLastList(entries []decision.Entry) bool {
 	if d.lastList != nil && slices.Equal(d.lastList, entries) {
 		return true
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// shortenIdleTimeout sets the idle time-out so that connections are closed before the worker closes them.
+// shortenIdleTimeout shortens the idle time-out, if necessary, so that the store closes idle connections before the
+// worker does.
 func (e *endpoint) shortenIdleTimeout(keepAlive time.Duration, dial dialer) {
 	idle := time.Duration(float64(keepAlive) * idleTimeoutShare)
 	if keepAlive > 0 && idle < e.idleTimeout {
@@ -94,7 +95,7 @@
 // recordResponse ends the ejection of the endpoint and resets its backoff.
 func (e *endpoint) recordResponse() { e.backoff, e.ejectedUntil = 0, 0 }
 
-// eject takes the endpoint out of health resets for a time that doubles with each consecutive ejection. It is called
+// eject excludes the endpoint from health resets for a time that doubles with each consecutive ejection. It is called
 // when the worker is full or did not respond properly.
 func (e *endpoint) eject(now time.Duration) {
 	e.backoff = min(max(2*e.backoff, minEjection), maxEjection)
--- a/internal/delivery/enqueue.go
+++ b/internal/delivery/enqueue.go
@@ -42,7 +42,7 @@
 	if queued.orderGroup != nil && len(queued.orderGroup.messages) > 1 {
 		e.blockByOrder(queued.orderGroup.messages[1]) // it was the first until now
 	}
-	if e.routeDropped(queued) {
+	if e.routeRemoved(queued) {
 		e.endWithoutAttempt(queued, deadLetter)
 		return
 	}
--- a/internal/delivery/reconfigure.go
+++ b/internal/delivery/reconfigure.go
@@ -19,7 +19,7 @@
 	e.refreshEndpoints()
 	var dropped []*queuedMessage
 	e.backlog.forEach(func(queued *queuedMessage) {
-		if queued.state != dispatched && e.routeDropped(queued) {
+		if queued.state != dispatched && e.routeRemoved(queued) {
 			dropped = append(dropped, queued)
 		}
 	})
@@ -121,9 +121,9 @@
 	return created
 }
 
-// routeDropped reports whether the operator has removed the route of a message. A message that was submitted under a
+// routeRemoved reports whether the operator has removed the route of a message. A message that was submitted under a
 // newer configuration waits for that configuration instead.
-func (e *Engine) routeDropped(queued *queuedMessage) bool {
+func (e *Engine) routeRemoved(queued *queuedMessage) bool {
 	return e.table != nil && e.table.Version >= queued.message.ConfigVersion && e.table.Route(queued.message.Route) == nil
 }
 
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -98,7 +98,7 @@
 }
 
 // candidates returns the message that should start first among those that can start in time, and the one among the
-// overdue messages. Between messages with equal start times, the higher priority wins.
+// overdue messages. If two messages have the same latest start time, the one with the higher priority starts first.
 func (s *service) candidates(now time.Duration) (inTime, overdue *queuedMessage) {
 	for _, q := range s.routeQueues {
 		q.moveOverdue(now)
--- a/internal/delivery/service_schedule.go
+++ b/internal/delivery/service_schedule.go
@@ -6,7 +6,7 @@
 )
 
 // fullSweepInterval is the time between two runs of all services while messages are queued. Events and the schedule
-// already cause every run that is needed; the sweep bounds the delay if one is missed.
+// should cause every run that is needed; if one is missed, the sweep bounds the delay.
 const fullSweepInterval = 250 * time.Millisecond
 
 // serviceSchedule determines which services the loop runs: those that an event concerns, and those whose next run is
