--- a/internal/delivery/transport.go
+++ b/internal/delivery/transport.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	maxDialDuration      = time.Second
-	maxAnswerHeaderBytes = 64 << 10
-	bufferSize           = 4 << 10
+	maxDialDuration        = time.Second
+	maxResponseHeaderBytes = 64 << 10
+	bufferSize             = 4 << 10 // bytes of each read and write buffer
 )
 
-// errWithdrawn is the error of a write whose attempt was called off before its first byte.
-var errWithdrawn = errors.New("delivery: attempt withdrawn")
+// errCancelled is the error of a write whose attempt was cancelled before its first byte.
+var errCancelled = errors.New("delivery: attempt cancelled")
 
 // dialer opens a connection to a worker.
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newDialer makes the dialer of an engine. Its connections ask their attempt before each write.
+// newDialer returns the dialer of an engine. Each connection asks its attempt for admission before each write.
 func newDialer(options Options) dialer {
-	limit := maxDialDuration
-	if options.Drain > 0 {
-		limit = min(limit, options.Drain/2)
+	timeout := maxDialDuration
+	if options.DrainGrace > 0 {
+		timeout = min(timeout, options.DrainGrace/2)
 	}
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, limit)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		connection, err := options.Network.Dial(ctx, address)
 		if err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// newTransport makes the HTTP/1.1 transport to one worker, without proxies and compression. Where idle is 0, each connection
-// is closed after its attempt.
+// newTransport creates the HTTP/1.1 transport to one worker, without proxies and compression. If idle is 0, each
+// connection is closed after its attempt.
 func newTransport(dial dialer, connections int, idle time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -49,22 +49,22 @@
 		MaxIdleConns:           connections,
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
-		MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		ReadBufferSize:         bufferSize,
 		WriteBufferSize:        bufferSize,
 	}
 }
 
-// workerConnection is a connection that lets an attempt's bytes pass only if the attempt may still start.
+// workerConnection writes the bytes of an attempt only if the attempt may still start.
 type workerConnection struct {
 	net.Conn
-	attempt atomic.Pointer[attempt] // the one that uses it
+	attempt atomic.Pointer[attempt] // the attempt that uses the connection
 }
 
 // Write implements net.Conn.
 func (c *workerConnection) Write(data []byte) (int, error) {
 	if user := c.attempt.Load(); user != nil && !user.admitWrite(c) {
-		return 0, errWithdrawn
+		return 0, errCancelled
 	}
 	return c.Conn.Write(data)
 }
