--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -148,7 +148,7 @@
 
 // makeParts creates the parts that only a possible member of the group needs.
 func (p *Plane) makeParts() {
-	p.leases = lease.NewTable(func() { p.manager.Nudge() })
+	p.leases = lease.NewTable(func() { p.manager.Wake() })
 	p.pinger = newPinger(p.leases, p.options.Pool)
 	p.manager = tablemanager.New(tablemanager.Options{
 		Group:       &p.member,
@@ -164,7 +164,7 @@
 		Leases:    p.leases,
 		DiskID:    p.options.Info.DiskID,
 		Tolerated: p.options.Tolerated,
-		OnChange:  p.manager.Nudge,
+		OnChange:  p.manager.Wake,
 		Logger:    p.logger,
 	})
 	p.reader = workerlist.NewReader(p.lifetime, workerlist.ReaderOptions{
@@ -211,7 +211,7 @@
 	p.member.group = group
 	group.OnRoleChange(func(replication.Role) {
 		p.member.roleChanged.Notify()
-		p.manager.Nudge()
+		p.manager.Wake()
 	})
 	server := p.options.Server
 	server.Handle(cluster.MethodSync, p.handleSync)
--- a/internal/controlplane/tablemanager/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -82,7 +82,7 @@
 		State:      controlstate.NewMachine(),
 		Redundancy: placement.Redundancy{ReplicationFactor: copies, Zones: zones},
 	})
-	manager.options.Leases = lease.NewTable(manager.Nudge)
+	manager.options.Leases = lease.NewTable(manager.Wake)
 	trace := &decisionTrace{
 		t: t, random: rand.New(rand.NewPCG(seed, 11)), now: time.Unix(1_700_000_000, 0), manager: manager,
 		hash: sha256.New(), outcomes: map[string]int{},
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -1,12 +1,12 @@
 // Package tablemanager keeps the cluster table up to date while its process is the control group's primary.
 //
-// Manager.Run reads the leases ten times a second, and at once after Nudge or Edit. In each step it builds a table from
+// Manager.Run reads the leases ten times a second, and at once after Wake or Edit. In each step it builds a table from
 // the current one (package placement) and proposes the change, if there is one, to the group. Only the manager proposes
 // changes of the table. All edits that are pending at the start of a step go into one change. If the table has changed
 // before the group applies the change, the change has no effect: its edits fail with ErrOutdated, and the next step
 // starts from the newer table.
 //
-// The manager has one goroutine, that of Run, which owns its fields. Nudge and Edit reach it through channels and may
+// The manager has one goroutine, that of Run, which owns its fields. Wake and Edit reach it through channels and may
 // be called from any goroutine. Start reading at Manager.step.
 package tablemanager
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// Nudge wakes the manager, so that it starts a step at once. It never blocks.
-func (m *Manager) Nudge() {
+// Wake wakes the manager, so that it starts a step at once. It never blocks.
+func (m *Manager) Wake() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -173,7 +173,7 @@
 // that time is over.
 func (m *Manager) awaitRestarts(builder *placement.Builder, now time.Time) {
 	if until, waits := builder.AwaitRestarts(now, m.leadingSince); waits {
-		time.AfterFunc(until.Sub(now), m.Nudge)
+		time.AfterFunc(until.Sub(now), m.Wake)
 	}
 }
 
@@ -227,7 +227,7 @@
 		builder.PlaceInitially()
 	}
 	if more := builder.Repair(); more {
-		m.Nudge()
+		m.Wake()
 	}
 	if now.Sub(m.lastRebalance) >= rebalanceInterval && now.Sub(m.leadingSince) > cluster.LeaseDuration {
 		m.lastRebalance = now
