--- a/internal/controlplane/placement/stores.go
+++ b/internal/controlplane/placement/stores.go
@@ -9,9 +9,9 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// DeliveryMemory is how long after the end of its lease a store still counts as a delivering store. Its last deliveries
-// are still within the windows of the services' rate limits.
-const DeliveryMemory = 6 * time.Second
+// DeliveringStoreRetention is how long after the end of its lease a store still counts as a delivering store. Its last
+// deliveries are still within the windows of the services' rate limits.
+const DeliveringStoreRetention = 6 * time.Second
 
 // UpdateStores updates the entries of all stores from their leases. It adds an entry for each new store.
 func (b *Builder) UpdateStores() {
@@ -69,13 +69,13 @@
 	return cluster.StoreActive
 }
 
-// UpdateDeliveringStores counts the stores that deliver or may have delivered within the last DeliveryMemory. inherited
-// is the count of the former primary, whose stores may still deliver, or 0 if they cannot any more. The result is at
-// least inherited and at least 1.
+// UpdateDeliveringStores counts the stores that deliver or may have delivered within the last DeliveringStoreRetention.
+// inherited is the count of the former primary, whose stores may still deliver, or 0 if they cannot any more. The
+// result is at least inherited and at least 1.
 func (b *Builder) UpdateDeliveringStores(now time.Time, inherited int) {
 	count := 0
 	for _, node := range b.nodes {
-		if node.Info.Store && now.Sub(node.Expires) < DeliveryMemory {
+		if node.Info.Store && now.Sub(node.Expires) < DeliveringStoreRetention {
 			count++
 		}
 	}
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -235,7 +235,7 @@
 	}
 	builder.CompleteRetireJobs()
 	inherited := 0
-	if now.Sub(m.leadingSince) < placement.DeliveryMemory {
+	if now.Sub(m.leadingSince) < placement.DeliveringStoreRetention {
 		inherited = m.inherited
 	}
 	builder.UpdateDeliveringStores(now, inherited)
