--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -219,7 +219,7 @@
 	server.Handle(cluster.MethodFailureReport, p.handleFailureReport)
 	server.Handle(cluster.MethodOperator, p.operator.Handle)
 	server.Handle(cluster.MethodPartitionRequest, p.handlePartitionRequest)
-	server.Handle(workerlist.Method, p.reader.HandleWorkers)
+	server.Handle(workerlist.MethodWorkers, p.reader.HandleWorkers)
 	server.Handle(bootstrap.MethodBootstrap, p.bootstrapper.HandleBootstrap)
 }
 
--- a/internal/controlplane/workerlist/reader.go
+++ b/internal/controlplane/workerlist/reader.go
@@ -26,12 +26,12 @@
 	idleConnections = 5 * time.Second
 )
 
-// Method is the RPC by which a backup fetches the list from the primary. The argument is the cluster.WorkerVersion that
-// the backup holds.
-const Method = "control.workers"
+// MethodWorkers is the RPC by which a backup fetches the list from the primary. The argument is the
+// cluster.WorkerVersion that the backup holds.
+const MethodWorkers = "control.workers"
 
-// listResponse is the response to Method. It holds the changes from the caller's version to the newest list of workers
-// if they are known, and otherwise the complete list.
+// listResponse is the response to MethodWorkers. It holds the changes from the caller's version to the newest list of
+// workers if they are known, and otherwise the complete list.
 type listResponse struct {
 	Changes []cluster.WorkerChange `json:"changes,omitempty"`
 	List    *cluster.WorkerList    `json:"list,omitempty"`
@@ -42,7 +42,7 @@
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
 	AgeMS    int64  `json:"ageMs"`
-	Address  string `json:"address"` // of the primary, which serves Method
+	Address  string `json:"address"` // of the primary, which serves MethodWorkers
 }
 
 // ReaderOptions configures a Reader.
@@ -160,7 +160,7 @@
 	defer cancel()
 	known, _ := r.options.Cache.Load()
 	var response listResponse
-	_, err := r.options.Pool.Get(address).Call(ctx, Method, known.Version(), nil, &response)
+	_, err := r.options.Pool.Get(address).Call(ctx, MethodWorkers, known.Version(), nil, &response)
 	if err != nil {
 		r.options.Logger.Debug("failed to fetch the list of workers from the primary", zap.Error(trace.Wrap(err)))
 		return
@@ -174,7 +174,7 @@
 	}
 }
 
-// HandleWorkers serves Method.
+// HandleWorkers serves MethodWorkers.
 func (r *Reader) HandleWorkers(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var known cluster.WorkerVersion
 	if err := call.Decode(&known); err != nil {
