--- a/internal/controlplane/machine_test.go
+++ b/internal/controlplane/machine_test.go
@@ -106,7 +106,7 @@
 	}
 	plane, err := controlplane.New(controlplane.Options{
 		Info: p.info, Network: p.host, Pool: p.pool, Server: p.server, FS: disk, Bootstrap: m.bootstrap,
-		Tolerated: m.simulation.tolerated, Seeds: m.simulation.seeds, InternalPort: internalPort, PlatformAddress: platformAddress,
+		ToleratedLosses: m.simulation.tolerated, Seeds: m.simulation.seeds, InternalPort: internalPort, PlatformAddress: platformAddress,
 		Agent: p.agent, Logger: m.simulation.logger, Seed: uint64(m.starts),
 	})
 	assert.NilError(m.simulation.t, err)
--- a/internal/controlplane/membership/manager.go
+++ b/internal/controlplane/membership/manager.go
@@ -48,10 +48,10 @@
 
 // Options configures a Manager.
 type Options struct {
-	Group     Group
-	Leases    *lease.Table
-	DiskID    string // of this process
-	Tolerated int    // number of members that may be lost at once
+	Group           Group
+	Leases          *lease.Table
+	DiskID          string // of this process
+	ToleratedLosses int    // number of members that may be lost at once
 	// OnChange is called after each attempt to change the members.
 	OnChange func()
 	Logger   *zap.Logger
@@ -127,7 +127,7 @@
 func (m *Manager) replaceUnresponsive(
 	change *memberChange, members []replication.Member, now time.Time,
 ) *memberChange {
-	if change.remove != "" || len(members) < minMembers(m.options.Tolerated) {
+	if change.remove != "" || len(members) < minMembers(m.options.ToleratedLosses) {
 		return change
 	}
 	longest := time.Duration(0)
@@ -183,7 +183,7 @@
 // planRemoval returns the change that removes a member that has not answered for longer than removeAfter, or nil. It
 // requires that a majority of the other members is alive.
 func (m *Manager) planRemoval(view replication.View, now time.Time) *memberChange {
-	if len(view.Members) <= minMembers(m.options.Tolerated) {
+	if len(view.Members) <= minMembers(m.options.ToleratedLosses) {
 		return nil
 	}
 	alive := 0
--- a/internal/controlplane/membership/manager_test.go
+++ b/internal/controlplane/membership/manager_test.go
@@ -85,7 +85,7 @@
 // newTestManager returns the manager of the first member, which begins to lead at the given time.
 func newTestManager(tolerated int, begin time.Time) *Manager {
 	return &Manager{
-		options:   Options{DiskID: "d-m-0", Tolerated: tolerated},
+		options:   Options{DiskID: "d-m-0", ToleratedLosses: tolerated},
 		lastAlive: map[string]time.Time{}, leadingSince: begin,
 	}
 }
--- a/internal/controlplane/operatorapi/api.go
+++ b/internal/controlplane/operatorapi/api.go
@@ -68,12 +68,12 @@
 
 // Options configures an API.
 type Options struct {
-	Group      Group
-	Leadership Leadership
-	Editor     TableEditor
-	State      *controlstate.Machine
-	Tolerated  int // number of lost disks that the system must survive
-	Logger     *zap.Logger
+	Group           Group
+	Leadership      Leadership
+	Editor          TableEditor
+	State           *controlstate.Machine
+	ToleratedLosses int // number of lost disks that the system must survive
+	Logger          *zap.Logger
 }
 
 // API serves the operator's calls. It is safe for concurrent use.
--- a/internal/controlplane/operatorapi/retire.go
+++ b/internal/controlplane/operatorapi/retire.go
@@ -48,15 +48,15 @@
 	return errorResponse(http.StatusNotFound, "no such call"), nil
 }
 
-// startRetire starts the job that moves all data off a store. It is refused unless 2*Tolerated+1 active stores remain,
-// which are enough after the tolerated losses.
+// startRetire starts the job that moves all data off a store. It is refused unless 2*ToleratedLosses+1 active stores
+// remain, which are enough after the tolerated losses.
 func (a *API) startRetire(ctx context.Context, store string) (Response, error) {
 	if err := a.options.Group.ReadBarrier(ctx); err != nil {
 		return Response{}, err
 	}
 	var refusal error
 	err := a.options.Editor.Edit(ctx, func(builder *placement.Builder) error {
-		refusal = builder.StartRetire(store, 2*a.options.Tolerated+1)
+		refusal = builder.StartRetire(store, 2*a.options.ToleratedLosses+1)
 		return nil // the table's other changes come into force before a refusal is returned
 	})
 	return startedResponse(refusal), err
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -55,9 +55,9 @@
 	Server  *rpc.Server      // New registers the control plane's handlers on it
 	FS      vfs.FS           // for the control state; nil without a disk
 
-	Bootstrap      bool // this is the first start of the whole system
-	Tolerated      int  // number of lost disks that the system must survive
-	ToleratedZones int  // number of lost zones that the system must survive
+	Bootstrap           bool // this is the first start of the whole system
+	ToleratedLosses     int  // number of lost disks that the system must survive
+	ToleratedZoneLosses int  // number of lost zones that the system must survive
 
 	Seeds           []string // control addresses of the seeds, "ip:port"
 	InternalPort    int      // port of every process's RPC server
@@ -160,12 +160,12 @@
 	})
 	p.updates = updates.NewSource(p.state, &p.workers)
 	p.members = membership.NewManager(membership.Options{
-		Group:     &p.member,
-		Leases:    p.leases,
-		DiskID:    p.options.Info.DiskID,
-		Tolerated: p.options.Tolerated,
-		OnChange:  p.manager.Wake,
-		Logger:    p.logger,
+		Group:           &p.member,
+		Leases:          p.leases,
+		DiskID:          p.options.Info.DiskID,
+		ToleratedLosses: p.options.ToleratedLosses,
+		OnChange:        p.manager.Wake,
+		Logger:          p.logger,
 	})
 	p.reader = workerlist.NewReader(p.lifetime, workerlist.ReaderOptions{
 		Cache:           &p.workers,
@@ -177,12 +177,12 @@
 		Logger:          p.logger,
 	})
 	p.operator = operatorapi.New(operatorapi.Options{
-		Group:      &p.member,
-		Leadership: &p.member,
-		Editor:     p.manager,
-		State:      p.state,
-		Tolerated:  p.options.Tolerated,
-		Logger:     p.logger,
+		Group:           &p.member,
+		Leadership:      &p.member,
+		Editor:          p.manager,
+		State:           p.state,
+		ToleratedLosses: p.options.ToleratedLosses,
+		Logger:          p.logger,
 	})
 }
 
@@ -251,7 +251,7 @@
 
 // redundancy returns the redundancy of partitions that survives the configured losses of disks and zones.
 func (p *Plane) redundancy() placement.Redundancy {
-	return placement.Redundancy{ReplicationFactor: p.options.Tolerated + 1, Zones: p.options.ToleratedZones + 1}
+	return placement.Redundancy{ReplicationFactor: p.options.ToleratedLosses + 1, Zones: p.options.ToleratedZoneLosses + 1}
 }
 
 // document returns the current configuration if it has the given version, and nil otherwise.
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -48,20 +48,20 @@
 
 func (f *Front) planeOptions() controlplane.Options {
 	return controlplane.Options{
-		Info:            f.info,
-		Network:         f.options.Network,
-		Pool:            f.pool,
-		Server:          f.server,
-		FS:              f.options.FS,
-		Bootstrap:       f.settings.Bootstrap,
-		Tolerated:       f.settings.FaultTolerance.Machines,
-		ToleratedZones:  f.settings.FaultTolerance.Zones,
-		Seeds:           f.settings.Seeds,
-		InternalPort:    f.settings.InternalPorts.First,
-		PlatformAddress: f.settings.Cloud.Address,
-		Agent:           f.agent,
-		Logger:          f.logger,
-		Seed:            f.options.Seed,
+		Info:                f.info,
+		Network:             f.options.Network,
+		Pool:                f.pool,
+		Server:              f.server,
+		FS:                  f.options.FS,
+		Bootstrap:           f.settings.Bootstrap,
+		ToleratedLosses:     f.settings.FaultTolerance.Machines,
+		ToleratedZoneLosses: f.settings.FaultTolerance.Zones,
+		Seeds:               f.settings.Seeds,
+		InternalPort:        f.settings.InternalPorts.First,
+		PlatformAddress:     f.settings.Cloud.Address,
+		Agent:               f.agent,
+		Logger:              f.logger,
+		Seed:                f.options.Seed,
 	}
 }
 
