--- a/internal/controlplane/partitionrequest.go
+++ b/internal/controlplane/partitionrequest.go
@@ -12,8 +12,8 @@
 )
 
 // handlePartitionRequest serves cluster.MethodPartitionRequest: the primary of a partition asks for a change of its
-// replica group. Before a backup is dropped, it is pinged. A backup that responds stays until another replica is
-// synced.
+// replica group. Before a backup is dropped, it is pinged. A synced backup that responds stays until another replica is
+// synced in its place.
 func (p *Plane) handlePartitionRequest(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request cluster.PartitionRequest
 	if err := call.Decode(&request); err != nil {
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -25,7 +25,8 @@
 	"gladepick/internal/controlplane/lease"
 )
 
-// Redundancy is the number of replicas of a partition and of the zones that hold them.
+// Redundancy is the number of replicas of a partition and the number of zones that hold them. It follows from the
+// losses that a partition must survive.
 type Redundancy struct {
 	ReplicationFactor int // replicas of each partition: one more than the disks that may be lost at once
 	// Zones is the number of zones that hold the replicas of a partition, as far as there are stores in them: one more
--- a/internal/controlplane/placement/outage.go
+++ b/internal/controlplane/placement/outage.go
@@ -73,7 +73,8 @@
 }
 
 // keepReplicasUntil returns the time until which the dead stores keep their replicas. If more stores are dead than the
-// number of tolerated losses, they are expected to restart.
+// number of tolerated losses, they are expected to restart and keep their replicas for restartGrace. Otherwise, they
+// keep them only until other failures are known.
 func (o outage) keepReplicasUntil(tolerated int, leadingSince time.Time) time.Time {
 	if len(o.down) > tolerated {
 		return o.expires
--- a/internal/controlplane/updates/compress.go
+++ b/internal/controlplane/updates/compress.go
@@ -14,8 +14,8 @@
 	compressed map[uint64][]byte // by the version that a body starts from; nil if the body is small or does not shrink
 }
 
-// compress returns the compressed form of the body that leads from one version to another, and false if
-// the body is small or does not shrink.
+// compress returns the compressed form of the body that leads from one version to another, and false if the body is
+// small or does not shrink.
 func (c *bodyCompressor) compress(from, to uint64, body []byte) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/controlplane/workerlist/reader.go
+++ b/internal/controlplane/workerlist/reader.go
@@ -134,8 +134,7 @@
 }
 
 // OnHeartbeat starts a fetch of the list if the primary announces a newer one. The heartbeat was sent after sentAfter,
-// so
-// the computed time of the read is never later than the actual one.
+// so the computed time of the read is never later than the actual one.
 func (r *Reader) OnHeartbeat(payload []byte, sentAfter time.Time) {
 	if len(payload) == 0 {
 		return
