--- a/internal/dispatcher/dispatch/actions.go
+++ b/internal/dispatcher/dispatch/actions.go
@@ -6,22 +6,22 @@
 	"gladepick/internal/decision"
 )
 
-// handle gives the module one event and carries out the actions that follow, in their order.
+// handle passes one event to the module and executes the resulting actions in order.
 func (c *Core) handle(ev *decision.Event) {
 	for _, action := range c.module.Handle(c.now(), ev, nil) {
-		c.carryOut(action)
+		c.execute(action)
 	}
 }
 
-// carryOut carries out one action of the module.
-func (c *Core) carryOut(a decision.Action) {
+// execute performs one action of the module.
+func (c *Core) execute(a decision.Action) {
 	switch a.Kind {
 	case decision.Send:
 		c.startAttempt(c.jobs[a.Job], a)
 	case decision.Reject:
-		c.answerFor(a.Job, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
+		c.answerByNumber(a.Job, Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case decision.Fail:
-		c.answerFor(a.Job, Answer{Kind: Failed})
+		c.answerByNumber(a.Job, Answer{Kind: Failed})
 	case decision.Cancel:
 		c.cancelAttempt(c.jobs[a.Job], a.Attempt)
 	case decision.SetTimer:
@@ -29,7 +29,7 @@
 		c.setTimer(c.now()+a.Delay, func() { c.handle(&decision.Event{Kind: decision.EventTimer, Token: token}) })
 	case decision.Watch:
 		c.watcher.Watch(a.On)
-	case decision.Fetch: // a new watch brings the complete list where it is needed
+	case decision.Fetch: // a new watch delivers the complete list if needed
 		c.watcher.Watch(true)
 	case decision.CloseIdle:
 		if w := c.workers[a.Worker]; w != nil {
@@ -37,20 +37,20 @@
 		}
 	case decision.Log:
 		log.Printf("module: %s", a.Data)
-	default: // health checks and messages to peers are ruled out here, and the settings say so
-		log.Printf("module asked for action %d, which this deployment does not allow", a.Kind)
+	default: // the settings disable health checks and messages to peers
+		log.Printf("module requested unsupported action %d", a.Kind)
 	}
 }
 
-// answerFor gives a job the module's answer.
-func (c *Core) answerFor(number decision.JobID, a Answer) {
+// answerByNumber answers an open job as the module decided.
+func (c *Core) answerByNumber(number decision.JobID, a Answer) {
 	if j := c.jobs[number]; j != nil {
 		c.reply(j, a)
-		c.forget(j)
+		c.removeFinished(j)
 	}
 }
 
-// transportTo returns the transport that reaches a worker.
+// transportTo returns the transport for a worker: queueTransport if the worker takes its jobs from a queue.
 func (c *Core) transportTo(w *workerState) Transport {
 	if w.Queue != "" && c.queueTransport != nil {
 		return c.queueTransport
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -9,40 +9,43 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// Attempt is one send of a job to a worker. Its transport calls End exactly once.
+// Attempt is one send of a job to a worker. The transport calls End exactly once for each attempt.
 type Attempt struct {
 	Job      *Job
 	Worker   config.Worker
-	Context  context.Context // ends once the attempt is given up
-	Deadline time.Time       // when waiting for the worker ends at the latest
+	Context  context.Context // done once the attempt is cancelled, timed out or ended
+	Deadline time.Time       // latest time to wait for the worker's answer
 
 	core    *Core
 	worker  *workerState
 	cancel  context.CancelFunc
 	number  int
-	writing atomic.Bool // its first byte may be out
-	sent    atomic.Bool // its last byte is out
+	writing atomic.Bool // the first byte may have been written
+	sent    atomic.Bool // the last byte has been written
 
-	// Of the core's goroutine alone.
-	ended     bool // it has its outcome
-	cancelled bool // given up by the module
-	timedOut  bool // the module's time-out for it has passed
+	// Accessed only by the core's goroutine.
+	ended     bool // the outcome is known
+	cancelled bool // cancelled by the module, or by Abandon
+	timedOut  bool // the module's time-out for the attempt has passed
 }
 
-// Number counts a job's attempts from 0.
+// Number returns the attempt's index among its job's attempts, starting at 0.
 func (a *Attempt) Number() int { return a.number }
 
-// MayStart returns whether the first byte may go out, and must be asked just before: a connection takes time to come
-// up, and meanwhile the worker may have begun to leave, or the client may have left.
+// MayStart reports whether the transport may write the first byte. The transport must call it just before that write:
+// while the connection is being established, the worker may start to leave or the client may disconnect.
 func (a *Attempt) MayStart() bool {
-	a.writing.Store(true) // before the look: Abandon looks the other way round, and one of the two sees the other
-	return !a.Job.over.Load() && !a.worker.leaving.Load() && a.Context.Err() == nil && (a.Job.MayStart == nil || a.Job.MayStart())
+	// Stored before finished is loaded. Abandon stores finished before it loads writing, so at least one of the two sees
+	// the other's store.
+	a.writing.Store(true)
+	return !a.Job.finished.Load() && !a.worker.leaving.Load() && a.Context.Err() == nil && (a.Job.MayStart == nil || a.Job.MayStart())
 }
 
-// MarkSent notes that the last byte of the request has gone out.
+// MarkSent records that the last byte of the request has been written.
 func (a *Attempt) MarkSent() { a.sent.Store(true) }
 
-// ReportProgress passes on that the job has started at the worker or, as a share from 0 to 1, how far it is.
+// ReportProgress tells the core that the job has started at the worker or, as a share from 0 to 1, how far it has
+// advanced.
 func (a *Attempt) ReportProgress(kind decision.ProgressKind, share float64) {
 	a.core.post(func() {
 		if a.ended {
@@ -62,31 +65,33 @@
 	})
 }
 
-// End passes on how the attempt ended. Its connection must be closed or clean by then: another send may follow.
+// End tells the core the outcome of the attempt. The connection must be closed or reusable before the call, because the
+// core may send the job again.
 func (a *Attempt) End(o decision.Outcome, load decision.Load, result []byte) {
 	a.core.post(func() { a.core.endAttempt(a, o, load, result) })
 }
 
-// startAttempt carries out the module's decision to send a job to a worker.
-func (c *Core) startAttempt(j *Job, act decision.Action) {
+// startAttempt executes the module's action to send a job to a worker.
+func (c *Core) startAttempt(j *Job, action decision.Action) {
 	if j == nil {
 		return
 	}
-	a := &Attempt{Job: j, core: c, number: len(j.attempts), worker: c.workers[act.Worker]}
-	left := j.deadline - c.now()
-	if act.Timeout > 0 {
-		left = min(left, act.Timeout)
+	a := &Attempt{Job: j, core: c, number: len(j.attempts), worker: c.workers[action.Worker]}
+	timeout := j.deadline - c.now()
+	if action.Timeout > 0 {
+		timeout = min(timeout, action.Timeout)
 	}
-	a.Deadline = time.Now().Add(left)
+	a.Deadline = time.Now().Add(timeout)
 	a.Context, a.cancel = context.WithCancel(context.Background())
-	second := j.inFlight > 0 && !c.node.Module.ParallelAttempts
+	forbiddenParallel := j.inFlight > 0 && !c.node.Module.ParallelAttempts
 	j.attempts = append(j.attempts, a)
 	j.inFlight++
-	if a.worker == nil || a.worker.state != decision.Ready || second || j.over.Load() || left <= 0 {
-		// Guards the invariants on leaving workers, on one attempt at a time and on clients that left against a module that
-		// forgets them or does not know yet. The module is told afterwards, not from within its own actions.
+	if a.worker == nil || a.worker.state != decision.Ready || forbiddenParallel || j.finished.Load() || timeout <= 0 {
+		// Enforces the invariants on leaving workers, on one attempt at a time and on disconnected clients, even if the
+		// module violates them or has not heard of the change yet. A timer reports the outcome, so that the module does not
+		// get an event while its actions are being executed.
 		if a.worker == nil {
-			a.worker = &workerState{number: act.Worker}
+			a.worker = &workerState{number: action.Worker}
 		}
 		c.setTimer(c.now(), func() { c.endAttempt(a, decision.NeverSent, decision.Load{}, nil) })
 		return
@@ -94,8 +99,10 @@
 	a.Worker = a.worker.Worker
 	c.Counters.Sent.Add(1)
 	c.observe(Event{Kind: AttemptSent, Job: j, Attempt: a})
-	if act.Timeout > 0 { // the transport closes the connection first and then reports: another send may follow
-		c.setTimer(c.now()+left, func() {
+	if action.Timeout > 0 {
+		// The timer only cancels the attempt: the transport closes the connection before it reports the outcome, because the
+		// module may then send the job again.
+		c.setTimer(c.now()+timeout, func() {
 			a.timedOut = true
 			a.cancel()
 		})
@@ -103,10 +110,10 @@
 	c.transportTo(a.worker).Send(a)
 }
 
-// endAttempt notes the outcome of an attempt, gives the client its result where there is one, and asks the module what
-// follows.
+// endAttempt records the outcome of an attempt, sends the client the result if there is one, and passes the outcome to
+// the module.
 func (c *Core) endAttempt(a *Attempt, o decision.Outcome, load decision.Load, result []byte) {
-	if a.ended { // it has expired and the module knows; a late answer changes nothing
+	if a.ended { // it expired earlier and the module knows: a late outcome is ignored
 		return
 	}
 	switch {
@@ -136,10 +143,10 @@
 		JobEnded: j.answered,
 		Load:     load,
 	})
-	c.forget(j)
+	c.removeFinished(j)
 }
 
-// cancelAttempt carries out the module's decision to give an attempt up.
+// cancelAttempt executes the module's action to cancel an attempt.
 func (c *Core) cancelAttempt(j *Job, number int) {
 	if j == nil || number >= len(j.attempts) {
 		return
--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -1,20 +1,21 @@
 // Package dispatch is the core of a dispatcher. It connects the fronts, which
-// bring jobs, and the transports, which carry attempts to workers, with the
-// decision module, which alone decides which worker takes a job and whether one
-// is let in.
+// accept jobs from clients, and the transports, which send attempts to workers,
+// with the decision module. The module alone admits jobs and chooses the worker
+// for each.
 //
 // The package owns the open jobs and their identifiers, the module's clock and
-// timers, and the table of listed workers. It is responsible for these
-// invariants, whatever the module does: a job gets one final answer, by its
-// deadline; one attempt of a job is out at a time, unless the settings allow
-// several; nothing is sent to a worker that is known to leave or for a client
-// that has left. Connections, messages and wire formats are unknown here.
+// timers, and the table of listed workers. It enforces these invariants
+// regardless of what the module does: a job gets one final answer, by its
+// deadline; at most one attempt of a job is in flight, unless the settings allow
+// parallel attempts; nothing is sent to a worker that is known to be leaving, or
+// for a client that has disconnected. The package knows nothing of connections,
+// messages and wire formats.
 //
-// One goroutine, Core.Run, owns the module and everything that has no lock or
-// atomic type. All other goroutines (fronts, transports, discovery) hand it
-// functions through a mailbox of bounded size: Core.post. What they may touch
-// themselves is Core.ids under Core.mu, and the atomic fields of Core, Job,
-// Attempt and workerState.
+// One goroutine, Core.Run, owns the module and all state that is neither atomic
+// nor under a lock. All other goroutines (fronts, transports, discovery) pass it
+// functions through a bounded mailbox, with Core.post. They may access only
+// Core.ids, under Core.mu, and the atomic fields of Core, Job, Attempt and
+// workerState.
 //
 // Start reading at Core.Submit, and follow a job through Core.handle and
 // Core.endAttempt to Core.reply.
@@ -31,17 +32,18 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// clockOrigin is where the module's clock starts: workers that started before this process have times above zero too.
+// clockOrigin is the time at which the module's clock starts. It is above zero so that workers that started before this
+// process have start times above zero too; 0 means unknown.
 const clockOrigin = time.Hour
 
-// idleWake is how long the core's goroutine sleeps at most while no timer is set.
-const idleWake = time.Hour
+// maxIdleSleep bounds how long the core's goroutine sleeps if no timer is set.
+const maxIdleSleep = time.Hour
 
-// Core runs the decision module. Make it with New and start it with Run.
+// Core runs the decision module. Create it with New and start it with Run.
 type Core struct {
-	// Counters are those that New was given.
+	// Counters holds the counters that were passed to New.
 	Counters *Counters
-	// Observer is shown what the core does; nil is none. Set it before Run and before the first Submit.
+	// Observer receives the core's events; nil means none. Set it before Run and before the first Submit.
 	Observer Observer
 
 	limits         config.Limits
@@ -55,7 +57,7 @@
 	ended   chan struct{} // closed when Run has ended
 	started time.Time
 
-	// Of the core's goroutine alone.
+	// Accessed only by the core's goroutine.
 	module       *decision.Dispatcher
 	timers       priorityqueue.Queue[timer]
 	timersSet    uint64
@@ -64,16 +66,16 @@
 	workers      map[decision.WorkerID]*workerState
 	workerByName map[string]decision.WorkerID
 
-	// Of all goroutines.
+	// Accessed by any goroutine.
 	openJobs     atomic.Int64
 	workerCounts atomic.Pointer[[3]int] // by decision.State
 
 	mu  sync.Mutex
-	ids map[string]bool // of jobs that are open or still out at a worker
+	ids map[string]bool // identifiers of the jobs that are open or still have an attempt in flight
 }
 
-// New makes a core for a node. queues serves the workers that take their jobs from queues, which fixed names; it may be
-// nil where there are none. The error is the module's: settings that it cannot work with.
+// New creates a core for a node. fixed lists the workers that take their jobs from queues, and queues is the transport
+// to them; it may be nil if there are none. New returns an error if the module does not accept the settings.
 func New(
 	n *config.Node, counters *Counters, transport, queues Transport, watcher ListWatcher, fixed []config.Worker,
 ) (*Core, error) {
@@ -102,7 +104,7 @@
 	return c, nil
 }
 
-// Run owns the module until ctx ends. The list of workers that the node knows from before comes first.
+// Run runs the core until ctx is done. It first applies the list of workers that the node has cached from an earlier run.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.ended)
 	c.applyList(decision.ListCached, c.node.Known.Workers)
@@ -112,7 +114,7 @@
 		if len(c.timers) > 0 {
 			wake.Reset(c.timers[0].at - c.now())
 		} else {
-			wake.Reset(idleWake)
+			wake.Reset(maxIdleSleep)
 		}
 		select {
 		case <-ctx.Done():
@@ -125,19 +127,20 @@
 	}
 }
 
-// Wait returns when Run has ended.
+// Wait blocks until Run has returned.
 func (c *Core) Wait() { <-c.ended }
 
-// now is the module's clock: monotonic, whatever is done to the machine's calendar.
+// now returns the time on the module's clock. The clock is monotonic: steps of the wall clock do not affect it.
 func (c *Core) now() time.Duration { return clockOrigin + time.Since(c.started) }
 
-// Clock returns the core's clock, on which Event.At stands, and the calendar's time at that moment.
+// Clock returns the current time on the core's clock, which Event.At uses, and the wall-clock time at that moment.
 func (c *Core) Clock() (time.Duration, time.Time) { return c.now(), time.Now() }
 
-// OpenJobs returns how many jobs have no answer yet.
+// OpenJobs returns the number of jobs without an answer.
 func (c *Core) OpenJobs() int { return int(c.openJobs.Load()) }
 
-// post hands a function to the core's goroutine. It blocks while the mailbox is full, which holds the sender back.
+// post queues a function for the core's goroutine. It blocks while the mailbox is full, which applies backpressure to the
+// caller. Once Run has returned it drops the function.
 func (c *Core) post(f func()) {
 	select {
 	case c.mailbox <- f:
--- a/internal/dispatcher/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -1,5 +1,5 @@
-// These tests hold the core to its invariants with a transport and a list of workers that do whatever the random steps
-// say: one answer a job and in time, one attempt at a time, nothing to a worker that leaves. Time is the test's own.
+// These tests check the invariants of the core against a transport and a list of workers that take random steps: one
+// answer per job, by its deadline; one attempt at a time; nothing sent to a leaving worker. They run in synthetic time.
 package dispatch_test
 
 import (
@@ -20,92 +20,92 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
+func init() { flag.Set("rapid.seed", "20261201") } // the same random steps in every run
 
-// surroundings play the transport, the watch on the list of workers, the observer and the clients of a core.
-type surroundings struct {
-	mu       sync.Mutex // held by whoever touches the rest: the core's goroutine or the test's
-	t        *rapid.T
-	core     *dispatch.Core
-	out      []*dispatch.Attempt // without an outcome yet
-	sends    map[string]int      // by job
-	answers  map[string][]dispatch.Answer
-	jobs     map[string]*dispatch.Job
-	deadline map[string]time.Time // by job
-	left     map[string]bool      // the jobs whose clients have left
-	state    map[string]string    // by worker, as the list says
-	watches  int
-	events   map[string]map[dispatch.EventKind]int // by job, and by job and attempt
+// fakeEnvironment is the transport, the list watcher, the observer and the clients of a core.
+type fakeEnvironment struct {
+	mu        sync.Mutex // guards the other fields against the core's goroutine and the test's
+	t         *rapid.T
+	core      *dispatch.Core
+	inFlight  []*dispatch.Attempt // attempts without an outcome yet
+	sends     map[string]int      // by job
+	answers   map[string][]dispatch.Answer
+	jobs      map[string]*dispatch.Job
+	deadline  map[string]time.Time // by job
+	abandoned map[string]bool      // jobs whose clients have disconnected
+	state     map[string]string    // by worker, as in the list
+	watches   int
+	events    map[string]map[dispatch.EventKind]int // by job ID, and by job ID and attempt number
 }
 
-// Observe holds what the observer is shown against the order in which things can happen.
-func (s *surroundings) Observe(e *dispatch.Event) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Observe checks that events arrive in a possible order.
+func (env *fakeEnvironment) Observe(e *dispatch.Event) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	name := e.Job.ID
 	if e.Attempt != nil {
 		name = fmt.Sprint(name, "/", e.Attempt.Number())
 	}
-	if s.events[name] == nil {
-		s.events[name] = map[dispatch.EventKind]int{}
+	if env.events[name] == nil {
+		env.events[name] = map[dispatch.EventKind]int{}
 	}
-	before := s.events[name]
+	before := env.events[name]
 	unanswered := before[dispatch.JobAccepted] == 1 && before[dispatch.JobAnswered]+before[dispatch.JobAbandoned] == 0
 	possible := map[dispatch.EventKind]bool{
 		dispatch.JobAccepted:    len(before) == 0,
-		dispatch.AttemptSent:    s.events[e.Job.ID][dispatch.JobAccepted] == 1,
+		dispatch.AttemptSent:    env.events[e.Job.ID][dispatch.JobAccepted] == 1,
 		dispatch.AttemptStarted: before[dispatch.AttemptSent] == 1 && before[dispatch.AttemptEnded] == 0,
 		dispatch.AttemptEnded:   before[dispatch.AttemptEnded] == 0,
 		dispatch.JobAnswered:    unanswered,
 		dispatch.JobAbandoned:   unanswered,
 	}
 	if !possible[e.Kind] {
-		s.t.Errorf("%s: event %d is shown after %v", name, e.Kind, before)
+		env.t.Errorf("%s: got event %d after events %v", name, e.Kind, before)
 	}
 	before[e.Kind]++
 }
 
-func (s *surroundings) CloseIdle(config.Worker) {}
+func (env *fakeEnvironment) CloseIdle(config.Worker) {}
 
-func (s *surroundings) Watch(bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.watches++
+func (env *fakeEnvironment) Watch(bool) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.watches++
 }
 
-// unlocked does something while the core may go on.
-func (s *surroundings) unlocked(f func()) {
-	s.mu.Unlock()
+// withoutLock runs f with the lock released, so that the core can proceed.
+func (env *fakeEnvironment) withoutLock(f func()) {
+	env.mu.Unlock()
 	f()
-	s.mu.Lock()
+	env.mu.Lock()
 }
 
-// Send is called on the core's goroutine: what it sees is what the core did, in order.
-func (s *surroundings) Send(a *dispatch.Attempt) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, b := range s.out {
-		if b.Job == a.Job && b.Context.Err() == nil {
-			s.t.Errorf("%s: sent while another attempt is out", a.Job.ID)
+// Send runs on the core's goroutine, so it sees the attempts in the order in which the core starts them.
+func (env *fakeEnvironment) Send(a *dispatch.Attempt) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, other := range env.inFlight {
+		if other.Job == a.Job && other.Context.Err() == nil {
+			env.t.Errorf("%s: sent while another attempt is in flight", a.Job.ID)
 		}
 	}
-	if s.state[a.Worker.ID] != "ready" || !a.MayStart() {
-		s.t.Errorf("%s: sent to %s, which is %q", a.Job.ID, a.Worker.ID, s.state[a.Worker.ID])
+	if env.state[a.Worker.ID] != "ready" || !a.MayStart() {
+		env.t.Errorf("%s: sent to worker %s in state %q", a.Job.ID, a.Worker.ID, env.state[a.Worker.ID])
 	}
-	if len(s.answers[a.Job.ID]) > 0 || s.left[a.Job.ID] {
-		s.t.Errorf("%s: sent after its end", a.Job.ID)
+	if len(env.answers[a.Job.ID]) > 0 || env.abandoned[a.Job.ID] {
+		env.t.Errorf("%s: sent after it was answered or abandoned", a.Job.ID)
 	}
-	if s.sends[a.Job.ID]++; s.sends[a.Job.ID] > 3 {
-		s.t.Errorf("%s: sent %d times", a.Job.ID, s.sends[a.Job.ID])
+	if env.sends[a.Job.ID]++; env.sends[a.Job.ID] > 3 {
+		env.t.Errorf("%s: sent %d times, want at most 3", a.Job.ID, env.sends[a.Job.ID])
 	}
-	s.out = append(s.out, a)
+	env.inFlight = append(env.inFlight, a)
 }
 
 // The random steps.
 const (
 	stepSubmit = iota
 	stepEndAttempt
-	stepEndAttemptToo // twice as often as the others
+	stepEndAttemptAgain // the same step, so that it is twice as likely as the others
 	stepSleep
 	stepList
 	stepAbandon
@@ -121,158 +121,159 @@
 	}
 	node := testenv.Node(t, list, "")
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
-			s := &surroundings{
-				t:        rt,
-				sends:    map[string]int{},
-				answers:  map[string][]dispatch.Answer{},
-				jobs:     map[string]*dispatch.Job{},
-				deadline: map[string]time.Time{},
-				left:     map[string]bool{},
-				state:    map[string]string{},
-				events:   map[string]map[dispatch.EventKind]int{},
+		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // hides t.Deadline, which panics in a synctest bubble
+			env := &fakeEnvironment{
+				t:         rt,
+				sends:     map[string]int{},
+				answers:   map[string][]dispatch.Answer{},
+				jobs:      map[string]*dispatch.Job{},
+				deadline:  map[string]time.Time{},
+				abandoned: map[string]bool{},
+				state:     map[string]string{},
+				events:    map[string]map[dispatch.EventKind]int{},
 			}
 			for _, name := range workerNames {
-				s.state[name] = "ready"
+				env.state[name] = "ready"
 			}
 			var err error
-			if s.core, err = dispatch.New(node, new(dispatch.Counters), s, nil, s, nil); err != nil {
+			if env.core, err = dispatch.New(node, new(dispatch.Counters), env, nil, env, nil); err != nil {
 				rt.Fatal(err)
 			}
-			s.core.Observer = s
+			env.core.Observer = env
 			ctx, cancel := context.WithCancel(context.Background())
-			go s.core.Run(ctx)
+			go env.core.Run(ctx)
 			defer cancel()
-			s.mu.Lock()
-			defer s.mu.Unlock()
+			env.mu.Lock()
+			defer env.mu.Unlock()
 			steps := rapid.SliceOfN(rapid.IntRange(0, lastStep), 1, 60).Draw(rt, "steps")
 			for n, step := range steps {
-				s.step(n, step)
-				s.unlocked(synctest.Wait)
+				env.step(n, step)
+				env.withoutLock(synctest.Wait)
 			}
-			s.unlocked(func() { time.Sleep(6 * time.Second) })
-			s.unlocked(synctest.Wait)
-			s.checkEnd(node.Module.MaxRetryAfter)
-			if s.watches == 0 && !slices.Contains(steps, stepList) { // a list that came unasked counts as a watch
-				rt.Error("the list of workers was never asked for")
+			env.withoutLock(func() { time.Sleep(6 * time.Second) })
+			env.withoutLock(synctest.Wait)
+			env.checkFinalState(node.Module.MaxRetryAfter)
+			if env.watches == 0 && !slices.Contains(steps, stepList) { // an unrequested list replaces the request
+				rt.Error("the core never requested a watch on the list of workers")
 			}
 		})
 	})
 }
 
-// step does the nth step.
-func (s *surroundings) step(n, step int) {
+// step executes the nth step.
+func (env *fakeEnvironment) step(n, step int) {
 	switch step {
 	case stepSubmit:
-		s.submit(fmt.Sprint("j", n))
-	case stepEndAttempt, stepEndAttemptToo:
-		s.endAttempt()
+		env.submit(fmt.Sprint("j", n))
+	case stepEndAttempt, stepEndAttemptAgain:
+		env.endAttempt()
 	case stepSleep:
-		ms := rapid.IntRange(1, 900).Draw(s.t, "ms")
-		s.unlocked(func() { time.Sleep(time.Duration(ms) * time.Millisecond) })
+		ms := rapid.IntRange(1, 900).Draw(env.t, "ms")
+		env.withoutLock(func() { time.Sleep(time.Duration(ms) * time.Millisecond) })
 	case stepList:
-		s.updateList()
+		env.updateList()
 	case stepAbandon:
-		s.abandon()
+		env.abandon()
 	}
 }
 
-func (s *surroundings) submit(id string) {
+func (env *fakeEnvironment) submit(id string) {
 	j := &dispatch.Job{
 		ID:             id,
 		IdempotencyKey: id,
-		Class:          rapid.IntRange(0, 1).Draw(s.t, "class"),
-		Tenant:         rapid.IntRange(0, 1).Draw(s.t, "tenant"),
+		Class:          rapid.IntRange(0, 1).Draw(env.t, "class"),
+		Tenant:         rapid.IntRange(0, 1).Draw(env.t, "tenant"),
 		Slots:          1,
-		Timeout:        time.Duration(rapid.IntRange(1, 5000).Draw(s.t, "timeout")) * time.Millisecond,
+		Timeout:        time.Duration(rapid.IntRange(1, 5000).Draw(env.t, "timeout")) * time.Millisecond,
 	}
 	j.Reply = func(a dispatch.Answer) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.answers[id] = append(s.answers[id], a)
-		if time.Now().After(s.deadline[id]) {
-			s.t.Errorf("%s: answered %v late", id, time.Since(s.deadline[id]))
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.answers[id] = append(env.answers[id], a)
+		if time.Now().After(env.deadline[id]) {
+			env.t.Errorf("%s: answered %v after its deadline", id, time.Since(env.deadline[id]))
 		}
 	}
-	s.jobs[id], s.deadline[id] = j, time.Now().Add(j.Timeout)
-	if err := s.core.Submit(j); err != nil {
-		s.t.Fatal(err)
+	env.jobs[id], env.deadline[id] = j, time.Now().Add(j.Timeout)
+	if err := env.core.Submit(j); err != nil {
+		env.t.Fatal(err)
 	}
 }
 
-// endAttempt ends an attempt that is out, perhaps one that nobody waits for any more.
-func (s *surroundings) endAttempt() {
-	if len(s.out) == 0 {
+// endAttempt ends a random attempt in flight, possibly one that was cancelled or has expired.
+func (env *fakeEnvironment) endAttempt() {
+	if len(env.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(s.out)-1).Draw(s.t, "attempt")
-	a := s.out[i]
-	s.out = append(s.out[:i], s.out[i+1:]...)
-	if rapid.Bool().Draw(s.t, "started") {
+	i := rapid.IntRange(0, len(env.inFlight)-1).Draw(env.t, "attempt")
+	a := env.inFlight[i]
+	env.inFlight = append(env.inFlight[:i], env.inFlight[i+1:]...)
+	if rapid.Bool().Draw(env.t, "started") {
 		a.ReportProgress(decision.JobStarted, 0)
 	}
-	o := decision.Outcome(rapid.IntRange(int(decision.OK), int(decision.Reset)).Draw(s.t, "outcome"))
+	o := decision.Outcome(rapid.IntRange(int(decision.OK), int(decision.Reset)).Draw(env.t, "outcome"))
 	a.End(o, decision.Load{}, []byte(a.Job.ID))
-	if rapid.Bool().Draw(s.t, "twice") { // a late report on it
+	if rapid.Bool().Draw(env.t, "twice") { // a second, late outcome
 		a.End(decision.OK, decision.Load{}, []byte("late"))
 	}
 }
 
-// updateList lets discovery say something about a worker.
-func (s *surroundings) updateList() {
-	name := rapid.SampledFrom(workerNames).Draw(s.t, "worker")
-	state := rapid.SampledFrom([]string{"ready", "draining", "gone", "odd"}).Draw(s.t, "state")
+// updateList sends the core a random list entry for a worker.
+func (env *fakeEnvironment) updateList() {
+	name := rapid.SampledFrom(workerNames).Draw(env.t, "worker")
+	state := rapid.SampledFrom([]string{"ready", "draining", "gone", "odd"}).Draw(env.t, "state")
 	w := testenv.Worker(name, "127.0.1.9:5000", state)
-	w.StartedAtMs = rapid.SampledFrom([]int64{0, time.Now().UnixMilli(), time.Now().UnixMilli() + 5000, -1}).Draw(s.t, "start")
-	s.unlocked(synctest.Wait)
-	s.state[name] = state
-	s.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
+	w.StartedAtMs = rapid.SampledFrom([]int64{0, time.Now().UnixMilli(), time.Now().UnixMilli() + 5000, -1}).Draw(env.t, "start")
+	env.withoutLock(synctest.Wait)
+	env.state[name] = state
+	env.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
 }
 
-// abandon lets a client leave.
-func (s *surroundings) abandon() {
-	for id, j := range s.jobs {
-		s.unlocked(synctest.Wait)
-		if len(s.answers[id]) == 0 {
-			s.core.Abandon(j)
-			s.unlocked(synctest.Wait)
-			s.left[id] = true
+// abandon disconnects the client of a job that has no answer.
+func (env *fakeEnvironment) abandon() {
+	for id, j := range env.jobs {
+		env.withoutLock(synctest.Wait)
+		if len(env.answers[id]) == 0 {
+			env.core.Abandon(j)
+			env.withoutLock(synctest.Wait)
+			env.abandoned[id] = true
 		}
 		break
 	}
 }
 
-// checkEnd checks what must hold once all jobs are over.
-func (s *surroundings) checkEnd(maxRetryAfter time.Duration) {
-	for id := range s.jobs {
-		if e := s.events[id]; e[dispatch.JobAccepted] != 1 || e[dispatch.JobAnswered]+e[dispatch.JobAbandoned] != 1 || e[dispatch.JobAnswered] != len(s.answers[id]) {
-			s.t.Errorf("%s: shown as %v, with %d answers", id, e, len(s.answers[id]))
+// checkFinalState checks the invariants that hold once all jobs are answered or abandoned.
+func (env *fakeEnvironment) checkFinalState(maxRetryAfter time.Duration) {
+	for id := range env.jobs {
+		if e := env.events[id]; e[dispatch.JobAccepted] != 1 || e[dispatch.JobAnswered]+e[dispatch.JobAbandoned] != 1 || e[dispatch.JobAnswered] != len(env.answers[id]) {
+			env.t.Errorf("%s: events %v do not match %d answers", id, e, len(env.answers[id]))
 		}
-		if n := len(s.answers[id]); n > 1 || n == 0 && !s.left[id] {
-			s.t.Errorf("%s: %d answers", id, n)
+		if n := len(env.answers[id]); n > 1 || n == 0 && !env.abandoned[id] {
+			env.t.Errorf("%s: got %d answers", id, n)
 		}
-		for _, a := range s.answers[id] {
+		for _, a := range env.answers[id] {
 			if a.Kind == dispatch.Served && string(a.Result) != id {
-				s.t.Errorf("%s: served with %q", id, a.Result)
+				env.t.Errorf("%s: served with result %q", id, a.Result)
 			}
 			if a.Kind == dispatch.Rejected && (a.RetryAfter <= 0 || a.RetryAfter > maxRetryAfter) {
-				s.t.Errorf("%s: rejected with %v to wait", id, a.RetryAfter)
+				env.t.Errorf("%s: rejected with retry-after %v", id, a.RetryAfter)
 			}
 		}
 	}
-	if s.core.OpenJobs() != 0 {
-		s.t.Errorf("%d jobs left open", s.core.OpenJobs())
+	if env.core.OpenJobs() != 0 {
+		env.t.Errorf("%d jobs are still open, want 0", env.core.OpenJobs())
 	}
 }
 
-// The machine's calendar may step and a list may say the same start again: the module must not see a restart in it.
+// A list may repeat a worker's start time after the wall clock has moved relative to the core's clock. The module must not
+// take that for a restart.
 func TestWorkerStartIsConvertedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := testenv.Worker("s-00000001", "127.0.1.1:5000", "ready")
 		w.StartedAtMs = time.Now().Add(-2 * time.Second).UnixMilli()
 		node := testenv.Node(t, []config.Worker{w}, "")
-		s := &surroundings{sends: map[string]int{}, state: map[string]string{"s-00000001": "ready"}}
-		core, err := dispatch.New(node, new(dispatch.Counters), s, nil, s, nil)
+		env := &fakeEnvironment{sends: map[string]int{}, state: map[string]string{"s-00000001": "ready"}}
+		core, err := dispatch.New(node, new(dispatch.Counters), env, nil, env, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,38 +283,38 @@
 		synctest.Wait()
 		first := core.WorkerStart("s-00000001")
 		if age := core.Now() - first; age != 2*time.Second {
-			t.Errorf("it started %v ago", age)
+			t.Errorf("the worker started %v ago, want 2s", age)
 		}
 		time.Sleep(1500 * time.Microsecond)
 		core.UpdateWorkers(decision.ListFull, []config.Worker{w})
 		synctest.Wait()
 		if again := core.WorkerStart("s-00000001"); again != first {
-			t.Errorf("its start moved from %v to %v", first, again)
+			t.Errorf("after the same list entry the start moved from %v to %v", first, again)
 		}
 		w.StartedAtMs = time.Now().Add(time.Hour).UnixMilli()
 		core.UpdateWorkers(decision.ListFull, []config.Worker{w})
 		synctest.Wait()
 		if again := core.WorkerStart("s-00000001"); again > core.Now() || again <= first {
-			t.Errorf("a start to come counts as %v at %v", again, core.Now())
+			t.Errorf("a start in the future became %v at %v", again, core.Now())
 		}
 	})
 }
 
-// Beyond the limit on open jobs nothing is taken: the front rejects by itself, and nobody is sent anything.
-func TestOpenJobsAreBounded(t *testing.T) {
+// Submit must return an error once Limits.OpenJobs jobs are open, and must not call Reply for that job.
+func TestSubmitRejectsJobsBeyondOpenJobsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := *testenv.Node(t, nil, "")
 		node.Limits.OpenJobs = 2
-		s := &surroundings{sends: map[string]int{}}
-		core, err := dispatch.New(&node, new(dispatch.Counters), s, nil, s, nil)
+		env := &fakeEnvironment{sends: map[string]int{}}
+		core, err := dispatch.New(&node, new(dispatch.Counters), env, nil, env, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		replies := 0
-		for i := range 3 { // the core does not run yet: all stay open
+		for i := range 3 { // the core does not run yet, so all jobs stay open
 			err := core.Submit(&dispatch.Job{ID: fmt.Sprint(i), Timeout: time.Second, Reply: func(dispatch.Answer) { replies++ }})
 			if (err != nil) != (i == 2) {
-				t.Errorf("job %d: %v", i, err)
+				t.Errorf("job %d: Submit returned error %v", i, err)
 			}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -322,7 +323,7 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if replies != 2 || core.OpenJobs() != 0 {
-			t.Errorf("%d answers, %d open", replies, core.OpenJobs())
+			t.Errorf("got %d answers and %d open jobs, want 2 and 0", replies, core.OpenJobs())
 		}
 	})
 }
--- a/internal/dispatcher/dispatch/counters_test.go
+++ b/internal/dispatcher/dispatch/counters_test.go
@@ -12,8 +12,8 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-// Names and order of the counters are part of the HTTP interface, the log and the MIB: testdata/ holds them.
-func TestCountersAsTheyAreShown(t *testing.T) {
+// The names and order of the counters are part of the HTTP interface, the log and the SNMP MIB, so they must not change.
+func TestCounterNamesAndOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counters := new(dispatch.Counters)
 		for i, c := range []interface{ Store(int64) }{&counters.Accepted, &counters.Served, &counters.Rejected, &counters.Failed,
@@ -24,7 +24,7 @@
 		for o := decision.OK; o <= decision.NeverSent; o++ {
 			counters.Outcomes[o].Store(int64(200 + o))
 		}
-		core, err := dispatch.New(testenv.Node(t, nil, ""), counters, nil, nil, &surroundings{}, nil)
+		core, err := dispatch.New(testenv.Node(t, nil, ""), counters, nil, nil, &fakeEnvironment{}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	})
 }
 
-// The words for outcomes stand in captures too.
+// Captures store the outcome names, so they must not change.
 func TestOutcomeNames(t *testing.T) {
 	var names []byte
 	for o := decision.OK; o <= decision.NeverSent; o++ {
--- a/internal/dispatcher/dispatch/export_test.go
+++ b/internal/dispatcher/dispatch/export_test.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// WorkerStart returns when a worker started, as the module was told, for tests in a bubble that stands still.
+// WorkerStart returns the start time of a worker that the module was given. It takes no lock: a test may call it only
+// while the core's goroutine is blocked.
 func (c *Core) WorkerStart(name string) time.Duration { return c.workers[c.workerByName[name]].started }
 
-// Now returns the time of the module's clock.
+// Now returns the current time on the module's clock.
 func (c *Core) Now() time.Duration { return c.now() }
--- a/internal/dispatcher/dispatch/interfaces.go
+++ b/internal/dispatcher/dispatch/interfaces.go
@@ -2,24 +2,27 @@
 
 import "gladepick/internal/dispatcher/config"
 
-// Transport carries attempts to workers. Neither method may block.
+// Transport sends attempts to workers. The core's goroutine calls both methods; neither may block.
 type Transport interface {
-	// Send starts an attempt. The transport asks Attempt.MayStart before its first byte and calls Attempt.End once.
+	// Send starts an attempt. The transport calls Attempt.MayStart just before it writes the first byte, and Attempt.End
+	// exactly once.
 	Send(*Attempt)
 	// CloseIdle closes the idle connections to a worker.
 	CloseIdle(config.Worker)
 }
 
-// Submitter is what a front gives its jobs to: the Core, or what makes jobs durable and hands them on.
+// Submitter accepts jobs from the fronts. It is the Core, or package durablejobs, which replicates jobs before it passes
+// them to the Core.
 type Submitter interface {
-	// Submit takes a job. After nil the job's Reply is called once; after an error never.
+	// Submit accepts a job. If it returns nil, the job's Reply is called exactly once, unless Abandon comes first; if it
+	// returns an error, never.
 	Submit(*Job) error
-	// Abandon tells that the client of a job that was taken has gone.
+	// Abandon reports that the client of an accepted job has disconnected.
 	Abandon(*Job)
 }
 
-// ListWatcher keeps the watch on the list of workers.
+// ListWatcher watches discovery's list of workers.
 type ListWatcher interface {
-	// Watch asks for a watch on the list. It must not block.
+	// Watch requests a watch on the list if on is set. It must not block.
 	Watch(on bool)
 }
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -9,11 +9,11 @@
 	"gladepick/internal/decision"
 )
 
-// ErrBusy is the error of Submit while as many jobs are open as the limits allow. Nothing has been sent anywhere.
+// ErrBusy is returned by Submit while Limits.OpenJobs jobs are open. The job has not been sent to any worker.
 var ErrBusy = errors.New("too many open jobs")
 
-// ErrDuplicateID is the error of Submit where an open job has the same identifier: a second one could get the first
-// one's answer.
+// ErrDuplicateID is returned by Submit if an open job has the same identifier. Workers' answers name a job by its
+// identifier, so a second job could get the answer to the first.
 var ErrDuplicateID = errors.New("a job with this id is open")
 
 // AnswerKind is the kind of a final answer.
@@ -21,54 +21,56 @@
 
 // The kinds of answers.
 const (
-	Served   AnswerKind = iota + 1 // a worker gave the result
-	Rejected                       // the job has not run: trying again is harmless
+	Served   AnswerKind = iota + 1 // a worker returned the result
+	Rejected                       // the job has not run: the client may safely retry
 	Failed                         // the job may have run
 )
 
-// Answer is the final answer to a job.
+// Answer is the one final answer to a job.
 type Answer struct {
 	Kind       AnswerKind
-	Result     []byte        // Served: as the worker gave it
-	RetryAfter time.Duration // Rejected: when the client may come back
+	Result     []byte        // if Served: as the worker returned it
+	RetryAfter time.Duration // if Rejected: how long the client should wait before a retry
 }
 
-// HeaderField is a field of a request's header that passes through as it came.
+// HeaderField is a request header field that is forwarded to the worker unchanged.
 type HeaderField struct{ Name, Value string }
 
-// Job is one request of a client. A front fills in the exported fields, hands the job to a Submitter and from then on
-// leaves it alone.
+// Job is one request of a client. A front sets the exported fields and passes the job to a Submitter; after that the
+// front must not change it.
 type Job struct {
-	ID             string        // the client's name for the request, unique to it
-	IdempotencyKey string        // names the effect, where the class has keys
-	Target         string        // the request's target as it came
-	Header         []HeaderField // as it came
-	Body           []byte        // as it came
-	Class          int           // index into the settings' classes
-	Tenant         int           // index into the settings' tenants
-	AffinityKey    uint64        // names what the job is about; 0 is nothing
-	Retry          bool          // the client has sent it before
-	Slots          float64       // that the job takes at a worker
-	Memory         float64       // that the job takes at a worker, in the settings' unit
-	Timeout        time.Duration // from Submit until the client gives up
-
-	// Reply gets the final answer, once, on the core's goroutine: it must not block.
+	ID             string        // the client's unique identifier for the request
+	IdempotencyKey string        // identifies the effect; required if the class is deduplicated
+	Target         string        // the request target, forwarded unchanged
+	Header         []HeaderField // forwarded unchanged
+	Body           []byte        // forwarded unchanged
+	Class          int           // index into the configured classes
+	Tenant         int           // index into the configured tenants
+	AffinityKey    uint64        // derived from the subject of the job; 0 means none
+	Retry          bool          // the client has sent the job before
+	Slots          float64       // slots that the job takes at a worker
+	Memory         float64       // memory that the job takes at a worker, in the unit of the settings
+	Timeout        time.Duration // from Submit until the client stops waiting
+
+	// Reply receives the final answer, exactly once. It runs on the core's goroutine and must not block.
 	Reply func(Answer)
-	// MayStart is asked just before the first byte of an attempt, on any goroutine; nil allows each attempt. Together with
-	// OnAttemptEnd it serves the jobs that other dispatchers have replicas of (package durablejobs).
+	// MayStart reports whether an attempt may write its first byte. It is called just before that write, on any goroutine;
+	// nil allows every attempt. Package durablejobs sets it, and OnAttemptEnd, for jobs that have replicas at other
+	// dispatchers.
 	MayStart func() bool
-	// OnAttemptEnd is told the outcome of each attempt, on the core's goroutine; nil is told nothing.
+	// OnAttemptEnd receives the outcome of each attempt, on the core's goroutine; it may be nil.
 	OnAttemptEnd func(a *Attempt, o decision.Outcome)
 
 	number   decision.JobID
-	deadline time.Duration // on the core's clock: when waiting for workers ends
+	deadline time.Duration // on the core's clock: latest time to wait for workers
 	attempts []*Attempt
-	inFlight int         // attempts that have no outcome yet
-	answered bool        // no further answer is given
-	over     atomic.Bool // answered, or the client has just left: nothing more is sent
+	inFlight int         // attempts without an outcome yet
+	answered bool        // answered or abandoned: no further answer is sent
+	finished atomic.Bool // answered, or the client has disconnected: no further attempt starts
 }
 
-// Submit takes a job. After nil its Reply is called once; after ErrBusy or ErrDuplicateID never.
+// Submit accepts a job. If it returns nil, the job's Reply is called exactly once, unless Abandon comes first; if it
+// returns ErrBusy or ErrDuplicateID, Reply is never called. Any goroutine may call it; it blocks while the mailbox is full.
 func (c *Core) Submit(j *Job) error {
 	if c.openJobs.Add(1) > int64(c.limits.OpenJobs) {
 		c.openJobs.Add(-1)
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// open numbers a job that was submitted at a time of the core's clock, and asks the module where it is to go.
+// open assigns a number to a job and passes the job to the module. submitted is on the core's clock.
 func (c *Core) open(j *Job, submitted time.Duration) {
 	for c.lastJob++; c.lastJob == 0 || c.jobs[c.lastJob] != nil; c.lastJob++ {
 	}
@@ -95,7 +97,7 @@
 	reserve := min(c.limits.AnswerReserve, j.Timeout/4)
 	j.deadline = submitted + j.Timeout - reserve
 	c.observe(Event{Kind: JobAccepted, At: submitted, Job: j})
-	if j.over.Load() { // the client left while this waited: its Abandon is in the mailbox
+	if j.finished.Load() { // the client disconnected while the job waited: its Abandon is in the mailbox
 		return
 	}
 	c.setTimer(j.deadline, func() { c.expire(j) })
@@ -112,7 +114,7 @@
 	})
 }
 
-// reserveID notes a job's identifier. It returns false where another job has it.
+// reserveID reserves a job's identifier. It returns false if another job holds it.
 func (c *Core) reserveID(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,16 +125,16 @@
 	return true
 }
 
-// Abandon tells that the client has gone: nobody waits for the answer any more.
+// Abandon reports that the client has disconnected and no longer waits for the answer. Any goroutine may call it.
 func (c *Core) Abandon(j *Job) {
-	j.over.Store(true) // at once, whatever waits in the mailbox
+	j.finished.Store(true) // takes effect at once, before the queued functions in the mailbox run
 	c.post(func() {
 		if j.answered {
 			return
 		}
 		c.Counters.Abandoned.Add(1)
-		c.close(j)
-		for _, a := range j.attempts { // a request that is partly written must not become complete later
+		c.markAnswered(j)
+		for _, a := range j.attempts { // a partly written request must not be completed
 			if !a.ended && a.writing.Load() && !a.sent.Load() {
 				a.cancelled = true
 				a.cancel()
@@ -140,11 +142,12 @@
 		}
 		c.observe(Event{Kind: JobAbandoned, Job: j})
 		c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
-		c.forget(j)
+		c.removeFinished(j)
 	})
 }
 
-// expire is called at a job's deadline. Attempts that are out have timed out, and the client gets its answer in time.
+// expire runs at a job's deadline. It times out the attempts in flight, so that the client gets an answer before its own
+// time-out.
 func (c *Core) expire(j *Job) {
 	if j.answered {
 		return
@@ -154,28 +157,28 @@
 			c.endAttempt(a, decision.TimedOut, decision.Load{}, nil)
 		}
 	}
-	if !j.answered { // guards against a module that lets a deadline pass with nothing out
-		log.Printf("job %s: no answer at its deadline; failed", j.ID)
+	if !j.answered { // the module let the deadline pass without an attempt in flight
+		log.Printf("job %s: no answer by its deadline, failing the job", j.ID)
 		c.reply(j, Answer{Kind: Failed})
 		c.handle(&decision.Event{Kind: decision.EventClientLeft, Job: j.number})
-		c.forget(j)
+		c.removeFinished(j)
 	}
 }
 
-// close marks a job as answered. It returns false where it was marked before.
-func (c *Core) close(j *Job) bool {
+// markAnswered marks a job as answered. It returns false if the job was already marked.
+func (c *Core) markAnswered(j *Job) bool {
 	if j.answered {
 		return false
 	}
 	j.answered = true
-	j.over.Store(true)
+	j.finished.Store(true)
 	c.openJobs.Add(-1)
 	return true
 }
 
-// reply gives the final answer. Only the first answer to a job is given.
+// reply sends the final answer to a job. It ignores all but the first answer.
 func (c *Core) reply(j *Job, a Answer) {
-	if !c.close(j) {
+	if !c.markAnswered(j) {
 		return
 	}
 	switch a.Kind {
@@ -193,8 +196,8 @@
 	j.Reply(a)
 }
 
-// forget drops a job that is answered and has no attempt out, and frees its identifier.
-func (c *Core) forget(j *Job) {
+// removeFinished removes a job that is answered and has no attempt in flight, and releases its identifier.
+func (c *Core) removeFinished(j *Job) {
 	if j.answered && j.inFlight == 0 && c.jobs[j.number] == j {
 		delete(c.jobs, j.number)
 		c.mu.Lock()
--- a/internal/dispatcher/dispatch/observer.go
+++ b/internal/dispatcher/dispatch/observer.go
@@ -6,21 +6,21 @@
 	"gladepick/internal/decision"
 )
 
-// EventKind tells what an Observer is shown, and which fields of the Event are set.
+// EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The kinds of events.
+// The kinds of events, each with the fields that are set besides Kind and At.
 const (
-	JobAccepted    EventKind = iota + 1 // Job: it is open now
-	JobOverflowed                       // Job: not taken, too many are open; it has no number
+	JobAccepted    EventKind = iota + 1 // Job, which is now open
+	JobOverflowed                       // Job, which has no number: not accepted because too many are open
 	AttemptSent                         // Attempt
-	AttemptStarted                      // Attempt: the job has started at the worker
-	AttemptEnded                        // Attempt, Outcome, Load; one that never went out ends too, as decision.NeverSent
+	AttemptStarted                      // Attempt: the worker has started the job
+	AttemptEnded                        // Attempt, Outcome, Load; decision.NeverSent if nothing was sent
 	JobAnswered                         // Job, Answer
-	JobAbandoned                        // Job: the client has gone without an answer
+	JobAbandoned                        // Job: the client disconnected before the answer
 )
 
-// Event is something that the core did. Job is set with Attempt too.
+// Event describes one thing that the core did. If Attempt is set, so is Job.
 type Event struct {
 	Kind    EventKind
 	At      time.Duration // on the core's clock
@@ -31,21 +31,21 @@
 	Answer  Answer
 }
 
-// Observer is shown what the core does, in order and on the core's goroutine, but for JobOverflowed, which comes on the
-// front's.
+// Observer receives the core's events. The core's goroutine delivers them in order, except for JobOverflowed, which comes
+// on the goroutine that called Submit.
 type Observer interface {
-	// Observe must not block, change anything that it is shown, or keep it beyond the call.
+	// Observe must not block, modify the event or what it points to, or retain the event after it returns.
 	Observe(*Event)
 }
 
-// observe shows the observer an event, which has happened now where it names no other time.
+// observe passes an event to the observer. If the event has no time, observe sets it to now.
 func (c *Core) observe(e Event) {
 	if c.Observer == nil {
 		return
 	}
-	shown := e // only what is shown goes to the heap
-	if shown.At == 0 {
-		shown.At = c.now()
+	event := e // a copy, so that the parameter does not escape to the heap if there is no observer
+	if event.At == 0 {
+		event.At = c.now()
 	}
-	c.Observer.Observe(&shown)
+	c.Observer.Observe(&event)
 }
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -11,28 +11,30 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// workerState is what the core knows of one listed worker. It belongs to the core's goroutine, but for leaving, which
-// Attempt.MayStart reads just before a send.
+// workerState is the core's record of one listed worker. Only the core's goroutine accesses it, except for leaving,
+// which Attempt.MayStart reads on any goroutine just before a send.
 type workerState struct {
 	config.Worker
 	number  decision.WorkerID
-	started time.Duration // on the core's clock; 0 is unknown
+	started time.Duration // on the core's clock; 0 means unknown
 	state   decision.State
-	leaving atomic.Bool
+	leaving atomic.Bool // the worker is not ready: no request may start
 }
 
-// stateByName maps the states of a list's entries. An unknown state is none to send to: the worker counts as draining.
+// stateByName maps the state names in list entries. An unknown name counts as draining, so that the worker gets no jobs.
 var stateByName = map[string]decision.State{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
-// WorkerCounts counts the listed workers by decision.State: gone ones that still hold jobs, ready and draining ones.
+// WorkerCounts returns the number of workers in each decision.State. Gone workers count while they still hold jobs. Any
+// goroutine may call it.
 func (c *Core) WorkerCounts() [3]int { return *c.workerCounts.Load() }
 
-// UpdateWorkers passes on what discovery says: a complete list, what changed, or that a call has failed.
+// UpdateWorkers passes the core a message from discovery: a complete list, a change to the list, or a failed call. Any
+// goroutine may call it; it blocks while the mailbox is full.
 func (c *Core) UpdateWorkers(kind decision.ListKind, workers []config.Worker) {
 	c.post(func() { c.applyList(kind, workers) })
 }
 
-// applyList brings entries of a list into the table and hands them to the module.
+// applyList updates the table of workers from a list and passes the entries to the module.
 func (c *Core) applyList(kind decision.ListKind, workers []config.Worker) {
 	switch kind {
 	case decision.ListFailed:
@@ -60,11 +62,11 @@
 			State:   w.state,
 		})
 	}
-	c.forgetGone()
+	c.removeGone()
 	c.handle(&event)
 }
 
-// removeMissing marks the workers as gone that are not in a complete list.
+// removeMissing marks each known worker as gone that is missing from a complete list.
 func (c *Core) removeMissing(list []config.Worker) {
 	listed := map[string]bool{}
 	for _, w := range list {
@@ -78,8 +80,8 @@
 	}
 }
 
-// forgetGone drops the gone workers that hold no jobs, and counts the others.
-func (c *Core) forgetGone() {
+// removeGone deletes the gone workers that hold no jobs and updates workerCounts.
+func (c *Core) removeGone() {
 	holdsJobs := map[decision.WorkerID]bool{}
 	for _, j := range c.jobs {
 		for _, a := range j.attempts {
@@ -98,8 +100,8 @@
 	c.workerCounts.Store(&counts)
 }
 
-// applyEntry brings one entry of a list into the table. It returns nil where the entry cannot be used: a worker that is
-// gone and was not known, or one more than the limits allow.
+// applyEntry updates the table of workers from one list entry. It returns nil if the entry is ignored: the worker is gone
+// and was not known, or the table already holds Limits.Workers workers.
 func (c *Core) applyEntry(entry config.Worker) *workerState {
 	state, ok := stateByName[entry.State]
 	if !ok {
@@ -114,7 +116,8 @@
 	}
 	w := c.workers[number]
 	if w == nil || state == decision.Ready && w.leaving.Load() {
-		// An attempt under way to the process that left must go on seeing that it left.
+		// A new process has taken over the worker's name. Attempts in flight to the old process keep the old record and
+		// must still see that it is leaving.
 		fresh := &workerState{number: number}
 		if w != nil {
 			fresh.Worker, fresh.started = w.Worker, w.started
@@ -123,7 +126,7 @@
 		c.workers[number] = w
 	}
 	w.started = c.startTime(w, entry.StartedAtMs)
-	if w.Address != "" && entry.State == "gone" { // its last entry may leave out where it was
+	if w.Address != "" && entry.State == "gone" { // the last entry may omit the address
 		entry.Address, entry.Zone, entry.Kind, entry.Queue = w.Address, w.Zone, w.Kind, w.Queue
 	}
 	w.Worker, w.state = entry, state
@@ -131,7 +134,7 @@
 	return w
 }
 
-// newNumber gives a worker that was not known the first free number from its own on.
+// newNumber assigns a new worker the first free number, starting at workerNumber(name).
 func (c *Core) newNumber(name string) decision.WorkerID {
 	number := workerNumber(name)
 	for c.workers[number] != nil {
@@ -141,8 +144,9 @@
 	return number
 }
 
-// startTime returns when a worker started on the core's clock, 0 where that is unknown. It is converted once for each
-// start, lest steps of the calendar look like restarts. A start in the future counts as one now.
+// startTime returns when a worker started, on the core's clock, or 0 if that is unknown. Each start is converted from
+// wall-clock time once, so that a step of the wall clock does not look like a restart. A start in the future counts as
+// now.
 func (c *Core) startTime(w *workerState, startedAtMs int64) time.Duration {
 	switch {
 	case startedAtMs <= 0:
@@ -154,8 +158,9 @@
 	return max(c.now()-age, 0)
 }
 
-// workerNumber makes the module's number from a worker's name, alike at all dispatchers and after restarts: which worker
-// a key has affinity to depends on it. Names end in eight hexadecimal digits; others are hashed.
+// workerNumber derives the module's number for a worker from the worker's name. The number must be the same at all
+// dispatchers and after restarts, because key affinity depends on it. If the name ends in "-" and eight hexadecimal
+// digits, the number is those digits; otherwise it is a hash of the name.
 func workerNumber(name string) decision.WorkerID {
 	if at := strings.LastIndexByte(name, '-'); at >= 0 && len(name)-at == 9 {
 		if v, err := strconv.ParseUint(name[at+1:], 16, 32); err == nil {
@@ -167,13 +172,13 @@
 	return decision.WorkerID(h.Sum32())
 }
 
-// AffinityKey makes a job's affinity key from the words that say what it is about: the number itself where they are one
-// of sixteen hexadecimal digits, else a hash. It is never 0.
-func AffinityKey(words string) uint64 {
-	if v, err := strconv.ParseUint(words, 16, 64); err == nil && len(words) == 16 && v != 0 {
+// AffinityKey derives a job's affinity key from the subject of the job. If the subject is a number of sixteen hexadecimal
+// digits other than 0, the key is that number; otherwise it is a hash of the subject. The key is never 0.
+func AffinityKey(subject string) uint64 {
+	if v, err := strconv.ParseUint(subject, 16, 64); err == nil && len(subject) == 16 && v != 0 {
 		return v
 	}
 	h := fnv.New64a()
-	h.Write([]byte(words))
+	h.Write([]byte(subject))
 	return max(h.Sum64(), 1)
 }
