--- a/internal/dispatcher/discovery/call.go
+++ b/internal/dispatcher/discovery/call.go
@@ -13,19 +13,19 @@
 	"gladepick/internal/decision"
 )
 
-// errListTooLarge is the error of a list that is larger than Limits.WorkerListBytes.
-var errListTooLarge = errors.New("a list is larger than the limits allow")
+// errListTooLarge is returned for a list that is larger than Limits.WorkerListBytes.
+var errListTooLarge = errors.New("a list of workers exceeds the size limit")
 
-// watch makes one call and follows its answer to the end; up tells whether discovery said anything.
-func (w *Watcher) watch(ctx context.Context) (up bool, err error) {
+// watch makes one call and reads its response to the end. gotData reports whether any response data arrived.
+func (w *Watcher) watch(ctx context.Context) (gotData bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A machine that is cut off says nothing and closes nothing: without this a watch would stand for ever.
+	// A machine that loses its network sends nothing and closes nothing. Without the watchdog the call would never end.
 	watchdog := time.AfterFunc(w.limits.DiscoveryCallTimeout, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	call := w.currentTarget(cancel)
 	defer func() {
-		if cause := context.Cause(ctx); cause == errMoved || err != nil && cause == errSilent {
+		if cause := context.Cause(ctx); cause == errAddressChanged || err != nil && cause == errSilent {
 			err = cause
 		}
 	}()
@@ -40,52 +40,54 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return false, fmt.Errorf("discovery answered %d", resp.StatusCode)
+		return false, fmt.Errorf("discovery answered with status %d", resp.StatusCode)
 	}
-	// The call has been taken: from here on it is the silence that counts.
+	// Discovery has accepted the call. From here on the watchdog bounds the time between two pieces of data.
 	watchdog.Reset(w.limits.DiscoverySilenceTimeout)
 	body := &limitedReader{Reader: resp.Body, limit: w.limits.WorkerListBytes, onData: func() {
 		watchdog.Reset(w.limits.DiscoverySilenceTimeout)
-		up = true
+		gotData = true
 	}}
-	err = w.readLists(body, call.moves)
-	return up, err
+	err = w.readLists(body, call.addressVersion)
+	return gotData, err
 }
 
-// readLists reads the objects of a watch, one after the other, up to its end. The error is nil where the watch ended
-// between two of them.
-func (w *Watcher) readLists(body *limitedReader, moves int) error {
+// readLists reads the objects of a watch until the response ends. It returns nil if the response ended between two
+// objects.
+func (w *Watcher) readLists(body *limitedReader, addressVersion int) error {
 	body.nextObject()
-	decoder := json.NewDecoder(body) // objects may be spread over lines, and lines may be blank
-	newest := int64(0)               // of this watch: what its start says is what discovery holds, whatever was known before
+	decoder := json.NewDecoder(body) // an object may span several lines, and lines may be blank
+	// The newest version of this watch. It starts at 0 because the first object states what discovery holds, whatever
+	// version was known before.
+	newest := int64(0)
 	for {
 		var text json.RawMessage
 		err := decoder.Decode(&text)
 		body.nextObject()
 		if err == nil {
-			err = w.applyList(text, &newest, moves)
+			err = w.applyList(text, &newest, addressVersion)
 		}
 		switch {
 		case err == io.EOF:
 			return nil
 		case err == nil:
 			continue
-		case err == errMoved:
+		case err == errAddressChanged:
 			return err
 		}
 		rest, _ := io.ReadAll(io.MultiReader(bytes.NewReader(text), decoder.Buffered()))
-		return w.applyBroken(rest, err, moves)
+		return w.applyBroken(rest, err, addressVersion)
 	}
 }
 
-// applyBroken uses what is left of a watch that broke off with err. What is complete in an object that broke off has been
-// delivered all the same; a worker that is not in it has not left.
-func (w *Watcher) applyBroken(rest []byte, err error, moves int) error {
-	if len(bytes.TrimSpace(rest)) == 0 { // it broke off between two objects
+// applyBroken applies the rest of a watch that broke off with err. Discovery counts the complete entries of a truncated
+// object as delivered, so they are applied as a change; a worker that is missing from the object has not left.
+func (w *Watcher) applyBroken(rest []byte, err error, addressVersion int) error {
+	if len(bytes.TrimSpace(rest)) == 0 { // the watch broke off between two objects
 		return err
 	}
-	if !w.setGeneration(0, moves) { // what changed is unknown now: the next call asks for the complete list
-		return errMoved
+	if !w.setGeneration(0, addressVersion) { // the rest of the change is unknown: the next call requests the complete list
+		return errAddressChanged
 	}
 	if complete := completeEntries(rest); len(complete) > 0 {
 		w.OnList(decision.ListDelta, complete)
@@ -93,27 +95,27 @@
 	return err
 }
 
-// limitedReader passes on what a watch says, reports each sign of life, and bounds what one object may take.
+// limitedReader reads the response of a watch. It calls onData whenever data arrives and bounds the size of one object.
 type limitedReader struct {
 	io.Reader
-	onData      func()
-	left, limit int // bytes
+	onData           func()
+	remaining, limit int // bytes that the present object may still take, and may take in all
 }
 
-// nextObject gives the object that follows the whole limit.
-func (r *limitedReader) nextObject() { r.left = r.limit }
+// nextObject resets the bound for the next object.
+func (r *limitedReader) nextObject() { r.remaining = r.limit }
 
-// Read reads from the reader within, and fails with errListTooLarge beyond the limit.
+// Read reads from the underlying reader. It returns errListTooLarge once the object exceeds the limit.
 func (r *limitedReader) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, errListTooLarge
 	}
-	n, err := r.Reader.Read(p[:min(len(p), r.left)])
-	if r.left -= n; n > 0 {
+	n, err := r.Reader.Read(p[:min(len(p), r.remaining)])
+	if r.remaining -= n; n > 0 {
 		r.onData()
 	}
-	if len(bytes.TrimSpace(p[:n])) == 0 { // blank lines come as long as nothing changes
-		r.left += n
+	if len(bytes.TrimSpace(p[:n])) == 0 { // discovery sends blank lines while nothing changes
+		r.remaining += n
 	}
 	return n, err
 }
--- a/internal/dispatcher/discovery/list_test.go
+++ b/internal/dispatcher/discovery/list_test.go
@@ -9,8 +9,8 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-func TestCompleteEntriesOfABrokenList(t *testing.T) {
-	for _, k := range []struct {
+func TestCompleteEntriesOfATruncatedList(t *testing.T) {
+	for _, tc := range []struct {
 		name, text string
 		want       string // the workers' names
 	}{
@@ -24,21 +24,21 @@
 		{"no object", `[1,2`, ""},
 	} {
 		var names []string
-		for _, w := range completeEntries([]byte(k.text)) {
+		for _, w := range completeEntries([]byte(tc.text)) {
 			names = append(names, w.ID)
 		}
-		if got := strings.Join(names, " "); got != k.want {
-			t.Errorf("%s: %q, want %q", k.name, got, k.want)
+		if got := strings.Join(names, " "); got != tc.want {
+			t.Errorf("%s: complete entries %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-func TestForeignLists(t *testing.T) {
+func TestListsOfOtherDeploymentsAreForeign(t *testing.T) {
 	ours := config.Worker{Zone: "z1", Kind: "k1", State: "ready"}
 	other := config.Worker{Zone: "z9", Kind: "k1", State: "ready"}
 	gone := config.Worker{State: "gone"}
 	all := &config.Node{Zones: []string{"z1", "z2"}, Kinds: []string{"k1"}}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name    string
 		node    *config.Node
 		workers []config.Worker
@@ -51,26 +51,26 @@
 		{"settings without zones", &config.Node{Kinds: []string{"k1"}}, []config.Worker{other}, false},
 		{"settings without kinds", &config.Node{Zones: []string{"z1"}}, []config.Worker{other}, false},
 	} {
-		if foreign := (&Watcher{node: k.node}).isForeign(k.workers); foreign != k.foreign {
-			t.Errorf("%s: %v, want %v", k.name, foreign, k.foreign)
+		if foreign := (&Watcher{node: tc.node}).isForeign(tc.workers); foreign != tc.foreign {
+			t.Errorf("%s: isForeign = %v, want %v", tc.name, foreign, tc.foreign)
 		}
 	}
 }
 
-func TestObjectsOfAWatchAreBounded(t *testing.T) {
-	signs := 0
-	r := &limitedReader{Reader: strings.NewReader("\n \n12345\n\n67890x"), limit: 6, onData: func() { signs++ }}
+func TestLimitedReaderBoundsEachObject(t *testing.T) {
+	reads := 0
+	r := &limitedReader{Reader: strings.NewReader("\n \n12345\n\n67890x"), limit: 6, onData: func() { reads++ }}
 	read := func(n int) (string, error) {
 		p := make([]byte, n)
 		m, err := io.ReadFull(r, p)
 		return string(p[:m]), err
 	}
 	r.nextObject()
-	if text, err := read(3); text != "\n \n" || err != nil || r.left != 6 {
-		t.Errorf("blank lines: %q, %v, %d bytes left", text, err, r.left)
+	if text, err := read(3); text != "\n \n" || err != nil || r.remaining != 6 {
+		t.Errorf("blank lines: %q, %v, %d bytes left", text, err, r.remaining)
 	}
-	if text, err := read(6); text != "12345\n" || err != nil || r.left != 0 {
-		t.Errorf("an object: %q, %v, %d bytes left", text, err, r.left)
+	if text, err := read(6); text != "12345\n" || err != nil || r.remaining != 0 {
+		t.Errorf("an object: %q, %v, %d bytes left", text, err, r.remaining)
 	}
 	if _, err := read(1); !errors.Is(err, errListTooLarge) {
 		t.Errorf("beyond the limit: %v", err)
@@ -79,7 +79,7 @@
 	if text, err := read(6); text != "\n67890" || err != nil {
 		t.Errorf("the next object: %q, %v", text, err)
 	}
-	if signs != 3 {
-		t.Errorf("%d signs of life", signs)
+	if reads != 3 {
+		t.Errorf("onData was called %d times, want 3", reads)
 	}
 }
--- a/internal/dispatcher/discovery/request_test.go
+++ b/internal/dispatcher/discovery/request_test.go
@@ -19,38 +19,39 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-// written records what is written to a connection.
-type written struct {
+// recordingConn records what is written to a connection.
+type recordingConn struct {
 	net.Conn
 	mu   *sync.Mutex // guards text
 	text *bytes.Buffer
 }
 
-func (w written) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	w.text.Write(p)
-	w.mu.Unlock()
-	return w.Conn.Write(p)
+func (c recordingConn) Write(p []byte) (int, error) {
+	c.mu.Lock()
+	c.text.Write(p)
+	c.mu.Unlock()
+	return c.Conn.Write(p)
 }
 
-// testdata/watch.txt holds the calls of a watch, byte for byte, and what the answers to them come to.
-func TestCallsAndListsOfAWatch(t *testing.T) {
+// testdata/watch.txt holds the requests of a watch, byte for byte, and the lists that result from the responses.
+// The responses include an outdated version, unreadable entries, a truncated list and a change of the address.
+func TestWatchRequestsAndResultingLists(t *testing.T) {
 	node := testenv.Node(t, nil, "")
 	synctest.Test(t, func(t *testing.T) {
 		var network testenv.Network
 		var mu sync.Mutex
 		var text bytes.Buffer
-		note := func(format string, v ...any) {
+		record := func(format string, v ...any) {
 			mu.Lock()
 			defer mu.Unlock()
 			fmt.Fprintf(&text, format+"\n", v...)
 		}
-		watch := discovery.New(node)
-		watch.OnList = func(kind decision.ListKind, workers []config.Worker) { note("-> list of kind %d: %v", kind, workers) }
-		watch.Dial = func(ctx context.Context, _, address string) (net.Conn, error) {
-			note("== a call to %s ==", address)
+		watcher := discovery.New(node)
+		watcher.OnList = func(kind decision.ListKind, workers []config.Worker) { record("-> list of kind %d: %v", kind, workers) }
+		watcher.Dial = func(ctx context.Context, _, address string) (net.Conn, error) {
+			record("== a call to %s ==", address)
 			conn, err := network.Dial(ctx, address)
-			return written{conn, &mu, &text}, err
+			return recordingConn{conn, &mu, &text}, err
 		}
 		entry := `{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000","zone":"montreal","machineType":"std-2c","cell":1,"lifecycle":"ready","weight":1,"startedAtMs":5}`
 		serve := func(address, answer string) net.Listener {
@@ -78,10 +79,10 @@
 		second := serve("127.0.0.1:8501", `{"generation":3,"reset":true,"instances":[`+entry+`,{"instanceId":"s-0`)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan bool)
-		go func() { watch.Run(ctx); close(done) }()
-		watch.Watch(true)
+		go func() { watcher.Run(ctx); close(done) }()
+		watcher.Watch(true)
 		time.Sleep(500 * time.Millisecond)
-		watch.SetAddress("127.0.0.1:8501")
+		watcher.SetAddress("127.0.0.1:8501")
 		time.Sleep(600 * time.Millisecond)
 		cancel()
 		<-done
--- a/internal/dispatcher/discovery/watcher.go
+++ b/internal/dispatcher/discovery/watcher.go
@@ -1,16 +1,17 @@
-// Package discovery keeps the watch on discovery's list of workers: one HTTP call
-// whose answer goes on for as long as it can, with an object for each change.
+// Package discovery watches the list of workers at the discovery service. A watch
+// is one long-lived HTTP call; its response carries a JSON object for each change.
 //
-// Watcher owns the one call that is out, the address it goes to, the version of
-// the list last heard of there, and the watchdog that ends a watch gone silent.
-// The first call comes when the decision module asks for a watch, or at once
-// where lists are pushed: there nobody asks. After a call that has ended the
-// watcher calls again by itself, with a backoff, and reports every end as
-// decision.ListFailed. It never has two calls out, and it does not judge workers.
+// Watcher owns the one call in flight, the address it goes to, the last version
+// of the list received from that address, and the watchdog that ends a silent
+// call. It makes the first call when the decision module requests a watch. In
+// push mode it makes the first call at once, because the module makes no request
+// there. When a call ends, the watcher reports decision.ListFailed and calls again
+// after a backoff. It never has two calls in flight, and it does not judge the
+// health of workers.
 //
-// Run has one goroutine, on which everything is read and OnList is called. Watch
-// and SetAddress may be called on any; what they share with Run is under
-// Watcher.mu or passes through channels.
+// Run uses one goroutine, which reads all responses and calls OnList. Any
+// goroutine may call Watch and SetAddress; they share state with Run under
+// Watcher.mu or through channels.
 //
 // Start reading at Watcher.Run.
 package discovery
@@ -29,51 +30,51 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// Why a call has ended, where it was not the connection's end.
+// Reasons why the watcher itself ends a call.
 var (
-	errSilent = errors.New("discovery has gone silent")
-	errMoved  = errors.New("discovery is at another address now")
+	errSilent         = errors.New("no data from discovery within the time-out")
+	errAddressChanged = errors.New("the address of discovery has changed")
 )
 
-// Watcher watches discovery. Its exported fields are set before Run.
+// Watcher keeps a watch on the list of workers. Set its exported fields before Run.
 type Watcher struct {
-	// OnList gets the lists that discovery sends, and decision.ListFailed once for each call that ends.
+	// OnList receives each list that discovery sends, and decision.ListFailed once for each call that ends.
 	OnList func(decision.ListKind, []config.Worker)
-	// Dial opens a connection; tests put their own in its place.
+	// Dial opens a connection. Tests replace it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	node   *config.Node
-	limits config.Limits
-	client *http.Client
-	pushed bool          // an agent on this machine holds what it was sent, and gives it to whoever calls
-	asked  chan struct{} // the module wants a watch
-	moved  chan struct{} // the address has changed
+	node           *config.Node
+	limits         config.Limits
+	client         *http.Client
+	pushMode       bool          // lists are pushed to an agent on this machine, which serves them to each caller
+	watchRequested chan struct{} // the module has requested a watch
+	addressChanged chan struct{} // SetAddress has been called
 
-	// What is odd is logged once.
+	// Each kind of unusual list is logged only once.
 	logForeign, logOutdated, logUnreadable sync.Once
 
-	mu         sync.Mutex
-	address    string
-	generation int64                   // last heard of at this address; another's versions mean nothing here
-	moves      int                     // addresses so far
-	hangUp     context.CancelCauseFunc // ends the call that is out
+	mu             sync.Mutex
+	address        string
+	generation     int64                   // last received from this address; not comparable between addresses
+	addressVersion int                     // incremented by each change of the address
+	cancelCall     context.CancelCauseFunc // ends the call in flight
 }
 
-// New makes a watcher. The list that the node knows gives the version to go on from.
+// New creates a watcher. It resumes from the version of the node's cached list.
 func New(n *config.Node) *Watcher {
 	w := &Watcher{
-		Dial:       (&net.Dialer{Timeout: n.Limits.DiscoveryCallTimeout, KeepAlive: -1}).DialContext,
-		node:       n,
-		limits:     n.Limits,
-		pushed:     n.Module.Discovery == decision.DiscoveryPush,
-		asked:      make(chan struct{}, 1),
-		moved:      make(chan struct{}, 1),
-		address:    n.Discovery,
-		generation: n.Known.Generation,
-		hangUp:     func(error) {},
+		Dial:           (&net.Dialer{Timeout: n.Limits.DiscoveryCallTimeout, KeepAlive: -1}).DialContext,
+		node:           n,
+		limits:         n.Limits,
+		pushMode:       n.Module.Discovery == decision.DiscoveryPush,
+		watchRequested: make(chan struct{}, 1),
+		addressChanged: make(chan struct{}, 1),
+		address:        n.Discovery,
+		generation:     n.Known.Generation,
+		cancelCall:     func(error) {},
 	}
 	w.client = &http.Client{Transport: &http.Transport{
-		DisableKeepAlives: true, // each call has a connection of its own: nothing is left for a library to send again
+		DisableKeepAlives: true, // each call has its own connection, so that net/http cannot retry it
 		MaxConnsPerHost:   n.Limits.DiscoveryConns,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			return w.Dial(ctx, network, address)
@@ -83,26 +84,27 @@
 	return w
 }
 
-// Watch asks for a watch. While one is up or being called, asking again changes nothing. It does not block.
+// Watch requests a watch if on is set. A request while a call is in flight has no effect. Watch does not block.
 func (w *Watcher) Watch(on bool) {
 	if on {
-		notify(w.asked)
+		notify(w.watchRequested)
 	}
 }
 
-// SetAddress names another address of discovery. The watch goes over to it at once and asks for the complete list.
+// SetAddress changes the address of discovery. The watcher ends the call in flight, calls the new address and requests
+// the complete list.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.address {
 		return
 	}
-	w.address, w.generation, w.moves = address, 0, w.moves+1
-	notify(w.moved)
-	w.hangUp(errMoved)
+	w.address, w.generation, w.addressVersion = address, 0, w.addressVersion+1
+	notify(w.addressChanged)
+	w.cancelCall(errAddressChanged)
 }
 
-// notify puts a value into a channel that has room for one, where there is none yet.
+// notify sends to a channel of capacity one, unless the channel is full.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -110,7 +112,7 @@
 	}
 }
 
-// drain takes a value out of a channel, where there is one.
+// drain receives from a channel, unless the channel is empty.
 func drain(c chan struct{}) {
 	select {
 	case <-c:
@@ -118,108 +120,109 @@
 	}
 }
 
-// target is what a call is made with: the address, the version that was heard of there, and the number of the move that
-// they belong to.
-type target struct {
-	address    string
-	generation int64
-	moves      int
+// callTarget holds the parameters of a call: the address, the last version received from it, and the value of
+// Watcher.addressVersion that both belong to.
+type callTarget struct {
+	address        string
+	generation     int64
+	addressVersion int
 }
 
-// currentTarget returns what the next call is made with, and notes what ends that call.
-func (w *Watcher) currentTarget(hangUp context.CancelCauseFunc) target {
+// currentTarget returns the parameters of the next call and stores the function that cancels that call.
+func (w *Watcher) currentTarget(cancelCall context.CancelCauseFunc) callTarget {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hangUp = hangUp
-	return target{w.address, w.generation, w.moves}
+	w.cancelCall = cancelCall
+	return callTarget{w.address, w.generation, w.addressVersion}
 }
 
-// setGeneration notes the version that was heard of. It returns false where the address has changed since: an old address
-// has no say any more.
-func (w *Watcher) setGeneration(generation int64, moves int) bool {
+// setGeneration stores the last version received. It returns false and stores nothing if the address has changed since
+// the call began: lists from an old address are ignored.
+func (w *Watcher) setGeneration(generation int64, addressVersion int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.moves == moves {
+	if w.addressVersion == addressVersion {
 		w.generation = generation
 	}
-	return w.moves == moves
+	return w.addressVersion == addressVersion
 }
 
-// Run makes the calls until ctx ends.
+// Run makes calls to discovery until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
-	if !w.awaitFirst(ctx) {
+	if !w.awaitFirstCall(ctx) {
 		return
 	}
 	for backoff := w.limits.DiscoveryBackoff; ; {
-		began := time.Now()
-		up, err := w.watch(ctx)
-		drain(w.asked) // what was asked for while the call was out was that same call
+		start := time.Now()
+		gotData, err := w.watch(ctx)
+		drain(w.watchRequested) // a request made during the call was for that call
 		if ctx.Err() != nil {
 			return
 		}
-		log.Printf("the watch on the list of workers has ended: %v", err)
+		log.Printf("watch on the list of workers ended: %v", err)
 		w.OnList(decision.ListFailed, nil)
-		// Spread, lest all dispatchers call together when discovery comes back: it takes calls in turn. The module asks
-		// again by itself, but later than a drain may wait that was announced meanwhile.
+		// The random delay keeps the dispatchers from calling all at once when discovery recovers: discovery serves
+		// calls one at a time. The watcher does not wait for the module's next request, which can come after the grace
+		// period of a drain that was announced meanwhile.
 		delay := backoff/2 + rand.N(backoff)
-		if up || errors.Is(err, errMoved) {
-			// Discovery answers, and what it wrote when the watch broke off counts as delivered: there is no time to lose. A
-			// backoff that grew with each watch that broke outlasted the grace of a drain.
+		if gotData || errors.Is(err, errAddressChanged) {
+			// Discovery is available, and it counts what it wrote when the watch broke off as delivered, so the next
+			// call must come soon. A backoff that grew with each broken watch outlasted the grace period of a drain.
 			backoff = w.limits.DiscoveryBackoff
-			if delay = rand.N(backoff / 4); time.Since(began) < backoff {
+			if delay = rand.N(backoff / 4); time.Since(start) < backoff {
 				delay += backoff / 4
 			}
 		}
 		switch w.pause(ctx, delay) {
 		case pauseCancelled:
 			return
-		case pauseMoved: // nothing has gone wrong there yet
+		case pauseAddressChanged: // no call to the new address has failed yet
 			backoff = w.limits.DiscoveryBackoff
 			continue
 		}
-		if !up {
+		if !gotData {
 			backoff = min(2*backoff, w.limits.DiscoveryBackoffMax)
 		}
 	}
 }
 
-// awaitFirst waits until the first call is due. It returns false where ctx has ended before.
-func (w *Watcher) awaitFirst(ctx context.Context) bool {
-	asked := w.asked
-	if w.currentTarget(w.hangUp).address == "" { // no discovery: the list is what the operator's file says
+// awaitFirstCall waits until the first call is due. It returns false if ctx is done before that.
+func (w *Watcher) awaitFirstCall(ctx context.Context) bool {
+	watchRequested := w.watchRequested
+	if w.currentTarget(w.cancelCall).address == "" { // without discovery, only the operator's file lists workers
 		w.OnList(decision.ListFull, nil)
-		asked = nil
-	} else if w.pushed { // the module waits for lists that come unasked
+		watchRequested = nil
+	} else if w.pushMode { // the module waits for lists without requesting a watch
 		w.Watch(true)
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-asked:
-	case <-w.moved:
+	case <-watchRequested:
+	case <-w.addressChanged:
 	}
 	return true
 }
 
-// pauseEnd is why a pause has ended.
+// pauseEnd is the reason why a pause ended.
 type pauseEnd int
 
 const (
-	pauseOver pauseEnd = iota // its time, or the module has asked
-	pauseMoved
+	pauseOver pauseEnd = iota // the delay has passed, or the module has requested a watch
+	pauseAddressChanged
 	pauseCancelled
 )
 
-// pause waits until the next call is due.
+// pause waits until the next call is due: after the delay, or earlier on a request or a change of the address.
 func (w *Watcher) pause(ctx context.Context, delay time.Duration) pauseEnd {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return pauseCancelled
-	case <-w.moved:
-		return pauseMoved
-	case <-w.asked:
+	case <-w.addressChanged:
+		return pauseAddressChanged
+	case <-w.watchRequested:
 	case <-timer.C:
 	}
 	return pauseOver
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -35,8 +35,8 @@
 // MayStart reports whether the transport may write the first byte. The transport must call it just before that write:
 // while the connection is being established, the worker may start to leave or the client may disconnect.
 func (a *Attempt) MayStart() bool {
-	// Stored before finished is loaded. Abandon stores finished before it loads writing, so at least one of the two sees
-	// the other's store.
+	// Stored before finished is loaded. Abandon stores finished before it loads writing, so at least one of the two
+	// sees the other's store.
 	a.writing.Store(true)
 	return !a.Job.finished.Load() && !a.worker.leaving.Load() && a.Context.Err() == nil && (a.Job.MayStart == nil || a.Job.MayStart())
 }
@@ -88,8 +88,8 @@
 	j.inFlight++
 	if a.worker == nil || a.worker.state != decision.Ready || forbiddenParallel || j.finished.Load() || timeout <= 0 {
 		// Enforces the invariants on leaving workers, on one attempt at a time and on disconnected clients, even if the
-		// module violates them or has not heard of the change yet. A timer reports the outcome, so that the module does not
-		// get an event while its actions are being executed.
+		// module violates them or has not heard of the change yet. A timer reports the outcome, so that the module does
+		// not get an event while its actions are being executed.
 		if a.worker == nil {
 			a.worker = &workerState{number: action.Worker}
 		}
@@ -100,8 +100,8 @@
 	c.Counters.Sent.Add(1)
 	c.observe(Event{Kind: AttemptSent, Job: j, Attempt: a})
 	if action.Timeout > 0 {
-		// The timer only cancels the attempt: the transport closes the connection before it reports the outcome, because the
-		// module may then send the job again.
+		// The timer only cancels the attempt: the transport closes the connection before it reports the outcome,
+		// because the module may then send the job again.
 		c.setTimer(c.now()+timeout, func() {
 			a.timedOut = true
 			a.cancel()
--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -104,7 +104,8 @@
 	return c, nil
 }
 
-// Run runs the core until ctx is done. It first applies the list of workers that the node has cached from an earlier run.
+// Run runs the core until ctx is done. It first applies the list of workers that the node has cached from an earlier
+// run.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.ended)
 	c.applyList(decision.ListCached, c.node.Known.Workers)
@@ -139,8 +140,8 @@
 // OpenJobs returns the number of jobs without an answer.
 func (c *Core) OpenJobs() int { return int(c.openJobs.Load()) }
 
-// post queues a function for the core's goroutine. It blocks while the mailbox is full, which applies backpressure to the
-// caller. Once Run has returned it drops the function.
+// post queues a function for the core's goroutine. It blocks while the mailbox is full, which applies backpressure to
+// the caller. Once Run has returned it drops the function.
 func (c *Core) post(f func()) {
 	select {
 	case c.mailbox <- f:
--- a/internal/dispatcher/dispatch/core_test.go
+++ b/internal/dispatcher/dispatch/core_test.go
@@ -265,8 +265,8 @@
 	}
 }
 
-// A list may repeat a worker's start time after the wall clock has moved relative to the core's clock. The module must not
-// take that for a restart.
+// A list may repeat a worker's start time after the wall clock has moved relative to the core's clock. The module must
+// not take that for a restart.
 func TestWorkerStartIsConvertedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := testenv.Worker("s-00000001", "127.0.1.1:5000", "ready")
--- a/internal/dispatcher/dispatch/counters_test.go
+++ b/internal/dispatcher/dispatch/counters_test.go
@@ -12,7 +12,8 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-// The names and order of the counters are part of the HTTP interface, the log and the SNMP MIB, so they must not change.
+// The names and order of the counters are part of the HTTP interface, the log and the SNMP MIB, so they must not
+// change.
 func TestCounterNamesAndOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counters := new(dispatch.Counters)
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -54,9 +54,9 @@
 
 	// Reply receives the final answer, exactly once. It runs on the core's goroutine and must not block.
 	Reply func(Answer)
-	// MayStart reports whether an attempt may write its first byte. It is called just before that write, on any goroutine;
-	// nil allows every attempt. Package durablejobs sets it, and OnAttemptEnd, for jobs that have replicas at other
-	// dispatchers.
+	// MayStart reports whether an attempt may write its first byte. It is called just before that write, on any
+	// goroutine; nil allows every attempt. Package durablejobs sets it, and OnAttemptEnd, for jobs that have replicas
+	// at other dispatchers.
 	MayStart func() bool
 	// OnAttemptEnd receives the outcome of each attempt, on the core's goroutine; it may be nil.
 	OnAttemptEnd func(a *Attempt, o decision.Outcome)
@@ -70,7 +70,8 @@
 }
 
 // Submit accepts a job. If it returns nil, the job's Reply is called exactly once, unless Abandon comes first; if it
-// returns ErrBusy or ErrDuplicateID, Reply is never called. Any goroutine may call it; it blocks while the mailbox is full.
+// returns ErrBusy or ErrDuplicateID, Reply is never called. Any goroutine may call it; it blocks while the mailbox is
+// full.
 func (c *Core) Submit(j *Job) error {
 	if c.openJobs.Add(1) > int64(c.limits.OpenJobs) {
 		c.openJobs.Add(-1)
@@ -146,8 +147,8 @@
 	})
 }
 
-// expire runs at a job's deadline. It times out the attempts in flight, so that the client gets an answer before its own
-// time-out.
+// expire runs at a job's deadline. It times out the attempts in flight, so that the client gets an answer before its
+// own time-out.
 func (c *Core) expire(j *Job) {
 	if j.answered {
 		return
--- a/internal/dispatcher/dispatch/observer.go
+++ b/internal/dispatcher/dispatch/observer.go
@@ -31,8 +31,8 @@
 	Answer  Answer
 }
 
-// Observer receives the core's events. The core's goroutine delivers them in order, except for JobOverflowed, which comes
-// on the goroutine that called Submit.
+// Observer receives the core's events. The core's goroutine delivers them in order, except for JobOverflowed, which
+// comes on the goroutine that called Submit.
 type Observer interface {
 	// Observe must not block, modify the event or what it points to, or retain the event after it returns.
 	Observe(*Event)
--- a/internal/dispatcher/dispatch/timers.go
+++ b/internal/dispatcher/dispatch/timers.go
@@ -14,8 +14,8 @@
 	return t.at < other.at || t.at == other.at && t.order < other.order
 }
 
-// setTimer schedules a function for a time on the core's clock. Run calls the function; setTimer itself never does, even
-// if the time has passed.
+// setTimer schedules a function for a time on the core's clock. Run calls the function; setTimer itself never does,
+// even if the time has passed.
 func (c *Core) setTimer(at time.Duration, run func()) {
 	c.timersSet++
 	c.timers.Push(timer{at, c.timersSet, run})
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -21,7 +21,8 @@
 	leaving atomic.Bool // the worker is not ready: no request may start
 }
 
-// stateByName maps the state names in list entries. An unknown name counts as draining, so that the worker gets no jobs.
+// stateByName maps the state names in list entries. An unknown name counts as draining, so that the worker gets no
+// jobs.
 var stateByName = map[string]decision.State{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
 // WorkerCounts returns the number of workers in each decision.State. Gone workers count while they still hold jobs. Any
@@ -100,8 +101,8 @@
 	c.workerCounts.Store(&counts)
 }
 
-// applyEntry updates the table of workers from one list entry. It returns nil if the entry is ignored: the worker is gone
-// and was not known, or the table already holds Limits.Workers workers.
+// applyEntry updates the table of workers from one list entry. It returns nil if the entry is ignored: the worker is
+// gone and was not known, or the table already holds Limits.Workers workers.
 func (c *Core) applyEntry(entry config.Worker) *workerState {
 	state, ok := stateByName[entry.State]
 	if !ok {
@@ -172,8 +173,8 @@
 	return decision.WorkerID(h.Sum32())
 }
 
-// AffinityKey derives a job's affinity key from the subject of the job. If the subject is a number of sixteen hexadecimal
-// digits other than 0, the key is that number; otherwise it is a hash of the subject. The key is never 0.
+// AffinityKey derives a job's affinity key from the subject of the job. If the subject is a number of sixteen
+// hexadecimal digits other than 0, the key is that number; otherwise it is a hash of the subject. The key is never 0.
 func AffinityKey(subject string) uint64 {
 	if v, err := strconv.ParseUint(subject, 16, 64); err == nil && len(subject) == 16 && v != 0 {
 		return v
