--- a/internal/dispatcher/workerhttp/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -13,27 +13,27 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// scanBytes is the size with which the buffer for lines begins; it grows up to the limit on a line.
-const scanBytes = 1 << 10
+// initialLineBytes is the initial size of the line buffer in bytes. The buffer grows up to Limits.LineBytes.
+const initialLineBytes = 1 << 10
 
-// answer is what a worker's answer came to.
+// answer is the result of reading a worker's answer.
 type answer struct {
 	outcome    decision.Outcome
 	load       decision.Load
 	result     []byte
 	reusable   bool          // the connection may carry another request
-	rest       io.Reader     // what still has to be read before it does; nil is nothing
-	length     int64         // of the rest, where the head says it, else -1
-	quarantine time.Duration // for how long the connection carries no request
+	rest       io.Reader     // body that must be read before the connection is reused; may be nil
+	length     int64         // of rest in bytes, if the head states it, else -1
+	quarantine time.Duration // how long the connection must carry no request
 }
 
-// readAnswer reads an answer up to the line that decides it, and passes on what tells of progress.
+// readAnswer reads an answer up to the line that determines the outcome, and reports progress to the attempt.
 func (t *Transport) readAnswer(a *dispatch.Attempt, c *conn) answer {
 	for {
-		c.left = t.limits.HeadBytes + 2*t.limits.LineBytes
+		c.budget = t.limits.HeadBytes + 2*t.limits.LineBytes
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodPost})
 		if err != nil {
-			return answer{outcome: outcomeOfBreak(a, err)}
+			return answer{outcome: outcomeOfReadError(a, err)}
 		}
 		if isInformational(resp.StatusCode) {
 			continue
@@ -48,8 +48,8 @@
 		if resp.StatusCode == http.StatusOK {
 			return t.readLines(a, c, resp, r)
 		}
-		// It names no job. A second one of it, some milliseconds late, would pass for the next job's: that would count as one
-		// that never ran, or has ended, while it runs.
+		// This answer names no job. If the worker sends it twice, the second copy can arrive some milliseconds later
+		// and be read as the answer to the next request: that job would count as never run, or as ended, while it runs.
 		r.quarantine = t.limits.LateAnswerWindow
 		if neverRan(resp) {
 			r.outcome = decision.Rejected
@@ -58,12 +58,12 @@
 	}
 }
 
-// isInformational returns whether another answer follows one of this status (RFC 9110, section 15.2).
+// isInformational reports whether another answer follows an answer with this status (RFC 9110, section 15.2).
 func isInformational(status int) bool {
 	return status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
 }
 
-// neverRan returns whether an answer without lines says that the job has not run.
+// neverRan reports whether an answer without lines states that the job has not run.
 func neverRan(resp *http.Response) bool {
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -72,8 +72,9 @@
 	return false
 }
 
-// outcomeOfBreak returns the outcome of an attempt whose request was written and whose answer broke off.
-func outcomeOfBreak(a *dispatch.Attempt, err error) decision.Outcome {
+// outcomeOfReadError returns the outcome of an attempt whose request was written and whose answer could not be read to
+// the end.
+func outcomeOfReadError(a *dispatch.Attempt, err error) decision.Outcome {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && a.Context.Err() != nil:
 		return decision.Cancelled
@@ -83,15 +84,15 @@
 	return decision.Reset
 }
 
-// readLines reads the lines of an answer up to the last one. Chunks may cut lines anywhere.
+// readLines reads the lines of an answer up to the last one. A chunk may end anywhere in a line.
 func (t *Transport) readLines(a *dispatch.Attempt, c *conn, resp *http.Response, r answer) answer {
-	body := &endReader{Reader: resp.Body}
+	body := &eofReader{Reader: resp.Body}
 	if len(resp.TransferEncoding) == 1 && resp.TransferEncoding[0] == "chunked" {
-		body.Reader = &chunkedReader{from: c.reader}
+		body.Reader = &chunkedReader{source: c.reader}
 		r.rest = body
 	}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, scanBytes), t.limits.LineBytes)
+	lines.Buffer(make([]byte, 0, initialLineBytes), t.limits.LineBytes)
 	for lines.Scan() {
 		text := bytes.TrimSpace(lines.Bytes())
 		if len(text) == 0 {
@@ -102,16 +103,16 @@
 			continue
 		}
 		r.outcome, r.load, r.result = o, load, result
-		r.reusable = r.reusable && o != decision.Reset // after a break or a foreign line nothing on it can be trusted
+		r.reusable = r.reusable && o != decision.Reset // what follows a Reset line is unreliable
 		r.length = -1
-		if body.ended {
+		if body.sawEOF {
 			r.rest = nil
 		}
 		return r
 	}
 	r.outcome, r.reusable, r.rest = decision.Reset, false, nil
 	if err := lines.Err(); err != nil {
-		r.outcome = outcomeOfBreak(a, err)
+		r.outcome = outcomeOfReadError(a, err)
 	}
 	return r
 }
--- a/internal/dispatcher/workerhttp/chunked.go
+++ b/internal/dispatcher/workerhttp/chunked.go
@@ -9,62 +9,63 @@
 	"strings"
 )
 
-// endReader notes whether its reader has come to the end.
-type endReader struct {
+// eofReader records whether its reader has returned io.EOF.
+type eofReader struct {
 	io.Reader
-	ended bool
+	sawEOF bool
 }
 
-// Read reads from the reader within.
-func (e *endReader) Read(p []byte) (int, error) {
+// Read reads from the underlying reader.
+func (e *eofReader) Read(p []byte) (int, error) {
 	n, err := e.Reader.Read(p)
-	e.ended = e.ended || err == io.EOF
+	e.sawEOF = e.sawEOF || err == io.EOF
 	return n, err
 }
 
-// chunkedReader reads a body in chunks (RFC 9112, section 7.1). Unlike net/http's reader it gives what has come of one
-// chunk before it looks for the next: a last line is not held back by an end that is late, or never comes.
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). Unlike net/http's reader, it returns the data of one
+// chunk before it reads the header of the next. So the last line is available even if the last chunk comes late or
+// never.
 type chunkedReader struct {
-	from  *bufio.Reader
-	left  uint64 // bytes of the present chunk
-	begun bool   // the first chunk has begun
-	ended bool   // the trailer is read
+	source    *bufio.Reader
+	remaining uint64 // bytes of the present chunk
+	started   bool   // the first chunk has started
+	ended     bool   // the trailer has been read
 }
 
-var errChunk = errors.New("a chunk cannot be read")
+var errMalformedChunk = errors.New("malformed chunk")
 
-// Read reads the data of chunks. It returns io.EOF behind the trailer, io.ErrUnexpectedEOF where the body breaks off.
+// Read reads the data of chunks. It returns io.EOF after the trailer, and io.ErrUnexpectedEOF if the body is truncated.
 func (c *chunkedReader) Read(p []byte) (int, error) {
-	for c.left == 0 {
+	for c.remaining == 0 {
 		if err := c.nextChunk(); err != nil {
 			return 0, err
 		}
 	}
-	n, err := c.from.Read(p[:min(uint64(len(p)), c.left)])
-	c.left -= uint64(n)
+	n, err := c.source.Read(p[:min(uint64(len(p)), c.remaining)])
+	c.remaining -= uint64(n)
 	return n, unexpectedEOF(err)
 }
 
-// nextChunk reads up to the next chunk's first byte, or to the end of them all.
+// nextChunk reads up to the first byte of the next chunk's data. It returns io.EOF after the trailer.
 func (c *chunkedReader) nextChunk() error {
 	if c.ended {
 		return io.EOF
 	}
-	if c.begun { // the end of the chunk before
+	if c.started { // the line end after the previous chunk
 		if end, err := c.readLine(); err != nil || end != "" {
-			return cmp.Or(err, errChunk)
+			return cmp.Or(err, errMalformedChunk)
 		}
 	}
 	size, err := c.readLine()
 	if err != nil {
 		return err
 	}
-	size, _, _ = strings.Cut(size, ";") // extensions are passed over
-	if c.left, err = strconv.ParseUint(strings.TrimSpace(size), 16, 63); err != nil {
-		return errChunk
+	size, _, _ = strings.Cut(size, ";") // chunk extensions are ignored
+	if c.remaining, err = strconv.ParseUint(strings.TrimSpace(size), 16, 63); err != nil {
+		return errMalformedChunk
 	}
-	c.begun = true
-	if c.left > 0 {
+	c.started = true
+	if c.remaining > 0 {
 		return nil
 	}
 	for trailer := " "; trailer != ""; {
@@ -76,16 +77,16 @@
 	return io.EOF
 }
 
-// readLine reads a line without its end.
+// readLine reads a line and returns it without its line end.
 func (c *chunkedReader) readLine() (string, error) {
-	text, err := c.from.ReadSlice('\n')
+	text, err := c.source.ReadSlice('\n')
 	if err != nil {
 		return "", unexpectedEOF(err)
 	}
 	return strings.TrimSuffix(string(text[:len(text)-1]), "\r"), nil
 }
 
-// unexpectedEOF turns an end in the middle of a body into an error.
+// unexpectedEOF replaces io.EOF, which must not occur in the middle of a body, with io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/dispatcher/workerhttp/conn.go
+++ b/internal/dispatcher/workerhttp/conn.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// readerBytes is the size of a connection's read buffer.
+// readerBytes is the size of a connection's read buffer in bytes.
 const readerBytes = 4 << 10
 
-var errAnswerTooLarge = errors.New("the answer is larger than the limits allow")
+var errAnswerTooLarge = errors.New("the answer exceeds the size limit")
 
-// lastChunk is how a body in chunks ends where it has no trailer (RFC 9112, section 7.1).
+// lastChunk ends a chunked body that has no trailer (RFC 9112, section 7.1).
 var lastChunk = []byte("0\r\n\r\n")
 
-// conn is one connection to a worker. It is either idle, in the pool, or of one attempt.
+// conn is one connection to a worker. It is either idle in the pool or used by one attempt.
 type conn struct {
 	net.Conn
 	pool   *pool
 	reader *bufio.Reader
-	left   int // bytes that the present answer may still take
+	budget int // bytes that may still be read for the present answer
 
-	// Set before the connection comes into the pool.
+	// Set when the connection is released to the pool.
 	idleSince        time.Time
 	quarantinedUntil time.Time
-	idleTimer        *time.Timer // closes it
+	idleTimer        *time.Timer // closes the connection after WorkerIdleTimeout
 
 	closeOnce sync.Once
 }
@@ -40,27 +40,28 @@
 	return c
 }
 
-// Read bounds what one answer may take, its head included.
+// Read reads from the socket. It returns errAnswerTooLarge once the present answer, including its head, exceeds the
+// budget.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.left <= 0 {
+	if c.budget <= 0 {
 		return 0, errAnswerTooLarge
 	}
-	n, err := c.Conn.Read(p[:min(len(p), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.budget)])
+	c.budget -= n
 	return n, err
 }
 
-// Close closes the connection and gives its place in the pool back, once.
+// Close closes the connection and releases its slot in the pool. Only the first call has an effect.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		c.Conn.Close()
-		c.pool.free()
+		c.pool.releaseSlot()
 	})
 	return nil
 }
 
-// hasBuffered returns whether the rest of a body has come: of one in chunks where length is -1, else of one that was not
-// read from yet.
+// hasBuffered reports whether the rest of a body is in the read buffer. A length of -1 means a chunked body; otherwise
+// the body has length bytes, of which none has been read.
 func (c *conn) hasBuffered(length int64) bool {
 	buffered, _ := c.reader.Peek(c.reader.Buffered())
 	if length >= 0 {
@@ -69,9 +70,9 @@
 	return bytes.HasSuffix(buffered, lastChunk)
 }
 
-// isQuiet returns whether an idle connection is open with nothing to read: a look into the socket's queue, so that a
-// close that has arrived is seen before anything is written.
-func (c *conn) isQuiet() bool {
+// isReusable reports whether an idle connection is open and has nothing to read. It peeks into the socket's receive
+// queue to detect a close by the worker before a request is written.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -83,18 +84,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 		return true
 	})
-	return quiet && err == nil
+	return empty && err == nil
 }
 
-// discard reads what follows the last line of an answer, within limits of time and size. It returns whether the
-// connection can carry another request.
+// discard reads and drops what follows the last line of an answer, up to TrailingTimeout and TrailingBytes. It reports
+// whether the connection can carry another request.
 func (c *conn) discard(rest io.Reader) bool {
 	limits := &c.pool.limits
 	c.SetDeadline(time.Now().Add(limits.TrailingTimeout))
--- a/internal/dispatcher/workerhttp/line.go
+++ b/internal/dispatcher/workerhttp/line.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// AnswerLine is one line of a worker's answer.
+// AnswerLine is one JSON line of a worker's answer.
 type AnswerLine struct {
 	ID     string          `json:"id"`
 	From   string          `json:"from"`
@@ -18,22 +18,24 @@
 	Load   json.RawMessage `json:"load"`
 }
 
-// The states of an AnswerLine. Others are passed over.
+// The states of an AnswerLine. Lines with other states are ignored.
 const (
 	lineStarted  = "started"
 	lineRunning  = "running"
 	lineDone     = "done"
 	lineFailed   = "failed"
 	lineReturned = "returned" // the job has not run
-	lineLost     = "lost"     // the worker does not know what became of it
+	lineLost     = "lost"     // the worker does not know the outcome of the job
 )
 
-// ReadLine takes one line of a worker's answer to an attempt, whatever protocol brought it. Progress is passed on to the
-// attempt. The outcome is 0 until the last line.
+// ReadLine decodes one line of a worker's answer to an attempt, received over any protocol. It reports progress to the
+// attempt. It returns the outcome, the load report and the result of the last line; for every other line the outcome
+// is 0.
 func ReadLine(n *config.Node, a *dispatch.Attempt, text []byte) (decision.Outcome, decision.Load, []byte) {
 	var line AnswerLine
 	if err := json.Unmarshal(text, &line); err != nil || line.ID != a.Job.ID {
-		// Cut off, or the answer to something else: nothing is proved, and nothing of it goes to the client.
+		// The line is truncated or answers another job. It proves nothing about this job, and the client must not get
+		// it.
 		return decision.Reset, decision.Load{}, nil
 	}
 	load := parseLoadObject(n, line.Load)
@@ -43,7 +45,7 @@
 	case lineRunning:
 		a.ReportProgress(decision.JobAdvanced, line.Share)
 	case lineDone:
-		if len(line.Result) == 0 { // there is nothing to give to the client
+		if len(line.Result) == 0 { // there is no result to send to the client
 			return decision.Error, load, nil
 		}
 		return decision.OK, load, resultBytes(line.Result)
@@ -57,7 +59,7 @@
 	return 0, decision.Load{}, nil
 }
 
-// resultBytes returns a result as the client gets it: the text of a string, any other JSON value as it stands.
+// resultBytes returns a result as the client receives it: the text of a JSON string, or any other JSON value unchanged.
 func resultBytes(result json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(result, &text) == nil {
--- a/internal/dispatcher/workerhttp/pool.go
+++ b/internal/dispatcher/workerhttp/pool.go
@@ -9,41 +9,42 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// errPoolFull is the error of acquire where as many connections are open as may be, and none of them is idle.
+// errPoolFull is returned by acquire if Limits.WorkerConns connections are open and none of them is idle.
 var errPoolFull = errors.New("too many connections to workers")
 
-// pool has the idle connections, and counts all that are open.
+// pool holds the idle connections to all workers and counts the open ones.
 type pool struct {
 	limits config.Limits
 
 	mu   sync.Mutex
-	idle map[string][]*conn // by address, the one used last at the end
-	open int                // idle, in use, and coming up
+	idle map[string][]*conn // by address, the most recently used last
+	open int                // idle, in use, and being established
 }
 
-// acquire takes an idle connection to an address out of the pool. Where there is none it returns nil and has counted a
-// connection that the caller opens, or takes back with free; the connection that has been idle longest makes room.
+// acquire removes an idle connection to an address from the pool. If there is none, it returns nil and counts a new
+// connection as open: the caller opens it, or calls releaseSlot if that fails. If the pool is full, acquire closes the
+// connection that has been idle longest.
 func (p *pool) acquire(address string) (*conn, error) {
 	for {
 		p.mu.Lock()
-		c := p.takeIdle(address)
+		c := p.removeIdle(address)
 		if c == nil {
-			break // with the lock held
+			break // with mu locked
 		}
 		p.mu.Unlock()
-		if c.idleTimer.Stop() && time.Since(c.idleSince) < p.limits.WorkerIdleTimeout && c.isQuiet() {
+		if c.idleTimer.Stop() && time.Since(c.idleSince) < p.limits.WorkerIdleTimeout && c.isReusable() {
 			return c, nil
 		}
 		c.Close()
 	}
 	var evicted *conn
 	if p.open >= p.limits.WorkerConns {
-		if evicted = p.takeOldest(); evicted == nil {
+		if evicted = p.removeOldest(); evicted == nil {
 			p.mu.Unlock()
 			return nil, errPoolFull
 		}
 	}
-	p.open++ // before it is up: a descriptor is held from the first moment
+	p.open++ // counted before it is established, because the dial already uses a file descriptor
 	p.mu.Unlock()
 	if evicted != nil {
 		evicted.Close()
@@ -51,8 +52,9 @@
 	return nil, nil
 }
 
-// takeIdle takes the connection used last out of those to an address that are not in quarantine. The lock is held.
-func (p *pool) takeIdle(address string) *conn {
+// removeIdle removes and returns the most recently used connection to an address that is not in quarantine. The caller
+// holds mu.
+func (p *pool) removeIdle(address string) *conn {
 	conns := p.idle[address]
 	i := len(conns) - 1
 	for i >= 0 && time.Now().Before(conns[i].quarantinedUntil) {
@@ -66,25 +68,25 @@
 	return c
 }
 
-// takeOldest takes the connection that has been idle longest out of the pool. The lock is held.
-func (p *pool) takeOldest() (oldest *conn) {
-	at := ""
+// removeOldest removes and returns the connection that has been idle longest. The caller holds mu.
+func (p *pool) removeOldest() (oldest *conn) {
+	oldestAddress := ""
 	for address, conns := range p.idle {
 		if len(conns) > 0 && (oldest == nil || conns[0].idleSince.Before(oldest.idleSince)) {
-			oldest, at = conns[0], address
+			oldest, oldestAddress = conns[0], address
 		}
 	}
 	if oldest != nil {
-		p.idle[at] = slices.Delete(p.idle[at], 0, 1)
+		p.idle[oldestAddress] = slices.Delete(p.idle[oldestAddress], 0, 1)
 		oldest.idleTimer.Stop()
 	}
 	return oldest
 }
 
-// release puts a clean connection into the pool, from which it is closed before the worker closes it. For the time of the
-// quarantine it carries no request.
+// release returns a reusable connection to the pool. The pool closes it after WorkerIdleTimeout, before the worker
+// does. The connection carries no request until the quarantine has passed.
 func (p *pool) release(address string, c *conn, quarantine time.Duration) {
-	if c.reader.Buffered() > 0 { // it said more than its answer: whatever that is, it answers nothing of ours
+	if c.reader.Buffered() > 0 { // the worker sent more than its answer, and that answers no request
 		c.Close()
 		return
 	}
@@ -97,7 +99,7 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// expire closes a connection that has been idle for too long.
+// expire closes a connection that has been idle for WorkerIdleTimeout.
 func (p *pool) expire(address string, c *conn) {
 	p.mu.Lock()
 	if i := slices.Index(p.idle[address], c); i >= 0 {
@@ -122,14 +124,14 @@
 	}
 }
 
-// free takes back one connection from those that are counted as open.
-func (p *pool) free() {
+// releaseSlot subtracts one connection from those that are counted as open.
+func (p *pool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// counts returns how many connections are idle, and how many are open in all.
+// counts returns the number of idle connections and the number of all open ones.
 func (p *pool) counts() (idle, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dispatcher/workerhttp/request.go
+++ b/internal/dispatcher/workerhttp/request.go
@@ -8,14 +8,14 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// requestOverhead is what a request is expected to take besides its body, in bytes.
-const requestOverhead = 512
+// expectedHeadBytes is the expected size of a request's head, in bytes.
+const expectedHeadBytes = 512
 
-// encodeRequest returns the request of an attempt. What the client sent stands as it came; X-Timeout has the seconds that
-// are left.
+// encodeRequest encodes the request of an attempt. It forwards the client's target, header fields and body unchanged,
+// and sets X-Timeout to the remaining time in seconds.
 func encodeRequest(a *dispatch.Attempt) []byte {
 	j := a.Job
-	b := make([]byte, 0, requestOverhead+len(j.Body))
+	b := make([]byte, 0, expectedHeadBytes+len(j.Body))
 	b = append(b, "POST "...)
 	b = append(b, j.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
@@ -29,8 +29,8 @@
 	if j.IdempotencyKey != "" {
 		b = appendField(b, "Idempotency-Key", j.IdempotencyKey)
 	}
-	left := max(time.Until(a.Deadline), time.Millisecond)
-	b = appendField(b, "X-Timeout", strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
+	remaining := max(time.Until(a.Deadline), time.Millisecond)
+	b = appendField(b, "X-Timeout", strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
 	b = appendField(b, "Content-Length", strconv.Itoa(len(j.Body)))
 	b = append(b, "\r\n"...)
 	return append(b, j.Body...)
--- a/internal/dispatcher/workerhttp/request_test.go
+++ b/internal/dispatcher/workerhttp/request_test.go
@@ -19,28 +19,28 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-// written records what is written to a connection.
-type written struct {
+// recordingConn records what is written to a connection.
+type recordingConn struct {
 	net.Conn
 	text *bytes.Buffer
 }
 
-func (w written) Write(p []byte) (int, error) {
-	fmt.Fprintf(w.text, "== a write of %d bytes ==\n%s\n", len(p), p)
-	return w.Conn.Write(p)
+func (c recordingConn) Write(p []byte) (int, error) {
+	fmt.Fprintf(c.text, "== a write of %d bytes ==\n%s\n", len(p), p)
+	return c.Conn.Write(p)
 }
 
-// testdata/request.http holds what a worker is sent, write by write.
-func TestRequestAsItIsWritten(t *testing.T) {
+// testdata/request.http holds the bytes that are written to a worker, one write after the other.
+func TestRequestBytes(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		network, yard := &testenv.Network{}, &testenv.WorkerGroup{}
+		network, workers := &testenv.Network{}, &testenv.WorkerGroup{}
 		l := network.Listen(address)
-		go yard.Worker(l, "s-00000001")
+		go workers.Worker(l, "s-00000001")
 		var text bytes.Buffer
-		b := newFixture(t, n, func(ctx context.Context, address string) (net.Conn, error) {
+		f := newFixture(t, n, func(ctx context.Context, address string) (net.Conn, error) {
 			conn, err := network.Dial(ctx, address)
-			return written{conn, &text}, err
+			return recordingConn{conn, &text}, err
 		})
 		for _, j := range []*dispatch.Job{
 			{ID: "plain", Target: "/seat-check", Body: []byte("done")},
@@ -50,24 +50,24 @@
 			j.Timeout, j.Slots = 2*time.Second, 1
 			answers := make(chan dispatch.Answer, 1)
 			j.Reply = func(a dispatch.Answer) { answers <- a }
-			if err := b.core.Submit(j); err != nil {
+			if err := f.core.Submit(j); err != nil {
 				t.Fatal(err)
 			}
 			if a := <-answers; a.Kind != dispatch.Served {
-				t.Errorf("%s: %v", j.ID, a)
+				t.Errorf("%s: got answer %v, want kind Served", j.ID, a)
 			}
 			synctest.Wait()
 		}
 		golden.AssertBytes(t, text.Bytes(), "request.http")
-		b.transport.CloseIdle(config.Worker{Address: address})
-		b.stop()
+		f.transport.CloseIdle(config.Worker{Address: address})
+		f.stop()
 		l.Close()
 		time.Sleep(time.Minute)
 	})
 }
 
-// testdata/lines.txt holds what each line of a worker's answer means.
-func TestAnswerLinesAsTheyAreRead(t *testing.T) {
+// testdata/lines.txt holds the outcome, load and result of each line of a worker's answer.
+func TestMeaningOfAnswerLines(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	const load = `,"load":{"x0":2.5,"fail_rate":0,"rate":1.5,"q":0}`
 	var text bytes.Buffer
--- a/internal/dispatcher/workerhttp/transport.go
+++ b/internal/dispatcher/workerhttp/transport.go
@@ -1,20 +1,20 @@
-// Package workerhttp carries attempts to workers over HTTP/1.1 (RFC 9110,
-// RFC 9112) on connections of its own. It opens, pools, counts and closes them,
-// writes each request once and reads the answer line by line.
+// Package workerhttp sends attempts to workers over HTTP/1.1 (RFC 9110,
+// RFC 9112). It opens, pools, counts and closes the connections, writes each
+// request once and reads the answer line by line.
 //
-// It does not use net/http's client, which sends requests again by itself and
-// cannot tell which of them have left. This package is responsible for these
+// It does not use net/http's client, which retries requests by itself and does
+// not report which of them have been written. This package enforces these
 // invariants: no request is written twice; a connection carries one request at a
-// time; an attempt is reported as never run only where that is proved, which is
-// before the request's last byte is written or by the worker's word. Workers are
-// chosen elsewhere.
+// time; an attempt is reported as never run only if that is certain, which is the
+// case before the request's last byte is written or if the worker says so. The
+// decision module chooses the workers, not this package.
 //
-// Each attempt runs on a goroutine that Transport.Send starts and that ends with
-// the attempt's outcome, soon after its deadline at the latest. The pool and the
-// number of connections are under pool.mu; an idle connection is closed by the
-// timer that belongs to it.
+// Each attempt runs on its own goroutine, which Transport.Send starts. The
+// goroutine ends with the attempt's outcome, soon after the attempt's deadline at
+// the latest. The pool and the number of connections are under pool.mu; each idle
+// connection has a timer that closes it.
 //
-// Start reading at Transport.carry.
+// Start reading at Transport.runAttempt.
 package workerhttp
 
 import (
@@ -28,12 +28,12 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// longAgo is a deadline that breaks off whatever waits on a connection.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline in the past. It interrupts all reads and writes on a connection.
+var pastDeadline = time.Unix(1, 0)
 
-// Transport carries attempts to workers over HTTP/1.1. It is a dispatch.Transport.
+// Transport sends attempts to workers over HTTP/1.1. It implements dispatch.Transport.
 type Transport struct {
-	// Dial opens a connection; tests put their own in its place.
+	// Dial opens a connection. Tests replace it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	node     *config.Node
@@ -42,7 +42,7 @@
 	pool     pool
 }
 
-// New makes a transport. counters are the core's.
+// New creates a transport. counters are the counters of the core.
 func New(n *config.Node, counters *dispatch.Counters) *Transport {
 	dialer := net.Dialer{KeepAlive: -1}
 	return &Transport{
@@ -56,52 +56,52 @@
 	}
 }
 
-// Send starts an attempt. Its outcome comes through the attempt's End.
-func (t *Transport) Send(a *dispatch.Attempt) { go t.carry(a) }
+// Send starts an attempt on a new goroutine, which reports the outcome with the attempt's End.
+func (t *Transport) Send(a *dispatch.Attempt) { go t.runAttempt(a) }
 
 // CloseIdle closes the idle connections to a worker.
 func (t *Transport) CloseIdle(w config.Worker) { t.pool.closeIdle(w.Address) }
 
-// ConnectionCounts returns how many connections are idle, and how many are open in all.
+// ConnectionCounts returns the number of idle connections and the number of all open ones.
 func (t *Transport) ConnectionCounts() (idle, open int) { return t.pool.counts() }
 
-// carry takes an attempt from its connection to its outcome.
-func (t *Transport) carry(a *dispatch.Attempt) {
+// runAttempt gets a connection, writes the request, reads the answer and reports the outcome.
+func (t *Transport) runAttempt(a *dispatch.Attempt) {
 	c, o := t.connect(a)
 	if c == nil {
 		a.End(o, decision.Load{}, nil)
 		return
 	}
-	if !a.MayStart() { // the worker began to leave, or the client left, while it came up: nothing has been written
+	if !a.MayStart() { // the worker or the client left during the connect; nothing has been written
 		t.pool.release(a.Worker.Address, c, 0)
 		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
 	c.SetDeadline(a.Deadline)
-	// Given up, the attempt ends at once.
-	stop := context.AfterFunc(a.Context, func() { c.SetDeadline(longAgo) })
+	// Cancelling the attempt interrupts the reads and writes on its connection.
+	stop := context.AfterFunc(a.Context, func() { c.SetDeadline(pastDeadline) })
 	defer stop()
 	request := encodeRequest(a)
 	if n, err := c.Write(request); n < len(request) || err != nil {
-		c.Close() // without its last byte it is no request: it cannot have run
+		c.Close() // the worker cannot have run the job, because the request lacks its last byte
 		a.End(decision.ConnectFailed, decision.Load{}, nil)
 		return
 	}
 	a.MarkSent()
 	r := t.readAnswer(a, c)
 	if r.reusable && stop() {
-		t.endReusable(a, c, r)
+		t.finishReusable(a, c, r)
 		return
 	}
-	c.Close() // before the end is reported: another send may follow
+	c.Close() // before the outcome is reported, because the core may then send the job again
 	a.End(r.outcome, r.load, r.result)
 }
 
-// endReusable reports an attempt's outcome and puts its connection into the pool, once the rest of the answer is read.
-// Where that is still to come the report does not wait for it: it may never come.
-func (t *Transport) endReusable(a *dispatch.Attempt, c *conn, r answer) {
-	early := r.rest != nil && !c.hasBuffered(r.length)
-	if early {
+// finishReusable reports the outcome of an attempt and returns the connection to the pool once the rest of the answer
+// has been read. If the rest has not arrived yet, the outcome is reported first, because the rest may never arrive.
+func (t *Transport) finishReusable(a *dispatch.Attempt, c *conn, r answer) {
+	reportFirst := r.rest != nil && !c.hasBuffered(r.length)
+	if reportFirst {
 		a.End(r.outcome, r.load, r.result)
 	}
 	if r.rest == nil || c.discard(r.rest) {
@@ -109,12 +109,13 @@
 	} else {
 		c.Close()
 	}
-	if !early {
+	if !reportFirst {
 		a.End(r.outcome, r.load, r.result)
 	}
 }
 
-// connect returns a connection that is up and has nothing to read, or the outcome that having none means.
+// connect returns an established connection with nothing to read. If there is none, it returns nil and the outcome of
+// the attempt.
 func (t *Transport) connect(a *dispatch.Attempt) (*conn, decision.Outcome) {
 	c, err := t.pool.acquire(a.Worker.Address)
 	if errors.Is(err, errPoolFull) {
@@ -130,7 +131,7 @@
 	defer cancel()
 	socket, err := t.Dial(ctx, a.Worker.Address)
 	if err != nil {
-		t.pool.free()
+		t.pool.releaseSlot()
 		return nil, decision.ConnectFailed
 	}
 	t.counters.Dialled.Add(1)
--- a/internal/dispatcher/workerhttp/transport_test.go
+++ b/internal/dispatcher/workerhttp/transport_test.go
@@ -1,5 +1,5 @@
-// These tests model what a connection to a worker can be (none, in use, idle, closed by the worker, with bytes pending)
-// and check random steps against the model.
+// These tests model the states of a connection to a worker (none, in use, idle, closed by the worker, with pending
+// bytes) and check random steps against the model.
 package workerhttp_test
 
 import (
@@ -23,16 +23,16 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
+func init() { flag.Set("rapid.seed", "20261201") } // the same random steps in every run
 
-// noWatch stands in for the watch on the list of workers.
-type noWatch struct{}
+// nopWatcher is a list watcher that ignores requests.
+type nopWatcher struct{}
 
-func (noWatch) Watch(bool) {}
+func (nopWatcher) Watch(bool) {}
 
 const address = "127.0.1.0:5000"
 
-// fixture is a transport under a core that has one worker, so that each job is one send to it or none.
+// fixture is a transport with a core that has one worker, so that each job is sent to that worker once or not at all.
 type fixture struct {
 	transport *workerhttp.Transport
 	core      *dispatch.Core
@@ -41,36 +41,36 @@
 }
 
 func newFixture(t testing.TB, n *config.Node, dial func(context.Context, string) (net.Conn, error)) *fixture {
-	b := &fixture{counters: new(dispatch.Counters)}
-	b.transport = workerhttp.New(n, b.counters)
+	f := &fixture{counters: new(dispatch.Counters)}
+	f.transport = workerhttp.New(n, f.counters)
 	if dial != nil {
-		b.transport.Dial = dial
+		f.transport.Dial = dial
 	}
 	var err error
-	if b.core, err = dispatch.New(n, b.counters, b.transport, nil, noWatch{}, nil); err != nil {
+	if f.core, err = dispatch.New(n, f.counters, f.transport, nil, nopWatcher{}, nil); err != nil {
 		t.Fatal(err)
 	}
 	var ctx context.Context
-	ctx, b.stop = context.WithCancel(context.Background())
-	go b.core.Run(ctx)
-	return b
+	ctx, f.stop = context.WithCancel(context.Background())
+	go f.core.Run(ctx)
+	return f
 }
 
-func (b *fixture) serve(id, script string) dispatch.Answer {
+func (f *fixture) serve(id, script string) dispatch.Answer {
 	answers := make(chan dispatch.Answer, 1)
-	b.core.Submit(&dispatch.Job{ID: id, Target: "/seat-check", Body: []byte(script), Timeout: 2 * time.Second, Slots: 1,
+	f.core.Submit(&dispatch.Job{ID: id, Target: "/seat-check", Body: []byte(script), Timeout: 2 * time.Second, Slots: 1,
 		Reply: func(a dispatch.Answer) { answers <- a }})
 	return <-answers
 }
 
-// expectation is what an answer of a worker comes to.
+// expectation is the expected effect of a worker's answer.
 type expectation struct {
 	answer  dispatch.AnswerKind
 	outcome decision.Outcome
-	pooled  bool // the connection can serve again
+	pooled  bool // the connection returns to the pool
 }
 
-// expectations are by the scripts that testenv's workers know.
+// expectations maps the scripts of testenv's workers to their expected effects.
 var expectations = map[string]expectation{
 	"done":      {dispatch.Served, decision.OK, true},
 	"done-odd":  {dispatch.Served, decision.OK, true},
@@ -86,24 +86,24 @@
 	"silent":    {dispatch.Rejected, decision.TimedOut, false},
 }
 
-// steps are the scripts, and what else can happen to a connection.
+// steps lists the random steps: the scripts, "wait" and "close".
 var steps = []string{"done", "done-odd", "failed", "returned", "503", "500", "503-maybe", "break",
 	"truncated", "foreign", "lost", "silent", "wait", "close"}
 
-// connectionModel is what must be true of the one connection to a worker.
+// connectionModel is the expected state of the one connection to a worker.
 type connectionModel struct {
 	*fixture
 	t       *rapid.T
 	network *testenv.Network
 	workers *testenv.WorkerGroup
-	idle    bool // there is one in the pool
+	idle    bool // the connection is in the pool
 	dials   int
 }
 
-func TestConnectionStates(t *testing.T) {
+func TestConnectionStatesMatchTheModel(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // a bubble has no deadline to ask for
+		rapid.Check(struct{ rapid.TB }{t}, func(rt *rapid.T) { // hides t.Deadline, which panics in a synctest bubble
 			m := &connectionModel{t: rt, network: &testenv.Network{}, workers: &testenv.WorkerGroup{}}
 			l := m.network.Listen(address)
 			go m.workers.Worker(l, "s-00000001")
@@ -113,9 +113,9 @@
 				m.step(name, fmt.Sprint("c", i), n.Limits.WorkerIdleTimeout)
 				synctest.Wait()
 				m.check(name)
-				time.Sleep(1200 * time.Millisecond) // a trial of an unhealthy worker may come
-				have, _ := m.transport.ConnectionCounts()
-				m.idle = m.idle && have == 1
+				time.Sleep(1200 * time.Millisecond) // lets the module send a trial job to an unhealthy worker
+				idleCount, _ := m.transport.ConnectionCounts()
+				m.idle = m.idle && idleCount == 1
 			}
 			m.transport.CloseIdle(config.Worker{Address: address})
 			m.stop()
@@ -125,13 +125,13 @@
 	})
 }
 
-// step does one step on both sides: at the transport and in the model.
+// step executes one step on the transport and in the model.
 func (m *connectionModel) step(name, id string, idleTimeout time.Duration) {
 	switch name {
 	case "wait":
-		ms := time.Duration(rapid.IntRange(1, 6000).Draw(m.t, "ms")) * time.Millisecond
-		time.Sleep(ms)
-		m.idle = m.idle && ms < idleTimeout
+		wait := time.Duration(rapid.IntRange(1, 6000).Draw(m.t, "ms")) * time.Millisecond
+		time.Sleep(wait)
+		m.idle = m.idle && wait < idleTimeout
 	case "close":
 		m.transport.CloseIdle(config.Worker{Address: address})
 		m.idle = false
@@ -140,13 +140,13 @@
 	}
 }
 
-// serveStep has a job served by a script.
+// serveStep submits a job whose body is a script for the worker, and checks the effect.
 func (m *connectionModel) serveStep(name, id string, want expectation) {
 	before := m.counters.Outcomes[want.outcome].Load()
 	a := m.serve(id, name)
 	synctest.Wait()
 	sent := len(m.workers.Sent(id))
-	if sent == 0 { // the module held it back: nothing may have touched a connection
+	if sent == 0 { // the module did not send the job, so the connection is unchanged
 		return
 	}
 	if !m.idle {
@@ -154,10 +154,10 @@
 	}
 	m.idle = want.pooled
 	if sent != 1 || a.Kind != want.answer || m.counters.Outcomes[want.outcome].Load() != before+1 {
-		m.t.Errorf("%s: answer %v after %d sends; %s", name, a, sent, m.core.CountersLine())
+		m.t.Errorf("%s: unexpected answer %v or outcome after %d sends; counters %s", name, a, sent, m.core.CountersLine())
 	}
 	if a.Kind == dispatch.Served && string(a.Result) != testenv.Result(id) {
-		m.t.Errorf("%s: the result is %q", name, a.Result)
+		m.t.Errorf("%s: unexpected result %q", name, a.Result)
 	}
 }
 
@@ -167,51 +167,55 @@
 	if m.idle {
 		want = 1
 	}
-	if have, open := m.transport.ConnectionCounts(); have != want || open != want || m.network.Dials != m.dials {
-		m.t.Fatalf("after %s: %d idle of %d open, %d dialled; the model has %d and %d", after, have, open, m.network.Dials, want, m.dials)
+	if idleCount, open := m.transport.ConnectionCounts(); idleCount != want || open != want || m.network.Dials != m.dials {
+		m.t.Fatalf("after %s: %d idle and %d open connections, %d dials; want %d connections, %d dials",
+			after, idleCount, open, m.network.Dials, want, m.dials)
 	}
 }
 
-// A connection that never comes up, or is refused, proves that nothing ran.
-func TestNoConnection(t *testing.T) {
+// If a connection is refused or not established within ConnectTimeout, the job has not run: the client must get a
+// rejection, and the pool must count no open connection.
+func TestFailedConnectMeansTheJobNeverRan(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			network := &testenv.Network{Silent: map[string]bool{address: silent}}
-			b := newFixture(t, n, network.Dial)
-			began := time.Now()
-			a := b.serve("n1", "done")
-			if a.Kind != dispatch.Rejected || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
-				t.Errorf("silent %v: %v; %s", silent, a, b.core.CountersLine())
+			f := newFixture(t, n, network.Dial)
+			start := time.Now()
+			a := f.serve("n1", "done")
+			if a.Kind != dispatch.Rejected || f.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
+				t.Errorf("silent %v: got answer %v; counters %s", silent, a, f.core.CountersLine())
 			}
-			if took := time.Since(began); silent && took != n.Limits.ConnectTimeout {
-				t.Errorf("it took %v", took)
+			if took := time.Since(start); silent && took != n.Limits.ConnectTimeout {
+				t.Errorf("the connect failed after %v, want ConnectTimeout", took)
 			}
-			if _, open := b.transport.ConnectionCounts(); open != 0 {
-				t.Errorf("%d connections count as open", open)
+			if _, open := f.transport.ConnectionCounts(); open != 0 {
+				t.Errorf("%d connections are counted as open, want 0", open)
 			}
-			b.stop()
+			f.stop()
 		})
 	}
 }
 
-// The request breaks before its last byte: it never ran.
-func TestBreakWhileWriting(t *testing.T) {
+// If the connection breaks before the request's last byte is written, the job has not run and the client must get a
+// rejection.
+func TestBreakWhileWritingMeansTheJobNeverRan(t *testing.T) {
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", address, "ready")}, "")
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, n, func(context.Context, string) (net.Conn, error) {
-			here, there := net.Pipe()
-			go func() { io.ReadFull(there, make([]byte, 40)); there.Close() }()
-			return here, nil
+		f := newFixture(t, n, func(context.Context, string) (net.Conn, error) {
+			local, remote := net.Pipe()
+			go func() { io.ReadFull(remote, make([]byte, 40)); remote.Close() }()
+			return local, nil
 		})
-		if a := b.serve("n1", "done"); a.Kind != dispatch.Rejected || b.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
-			t.Errorf("%v; %s", a, b.core.CountersLine())
+		if a := f.serve("n1", "done"); a.Kind != dispatch.Rejected || f.counters.Outcomes[decision.ConnectFailed].Load() != 1 {
+			t.Errorf("got answer %v; counters %s", a, f.core.CountersLine())
 		}
-		b.stop()
+		f.stop()
 	})
 }
 
-// On sockets: a pooled connection that was closed, or has bytes pending, is seen before anything is written to it.
+// The transport must not write to a pooled connection that the worker has closed or that has pending bytes. The test
+// uses sockets, because only they can be peeked into.
 func TestStaleConnectionsAreNotUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -219,8 +223,8 @@
 	}
 	defer l.Close()
 	n := testenv.Node(t, []config.Worker{testenv.Worker("s-00000001", l.Addr().String(), "ready")}, "")
-	b := newFixture(t, n, nil)
-	defer b.stop()
+	f := newFixture(t, n, nil)
+	defer f.stop()
 	conns := make(chan net.Conn)
 	go func() {
 		for {
@@ -234,7 +238,7 @@
 	answer := func(c net.Conn, id string) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil || r.Header.Get("X-Request-ID") != id {
-			t.Errorf("%s: the connection brought %v, %v", id, r, err)
+			t.Errorf("%s: got request %v, error %v", id, r, err)
 			return
 		}
 		io.Copy(io.Discard, r.Body)
@@ -248,15 +252,15 @@
 		nil,
 	} {
 		done := make(chan dispatch.Answer, 1)
-		go func() { done <- b.serve(fmt.Sprint("s", i), "x") }()
+		go func() { done <- f.serve(fmt.Sprint("s", i), "x") }()
 		select {
-		case last = <-conns: // each of them needs a new one
+		case last = <-conns: // each of these jobs needs a new connection
 		case a := <-done:
-			t.Fatalf("job %d: %v without a connection of its own; %s", i, a, b.core.CountersLine())
+			t.Fatalf("job %d: got answer %v without a new connection; counters %s", i, a, f.core.CountersLine())
 		}
 		answer(last, fmt.Sprint("s", i))
 		if a := <-done; a.Kind != dispatch.Served {
-			t.Errorf("job %d: %v", i, a)
+			t.Errorf("job %d: got answer %v, want kind Served", i, a)
 		}
 		if spoil != nil {
 			spoil(last)
@@ -264,37 +268,38 @@
 	}
 	defer last.Close()
 	done := make(chan dispatch.Answer, 1)
-	go func() { done <- b.serve("s3", "x") }()
-	answer(last, "s3") // this one stood as it should: it serves again
-	if a := <-done; a.Kind != dispatch.Served || b.counters.Dialled.Load() != 3 || b.counters.Reused.Load() != 1 {
-		t.Errorf("%v; %s", a, b.core.CountersLine())
+	go func() { done <- f.serve("s3", "x") }()
+	answer(last, "s3") // the last connection is intact, so it is reused
+	if a := <-done; a.Kind != dispatch.Served || f.counters.Dialled.Load() != 3 || f.counters.Reused.Load() != 1 {
+		t.Errorf("got answer %v; counters %s", a, f.core.CountersLine())
 	}
 }
 
-// A worker may begin to leave while the connection to it comes up: nothing is written to it then, and the job never ran.
-func TestDrainWhileConnecting(t *testing.T) {
+// A worker may start to drain while the connection to it is being established. Nothing must be written then, and the
+// job counts as never sent.
+func TestNothingIsSentIfTheWorkerDrainsDuringConnect(t *testing.T) {
 	w := testenv.Worker("s-00000001", address, "ready")
 	n := testenv.Node(t, []config.Worker{w}, "")
 	synctest.Test(t, func(t *testing.T) {
 		written := false
-		var b *fixture
-		b = newFixture(t, n, func(context.Context, string) (net.Conn, error) {
+		var f *fixture
+		f = newFixture(t, n, func(context.Context, string) (net.Conn, error) {
 			w.State = "draining"
-			b.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
+			f.core.UpdateWorkers(decision.ListDelta, []config.Worker{w})
 			time.Sleep(10 * time.Millisecond) // the handshake
-			here, there := net.Pipe()
+			local, remote := net.Pipe()
 			go func() {
-				n, _ := there.Read(make([]byte, 1))
+				n, _ := remote.Read(make([]byte, 1))
 				written = n > 0
 			}()
-			return here, nil
+			return local, nil
 		})
-		a := b.serve("d1", "done")
-		b.transport.CloseIdle(w)
+		a := f.serve("d1", "done")
+		f.transport.CloseIdle(w)
 		synctest.Wait()
-		if a.Kind != dispatch.Rejected || written || b.counters.Outcomes[decision.NeverSent].Load() != 1 {
-			t.Errorf("%v, written %v; %s", a, written, b.core.CountersLine())
+		if a.Kind != dispatch.Rejected || written || f.counters.Outcomes[decision.NeverSent].Load() != 1 {
+			t.Errorf("got answer %v, written %v; counters %s", a, written, f.core.CountersLine())
 		}
-		b.stop()
+		f.stop()
 	})
 }
