--- a/internal/dispatcher/clienthttp/conn.go
+++ b/internal/dispatcher/clienthttp/conn.go
@@ -11,64 +11,65 @@
 	"time"
 )
 
-// clientConn is a client's connection. net/http's server reads from it only what has been checked: complete heads, and
-// bodies as they come.
+// clientConn is a connection from a client. net/http's server reads only checked data from it: complete heads that were
+// accepted, and bodies as they arrive.
 type clientConn struct {
 	net.Conn
 	listener *listener
 
-	// Under listener.mu.
+	// Guarded by listener.mu.
 	stage          stage
-	since          time.Time // when it came to its stage
-	closeRequested bool      // it closes, if nothing has come
-
-	// Of the goroutine that reads.
-	unchecked  []byte        // has come and was not looked at
-	checked    []byte        // part of a head, may pass to net/http and was not read yet
-	bodyLeft   int64         // bytes of the present body still to pass
-	chunked    bool          // the body is in chunks: all that follows passes, and its answer closes the connection
-	earlyBytes int64         // in unchecked, that came while a request was in
-	overflowed bool          // so much came while a request was in that some was dropped
-	rejection  *requestError // what is wrong with the head; nil where nothing is
+	since          time.Time // when the present stage began
+	closeRequested bool      // the reader is to close it, unless data has arrived
+
+	// Accessed only by the goroutine that reads.
+	unchecked      []byte        // received but not checked yet
+	checked        []byte        // rest of a checked head that net/http has not read yet
+	bodyLeft       int64         // bytes of the present body that net/http has not read yet
+	chunked        bool          // all further data passes unchecked, and the answer closes the connection
+	pipelinedBytes int64         // bytes in unchecked that arrived while a request was in progress
+	overflowed     bool          // some pipelined bytes were dropped because a limit was reached
+	rejection      *requestError // why the head is rejected; nil if it is accepted
 
 	deadlineMu     sync.Mutex
-	serverDeadline time.Time     // net/http's deadline for reading
-	headDeadline   time.Time     // for the present head; zero is none
-	interrupted    bool          // whoever reads has to look up at once
-	readsStopped   bool          // nothing more is read before the last answer is out
-	watchEnded     chan struct{} // closed when watchForClose has ended; nil where it never began
+	serverDeadline time.Time     // read deadline of net/http's server
+	headDeadline   time.Time     // for the present head; the zero time means none
+	interrupted    bool          // reads time out at once
+	readsStopped   bool          // nothing is read before the last answer has been written
+	watchEnded     chan struct{} // closed when watchForClose has returned; nil if it was never called
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's clientConn.
 type connKey struct{}
 
-// connOf returns the connection that a request came on.
+// connOf returns the connection of the request with the given context.
 func connOf(ctx context.Context) *clientConn {
 	c, _ := ctx.Value(connKey{}).(*clientConn)
 	return c
 }
 
-// errNoSocket is peek's error for a connection that is no socket, as those of tests are.
-var errNoSocket = errors.New("this connection cannot be looked into")
+// errNoSocket is returned by peek for a connection that is not a socket, such as a test's in-memory connection.
+var errNoSocket = errors.New("not a socket: cannot peek at received data")
 
-// requestClose asks a connection to close. Its reader does so, unless something has come meanwhile. The listener's lock
-// is held.
+// requestClose requests that the connection close. The reader closes it, unless data has arrived by then. The caller
+// holds listener.mu.
 func (c *clientConn) requestClose() {
 	if c.closeRequested || c.stage == stageClosed {
 		return
 	}
 	c.closeRequested = true
-	c.listener.closeRequested++
+	c.listener.closeRequests++
 	c.interrupt(true)
 }
 
-// closeAsRequested is the reader's decision on a connection that was asked to close: it returns true and takes it off the
-// list if nothing more has come. Part of a head is no request; unless the listener is closing it may become one.
+// closeAsRequested decides, on the reader's goroutine, whether a requested close takes place. If no further data has
+// arrived, it removes the connection from the listener and returns true. A partial head does not prevent the close,
+// except while the listener is closing: then the client may still complete it.
 func (c *clientConn) closeAsRequested() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.withdrawCloseRequest()
-	if !c.isSilent() || c.listener.closing && len(c.unchecked) > 0 {
+	if !c.hasNoInput() || c.listener.closing && len(c.unchecked) > 0 {
 		return false
 	}
 	c.setStage(stageClosed)
@@ -76,29 +77,30 @@
 	return true
 }
 
-// withdrawCloseRequest makes a connection that was asked to close one like all others. The listener's lock is held.
+// withdrawCloseRequest cancels a close request, if there is one. The caller holds listener.mu.
 func (c *clientConn) withdrawCloseRequest() {
 	if c.closeRequested {
 		c.closeRequested = false
-		c.listener.closeRequested--
+		c.listener.closeRequests--
 	}
 	c.interrupt(false)
 }
 
-// isSilent returns whether nothing more has come: in a burst the new connections' first bytes are there before anybody
-// has read them.
-func (c *clientConn) isSilent() bool {
+// hasNoInput reports whether the socket's receive queue is empty. The reader's buffer does not show this: in a burst,
+// the first bytes of new connections arrive before any goroutine has read them.
+func (c *clientConn) hasNoInput() bool {
 	n, err := c.peek()
 	return err != nil || n == 0
 }
 
-// hasLeft returns whether the client has closed its connection, as far as that shows behind what it has sent.
-func (c *clientConn) hasLeft() bool {
+// hasDisconnected reports whether the client has closed its connection. It cannot see a close behind unread data.
+func (c *clientConn) hasDisconnected() bool {
 	n, err := c.peek()
 	return n == 0 && err != syscall.EAGAIN && err != errNoSocket
 }
 
-// peek looks into the socket's queue without taking anything out of it: one byte or none, and the error of the look.
+// peek looks for a byte in the socket's receive queue without removing it. It returns 1 or 0 and the error of the
+// system call.
 func (c *clientConn) peek() (n int, err error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -108,16 +110,17 @@
 	if err != nil {
 		return 0, err
 	}
-	if broken := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		n, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	}); broken != nil {
-		return 0, broken
+	}); controlErr != nil {
+		return 0, controlErr
 	}
 	return max(n, 0), err
 }
 
-// reject answers on a connection whose request has not been read that there is no room, and closes it. What the client
-// is still sending is read and dropped, as far as there is room for that: a reset would overtake the answer.
+// reject answers with status 503 on a connection whose request has not been read, and closes the connection. If fewer
+// than SpareClientConns connections linger, it first reads and drops what the client is still sending, because a reset
+// would overtake the answer.
 func (c *clientConn) reject() {
 	limits := &c.listener.limits
 	text := "refused: no room for connections\n"
@@ -125,17 +128,17 @@
 	fmt.Fprintf(c.Conn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: %s\r\nContent-Length: %d\r\n\r\n%s",
 		formatSeconds(limits.RetryAfter), len(text), text)
 	c.listener.mu.Lock()
-	room := c.listener.lingering < limits.SpareClientConns
-	if room {
+	mayLinger := c.listener.lingering < limits.SpareClientConns
+	if mayLinger {
 		c.listener.lingering++
 	}
 	c.listener.mu.Unlock()
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && room {
+	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && mayLinger {
 		half.CloseWrite()
 		c.Conn.SetReadDeadline(time.Now().Add(limits.LingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(c.Conn, limits.LingerBytes))
 	}
-	if room {
+	if mayLinger {
 		c.listener.mu.Lock()
 		c.listener.lingering--
 		c.listener.mu.Unlock()
@@ -143,8 +146,8 @@
 	c.Conn.Close()
 }
 
-// setStage brings a connection to a stage. It returns false where the connection is closed: from there is no way back.
-// The listener's lock is held.
+// setStage moves the connection to a stage. It returns false if the connection is closed, which is the final stage. The
+// caller holds listener.mu.
 func (c *clientConn) setStage(s stage) bool {
 	if c.stage == stageClosed {
 		return false
@@ -158,8 +161,8 @@
 	return true
 }
 
-// enterStage is setStage for who does not hold the lock. A connection that becomes idle while the listener is closing is
-// asked to close.
+// enterStage is setStage for callers that do not hold listener.mu. It also requests a close if the connection becomes
+// idle while the listener is closing.
 func (c *clientConn) enterStage(s stage) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -170,8 +173,9 @@
 	return ok
 }
 
-// enterRequest brings a connection whose request is in past every wish that it should close: what was read is answered.
-func (c *clientConn) enterRequest() error {
+// beginRequest moves the connection to stageRequest and withdraws a close request, because a request that has been read
+// must be answered. It returns io.EOF if the connection is closed.
+func (c *clientConn) beginRequest() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.withdrawCloseRequest()
@@ -181,8 +185,8 @@
 	return nil
 }
 
-// Close closes at once where the client has sent its whole request. Otherwise what it still sends is read and dropped for
-// a while, on a goroutine that ends within LingerTimeout: a reset would overtake the answer.
+// Close closes the connection at once if the client has sent its whole request. Otherwise a goroutine reads and drops
+// what the client still sends, for at most LingerTimeout, because a reset would overtake the answer.
 func (c *clientConn) Close() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if ok && (c.rejection != nil || c.chunked || c.bodyLeft > 0) && c.enterStage(stageLingering) {
@@ -210,7 +214,8 @@
 	return c.Conn.Close()
 }
 
-// Read gives net/http complete heads that were checked, and bodies as they come.
+// Read returns checked, complete heads to net/http, and bodies as they arrive. While a request is in progress and its
+// body has been read, it blocks in watchForClose.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	for len(p) > 0 {
 		switch {
@@ -218,7 +223,7 @@
 			n = copy(p, c.checked)
 			c.checked = c.checked[n:]
 			return n, nil
-		case c.rejection != nil: // nothing that follows can be placed
+		case c.rejection != nil: // the data after a rejected head cannot be interpreted
 			return 0, io.EOF
 		case c.chunked || c.bodyLeft > 0:
 			return c.readBody(p)
@@ -233,7 +238,7 @@
 	return 0, nil
 }
 
-// readBody reads of the present body: first what has come with the head, then from the socket.
+// readBody reads from the present body: first the bytes that arrived with the head, then from the socket.
 func (c *clientConn) readBody(p []byte) (n int, err error) {
 	if !c.chunked {
 		p = p[:min(int64(len(p)), c.bodyLeft)]
--- a/internal/dispatcher/clienthttp/deadline.go
+++ b/internal/dispatcher/clienthttp/deadline.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// longAgo is a deadline that breaks off reading at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline in the past. It interrupts a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// SetReadDeadline sets net/http's deadline; the head's own holds beside it.
+// SetReadDeadline sets the deadline of net/http's server. The head deadline applies independently of it.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -13,7 +13,7 @@
 	return c.applyDeadline()
 }
 
-// setHeadDeadline sets the time by which the present head must be complete; zero is none.
+// setHeadDeadline sets the time by which the present head must be complete; the zero time means no deadline.
 func (c *clientConn) setHeadDeadline(t time.Time) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -21,7 +21,7 @@
 	c.applyDeadline()
 }
 
-// interrupt makes whoever reads look up at once, or no longer.
+// interrupt makes reads time out at once if on is set, and ends that state otherwise.
 func (c *clientConn) interrupt(on bool) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -31,26 +31,27 @@
 	}
 }
 
-// applyDeadline sets the socket's deadline to the first of those that hold. deadlineMu is held.
+// applyDeadline sets the socket's read deadline to the earliest deadline that applies. The caller holds deadlineMu.
 func (c *clientConn) applyDeadline() error {
 	t := c.serverDeadline
 	if t.IsZero() || !c.headDeadline.IsZero() && c.headDeadline.Before(t) {
 		t = c.headDeadline
 	}
 	if c.interrupted || c.readsStopped {
-		t = longAgo
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// headDeadlinePassed returns whether the head's own deadline has passed; otherwise it was net/http that broke off a read.
+// headDeadlinePassed reports whether the head deadline has passed. If not, a read that timed out was interrupted by
+// net/http.
 func (c *clientConn) headDeadlinePassed() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
 	return !c.headDeadline.IsZero() && !time.Now().Before(c.headDeadline)
 }
 
-// isInterrupted returns whether the connection was asked to close.
+// isInterrupted reports whether reads are interrupted because the listener has requested a close.
 func (c *clientConn) isInterrupted() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
--- a/internal/dispatcher/clienthttp/handler.go
+++ b/internal/dispatcher/clienthttp/handler.go
@@ -11,7 +11,7 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// ServeHTTP answers one request of a client, or one of the questions that operators and the platform ask.
+// ServeHTTP answers one request: a job of a client, or a GET request of an operator or the platform.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(2 * s.limits.ReadTimeout))
@@ -20,25 +20,25 @@
 		s.rejectMalformed(w, conn.rejection)
 		return
 	}
-	if conn.chunked { // where its body ends the listener does not know
+	if conn.chunked { // the listener does not know where the body ends
 		w.Header().Set("Connection", "close")
 	}
 	if r.Method == http.MethodGet {
 		s.closeIfDraining(w, conn)
-		s.serveQuestion(w, r)
+		s.serveGet(w, r)
 		return
 	}
 	s.serveJob(w, r, control, conn)
 }
 
-// serveJob makes a job of a request, has it taken, and answers it.
+// serveJob creates a job from a request, submits it and answers the request.
 func (s *Server) serveJob(w http.ResponseWriter, r *http.Request, control *http.ResponseController, conn *clientConn) {
-	held := r.ContentLength
-	if held < 0 {
-		held = s.limits.BodyBytes
+	reservedBytes := r.ContentLength
+	if reservedBytes < 0 {
+		reservedBytes = s.limits.BodyBytes
 	}
-	defer s.bodyBytes.Add(-held)
-	if s.bodyBytes.Add(held) > s.limits.AllBodiesBytes {
+	defer s.bodyBytes.Add(-reservedBytes)
+	if s.bodyBytes.Add(reservedBytes) > s.limits.AllBodiesBytes {
 		s.core.Counters.Overflow.Add(1)
 		w.Header().Set("Connection", "close")
 		writeRejected(w, s.limits.RetryAfter)
@@ -49,10 +49,10 @@
 		s.rejectMalformed(w, err)
 		return
 	}
-	// The body is read: from here on only the client's leaving ends the request early.
+	// The body has been read. From here on only a disconnect of the client ends the request early.
 	control.SetReadDeadline(time.Time{})
 	s.shortenTimeout(job)
-	if conn.hasLeft() { // it left while its request waited to be read
+	if conn.hasDisconnected() { // the client disconnected while its request waited to be read
 		s.core.Counters.Abandoned.Add(1)
 		writeAbandoned(w)
 		return
@@ -68,7 +68,7 @@
 		writeRejected(w, s.limits.RetryAfter)
 		return
 	}
-	left := s.watchChunkedClient(conn)
+	disconnected := s.watchChunkedClient(conn)
 	select {
 	case a := <-answers:
 		s.closeIfDraining(w, conn)
@@ -77,47 +77,49 @@
 	case <-r.Context().Done():
 		s.Jobs.Abandon(job)
 		writeAbandoned(w)
-	case <-left:
+	case <-disconnected:
 		s.Jobs.Abandon(job)
 		writeAbandoned(w)
 	}
 }
 
-// rejectMalformed answers what is no job, and closes the connection: nothing more is read from one that was misused.
+// rejectMalformed answers a malformed request and closes the connection, because the data that follows is not reliable.
 func (s *Server) rejectMalformed(w http.ResponseWriter, e *requestError) {
 	s.core.Counters.Malformed.Add(1)
 	w.Header().Set("Connection", "close")
 	writeText(w, e.status, e.text)
 }
 
-// shortenTimeout bounds a job that comes late while draining: whoever ends this process may wait no longer.
+// shortenTimeout shortens the time-out of a job that arrives more than DrainDelay after the drain began. The process
+// may be terminated after LastAnswerWindow.
 func (s *Server) shortenTimeout(job *dispatch.Job) {
 	start := s.drainStart.Load()
 	if start == nil {
 		return
 	}
-	if late := time.Since(*start); late > s.limits.DrainDelay {
-		job.Timeout = max(min(job.Timeout, s.limits.LastAnswerWindow-late), time.Millisecond)
+	if elapsed := time.Since(*start); elapsed > s.limits.DrainDelay {
+		job.Timeout = max(min(job.Timeout, s.limits.LastAnswerWindow-elapsed), time.Millisecond)
 	}
 }
 
-// watchChunkedClient returns a channel that is closed when the client of a request in chunks leaves, nil for any other
-// request. The listener lets all pass that follows such a body, and net/http reads one byte of it and no more.
+// watchChunkedClient returns a channel that is closed when the client of a chunked request disconnects; it returns nil
+// for any other request. clientConn does not watch for the close itself there, because it passes on all data that
+// follows a chunked body, and net/http reads only one byte of that data.
 func (s *Server) watchChunkedClient(conn *clientConn) chan struct{} {
 	if !conn.chunked {
 		return nil
 	}
-	left := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		// Up to the client's end, to the answer, which breaks reading off, or to what a client may send too much.
+		// Ends when the client disconnects, when the answer interrupts reads, or after LingerBytes.
 		io.Copy(io.Discard, io.LimitReader(conn.Conn, s.limits.LingerBytes))
-		close(left)
+		close(disconnected)
 	}()
-	return left
+	return disconnected
 }
 
-// closeIfDraining makes an answer close its connection while draining. It is called when the answer is there: a job may
-// have waited meanwhile.
+// closeIfDraining makes an answer close its connection during a drain. It is called once the answer is known, because
+// the drain may begin while the job waits.
 func (s *Server) closeIfDraining(w http.ResponseWriter, conn *clientConn) {
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -125,8 +127,8 @@
 	}
 }
 
-// serveQuestion answers what is not a job.
-func (s *Server) serveQuestion(w http.ResponseWriter, r *http.Request) {
+// serveGet answers GET requests for readiness, counters and status.
+func (s *Server) serveGet(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/up":
 		if s.draining.Load() {
@@ -150,15 +152,15 @@
 	}
 }
 
-// writeStatus answers with the status of a part of the program: 404 where it is off, 503 where it has ended.
-func writeStatus(w http.ResponseWriter, r *http.Request, part string, status func(context.Context) (any, bool)) {
+// writeStatus answers with the status of a component as JSON: 404 if the component is off, 503 if it has ended.
+func writeStatus(w http.ResponseWriter, r *http.Request, component string, status func(context.Context) (any, bool)) {
 	if status == nil {
-		writeText(w, http.StatusNotFound, part+" is off")
+		writeText(w, http.StatusNotFound, component+" is off")
 		return
 	}
 	v, ok := status(r.Context())
 	if !ok {
-		writeText(w, http.StatusServiceUnavailable, part+" has ended")
+		writeText(w, http.StatusServiceUnavailable, component+" has ended")
 		return
 	}
 	writeJSON(w, v)
--- a/internal/dispatcher/clienthttp/head.go
+++ b/internal/dispatcher/clienthttp/head.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// placeholderRequest stands in for a head that is rejected: net/http reads it, and ServeHTTP answers what is wrong.
+	// placeholderRequest replaces a rejected head: net/http reads it, and ServeHTTP answers with the reason.
 	placeholderRequest = "GET /fault HTTP/1.1\r\nHost: -\r\nConnection: close\r\n\r\n"
-	// readBytes is how much is read at a time of a head, and while watching for the client's close.
+	// readBytes is the size of one read of a head, or while watching for the client's close, in bytes.
 	readBytes = 2 << 10
-	// methodBytes is within how many bytes a request's method must have ended.
+	// methodBytes is the number of bytes within which a request's method and the space after it must fit.
 	methodBytes = 16
-	// delimiters may not stand in a field's name (RFC 9110, section 5.6.2).
+	// delimiters are not allowed in a field name (RFC 9110, section 5.6.2).
 	delimiters = "\"(),/:;<=>?@[\\]{}"
 )
 
 var headEnd = []byte("\r\n\r\n")
 
-// watchForClose reads on while a request is in: only so does it show that the client has left, also behind bytes that
-// came early. Those are kept for later, as far as there is room. It ends with the client or when it is broken off.
+// watchForClose reads from the socket while a request is in progress, to detect that the client disconnects, even
+// behind pipelined bytes. It buffers those bytes for the next request, within limits. It returns when the client
+// disconnects, when reads are interrupted, or after LingerBytes.
 func (c *clientConn) watchForClose() error {
 	c.deadlineMu.Lock()
 	if c.readsStopped {
@@ -40,10 +41,10 @@
 	for total := int64(0); ; {
 		n, err := c.Conn.Read(buffer)
 		if n > 0 && !c.overflowed {
-			c.keepEarly(buffer[:n])
+			c.bufferPipelined(buffer[:n])
 		}
 		if total += int64(n); err == nil && total > c.listener.limits.LingerBytes {
-			err = errors.New("a client floods its connection")
+			err = errors.New("the client sent too much data during a request")
 		}
 		if err != nil {
 			return err
@@ -51,34 +52,37 @@
 	}
 }
 
-// keepEarly keeps bytes that came while a request was in, if there is room for them.
-func (c *clientConn) keepEarly(data []byte) {
+// bufferPipelined buffers bytes that arrived while a request was in progress. It sets overflowed if a limit is
+// exceeded.
+func (c *clientConn) bufferPipelined(data []byte) {
 	l := c.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own, all := len(c.unchecked)+len(data), l.earlyBytes+int64(len(data))
-	c.overflowed = own > l.limits.HeadBytes+int(l.limits.BodyBytes) || all > l.limits.AllBodiesBytes/4
+	buffered, total := len(c.unchecked)+len(data), l.pipelinedBytes+int64(len(data))
+	c.overflowed = buffered > l.limits.HeadBytes+int(l.limits.BodyBytes) || total > l.limits.AllBodiesBytes/4
 	if c.overflowed {
 		return
 	}
-	l.earlyBytes += int64(len(data))
-	c.earlyBytes += int64(len(data))
+	l.pipelinedBytes += int64(len(data))
+	c.pipelinedBytes += int64(len(data))
 	c.unchecked = append(c.unchecked, data...)
 }
 
-// releaseEarly counts early bytes as any others: the request before them has been answered.
-func (c *clientConn) releaseEarly() {
-	if c.earlyBytes == 0 {
+// releasePipelined subtracts this connection's pipelined bytes from the listener's count, because the request before
+// them has been answered.
+func (c *clientConn) releasePipelined() {
+	if c.pipelinedBytes == 0 {
 		return
 	}
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.listener.earlyBytes -= c.earlyBytes
-	c.earlyBytes = 0
+	c.listener.pipelinedBytes -= c.pipelinedBytes
+	c.pipelinedBytes = 0
 }
 
-// stopWatching comes before an answer that closes the connection: a request that the client sends upon it must not be
-// read any more, for then it would be lost, while one that the close crosses unread comes again elsewhere.
+// stopWatching stops all reads before an answer that closes the connection, and waits until watchForClose has returned.
+// A request that is read after that point would be lost. If the close crosses an unread request, the client sends it
+// again elsewhere.
 func (c *clientConn) stopWatching() {
 	c.deadlineMu.Lock()
 	c.readsStopped = true
@@ -90,9 +94,9 @@
 	}
 }
 
-// readHead reads up to the end of a head and checks it. A head that is rejected is replaced by placeholderRequest.
+// readHead reads up to the end of a head and checks it. It replaces a rejected head with placeholderRequest.
 func (c *clientConn) readHead() error {
-	c.releaseEarly()
+	c.releasePipelined()
 	if len(c.unchecked) > 0 {
 		c.setHeadDeadline(time.Now().Add(c.listener.limits.ReadTimeout))
 	}
@@ -112,14 +116,15 @@
 		c.unchecked = nil
 	}
 	c.setHeadDeadline(time.Time{})
-	return c.enterRequest()
+	return c.beginRequest()
 }
 
-// takeHead moves a head that has come completely from unchecked to checked. Up to searched bytes unchecked was searched
-// before; it returns how many were now, and whether the head is complete. Its error is a requestError.
+// takeHead moves a complete head from unchecked to checked. The caller has already searched the first searched bytes of
+// unchecked for the end of the head. takeHead returns the number of bytes searched so far and whether the head is
+// complete. Its error is a requestError.
 func (c *clientConn) takeHead(searched int) (int, bool, error) {
 	if c.overflowed {
-		return searched, false, badRequest("more came before its time than there is room for")
+		return searched, false, badRequest("too much data was sent before the previous answer")
 	}
 	from := max(searched-len(headEnd)+1, 0)
 	if at := bytes.Index(c.unchecked[from:], headEnd); at >= 0 {
@@ -139,8 +144,8 @@
 	return len(c.unchecked), false, nil
 }
 
-// receive reads more of a head. Its error is a requestError where the head stays incomplete, io.EOF where the connection
-// has been closed as requested, or the socket's.
+// receive reads more of a head. Its error is a requestError if the head cannot become complete, io.EOF if the
+// connection has been closed as requested, or the error of the socket.
 func (c *clientConn) receive() error {
 	buffer := make([]byte, readBytes)
 	n, err := c.Conn.Read(buffer)
@@ -159,12 +164,12 @@
 		}
 		if !idle || len(c.unchecked) > 0 {
 			c.reject()
-		} // else nothing is owed: a request that crosses the close comes again elsewhere
+		} // else no answer is due: the client sends a request that crosses the close again elsewhere
 		return io.EOF
 	}
 	switch {
-	case len(c.unchecked) == 0 && timedOut && !c.isSilent():
-		// A process that stood still meets both at once: what has come was there first.
+	case len(c.unchecked) == 0 && timedOut && !c.hasNoInput():
+		// After a pause of the process, the time-out and the data are seen at once. The data arrived first.
 		c.SetReadDeadline(time.Time{})
 		c.setHeadDeadline(time.Now().Add(c.listener.limits.ReadTimeout))
 		return nil
@@ -177,8 +182,8 @@
 	return err
 }
 
-// mayBecomeHead returns false as early as it shows that bytes are no beginning of a head: that is a method in capitals
-// and a space.
+// mayBecomeHead reports whether data may be the beginning of a head, which starts with a method in capital letters and
+// a space. It returns false at the first byte that rules this out.
 func mayBecomeHead(data []byte) bool {
 	for i, b := range data[:min(len(data), methodBytes)] {
 		switch {
@@ -193,8 +198,9 @@
 	return len(data) == 0
 }
 
-// checkHead accepts a head if it has one meaning only: lines that end alike, names that are names, no folded line, and
-// one statement of the body's length at most (RFC 9112, sections 2.2, 5 and 6.3). It notes how the body is framed.
+// checkHead accepts a head only if it is unambiguous: every line ends with CRLF, field names are valid, no line is
+// folded, and at most one field states the length of the body (RFC 9112, sections 2.2, 5 and 6.3). It records the
+// framing of the body.
 func (c *clientConn) checkHead(head []byte) *requestError {
 	lines := strings.Split(string(head[:len(head)-len(headEnd)]), "\r\n")
 	requestLine := strings.Split(lines[0], " ")
@@ -209,7 +215,7 @@
 	var length, coding string
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsFunc(name, isNoNameCharacter) {
+		if !ok || name == "" || strings.ContainsFunc(name, isInvalidNameCharacter) {
 			return badRequest("a header line cannot be read")
 		}
 		var framing *string
@@ -227,17 +233,17 @@
 		}
 		*framing = value
 	}
-	return c.noteFraming(requestLine[2], length, coding)
+	return c.setFraming(requestLine[2], length, coding)
 }
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-func isNoNameCharacter(r rune) bool {
+func isInvalidNameCharacter(r rune) bool {
 	return r <= ' ' || r > '~' || strings.ContainsRune(delimiters, r)
 }
 
-// noteFraming notes how long the body is, as Content-Length or Transfer-Encoding says.
-func (c *clientConn) noteFraming(version, length, coding string) *requestError {
+// setFraming records the framing of the body that Content-Length or Transfer-Encoding states.
+func (c *clientConn) setFraming(version, length, coding string) *requestError {
 	switch {
 	case length != "" && coding != "":
 		return badRequest("Content-Length and Transfer-Encoding stand together")
--- a/internal/dispatcher/clienthttp/listener.go
+++ b/internal/dispatcher/clienthttp/listener.go
@@ -10,52 +10,53 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// stage is where a client's connection is between its accept and its end.
+// stage is the state of a client's connection between accept and close.
 type stage uint8
 
 const (
-	stageNew       stage = iota // its first request's head is not complete yet
-	stageRequest                // a request is in
+	stageNew       stage = iota // the head of the first request is not complete yet
+	stageRequest                // a request is in progress
 	stageIdle                   // between two requests
-	stageLingering              // the answer is out; what the client still sends is read and dropped
+	stageLingering              // the answer has been written; what the client still sends is read and dropped
 	stageClosed
 )
 
-// listener is the net.Listener that net/http's server is given. It hands out clientConns and bounds their number: where
-// there are too many it asks those to close that need their connection least. Whether a connection may be closed between
-// two requests only its reader decides: nobody else knows what has just come.
+// listener is the net.Listener of net/http's server. It returns clientConns and bounds their number: if there are too
+// many, it requests a close of the connection that evictionCandidate chooses. Only the reader of a connection decides
+// whether to close it between two requests, because only the reader knows what has just arrived.
 type listener struct {
 	net.Listener
 	limits config.Limits
 
 	mu             sync.Mutex
-	conns          map[*clientConn]bool // all that are open, but for those that were rejected at their accept
-	byStage        [stageClosed + 1]int // how many of them
-	closeRequested int                  // of them, those that were asked to close and have not yet
-	lingering      int                  // rejected connections whose client is still sending
-	closing        bool                 // no more are let in, and none stays between two requests
-	closed         chan struct{}        // gets a value when a connection has left conns
-	earlyBytes     int64                // held of what clients sent while a request of theirs was in
+	conns          map[*clientConn]bool // all open connections, except those that were rejected on accept
+	byStage        [stageClosed + 1]int // number of conns at each stage
+	closeRequests  int                  // number of conns with a pending close request
+	lingering      int                  // number of rejected connections whose clients are still sending
+	closing        bool                 // no connection is accepted any more, and idle ones are closed
+	connRemoved    chan struct{}        // receives a value when a connection is removed from conns
+	pipelinedBytes int64                // buffered bytes that clients sent while a request of theirs was in progress
 }
 
 func newListener(limits config.Limits) *listener {
-	return &listener{limits: limits, conns: map[*clientConn]bool{}, closed: make(chan struct{}, 1)}
+	return &listener{limits: limits, conns: map[*clientConn]bool{}, connRemoved: make(chan struct{}, 1)}
 }
 
-// open gives the listener its sockets. Where it has been shut down already it closes them and returns false.
-func (l *listener) open(sockets net.Listener) bool {
+// open sets the underlying listener. If this listener has already been shut down, open closes the underlying one and
+// returns false.
+func (l *listener) open(underlying net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closing {
-		sockets.Close()
+		underlying.Close()
 		return false
 	}
-	l.Listener = sockets
+	l.Listener = underlying
 	return true
 }
 
-// Accept returns the next connection that there is room for. It never waits for room: a connection that nobody looks at
-// is owed an answer all the same.
+// Accept returns the next connection that the limits admit, and rejects all others with an answer. It does not wait for
+// other connections to close, because a connection left in the accept queue would get no answer.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		socket, err := l.Listener.Accept()
@@ -76,17 +77,18 @@
 	}
 }
 
-// admit lists a connection where there is room, or where one that is asked to close makes some. It returns whether it did.
+// admit adds a connection to conns and reports whether it did. At a limit it requests a close of another connection. It
+// returns false if ClientConns is reached and there is no connection to close or SpareClientConns is used up.
 func (l *listener) admit(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if staying := len(l.conns) - l.closeRequested; staying >= l.limits.ClientConns || l.byStage[stageNew] >= l.limits.ClientConnsWithoutHead {
-		full := staying >= l.limits.ClientConns
-		candidate := l.leastNeeded(full)
+	if remaining := len(l.conns) - l.closeRequests; remaining >= l.limits.ClientConns || l.byStage[stageNew] >= l.limits.ClientConnsWithoutHead {
+		full := remaining >= l.limits.ClientConns
+		candidate := l.evictionCandidate(full)
 		if candidate != nil {
 			candidate.requestClose()
 		}
-		// One that is asked and has a request in stays after all: SpareClientConns bounds how many too many there may be.
+		// The candidate stays open if a request arrives before it closes. SpareClientConns bounds the excess.
 		if full && (candidate == nil || len(l.conns) >= l.limits.ClientConns+l.limits.SpareClientConns) {
 			return false
 		}
@@ -96,33 +98,33 @@
 	return true
 }
 
-// remove takes a connection off the list. The lock is held.
+// remove removes a connection from conns. The caller holds mu.
 func (l *listener) remove(c *clientConn) {
 	if !l.conns[c] {
 		return
 	}
 	if c.closeRequested {
 		c.closeRequested = false
-		l.closeRequested--
+		l.closeRequests--
 	}
-	l.earlyBytes -= c.earlyBytes
-	c.earlyBytes = 0
+	l.pipelinedBytes -= c.pipelinedBytes
+	c.pipelinedBytes = 0
 	delete(l.conns, c)
 	select {
-	case l.closed <- struct{}{}:
+	case l.connRemoved <- struct{}{}:
 	default:
 	}
 }
 
-// shutdown closes the sockets, closes the connections that are between two requests, and waits until all others have had
-// their answers. Its error is ctx's.
+// shutdown closes the underlying listener and the idle connections, and waits until all other connections have been
+// answered and closed. If ctx is done first, it returns the error of ctx.
 func (l *listener) shutdown(ctx context.Context) error {
 	l.mu.Lock()
 	l.closing = true
-	l.mu.Unlock() // from here on nobody gives it other sockets
-	if sockets, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-		// Closed at once, the socket would reset the connections that the kernel has already let in.
-		sockets.SetDeadline(time.Now().Add(l.limits.LastAcceptWindow))
+	l.mu.Unlock() // from here on open does not replace l.Listener
+	if underlying, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
+		// Closing the socket at once would reset connections in the kernel's accept queue, so accept them first.
+		underlying.SetDeadline(time.Now().Add(l.limits.LastAcceptWindow))
 		time.Sleep(l.limits.LastAcceptWindow)
 	}
 	if l.Listener != nil {
@@ -137,23 +139,24 @@
 	l.mu.Unlock()
 	for {
 		l.mu.Lock()
-		none := len(l.conns) == 0
+		allClosed := len(l.conns) == 0
 		l.mu.Unlock()
-		if none {
+		if allClosed {
 			return nil
 		}
 		select {
-		case <-l.closed:
+		case <-l.connRemoved:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// leastNeeded returns the connection that is to make room, nil where none may: one that has its answer; the silent new
-// one that has waited longest, where there are many or no idle one is left; the one that has been idle longest. While
-// there is room for some, only new ones may. The lock is held.
-func (l *listener) leastNeeded(full bool) *clientConn {
+// evictionCandidate returns the connection to close to make room, or nil if there is none. In order of preference, it
+// is the oldest lingering connection, whose answer has been written; the oldest new connection without input, if
+// ClientConnsWithoutHead is reached or no connection is idle; the connection that has been idle longest. Unless the
+// listener is full, only a new connection is eligible. The caller holds mu.
+func (l *listener) evictionCandidate(full bool) *clientConn {
 	if full {
 		if c := l.oldest(stageLingering, false); c != nil {
 			return c
@@ -170,11 +173,11 @@
 	return nil
 }
 
-// oldest returns the connection that has been longest at a stage, of those that were not asked to close and, where silent
-// is set, that have nothing to read. The lock is held.
-func (l *listener) oldest(at stage, silent bool) (oldest *clientConn) {
+// oldest returns the connection that has been at a stage for longest and has no pending close request. If withoutInput
+// is set, it considers only connections with nothing to read. The caller holds mu.
+func (l *listener) oldest(at stage, withoutInput bool) (oldest *clientConn) {
 	for c := range l.conns {
-		if c.stage == at && !c.closeRequested && (oldest == nil || c.since.Before(oldest.since)) && (!silent || c.isSilent()) {
+		if c.stage == at && !c.closeRequested && (oldest == nil || c.since.Before(oldest.since)) && (!withoutInput || c.hasNoInput()) {
 			oldest = c
 		}
 	}
--- a/internal/dispatcher/clienthttp/request.go
+++ b/internal/dispatcher/clienthttp/request.go
@@ -17,10 +17,10 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// keyBytes bounds an idempotency key and whatever else must pass as IsHeaderSafe.
-const keyBytes = 256
+// maxHeaderSafeBytes is the maximum size in bytes of an idempotency key and of every value that IsHeaderSafe accepts.
+const maxHeaderSafeBytes = 256
 
-// requestError is what is wrong with a request that is no job: the status and the text of its answer.
+// requestError describes why a request is not a valid job. It holds the status and the text of the answer.
 type requestError struct {
 	status int
 	text   string
@@ -33,14 +33,15 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, v...)}
 }
 
-// singleHeaders may stand once in a request.
+// singleHeaders lists the header fields that a request may contain only once.
 var singleHeaders = []string{"X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"}
 
-// droppedHeaders belong to the connection (RFC 9110, section 7.6.1) or are written anew for the worker.
+// droppedHeaders lists the header fields that are not forwarded: they apply only to the client's connection (RFC 9110,
+// section 7.6.1), or the worker transport sets them itself.
 var droppedHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length", "X-Timeout", "X-Request-Id", "Idempotency-Key"}
 
-// readJob makes a job of a request.
+// readJob reads a request and creates a job from it.
 func (s *Server) readJob(w http.ResponseWriter, r *http.Request) (*dispatch.Job, *requestError) {
 	if e := checkForm(r); e != nil {
 		return nil, e
@@ -61,7 +62,7 @@
 	if j.Timeout, err = ParseTimeout(r.Header.Get("X-Timeout"), time.Second, s.limits.MaxJobTimeout); err != nil {
 		return nil, badRequest("X-Timeout: %v", err)
 	}
-	if e := readAttributes(j, r.Header.Get("X-Attrs")); e != nil {
+	if e := parseAttributes(j, r.Header.Get("X-Attrs")); e != nil {
 		return nil, e
 	}
 	j.Header = forwardedHeader(r)
@@ -79,7 +80,7 @@
 	return &requestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body holds %d bytes at most", limit)}
 }
 
-// checkForm checks what every job has alike: method, form of the target, and headers that stand once.
+// checkForm checks the method, the form of the target, and that no header field of singleHeaders is repeated.
 func checkForm(r *http.Request) *requestError {
 	if r.Method != http.MethodPost {
 		return &requestError{http.StatusMethodNotAllowed, "jobs come by POST"}
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// readPath finds the job's class, its tenant, and what it is about: the last part of the path.
+// readPath sets the job's class, its tenant and its affinity key. The subject of the job is the last part of the path.
 func (s *Server) readPath(j *dispatch.Job, r *http.Request) *requestError {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	parts := strings.Split(path[1:], "/")
@@ -112,9 +113,9 @@
 	return nil
 }
 
-// readAttributes reads what the job takes at a worker from "name=value, name=value". Names that this service does not ask
-// for are passed over.
-func readAttributes(j *dispatch.Job, text string) *requestError {
+// parseAttributes parses the resources that the job takes at a worker from "name=value, name=value". It ignores unknown
+// names.
+func parseAttributes(j *dispatch.Job, text string) *requestError {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -133,13 +134,13 @@
 	return nil
 }
 
-// forwardedHeader returns the fields that pass through to the worker, sorted by their names, the host first.
+// forwardedHeader returns the header fields to forward to the worker: Host first, then the others sorted by name.
 func forwardedHeader(r *http.Request) []dispatch.HeaderField {
 	fields := []dispatch.HeaderField{{Name: "Host", Value: r.Host}}
 	connectionOptions := strings.Split(r.Header.Get("Connection"), ",")
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
-		named := slices.ContainsFunc(connectionOptions, func(s string) bool { return strings.EqualFold(strings.TrimSpace(s), name) })
-		if named || slices.Contains(droppedHeaders, name) {
+		isConnectionOption := slices.ContainsFunc(connectionOptions, func(s string) bool { return strings.EqualFold(strings.TrimSpace(s), name) })
+		if isConnectionOption || slices.Contains(droppedHeaders, name) {
 			continue
 		}
 		for _, v := range r.Header[name] {
@@ -149,8 +150,8 @@
 	return fields
 }
 
-// AssignClassAndTenant finds a job's class and tenant by their names, whichever front it came through. Its error is for
-// the client, and names what is wrong.
+// AssignClassAndTenant sets a job's class and tenant by their names, and checks its idempotency key. The HTTP and AMQP
+// fronts both call it. The text of its error is sent to the client.
 func AssignClassAndTenant(n *config.Node, j *dispatch.Job, class, tenant string) error {
 	if j.Class = config.Index(n.Classes, class); j.Class < 0 {
 		return fmt.Errorf("class %q is unknown", class)
@@ -161,20 +162,21 @@
 	if n.Module.Classes[j.Class].Idempotency == decision.Deduplicated && j.IdempotencyKey == "" {
 		return fmt.Errorf("a job of class %q needs a key", class)
 	}
-	if len(j.IdempotencyKey) > keyBytes {
+	if len(j.IdempotencyKey) > maxHeaderSafeBytes {
 		return errors.New("the key is too long")
 	}
 	return nil
 }
 
-// IsHeaderSafe returns whether a word can stand in a message's header as it is, over HTTP and AMQP alike: 256 bytes of
-// visible ASCII at most.
+// IsHeaderSafe reports whether a value can be put into a message header unchanged, over HTTP and AMQP alike. It accepts
+// at most 256 bytes of visible ASCII.
 func IsHeaderSafe(s string) bool {
-	return len(s) <= keyBytes && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
+	return len(s) <= maxHeaderSafeBytes && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// ParseTimeout reads how long a client waits, in a unit: a plain decimal above zero and up to a limit. What ParseFloat
-// takes beyond that (Inf, hexadecimal, exponents) is none that any client means.
+// ParseTimeout parses a client's time-out: a plain decimal number of units, above zero and up to limit. It rejects the
+// other forms that strconv.ParseFloat accepts (Inf, hexadecimal, exponents), because no client intends them. The result
+// is at least 1 ms.
 func ParseTimeout(text string, unit, limit time.Duration) (time.Duration, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0) || len(text) > 24 || strings.Trim(text, "0123456789.") != "" {
--- a/internal/dispatcher/clienthttp/request_test.go
+++ b/internal/dispatcher/clienthttp/request_test.go
@@ -9,15 +9,15 @@
 )
 
 func TestParseTimeout(t *testing.T) {
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		text string
 		unit time.Duration
-		want time.Duration // 0: an error
+		want time.Duration // 0 means an error
 	}{
 		{"2.5", time.Second, 2500 * time.Millisecond},
 		{"250", time.Millisecond, 250 * time.Millisecond},
 		{"60", time.Second, time.Minute},
-		{"0.00001", time.Second, time.Millisecond}, // the least
+		{"0.00001", time.Second, time.Millisecond}, // the minimum
 		{"", time.Second, 0},
 		{"0", time.Second, 0},
 		{"-1", time.Second, 0},
@@ -29,17 +29,17 @@
 		{"60.1", time.Second, 0},
 		{"1" + strings.Repeat("0", 24), time.Second, 0},
 	} {
-		got, err := ParseTimeout(k.text, k.unit, time.Minute)
-		if got != k.want || (err != nil) != (k.want == 0) {
-			t.Errorf("%q: %v, %v; want %v", k.text, got, err, k.want)
+		got, err := ParseTimeout(tc.text, tc.unit, time.Minute)
+		if got != tc.want || (err != nil) != (tc.want == 0) {
+			t.Errorf("%q: got %v, error %v; want %v", tc.text, got, err, tc.want)
 		}
 	}
 }
 
 func TestIsHeaderSafe(t *testing.T) {
-	for _, k := range []struct {
-		word string
-		safe bool
+	for _, tc := range []struct {
+		value string
+		safe  bool
 	}{
 		{"", true},
 		{"a-1:/~", true},
@@ -49,14 +49,14 @@
 		{"a\tb", false},
 		{"é", false},
 	} {
-		if safe := IsHeaderSafe(k.word); safe != k.safe {
-			t.Errorf("%q: %v, want %v", k.word, safe, k.safe)
+		if safe := IsHeaderSafe(tc.value); safe != tc.safe {
+			t.Errorf("%q: IsHeaderSafe = %v, want %v", tc.value, safe, tc.safe)
 		}
 	}
 }
 
-func TestReadAttributes(t *testing.T) {
-	for _, k := range []struct {
+func TestParseAttributes(t *testing.T) {
+	for _, tc := range []struct {
 		text          string
 		slots, memory float64
 		fails         bool
@@ -70,9 +70,9 @@
 		{"memory=1e10", 0, 0, true},
 	} {
 		var j dispatch.Job
-		rejection := readAttributes(&j, k.text)
-		if (rejection != nil) != k.fails || !k.fails && (j.Slots != k.slots || j.Memory != k.memory) {
-			t.Errorf("%q: %v, %v slots and %v of memory", k.text, rejection, j.Slots, j.Memory)
+		rejection := parseAttributes(&j, tc.text)
+		if (rejection != nil) != tc.fails || !tc.fails && (j.Slots != tc.slots || j.Memory != tc.memory) {
+			t.Errorf("%q: got error %v, %v slots and %v memory", tc.text, rejection, j.Slots, j.Memory)
 		}
 	}
 }
--- a/internal/dispatcher/clienthttp/server.go
+++ b/internal/dispatcher/clienthttp/server.go
@@ -1,19 +1,19 @@
 // Package clienthttp is the front for clients that speak the platform's
-// protocol over HTTP/1.1 (RFC 9110, RFC 9112). It checks what they send, makes a
-// dispatch.Job of it and writes the one answer that the core gives.
+// protocol over HTTP/1.1 (RFC 9110, RFC 9112). It checks each request, creates a
+// dispatch.Job from it and writes the one answer that the core gives.
 //
-// Server stands on net/http's server. Between that and the sockets stands a
-// listener of this package's own, which owns the accepted connections: it reads
-// each request's head as it came and passes on only one that can be read in one
-// way, bounds how many connections are open, sees a client leave while its
-// request is answered, and closes such that an answer reaches a client that is
-// still sending. For a job that the core has taken this package chooses no
-// answer, and it sends nothing to workers.
+// Server uses net/http's server. Between that server and the sockets is this
+// package's own listener, which owns the accepted connections. It checks the
+// bytes of each request's head and passes on only unambiguous heads. It bounds
+// the number of open connections and detects that a client disconnects while its
+// request is in progress. It closes a connection in such a way that the answer
+// reaches a client that is still sending. Once the core has accepted a job, the
+// core alone decides the answer. This package sends nothing to workers.
 //
-// Each connection is served by net/http's goroutine, which reads and writes;
-// while a request is in, net/http reads the connection on another one. Counts
-// and stages of connections are under listener.mu, deadlines of one under
-// clientConn.deadlineMu; the first may be held when the second is taken.
+// A goroutine of net/http reads and writes each connection; while a request is in
+// progress, net/http reads the connection on a second goroutine. Counts and
+// stages of connections are under listener.mu, the deadlines of a connection
+// under clientConn.deadlineMu. Lock order: listener.mu, then deadlineMu.
 //
 // Start reading at Server.ServeHTTP for requests, at listener.Accept for
 // connections.
@@ -32,13 +32,15 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Server serves clients over HTTP/1.1. Its exported fields are set before Serve.
+// Server serves clients over HTTP/1.1. Set its exported fields before Serve.
 type Server struct {
-	// Members returns what GET /members shows, and false once the membership has ended; nil where it is off.
+	// Members returns the answer to GET /members, and false once the membership has ended. It is nil if the membership
+	// is off.
 	Members func(context.Context) (any, bool)
-	// Leases returns what GET /leases shows, and false once durable jobs have ended; nil where they are off.
+	// Leases returns the answer to GET /leases, and false once durable jobs have ended. It is nil if durable jobs are
+	// off.
 	Leases func(ctx context.Context, key string) (any, bool)
-	// Jobs takes the jobs; New sets it to the core.
+	// Jobs accepts the jobs. New sets it to the core.
 	Jobs dispatch.Submitter
 
 	core       *dispatch.Core
@@ -46,12 +48,12 @@
 	limits     config.Limits
 	server     *http.Server
 	listener   *listener
-	bodyBytes  atomic.Int64 // of the bodies that are held
+	bodyBytes  atomic.Int64 // bytes reserved for the bodies of the requests in progress
 	draining   atomic.Bool
 	drainStart atomic.Pointer[time.Time]
 }
 
-// New makes a server in front of a core.
+// New creates a server that submits jobs to a core.
 func New(n *config.Node, core *dispatch.Core) *Server {
 	s := &Server{core: core, Jobs: core, node: n, limits: n.Limits, listener: newListener(n.Limits)}
 	s.server = &http.Server{
@@ -72,7 +74,8 @@
 	return s
 }
 
-// Serve takes connections until Shutdown; it returns nil then, and the listener's error where that fails for good.
+// Serve accepts connections until Shutdown and then returns nil. If the listener fails permanently, Serve returns its
+// error.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.listener.open(l) {
 		return nil
@@ -84,15 +87,17 @@
 	return err
 }
 
-// Drain begins the end: GET /up answers 503, and every answer closes its connection. New connections are still taken.
+// Drain begins the drain: GET /up answers 503, and every answer closes its connection. New connections are still
+// accepted.
 func (s *Server) Drain() {
 	now := time.Now()
 	s.drainStart.CompareAndSwap(nil, &now)
 	s.draining.Store(true)
 }
 
-// Shutdown closes the listener and idle connections and waits until the open answers are out; its error is ctx's.
-// http.Server.Shutdown would not do: it takes a connection for idle on which the listener has just read a request.
+// Shutdown closes the listener and the idle connections, and waits until all requests in progress have been answered.
+// If ctx is done first, it returns the error of ctx. http.Server.Shutdown is not suitable: it treats a connection as
+// idle on which the listener has just read a request.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	return s.listener.shutdown(ctx)
