--- a/internal/decision/absurd_reports_test.go
+++ b/internal/decision/absurd_reports_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// absurdValues are what no worker should report.
-var absurdValues = []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1e300, 1e300, 0}
+// invalidValues are what no worker should report.
+var invalidValues = []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1e300, 1e300, 0}
 
 // Outcomes, progress and reports of workers that have left, absurd reports and a clock that jumps ahead by
 // seconds: no rule is broken, nothing panics, and jobs afterwards are served as usual.
-func TestLeftWorkersAbsurdReportsAndClockJumps(t *testing.T) {
+func TestInvalidReportsAndClockJumpsDoNotBreakRules(t *testing.T) {
 	for _, asks := range []bool{false, true} {
-		c := ready(t, 24, func(s *Settings) {
-			reportsAbsurdly(s)
+		c := newCheckerWithWorkers(t, 24, func(s *Settings) {
+			invalidReportSettings(s)
 			s.HealthChecks = asks
 		})
-		list := fleet(24)
+		list := testWorkers(24)
 		for id := JobID(1); id <= 600; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: int(id) % 5, Tenant: int(id) % 5, Key: uint64(id % 7),
 				Slots: 1, Deadline: c.now + time.Hour})
@@ -27,8 +27,8 @@
 				entry.State = State(id / 20 % 3)
 				c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*entry}})
 			}
-			c.reportAbsurdly(id, list)
-			if id%50 == 0 && len(c.idle) == 0 {
+			c.sendInvalidReports(id, list)
+			if id%50 == 0 && len(c.idleSince) == 0 {
 				c.advance(7 * time.Second)
 			}
 			c.advance(50 * time.Millisecond)
@@ -38,7 +38,7 @@
 			list[i].Started = 0
 		}
 		c.event(Event{Kind: EventList, List: ListFull, Entries: list})
-		for _, id := range ids(c.jobs) { // what came to be sent in between ends, too
+		for _, id := range sortedIDs(c.jobs) { // what came to be sent in between ends, too
 			for n := 0; n < len(c.jobs[id].sends); n++ {
 				if !c.jobs[id].sends[n].done {
 					c.outcome(id, n, OK)
@@ -48,7 +48,7 @@
 		c.advance(11 * time.Second)
 		served := 0
 		for id := JobID(1000); id < 1100; id++ {
-			served += count(c.servePlainJob(id))
+			served += boolToInt(c.servePlainJob(id))
 		}
 		if served < 60 {
 			t.Errorf("asking %v: only %d of 100 plain jobs afterwards were sent", asks, served)
@@ -56,8 +56,8 @@
 	}
 }
 
-// reportsAbsurdly sets a deployment up in which workers report all that is read, and jobs outlive the whole test.
-func reportsAbsurdly(s *Settings) {
+// invalidReportSettings sets a deployment up in which workers report all that is read, and jobs outlive the whole test.
+func invalidReportSettings(s *Settings) {
 	s.DrainCloseWithin = 300 * time.Millisecond
 	s.RejectionUnproven = true
 	s.ReportsLoad = true
@@ -71,16 +71,16 @@
 	}
 }
 
-// reportAbsurdly tells absurd things of some workers and of each attempt of a job, and ends those that are out.
-func (c *checker) reportAbsurdly(id JobID, list []Entry) {
-	load := Load{Count: 4, Values: [4]float64{absurdValues[id%6], absurdValues[id/6%6], absurdValues[id/36%6], 1}}
+// sendInvalidReports tells absurd things of some workers and of each attempt of a job, and ends those that are out.
+func (c *checker) sendInvalidReports(id JobID, list []Entry) {
+	load := Load{Count: 4, Values: [4]float64{invalidValues[id%6], invalidValues[id/6%6], invalidValues[id/36%6], 1}}
 	for _, entry := range list[:3] {
 		c.event(Event{Kind: EventHealthChecked, Worker: entry.Worker, Outcome: OK, Load: load})
 	}
 	for n := range c.jobs[id].sends {
 		to := c.jobs[id].sends[n].to.Worker
 		c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobAdvanced,
-			Value: absurdValues[id%6]})
+			Value: invalidValues[id%6]})
 		c.event(Event{Kind: EventJobProgress, Job: id, Attempt: n, Worker: to, Progress: JobStarted})
 		if o := Outcome(1 + id%8); !c.jobs[id].sends[n].done {
 			c.event(Event{Kind: EventOutcome, Job: id, Attempt: n, Worker: to, Outcome: o, Load: load,
@@ -94,13 +94,13 @@
 func (c *checker) servePlainJob(id JobID) (served bool) {
 	c.event(Event{Kind: EventJob, Job: id, Class: 1, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + time.Hour})
 	for range 60 {
-		for _, a := range slices.Clone(c.d.actions) {
+		for _, a := range slices.Clone(c.dispatcher.actions) {
 			if a.Kind == HealthCheck {
 				c.event(Event{Kind: EventHealthChecked, Worker: a.Worker, Outcome: OK,
 					Load: Load{Count: 3, Values: [4]float64{2, 0, 0}}})
 			}
 		}
-		c.d.actions = nil
+		c.dispatcher.actions = nil
 		if len(c.jobs[id].sends) > 0 || c.jobs[id].answered {
 			break
 		}
--- a/internal/decision/action.go
+++ b/internal/decision/action.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the type of an Action and determines which of its fields are set.
 type ActionKind uint8
 
-// The actions, with the fields that count.
+// The kinds of actions, each with the fields that it sets.
 const (
 	Send        ActionKind = iota + 1 // Job, Worker, Timeout
-	Reject                            // Job, RetryAfter: trying again is harmless
-	Fail                              // Job: no promise about what it did
+	Reject                            // Job, RetryAfter: the client may safely retry
+	Fail                              // Job: an attempt may have run
 	Cancel                            // Job, Attempt
 	SetTimer                          // Token, Delay
 	Watch                             // On
-	Fetch                             // ask for the whole list once
+	Fetch                             // request the full list of workers once
 	HealthCheck                       // Worker
 	CloseIdle                         // Worker: close idle connections
 	SendPeer                          // Peer, Data
 	Log                               // Data
 )
 
-// AllPeers as the Peer of a SendPeer action reaches every other dispatcher.
+// AllPeers is the Peer of a SendPeer action that addresses every other dispatcher.
 const AllPeers = -1
 
-// Action is one thing that the host is to do, now and in order.
+// Action is an instruction to the host. The host carries out the actions of an event at once and in order.
 type Action struct {
 	Kind       ActionKind
 	On         bool
@@ -32,7 +32,7 @@
 	Attempt    int
 	Token      uint32
 	Peer       int
-	Timeout    time.Duration // 0: until the client gives up
+	Timeout    time.Duration // 0: no limit, the attempt may last until the client gives up
 	Delay      time.Duration
 	RetryAfter time.Duration
 	Data       []byte
--- a/internal/decision/arrivals.go
+++ b/internal/decision/arrivals.go
@@ -1,16 +1,16 @@
 package decision
 
-// lateTicks is how many ticks before its deadline a job that waits for a worker is given up.
-const lateTicks = 2
+// deadlineMarginTicks is how many ticks before its deadline a pending job is rejected.
+const deadlineMarginTicks = 2
 
-// A job waits for a worker for at most this part of its latency target; for less where waiting times can be
-// told, as then other jobs wait for the same workers, too.
+// A job stays pending for at most its latency target divided by one of these divisors. reportedPendingDivisor
+// applies where waiting times can be estimated: there, other jobs wait for the same workers as well.
 const (
 	pendingDivisor         = 2
 	reportedPendingDivisor = 4
 )
 
-// admit takes a job that has arrived: it is shed, sent, left waiting or rejected.
+// admit handles the arrival of a job: it sheds the job, sends it, leaves it pending or rejects it.
 func (d *Dispatcher) admit(event *Event) {
 	job := &jobState{Event: event.normalized(&d.settings)}
 	d.jobs.byID[event.Job] = job
@@ -23,13 +23,13 @@
 	}
 	d.assign(job)
 	d.jobs.open = append(d.jobs.open, job)
-	if len(d.jobs.open) == 1 { // else the next look is set
+	if len(d.jobs.open) == 1 { // otherwise the check timer is already set
 		d.overdue.lastAt = d.now
 		d.setCheckTimer()
 	}
 }
 
-// setTimes sets until when a job is in time, and until when it may wait for a worker.
+// setTimes computes the latest start at which a job is in time, and until when it may stay pending.
 func (d *Dispatcher) setTimes(job *jobState) {
 	class := d.class(job)
 	job.dueAt = d.now + class.LatencyTarget
@@ -38,11 +38,11 @@
 	if d.load.reported {
 		longest = target / reportedPendingDivisor
 	}
-	job.pendingUntil = min(d.now+longest, job.Deadline-lateTicks*d.tick)
+	job.pendingUntil = min(d.now+longest, job.Deadline-deadlineMarginTicks*d.tick)
 }
 
-// assign sends a job to a worker that can take it. If there is none, and no attempt is out, the job waits
-// where one may take it soon, and is rejected at once otherwise.
+// assign sends a job to a worker that can take it. Without such a worker, a job that has no attempt in flight
+// stays pending if a worker may become available soon, and is rejected otherwise.
 func (d *Dispatcher) assign(job *jobState) {
 	worker, anyReady := d.picker.pick(job, d.now)
 	switch {
@@ -51,7 +51,7 @@
 	case job.inFlight():
 	case anyReady && d.mayWait(job):
 		if !job.pending {
-			d.shedder.observeStrain()
+			d.shedder.observeSaturation()
 		}
 		job.pending = true
 	default:
@@ -59,16 +59,17 @@
 	}
 }
 
-// mayWait tells whether a job may wait for a worker. None does where many dispatchers share workers: nothing
-// would be learned meanwhile.
+// mayWait reports whether a job may stay pending. No job may where many dispatchers share the workers: a
+// dispatcher would learn nothing about the workers meanwhile.
 func (d *Dispatcher) mayWait(job *jobState) bool {
-	if job.overQuota || d.shared {
+	if job.overQuota || d.sharedFleet {
 		return false
 	}
 	return d.now < job.pendingUntil && d.gate.allowsAttempt(job, d.now)
 }
 
-// reject is the gate for final answers: a rejection only where another try is harmless, else a failure.
+// reject ends a job without a result. It answers Reject only where another try is harmless, and Fail
+// otherwise.
 func (d *Dispatcher) reject(job *jobState) {
 	answer := Action{Kind: Reject, Job: job.Job}
 	answer.RetryAfter = d.shedder.retryAfter(d.tick, d.settings.MaxRetryAfter)
--- a/internal/decision/arrivals_test.go
+++ b/internal/decision/arrivals_test.go
@@ -7,14 +7,14 @@
 
 func TestJobsAreRejectedAtOnceWithoutReadyWorker(t *testing.T) {
 	for name, list := range map[string][]Entry{"no list": nil, "all draining": {{Worker: 1, State: Draining}}} {
-		c := newChecker(t, site(), 1)
+		c := newChecker(t, testSettings(), 1)
 		c.event(Event{Kind: EventList, List: ListFull, Entries: list})
 		c.event(Event{Kind: EventJob, Job: 1, Slots: 1, Deadline: c.now + time.Second})
 		if !c.jobs[1].answered {
 			t.Errorf("%s: the job is held though nobody can take it", name)
 		}
 	}
-	s := site()
+	s := testSettings()
 	s.Classes[0].WorkerKind = 1
 	c := newChecker(t, s, 1)
 	c.event(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Worker: 1, Kind: 0, State: Ready}}})
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -1,34 +1,35 @@
 package decision
 
-// A job that has not started after so much of the delay that is usual, and so many ticks, waits at its
-// worker for a slot.
+// An attempt that has not started counts as waiting for a slot at its worker once its age exceeds
+// startDelayFactor times the usual start delay plus startDelayTicks ticks.
 const (
-	usualDelayFactor = 1.5
-	usualDelayTicks  = 2
+	startDelayFactor = 1.5
+	startDelayTicks  = 2
 )
 
-// send sends a job to a worker, if the gate lets it through.
+// send starts an attempt of a job at a worker if the send gate allows it.
 func (d *Dispatcher) send(job *jobState, worker *workerState) {
 	if !d.gate.allows(worker, job, d.now) {
 		return
 	}
 	delay := d.delays.estimate(worker, d.now)
 	attempt := &attemptState{
-		worker:           worker,
-		sentAt:           d.now,
-		startDelay:       delay,
-		waitAfterSeconds: usualDelayFactor**delay + usualDelayTicks*d.tick.Seconds(),
+		worker:               worker,
+		sentAt:               d.now,
+		startDelay:           delay,
+		expectedStartSeconds: startDelayFactor**delay + startDelayTicks*d.tick.Seconds(),
 	}
 	job.attempts = append(job.attempts, attempt)
 	job.pending = false
-	worker.hasTurn = false
+	worker.hasPermit = false
 	worker.retryAt = d.now + unhealthyRetryInterval
 	worker.idleClosed = false
 	worker.reserve(job.Slots, d.now)
 	d.actions = append(d.actions, Action{Kind: Send, Job: job.Job, Worker: worker.Worker})
 }
 
-// finish ends a job and cancels its open attempts. It is forgotten once none is out.
+// finish ends a job and cancels its attempts in flight. The job table drops the job once no attempt is in
+// flight.
 func (d *Dispatcher) finish(job *jobState) {
 	if !job.inFlight() {
 		delete(d.jobs.byID, job.Job)
@@ -40,7 +41,7 @@
 	job.ended = true
 }
 
-// cancelWaiting cancels the attempts that wait at their worker.
+// cancelWaiting cancels the attempts of a job that have not started.
 func (d *Dispatcher) cancelWaiting(job *jobState) {
 	for number, attempt := range job.attempts {
 		if attempt.startedAt <= 0 {
@@ -49,10 +50,10 @@
 	}
 }
 
-// cancel cancels an attempt that is out, once.
+// cancel cancels an attempt if it is in flight, at most once and only where the settings allow it.
 func (d *Dispatcher) cancel(job *jobState, number int, attempt *attemptState) {
-	isOut := !attempt.done && !attempt.cancelled
-	if !d.settings.Cancel || !isOut {
+	inFlight := !attempt.done && !attempt.cancelled
+	if !d.settings.Cancel || !inFlight {
 		return
 	}
 	attempt.cancelled = true
--- a/internal/decision/checker_test.go
+++ b/internal/decision/checker_test.go
@@ -7,93 +7,94 @@
 	"time"
 )
 
-// open is a job as the checker knows it.
-type open struct {
+// trackedJob is a job as the checker knows it.
+type trackedJob struct {
 	class    int
 	deadline time.Duration
-	sends    []sent
+	sends    []trackedAttempt
 	answered bool
 }
 
-type sent struct {
-	to    Entry
-	at    time.Duration
-	done  bool
-	never bool // proved never to have run
+type trackedAttempt struct {
+	to       Entry
+	at       time.Duration
+	done     bool
+	neverRan bool // proved never to have run
 }
 
 // checker follows events and actions from outside and holds them against the rules of the deployment.
 type checker struct {
-	t     *testing.T
-	s     Settings
-	d     *Dispatcher
-	now   time.Duration
-	list  map[WorkerID]Entry
-	left  map[WorkerID]time.Duration // when it was told to be draining or gone
-	jobs  map[JobID]*open
-	cold  map[WorkerID][]time.Duration // sends to workers while cold
-	timer []Action                     // Delay holds the absolute time
-	calls int
-	log   []string
-	idle  map[WorkerID]time.Duration // draining: since when idle connections may stand open
-	load  Load                       // what workers report
-}
-
-func newChecker(t *testing.T, s Settings, seed uint64) *checker {
-	return &checker{t: t, s: s, d: must(t, s, seed), now: time.Minute, list: map[WorkerID]Entry{},
-		left: map[WorkerID]time.Duration{}, jobs: map[JobID]*open{}, cold: map[WorkerID][]time.Duration{},
-		idle: map[WorkerID]time.Duration{}}
+	t            *testing.T
+	settings     Settings
+	dispatcher   *Dispatcher
+	now          time.Duration
+	workers      map[WorkerID]Entry
+	leftAt       map[WorkerID]time.Duration // when it was told to be draining or gone
+	jobs         map[JobID]*trackedJob
+	warmingSends map[WorkerID][]time.Duration // sends to workers while cold
+	timers       []Action                     // Delay holds the absolute time
+	calls        int
+	log          []string
+	idleSince    map[WorkerID]time.Duration // draining: since when idle connections may stand open
+	load         Load                       // what workers report
+}
+
+func newChecker(t *testing.T, settings Settings, seed uint64) *checker {
+	return &checker{t: t, settings: settings, dispatcher: newTestDispatcher(t, settings, seed), now: time.Minute,
+		workers: map[WorkerID]Entry{},
+		leftAt:  map[WorkerID]time.Duration{}, jobs: map[JobID]*trackedJob{}, warmingSends: map[WorkerID][]time.Duration{},
+		idleSince: map[WorkerID]time.Duration{}}
 }
 
 func (c *checker) event(ev Event) {
 	switch ev.Kind {
 	case EventJob:
-		c.jobs[ev.Job] = &open{class: ev.Class, deadline: ev.Deadline}
+		c.jobs[ev.Job] = &trackedJob{class: ev.Class, deadline: ev.Deadline}
 	case EventList:
-		c.learn(ev)
+		c.applyList(ev)
 	case EventOutcome:
 		if j := c.jobs[ev.Job]; j != nil && ev.Attempt < len(j.sends) && !j.sends[ev.Attempt].done {
 			s := &j.sends[ev.Attempt]
-			s.done, s.never = true, ev.Outcome == ConnectFailed || ev.Outcome == NeverSent ||
-				ev.Outcome == Rejected && !c.s.RejectionUnproven
-			c.mayIdle(s.to.Worker)
+			s.done, s.neverRan = true, ev.Outcome == ConnectFailed || ev.Outcome == NeverSent ||
+				ev.Outcome == Rejected && !c.settings.RejectionUnproven
+			c.trackIdleConnection(s.to.Worker)
 			j.answered = j.answered || ev.Outcome == OK
 		}
 	}
-	for _, a := range c.d.Handle(c.now, &ev, nil) {
+	for _, a := range c.dispatcher.Handle(c.now, &ev, nil) {
 		c.log = append(c.log, fmt.Sprintf("%v %+v", c.now, a))
 		c.action(a)
 	}
 }
 
-// mayIdle notes that an idle connection may stand open to a worker from now on.
-func (c *checker) mayIdle(id WorkerID) {
-	if c.list[id].State == Draining {
-		c.idle[id] = c.now
+// trackIdleConnection notes that an idle connection may stand open to a worker from now on.
+func (c *checker) trackIdleConnection(id WorkerID) {
+	if c.workers[id].State == Draining {
+		c.idleSince[id] = c.now
 	}
 }
 
-func (c *checker) learn(ev Event) {
+func (c *checker) applyList(ev Event) {
 	if ev.List == ListFailed {
 		return
 	}
 	seen := map[WorkerID]bool{}
 	for _, e := range ev.Entries {
 		seen[e.Worker] = true
-		was := c.list[e.Worker].State
-		c.list[e.Worker] = e
-		if delete(c.idle, e.Worker); e.State == Draining && was != Draining {
-			c.mayIdle(e.Worker)
+		was := c.workers[e.Worker].State
+		c.workers[e.Worker] = e
+		if delete(c.idleSince, e.Worker); e.State == Draining && was != Draining {
+			c.trackIdleConnection(e.Worker)
 		}
 		if e.State == Ready {
-			delete(c.left, e.Worker)
-		} else if _, ok := c.left[e.Worker]; !ok {
-			c.left[e.Worker] = c.now
+			delete(c.leftAt, e.Worker)
+		} else if _, ok := c.leftAt[e.Worker]; !ok {
+			c.leftAt[e.Worker] = c.now
 		}
 	}
-	for id := range c.list {
-		if _, ok := c.left[id]; ev.List != ListDelta && !seen[id] && !ok {
-			c.left[id] = c.now
+	for id := range c.workers {
+		if _, ok := c.leftAt[id]; ev.List != ListDelta && !seen[id] && !ok {
+			c.leftAt[id] = c.now
 		}
 	}
 }
@@ -103,7 +104,7 @@
 	switch a.Kind {
 	case SetTimer:
 		a.Delay += c.now
-		c.timer = append(c.timer, a)
+		c.timers = append(c.timers, a)
 	case Watch, Fetch:
 		c.calls++
 	case Cancel:
@@ -111,10 +112,10 @@
 			c.t.Fatalf("%v: cancel of attempt %d of job %d, never made", c.now, a.Attempt, a.Job)
 		}
 	case CloseIdle:
-		if _, ok := c.idle[a.Worker]; !ok && c.s.DrainCloseWithin == 0 {
+		if _, ok := c.idleSince[a.Worker]; !ok && c.settings.DrainCloseWithin == 0 {
 			c.t.Fatalf("%v: closing at worker %d without cause", c.now, a.Worker)
 		}
-		delete(c.idle, a.Worker)
+		delete(c.idleSince, a.Worker)
 	case Send:
 		c.send(a, j)
 	case Reject, Fail:
@@ -125,26 +126,26 @@
 		if c.now > j.deadline+20*time.Millisecond {
 			c.t.Fatalf("%v: answer for job %d after its deadline %v", c.now, a.Job, j.deadline)
 		}
-		class := c.s.Classes[j.class]
-		if a.Kind == Reject && slices.ContainsFunc(j.sends, func(s sent) bool { return !s.never }) &&
+		class := c.settings.Classes[j.class]
+		if a.Kind == Reject && slices.ContainsFunc(j.sends, func(s trackedAttempt) bool { return !s.neverRan }) &&
 			(class.Idempotency == NotIdempotent || class.Idempotency == Deduplicated && class.DedupScope != DedupByAll) {
 			c.t.Fatalf("%v: job %d rejected though it may have run", c.now, a.Job)
 		}
 	}
 }
 
-func (c *checker) send(a Action, j *open) {
-	to, ok := c.list[a.Worker]
+func (c *checker) send(a Action, j *trackedJob) {
+	to, ok := c.workers[a.Worker]
 	if !ok || j == nil || j.answered {
 		c.t.Fatalf("%v: send of job %d to worker %d, unlisted or ended", c.now, a.Job, a.Worker)
 	}
-	if at, ok := c.left[a.Worker]; ok && c.now > at+c.s.DrainGrace {
+	if at, ok := c.leftAt[a.Worker]; ok && c.now > at+c.settings.DrainGrace {
 		c.t.Fatalf("%v: send to worker %d, told to leave at %v", c.now, a.Worker, at)
 	}
-	if c.s.MaxAttempts > 0 && len(j.sends) >= c.s.MaxAttempts {
-		c.t.Fatalf("%v: job %d has had its %d attempts", c.now, a.Job, c.s.MaxAttempts)
+	if c.settings.MaxAttempts > 0 && len(j.sends) >= c.settings.MaxAttempts {
+		c.t.Fatalf("%v: job %d has had its %d attempts", c.now, a.Job, c.settings.MaxAttempts)
 	}
-	class := c.s.Classes[j.class]
+	class := c.settings.Classes[j.class]
 	if len(class.AllowedKinds) > 0 && !slices.Contains(class.AllowedKinds, to.Kind) ||
 		len(class.AllowedZones) > 0 && !slices.Contains(class.AllowedZones, to.Zone) {
 		c.t.Fatalf("%v: job %d of class %d sent to kind %d in zone %d", c.now, a.Job, j.class, to.Kind, to.Zone)
@@ -152,35 +153,35 @@
 	for _, s := range j.sends {
 		zone, cell := s.to.Zone == to.Zone, s.to.Cell == to.Cell
 		switch {
-		case s.never:
-		case !s.done && !c.s.ParallelAttempts:
+		case s.neverRan:
+		case !s.done && !c.settings.ParallelAttempts:
 			c.t.Fatalf("%v: job %d has two attempts out", c.now, a.Job)
 		case class.Idempotency == NotIdempotent, class.Idempotency == Deduplicated && (c.now-s.at > class.DedupWindow ||
 			class.DedupScope == DedupByZone && !zone || class.DedupScope == DedupByCell && !cell):
 			c.t.Fatalf("%v: job %d of class %d sent again outside what its class allows", c.now, a.Job, j.class)
 		}
 	}
-	if to.Started > 0 && c.now < to.Started+c.s.SlowStartDuration {
-		c.cold[a.Worker] = append(c.cold[a.Worker], c.now)
+	if to.Started > 0 && c.now < to.Started+c.settings.SlowStartDuration {
+		c.warmingSends[a.Worker] = append(c.warmingSends[a.Worker], c.now)
 	}
-	j.sends = append(j.sends, sent{to: to, at: c.now})
+	j.sends = append(j.sends, trackedAttempt{to: to, at: c.now})
 }
 
 // advance moves the clock and fires the timers that are due.
 func (c *checker) advance(by time.Duration) {
 	c.now += by
-	for id, at := range c.idle {
-		if c.s.DrainCloseWithin > 0 && c.now > at+c.s.DrainCloseWithin {
+	for id, at := range c.idleSince {
+		if c.settings.DrainCloseWithin > 0 && c.now > at+c.settings.DrainCloseWithin {
 			c.t.Fatalf("%v: idle connections to worker %d, draining, stand open since %v", c.now, id, at)
 		}
 	}
-	due := c.timer
-	c.timer = nil
+	due := c.timers
+	c.timers = nil
 	for _, a := range due {
 		if a.Delay <= c.now {
 			c.event(Event{Kind: EventTimer, Token: a.Token})
 		} else {
-			c.timer = append(c.timer, a)
+			c.timers = append(c.timers, a)
 		}
 	}
 }
@@ -192,25 +193,25 @@
 		JobEnded: j.answered || o == OK, Load: c.load})
 }
 
-// ready is a checker with a list of n workers.
-func ready(t *testing.T, n int, change func(*Settings)) *checker {
-	s := site()
+// newCheckerWithWorkers is a checker with a list of n workers.
+func newCheckerWithWorkers(t *testing.T, n int, change func(*Settings)) *checker {
+	s := testSettings()
 	if change != nil {
 		change(&s)
 	}
 	c := newChecker(t, s, 1)
-	c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(n)})
+	c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(n)})
 	return c
 }
 
-// arrive lets one job of a tenant come in and tells whether it was sent.
-func (c *checker) arrive(id JobID, tenant int) bool {
+// sendJob lets one job of a tenant come in and tells whether it was sent.
+func (c *checker) sendJob(id JobID, tenant int) bool {
 	c.event(Event{Kind: EventJob, Job: id, Tenant: tenant, Slots: 1, Deadline: c.now + 4*time.Second})
 	return len(c.jobs[id].sends) > 0
 }
 
-func (c *checker) closes(id WorkerID) (n int) {
-	for _, a := range c.d.actions {
+func (c *checker) countCloseIdle(id WorkerID) (n int) {
+	for _, a := range c.dispatcher.actions {
 		if a.Kind == CloseIdle && a.Worker == id {
 			n++
 		}
@@ -218,18 +219,18 @@
 	return n
 }
 
-// work is how a worker takes a job: how long until it starts and until it is done, and what it then reports.
-type work struct {
-	way, run    time.Duration
-	free, queue float64
+// workerReply is how a worker takes a job: how long until it starts and until it is done, and what it then reports.
+type workerReply struct {
+	startDelay, run time.Duration
+	free, queue     float64
 }
 
-// serve lets n jobs arrive, each when the one before is done, so that no own slots are in use.
-func (c *checker) serve(n JobID, at func(id JobID, w Entry) work) {
+// serveSequentially lets n jobs arrive, each when the one before is done, so that no own slots are in use.
+func (c *checker) serveSequentially(n JobID, at func(id JobID, w Entry) workerReply) {
 	for id := JobID(1); id <= n; id++ {
-		if c.arrive(id, int(id)%5) {
+		if c.sendJob(id, int(id)%5) {
 			w := at(id, c.jobs[id].sends[0].to)
-			c.advance(w.way)
+			c.advance(w.startDelay)
 			c.event(Event{Kind: EventJobProgress, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Progress: JobStarted})
 			c.load = Load{Count: 2, Values: [4]float64{w.free, w.queue + 0.01*float64(id%7)}}
 			c.advance(w.run)
--- a/internal/decision/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -9,13 +9,13 @@
 // sizes are numbers of workers. Fleets of 2,000 are beyond any measured day.
 var sizes = []int{10, 60, 200, 2000}
 
-// crowded is a dispatcher, one of 300, that has worked with n workers for a while.
-func crowded(b *testing.B, n int) (*Dispatcher, []Entry, *time.Duration, func(id JobID)) {
-	s := site()
-	reportsFreeSlotsAndQueue(&s)
+// warmedUpDispatcher is a dispatcher, one of 300, that has worked with n workers for a while.
+func warmedUpDispatcher(b *testing.B, n int) (*Dispatcher, []Entry, *time.Duration, func(id JobID)) {
+	s := testSettings()
+	loadReportSettings(&s)
 	s.Dispatchers = 300
-	d := must(b, s, 1)
-	list := fleet(n)
+	d := newTestDispatcher(b, s, 1)
+	list := testWorkers(n)
 	now := time.Minute
 	d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 	var acts []Action
@@ -44,7 +44,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			_, _, _, job := crowded(b, n)
+			_, _, _, job := warmedUpDispatcher(b, n)
 			id := JobID(1000)
 			for b.Loop() {
 				id++
@@ -58,7 +58,7 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d, list, now, _ := crowded(b, n)
+			d, list, now, _ := warmedUpDispatcher(b, n)
 			acts, change := []Action(nil), list[:1:1]
 			for b.Loop() {
 				*now += time.Millisecond
--- a/internal/decision/deployments_test.go
+++ b/internal/decision/deployments_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// site is a deployment made up for the tests.
-func site() Settings {
+// testSettings is a deployment made up for the tests.
+func testSettings() Settings {
 	class := func(idempotency Idempotency, scope DedupScope) ClassSettings {
 		return ClassSettings{
 			LatencyTarget: 300 * time.Millisecond,
@@ -52,8 +52,8 @@
 	}
 }
 
-// fleet is a list of n ready workers of two kinds in three zones.
-func fleet(n int) []Entry {
+// testWorkers is a list of n ready workers of two kinds in three zones.
+func testWorkers(n int) []Entry {
 	list := make([]Entry, n)
 	for i := range list {
 		list[i] = Entry{Worker: WorkerID(i*7919 + 13), Cell: i / 4, Zone: i % 3, Kind: i % 2, State: Ready}
@@ -61,8 +61,8 @@
 	return list
 }
 
-// must is a dispatcher with the settings.
-func must(t testing.TB, settings Settings, seed uint64) *Dispatcher {
+// newTestDispatcher is a dispatcher with the settings.
+func newTestDispatcher(t testing.TB, settings Settings, seed uint64) *Dispatcher {
 	t.Helper()
 	dispatcher, err := New(settings, seed)
 	if err != nil {
@@ -71,16 +71,16 @@
 	return dispatcher
 }
 
-// reportsFreeSlotsAndQueue sets workers up that report both with their answers, for one attempt at a time.
-func reportsFreeSlotsAndQueue(s *Settings) {
+// loadReportSettings sets workers up that report both with their answers, for one attempt at a time.
+func loadReportSettings(s *Settings) {
 	s.ReportsLoad = true
 	s.ParallelAttempts = false
 	s.Report = LoadReportLayout{FreeSlots: 0, Queue: 1, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 }
 
-// shared sets a deployment up in which 80 dispatchers share the workers, which report free slots and queues.
-func shared(s *Settings) {
-	reportsFreeSlotsAndQueue(s)
+// sharedFleetSettings sets a deployment up in which 80 dispatchers share the workers, which report free slots and queues.
+func sharedFleetSettings(s *Settings) {
+	loadReportSettings(s)
 	s.Dispatchers = 80
 	s.SlowStartShare = 0.3
 	s.SlowStartDuration = 9 * time.Second
@@ -88,19 +88,19 @@
 	s.OverloadSpan = time.Second
 }
 
-// few sets a deployment up in which a handful of dispatchers pay for crossing zones, late answers earn
+// costlyZoneSettings sets a deployment up in which a handful of dispatchers pay for crossing zones, late answers earn
 // nothing, value grows with the work and one class must never run twice.
-func few(s *Settings) {
-	shared(s)
+func costlyZoneSettings(s *Settings) {
+	sharedFleetSettings(s)
 	s.Dispatchers = 4
 	s.CrossZoneCost = 0.08
 	s.ValueByWork = true
 	s.ProgressInterval = 2 * time.Second
 }
 
-// random draws settings within what the wire can say. The order of the draws is recorded with the hashes of the
+// randomSettings draws settings within what the wire can say. The order of the draws is recorded with the hashes of the
 // actions: fields are drawn in the order in which they stand.
-func random(rng *rand.Rand) Settings {
+func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	s := Settings{
 		Dispatchers:         1 + rng.IntN(300)>>rng.IntN(9),
--- a/internal/decision/discovery_calls.go
+++ b/internal/decision/discovery_calls.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// minDiscoverySilence is the least limit on silence that calls to discovery keep: without a stated one they
-// would come at once.
+// minDiscoverySilence is the lower bound of the longest silence between calls to discovery. Without it, calls
+// would follow one another at once where the settings state no limit.
 const minDiscoverySilence = time.Second
 
-// A call comes at a random moment within the first third of the allowed silence, but not in the first
-// tenth of that third: dispatchers that start together must not call together, and a call that fails
-// leaves time for more.
+// A call is made at a random moment within the first third of the allowed silence, excluding the first tenth
+// of that third. The random delay keeps dispatchers that start together from calling together, and the
+// remaining two thirds leave time for a repeat if the call fails.
 const (
 	callsPerSilence = 3
 	earliestCall    = 0.1
 	callSpread      = 0.9
 )
 
-// failedSilenceFactor is how many times the stated silence is allowed after a call that has failed.
+// failedSilenceFactor is the multiple of the stated silence that is allowed after a failed call.
 const failedSilenceFactor = 2
 
-// discoveryCalls decides when the list of workers is asked for. While a watch holds, nothing is asked.
+// discoveryCalls schedules the requests for the list of workers. It schedules none while a watch is active.
 type discoveryCalls struct {
-	polls      bool          // lists come only after Watch
-	maxSilence time.Duration // without a watch
+	polls      bool          // lists arrive only after a Watch action
+	maxSilence time.Duration // longest silence without a watch
 	random     *rand.Rand
 
 	watching bool
-	token    uint32 // of the timer for the next call; only the last one set counts
+	token    uint32 // of the timer for the next call; tokens of earlier timers are ignored
 }
 
 func newDiscoveryCalls(settings *Settings, random *rand.Rand) *discoveryCalls {
@@ -36,12 +36,12 @@
 		polls:      settings.Discovery == DiscoveryPoll,
 		maxSilence: settings.MaxDiscoverySilence,
 		random:     random,
-		token:      drainCloseToken, // tokens count on from there
+		token:      drainCloseToken, // the next tokens count up from here
 	}
 }
 
-// listReceived takes what a call brought. After a failed call, or a list that may be outdated, another one
-// is due. A failed call allows a longer silence.
+// listReceived handles the result of a call. It schedules another call after a failed one or a list that may
+// be outdated. A failed call allows a longer silence.
 func (c *discoveryCalls) listReceived(kind ListKind, actions []Action) []Action {
 	failed := kind == ListFailed
 	c.watching = c.polls && !failed && kind != ListCached
@@ -55,16 +55,16 @@
 	return c.schedule(silence, actions)
 }
 
-// isTimer tells whether a token is that of the next call's timer, and the call is still due.
+// isTimer reports whether a token is that of the next call's timer and the call is still due.
 func (c *discoveryCalls) isTimer(token uint32) bool { return token == c.token && !c.watching }
 
-// call asks for a watch, and sets another call in case no answer ever comes.
+// call requests a watch and schedules another call in case no answer arrives.
 func (c *discoveryCalls) call(actions []Action) []Action {
 	actions = append(actions, Action{Kind: Watch, On: true})
 	return c.schedule(c.maxSilence, actions)
 }
 
-// schedule sets the timer for the next call.
+// schedule sets the timer for the next call within the given silence.
 func (c *discoveryCalls) schedule(silence time.Duration, actions []Action) []Action {
 	c.token++
 	silenceSeconds := max(silence, minDiscoverySilence).Seconds()
--- a/internal/decision/discovery_calls_test.go
+++ b/internal/decision/discovery_calls_test.go
@@ -6,9 +6,9 @@
 )
 
 // Each failed call to discovery once set two timers, so that calls doubled with every failure.
-func TestCallsToDiscoveryDoNotMultiply(t *testing.T) {
-	c := newChecker(t, site(), 1)
-	c.event(Event{Kind: EventList, List: ListCached, Entries: fleet(4)})
+func TestFailedDiscoveryCallsDoNotMultiply(t *testing.T) {
+	c := newChecker(t, testSettings(), 1)
+	c.event(Event{Kind: EventList, List: ListCached, Entries: testWorkers(4)})
 	calls := 0
 	for range 6000 {
 		c.advance(10 * time.Millisecond)
@@ -21,7 +21,7 @@
 	if longest := 40.0; float64(calls) < 60/longest || calls > 60 {
 		t.Errorf("%d calls in a minute", calls)
 	}
-	c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(4)})
+	c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(4)})
 	for range 6000 {
 		c.advance(10 * time.Millisecond)
 	}
@@ -34,11 +34,11 @@
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	at := map[time.Duration]int{}
 	for seed := range uint64(200) {
-		d := must(t, site(), seed)
-		for _, a := range d.Handle(time.Second, &Event{Kind: EventList, List: ListCached, Entries: fleet(4)}, nil) {
+		d := newTestDispatcher(t, testSettings(), seed)
+		for _, a := range d.Handle(time.Second, &Event{Kind: EventList, List: ListCached, Entries: testWorkers(4)}, nil) {
 			if a.Kind == SetTimer {
 				at[a.Delay.Truncate(100*time.Millisecond)]++
-				if a.Delay > site().MaxDiscoverySilence {
+				if a.Delay > testSettings().MaxDiscoverySilence {
 					t.Errorf("first call after %v, later than the limit", a.Delay)
 				}
 			}
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -6,88 +6,92 @@
 	"time"
 )
 
-// ticksPerLatencyTarget is how often open jobs are looked at within the shortest latency target.
+// ticksPerLatencyTarget is the number of checks of the open jobs within the shortest latency target.
 const ticksPerLatencyTarget = 8
 
-// maxTick and minTick bound the time between two looks at open jobs.
+// Bounds of the interval between two checks of the open jobs.
 const (
 	maxTick = 50 * time.Millisecond
 	minTick = time.Millisecond
 )
 
-// unstatedLatencyTarget stands for a target that is not stated.
-const unstatedLatencyTarget = time.Second
+// defaultLatencyTarget applies to a class whose latency target is not stated.
+const defaultLatencyTarget = time.Second
 
-// manyDispatchers is from how many dispatchers on each of them meets a worker too rarely to wait for it.
-const manyDispatchers = 20
+// minSharedDispatchers is the number of dispatchers from which on each of them sends to a given worker too
+// rarely to keep jobs pending for it.
+const minSharedDispatchers = 20
 
-// highCrossZoneCost is from which price on crossing zones counts in each choice, as a late answer does.
+// highCrossZoneCost is the cross-zone cost from which on each choice of a worker weighs crossing zones
+// together with the risk of a late answer.
 const highCrossZoneCost = 0.05
 
-// Dispatcher decides for one submitter. It is not safe for concurrent use.
+// Dispatcher decides where the jobs of one submitter go. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings Settings
-	now      time.Duration // of the event that is handled; never falls
-	tick     time.Duration // between looks at open jobs
-	actions  []Action      // what follows from the event so far
-
-	workers   *workerTable
-	pools     *pools
-	times     *learnedTimes
-	slowStart slowStart
-	budget    *slowStartBudget
-	load      *loadEstimator
-	delays    *startDelays
-	forecasts *forecaster
-	gate      *sendGate
-	health    *healthFilter
-	picker    *picker
-	quota     *tenantQuota
-	shedder   *loadShedder
-	calls     *discoveryCalls
-	jobs      *jobTable
-	overdue   overdueChecks
-	shared    bool // many dispatchers share the workers
+	now      time.Duration // of the event in progress; never decreases
+	tick     time.Duration // interval between checks of the open jobs
+	actions  []Action      // that the event in progress has produced so far
+
+	workers     *workerTable
+	pools       *pools
+	times       *learnedTimes
+	slowStart   slowStart
+	budget      *slowStartBudget
+	load        *loadEstimator
+	delays      *startDelays
+	forecasts   *forecaster
+	gate        *sendGate
+	health      *healthFilter
+	picker      *picker
+	quota       *tenantQuota
+	shedder     *loadShedder
+	discovery   *discoveryCalls
+	jobs        *jobTable
+	overdue     overdueChecks
+	sharedFleet bool // many dispatchers share the workers
 }
 
-// New makes a dispatcher. Its error names the first setting that cannot work.
+// New returns a Dispatcher with the given settings and seed. Its error names the first setting that is out of
+// range.
 func New(settings Settings, seed uint64) (*Dispatcher, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{settings: settings.withDefaults()}
-	random := rand.New(rand.NewPCG(seed, seed)) // one source for all: the order of draws is behaviour
+	random := rand.New(rand.NewPCG(seed, seed)) // shared by all parts: draw order is part of the behaviour
 	d.tick = tickFor(&d.settings)
-	d.shared = sharesWorkers(&d.settings)
-	d.composeEstimates(random)
-	d.composeChoice(random)
+	d.sharedFleet = sharesWorkers(&d.settings)
+	d.buildEstimates(random)
+	d.buildSelection(random)
 	d.quota = newTenantQuota(d.settings.Tenants, random)
 	d.shedder = newLoadShedder(random)
-	d.calls = newDiscoveryCalls(&d.settings, random)
+	d.discovery = newDiscoveryCalls(&d.settings, random)
 	d.jobs = newJobTable()
 	return d, nil
 }
 
-// tickFor is the time between looks at open jobs.
+// tickFor returns the interval between checks of the open jobs.
 func tickFor(settings *Settings) time.Duration {
 	tick := maxTick
 	for i := range settings.Classes {
-		target := cmp.Or(settings.Classes[i].LatencyTarget, unstatedLatencyTarget)
+		target := cmp.Or(settings.Classes[i].LatencyTarget, defaultLatencyTarget)
 		tick = min(tick, max(target/ticksPerLatencyTarget, settings.Tick, minTick))
 	}
 	return tick
 }
 
-// sharesWorkers tells whether many dispatchers share the workers, and the workers report their load.
+// sharesWorkers reports whether workers report their load and the dispatcher decides by the risk of a late
+// answer: with many dispatchers, or where crossing zones is expensive.
 func sharesWorkers(settings *Settings) bool {
 	crossingCounts := settings.CrossZoneCost >= highCrossZoneCost
-	return reportsLoad(settings) && (settings.Dispatchers >= manyDispatchers || crossingCounts)
+	return reportsLoad(settings) && (settings.Dispatchers >= minSharedDispatchers || crossingCounts)
 }
 
-// composeEstimates makes what is known of workers.
-func (d *Dispatcher) composeEstimates(random *rand.Rand) {
+// buildEstimates creates the components that track workers and estimate their load and times.
+func (d *Dispatcher) buildEstimates(random *rand.Rand) {
 	settings := &d.settings
-	zones := locality{zone: settings.Zone, splitsKind: d.shared}
+	zones := locality{zone: settings.Zone, splitsKind: d.sharedFleet}
 	d.slowStart = slowStart{initialShare: settings.SlowStartShare, duration: settings.SlowStartDuration}
 	d.workers = newWorkerTable(settings)
 	d.pools = newPools(settings, zones)
@@ -95,13 +99,13 @@
 	d.load = newLoadEstimator(settings, zones, d.slowStart, d.times)
 	d.delays = &startDelays{locality: zones, connIdle: settings.ConnIdle}
 	d.forecasts = &forecaster{
-		settings:  settings,
-		locality:  zones,
-		slowStart: d.slowStart,
-		times:     d.times,
-		load:      d.load,
-		delays:    d.delays,
-		shared:    d.shared,
+		settings:    settings,
+		locality:    zones,
+		slowStart:   d.slowStart,
+		times:       d.times,
+		load:        d.load,
+		delays:      d.delays,
+		sharedFleet: d.sharedFleet,
 	}
 	d.budget = &slowStartBudget{
 		settings:   settings,
@@ -114,29 +118,29 @@
 	}
 }
 
-// composeChoice makes what chooses workers.
-func (d *Dispatcher) composeChoice(random *rand.Rand) {
+// buildSelection creates the components that choose a worker for a job.
+func (d *Dispatcher) buildSelection(random *rand.Rand) {
 	d.gate = &sendGate{settings: &d.settings, slowStart: d.slowStart, budget: d.budget}
 	d.health = &healthFilter{settings: &d.settings, random: random, gate: d.gate}
 	d.picker = &picker{
-		random:    random,
-		locality:  d.load.locality,
-		slowStart: d.slowStart,
-		workers:   d.workers,
-		pools:     d.pools,
-		times:     d.times,
-		load:      d.load,
-		delays:    d.delays,
-		forecasts: d.forecasts,
-		gate:      d.gate,
-		health:    d.health,
-		tick:      d.tick,
-		shared:    d.shared,
+		random:      random,
+		locality:    d.load.locality,
+		slowStart:   d.slowStart,
+		workers:     d.workers,
+		pools:       d.pools,
+		times:       d.times,
+		load:        d.load,
+		delays:      d.delays,
+		forecasts:   d.forecasts,
+		gate:        d.gate,
+		health:      d.health,
+		tick:        d.tick,
+		sharedFleet: d.sharedFleet,
 	}
 }
 
-// Handle takes one event at the time now and appends the actions that follow from it to actions. A time
-// before that of an earlier event counts as that one's.
+// Handle processes one event at the time now and appends the resulting actions to actions. If now is before
+// the time of an earlier event, the time of that event applies.
 func (d *Dispatcher) Handle(now time.Duration, event *Event, actions []Action) []Action {
 	d.now = max(now, d.now)
 	d.actions = actions
@@ -164,9 +168,9 @@
 	return d.actions
 }
 
-// handleList takes a list of workers, or a call to discovery that has failed.
+// handleList handles a list of workers or a failed call to discovery.
 func (d *Dispatcher) handleList(event *Event) {
-	d.actions = d.calls.listReceived(event.List, d.actions)
+	d.actions = d.discovery.listReceived(event.List, d.actions)
 	if event.List == ListFailed {
 		return
 	}
@@ -178,17 +182,17 @@
 	}
 }
 
-// handleTimer takes a timer that has run out. Unknown tokens are passed over.
+// handleTimer handles a timer that has fired. It ignores unknown tokens.
 func (d *Dispatcher) handleTimer(token uint32) {
 	switch {
 	case token == checkToken:
 		d.checkOpenJobs()
 	case token == drainCloseToken:
 		d.actions = d.workers.closeIdleAgain(d.now, d.actions)
-	case d.calls.isTimer(token):
-		d.actions = d.calls.call(d.actions)
+	case d.discovery.isTimer(token):
+		d.actions = d.discovery.call(d.actions)
 	}
 }
 
-// class is the settings of a job's class.
+// class returns the settings of the class of a job.
 func (d *Dispatcher) class(job *jobState) *ClassSettings { return &d.settings.Classes[job.Class] }
--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -7,7 +7,7 @@
 )
 
 // Contradictory or absurd events must neither break a rule, which the checker would tell, nor panic.
-func TestContradictoryEvents(t *testing.T) {
+func TestContradictoryEventsDoNotBreakRules(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
 		"outcome twice": {
@@ -39,15 +39,15 @@
 			{Kind: EventJobProgress, Job: 1, Progress: JobStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, JobEnded: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := site()
+			s := testSettings()
 			s.HealthChecks, s.PeerMessages, s.Report.FreeSlots = true, true, 0
 			c := newChecker(t, s, 1)
-			c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
+			c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(24)})
 			c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 2*time.Second})
 			for _, ev := range evs {
 				if ev.Kind == EventJob && ev.Job == 1 {
 					before := len(c.jobs[1].sends)
-					c.d.Handle(c.now, &ev, nil)
+					c.dispatcher.Handle(c.now, &ev, nil)
 					if len(c.jobs[1].sends) != before {
 						t.Error("a repeated job was sent anew")
 					}
@@ -70,13 +70,13 @@
 }
 
 // State is released: long traffic and replaced workers leave nothing behind.
-func TestStateIsBounded(t *testing.T) {
-	c := ready(t, 12, nil)
-	list := fleet(12)
+func TestEndedJobsAndGoneWorkersAreReleased(t *testing.T) {
+	c := newCheckerWithWorkers(t, 12, nil)
+	list := testWorkers(12)
 	for id := JobID(1); id < 20000; id++ {
 		c.event(Event{Kind: EventJob, Job: id, Class: int(id) % 5, Tenant: int(id) % 5, Key: uint64(id), Slots: 1,
 			Deadline: c.now + time.Second})
-		for _, job := range ids(c.jobs) {
+		for _, job := range sortedIDs(c.jobs) {
 			for n := 0; n < len(c.jobs[job].sends); n++ {
 				if !c.jobs[job].sends[n].done {
 					c.outcome(job, n, []Outcome{OK, Rejected, OK, Reset}[int(id)%4])
@@ -91,13 +91,13 @@
 			gone := Entry{Worker: e.Worker, State: Gone}
 			e.Worker += 100000
 			c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{gone, *e}})
-			delete(c.list, gone.Worker)
+			delete(c.workers, gone.Worker)
 		}
 		c.advance(20 * time.Millisecond)
 	}
 	for range 100 {
 		c.advance(20 * time.Millisecond)
-		for _, job := range ids(c.jobs) {
+		for _, job := range sortedIDs(c.jobs) {
 			for n := range c.jobs[job].sends {
 				if !c.jobs[job].sends[n].done {
 					c.outcome(job, n, OK)
@@ -106,14 +106,14 @@
 		}
 	}
 	c.event(Event{Kind: EventList, List: ListDelta})
-	d := c.d
-	jobsLeft := len(d.jobs.byID) > 0 || len(d.jobs.open) > 0
-	workersLeft := len(d.workers.byID) != 12 || len(d.workers.ordered) != 12
-	if jobsLeft || workersLeft || len(c.timer) > 1 {
+	dispatcher := c.dispatcher
+	jobsLeft := len(dispatcher.jobs.byID) > 0 || len(dispatcher.jobs.open) > 0
+	workersLeft := len(dispatcher.workers.byID) != 12 || len(dispatcher.workers.ordered) != 12
+	if jobsLeft || workersLeft || len(c.timers) > 1 {
 		t.Errorf("left behind: %d jobs, %d open, %d workers, %d in order, %d timers",
-			len(d.jobs.byID), len(d.jobs.open), len(d.workers.byID), len(d.workers.ordered), len(c.timer))
+			len(dispatcher.jobs.byID), len(dispatcher.jobs.open), len(dispatcher.workers.byID), len(dispatcher.workers.ordered), len(c.timers))
 	}
-	for _, w := range c.d.workers.ordered {
+	for _, w := range c.dispatcher.workers.ordered {
 		if w.ownSlots > 1e-9 {
 			t.Errorf("worker %d still counts %v slots", w.Worker, w.ownSlots)
 		}
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Identifiers. They carry no meaning beyond identity.
+// Identifiers of workers and jobs. Their values carry no further meaning.
 type (
 	WorkerID uint32 // a worker, unchanged when its process restarts
-	JobID    uint32 // one request of a client, never reused while it is open
+	JobID    uint32 // one request of a client, not reused while the job is open
 )
 
-// EventKind tells which fields of an Event count.
+// EventKind is the type of an Event and determines which of its fields are set.
 type EventKind uint8
 
-// The events, with the fields that count.
+// The kinds of events, each with the fields that it sets.
 const (
 	EventList          EventKind = iota + 1 // List, Entries
 	EventJob                                // Job, Class, Tenant, Key, Deadline, Hint, Slots, Memory, Retry
@@ -24,85 +24,85 @@
 	EventPeerMessage                        // From, Data
 )
 
-// ListKind says how a list of workers is to be read.
+// ListKind says how complete and how current a list of workers is.
 type ListKind uint8
 
-// The list kinds.
+// The kinds of lists.
 const (
-	ListFailed ListKind = iota // a call failed or the watch broke; no entries
-	ListCached                 // everything, as last held; maybe outdated
+	ListFailed ListKind = iota // the call failed or the watch broke; no entries
+	ListCached                 // all workers as last known; may be outdated
 	ListDelta                  // changed workers only
-	ListFull                   // everything; who is missing has left
+	ListFull                   // all workers; a worker that is missing has left
 )
 
-// State of a listed worker.
+// State is the state of a listed worker.
 type State uint8
 
-// The states.
+// The states of a worker.
 const (
 	Gone State = iota
 	Ready
 	Draining
 )
 
-// Entry is one line of a list of workers. Entries may be shared between instances and are never changed.
+// Entry describes one worker in a list. Entries may be shared between dispatchers and are never modified.
 type Entry struct {
 	Worker  WorkerID
-	Started time.Duration // when its process started; 0 = long ago
+	Started time.Duration // when its process started; 0: long ago
 	Cell    int
 	Zone    int
 	Kind    int
-	Weight  float64 // its size beside other workers
+	Weight  float64 // its capacity relative to that of other workers
 	State   State
 }
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome uint8
 
 // The outcomes.
 const (
 	OK            Outcome = iota + 1
-	Error                 // it may have run
-	Rejected              // rejected before it started: it never ran
-	TimedOut              // it may have run or may run still
+	Error                 // failed; it may have run
+	Rejected              // rejected before it started: it never ran, unless Settings.RejectionUnproven
+	TimedOut              // it may have run, or may still be running
 	ConnectFailed         // no connection: it never ran
 	Reset                 // connection lost: it may have run
 	Cancelled             // it may have run
-	NeverSent             // never issued
+	NeverSent             // not sent: it never ran
 )
 
-// ProgressKind tells what an EventJobProgress says.
+// ProgressKind says what an EventJobProgress reports.
 type ProgressKind uint8
 
 // The kinds of progress.
 const (
 	JobStarted  ProgressKind = iota + 1 // the job has started
-	JobAdvanced                         // Value is the share done
+	JobAdvanced                         // Value is the share that is done
 )
 
-// Event is one thing that happened. Kind tells which fields count.
+// Event is an input of the dispatcher. Kind determines which fields are set.
 type Event struct {
 	Kind     EventKind
 	List     ListKind
 	Outcome  Outcome
 	Progress ProgressKind
-	JobEnded bool // the job has ended, with this outcome or before
-	Retry    bool // marked by the client as a retry of an earlier request
+	JobEnded bool // the job has ended, with this outcome or earlier
+	Retry    bool // the client marks the job as a retry of an earlier request
 	HasHint  bool
 	Job      JobID
 	Worker   WorkerID
-	Attempt  int // counts the job's Send actions from 0
+	Attempt  int // index of the Send action among those of the job, from 0
 	Class    int
 	Tenant   int
-	Key      uint64        // jobs of one key go to few workers; 0 for none
+	Key      uint64        // jobs of the same key go to few workers; 0: no key
 	Deadline time.Duration // when the client stops waiting
 	Hint     time.Duration
-	Slots    float64 // how many of a worker's slots the job takes
+	Slots    float64 // the number of slots that the job takes at a worker
 	Memory   float64
 	Duration time.Duration
 	Value    float64
 	Load     Load
-	Token    uint32 // of the SetTimer action
+	Token    uint32 // of the SetTimer action that set the timer
 	From     int
 	Data     []byte
 	Entries  []Entry
--- a/internal/decision/forecast_test.go
+++ b/internal/decision/forecast_test.go
@@ -9,9 +9,9 @@
 // Once a job's first try was longer ago than its latency target, or its client leaves sooner than a worker
 // can answer, it earns next to nothing: on a measured day 1,258 of 2,180 jobs that ran out of time had less
 // than half a second and kept later ones waiting.
-func TestJobsThatCanEarnLittleAreRejected(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[0].LateValue = 0.2 })
-	run := time.Duration(c.d.times.runSeconds[0] * float64(time.Second))
+func TestJobsOfLowExpectedValueAreRejected(t *testing.T) {
+	c := newCheckerWithWorkers(t, 60, func(s *Settings) { sharedFleetSettings(s); s.Classes[0].LateValue = 0.2 })
+	run := time.Duration(c.dispatcher.times.runSeconds[0] * float64(time.Second))
 	for id, tc := range []struct {
 		held     float64
 		patience time.Duration
@@ -19,8 +19,8 @@
 		sent     bool
 	}{{4, 4 * time.Second, false, true}, {4, run / 10, false, false}, {4, time.Second, true, false},
 		{0, run / 10, false, true}, {0, time.Second, true, true}} { // where nobody waits there is nothing to lose
-		for k := range c.d.load.groupLoad {
-			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
+		for k := range c.dispatcher.load.groupLoad {
+			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.held, 4
 		}
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
@@ -34,14 +34,14 @@
 // seconds were late where a fifth had to be rejected. What is likely late is rejected at once, what is worth
 // most goes through.
 func TestLikelyLateJobsAreRejected(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) { shared(s); s.Classes[4].Value = 20 })
+	c := newCheckerWithWorkers(t, 60, func(s *Settings) { sharedFleetSettings(s); s.Classes[4].Value = 20 })
 	for id, tc := range []struct {
 		held  float64
 		class int
 		sent  bool
 	}{{2, 0, true}, {6, 0, false}, {6, 4, true}, {16, 4, false}} {
-		for k := range c.d.load.groupLoad {
-			c.d.load.groupLoad[k], c.d.load.slotsSeen[k/2] = tc.held, 4
+		for k := range c.dispatcher.load.groupLoad {
+			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.held, 4
 		}
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Class: tc.class, Tenant: id, Slots: 1, Deadline: c.now + 4*time.Second})
@@ -60,9 +60,9 @@
 		from, too int
 	}{{0.08, 285, 300}, {0.01, 0, 200}} { // a third of the workers are near
 		near := 0
-		ready(t, 60, func(s *Settings) { few(s); s.CrossZoneCost = tc.price }).serve(400, func(id JobID, w Entry) work {
-			near += count(w.Zone == 0 && id > 100)
-			return work{way: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
+		newCheckerWithWorkers(t, 60, func(s *Settings) { costlyZoneSettings(s); s.CrossZoneCost = tc.price }).serveSequentially(400, func(id JobID, w Entry) workerReply {
+			near += boolToInt(w.Zone == 0 && id > 100)
+			return workerReply{startDelay: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
 		})
 		if near < tc.from || near > tc.too {
 			t.Errorf("crossing costs %v: %d of 300 jobs stay in their zone", tc.price, near)
@@ -72,12 +72,12 @@
 
 // Value that grows with the work is as dense in long classes as in short ones. Taken as fixed, the shorter
 // class counted as two and a half times as dense and was let into queues that made it late.
-func TestValueByWorkIsEquallyDense(t *testing.T) {
+func TestValueByWorkHasEqualDensityInAllClasses(t *testing.T) {
 	for byWork, want := range map[bool]float64{true: 1.25, false: 2.5} {
-		s := site()
+		s := testSettings()
 		s.ValueByWork, s.Classes[0].Value, s.Classes[1].Value = byWork, 10, 8
 		s.Classes[2], s.Classes[3], s.Classes[4] = s.Classes[1], s.Classes[1], s.Classes[1]
-		d := must(t, s, 1)
+		d := newTestDispatcher(t, s, 1)
 		d.times.runSeconds = []float64{0.4, 0.8, 0.8, 0.8, 0.8}
 		if got := d.forecasts.density(&jobState{}); math.Abs(got-want) > 1e-9 {
 			t.Errorf("by work %v: the short class is %v times as dense, not %v", byWork, got, want)
--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -29,7 +29,7 @@
 	a.number(uint64(len(actions)))
 	for _, action := range actions {
 		a.number(uint64(action.Kind))
-		a.number(uint64(count(action.On)))
+		a.number(uint64(boolToInt(action.On)))
 		a.number(uint64(action.Job))
 		a.number(uint64(action.Worker))
 		a.number(uint64(action.Attempt))
@@ -60,28 +60,28 @@
 		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
 	}
 	for seed, change := range []func(*Settings){
-		func(*Settings) {}, reports, shared, few,
+		func(*Settings) {}, reports, sharedFleetSettings, costlyZoneSettings,
 		func(s *Settings) { s.DrainCloseWithin, s.RejectionUnproven = 300*time.Millisecond, true },
 		func(s *Settings) {
 			s.Discovery, s.MaxAttempts, s.RetryAfter, s.MaxRetryAfter = DiscoveryPush, 0, true, time.Second
 		},
 	} {
-		s := site()
+		s := testSettings()
 		change(&s)
-		goldenPlay(t, digest, uint64(seed), s, 4000)
+		runGoldenStream(t, digest, uint64(seed), s, 4000)
 	}
 	for seed := uint64(100); digest.events < goldenEvents; seed++ {
-		goldenPlay(t, digest, seed, random(rand.New(rand.NewPCG(seed, 5))), 4000)
+		runGoldenStream(t, digest, seed, randomSettings(rand.New(rand.NewPCG(seed, 5))), 4000)
 	}
 	if got := digest.String(); got != want {
 		t.Errorf("the actions of %d events have the hash %s, recorded is %s", digest.events, got, want)
 	}
 }
 
-// goldenPlay feeds one dispatcher a seeded stream of events, legal and absurd ones, and digests what it does.
-func goldenPlay(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
-	p := &goldenPlayer{d: must(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
-		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: fleet(24)}
+// runGoldenStream feeds one dispatcher a seeded stream of events, legal and absurd ones, and digests what it does.
+func runGoldenStream(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
+	p := &goldenHost{d: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
+		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
 	p.feed(Event{Kind: EventList, List: ListCached, Entries: p.workers})
 	for range steps {
 		p.step()
@@ -93,8 +93,8 @@
 	token uint32
 }
 
-// goldenPlayer is the world of one dispatcher: its clock, timers, open jobs and workers, all drawn from one source.
-type goldenPlayer struct {
+// goldenHost is the world of one dispatcher: its clock, timers, open jobs and workers, all drawn from one source.
+type goldenHost struct {
 	d       *Dispatcher
 	digest  *actionDigest
 	rng     *rand.Rand
@@ -107,7 +107,7 @@
 	workers []Entry
 }
 
-func (p *goldenPlayer) feed(ev Event) {
+func (p *goldenHost) feed(ev Event) {
 	actions := p.d.Handle(p.now, &ev, nil)
 	p.digest.observe(p.now, actions)
 	for _, action := range actions {
@@ -115,14 +115,14 @@
 		case Send:
 			p.open[action.Job] = append(p.open[action.Job], action.Worker)
 		case Reject, Fail:
-			p.forget(action.Job)
+			p.removeJob(action.Job)
 		case SetTimer:
 			p.timers = append(p.timers, goldenTimer{at: p.now + action.Delay, token: action.Token})
 		}
 	}
 }
 
-func (p *goldenPlayer) forget(id JobID) {
+func (p *goldenHost) removeJob(id JobID) {
 	delete(p.open, id)
 	for i, job := range p.jobs {
 		if job == id {
@@ -132,9 +132,9 @@
 	}
 }
 
-func (p *goldenPlayer) step() {
+func (p *goldenHost) step() {
 	for range p.rng.IntN(3) {
-		p.arrive()
+		p.feedJob()
 	}
 	for range 1 + len(p.jobs)/4 {
 		if len(p.jobs) > 0 {
@@ -145,12 +145,12 @@
 	case 0:
 		p.changeList()
 	case 1:
-		p.absurd()
+		p.feedInvalidEvents()
 	}
 	p.advance(time.Duration(1+p.rng.IntN(15)) * time.Millisecond)
 }
 
-func (p *goldenPlayer) arrive() {
+func (p *goldenHost) feedJob() {
 	p.nextJob++
 	p.jobs = append(p.jobs, p.nextJob)
 	p.feed(Event{Kind: EventJob, Job: p.nextJob, Class: p.rng.IntN(p.classes), Tenant: p.rng.IntN(8) - 1,
@@ -159,12 +159,12 @@
 }
 
 // progress tells something of one of the job's attempts, ended ones too: the module has to pass over these.
-func (p *goldenPlayer) progress(id JobID) {
+func (p *goldenHost) progress(id JobID) {
 	sent := p.open[id]
 	if len(sent) == 0 {
 		if p.rng.IntN(20) == 0 {
 			p.feed(Event{Kind: EventClientLeft, Job: id})
-			p.forget(id)
+			p.removeJob(id)
 		}
 		return
 	}
@@ -188,11 +188,11 @@
 	}
 	p.feed(about)
 	if about.Kind == EventClientLeft || about.Kind == EventOutcome && about.JobEnded {
-		p.forget(id)
+		p.removeJob(id)
 	}
 }
 
-func (p *goldenPlayer) load() Load {
+func (p *goldenHost) load() Load {
 	load := Load{Count: p.rng.IntN(5)}
 	for i := range load.Values {
 		load.Values[i] = float64(p.rng.IntN(6))
@@ -200,7 +200,7 @@
 	return load
 }
 
-func (p *goldenPlayer) changeList() {
+func (p *goldenHost) changeList() {
 	e := &p.workers[p.rng.IntN(len(p.workers))]
 	if e.State = State(p.rng.IntN(3)); e.State == Ready && p.rng.IntN(2) == 0 {
 		e.Started = p.now
@@ -217,8 +217,8 @@
 	}
 }
 
-// absurd feeds what no host should say: unknown jobs, timers and workers, and values that mean nothing.
-func (p *goldenPlayer) absurd() {
+// feedInvalidEvents feeds what no host should say: unknown jobs, timers and workers, and values that mean nothing.
+func (p *goldenHost) feedInvalidEvents() {
 	for _, ev := range []Event{
 		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
 		{Kind: EventJobProgress, Job: p.nextJob, Attempt: 99, Progress: JobStarted},
@@ -232,7 +232,7 @@
 	}
 }
 
-func (p *goldenPlayer) advance(by time.Duration) {
+func (p *goldenHost) advance(by time.Duration) {
 	p.now += by
 	timers := p.timers
 	p.timers = nil
--- a/internal/decision/hash.go
+++ b/internal/decision/hash.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// hash mixes two values; all dispatchers rank by it alike. Its low bits must be as good as its high ones:
-// buckets are taken from them.
+// hash combines two values into one. All dispatchers rank workers by it and so agree on the order. Its low
+// bits must be as well mixed as its high bits, because buckets are computed modulo a small number.
 func hash(first, second uint64) uint64 { return mix(mix(first+0x9e3779b97f4a7c15) + second) }
 
 // mix is the finalizer of SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
@@ -14,8 +14,7 @@
 	return bits ^ bits>>31
 }
 
-// exponentialHash turns a hash into an exponentially distributed value, as weighted rendezvous
-// hashing needs it.
+// exponentialHash maps two values to an exponentially distributed value, for weighted rendezvous hashing.
 func exponentialHash(first, second uint64) float64 {
 	return -math.Log((float64(hash(first, second)>>11) + 1) / (1 << 53))
 }
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -8,7 +8,7 @@
 // A silent worker gets no more jobs but trials with idempotent ones.
 func TestSilentWorkerGetsTrialJobsOnly(t *testing.T) {
 	for class := range 2 {
-		c := ready(t, 24, nil)
+		c := newCheckerWithWorkers(t, 24, nil)
 		c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + 5*time.Second})
 		for range 300 {
 			c.advance(10 * time.Millisecond)
@@ -27,10 +27,10 @@
 // A worker that fails its jobs at once has no own slots in use and drew them all. Where a failure is final
 // that is a loss each time (6 % of the attempts of a day of quick errors); jobs that can go elsewhere still
 // use what such a worker serves.
-func TestJobsThatRunOnceKeepOffFailingWorkers(t *testing.T) {
+func TestJobsWithFinalFailuresAvoidFailingWorkers(t *testing.T) {
 	for class, most := range []int{100, 12, 12, 12, 100} {
-		c, failed := ready(t, 8, few), 0
-		c.serve(60, func(JobID, Entry) work { return work{run: 100 * time.Millisecond, free: 4} })
+		c, failed := newCheckerWithWorkers(t, 8, costlyZoneSettings), 0
+		c.serveSequentially(60, func(JobID, Entry) workerReply { return workerReply{run: 100 * time.Millisecond, free: 4} })
 		bad := c.jobs[60].sends[0].to.Worker
 		for id := JobID(101); id <= 300; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: class, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + 4*time.Second})
--- a/internal/decision/jobs.go
+++ b/internal/decision/jobs.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// jobState is a job that has no final answer yet, or whose attempts are still out.
+// jobState is a job that has no final answer yet, or that still has attempts in flight.
 type jobState struct {
 	Event
-	dueAt        time.Duration // an attempt that starts later will be late, but for the job's own running time
-	pendingUntil time.Duration // waiting longer for a worker is no use
+	dueAt        time.Duration // latest start for an answer in time, not counting the job's own run time
+	pendingUntil time.Duration // the job is not kept pending after it
 	attempts     []*attemptState
-	ended        bool // it needs no answer any more
-	pending      bool // it waits for a worker
-	overQuota    bool // it is beyond its tenant's share
+	ended        bool // the job needs no further answer
+	pending      bool // no worker has been found yet
+	overQuota    bool // the job exceeds its tenant's share
 }
 
-// inFlight tells whether an attempt is out.
+// inFlight reports whether the job has an attempt without an outcome.
 func (j *jobState) inFlight() bool {
 	return slices.ContainsFunc(j.attempts, func(attempt *attemptState) bool { return !attempt.done })
 }
 
-// mayHaveRun tells whether an attempt may have run, or may be running.
+// mayHaveRun reports whether an attempt may have run or may be running.
 func (j *jobState) mayHaveRun() bool {
 	return slices.ContainsFunc(j.attempts, func(attempt *attemptState) bool { return !attempt.neverRan })
 }
@@ -30,28 +30,29 @@
 type attemptState struct {
 	worker    *workerState
 	sentAt    time.Duration
-	startedAt time.Duration // 0 until the worker has told of the start
-	// waitAfterSeconds is the age from which an attempt that has not started waits for a slot.
-	waitAfterSeconds float64
-	// waitSeenSeconds is the age at which its waiting was last taken into the load estimate.
-	waitSeenSeconds float64
-	// startDelay is the estimate that its start will change, as the connection was at its send.
+	startedAt time.Duration // 0 until the worker reports the start
+	// expectedStartSeconds is the age from which an attempt that has not started counts as waiting for a slot.
+	expectedStartSeconds float64
+	// observedWaitSeconds is the age at which its waiting was last added to the load estimate.
+	observedWaitSeconds float64
+	// startDelay points to the estimate that the start updates. It is chosen by the state of the connection at
+	// the send.
 	startDelay *float64
 	done       bool
 	neverRan   bool // proved by its outcome
 	cancelled  bool
 }
 
-// jobTable holds the jobs that are open.
+// jobTable holds the open jobs.
 type jobTable struct {
 	byID map[JobID]*jobState
-	// open is by arrival; jobs that have left byID leave it at the next check.
+	// open is in the order of arrival. Jobs that have left byID are removed from it at the next check.
 	open []*jobState
 }
 
 func newJobTable() *jobTable { return &jobTable{byID: make(map[JobID]*jobState)} }
 
-// openAttempt returns an attempt of a job if it is still out.
+// openAttempt returns an attempt of a job if it exists and has no outcome yet, and nil otherwise.
 func (t *jobTable) openAttempt(job *jobState, number int) *attemptState {
 	if job == nil {
 		return nil
@@ -66,7 +67,7 @@
 	return attempt
 }
 
-// removeEnded takes jobs that have left byID out of the open ones.
+// removeEnded removes the jobs that have left byID from the open ones.
 func (t *jobTable) removeEnded() {
 	t.open = slices.DeleteFunc(t.open, func(job *jobState) bool { return t.byID[job.Job] != job })
 }
--- a/internal/decision/key_affinity.go
+++ b/internal/decision/key_affinity.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// workersPerKey is how many workers of a kind take the jobs of a key: each of them fetches what
-// belongs to the key.
+// workersPerKey is the number of workers of a kind that serve the jobs of a key. Each of them has to fetch
+// the data of the key.
 const workersPerKey = 3
 
-// slotsAheadOfNext is how many more own slots a key's worker has in use before the next one in rank
-// takes the job.
-const slotsAheadOfNext = 2
+// rankSlotMargin is how many more own slots a worker has to have in use for a job to go to the next worker in
+// the key's ranking.
+const rankSlotMargin = 2
 
-// keyWorkers is the workers that rank highest for a key by rendezvous hashing, highest first, alike at all
-// dispatchers. Unhealthy ones are passed over.
+// keyWorkers returns the workers that rank highest for a key by rendezvous hashing, highest first. The
+// ranking is the same at all dispatchers. Unhealthy workers are left out.
 func keyWorkers(members []*workerState, key uint64) []*workerState {
 	ranked := slices.DeleteFunc(slices.Clone(members), func(worker *workerState) bool {
 		return worker.unhealthy
@@ -25,8 +25,8 @@
 	return ranked[:min(len(ranked), workersPerKey)]
 }
 
-// searchKindsForKey looks for a worker among those of a job's key. A key leaves the first kind only once one
-// of its attempts has ended there.
+// searchKindsForKey searches the kinds for a worker for a job with a key. The job leaves the first kind only
+// after one of its attempts.
 func (p *picker) searchKindsForKey(kinds []int, candidates [][]*workerState, s search) *workerState {
 	var best *workerState
 	for n, kind := range kinds {
@@ -41,14 +41,15 @@
 	return best
 }
 
-// pickByRank takes the first worker that accepts the job, and one of a lower rank where those before it have
-// so many more own slots in use. The best so far, of another kind, stands before all of them.
+// pickByRank returns the first worker in the ranking that accepts the job, or one of a lower rank if the
+// workers before it have rankSlotMargin more own slots in use for each rank. The best worker so far, of
+// another kind, ranks before all of them.
 func (p *picker) pickByRank(ranked []*workerState, best *workerState, s search) *workerState {
 	for rank, worker := range ranked {
 		if !p.health.accepts(worker, s.job, s.now) {
 			continue
 		}
-		if best == nil || best.ownSlots >= worker.ownSlots+slotsAheadOfNext*float64(rank) {
+		if best == nil || best.ownSlots >= worker.ownSlots+rankSlotMargin*float64(rank) {
 			best = worker
 		}
 	}
--- a/internal/decision/learned_times_test.go
+++ b/internal/decision/learned_times_test.go
@@ -14,13 +14,13 @@
 // Both lines of a job may come in one write, so that it seems to run for no time at all, and the first kind
 // may have no workers here. A kind's slowness fell by a factor at each job then and a class's run time grew
 // by one, until neither was a number and every job was rejected for good.
-func TestJobsThatSeemToTakeNoTime(t *testing.T) {
+func TestZeroRunTimesKeepEstimatesBounded(t *testing.T) {
 	for _, measure := range []int{0, 1} {
-		s := site()
+		s := testSettings()
 		s.ReportsLoad = true
 		s.Report = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
-		d, now := must(t, s, 1), time.Minute
-		list := fleet(12)
+		d, now := newTestDispatcher(t, s, 1), time.Minute
+		list := testWorkers(12)
 		for i := range list {
 			list[i].Kind = measure
 		}
@@ -42,12 +42,12 @@
 			d.Handle(now, &Event{Kind: EventOutcome, Job: id, Worker: sent.Worker, Outcome: OK,
 				Load: Load{Count: 4, Values: [4]float64{2, 0, 0, 0}}}, nil)
 		}
-		learned(t, d)
+		checkLearnedBounds(t, d)
 	}
 }
 
-// learned holds what a dispatcher has learned to the bounds that decisions need.
-func learned(t interface{ Errorf(string, ...any) }, d *Dispatcher) {
+// checkLearnedBounds holds what a dispatcher has checkLearnedBounds to the bounds that decisions need.
+func checkLearnedBounds(t interface{ Errorf(string, ...any) }, d *Dispatcher) {
 	within := func(what string, v, least, most float64) {
 		if !(v >= least && v <= most) {
 			t.Errorf("%s is %v, not in %v to %v", what, v, least, most)
@@ -64,7 +64,7 @@
 		within("took", d.times.answerSeconds[i], 0, most)
 	}
 	within("mean", d.times.meanRunSeconds, minRunSeconds/maxSlowness, most)
-	within("spare", d.shedder.excessShare, minAdmittedShare, 1)
+	within("spare", d.shedder.overQuotaShare, minAdmittedShare, 1)
 	for _, w := range d.workers.ordered {
 		within("pace", w.slowness, 1e-9, most)
 		within("others", w.peerSlots, 0, math.MaxFloat32)
@@ -73,15 +73,15 @@
 }
 
 // Whatever is measured and reported, from no time to days, what is learned stays a number within its bounds.
-func TestLearnedFiguresStayInBounds(t *testing.T) {
+func TestLearnedEstimatesStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := site()
+		s := testSettings()
 		s.ReportsLoad = true
 		s.Report = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 		s.Classes[0].LatencyTarget, s.Classes[1].Value = time.Duration(rapid.IntRange(0, 1).Draw(rt, "aim"))*time.Second, 0
-		d, now := must(t, s, 1), time.Minute
+		d, now := newTestDispatcher(t, s, 1), time.Minute
 		kind := rapid.IntRange(0, 2).Draw(rt, "kinds at work")
-		list := fleet(6)
+		list := testWorkers(6)
 		for i := range list {
 			if list[i].Kind = i % 2; kind < 2 {
 				list[i].Kind = kind
@@ -108,6 +108,6 @@
 				}
 			}
 		}
-		learned(rt, d)
+		checkLearnedBounds(rt, d)
 	})
 }
--- a/internal/decision/load_estimate.go
+++ b/internal/decision/load_estimate.go
@@ -5,66 +5,67 @@
 	"time"
 )
 
-// reportAge is about how old the loads are that a worker reports with an answer.
+// reportAge is the approximate age of a load report when it arrives with an answer.
 const reportAge = 700 * time.Millisecond
 
-// peerLoadMemory is the time in which what was learned of one worker's load from peers gives way to
-// its group's mean.
+// peerLoadMemory is the time constant with which a worker's learned load from peers decays to the mean of its
+// group.
 const peerLoadMemory = 5 * time.Second
 
-// groupLoadSpan is the time over which a group's mean load from peers is taken.
+// groupLoadSpan is the time constant of the mean load from peers of a group.
 const groupLoadSpan = 2 * time.Second
 
-// reportWeight is the weight of one report in the estimate of a worker's load from peers: reports are
-// old and noisy.
+// reportWeight is the weight of one report in the estimate of a worker's load from peers. It is low because
+// reports are old and noisy.
 const reportWeight = 0.12
 
-// maxGroupLoad bounds a sample of a group's load from peers, as a multiple of a worker's slots: a queue may
-// be reported or inferred as absurdly long.
+// maxGroupLoad bounds a sample of a group's load from peers, as a multiple of a worker's slots. The reported
+// or inferred length of a queue may be absurd.
 const maxGroupLoad = 4
 
-// minSlots is how many slots any worker surely has; a kind that is full from the start may never show more.
-const minSlots = 1
+// minWorkerSlots is the least number of slots that a worker is taken to have. A kind that is full from the
+// start may never show more.
+const minWorkerSlots = 1
 
-// workerLoad is what is known of the slots in use at a worker.
+// workerLoad is what is known about the slots in use at a worker.
 type workerLoad struct {
-	ownSlots    float64 // reserved by this dispatcher's attempts that are out
-	runningJobs float64 // this dispatcher's attempts that have started there
+	ownSlots    float64 // reserved by this dispatcher's attempts in flight
+	runningJobs float64 // this dispatcher's attempts that have started and not ended
 
-	pastOwnSlots   float64       // ownSlots some reportAge ago, when reports that come now were made
-	pastOwnSlotsAt time.Duration // when pastOwnSlots was last brought up to date
+	reportedOwnSlots   float64       // ownSlots about reportAge ago, when reports that arrive now were made
+	reportedOwnSlotsAt time.Duration // when reportedOwnSlots was last updated
 
-	peerSlots   float64       // slots that other dispatchers use, as last learned
+	peerSlots   float64       // slots in use by other dispatchers, as last learned
 	peerSlotsAt time.Duration // when peerSlots was last learned
-	lastReport  Load          // it comes again with each answer until there is a new one
+	lastReport  Load          // a worker repeats it with each answer until it makes a new one
 }
 
-// reserve takes slots at a worker, or gives them back where the number is below zero.
+// reserve adds to the own slots in use at a worker. A negative number releases slots.
 func (l *workerLoad) reserve(slots float64, now time.Duration) {
-	forgotten := 1 - decay(now-l.pastOwnSlotsAt, reportAge)
-	l.pastOwnSlots += (l.ownSlots - l.pastOwnSlots) * forgotten
-	l.pastOwnSlotsAt = now
+	forgotten := 1 - decay(now-l.reportedOwnSlotsAt, reportAge)
+	l.reportedOwnSlots += (l.ownSlots - l.reportedOwnSlots) * forgotten
+	l.reportedOwnSlotsAt = now
 	l.ownSlots += slots
 }
 
-// loadEstimator estimates how many slots workers have, and how many of them other dispatchers use. Nobody is
-// asked: it learns from load reports, starts, and jobs that wait at their workers.
+// loadEstimator estimates how many slots workers have, and how many of them other dispatchers use. It sends
+// no requests: it learns from load reports, starts, and jobs that wait at their workers.
 //
-// One dispatcher of many meets a worker seldom. Hence each group of workers has a mean of the load from
-// peers; what was learned of one worker drifts back to it.
+// One of many dispatchers rarely sends to the same worker. Each group of workers therefore has a mean load
+// from peers, to which the estimate for each worker decays.
 type loadEstimator struct {
 	layout    LoadReportLayout
-	reported  bool // as reportsLoad tells: only then can waiting times be estimated
+	reported  bool // result of reportsLoad; waiting times can be estimated only if true
 	locality  locality
 	slowStart slowStart
 	times     *learnedTimes
 
-	slotsSeen   []float64       // by kind: the most slots of a worker that were seen free or at work
+	slotsSeen   []float64       // by kind: the most slots of a worker that were seen free or in use
 	groupLoad   []float64       // by group: mean load from peers, in slots
 	groupLoadAt []time.Duration // by group: when groupLoad was last learned
 }
 
-// reportsLoad tells whether workers tell of starts, free slots and queues.
+// reportsLoad reports whether workers report starts, free slots and queue lengths.
 func reportsLoad(settings *Settings) bool {
 	tellsWaiting := settings.Report.FreeSlots >= 0 && settings.Report.Queue >= 0
 	return settings.ReportsLoad && settings.ReportsStart && tellsWaiting
@@ -85,19 +86,19 @@
 	}
 }
 
-// slots is how many slots a worker of a kind has.
-func (e *loadEstimator) slots(kind int) float64 { return max(e.slotsSeen[kind], minSlots) }
+// slots returns the number of slots of a worker of a kind.
+func (e *loadEstimator) slots(kind int) float64 { return max(e.slotsSeen[kind], minWorkerSlots) }
 
-// peerSlots is how many slots other dispatchers use at a worker: what was last learned there, and, the
-// longer ago that was, the mean of its group. A warming worker counts as its share of the mean.
+// peerSlots returns the slots in use by other dispatchers at a worker. The last learned value decays to the
+// mean of the group, multiplied by the share of its capacity that a warming-up worker has.
 func (e *loadEstimator) peerSlots(worker *workerState, now time.Duration) float64 {
-	usual := e.groupLoad[e.locality.group(worker)] * e.slowStart.share(worker, now)
-	return usual + (worker.peerSlots-usual)*decay(now-worker.peerSlotsAt, peerLoadMemory)
+	groupMean := e.groupLoad[e.locality.group(worker)] * e.slowStart.share(worker, now)
+	return groupMean + (worker.peerSlots-groupMean)*decay(now-worker.peerSlotsAt, peerLoadMemory)
 }
 
-// observeStart learns from a job that has started the given seconds after its send, at a worker where it
-// should have started within the expected ones. A prompt start shows that the worker had a free slot, a late
-// one that it had none.
+// observeStart learns from a job that started the given seconds after its send, where a start was expected
+// within the given seconds. A prompt start shows that the worker had a free slot, a late start that it had
+// none.
 func (e *loadEstimator) observeStart(worker *workerState, took, expected float64, now time.Duration) {
 	e.slotsSeen[worker.Kind] = max(e.slotsSeen[worker.Kind], worker.runningJobs)
 	if took > expected {
@@ -105,23 +106,24 @@
 		return
 	}
 	slots := e.slots(worker.Kind)
-	freeOfOwn := slots - worker.ownSlots
-	peers := max(min(e.peerSlots(worker, now), freeOfOwn), 0)
+	notOwn := slots - worker.ownSlots
+	peers := max(min(e.peerSlots(worker, now), notOwn), 0)
 	usual := min(e.groupLoad[e.locality.group(worker)], slots-1)
 	e.record(worker, peers, usual, now)
 }
 
-// observeWait learns from a job that has waited the given seconds at a worker for a slot: all of them are in
-// use, and others wait before it.
+// observeWait learns from a job that has waited the given seconds for a slot at a worker: all slots are in
+// use, and other jobs are queued ahead of it.
 func (e *loadEstimator) observeWait(worker *workerState, waited float64, now time.Duration) {
 	slots := e.slots(worker.Kind)
 	runSeconds := e.times.meanRunSeconds * e.times.slowness[worker.Kind]
-	promised := slots * (1 + waited/runSeconds)
-	e.record(worker, max(e.peerSlots(worker, now), slots-worker.ownSlots, 0), promised, now)
+	demand := slots * (1 + waited/runSeconds)
+	e.record(worker, max(e.peerSlots(worker, now), slots-worker.ownSlots, 0), demand, now)
 }
 
-// observeReport learns from a load report how many slots a worker has, and how many of them others use: what
-// is promised there, less what this dispatcher itself had reserved when the report was made.
+// observeReport learns from a load report how many slots a worker has and how many of them other dispatchers
+// use. The latter is the reported use less the slots that this dispatcher had reserved when the report was
+// made.
 func (e *loadEstimator) observeReport(worker *workerState, report *Load, now time.Duration) {
 	e.observeTotalSlots(worker.Kind, report)
 	values := min(report.Count, len(report.Values))
@@ -137,22 +139,22 @@
 	if free > e.slotsSeen[worker.Kind] && free < math.MaxInt32 {
 		e.slotsSeen[worker.Kind] = free
 	}
-	reported := max(e.slots(worker.Kind)+e.layout.QueuedSlots(report)-worker.pastOwnSlots, 0)
+	reported := max(e.slots(worker.Kind)+e.layout.QueuedSlots(report)-worker.reportedOwnSlots, 0)
 	known := e.peerSlots(worker, now)
 	e.record(worker, known+reportWeight*(reported-known), reported, now)
 }
 
-// observeTotalSlots follows the slots that a report says a worker has. A first report counts in full.
+// observeTotalSlots updates the slots of a kind from the total in a report. The first report counts in full.
 func (e *loadEstimator) observeTotalSlots(kind int, report *Load) {
 	total := e.layout.TotalSlots(report)
-	if !(total > 0 && total < math.MaxInt32) { // not a number, too
+	if !(total > 0 && total < math.MaxInt32) { // also rejects NaN
 		return
 	}
 	weight := max(sampleWeight, 1-e.slotsSeen[kind])
 	e.slotsSeen[kind] += weight * (total - e.slotsSeen[kind])
 }
 
-// record notes the load from peers at a worker, and takes a sample, in slots, into the mean of its group.
+// record sets the load from peers at a worker and adds a sample, in slots, to the mean of its group.
 func (e *loadEstimator) record(worker *workerState, peerSlots, sample float64, now time.Duration) {
 	worker.peerSlots = peerSlots
 	worker.peerSlotsAt = now
@@ -163,8 +165,8 @@
 	e.groupLoadAt[group] = now
 }
 
-// observeRejection lowers all groups' means a little: without answers nothing else would, and rejections for
-// too much load would keep themselves up.
+// observeRejection lowers the means of all groups a little. Without answers nothing else lowers them, and
+// rejections because of a high load estimate would continue indefinitely.
 func (e *loadEstimator) observeRejection() {
 	for group := range e.groupLoad {
 		e.groupLoad[group] *= 1 - sampleWeight
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -10,16 +10,16 @@
 // its latency target.
 func TestLateStartCountsAsRejection(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		c := ready(t, 24, nil)
-		c.d.shedder.excessShare = 1
+		c := newCheckerWithWorkers(t, 24, nil)
+		c.dispatcher.shedder.overQuotaShare = 1
 		c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 		to := c.jobs[1].sends[0].to.Worker
 		if late {
 			c.advance(200 * time.Millisecond)
 		}
 		c.event(Event{Kind: EventJobProgress, Job: 1, Worker: to, Progress: JobStarted})
-		if left := c.d.workers.byID[to].backoffUntil > c.now; left != late || (c.d.shedder.excessShare < 1) != late {
-			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.d.shedder.excessShare)
+		if left := c.dispatcher.workers.byID[to].backoffUntil > c.now; left != late || (c.dispatcher.shedder.overQuotaShare < 1) != late {
+			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.dispatcher.shedder.overQuotaShare)
 		}
 	}
 }
@@ -28,7 +28,7 @@
 // late. Where more than a fifth of the starts comes after the whole latency target, part of all jobs is
 // rejected at once, and no more of them once starts are prompt.
 func TestLateStartsShedJobs(t *testing.T) {
-	c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
+	c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
 	id := JobID(0)
 	part := func(late int) float64 { // every so manieth start is late
 		rejected := 0
@@ -64,23 +64,23 @@
 
 // A rejection tells when to come back, where clients are told: within the stated limit, not all together,
 // later the less is let in. A failure tells nothing, and where clients are not told neither does a rejection.
-func TestRejectionsTellRetryAfter(t *testing.T) {
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	times := func(told bool, let float64, class int) map[time.Duration]bool {
-		c := ready(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
+		c := newCheckerWithWorkers(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
 		if class == 1 {
-			c = ready(t, 24, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
+			c = newCheckerWithWorkers(t, 24, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
 		}
 		out := map[time.Duration]bool{}
 		for id := JobID(1); id <= 20; id++ {
-			c.d.shedder.admittedShare = 1
+			c.dispatcher.shedder.admittedShare = 1
 			c.event(Event{Kind: EventJob, Job: id, Class: class, Slots: 1, Deadline: c.now + 4*time.Second})
-			c.d.shedder.admittedShare = let
+			c.dispatcher.shedder.admittedShare = let
 			if class == 1 {
 				c.outcome(id, 0, Error)
 			} else {
-				c.d.reject(&jobState{Event: Event{Job: id}})
+				c.dispatcher.reject(&jobState{Event: Event{Job: id}})
 			}
-			out[c.d.actions[len(c.d.actions)-1].RetryAfter] = true
+			out[c.dispatcher.actions[len(c.dispatcher.actions)-1].RetryAfter] = true
 		}
 		return out
 	}
--- a/internal/decision/locality.go
+++ b/internal/decision/locality.go
@@ -1,19 +1,18 @@
 package decision
 
-// localities is in how many parts the workers of a kind are split: those of the own zone, and all others.
+// localities is the number of groups that the workers of a kind are split into: local ones and all others.
 const localities = 2
 
-// locality tells which workers are in this dispatcher's zone, and sorts workers into groups that are
-// alike in load.
+// locality knows which workers are in this dispatcher's zone, and assigns workers to groups of similar load.
 type locality struct {
 	zone       int
-	splitsKind bool // the own zone's workers of a kind are a group by themselves
+	splitsKind bool // the local workers of a kind form their own group
 }
 
-// isLocal tells whether a worker is in this dispatcher's zone.
+// isLocal reports whether a worker is in this dispatcher's zone.
 func (l locality) isLocal(worker *workerState) bool { return worker.Zone == l.zone }
 
-// group is the index of a worker's group. The groups of a kind follow one another, that of the own zone last.
+// group returns the index of a worker's group. The groups of a kind are adjacent, with the local one last.
 func (l locality) group(worker *workerState) int {
-	return localities*worker.Kind + count(l.splitsKind && l.isLocal(worker))
+	return localities*worker.Kind + boolToInt(l.splitsKind && l.isLocal(worker))
 }
--- a/internal/decision/numbers.go
+++ b/internal/decision/numbers.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// longAgo is a time before any event.
+// longAgo is earlier than the time of any event. Half of the minimum leaves room for subtractions.
 const longAgo time.Duration = math.MinInt64 / 2
 
-// decay is the part that is left, after an age, of what falls by a factor e in each span.
+// decay returns the part that remains after age of a value that falls by a factor of e in each span.
 func decay(age, span time.Duration) float64 {
 	return math.Exp(-age.Seconds() / span.Seconds())
 }
 
-// seconds turns a number of seconds into a duration.
-func seconds(number float64) time.Duration { return time.Duration(number * float64(time.Second)) }
+// seconds converts a number of seconds to a duration.
+func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// count is 1 if the condition holds, else 0.
-func count(condition bool) int {
+// boolToInt returns 1 if the condition holds and 0 otherwise.
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -1,42 +1,42 @@
 package decision
 
-// handleProgress takes a sign of life of an attempt, and the start of its job.
+// handleProgress handles progress of an attempt, including the start of its job.
 func (d *Dispatcher) handleProgress(event *Event, job *jobState) {
 	attempt := d.jobs.openAttempt(job, event.Attempt)
 	if attempt == nil {
 		return
 	}
-	attempt.worker.heard(d.now)
+	attempt.worker.observeActivity(d.now)
 	if event.Progress == JobStarted && attempt.startedAt == 0 {
 		d.handleStart(job, attempt)
 	}
 }
 
-// handleStart learns from when a job started: a worker that starts it at once had a free slot.
+// handleStart learns from the start of a job: a worker that starts a job at once had a free slot.
 func (d *Dispatcher) handleStart(job *jobState, attempt *attemptState) {
 	worker := attempt.worker
 	took := d.now - attempt.sentAt
 	attempt.startedAt = d.now
-	worker.startedAtOnce = took <= d.tick
+	worker.startedPromptly = took <= d.tick
 	worker.runningJobs++
 	d.shedder.observeStart()
 	target := d.class(job).LatencyTarget
-	if !d.load.reported && took > target/lateStartDivisor { // as good as a rejection by a full worker
-		d.shedder.observeStrain()
+	if !d.load.reported && took > target/lateStartDivisor { // equivalent to a rejection by a full worker
+		d.shedder.observeSaturation()
 		d.backOff(worker, job)
 		d.shedder.observeLateStart(took, target)
 	}
 	observeDelay(attempt.startDelay, took.Seconds())
-	d.load.observeStart(worker, took.Seconds(), attempt.waitAfterSeconds, d.now)
+	d.load.observeStart(worker, took.Seconds(), attempt.expectedStartSeconds, d.now)
 }
 
-// backOff leaves a worker alone for about the time in which it frees a slot.
+// backOff stops sends to a worker for about the time in which it frees a slot.
 func (d *Dispatcher) backOff(worker *workerState, job *jobState) {
 	longest := seconds(d.times.answerSeconds[job.Class]) + d.tick
 	worker.backOff(d.now, d.tick, longest)
 }
 
-// handleOutcome takes the end of an attempt, and retries, rejects or ends its job.
+// handleOutcome handles the end of an attempt, and retries, rejects or ends its job.
 func (d *Dispatcher) handleOutcome(event *Event, job *jobState, attempt *attemptState) {
 	outcome := event.Outcome
 	worker := attempt.worker
@@ -49,9 +49,9 @@
 	}
 	d.actions = d.workers.closeIdleAfterOutcome(worker, outcome, d.now, d.actions)
 	d.observeOutcome(job, attempt, outcome)
-	isAnswered := event.JobEnded || outcome == OK
+	answered := event.JobEnded || outcome == OK
 	switch {
-	case job.ended || isAnswered:
+	case job.ended || answered:
 		d.finish(job)
 	case job.inFlight():
 	case d.retries(job, attempt):
@@ -61,7 +61,7 @@
 	}
 }
 
-// provesNeverRan tells whether an outcome proves that the attempt never ran.
+// provesNeverRan reports whether an outcome proves that the attempt never ran.
 func (d *Dispatcher) provesNeverRan(outcome Outcome) bool {
 	switch outcome {
 	case ConnectFailed, NeverSent:
@@ -73,8 +73,8 @@
 	}
 }
 
-// retries tells whether a job gets another attempt after one has ended: jobs beyond their tenant's share,
-// and those that were cancelled as hopeless, get none.
+// retries reports whether a job gets another attempt after one has ended. Jobs that exceed their tenant's
+// share and jobs whose attempt was cancelled get none.
 func (d *Dispatcher) retries(job *jobState, ended *attemptState) bool {
 	if job.overQuota || ended.cancelled {
 		return false
@@ -82,7 +82,7 @@
 	return d.gate.allowsAttempt(job, d.now)
 }
 
-// observeOutcome learns from an outcome.
+// observeOutcome updates the state of the worker and the estimates from an outcome.
 func (d *Dispatcher) observeOutcome(job *jobState, attempt *attemptState, outcome Outcome) {
 	worker := attempt.worker
 	switch outcome {
@@ -98,18 +98,19 @@
 	}
 }
 
-// observeRejection learns from a worker that is full. That is a sign of too much load where the job has met
-// others, or is beyond its tenant's share; the full worker of a key says little of the pool.
+// observeRejection handles a rejection by a full worker. It is a sign of overload if the job was rejected or
+// failed elsewhere before, or exceeds its tenant's share. For a job with a key, one full worker says little
+// about the pool.
 func (d *Dispatcher) observeRejection(job *jobState, worker *workerState) {
-	worker.lastHeardAt = d.now
-	isExcess := job.overQuota && job.Key == 0
-	if len(job.attempts) > 1 || isExcess {
-		d.shedder.observeStrain()
+	worker.lastActivityAt = d.now
+	exceedsQuota := job.overQuota && job.Key == 0
+	if len(job.attempts) > 1 || exceedsQuota {
+		d.shedder.observeSaturation()
 	}
 	d.backOff(worker, job)
 }
 
-// observeAnswer learns from an answer. What a warming worker takes says nothing of run times.
+// observeAnswer learns from an OK answer. Run times at a worker that is warming up are ignored.
 func (d *Dispatcher) observeAnswer(job *jobState, attempt *attemptState) {
 	worker := attempt.worker
 	d.times.observeAnswer(job.Class, d.now-attempt.sentAt)
@@ -124,8 +125,8 @@
 	d.quota.observeAnswer(job.Tenant)
 }
 
-// sendPending gives a slot that has just been freed to a waiting job that may go there: the one worth most
-// for its time where workers report their load, else the oldest.
+// sendPending sends a pending job to a worker that has just freed a slot: the job of the highest value
+// density where workers report their load, and the oldest one otherwise.
 func (d *Dispatcher) sendPending(worker *workerState) {
 	var next *jobState
 	for _, job := range d.jobs.open {
@@ -135,7 +136,7 @@
 		if !d.forecasts.hasFreeSlot(worker, job, d.now) {
 			continue
 		}
-		if next == nil || d.goesBefore(job, next) {
+		if next == nil || d.hasPriorityOver(job, next) {
 			next = job
 		}
 	}
@@ -144,13 +145,14 @@
 	}
 }
 
-// goesBefore tells whether a waiting job goes before an older one.
-func (d *Dispatcher) goesBefore(job, older *jobState) bool {
+// hasPriorityOver reports whether a pending job goes before an older one.
+func (d *Dispatcher) hasPriorityOver(job, older *jobState) bool {
 	return d.load.reported && d.forecasts.density(job) > d.forecasts.density(older)
 }
 
-// handleClientLeft ends a job whose client has left. Where workers report their load its attempt is not
-// cancelled: it works on and holds its slot there, and a cancel would only lose the connection and hide that.
+// handleClientLeft ends a job whose client has left. Where workers report their load, the attempt in flight
+// is not cancelled: it keeps running and holding its slot at the worker. Cancelling it would only drop the
+// connection and hide that the slot is in use.
 func (d *Dispatcher) handleClientLeft(job *jobState) {
 	job.pending = false
 	job.ended = true
--- a/internal/decision/outcomes_test.go
+++ b/internal/decision/outcomes_test.go
@@ -7,9 +7,9 @@
 
 // A slot that is freed goes to the waiting job that is worth most for its time, and that one may wait longer
 // at a worker.
-func TestDenserPendingJobGoesFirst(t *testing.T) {
-	c := ready(t, 8, func(s *Settings) {
-		reportsFreeSlotsAndQueue(s)
+func TestFreedSlotGoesToDensestPendingJob(t *testing.T) {
+	c := newCheckerWithWorkers(t, 8, func(s *Settings) {
+		loadReportSettings(s)
 		s.Classes[4].Value = 8
 	})
 	id := JobID(0)
@@ -25,7 +25,7 @@
 		return 0
 	}
 	plain, denser := held(0), held(4)
-	if c.d.forecasts.density(c.d.jobs.byID[denser]) <= c.d.forecasts.density(c.d.jobs.byID[plain]) {
+	if c.dispatcher.forecasts.density(c.dispatcher.jobs.byID[denser]) <= c.dispatcher.forecasts.density(c.dispatcher.jobs.byID[plain]) {
 		t.Error("the denser job does not count as denser")
 	}
 	c.outcome(1, 0, OK)
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// silentAnswerTimes is how many usual answer times a worker may be silent before it counts as unhealthy.
-const silentAnswerTimes = 3
+// silenceAnswerFactor is the multiple of the usual answer time after which a silent worker counts as
+// unhealthy.
+const silenceAnswerFactor = 3
 
 // minSilenceTicks is the least silence, in ticks, after which a worker counts as unhealthy.
 const minSilenceTicks = 2
 
-// standstillTicks is how many ticks may lie between two checks before the dispatcher itself counts as having
-// stood still: nobody else was silent then.
-const standstillTicks = 4
+// stallTicks is the number of ticks between two checks above which the dispatcher itself counts as stalled.
+// Silence of workers during a stall is ignored.
+const stallTicks = 4
 
-// waitGrowth is how many times older an attempt has to be for its waiting to be taken into the
-// estimate once more.
+// waitGrowth is the factor by which the age of an attempt has to grow before its waiting is added to the load
+// estimate again.
 const waitGrowth = 2
 
-// overdueChecks tells when open jobs were last looked at, and since when the dispatcher has run
-// without a standstill.
+// overdueChecks records the last check of the open jobs, and since when the dispatcher has run without a
+// stall.
 type overdueChecks struct {
 	lastAt       time.Duration
 	runningSince time.Duration
 }
 
-// begin notes a check.
+// begin records the start of a check and detects a stall.
 func (c *overdueChecks) begin(now, tick time.Duration) {
-	if now-c.lastAt > standstillTicks*tick {
+	if now-c.lastAt > stallTicks*tick {
 		c.runningSince = now
 	}
 	c.lastAt = now
 }
 
-// checkOpenJobs looks at each tick at the jobs that are open: overdue attempts and jobs that wait
-// for a worker.
+// checkOpenJobs checks the attempts in flight of all open jobs and assigns pending jobs. It runs at each
+// tick.
 func (d *Dispatcher) checkOpenJobs() {
 	d.overdue.begin(d.now, d.tick)
 	d.jobs.removeEnded()
@@ -51,13 +52,13 @@
 	}
 }
 
-// setCheckTimer sets the timer for the next look at open jobs.
+// setCheckTimer sets the timer for the next check of the open jobs.
 func (d *Dispatcher) setCheckTimer() {
 	d.actions = append(d.actions, Action{Kind: SetTimer, Token: checkToken, Delay: d.tick})
 }
 
-// checkAttempt cancels an attempt that has become hopeless, marks its worker as unhealthy if that is silent,
-// and takes the attempt's waiting into the load estimate.
+// checkAttempt cancels the waiting attempts of a job that has become hopeless, marks the worker as unhealthy
+// if it is silent, and adds the waiting of the attempt to the load estimate.
 func (d *Dispatcher) checkAttempt(job *jobState, attempt *attemptState) {
 	if d.isHopeless(job, attempt) {
 		d.cancelWaiting(job)
@@ -67,9 +68,9 @@
 	d.observeWaiting(attempt)
 }
 
-// isHopeless tells whether a job can earn nothing any more, or less than its place in the worker's queue: a
-// late answer earns nothing, and it has not started within what its latency target and its own running time
-// leave it. The more would wait behind it, the less that is.
+// isHopeless reports whether a job can no longer earn more than its place in the worker's queue costs. This
+// holds where a late answer earns nothing and the job has not started by its due time plus the slack that the
+// growth of its latency target leaves. The slack is smaller the longer jobs behind it would wait.
 func (d *Dispatcher) isHopeless(job *jobState, attempt *attemptState) bool {
 	class := d.class(job)
 	if !d.settings.ReportsStart || class.LateValue != 0 {
@@ -80,25 +81,26 @@
 	return d.now > job.dueAt+seconds(max(slack, 0))
 }
 
-// isSilent tells whether a worker that is not yet known as unhealthy has been silent for too long since the
-// send of an attempt. A dispatcher that stood still itself has heard nobody.
+// isSilent reports whether a worker that is not yet marked unhealthy has been silent for too long since the
+// send of an attempt. Time before the end of the last stall does not count, as a stalled dispatcher receives
+// nothing.
 func (d *Dispatcher) isSilent(job *jobState, attempt *attemptState) bool {
-	usual := seconds(silentAnswerTimes * d.times.answerSeconds[job.Class])
+	usual := seconds(silenceAnswerFactor * d.times.answerSeconds[job.Class])
 	allowed := max(usual, minSilenceTicks*d.tick, d.settings.ProgressInterval)
-	silentSince := max(attempt.sentAt, attempt.worker.lastHeardAt, d.overdue.runningSince)
+	silentSince := max(attempt.sentAt, attempt.worker.lastActivityAt, d.overdue.runningSince)
 	return d.now-silentSince > allowed && !attempt.worker.unhealthy
 }
 
-// observeWaiting takes the waiting of an attempt that has not started into the load estimate, where
-// many dispatchers share workers: its start, and the report with its answer, come too late for the
-// jobs that are sent meanwhile.
+// observeWaiting adds the waiting of an attempt that has not started to the load estimate, where many
+// dispatchers share the workers. The start and the load report with the answer would come too late for the
+// jobs that are sent in the meantime.
 func (d *Dispatcher) observeWaiting(attempt *attemptState) {
-	if !d.shared || attempt.startedAt != 0 {
+	if !d.sharedFleet || attempt.startedAt != 0 {
 		return
 	}
 	age := (d.now - attempt.sentAt).Seconds()
-	if age > max(attempt.waitAfterSeconds, waitGrowth*attempt.waitSeenSeconds) {
-		d.load.observeWait(attempt.worker, age-attempt.waitAfterSeconds, d.now)
-		attempt.waitSeenSeconds = age
+	if age > max(attempt.expectedStartSeconds, waitGrowth*attempt.observedWaitSeconds) {
+		d.load.observeWait(attempt.worker, age-attempt.expectedStartSeconds, d.now)
+		attempt.observedWaitSeconds = age
 	}
 }
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -13,7 +13,7 @@
 		started bool
 		want    bool
 	}{{0, false, true}, {0, true, false}, {0.5, false, false}} {
-		c := ready(t, 24, func(s *Settings) { s.Classes[1].LateValue = tc.late })
+		c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.Classes[1].LateValue = tc.late })
 		c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 		if tc.started {
 			c.event(Event{Kind: EventJobProgress, Job: 1, Progress: JobStarted})
@@ -21,7 +21,7 @@
 		got := false
 		for range 60 {
 			c.advance(10 * time.Millisecond)
-			for _, a := range c.d.actions {
+			for _, a := range c.dispatcher.actions {
 				got = got || a.Kind == Cancel
 			}
 		}
@@ -33,8 +33,8 @@
 
 // A dispatcher that stood still has heard nobody for a while: the fault is its own, and no worker counts as
 // unhealthy for it.
-func TestOwnStandstillMarksNobodyUnhealthy(t *testing.T) {
-	c := ready(t, 24, nil)
+func TestDispatcherStallMarksNoWorkerUnhealthy(t *testing.T) {
+	c := newCheckerWithWorkers(t, 24, nil)
 	for id := JobID(1); id <= 20; id++ {
 		c.event(Event{Kind: EventJob, Job: id, Slots: 1, Deadline: c.now + 9*time.Second})
 	}
@@ -45,7 +45,7 @@
 			t.Errorf("job %d: %d attempts, answered %v", id, len(j.sends), j.answered)
 		}
 	}
-	for _, w := range c.d.workers.ordered {
+	for _, w := range c.dispatcher.workers.ordered {
 		if w.unhealthy {
 			t.Errorf("worker %d is suspect", w.Worker)
 		}
@@ -55,18 +55,18 @@
 // Where late answers earn nothing, a job that had not started by the fixed part of its latency target was
 // cancelled, and had failed for good if it may run only once: 10 to 30 % of all jobs on most days. The
 // target grows with the job's own running time.
-func TestWaitingJobsKeepTheSlackOfTheirOwnTime(t *testing.T) {
+func TestWaitingJobsAreCancelledOnlyAfterTheirSlack(t *testing.T) {
 	for _, queue := range []float64{0, 40} { // it goes sooner where many would wait behind it
-		c := ready(t, 60, func(s *Settings) { few(s); s.Classes[1].Stretch = 3 })
-		c.serve(60, func(JobID, Entry) work { return work{run: 300 * time.Millisecond, free: 4} })
-		slack := seconds(2 * c.d.times.runSeconds[1])
+		c := newCheckerWithWorkers(t, 60, func(settings *Settings) { costlyZoneSettings(settings); settings.Classes[1].Stretch = 3 })
+		c.serveSequentially(60, func(JobID, Entry) workerReply { return workerReply{run: 300 * time.Millisecond, free: 4} })
+		slack := seconds(2 * c.dispatcher.times.runSeconds[1])
 		c.event(Event{Kind: EventJob, Job: 900, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
-		came, w := c.now, c.d.workers.byID[c.jobs[900].sends[0].to.Worker]
-		for !c.d.jobs.byID[900].attempts[0].cancelled && c.now < came+3*time.Second {
+		came, w := c.now, c.dispatcher.workers.byID[c.jobs[900].sends[0].to.Worker]
+		for !c.dispatcher.jobs.byID[900].attempts[0].cancelled && c.now < came+3*time.Second {
 			c.advance(10 * time.Millisecond)
 			w.peerSlots, w.peerSlotsAt = queue, c.now
 		}
-		waited := c.now - came - c.s.Classes[1].LatencyTarget
+		waited := c.now - came - c.settings.Classes[1].LatencyTarget
 		missesSlack := queue == 0 && (waited-slack).Abs() > 60*time.Millisecond
 		waitsInQueue := queue > 0 && waited > 60*time.Millisecond
 		if missesSlack || waitsInQueue {
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// poolsTried is how many pools a job may be sent to: its tenant's own, and the next one where nobody there
-// can take it.
-const poolsTried = 2
+// maxPoolsTried is the number of pools that are searched for a job: its tenant's own pool, and the next one
+// if no worker there can take the job.
+const maxPoolsTried = 2
 
-// lastChanceTicks is for how many ticks before it stops waiting a job may go to a worker without a free slot.
+// lastChanceTicks is the number of ticks before pendingUntil from which on a job may go to a worker without a
+// free slot.
 const lastChanceTicks = 2
 
 // picker chooses the worker for a job.
@@ -28,25 +29,28 @@
 	gate      *sendGate
 	health    *healthFilter
 	tick      time.Duration
-	shared    bool // many dispatchers share the workers: no job waits, and picks go by the risk of a late answer
+	// sharedFleet: many dispatchers share the workers. No job stays pending, and workers are compared by the
+	// risk of a late answer.
+	sharedFleet bool
 }
 
-// search is one look for a worker.
+// search holds the parameters of one search for a worker.
 type search struct {
-	job     *jobState
-	now     time.Duration
-	waiting bool // workers without a free slot count, too
+	job       *jobState
+	now       time.Duration
+	allowFull bool // include workers without a free slot
 }
 
-// pick finds a worker that can take a job now, nil if there is none, and tells whether one could later.
+// pick returns a worker that can take a job now, or nil if there is none. anyReady reports whether some
+// worker could take the job later.
 func (p *picker) pick(job *jobState, now time.Duration) (best *workerState, anyReady bool) {
 	best, anyReady = p.searchPools(search{job: job, now: now})
 	if best == nil && p.mayWaitAtWorker(job, now) {
 		var ready bool
-		best, ready = p.searchPools(search{job: job, now: now, waiting: true})
+		best, ready = p.searchPools(search{job: job, now: now, allowFull: true})
 		anyReady = anyReady || ready
 	}
-	if best == nil || p.shared {
+	if best == nil || p.sharedFleet {
 		return best, anyReady
 	}
 	if p.forecasts.waitSeconds(best, job.Slots, now) > p.forecasts.maxWaitSeconds(job) {
@@ -55,11 +59,11 @@
 	return best, anyReady
 }
 
-// mayWaitAtWorker tells whether workers without a free slot count for a job, too: at its last
-// chance, where workers report their load. A job beyond its tenant's share has no such chance
-// where there are several pools.
+// mayWaitAtWorker reports whether a job may go to a worker without a free slot. It may shortly before
+// pendingUntil, where workers report their load. A job that exceeds its tenant's share may not where there
+// are several pools.
 func (p *picker) mayWaitAtWorker(job *jobState, now time.Duration) bool {
-	waitingIsKnown := p.load.reported && !p.shared
+	waitingIsKnown := p.load.reported && !p.sharedFleet
 	if !waitingIsKnown || job.Key != 0 {
 		return false
 	}
@@ -69,15 +73,15 @@
 	return now+lastChanceTicks*p.tick >= job.pendingUntil
 }
 
-// searchPools looks for a worker in the tenant's own pool, and if nobody there can take the job in the next
-// one. Jobs beyond their tenant's share keep to its own pool.
+// searchPools searches the tenant's own pool for a worker, and then the next pool. A job that exceeds its
+// tenant's share stays in the tenant's own pool.
 func (p *picker) searchPools(s search) (best *workerState, anyReady bool) {
-	tried := min(len(p.pools.members), poolsTried)
+	tried := min(len(p.pools.members), maxPoolsTried)
 	if s.job.overQuota {
 		tried = 1
 	}
 	for n := range tried {
-		worker, ready := p.searchPool(p.pools.nth(s.job.Tenant, n), s)
+		worker, ready := p.searchPool(p.pools.poolAt(s.job.Tenant, n), s)
 		anyReady = anyReady || ready
 		if worker != nil {
 			return worker, anyReady
@@ -86,13 +90,14 @@
 	return nil, anyReady
 }
 
-// searchPool looks for a worker in one pool, and tells whether any there is ready and open to the job. Where
-// many dispatchers share workers, a warming one whose turn it is goes first, as its turns are few, and the
-// best of the others is not taken if the job would too likely be late by waiting there.
+// searchPool searches one pool for a worker. anyReady reports whether the pool has ready workers that may
+// take the job. Where many dispatchers share the workers, a warming-up worker with a permit is taken first,
+// because its permits are few. The best of the other workers is not taken if the risk of a late answer
+// because of waiting is too high.
 func (p *picker) searchPool(pool [][]*workerState, s search) (best *workerState, anyReady bool) {
 	kinds, candidates := p.orderKinds(pool, s)
 	anyReady = len(kinds) > 0
-	if !p.shared {
+	if !p.sharedFleet {
 		return p.searchKinds(kinds, candidates, s), anyReady
 	}
 	if warming := p.firstWarming(candidates, s); warming != nil {
@@ -105,12 +110,13 @@
 	return best, anyReady
 }
 
-// isTooRisky tells whether a job would too likely be late by waiting at a worker.
+// isTooRisky reports whether the risk that a job is late because of waiting at a worker exceeds the limit for
+// the job.
 func (p *picker) isTooRisky(worker *workerState, s search) bool {
-	return p.forecasts.at(worker, s.job, s.now).waitRisk > p.forecasts.maxWaitRisk(worker, s.job, s.now)
+	return p.forecasts.forecastAt(worker, s.job, s.now).waitRisk > p.forecasts.maxWaitRisk(worker, s.job, s.now)
 }
 
-// firstWarming is the first worker that is warming up and may take the job.
+// firstWarming returns the first warming-up worker that accepts the job.
 func (p *picker) firstWarming(candidates [][]*workerState, s search) *workerState {
 	for _, members := range candidates {
 		for _, worker := range members {
@@ -122,8 +128,8 @@
 	return nil
 }
 
-// orderKinds orders the kinds of a pool that have any workers for a job, by load. It gives of each kind the
-// workers that are open to the job, by the kind's number.
+// orderKinds returns the kinds of a pool that have workers for a job, in ascending order of load. candidates
+// holds the workers that may take the job, indexed by kind.
 func (p *picker) orderKinds(pool [][]*workerState, s search) (kinds []int, candidates [][]*workerState) {
 	loads := make([]float64, len(pool))
 	kinds = make([]int, 0, len(pool))
@@ -144,10 +150,10 @@
 	return kinds, candidates
 }
 
-// kindLoad is the load by which kinds are ordered: the own slots in use there, and a random part so that not
-// all dispatchers go to the kind that seems best, for the kind's size. For a key it is a hash in place of
-// the load, so that all dispatchers choose alike. A list that tells sizes tells what workers bear; without
-// one speed and slots, as learned, count as well.
+// kindLoad returns the load by which kinds are ordered: the own slots in use plus a random part, divided by
+// the size of the kind. The random part keeps dispatchers from all choosing the same kind. For a job with a
+// key, a hash replaces the load, so that all dispatchers choose the same kind. The sizes are the listed
+// weights. If the list has none, the learned slowness and slots of the kind count as well.
 func (p *picker) kindLoad(kind int, members []*workerState, job *jobState) float64 {
 	load := p.random.ExpFloat64()
 	size := 0.0
@@ -165,8 +171,8 @@
 	return load
 }
 
-// searchKinds looks for a worker in the kinds of a pool, in their order. Where workers report their load the
-// best of all kinds is taken, else that of the first kind that has any.
+// searchKinds searches the kinds of a pool for a worker, in their order. Where workers report their load, it
+// returns the best worker of all kinds. Otherwise it returns the best worker of the first kind that has one.
 func (p *picker) searchKinds(kinds []int, candidates [][]*workerState, s search) *workerState {
 	if s.job.Key != 0 {
 		return p.searchKindsForKey(kinds, candidates, s)
@@ -177,25 +183,24 @@
 			break
 		}
 		local, remote := p.splitLocal(candidates[kind], kind)
-		best = p.sooner(best, p.pickOfTwo(local, s), s)
-		best = p.sooner(best, p.pickOfTwo(remote, s), s)
+		best = p.cheaper(best, p.pickOfTwo(local, s), s)
+		best = p.cheaper(best, p.pickOfTwo(remote, s), s)
 	}
 	return best
 }
 
-// splitLocal parts the workers of a kind, which stand local ones first, by whether they are of the
-// own zone's group.
+// splitLocal splits the workers of a kind, which are ordered local first, into the local group and the
+// others.
 func (p *picker) splitLocal(members []*workerState, kind int) (local, remote []*workerState) {
 	remoteGroup := localities * kind
 	firstRemote, _ := slices.BinarySearchFunc(members, remoteGroup, func(worker *workerState, target int) int {
-		return target - p.locality.group(worker) // groups fall
+		return target - p.locality.group(worker) // groups are in descending order
 	})
 	return members[:firstRemote], members[firstRemote:]
 }
 
-// sooner is the worker with the lower cost for a job, of two that may be nil; the first one if
-// they are alike.
-func (p *picker) sooner(first, second *workerState, s search) *workerState {
+// cheaper returns the worker with the lower cost for a job. Either may be nil. The first one wins a tie.
+func (p *picker) cheaper(first, second *workerState, s search) *workerState {
 	if first == nil {
 		return second
 	}
@@ -205,7 +210,7 @@
 	return first
 }
 
-// costsLess tells whether a job costs less at a worker than at another one.
+// costsLess reports whether a job costs less at worker than at other.
 func (p *picker) costsLess(worker, other *workerState, s search) bool {
 	return p.forecasts.cost(worker, s.job, s.now) < p.forecasts.cost(other, s.job, s.now)
 }
--- a/internal/decision/picking_test.go
+++ b/internal/decision/picking_test.go
@@ -8,12 +8,12 @@
 
 // Listed weights count from the first job on: one dispatcher in hundreds has no time to learn sizes. A
 // weight that no worker can have counts as the usual one.
-func TestListedWeightsCount(t *testing.T) {
-	list := fleet(40)
+func TestListedWeightsDistributeJobs(t *testing.T) {
+	list := testWorkers(40)
 	for i := range list {
 		list[i].Weight = []float64{4, 1, 4, math.NaN()}[i%4]
 	}
-	c := newChecker(t, site(), 1)
+	c := newChecker(t, testSettings(), 1)
 	c.event(Event{Kind: EventList, List: ListFull, Entries: list})
 	large := 0
 	for id := JobID(1); id <= 4000; id++ {
@@ -32,8 +32,8 @@
 
 // Kinds are weighed by their slots, not by speed alone: with keys, small workers got four fifths of the
 // attempts and rejected most while large ones had free slots.
-func TestKindsAreWeighedByTheirSlots(t *testing.T) {
-	c := ready(t, 60, func(s *Settings) {
+func TestKindsAreWeightedBySlots(t *testing.T) {
+	c := newCheckerWithWorkers(t, 60, func(s *Settings) {
 		s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
 	})
 	large := 0
@@ -64,7 +64,7 @@
 		most       int // workers met
 		least      int
 	}{{time.Minute, 0, 8, 1}, {time.Minute, 100 * time.Millisecond, 40, 10}, {time.Second, 0, 40, 10}, {0, 0, 40, 10}} {
-		c := ready(t, 40, func(s *Settings) { s.ConnIdle = tc.idle })
+		c := newCheckerWithWorkers(t, 40, func(s *Settings) { s.ConnIdle = tc.idle })
 		met := map[WorkerID]bool{}
 		for id := JobID(1); id <= 30; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
@@ -86,14 +86,14 @@
 // slow one was idle.
 func TestManyDispatchersFillAllKinds(t *testing.T) {
 	to := [2]int{}
-	ready(t, 60, shared).serve(240, func(id JobID, w Entry) work {
+	newCheckerWithWorkers(t, 60, sharedFleetSettings).serveSequentially(240, func(id JobID, w Entry) workerReply {
 		if id > 100 {
 			to[w.Kind]++
 		}
 		if w.Kind == 0 && id > 30 {
-			return work{run: 100 * time.Millisecond, queue: float64(3 + id%3)}
+			return workerReply{run: 100 * time.Millisecond, queue: float64(3 + id%3)}
 		}
-		return work{run: time.Duration(100+100*w.Kind) * time.Millisecond, free: 4}
+		return workerReply{run: time.Duration(100+100*w.Kind) * time.Millisecond, free: 4}
 	})
 	if to[1] < to[0] {
 		t.Errorf("the full fast kind gets %d jobs, the idle slow one %d", to[0], to[1])
--- a/internal/decision/pools_test.go
+++ b/internal/decision/pools_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func labelsOf(d *Dispatcher) map[WorkerID]int {
+func labelsByWorker(d *Dispatcher) map[WorkerID]int {
 	out := map[WorkerID]int{}
 	for l, kinds := range d.pools.members {
 		for _, members := range kinds {
@@ -19,25 +19,25 @@
 	return out
 }
 
-func listed(t *testing.T, seed uint64, list []Entry) *Dispatcher {
-	d := must(t, site(), seed)
+func dispatcherWithList(t *testing.T, seed uint64, list []Entry) *Dispatcher {
+	d := newTestDispatcher(t, testSettings(), seed)
 	d.Handle(time.Second, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 	return d
 }
 
 func TestDispatchersAgreeOnPools(t *testing.T) {
-	list := fleet(60)
-	want := labelsOf(listed(t, 1, list))
+	list := testWorkers(60)
+	want := labelsByWorker(dispatcherWithList(t, 1, list))
 	back := slices.Clone(list)
 	slices.Reverse(back)
 	if len(want) != len(list) {
 		t.Fatalf("%d of %d workers are in a pool", len(want), len(list))
 	}
-	d := listed(t, 2, nil)
+	d := dispatcherWithList(t, 2, nil)
 	for _, e := range back { // one delta after the other comes to the same
 		d.Handle(2*time.Second, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{e}}, nil)
 	}
-	for name, got := range map[string]map[WorkerID]int{"reversed": labelsOf(listed(t, 3, back)), "deltas": labelsOf(d)} {
+	for name, got := range map[string]map[WorkerID]int{"reversed": labelsByWorker(dispatcherWithList(t, 3, back)), "deltas": labelsByWorker(d)} {
 		for id, l := range want {
 			if got[id] != l {
 				t.Errorf("%s: worker %d has label %d, want %d", name, id, got[id], l)
@@ -51,31 +51,31 @@
 	}
 }
 
-func TestPoolsMoveLittle(t *testing.T) {
-	list := fleet(60)
-	before := labelsOf(listed(t, 1, list))
+func TestListChangeMovesFewWorkersBetweenPools(t *testing.T) {
+	list := testWorkers(60)
+	before := labelsByWorker(dispatcherWithList(t, 1, list))
 	for i := range list {
-		after, moved := labelsOf(listed(t, 1, slices.Delete(slices.Clone(list), i, i+1))), 0
+		after, moved := labelsByWorker(dispatcherWithList(t, 1, slices.Delete(slices.Clone(list), i, i+1))), 0
 		for id, l := range after {
 			if before[id] != l {
 				moved++
 			}
 		}
 		// One leaves each pool that came after at most, and sizes may round anew.
-		if moved > 2*len(site().Tenants) {
+		if moved > 2*len(testSettings().Tenants) {
 			t.Errorf("without worker %d, %d others moved", list[i].Worker, moved)
 		}
 	}
 }
 
 func TestTenantsKeepToTheirPools(t *testing.T) {
-	c := newChecker(t, site(), 1)
-	c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(60)})
-	labels := labelsOf(c.d)
+	c := newChecker(t, testSettings(), 1)
+	c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(60)})
+	labels := labelsByWorker(c.dispatcher)
 	for id := JobID(1); id <= 200; id++ {
 		tenant := int(id) % 5
 		c.event(Event{Kind: EventJob, Job: id, Tenant: tenant, Slots: 1, Deadline: c.now + time.Second})
-		if to := c.jobs[id].sends[0].to.Worker; labels[to] != c.d.pools.labelOfTenant[tenant] {
+		if to := c.jobs[id].sends[0].to.Worker; labels[to] != c.dispatcher.pools.labelByTenant[tenant] {
 			t.Errorf("tenant %d: sent to a worker of label %d", tenant, labels[to])
 		}
 		c.outcome(id, 0, OK)
@@ -85,28 +85,28 @@
 // The label's pool had nine tenths of its tenants' share of the workers, the unlabelled one the rest: the
 // larger tenants' jobs met workers a third busier than the others', and stayed there, rejected as too likely
 // late, while those had free slots.
-func TestPoolsFitTheirShares(t *testing.T) {
-	c := ready(t, 200, shared)
-	for l, share := range c.d.pools.shares {
-		for kind, members := range c.d.pools.members[l] {
-			if got := float64(len(members)) / c.d.pools.ready[kind]; math.Abs(got-share) > 0.02 {
+func TestPoolSizesMatchTenantShares(t *testing.T) {
+	c := newCheckerWithWorkers(t, 200, sharedFleetSettings)
+	for l, share := range c.dispatcher.pools.shares {
+		for kind, members := range c.dispatcher.pools.members[l] {
+			if got := float64(len(members)) / c.dispatcher.pools.readyCount[kind]; math.Abs(got-share) > 0.02 {
 				t.Errorf("label %d has %.2f of the jobs and %.2f of kind %d", l, share, got, kind)
 			}
 		}
 	}
-	tenant := slices.Index(c.d.pools.labelOfTenant, 1)
-	full := c.d.pools.members[1]
+	tenant := slices.Index(c.dispatcher.pools.labelByTenant, 1)
+	full := c.dispatcher.pools.members[1]
 	for k := range full {
-		c.d.load.slotsSeen[k] = 4
+		c.dispatcher.load.slotsSeen[k] = 4
 		for _, w := range full[k] {
 			w.peerSlots, w.peerSlotsAt = 16, c.now
 		}
 	}
-	if !c.arrive(1, tenant) {
+	if !c.sendJob(1, tenant) {
 		t.Fatal("a job is rejected as its pool is full, with all other workers idle")
 	}
 	for _, members := range full {
-		if slices.Contains(members, c.d.workers.byID[c.jobs[1].sends[0].to.Worker]) {
+		if slices.Contains(members, c.dispatcher.workers.byID[c.jobs[1].sends[0].to.Worker]) {
 			t.Error("it was sent to the full pool")
 		}
 	}
--- a/internal/decision/power_of_two.go
+++ b/internal/decision/power_of_two.go
@@ -1,8 +1,8 @@
 package decision
 
-// pickOfTwo draws two workers and takes the better one that accepts the job (Mitzenmacher, "The Power
-// of Two Choices in Randomized Load Balancing"). If neither does, the next one after a random position
-// that does is taken.
+// pickOfTwo draws two workers and returns the better one that accepts the job (Mitzenmacher, "The Power of
+// Two Choices in Randomized Load Balancing"). If neither accepts it, pickOfTwo returns the first worker after
+// a random position that does.
 func (p *picker) pickOfTwo(members []*workerState, s search) *workerState {
 	if len(members) == 0 {
 		return nil
@@ -27,8 +27,8 @@
 	return best
 }
 
-// drawPair draws two workers, different ones if there are so many. One that is connected and began its last
-// job at once stands for the first of them: it saves making a connection.
+// drawPair draws two workers, distinct if there are at least two. A prompt worker, if there is one, replaces
+// the first of them, which saves setting up a connection.
 func (p *picker) drawPair(members []*workerState, s search) [2]*workerState {
 	first := p.random.IntN(len(members))
 	second := 0
@@ -42,29 +42,30 @@
 			continue
 		}
 		prompt++
-		if p.random.IntN(prompt) == 0 { // each of them is drawn with the same chance
+		if p.random.IntN(prompt) == 0 { // all prompt workers have the same chance
 			pair[0] = worker
 		}
 	}
 	return pair
 }
 
-// isPrompt tells whether a worker has an idle connection and began its last job at once.
+// isPrompt reports whether a worker has an idle connection and started its last job at once.
 func (p *picker) isPrompt(worker *workerState, s search) bool {
-	return worker.startedAtOnce && p.delays.isConnected(worker, s.now)
+	return worker.startedPromptly && p.delays.isConnected(worker, s.now)
 }
 
-// accepts tells whether a worker takes a job now, and has a free slot for it where that counts.
+// accepts reports whether a worker takes a job now and, where full workers are excluded, has a free slot for
+// it.
 func (p *picker) accepts(worker *workerState, s search) bool {
 	if !p.health.accepts(worker, s.job, s.now) {
 		return false
 	}
-	mayBeFull := s.waiting || p.shared
+	mayBeFull := s.allowFull || p.sharedFleet
 	return mayBeFull || p.forecasts.hasFreeSlot(worker, s.job, s.now)
 }
 
-// prefers tells whether a worker is better for a job than another one: it has fewer own slots in use for its
-// size, or as many in use and is nearer.
+// prefers reports whether worker is better for a job than other: it has fewer own slots in use for its
+// weight, or as many in use and is nearer.
 func (p *picker) prefers(worker, other *workerState, s search) bool {
 	if worker.ownSlots*other.Weight < other.ownSlots*worker.Weight {
 		return true
@@ -72,10 +73,10 @@
 	return worker.ownSlots == other.ownSlots && p.isNearer(worker, other, s)
 }
 
-// isNearer tells whether a job costs less at a worker than at another one, where many dispatchers share
-// workers; else whether it alone is local, unless the other one is prompt.
+// isNearer reports whether a job costs less at worker than at other, where many dispatchers share the
+// workers. Elsewhere it reports whether only worker is local and other is not prompt.
 func (p *picker) isNearer(worker, other *workerState, s search) bool {
-	if p.shared {
+	if p.sharedFleet {
 		return p.costsLess(worker, other, s)
 	}
 	if p.isPrompt(other, s) {
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// rateMemory is the span in which counted arrivals, answers and errors fade.
+// rateMemory is the time constant with which the counts of arrivals, answers and errors decay.
 const rateMemory = 10 * time.Second
 
-// excessFactor is how many times its due a tenant may ask for.
-const excessFactor = 1.3
+// quotaTolerance is the multiple of its due that a tenant may send.
+const quotaTolerance = 1.3
 
-// deviations is how many standard deviations of a Poisson count are taken for chance.
+// deviations is the number of standard deviations of a Poisson count that are attributed to chance.
 const deviations = 3.5
 
-// minTenantsCompared is the least number of tenants with a known rate whose median tells what is due.
+// minTenantsCompared is the least number of tenants with a known rate from which the median is computed.
 const minTenantsCompared = 3
 
-// tenantQuota finds the jobs that are beyond their tenant's share. It observes each tenant's arrivals and
-// answers, fading. What the median tenant is served, for its stated rate, stands for what every tenant is
-// due: retries of a tenant's clients raise its arrivals but not what is due.
+// tenantQuota detects jobs that exceed their tenant's share. It keeps decaying counts of each tenant's
+// arrivals and answers. Every tenant is due what the median tenant is served, relative to its stated rate.
+// Retries by a tenant's clients therefore raise its arrivals but not its due.
 type tenantQuota struct {
 	tenants []TenantSettings
 	random  *rand.Rand
@@ -40,7 +40,7 @@
 	}
 }
 
-// fade brings the counts up to date, and returns the part of them that is left since the last arrival.
+// fade updates the decaying counts to the time now, and returns the factor since the last arrival.
 func (q *tenantQuota) fade(now time.Duration) (part float64) {
 	part = decay(now-q.lastArrivalAt, rateMemory)
 	for tenant := range q.tenants {
@@ -51,23 +51,23 @@
 	return part
 }
 
-// observeAnswer counts an answer to a tenant.
+// observeAnswer counts an answer to a job of a tenant.
 func (q *tenantQuota) observeAnswer(tenant int) { q.answers[tenant]++ }
 
-// observeArrival counts a job, and tells whether it is beyond its tenant's share. Once a tenant asks for
-// more than chance explains, that holds for the part of its jobs that is too much, by chance.
+// observeArrival counts a job and reports whether it exceeds its tenant's share. If a tenant sends more than
+// chance explains, a random selection of its jobs exceeds the share, as large as the surplus.
 func (q *tenantQuota) observeArrival(tenant int) (overQuota bool) {
 	q.arrivals[tenant]++
 	served, known := q.medianServedPart()
 	if !known {
 		return false
 	}
-	due := excessFactor * served * q.tenants[tenant].RatePerSecond
+	due := quotaTolerance * served * q.tenants[tenant].RatePerSecond
 	asked := q.arrivals[tenant]
 	return asked > due+deviations*math.Sqrt(due+1) && q.random.Float64()*asked > due
 }
 
-// medianServedPart is the answers to the median tenant for its stated rate.
+// medianServedPart returns the answers to the median tenant, divided by its stated rate.
 func (q *tenantQuota) medianServedPart() (served float64, known bool) {
 	parts := make([]float64, 0, len(q.tenants))
 	for i, tenant := range q.tenants {
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -7,9 +7,9 @@
 
 // In the first seconds few arrivals are no sign of excess: a third of all jobs were once rejected for it.
 func TestFewArrivalsAreWithinQuota(t *testing.T) {
-	c := ready(t, 40, nil)
+	c := newCheckerWithWorkers(t, 40, nil)
 	for id := JobID(1); id < 40; id++ {
-		if !c.arrive(id, []int{0, 1, 0, 2, 0, 3, 1, 0, 4, 2}[id%10]) {
+		if !c.sendJob(id, []int{0, 1, 0, 2, 0, 3, 1, 0, 4, 2}[id%10]) {
 			t.Fatalf("job %d of a quiet start was not sent", id)
 		}
 		c.outcome(id, 0, OK)
@@ -20,9 +20,9 @@
 // A tenant far beyond its share is shed while there is strain, and others are not. Retries of the
 // others' clients, which multiply what they ask for, must not raise what it is due: an overload kept
 // itself up that way.
-func TestExcessIsShedAndRetriesDoNotRaiseIt(t *testing.T) {
+func TestRetriesDoNotRaiseTenantQuota(t *testing.T) {
 	admitted := func(retries int) (big, small int) {
-		c := ready(t, 40, nil)
+		c := newCheckerWithWorkers(t, 40, nil)
 		id := JobID(0)
 		for step := range 3000 {
 			for _, tenant := range []int{0, 0, 0, 0, 1 + step%4} {
@@ -32,7 +32,7 @@
 				}
 				for try := range tries {
 					id++
-					sent := c.arrive(id, tenant)
+					sent := c.sendJob(id, tenant)
 					if sent && try == 0 && (tenant == 0 || step%8 < 4) {
 						if step > 1500 && tenant == 0 {
 							big++
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -13,9 +13,9 @@
 // answerGrace is how long after its deadline the checker still takes a job's answer.
 const answerGrace = 20 * time.Millisecond
 
-// scriptedPlay draws legal events with scripted outcomes from one source. The order of the draws is recorded with the
+// scriptedRun draws legal events with scripted outcomes from one source. The order of the draws is recorded with the
 // hashes of the actions.
-type scriptedPlay struct {
+type scriptedRun struct {
 	*checker
 	rng  *rand.Rand
 	list []Entry
@@ -23,26 +23,26 @@
 	last JobID  // the last one that has arrived
 }
 
-// play runs a seeded sequence of legal events with scripted outcomes and returns the log of actions.
-func play(t *testing.T, seed uint64, s Settings, keys uint64, jobs JobID) []string {
-	p := &scriptedPlay{
+// runScript runs a seeded sequence of legal events with scripted outcomes and returns the log of actions.
+func runScript(t *testing.T, seed uint64, s Settings, keys uint64, jobs JobID) []string {
+	p := &scriptedRun{
 		checker: newChecker(t, s, seed),
 		rng:     rand.New(rand.NewPCG(seed, 1)),
-		list:    fleet(24),
+		list:    testWorkers(24),
 		keys:    keys,
 	}
 	p.event(Event{Kind: EventList, List: ListCached, Entries: p.list})
 	for p.last < jobs {
 		for range p.rng.IntN(3) {
-			p.arriveAtRandom()
+			p.sendRandomJob()
 		}
-		for _, id := range ids(p.jobs) {
-			p.goOn(id)
+		for _, id := range sortedIDs(p.jobs) {
+			p.advanceJob(id)
 			job := p.jobs[id]
 			if !job.answered && p.now > job.deadline+answerGrace {
 				t.Fatalf("seed %d, %v: job %d got no answer by %v", seed, p.now, id, job.deadline)
 			}
-			if job.answered && !slices.ContainsFunc(job.sends, func(s sent) bool { return !s.done }) {
+			if job.answered && !slices.ContainsFunc(job.sends, func(s trackedAttempt) bool { return !s.done }) {
 				delete(p.jobs, id)
 			}
 		}
@@ -54,12 +54,12 @@
 	return p.log
 }
 
-func (p *scriptedPlay) arriveAtRandom() {
+func (p *scriptedRun) sendRandomJob() {
 	p.last++
 	p.event(Event{
 		Kind:     EventJob,
 		Job:      p.last,
-		Class:    p.rng.IntN(len(p.s.Classes)),
+		Class:    p.rng.IntN(len(p.settings.Classes)),
 		Tenant:   p.rng.IntN(7) - 1,
 		Key:      p.rng.Uint64N(40) * p.keys,
 		Slots:    float64(1 + p.rng.IntN(3)),
@@ -67,11 +67,11 @@
 	})
 }
 
-// goOn draws what becomes of each attempt of a job, and whether its client leaves.
-func (p *scriptedPlay) goOn(id JobID) {
+// advanceJob draws what becomes of each attempt of a job, and whether its client leaves.
+func (p *scriptedRun) advanceJob(id JobID) {
 	job := p.jobs[id]
 	for attempt := range job.sends {
-		p.goOnWithAttempt(id, attempt)
+		p.advanceAttempt(id, attempt)
 	}
 	if !job.answered && p.rng.IntN(300) == 0 {
 		job.answered = true
@@ -79,14 +79,14 @@
 	}
 }
 
-func (p *scriptedPlay) goOnWithAttempt(id JobID, attempt int) {
+func (p *scriptedRun) advanceAttempt(id JobID, attempt int) {
 	job := p.jobs[id]
 	switch chance := p.rng.IntN(100); {
 	case job.sends[attempt].done:
 	case p.now >= job.deadline:
 		p.outcome(id, attempt, TimedOut)
 	case chance < 25:
-		if p.s.ReportsLoad {
+		if p.settings.ReportsLoad {
 			free := float64(p.rng.IntN(4))
 			queue := float64(p.rng.IntN(5))
 			p.load = Load{Count: 2, Values: [4]float64{free, queue}}
@@ -101,7 +101,7 @@
 }
 
 // changeList changes the state of one worker and tells it by a delta, by the whole list, or not at all.
-func (p *scriptedPlay) changeList() {
+func (p *scriptedRun) changeList() {
 	entry := &p.list[p.rng.IntN(len(p.list))]
 	entry.State = State(p.rng.IntN(3))
 	if entry.State == Ready {
@@ -118,8 +118,8 @@
 	}
 }
 
-// ids is the ids of jobs in their order.
-func ids(jobs map[JobID]*open) []JobID { return slices.Sorted(maps.Keys(jobs)) }
+// sortedIDs is the sortedIDs of jobs in their order.
+func sortedIDs(jobs map[JobID]*trackedJob) []JobID { return slices.Sorted(maps.Keys(jobs)) }
 
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	variants := map[string]func(*Settings){
@@ -139,21 +139,21 @@
 			s.Classes[0].AllowedKinds, s.RejectionUnproven, s.DrainCloseWithin = []int{0}, true, 200*time.Millisecond
 			s.HealthChecks, s.Report.FreeSlots, s.Cancel, s.ReportsLoad = true, 0, false, true
 		},
-		"many share": shared,
-		"few, dear":  few,
+		"many share": sharedFleetSettings,
+		"few, dear":  costlyZoneSettings,
 		"probes":     func(s *Settings) { s.HealthChecks, s.Report.FreeSlots = true, 0 },
 		"reports": func(s *Settings) {
-			reportsFreeSlotsAndQueue(s)
+			loadReportSettings(s)
 		},
 	}
 	for name, change := range variants {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				s := site()
+				s := testSettings()
 				change(&s)
 				keys := map[string]uint64{"keys": 1, "all at once": 1}[name]
-				first := play(t, seed, s, keys, 3000)
-				if !slices.Equal(first, play(t, seed, s, keys, 3000)) {
+				first := runScript(t, seed, s, keys, 3000)
+				if !slices.Equal(first, runScript(t, seed, s, keys, 3000)) {
 					t.Fatalf("seed %d: the same events gave other actions", seed)
 				}
 				if len(first) < 1000 {
@@ -170,12 +170,12 @@
 func TestRulesHoldOnRandomSettings(t *testing.T) {
 	sends, answers := 0, 0
 	for seed := range uint64(80) {
-		s := random(rand.New(rand.NewPCG(seed, 2)))
-		for _, line := range play(t, seed, s, seed%2, 600) {
-			sends += count(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Send)))
+		s := randomSettings(rand.New(rand.NewPCG(seed, 2)))
+		for _, line := range runScript(t, seed, s, seed%2, 600) {
+			sends += boolToInt(strings.Contains(line, fmt.Sprintf("{Kind:%d ", Send)))
 			rejected := strings.Contains(line, fmt.Sprintf("{Kind:%d ", Reject))
 			failed := strings.Contains(line, fmt.Sprintf("{Kind:%d ", Fail))
-			answers += count(rejected || failed)
+			answers += boolToInt(rejected || failed)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d: %+v", seed, s)
--- a/internal/decision/send_gate.go
+++ b/internal/decision/send_gate.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// usableDedupWindow is the part of a class's deduplication window within which a job is sent again: the
-// repeat must reach its worker before the window ends.
+// usableDedupWindow is the part of a class's deduplication window within which a job may be sent again. The
+// remaining part is for the repeat to reach its worker.
 const usableDedupWindow = 0.7
 
-// restrictsWorkers tells whether only some workers are open to the class.
+// restrictsWorkers reports whether the class is limited to some kinds or zones of workers.
 func (c *ClassSettings) restrictsWorkers() bool {
 	restrictsKinds := c.WorkerKind >= 0 || len(c.AllowedKinds) > 0
 	return restrictsKinds || len(c.AllowedZones) > 0
 }
 
-// permits keeps placement: a class that restricts workers goes to no other one, and to none of unknown
-// kind or zone.
+// permits reports whether the placement rules of the class allow a worker. A class with such rules never goes
+// to a worker of unknown kind or zone.
 func (c *ClassSettings) permits(worker *workerState) bool {
 	if !c.restrictsWorkers() {
 		return true
 	}
-	if worker.unknownPlace {
+	if worker.unknownPlacement {
 		return false
 	}
 	isNeededKind := c.WorkerKind < 0 || c.WorkerKind == worker.Kind
@@ -30,15 +30,16 @@
 	return isNeededKind && isAllowedKind && isAllowedZone
 }
 
-// retriesAnywhere tells whether a job of the class may be tried again at any worker, whatever became
+// retriesAnywhere reports whether a job of the class may be retried at any worker, regardless of the outcomes
 // of its attempts.
 func (c *ClassSettings) retriesAnywhere() bool {
 	dropsAllRepeats := c.Idempotency == Deduplicated && c.DedupScope == DedupByAll
 	return c.Idempotency == Idempotent || dropsAllRepeats
 }
 
-// dropsRepeat tells whether a worker would drop a repeat of an attempt that may have run: it is in the same
-// scope, and the class's window, which counts from the send of that attempt, has not nearly ended.
+// dropsRepeat reports whether a worker would drop a repeat of an attempt that may have run. The worker has to
+// be in the same deduplication scope, and the window, which counts from the send of the attempt, must not be
+// nearly over.
 func (c *ClassSettings) dropsRepeat(attempt *attemptState, worker *workerState, now time.Duration) bool {
 	if float64(now-attempt.sentAt) > usableDedupWindow*float64(c.DedupWindow) {
 		return false
@@ -53,15 +54,15 @@
 	}
 }
 
-// sendGate holds the rules of the deployment for attempts: none goes out that it does not let through.
+// sendGate enforces the rules of the deployment for attempts. Every send passes through it.
 type sendGate struct {
 	settings  *Settings
 	slowStart slowStart
 	budget    *slowStartBudget
 }
 
-// allows tells whether a job may be sent to a worker now. For a warming worker that may draw whose
-// turn it is.
+// allows reports whether a job may be sent to a worker now. For a warming-up worker it may make a random draw
+// for a permit.
 func (g *sendGate) allows(worker *workerState, job *jobState, now time.Duration) bool {
 	if worker.State != Ready || !g.allowsAttempt(job, now) {
 		return false
@@ -72,9 +73,9 @@
 	return g.slowStart.isWarm(worker, now) || g.budget.allows(worker, job, now)
 }
 
-// allowsAttempt tells whether a job may have another attempt at all: before its deadline, up to the
-// stated number, beside others only where that is allowed, and if it is not idempotent only while no
-// attempt may have run.
+// allowsAttempt reports whether a job may have another attempt at all. It must be before the deadline and
+// have fewer than the stated number of attempts. Parallel attempts need the setting for them, and a job that
+// is not idempotent gets another attempt only if no earlier one may have run.
 func (g *sendGate) allowsAttempt(job *jobState, now time.Duration) bool {
 	if job.ended || now >= job.Deadline {
 		return false
@@ -94,8 +95,9 @@
 	return true
 }
 
-// allowsRetryAt tells whether the attempts so far leave a worker to a job: it has had none of them, and if
-// repeats are dropped in a scope it is in that of all that may have run.
+// allowsRetryAt reports whether the earlier attempts of a job allow a retry at a worker. The worker must not
+// have had an attempt of the job. If workers deduplicate within a scope, it must be in the scope of all
+// attempts that may have run.
 func (g *sendGate) allowsRetryAt(worker *workerState, job *jobState, now time.Duration) bool {
 	class := &g.settings.Classes[job.Class]
 	for _, attempt := range job.attempts {
@@ -110,8 +112,8 @@
 	return true
 }
 
-// allowedWorkers returns those of the workers that a job may be sent to by its class and its attempts so
-// far. The result may be the given slice, which is never changed.
+// allowedWorkers returns the workers that a job may be sent to by its class and its earlier attempts. The
+// result may be the given slice, which is not modified.
 func (g *sendGate) allowedWorkers(workers []*workerState, job *jobState, now time.Duration) []*workerState {
 	class := &g.settings.Classes[job.Class]
 	if !class.restrictsWorkers() && len(job.attempts) == 0 {
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -21,8 +21,8 @@
 		{Cancelled, [5]string{again, fail, again, again, again}},
 	} {
 		for class, want := range tc.want {
-			c := newChecker(t, site(), 1)
-			c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
+			c := newChecker(t, testSettings(), 1)
+			c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(24)})
 			c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + 4*time.Second})
 			if len(c.jobs[1].sends) != 1 {
 				t.Fatalf("class %d: %d sends at arrival", class, len(c.jobs[1].sends))
@@ -32,7 +32,7 @@
 			switch j := c.jobs[1]; {
 			case len(j.sends) == 2:
 				got = again
-			case tc.outcome != OK && j.answered && c.d.actions[len(c.d.actions)-1].Kind == Fail:
+			case tc.outcome != OK && j.answered && c.dispatcher.actions[len(c.dispatcher.actions)-1].Kind == Fail:
 				got = fail
 			case tc.outcome != OK && j.answered:
 				got = reject
@@ -47,12 +47,12 @@
 // At the deadline a job that may have run is failed, or rejected where repeating is harmless, at once.
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail, Fail, Reject} {
-		c := newChecker(t, site(), 1)
-		c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
+		c := newChecker(t, testSettings(), 1)
+		c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(24)})
 		c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + time.Second})
 		c.now += time.Second
 		c.outcome(1, 0, TimedOut)
-		if last := c.d.actions[len(c.d.actions)-1]; last.Kind != want {
+		if last := c.dispatcher.actions[len(c.dispatcher.actions)-1]; last.Kind != want {
 			t.Errorf("class %d: action %d, want %d", class, last.Kind, want)
 		}
 	}
@@ -71,7 +71,7 @@
 		{Rejected, 1, false, false}, {ConnectFailed, 1, true, true}, {NeverSent, 1, true, true},
 		{Rejected, 0, true, true}, {Rejected, 2, true, false}, {Rejected, 4, true, true},
 	} {
-		c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts = true, 2 })
+		c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts = true, 2 })
 		c.event(Event{Kind: EventJob, Job: 1, Class: tc.class, Slots: 1, Deadline: c.now + 4*time.Second})
 		c.outcome(1, 0, tc.outcome)
 		j := c.jobs[1]
@@ -84,7 +84,7 @@
 			}
 			c.outcome(1, 1, tc.outcome)
 		}
-		last := c.d.actions[len(c.d.actions)-1].Kind
+		last := c.dispatcher.actions[len(c.dispatcher.actions)-1].Kind
 		if !j.answered || (last == Reject) != tc.rejections {
 			t.Errorf("outcome %d, class %d: answered %v with action %d", tc.outcome, tc.class, j.answered, last)
 		}
@@ -94,7 +94,7 @@
 // The deduplication window counts from the earliest attempt that may have run, however often the job
 // was rejected since.
 func TestDedupWindowCountsFromFirstUnprovenAttempt(t *testing.T) {
-	c := ready(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
+	c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
 	c.event(Event{Kind: EventJob, Job: 1, Class: 4, Slots: 1, Deadline: c.now + 5*time.Second})
 	start := c.now
 	for n := 0; n < len(c.jobs[1].sends); n++ {
@@ -108,7 +108,7 @@
 
 // A class that is bound to kinds or zones goes nowhere else, also when those workers are full or none is
 // left, and never to one of a kind or zone that the settings do not know. Such a job once went anywhere.
-func TestPlacementIsKept(t *testing.T) {
+func TestJobsStayWithinAllowedKindsAndZones(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Settings)
 		ok     func(Entry) bool
@@ -128,14 +128,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, keys := range []uint64{0, 1} {
-				c := ready(t, 24, func(s *Settings) {
+				c := newCheckerWithWorkers(t, 24, func(s *Settings) {
 					s.Zones, s.MaxAttempts = 3, 0
 					tc.change(s)
 				})
 				stray := []Entry{{Worker: 1, Kind: 9, Zone: 2, State: Ready}, {Worker: 2, Kind: 1, Zone: 9, State: Ready}}
 				c.event(Event{Kind: EventList, List: ListDelta, Entries: stray})
 				permitted := 0
-				for _, e := range fleet(24) {
+				for _, e := range testWorkers(24) {
 					if tc.ok(e) {
 						permitted++
 					}
@@ -144,7 +144,7 @@
 				for id := JobID(1); id <= 200; id++ {
 					c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Key: uint64(id) * keys, Slots: 1,
 						Deadline: c.now + time.Second})
-					for _, open := range ids(c.jobs) { // every one turns it away, at once
+					for _, open := range sortedIDs(c.jobs) { // every one turns it away, at once
 						for n := 0; n < len(c.jobs[open].sends); n++ {
 							if e := c.jobs[open].sends[n].to; !tc.ok(e) || name != "empty" && e.Worker <= 2 {
 								t.Fatalf("keys %v: sent to %+v", keys, e)
--- a/internal/decision/slow_start.go
+++ b/internal/decision/slow_start.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// slowStart is how much of its capacity a worker surely has: it grows in a line, from
-// Settings.SlowStartShare at its process's start to all of it after Settings.SlowStartDuration.
+// slowStart models the capacity that a worker is certain to have after its start. The capacity grows linearly
+// from Settings.SlowStartShare at the start of the process to the full capacity after
+// Settings.SlowStartDuration.
 type slowStart struct {
 	initialShare float64
 	duration     time.Duration
 }
 
-// share is the part of its capacity that a worker surely has, 1 once it is warm.
+// share returns the part of its capacity that a worker is certain to have, 1 once it has warmed up.
 func (s slowStart) share(worker *workerState, now time.Duration) float64 {
 	age := now - worker.Started
 	if worker.Started <= 0 || age >= s.duration {
@@ -18,7 +19,7 @@
 	return s.initialShare + (1-s.initialShare)*float64(max(age, 0))/float64(s.duration)
 }
 
-// isWarm tells whether a worker has its full capacity.
+// isWarm reports whether a worker has its full capacity.
 func (s slowStart) isWarm(worker *workerState, now time.Duration) bool {
 	return s.share(worker, now) >= 1
 }
--- a/internal/decision/slow_start_budget.go
+++ b/internal/decision/slow_start_budget.go
@@ -7,32 +7,35 @@
 	"time"
 )
 
-// minBusyShare is the part of its slots that any worker is taken to keep at work, where workers report: what
-// mostly idle ones do says little of what one bears.
+// minBusyShare is the least part of its slots that any worker is assumed to keep busy, where workers report
+// their load. The use of mostly idle workers says little about their capacity.
 const minBusyShare = 0.5
 
-// minBusySlots is the number of slots that any worker is taken to keep at work, over all dispatchers: a
-// warming worker of an idle fleet gets jobs, too.
+// minBusySlots is the least number of slots that any worker is assumed to keep busy, over all dispatchers. It
+// lets a warming-up worker of an idle fleet get jobs.
 const minBusySlots = 0.1
 
-// minJobSlotSeconds is the least work that a job counts as: the chance of a turn stays a number where jobs
-// seem to take no time.
+// minJobSlotSeconds is the least work that a job counts as, in slot seconds. It keeps the probability of a
+// permit finite where jobs seem to take no time.
 const minJobSlotSeconds = 1e-3
 
-// minKnownSeconds is the least time over which the rate of work is taken, soon after the first list.
+// minKnownSeconds is the least time over which the rate of work is averaged, for the time soon after the
+// first list.
 const minKnownSeconds = 1
 
-// minOverloadJobs keeps the share of the overload limit that is used finite where next to no job may go.
+// minOverloadJobs is the least divisor for the used share of the overload limit. It avoids a division by zero
+// where hardly any job may go to the worker.
 const minOverloadJobs = 1e-9
 
-// slowStartTurn is whether it is this dispatcher's turn to send a warming worker its next job.
-type slowStartTurn struct {
-	hasTurn bool
-	drawnAt time.Duration // when hasTurn was last drawn, 0 for never
+// slowStartPermit records whether this dispatcher may send a warming-up worker its next job.
+type slowStartPermit struct {
+	hasPermit bool
+	drawnAt   time.Duration // when hasPermit was last drawn; 0: never
 }
 
-// slowStartBudget lets jobs to warming workers, by chance: all dispatchers together send such a worker what a
-// warm one bears, times the share of its capacity that it has. No dispatcher saves up what it did not send.
+// slowStartBudget limits the jobs to warming-up workers by random draws. All dispatchers together send such a
+// worker the work of a warm one times its present share of its capacity. A dispatcher does not accumulate
+// unused budget.
 type slowStartBudget struct {
 	settings  *Settings
 	random    *rand.Rand
@@ -41,65 +44,66 @@
 	times     *learnedTimes
 	load      *loadEstimator
 
-	firstListAt time.Duration // since when work is counted
-	servedWork  []float64     // by kind: slot seconds of this dispatcher's jobs at warm workers, fading
+	firstListAt time.Duration // work is counted from then on
+	servedWork  []float64     // by kind: decaying slot seconds of this dispatcher's jobs at warm workers
 }
 
-// listReceived notes the time of the first list.
+// listReceived records the time of the first list.
 func (b *slowStartBudget) listReceived(now time.Duration) {
 	b.firstListAt = cmp.Or(b.firstListAt, now)
 }
 
-// fade lowers the counted work to the given part.
+// fade multiplies the counted work by the given factor.
 func (b *slowStartBudget) fade(part float64) {
 	for kind := range b.servedWork {
 		b.servedWork[kind] *= part
 	}
 }
 
-// observeWork counts the slot seconds that a job took at a warm worker.
+// observeWork adds the slot seconds that a job took at a warm worker.
 func (b *slowStartBudget) observeWork(kind int, slotSeconds float64) {
 	b.servedWork[kind] += slotSeconds
 }
 
-// allows tells whether a job may go to a warming worker: whether it is this dispatcher's turn, which is
-// drawn once for each moment and lasts until the turn is used.
+// allows reports whether a job may go to a warming-up worker. It draws a permit at most once per point in
+// time, and a permit lasts until it is used or drawn again.
 func (b *slowStartBudget) allows(worker *workerState, job *jobState, now time.Duration) bool {
 	span := b.settings.OverloadSpan.Seconds()
 	slotSeconds := max(job.Slots*b.times.runSeconds[job.Class]*b.times.slowness[worker.Kind], minJobSlotSeconds)
 	rate := b.rate(worker, slotSeconds, now)
 	sinceDraw := (now - cmp.Or(worker.drawnAt, now)).Seconds()
 	if sinceDraw > 0 || worker.drawnAt == 0 {
-		worker.hasTurn = b.random.Float64() < rate*min(sinceDraw, span)/slotSeconds
+		worker.hasPermit = b.random.Float64() < rate*min(sinceDraw, span)/slotSeconds
 		worker.drawnAt = now
 	}
-	return worker.hasTurn
+	return worker.hasPermit
 }
 
-// rate is the work, in slot seconds a second, that this dispatcher sends a warming worker in the mean. Draws
-// vary: the mean stays so far below the limit of an overload that their deviations stay within it.
+// rate returns the mean work, in slot seconds per second, that this dispatcher sends to a warming-up worker.
+// The mean is far enough below the overload limit that the deviations of the random draws stay within it.
 func (b *slowStartBudget) rate(worker *workerState, slotSeconds float64, now time.Duration) float64 {
 	dispatchers := float64(b.settings.Dispatchers)
 	span := b.settings.OverloadSpan.Seconds()
 	multiple := b.settings.OverloadMultiple
 	share := b.slowStart.share(worker, now)
 	warmRate := b.warmRate(worker, dispatchers, now)
-	// The mean of a Poisson count that with all its deviations stays within what all dispatchers may send in
-	// a span: the square of root, which solves root*root + deviations*root = overloadJobs.
+	// The square of root is the mean of a Poisson count that stays, with its deviations, within the jobs that
+	// all dispatchers may send in a span. root solves root*root + deviations*root = overloadJobs.
 	overloadJobs := multiple * share * warmRate * dispatchers * span / slotSeconds
 	root := max(math.Sqrt(overloadJobs+deviations*deviations/4)-deviations/2, 0)
 	usedShare := min(root*root/max(overloadJobs, minOverloadJobs)*multiple, 1)
 	return usedShare * share * warmRate
 }
 
-// warmRate is the work, in slot seconds a second, that a warm worker of the kind bears from each dispatcher:
-// what it gets from this one, or its part of what all dispatchers hold there.
+// warmRate returns the work, in slot seconds per second, that a warm worker of the kind takes from each
+// dispatcher. It is the work from this dispatcher, or this dispatcher's part of the slots that all
+// dispatchers keep busy there, whichever is larger.
 func (b *slowStartBudget) warmRate(worker *workerState, dispatchers float64, now time.Duration) float64 {
 	knownSeconds := rateMemory.Seconds() * (1 - decay(now-b.firstListAt, rateMemory))
-	readyWorkers := max(b.pools.ready[worker.Kind], 1)
+	readyWorkers := max(b.pools.readyCount[worker.Kind], 1)
 	servedRate := b.servedWork[worker.Kind] / max(knownSeconds, minKnownSeconds) / readyWorkers
 	slots := b.load.slotsSeen[worker.Kind]
 	busySlots := max(min(b.load.groupLoad[b.load.locality.group(worker)], slots), minBusyShare*slots)
-	reported := float64(count(b.load.reported))
+	reported := float64(boolToInt(b.load.reported))
 	return max(servedRate, minBusySlots/dispatchers, busySlots*reported/dispatchers)
 }
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -10,12 +10,12 @@
 // the fleet rejects.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 4, 20} {
-		c := ready(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
+		c := newCheckerWithWorkers(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
 		id := JobID(0)
 		serve := func(seconds int, o func(to WorkerID) Outcome) {
 			for range seconds * 20 {
 				id++
-				c.arrive(id, int(id)%5)
+				c.sendJob(id, int(id)%5)
 				for n := 0; n < len(c.jobs[id].sends) && !c.jobs[id].answered; n++ {
 					c.now += 40 * time.Millisecond
 					c.outcome(id, n, o(c.jobs[id].sends[n].to.Worker))
@@ -34,16 +34,16 @@
 			return Rejected
 		})
 		// A warm worker takes a twelfth of 20 jobs a second from here; cold it surely does a fifth of that.
-		limit := c.s.OverloadMultiple * c.s.SlowStartShare * 20 / 12 * c.s.OverloadSpan.Seconds()
+		limit := c.settings.OverloadMultiple * c.settings.SlowStartShare * 20 / 12 * c.settings.OverloadSpan.Seconds()
 		n := 0
-		for _, at := range c.cold[cold.Worker] {
-			if at < start+c.s.OverloadSpan {
+		for _, at := range c.warmingSends[cold.Worker] {
+			if at < start+c.settings.OverloadSpan {
 				n++
 			}
 		}
 		if float64(n) > limit {
 			t.Errorf("%d dispatchers: %d jobs to a warming worker within %v, over its part of the budget, %.1f",
-				dispatchers, n, c.s.OverloadSpan, limit)
+				dispatchers, n, c.settings.OverloadSpan, limit)
 		}
 	}
 }
@@ -56,17 +56,17 @@
 	for _, idle := range []time.Duration{0, 4 * time.Second} {
 		work, limit := 0.0, 0.0
 		for seed := range uint64(n) {
-			s := site()
+			s := testSettings()
 			s.Dispatchers = n
 			s.OverloadMultiple = 1.5
 			s.OverloadSpan = time.Second
 			s.SlowStartShare = 0.16
-			d := must(t, s, seed)
+			d := newTestDispatcher(t, s, seed)
 			d.now = time.Minute
 			d.times.runSeconds[0] = 0.9
 			d.times.runSeconds[1] = 0.15
 			d.budget.servedWork[0] = 2.5
-			d.pools.ready[0] = 10
+			d.pools.readyCount[0] = 10
 			w := &workerState{
 				Entry:        Entry{Worker: 1, Started: d.now - 2*time.Second, State: Ready},
 				workerHealth: workerHealth{slowness: 1},
@@ -79,10 +79,10 @@
 				d.budget.allows(w, long, d.now)
 			}
 			share := d.slowStart.share(w, d.now)
-			limit += s.OverloadMultiple * share * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.ready[0]
+			limit += s.OverloadMultiple * share * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.readyCount[0]
 			for range 10 { // within one span everybody wants to send there
 				for d.budget.allows(w, short, d.now) {
-					w.hasTurn = false
+					w.hasPermit = false
 					work += 0.15
 				}
 				d.now += 100 * time.Millisecond
@@ -98,22 +98,22 @@
 // of what such a worker bears, so that 36 new workers were idle for seconds while a third of all jobs was
 // rejected. All together use it well now, and stay within the rule's budget.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
-	shareAWarmingWorker(t, 4, 2, 0, 8)  // its warm peers have 13 jobs a second each; it surely bears 4 of that
-	shareAWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
-	shareAWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its peers to do more
+	checkSharedWarmingWorker(t, 4, 2, 0, 8)  // its warm peers have 13 jobs a second each; it surely bears 4 of that
+	checkSharedWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
+	checkSharedWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its peers to do more
 }
 
-func shareAWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
+func checkSharedWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
 	const n, run = 80, 200 * time.Millisecond
-	list := fleet(24)
+	list := testWorkers(24)
 	for i := range list {
 		list[i].Kind = 0
 	}
 	var sends []time.Duration
 	for seed := range uint64(n) {
-		s := site()
-		shared(&s)
-		d := must(t, s, seed)
+		s := testSettings()
+		sharedFleetSettings(&s)
+		d := newTestDispatcher(t, s, seed)
 		now := time.Minute + time.Duration(seed)*time.Millisecond
 		id := JobID(0)
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
@@ -131,8 +131,8 @@
 					sends = append(sends, now-cold.Started)
 				}
 				d.Handle(now, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
-				free := slots * float64(count(queue == 0 || id < 3))
-				queued := queue*float64(count(id >= 3)) + 0.01*float64(id)
+				free := slots * float64(boolToInt(queue == 0 || id < 3))
+				queued := queue*float64(boolToInt(id >= 3)) + 0.01*float64(id)
 				d.Handle(now+run, &Event{Kind: EventOutcome, Job: id, Worker: a.Worker, Outcome: OK, JobEnded: true,
 					Load: Load{Count: 2, Values: [4]float64{free, queued}}}, nil)
 			}
--- a/internal/decision/timers.go
+++ b/internal/decision/timers.go
@@ -1,7 +1,7 @@
 package decision
 
-// The tokens of timers. Those of calls to discovery count on from the last one here.
+// Tokens of timers. The tokens of discovery calls count up from the last one here.
 const (
-	checkToken      uint32 = 0 // look at the open jobs
-	drainCloseToken uint32 = 1 // close idle connections to draining workers once more
+	checkToken      uint32 = 0 // check the open jobs
+	drainCloseToken uint32 = 1 // close idle connections to draining workers again
 )
--- a/internal/decision/validation.go
+++ b/internal/decision/validation.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// validate returns an error that names the first setting that cannot work.
+// validate returns an error that names the first setting that is out of range.
 func (s *Settings) validate() error {
 	if err := s.validateScalars(); err != nil {
 		return err
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// validateScalars checks the settings of the deployment as a whole.
+// validateScalars checks the settings that are not specific to a class or a tenant.
 func (s *Settings) validateScalars() error {
 	for _, setting := range []struct {
 		name  string
@@ -53,39 +53,41 @@
 	return nil
 }
 
-// valid tells whether a class can work. Comparisons are so that a value that is not a number fails them.
+// valid reports whether the settings of a class are in range. The comparisons are written so that NaN fails
+// them.
 func (c *ClassSettings) valid() bool {
 	times := c.LatencyTarget >= 0 && c.Deadline >= 0 && c.DedupWindow >= 0
 	values := c.Value >= 0 && c.Stretch >= 0
 	return times && values && c.WorkerKind >= -1
 }
 
-// valid tells whether a tenant can work. Comparisons are so that a value that is not a number fails them.
+// valid reports whether the settings of a tenant are in range. The comparisons are written so that NaN fails
+// them.
 func (t *TenantSettings) valid() bool {
 	share := t.Share >= 0 && t.Share <= math.MaxFloat32
 	rate := t.RatePerSecond >= 0 && t.RatePerSecond <= math.MaxFloat32
 	return share && rate
 }
 
-// withDefaults returns the settings with what is missing filled in.
+// withDefaults returns the settings with defaults for missing values.
 func (s Settings) withDefaults() Settings {
 	if !s.RetryAfter {
 		s.MaxRetryAfter = 0
 	}
 	s.Kinds = max(s.Kinds, 1)
 	s.Dispatchers = max(s.Dispatchers, 1)
-	if len(s.Classes) == 0 { // nothing is known of the jobs: the careful reading
+	if len(s.Classes) == 0 { // nothing is known about the jobs: assume the strictest class
 		s.Classes = []ClassSettings{{Idempotency: NotIdempotent, Value: 1, WorkerKind: -1}}
 	}
-	// Jobs of tenants that are not listed count as those of one more, without a share.
+	// Jobs of unlisted tenants count as those of an additional tenant without a share.
 	s.Tenants = append(slices.Clip(s.Tenants), TenantSettings{})
 	return s
 }
 
-// normalized is a job's event with what lies outside the settings brought inside.
+// normalized returns a job's event with values that the settings do not allow replaced by valid ones.
 func (ev *Event) normalized(settings *Settings) Event {
 	event := *ev
-	if !(event.Slots > 0 && event.Slots < math.MaxInt32) { // not a number, too
+	if !(event.Slots > 0 && event.Slots < math.MaxInt32) { // also catches NaN
 		event.Slots = 1
 	}
 	if event.Deadline <= 0 {
@@ -98,10 +100,10 @@
 	return event
 }
 
-// normalize brings what lies outside the settings inside, and tells whether the entry's kind or zone is none
-// of theirs. A weight that no worker can have counts as 1.
-func (e *Entry) normalize(settings *Settings) (unknownPlace bool) {
-	if !(e.Weight > 0 && e.Weight < math.MaxFloat32) { // not a number, too
+// normalize replaces values that the settings do not allow by valid ones, and reports whether the entry's
+// kind or zone is unknown. An invalid weight counts as 1.
+func (e *Entry) normalize(settings *Settings) (unknownPlacement bool) {
+	if !(e.Weight > 0 && e.Weight < math.MaxFloat32) { // also catches NaN
 		e.Weight = 1
 	}
 	unknownKind := e.Kind < 0 || e.Kind >= settings.Kinds
--- a/internal/decision/validation_test.go
+++ b/internal/decision/validation_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-func TestMissingSettingsWork(t *testing.T) {
+func TestMissingSettingsGetDefaults(t *testing.T) {
 	c := newChecker(t, Settings{}, 1)
-	c.s.Classes = []ClassSettings{{Idempotency: NotIdempotent}}
+	c.settings.Classes = []ClassSettings{{Idempotency: NotIdempotent}}
 	c.event(Event{Kind: EventJob, Job: 1, Tenant: 9, Deadline: c.now + time.Second})
-	c.event(Event{Kind: EventList, List: ListDelta, Entries: fleet(3)})
+	c.event(Event{Kind: EventList, List: ListDelta, Entries: testWorkers(3)})
 	c.event(Event{Kind: EventJob, Job: 2, Deadline: c.now + time.Second})
 	if !c.jobs[1].answered || len(c.jobs[2].sends) != 1 {
 		t.Errorf("without a list answered %v, with one %d sends", c.jobs[1].answered, len(c.jobs[2].sends))
@@ -28,7 +28,7 @@
 		"ToleratedMisses":   func(s *Settings) { s.ToleratedMisses = -0.1 },
 		"Tenants[2]":        func(s *Settings) { s.Tenants[2].Share = math.Inf(1) },
 	} {
-		s := site()
+		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || err.Error() != "decision: setting "+name+" is out of range" {
 			t.Errorf("%s: error %v", name, err)
--- a/internal/decision/workers_test.go
+++ b/internal/decision/workers_test.go
@@ -11,11 +11,11 @@
 func TestIdleConnectionsAreClosedOnDrains(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
 		for _, limit := range []time.Duration{0, 800 * time.Millisecond} {
-			c := ready(t, 24, func(s *Settings) { s.DrainCloseWithin = limit })
+			c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.DrainCloseWithin = limit })
 			want := map[bool]int{true: 1}[limit > 0]
 			c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 			to := c.jobs[1].sends[0].to
-			list := fleet(24)
+			list := testWorkers(24)
 			for i := range list {
 				if list[i].Worker == to.Worker {
 					list[i].State = Draining
@@ -23,7 +23,7 @@
 			}
 			told := func() int {
 				c.event(Event{Kind: EventList, List: kind, Entries: list})
-				return c.closes(to.Worker)
+				return c.countCloseIdle(to.Worker)
 			}
 			if n := told(); n != want {
 				t.Errorf("list %d, limit %v: %d closings at the notice", kind, limit, n)
@@ -32,14 +32,14 @@
 				t.Errorf("list %d: closed again at the same news", kind)
 			}
 			c.outcome(1, 0, Cancelled) // its connection may be on the way still
-			if n := c.closes(to.Worker); n != want {
+			if n := c.countCloseIdle(to.Worker); n != want {
 				t.Errorf("list %d, limit %v: %d closings at the outcome", kind, limit, n)
 			}
 			later := 0
 			for range 300 {
-				c.d.actions = nil
+				c.dispatcher.actions = nil
 				c.advance(10 * time.Millisecond)
-				later += c.closes(to.Worker)
+				later += c.countCloseIdle(to.Worker)
 			}
 			if later != want {
 				t.Errorf("list %d, limit %v: %d late closings", kind, limit, later)
