--- a/internal/decision/absurd_reports_test.go
+++ b/internal/decision/absurd_reports_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// invalidValues are what no worker should report.
+// invalidValues are values that no worker should report.
 var invalidValues = []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1e300, 1e300, 0}
 
-// Outcomes, progress and reports of workers that have left, absurd reports and a clock that jumps ahead by
-// seconds: no rule is broken, nothing panics, and jobs afterwards are served as usual.
+// Outcomes, progress and reports of workers that have left, invalid reports and a clock that jumps ahead by
+// seconds must not break a rule or cause a panic. Later jobs are served as usual.
 func TestInvalidReportsAndClockJumpsDoNotBreakRules(t *testing.T) {
-	for _, asks := range []bool{false, true} {
+	for _, healthChecks := range []bool{false, true} {
 		c := newCheckerWithWorkers(t, 24, func(s *Settings) {
 			invalidReportSettings(s)
-			s.HealthChecks = asks
+			s.HealthChecks = healthChecks
 		})
 		list := testWorkers(24)
 		for id := JobID(1); id <= 600; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: int(id) % 5, Tenant: int(id) % 5, Key: uint64(id % 7),
 				Slots: 1, Deadline: c.now + time.Hour})
-			if id%20 == 0 { // a worker leaves, or drains and leaves, or is back, while its jobs are out
+			if id%20 == 0 { // a worker leaves, drains or returns while its jobs are in flight
 				entry := &list[int(id/20)%len(list)]
 				entry.State = State(id / 20 % 3)
 				c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*entry}})
@@ -38,7 +38,7 @@
 			list[i].Started = 0
 		}
 		c.event(Event{Kind: EventList, List: ListFull, Entries: list})
-		for _, id := range sortedIDs(c.jobs) { // what came to be sent in between ends, too
+		for _, id := range sortedIDs(c.jobs) { // attempts that were sent in the meantime end, too
 			for n := 0; n < len(c.jobs[id].sends); n++ {
 				if !c.jobs[id].sends[n].done {
 					c.outcome(id, n, OK)
@@ -51,12 +51,13 @@
 			served += boolToInt(c.servePlainJob(id))
 		}
 		if served < 60 {
-			t.Errorf("asking %v: only %d of 100 plain jobs afterwards were sent", asks, served)
+			t.Errorf("health checks %v: only %d of 100 later jobs were sent", healthChecks, served)
 		}
 	}
 }
 
-// invalidReportSettings sets a deployment up in which workers report all that is read, and jobs outlive the whole test.
+// invalidReportSettings configures workers that report every value the dispatcher reads, and jobs that
+// outlast the test.
 func invalidReportSettings(s *Settings) {
 	s.DrainCloseWithin = 300 * time.Millisecond
 	s.RejectionUnproven = true
@@ -71,7 +72,8 @@
 	}
 }
 
-// sendInvalidReports tells absurd things of some workers and of each attempt of a job, and ends those that are out.
+// sendInvalidReports sends invalid reports for some workers and for each attempt of a job, and ends the
+// attempts in flight.
 func (c *checker) sendInvalidReports(id JobID, list []Entry) {
 	load := Load{Count: 4, Values: [4]float64{invalidValues[id%6], invalidValues[id/6%6], invalidValues[id/36%6], 1}}
 	for _, entry := range list[:3] {
@@ -90,7 +92,8 @@
 	}
 }
 
-// servePlainJob lets one job arrive, answers health checks while it waits, and tells whether it was sent.
+// servePlainJob sends one job, answers health checks while the job waits, and reports whether the job was
+// sent.
 func (c *checker) servePlainJob(id JobID) (served bool) {
 	c.event(Event{Kind: EventJob, Job: id, Class: 1, Tenant: int(id) % 5, Slots: 1, Deadline: c.now + time.Hour})
 	for range 60 {
--- a/internal/decision/arrivals_test.go
+++ b/internal/decision/arrivals_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
+// A job that no ready worker can take must be rejected at once and not kept pending until its deadline.
 func TestJobsAreRejectedAtOnceWithoutReadyWorker(t *testing.T) {
 	for name, list := range map[string][]Entry{"no list": nil, "all draining": {{Worker: 1, State: Draining}}} {
 		c := newChecker(t, testSettings(), 1)
 		c.event(Event{Kind: EventList, List: ListFull, Entries: list})
 		c.event(Event{Kind: EventJob, Job: 1, Slots: 1, Deadline: c.now + time.Second})
 		if !c.jobs[1].answered {
-			t.Errorf("%s: the job is held though nobody can take it", name)
+			t.Errorf("%s: the job is pending although no worker can take it", name)
 		}
 	}
 	s := testSettings()
@@ -20,6 +21,6 @@
 	c.event(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Worker: 1, Kind: 0, State: Ready}}})
 	c.event(Event{Kind: EventJob, Job: 1, Slots: 1, Deadline: c.now + time.Second})
 	if !c.jobs[1].answered {
-		t.Error("held though no worker of its kind is ready")
+		t.Error("the job is pending although no worker of its kind is ready")
 	}
 }
--- a/internal/decision/checker_test.go
+++ b/internal/decision/checker_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// trackedJob is a job as the checker knows it.
+// trackedJob is the state of a job as observed by the checker.
 type trackedJob struct {
 	class    int
 	deadline time.Duration
@@ -15,37 +15,39 @@
 	answered bool
 }
 
+// trackedAttempt is the state of one send of a job.
 type trackedAttempt struct {
 	to       Entry
 	at       time.Duration
 	done     bool
-	neverRan bool // proved never to have run
+	neverRan bool // proved by its outcome
 }
 
-// checker follows events and actions from outside and holds them against the rules of the deployment.
+// checker observes the events and actions of a dispatcher and checks them against the rules of the
+// deployment.
 type checker struct {
 	t            *testing.T
 	settings     Settings
 	dispatcher   *Dispatcher
 	now          time.Duration
-	workers      map[WorkerID]Entry
-	leftAt       map[WorkerID]time.Duration // when it was told to be draining or gone
+	list         map[WorkerID]Entry
+	leftAt       map[WorkerID]time.Duration // when a list first reported the worker draining or gone
 	jobs         map[JobID]*trackedJob
-	warmingSends map[WorkerID][]time.Duration // sends to workers while cold
+	warmingSends map[WorkerID][]time.Duration // times of the sends to warming-up workers
 	timers       []Action                     // Delay holds the absolute time
-	calls        int
+	calls        int                          // to discovery
 	log          []string
-	idleSince    map[WorkerID]time.Duration // draining: since when idle connections may stand open
-	load         Load                       // what workers report
+	idleSince    map[WorkerID]time.Duration // draining workers: since when a connection may be idle
+	load         Load                       // reported with each outcome
 }
 
 func newChecker(t *testing.T, settings Settings, seed uint64) *checker {
 	return &checker{t: t, settings: settings, dispatcher: newTestDispatcher(t, settings, seed), now: time.Minute,
-		workers: map[WorkerID]Entry{},
-		leftAt:  map[WorkerID]time.Duration{}, jobs: map[JobID]*trackedJob{}, warmingSends: map[WorkerID][]time.Duration{},
-		idleSince: map[WorkerID]time.Duration{}}
+		list: map[WorkerID]Entry{}, leftAt: map[WorkerID]time.Duration{}, jobs: map[JobID]*trackedJob{},
+		warmingSends: map[WorkerID][]time.Duration{}, idleSince: map[WorkerID]time.Duration{}}
 }
 
+// event passes an event to the dispatcher and checks the actions that it returns.
 func (c *checker) event(ev Event) {
 	switch ev.Kind {
 	case EventJob:
@@ -67,13 +69,14 @@
 	}
 }
 
-// trackIdleConnection notes that an idle connection may stand open to a worker from now on.
+// trackIdleConnection records that a connection to a draining worker may be idle from now on.
 func (c *checker) trackIdleConnection(id WorkerID) {
-	if c.workers[id].State == Draining {
+	if c.list[id].State == Draining {
 		c.idleSince[id] = c.now
 	}
 }
 
+// applyList updates the known workers from a list.
 func (c *checker) applyList(ev Event) {
 	if ev.List == ListFailed {
 		return
@@ -81,8 +84,8 @@
 	seen := map[WorkerID]bool{}
 	for _, e := range ev.Entries {
 		seen[e.Worker] = true
-		was := c.workers[e.Worker].State
-		c.workers[e.Worker] = e
+		was := c.list[e.Worker].State
+		c.list[e.Worker] = e
 		if delete(c.idleSince, e.Worker); e.State == Draining && was != Draining {
 			c.trackIdleConnection(e.Worker)
 		}
@@ -92,13 +95,14 @@
 			c.leftAt[e.Worker] = c.now
 		}
 	}
-	for id := range c.workers {
+	for id := range c.list {
 		if _, ok := c.leftAt[id]; ev.List != ListDelta && !seen[id] && !ok {
 			c.leftAt[id] = c.now
 		}
 	}
 }
 
+// action checks one action.
 func (c *checker) action(a Action) {
 	j := c.jobs[a.Job]
 	switch a.Kind {
@@ -109,18 +113,18 @@
 		c.calls++
 	case Cancel:
 		if j == nil || a.Attempt >= len(j.sends) {
-			c.t.Fatalf("%v: cancel of attempt %d of job %d, never made", c.now, a.Attempt, a.Job)
+			c.t.Fatalf("%v: cancel of attempt %d of job %d, which was never sent", c.now, a.Attempt, a.Job)
 		}
 	case CloseIdle:
 		if _, ok := c.idleSince[a.Worker]; !ok && c.settings.DrainCloseWithin == 0 {
-			c.t.Fatalf("%v: closing at worker %d without cause", c.now, a.Worker)
+			c.t.Fatalf("%v: idle connections to worker %d closed without cause", c.now, a.Worker)
 		}
 		delete(c.idleSince, a.Worker)
 	case Send:
 		c.send(a, j)
 	case Reject, Fail:
 		if j == nil || j.answered {
-			c.t.Fatalf("%v: answer for job %d, which is not owed one", c.now, a.Job)
+			c.t.Fatalf("%v: answer for job %d, which is unknown or already answered", c.now, a.Job)
 		}
 		j.answered = true
 		if c.now > j.deadline+20*time.Millisecond {
@@ -129,21 +133,22 @@
 		class := c.settings.Classes[j.class]
 		if a.Kind == Reject && slices.ContainsFunc(j.sends, func(s trackedAttempt) bool { return !s.neverRan }) &&
 			(class.Idempotency == NotIdempotent || class.Idempotency == Deduplicated && class.DedupScope != DedupByAll) {
-			c.t.Fatalf("%v: job %d rejected though it may have run", c.now, a.Job)
+			c.t.Fatalf("%v: job %d rejected although it may have run", c.now, a.Job)
 		}
 	}
 }
 
+// send checks a send action and records the attempt.
 func (c *checker) send(a Action, j *trackedJob) {
-	to, ok := c.workers[a.Worker]
+	to, ok := c.list[a.Worker]
 	if !ok || j == nil || j.answered {
-		c.t.Fatalf("%v: send of job %d to worker %d, unlisted or ended", c.now, a.Job, a.Worker)
+		c.t.Fatalf("%v: job %d sent to worker %d: the worker is unlisted or the job has ended", c.now, a.Job, a.Worker)
 	}
 	if at, ok := c.leftAt[a.Worker]; ok && c.now > at+c.settings.DrainGrace {
-		c.t.Fatalf("%v: send to worker %d, told to leave at %v", c.now, a.Worker, at)
+		c.t.Fatalf("%v: send to worker %d, which has been leaving since %v", c.now, a.Worker, at)
 	}
 	if c.settings.MaxAttempts > 0 && len(j.sends) >= c.settings.MaxAttempts {
-		c.t.Fatalf("%v: job %d has had its %d attempts", c.now, a.Job, c.settings.MaxAttempts)
+		c.t.Fatalf("%v: job %d exceeds its limit of %d attempts", c.now, a.Job, c.settings.MaxAttempts)
 	}
 	class := c.settings.Classes[j.class]
 	if len(class.AllowedKinds) > 0 && !slices.Contains(class.AllowedKinds, to.Kind) ||
@@ -155,10 +160,10 @@
 		switch {
 		case s.neverRan:
 		case !s.done && !c.settings.ParallelAttempts:
-			c.t.Fatalf("%v: job %d has two attempts out", c.now, a.Job)
+			c.t.Fatalf("%v: job %d has two attempts in flight", c.now, a.Job)
 		case class.Idempotency == NotIdempotent, class.Idempotency == Deduplicated && (c.now-s.at > class.DedupWindow ||
 			class.DedupScope == DedupByZone && !zone || class.DedupScope == DedupByCell && !cell):
-			c.t.Fatalf("%v: job %d of class %d sent again outside what its class allows", c.now, a.Job, j.class)
+			c.t.Fatalf("%v: job %d of class %d sent again against the rules of its class", c.now, a.Job, j.class)
 		}
 	}
 	if to.Started > 0 && c.now < to.Started+c.settings.SlowStartDuration {
@@ -172,7 +177,7 @@
 	c.now += by
 	for id, at := range c.idleSince {
 		if c.settings.DrainCloseWithin > 0 && c.now > at+c.settings.DrainCloseWithin {
-			c.t.Fatalf("%v: idle connections to worker %d, draining, stand open since %v", c.now, id, at)
+			c.t.Fatalf("%v: idle connections to draining worker %d have been open since %v", c.now, id, at)
 		}
 	}
 	due := c.timers
@@ -186,14 +191,15 @@
 	}
 }
 
-// outcome ends an attempt.
+// outcome ends an attempt with an outcome.
 func (c *checker) outcome(id JobID, attempt int, o Outcome) {
 	j := c.jobs[id]
 	c.event(Event{Kind: EventOutcome, Job: id, Attempt: attempt, Worker: j.sends[attempt].to.Worker, Outcome: o,
 		JobEnded: j.answered || o == OK, Load: c.load})
 }
 
-// newCheckerWithWorkers is a checker with a list of n workers.
+// newCheckerWithWorkers returns a checker whose dispatcher has a list of n workers. change may modify the
+// settings.
 func newCheckerWithWorkers(t *testing.T, n int, change func(*Settings)) *checker {
 	s := testSettings()
 	if change != nil {
@@ -204,12 +210,13 @@
 	return c
 }
 
-// sendJob lets one job of a tenant come in and tells whether it was sent.
+// sendJob passes the arrival of one job of a tenant and reports whether the job was sent.
 func (c *checker) sendJob(id JobID, tenant int) bool {
 	c.event(Event{Kind: EventJob, Job: id, Tenant: tenant, Slots: 1, Deadline: c.now + 4*time.Second})
 	return len(c.jobs[id].sends) > 0
 }
 
+// countCloseIdle returns the number of CloseIdle actions for a worker among the actions of the last event.
 func (c *checker) countCloseIdle(id WorkerID) (n int) {
 	for _, a := range c.dispatcher.actions {
 		if a.Kind == CloseIdle && a.Worker == id {
@@ -219,13 +226,14 @@
 	return n
 }
 
-// workerReply is how a worker takes a job: how long until it starts and until it is done, and what it then reports.
+// workerReply is how a worker handles a job: the time to its start, its run time, and the load that the
+// worker then reports.
 type workerReply struct {
 	startDelay, run time.Duration
 	free, queue     float64
 }
 
-// serveSequentially lets n jobs arrive, each when the one before is done, so that no own slots are in use.
+// serveSequentially serves n jobs one after another, so that no own slots are in use when a job arrives.
 func (c *checker) serveSequentially(n JobID, at func(id JobID, w Entry) workerReply) {
 	for id := JobID(1); id <= n; id++ {
 		if c.sendJob(id, int(id)%5) {
--- a/internal/decision/decide_bench_test.go
+++ b/internal/decision/decide_bench_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// sizes are numbers of workers. Fleets of 2,000 are beyond any measured day.
+// sizes are the numbers of workers in the benchmarks. The largest exceeds every measured fleet.
 var sizes = []int{10, 60, 200, 2000}
 
-// warmedUpDispatcher is a dispatcher, one of 300, that has worked with n workers for a while.
+// warmedUpDispatcher returns a dispatcher, one of 300, that has served jobs with n workers, with its list,
+// its clock and a function that serves one more job.
 func warmedUpDispatcher(b *testing.B, n int) (*Dispatcher, []Entry, *time.Duration, func(id JobID)) {
 	s := testSettings()
 	loadReportSettings(&s)
@@ -19,7 +20,7 @@
 	now := time.Minute
 	d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 	var acts []Action
-	job := func(id JobID) { // a job that comes, is sent, starts and is done
+	job := func(id JobID) { // arrival, send, start and outcome of one job
 		now += 200 * time.Millisecond
 		acts = d.Handle(now, &Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1,
 			Deadline: now + 5*time.Second}, acts[:0])
@@ -40,7 +41,7 @@
 	return d, list, &now, job
 }
 
-// BenchmarkDecision tells what a job costs from its arrival to its outcome.
+// BenchmarkDecision measures the cost of one job from its arrival to its outcome.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// BenchmarkListChange tells what a change of the list costs.
+// BenchmarkListChange measures the cost of a change of the list.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decision/deployments_test.go
+++ b/internal/decision/deployments_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testSettings is a deployment made up for the tests.
+// testSettings returns the settings of a deployment invented for the tests.
 func testSettings() Settings {
 	class := func(idempotency Idempotency, scope DedupScope) ClassSettings {
 		return ClassSettings{
@@ -52,7 +52,7 @@
 	}
 }
 
-// testWorkers is a list of n ready workers of two kinds in three zones.
+// testWorkers returns a list of n ready workers of two kinds in three zones.
 func testWorkers(n int) []Entry {
 	list := make([]Entry, n)
 	for i := range list {
@@ -61,7 +61,7 @@
 	return list
 }
 
-// newTestDispatcher is a dispatcher with the settings.
+// newTestDispatcher returns a dispatcher with the settings and fails the test if they are invalid.
 func newTestDispatcher(t testing.TB, settings Settings, seed uint64) *Dispatcher {
 	t.Helper()
 	dispatcher, err := New(settings, seed)
@@ -71,14 +71,16 @@
 	return dispatcher
 }
 
-// loadReportSettings sets workers up that report both with their answers, for one attempt at a time.
+// loadReportSettings configures workers that report free slots and queue lengths, and jobs with one attempt
+// at a time.
 func loadReportSettings(s *Settings) {
 	s.ReportsLoad = true
 	s.ParallelAttempts = false
 	s.Report = LoadReportLayout{FreeSlots: 0, Queue: 1, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 }
 
-// sharedFleetSettings sets a deployment up in which 80 dispatchers share the workers, which report free slots and queues.
+// sharedFleetSettings configures 80 dispatchers that share workers, which report free slots and queue
+// lengths.
 func sharedFleetSettings(s *Settings) {
 	loadReportSettings(s)
 	s.Dispatchers = 80
@@ -88,8 +90,8 @@
 	s.OverloadSpan = time.Second
 }
 
-// costlyZoneSettings sets a deployment up in which a handful of dispatchers pay for crossing zones, late answers earn
-// nothing, value grows with the work and one class must never run twice.
+// costlyZoneSettings configures a few dispatchers for which crossing zones is expensive, late answers earn
+// nothing, value grows with the run time, and one class must not run twice.
 func costlyZoneSettings(s *Settings) {
 	sharedFleetSettings(s)
 	s.Dispatchers = 4
@@ -98,8 +100,8 @@
 	s.ProgressInterval = 2 * time.Second
 }
 
-// randomSettings draws settings within what the wire can say. The order of the draws is recorded with the hashes of the
-// actions: fields are drawn in the order in which they stand.
+// randomSettings draws settings within the range of the wire format. The recorded hashes of the actions
+// depend on the order of the draws, so fields are drawn in the order in which they are written.
 func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	s := Settings{
--- a/internal/decision/discovery_calls_test.go
+++ b/internal/decision/discovery_calls_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Each failed call to discovery once set two timers, so that calls doubled with every failure.
+// A failed call to discovery must set one timer only. Two timers doubled the number of calls with every
+// failure.
 func TestFailedDiscoveryCallsDoNotMultiply(t *testing.T) {
 	c := newChecker(t, testSettings(), 1)
 	c.event(Event{Kind: EventList, List: ListCached, Entries: testWorkers(4)})
@@ -17,20 +18,21 @@
 			c.event(Event{Kind: EventList, List: ListFailed})
 		}
 	}
-	// A failed call allows four times the ask-within time; calls come well inside, and not in a storm.
+	// After a failed call, four times MaxDiscoverySilence is allowed. The calls must come well within that,
+	// but not all at once.
 	if longest := 40.0; float64(calls) < 60/longest || calls > 60 {
-		t.Errorf("%d calls in a minute", calls)
+		t.Errorf("%d calls per minute", calls)
 	}
 	c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(4)})
 	for range 6000 {
 		c.advance(10 * time.Millisecond)
 	}
 	if c.calls != calls {
-		t.Errorf("%d calls while the watch holds", c.calls-calls)
+		t.Errorf("%d calls while a watch is active", c.calls-calls)
 	}
 }
 
-// Dispatchers that start together must not call discovery together.
+// Dispatchers that start together must not call discovery at the same time.
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	at := map[time.Duration]int{}
 	for seed := range uint64(200) {
--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Contradictory or absurd events must neither break a rule, which the checker would tell, nor panic.
+// Contradictory or invalid events must not break a rule of the checker or cause a panic.
 func TestContradictoryEventsDoNotBreakRules(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
@@ -49,7 +49,7 @@
 					before := len(c.jobs[1].sends)
 					c.dispatcher.Handle(c.now, &ev, nil)
 					if len(c.jobs[1].sends) != before {
-						t.Error("a repeated job was sent anew")
+						t.Error("a repeated job was sent again")
 					}
 					continue
 				}
@@ -59,17 +59,18 @@
 				c.advance(10 * time.Millisecond)
 			}
 			c.event(Event{Kind: EventJob, Job: 3, Slots: 1, Deadline: c.now + time.Second})
-			for range 90 { // no health check is ever answered here: that must not keep it waiting to its end
+			for range 90 { // no health check is answered: the job must not wait for one until its deadline
 				c.advance(10 * time.Millisecond)
 			}
 			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "gone and answering" {
-				t.Error("a plain job afterwards is neither sent nor answered")
+				t.Error("a later job is neither sent nor answered")
 			}
 		})
 	}
 }
 
-// State is released: long traffic and replaced workers leave nothing behind.
+// The state of ended jobs and replaced workers must be released, so that memory stays bounded under long
+// traffic.
 func TestEndedJobsAndGoneWorkersAreReleased(t *testing.T) {
 	c := newCheckerWithWorkers(t, 12, nil)
 	list := testWorkers(12)
@@ -91,7 +92,7 @@
 			gone := Entry{Worker: e.Worker, State: Gone}
 			e.Worker += 100000
 			c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{gone, *e}})
-			delete(c.workers, gone.Worker)
+			delete(c.list, gone.Worker)
 		}
 		c.advance(20 * time.Millisecond)
 	}
@@ -110,12 +111,13 @@
 	jobsLeft := len(dispatcher.jobs.byID) > 0 || len(dispatcher.jobs.open) > 0
 	workersLeft := len(dispatcher.workers.byID) != 12 || len(dispatcher.workers.ordered) != 12
 	if jobsLeft || workersLeft || len(c.timers) > 1 {
-		t.Errorf("left behind: %d jobs, %d open, %d workers, %d in order, %d timers",
-			len(dispatcher.jobs.byID), len(dispatcher.jobs.open), len(dispatcher.workers.byID), len(dispatcher.workers.ordered), len(c.timers))
+		t.Errorf("still held: %d jobs, %d open jobs, %d workers, %d ordered workers, %d timers",
+			len(dispatcher.jobs.byID), len(dispatcher.jobs.open), len(dispatcher.workers.byID),
+			len(dispatcher.workers.ordered), len(c.timers))
 	}
 	for _, w := range c.dispatcher.workers.ordered {
 		if w.ownSlots > 1e-9 {
-			t.Errorf("worker %d still counts %v slots", w.Worker, w.ownSlots)
+			t.Errorf("worker %d still has %v own slots in use", w.Worker, w.ownSlots)
 		}
 	}
 }
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -7,7 +7,8 @@
 	"gladepick/internal/decision"
 )
 
-// A host owns the clock and the connections: it hands events in and carries out the actions that come back.
+// The host owns the clock and the connections. It passes events in and carries out the actions that the
+// dispatcher returns.
 func Example() {
 	d, err := decision.New(decision.Settings{
 		Dispatchers: 2,
@@ -25,7 +26,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Second // any clock that only moves forward
+	now := time.Second // any monotonic clock
 	var acts []decision.Action
 	for _, ev := range []decision.Event{
 		{Kind: decision.EventList, List: decision.ListFull, Entries: []decision.Entry{{Worker: 7, State: decision.Ready}}},
@@ -37,7 +38,7 @@
 			switch a.Kind {
 			case decision.Send:
 				fmt.Printf("send job %d to worker %d\n", a.Job, a.Worker)
-			case decision.SetTimer: // hand an EventTimer with this token in after the delay
+			case decision.SetTimer: // after the delay, pass an EventTimer with this token
 				fmt.Printf("timer %d in %v\n", a.Token, a.Delay)
 			}
 		}
--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// goldenEvents is the least number of events that the golden stream has to go through.
+// goldenEvents is the least number of events in the golden stream.
 const goldenEvents = 1_000_000
 
-// actionDigest hashes every action that follows from a stream of events. It writes the values of the actions one by
-// one, so a renamed field or type leaves the hash as it is and a changed decision does not.
+// actionDigest hashes every action that follows from a stream of events. It hashes the values of the actions
+// only, so that renaming a field or a type preserves the hash and a changed decision does not.
 type actionDigest struct {
 	sum    gohash.Hash
 	events int
@@ -51,8 +51,9 @@
 
 func (a *actionDigest) String() string { return hex.EncodeToString(a.sum.Sum(nil)[:16]) }
 
-// TestGoldenActionStream holds the actions of a long stream of events of all kinds, at many settings, against the
-// hash that was recorded before the decision module was taken apart. The hash is never edited to get a pass.
+// The actions of a long stream of events of all kinds, at many settings, must match the hash that was
+// recorded before the decision module was split into components. The hash must not be edited to make the test
+// pass.
 func TestGoldenActionStream(t *testing.T) {
 	const want = "c02a95d8a10fdab65c71ae5ca6fe7e9f"
 	digest := newActionDigest()
@@ -74,11 +75,12 @@
 		runGoldenStream(t, digest, seed, randomSettings(rand.New(rand.NewPCG(seed, 5))), 4000)
 	}
 	if got := digest.String(); got != want {
-		t.Errorf("the actions of %d events have the hash %s, recorded is %s", digest.events, got, want)
+		t.Errorf("actions of %d events have hash %s, want recorded hash %s", digest.events, got, want)
 	}
 }
 
-// runGoldenStream feeds one dispatcher a seeded stream of events, legal and absurd ones, and digests what it does.
+// runGoldenStream feeds a seeded stream of valid and invalid events to one dispatcher and adds its actions to
+// the digest.
 func runGoldenStream(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
 	p := &goldenHost{d: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
 		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
@@ -93,7 +95,8 @@
 	token uint32
 }
 
-// goldenHost is the world of one dispatcher: its clock, timers, open jobs and workers, all drawn from one source.
+// goldenHost simulates the host of one dispatcher: its clock, timers, open jobs and workers. All draws come
+// from one source.
 type goldenHost struct {
 	d       *Dispatcher
 	digest  *actionDigest
@@ -101,7 +104,7 @@
 	now     time.Duration
 	nextJob JobID
 	classes int
-	jobs    []JobID // open, in the order of their arrival
+	jobs    []JobID // open, in order of arrival
 	open    map[JobID][]WorkerID
 	timers  []goldenTimer
 	workers []Entry
@@ -158,7 +161,8 @@
 		Deadline: p.now + time.Duration(20+p.rng.IntN(4000))*time.Millisecond})
 }
 
-// progress tells something of one of the job's attempts, ended ones too: the module has to pass over these.
+// progress sends an event about one attempt of the job. The attempt may have ended, in which case the
+// dispatcher must ignore the event.
 func (p *goldenHost) progress(id JobID) {
 	sent := p.open[id]
 	if len(sent) == 0 {
@@ -217,7 +221,8 @@
 	}
 }
 
-// feedInvalidEvents feeds what no host should say: unknown jobs, timers and workers, and values that mean nothing.
+// feedInvalidEvents sends events that no host should send: unknown jobs, timers and workers, and meaningless
+// values.
 func (p *goldenHost) feedInvalidEvents() {
 	for _, ev := range []Event{
 		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
--- a/internal/decision/hash_test.go
+++ b/internal/decision/hash_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The first hash had poor low bits: with two buckets all tenants of a deployment fell into the unlabelled
-// one.
+// The low bits of the hash must be well mixed. An earlier hash had poor low bits: with two buckets, all
+// tenants of a deployment were put into the unlabelled one.
 func TestHashSpreadsOverBuckets(t *testing.T) {
 	for _, n := range []uint64{2, 3, 5, 64} {
 		count := make([]int, n)
@@ -14,7 +14,7 @@
 		}
 		for b, c := range count {
 			if c < 850 || c > 1150 {
-				t.Errorf("%d buckets: bucket %d got %d of 1000 expected", n, b, c)
+				t.Errorf("%d buckets: bucket %d got %d values, expected about 1000", n, b, c)
 			}
 		}
 	}
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A silent worker gets no more jobs but trials with idempotent ones.
+// A silent worker must get no jobs but idempotent trial jobs.
 func TestSilentWorkerGetsTrialJobsOnly(t *testing.T) {
 	for class := range 2 {
 		c := newCheckerWithWorkers(t, 24, nil)
@@ -17,16 +17,16 @@
 		for id := JobID(2); id < 200; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Slots: 1, Deadline: c.now + time.Second})
 			if len(c.jobs[id].sends) > 0 && c.jobs[id].sends[0].to.Worker == silent {
-				t.Fatalf("class %d: an Unsafe job went to the silent worker", class)
+				t.Fatalf("class %d: a NotIdempotent job was sent to the silent worker", class)
 			}
 			c.outcome(id, 0, OK)
 		}
 	}
 }
 
-// A worker that fails its jobs at once has no own slots in use and drew them all. Where a failure is final
-// that is a loss each time (6 % of the attempts of a day of quick errors); jobs that can go elsewhere still
-// use what such a worker serves.
+// A worker that fails its jobs at once never has own slots in use and attracted all jobs. Jobs whose failure
+// is final must avoid such a worker: they lost 6 % of the attempts on a day of quick errors. Jobs that can be
+// retried elsewhere still use it.
 func TestJobsWithFinalFailuresAvoidFailingWorkers(t *testing.T) {
 	for class, most := range []int{100, 12, 12, 12, 100} {
 		c, failed := newCheckerWithWorkers(t, 8, costlyZoneSettings), 0
@@ -48,7 +48,7 @@
 			}
 		}
 		if failed > most || failed == 0 {
-			t.Errorf("class %d: %d of 200 jobs meet the failing worker, the bound is %d", class, failed, most)
+			t.Errorf("class %d: %d of 200 jobs were sent to the failing worker, want 1 to %d", class, failed, most)
 		}
 	}
 }
--- a/internal/decision/key_affinity_test.go
+++ b/internal/decision/key_affinity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Jobs of one key keep to few workers, the same for all dispatchers, also where a fetch has no price but
-// takes time: keys did not count there, and nearly half of a quiet day's answers were late.
+// The jobs of one key must go to few workers, the same for all dispatchers, even where fetching the data of a
+// key costs only time. Without key affinity there, nearly half of the answers of a quiet day were late.
 func TestKeyIsServedByFewWorkers(t *testing.T) {
 	met := map[WorkerID]bool{}
 	for seed := range uint64(5) {
@@ -19,12 +19,12 @@
 		}
 	}
 	if len(met) > workersPerKey {
-		t.Errorf("one key met %d workers", len(met))
+		t.Errorf("the jobs of one key went to %d workers", len(met))
 	}
 }
 
-// A key's workers may be full while those of another kind have free slots: once rejected, its job
-// may go there.
+// The workers of a key may be full while those of another kind have free slots. Once rejected, a job with the
+// key must be able to go there.
 func TestRejectedKeyedJobTriesOtherKind(t *testing.T) {
 	c := newCheckerWithWorkers(t, 40, func(s *Settings) { s.MaxAttempts = 0 })
 	for id := JobID(1); id <= 20; id++ {
@@ -35,7 +35,7 @@
 			c.outcome(id, n, Rejected)
 		}
 		if len(kinds) != 2 {
-			t.Errorf("key %d met kinds %v", id, kinds)
+			t.Errorf("jobs of key %d went to kinds %v, want both kinds", id, kinds)
 		}
 		c.advance(time.Second)
 	}
--- a/internal/decision/learned_times_test.go
+++ b/internal/decision/learned_times_test.go
@@ -11,18 +11,19 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
-// Both lines of a job may come in one write, so that it seems to run for no time at all, and the first kind
-// may have no workers here. A kind's slowness fell by a factor at each job then and a class's run time grew
-// by one, until neither was a number and every job was rejected for good.
+// Estimates must stay finite if jobs seem to take no time and if the first kind has no workers. The messages
+// of the start and the end of a job may arrive in one write. The slowness of a kind then fell by a factor at
+// each job while the run time of a class grew by one, until both were NaN and every job was rejected for
+// good.
 func TestZeroRunTimesKeepEstimatesBounded(t *testing.T) {
-	for _, measure := range []int{0, 1} {
+	for _, kind := range []int{0, 1} {
 		s := testSettings()
 		s.ReportsLoad = true
 		s.Report = LoadReportLayout{FreeSlots: 0, Queue: 3, FreeMemory: -1, InFlight: -1, Util: -1, Errors: -1}
 		d, now := newTestDispatcher(t, s, 1), time.Minute
 		list := testWorkers(12)
 		for i := range list {
-			list[i].Kind = measure
+			list[i].Kind = kind
 		}
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
 		for id := JobID(1); id <= 100_000; id++ {
@@ -36,7 +37,7 @@
 				}
 			}
 			if sent == nil {
-				t.Fatalf("kind %d: job %d was not sent with all workers idle", measure, id)
+				t.Fatalf("kind %d: job %d was not sent although all workers are idle", kind, id)
 			}
 			d.Handle(now, &Event{Kind: EventJobProgress, Progress: JobStarted, Job: id, Worker: sent.Worker}, nil)
 			d.Handle(now, &Event{Kind: EventOutcome, Job: id, Worker: sent.Worker, Outcome: OK,
@@ -46,33 +47,34 @@
 	}
 }
 
-// checkLearnedBounds holds what a dispatcher has checkLearnedBounds to the bounds that decisions need.
+// checkLearnedBounds checks that the estimates of a dispatcher are within the bounds that its decisions need.
 func checkLearnedBounds(t interface{ Errorf(string, ...any) }, d *Dispatcher) {
 	within := func(what string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			t.Errorf("%s is %v, not in %v to %v", what, v, least, most)
+			t.Errorf("%s is %v, want %v to %v", what, v, least, most)
 		}
 	}
 	const most = 1e6
 	for k := range d.times.slowness {
-		within("slow", d.times.slowness[k], 1./maxSlowness, maxSlowness)
-		within("served", d.budget.servedWork[k], 0, math.MaxFloat32)
-		within("room", d.load.slotsSeen[k], 0, math.MaxInt32)
+		within("slowness of kind", d.times.slowness[k], 1./maxSlowness, maxSlowness)
+		within("served work", d.budget.servedWork[k], 0, math.MaxFloat32)
+		within("slots seen", d.load.slotsSeen[k], 0, math.MaxInt32)
 	}
 	for i := range d.times.runSeconds {
-		within("run", d.times.runSeconds[i], minRunSeconds/maxSlowness, most)
-		within("took", d.times.answerSeconds[i], 0, most)
+		within("run time", d.times.runSeconds[i], minRunSeconds/maxSlowness, most)
+		within("answer time", d.times.answerSeconds[i], 0, most)
 	}
-	within("mean", d.times.meanRunSeconds, minRunSeconds/maxSlowness, most)
-	within("spare", d.shedder.overQuotaShare, minAdmittedShare, 1)
+	within("mean run time", d.times.meanRunSeconds, minRunSeconds/maxSlowness, most)
+	within("over-quota share", d.shedder.overQuotaShare, minAdmittedShare, 1)
 	for _, w := range d.workers.ordered {
-		within("pace", w.slowness, 1e-9, most)
-		within("others", w.peerSlots, 0, math.MaxFloat32)
-		within("wait", d.forecasts.waitSeconds(w, 1, d.now), 0, math.MaxFloat32)
+		within("slowness of worker", w.slowness, 1e-9, most)
+		within("peer slots", w.peerSlots, 0, math.MaxFloat32)
+		within("wait time", d.forecasts.waitSeconds(w, 1, d.now), 0, math.MaxFloat32)
 	}
 }
 
-// Whatever is measured and reported, from no time to days, what is learned stays a number within its bounds.
+// Estimates must stay finite and within their bounds for any run times, from 0 to days, and any reported
+// values.
 func TestLearnedEstimatesStayInBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSettings()
--- a/internal/decision/load_estimate_test.go
+++ b/internal/decision/load_estimate_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Own slots alone hid the load from peers: jobs queued at full workers while there were free slots
-// elsewhere, and half of a quiet day's answers were late. Reports and starts tell who is full: such a worker
-// gets nothing while another has a free slot; with all full a job waits, goes to the first slot that is
-// freed, and is rejected at once when it could only wait for long.
+// Jobs must not queue at full workers while others have free slots. A dispatcher that counted its own slots
+// alone did not see the load from peers, and half of the answers of a quiet day were late. Reports and starts
+// show which workers are full: these get nothing while another worker has a free slot. If all are full, a job
+// stays pending and takes the first slot that is freed, and is rejected if it could only wait for long.
 func TestJobsAvoidFullWorkers(t *testing.T) {
 	c := newCheckerWithWorkers(t, 8, func(s *Settings) {
 		loadReportSettings(s)
@@ -21,13 +21,13 @@
 	pending, at := c.fillSlots(401, full)
 	freed := c.dispatcher.workers.ordered[1].Worker
 	if pending == 0 || c.jobs[pending].answered || int(pending) < 400+14 || len(at[freed]) == 0 {
-		t.Fatalf("with all full: job %d does not wait, %v are out", pending, at)
+		t.Fatalf("all workers full: job %d is not pending, jobs in flight by worker: %v", pending, at)
 	}
 	c.load = Load{}
 	c.event(Event{Kind: EventJobProgress, Job: at[freed][0], Worker: freed, Progress: JobStarted})
 	c.outcome(at[freed][0], 0, OK)
 	if s := c.jobs[pending].sends; len(s) != 1 || s[0].to.Worker != freed {
-		t.Errorf("a slot is free at %d, the waiting job went to %v", freed, s)
+		t.Errorf("worker %d has a free slot, but the pending job was sent to %v", freed, s)
 	}
 	rejected := 0
 	for id := pending + 1; id <= pending+60; id++ {
@@ -42,12 +42,12 @@
 		}
 	}
 	if rejected < 20 {
-		t.Errorf("with all full for long only %d of 60 jobs are rejected", rejected)
+		t.Errorf("all workers full for long: only %d of 60 jobs are rejected", rejected)
 	}
 }
 
-// serveBesideFull lets one job arrive and, if it is sent, start and end. All workers report three free slots, but for
-// the one that others fill.
+// serveBesideFull passes the arrival of one job and, if the job is sent, its start and outcome. Each worker
+// reports three free slots, except for the one that peers fill.
 func (c *checker) serveBesideFull(id JobID, full WorkerID) {
 	if !c.sendJob(id, int(id)%5) {
 		return
@@ -63,7 +63,8 @@
 	c.outcome(id, 0, OK)
 }
 
-// fillSlots lets jobs arrive until one is not sent, and returns that one and those that are out at each worker.
+// fillSlots passes arrivals until a job is not sent. It returns that job and the jobs in flight at each
+// worker.
 func (c *checker) fillSlots(first JobID, full WorkerID) (pending JobID, at map[WorkerID][]JobID) {
 	at = map[WorkerID][]JobID{}
 	for id := first; id <= 1000; id++ {
@@ -73,37 +74,38 @@
 		to := c.jobs[id].sends[0].to.Worker
 		most := 3
 		if to == full {
-			most = 1 // what was known of it fades: now and then one job finds out anew
+			most = 1 // its estimate decays: now and then one job is sent there again
 		}
 		at[to] = append(at[to], id)
 		if len(at[to]) > most {
-			c.t.Errorf("worker %d has %d jobs, full is %d", to, len(at[to]), full)
+			c.t.Errorf("worker %d has %d jobs, the full worker is %d", to, len(at[to]), full)
 		}
 	}
 	return 0, at
 }
 
-// What a worker last reported comes again with every answer until it reports anew: counted each time, a
-// moment that was long over outweighed all else.
+// A worker repeats its last report with each answer until it makes a new one. The repeats must not count, or
+// a state long past would outweigh all newer observations.
 func TestRepeatedReportCountsOnce(t *testing.T) {
-	c := newCheckerWithWorkers(t, 4, func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
+	c := newCheckerWithWorkers(t, 4,
+		func(s *Settings) { s.ReportsLoad, s.Report = true, LoadReportLayout{0, -1, 1, -1, -1, -1} })
 	w, l := c.dispatcher.workers.ordered[0], Load{Count: 2, Values: [4]float64{0, 5}}
 	c.dispatcher.load.observeReport(w, &l, c.dispatcher.now)
 	if once := w.peerSlots; once <= 0 {
-		t.Errorf("a full worker's report says that peers use %v", once)
+		t.Errorf("after a full worker's report, the estimate of peer slots is %v", once)
 	} else if c.dispatcher.load.observeReport(w, &l, c.dispatcher.now); w.peerSlots != once {
-		t.Errorf("the same report once more: %v after %v", w.peerSlots, once)
+		t.Errorf("the repeated report changed the estimate to %v from %v", w.peerSlots, once)
 	} else if l.Values[1] = 6; true {
 		if c.dispatcher.load.observeReport(w, &l, c.dispatcher.now); w.peerSlots <= once {
-			t.Errorf("a new one: %v after %v", w.peerSlots, once)
+			t.Errorf("the new report changed the estimate to %v from %v", w.peerSlots, once)
 		}
 	}
 }
 
-// Where all workers are full, jobs are rejected; with nothing sent nothing is learned of when that is over.
-// Rejections kept themselves up for good: up to half of all jobs, with workers three quarters idle.
+// Rejections must end after an overload. With nothing sent, nothing is learned about its end: rejections
+// sustained themselves, up to half of all jobs with workers three quarters idle.
 func TestRejectionsEndAfterOverload(t *testing.T) {
-	rejected := 300 // long after the overload, but for those that are sent
+	rejected := 300 // long after the overload; jobs that are sent are subtracted
 	newCheckerWithWorkers(t, 60, sharedFleetSettings).serveSequentially(900, func(id JobID, _ Entry) workerReply {
 		rejected -= int(id / 601)
 		if id > 100 && id < 500 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// A job that waits at its worker tells that its kind is full before it starts, and before its answer,
-// seconds later, brings a report: until then all dispatchers went on sending there.
+// A job that waits at its worker must raise the load estimate of its kind before it starts, and before its
+// answer brings a report seconds later. Otherwise all dispatchers keep sending there until then.
 func TestWaitingJobsRaiseLoadEstimate(t *testing.T) {
 	c := newCheckerWithWorkers(t, 60, sharedFleetSettings)
 	c.serveSequentially(80, func(JobID, Entry) workerReply { return workerReply{run: 200 * time.Millisecond, free: 4} })
@@ -135,7 +137,8 @@
 	}
 	for k, n := range waiting {
 		if full := c.dispatcher.load.groupLoad[k] >= c.dispatcher.load.slotsSeen[k]; full != (n > 0) {
-			t.Errorf("%d jobs wait at kind %d, and peers use %v of %v slots", n, k, c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k])
+			t.Errorf("%d jobs wait at kind %d, and peers use %v of %v slots", n, k,
+				c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k])
 		}
 	}
 }
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A job that starts too late to be in time tells what a rejection tells: its worker is left alone for a
-// moment and excess is shed; long queues hid an overload, and every third job of a quiet day started after
-// its latency target.
+// A start that is too late for an answer in time must count as a rejection: the worker backs off and
+// over-quota jobs are shed. Long queues otherwise hide an overload, and every third job of a quiet day
+// started after its latency target.
 func TestLateStartCountsAsRejection(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		c := newCheckerWithWorkers(t, 24, nil)
@@ -18,19 +18,21 @@
 			c.advance(200 * time.Millisecond)
 		}
 		c.event(Event{Kind: EventJobProgress, Job: 1, Worker: to, Progress: JobStarted})
-		if left := c.dispatcher.workers.byID[to].backoffUntil > c.now; left != late || (c.dispatcher.shedder.overQuotaShare < 1) != late {
-			t.Errorf("late %v: left alone %v, excess let in %v", late, left, c.dispatcher.shedder.overQuotaShare)
+		if backingOff := c.dispatcher.workers.byID[to].backoffUntil > c.now; backingOff != late ||
+			(c.dispatcher.shedder.overQuotaShare < 1) != late {
+			t.Errorf("late %v: backing off %v, admitted share of over-quota jobs %v",
+				late, backingOff, c.dispatcher.shedder.overQuotaShare)
 		}
 	}
 }
 
-// Queues long enough to take everything hid an overload: nothing was rejected and nearly all answers were
-// late. Where more than a fifth of the starts comes after the whole latency target, part of all jobs is
-// rejected at once, and no more of them once starts are prompt.
+// Late starts must shed jobs. Queues long enough to take every job hide an overload: nothing was rejected and
+// nearly all answers were late. Where more than a fifth of the starts come after the whole latency target,
+// part of all jobs is rejected at once, and no longer once starts are prompt.
 func TestLateStartsShedJobs(t *testing.T) {
 	c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
 	id := JobID(0)
-	part := func(late int) float64 { // every so manieth start is late
+	rejectedPart := func(lateEvery int) float64 { // each lateEvery-th start is late
 		rejected := 0
 		for n := range 400 {
 			id++
@@ -42,7 +44,7 @@
 				c.advance(20 * time.Millisecond)
 				continue
 			}
-			if n%late == 0 {
+			if n%lateEvery == 0 {
 				c.advance(310 * time.Millisecond)
 			}
 			c.event(Event{Kind: EventJobProgress, Job: id, Worker: c.jobs[id].sends[0].to.Worker, Progress: JobStarted})
@@ -51,19 +53,20 @@
 		}
 		return float64(rejected) / 200
 	}
-	if p := part(10); p > 0.1 {
-		t.Errorf("a tenth late: %v rejected", p)
+	if p := rejectedPart(10); p > 0.1 {
+		t.Errorf("a tenth of the starts late: %v rejected", p)
 	}
-	if p := part(2); p < 0.4 {
-		t.Errorf("half late: only %v rejected", p)
+	if p := rejectedPart(2); p < 0.4 {
+		t.Errorf("half of the starts late: only %v rejected", p)
 	}
-	if p := part(1000); p > 0.05 {
-		t.Errorf("prompt again: %v rejected", p)
+	if p := rejectedPart(1000); p > 0.05 {
+		t.Errorf("starts prompt again: %v rejected", p)
 	}
 }
 
-// A rejection tells when to come back, where clients are told: within the stated limit, not all together,
-// later the less is let in. A failure tells nothing, and where clients are not told neither does a rejection.
+// A rejection must carry a retry-after time where clients are told one: within the stated limit, different
+// between clients, and longer the smaller the admitted share is. A failure carries none, and neither does a
+// rejection where clients are not told.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	times := func(told bool, let float64, class int) map[time.Duration]bool {
 		c := newCheckerWithWorkers(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
@@ -86,15 +89,15 @@
 	}
 	for at := range times(true, 0.01, 0) {
 		if at <= 0 || at > time.Second {
-			t.Errorf("to come back after %v", at)
+			t.Errorf("retry-after time is %v, want above 0 and at most 1 s", at)
 		}
 	}
 	if n := len(times(true, 1, 0)); n < 15 {
-		t.Errorf("%d different times for 20 rejections", n)
+		t.Errorf("only %d different retry-after times for 20 rejections", n)
 	}
 	for name, got := range map[string]map[time.Duration]bool{"not told": times(false, 1, 0), "failed": times(true, 1, 1)} {
 		if len(got) != 1 || !got[0] {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: retry-after times %v, want none", name, got)
 		}
 	}
 }
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where a late answer earns nothing, a job that has not started by its latency target leaves the worker's
-// queue; a queue full of such jobs once kept everything late.
+// Where a late answer earns nothing, a job that has not started by its latency target must leave the worker's
+// queue. A queue full of such jobs made all answers late.
 func TestHopelessJobsAreCancelled(t *testing.T) {
 	for _, tc := range []struct {
 		late    float64
@@ -26,13 +26,13 @@
 			}
 		}
 		if got != tc.want {
-			t.Errorf("late answers earn %v, started %v: cancelled %v, want %v", tc.late, tc.started, got, tc.want)
+			t.Errorf("late value %v, started %v: cancelled %v, want %v", tc.late, tc.started, got, tc.want)
 		}
 	}
 }
 
-// A dispatcher that stood still has heard nobody for a while: the fault is its own, and no worker counts as
-// unhealthy for it.
+// A dispatcher that stalled received nothing for a while. It must not mark workers as unhealthy for its own
+// stall.
 func TestDispatcherStallMarksNoWorkerUnhealthy(t *testing.T) {
 	c := newCheckerWithWorkers(t, 24, nil)
 	for id := JobID(1); id <= 20; id++ {
@@ -47,30 +47,31 @@
 	}
 	for _, w := range c.dispatcher.workers.ordered {
 		if w.unhealthy {
-			t.Errorf("worker %d is suspect", w.Worker)
+			t.Errorf("worker %d is marked unhealthy", w.Worker)
 		}
 	}
 }
 
-// Where late answers earn nothing, a job that had not started by the fixed part of its latency target was
-// cancelled, and had failed for good if it may run only once: 10 to 30 % of all jobs on most days. The
-// target grows with the job's own running time.
+// A waiting job must be cancelled only after the slack that the growth of its latency target with its run
+// time leaves. With the fixed part of the target alone, 10 to 30 % of all jobs on most days were cancelled,
+// and failed if they may run only once.
 func TestWaitingJobsAreCancelledOnlyAfterTheirSlack(t *testing.T) {
-	for _, queue := range []float64{0, 40} { // it goes sooner where many would wait behind it
-		c := newCheckerWithWorkers(t, 60, func(settings *Settings) { costlyZoneSettings(settings); settings.Classes[1].Stretch = 3 })
+	for _, queue := range []float64{0, 40} { // a long queue behind the job makes it leave sooner
+		c := newCheckerWithWorkers(t, 60,
+			func(settings *Settings) { costlyZoneSettings(settings); settings.Classes[1].Stretch = 3 })
 		c.serveSequentially(60, func(JobID, Entry) workerReply { return workerReply{run: 300 * time.Millisecond, free: 4} })
 		slack := seconds(2 * c.dispatcher.times.runSeconds[1])
 		c.event(Event{Kind: EventJob, Job: 900, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
-		came, w := c.now, c.dispatcher.workers.byID[c.jobs[900].sends[0].to.Worker]
-		for !c.dispatcher.jobs.byID[900].attempts[0].cancelled && c.now < came+3*time.Second {
+		arrivedAt, w := c.now, c.dispatcher.workers.byID[c.jobs[900].sends[0].to.Worker]
+		for !c.dispatcher.jobs.byID[900].attempts[0].cancelled && c.now < arrivedAt+3*time.Second {
 			c.advance(10 * time.Millisecond)
 			w.peerSlots, w.peerSlotsAt = queue, c.now
 		}
-		waited := c.now - came - c.settings.Classes[1].LatencyTarget
+		waited := c.now - arrivedAt - c.settings.Classes[1].LatencyTarget
 		missesSlack := queue == 0 && (waited-slack).Abs() > 60*time.Millisecond
 		waitsInQueue := queue > 0 && waited > 60*time.Millisecond
 		if missesSlack || waitsInQueue {
-			t.Errorf("queue %v: dropped %v after its latency target, its own time leaves it %v", queue, waited, slack)
+			t.Errorf("queue %v: cancelled %v after the latency target, the slack is %v", queue, waited, slack)
 		}
 	}
 }
--- a/internal/decision/picking_test.go
+++ b/internal/decision/picking_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Listed weights count from the first job on: one dispatcher in hundreds has no time to learn sizes. A
-// weight that no worker can have counts as the usual one.
+// Listed weights must count from the first job on: one of hundreds of dispatchers has no time to learn the
+// sizes. An invalid weight counts as 1.
 func TestListedWeightsDistributeJobs(t *testing.T) {
 	list := testWorkers(40)
 	for i := range list {
@@ -24,14 +24,14 @@
 		c.outcome(id, 0, OK)
 		c.advance(10 * time.Millisecond)
 	}
-	// Half of the workers has four fifths of the size.
+	// Half of the workers have four fifths of the total weight.
 	if part := float64(large) / 4000; part < 0.7 || part > 0.95 {
-		t.Errorf("large workers got %v of the jobs", part)
+		t.Errorf("large workers got %v of the jobs, want 0.7 to 0.95", part)
 	}
 }
 
-// Kinds are weighed by their slots, not by speed alone: with keys, small workers got four fifths of the
-// attempts and rejected most while large ones had free slots.
+// Kinds must be weighted by their slots, not by speed alone. Otherwise small workers got four fifths of the
+// attempts with keys and rejected most of them, while large workers had free slots.
 func TestKindsAreWeightedBySlots(t *testing.T) {
 	c := newCheckerWithWorkers(t, 60, func(s *Settings) {
 		s.Report = LoadReportLayout{FreeSlots: 0, InFlight: 1, Queue: -1, FreeMemory: -1, Util: -1, Errors: -1}
@@ -43,7 +43,7 @@
 		if id > 1000 && to.Kind == 1 {
 			large++
 		}
-		load := Load{Count: 2, Values: [4]float64{1, float64(1 + 6*to.Kind)}} // two slots, or eight
+		load := Load{Count: 2, Values: [4]float64{1, float64(1 + 6*to.Kind)}} // two or eight slots
 		if id%7 == 0 {
 			load.Values[0] = []float64{math.NaN(), math.Inf(1), -4}[id%3]
 		}
@@ -51,17 +51,18 @@
 		c.event(Event{Kind: EventOutcome, Job: id, Worker: to.Worker, Outcome: OK, JobEnded: true, Load: load})
 	}
 	if large < 700 || large > 900 {
-		t.Errorf("workers with four fifths of the slots got %d of 1000 jobs", large)
+		t.Errorf("workers with four fifths of the slots got %d of 1000 jobs, want 700 to 900", large)
 	}
 }
 
-// One dispatcher in hundreds has own slots in use nearly nowhere, and each new worker cost it a handshake: a
-// worker with an idle connection that began the last job at once comes first in the pair; one that let it
-// wait does not, nor one whose connection has been closed by now, nor any where that time is not stated.
+// Idle connections must be reused. One of hundreds of dispatchers rarely has own slots in use, and each new
+// worker cost it a handshake. A worker with an idle connection that started its last job at once is
+// preferred. A worker that let the job wait is not, nor one whose connection has been closed by now, nor any
+// if the idle time is not stated.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	for _, tc := range []struct {
 		idle, wait time.Duration
-		most       int // workers met
+		most       int // workers that get jobs
 		least      int
 	}{{time.Minute, 0, 8, 1}, {time.Minute, 100 * time.Millisecond, 40, 10}, {time.Second, 0, 40, 10}, {0, 0, 40, 10}} {
 		c := newCheckerWithWorkers(t, 40, func(s *Settings) { s.ConnIdle = tc.idle })
@@ -76,14 +77,14 @@
 			c.advance(1500 * time.Millisecond)
 		}
 		if len(met) > tc.most || len(met) < tc.least {
-			t.Errorf("idle for %v, wait %v: %d workers met", tc.idle, tc.wait, len(met))
+			t.Errorf("idle time %v, wait %v: jobs went to %d workers", tc.idle, tc.wait, len(met))
 		}
 	}
 }
 
-// Many dispatchers with one fleet, each with a few jobs a second, hardly meet a worker twice. What they did
-// not know of a worker counted as nothing, so all of them sent to the fast kind, which was full, while the
-// slow one was idle.
+// Many dispatchers that share a fleet must fill all kinds. With a few jobs per second each, a dispatcher
+// rarely sends to the same worker twice. A worker without observations counted as idle, so all dispatchers
+// sent to the fast kind, which was full, while the slow kind was idle.
 func TestManyDispatchersFillAllKinds(t *testing.T) {
 	to := [2]int{}
 	newCheckerWithWorkers(t, 60, sharedFleetSettings).serveSequentially(240, func(id JobID, w Entry) workerReply {
@@ -96,6 +97,6 @@
 		return workerReply{run: time.Duration(100+100*w.Kind) * time.Millisecond, free: 4}
 	})
 	if to[1] < to[0] {
-		t.Errorf("the full fast kind gets %d jobs, the idle slow one %d", to[0], to[1])
+		t.Errorf("the full fast kind gets %d jobs, the idle slow kind %d", to[0], to[1])
 	}
 }
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// In the first seconds few arrivals are no sign of excess: a third of all jobs were once rejected for it.
+// A few arrivals in the first seconds must not count as over quota: a third of all jobs were rejected for it.
 func TestFewArrivalsAreWithinQuota(t *testing.T) {
 	c := newCheckerWithWorkers(t, 40, nil)
 	for id := JobID(1); id < 40; id++ {
 		if !c.sendJob(id, []int{0, 1, 0, 2, 0, 3, 1, 0, 4, 2}[id%10]) {
-			t.Fatalf("job %d of a quiet start was not sent", id)
+			t.Fatalf("job %d was not sent although the load is low", id)
 		}
 		c.outcome(id, 0, OK)
 		c.advance(10 * time.Millisecond)
 	}
 }
 
-// A tenant far beyond its share is shed while there is strain, and others are not. Retries of the
-// others' clients, which multiply what they ask for, must not raise what it is due: an overload kept
-// itself up that way.
+// Under saturation, jobs of a tenant far beyond its share must be shed and those of others admitted. Retries
+// by the clients of the others multiply their arrivals and must not raise the tenant's due. An overload
+// sustained itself that way.
 func TestRetriesDoNotRaiseTenantQuota(t *testing.T) {
 	admitted := func(retries int) (big, small int) {
 		c := newCheckerWithWorkers(t, 40, nil)
@@ -41,7 +41,7 @@
 						}
 						c.outcome(id, 0, OK)
 					}
-					// The rest finds every worker full: strain.
+					// All other attempts are rejected by full workers.
 					for n := 0; !c.jobs[id].answered && n < len(c.jobs[id].sends); n++ {
 						c.outcome(id, n, Rejected)
 					}
@@ -53,9 +53,9 @@
 	}
 	big, small := admitted(0)
 	if small == 0 || big > 4*small {
-		t.Errorf("the tenant beyond its share got %d jobs in, the others together %d", big, small)
+		t.Errorf("%d jobs of the tenant beyond its share were admitted, %d of all others", big, small)
 	}
 	if more, _ := admitted(3); more > big*3/2 {
-		t.Errorf("retries of others raised what it got in from %d to %d", big, more)
+		t.Errorf("retries of others raised the admitted jobs of the tenant from %d to %d", big, more)
 	}
 }
--- a/internal/decision/readability_test.go
+++ b/internal/decision/readability_test.go
@@ -14,10 +14,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// repositoryRoot is the way from this folder to the root of the repository.
+// repositoryRoot is the path from this folder to the root of the repository.
 const repositoryRoot = "../.."
 
-// policyFiles are the files that deploy/balancer.toml lists as the policy, by their names in this folder.
+// policyFiles returns the names of the files that deploy/balancer.toml lists as the policy.
 func policyFiles(t *testing.T) []string {
 	var settings struct{ Policy []string }
 	if _, err := toml.DecodeFile(filepath.Join(repositoryRoot, "deploy/balancer.toml"), &settings); err != nil {
@@ -34,13 +34,13 @@
 	return names
 }
 
-// interfaceFiles are the files that decide nothing: the package's doc comment, the types that the host meets with the
-// checks of their values, and the hash.
+// interfaceFiles are the files that make no decisions: the package documentation, the types of the interface
+// with the validation of their values, and the hash.
 var interfaceFiles = []string{
 	"action.go", "doc.go", "event.go", "hash.go", "load_report.go", "settings.go", "validation.go",
 }
 
-// decisionFiles are the names of the package's files, without tests.
+// decisionFiles returns the names of the source files of the package, without tests.
 func decisionFiles(t *testing.T) []string {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -49,15 +49,16 @@
 	return slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// Every file of the package is listed as policy, but for the interface and the hash.
+// Every file of the package must be listed as policy, except for the interface files.
 func TestAllDecisionFilesAreListed(t *testing.T) {
 	files := slices.DeleteFunc(decisionFiles(t), func(name string) bool { return slices.Contains(interfaceFiles, name) })
 	if listed := slices.Sorted(slices.Values(policyFiles(t))); !slices.Equal(files, listed) {
-		t.Errorf("files that decide are %v, listed are %v", files, listed)
+		t.Errorf("decision files are %v, listed as policy are %v", files, listed)
 	}
 }
 
-// TestDecisionsStayReadable holds the width of lines and the length of functions, in the files of the interface, too.
+// The lines and functions of every file of the package, including the interface files, must stay within their
+// limits.
 func TestDecisionsStayReadable(t *testing.T) {
 	const widest, longest = 110, 45
 	for _, name := range decisionFiles(t) {
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// answerGrace is how long after its deadline the checker still takes a job's answer.
+// answerGrace is how long after its deadline a job may be answered.
 const answerGrace = 20 * time.Millisecond
 
-// scriptedRun draws legal events with scripted outcomes from one source. The order of the draws is recorded with the
-// hashes of the actions.
+// scriptedRun draws valid events and outcomes from one source. The recorded hashes of the actions depend on
+// the order of the draws.
 type scriptedRun struct {
 	*checker
 	rng  *rand.Rand
 	list []Entry
-	keys uint64 // 1 if jobs have keys, else 0
-	last JobID  // the last one that has arrived
+	keys uint64 // 1 if jobs have keys, otherwise 0
+	last JobID  // the last job that has arrived
 }
 
-// runScript runs a seeded sequence of legal events with scripted outcomes and returns the log of actions.
+// runScript runs a seeded sequence of valid events and returns the log of the actions.
 func runScript(t *testing.T, seed uint64, s Settings, keys uint64, jobs JobID) []string {
 	p := &scriptedRun{
 		checker: newChecker(t, s, seed),
@@ -67,7 +67,7 @@
 	})
 }
 
-// advanceJob draws what becomes of each attempt of a job, and whether its client leaves.
+// advanceJob draws events for each attempt of a job and whether the client leaves.
 func (p *scriptedRun) advanceJob(id JobID) {
 	job := p.jobs[id]
 	for attempt := range job.sends {
@@ -100,7 +100,8 @@
 	}
 }
 
-// changeList changes the state of one worker and tells it by a delta, by the whole list, or not at all.
+// changeList changes the state of one worker and sends a delta, the full list, or a failed call that hides
+// the change.
 func (p *scriptedRun) changeList() {
 	entry := &p.list[p.rng.IntN(len(p.list))]
 	entry.State = State(p.rng.IntN(3))
@@ -118,9 +119,10 @@
 	}
 }
 
-// sortedIDs is the sortedIDs of jobs in their order.
+// sortedIDs returns the IDs of the jobs in ascending order.
 func sortedIDs(jobs map[JobID]*trackedJob) []JobID { return slices.Sorted(maps.Keys(jobs)) }
 
+// The rules of the deployment must hold for random events, and the same events must give the same actions.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	variants := map[string]func(*Settings){
 		"plain":            func(*Settings) {},
@@ -129,19 +131,19 @@
 		"no cancel":        func(s *Settings) { s.Cancel = false },
 		"push, many tries": func(s *Settings) { s.Discovery, s.MaxAttempts = DiscoveryPush, 0 },
 		"no tenants":       func(s *Settings) { s.Tenants = nil },
-		"bound": func(s *Settings) {
+		"restricted kinds and zones": func(s *Settings) {
 			s.Classes[0].AllowedKinds = []int{1}
 			s.Classes[1].AllowedZones = []int{0, 2}
 		},
-		"full unproven": func(s *Settings) { s.RejectionUnproven = true },
-		"closing":       func(s *Settings) { s.DrainCloseWithin = 300 * time.Millisecond },
+		"unproven rejections": func(s *Settings) { s.RejectionUnproven = true },
+		"closing":             func(s *Settings) { s.DrainCloseWithin = 300 * time.Millisecond },
 		"all at once": func(s *Settings) {
 			s.Classes[0].AllowedKinds, s.RejectionUnproven, s.DrainCloseWithin = []int{0}, true, 200*time.Millisecond
 			s.HealthChecks, s.Report.FreeSlots, s.Cancel, s.ReportsLoad = true, 0, false, true
 		},
-		"many share": sharedFleetSettings,
-		"few, dear":  costlyZoneSettings,
-		"probes":     func(s *Settings) { s.HealthChecks, s.Report.FreeSlots = true, 0 },
+		"many dispatchers": sharedFleetSettings,
+		"expensive zones":  costlyZoneSettings,
+		"health checks":    func(s *Settings) { s.HealthChecks, s.Report.FreeSlots = true, 0 },
 		"reports": func(s *Settings) {
 			loadReportSettings(s)
 		},
@@ -154,7 +156,7 @@
 				keys := map[string]uint64{"keys": 1, "all at once": 1}[name]
 				first := runScript(t, seed, s, keys, 3000)
 				if !slices.Equal(first, runScript(t, seed, s, keys, 3000)) {
-					t.Fatalf("seed %d: the same events gave other actions", seed)
+					t.Fatalf("seed %d: the same events gave different actions", seed)
 				}
 				if len(first) < 1000 {
 					t.Fatalf("seed %d: only %d actions", seed, len(first))
@@ -164,9 +166,9 @@
 	}
 }
 
-// The rules hold at deployments that nobody has described yet: 80 settings, some 600 jobs and as many steps
-// each, always the same ones. The budget for warming workers is not among what the checker sees; its tests
-// are TestWarmingWorkerIsNotOverloaded and TestManyDispatchersShareAWarmingWorker.
+// The rules must hold at arbitrary settings: 80 random deployments with about 600 jobs and as many steps
+// each, the same in every run. The checker does not cover the budget for warming-up workers, which
+// TestWarmingWorkerIsNotOverloaded and TestManyDispatchersShareAWarmingWorker test.
 func TestRulesHoldOnRandomSettings(t *testing.T) {
 	sends, answers := 0, 0
 	for seed := range uint64(80) {
@@ -182,6 +184,6 @@
 		}
 	}
 	if sends < 30000 || answers < 10000 {
-		t.Errorf("%d sends and %d rejections and failures: the settings leave too little to see", sends, answers)
+		t.Errorf("only %d sends and %d rejections and failures, too few to check the rules", sends, answers)
 	}
 }
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Each outcome must lead to a retry, a rejection or a failure as the idempotency class requires.
 func TestOutcomesByIdempotencyClass(t *testing.T) {
 	const again, reject, fail, done = "again", "reject", "fail", "done"
 	for _, tc := range []struct {
@@ -25,7 +26,7 @@
 			c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(24)})
 			c.event(Event{Kind: EventJob, Job: 1, Class: class, Slots: 1, Deadline: c.now + 4*time.Second})
 			if len(c.jobs[1].sends) != 1 {
-				t.Fatalf("class %d: %d sends at arrival", class, len(c.jobs[1].sends))
+				t.Fatalf("class %d: %d sends at arrival, want 1", class, len(c.jobs[1].sends))
 			}
 			c.outcome(1, 0, tc.outcome)
 			got := done
@@ -44,7 +45,8 @@
 	}
 }
 
-// At the deadline a job that may have run is failed, or rejected where repeating is harmless, at once.
+// At the deadline a job that may have run must be answered at once: it fails, or is rejected where repeating
+// is harmless.
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail, Fail, Reject} {
 		c := newChecker(t, testSettings(), 1)
@@ -58,9 +60,9 @@
 	}
 }
 
-// Where a rejection is no proof, a NotIdempotent job that met it gets no other attempt and no rejection, and
-// a Deduplicated one stays in its scope; connections that failed and sends that were never made still prove
-// that it never ran.
+// Where a rejection is no proof that a job never ran, a rejected NotIdempotent job must get no other attempt
+// and must not be rejected, and a Deduplicated one must stay in its scope. Failed connections and unsent
+// attempts still prove that the job never ran.
 func TestUnprovenRejectionMayHaveRun(t *testing.T) {
 	for _, tc := range []struct {
 		outcome    Outcome
@@ -80,7 +82,7 @@
 		}
 		if tc.again {
 			if tc.class == 2 && j.sends[1].to.Zone != j.sends[0].to.Zone {
-				t.Errorf("a Keyed job left its zone")
+				t.Errorf("a job deduplicated by zone left its zone")
 			}
 			c.outcome(1, 1, tc.outcome)
 		}
@@ -91,10 +93,11 @@
 	}
 }
 
-// The deduplication window counts from the earliest attempt that may have run, however often the job
-// was rejected since.
+// The deduplication window must count from the earliest attempt that may have run, however often the job has
+// been rejected since.
 func TestDedupWindowCountsFromFirstUnprovenAttempt(t *testing.T) {
-	c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
+	c := newCheckerWithWorkers(t, 24,
+		func(s *Settings) { s.RejectionUnproven, s.MaxAttempts, s.Classes[4].LateValue = true, 0, 0.5 })
 	c.event(Event{Kind: EventJob, Job: 1, Class: 4, Slots: 1, Deadline: c.now + 5*time.Second})
 	start := c.now
 	for n := 0; n < len(c.jobs[1].sends); n++ {
@@ -102,12 +105,12 @@
 		c.outcome(1, n, Rejected)
 	}
 	if last := c.jobs[1].sends[len(c.jobs[1].sends)-1].at - start; last > 2*time.Second || last < time.Second {
-		t.Errorf("last attempt %v after the first, window 2 s", last)
+		t.Errorf("last attempt %v after the first, want 1 s to the window of 2 s", last)
 	}
 }
 
-// A class that is bound to kinds or zones goes nowhere else, also when those workers are full or none is
-// left, and never to one of a kind or zone that the settings do not know. Such a job once went anywhere.
+// A class that is restricted to kinds or zones must not go to other workers, not even if the allowed workers
+// are full or have left, and never to a worker of unknown kind or zone. Such a job was sent to any worker.
 func TestJobsStayWithinAllowedKindsAndZones(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Settings)
@@ -144,7 +147,7 @@
 				for id := JobID(1); id <= 200; id++ {
 					c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Key: uint64(id) * keys, Slots: 1,
 						Deadline: c.now + time.Second})
-					for _, open := range sortedIDs(c.jobs) { // every one turns it away, at once
+					for _, open := range sortedIDs(c.jobs) { // every worker rejects it at once
 						for n := 0; n < len(c.jobs[open].sends); n++ {
 							if e := c.jobs[open].sends[n].to; !tc.ok(e) || name != "empty" && e.Worker <= 2 {
 								t.Fatalf("keys %v: sent to %+v", keys, e)
@@ -156,12 +159,12 @@
 						}
 					}
 					if permitted == 0 && !c.jobs[id].answered {
-						t.Fatalf("keys %v: held though no worker is open to it", keys)
+						t.Fatalf("keys %v: the job is pending although no worker may take it", keys)
 					}
 					c.advance(100 * time.Millisecond)
 				}
 				if permitted > 0 && met < 200 {
-					t.Errorf("keys %v: only %d sends", keys, met)
+					t.Errorf("keys %v: only %d sends, want 200", keys, met)
 				}
 			}
 		})
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A worker that has just started gets no more from one dispatcher than its part, whatever the rest of
-// the fleet rejects.
+// A worker that has just started must get no more than its part of the jobs from a dispatcher, whatever other
+// workers reject.
 func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 4, 20} {
 		c := newCheckerWithWorkers(t, 12, func(s *Settings) { s.Dispatchers = dispatchers })
@@ -24,33 +24,35 @@
 			}
 		}
 		serve(20, func(WorkerID) Outcome { return OK })
-		cold := Entry{Worker: 777, Kind: 0, Zone: 0, Started: c.now, State: Ready}
-		c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}})
+		warming := Entry{Worker: 777, Kind: 0, Zone: 0, Started: c.now, State: Ready}
+		c.event(Event{Kind: EventList, List: ListDelta, Entries: []Entry{warming}})
 		start := c.now
 		serve(2, func(to WorkerID) Outcome {
-			if to == cold.Worker {
+			if to == warming.Worker {
 				return OK
 			}
 			return Rejected
 		})
-		// A warm worker takes a twelfth of 20 jobs a second from here; cold it surely does a fifth of that.
+		// A warm worker gets a twelfth of the 20 jobs per second of this dispatcher, and a starting one can take a
+		// fifth of that.
 		limit := c.settings.OverloadMultiple * c.settings.SlowStartShare * 20 / 12 * c.settings.OverloadSpan.Seconds()
 		n := 0
-		for _, at := range c.warmingSends[cold.Worker] {
+		for _, at := range c.warmingSends[warming.Worker] {
 			if at < start+c.settings.OverloadSpan {
 				n++
 			}
 		}
 		if float64(n) > limit {
-			t.Errorf("%d dispatchers: %d jobs to a warming worker within %v, over its part of the budget, %.1f",
+			t.Errorf("%d dispatchers: %d jobs to a warming-up worker within %v, the budget is %.1f",
 				dispatchers, n, c.settings.OverloadSpan, limit)
 		}
 	}
 }
 
-// Found by a search over random days: 156 dispatchers that had looked at a warming worker with a long job
-// let short ones through at once, and what each had saved while nobody wanted to go there came in the same
-// second. All together stay within the budget.
+// All dispatchers together must stay within the budget of a warming-up worker, and unused budget must not
+// accumulate. In a search over random days, 156 dispatchers that had considered a warming-up worker for a
+// long job sent short jobs at once, and the budget that each had accumulated while it had no jobs for the
+// worker was used within the same second.
 func TestSlowStartBudgetIsNotSavedUp(t *testing.T) {
 	const n = 150
 	for _, idle := range []time.Duration{0, 4 * time.Second} {
@@ -80,7 +82,7 @@
 			}
 			share := d.slowStart.share(w, d.now)
 			limit += s.OverloadMultiple * share * d.budget.servedWork[0] / rateMemory.Seconds() / d.pools.readyCount[0]
-			for range 10 { // within one span everybody wants to send there
+			for range 10 { // within one span all dispatchers send to the worker
 				for d.budget.allows(w, short, d.now) {
 					w.hasPermit = false
 					work += 0.15
@@ -94,13 +96,13 @@
 	}
 }
 
-// Each of 80 dispatchers saved up for a whole job before it sent one to a warming worker: 80 s with its part
-// of what such a worker bears, so that 36 new workers were idle for seconds while a third of all jobs was
-// rejected. All together use it well now, and stay within the rule's budget.
+// Many dispatchers together must use a warming-up worker well and stay within its budget. Each of 80
+// dispatchers waited until its part of the budget covered a whole job, 80 s at its part of what such a worker
+// can take. Meanwhile 36 new workers were idle for seconds while a third of all jobs was rejected.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
-	checkSharedWarmingWorker(t, 4, 2, 0, 8)  // its warm peers have 13 jobs a second each; it surely bears 4 of that
-	checkSharedWarmingWorker(t, 1, 8, 0, 5)  // what mostly idle ones do says little of what it bears: their slots do
-	checkSharedWarmingWorker(t, 1, 8, 8, 14) // and where these are all held, it need not wait for its peers to do more
+	checkSharedWarmingWorker(t, 4, 2, 0, 8)  // warm peers get 13 jobs a second each; it can take 4 of these
+	checkSharedWarmingWorker(t, 1, 8, 0, 5)  // the load of mostly idle peers says little of its capacity: their slots count
+	checkSharedWarmingWorker(t, 1, 8, 8, 14) // with all slots of its peers in use, it need not wait for their load to grow
 }
 
 func checkSharedWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
@@ -117,18 +119,18 @@
 		now := time.Minute + time.Duration(seed)*time.Millisecond
 		id := JobID(0)
 		d.Handle(now, &Event{Kind: EventList, List: ListFull, Entries: list}, nil)
-		cold := Entry{Worker: 777, Started: time.Minute + 10*time.Second, State: Ready}
+		warming := Entry{Worker: 777, Started: time.Minute + 10*time.Second, State: Ready}
 		for ; now < time.Minute+13*time.Second; now += time.Second / time.Duration(perSecond) {
-			if now >= cold.Started && d.workers.byID[cold.Worker] == nil {
-				d.Handle(now, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{cold}}, nil)
+			if now >= warming.Started && d.workers.byID[warming.Worker] == nil {
+				d.Handle(now, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{warming}}, nil)
 			}
 			id++
 			arrival := Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Slots: 1, Deadline: now + time.Second}
 			for _, a := range d.Handle(now, &arrival, nil) {
 				if a.Kind != Send {
 					continue
-				} else if a.Worker == cold.Worker {
-					sends = append(sends, now-cold.Started)
+				} else if a.Worker == warming.Worker {
+					sends = append(sends, now-warming.Started)
 				}
 				d.Handle(now, &Event{Kind: EventJobProgress, Job: id, Worker: a.Worker, Progress: JobStarted}, nil)
 				free := slots * float64(boolToInt(queue == 0 || id < 3))
@@ -139,16 +141,16 @@
 		}
 	}
 	slices.Sort(sends)
-	each := max(float64(n*perSecond)/24, slots/run.Seconds()) // jobs a second that a warm worker bears
+	each := max(float64(n*perSecond)/24, slots/run.Seconds()) // jobs per second at a warm worker
 	for i := range sends {
 		last, _ := slices.BinarySearch(sends, sends[i]+time.Second)
 		share := 0.3 + 0.7*sends[i].Seconds()/9
 		if got, most := float64(last-i), 3*share*each; got > most {
-			t.Errorf("%.0f jobs within a second from %v on, the budget is %.1f", got, sends[i], most)
+			t.Errorf("%.0f jobs within the second after %v, the budget is %.1f", got, sends[i], most)
 		}
 	}
 	if len(sends) < least {
-		t.Errorf("%d dispatchers' jobs a second, %v slots: %d jobs in 3 s for a warming worker, not %d",
+		t.Errorf("%d jobs per second in all, %v slots: %d jobs in 3 s to a warming-up worker, want %d",
 			n*perSecond, slots, len(sends), least)
 	}
 }
--- a/internal/decision/validation_test.go
+++ b/internal/decision/validation_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A dispatcher must work with no settings at all.
 func TestMissingSettingsGetDefaults(t *testing.T) {
 	c := newChecker(t, Settings{}, 1)
 	c.settings.Classes = []ClassSettings{{Idempotency: NotIdempotent}}
@@ -17,6 +18,7 @@
 	}
 }
 
+// The error for a setting that is out of range must name the setting.
 func TestSettingsThatCannotWorkAreNamed(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"SlowStartShare":    func(s *Settings) { s.SlowStartShare = math.NaN() },
--- a/internal/decision/workers_test.go
+++ b/internal/decision/workers_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Idle connections to a draining worker are closed at the notice, whatever list brings it, and after each
-// later outcome there; a connection that came up after its attempt was given up is closed by a second try.
-// Nothing is repeated without cause, and nothing closed where no time is stated.
+// Idle connections to a draining worker must be closed when any kind of list announces the drain, and after
+// each later outcome. A connection that is established after its attempt was abandoned is closed by a second
+// action. There must be no further closes, and none at all where no time is stated.
 func TestIdleConnectionsAreClosedOnDrains(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
 		for _, limit := range []time.Duration{0, 800 * time.Millisecond} {
@@ -26,14 +26,14 @@
 				return c.countCloseIdle(to.Worker)
 			}
 			if n := told(); n != want {
-				t.Errorf("list %d, limit %v: %d closings at the notice", kind, limit, n)
+				t.Errorf("list %d, limit %v: %d closes when the drain is announced", kind, limit, n)
 			}
 			if n := told(); n != 0 {
-				t.Errorf("list %d: closed again at the same news", kind)
+				t.Errorf("list %d: closed again at the same list", kind)
 			}
-			c.outcome(1, 0, Cancelled) // its connection may be on the way still
+			c.outcome(1, 0, Cancelled) // its connection may still be established
 			if n := c.countCloseIdle(to.Worker); n != want {
-				t.Errorf("list %d, limit %v: %d closings at the outcome", kind, limit, n)
+				t.Errorf("list %d, limit %v: %d closes at the outcome", kind, limit, n)
 			}
 			later := 0
 			for range 300 {
@@ -42,7 +42,7 @@
 				later += c.countCloseIdle(to.Worker)
 			}
 			if later != want {
-				t.Errorf("list %d, limit %v: %d late closings", kind, limit, later)
+				t.Errorf("list %d, limit %v: %d later closes", kind, limit, later)
 			}
 		}
 	}
