--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -20,22 +20,22 @@
 			{Kind: EventJobProgress, Job: 1, Attempt: -1},
 		},
 		"same job twice": {{Kind: EventJob, Job: 1, Deadline: time.Hour}},
-		"absurd job": {
+		"invalid job": {
 			{Kind: EventJob, Job: 2, Slots: nan, Memory: math.Inf(-1), Deadline: time.Minute + time.Second},
 		},
-		"absurd report": {
+		"invalid report": {
 			{Kind: EventHealthChecked, Worker: 13, Load: Load{Count: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}},
 		},
-		"unknown worker probed": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
-		"stray timer":           {{Kind: EventTimer, Token: 4e9}},
-		"garbled peer":          {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
-		"absurd kind": {
+		"health check of unknown worker": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
+		"unknown timer":                  {{Kind: EventTimer, Token: 4e9}},
+		"garbled peer":                   {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
+		"invalid kind": {
 			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}},
 		},
 		"started in the future": {
 			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Started: time.Hour, State: Ready}}},
 		},
-		"gone and answering": {{Kind: EventList, List: ListFull},
+		"answer of a gone worker": {{Kind: EventList, List: ListFull},
 			{Kind: EventJobProgress, Job: 1, Progress: JobStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, JobEnded: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			for range 90 { // no health check is answered: the job must not wait for one until its deadline
 				c.advance(10 * time.Millisecond)
 			}
-			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "gone and answering" {
+			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "answer of a gone worker" {
 				t.Error("a later job is neither sent nor answered")
 			}
 		})
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -49,9 +49,9 @@
 type Entry struct {
 	Worker  WorkerID
 	Started time.Duration // when its process started; 0: long ago
-	Cell    int
+	Cell    int           // workers of a cell share deduplication, see DedupByCell
 	Zone    int
-	Kind    int
+	Kind    int     // kind of worker, from 0
 	Weight  float64 // its capacity relative to that of other workers
 	State   State
 }
@@ -100,10 +100,10 @@
 	Slots    float64 // the number of slots that the job takes at a worker
 	Memory   float64
 	Duration time.Duration
-	Value    float64
+	Value    float64 // of an EventJobProgress
 	Load     Load
 	Token    uint32 // of the SetTimer action that set the timer
-	From     int
+	From     int    // number of the sending dispatcher
 	Data     []byte
 	Entries  []Entry
 }
--- a/internal/decision/forecast_test.go
+++ b/internal/decision/forecast_test.go
@@ -13,19 +13,19 @@
 	c := newCheckerWithWorkers(t, 60, func(s *Settings) { sharedFleetSettings(s); s.Classes[0].LateValue = 0.2 })
 	run := time.Duration(c.dispatcher.times.runSeconds[0] * float64(time.Second))
 	for id, tc := range []struct {
-		held     float64
-		patience time.Duration
-		repeat   bool
-		sent     bool
+		peerSlots float64
+		timeLeft  time.Duration
+		retry     bool
+		sent      bool
 	}{{4, 4 * time.Second, false, true}, {4, run / 10, false, false}, {4, time.Second, true, false},
 		{0, run / 10, false, true}, {0, time.Second, true, true}} { // without waiting jobs they are sent
 		for k := range c.dispatcher.load.groupLoad {
-			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.held, 4
+			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.peerSlots, 4
 		}
 		job := JobID(id + 1)
-		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.repeat, Deadline: c.now + tc.patience})
+		c.event(Event{Kind: EventJob, Job: job, Tenant: id, Slots: 1, Retry: tc.retry, Deadline: c.now + tc.timeLeft})
 		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent {
-			t.Errorf("peers use %v of 4 slots, %v left, retry %v: sent %v", tc.held, tc.patience, tc.repeat, sent)
+			t.Errorf("peers use %v of 4 slots, %v left, retry %v: sent %v", tc.peerSlots, tc.timeLeft, tc.retry, sent)
 		}
 	}
 }
@@ -36,17 +36,17 @@
 func TestLikelyLateJobsAreRejected(t *testing.T) {
 	c := newCheckerWithWorkers(t, 60, func(s *Settings) { sharedFleetSettings(s); s.Classes[4].Value = 20 })
 	for id, tc := range []struct {
-		held  float64
-		class int
-		sent  bool
+		peerSlots float64
+		class     int
+		sent      bool
 	}{{2, 0, true}, {6, 0, false}, {6, 4, true}, {16, 4, false}} {
 		for k := range c.dispatcher.load.groupLoad {
-			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.held, 4
+			c.dispatcher.load.groupLoad[k], c.dispatcher.load.slotsSeen[k/2] = tc.peerSlots, 4
 		}
 		job := JobID(id + 1)
 		c.event(Event{Kind: EventJob, Job: job, Class: tc.class, Tenant: id, Slots: 1, Deadline: c.now + 4*time.Second})
 		if sent := len(c.jobs[job].sends) > 0; sent != tc.sent || c.jobs[job].answered == sent {
-			t.Errorf("peers use %v of 4 slots, class %d: sent %v, answered %v", tc.held, tc.class, sent, c.jobs[job].answered)
+			t.Errorf("peers use %v of 4 slots, class %d: sent %v, answered %v", tc.peerSlots, tc.class, sent, c.jobs[job].answered)
 		}
 	}
 }
@@ -56,17 +56,18 @@
 // the gain on each quick day. A slow local kind that still answers in time must be used.
 func TestJobsStayInTheirZoneWhereCrossingIsExpensive(t *testing.T) {
 	for _, tc := range []struct {
-		price     float64
-		from, too int
+		price       float64
+		least, most int
 	}{{0.08, 285, 300}, {0.01, 0, 200}} { // a third of the workers are local
-		near := 0
+		local := 0
 		newCheckerWithWorkers(t, 60,
-			func(s *Settings) { costlyZoneSettings(s); s.CrossZoneCost = tc.price }).serveSequentially(400, func(id JobID, w Entry) workerReply {
-			near += boolToInt(w.Zone == 0 && id > 100)
+			func(s *Settings) { costlyZoneSettings(s); s.CrossZoneCost = tc.price },
+		).serveSequentially(400, func(id JobID, w Entry) workerReply {
+			local += boolToInt(w.Zone == 0 && id > 100)
 			return workerReply{startDelay: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
 		})
-		if near < tc.from || near > tc.too {
-			t.Errorf("cross-zone cost %v: %d of 300 jobs stay in their zone", tc.price, near)
+		if local < tc.least || local > tc.most {
+			t.Errorf("cross-zone cost %v: %d of 300 jobs stay in their zone", tc.price, local)
 		}
 	}
 }
--- a/internal/decision/jobs.go
+++ b/internal/decision/jobs.go
@@ -12,7 +12,7 @@
 	pendingUntil time.Duration // the job is not kept pending after it
 	attempts     []*attemptState
 	ended        bool // the job needs no further answer
-	pending      bool // no worker has been found yet
+	pending      bool // the job waits for a worker and has no attempt in flight
 	overQuota    bool // the job exceeds its tenant's share
 }
 
--- a/internal/decision/key_affinity_test.go
+++ b/internal/decision/key_affinity_test.go
@@ -8,18 +8,18 @@
 // The jobs of one key must go to few workers, the same for all dispatchers, even where fetching the data of a
 // key costs only time. Without key affinity there, nearly half of the answers of a quiet day were late.
 func TestKeyIsServedByFewWorkers(t *testing.T) {
-	met := map[WorkerID]bool{}
+	used := map[WorkerID]bool{}
 	for seed := range uint64(5) {
 		c := newChecker(t, testSettings(), seed)
 		c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(40)})
 		for id := JobID(1); id <= 50; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Key: 42, Slots: 1, Deadline: c.now + time.Second})
-			met[c.jobs[id].sends[0].to.Worker] = true
+			used[c.jobs[id].sends[0].to.Worker] = true
 			c.outcome(id, 0, OK)
 		}
 	}
-	if len(met) > workersPerKey {
-		t.Errorf("the jobs of one key went to %d workers", len(met))
+	if len(used) > workersPerKey {
+		t.Errorf("the jobs of one key went to %d workers", len(used))
 	}
 }
 
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -68,34 +68,37 @@
 // between clients, and longer the smaller the admitted share is. A failure carries none, and neither does a
 // rejection where clients are not told.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	times := func(told bool, let float64, class int) map[time.Duration]bool {
-		c := newCheckerWithWorkers(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
+	retryAfterTimes := func(tellClients bool, share float64, class int) map[time.Duration]bool {
+		c := newCheckerWithWorkers(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = tellClients, time.Second })
 		if class == 1 {
-			c = newCheckerWithWorkers(t, 24, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = told, time.Second })
+			c = newCheckerWithWorkers(t, 24, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = tellClients, time.Second })
 		}
-		out := map[time.Duration]bool{}
+		times := map[time.Duration]bool{}
 		for id := JobID(1); id <= 20; id++ {
 			c.dispatcher.shedder.admittedShare = 1
 			c.event(Event{Kind: EventJob, Job: id, Class: class, Slots: 1, Deadline: c.now + 4*time.Second})
-			c.dispatcher.shedder.admittedShare = let
+			c.dispatcher.shedder.admittedShare = share
 			if class == 1 {
 				c.outcome(id, 0, Error)
 			} else {
 				c.dispatcher.reject(&jobState{Event: Event{Job: id}})
 			}
-			out[c.dispatcher.actions[len(c.dispatcher.actions)-1].RetryAfter] = true
+			times[c.dispatcher.actions[len(c.dispatcher.actions)-1].RetryAfter] = true
 		}
-		return out
+		return times
 	}
-	for at := range times(true, 0.01, 0) {
+	for at := range retryAfterTimes(true, 0.01, 0) {
 		if at <= 0 || at > time.Second {
 			t.Errorf("retry-after time is %v, want above 0 and at most 1 s", at)
 		}
 	}
-	if n := len(times(true, 1, 0)); n < 15 {
+	if n := len(retryAfterTimes(true, 1, 0)); n < 15 {
 		t.Errorf("only %d different retry-after times for 20 rejections", n)
 	}
-	for name, got := range map[string]map[time.Duration]bool{"not told": times(false, 1, 0), "failed": times(true, 1, 1)} {
+	for name, got := range map[string]map[time.Duration]bool{
+		"not told": retryAfterTimes(false, 1, 0),
+		"failed":   retryAfterTimes(true, 1, 1),
+	} {
 		if len(got) != 1 || !got[0] {
 			t.Errorf("%s: retry-after times %v, want none", name, got)
 		}
--- a/internal/decision/picking_test.go
+++ b/internal/decision/picking_test.go
@@ -66,18 +66,18 @@
 		least      int
 	}{{time.Minute, 0, 8, 1}, {time.Minute, 100 * time.Millisecond, 40, 10}, {time.Second, 0, 40, 10}, {0, 0, 40, 10}} {
 		c := newCheckerWithWorkers(t, 40, func(s *Settings) { s.ConnIdle = tc.idle })
-		met := map[WorkerID]bool{}
+		used := map[WorkerID]bool{}
 		for id := JobID(1); id <= 30; id++ {
 			c.event(Event{Kind: EventJob, Job: id, Class: 1, Slots: 1, Deadline: c.now + 4*time.Second})
 			to := c.jobs[id].sends[0].to.Worker
-			met[to] = true
+			used[to] = true
 			c.advance(tc.wait)
 			c.event(Event{Kind: EventJobProgress, Job: id, Worker: to, Progress: JobStarted})
 			c.outcome(id, 0, OK)
 			c.advance(1500 * time.Millisecond)
 		}
-		if len(met) > tc.most || len(met) < tc.least {
-			t.Errorf("idle time %v, wait %v: jobs went to %d workers", tc.idle, tc.wait, len(met))
+		if len(used) > tc.most || len(used) < tc.least {
+			t.Errorf("idle time %v, wait %v: jobs went to %d workers", tc.idle, tc.wait, len(used))
 		}
 	}
 }
--- a/internal/decision/pools_test.go
+++ b/internal/decision/pools_test.go
@@ -9,15 +9,15 @@
 
 // labelsByWorker returns the label of each worker in the pools of a dispatcher.
 func labelsByWorker(d *Dispatcher) map[WorkerID]int {
-	out := map[WorkerID]int{}
+	labels := map[WorkerID]int{}
 	for l, kinds := range d.pools.members {
 		for _, members := range kinds {
 			for _, w := range members {
-				out[w.Worker] = l
+				labels[w.Worker] = l
 			}
 		}
 	}
-	return out
+	return labels
 }
 
 // dispatcherWithList returns a dispatcher that has received a full list.
@@ -32,17 +32,17 @@
 func TestDispatchersAgreeOnPools(t *testing.T) {
 	list := testWorkers(60)
 	want := labelsByWorker(dispatcherWithList(t, 1, list))
-	back := slices.Clone(list)
-	slices.Reverse(back)
+	reversed := slices.Clone(list)
+	slices.Reverse(reversed)
 	if len(want) != len(list) {
 		t.Fatalf("%d of %d workers are in a pool", len(want), len(list))
 	}
 	d := dispatcherWithList(t, 2, nil)
-	for _, e := range back { // a sequence of deltas must give the same pools
+	for _, e := range reversed { // a sequence of deltas must give the same pools
 		d.Handle(2*time.Second, &Event{Kind: EventList, List: ListDelta, Entries: []Entry{e}}, nil)
 	}
 	for name, got := range map[string]map[WorkerID]int{
-		"reversed": labelsByWorker(dispatcherWithList(t, 3, back)),
+		"reversed": labelsByWorker(dispatcherWithList(t, 3, reversed)),
 		"deltas":   labelsByWorker(d)} {
 		for id, l := range want {
 			if got[id] != l {
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -21,7 +21,7 @@
 // by the clients of the others multiply their arrivals and must not raise the tenant's due. An overload
 // sustained itself that way.
 func TestRetriesDoNotRaiseTenantQuota(t *testing.T) {
-	admitted := func(retries int) (big, small int) {
+	admitted := func(retries int) (overShare, others int) {
 		c := newCheckerWithWorkers(t, 40, nil)
 		id := JobID(0)
 		for step := range 3000 {
@@ -35,9 +35,9 @@
 					sent := c.sendJob(id, tenant)
 					if sent && try == 0 && (tenant == 0 || step%8 < 4) {
 						if step > 1500 && tenant == 0 {
-							big++
+							overShare++
 						} else if step > 1500 {
-							small++
+							others++
 						}
 						c.outcome(id, 0, OK)
 					}
@@ -49,13 +49,13 @@
 			}
 			c.advance(10 * time.Millisecond)
 		}
-		return big, small
+		return overShare, others
 	}
-	big, small := admitted(0)
-	if small == 0 || big > 4*small {
-		t.Errorf("%d jobs of the tenant beyond its share were admitted, %d of all others", big, small)
+	overShare, others := admitted(0)
+	if others == 0 || overShare > 4*others {
+		t.Errorf("%d jobs of the tenant beyond its share were admitted, %d of all others", overShare, others)
 	}
-	if more, _ := admitted(3); more > big*3/2 {
-		t.Errorf("retries of others raised the admitted jobs of the tenant from %d to %d", big, more)
+	if more, _ := admitted(3); more > overShare*3/2 {
+		t.Errorf("retries of others raised the admitted jobs of the tenant from %d to %d", overShare, more)
 	}
 }
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -143,7 +143,7 @@
 						permitted++
 					}
 				}
-				met := 0
+				attempts := 0
 				for id := JobID(1); id <= 200; id++ {
 					c.event(Event{Kind: EventJob, Job: id, Tenant: int(id) % 5, Key: uint64(id) * keys, Slots: 1,
 						Deadline: c.now + time.Second})
@@ -153,7 +153,7 @@
 								t.Fatalf("keys %v: sent to %+v", keys, e)
 							}
 							if !c.jobs[open].sends[n].done {
-								met++
+								attempts++
 								c.outcome(open, n, Rejected)
 							}
 						}
@@ -163,8 +163,8 @@
 					}
 					c.advance(100 * time.Millisecond)
 				}
-				if permitted > 0 && met < 200 {
-					t.Errorf("keys %v: only %d sends, want 200", keys, met)
+				if permitted > 0 && attempts < 200 {
+					t.Errorf("keys %v: only %d sends, want 200", keys, attempts)
 				}
 			}
 		})
--- a/internal/decision/start_delays_test.go
+++ b/internal/decision/start_delays_test.go
@@ -13,14 +13,14 @@
 			sharedFleetSettings(settings)
 			settings.Classes[0].LatencyTarget = 200 * time.Millisecond
 		})
-	near := 0
+	localJobs := 0
 	c.serveSequentially(400, func(id JobID, w Entry) workerReply {
-		some := time.Duration(id%3) * 20 * time.Millisecond // some jobs wait a little
+		wait := time.Duration(id%3) * 20 * time.Millisecond // some jobs wait a little
 		if w.Zone != c.settings.Zone {
-			return workerReply{startDelay: 120*time.Millisecond + some, run: 50 * time.Millisecond, free: 1}
+			return workerReply{startDelay: 120*time.Millisecond + wait, run: 50 * time.Millisecond, free: 1}
 		}
-		near += boolToInt(id > 100)
-		return workerReply{startDelay: time.Millisecond + some, run: 50 * time.Millisecond, free: 1}
+		localJobs += boolToInt(id > 100)
+		return workerReply{startDelay: time.Millisecond + wait, run: 50 * time.Millisecond, free: 1}
 	})
 	if local, remote := c.dispatcher.delays.seconds[1][0], c.dispatcher.delays.seconds[0][0]; local > 0.05 ||
 		remote < 0.08 || remote > 0.2 {
@@ -28,8 +28,8 @@
 	}
 	// A third of the workers are local. Choosing among all workers of a kind gave half of the jobs a remote
 	// handshake.
-	if near < 285 {
-		t.Errorf("%d of 300 jobs stay in their zone although it has free slots", near)
+	if localJobs < 285 {
+		t.Errorf("%d of 300 jobs stay in their zone although it has free slots", localJobs)
 	}
 	// What is learned about local workers must not affect the estimates for remote ones, nor the reverse.
 	for k := range c.dispatcher.load.slotsSeen {
--- a/internal/decision/workers_test.go
+++ b/internal/decision/workers_test.go
@@ -21,14 +21,14 @@
 					list[i].State = Draining
 				}
 			}
-			told := func() int {
+			sendList := func() int {
 				c.event(Event{Kind: EventList, List: kind, Entries: list})
 				return c.countCloseIdle(to.Worker)
 			}
-			if n := told(); n != want {
+			if n := sendList(); n != want {
 				t.Errorf("list %d, limit %v: %d closes when the drain is announced", kind, limit, n)
 			}
-			if n := told(); n != 0 {
+			if n := sendList(); n != 0 {
 				t.Errorf("list %d: closed again at the same list", kind)
 			}
 			c.outcome(1, 0, Cancelled) // its connection may still be established
