--- a/internal/controlplane/controlstate/change.go
+++ b/internal/controlplane/controlstate/change.go
@@ -9,31 +9,31 @@
 	"gladepick/internal/cluster"
 )
 
-// Change is one record of the replicated log. Exactly one field is set. The JSON line of the record is followed by the
-// operator's body, byte for byte, where the change is one of the configuration.
+// Change is one record of the replicated log. Exactly one field is set. The record is a line of JSON. In the record of
+// a configuration change, the operator's body follows the line byte for byte.
 type Change struct {
 	Config *ConfigChange `json:"order,omitempty"`
 	Table  *TableChange  `json:"table,omitempty"`
 }
 
-// ConfigChange is an accepted order that replaces or updates the configuration. It is without effect unless the
-// configuration still has the version it builds on.
+// ConfigChange is an accepted order: an operator's request that replaces or updates the configuration. It has no effect
+// unless the configuration still has version Base when the change is applied.
 type ConfigChange struct {
-	Digest string `json:"digest"` // of the order, by which it is known when it is sent again
-	Base   uint64 `json:"base"`   // the version of the configuration that it builds on
+	Digest string `json:"digest"` // digest of the order; identifies it when it is sent again
+	Base   uint64 `json:"base"`   // version of the configuration that the order builds on
 	Update bool   `json:"update,omitempty"`
 	Body   []byte `json:"-"`
 }
 
-// TableChange changes the cluster table and the retire jobs. It is without effect unless the table still has the
-// revision it builds on.
+// TableChange changes the cluster table and the retire jobs. It has no effect unless the table still has revision Base
+// when the change is applied.
 type TableChange struct {
-	ID string `json:"id"` // unique, so that its proposer sees whether it took effect
+	ID string `json:"id"` // unique, so that the proposer can tell whether the change took effect
 	cluster.TableChange
 	Jobs []RetireJob `json:"jobs,omitempty"`
 }
 
-// Encode returns the record of a change.
+// Encode returns the log record of the change.
 func (c *Change) Encode() ([]byte, error) {
 	line, err := json.Marshal(c)
 	if err != nil {
@@ -46,11 +46,11 @@
 	return record, nil
 }
 
-// DecodeChange reads a record. The change does not refer to the record's memory.
+// DecodeChange decodes a log record. The change does not share the record's memory.
 func DecodeChange(record []byte) (*Change, error) {
 	line, body, found := bytes.Cut(record, []byte{'\n'})
 	if !found {
-		return nil, trace.BadParameter("record of a change has no end of its line")
+		return nil, trace.BadParameter("change record has no newline after its JSON line")
 	}
 	decoded := &Change{}
 	if err := json.Unmarshal(line, decoded); err != nil {
--- a/internal/controlplane/controlstate/golden_test.go
+++ b/internal/controlplane/controlstate/golden_test.go
@@ -9,8 +9,8 @@
 	"gladepick/internal/cluster"
 )
 
-// The golden files in testdata hold what released versions have written to disks. They were made once, by the flag
-// -update, and are never edited.
+// The golden files in testdata are in the formats that released versions have written to disks. They were generated
+// once by the flag -update, and are never edited.
 
 // goldenTable is a cluster table with every field set.
 func goldenTable() *cluster.Table {
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestLogRecordsKeepTheirBytes encodes a change of each kind, and encodes what the golden file holds again.
-func TestLogRecordsKeepTheirBytes(t *testing.T) {
+// TestLogRecordFormatIsUnchanged guards against a format of log records that other versions can't read. It encodes a
+// change of each kind, decodes the golden record and encodes it again.
+func TestLogRecordFormatIsUnchanged(t *testing.T) {
 	update := []byte(`{"version":6,"upsert":{"services":[{"name":"s-2"}]}}`)
 	for name, value := range map[string]*Change{
 		"record-replace": {Config: &ConfigChange{Digest: "0123abcd", Base: 4, Body: []byte(configurationOf(5))}},
@@ -70,8 +71,9 @@
 	}
 }
 
-// TestSnapshotsKeepTheirBytes takes snapshots of machines without and with a configuration, and restores the golden ones.
-func TestSnapshotsKeepTheirBytes(t *testing.T) {
+// TestSnapshotFormatIsUnchanged guards against a snapshot format that other versions can't read. It takes snapshots
+// without and with a configuration, restores the golden ones and takes them again.
+func TestSnapshotFormatIsUnchanged(t *testing.T) {
 	filled := NewMachine()
 	apply(t, filled, replaceChange("first", 0, 5))
 	apply(t, filled, replaceChange("second", 5, 8))
@@ -92,9 +94,9 @@
 	}
 }
 
-// TestSnapshotOfForgottenOrdersKeepsItsBytes restores a snapshot whose oldest orders have been forgotten. It was written
-// by hand, as a real one holds some thousand orders.
-func TestSnapshotOfForgottenOrdersKeepsItsBytes(t *testing.T) {
+// TestSnapshotKeepsForgottenBelow restores a snapshot whose oldest orders have been forgotten, and takes it again. The
+// snapshot is written by hand, because a real one holds MaxOrders orders.
+func TestSnapshotKeepsForgottenBelow(t *testing.T) {
 	const stored = `{"orders":["a","b"],"bases":[3,4],"forgot":3,"table":{"revision":0,"primary":"","core":null,` +
 		`"stores":null,"partitions":null,"copies":0,"deliverers":0}}` + "\n"
 	machine := NewMachine()
--- a/internal/controlplane/controlstate/machine.go
+++ b/internal/controlplane/controlstate/machine.go
@@ -1,11 +1,11 @@
-// Package controlstate is the state that the control group replicates: the configuration, the accepted orders, the
+// Package controlstate holds the state that the control group replicates: the configuration, the accepted orders, the
 // cluster table and the retire jobs.
 //
-// Machine implements replication.StateMachine. A record of the log is a Change; Change.Encode, DecodeChange and the
-// snapshots define bytes on disk, which every later version must read (testdata holds some). The machine is
-// deterministic: alike on every member after the same records. Readers take the current State, which is immutable, from
-// an atomic pointer; a mutex serialises changes. The package starts no goroutine. Start reading at State, then at
-// Machine.Apply.
+// Machine implements replication.StateMachine. A record of the log is a Change. Change.Encode, DecodeChange and the
+// snapshots define formats on disk, which every later version must read; testdata holds examples. The machine is
+// deterministic: after the same records, every member has the same state. Readers load the current State, which is
+// immutable, from an atomic pointer. A mutex serialises changes. The package starts no goroutine. Start reading at
+// State, then at Machine.Apply.
 package controlstate
 
 import (
@@ -19,7 +19,7 @@
 	"gladepick/internal/controlplane/syncutil"
 )
 
-// Machine is the replicated state. Changes are applied in the order of the log, alike on every member.
+// Machine is the replicated state machine. Every member applies the same changes in the order of the log.
 type Machine struct {
 	current  atomic.Pointer[State]
 	changed  syncutil.Notifier
@@ -28,8 +28,7 @@
 	orders   map[string]struct{} // digests of accepted orders
 }
 
-// preparedDocument is a document that was read when its order was checked, so that it is not read again when the
-// order is applied.
+// preparedDocument is the document that was parsed when an order was checked. Applying the order reuses it.
 type preparedDocument struct {
 	digest   string
 	base     uint64
@@ -46,16 +45,17 @@
 // Current returns the state after the last applied change.
 func (m *Machine) Current() *State { return m.current.Load() }
 
-// Changed returns a channel that is closed by the next change. Who takes it before reading the state misses no change.
+// Changed returns a channel that is closed by the next change. A caller that gets the channel before it reads the state
+// misses no change.
 func (m *Machine) Changed() <-chan struct{} { return m.changed.Receive() }
 
-// Prepare hands over the document that a change leads to, so that Apply need not read it again. It has no effect
-// unless that change is applied next.
+// Prepare stores the document that results from a change, so that Apply need not parse it again. The document is used
+// only if that change is applied before the next call of Prepare.
 func (m *Machine) Prepare(change *ConfigChange, document *configuration.Document) {
 	m.prepared.Store(&preparedDocument{digest: change.Digest, base: change.Base, document: document})
 }
 
-// Apply applies one change of the log.
+// Apply applies one record of the log.
 func (m *Machine) Apply(record []byte) error {
 	decoded, err := DecodeChange(record)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return &next, err
 }
 
-// Accepted tells whether an order is among those taken and remembered.
+// Accepted reports whether an order was accepted and its digest is still remembered.
 func (m *Machine) Accepted(digest string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -96,7 +96,7 @@
 
 func (m *Machine) applyConfig(next *State, change *ConfigChange) error {
 	if next.ConfigVersion() != change.Base {
-		return nil // another order was taken first
+		return nil // another order was applied first
 	}
 	document, err := m.documentOf(next.Document, change)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// documentOf returns the document that a change leads to.
+// documentOf returns the configuration that results from a change of the current one.
 func (m *Machine) documentOf(current *configuration.Document, change *ConfigChange) (*configuration.Document, error) {
 	prepared := m.prepared.Load()
 	if prepared != nil && prepared.digest == change.Digest && prepared.base == change.Base {
@@ -122,8 +122,8 @@
 	return NextDocument(current, change.Update, change.Body)
 }
 
-// NextDocument returns the configuration that an order leads to from the current one, which may be nil. The error tells
-// what is wrong with the order's body.
+// NextDocument applies the body of an order to the current configuration, which may be nil, and returns the resulting
+// one. The error says what is wrong with the body.
 func NextDocument(current *configuration.Document, update bool, body []byte) (*configuration.Document, error) {
 	if update {
 		return current.Update(body)
@@ -131,7 +131,8 @@
 	return configuration.ParseAfter(current, body)
 }
 
-// remember adds the digest of an accepted order, and forgets the oldest where there are many.
+// remember adds the digest of an accepted order, and evicts the oldest digest if there are MaxOrders. The caller holds
+// the lock.
 func (m *Machine) remember(next *State, change *ConfigChange) {
 	if _, found := m.orders[change.Digest]; found {
 		return
--- a/internal/controlplane/controlstate/machine_test.go
+++ b/internal/controlplane/controlstate/machine_test.go
@@ -24,7 +24,7 @@
 	return Change{Config: &ConfigChange{Digest: digest, Base: base, Body: []byte(configurationOf(version))}}
 }
 
-func TestOrdersAreAppliedOnTheirBaseOnly(t *testing.T) {
+func TestOrderWithOutdatedBaseIsNotApplied(t *testing.T) {
 	machine := NewMachine()
 	apply(t, machine, replaceChange("a", 0, 5))
 	apply(t, machine, replaceChange("b", 0, 6))
@@ -34,7 +34,7 @@
 	assert.Equal(t, string(machine.Current().Document.JSON()), configurationOf(5))
 }
 
-func TestTableChangesAreAppliedOnTheirBaseOnly(t *testing.T) {
+func TestTableChangeWithOutdatedBaseIsNotApplied(t *testing.T) {
 	machine := NewMachine()
 	change := Change{Table: &TableChange{ID: "1", TableChange: cluster.TableChange{ReplicationFactor: 2}}}
 	apply(t, machine, change)
@@ -46,7 +46,7 @@
 	assert.Equal(t, current.LastChangeID, "1")
 }
 
-func TestSnapshotHoldsTheCompleteState(t *testing.T) {
+func TestRestoredSnapshotLosesNoState(t *testing.T) {
 	machine := NewMachine()
 	apply(t, machine, replaceChange("a", 0, 5))
 	apply(t, machine, Change{Table: &TableChange{
@@ -66,7 +66,7 @@
 	assert.Equal(t, len(restored.Current().Jobs), 1)
 }
 
-func TestOldestOrdersAreForgotten(t *testing.T) {
+func TestAcceptedOrdersAreBounded(t *testing.T) {
 	machine := NewMachine()
 	for version := range MaxOrders + 1 {
 		apply(t, machine, replaceChange(fmt.Sprint(version), uint64(version), version+1))
--- a/internal/controlplane/controlstate/retirejob.go
+++ b/internal/controlplane/controlstate/retirejob.go
@@ -6,20 +6,20 @@
 	"gladepick/internal/cluster"
 )
 
-// RetireJob is an operator's order to empty a store. It holds for one disk; where the store comes back with another one
-// before the order is carried out, a further job holds for that one.
+// RetireJob is an operator's request to empty a store. It applies to one disk: if the store returns with another disk
+// before it is emptied, a second job applies to that disk.
 type RetireJob struct {
 	Store     string `json:"store"`
 	DiskID    string `json:"diskId"`
 	Completed bool   `json:"completed,omitempty"`
 }
 
-// Outdated tells whether a store was emptied, and has come back with another disk since. Its entry may be nil.
+// Outdated reports whether a store was emptied and has returned with another disk since. The store's entry may be nil.
 func (j *RetireJob) Outdated(entry *cluster.StoreEntry) bool {
 	return j.Completed && entry != nil && entry.DiskID != j.DiskID
 }
 
-// FindJob returns the retire job of a store's disk, or nil.
+// FindJob returns the retire job for a store's disk, or nil.
 func FindJob(jobs []RetireJob, store, diskID string) *RetireJob {
 	for i := range jobs {
 		if jobs[i].Store == store && jobs[i].DiskID == diskID {
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// mergeJobs returns the jobs with the changed ones in the place of those of the same disks.
+// mergeJobs returns a copy of the jobs, in which each changed job replaces the job for the same store and disk, or is
+// appended if there is none.
 func mergeJobs(jobs, changed []RetireJob) []RetireJob {
 	if len(changed) == 0 {
 		return jobs
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -11,17 +11,17 @@
 	"gladepick/internal/configuration"
 )
 
-// snapshotHeader is the first line of a snapshot; the configuration follows it byte for byte.
+// snapshotHeader is the first line of a snapshot. The configuration follows it byte for byte.
 type snapshotHeader struct {
 	Orders         []string       `json:"orders,omitempty"`
-	Bases          []uint64       `json:"bases,omitempty"`  // of the orders; older snapshots have none
-	ForgottenBelow uint64         `json:"forgot,omitempty"` // orders on lower versions may be missing
+	Bases          []uint64       `json:"bases,omitempty"`  // base versions of the orders; absent from older snapshots
+	ForgottenBelow uint64         `json:"forgot,omitempty"` // orders that build on lower versions may be missing
 	Table          *cluster.Table `json:"table"`
 	Jobs           []RetireJob    `json:"jobs,omitempty"`
-	Configuration  bool           `json:"configuration,omitempty"` // one follows
+	Configuration  bool           `json:"configuration,omitempty"` // the configuration follows the line
 }
 
-// Snapshot returns the whole state. The updates that led to the configuration are not part of it.
+// Snapshot returns the whole state, except for the recent configuration updates and table changes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	current := m.current.Load()
 	header := snapshotHeader{
@@ -43,11 +43,11 @@
 	return snapshot, nil
 }
 
-// Restore replaces the whole state by a snapshot.
+// Restore replaces the whole state with that of a snapshot.
 func (m *Machine) Restore(snapshot []byte) error {
 	line, body, found := bytes.Cut(snapshot, []byte{'\n'})
 	if !found {
-		return trace.BadParameter("snapshot has no end of its first line")
+		return trace.BadParameter("snapshot has no newline after its first line")
 	}
 	var header snapshotHeader
 	if err := json.Unmarshal(line, &header); err != nil {
@@ -55,7 +55,7 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	next, err := m.restored(&header, body)
+	next, err := m.restoredState(&header, body)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// restored returns the state that a snapshot holds. The caller holds the lock.
-func (m *Machine) restored(header *snapshotHeader, body []byte) (*State, error) {
+// restoredState returns the state that a snapshot holds. The caller holds the lock.
+func (m *Machine) restoredState(header *snapshotHeader, body []byte) (*State, error) {
 	next := &State{
 		Table:          header.Table,
 		Jobs:           header.Jobs,
@@ -88,7 +88,7 @@
 		next.Document = document
 	}
 	if len(next.bases) != len(next.orders) {
-		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.orders)) // at most that
+		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.orders)) // no base is higher
 	}
 	return next, nil
 }
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// MaxOrders is how many digests of accepted orders are kept, to acknowledge an order that is sent again.
+	// MaxOrders is the number of digests of accepted orders that are kept. An order that is sent again is acknowledged
+	// while its digest is kept.
 	MaxOrders = 2000
 
-	maxConfigUpdates = 32 // updates that are kept, to send them instead of the whole configuration
-	maxTableChanges  = 32 // changes of the table that are kept, to send them instead of the whole table
+	maxConfigUpdates = 32 // number of updates that are kept, to send them instead of the whole configuration
+	maxTableChanges  = 32 // number of table changes that are kept, to send them instead of the whole table
 )
 
-// State is one immutable value of the replicated state.
+// State is one immutable version of the replicated state.
 type State struct {
 	Document *configuration.Document // nil before the first configuration
 	Table    *cluster.Table
 	Jobs     []RetireJob
-	// LastChangeID is the id of the last change of the table that took effect. It is not part of snapshots.
+	// LastChangeID is the id of the last table change that took effect. It is not part of snapshots.
 	LastChangeID string
-	// ForgottenBelow is a version of the configuration: orders that built on lower ones may have been accepted and
+	// ForgottenBelow is a version of the configuration. Orders that build on lower versions may have been accepted and
 	// forgotten.
 	ForgottenBelow uint64
 
 	orders        []string              // digests of accepted orders, oldest first
-	bases         []uint64              // the versions that these orders built on, in the same order
-	configUpdates []ConfigUpdate        // the newest updates, oldest first, without a gap up to the document
-	tableChanges  []cluster.TableChange // the newest changes of the table, oldest first, without a gap up to the table
+	bases         []uint64              // versions that these orders build on, in the same order
+	configUpdates []ConfigUpdate        // the newest updates, oldest first, without gaps up to Document
+	tableChanges  []cluster.TableChange // the newest table changes, oldest first, without gaps up to Table
 }
 
 // ConfigUpdate is an update that led from one version of the configuration to the next.
@@ -39,7 +40,7 @@
 	from, to uint64
 }
 
-// ConfigVersion returns the version of the configuration, or 0 where there is none.
+// ConfigVersion returns the version of the configuration, or 0 if there is none.
 func (s *State) ConfigVersion() uint64 {
 	if s.Document == nil {
 		return 0
@@ -47,8 +48,8 @@
 	return s.Document.Version()
 }
 
-// ConfigUpdatesSince returns the updates that lead from a version to the current one, and false where they are not known
-// or are as long as the configuration.
+// ConfigUpdatesSince returns the updates that lead from a version to the current one. It returns false if they are not
+// known, or are at least as long as the configuration.
 func (s *State) ConfigUpdatesSince(version uint64) ([]ConfigUpdate, bool) {
 	size := 0
 	for i := len(s.configUpdates) - 1; i >= 0; i-- {
@@ -63,8 +64,8 @@
 	return nil, false
 }
 
-// TableChangesSince returns the changes that lead from an older revision of the table to the current one, and false where
-// they are not known.
+// TableChangesSince returns the changes that lead from an older revision of the table to the current one. It returns
+// false if they are not known.
 func (s *State) TableChangesSince(revision uint64) ([]cluster.TableChange, bool) {
 	missing := s.Table.Revision - revision
 	if revision == 0 || missing > uint64(len(s.tableChanges)) {
@@ -73,8 +74,8 @@
 	return s.tableChanges[uint64(len(s.tableChanges))-missing:], true
 }
 
-// WithTableChange returns the state with a change of the table, or a copy of the state where the change was computed
-// from another table.
+// WithTableChange returns the state after a change of the table, or an unchanged copy if the change builds on another
+// revision of the table.
 func (s *State) WithTableChange(change *TableChange) *State {
 	next := *s
 	table, applied := next.Table.Apply(&change.TableChange)
@@ -88,7 +89,8 @@
 	return &next
 }
 
-// appendBounded returns a list with one more value and at most limit ones, without changing the list given.
+// appendBounded returns a copy of the list with the value appended and the oldest values dropped, so that at most limit
+// remain.
 func appendBounded[Value any](list []Value, value Value, limit int) []Value {
 	if len(list) >= limit {
 		list = list[len(list)-limit+1:]
--- a/internal/controlplane/syncutil/notifier.go
+++ b/internal/controlplane/syncutil/notifier.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Notifier wakes everyone who waits for something to change. The zero value is ready to use.
+// Notifier wakes all goroutines that wait for a change. The zero value is ready to use.
 type Notifier struct {
 	mutex   sync.Mutex
-	waiting chan struct{} // nil while nobody waits
+	waiting chan struct{} // nil while no goroutine waits
 }
 
-// Receive returns a channel that is closed by the next call of Notify. Who takes it before looking at what may change
-// misses no change.
+// Receive returns a channel that is closed by the next call of Notify. A caller that gets the channel before it reads
+// the observed state misses no change.
 func (n *Notifier) Receive() <-chan struct{} {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -19,7 +19,7 @@
 	return n.waiting
 }
 
-// Notify wakes all who wait now.
+// Notify closes the channel that earlier calls of Receive have returned.
 func (n *Notifier) Notify() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/controlplane/syncutil/semaphore.go
+++ b/internal/controlplane/syncutil/semaphore.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// Semaphore is a lock whose taking can be given up.
+// Semaphore is a lock whose Acquire is cancelled by the end of a context.
 type Semaphore chan struct{}
 
-// NewSemaphore returns a semaphore that nobody has.
+// NewSemaphore returns a free semaphore.
 func NewSemaphore() Semaphore { return make(Semaphore, 1) }
 
-// Acquire waits for the semaphore and takes it. It returns the context's error where the context ends before.
+// Acquire waits for the semaphore and acquires it. If the context ends first, it returns the context's error.
 func (s Semaphore) Acquire(ctx context.Context) error {
 	select {
 	case s <- struct{}{}:
@@ -18,7 +18,7 @@
 	}
 }
 
-// TryAcquire takes the semaphore where nobody has it, and tells whether it did.
+// TryAcquire acquires the semaphore if it is free, and reports whether it did.
 func (s Semaphore) TryAcquire() bool {
 	select {
 	case s <- struct{}{}:
@@ -28,5 +28,5 @@
 	}
 }
 
-// Release gives the semaphore back.
+// Release releases the semaphore.
 func (s Semaphore) Release() { <-s }
--- a/internal/controlplane/syncutil/syncutil.go
+++ b/internal/controlplane/syncutil/syncutil.go
@@ -1,4 +1,4 @@
-// Package syncutil holds the two means by which goroutines of the control plane wait for each other beside the
-// standard ones: a Notifier, which wakes everyone who waits for something to change, and a Semaphore, which is a lock
-// whose taking can be given up. Neither starts a goroutine.
+// Package syncutil holds two means of synchronisation that the standard library lacks: a Notifier, which wakes all
+// goroutines that wait for a change, and a Semaphore, which is a lock whose Acquire is cancelled by the end of a
+// context. Neither starts a goroutine.
 package syncutil
--- a/internal/controlplane/syncutil/syncutil_test.go
+++ b/internal/controlplane/syncutil/syncutil_test.go
@@ -16,17 +16,17 @@
 	}
 }
 
-func TestNotifierWakesThoseWhoWaitBefore(t *testing.T) {
+func TestNotifierWakesOnlyEarlierWaiters(t *testing.T) {
 	var notifier Notifier
-	notifier.Notify() // nobody waits
+	notifier.Notify() // without waiters
 	first, second := notifier.Receive(), notifier.Receive()
 	assert.Assert(t, !closed(first) && !closed(second))
 	notifier.Notify()
 	assert.Assert(t, closed(first) && closed(second))
-	assert.Assert(t, !closed(notifier.Receive()), "it was notified before")
+	assert.Assert(t, !closed(notifier.Receive()), "a new waiter was woken by an earlier call of Notify")
 }
 
-func TestSemaphoreHasOneOwner(t *testing.T) {
+func TestSemaphoreIsNeverHeldTwice(t *testing.T) {
 	semaphore := NewSemaphore()
 	assert.NilError(t, semaphore.Acquire(t.Context()))
 	assert.Assert(t, !semaphore.TryAcquire())
