--- a/internal/controlplane/replication/accept.go
+++ b/internal/controlplane/replication/accept.go
@@ -7,8 +7,9 @@
 	"github.com/gravitational/trace"
 )
 
-// collectAcceptances asks all members to accept a view. It returns, as soon as a majority and this process have,
-// which members have accepted by then, each with the time at which the call was sent.
+// collectAcceptances asks all members to accept a view. When this process and a majority have accepted it, the result
+// holds the disks of the members that have accepted by then, each with the time at which its call was sent. If that
+// does not happen, collectAcceptances returns ErrNoQuorum.
 func (g *Group) collectAcceptances(ctx context.Context, view View, bootstrap bool) (map[string]time.Time, error) {
 	sentAt := time.Now()
 	accepted := map[string]time.Time{}
@@ -20,7 +21,7 @@
 		}
 		return g.sendAccept(g.ctx, to, view, bootstrap)
 	})
-	inForce := func() bool {
+	reached := func() bool {
 		return view.hasQuorum(func(diskID string) bool { return !accepted[diskID].IsZero() })
 	}
 	self := map[string]bool{g.self.DiskID: true}
@@ -28,9 +29,9 @@
 		if response.Accepted {
 			accepted[member.DiskID] = sentAt
 		}
-		return inForce()
+		return reached()
 	})
-	if !inForce() || accepted[g.self.DiskID].IsZero() {
+	if !reached() || accepted[g.self.DiskID].IsZero() {
 		return nil, trace.Wrap(ErrNoQuorum)
 	}
 	return accepted, nil
--- a/internal/controlplane/replication/alignment.go
+++ b/internal/controlplane/replication/alignment.go
@@ -7,14 +7,14 @@
 	"github.com/gravitational/trace"
 )
 
-// alignInSync brings the log of this process, up to its end, to the disks of other members, and returns the disks
-// that hold it: the in-sync set of the new view. It tries the members that have promised the epoch, and the required
-// one. It returns errTooFewInSync where they are too few, or the required one is not among them.
+// alignInSync aligns other members with the whole log of this process, and returns the disks that hold it: the in-sync
+// set of the new view. It tries the members that have promised the epoch, and the required member. It returns
+// errTooFewInSync if fewer disks hold the log than the view needs, or the required disk does not.
 func (g *Group) alignInSync(
 	ctx context.Context, view View, last position, change viewChange, granted map[string]bool,
 ) ([]string, error) {
 	var shared lazySnapshot
-	chosen := membersThat(view.Members, func(diskID string) bool {
+	chosen := filterMembers(view.Members, func(diskID string) bool {
 		return diskID == change.required || (granted[diskID] && !change.excluded[diskID] && diskID != g.self.DiskID)
 	})
 	aligned := g.alignAll(ctx, chosen, view.Epoch, last, func(diskID string) *lazySnapshot {
@@ -29,7 +29,7 @@
 	inSync := append([]string{g.self.DiskID}, aligned...)
 	minimum := view.minInSync(g.options.ReplicationFactor)
 	if len(inSync) < minimum {
-		others := membersThat(view.Members, func(diskID string) bool {
+		others := filterMembers(view.Members, func(diskID string) bool {
 			return granted[diskID] && !slices.Contains(inSync, diskID)
 		})
 		copied := g.alignAll(ctx, others, view.Epoch, last, func(string) *lazySnapshot { return &shared })
@@ -58,18 +58,18 @@
 	return aligned
 }
 
-// align makes a member follow this process's log in an epoch, and reports whether it does. Where the logs differ, it
-// sends the state, unless that is nil.
+// align makes a member follow this process's log in an epoch, and reports whether the member does. If the logs differ
+// and lazy is not nil, align sends the snapshot.
 func (g *Group) align(
-	ctx context.Context, to Member, epoch uint64, last position, state *lazySnapshot,
+	ctx context.Context, to Member, epoch uint64, last position, lazy *lazySnapshot,
 ) (bool, error) {
 	request := attachRequest{Target: to.DiskID, Epoch: epoch, Primary: g.self.DiskID, Last: last}
 	var response attachResponse
 	_, err := g.call(ctx, g.timing.RoundTimeout, to, methodAttach, request, nil, &response)
-	if err != nil || response.Attached || response.Promised > epoch || state == nil {
+	if err != nil || response.Attached || response.Promised > epoch || lazy == nil {
 		return response.Attached, err
 	}
-	data, snapshotLast, err := state.get(g.replica)
+	data, snapshotLast, err := lazy.get(g.replica)
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
--- a/internal/controlplane/replication/append.go
+++ b/internal/controlplane/replication/append.go
@@ -34,8 +34,8 @@
 	return failed, nil
 }
 
-// sendRecords sends records to a backup, a second time where the connection was lost. A backup that no longer
-// follows this log, as after a restart, gets the snapshot.
+// sendRecords sends records to a backup, and sends them once more if the call fails before the time-out. A backup that
+// no longer follows this log, for example after a restart, is aligned again, with a snapshot if the logs differ.
 func (l *leadership) sendRecords(to Member, epoch uint64, after position, records []byte) (bool, error) {
 	g := l.group
 	ctx, cancel := context.WithTimeout(l.ctx, g.timing.BackupTimeout)
--- a/internal/controlplane/replication/backup.go
+++ b/internal/controlplane/replication/backup.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/rpc"
 )
 
-// serveAttach makes this replica follow the log of an epoch's primary, after it has promised that epoch. It responds
-// when the log, or the snapshot that replaces it, is durable.
+// serveAttach promises an epoch to its primary and makes this replica follow the primary's log. It responds when the
+// log, or the snapshot that replaces it, is durable.
 func (g *Group) serveAttach(ctx context.Context, request attachRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -40,7 +40,7 @@
 	return response, nil, nil
 }
 
-// serveAppend adds records from the primary to the log, and responds when they are durable.
+// serveAppend appends records from the primary to the log, and responds when they are durable.
 func (g *Group) serveAppend(ctx context.Context, request appendRequest, body []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -103,8 +103,8 @@
 	return response, g.options.ResponsePayload(response.Number), nil
 }
 
-// deliverPayloads passes a heartbeat's payload on, and the number of the response that has reached a primary which
-// led after it was sent.
+// deliverPayloads calls OnHeartbeat with a heartbeat's payload. If the primary's lease is valid, it also calls
+// OnResponseEcho: the primary has received the echoed response and has led after it was sent.
 func (g *Group) deliverPayloads(request heartbeatRequest, body []byte, sentAfter time.Time) {
 	if request.Leading && g.options.OnResponseEcho != nil {
 		g.options.OnResponseEcho(request.Echo)
@@ -114,8 +114,8 @@
 	}
 }
 
-// supportsPrimary reports whether a witness still takes the sender of a heartbeat for the primary. A primary that is
-// making its next view has been promised a higher epoch than that of its heartbeats.
+// supportsPrimary reports whether a witness still supports the sender of a heartbeat as the primary. During a view
+// change, the epoch that is promised to the primary is higher than that of its heartbeats.
 func supportsPrimary(record *witnessRecord, request heartbeatRequest) bool {
 	if request.Epoch < record.acceptedEpoch() {
 		return record.Accepted.Primary == request.Primary && record.PromisedTo == request.Primary
@@ -123,8 +123,7 @@
 	return record.allows(request.Epoch, request.Primary) || record.PromisedTo == request.Primary
 }
 
-// resignIfSuperseded ends this process's leadership where another process leads, or is a candidate, in a higher
-// epoch.
+// resignIfSuperseded ends this process's leadership if another process leads, or is a candidate, in a higher epoch.
 func (g *Group) resignIfSuperseded(epoch uint64, primary string) {
 	l := g.leadership.Load()
 	if l != nil && primary != g.self.DiskID && epoch > l.currentView().Epoch {
--- a/internal/controlplane/replication/batch.go
+++ b/internal/controlplane/replication/batch.go
@@ -13,8 +13,8 @@
 	after    position
 }
 
-// runBatch replicates the changes of a batch in one round. A batch without changes is a round that only confirms the
-// leadership.
+// runBatch replicates the changes of a batch in one round. If the batch has no changes, the round only confirms that
+// this process still leads.
 func (l *leadership) runBatch(batch []*request) {
 	g := l.group
 	var changes [][]byte
@@ -26,7 +26,7 @@
 	view := l.currentView()
 	after, records, err := g.replica.propose(view.Epoch, changes)
 	if err != nil {
-		g.resign(l, "log refused: "+err.Error())
+		g.resign(l, "appending to the log failed: "+err.Error())
 		failAll(batch, ErrOutcomeUnknown)
 		return
 	}
@@ -42,8 +42,9 @@
 	}
 }
 
-// acknowledgeBatches responds to the batches that wait for the replication factor, where it is reached. Read
-// barriers don't wait for it.
+// acknowledgeBatches completes the batches that wait for the replication factor, if the in-sync set has reached it. A
+// batch of read barriers alone does not wait for it. Batches fail with ErrOutcomeUnknown if another process has
+// replaced the log since.
 func (l *leadership) acknowledgeBatches() {
 	enough := len(l.currentView().InSync) >= l.group.options.ReplicationFactor
 	batches := l.unacknowledged
@@ -60,12 +61,12 @@
 	}
 }
 
-// anyNeedsReplicas reports whether a batch holds a request that is answered only while enough disks are in sync.
+// anyNeedsReplicas reports whether a batch holds a request that is completed only while enough disks are in sync.
 func anyNeedsReplicas(batch []*request) bool {
 	return slices.ContainsFunc(batch, (*request).needsReplicas)
 }
 
-// failUnacknowledged fails the batches that still wait when the leadership ends.
+// failUnacknowledged fails the batches that are unacknowledged when the leadership ends.
 func (l *leadership) failUnacknowledged() {
 	for _, batch := range l.unacknowledged {
 		failAll(batch.requests, ErrOutcomeUnknown)
@@ -73,13 +74,13 @@
 	l.unacknowledged = nil
 }
 
-// commitBatch brings the records to the whole in-sync set. Where a backup does not confirm them, a new view without
-// it is made, which commits the whole log.
+// commitBatch replicates records to the whole in-sync set. If a backup does not confirm them, commitBatch makes a new
+// view without it; that view commits the whole log.
 func (l *leadership) commitBatch(view View, after position, records []byte, count uint64) error {
 	g := l.group
 	failed, err := l.replicate(view, after, records)
 	if err != nil {
-		g.resign(l, "own disk: "+err.Error())
+		g.resign(l, "syncing the log failed: "+err.Error())
 		return trace.Wrap(err)
 	}
 	if len(failed) == 0 {
@@ -92,8 +93,8 @@
 	return l.reconfigureUntilDone(failed)
 }
 
-// completeBatch passes what the state machine returned on to the proposers. The batch's changes follow the given
-// index.
+// completeBatch returns the results of the state machine to the proposers. The first change of the batch has the index
+// after the given one.
 func (l *leadership) completeBatch(batch []*request, index uint64) {
 	for _, queued := range batch {
 		var result error
--- a/internal/controlplane/replication/bootstrap.go
+++ b/internal/controlplane/replication/bootstrap.go
@@ -6,9 +6,9 @@
 	"github.com/gravitational/trace"
 )
 
-// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated, and does
-// nothing where this process knows of a view. It returns ErrBootstrapRefused where this process may not bootstrap
-// the group, and ErrNoQuorum where too few members took part.
+// Bootstrap makes the first view of a new group, with this process as the primary. It may be repeated, and does nothing
+// if this process already knows a view. It returns ErrBootstrapRefused if this process may not bootstrap the group, and
+// ErrNoQuorum if too few members took part.
 func (g *Group) Bootstrap(ctx context.Context, members []Member) error {
 	if g.newestKnownView() != nil {
 		return nil
@@ -27,8 +27,8 @@
 	return g.startLeadership(established)
 }
 
-// mayBootstrap reports whether this process may take part in the bootstrap of a group: that is allowed to it, it is
-// a member, and its disk holds nothing of another group.
+// mayBootstrap reports whether this process may take part in the bootstrap of a group: Options.AllowBootstrap is set,
+// the process is a member, and its disk belongs to no group yet.
 func (g *Group) mayBootstrap(first View) bool {
 	_, member := findMember(first.Members, g.self.DiskID)
 	blank := g.witness.record().Accepted == nil && g.replica.end() == position{}
--- a/internal/controlplane/replication/calls.go
+++ b/internal/controlplane/replication/calls.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// checkTarget refuses a call that is meant for another disk at the same address.
+// checkTarget returns an error if a call is meant for another disk at the same address.
 func (g *Group) checkTarget(target string) error {
 	if target == g.self.DiskID {
 		return nil
 	}
-	return &rpc.Error{Code: rpc.CodeNotFound, Message: "another disk is here: " + g.self.DiskID}
+	return &rpc.Error{Code: rpc.CodeNotFound, Message: "this process has another disk: " + g.self.DiskID}
 }
 
-// call makes a call to a member within a time limit.
+// call makes a call to a member, limited in time.
 func (g *Group) call(
 	ctx context.Context, limit time.Duration, to Member, method string, params any, body []byte, result any,
 ) ([]byte, error) {
@@ -50,7 +50,7 @@
 	return g.options.Pool.Get(to.Address).Call(ctx, method, params, body, result)
 }
 
-// serveStatus tells the caller whether this process leads.
+// serveStatus returns whether this process leads.
 func (g *Group) serveStatus(context.Context, struct{}, []byte) (any, []byte, error) {
 	response := statusResponse{DiskID: g.self.DiskID, Epoch: g.witness.record().acceptedEpoch()}
 	if l := g.leadership.Load(); l != nil {
--- a/internal/controlplane/replication/election.go
+++ b/internal/controlplane/replication/election.go
@@ -14,9 +14,9 @@
 
 const (
 	maxElectionDelay  = 150 * time.Millisecond // upper bound of the random delay before an election
-	electionBackoff   = 100 * time.Millisecond // shortest delay after an election that failed
-	electionJitter    = 200 * time.Millisecond // upper bound of what is added to it at random
-	minCheckInterval  = 50 * time.Millisecond  // shortest delay between two checks of a primary that does not respond
+	electionBackoff   = 100 * time.Millisecond // minimum delay after a failed election
+	electionJitter    = 200 * time.Millisecond // upper bound of the random addition to electionBackoff
+	minCheckInterval  = 50 * time.Millisecond  // minimum delay between two checks of a primary that does not respond
 	nonMemberInterval = 500 * time.Millisecond // between two checks by a process that can't be a candidate
 )
 
@@ -51,7 +51,7 @@
 	return g.campaignAfterDelay()
 }
 
-// nextCheckDelay returns the delay until the primary has to be checked, unless a heartbeat comes before.
+// nextCheckDelay returns the delay until the primary has to be checked if no heartbeat arrives before.
 func (g *Group) nextCheckDelay() time.Duration {
 	elapsed, _ := g.monitor.sinceContact(time.Now())
 	limit := g.timing.suspectAfter()
@@ -61,10 +61,10 @@
 	return max(minCheckInterval, limit-elapsed)
 }
 
-// campaignAfterDelay campaigns after a random delay, unless another candidate, or the primary, has been heard by
-// then. It returns the delay until the next check.
+// campaignAfterDelay campaigns after a random delay, unless this process has heard from another candidate or from the
+// primary by then. It returns the delay until the next check.
 func (g *Group) campaignAfterDelay() time.Duration {
-	if !ctxtime.Sleep(g.ctx, g.randomPause(maxElectionDelay)) {
+	if !ctxtime.Sleep(g.ctx, g.randomDelay(maxElectionDelay)) {
 		return 0
 	}
 	if g.monitor.electionDelay(time.Now()) > 0 || !g.primaryDown(g.ctx) {
@@ -72,12 +72,12 @@
 	}
 	if err := g.campaign(g.ctx); err != nil {
 		g.logger.Debug("election failed", zap.Error(err))
-		return electionBackoff + g.randomPause(electionJitter)
+		return electionBackoff + g.randomDelay(electionJitter)
 	}
 	return g.timing.suspectAfter()
 }
 
-// primaryDown reports whether the primary has failed, no longer leads, or has not been heard from for the lease.
+// primaryDown reports whether the primary has failed, no longer leads, or has not been heard from for a lease duration.
 func (g *Group) primaryDown(ctx context.Context) bool {
 	record := g.witness.record()
 	if record.Accepted == nil || record.Accepted.Primary == g.self.DiskID {
@@ -93,8 +93,9 @@
 	return g.checkPrimary(ctx, *record.Accepted)
 }
 
-// checkPrimary asks a primary that has not been heard from whether it leads, and reports whether it surely does not.
-// No response within the time limit proves nothing.
+// checkPrimary asks a primary that has not been heard from whether it leads. It reports true only if the primary
+// certainly does not lead: the response says so, a remote process returns an error, or the address refuses connections.
+// A time-out proves nothing.
 func (g *Group) checkPrimary(ctx context.Context, view View) bool {
 	primary, found := view.PrimaryMember()
 	if !found {
@@ -117,8 +118,8 @@
 	return true
 }
 
-// campaign makes a view with this process as the primary, and leads it. Only a process of the newest view's in-sync
-// set succeeds.
+// campaign makes a view with this process as the primary, and leads it. It succeeds only in a process of the newest
+// view's in-sync set.
 func (g *Group) campaign(ctx context.Context) error {
 	known := g.newestKnownView()
 	if known == nil {
@@ -135,8 +136,8 @@
 	return g.startLeadership(established)
 }
 
-// deriveSuccessorView derives the view of a new primary from the newest accepted one. It returns errNotInSync where
-// this process may lack acknowledged changes.
+// deriveSuccessorView derives the view of a new primary from the newest accepted one. It returns errNotInSync if this
+// process may lack acknowledged changes.
 func (g *Group) deriveSuccessorView(newest View) (View, error) {
 	if _, member := findMember(newest.Members, g.self.DiskID); !member || !newest.HasInSync(g.self.DiskID) {
 		return View{}, trace.Wrap(errNotInSync)
--- a/internal/controlplane/replication/entry.go
+++ b/internal/controlplane/replication/entry.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// position identifies an entry of the log. Within a group an epoch and an index stand for one entry only, and two
-// logs that end at the same position are equal (raft's log matching).
+// position identifies an entry of the log. Within a group, an epoch and an index identify one entry only, and two logs
+// that end at the same position are equal (the log matching property of Raft).
 type position struct {
 	Epoch uint64 `json:"epoch"`
 	Index uint64 `json:"index"`
@@ -36,7 +36,7 @@
 	return decoded, reader.err
 }
 
-// appendFrame appends a record to a buffer, after its length as a varint.
+// appendFrame appends a record to a buffer, prefixed by its length as a varint.
 func appendFrame(buffer, record []byte) []byte {
 	buffer = binary.AppendUvarint(buffer, uint64(len(record)))
 	return append(buffer, record...)
--- a/internal/controlplane/replication/group.go
+++ b/internal/controlplane/replication/group.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// Group is this process's part in the replicated group. Its methods are safe for concurrent use.
+// Group is one process's participation in the replicated group. Its methods are safe for concurrent use.
 type Group struct {
 	options Options
 	self    Member
@@ -25,21 +25,21 @@
 	cancel context.CancelFunc
 
 	leadership   atomic.Pointer[leadership] // nil while this process does not lead
-	viewChanges  semaphore                  // held while this process makes a view; one at a time
+	viewChanges  semaphore                  // held during a view change; there is one at a time
 	monitor      primaryMonitor
-	highestEpoch atomic.Uint64        // the highest epoch known to be promised by anyone
-	learnedView  atomic.Pointer[View] // the newest view that other witnesses have reported; nil where none has
+	highestEpoch atomic.Uint64        // the highest epoch that any member is known to have promised
+	learnedView  atomic.Pointer[View] // the newest view that other witnesses have reported; nil if none has
 
 	randomMu sync.Mutex
 	random   *rand.Rand
 
 	observersMu sync.Mutex
 	observers   []func(Role)
-	reported    Role
+	reported    Role // the role that the observers were last called with
 }
 
-// Open loads what the disk holds and registers the handlers of the group's calls. The process votes and replicates
-// from then on; it watches the primary and campaigns only while Run runs.
+// Open loads the state on the disk and registers the handlers of the group's calls. The process votes and replicates
+// from then on. It watches the primary and campaigns only while Run runs.
 func Open(options Options) (*Group, error) {
 	options = options.withDefaults()
 	witness, err := openWitness(options.FS)
@@ -66,10 +66,10 @@
 	return g, nil
 }
 
-// hash returns a hash of a text, by which processes with the same seed draw different delays.
-func hash(text string) uint64 {
+// hash returns a hash of a disk id. It makes processes with the same seed draw different delays.
+func hash(diskID string) uint64 {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(text))
+	_, _ = sum.Write([]byte(diskID))
 	return sum.Sum64()
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// Close ends this process's part in the group. It syncs and closes the log.
+// Close ends this process's participation in the group. It syncs and closes the log.
 func (g *Group) Close() {
 	g.cancel()
 	g.resignOnStop()
@@ -98,8 +98,8 @@
 	}
 }
 
-// randomPause returns a random duration below a limit. The draws come from the seed of the options.
-func (g *Group) randomPause(limit time.Duration) time.Duration {
+// randomDelay returns a random duration below a limit, from the generator that is seeded by Options.Seed.
+func (g *Group) randomDelay(limit time.Duration) time.Duration {
 	g.randomMu.Lock()
 	defer g.randomMu.Unlock()
 	return time.Duration(g.random.Int64N(int64(limit)))
--- a/internal/controlplane/replication/heartbeat.go
+++ b/internal/controlplane/replication/heartbeat.go
@@ -7,12 +7,12 @@
 	"gladepick/internal/rpc"
 )
 
-// firstEchoDelay is the delay after the first heartbeat to a peer. The second one echoes the peer's response, by
-// which the peer learns that its state is up to date.
+// firstEchoDelay is the delay after the first heartbeat to a peer. The second heartbeat echoes the peer's response,
+// which tells the peer that its state is up to date.
 const firstEchoDelay = 10 * time.Millisecond
 
-// sendHeartbeats sends heartbeats to a peer until the context ends: the peer has left the group, or the leadership
-// is over.
+// sendHeartbeats sends heartbeats to a peer until the context ends, that is until the peer leaves the group or the
+// leadership ends.
 func (l *leadership) sendHeartbeats(ctx context.Context, to *peer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -47,7 +47,7 @@
 	}
 	if response.Supported {
 		to.markContact(sentAt)
-		to.noteResponseNumber(response.Number)
+		to.setResponseNumber(response.Number)
 	}
 	if response.Supported && request.Leading && response.Accepted >= view.Epoch {
 		to.markLeaseRenewed(sentAt)
@@ -63,7 +63,7 @@
 	return g.timing.HeartbeatInterval
 }
 
-// handleNoResponse records that a peer did not respond, and returns the delay until the next heartbeat.
+// handleNoResponse handles a heartbeat that a peer did not respond to, and returns the delay until the next one.
 func (l *leadership) handleNoResponse(view View, failed *peer, err error) time.Duration {
 	timing := l.group.timing
 	now := time.Now()
@@ -84,7 +84,7 @@
 	return wait
 }
 
-// handleResponse records a peer's response, and provides the peer with what it lacks: the view, or the log.
+// handleResponse records a peer's response, and sends the peer what it lacks: the view, or the log.
 func (l *leadership) handleResponse(ctx context.Context, view View, from *peer, response heartbeatResponse) {
 	l.group.observeEpoch(response.Promised)
 	if !response.Supported {
@@ -112,7 +112,7 @@
 	}
 }
 
-// alignPeer makes a peer follow the log, by a snapshot where it needs one.
+// alignPeer makes a peer follow the log, with a snapshot if the logs differ.
 func (l *leadership) alignPeer(ctx context.Context, view View, to *peer) {
 	last := l.group.replica.end()
 	aligned, err := l.group.align(ctx, to.member, view.Epoch, last, &lazySnapshot{})
@@ -122,7 +122,7 @@
 	}
 }
 
-// triggerHeartbeats has a heartbeat sent to every peer at once, which tells them what is committed.
+// triggerHeartbeats triggers an immediate heartbeat to every peer, which carries the commit index.
 func (l *leadership) triggerHeartbeats() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -13,12 +13,12 @@
 const (
 	reconfigureInterval = 100 * time.Millisecond // between attempts at a view without which nothing can be committed
 	improvementInterval = 400 * time.Millisecond // between attempts at a view that only improves the current one
-	resignElectionDelay = time.Second            // for how long a process that has resigned does not campaign
+	resignElectionDelay = time.Second            // how long a process that has resigned does not campaign
 )
 
-// leadership is the time during which this process is the primary, from one election to the next. Its goroutine
-// carries out, in order, everything that needs an order: batches of changes, read barriers, and new views. Another
-// goroutine for each peer sends the heartbeats.
+// leadership is a term of this process as the primary: from an election that it wins until it resigns. Its goroutine
+// carries out batches of changes, read barriers and view changes one after the other. Another goroutine for each peer
+// sends the heartbeats.
 type leadership struct {
 	group  *Group
 	ctx    context.Context
@@ -32,12 +32,12 @@
 	queue           []*request
 	unacknowledged  []unacknowledgedBatch // only used by the leadership's goroutine
 	closed          bool
-	leaseLapsed     bool // the lease has run out in this view, for good
+	leaseLapsed     bool // the lease has expired; it is not renewed in this view
 	nextImprovement time.Time
 }
 
-// startLeadership begins a leadership in a view that is in force. It returns errSuperseded where another process has
-// been promised a newer epoch meanwhile.
+// startLeadership begins a leadership in a view that is in force. It returns errSuperseded if another process has been
+// promised a higher epoch meanwhile.
 func (g *Group) startLeadership(established establishedView) error {
 	l := &leadership{group: g, wake: make(chan struct{}, 1), peers: map[string]*peer{}}
 	l.ctx, l.cancel = context.WithCancel(g.ctx)
@@ -70,7 +70,7 @@
 	g.notify()
 }
 
-// close stops the acceptance of requests, and returns those that have not been started.
+// close makes the leadership reject further requests, and returns those that have not been started.
 func (l *leadership) close() []*request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +87,7 @@
 	return l.view
 }
 
-// signal makes the leadership's goroutine check for work.
+// signal wakes the leadership's goroutine to check for work.
 func (l *leadership) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -107,7 +107,7 @@
 	}
 }
 
-// sleep waits until there may be work, or for a time limit; 0 stands for no limit.
+// sleep waits until there may be work or the limit is over. A limit of 0 means no limit.
 func (l *leadership) sleep(limit time.Duration) {
 	var after <-chan time.Time
 	if limit > 0 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// step does the most urgent piece of work. Where there is none it reports so, with a time limit for the wait; 0
-// stands for no limit.
+// step does the most urgent piece of work. It reports idle if there is none or a view change has failed, with how long
+// to wait for more work; 0 means no limit.
 func (l *leadership) step() (wait time.Duration, idle bool) {
 	if l.mustReconfigure() {
 		if l.reconfigure(nil) != nil {
@@ -133,7 +133,7 @@
 	}
 	improve, wait := l.mayImprove(time.Now())
 	if improve {
-		_ = l.reconfigure(nil) // it is tried again later
+		_ = l.reconfigure(nil) // if it fails, it is retried later
 		l.postponeImprovement()
 		return 0, false
 	}
--- a/internal/controlplane/replication/member.go
+++ b/internal/controlplane/replication/member.go
@@ -10,7 +10,7 @@
 type Member struct {
 	Name    string `json:"name"`    // the machine's name
 	Address string `json:"address"` // address of its internal RPC server, "ip:port"
-	DiskID  string `json:"diskId"`  // drawn at random when the data directory was first used
+	DiskID  string `json:"diskId"`  // chosen at random when the data directory was first used
 }
 
 // String returns the member's name and disk, for messages.
@@ -31,7 +31,7 @@
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.DiskID == diskID })
 }
 
-// membersThat returns a copy of the members, with only those whose disks satisfy a condition.
-func membersThat(members []Member, condition func(diskID string) bool) []Member {
+// filterMembers returns a copy of the members, with only those whose disks satisfy a condition.
+func filterMembers(members []Member, condition func(diskID string) bool) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return !condition(member.DiskID) })
 }
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -21,8 +21,8 @@
 	return changed
 }
 
-// AddMember adds a process to the group, after it has received the state. It returns when the view that has the
-// member is in force, and ErrNotPrimary where this process can't carry it out.
+// AddMember sends the state to a process and adds the process to the group. It returns nil when the view with the new
+// member is in force, and ErrNotPrimary if this process can't carry out the change.
 func (g *Group) AddMember(ctx context.Context, added Member) error {
 	return g.submitMembership(ctx, membershipChange{add: &added})
 }
@@ -32,14 +32,14 @@
 	return g.submitMembership(ctx, membershipChange{remove: diskID})
 }
 
-// ReplaceMember removes the member with a disk id and adds another, in one change: the group never has one member
-// less.
+// ReplaceMember removes the member with a disk id and adds another in one change, so that the group never has one
+// member less.
 func (g *Group) ReplaceMember(ctx context.Context, oldDiskID string, added Member) error {
 	return g.submitMembership(ctx, membershipChange{remove: oldDiskID, add: &added})
 }
 
-// submitMembership has the primary's goroutine carry out a change of the membership. A new member receives the state
-// before, while the group goes on committing changes.
+// submitMembership submits a change of the membership to the leadership's goroutine. A new member receives the state
+// first, while the group continues to commit changes.
 func (g *Group) submitMembership(ctx context.Context, change membershipChange) error {
 	if change.remove == g.self.DiskID {
 		return trace.BadParameter("the primary can't leave the group")
@@ -56,7 +56,7 @@
 	return g.submit(ctx, &request{kind: requestMembership, membership: change})
 }
 
-// catchUpLearner sends the state to a learner: a process that is to become a member.
+// catchUpLearner sends the state to a learner, a process that is to become a member.
 func (l *leadership) catchUpLearner(ctx context.Context, learner Member) error {
 	last := l.group.replica.end()
 	attached, err := l.group.align(ctx, learner, l.currentView().Epoch, last, &lazySnapshot{})
@@ -70,7 +70,7 @@
 }
 
 // changeMembership makes a view with the new members, which needs majorities of the previous and of the new members,
-// and then a view without the previous ones. Where the second view fails, step makes it later.
+// and then a view without the previous members. If the second view fails, step retries it.
 func (l *leadership) changeMembership(change membershipChange) error {
 	view := l.currentView()
 	if len(view.Previous) > 0 {
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -1,10 +1,10 @@
 package replication
 
-// Method strings of the group's calls, with their parameters and results.
+// Methods of the group's calls, with their parameters and results.
 const (
 	methodPrepare   = "group.promise"   // prepareRequest -> prepareResponse
 	methodAccept    = "group.accept"    // acceptRequest -> acceptResponse
-	methodAttach    = "group.attach"    // attachRequest, with a body where it carries the state -> attachResponse
+	methodAttach    = "group.attach"    // attachRequest, snapshot in the body if HasSnapshot is set -> attachResponse
 	methodAppend    = "group.append"    // appendRequest, records in the body -> appendResponse
 	methodHeartbeat = "group.heartbeat" // heartbeatRequest, payload in the body -> heartbeatResponse, payload in the body
 	methodStatus    = "group.status"    // nothing -> statusResponse
@@ -41,7 +41,7 @@
 	Promised uint64 `json:"promised"`
 }
 
-// attachRequest makes a process follow the log of an epoch's primary. Without a snapshot it succeeds only where the
+// attachRequest makes a process follow the log of an epoch's primary. Without a snapshot it succeeds only if the
 // process already has the same log.
 type attachRequest struct {
 	Target      string   `json:"target"`
@@ -57,8 +57,8 @@
 	Promised uint64 `json:"promised"`
 }
 
-// appendRequest carries records, in the body, to a backup. One without records only asks whether the epoch is still
-// the backup's newest.
+// appendRequest carries records, in the body, to a backup. Without records it only asks whether the backup still
+// follows the epoch.
 type appendRequest struct {
 	Target  string   `json:"target"`
 	Epoch   uint64   `json:"epoch"`
@@ -80,8 +80,8 @@
 	Primary string `json:"primary"`
 	Commit  uint64 `json:"commit"`
 	Leading bool   `json:"leading"` // the primary's lease is valid
-	// Echo is the number of the member's newest response that the primary has received; 0 where it has none. By it the
-	// member knows that this heartbeat was sent after that response, however long it was under way.
+	// Echo is the number of the member's newest response that the primary has received, or 0 if there is none. It
+	// proves to the member that this heartbeat was sent after that response, however long the heartbeat was in transit.
 	Echo uint64 `json:"echo,omitempty"`
 }
 
@@ -94,7 +94,7 @@
 	Number    uint64 `json:"number"`   // of this response; unique among all responses of this member, also across restarts
 }
 
-// statusResponse tells whether a process leads.
+// statusResponse says whether a process leads.
 type statusResponse struct {
 	DiskID  string `json:"diskId"`
 	Leading bool   `json:"leading"`
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -9,8 +9,8 @@
 // alignRetryInterval is the delay after a failed attempt to align a peer.
 const alignRetryInterval = 400 * time.Millisecond
 
-// peer is another member as the primary sees it. A goroutine of its own sends it heartbeats. The fields below mu are
-// guarded by it.
+// peer is the primary's record of another member. A goroutine of its own sends heartbeats to the member. mu guards the
+// fields below it.
 type peer struct {
 	member       Member
 	cancel       context.CancelFunc
@@ -19,42 +19,43 @@
 	created time.Time
 
 	mu             sync.Mutex
-	lastContact    time.Time // when the newest heartbeat that it supported was sent
-	leaseRenewedAt time.Time // when the newest call by which it renewed the primary's lease was sent
-	alignedAt      time.Time // when it was last aligned in a view change
-	refusedSince   time.Time // since when its address refuses connections; zero where it does not
-	aligned        bool      // it follows the primary's log
-	aligning       bool      // an attempt to align it is under way
+	lastContact    time.Time // when the newest heartbeat that the peer supported was sent
+	leaseRenewedAt time.Time // when the newest call by which the peer renewed the primary's lease was sent
+	alignedAt      time.Time // when the peer was last aligned in a view change
+	refusedSince   time.Time // when its address began to refuse connections; zero if it does not
+	aligned        bool      // the peer follows the primary's log
+	aligning       bool      // an attempt to align the peer is in progress
 	nextAlignment  time.Time // earliest time of the next attempt
-	responseNumber uint64    // number of its newest response to a heartbeat; 0 where there is none
+	responseNumber uint64    // number of the peer's newest response to a heartbeat; 0 if there is none
 }
 
 // unresponsive reports whether the peer has not responded for so long that it must leave the in-sync set.
 func (p *peer) unresponsive(now time.Time, timing Timing) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.lastSign()) >= timing.BackupTimeout {
+	if now.Sub(p.lastActive()) >= timing.BackupTimeout {
 		return true
 	}
 	return !p.refusedSince.IsZero() && now.Sub(p.refusedSince) >= timing.RefusedTimeout
 }
 
-// lastSign returns when the peer last responded, or when it became a peer. The caller holds the lock.
-func (p *peer) lastSign() time.Time {
+// lastActive returns when the newest heartbeat that the peer supported was sent, or when the peer was created if that
+// is later. The caller holds the lock.
+func (p *peer) lastActive() time.Time {
 	if p.lastContact.After(p.created) {
 		return p.lastContact
 	}
 	return p.created
 }
 
-// untilUnresponsive returns after which time without a response the peer has to leave the in-sync set.
+// untilUnresponsive returns how much longer the peer may not respond before it has to leave the in-sync set.
 func (p *peer) untilUnresponsive(now time.Time, timing Timing) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return timing.BackupTimeout - now.Sub(p.lastSign())
+	return timing.BackupTimeout - now.Sub(p.lastActive())
 }
 
-// mayJoinInSync reports whether the peer may enter the in-sync set: it follows the log and has responded lately.
+// mayJoinInSync reports whether the peer may enter the in-sync set: it follows the log and has responded recently.
 func (p *peer) mayJoinInSync(now time.Time, timing Timing) bool {
 	if p.unresponsive(now, timing) {
 		return false
@@ -71,7 +72,7 @@
 	return p.leaseRenewedAt
 }
 
-// markLeaseRenewed records that the peer, as a witness, supports the primary for a lease from a time on.
+// markLeaseRenewed records that the peer, as a witness, supports the primary for a lease duration from a time on.
 func (p *peer) markLeaseRenewed(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,14 +101,14 @@
 	p.refusedSince = time.Time{}
 }
 
-// noteResponseNumber records the number of the peer's newest response.
-func (p *peer) noteResponseNumber(number uint64) {
+// setResponseNumber records the number of the peer's newest response.
+func (p *peer) setResponseNumber(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.responseNumber = number
 }
 
-// newestResponseNumber returns the number of the peer's newest response, or 0.
+// newestResponseNumber returns the number of the peer's newest response, or 0 if there is none.
 func (p *peer) newestResponseNumber() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +139,8 @@
 	p.alignedAt = at
 }
 
-// beginAligning reports whether the caller is to align the peer. There is one attempt at a time.
+// beginAligning begins an attempt to align the peer. It reports false if another attempt is in progress, or one has
+// failed within alignRetryInterval.
 func (p *peer) beginAligning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,7 +183,8 @@
 	}
 }
 
-// updatePeer records what a view change has shown of a member. The caller holds the lock.
+// updatePeer applies the results of a view change to a member's peer, and creates the peer if there is none. The caller
+// holds the lock.
 func (l *leadership) updatePeer(member Member, established establishedView) {
 	known := l.peers[member.DiskID]
 	if known != nil && known.member != member {
--- a/internal/controlplane/replication/prepare.go
+++ b/internal/controlplane/replication/prepare.go
@@ -13,7 +13,7 @@
 	newest  View   // the newest view that any member has accepted
 }
 
-// add takes a member's response in.
+// add adds a member's response to the result.
 func (p *promises) add(member Member, response prepareResponse) {
 	if response.Granted {
 		p.granted[member.DiskID] = true
@@ -29,8 +29,8 @@
 	return p.newest.hasQuorum(func(diskID string) bool { return p.granted[diskID] })
 }
 
-// preVote asks whether a majority would promise, so that a process that can't win uses no epoch up and disturbs no
-// primary. It returns an epoch that is higher than all that were promised.
+// preVote asks whether a majority would promise an epoch, so that a process that can't win uses up no epoch and
+// disturbs no primary. It returns an epoch that is higher than all that are known to be promised.
 func (g *Group) preVote(ctx context.Context, change viewChange) (uint64, error) {
 	request := prepareRequest{Epoch: g.witness.record().Promised + 1, PreVote: true}
 	collected, err := g.collectPromises(ctx, change, request)
@@ -62,7 +62,7 @@
 	if request.PreVote {
 		awaited = nil
 	}
-	awaitRound(ctx, responses, others, awaitedOf(awaited, change), func(member Member, response prepareResponse) bool {
+	awaitRound(ctx, responses, others, awaitedDisks(awaited, change), func(member Member, response prepareResponse) bool {
 		collected.add(member, response)
 		return collected.hasQuorum()
 	})
@@ -74,8 +74,8 @@
 	return collected, nil
 }
 
-// awaitedOf returns the disks of the members whose promises are waited for.
-func awaitedOf(members []Member, change viewChange) map[string]bool {
+// awaitedDisks returns the disks of the members whose promises the round waits for.
+func awaitedDisks(members []Member, change viewChange) map[string]bool {
 	awaited := map[string]bool{}
 	for _, member := range members {
 		if !change.unresponsive[member.DiskID] && !change.excluded[member.DiskID] {
--- a/internal/controlplane/replication/primary_monitor.go
+++ b/internal/controlplane/replication/primary_monitor.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// primaryMonitor is what a backup knows of the primary, by which it decides whether to campaign, whether to vote,
-// and whether its own state may be read. Its fields are guarded by mu.
+// primaryMonitor holds what a backup knows about the primary. By it the backup decides whether to campaign, whether to
+// vote, and whether its own state may be read. mu guards the other fields.
 type primaryMonitor struct {
 	mu sync.Mutex
 	// lastContact is when the primary was last heard from.
 	lastContact time.Time
-	// down is set when the primary is known not to lead any more, until it is heard from again.
+	// down is set while the primary is known not to lead any more. It is reset when the primary is heard from again.
 	down bool
-	// noElectionBefore is until when this process does not campaign, because another one does.
+	// noElectionBefore is the earliest time at which this process may campaign. It is set when another process
+	// campaigns, and when this process has resigned.
 	noElectionBefore time.Time
-	// voteReservedFor is the candidate that this witness has promised an epoch to. It votes for no other one before
-	// voteReservedUntil.
+	// voteReservedFor is the candidate that this witness has promised an epoch to. It votes for no other candidate
+	// before voteReservedUntil.
 	voteReservedFor   string
 	voteReservedUntil time.Time
-	// upToDateAt is a time at which the primary led; this process has applied all that was committed then.
+	// upToDateAt is a time at which the primary led. This process has applied all that was committed then.
 	upToDateAt time.Time
 	responses  responseLog
 }
@@ -32,7 +33,7 @@
 	p.down = false
 }
 
-// markDown records that the primary is down, unless it has been heard from after a time.
+// markDown records that the primary is down, unless it has been heard from after the given time.
 func (p *primaryMonitor) markDown(asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,21 +49,23 @@
 	return now.Sub(p.lastContact), p.down
 }
 
-// delayElection keeps this process from campaigning before a time.
+// delayElection keeps this process from campaigning before the given time.
 func (p *primaryMonitor) delayElection(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.noElectionBefore = until
 }
 
-// electionDelay returns for how long this process does not campaign; it is not positive where it may.
+// electionDelay returns how long this process must wait before it may campaign. The delay is not positive if it may
+// campaign now.
 func (p *primaryMonitor) electionDelay(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.noElectionBefore.Sub(now)
 }
 
-// reserveVote reserves this witness's vote for a candidate for a time, in which it does not campaign itself.
+// reserveVote reserves this witness's vote for a candidate until the given time. The process does not campaign itself
+// before then.
 func (p *primaryMonitor) reserveVote(candidate string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,14 +91,14 @@
 	}
 }
 
-// clearUpToDate forgets how current this process's state is.
+// clearUpToDate records that this process's state may be out of date.
 func (p *primaryMonitor) clearUpToDate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.upToDateAt = time.Time{}
 }
 
-// upToDate reports whether this process has applied all that was committed at a time younger than a limit.
+// upToDate reports whether this process has applied all that was committed at some time less than limit ago.
 func (p *primaryMonitor) upToDate(now time.Time, limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +112,7 @@
 	return p.responses.add(now)
 }
 
-// respondedAt returns when the response with a number was sent, and false where that is not known.
+// respondedAt returns when the response with a number was sent, and false if that is not known.
 func (p *primaryMonitor) respondedAt(number uint64) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/replication/reconfiguration.go
+++ b/internal/controlplane/replication/reconfiguration.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/ctxtime"
 )
 
-// reconfigure makes a view whose in-sync set has the members that respond, without the failed disks. It also
+// reconfigure makes a view whose in-sync set consists of the members that respond, without the failed disks. It also
 // completes a change of the membership that is in force.
 func (l *leadership) reconfigure(failed map[string]bool) error {
 	current := l.currentView()
@@ -23,8 +23,8 @@
 	})
 }
 
-// reconfigureUntilDone makes a view without the failed disks, and retries until one is in force or the leadership is
-// over.
+// reconfigureUntilDone makes a view without the failed disks, and retries until a view is in force or the leadership
+// has ended.
 func (l *leadership) reconfigureUntilDone(failed map[string]bool) error {
 	for l.ctx.Err() == nil {
 		if l.reconfigure(failed) == nil {
@@ -36,7 +36,7 @@
 	return trace.Wrap(errSuperseded)
 }
 
-// changeView makes a view with this process as the primary, and enters it. The leadership ends where another process
+// changeView makes a view with this process as the primary, and enters it. It ends the leadership if another process
 // leads in a newer view.
 func (l *leadership) changeView(change viewChange, derive func(newest View) (View, error)) error {
 	l.superseded.Store(false)
@@ -101,8 +101,9 @@
 	return false
 }
 
-// mayImprove reports whether a new view would be better than the current one: with more disks in sync, or without
-// the previous members. Otherwise it returns when to ask again; 0 stands for never.
+// mayImprove reports whether to make a view that is better than the current one: with more disks in sync, or without
+// the previous members. Otherwise it returns how long to wait before asking again; 0 means that there is nothing to
+// improve.
 func (l *leadership) mayImprove(now time.Time) (improve bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -12,27 +12,27 @@
 )
 
 // replica is this process's copy of the log and of the state machine. Entries are applied when they are known to be
-// committed. The fields below mu are guarded by it, and so is the state machine.
+// committed. mu guards the fields below it and the state machine.
 type replica struct {
 	machine StateMachine
 	logger  *zap.Logger
 	log     *wal.Log
 
-	// snapshotting is held while a snapshot is made and written. It is acquired before mu.
+	// snapshotting is held while a snapshot is taken and written. It is acquired before mu.
 	snapshotting semaphore
 
 	mu         sync.Mutex
-	epoch      uint64   // the epoch whose primary's log the replica follows; 0 for none
-	ownedSince uint64   // the epoch since which no other process has replaced the log; 0 where it follows another's
+	epoch      uint64   // the epoch whose primary's log the replica follows; 0 if there is none
+	ownedSince uint64   // the epoch since which no other process has replaced the log; 0 if another one has
 	last       position // the end of the log
 	applied    position // position of the last entry that was applied
-	unapplied  []entry  // the entries after it
-	committed  uint64
-	// installing is set while the memory holds a primary's snapshot that is not durable yet.
+	unapplied  []entry  // the entries after applied
+	committed  uint64   // the index up to which the log is known to be committed
+	// installing is set while a primary's snapshot is in memory but not yet durable.
 	installing    bool
 	loggedBytes   int // bytes of records since the last snapshot
 	snapshotBytes int
-	// compactNotBefore is when the next snapshot may be tried, after one that failed.
+	// compactNotBefore is the earliest time of the next snapshot after a failed one.
 	compactNotBefore time.Time
 	applyErrors      map[uint64]error // results of Apply, by index, for the changes that proposers wait for
 }
@@ -53,8 +53,8 @@
 	return r, nil
 }
 
-// replayRecord takes a record from the log on the disk. The entry tells up to where the log was committed when it
-// was written, so that much is applied.
+// replayRecord replays a record of the log on the disk. The entry holds the commit index of the time when it was
+// written, and replayRecord applies the entries up to that index.
 func (r *replica) replayRecord(_ wal.Position, record []byte) error {
 	decoded, err := decodeEntry(append([]byte(nil), record...))
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// addEntry adds an entry at the end. The caller holds the lock.
+// addEntry adds an entry to the end. The caller holds the lock.
 func (r *replica) addEntry(added entry, size int) {
 	r.unapplied = append(r.unapplied, added)
 	r.last = added.position
@@ -88,7 +88,7 @@
 	r.committed = max(r.committed, min(index, r.last.Index))
 }
 
-// apply applies an entry, and keeps the result where a proposer waits for it. The caller holds the lock.
+// apply applies an entry, and keeps the result if a proposer waits for it. The caller holds the lock.
 func (r *replica) apply(next entry) {
 	err := r.machine.Apply(next.Change)
 	if _, awaited := r.applyErrors[next.Index]; awaited {
@@ -97,8 +97,8 @@
 	r.applied = next.position
 }
 
-// beginEpoch makes the replica follow its own process as the primary of an epoch, and returns the end of its log. It
-// takes no entries from primaries of lower epochs afterwards.
+// beginEpoch makes the replica follow this process as the primary of an epoch, and returns the end of its log.
+// Afterwards the replica rejects entries from primaries of lower epochs.
 func (r *replica) beginEpoch(epoch uint64) (position, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,8 +125,8 @@
 	return r.ownsSinceLocked(epoch)
 }
 
-// committedIn returns the index up to which the primary of an epoch may call the log committed, and false where
-// another process has replaced the log since.
+// committedIn returns the commit index that the primary of an epoch may report. It returns false if another process has
+// replaced the log since.
 func (r *replica) committedIn(epoch uint64) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +158,8 @@
 	return after, records, nil
 }
 
-// appendFromPrimary appends entries that follow a position in the log of an epoch's primary, except those that it
-// already has. It returns errNotAttached where the replica does not follow that log, or lacks entries before them.
+// appendFromPrimary appends entries that follow a position in the log of an epoch's primary, except those that the
+// replica already has. It returns errNotAttached if the replica does not follow that log, or lacks entries before them.
 func (r *replica) appendFromPrimary(epoch uint64, after position, entries []entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// endsWithin reports whether the log ends within entries that follow a position, as an earlier copy of the same call
-// leaves it. The caller holds the lock.
+// endsWithin reports whether the log ends with one of the entries that follow a position, as after an earlier copy of
+// the same call. The caller holds the lock.
 func (r *replica) endsWithin(after position, entries []entry) bool {
 	if after.Index >= r.last.Index {
 		return false
@@ -196,7 +196,7 @@
 	return false
 }
 
-// commit applies what is committed according to the primary of an epoch. It reports whether the replica follows that
+// commit applies what the primary of an epoch reports as committed. It reports whether the replica follows that
 // primary, and whether it has applied all that is committed.
 func (r *replica) commit(epoch, index uint64) (attached, complete bool) {
 	r.mu.Lock()
@@ -231,7 +231,7 @@
 	return r.sync(ctx)
 }
 
-// takeApplyError returns the result of Apply for a proposed change, and forgets it.
+// takeApplyError returns the result of Apply for a proposed change, and removes it.
 func (r *replica) takeApplyError(index uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/replication/replica_snapshot.go
+++ b/internal/controlplane/replication/replica_snapshot.go
@@ -14,10 +14,10 @@
 // next snapshot is written.
 const compactAfterBytes = 1 << 20
 
-// snapshotRetryInterval passes after a snapshot that could not be written before the next attempt.
+// snapshotRetryInterval is the delay until the next attempt after a snapshot that could not be written.
 const snapshotRetryInterval = time.Second
 
-// restoreSnapshot adopts a snapshot from the disk.
+// restoreSnapshot restores the replica from a snapshot on the disk.
 func (r *replica) restoreSnapshot(data []byte) error {
 	decoded, err := decodeSnapshot(append([]byte(nil), data...))
 	if err != nil {
@@ -27,7 +27,7 @@
 	return trace.Wrap(r.adopt(decoded))
 }
 
-// adopt replaces the state and the unapplied entries by those of a snapshot. The caller holds the lock, or is the
+// adopt replaces the state and the unapplied entries with those of a snapshot. The caller holds the lock, or is the
 // only user.
 func (r *replica) adopt(from snapshot) error {
 	if err := r.machine.Restore(from.state); err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// installSnapshot replaces the log and the state by the snapshot of an epoch's primary, and makes the replica follow
+// installSnapshot replaces the log and the state with the snapshot of an epoch's primary, and makes the replica follow
 // that primary. It returns when the snapshot is durable.
 func (r *replica) installSnapshot(epoch uint64, data []byte) error {
 	decoded, err := decodeSnapshot(data)
@@ -77,8 +77,8 @@
 	return snapshot, trace.Wrap(r.adopt(from))
 }
 
-// isAheadOf reports whether the log holds entries of the epoch that a snapshot from its primary lacks: the snapshot
-// has been delayed. The caller holds the lock.
+// isAheadOf reports whether the log holds entries of the epoch that a snapshot from its primary lacks, which means that
+// the snapshot was delayed. The caller holds the lock.
 func (r *replica) isAheadOf(epoch uint64, from snapshot) bool {
 	return !r.installing && r.last.Epoch == epoch && r.last.Index > from.last().Index
 }
@@ -91,7 +91,7 @@
 	r.loggedBytes, r.snapshotBytes = 0, size
 }
 
-// snapshot returns the encoded snapshot, and the end of the log that it stands for.
+// snapshot returns the encoded snapshot, and the end of the log that it covers.
 func (r *replica) snapshot() ([]byte, position, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,8 +107,8 @@
 	return snapshot{applied: r.applied, unapplied: r.unapplied, state: state}.encode(), r.last, nil
 }
 
-// compact writes a snapshot and removes the log before it, where the log has grown long and no other snapshot is
-// being written.
+// compact writes a snapshot and removes the log before it, if the log is long enough and no other snapshot is being
+// written.
 func (r *replica) compact() {
 	if !r.needsCompaction() || !r.snapshotting.tryAcquire() {
 		return
@@ -120,14 +120,14 @@
 	}
 }
 
-// delayCompaction has the next snapshot wait, after one that failed.
+// delayCompaction postpones the next snapshot after a failed one.
 func (r *replica) delayCompaction() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.compactNotBefore = time.Now().Add(snapshotRetryInterval)
 }
 
-// needsCompaction reports whether the log has grown long enough for a snapshot.
+// needsCompaction reports whether the log is long enough for a snapshot, and none is delayed or being installed.
 func (r *replica) needsCompaction() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +135,7 @@
 	return isLong && !r.installing && !time.Now().Before(r.compactNotBefore)
 }
 
-// writeSnapshot writes a snapshot and removes the log before it. The disk is written without the lock.
+// writeSnapshot writes a snapshot and removes the log before it. It does not hold the lock while it writes to the disk.
 func (r *replica) writeSnapshot() error {
 	snapshot, data, covered, err := r.beginSnapshot()
 	if err != nil {
@@ -148,7 +148,7 @@
 	return trace.Wrap(r.log.RemoveSegments(math.MaxUint64))
 }
 
-// beginSnapshot begins a snapshot of the present state. It returns the bytes of records that the snapshot covers.
+// beginSnapshot begins a snapshot of the current state. It also returns how many bytes of records the snapshot covers.
 func (r *replica) beginSnapshot() (begun *wal.Snapshot, data []byte, covered int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +163,7 @@
 	return begun, data, r.loggedBytes, trace.Wrap(err)
 }
 
-// endSnapshot records that a snapshot is durable. What was logged meanwhile counts for the next one.
+// endSnapshot records that a snapshot is durable. What was logged meanwhile counts towards the next one.
 func (r *replica) endSnapshot(size, covered int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +171,7 @@
 	r.snapshotBytes = size
 }
 
-// compact compacts a long log in a goroutine of its own.
+// compact compacts the log in a separate goroutine if it is long enough.
 func (g *Group) compact() {
 	if g.replica.needsCompaction() {
 		go g.replica.compact()
--- a/internal/controlplane/replication/request.go
+++ b/internal/controlplane/replication/request.go
@@ -7,22 +7,22 @@
 	"github.com/gravitational/trace"
 )
 
-// request is a change, a barrier or a change of the membership that waits for the primary's goroutine.
+// request is a change, a barrier or a change of the membership that waits for the leadership's goroutine.
 type request struct {
 	kind       requestKind
 	change     []byte
 	membership membershipChange
-	started    bool // a batch has it; guarded by the leadership's mutex
+	started    bool // the leadership's goroutine has taken it; guarded by the leadership's mutex
 	done       chan error
 }
 
-// needsReplicas reports whether the request is answered only while the in-sync set has as many disks as the
-// replication factor asks for.
+// needsReplicas reports whether the request is completed only while the in-sync set has as many disks as the
+// replication factor requires.
 func (r *request) needsReplicas() bool {
 	return r.kind == requestChange || r.kind == requestDurableBarrier
 }
 
-// requestKind tells what a request asks for.
+// requestKind is the kind of a request.
 type requestKind int
 
 const (
@@ -32,20 +32,20 @@
 	requestMembership
 )
 
-// Propose replicates a change and returns when it is committed and applied. It returns ErrNotPrimary where the
-// change surely was not made and ErrOutcomeUnknown where it may have been; any other error is the state machine's.
+// Propose replicates a change and returns when it is committed and applied. It returns ErrNotPrimary if the change has
+// certainly not been made, and ErrOutcomeUnknown if it may have been. Any other error is the state machine's.
 func (g *Group) Propose(ctx context.Context, change []byte) error {
 	return g.submit(ctx, &request{kind: requestChange, change: change})
 }
 
-// ReadBarrier returns nil when this process was the primary at some time after the call, so that its state holds
-// everything that was acknowledged before the call.
+// ReadBarrier returns nil when this process is known to have been the primary at some time after the call began, so
+// that its state holds everything that was acknowledged before the call.
 func (g *Group) ReadBarrier(ctx context.Context) error {
 	return g.submit(ctx, &request{kind: requestReadBarrier})
 }
 
-// DurableBarrier is ReadBarrier, and returns only when everything that was committed before is on as many disks as
-// the replication factor asks for.
+// DurableBarrier is a ReadBarrier that also waits until everything that was committed before is on as many disks as the
+// replication factor requires.
 func (g *Group) DurableBarrier(ctx context.Context) error {
 	return g.submit(ctx, &request{kind: requestDurableBarrier})
 }
@@ -68,7 +68,7 @@
 	return trace.Wrap(ErrOutcomeUnknown)
 }
 
-// enqueue adds a request to the queue, and reports false where the leadership is over.
+// enqueue adds a request to the queue, and reports false if the leadership has ended.
 func (l *leadership) enqueue(added *request) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	return true
 }
 
-// withdraw removes a request from the queue, and reports whether it surely has not been started.
+// withdraw removes a request from the queue, and reports whether it has certainly not been started.
 func (l *leadership) withdraw(withdrawn *request) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,8 @@
 	return !withdrawn.started
 }
 
-// takeBatch takes the requests that can share a round. Changes wait while too few disks are in sync.
+// takeBatch takes the requests that can share a round. Changes and durable barriers wait while too few disks are in
+// sync.
 func (l *leadership) takeBatch() []*request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/controlplane/replication/response_log.go
+++ b/internal/controlplane/replication/response_log.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// responseLogSize is how many responses to heartbeats are remembered with their times. A primary echoes the newest
-// one that it has received; while responses are lost, more of them follow it.
+// responseLogSize is the number of responses to heartbeats whose times are kept. A primary echoes the newest response
+// that it has received; while responses are lost, newer ones follow it in the log.
 const responseLogSize = 64
 
-// responseLog numbers the responses to heartbeats and remembers when the latest were sent. The numbers of a process
-// begin at random, so that a heartbeat to an earlier process of the same member echoes none of them.
+// responseLog numbers the responses to heartbeats and keeps the times at which the latest were sent. The numbers of a
+// process begin at random, so that a heartbeat to an earlier process of the same member echoes none of them.
 type responseLog struct {
 	last  uint64
 	times map[uint64]time.Time
@@ -28,7 +28,7 @@
 	return l.last
 }
 
-// sentAt returns when the response with a number was sent, and false where that is not known.
+// sentAt returns when the response with a number was sent, and false if that is not known.
 func (l *responseLog) sentAt(number uint64) (time.Time, bool) {
 	at, known := l.times[number]
 	return at, known
--- a/internal/controlplane/replication/role.go
+++ b/internal/controlplane/replication/role.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Role is what a process is in the group at a moment.
+// Role is the role of a process in the group at one time.
 type Role struct {
 	View     View   // the newest view this process has accepted
 	Epoch    uint64 // the epoch of that view
@@ -10,7 +10,7 @@
 	UpToDate bool   // it has applied all that was committed at a time within the last lease, so its state may be read
 }
 
-// Role returns this process's present role.
+// Role returns this process's current role.
 func (g *Group) Role() Role {
 	now := time.Now()
 	role := Role{}
@@ -28,15 +28,15 @@
 	return role
 }
 
-// OnRoleChange registers a function that is called with the new role whenever Epoch, Primary or UpToDate has
-// changed. It must return soon, and must not propose to the group or wait for it.
+// OnRoleChange registers a function that is called with the new role whenever Epoch, Primary or UpToDate has changed.
+// The function must return soon, and must not propose to the group or wait for it.
 func (g *Group) OnRoleChange(observer func(Role)) {
 	g.observersMu.Lock()
 	defer g.observersMu.Unlock()
 	g.observers = append(g.observers, observer)
 }
 
-// notify calls the observers where the role has changed.
+// notify calls the observers if the role has changed.
 func (g *Group) notify() {
 	g.observersMu.Lock()
 	defer g.observersMu.Unlock()
--- a/internal/controlplane/replication/round.go
+++ b/internal/controlplane/replication/round.go
@@ -15,8 +15,8 @@
 	err      error
 }
 
-// broadcast makes a call to each member, concurrently. The channel of the responses has a buffer for all of them, so
-// that nobody has to read it to its end.
+// broadcast calls each member concurrently. The channel has a buffer for all responses, so that the caller need not
+// read all of them.
 func broadcast[Response any](members []Member, call func(Member) (Response, error)) <-chan memberResponse[Response] {
 	responses := make(chan memberResponse[Response], len(members))
 	for _, member := range members {
@@ -28,8 +28,9 @@
 	return responses
 }
 
-// awaitRound takes the responses of a round. It returns when add has reported that they suffice and the awaited
-// members have responded or a grace period is over, when all members have responded, or when the context ends.
+// awaitRound passes the responses of a round to add. It returns when add has reported that they suffice and the awaited
+// members have responded or stragglerGrace is over. It also returns when all members have responded, or when the
+// context ends.
 func awaitRound[Response any](
 	ctx context.Context, responses <-chan memberResponse[Response], members []Member, awaited map[string]bool,
 	add func(Member, Response) bool,
--- a/internal/controlplane/replication/semaphore.go
+++ b/internal/controlplane/replication/semaphore.go
@@ -1,18 +1,18 @@
 package replication
 
-// semaphore is a lock that is held across calls and disk writes. It is a channel, as simulated time stands still
-// while a goroutine waits for a sync.Mutex.
+// semaphore is a lock that is held across calls and disk writes. It is a channel because the simulated time of tests
+// does not advance while a goroutine waits for a sync.Mutex.
 type semaphore chan struct{}
 
-// newSemaphore returns a semaphore that nobody holds.
+// newSemaphore returns a free semaphore.
 func newSemaphore() semaphore { return make(semaphore, 1) }
-func (g semaphore) acquire()  { g <- struct{}{} }
-func (g semaphore) release()  { <-g }
+func (s semaphore) acquire()  { s <- struct{}{} }
+func (s semaphore) release()  { <-s }
 
-// tryAcquire acquires the semaphore unless somebody holds it, and reports whether it did.
-func (g semaphore) tryAcquire() bool {
+// tryAcquire acquires the semaphore if it is free, and reports whether it did.
+func (s semaphore) tryAcquire() bool {
 	select {
-	case g <- struct{}{}:
+	case s <- struct{}{}:
 		return true
 	default:
 		return false
--- a/internal/controlplane/replication/snapshot.go
+++ b/internal/controlplane/replication/snapshot.go
@@ -12,27 +12,27 @@
 	state     []byte
 }
 
-// last returns the end of the log that the snapshot stands for.
-func (i snapshot) last() position {
-	if len(i.unapplied) == 0 {
-		return i.applied
+// last returns the end of the log that the snapshot covers.
+func (s snapshot) last() position {
+	if len(s.unapplied) == 0 {
+		return s.applied
 	}
-	return i.unapplied[len(i.unapplied)-1].position
+	return s.unapplied[len(s.unapplied)-1].position
 }
 
 // encode returns the snapshot's bytes, as they are stored and sent: the applied position, the count of unapplied
 // entries, these as framed records, and the state machine's snapshot up to the end. Integers are varints.
-func (i snapshot) encode() []byte {
-	buffer := binary.AppendUvarint(nil, i.applied.Epoch)
-	buffer = binary.AppendUvarint(buffer, i.applied.Index)
-	buffer = binary.AppendUvarint(buffer, uint64(len(i.unapplied)))
-	for _, waiting := range i.unapplied {
+func (s snapshot) encode() []byte {
+	buffer := binary.AppendUvarint(nil, s.applied.Epoch)
+	buffer = binary.AppendUvarint(buffer, s.applied.Index)
+	buffer = binary.AppendUvarint(buffer, uint64(len(s.unapplied)))
+	for _, waiting := range s.unapplied {
 		buffer = appendFrame(buffer, waiting.encode(nil))
 	}
-	return append(buffer, i.state...)
+	return append(buffer, s.state...)
 }
 
-// decodeSnapshot decodes a snapshot, which shares the bytes.
+// decodeSnapshot decodes a snapshot. The snapshot shares the memory of the data.
 func decodeSnapshot(data []byte) (snapshot, error) {
 	reader := fieldReader{rest: data}
 	decoded := snapshot{}
@@ -50,7 +50,7 @@
 	return decoded, reader.err
 }
 
-// lazySnapshot is a replica's snapshot, encoded when it is first needed. A view change sends the same one to all
+// lazySnapshot is a replica's snapshot that is encoded when it is first needed. A view change sends the same one to all
 // members.
 type lazySnapshot struct {
 	once sync.Once
@@ -59,8 +59,8 @@
 	err  error
 }
 
-// get returns the snapshot's bytes and the end of the log that it stands for.
-func (i *lazySnapshot) get(from *replica) ([]byte, position, error) {
-	i.once.Do(func() { i.data, i.last, i.err = from.snapshot() })
-	return i.data, i.last, i.err
+// get returns the snapshot's bytes and the end of the log that it covers.
+func (l *lazySnapshot) get(from *replica) ([]byte, position, error) {
+	l.once.Do(func() { l.data, l.last, l.err = from.snapshot() })
+	return l.data, l.last, l.err
 }
--- a/internal/controlplane/replication/view.go
+++ b/internal/controlplane/replication/view.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// View says which process leads the group and which disks hold every acknowledged change. Views are immutable.
+// View names the process that leads the group and the disks that hold every acknowledged change. Views are immutable.
 type View struct {
 	Epoch   uint64   `json:"epoch"`   // higher than that of each earlier view; the fencing token of its primary
 	Primary string   `json:"primary"` // disk id
 	InSync  []string `json:"inSync"`  // disk ids, the primary's among them
 	Members []Member `json:"members"` // all of them are witnesses
-	// Previous holds the members from before a change of the membership, until that is completed. While it is set,
-	// every round needs a majority of the previous members as well (joint quorums).
+	// Previous holds the members from before a change of the membership, until the change is completed. While it is
+	// set, every round needs a majority of the previous members as well (joint quorums).
 	Previous []Member `json:"previous,omitempty"`
 }
 
@@ -27,7 +27,7 @@
 // HasInSync reports whether a disk is in the in-sync set.
 func (v View) HasInSync(diskID string) bool { return slices.Contains(v.InSync, diskID) }
 
-// allMembers returns the current members, and those previous ones that are not members any more.
+// allMembers returns the current members, and those previous ones that are no longer members.
 func (v View) allMembers() []Member {
 	all := slices.Clone(v.Members)
 	for _, member := range v.Previous {
@@ -38,8 +38,8 @@
 	return all
 }
 
-// hasQuorum reports whether the disks that satisfy a condition make up a majority of the members, and of the
-// previous members where there are any.
+// hasQuorum reports whether the disks that satisfy a condition make up a majority of the members, and a majority of the
+// previous members if there are any.
 func (v View) hasQuorum(has func(diskID string) bool) bool {
 	if !isMajority(v.Members, has) {
 		return false
@@ -47,10 +47,10 @@
 	return len(v.Previous) == 0 || isMajority(v.Previous, has)
 }
 
-// minInSync returns how many disks an in-sync set must have at least: as many as the replication factor, so that one
-// is left after the tolerated losses, but no more than a majority.
-func (v View) minInSync(copies int) int {
-	return min(copies, len(v.Members)/2+1)
+// minInSync returns the minimum size of an in-sync set. It is the replication factor, so that one disk is left after
+// the tolerated losses, but at most a majority.
+func (v View) minInSync(replicationFactor int) int {
+	return min(replicationFactor, len(v.Members)/2+1)
 }
 
 // isMajority reports whether the disks that satisfy a condition make up more than half of the members.
@@ -64,7 +64,7 @@
 	return 2*count > len(members)
 }
 
-// newerView returns the view with the higher epoch; nil stands for no view.
+// newerView returns the view with the higher epoch; nil means no view.
 func newerView(one, other *View) *View {
 	if one == nil || (other != nil && other.Epoch > one.Epoch) {
 		return other
--- a/internal/controlplane/replication/view_change.go
+++ b/internal/controlplane/replication/view_change.go
@@ -12,23 +12,26 @@
 type viewChange struct {
 	base      View // the newest view known; its members are called
 	bootstrap bool // the base is the first view of a new group
-	// derive returns the members of the new view, from the newest accepted one, or an error where there is to be no view.
+	// derive returns the members of the new view, from the newest accepted one, or an error if the view must not be
+	// made.
 	derive func(newest View) (View, error)
-	// unresponsive holds the disks whose promises are not waited for.
+	// unresponsive holds the disks whose promises the prepare round does not wait for.
 	unresponsive map[string]bool
-	// excluded holds the disks that don't enter the in-sync set. Their promises are not waited for either.
+	// excluded holds the disks that must not enter the in-sync set. The prepare round does not wait for their promises
+	// either.
 	excluded map[string]bool
 	// required is a disk that must enter the in-sync set; "" for none.
 	required string
-	// alwaysSendSnapshot has the snapshot sent to every member that needs it, not only where the in-sync set is too small.
+	// alwaysSendSnapshot means that every member that needs the snapshot gets it, not only if the in-sync set would be
+	// too small otherwise.
 	alwaysSendSnapshot bool
 }
 
-// establishedView is a view that is in force.
+// establishedView is a view that is in force: a majority has accepted it.
 type establishedView struct {
 	view       View
-	alignedAt  time.Time            // when the attach calls to the in-sync set were sent, at the earliest
-	acceptedAt map[string]time.Time // when the accept calls were sent to those who have accepted, by disk id
+	alignedAt  time.Time            // when the earliest attach calls to the in-sync set were sent
+	acceptedAt map[string]time.Time // when the accept calls to those that have accepted were sent, by disk id
 }
 
 // changeView makes a view: a majority of the newest view's members promises a new epoch, the in-sync set is aligned
@@ -67,8 +70,9 @@
 	return establishedView{view: view, alignedAt: alignedAt, acceptedAt: accepted}, nil
 }
 
-// prepareEpoch takes an epoch for this process: by its own promise, after which its log takes nothing from primaries
-// of lower epochs, and by those of a majority. It returns the end of the log and the result of the round.
+// prepareEpoch claims an epoch for this process. The process promises the epoch to itself, after which its log rejects
+// entries from primaries of lower epochs, and collects the promises of a majority. prepareEpoch returns the end of the
+// log and the result of the round.
 func (g *Group) prepareEpoch(ctx context.Context, epoch uint64, change viewChange) (position, promises, error) {
 	promised, err := g.witness.promise(epoch, g.self.DiskID)
 	if err != nil {
@@ -91,19 +95,20 @@
 	return last, collected, nil
 }
 
-// newestKnownView returns the newest view that this process has accepted or that others have reported; nil for none.
+// newestKnownView returns the newest view that this process has accepted or that others have reported, or nil if there
+// is none.
 func (g *Group) newestKnownView() *View {
 	return newerView(g.witness.record().Accepted, g.learnedView.Load())
 }
 
-// learnView remembers a view that others have accepted.
+// learnView records a view that others have accepted.
 func (g *Group) learnView(view *View) {
 	if view.Epoch > 0 && view != g.newestKnownView() {
 		g.learnedView.Store(newerView(g.learnedView.Load(), view))
 	}
 }
 
-// observeEpoch remembers an epoch that was promised, so that the next one that this process takes is higher.
+// observeEpoch records an epoch that a member has promised, so that the next one that this process claims is higher.
 func (g *Group) observeEpoch(epoch uint64) {
 	for known := g.highestEpoch.Load(); epoch > known; known = g.highestEpoch.Load() {
 		if g.highestEpoch.CompareAndSwap(known, epoch) {
--- a/internal/controlplane/replication/vote.go
+++ b/internal/controlplane/replication/vote.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// servePrepare answers a candidate as a witness. A promise is durable before the response.
+// servePrepare responds to a candidate as a witness. A promise is durable before the response is sent.
 func (g *Group) servePrepare(ctx context.Context, request prepareRequest, _ []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
@@ -34,7 +34,8 @@
 	return response, nil, nil
 }
 
-// mayVote reports whether this process is a witness, by the newer one of its own view and the candidate's.
+// mayVote reports whether this process is a witness in the newer of its own view and the candidate's or, in a
+// bootstrap, whether it may take part.
 func (g *Group) mayVote(record *witnessRecord, request prepareRequest) bool {
 	if request.Bootstrap {
 		return g.mayBootstrap(request.View)
@@ -62,7 +63,8 @@
 	return !g.primaryDown(ctx)
 }
 
-// serveAccept accepts a view, durably, unless a higher epoch was promised.
+// serveAccept accepts a view, unless this witness has promised a higher epoch. The view is durable before the response
+// is sent.
 func (g *Group) serveAccept(_ context.Context, request acceptRequest, _ []byte) (any, []byte, error) {
 	if err := g.checkTarget(request.Target); err != nil {
 		return nil, nil, err
--- a/internal/controlplane/replication/witness.go
+++ b/internal/controlplane/replication/witness.go
@@ -15,7 +15,7 @@
 // witnessFile is the name of the file that holds the witness's record.
 const witnessFile = "witness"
 
-// witnessRecord is everything that a witness remembers. Records are immutable.
+// witnessRecord is the durable state of a witness. Records are immutable.
 type witnessRecord struct {
 	Promised   uint64 `json:"promised"`   // the highest epoch promised
 	PromisedTo string `json:"promisedTo"` // the disk id of the process it was promised to
@@ -35,14 +35,15 @@
 	return r.Accepted.Epoch
 }
 
-// witness keeps its record on the disk. A new record is durable before anybody can see it.
+// witness votes for its process and keeps its record on the disk. A new record is durable before it is visible to
+// readers.
 type witness struct {
 	fs      vfs.FS
 	writing semaphore // held while the file is written
 	current atomic.Pointer[witnessRecord]
 }
 
-// openWitness loads the record from the disk; it is empty on a new disk.
+// openWitness loads the record from the disk. On a new disk the record is empty.
 func openWitness(fileSystem vfs.FS) (*witness, error) {
 	w := &witness{fs: fileSystem, writing: newSemaphore()}
 	record := &witnessRecord{}
@@ -63,8 +64,8 @@
 // record returns the current record.
 func (w *witness) record() *witnessRecord { return w.current.Load() }
 
-// promise promises an epoch to a process. It reports false where a higher epoch was promised, or the same one to
-// another process.
+// promise promises an epoch to a process. It reports false if a higher epoch is promised, or the same one to another
+// process.
 func (w *witness) promise(epoch uint64, diskID string) (bool, error) {
 	w.writing.acquire()
 	defer w.writing.release()
@@ -78,7 +79,7 @@
 	return true, w.save(&witnessRecord{Promised: epoch, PromisedTo: diskID, Accepted: record.Accepted})
 }
 
-// accept accepts a view. It reports false where a higher epoch was promised.
+// accept accepts a view. It reports false if a higher epoch is promised, or the same one to another process.
 func (w *witness) accept(view View) (bool, error) {
 	w.writing.acquire()
 	defer w.writing.release()
