--- a/internal/controlplane/replication/explorer_disk_set_test.go
+++ b/internal/controlplane/replication/explorer_disk_set_test.go
@@ -2,20 +2,20 @@
 
 package replication
 
-// modelDisks is the most disks that a model has, a replacement among them.
+// modelDisks is the maximum number of disks in a model, including added ones.
 const modelDisks = 5
 
-// diskSet is a set of disks by number.
+// diskSet is a set of disk numbers.
 type diskSet uint8
 
-func (s diskSet) has(disk int) bool         { return s&(1<<disk) != 0 }
-func (s diskSet) with(disk int) diskSet     { return s | 1<<disk }
-func (s diskSet) without(disk int) diskSet  { return s &^ (1 << disk) }
-func (s diskSet) union(o diskSet) diskSet   { return s | o }
-func (s diskSet) contains(o diskSet) bool   { return o&^s == 0 }
-func setOf(count int) diskSet               { return 1<<count - 1 }
-func diskName(disk int) string              { return string(rune('a' + disk)) }
-func (s diskSet) isMember(name string) bool { return s.has(int(name[0] - 'a')) }
+func (s diskSet) has(disk int) bool        { return s&(1<<disk) != 0 }
+func (s diskSet) with(disk int) diskSet    { return s | 1<<disk }
+func (s diskSet) without(disk int) diskSet { return s &^ (1 << disk) }
+func (s diskSet) union(o diskSet) diskSet  { return s | o }
+func (s diskSet) contains(o diskSet) bool  { return o&^s == 0 }
+func firstDisks(count int) diskSet         { return 1<<count - 1 }
+func diskName(disk int) string             { return string(rune('a' + disk)) }
+func (s diskSet) hasName(name string) bool { return s.has(int(name[0] - 'a')) }
 
 func (s diskSet) disks() []int {
 	var all []int
--- a/internal/controlplane/replication/explorer_fault_test.go
+++ b/internal/controlplane/replication/explorer_fault_test.go
@@ -2,7 +2,7 @@
 
 package replication
 
-// faults adds crashes, losses of disks and replacements.
+// faults adds the steps in which a process restarts, a disk is lost, or a disk is added.
 func (m *model) faults(state *modelState, disk int, add addStep) {
 	if state.crashes < m.limits.crashes {
 		next := *state
@@ -17,29 +17,29 @@
 		next.disks[disk] = modelDisk{lost: !m.rules.wipedReturns}
 		if m.rules.wipedReturns {
 			next.disks[disk].accepted = state.disks[disk].accepted
-			next.disks[disk].promised = 1 // it votes as if it had never promised anything later
+			next.disks[disk].promised = 1 // it has forgotten later promises
 		}
 		add(next, "%s loses its disk", diskName(disk))
 	}
-	if state.joined < m.limits.joins && (state.losses > 0 || m.limits.memberChanges > 0) {
+	if state.addedDisks < m.limits.joins && (state.losses > 0 || m.limits.memberChanges > 0) {
 		next := *state
-		next.joined++
+		next.addedDisks++
 		add(next, "a replacement starts")
 	}
 }
 
-// mayLose reports whether a disk may be lost now. Where losses are repaired one after the other, the next one comes
-// when the newest view in force has no lost member, nor previous members.
+// mayLose reports whether a disk may be lost now. With modelLimits.oneLossAtATime, the next disk may be lost only when
+// the newest view in force has neither a lost member nor previous members.
 func (m *model) mayLose(state *modelState, disk int) bool {
-	if !m.limits.repaired {
+	if !m.limits.oneLossAtATime {
 		return !state.isSpare(disk)
 	}
 	for number := range modelDisks {
 		leader := &state.disks[number]
-		if leader.phase != primary || leader.epoch != state.led || leader.making.previous != 0 {
+		if leader.phase != primary || leader.epoch != state.highestLedEpoch || leader.ownView.previous != 0 {
 			continue
 		}
-		for _, member := range leader.making.members.disks() {
+		for _, member := range leader.ownView.members.disks() {
 			if state.disks[member].lost {
 				return false
 			}
--- a/internal/controlplane/replication/explorer_model_test.go
+++ b/internal/controlplane/replication/explorer_model_test.go
@@ -8,23 +8,24 @@
 	"gladepick/internal/modelcheck"
 )
 
-// The model is the group's protocol without time, disks and connections: what processes do upon calls, in any order.
-// A call may be handled at any later moment or never, and its response may be lost. A response that is late adds nothing:
-// its receiver's steps are all optional, so it may as well have come early. The rules of quorums and witnesses are the
-// group's own code.
+// The model is the group's protocol without time, disks and connections: processes send calls and handle them in any
+// order. A call may be handled at any later time or never, and its response may be lost. The model needs no late
+// responses: all steps of the receiver of a response are optional, so a late response has the same effect as an early
+// one whose receiver takes its next step later. The rules of quorums and witnesses are the group's own code.
 //
-// Without leases the model allows more elections than the group does. With them (modelLimits.leases) a witness supports a
-// primary that it has heard from, and may stop as soon as that primary does not count it any more: the primary counts
-// from the sending of a heartbeat, the witness from its arrival, and monotonic clocks run at the same rate.
+// Without leases, the model allows more elections than the group does. With leases (modelLimits.leases), a witness
+// supports a primary that it has heard from, and may stop as soon as that primary no longer counts its support: the
+// primary counts the lease from the sending of a heartbeat, the witness counts it from the arrival, and monotonic
+// clocks run at the same rate.
 
-// modelStep is a state that may follow another one, and how.
+// modelStep is a successor of a state, with the name of the step that leads to it.
 type modelStep = modelcheck.Step[modelState]
 
-// model is the protocol with its rules, within limits.
+// model is the protocol with its rules, explored within limits.
 type model struct {
 	rules  modelRules
 	limits modelLimits
-	named  bool // steps are given names
+	named  bool // whether steps get names
 }
 
 // Start implements modelcheck.Model.
@@ -59,9 +60,10 @@
 	return steps
 }
 
+// addStep adds a step to a state, with the step's name as a format and its arguments.
 type addStep func(next modelState, format string, args ...any)
 
-// ownSteps adds the steps of a process that no call causes.
+// ownSteps adds the steps that a process takes without receiving a call.
 func (m *model) ownSteps(state *modelState, disk int, add addStep) {
 	d := &state.disks[disk]
 	m.campaign(state, disk, add)
--- a/internal/controlplane/replication/explorer_primary_test.go
+++ b/internal/controlplane/replication/explorer_primary_test.go
@@ -18,8 +18,8 @@
 	add(next, "%s proposes change %d", diskName(disk), next.proposed)
 }
 
-// serveRead begins and ends an operator's request that changes nothing: a read, or an order that is rejected or was
-// carried out before.
+// serveRead begins or completes an operator's request that changes nothing: a read, or an order that is rejected or was
+// already carried out.
 func (m *model) serveRead(state *modelState, disk int, add addStep) {
 	current := &state.disks[disk]
 	if current.promised != current.epoch {
@@ -33,15 +33,15 @@
 		next.reads++
 		changed := &next.disks[disk]
 		changed.reading, changed.ackedBeforeRead, changed.confirmedBy = true, uint8(state.acked.len()), diskSet(0).with(disk)
-		add(next, "%s is asked", diskName(disk))
+		add(next, "%s receives a read", diskName(disk))
 		return
 	}
-	if !m.rules.mayServeRead(current.making, current.confirmedBy) {
+	if !m.rules.mayServeRead(current.ownView, current.confirmedBy) {
 		return
 	}
 	next := *state
 	changed := &next.disks[disk]
 	changed.reading, changed.ackedBeforeRead, changed.confirmedBy = false, 0, 0
 	next.staleRead = !current.log.extends(state.acked.prefix(int(current.ackedBeforeRead)))
-	add(next, "%s answers", diskName(disk))
+	add(next, "%s serves the read", diskName(disk))
 }
--- a/internal/controlplane/replication/explorer_rules_test.go
+++ b/internal/controlplane/replication/explorer_rules_test.go
@@ -2,24 +2,24 @@
 
 package replication
 
-// modelRules are the protocol's rules that a mutation may replace by a broken one.
+// modelRules are the rules of the protocol. A mutation replaces one of them with a broken one.
 type modelRules struct {
 	quorum       func(view modelView, has diskSet) bool
 	allows       func(disk *modelDisk, epoch uint8, candidate int) bool
 	mayAppend    func(disk *modelDisk, epoch uint8, from int) bool
-	maySucceed   func(newest modelView, candidate int) bool
+	mayLead      func(newest modelView, candidate int) bool
 	committed    func(view modelView, acks diskSet) bool
 	restart      func(disk *modelDisk)
 	vote         func(disk *modelDisk, voter int, base modelView) bool
 	wipedReturns bool // a wiped disk returns under its old id
 
-	mayServeRead       func(view modelView, confirmedBy diskSet) bool          // an operator's read
-	mayChangeMembers   func(newest modelView) bool                             // another change of the members
-	inSync             func(view modelView, aligned diskSet) diskSet           // the in-sync set of a new view
-	snapshotOf         func(log modelLog) modelLog                             // what a snapshot holds
-	leaseValid         func(view modelView, self int, supporters diskSet) bool // whether the supporters suffice for a lease
-	leavesPrimaryEarly bool                                                    // a witness may stop supporting a primary that counts on it
-	ignoresLeases      bool                                                    // processes vote and campaign while they support a primary
+	mayServeRead      func(view modelView, confirmedBy diskSet) bool          // whether an operator's read may be served
+	mayChangeMembers  func(newest modelView) bool                             // whether the members may change again
+	inSync            func(view modelView, aligned diskSet) diskSet           // the in-sync set of a new view
+	snapshotOf        func(log modelLog) modelLog                             // the log that a snapshot holds
+	leaseValid        func(view modelView, self int, supporters diskSet) bool // whether supporters suffice
+	dropsSupportEarly bool                                                    // a witness may drop a primary that counts it
+	ignoresLeases     bool                                                    // supporters of a primary vote and campaign
 }
 
 // groupRules returns the group's own rules. Quorums are computed by the group's code and cached.
@@ -31,7 +31,7 @@
 			query := quorumQuery{view.members, view.previous, has}
 			reached, known := cached[query]
 			if !known {
-				reached = view.view().hasQuorum(has.isMember)
+				reached = view.view().hasQuorum(has.hasName)
 				cached[query] = reached
 			}
 			return reached
@@ -41,7 +41,7 @@
 			return record.allows(uint64(epoch), diskName(candidate))
 		},
 		mayAppend:        func(disk *modelDisk, epoch uint8, _ int) bool { return disk.follows == epoch },
-		maySucceed:       func(newest modelView, candidate int) bool { return newest.inSync.has(candidate) },
+		mayLead:          func(newest modelView, candidate int) bool { return newest.inSync.has(candidate) },
 		committed:        func(view modelView, acks diskSet) bool { return acks.contains(view.inSync) },
 		mayServeRead:     func(view modelView, confirmedBy diskSet) bool { return confirmedBy.contains(view.inSync) },
 		mayChangeMembers: func(newest modelView) bool { return newest.previous == 0 },
@@ -49,7 +49,7 @@
 		snapshotOf:       func(log modelLog) modelLog { return log },
 		leaseValid: func(view modelView, self int, supporters diskSet) bool {
 			supporters = supporters.with(self)
-			return supporters.contains(view.inSync) && view.view().hasQuorum(supporters.isMember)
+			return supporters.contains(view.inSync) && view.view().hasQuorum(supporters.hasName)
 		},
 		restart: func(*modelDisk) {},
 		vote: func(disk *modelDisk, voter int, base modelView) bool {
@@ -57,12 +57,12 @@
 			if base.epoch > view.epoch {
 				view = base
 			}
-			return view.everyone().has(voter)
+			return view.allMembers().has(voter)
 		},
 	}
 }
 
-// modelLimits bound what happens in a run of the model.
+// modelLimits bound the runs of the model.
 type modelLimits struct {
 	disks             int // members at the bootstrap
 	replicationFactor int
@@ -70,11 +70,11 @@
 	changes           uint8
 	crashes           uint8
 	losses            uint8
-	joins             uint8 // disks that are added, as replacements of lost ones or beside the others
-	candidates        int   // how many of the first disks campaign; 0 for all
+	joins             uint8 // disks that are added, as replacements of lost ones or as further members
+	candidates        int   // number of the first disks that campaign; 0 means all
 
-	reads         uint8 // reads by operators
-	leases        bool  // witnesses support primaries that they have heard from
-	memberChanges uint8 // additions and removals of members that are not lost
-	repaired      bool  // a disk is lost only while the group has none to replace
+	reads          uint8 // reads by operators
+	leases         bool  // witnesses support primaries that they have heard from
+	memberChanges  uint8 // additions and removals of members that are not lost
+	oneLossAtATime bool  // a disk is lost only after the previous loss is repaired
 }
--- a/internal/controlplane/replication/explorer_state_test.go
+++ b/internal/controlplane/replication/explorer_state_test.go
@@ -7,10 +7,10 @@
 // maxChanges bounds the entries of a log.
 const maxChanges = 3
 
-// maxEpochs bounds the epochs.
+// maxEpochs bounds the epochs of a run.
 const maxEpochs = 6
 
-// modelView is a View with sets in place of lists.
+// modelView is a View with sets instead of lists.
 type modelView struct {
 	epoch    uint8
 	primary  int8
@@ -30,12 +30,12 @@
 	return view
 }
 
-func (v modelView) everyone() diskSet { return v.members.union(v.previous) }
+func (v modelView) allMembers() diskSet { return v.members.union(v.previous) }
 
-// modelEntry is an entry of a log: the epoch in which it was appended, and which change it is.
+// modelEntry is an entry of a log: the epoch in which it was appended, and the number of its change.
 type modelEntry struct{ epoch, change uint8 }
 
-// modelLog is a log, as a string of pairs of bytes, so that states are comparable.
+// modelLog is a log. It is a string with two bytes for each entry, so that states are comparable.
 type modelLog string
 
 func (l modelLog) len() int                { return len(l) / 2 }
@@ -48,7 +48,7 @@
 func (l modelLog) prefix(length int) modelLog  { return l[:2*length] }
 func (l modelLog) extends(other modelLog) bool { return strings.HasPrefix(string(l), string(other)) }
 
-// last is the position of the end.
+// last returns the position of the end.
 func (l modelLog) last() position {
 	if l.len() == 0 {
 		return position{}
@@ -56,7 +56,7 @@
 	return position{Epoch: uint64(l.at(l.len() - 1).epoch), Index: uint64(l.len())}
 }
 
-// modelDisk is what a disk holds, and what its process holds in memory.
+// modelDisk is the state on a disk and in the memory of its process.
 type modelDisk struct {
 	promised   uint8
 	promisedTo int8
@@ -66,24 +66,24 @@
 
 	follows     uint8 // the epoch whose primary's log this process follows; 0 after a restart
 	phase       modelPhase
-	epoch       uint8 // in which it is a candidate or the primary
+	epoch       uint8 // the epoch in which the process is a candidate or the primary
 	granted     diskSet
-	newest      modelView // the newest view among those that came with promises
-	making      modelView
-	respondents diskSet // disks that have been aligned, then those that have accepted
+	newest      modelView // the newest view that the promises have reported
+	ownView     modelView // the view that the process makes as a candidate or leads
+	respondents diskSet   // disks that have been aligned, then disks that have accepted
 	acks        [maxChanges]diskSet
-	learners    diskSet // processes that have the log and are to become members
+	learners    diskSet // processes that have the log and may become members
 
-	reading         bool    // an operator's read is under way here
+	reading         bool    // an operator's read is in progress here
 	ackedBeforeRead uint8   // number of acknowledged changes when the read began
-	confirmedBy     diskSet // the disks that have confirmed this primary since
+	confirmedBy     diskSet // the disks that have confirmed this primary since the read began
 
-	supports    int8    // the primary that this witness supports, counted from 1; 0 for none
-	supporters  diskSet // the disks that renew this primary's lease
-	leaseLapsed bool    // its lease has expired in this view
+	supports    int8    // the number of the primary that this witness supports, plus 1; 0 if there is none
+	supporters  diskSet // the disks whose support this primary counts towards its lease
+	leaseLapsed bool    // the lease has expired in this view
 }
 
-// restart forgets what is in memory. A process that starts supports the primary of the view on its disk.
+// restart clears the memory of the process. After a restart, the process supports the primary of the view on its disk.
 func (d *modelDisk) restart(leases bool) {
 	*d = modelDisk{promised: d.promised, promisedTo: d.promisedTo, accepted: d.accepted, log: d.log}
 	if leases && d.accepted.epoch > 0 {
@@ -91,10 +91,10 @@
 	}
 }
 
-// promiseTo records a promise. A leadership or a candidacy in a lower epoch ends.
+// promiseTo records a promise. It ends a leadership or a candidacy in a lower epoch.
 func (d *modelDisk) promiseTo(epoch uint8, candidate int) {
 	if d.phase != following && d.epoch < epoch {
-		d.phase, d.making, d.respondents, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
+		d.phase, d.ownView, d.respondents, d.granted, d.newest = following, modelView{}, 0, 0, modelView{}
 		d.acks, d.learners = [maxChanges]diskSet{}, 0
 		d.reading, d.ackedBeforeRead, d.confirmedBy = false, 0, 0
 		d.supporters, d.leaseLapsed = 0, false
@@ -105,7 +105,7 @@
 	d.promised, d.promisedTo = epoch, int8(candidate)
 }
 
-// modelPhase is how far a process has got in a view change.
+// modelPhase is the progress of a process in a view change.
 type modelPhase uint8
 
 const (
@@ -116,39 +116,39 @@
 	primary
 )
 
-// candidacy is what a process has sent in an epoch: calls that may still be handled.
+// candidacy holds what a process has sent in an epoch. Its calls may still be handled.
 type candidacy struct {
 	active   bool
 	aligning bool // a majority has promised, so attach calls have been sent
 	base     modelView
 	log      modelLog // at the beginning of the epoch
-	extended modelLog // with what was proposed since then
+	extended modelLog // log with the changes proposed since then
 	view     modelView
 }
 
 // modelState is a state of the whole group.
 type modelState struct {
-	disks       [modelDisks]modelDisk
-	candidacies [modelDisks][maxEpochs + 1]candidacy
-	acked       modelLog // the acknowledged changes, in order
-	crashes     uint8
-	losses      uint8
-	joined      uint8
-	proposed    uint8
-	led         uint8 // the highest epoch that anyone has led in
-	reads       uint8
-	changes     uint8 // of the members
-	staleRead   bool  // a read was served by a process that lacked what had been acknowledged before it began
+	disks           [modelDisks]modelDisk
+	candidacies     [modelDisks][maxEpochs + 1]candidacy
+	acked           modelLog // the acknowledged changes, in order
+	crashes         uint8
+	losses          uint8
+	addedDisks      uint8 // disks added after the bootstrap
+	proposed        uint8
+	highestLedEpoch uint8 // the highest epoch in which a process has led
+	reads           uint8
+	changes         uint8 // of the membership
+	staleRead       bool  // a read was served by a process that lacked changes acknowledged before the read began
 }
 
-// isSpare reports whether a disk was added after the bootstrap. Those are counted from the last one down.
-func (s *modelState) isSpare(disk int) bool { return disk >= modelDisks-int(s.joined) }
+// isSpare reports whether a disk was added after the bootstrap. Added disks take the numbers from the highest one down.
+func (s *modelState) isSpare(disk int) bool { return disk >= modelDisks-int(s.addedDisks) }
 
-// acknowledge acknowledges the changes that a primary may, in the order of its log.
+// acknowledge acknowledges the changes that a primary may acknowledge, in the order of its log.
 func (s *modelState) acknowledge(m *model, disk int) {
 	d := &s.disks[disk]
 	for index := s.acked.len(); index < d.log.len(); index++ {
-		if d.phase != primary || !m.rules.committed(d.making, d.acks[index]) || !d.log.extends(s.acked) {
+		if d.phase != primary || !m.rules.committed(d.ownView, d.acks[index]) || !d.log.extends(s.acked) {
 			return
 		}
 		s.acked = s.acked.append(d.log.at(index))
@@ -158,12 +158,12 @@
 // bootstrapped returns the state after the bootstrap: the first disk leads all others.
 func bootstrapped(limits modelLimits) modelState {
 	var state modelState
-	all := setOf(limits.disks)
+	all := firstDisks(limits.disks)
 	view := modelView{epoch: 1, inSync: all, members: all}
 	for disk := range limits.disks {
 		state.disks[disk] = modelDisk{promised: 1, accepted: view, follows: 1}
 	}
-	state.disks[0].phase, state.disks[0].epoch, state.disks[0].making = primary, 1, view
+	state.disks[0].phase, state.disks[0].epoch, state.disks[0].ownView = primary, 1, view
 	if limits.leases {
 		for disk := 1; disk < limits.disks; disk++ {
 			state.disks[disk].supports = 1
@@ -171,6 +171,6 @@
 		state.disks[0].supporters = all.without(0)
 	}
 	state.candidacies[0][1] = candidacy{active: true, aligning: true, base: view, view: view}
-	state.led = 1
+	state.highestLedEpoch = 1
 	return state
 }
--- a/internal/controlplane/replication/explorer_test.go
+++ b/internal/controlplane/replication/explorer_test.go
@@ -10,11 +10,11 @@
 	"gladepick/internal/modelcheck"
 )
 
-// exploredStates is how many states of each space are searched unless EXPLORE_STATES is set.
+// exploredStates is the number of states that are searched in each space unless EXPLORE_STATES is set.
 const exploredStates = 90_000
 
-// exploredSpace is a part of the model's states, with what a search of exploredStates states finds. A change of the
-// model or of the group's rules by which other states are reached shows here.
+// exploredSpace is a part of the model's states, with the results of a search of exploredStates states. They differ if
+// a change of the model or of the group's rules makes other states reachable.
 type exploredSpace struct {
 	limits   modelLimits
 	states   int
@@ -22,7 +22,8 @@
 	complete bool
 }
 
-// TestExplore searches the protocol's states for violations. EXPLORE_STATES sets how many.
+// TestExplore searches the states of the protocol for violations of its invariants. EXPLORE_STATES sets the number of
+// states.
 func TestExplore(t *testing.T) {
 	spaces := map[string]exploredSpace{
 		"three disks, two elections": {
@@ -45,11 +46,11 @@
 			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, losses: 1, joins: 1, candidates: 1},
 			states: 90_000, depth: 17, complete: false,
 		},
-		"three disks, questions": {
+		"three disks, reads": {
 			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 3, changes: 1, reads: 2, candidates: 2},
 			states: 90_000, depth: 13, complete: false,
 		},
-		"four disks, a question": {
+		"four disks, a read": {
 			limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 2, changes: 1, reads: 1, candidates: 2},
 			states: 90_000, depth: 15, complete: false,
 		},
@@ -69,8 +70,8 @@
 			limits: modelLimits{disks: 4, replicationFactor: 2, epochs: 3, changes: 1, memberChanges: 1, candidates: 2},
 			states: 90_000, depth: 11, complete: false,
 		},
-		"three disks, two losses and repairs": {
-			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, losses: 2, joins: 2, candidates: 1, repaired: true},
+		"three disks, two losses and replacements": {
+			limits: modelLimits{disks: 3, replicationFactor: 2, epochs: 5, changes: 1, losses: 2, joins: 2, candidates: 1, oneLossAtATime: true},
 			states: 90_000, depth: 11, complete: false,
 		},
 	}
@@ -91,7 +92,8 @@
 	}
 }
 
-// TestRandomWalks goes far beyond what can be searched. EXPLORE_WALKS sets how many walks.
+// TestRandomWalks looks for violations in states that lie deeper than a search reaches. EXPLORE_WALKS sets the number
+// of walks.
 func TestRandomWalks(t *testing.T) {
 	limits := modelLimits{disks: 4, replicationFactor: 2, epochs: maxEpochs, changes: maxChanges, crashes: 2, losses: 1, joins: 1}
 	walked := &model{rules: groupRules(), limits: limits}
