--- a/internal/controlplane/replication/backup_test.go
+++ b/internal/controlplane/replication/backup_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackupLeavesTheInSyncSetAndReturns(t *testing.T) {
+func TestUnresponsiveBackupDoesNotBlockCommits(t *testing.T) {
 	inCluster(t, 3, 2, 2, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		backup := c.nodes[1]
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestRestartedBackupNeedsNoNewView(t *testing.T) {
+func TestRestartedBackupCatchesUp(t *testing.T) {
 	inCluster(t, 3, 2, 2, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
@@ -41,18 +41,20 @@
 
 const missedChanges = 300
 
-// TestMemberThatMissedHundredsOfChangesCatchesUp has changes go on while the member returns, isolates it once more
-// while it receives the snapshot, and then lets it lead with what it has.
+// TestMemberThatMissedHundredsOfChangesCatchesUp guards against a member that never gets back in sync, or leads without
+// changes that it has missed. Changes continue while the member returns, and it is isolated once more while it receives
+// the snapshot. At the end the primary is killed, and the next primary, which may be that member, must have all
+// changes.
 func TestMemberThatMissedHundredsOfChangesCatchesUp(t *testing.T) {
 	for seed := range uint64(4) {
 		inCluster(t, 4, 2, seed, func(c *cluster) {
 			primary := c.awaitPrimary(time.Second)
 			c.awaitInSync(time.Second, 4)
-			away := c.nodes[3]
-			if away == primary {
-				away = c.nodes[2]
+			lagging := c.nodes[3]
+			if lagging == primary {
+				lagging = c.nodes[2]
 			}
-			c.isolate(away)
+			c.isolate(lagging)
 			large := strings.Repeat("x", 4<<10)
 			var proposed []string
 			propose := func() {
@@ -62,34 +64,35 @@
 			for range missedChanges {
 				propose()
 			}
-			c.rejoin(away)
+			c.rejoin(lagging)
 			time.Sleep(time.Duration(5+seed*20) * time.Millisecond)
-			c.isolate(away)
+			c.isolate(lagging)
 			time.Sleep(20 * time.Second)
 			propose()
-			c.rejoin(away)
+			c.rejoin(lagging)
 			rejoined := time.Now()
 			for len(primary.process().group.Role().View.InSync) < 4 {
 				propose()
-				assert.Assert(c.t, time.Since(rejoined) < 4*time.Second, "it never catches up")
+				assert.Assert(c.t, time.Since(rejoined) < 4*time.Second, "the member does not catch up")
 			}
-			c.t.Logf("in sync %v after the cut, with %d changes meanwhile", time.Since(rejoined), len(proposed)-missedChanges-1)
+			c.t.Logf("in sync %v after the isolation ended, with %d changes meanwhile",
+				time.Since(rejoined), len(proposed)-missedChanges-1)
 			for _, other := range c.nodes {
-				if other != away && other != primary {
+				if other != lagging && other != primary {
 					other.kill()
 				}
 			}
 			primary.kill()
 			for _, other := range c.nodes {
-				if other != away && other != primary {
+				if other != lagging && other != primary {
 					other.restart()
 				}
 			}
 			next := c.awaitOtherPrimary(5*time.Second, primary)
 			assert.NilError(c.t, next.readBarrier(3*time.Second))
 			assert.DeepEqual(c.t, next.process().machine.list(), proposed)
-			c.await(3*time.Second, "the member has everything", func() bool {
-				return slices.Equal(away.process().machine.list(), proposed)
+			c.await(3*time.Second, "the member has all changes", func() bool {
+				return slices.Equal(lagging.process().machine.list(), proposed)
 			})
 		})
 	}
--- a/internal/controlplane/replication/bootstrap_test.go
+++ b/internal/controlplane/replication/bootstrap_test.go
@@ -45,8 +45,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, 4, 2, seed)
 			defer c.close()
-			for _, founder := range c.nodes[:2] {
-				go func() { _ = founder.process().group.Bootstrap(t.Context(), c.members()) }()
+			for _, initiator := range c.nodes[:2] {
+				go func() { _ = initiator.process().group.Bootstrap(t.Context(), c.members()) }()
 			}
 			time.Sleep(2 * time.Second)
 			_ = c.nodes[0].process().group.Bootstrap(t.Context(), c.members())
--- a/internal/controlplane/replication/cluster_test.go
+++ b/internal/controlplane/replication/cluster_test.go
@@ -23,7 +23,7 @@
 
 const testPort = 7000
 
-// errRejected is what the test's state machine says to a change named "reject".
+// errRejected is what the test's state machine returns for a change named "reject".
 var errRejected = errors.New("rejected")
 
 // listMachine is a state machine that keeps all changes in order.
@@ -61,7 +61,7 @@
 	return slices.Clone(m.changes)
 }
 
-// process is one run of a member.
+// process is one run of a member, from start to stop.
 type process struct {
 	group   *Group
 	machine *listMachine
@@ -70,13 +70,13 @@
 	cancel  context.CancelFunc
 }
 
-// node is a machine of the test's cluster.
+// node is a simulated machine of the test's cluster.
 type node struct {
 	cluster *cluster
 	ip      string
 	disk    *memfs.Disk
 	member  Member
-	disks   int                     // how many disks it has had
+	disks   int                     // number of disks it has had
 	current atomic.Pointer[process] // nil while it does not run
 	off     bool
 	options func(*Options)
@@ -84,26 +84,26 @@
 
 // cluster is a group of simulated machines, all in one process.
 type cluster struct {
-	t       *testing.T
-	network *simulated.Network
-	seed    uint64
-	copies  int
-	nodes   []*node
+	t                 *testing.T
+	network           *simulated.Network
+	seed              uint64
+	replicationFactor int
+	nodes             []*node
 }
 
-// inCluster runs a test with a bootstrapped group in a bubble of simulated time.
-func inCluster(t *testing.T, members, copies int, seed uint64, test func(c *cluster)) {
+// inCluster runs a test with a bootstrapped group in simulated time.
+func inCluster(t *testing.T, members, replicationFactor int, seed uint64, test func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, members, copies, seed)
+		c := newCluster(t, members, replicationFactor, seed)
 		defer c.close()
 		c.bootstrap()
 		test(c)
 	})
 }
 
-func newCluster(t *testing.T, members, copies int, seed uint64) *cluster {
-	c := &cluster{t: t, network: simulated.New(seed), seed: seed, copies: copies}
+func newCluster(t *testing.T, members, replicationFactor int, seed uint64) *cluster {
+	c := &cluster{t: t, network: simulated.New(seed), seed: seed, replicationFactor: replicationFactor}
 	for range members {
 		c.addNode().start()
 	}
@@ -159,7 +159,8 @@
 	started := &process{machine: &listMachine{}, server: rpc.NewServer(zap.NewNop()), pool: rpc.NewPool(host)}
 	options := Options{
 		Self: n.member, Pool: started.pool, Server: started.server, FS: n.disk.Mount(),
-		StateMachine: started.machine, ReplicationFactor: n.cluster.copies, AllowBootstrap: true, Seed: n.cluster.seed,
+		StateMachine: started.machine, ReplicationFactor: n.cluster.replicationFactor, AllowBootstrap: true,
+		Seed: n.cluster.seed,
 	}
 	if n.options != nil {
 		n.options(&options)
@@ -175,7 +176,7 @@
 
 func serve(server *rpc.Server, listener net.Listener) { _ = server.Serve(listener) }
 
-// stop ends the process, without closing its log first.
+// stop ends the process. The group is closed last, after its connections.
 func (n *node) stop() {
 	ended := n.current.Swap(nil)
 	if ended == nil {
@@ -200,7 +201,7 @@
 	n.stop()
 }
 
-// restart starts the process again, after turning the machine's power on.
+// restart starts the process again. If the machine was powered off, it is powered on first.
 func (n *node) restart() {
 	if n.off {
 		n.cluster.network.PowerOn(n.ip)
@@ -217,12 +218,12 @@
 	n.newDisk()
 }
 
-// isolate separates some nodes from all others by a network partition.
-func (c *cluster) isolate(isolated ...*node) { c.eachBorder(isolated, c.network.Isolate) }
+// isolate separates nodes from all other nodes by a network partition.
+func (c *cluster) isolate(isolated ...*node) { c.eachSeparatedPair(isolated, c.network.Isolate) }
 
-func (c *cluster) rejoin(isolated ...*node) { c.eachBorder(isolated, c.network.Heal) }
+func (c *cluster) rejoin(isolated ...*node) { c.eachSeparatedPair(isolated, c.network.Heal) }
 
-func (c *cluster) eachBorder(inside []*node, do func(a, b string)) {
+func (c *cluster) eachSeparatedPair(inside []*node, do func(a, b string)) {
 	for _, one := range inside {
 		for _, other := range c.nodes {
 			if !slices.Contains(inside, other) {
@@ -232,32 +233,33 @@
 	}
 }
 
-// primaries returns the nodes that claim to lead.
+// primaries returns the nodes whose group reports that they lead.
 func (c *cluster) primaries() []*node {
-	var claiming []*node
+	var leading []*node
 	for _, each := range c.nodes {
 		if running := each.process(); running != nil && running.group.Role().Primary {
-			claiming = append(claiming, each)
+			leading = append(leading, each)
 		}
 	}
-	return claiming
+	return leading
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test if it does not hold within the limit. It returns how long it
+// waited.
 func (c *cluster) await(limit time.Duration, what string, condition func() bool) time.Duration {
 	c.t.Helper()
 	started := time.Now()
 	for !condition() {
 		if time.Since(started) > limit {
-			c.describe()
-			c.t.Fatalf("after %v still not: %s", limit, what)
+			c.logState()
+			c.t.Fatalf("not within %v: %s", limit, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(started)
 }
 
-func (c *cluster) describe() {
+func (c *cluster) logState() {
 	for _, each := range c.nodes {
 		if each.process() == nil {
 			c.t.Logf("%s: down", each.member)
@@ -274,7 +276,7 @@
 	return c.primaries()[0]
 }
 
-// awaitOtherPrimary waits for a primary that is none of the given ones.
+// awaitOtherPrimary waits for a primary other than the given ones.
 func (c *cluster) awaitOtherPrimary(limit time.Duration, old ...*node) *node {
 	c.t.Helper()
 	var found *node
@@ -326,7 +328,7 @@
 // awaitAllHold waits until every running node has exactly these changes.
 func (c *cluster) awaitAllHold(limit time.Duration, changes ...string) {
 	c.t.Helper()
-	c.await(limit, fmt.Sprintf("all hold %v", changes), func() bool {
+	c.await(limit, fmt.Sprintf("all nodes hold %v", changes), func() bool {
 		for _, each := range c.nodes {
 			if each.process() != nil && !slices.Equal(each.process().machine.list(), changes) {
 				return false
--- a/internal/controlplane/replication/failover_test.go
+++ b/internal/controlplane/replication/failover_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestIsolatedPrimaryStopsClaimingAndRejoins(t *testing.T) {
+func TestIsolatedPrimaryStepsDownAndRejoins(t *testing.T) {
 	inCluster(t, 5, 3, 3, func(c *cluster) {
 		old := c.awaitPrimary(time.Second)
 		old.mustPropose("a")
@@ -55,24 +55,24 @@
 		inCluster(t, 5, 2, seed, func(c *cluster) {
 			old := c.awaitPrimary(time.Second)
 			old.mustPropose("a")
-			companion := c.nodes[1]
-			if companion == old {
-				companion = c.nodes[2]
+			reachable := c.nodes[1]
+			if reachable == old {
+				reachable = c.nodes[2]
 			}
-			c.isolate(old, companion)
+			c.isolate(old, reachable)
 			outcome := make(chan error, 1)
 			go func() { outcome <- old.propose("minority", 6*time.Second) }()
 			next := c.awaitOtherPrimary(2*time.Second, old)
 			next.mustPropose("b")
 			assert.Assert(c.t, <-outcome != nil)
-			c.rejoin(old, companion)
+			c.rejoin(old, reachable)
 			c.awaitInSync(4*time.Second, 5)
 			c.awaitAllHold(time.Second, "a", "b")
 		})
 	}
 }
 
-func TestHalfOfAnEvenGroupDoesNothing(t *testing.T) {
+func TestHalfOfAnEvenGroupElectsNoPrimary(t *testing.T) {
 	for _, size := range []int{4, 8} {
 		inCluster(t, size, 2, 5, func(c *cluster) {
 			old := c.awaitPrimary(time.Second)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAllKilledAtOnce(t *testing.T) {
+func TestGroupRecoversWhenAllAreKilledAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
 		inCluster(t, 3+int(seed%3), 2, seed, func(c *cluster) {
 			c.awaitPrimary(time.Second).mustPropose("a")
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestAllLosePowerAtOnce(t *testing.T) {
+func TestGroupRecoversWhenAllLosePowerAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
 		inCluster(t, 3, 2, seed, func(c *cluster) {
 			c.awaitPrimary(time.Second).mustPropose("a")
@@ -129,27 +129,27 @@
 func TestPrimaryThatReachesOnlyOneWitnessIsReplaced(t *testing.T) {
 	inCluster(t, 4, 2, 1, func(c *cluster) {
 		old := c.awaitPrimary(time.Second)
-		companion := c.nodes[1]
+		reachable := c.nodes[1]
 		for _, each := range c.nodes[2:] {
 			c.network.Isolate(old.ip, each.ip)
 		}
 		next := c.awaitOtherPrimary(3*time.Second, old)
 		next.mustPropose("a")
-		assert.Assert(c.t, companion.process().group.Role().Epoch > 1)
+		assert.Assert(c.t, reachable.process().group.Role().Epoch > 1)
 	})
 }
 
 func TestOneWayPartitionDoesNotReplaceThePrimary(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
-		deaf := c.nodes[1]
-		c.network.IsolateOneWay(leader.ip, deaf.ip)
+		unreachable := c.nodes[1]
+		c.network.IsolateOneWay(leader.ip, unreachable.ip)
 		for i := range 10 {
 			leader.mustPropose(fmt.Sprint(i))
 			time.Sleep(500 * time.Millisecond)
 		}
 		assert.Equal(c.t, c.awaitPrimary(time.Second), leader)
-		c.network.Heal(leader.ip, deaf.ip)
+		c.network.Heal(leader.ip, unreachable.ip)
 		c.awaitInSync(2*time.Second, 3)
 	})
 }
--- a/internal/controlplane/replication/golden_test.go
+++ b/internal/controlplane/replication/golden_test.go
@@ -18,23 +18,23 @@
 	"gladepick/internal/wal"
 )
 
-// The files under testdata were written by the first version that has these tests (`go test -update`). They stay as they
-// are: every later version has to read them, and to write the same bytes again.
+// The files under testdata were written by the first version that has these tests (`go test -update`) and are never
+// edited: every later version has to read them and to write the same bytes.
 
 const (
 	goldenDisk       = "disk" // a disk with a log, a snapshot and a witness's record
-	goldenTornDisk   = "torn" // the same disk, whose last record is cut off
+	goldenTornDisk   = "torn" // the same disk with a truncated last record
 	goldenSegment    = "segment-00000000000000000002"
 	goldenSnapshot   = "snapshot-00000000000000000002"
 	goldenRecords    = "records.bin"  // records as an append call carries them
-	goldenMessages   = "messages.txt" // the messages, a line each
-	goldenTornBytes  = 3              // how much of the last record is missing on the torn disk
+	goldenMessages   = "messages.txt" // the messages, one on each line
+	goldenTornBytes  = 3              // how many bytes of the last record are missing on the torn disk
 	goldenFirstEpoch = 3
 	goldenNextEpoch  = 1<<40 + 5
 )
 
-// goldenChanges are the changes on the golden disk: the first ones are in its snapshot, one of them not yet committed;
-// the last two follow in its log.
+// goldenChanges are the changes on the golden disk. The first four are in its snapshot, the fourth not yet committed.
+// The last two follow in its log.
 var goldenChanges = []string{"first", "second \n", strings.Repeat("long ", 60), "", "\x00\xff binary", "last"}
 
 func goldenView() View {
@@ -55,7 +55,7 @@
 	return disk
 }
 
-// openAt opens the replica on a directory.
+// openAt opens the replica in a directory.
 func openAt(t *testing.T, path string) (*replica, *listMachine) {
 	t.Helper()
 	machine := &listMachine{}
@@ -82,7 +82,7 @@
 	return records
 }
 
-// writeDisk writes the golden disk anew, and returns the records that follow its snapshot as an append call has them.
+// writeDisk writes the golden disk, and returns the records that follow its snapshot in the form of an append call.
 func writeDisk(t *testing.T, path string) []byte {
 	t.Helper()
 	written, _ := openAt(t, path)
@@ -111,7 +111,7 @@
 	assert.Assert(t, err == nil && promised)
 }
 
-// assertDisk compares all files of a directory with those under testdata.
+// assertDisk compares all files of a directory with the golden ones.
 func assertDisk(t *testing.T, path, name string) {
 	t.Helper()
 	assert.DeepEqual(t, namesIn(t, path), []string{goldenSegment, goldenSnapshot, witnessFile})
@@ -141,7 +141,7 @@
 	return path
 }
 
-func TestGoldenDiskIsWrittenAgain(t *testing.T) {
+func TestGoldenDiskFormatIsUnchanged(t *testing.T) {
 	path := t.TempDir()
 	records := writeDisk(t, path)
 	assertDisk(t, path, goldenDisk)
@@ -153,7 +153,7 @@
 	assertDisk(t, path, goldenTornDisk)
 }
 
-func TestGoldenDiskIsRead(t *testing.T) {
+func TestGoldenDiskIsReadable(t *testing.T) {
 	path := copyDisk(t, goldenDisk)
 	opened, machine := openAt(t, path)
 	assert.DeepEqual(t, machine.list(), goldenChanges[:4])
@@ -168,7 +168,7 @@
 	assertDisk(t, path, goldenDisk)
 }
 
-func TestGoldenSnapshotIsEncodedAgain(t *testing.T) {
+func TestGoldenSnapshotFormatIsUnchanged(t *testing.T) {
 	data, err := wal.LoadFile(directoryOf(t, copyDisk(t, goldenDisk)), goldenSnapshot)
 	assert.NilError(t, err)
 	decoded, err := decodeSnapshot(data)
@@ -181,9 +181,9 @@
 	assert.DeepEqual(t, machine.list(), goldenChanges[:3])
 }
 
-// TestGoldenTornLogIsReadUpToItsDamage checks that the torn record is cut off, and that the same change, proposed once
-// more, brings the whole log back byte for byte.
-func TestGoldenTornLogIsReadUpToItsDamage(t *testing.T) {
+// TestGoldenTornLogIsReadUpToTheTornRecord checks that the torn record is dropped, and that the same change, proposed
+// again, restores the whole log byte for byte.
+func TestGoldenTornLogIsReadUpToTheTornRecord(t *testing.T) {
 	path := copyDisk(t, goldenTornDisk)
 	opened, machine := openAt(t, path)
 	assert.DeepEqual(t, machine.list(), goldenChanges[:4])
@@ -195,7 +195,7 @@
 	assertDisk(t, path, goldenDisk)
 }
 
-func TestGoldenRecordsAreEncodedAgain(t *testing.T) {
+func TestGoldenRecordFormatIsUnchanged(t *testing.T) {
 	data := golden.Get(t, goldenRecords)
 	entries, err := decodeEntries(data)
 	assert.NilError(t, err)
@@ -210,7 +210,7 @@
 	assert.Assert(t, bytes.Equal(again, data))
 }
 
-func TestGoldenWitnessIsReadAndWrittenAgain(t *testing.T) {
+func TestGoldenWitnessFormatIsUnchanged(t *testing.T) {
 	path := copyDisk(t, goldenDisk)
 	w, err := openWitness(directoryOf(t, path))
 	assert.NilError(t, err)
@@ -221,7 +221,7 @@
 	assertDisk(t, path, goldenDisk)
 }
 
-// goldenMessage is a message with every field set, by the call that carries it.
+// goldenMessage is a message with every field set, and the call that carries it.
 type goldenMessage struct {
 	call string
 	full any
@@ -257,8 +257,9 @@
 	}
 }
 
-// TestGoldenMessages writes each message with all fields set and with none, and reads both again.
-func TestGoldenMessages(t *testing.T) {
+// TestGoldenMessageFormatIsUnchanged guards against messages that other versions can't read. It encodes each message
+// with all fields set and with none, and decodes both.
+func TestGoldenMessageFormatIsUnchanged(t *testing.T) {
 	var lines bytes.Buffer
 	for _, each := range messagesOfEveryCall() {
 		assert.DeepEqual(t, unsetFields(reflect.ValueOf(each.full), each.call), []string(nil))
@@ -284,7 +285,7 @@
 	assert.Equal(t, len(read), 2*len(messagesOfEveryCall()))
 }
 
-// unsetFields returns the paths of the fields that have their zero value, in a value and in all that it holds.
+// unsetFields returns the paths of the fields that have their zero value, in a value and in everything nested in it.
 func unsetFields(value reflect.Value, path string) []string {
 	if value.IsZero() {
 		return []string{path}
--- a/internal/controlplane/replication/heartbeat_test.go
+++ b/internal/controlplane/replication/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackupsAreUpToDateOnlyWhileTheyHearThePrimary(t *testing.T) {
+func TestIsolatedBackupIsNotUpToDate(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
 		c.await(time.Second, "up to date", func() bool { return backup.process().group.Role().UpToDate })
@@ -42,7 +42,7 @@
 	})
 }
 
-func TestObserversSeeTheRole(t *testing.T) {
+func TestObserversAreCalledOnRoleChange(t *testing.T) {
 	inCluster(t, 3, 2, 4, func(c *cluster) {
 		backup := c.nodes[1]
 		roles := make(chan Role, 100)
@@ -54,9 +54,9 @@
 	})
 }
 
-// TestDelayedHeartbeatMakesNoBackupUpToDate replays a heartbeat of the primary at a backup that was isolated, as the
-// network does with what a partition has delayed. The backup lacks what was committed meanwhile and must not count
-// as up to date, however recently the heartbeat has arrived.
+// TestDelayedHeartbeatMakesNoBackupUpToDate delivers an old heartbeat of the primary to an isolated backup, as a
+// network does after a partition has delayed it. The backup lacks what was committed meanwhile, so it must not count as
+// up to date, however recently the heartbeat has arrived.
 func TestDelayedHeartbeatMakesNoBackupUpToDate(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		primary := c.awaitPrimary(time.Second)
@@ -71,7 +71,7 @@
 		group.monitor.mu.Lock()
 		echo := group.monitor.responses.last
 		group.monitor.mu.Unlock()
-		held := heartbeatRequest{
+		delayed := heartbeatRequest{
 			Target: backup.member.DiskID, Epoch: primary.process().group.Role().Epoch, Primary: primary.member.DiskID,
 			Commit: 1, Leading: true, Echo: echo,
 		}
@@ -79,12 +79,12 @@
 		time.Sleep(20 * time.Second)
 		primary.mustPropose("b")
 		assert.Assert(t, !group.Role().UpToDate)
-		for _, echo := range []uint64{held.Echo, 0, held.Echo + 1000} {
-			held.Echo = echo
-			response, _, err := group.serveHeartbeat(c.t.Context(), held, nil)
+		for _, echo := range []uint64{delayed.Echo, 0, delayed.Echo + 1000} {
+			delayed.Echo = echo
+			response, _, err := group.serveHeartbeat(c.t.Context(), delayed, nil)
 			assert.NilError(t, err)
-			assert.Assert(t, response.(heartbeatResponse).Supported, "it knows of no other primary")
-			assert.Assert(t, !group.Role().UpToDate, "its state is 20 s old")
+			assert.Assert(t, response.(heartbeatResponse).Supported, "the backup does not support the only primary it knows")
+			assert.Assert(t, !group.Role().UpToDate, "the backup counts as up to date with a state that is 20 s old")
 		}
 		c.rejoin(backup)
 		c.await(3*time.Second, "the backup is up to date again", func() bool { return group.Role().UpToDate })
--- a/internal/controlplane/replication/membership_test.go
+++ b/internal/controlplane/replication/membership_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestWipedMemberIsNoMemberUntilReplaced(t *testing.T) {
+func TestWipedMemberDoesNotRejoinUntilReplaced(t *testing.T) {
 	inCluster(t, 3, 2, 1, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
@@ -74,12 +74,12 @@
 	})
 }
 
-func TestTwoOfFiveAreWipedAtOnce(t *testing.T) {
+func TestGroupOfFiveSurvivesTwoWipedDisks(t *testing.T) {
 	for seed := range uint64(5) {
 		inCluster(t, 5, 3, seed, func(c *cluster) {
 			leader := c.awaitPrimary(time.Second)
 			leader.mustPropose("a")
-			gone := []string{c.nodes[0].member.DiskID, c.nodes[1].member.DiskID}
+			lostIDs := []string{c.nodes[0].member.DiskID, c.nodes[1].member.DiskID}
 			for _, each := range c.nodes[:2] {
 				each.wipe()
 				each.restart()
@@ -87,7 +87,7 @@
 			next := c.awaitOtherPrimary(2*time.Second, c.nodes[0], c.nodes[1])
 			for i, each := range c.nodes[:2] {
 				ctx, cancel := context.WithTimeout(c.t.Context(), 5*time.Second)
-				assert.NilError(c.t, next.process().group.ReplaceMember(ctx, gone[i], each.member))
+				assert.NilError(c.t, next.process().group.ReplaceMember(ctx, lostIDs[i], each.member))
 				cancel()
 			}
 			c.awaitInSync(2*time.Second, 5)
--- a/internal/controlplane/replication/propose_test.go
+++ b/internal/controlplane/replication/propose_test.go
@@ -18,7 +18,7 @@
 	})
 }
 
-func TestProposalsWaitForEnoughCopies(t *testing.T) {
+func TestProposalsWaitForTheReplicationFactor(t *testing.T) {
 	inCluster(t, 3, 3, 2, func(c *cluster) {
 		leader := c.awaitPrimary(time.Second)
 		leader.mustPropose("a")
@@ -49,7 +49,8 @@
 	})
 }
 
-// TestDurableBarrierWaitsForEnoughDisks commits a change on fewer disks than an acknowledgement needs.
+// TestDurableBarrierWaitsForEnoughDisks guards against a durable barrier that returns while a change is committed on
+// fewer disks than an acknowledgement needs.
 func TestDurableBarrierWaitsForEnoughDisks(t *testing.T) {
 	inCluster(t, 3, 3, 1, func(c *cluster) {
 		primary := c.awaitPrimary(time.Second)
--- a/internal/controlplane/replication/random_test.go
+++ b/internal/controlplane/replication/random_test.go
@@ -16,42 +16,43 @@
 )
 
 const (
-	randomDuration = 20 * time.Second
-	settleLimit    = 12 * time.Second
-	calmDuration   = 3 * time.Second // at the end, without faults
+	randomDuration    = 20 * time.Second // of the phase with faults
+	settleLimit       = 12 * time.Second // until the group has recovered from all faults
+	faultFreeDuration = 3 * time.Second  // without faults, at the end
 )
 
 // randomSeeds is the number of random runs.
-var randomSeeds = flag.Uint64("random-seeds", 20, "random plays of faults")
+var randomSeeds = flag.Uint64("random-seeds", 20, "number of runs with random faults")
 
-// TestAcknowledgedChangesSurviveRandomFaults lets clients propose changes while members are killed, lose their
-// power, are isolated and lose their disks, never more disks at once than the group tolerates. All acknowledged
-// changes must be there at the end, once and in order, on all members.
+// TestAcknowledgedChangesSurviveRandomFaults guards against acknowledged changes that are lost, repeated or out of
+// order. Clients propose changes while members are killed, lose power, are isolated and lose their disks, never more
+// disks at once than the group tolerates. At the end, all members must have all acknowledged changes, once and in
+// order.
 func TestAcknowledgedChangesSurviveRandomFaults(t *testing.T) {
 	for seed := range *randomSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			size, copies := 3+int(seed%3), 2
+			size, replicationFactor := 3+int(seed%3), 2
 			if size == 5 {
-				copies = 3
+				replicationFactor = 3
 			}
-			inCluster(t, size, copies, seed, func(c *cluster) { injectRandomFaults(c, seed) })
+			inCluster(t, size, replicationFactor, seed, func(c *cluster) { injectRandomFaults(c, seed) })
 		})
 	}
 }
 
-// faultInjector injects random faults into a cluster, and keeps a history of what its clients saw.
+// faultInjector injects random faults into a cluster, and keeps a history of what its clients observed.
 type faultInjector struct {
 	c       *cluster
 	random  *rand.Rand
-	wiped   map[*node]string // members that lost a disk, not yet replaced, with the old disk's id
+	wiped   map[*node]string // members that have lost a disk and are not yet replaced, with the old disk's id
 	history history
 	ended   atomic.Bool
 }
 
-// history is what the clients saw.
+// history is what the clients observed.
 type history struct {
 	acknowledged []string
-	rejected     []string // surely not made
+	rejected     []string // certainly not made
 	writes       int
 }
 
@@ -63,14 +64,14 @@
 		clients.Wait()
 	}
 	defer finish()
-	clients.Go(injector.checkClaims)
+	clients.Go(injector.checkSinglePrimary)
 	clients.Go(injector.proposeAll)
 	for started := time.Now(); time.Since(started) < randomDuration; {
 		injector.step()
 		time.Sleep(time.Duration(injector.random.IntN(1200)) * time.Millisecond)
 	}
 	injector.recoverAll()
-	time.Sleep(calmDuration)
+	time.Sleep(faultFreeDuration)
 	finish()
 	injector.check()
 }
@@ -134,9 +135,9 @@
 	}
 }
 
-// wipe takes a member's disk, unless as many are lost as the group tolerates.
+// wipe wipes a member's disk, unless as many disks are lost as the group tolerates.
 func (f *faultInjector) wipe(victim *node) {
-	if f.wiped[victim] != "" || len(f.wiped) >= f.c.copies-1 {
+	if f.wiped[victim] != "" || len(f.wiped) >= f.c.replicationFactor-1 {
 		return
 	}
 	f.wiped[victim] = victim.member.DiskID
@@ -144,7 +145,7 @@
 	victim.restart()
 }
 
-// replaceWipedMember has the primary replace a lost disk by the machine's new one.
+// replaceWipedMember has the primary replace the members with lost disks by the machines' new ones.
 func (f *faultInjector) replaceWipedMember() {
 	leading := f.c.primaries()
 	if len(leading) != 1 {
@@ -173,26 +174,26 @@
 			each.restart()
 		}
 	}
-	f.c.await(settleLimit, "all replaced", func() bool {
+	f.c.await(settleLimit, "all wiped members are replaced", func() bool {
 		f.replaceWipedMember()
 		return len(f.wiped) == 0
 	})
 	f.c.awaitInSync(settleLimit, len(f.c.nodes))
 }
 
-// checkClaims checks that no two members claim to lead at once.
-func (f *faultInjector) checkClaims() {
+// checkSinglePrimary checks that no two members lead at the same time.
+func (f *faultInjector) checkSinglePrimary() {
 	for !f.ended.Load() {
-		if claiming := f.c.primaries(); len(claiming) > 1 {
-			f.c.describe()
-			f.c.t.Errorf("%d members claim to lead", len(claiming))
+		if leading := f.c.primaries(); len(leading) > 1 {
+			f.c.logState()
+			f.c.t.Errorf("%d members lead at the same time", len(leading))
 			return
 		}
 		time.Sleep(7 * time.Millisecond)
 	}
 }
 
-// proposeAll proposes one change after the other, with reads between them.
+// proposeAll proposes one change after the other, and reads after each.
 func (f *faultInjector) proposeAll() {
 	for !f.ended.Load() {
 		leading := f.c.primaries()
@@ -202,11 +203,11 @@
 		}
 		f.write(leading[0])
 		f.read(leading[0])
-		time.Sleep(time.Duration(f.writesPause()) * time.Millisecond)
+		time.Sleep(time.Duration(f.pauseMillis()) * time.Millisecond)
 	}
 }
 
-func (f *faultInjector) writesPause() int { return (f.history.writes * 7) % 60 }
+func (f *faultInjector) pauseMillis() int { return (f.history.writes * 7) % 60 }
 
 func (f *faultInjector) write(at *node) {
 	process := at.process()
@@ -224,7 +225,7 @@
 	}
 }
 
-// read checks that a confirmed primary has all that was acknowledged before.
+// read checks that a primary that is confirmed by a read barrier has all changes acknowledged before.
 func (f *faultInjector) read(at *node) {
 	process := at.process()
 	if process == nil || at.readBarrier(time.Second) != nil || at.process() != process {
@@ -232,7 +233,7 @@
 	}
 	held := process.machine.list()
 	if missing := firstMissing(held, f.history.acknowledged); missing != "" {
-		f.c.t.Errorf("a confirmed read lacks %s", missing)
+		f.c.t.Errorf("a read after a read barrier lacks %s", missing)
 	}
 }
 
@@ -244,10 +245,10 @@
 	c.awaitAllHold(2*time.Second, held...)
 	assert.Equal(c.t, firstMissing(held, f.history.acknowledged), "")
 	for _, refused := range f.history.rejected {
-		assert.Assert(c.t, !slices.Contains(held, refused), "%s was refused and is there", refused)
+		assert.Assert(c.t, !slices.Contains(held, refused), "%s was rejected but is in the log", refused)
 	}
 	assert.Equal(c.t, len(slices.Compact(slices.Sorted(slices.Values(held)))), len(held))
-	assert.Assert(c.t, len(f.history.acknowledged) > 20, "only %d acknowledged", len(f.history.acknowledged))
+	assert.Assert(c.t, len(f.history.acknowledged) > 20, "only %d changes were acknowledged", len(f.history.acknowledged))
 }
 
 // firstMissing returns the first of the wanted changes that is missing or out of order, or "".
--- a/internal/controlplane/replication/snapshot_test.go
+++ b/internal/controlplane/replication/snapshot_test.go
@@ -26,7 +26,7 @@
 	return one.position == other.position && one.Commit == other.Commit && bytes.Equal(one.Change, other.Change)
 }
 
-func TestSnapshotSurvivesItsEncoding(t *testing.T) {
+func TestSnapshotEncodingLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original := snapshot{
 			applied:   position{rapid.Uint64().Draw(t, "epoch"), rapid.Uint64().Draw(t, "index")},
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestSnapshotThatFailedIsTriedAgain fills the disk under a long log: the next snapshot is due when the disk has room again, not
-// only after as much again was logged.
-func TestSnapshotThatFailedIsTriedAgain(t *testing.T) {
+// TestFailedSnapshotIsRetried guards against a snapshot that fails on a full disk and is due again only after as many
+// bytes have been logged again. It must be due when the disk has space and snapshotRetryInterval is over.
+func TestFailedSnapshotIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
 		opened, err := openReplica(Options{FS: disk.Mount(), StateMachine: &listMachine{}}.withDefaults())
@@ -82,7 +82,7 @@
 		assert.Assert(t, opened.needsCompaction())
 		disk.SetFull(true)
 		opened.compact()
-		assert.Assert(t, !opened.needsCompaction(), "tried again without a pause")
+		assert.Assert(t, !opened.needsCompaction(), "the snapshot is due again without a delay")
 		disk.SetFull(false)
 		time.Sleep(snapshotRetryInterval)
 		assert.Assert(t, opened.needsCompaction())
--- a/internal/controlplane/replication/view_test.go
+++ b/internal/controlplane/replication/view_test.go
@@ -16,10 +16,10 @@
 	return members
 }
 
-// TestQuorumsOfFollowingViewsMeet checks what the safety of a change of the membership relies on: each quorum of a
-// view during the change shares a member with each quorum of the view before it, of the view after it, and of its
-// own.
-func TestQuorumsOfFollowingViewsMeet(t *testing.T) {
+// TestQuorumsOfSuccessiveViewsIntersect checks the property that makes a change of the membership safe: each quorum of
+// a view during the change shares a member with each quorum of the view before it, of the view after it, and of the
+// view itself.
+func TestQuorumsOfSuccessiveViewsIntersect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.IntRange(0, 9)
 		before := rapid.SliceOfNDistinct(id, 1, 9, rapid.ID).Draw(t, "before")
@@ -38,13 +38,13 @@
 		}
 		for _, neighbour := range []View{{Members: joint.Previous}, {Members: joint.Members}, joint} {
 			if neighbour.hasQuorum(other) {
-				assert.Assert(t, meet(joint.allMembers(), one, other))
+				assert.Assert(t, intersect(joint.allMembers(), one, other))
 			}
 		}
 	})
 }
 
-func meet(members []Member, one, other func(string) bool) bool {
+func intersect(members []Member, one, other func(string) bool) bool {
 	for _, member := range members {
 		if one(member.DiskID) && other(member.DiskID) {
 			return true
@@ -54,9 +54,9 @@
 }
 
 func TestMinInSync(t *testing.T) {
-	cases := []struct{ members, copies, least int }{{1, 2, 1}, {3, 2, 2}, {3, 3, 2}, {4, 2, 2}, {5, 3, 3}, {8, 3, 3}}
+	cases := []struct{ members, factor, minimum int }{{1, 2, 1}, {3, 2, 2}, {3, 3, 2}, {4, 2, 2}, {5, 3, 3}, {8, 3, 3}}
 	for _, each := range cases {
 		view := View{Members: make([]Member, each.members)}
-		assert.Equal(t, view.minInSync(each.copies), each.least)
+		assert.Equal(t, view.minInSync(each.factor), each.minimum)
 	}
 }
