--- a/internal/controlplane/controlstate/change.go
+++ b/internal/controlplane/controlstate/change.go
@@ -16,11 +16,11 @@
 	Table  *TableChange  `json:"table,omitempty"`
 }
 
-// ConfigChange is an accepted order: an operator's request that replaces or updates the configuration. It has no effect
-// unless the configuration still has version Base when the change is applied.
+// ConfigChange is an accepted configuration request: an operator's request that replaces or updates the configuration.
+// It has no effect unless the configuration still has version Base when the change is applied.
 type ConfigChange struct {
-	Digest string `json:"digest"` // digest of the order; identifies it when it is sent again
-	Base   uint64 `json:"base"`   // version of the configuration that the order builds on
+	Digest string `json:"digest"` // digest of the request; identifies it when it is sent again
+	Base   uint64 `json:"base"`   // version of the configuration that the request is based on
 	Update bool   `json:"update,omitempty"`
 	Body   []byte `json:"-"`
 }
--- a/internal/controlplane/controlstate/golden_test.go
+++ b/internal/controlplane/controlstate/golden_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestSnapshotKeepsForgottenBelow restores a snapshot whose oldest orders have been forgotten, and takes it again. The
-// snapshot is written by hand, because a real one holds MaxOrders orders.
+// TestSnapshotKeepsForgottenBelow restores a snapshot whose oldest requests have been forgotten, and takes it again.
+// The snapshot is written by hand, because a real one holds MaxRememberedRequests digests.
 func TestSnapshotKeepsForgottenBelow(t *testing.T) {
 	const stored = `{"orders":["a","b"],"bases":[3,4],"forgot":3,"table":{"revision":0,"primary":"","core":null,` +
 		`"stores":null,"partitions":null,"copies":0,"deliverers":0}}` + "\n"
--- a/internal/controlplane/controlstate/machine.go
+++ b/internal/controlplane/controlstate/machine.go
@@ -1,5 +1,5 @@
-// Package controlstate holds the state that the control group replicates: the configuration, the accepted orders, the
-// cluster table and the retire jobs.
+// Package controlstate holds the state that the control group replicates: the configuration, the digests of
+// accepted configuration requests, the cluster table and the retire jobs.
 //
 // Machine implements replication.StateMachine. A record of the log is a Change. Change.Encode, DecodeChange and the
 // snapshots define formats on disk, which every later version must read; testdata holds examples. The machine is
@@ -24,11 +24,11 @@
 	current  atomic.Pointer[State]
 	changed  syncutil.Notifier
 	prepared atomic.Pointer[preparedDocument]
-	mutex    sync.Mutex          // serialises changes, and guards orders
-	orders   map[string]struct{} // digests of accepted orders
+	mutex    sync.Mutex          // serialises changes, and guards digests
+	digests  map[string]struct{} // digests of accepted configuration requests
 }
 
-// preparedDocument is the document that was parsed when an order was checked. Applying the order reuses it.
+// preparedDocument is the document that was parsed when a configuration request was checked. Apply reuses it.
 type preparedDocument struct {
 	digest   string
 	base     uint64
@@ -37,7 +37,7 @@
 
 // NewMachine returns a machine without a configuration and with an empty table.
 func NewMachine() *Machine {
-	machine := &Machine{orders: map[string]struct{}{}}
+	machine := &Machine{digests: map[string]struct{}{}}
 	machine.current.Store(&State{Table: &cluster.Table{}})
 	return machine
 }
@@ -86,17 +86,17 @@
 	return &next, err
 }
 
-// Accepted reports whether an order was accepted and its digest is still remembered.
+// Accepted reports whether a configuration request was accepted and its digest is still remembered.
 func (m *Machine) Accepted(digest string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	_, found := m.orders[digest]
+	_, found := m.digests[digest]
 	return found
 }
 
 func (m *Machine) applyConfig(next *State, change *ConfigChange) error {
 	if next.ConfigVersion() != change.Base {
-		return nil // another order was applied first
+		return nil // another request was applied first
 	}
 	document, err := m.documentOf(next.Document, change)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return NextDocument(current, change.Update, change.Body)
 }
 
-// NextDocument applies the body of an order to the current configuration, which may be nil, and returns the resulting
-// one. The error says what is wrong with the body.
+// NextDocument applies the body of a configuration request to the current configuration, which may be nil, and returns
+// the resulting one. The error says what is wrong with the body.
 func NextDocument(current *configuration.Document, update bool, body []byte) (*configuration.Document, error) {
 	if update {
 		return current.Update(body)
@@ -131,17 +131,17 @@
 	return configuration.ParseAfter(current, body)
 }
 
-// remember adds the digest of an accepted order, and evicts the oldest digest if there are MaxOrders. The caller holds
-// the lock.
+// remember adds the digest of an accepted request, and evicts the oldest digest if there are already
+// MaxRememberedRequests. The caller holds the lock.
 func (m *Machine) remember(next *State, change *ConfigChange) {
-	if _, found := m.orders[change.Digest]; found {
+	if _, found := m.digests[change.Digest]; found {
 		return
 	}
-	if len(next.orders) >= MaxOrders {
-		delete(m.orders, next.orders[0])
+	if len(next.digests) >= MaxRememberedRequests {
+		delete(m.digests, next.digests[0])
 		next.ForgottenBelow = next.bases[0] + 1
 	}
-	next.orders = appendBounded(next.orders, change.Digest, MaxOrders)
-	next.bases = appendBounded(next.bases, change.Base, MaxOrders)
-	m.orders[change.Digest] = struct{}{}
+	next.digests = appendBounded(next.digests, change.Digest, MaxRememberedRequests)
+	next.bases = appendBounded(next.bases, change.Base, MaxRememberedRequests)
+	m.digests[change.Digest] = struct{}{}
 }
--- a/internal/controlplane/controlstate/machine_test.go
+++ b/internal/controlplane/controlstate/machine_test.go
@@ -24,7 +24,7 @@
 	return Change{Config: &ConfigChange{Digest: digest, Base: base, Body: []byte(configurationOf(version))}}
 }
 
-func TestOrderWithOutdatedBaseIsNotApplied(t *testing.T) {
+func TestRequestWithOutdatedBaseIsNotApplied(t *testing.T) {
 	machine := NewMachine()
 	apply(t, machine, replaceChange("a", 0, 5))
 	apply(t, machine, replaceChange("b", 0, 6))
@@ -66,13 +66,13 @@
 	assert.Equal(t, len(restored.Current().Jobs), 1)
 }
 
-func TestAcceptedOrdersAreBounded(t *testing.T) {
+func TestRememberedRequestsAreBounded(t *testing.T) {
 	machine := NewMachine()
-	for version := range MaxOrders + 1 {
+	for version := range MaxRememberedRequests + 1 {
 		apply(t, machine, replaceChange(fmt.Sprint(version), uint64(version), version+1))
 	}
 	assert.Assert(t, !machine.Accepted("0"))
 	assert.Assert(t, machine.Accepted("1"))
-	assert.Equal(t, len(machine.Current().orders), MaxOrders)
-	assert.Equal(t, len(machine.orders), MaxOrders)
+	assert.Equal(t, len(machine.Current().digests), MaxRememberedRequests)
+	assert.Equal(t, len(machine.digests), MaxRememberedRequests)
 }
--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -13,9 +13,9 @@
 
 // snapshotHeader is the first line of a snapshot. The configuration follows it byte for byte.
 type snapshotHeader struct {
-	Orders         []string       `json:"orders,omitempty"`
-	Bases          []uint64       `json:"bases,omitempty"`  // base versions of the orders; absent from older snapshots
-	ForgottenBelow uint64         `json:"forgot,omitempty"` // orders that build on lower versions may be missing
+	Digests        []string       `json:"orders,omitempty"` // digests of the remembered requests, oldest first
+	Bases          []uint64       `json:"bases,omitempty"`  // base versions of these requests; absent from older snapshots
+	ForgottenBelow uint64         `json:"forgot,omitempty"` // requests that are based on lower versions may be missing
 	Table          *cluster.Table `json:"table"`
 	Jobs           []RetireJob    `json:"jobs,omitempty"`
 	Configuration  bool           `json:"configuration,omitempty"` // the configuration follows the line
@@ -25,7 +25,7 @@
 func (m *Machine) Snapshot() ([]byte, error) {
 	current := m.current.Load()
 	header := snapshotHeader{
-		Orders:         current.orders,
+		Digests:        current.digests,
 		Bases:          current.bases,
 		ForgottenBelow: current.ForgottenBelow,
 		Table:          current.Table,
@@ -59,9 +59,9 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	m.orders = make(map[string]struct{}, len(next.orders))
-	for _, digest := range next.orders {
-		m.orders[digest] = struct{}{}
+	m.digests = make(map[string]struct{}, len(next.digests))
+	for _, digest := range next.digests {
+		m.digests[digest] = struct{}{}
 	}
 	m.current.Store(next)
 	m.changed.Notify()
@@ -74,7 +74,7 @@
 		Table:          header.Table,
 		Jobs:           header.Jobs,
 		ForgottenBelow: header.ForgottenBelow,
-		orders:         header.Orders,
+		digests:        header.Digests,
 		bases:          header.Bases,
 	}
 	if next.Table == nil {
@@ -87,8 +87,8 @@
 		}
 		next.Document = document
 	}
-	if len(next.bases) != len(next.orders) {
-		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.orders)) // no base is higher
+	if len(next.bases) != len(next.digests) {
+		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.digests)) // no base is higher
 	}
 	return next, nil
 }
--- a/internal/controlplane/controlstate/state.go
+++ b/internal/controlplane/controlstate/state.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// MaxOrders is the number of digests of accepted orders that are kept. An order that is sent again is acknowledged
-	// while its digest is kept.
-	MaxOrders = 2000
+	// MaxRememberedRequests is the number of accepted configuration requests whose digests are kept. A request that is
+	// sent again is acknowledged while its digest is kept.
+	MaxRememberedRequests = 2000
 
 	maxConfigUpdates = 32 // number of updates that are kept, to send them instead of the whole configuration
 	maxTableChanges  = 32 // number of table changes that are kept, to send them instead of the whole table
@@ -23,12 +23,12 @@
 	Jobs     []RetireJob
 	// LastChangeID is the id of the last table change that took effect. It is not part of snapshots.
 	LastChangeID string
-	// ForgottenBelow is a version of the configuration. Orders that build on lower versions may have been accepted and
-	// forgotten.
+	// ForgottenBelow is a version of the configuration. Requests that are based on lower versions may have been
+	// accepted and forgotten.
 	ForgottenBelow uint64
 
-	orders        []string              // digests of accepted orders, oldest first
-	bases         []uint64              // versions that these orders build on, in the same order
+	digests       []string              // digests of accepted configuration requests, oldest first
+	bases         []uint64              // versions that these requests are based on, in the same order
 	configUpdates []ConfigUpdate        // the newest updates, oldest first, without gaps up to Document
 	tableChanges  []cluster.TableChange // the newest table changes, oldest first, without gaps up to Table
 }
--- a/internal/controlplane/operatorapi/configrequest_test.go
+++ b/internal/controlplane/operatorapi/configrequest_test.go
@@ -68,15 +68,15 @@
 // snapshot.
 func TestRequestThatMayBeForgottenIsNotRejected(t *testing.T) {
 	api, _ := newTestAPI()
-	for base := range controlstate.MaxOrders + 1 {
+	for base := range controlstate.MaxRememberedRequests + 1 {
 		assert.Equal(t, api.replaceConfiguration(t, base), http.StatusOK)
 	}
 	for range 2 {
 		assert.Equal(t, api.replaceConfiguration(t, 0), http.StatusServiceUnavailable, "it was applied and is no longer remembered")
 		assert.Equal(t, api.replaceConfiguration(t, 1), http.StatusOK, "the oldest request that is remembered")
-		assert.Equal(t, api.replaceConfiguration(t, controlstate.MaxOrders), http.StatusOK)
-		rival := cluster.OperatorRequest{Method: http.MethodPost, Path: pathReplace, BaseVersion: fmt.Sprint(controlstate.MaxOrders)}
-		response, err := api.Serve(t.Context(), rival, []byte(configurationOf(controlstate.MaxOrders+7)))
+		assert.Equal(t, api.replaceConfiguration(t, controlstate.MaxRememberedRequests), http.StatusOK)
+		rival := cluster.OperatorRequest{Method: http.MethodPost, Path: pathReplace, BaseVersion: fmt.Sprint(controlstate.MaxRememberedRequests)}
+		response, err := api.Serve(t.Context(), rival, []byte(configurationOf(controlstate.MaxRememberedRequests+7)))
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusPreconditionFailed)
 		snapshot, err := api.options.State.Snapshot()
@@ -89,13 +89,13 @@
 // the base versions of the remembered requests.
 func TestRequestsOfSnapshotWithoutBasesAreNotRejected(t *testing.T) {
 	api, _ := newTestAPI()
-	for base := range controlstate.MaxOrders {
+	for base := range controlstate.MaxRememberedRequests {
 		assert.Equal(t, api.replaceConfiguration(t, base), http.StatusOK)
 	}
 	snapshot, err := api.options.State.Snapshot()
 	assert.NilError(t, err)
 	assert.NilError(t, api.options.State.Restore(withoutBases(t, snapshot)))
-	assert.Equal(t, api.replaceConfiguration(t, controlstate.MaxOrders), http.StatusOK)
+	assert.Equal(t, api.replaceConfiguration(t, controlstate.MaxRememberedRequests), http.StatusOK)
 	assert.Equal(t, api.replaceConfiguration(t, 0), http.StatusServiceUnavailable)
 }
 
--- a/internal/controlplane/replication/explorer_primary_test.go
+++ b/internal/controlplane/replication/explorer_primary_test.go
@@ -18,8 +18,8 @@
 	add(next, "%s proposes change %d", diskName(disk), next.proposed)
 }
 
-// serveRead begins or completes an operator's request that changes nothing: a read, or an order that is rejected or was
-// already carried out.
+// serveRead begins or completes an operator's call that changes nothing: a read, or a configuration request that is
+// rejected or was already applied.
 func (m *model) serveRead(state *modelState, disk int, add addStep) {
 	current := &state.disks[disk]
 	if current.promised != current.epoch {
