--- a/internal/controlplane/controlstate/retirejob.go
+++ b/internal/controlplane/controlstate/retirejob.go
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// mergeJobs returns a copy of the jobs, in which each changed job replaces the job for the same store and disk, or is
-// appended if there is none.
+// mergeJobs returns the jobs after a change: each changed job replaces the job for the same store and disk, or is
+// appended if there is none. The given lists stay unchanged.
 func mergeJobs(jobs, changed []RetireJob) []RetireJob {
 	if len(changed) == 0 {
 		return jobs
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -18,7 +18,7 @@
 
 // leadership is a term of this process as the primary: from an election that it wins until it resigns. Its goroutine
 // carries out batches of changes, read barriers and view changes one after the other. Another goroutine for each peer
-// sends the heartbeats.
+// sends the heartbeats. mu guards the fields below it, except unacknowledged.
 type leadership struct {
 	group  *Group
 	ctx    context.Context
@@ -122,8 +122,8 @@
 	}
 }
 
-// step does the most urgent piece of work. It reports idle if there is none or a view change has failed, with how long
-// to wait for more work; 0 means no limit.
+// step does the most urgent piece of work. It reports idle if there is none, or if a necessary view change has failed.
+// Then it returns how long to wait for more work; 0 means no limit.
 func (l *leadership) step() (wait time.Duration, idle bool) {
 	if l.mustReconfigure() {
 		if l.reconfigure(nil) != nil {
--- a/internal/controlplane/replication/view_change.go
+++ b/internal/controlplane/replication/view_change.go
@@ -30,7 +30,7 @@
 // establishedView is a view that is in force: a majority has accepted it.
 type establishedView struct {
 	view       View
-	alignedAt  time.Time            // when the earliest attach calls to the in-sync set were sent
+	alignedAt  time.Time            // the attach calls to the in-sync set were sent at this time or later
 	acceptedAt map[string]time.Time // when the accept calls to those that have accepted were sent, by disk id
 }
 
