--- a/internal/messagestore/client/client.go
+++ b/internal/messagestore/client/client.go
@@ -1,15 +1,16 @@
-// Package client stores messages at the stores of a cluster and asks for them, on behalf of an ingress process.
+// Package client puts messages into the stores of a cluster and queries them, on behalf of an ingress process.
 //
-// A client picks a partition for each message, calls the partition's primary, and calls again while the caller has time and
-// the message may still be stored under the same ID. Put tells apart what the caller has to know: a message that is stored, one
-// that surely is not (message.ErrNotStored), and one whose fate is unknown.
+// For each message, a client picks a partition and calls the partition's primary. It retries while the caller has time
+// and the message may still be stored under the same ID. Put distinguishes three results: the message is stored, it
+// certainly is not (message.ErrNotStored), or its outcome is unknown.
 //
-// Invariants: once a message may have reached a store, its ID and partition stay, so that a store that has it already takes
-// a repeated put for the same message; ErrNotStored is returned only for messages that no store was sent, or that every store rejected before logging them.
+// Invariants: Once a message may have reached a store, its ID and partition do not change, so that a store which
+// already has the message recognizes a repeated put. ErrNotStored is returned only for messages that were sent to no
+// store, or that every store rejected before logging them.
 //
-// The package starts no goroutines but the timers of a put that is out. Client.mu guards what is learnt of the stores and is
-// never held during a call. Start reading at Client.Put in put.go; routing.go picks partitions, health.go remembers which
-// stores answer.
+// The package starts no goroutines except for the timers of a put in flight. Client.mu guards what the client knows
+// about the stores and is never held during a call. Start reading at Client.Put in put.go; routing.go picks partitions,
+// health.go tracks which stores respond.
 package client
 
 import (
@@ -20,7 +21,7 @@
 	"gladepick/internal/rpc"
 )
 
-// Client stores messages and asks for them. Its methods are safe for concurrent use.
+// Client puts and queries messages. Its methods are safe for concurrent use.
 type Client struct {
 	zone   string
 	pool   *rpc.Pool
@@ -28,16 +29,17 @@
 	report func(report cluster.FailureReport)
 
 	mu             sync.Mutex
-	putTimes       responseTimes        // of puts, by all stores
-	unhealthyUntil map[string]time.Time // by store: not preferred until then
+	putTimes       responseTimes        // response times of puts at all stores
+	unhealthyUntil map[string]time.Time // by store: the store is avoided until then
 	lastResponse   map[string]time.Time // by store: when it last answered a call
-	routedTable    *cluster.Table       // the table that sameZone and otherZones were made from
-	sameZone       []int                // partitions whose primary is active in this zone and shall stay the primary
-	otherZones     []int                // all other partitions that have a primary
+	routedTable    *cluster.Table       // the table that sameZone and otherZones were computed from
+	sameZone       []int                // partitions with an active primary in this zone that is to stay primary
+	otherZones     []int                // all other partitions that have a primary and enough replicas
 }
 
-// New returns a client of the stores that a table lists. It prefers primaries in its own zone. The table may be nil as long as
-// none is known. A store that can't be reached is reported when it becomes unhealthy.
+// New returns a client of the stores that the newest cluster table lists. The client prefers primaries in its own zone.
+// table returns the newest table, or nil while none is known. The client calls report for a store that can't be reached
+// when the store becomes unhealthy.
 func New(zone string, pool *rpc.Pool, table func() *cluster.Table, report func(cluster.FailureReport)) *Client {
 	return &Client{
 		zone: zone, pool: pool, table: table, report: report,
@@ -45,7 +47,7 @@
 	}
 }
 
-// Ready tells whether a message could be stored now: a partition has a complete replica group.
+// Ready reports whether a message could be stored now: at least one partition has a complete replica group.
 func (c *Client) Ready() bool {
 	table := c.table()
 	if table == nil {
--- a/internal/messagestore/client/errors.go
+++ b/internal/messagestore/client/errors.go
@@ -3,13 +3,14 @@
 import "errors"
 
 var (
-	// errUnresponsive means that a message was not sent, as the control plane finds that the store does not respond. One that
-	// has an order key can go nowhere else: its caller hears of it at once, with time left to come back.
-	errUnresponsive = errors.New("the store does not answer")
-	// errOutcomeUnknown means that a message was sent, and may be stored.
-	errOutcomeUnknown = errors.New("no answer from the stores")
-	// errNoTable means that no cluster table has come yet.
-	errNoTable = errors.New("no cluster table yet")
-	// errNoReplica means that the table lists no store for a partition.
+	// errUnresponsive means that a message was not sent because the control plane has marked the store as unresponsive.
+	// A message with an order key can't go to another partition, so its put fails at once and leaves the caller time
+	// for a retry.
+	errUnresponsive = errors.New("the partition's primary is unresponsive")
+	// errOutcomeUnknown means that a message was sent and may be stored.
+	errOutcomeUnknown = errors.New("the stores did not confirm the message, it may be stored")
+	// errNoTable means that this process has not received a cluster table yet.
+	errNoTable = errors.New("no cluster table received yet")
+	// errNoReplica means that the table lists no store for any replica of a partition.
 	errNoReplica = errors.New("the partition has no replica")
 )
--- a/internal/messagestore/client/health.go
+++ b/internal/messagestore/client/health.go
@@ -9,17 +9,17 @@
 	"gladepick/internal/rpc"
 )
 
-// unhealthyDuration is for how long a store that could not be reached gets nothing that can go elsewhere.
+// unhealthyDuration is how long a store that could not be reached gets no messages that can go to other stores.
 const unhealthyDuration = time.Second
 
-// responseTimeout is after how long without an answer to a put a store counts as unhealthy.
+// responseTimeout returns the time without an answer to a put after which a store counts as unhealthy.
 func (c *Client) responseTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.putTimes.timeout()
 }
 
-// recordPut notes that a store has stored a message, and how long that took.
+// recordPut records that a store has stored a message, and how long the call took.
 func (c *Client) recordPut(entry *cluster.StoreEntry, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,21 +27,22 @@
 	c.putTimes.record(took)
 }
 
-// recordResponse notes that a store has answered a call.
+// recordResponse records that a store has answered a call.
 func (c *Client) recordResponse(entry *cluster.StoreEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastResponse[entry.Name] = time.Now()
 }
 
-// respondedSince tells whether a store has answered any call since a moment: one that has may wait for a backup.
+// respondedSince reports whether a store has answered any call since the given time. A store that has, but does not
+// answer a put, may be waiting for a backup.
 func (c *Client) respondedSince(entry *cluster.StoreEntry, since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastResponse[entry.Name].After(since)
 }
 
-// respondsNow asks a store whether it is there, and tells whether it has answered in time. Any answer counts, also a refusal.
+// respondsNow pings a store and reports whether it answered within timeout. Any answer counts, including an error.
 func (c *Client) respondsNow(ctx context.Context, entry *cluster.StoreEntry, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -53,8 +54,8 @@
 	return true
 }
 
-// markUnhealthy notes that a store can't be reached, and reports it where it was not unhealthy before. refused tells that its
-// process has surely ended.
+// markUnhealthy records that a store can't be reached, and reports it unless it was unhealthy already. refused means
+// that the store's process has certainly ended.
 func (c *Client) markUnhealthy(entry *cluster.StoreEntry, refused bool) {
 	c.mu.Lock()
 	last := c.unhealthyUntil[entry.Name]
--- a/internal/messagestore/client/put.go
+++ b/internal/messagestore/client/put.go
@@ -15,28 +15,30 @@
 )
 
 const (
-	putTimeout      = time.Second // of one call, and of a caller without a deadline
+	putTimeout      = time.Second // of one call, and of a put whose caller has no deadline
 	retryInterval   = 25 * time.Millisecond
-	unsentTimeout   = 300 * time.Millisecond // how long a message that no store was sent is offered
-	responseReserve = 60 * time.Millisecond  // kept of the caller's time for the answer
+	unsentTimeout   = 300 * time.Millisecond // of a put while the message was sent to no store
+	responseReserve = 60 * time.Millisecond  // part of the caller's time that is left for the answer to the caller
 
-	// giveUpFraction is the part of the caller's time after which a message is given up that no store was sent, or that was
-	// sent to a store which responds to nothing. The caller hears of it at once, with time left to come back. A store that
-	// responds most likely waits for a backup, which is replaced soon: its answer is awaited for as long as the caller does.
+	// giveUpFraction is the fraction of the caller's time after which a put fails if the message was sent to no store,
+	// or to a store that responds to no call. This leaves the caller time for a retry. A store that responds to other
+	// calls is most likely waiting for a backup, which is replaced soon; then the put waits for as long as its caller
+	// does.
 	giveUpFraction = 0.45
 )
 
-// placement is where a message is to be stored: its partition, and the ID that names it.
+// placement is the partition and the ID under which a message is to be stored.
 type placement struct {
 	partition    int
 	id           string
 	sent         bool // the message may have reached a store under this ID
-	unresponsive bool // that store has not responded to any call since
+	unresponsive bool // the store has not responded to any call since the message was sent
 }
 
-// Put stores a message and returns its ID, which names the partition. An ordered message with an order key goes to the
-// partition of its key. An error that is message.ErrNotStored promises that the message is not stored and will never run;
-// with any other error it may be stored. A store's rejection as invalid is returned as it came.
+// Put stores a message and returns its ID, which contains the partition. An ordered message with an order key goes to
+// the partition of its key. An error that wraps message.ErrNotStored guarantees that the message is not stored and will
+// never run; after any other error it may be stored. If a store rejects the message as invalid, Put returns the store's
+// error.
 func (c *Client) Put(
 	ctx context.Context, submission message.Submission, ordered bool, body []byte,
 ) (string, error) {
@@ -69,13 +71,13 @@
 	}
 }
 
-// putDeadlines says until when a message is offered.
+// putDeadlines has the times at which a put gives up.
 type putDeadlines struct {
-	unsent       time.Time // while no store was sent it
-	unresponsive time.Time // while a store that was sent it does not respond
+	unsent       time.Time // if the message was sent to no store
+	unresponsive time.Time // if the store that it was sent to does not respond
 }
 
-// putDeadlinesOf divides the time that a caller has.
+// putDeadlinesOf derives the deadlines of a put from that of its caller.
 func putDeadlinesOf(ctx context.Context) putDeadlines {
 	now := time.Now()
 	limit := putTimeout
@@ -85,8 +87,9 @@
 	return putDeadlines{unsent: now.Add(min(limit, unsentTimeout)), unresponsive: now.Add(limit)}
 }
 
-// passed tells whether a message that was not stored is given up. One whose store was lost is offered again for as long as
-// its caller waits: a process that ended is back soon, and knows whether it has the message.
+// passed reports whether a put gives up after a failed attempt. If the process of the store has ended with the message
+// in flight, the put retries for as long as its caller waits: the process restarts soon, and then knows whether it has
+// the message.
 func (d putDeadlines) passed(place *placement) bool {
 	if place == nil || !place.sent {
 		return time.Now().After(d.unsent)
@@ -94,7 +97,7 @@
 	return place.unresponsive
 }
 
-// putError returns the error of a message that is given up.
+// putError returns the error of a put that gives up. sent means that the message may have reached a store.
 func putError(sent bool) error {
 	if sent {
 		return errOutcomeUnknown
@@ -102,7 +105,7 @@
 	return trace.Wrap(message.ErrNotStored)
 }
 
-// waitForRetry waits before the next attempt, and tells whether there is time for one.
+// waitForRetry waits for retryInterval and reports whether there is time for another attempt.
 func waitForRetry(ctx context.Context) bool {
 	deadline, limited := ctx.Deadline()
 	if limited && time.Until(deadline) < retryInterval+responseReserve {
@@ -112,7 +115,8 @@
 	return ctx.Err() == nil
 }
 
-// attemptPut makes one call, and notes in the placement what the store may know of the message by then.
+// attemptPut makes one call to the partition's primary, and records in the placement whether the message may have
+// reached the store.
 func (c *Client) attemptPut(
 	ctx context.Context, deadlines putDeadlines, place *placement, submission message.Submission, body []byte,
 ) error {
@@ -141,8 +145,9 @@
 	return err
 }
 
-// mayStillStore tells whether it is worth to wait on for a store that has had a message since a moment. One that the control
-// plane finds unresponsive is most likely partitioned from its backups too, although it may respond to this process.
+// mayStillStore reports whether to go on waiting for a store that a message was sent to at the given time. A store that
+// the control plane has marked as unresponsive is most likely partitioned from its backups too, although it may respond
+// to this process.
 func (c *Client) mayStillStore(ctx context.Context, entry *cluster.StoreEntry, since time.Time, timeout time.Duration) bool {
 	if table := c.table(); table != nil {
 		if now := table.Store(entry.Name); now != nil && now.Unresponsive {
@@ -152,7 +157,8 @@
 	return c.respondedSince(entry, since) || c.respondsNow(ctx, entry, timeout)
 }
 
-// recordAttempt notes what the result of a call says of the message and of the store.
+// recordAttempt updates the placement and the health of the store by the result of a call. The message may have reached
+// the store unless the error is rpc.ErrNotSent or has the code rpc.CodeNotLeader or rpc.CodeUnavailable.
 func (c *Client) recordAttempt(
 	ctx context.Context, place *placement, entry *cluster.StoreEntry, started time.Time, err error,
 ) {
--- a/internal/messagestore/client/query.go
+++ b/internal/messagestore/client/query.go
@@ -12,17 +12,17 @@
 	"gladepick/internal/rpc"
 )
 
-// queryTimeout is how long one replica may take to answer a query.
+// queryTimeout limits the call of a query to one replica.
 const queryTimeout = 600 * time.Millisecond
 
-// State asks for a message's state. The error is message.ErrNotFound where nothing is known of the message.
+// State returns a message's state. The error wraps message.ErrNotFound if the message does not exist.
 func (c *Client) State(ctx context.Context, id string) (message.Outcome, error) {
 	var outcome message.Outcome
 	_, err := c.query(ctx, protocol.MethodState, id, &outcome)
 	return outcome, err
 }
 
-// Body asks for a message's body. The error is message.ErrBodyNotFound where it is not stored, or not any more.
+// Body returns a message's body. The error wraps message.ErrBodyNotFound if the body is not stored or no longer stored.
 func (c *Client) Body(ctx context.Context, id string) ([]byte, error) {
 	body, err := c.query(ctx, protocol.MethodBody, id, nil)
 	if errors.Is(err, message.ErrNotFound) {
@@ -31,7 +31,7 @@
 	return body, err
 }
 
-// query asks until a replica knows the answer or the caller's time is over.
+// query asks the replicas of the message's partition until one knows the answer or the caller's time is over.
 func (c *Client) query(ctx context.Context, method, id string, result any) ([]byte, error) {
 	partition, err := PartitionOf(id)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// queryReplicas asks the partition's replicas in turn, the primary first, until one knows the answer.
+// queryReplicas asks each of the partition's replicas once, the primary first, until one knows the answer.
 func (c *Client) queryReplicas(ctx context.Context, method string, partition int, id string, result any) ([]byte, error) {
 	table := c.table()
 	if table == nil {
--- a/internal/messagestore/client/response_times.go
+++ b/internal/messagestore/client/response_times.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// How long the stores may take to answer a put before one of them counts as unhealthy.
+// Bounds and weights of the time that a store may take to answer a put before it counts as unhealthy.
 const (
-	maxResponseTimeout = 150 * time.Millisecond // also before any answer is known
+	maxResponseTimeout = 150 * time.Millisecond // also used before the first answer
 	minResponseTimeout = 60 * time.Millisecond
 
 	meanGain        = 1. / 8 // weight of a response time in the mean
 	deviationGain   = 1. / 4 // weight of a response time's distance from the mean in the mean deviation
-	deviationFactor = 6
+	deviationFactor = 6      // mean deviations that are added to the mean
 )
 
-// responseTimes follows how long stores take to answer. Its time-out is made as TCP's retransmission time-out (RFC 6298): the
-// mean and some mean deviations, which follow load, disks and links as they change.
+// responseTimes estimates the response time of the stores. Its time-out is computed like TCP's retransmission time-out
+// (RFC 6298): the smoothed mean plus deviationFactor smoothed mean deviations, which adapt to changes of load, disks
+// and links.
 type responseTimes struct {
 	mean      float64 // nanoseconds
 	deviation float64 // nanoseconds
 	known     bool
 }
 
-// record takes in a response time.
+// record adds a response time to the estimate.
 func (r *responseTimes) record(took time.Duration) {
 	sample := float64(took)
 	if !r.known {
@@ -32,7 +33,7 @@
 	r.mean += meanGain * (sample - r.mean)
 }
 
-// timeout is after how long without an answer a store counts as unhealthy.
+// timeout returns the time without an answer after which a store counts as unhealthy.
 func (r *responseTimes) timeout() time.Duration {
 	if !r.known {
 		return maxResponseTimeout
--- a/internal/messagestore/client/routing.go
+++ b/internal/messagestore/client/routing.go
@@ -8,8 +8,8 @@
 	"gladepick/internal/cluster"
 )
 
-// place picks a partition: by the order key where there is one, else any whose primary can be reached. It returns nil where
-// there is none.
+// place picks a partition for a message: that of the order key if the message is ordered, otherwise a random one with a
+// healthy primary, preferably in this zone. It returns nil if there is none.
 func (c *Client) place(orderKey string, ordered bool) *placement {
 	table := c.table()
 	if table == nil || len(table.Partitions) == 0 {
@@ -29,21 +29,21 @@
 	return nil
 }
 
-// partitionOfOrderKey returns the partition of all ordered messages with a key. All processes have to agree on it: the hash is
-// FNV-1a with 64 bits, modulo the number of partitions.
+// partitionOfOrderKey returns the partition of all ordered messages with the given key. All processes must agree on it,
+// so the function never changes: 64-bit FNV-1a, modulo the number of partitions.
 func partitionOfOrderKey(orderKey string, partitions int) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(orderKey))
 	return int(hash.Sum64() % uint64(partitions))
 }
 
-// newPlacement places a message under a new ID.
+// newPlacement returns a placement in a partition with a new ID.
 func newPlacement(partition int) *placement {
 	return &placement{partition: partition, id: newMessageID(partition)}
 }
 
-// sortPartitions tells partitions with a primary in this zone from the others. A partition whose replica group is
-// incomplete takes no messages and is left out. The caller holds the lock.
+// sortPartitions sets sameZone and otherZones by a table, unless it has done so before. It leaves out partitions whose
+// replica group is incomplete, as these accept no messages. The caller must hold c.mu.
 func (c *Client) sortPartitions(table *cluster.Table) {
 	if c.routedTable == table {
 		return
@@ -63,8 +63,8 @@
 	}
 }
 
-// pickHealthy picks a candidate at random whose primary is neither unhealthy here nor unresponsive by the table. The caller
-// holds the lock.
+// pickHealthy picks a random candidate whose primary is neither unhealthy to this client nor marked as unresponsive in
+// the table. The caller must hold c.mu.
 func (c *Client) pickHealthy(table *cluster.Table, candidates []int) (int, bool) {
 	if len(candidates) == 0 {
 		return 0, false
@@ -82,7 +82,7 @@
 	return 0, false
 }
 
-// primary returns the store that is a partition's primary, or nil.
+// primary returns the store that is a partition's primary by the newest table, or nil if there is none.
 func (c *Client) primary(id int) *cluster.StoreEntry {
 	table := c.table()
 	if table == nil || id < 0 || id >= len(table.Partitions) {
--- a/internal/messagestore/protocol/protocol.go
+++ b/internal/messagestore/protocol/protocol.go
@@ -1,12 +1,13 @@
-// Package protocol defines the calls that a store answers: to clients, to the primary of a partition as its backup, and to
-// stores that led a partition before. docs/format/messagestore.md lists them.
+// Package protocol defines the calls that a store answers: from clients, from the primary of a partition whose backup
+// the store is, and from former primaries. docs/format/messagestore.md lists them.
 //
-// Method strings and JSON names are held by processes of other versions and never change. The package has no state.
+// Processes of other versions use the same method strings and JSON names, so these never change. The package has no
+// state.
 package protocol
 
 import "gladepick/internal/message"
 
-// The methods, with parameters and results.
+// The methods, each with its parameters and its result.
 const (
 	MethodPut       = "store.put"       // PutRequest with the message's body -> nothing
 	MethodState     = "store.state"     // QueryRequest -> message.Outcome
@@ -16,7 +17,8 @@
 	MethodOutcome   = "store.outcome"   // OutcomeRequest -> nothing
 )
 
-// PutRequest asks a partition's primary to store a message. The primary answers once the message is committed.
+// PutRequest asks a partition's primary to store a message, whose body is that of the call. The primary answers once
+// the message is committed.
 type PutRequest struct {
 	message.Submission
 }
@@ -27,15 +29,16 @@
 	ID        string `json:"id"`
 }
 
-// ReplicateRequest sends records from a primary to a backup; their bytes follow one another in the call's body.
+// ReplicateRequest sends records from a primary to a backup. The records are concatenated in the call's body.
 type ReplicateRequest struct {
 	From         string         `json:"from"`   // the primary's name
 	TargetDiskID string         `json:"target"` // the disk that the records are for
 	Records      []RecordHeader `json:"records"`
-	// WantsLease asks for a lease from the backup, as the sender's lease from the control plane is over or soon will be.
+	// WantsLease asks the backup for a lease, because the sender's lease from the control plane has ended or is about
+	// to.
 	WantsLease bool `json:"wantsGrant,omitempty"`
-	// LeaseGrantsMS is for how many milliseconds a former primary may still count on a lease that the sender has granted, or
-	// was told of. A backup that succeeds the sender waits for as long.
+	// LeaseGrantsMS is the time in milliseconds for which a former primary may still count on a lease that the sender
+	// has granted or knows of. A backup that becomes primary after the sender waits for that time.
 	LeaseGrantsMS int64 `json:"grantsMs,omitempty"`
 }
 
@@ -46,9 +49,9 @@
 	Length    int    `json:"length"` // in the call's body, in bytes
 }
 
-// ReplicateResponse confirms that the records were synced, but for those of the partitions that it names.
+// ReplicateResponse confirms that the records were synced, except for those of the partitions in Rejected.
 type ReplicateResponse struct {
-	Rejected []int `json:"refused,omitempty"` // partitions whose records have an epoch that is not the newest
+	Rejected []int `json:"refused,omitempty"` // partitions whose records were sent under a stale epoch
 }
 
 // InventoryRequest asks a backup which messages of a partition it holds.
@@ -58,13 +61,13 @@
 	Epoch        uint64 `json:"epoch"`
 }
 
-// InventoryResponse lists the IDs of the messages that a backup holds.
+// InventoryResponse lists the IDs of a partition's messages at a backup.
 type InventoryResponse struct {
 	Queued []string `json:"live,omitempty"`
 	Ended  []string `json:"ended,omitempty"`
 }
 
-// OutcomeRequest tells a partition's primary how an attempt ended that a former primary had out.
+// OutcomeRequest tells a partition's primary the outcome of an attempt that a former primary had in flight.
 type OutcomeRequest struct {
 	Partition int             `json:"partition"`
 	ID        string          `json:"id"`
