--- a/internal/messagestore/backup_lease.go
+++ b/internal/messagestore/backup_lease.go
@@ -7,7 +7,9 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// requestBackupLeases asks the backups of every partition for a lease while the control plane does not renew this store's.
+// requestBackupLeases asks all backups of each partition whose primary this store is for a lease. maintain calls it
+// while this store's own lease from the control plane is about to end or has ended. An epoch record carries the
+// request.
 func (s *Store) requestBackupLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,8 +27,9 @@
 	}
 }
 
-// recordLeaseGrants records until when another store may still deliver: the requesting primary by a lease that this store
-// grants now, or an earlier primary by a lease that the requesting one reports. The caller holds the lock.
+// recordLeaseGrants records until when another store may still deliver. If the requesting primary asks for a lease,
+// this store grants one now. Otherwise the request reports the remaining time of leases granted to an earlier primary.
+// The caller must hold s.mu.
 func (s *Store) recordLeaseGrants(request *protocol.ReplicateRequest, now time.Time) {
 	until := now.Add(time.Duration(request.LeaseGrantsMS) * time.Millisecond)
 	if request.WantsLease {
@@ -37,7 +40,7 @@
 	}
 }
 
-// leaseGrantsRemaining returns for how long any store may still count on a grant that this one knows of.
+// leaseGrantsRemaining returns the time until the last lease grant that this store knows of has ended, or 0.
 func (s *Store) leaseGrantsRemaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/commit.go
+++ b/internal/messagestore/commit.go
@@ -6,20 +6,21 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// pendingWrite is a message that waits for the disks of all replicas. Store.mu guards it; done may be waited for without.
+// pendingWrite is a message that is not committed yet: not all replicas have synced it. Store.mu guards all fields, but
+// waiting for done needs no lock.
 type pendingWrite struct {
 	id            string
 	entry         *entry
 	line          []byte          // the record's line
 	body          []byte          // the record's body
-	syncedLocally bool            // on this store's disk
+	syncedLocally bool            // this store's disk has synced it
 	syncedOn      map[string]bool // by disk ID: a backup has confirmed it
-	sentTo        map[string]bool // by disk ID: on its way to a backup, or confirmed
+	sentTo        map[string]bool // by disk ID: queued for a backup, in flight or confirmed
 	done          chan struct{}   // closed when committed or aborted
 	err           error           // set before done is closed
 }
 
-// sendPending sends a waiting write to every backup that it has not gone to. The caller holds the lock.
+// sendPending queues a pending write for every backup that it was not sent to yet. The caller must hold s.mu.
 func (s *Store) sendPending(p *partition, write *pendingWrite) {
 	for _, replica := range p.backups() {
 		if write.syncedOn[replica.DiskID] || write.sentTo[replica.DiskID] {
@@ -30,8 +31,8 @@
 	}
 }
 
-// commitIfSynced commits a write that all disks of the view have synced, and hands its message to the engine. The caller holds
-// the lock.
+// commitIfSynced commits a write once all disks of the view have synced it, and submits its message to the engine. The
+// caller must hold s.mu.
 func (s *Store) commitIfSynced(p *partition, write *pendingWrite) {
 	if !p.pending[write] || !p.isPrimary || !write.syncedLocally || len(p.view.Replicas) < s.options.ReplicationFactor {
 		return
@@ -48,8 +49,8 @@
 	s.engine.Submit(write.entry.message, write.entry.failures)
 }
 
-// abort fails a write that could not be synced to this store's disk. It may already be on backups, so for the client
-// its outcome is unknown. The caller holds the lock.
+// abort fails a write that could not be synced to this store's disk. Backups may already have stored it, so its outcome
+// is unknown to the client. The caller must hold s.mu.
 func (s *Store) abort(p *partition, write *pendingWrite, err error) {
 	if !p.pending[write] {
 		return
@@ -61,7 +62,8 @@
 	close(write.done)
 }
 
-// appendAndReplicate logs a record that nobody waits for, and sends it to the backups. The caller holds the lock.
+// appendAndReplicate appends a record to the log and queues it for the backups. It waits for neither. The caller must
+// hold s.mu.
 func (s *Store) appendAndReplicate(p *partition, r *record.Record) {
 	line, err := r.Encode()
 	if err != nil {
--- a/internal/messagestore/compaction.go
+++ b/internal/messagestore/compaction.go
@@ -7,12 +7,12 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// diskFull tells whether the log has no room for further messages.
+// diskFull reports whether the log is too large to accept further messages.
 func (s *Store) diskFull() bool {
 	return s.options.DiskBytes > 0 && s.log.Size() > s.options.DiskBytes*fullNumerator/fullDenominator
 }
 
-// compactIfLarge compacts the log when it takes much of the disk.
+// compactIfLarge compacts the log if it takes at least 1/compactionThreshold of Options.DiskBytes.
 func (s *Store) compactIfLarge() {
 	if s.options.DiskBytes <= 0 || s.log.Size() < s.options.DiskBytes/compactionThreshold {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// Compact copies what is still needed out of the older half of the segments, writes a snapshot of the index, and
-// removes the segments that nothing refers to.
+// Compact copies the entries that are still needed from the older half of the segments to the end of the log, writes a
+// snapshot of the index, and removes the segments that no entry refers to.
 func (s *Store) Compact() error {
 	segments := s.log.Segments()
 	if len(segments) < compactionShare {
@@ -44,13 +44,14 @@
 	return trace.Wrap(s.log.RemoveSegments(s.oldestReferencedSegment(before)))
 }
 
-// locatedEntry is an entry with its partition.
+// locatedEntry is an entry together with its partition.
 type locatedEntry struct {
 	partition *partition
 	entry     *entry
 }
 
-// entriesBefore lists the entries whose body may be asked for and lies in a segment below a number.
+// entriesBefore returns the entries that need their body and have it in a segment with a lower number than the given
+// one.
 func (s *Store) entriesBefore(segment uint64) []locatedEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,8 @@
 	return found
 }
 
-// rewriteEntry appends an entry's accepted record anew, so that its old segment is needed no more.
+// rewriteEntry appends a copy of an entry's accepted record to the log, so that the entry no longer refers to its old
+// segment.
 func (s *Store) rewriteEntry(moved locatedEntry) error {
 	body, err := s.readBody(s.positionOf(moved.entry))
 	if err != nil {
@@ -91,7 +93,8 @@
 	return nil
 }
 
-// oldestReferencedSegment returns the lowest segment that an entry refers to, at most the given one.
+// oldestReferencedSegment returns the lowest number of a segment that an entry refers to, or the given number if that
+// is lower.
 func (s *Store) oldestReferencedSegment(before uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/control.go
+++ b/internal/messagestore/control.go
@@ -9,17 +9,18 @@
 	"gladepick/internal/cluster"
 )
 
-// Control is the control plane as a store sees it.
+// Control is a store's interface to the control plane.
 type Control interface {
 	// RequestPartitionChange asks for a change of a replica group whose primary this store is.
 	RequestPartitionChange(ctx context.Context, request cluster.PartitionRequest) error
-	// ReportFailure tells that a process can't be reached.
+	// ReportFailure reports a process that can't be reached.
 	ReportFailure(ctx context.Context, report cluster.FailureReport) error
-	// LeaseRemaining returns for how long this process's lease surely still runs; 0 where it does not.
+	// LeaseRemaining returns for how long this process's lease is guaranteed to be valid, or 0 if it may have ended.
 	LeaseRemaining() time.Duration
 }
 
-// requestChange asks the control plane for a change of a replica group.
+// requestChange asks the control plane for a change of a replica group, in the name of this store and within
+// controlTimeout.
 func (s *Store) requestChange(request cluster.PartitionRequest) error {
 	request.Store = s.options.Name
 	ctx, cancel := context.WithTimeout(s.context, controlTimeout)
@@ -27,7 +28,8 @@
 	return s.options.Control.RequestPartitionChange(ctx, request)
 }
 
-// reportUnreachable tells the control plane of a store that can't be reached. refused means that the connection was refused or reset.
+// reportUnreachable reports a store that can't be reached to the control plane, at most once per reportInterval and
+// without waiting for the answer. refused means that the connection was refused or reset.
 func (s *Store) reportUnreachable(store, address string, refused bool) {
 	if !s.isReportDue(store, time.Now()) {
 		return
@@ -37,12 +39,13 @@
 		defer cancel()
 		report := cluster.FailureReport{Node: store, Address: address, Refused: refused}
 		if err := s.options.Control.ReportFailure(ctx, report); err != nil {
-			s.logger.Debug("reporting a store failed", zap.String("store", store), zap.Error(err))
+			s.logger.Debug("reporting an unreachable store failed", zap.String("store", store), zap.Error(err))
 		}
 	})
 }
 
-// isReportDue tells whether a report of a store is due: one tells as much as many at once.
+// isReportDue reports whether a store may be reported again, and if so records the report. One report per
+// reportInterval is enough, as further ones add no information.
 func (s *Store) isReportDue(store string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/delivery_fence.go
+++ b/internal/messagestore/delivery_fence.go
@@ -8,17 +8,18 @@
 	"gladepick/internal/cluster"
 )
 
-// deliveryFence tells whether deliveries of a partition may start. The delivery engine looks at it without the store's lock.
+// deliveryFence decides whether deliveries of a partition may start. The delivery engine reads it without Store.mu.
 type deliveryFence struct {
-	open        atomic.Bool // this store is the primary, not fenced, and hands nothing over
+	open        atomic.Bool // this store is the primary, not fenced and not paused for a handover
 	backups     atomic.Pointer[[]*replicator]
-	closedUntil atomic.Pointer[time.Time] // a former primary may deliver until then; nil where none may
+	closedUntil atomic.Pointer[time.Time] // a former primary may deliver until then; nil if there was none
 
 	mutex  sync.Mutex
-	grants map[string]time.Time // by disk ID: when a backup was asked for the last lease that it granted for this partition
+	grants map[string]time.Time // by disk ID: when the last lease that a backup granted was requested
 }
 
-// recordGrant records that a backup has granted a lease of the partition.
+// recordGrant records that a backup has granted a lease for the partition. The lease counts from the time of its
+// request.
 func (f *deliveryFence) recordGrant(diskID string, requestedAt time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -28,15 +29,15 @@
 	f.grants[diskID] = requestedAt
 }
 
-// grantedAt returns when a backup was asked for the last lease that it granted, or the zero time.
+// grantedAt returns when the last lease that a backup granted was requested, or the zero time if it has granted none.
 func (f *deliveryFence) grantedAt(diskID string) time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.grants[diskID]
 }
 
-// MayDeliver implements delivery.Owner: deliveries of a partition start only while no other store can have become
-// primary, and once no former primary may deliver any more.
+// MayDeliver implements delivery.Owner. It reports whether a delivery of the partition may start now: no other store
+// can have become the primary, and no former primary may still deliver.
 func (s *Store) MayDeliver(id int) bool {
 	found, exists := s.fences.Load(id)
 	if !exists {
@@ -49,13 +50,15 @@
 	return fence.open.Load() && s.holdsLease(fence)
 }
 
-// holdsLease tells whether no other store can have become a partition's primary: the lease runs, or every backup has
-// lately granted a lease under this epoch.
+// holdsLease reports whether no other store can have become the partition's primary: this store's lease from the
+// control plane is valid, or every backup has granted it a lease under this epoch that is still valid.
 func (s *Store) holdsLease(fence *deliveryFence) bool {
 	return s.options.Control.LeaseRemaining() > 0 || fence.backupLeasesValid()
 }
 
-// backupLeasesValid tells whether all backups have lately granted a lease: none of them delivers for as long.
+// backupLeasesValid reports whether all backups have granted leases that are still valid. A backup that becomes primary
+// starts no deliveries before the lease that it granted has ended. A backup whose process has ended has lost its record
+// of the grant, so a lease that was requested before that no longer counts.
 func (f *deliveryFence) backupLeasesValid() bool {
 	backups := f.backups.Load()
 	if backups == nil || len(*backups) == 0 {
@@ -71,13 +74,14 @@
 	return true
 }
 
-// fence returns a partition's fence, made where there is none.
+// fence returns a partition's fence and creates it if it does not exist. It needs no lock.
 func (s *Store) fence(id int) *deliveryFence {
 	found, _ := s.fences.LoadOrStore(id, &deliveryFence{})
 	return found.(*deliveryFence)
 }
 
-// updateFence brings a partition's fence up to the store's role in it. The caller holds the lock.
+// updateFence updates a partition's fence after a change of the store's role in the partition. The caller must hold
+// s.mu.
 func (s *Store) updateFence(p *partition) {
 	fence := s.fence(p.id)
 	var backups []*replicator
@@ -90,7 +94,8 @@
 	fence.open.Store(p.isPrimary && !p.paused && !p.fenced)
 }
 
-// isConfirmedPrimary tells whether this store is a partition's primary and no other store can be. The caller holds the lock.
+// isConfirmedPrimary reports whether this store is a partition's primary and no other store can be. The caller must
+// hold s.mu.
 func (s *Store) isConfirmedPrimary(p *partition) bool {
 	if !p.isPrimary || p.fenced {
 		return false
@@ -98,8 +103,8 @@
 	return s.holdsLease(s.fence(p.id))
 }
 
-// awaitFormerPrimary keeps deliveries of a partition back for as long as a store of the former view may count on a lease. The
-// caller holds the lock.
+// awaitFormerPrimary delays deliveries of a partition until all known leases of stores in the former view have ended.
+// The caller must hold s.mu.
 func (s *Store) awaitFormerPrimary(p *partition, former cluster.Partition) {
 	var until time.Time
 	for _, replica := range former.Replicas {
--- a/internal/messagestore/doc.go
+++ b/internal/messagestore/doc.go
@@ -1,44 +1,48 @@
-// Package messagestore keeps messages on a store's disk and on those of the other replicas of their partitions.
+// Package messagestore stores messages on a store's disk and replicates them to the other replicas of their partitions.
 //
-// Messages are spread over partitions. A partition's replica group has a primary, which takes messages, and backups. The
-// control plane alone decides who is primary and tells all stores by the cluster table; the replication is primary-backup,
-// as in PacificA: a message is committed once every replica of the primary's view has synced it. The primary hands committed
-// messages to its delivery engine. docs/replication.md argues for safety, docs/format/messagestore.md describes the records.
+// Messages are distributed over partitions. A partition's replica group has a primary, which accepts messages, and
+// backups. Only the control plane decides which store is the primary; it tells all stores by the cluster table. The
+// replication is primary-backup, as in PacificA: a message is committed once every replica of the primary's view has
+// synced it. The primary submits committed messages to its delivery engine. docs/replication.md has the safety
+// argument, docs/format/messagestore.md describes the records.
 //
 // # Invariants
 //
 //   - Before a put is answered without an error, which a front passes on as 202, the message's record is synced on the
-//     primary's disk and on the disk of every backup of the primary's view, Options.ReplicationFactor disks at the least.
-//   - Epochs are fencing tokens. Each change of a primary raises the partition's epoch. A store remembers the highest epoch
-//     that it has seen, on its disk too, and rejects records of a lower one; a primary that is rejected stops at once.
-//   - Deliveries of a partition start only while no other store can be its primary (deliveryFence): the store's lease from
-//     the control plane runs, or every backup has granted it a lease under this epoch within the last second. A new primary
-//     waits for the end of all leases that it, or the primary before it, has granted.
-//   - What a disk has confirmed counts for that disk only: each call names the disk that it is meant for.
-//   - A backup is called synced, so that it may be promoted, after every record that it lacked was taken, none left out.
-//   - Deliveries that were stopped for a handover go on only after the control plane has clearly rejected it, or a newer view
-//     has come.
-//   - An ended message stays ended. Ends of messages are replicated but not waited for: a successor may run a message again.
+//     primary's disk and on the disk of every backup of the primary's view. These are at least
+//     Options.ReplicationFactor disks.
+//   - Epochs are fencing tokens. Each change of a primary raises the partition's epoch. A store persists the highest
+//     epoch that it has seen and rejects records of a lower one. A primary whose records are rejected stops at once.
+//   - Deliveries of a partition start only while no other store can be its primary (deliveryFence): the store's lease
+//     from the control plane is valid, or every backup has granted it a lease under this epoch within the last second.
+//     A new primary waits until all leases that it, or the primary before it, has granted have ended.
+//   - A confirmation counts only for the disk that gave it: each call names the disk that it is meant for.
+//   - A backup is marked as synced, and so may be promoted, only after it has stored every record that it lacked.
+//   - Deliveries that were stopped for a handover resume only after the control plane has definitely rejected the
+//     handover, or after a newer view has arrived.
+//   - An ended message stays ended. Outcomes are replicated without waiting for the backups, so a new primary may run a
+//     message again.
 //
 // # Goroutines
 //
-// Start begins maintain, which repairs backups, asks for leases, drops what is old and compacts the log. Each disk that a
-// primary sends records to has a replicator, which makes one call at a time. A resync of a backup, a handover to the
-// preferred primary, a report and a forwarded outcome run in a goroutine each, for their time only. All belong to
-// Store.background, end with Store.context, and are waited for by Close. Handlers of calls run in goroutines of the
-// rpc.Server. The engine calls MayDeliver, Body, Failed and Ended from its own.
+// Start starts maintain, which resyncs backups, requests leases, drops expired entries and compacts the log. Each disk
+// that a primary sends records to has a replicator, which makes one call at a time. Each resync of a backup, handover
+// to the preferred primary, failure report and forwarded outcome runs in a short-lived goroutine. All of these belong
+// to Store.background and end with Store.context, and Close waits for them. Handlers of calls run in goroutines of the
+// rpc.Server. The engine calls MayDeliver, Body, Failed and Ended from its own goroutines.
 //
 // # Locks
 //
-// Store.mu guards all of the store's state, and that of its partitions, entries and replicators. It is held while records
-// are appended to the log, which is done in memory, and while a snapshot of the index is written, with its I/O; otherwise
-// never during a sync of the log, and never during a call. deliveryFence.mutex is taken under Store.mu or alone, the log's
-// locks under Store.mu. MayDeliver takes neither Store.mu nor the log's locks, as it is asked for each delivery.
+// Store.mu guards the state of the store and of its partitions, entries and replicators. It is held while records are
+// appended to the log, which is done in memory, and while one partition at a time is encoded for a snapshot of the
+// index. It is never held during a sync of the log, the I/O of a snapshot, or a call. deliveryFence.mutex is acquired
+// under Store.mu or alone, the log's locks under Store.mu. MayDeliver acquires neither Store.mu nor the log's locks, as
+// the engine calls it for each delivery.
 //
 // # Where to start reading
 //
-// store.go, then put.go and commit.go for the way of a message, follower.go for the other end, leadership.go for what a new
-// table changes, delivery_fence.go for who may deliver, resync.go for how a backup is brought up to date. What is logged
-// and sent is defined in package record, the calls in package protocol; fronts use package client. The protocol's model is
-// in the files model_*_test.go.
+// Start with store.go. put.go and commit.go have the path of a message through the primary, follower.go the backup's
+// side, leadership.go the effects of a new table, delivery_fence.go the rules for deliveries, and resync.go the way a
+// backup catches up. Package record defines the records in the log and between replicas, package protocol the calls.
+// Fronts use package client. The files model_*_test.go have a model of the protocol.
 package messagestore
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -6,9 +6,9 @@
 	"gladepick/internal/ctxtime"
 )
 
-// Drain hands every partition whose primary the store is to another store: deliveries stop, those that are out end, their
-// outcomes reach the backups, and the control plane promotes one of them. It returns when the store is no partition's
-// primary, or when the context ends.
+// Drain hands over every partition whose primary the store is: it stops the deliveries, waits until those in flight
+// have ended and their outcomes have reached the backups, and asks the control plane to promote a backup. Drain returns
+// when the store is no longer the primary of any partition, or when the context ends.
 func (s *Store) Drain(ctx context.Context) {
 	for ctx.Err() == nil {
 		led := s.ledPartitions()
@@ -30,7 +30,7 @@
 	}
 }
 
-// ledPartitions returns the IDs of the partitions whose primary this store is, in no particular order.
+// ledPartitions returns the IDs of the partitions whose primary this store is, in unspecified order.
 func (s *Store) ledPartitions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,13 +43,13 @@
 	return led
 }
 
-// pause stops a partition's deliveries; attempts that are out go on.
+// pause starts no more deliveries of a partition. Attempts in flight continue.
 func (s *Store) pause(id int) {
 	s.setPaused(id, true)
 	s.engine.PausePartition(id)
 }
 
-// resume takes up a partition's deliveries again after a handover that did not come about.
+// resume starts a partition's deliveries again after a handover that did not take place.
 func (s *Store) resume(id int) {
 	s.setPaused(id, false)
 	s.engine.ResumePartition(id)
--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -12,19 +12,20 @@
 
 // Engine delivers the messages of the partitions whose primary the store is. The store may hold its lock during a call.
 type Engine interface {
-	// Submit hands over a committed message, with the number of its attempts that have failed.
+	// Submit passes a committed message to the engine. failures is the number of its failed attempts so far.
 	Submit(m *message.Message, failures int)
-	// Release drops a partition's messages: another store is its primary.
+	// Release drops a partition's messages. The store calls it when it is no longer the partition's primary.
 	Release(partition int)
-	// PausePartition starts no more attempts of a partition's messages.
+	// PausePartition stops new attempts of a partition's messages. Attempts in flight continue.
 	PausePartition(partition int)
-	// ResumePartition ends a pause.
+	// ResumePartition ends the effect of PausePartition.
 	ResumePartition(partition int)
-	// InFlightOf returns how many attempts of a partition's messages are out.
+	// InFlightOf returns how many attempts of a partition's messages are in flight.
 	InFlightOf(partition int) int
 }
 
-// Body implements delivery.Owner: it returns the body of a message that was submitted.
+// Body implements delivery.Owner. It returns the body of a submitted message, from memory if it is cached and from the
+// log otherwise.
 func (s *Store) Body(m *message.Message) ([]byte, error) {
 	s.mu.Lock()
 	found := s.partition(m.Partition).entries[m.ID]
@@ -50,7 +51,8 @@
 	return body, trace.Wrap(err)
 }
 
-// Failed implements delivery.Owner: a worker answered an attempt with a failure.
+// Failed implements delivery.Owner. It records that a worker answered an attempt with a failure; failures is the total
+// so far.
 func (s *Store) Failed(m *message.Message, failures int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +67,8 @@
 	})
 }
 
-// Ended implements delivery.Owner: a message has ended. Where another store is the primary by now, it gets the outcome.
+// Ended implements delivery.Owner. It records how a message ended. If this store is no longer the partition's primary,
+// it forwards the outcome to the new one.
 func (s *Store) Ended(m *message.Message, outcome message.Outcome) {
 	s.mu.Lock()
 	p := s.partition(m.Partition)
@@ -78,7 +81,8 @@
 	s.mu.Unlock()
 }
 
-// endMessage notes how a message ended and replicates it. The caller holds the lock.
+// endMessage records how a message ended and replicates the outcome. It ignores a message that is unknown or has ended
+// already. The caller must hold s.mu.
 func (s *Store) endMessage(p *partition, id string, outcome message.Outcome) {
 	found := p.entries[id]
 	if found == nil || found.ended() {
--- a/internal/messagestore/entry.go
+++ b/internal/messagestore/entry.go
@@ -7,24 +7,24 @@
 	"gladepick/internal/wal"
 )
 
-// entry is what the index holds of one message.
+// entry is a message in the index. Store.mu guards it.
 type entry struct {
-	message  *message.Message // nil once a completed message's details are not needed any more
-	position wal.Position     // of the accepted record, whose bytes hold the body
-	body     []byte           // a cache, only while the store is the primary and the message has not ended; may be nil
+	message  *message.Message // nil once the message has completed, or if only its outcome is known
+	position wal.Position     // of the accepted record in the log, which includes the body
+	body     []byte           // cache, may be nil; only while the store is primary and the message has not ended
 	failures int              // attempts that were answered with a failure
 	outcome  message.Outcome  // State is Queued until the message has ended
 	endedAt  time.Time
-	pending  *pendingWrite // until it is committed; nil at a backup
+	pending  *pendingWrite // nil once committed, and at a backup
 }
 
-// ended tells whether the message has ended.
+// ended reports whether the message has ended. The caller must hold Store.mu.
 func (e *entry) ended() bool { return e.outcome.State != message.Queued }
 
-// needsBody tells whether the body may still be asked for.
+// needsBody reports whether the body may still be requested. The caller must hold Store.mu.
 func (e *entry) needsBody() bool { return e.message != nil && e.outcome.State != message.Completed }
 
-// positionOf returns the position of an entry's accepted record.
+// positionOf returns the position of an entry's accepted record in the log.
 func (s *Store) positionOf(e *entry) wal.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/errors.go
+++ b/internal/messagestore/errors.go
@@ -6,40 +6,40 @@
 	"gladepick/internal/rpc"
 )
 
-// errSteppedDown ends a write whose partition has another primary now: its outcome is not known here.
-var errSteppedDown = errors.New("the partition has a new primary")
+// errSteppedDown ends a pending write whose partition has a new primary. The outcome of the write is unknown.
+var errSteppedDown = errors.New("the partition has a new primary, outcome of the write unknown")
 
-// errResyncIncomplete means that a record of a resync did not reach the backup.
-var errResyncIncomplete = errors.New("a record of the resync was not taken")
+// errResyncIncomplete means that a backup did not store all records of a resync.
+var errResyncIncomplete = errors.New("backup did not store all records of the resync")
 
-// Errors that a caller gets over the wire. They are shared and never changed.
+// Errors that a caller receives over the wire. They are shared and must not be modified.
 var (
-	// errNotPrimary tells that this store is not the partition's primary.
+	// errNotPrimary means that this store is not the partition's primary.
 	errNotPrimary = &rpc.Error{Code: rpc.CodeNotLeader}
-	// errCannotCommit rejects a message before it is logged: too few replicas, a full or failing disk, or a backup that does
-	// not answer.
-	errCannotCommit = &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few disks for another message"}
-	// errCommitTimeout tells that a message was taken, and its commit is not known.
-	errCommitTimeout = &rpc.Error{Code: rpc.CodeInternal, Message: "replicas have not answered in time"}
-	// errNotReplica tells that the partition's view does not list this store's disk.
-	errNotReplica = &rpc.Error{Code: rpc.CodeUnavailable, Message: "not a replica"}
-	// errUnknownMessage tells that there is no such message, for sure.
+	// errCannotCommit rejects a message before it is logged: the partition has too few replicas, the disk is full or
+	// failing, or a backup does not respond.
+	errCannotCommit = &rpc.Error{Code: rpc.CodeUnavailable, Message: "too few replicas or disks available to commit a message"}
+	// errCommitTimeout means that a message was logged, but it is unknown whether it will be committed.
+	errCommitTimeout = &rpc.Error{Code: rpc.CodeInternal, Message: "replicas did not confirm the message in time"}
+	// errNotReplica means that the partition's view does not list this store's disk.
+	errNotReplica = &rpc.Error{Code: rpc.CodeUnavailable, Message: "store is not a replica of the partition"}
+	// errUnknownMessage means that the message certainly does not exist.
 	errUnknownMessage = &rpc.Error{Code: rpc.CodeNotFound}
-	// errNotHeld tells that another replica may have the message.
-	errNotHeld = &rpc.Error{Code: rpc.CodeUnavailable, Message: "not held here"}
-	// errBodyDropped tells that a completed message's body is not stored any more.
+	// errNotHeld means that this store does not have the message, but another replica may have it.
+	errNotHeld = &rpc.Error{Code: rpc.CodeUnavailable, Message: "replica does not have the message"}
+	// errBodyDropped means that the body is no longer stored because the message has completed.
 	errBodyDropped = &rpc.Error{Code: rpc.CodeNotFound, Message: "completed"}
-	// errStaleEpoch tells that this store knows a newer epoch.
-	errStaleEpoch = &rpc.Error{Code: rpc.CodeConflict, Message: "the epoch is not the newest"}
-	// errRecordLengths tells that a call's records are longer than its body.
-	errRecordLengths = &rpc.Error{Code: rpc.CodeInvalid, Message: "records do not fit the body"}
-	// errUnreadableRecord tells that a record cannot be decoded, or is of another partition than the call says.
-	errUnreadableRecord = &rpc.Error{Code: rpc.CodeInvalid, Message: "unreadable record"}
-	// errLocalRecord tells that a record is of a kind that replicas do not send.
-	errLocalRecord = &rpc.Error{Code: rpc.CodeInvalid, Message: "a record that replicas do not send"}
+	// errStaleEpoch means that this store has seen a newer epoch.
+	errStaleEpoch = &rpc.Error{Code: rpc.CodeConflict, Message: "epoch of the call is stale"}
+	// errRecordLengths means that the lengths of a call's records do not fit its body.
+	errRecordLengths = &rpc.Error{Code: rpc.CodeInvalid, Message: "record lengths do not fit the body"}
+	// errUnreadableRecord means that a record cannot be decoded, or belongs to another partition than its header says.
+	errUnreadableRecord = &rpc.Error{Code: rpc.CodeInvalid, Message: "record cannot be decoded or belongs to another partition"}
+	// errLocalRecord means that a record is of a kind that replicas never send to each other.
+	errLocalRecord = &rpc.Error{Code: rpc.CodeInvalid, Message: "record kind is not valid between replicas"}
 )
 
-// unavailable returns the answer to a caller that may try another store.
+// unavailable returns an error that lets the caller try another store.
 func unavailable(cause error) *rpc.Error {
 	return &rpc.Error{Code: rpc.CodeUnavailable, Message: cause.Error()}
 }
--- a/internal/messagestore/follower.go
+++ b/internal/messagestore/follower.go
@@ -9,8 +9,8 @@
 	"gladepick/internal/rpc"
 )
 
-// handleReplicate takes records from a primary: it rejects those of older epochs, appends and syncs the others, and
-// answers only then.
+// handleReplicate stores records from a primary. It rejects records of older epochs, appends the others to the log, and
+// answers once they are synced.
 func (s *Store) handleReplicate(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.ReplicateRequest
 	if err := call.Decode(&request); err != nil {
@@ -26,7 +26,7 @@
 	return response, nil, nil
 }
 
-// appendReceived appends and applies the records of a call, without waiting for the disk.
+// appendReceived appends the records of a call to the log and applies them to the index, without waiting for the disk.
 func (s *Store) appendReceived(request *protocol.ReplicateRequest, body []byte) (*protocol.ReplicateResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,15 +52,16 @@
 	return response, nil
 }
 
-// checkDiskID rejects a call that is meant for another disk at this address.
+// checkDiskID returns an error if a call is meant for another disk at this address.
 func (s *Store) checkDiskID(diskID string) error {
 	if diskID == s.options.DiskID {
 		return nil
 	}
-	return &rpc.Error{Code: rpc.CodeConflict, Message: "another disk is here: " + s.options.DiskID}
+	return &rpc.Error{Code: rpc.CodeConflict, Message: "call is for another disk, this store has disk " + s.options.DiskID}
 }
 
-// adoptEpoch tells whether records of an epoch may be taken from a primary, and adopts a newer epoch. The caller holds the lock.
+// adoptEpoch reports whether records of an epoch may be accepted from a primary, and adopts the epoch if it is newer.
+// It rejects an older epoch, and the current epoch while this store is its primary. The caller must hold s.mu.
 func (s *Store) adoptEpoch(id int, epoch uint64) bool {
 	p := s.partition(id)
 	if epoch < p.epoch || p.isPrimary && epoch == p.epoch {
@@ -73,7 +74,7 @@
 	return true
 }
 
-// appendReceivedRecord appends and applies one record. The caller holds the lock.
+// appendReceivedRecord appends one record to the log and applies it to the index. The caller must hold s.mu.
 func (s *Store) appendReceivedRecord(header protocol.RecordHeader, data []byte) error {
 	decoded, _, err := record.Decode(data)
 	if err != nil || decoded.Partition != header.Partition {
--- a/internal/messagestore/handover.go
+++ b/internal/messagestore/handover.go
@@ -13,16 +13,16 @@
 	"gladepick/internal/rpc"
 )
 
-// handoverOutcome is what came of an attempt to hand a partition over.
+// handoverOutcome is the result of an attempt to hand a partition over.
 type handoverOutcome int
 
 const (
-	handoverRejected handoverOutcome = iota // this store is the primary as before, for sure
+	handoverRejected handoverOutcome = iota // this store is certainly still the primary
 	handoverDone                            // another store is the primary
 	handoverUnknown                         // another store may be the primary: deliveries must wait for the next view
 )
 
-// handoverOutcomeOf tells what an answer of the control plane to a handover means.
+// handoverOutcomeOf returns the outcome of a handover by the error of the request to the control plane.
 func handoverOutcomeOf(err error) handoverOutcome {
 	if err == nil {
 		return handoverDone
@@ -37,7 +37,8 @@
 	return handoverUnknown
 }
 
-// handOver brings the backups up to date and asks for a new primary among them. Deliveries of the partition have stopped.
+// handOver waits until the backups have all records and asks the control plane to promote one of them. The caller has
+// stopped the partition's deliveries before.
 func (s *Store) handOver(ctx context.Context, id int) handoverOutcome {
 	p, epoch := s.ledPartition(id)
 	if p == nil {
@@ -48,10 +49,10 @@
 		return handoverRejected
 	}
 	if err := flushAll(ctx, p, ready); err != nil {
-		s.logger.Info("flushing to a backup failed", zap.Int("partition", id), zap.Error(err))
+		s.logger.Info("flushing records to a backup failed", zap.Int("partition", id), zap.Error(err))
 		return handoverRejected
 	}
-	// What was on its way to a backup before the flush may have failed meanwhile.
+	// Records that were in flight to a backup before the flush may have failed in the meantime.
 	if still, complete := s.readyBackups(p, epoch); !complete || !slices.Equal(still, ready) {
 		return handoverRejected
 	}
@@ -72,7 +73,7 @@
 	return handoverDone
 }
 
-// flushAll waits until each backup has everything that is queued for it, one backup after the other.
+// flushAll flushes the backups one after the other, each within replicateTimeout.
 func flushAll(ctx context.Context, p *partition, backups []*replicator) error {
 	for _, backup := range backups {
 		limited, cancel := context.WithTimeout(ctx, replicateTimeout)
@@ -85,16 +86,16 @@
 	return nil
 }
 
-// requestHandover asks the control plane for a new primary.
+// requestHandover asks the control plane to promote one of the backups that the request lists as ready.
 func (s *Store) requestHandover(request cluster.PartitionRequest) handoverOutcome {
 	err := s.requestChange(request)
 	if err != nil {
-		s.logger.Info("handing a partition over failed", zap.Int("partition", request.Partition), zap.Error(err))
+		s.logger.Info("handover of a partition failed", zap.Int("partition", request.Partition), zap.Error(err))
 	}
 	return handoverOutcomeOf(err)
 }
 
-// ledPartition returns a partition and its epoch, or nil where this store is not its primary.
+// ledPartition returns a partition and its epoch, or nil and 0 if this store is not its primary.
 func (s *Store) ledPartition(id int) (*partition, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,8 +106,9 @@
 	return p, p.epoch
 }
 
-// readyBackups returns the backups that lack nothing but what is on its way to them. It tells false where one that may be
-// promoted lacks more: it would run again what has ended; and where the partition has another view by now.
+// readyBackups returns the backups that lack no records except those in flight to them. complete is false if a synced
+// backup, which may be promoted, lacks other records: as primary it would run ended messages again. complete is also
+// false if this store is no longer the primary under the given epoch.
 func (s *Store) readyBackups(p *partition, epoch uint64) (ready []*replicator, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,8 +126,8 @@
 	return ready, complete
 }
 
-// followPreferredPrimary hands a partition over where the control plane prefers another primary that is synced. The caller
-// holds the lock.
+// followPreferredPrimary starts a handover if the control plane prefers another store as the primary and that store is
+// synced. The caller must hold s.mu.
 func (s *Store) followPreferredPrimary(p *partition) {
 	position := p.view.IndexOf(p.view.PreferredPrimary)
 	if p.handingOver || p.view.PreferredPrimary == "" || position <= 0 || !p.view.Replicas[position].Synced {
@@ -139,7 +141,7 @@
 	})
 }
 
-// handoverRetryInterval returns the pause before a handover is tried again.
+// handoverRetryInterval returns the time to wait before the next attempt of a handover.
 func handoverRetryInterval(outcomeUnknown bool) time.Duration {
 	if outcomeUnknown {
 		return unknownOutcomeInterval
@@ -147,8 +149,8 @@
 	return handoverPollInterval
 }
 
-// handOverToPreferred stops a partition's deliveries and hands it over, or takes up the deliveries again where that is rejected.
-// They stay stopped while it is not known whether another store is the primary.
+// handOverToPreferred stops a partition's deliveries and hands the partition over. If the handover is rejected, the
+// deliveries resume. They stay stopped while it is unknown whether another store is the primary.
 func (s *Store) handOverToPreferred(ctx context.Context, p *partition) {
 	s.pause(p.id)
 	s.repeatHandover(ctx, p)
@@ -161,8 +163,8 @@
 	}
 }
 
-// repeatHandover tries a handover until it is done, or until the context ends while no outcome is unknown. An outcome stays
-// unknown until a newer view comes, or unknownOutcomeTimeout has passed.
+// repeatHandover attempts a handover until it is done, or until the context has ended and no outcome is unknown. An
+// outcome stays unknown until a newer view arrives or unknownOutcomeTimeout has passed.
 func (s *Store) repeatHandover(ctx context.Context, p *partition) {
 	attempts := ctx
 	var unknownUntil time.Time
@@ -172,11 +174,11 @@
 			outcome = s.handOver(attempts, p.id)
 		}
 		if outcome == handoverUnknown {
-			attempts = s.context // the outcome has to become known, however long that takes
+			attempts = s.context // attempts continue after the end of ctx until the outcome is known
 			unknownUntil = time.Now().Add(unknownOutcomeTimeout)
 		}
 		if _, current := s.ledPartition(p.id); current != epoch {
-			unknownUntil = time.Time{} // a newer view has come
+			unknownUntil = time.Time{} // a newer view has arrived
 		}
 		isUnknown := time.Now().Before(unknownUntil)
 		if outcome == handoverDone || s.context.Err() != nil || ctx.Err() != nil && !isUnknown {
--- a/internal/messagestore/index_snapshot.go
+++ b/internal/messagestore/index_snapshot.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/wal"
 )
 
-// snapshotEntry is an entry in a snapshot of the index.
+// snapshotEntry is the encoding of an entry in a snapshot of the index.
 type snapshotEntry struct {
 	ID       string           `json:"id"`
 	Message  *message.Message `json:"message,omitempty"`
@@ -23,7 +23,7 @@
 	EndedAt  time.Time        `json:"endedAt,omitzero"`
 }
 
-// snapshotPartition is a partition in a snapshot of the index.
+// snapshotPartition is the encoding of a partition in a snapshot of the index.
 type snapshotPartition struct {
 	ID      int             `json:"id"`
 	Epoch   uint64          `json:"epoch"`
@@ -31,9 +31,9 @@
 	Entries []snapshotEntry `json:"entries"`
 }
 
-// writeSnapshot writes the index beside the log. The store goes on meanwhile: the lock is held for one partition at a time,
-// and not during I/O. So a partition's part may already have the effect of records that come after the snapshot in the log;
-// a replay applies them again, which changes nothing (see partition.apply).
+// writeSnapshot writes a snapshot of the index beside the log. It does not block the store: it holds Store.mu for one
+// partition at a time, and not during I/O. So the snapshot of a partition may already include records that follow the
+// snapshot in the log. A replay applies these records again, which changes nothing (see partition.apply).
 func (s *Store) writeSnapshot() error {
 	snapshot, err := s.log.BeginSnapshot()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return trace.Wrap(snapshot.Commit(data))
 }
 
-// encodeIndex returns the index as an array of partitions in JSON, by their IDs.
+// encodeIndex returns the index as a JSON array of partitions in the order of their IDs.
 func (s *Store) encodeIndex() ([]byte, error) {
 	data := []byte{'['}
 	for i, id := range s.partitionIDs() {
@@ -62,14 +62,14 @@
 	return append(data, ']'), nil
 }
 
-// partitionIDs returns the IDs of all partitions of which something is held, in their order.
+// partitionIDs returns the IDs of all partitions in the index, in ascending order.
 func (s *Store) partitionIDs() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.partitions))
 }
 
-// snapshotOf returns one partition as it is now.
+// snapshotOf returns the encoding of one partition as of now.
 func (s *Store) snapshotOf(id int) snapshotPartition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	return one
 }
 
-// restore takes a snapshot of the index in.
+// restore loads a snapshot of the index. Open calls it before any replay.
 func (s *Store) restore(snapshot []byte) error {
 	var all []snapshotPartition
 	if err := json.Unmarshal(snapshot, &all); err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// replay takes a record of the log in.
+// replay applies a record of the log to the index. Open calls it for each record after the snapshot.
 func (s *Store) replay(position wal.Position, data []byte) error {
 	decoded, _, err := record.Decode(data)
 	if err != nil {
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -9,8 +9,8 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// ApplyTable takes in a cluster table, which makes this store the primary of partitions, or a backup, or neither. A table that
-// is not newer than the last one is ignored.
+// ApplyTable applies a cluster table. For each partition, it makes this store the primary, a backup, or neither. A
+// table that is not newer than the last one is ignored.
 func (s *Store) ApplyTable(table *cluster.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,24 +24,25 @@
 	s.logLeadershipChanges()
 }
 
-// leadershipChanges counts partitions that the store has become, or no longer is, the primary of, until they are logged.
+// leadershipChanges counts the partitions whose primary the store has become or has ceased to be since the last log
+// line.
 type leadershipChanges struct {
 	gained   int
 	lost     int
-	messages int // queued ones, in the partitions gained
+	messages int // queued messages in the gained partitions
 }
 
-// logLeadershipChanges logs one line for all changes since the last one. The caller holds the lock.
+// logLeadershipChanges logs all changes since the last call in one line, if there are any. The caller must hold s.mu.
 func (s *Store) logLeadershipChanges() {
 	changes := s.changes
 	s.changes = leadershipChanges{}
 	if changes.gained+changes.lost > 0 {
-		s.logger.Info("partitions led", zap.Uint64("table", s.table.Revision), zap.Int("gained", changes.gained),
+		s.logger.Info("partition leadership changed", zap.Uint64("table", s.table.Revision), zap.Int("gained", changes.gained),
 			zap.Int("lost", changes.lost), zap.Int("messages", changes.messages))
 	}
 }
 
-// applyView takes in one partition's view. The caller holds the lock.
+// applyView applies one partition's view, unless its epoch is older than the newest seen. The caller must hold s.mu.
 func (s *Store) applyView(view cluster.Partition) {
 	p := s.partition(view.ID)
 	if view.Epoch < p.epoch {
@@ -69,7 +70,8 @@
 	}
 }
 
-// becomePrimary makes this store the partition's primary: queued messages are submitted, and the backups are resynced. The caller holds the lock.
+// becomePrimary makes this store the partition's primary. It submits the queued messages to the engine and has the
+// backups resynced. The caller must hold s.mu.
 func (s *Store) becomePrimary(p *partition) {
 	p.isPrimary, p.paused = true, false
 	s.appendAndReplicate(p, &record.Record{Kind: record.Epoch, Partition: p.id, Epoch: p.epoch})
@@ -88,8 +90,8 @@
 	s.changes.messages += len(queued)
 }
 
-// updateBackups follows a change of the replica group whose primary this store stays. Most tables change other partitions:
-// a resync that is under way goes on. The caller holds the lock.
+// updateBackups applies a view in which this store stays the primary, but its backups may have changed. Running resyncs
+// of remaining backups continue, as most tables only change other partitions. The caller must hold s.mu.
 func (s *Store) updateBackups(p *partition, former cluster.Partition) {
 	for diskID := range p.resync {
 		if !containsDisk(p.backups(), diskID) {
@@ -113,7 +115,8 @@
 	}
 }
 
-// discardConfirmations drops what a backup has confirmed before the present epoch, in which it is not synced.
+// discardConfirmations drops a backup's confirmations of pending writes once per epoch in which the backup is not
+// synced: it may have left the group and dropped their records since. The caller must hold Store.mu.
 func (p *partition) discardConfirmations(diskID string) {
 	if p.unsyncedSince[diskID] == p.epoch {
 		return
@@ -125,7 +128,7 @@
 	}
 }
 
-// containsDisk tells whether a disk is one of the replicas'.
+// containsDisk reports whether one of the replicas has the given disk.
 func containsDisk(replicas []cluster.Replica, diskID string) bool {
 	for _, replica := range replicas {
 		if replica.DiskID == diskID {
@@ -135,7 +138,8 @@
 	return false
 }
 
-// stepDown ends this store's leadership of a partition, if it had it. Writes that wait end with errSteppedDown. The caller holds the lock.
+// stepDown ends this store's role as the primary of a partition; it does nothing if the store is not its primary.
+// Pending writes end with errSteppedDown. The caller must hold s.mu.
 func (s *Store) stepDown(p *partition) {
 	if !p.isPrimary {
 		return
@@ -155,10 +159,11 @@
 		s.cachedBytes -= int64(len(each.body))
 		each.body = nil
 	}
-	s.logger.Debug("partition no longer led", zap.Int("partition", p.id), zap.Uint64("epoch", p.epoch))
+	s.logger.Debug("no longer primary of a partition", zap.Int("partition", p.id), zap.Uint64("epoch", p.epoch))
 }
 
-// forgetIfReplicated drops a partition that a complete group of other stores holds. The caller holds the lock.
+// forgetIfReplicated drops the messages of a partition once its replica group, to which this store does not belong, is
+// complete and synced. The caller must hold s.mu.
 func (s *Store) forgetIfReplicated(p *partition) {
 	if len(p.entries) == 0 || len(p.view.Replicas) < s.options.ReplicationFactor {
 		return
--- a/internal/messagestore/leadership_test.go
+++ b/internal/messagestore/leadership_test.go
@@ -40,7 +40,7 @@
 		assert.NilError(t, store.Close())
 
 		var logged []map[string]any
-		for _, entry := range logs.FilterMessage("partitions led").AllUntimed() {
+		for _, entry := range logs.FilterMessage("partition leadership changed").AllUntimed() {
 			logged = append(logged, entry.ContextMap())
 		}
 		assert.DeepEqual(t, logged, []map[string]any{
--- a/internal/messagestore/limits.go
+++ b/internal/messagestore/limits.go
@@ -2,31 +2,35 @@
 
 import "time"
 
-// Sequence numbers have the epoch in the upper half and a counter below.
+// Sequence numbers have the epoch in the upper 32 bits and a counter in the lower 32 bits.
 const (
 	epochShift = 32
-	// restartGap is added to each partition's counter at a start, so that sequence numbers of records lost in a crash are
-	// not assigned again.
+	// restartGap is added to each partition's counter at a start, so that sequence numbers of records that were lost in
+	// a crash are not assigned again.
 	restartGap = 1 << 16
 )
 
-// Leases of backups.
+// Leases that backups grant to a primary.
 const (
-	backupLease       = time.Second            // for how long a backup grants one
-	backupLeaseMargin = 300 * time.Millisecond // before the end of its lease from the control plane a primary begins to request them
+	backupLease = time.Second // duration of a lease
+	// backupLeaseMargin is the rest of its lease from the control plane at which a primary begins to request leases
+	// from its backups.
+	backupLeaseMargin = 300 * time.Millisecond
 	heartbeatInterval = 300 * time.Millisecond // between two requests
 )
 
 // Calls to other processes.
 const (
-	replicateTimeout  = 300 * time.Millisecond // of one call; after it the control plane is asked to replace the backup, since writes wait for it
+	// replicateTimeout limits one call. After it, the control plane is asked to replace the backup if writes wait for
+	// it.
+	replicateTimeout  = 300 * time.Millisecond
 	inventoryTimeout  = time.Second
 	outcomeTimeout    = time.Second
 	controlTimeout    = time.Second
-	unresponsiveAfter = 150 * time.Millisecond // a call that is out for longer has new messages go to other partitions
-	reportInterval    = 200 * time.Millisecond // between two reports of a store
+	unresponsiveAfter = 150 * time.Millisecond // puts go to other partitions while a call is in flight for longer
+	reportInterval    = 200 * time.Millisecond // between two reports of the same store
 
-	batchBytes = 256 << 10 // records in one call to a backup, about
+	batchBytes = 256 << 10 // approximate limit of the records in one call to a backup
 )
 
 // Resync and replacement of backups.
@@ -34,35 +38,39 @@
 	resyncTimeout       = 5 * time.Second
 	resyncRetryInterval = 200 * time.Millisecond
 	resyncGracePeriod   = 600 * time.Millisecond // a backup whose resync fails for longer is replaced
-	replacementDelay    = 50 * time.Millisecond  // before a failing backup is replaced, so that further stores that failed with it are known by then
+	// replacementDelay passes before a failing backup is replaced, so that other stores that failed at the same time
+	// are known by then.
+	replacementDelay = 50 * time.Millisecond
 )
 
 // Handovers.
 const (
-	handoverPollInterval    = 10 * time.Millisecond  // between two looks for attempts that are out
-	preferredPrimaryTimeout = 2 * time.Second        // after it deliveries are taken up again
-	unknownOutcomeInterval  = 100 * time.Millisecond // between two requests while an outcome is unknown
-	unknownOutcomeTimeout   = 4 * time.Second        // after this time the control plane can no longer execute a request whose outcome is unknown
+	handoverPollInterval    = 10 * time.Millisecond  // between two checks for attempts in flight
+	preferredPrimaryTimeout = 2 * time.Second        // of a handover to the preferred primary; then deliveries resume
+	unknownOutcomeInterval  = 100 * time.Millisecond // between two requests while the outcome of a handover is unknown
+	// unknownOutcomeTimeout is the time after which the control plane can no longer execute a request whose outcome is
+	// unknown.
+	unknownOutcomeTimeout = 4 * time.Second
 )
 
 // Maintenance.
 const (
 	maintainInterval = 200 * time.Millisecond
-	expiryInterval   = 5 * time.Second // between two looks for expired messages, and for a log to compact
+	expiryInterval   = 5 * time.Second // between two checks for expired messages and for a log to compact
 )
 
 // Sizes of the log.
 const (
 	minSegmentBytes     = 1 << 20
 	maxSegmentBytes     = 8 << 20
-	minSegmentsOnDisk   = 24 // that fit on the disk
-	compactionThreshold = 3  // the log is compacted when it takes more than one part in so many of the disk
-	compactionShare     = 2  // of all segments, one in so many is emptied at a time
-	fullNumerator       = 9  // no message is taken when the log fills more than so many parts
-	fullDenominator     = 10 // of so many of the disk
+	minSegmentsOnDisk   = 24 // segments are small enough for this many to fit on the disk
+	compactionThreshold = 3  // the log is compacted once it takes 1/compactionThreshold of the disk
+	compactionShare     = 2  // one compaction empties 1/compactionShare of the segments
+	fullNumerator       = 9  // no message is accepted while the log takes more than
+	fullDenominator     = 10 // fullNumerator/fullDenominator of the disk
 )
 
-// segmentBytes returns the size of a segment for a disk of some bytes, 0 for no limit.
+// segmentBytes returns the size of a segment for a disk of the given size in bytes; 0 means a disk without a limit.
 func segmentBytes(disk int64) int64 {
 	if disk <= 0 {
 		return maxSegmentBytes
--- a/internal/messagestore/maintenance.go
+++ b/internal/messagestore/maintenance.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// wakeMaintenance has the background work look at once.
+// wakeMaintenance makes maintain run its next round at once.
 func (s *Store) wakeMaintenance() {
 	select {
 	case s.wake <- struct{}{}:
@@ -10,7 +10,8 @@
 	}
 }
 
-// maintain is the background work: it resyncs backups, asks them for leases, drops expired messages and compacts the log.
+// maintain runs until the store closes. Every maintainInterval, and when woken, it starts the resyncs that are due,
+// requests leases from the backups, drops expired messages and compacts the log.
 func (s *Store) maintain() {
 	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
@@ -35,7 +36,7 @@
 	}
 }
 
-// repairBackups starts the resyncs that are due.
+// repairBackups starts the resyncs of backups that are due, in all partitions whose primary this store is.
 func (s *Store) repairBackups() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// dropExpired forgets messages that ended more than Options.StatusRetention ago.
+// dropExpired removes messages that ended more than Options.StatusRetention ago from the index.
 func (s *Store) dropExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/missing.go
+++ b/internal/messagestore/missing.go
@@ -9,14 +9,16 @@
 	"gladepick/internal/rpc"
 )
 
-// missingEntry is an entry that a backup lacks, or whose outcome it lacks.
+// missingEntry is an entry of which a backup lacks records.
 type missingEntry struct {
 	id            string
 	entry         *entry
-	needsAccepted bool // its accepted record is lacking
+	needsAccepted bool // the backup lacks the accepted record
 }
 
-// missing lists what a backup lacks.
+// missing returns the entries of which a backup lacks records, by its inventory. It leaves out pending writes, which
+// are replicated separately. An entry with failed attempts is always included until it has ended, as the inventory does
+// not tell how many of its failures the backup knows.
 func (s *Store) missing(p *partition, held *protocol.InventoryResponse) []missingEntry {
 	queued := make(map[string]bool, len(held.Queued))
 	for _, id := range held.Queued {
@@ -42,7 +44,8 @@
 	return found
 }
 
-// sendMissing sends records to a backup, a batch after the other, and waits until the last is synced there.
+// sendMissing sends the missing records to a backup in batches of about batchBytes, and waits until each batch was
+// answered.
 func (s *Store) sendMissing(ctx context.Context, p *partition, backup *replicator, entries []missingEntry) error {
 	size := 0
 	for _, missing := range entries {
@@ -61,7 +64,7 @@
 	return backup.flush(ctx, p)
 }
 
-// enqueueMissing queues the records of one entry, and returns their bytes.
+// enqueueMissing queues the missing records of one entry for a backup, and returns their size in bytes.
 func (s *Store) enqueueMissing(p *partition, backup *replicator, missing missingEntry) (int, error) {
 	var body []byte
 	if missing.needsAccepted {
@@ -89,7 +92,7 @@
 	return size, nil
 }
 
-// missingRecords returns the records that bring a backup up to an entry's present state. The caller holds the lock.
+// missingRecords returns the records that bring a backup to an entry's current state. The caller must hold s.mu.
 func (s *Store) missingRecords(p *partition, missing missingEntry) []*record.Record {
 	var records []*record.Record
 	if missing.needsAccepted && missing.entry.message != nil {
@@ -108,7 +111,7 @@
 	return records
 }
 
-// handleInventory tells a primary which messages this store holds.
+// handleInventory answers a primary with the IDs of the messages that this store has of a partition.
 func (s *Store) handleInventory(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.InventoryRequest
 	if err := call.Decode(&request); err != nil {
--- a/internal/messagestore/outcome.go
+++ b/internal/messagestore/outcome.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/rpc"
 )
 
-// forwardOutcome passes the outcome of an attempt that this store had out to the partition's present primary, once. Where
-// that fails the message runs again.
+// forwardOutcome sends the outcome of a message to the partition's current primary, if this store ceased to be the
+// primary during the attempt. It tries once; if that fails, the message runs again.
 func (s *Store) forwardOutcome(m *message.Message, outcome message.Outcome) {
 	s.mu.Lock()
 	address := s.primaryAddress(m.Partition)
@@ -29,7 +29,8 @@
 	})
 }
 
-// primaryAddress returns where a partition's primary listens, "" where none is known or it is this store. The caller holds the lock.
+// primaryAddress returns the address of a partition's primary, or "" if none is known or this store is the primary. The
+// caller must hold s.mu.
 func (s *Store) primaryAddress(id int) string {
 	if s.table == nil || id < 0 || id >= len(s.table.Partitions) {
 		return ""
@@ -45,7 +46,7 @@
 	return entry.Address
 }
 
-// handleOutcome takes in the outcome of an attempt that a former primary had out.
+// handleOutcome records the outcome of an attempt that a former primary had in flight.
 func (s *Store) handleOutcome(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.OutcomeRequest
 	if err := call.Decode(&request); err != nil {
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -10,26 +10,27 @@
 	"gladepick/internal/wal"
 )
 
-// partition is what the store holds of one partition: the index of its messages, and the store's role. Store.mu guards it.
+// partition is the state of one partition at this store: the index of its messages, and the store's role. Store.mu
+// guards it.
 type partition struct {
 	id           int
-	epoch        uint64            // the highest one seen; records of older ones are rejected
-	view         cluster.Partition // the newest applied
+	epoch        uint64            // the highest epoch seen; records of lower epochs are rejected
+	view         cluster.Partition // the newest view applied
 	isReplica    bool              // the newest view lists this store's disk
 	isPrimary    bool
 	fenced       bool // a backup knows a newer epoch: another store may be the primary
 	paused       bool // deliveries are stopped for a handover
-	handingOver  bool // handOverToPreferred runs
+	handingOver  bool // handOverToPreferred is running
 	entries      map[string]*entry
 	lastSequence uint64                  // the highest sequence number seen
 	pending      map[*pendingWrite]bool  // writes that wait for replicas
 	resync       map[string]*resyncState // by disk ID: backups that may lack records
-	// unsyncedSince tells by disk ID in which epoch a backup was last seen to be not synced. What it confirmed in earlier epochs
-	// it may have forgotten: it may have left the group in between.
+	// unsyncedSince is, by disk ID, the latest epoch in which a backup was seen as not synced. Confirmations from
+	// earlier epochs do not count: the backup may have left the group in between and dropped its records.
 	unsyncedSince map[string]uint64
 }
 
-// newPartition returns a partition of which nothing is known.
+// newPartition returns an empty partition.
 func newPartition(id int) *partition {
 	return &partition{
 		id:            id,
@@ -40,7 +41,7 @@
 	}
 }
 
-// backups returns the replicas behind the primary.
+// backups returns the replicas of the view without the primary, which is the first one.
 func (p *partition) backups() []cluster.Replica {
 	if len(p.view.Replicas) == 0 {
 		return nil
@@ -48,7 +49,7 @@
 	return p.view.Replicas[1:]
 }
 
-// queued returns the entries that have not ended, in their order of acceptance.
+// queued returns the entries that have not ended, in the order of their acceptance.
 func (p *partition) queued() []*entry {
 	var found []*entry
 	for _, each := range p.entries {
@@ -62,7 +63,8 @@
 	return found
 }
 
-// apply takes a record into the index, at a replay as at a backup. The position is that of the record in this store's log.
+// apply applies a record to the index, both during a replay and at a backup. position is the record's place in this
+// store's log. Applying a record again changes nothing.
 func (p *partition) apply(r *record.Record, position wal.Position) {
 	p.epoch = max(p.epoch, r.Epoch)
 	switch r.Kind {
@@ -79,7 +81,8 @@
 	}
 }
 
-// applyAccepted adds a message. For a known message it only updates the position of the body.
+// applyAccepted adds a message to the index. For a known message it updates the position of the body, and adds the
+// details if they are still needed and not known.
 func (p *partition) applyAccepted(r *record.Record, position wal.Position) {
 	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
 	if found := p.entries[r.Message.ID]; found != nil {
@@ -97,7 +100,8 @@
 	}
 }
 
-// applyEnded notes an outcome, also of a message that is not known.
+// applyEnded records the outcome of a message, even if the message is unknown: its accepted record may arrive later or
+// never.
 func (p *partition) applyEnded(r *record.Record) {
 	if r.Outcome == nil {
 		return
@@ -114,7 +118,7 @@
 	}
 }
 
-// endedRecord returns the record that tells how an entry ended.
+// endedRecord returns the record of how an entry's message ended.
 func (p *partition) endedRecord(id string, e *entry) *record.Record {
 	outcome := e.outcome
 	return &record.Record{
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -11,7 +11,8 @@
 	"gladepick/internal/wal"
 )
 
-// handlePut stores a message: it answers without an error once every disk of the partition's view has synced it.
+// handlePut stores a message. It answers without an error once every disk of the partition's view has synced the
+// message.
 func (s *Store) handlePut(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.PutRequest
 	if err := call.Decode(&request); err != nil {
@@ -35,8 +36,9 @@
 	}
 }
 
-// accept numbers a message, appends it to the log and sends it to the backups. It returns the write to wait for and whether
-// the message is new, or nil where the message was committed before: clients repeat a put whose answer was lost.
+// accept assigns a message its sequence number, appends it to the log and queues it for the backups. It returns the
+// write to wait for and whether the message is new. Clients repeat a put whose answer was lost: a repeated put of a
+// pending message returns its write, that of a committed message returns nil.
 func (s *Store) accept(submission *message.Submission, body []byte) (*pendingWrite, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,14 +66,14 @@
 	return write, true, nil
 }
 
-// canCommit tells whether another message is likely to be committed in time. The caller holds the lock.
+// canCommit reports whether another message is likely to be committed in time. The caller must hold s.mu.
 func (s *Store) canCommit(p *partition) bool {
 	return len(p.view.Replicas) >= s.options.ReplicationFactor && !s.log.Failing() && !s.diskFull() &&
 		!s.hasUnresponsiveBackup(p)
 }
 
-// hasUnresponsiveBackup tells whether a backup does not answer: a message that can go elsewhere should not wait for it. The
-// caller holds the lock.
+// hasUnresponsiveBackup reports whether a backup does not respond. A message that can go to another partition should
+// not wait for such a backup. The caller must hold s.mu.
 func (s *Store) hasUnresponsiveBackup(p *partition) bool {
 	for _, replica := range p.backups() {
 		if s.replicator(replica).isUnresponsive() {
@@ -81,7 +83,8 @@
 	return false
 }
 
-// assignSequence gives a message its place in the partition's order and its absolute times.
+// assignSequence returns the message of a submission with its sequence number and its absolute times. The caller must
+// hold s.mu.
 func (s *Store) assignSequence(p *partition, submission *message.Submission) *message.Message {
 	accepted := submission.Message
 	p.lastSequence = max(p.lastSequence+1, p.epoch<<epochShift+1)
@@ -92,7 +95,8 @@
 	return &accepted
 }
 
-// addPending adds a message to the index, to be committed.
+// addPending adds a message to the index as a pending write. It caches the body in memory while Options.CacheBytes
+// allows. The caller must hold s.mu.
 func (s *Store) addPending(
 	p *partition, accepted *message.Message, position wal.Position, line, body []byte,
 ) *pendingWrite {
@@ -113,7 +117,8 @@
 	return write
 }
 
-// syncLocally waits for this store's disk. Where that fails the message is aborted, unless the caller's time is over before.
+// syncLocally waits until this store's disk has synced a write. If the sync fails, it aborts the write, unless the
+// caller's context has ended.
 func (s *Store) syncLocally(ctx context.Context, write *pendingWrite, id int) {
 	err := s.log.Sync(ctx)
 	s.mu.Lock()
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/rpc"
 )
 
-// handleState answers with a message's state.
+// handleState answers with a message's state, as a message.Outcome.
 func (s *Store) handleState(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
@@ -23,7 +23,7 @@
 	return found.outcome, nil, nil
 }
 
-// handleBody answers with the body of a message that is not completed.
+// handleBody answers with the body of a message that has not completed.
 func (s *Store) handleBody(_ context.Context, call *rpc.Call) (any, []byte, error) {
 	var request protocol.QueryRequest
 	if err := call.Decode(&request); err != nil {
@@ -48,8 +48,8 @@
 	return nil, body, nil
 }
 
-// find returns a message's entry. Only a primary that no other store can have replaced may deny a message; all others leave it
-// to the next replica. The caller holds the lock.
+// find returns a message's entry. Only a primary that no other store can have replaced may answer that a message does
+// not exist. All other replicas return an error that makes the client ask the next replica. The caller must hold s.mu.
 func (s *Store) find(request *protocol.QueryRequest) (*entry, error) {
 	p := s.partitions[request.Partition]
 	if p == nil || !p.isReplica {
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -15,31 +15,34 @@
 	"gladepick/internal/rpc"
 )
 
-// replicator sends records to one backup's disk, in order, one call at a time; what gathers meanwhile goes into the next.
-// Store.mu guards its fields. It lives until the store closes, also when the disk is no backup's any more.
+// replicator sends records to one backup's disk, in order and one call at a time. Records that are queued during a call
+// go into the next one. Store.mu guards its fields. A replicator runs until the store closes, even when its disk is no
+// longer that of a backup.
 type replicator struct {
-	store        *Store
-	replica      cluster.Replica
-	wake         chan struct{}
-	queue        []queuedRecord
-	processEnded atomic.Pointer[time.Time] // when the backup's process was last found to have ended: it has forgotten its grants
-	callStarted  time.Time                 // when the call that is out began; zero while none is
+	store   *Store
+	replica cluster.Replica
+	wake    chan struct{}
+	queue   []queuedRecord
+	// processEnded is when the backup's process was last found to have ended. The lease grants of that process are lost
+	// with it.
+	processEnded atomic.Pointer[time.Time]
+	callStarted  time.Time // when the call in flight began; zero if there is none
 }
 
-// queuedRecord is a record on its way to a backup.
+// queuedRecord is a record that is queued for a backup.
 type queuedRecord struct {
 	partition int
 	epoch     uint64
 	line      []byte
 	body      []byte
-	write     *pendingWrite   // waits for it; nil for records that nobody waits for
-	done      func(err error) // called without the lock; nil for most
+	write     *pendingWrite   // the write that waits for the record; nil if there is none
+	done      func(err error) // called with the result of the call, without Store.mu; may be nil
 }
 
-// size returns the record's bytes.
+// size returns the record's size in bytes.
 func (q *queuedRecord) size() int { return len(q.line) + len(q.body) }
 
-// replicator returns the replicator of a backup's disk, which it starts where there is none. The caller holds the lock.
+// replicator returns the replicator for a backup's disk and starts it if there is none. The caller must hold s.mu.
 func (s *Store) replicator(replica cluster.Replica) *replicator {
 	found := s.replicators[replica.DiskID]
 	if found == nil {
@@ -50,7 +53,7 @@
 	return found
 }
 
-// sendTo queues a record for a backup. The caller holds the lock.
+// sendTo queues a record for a backup. write is the write that waits for the record, or nil. The caller must hold s.mu.
 func (s *Store) sendTo(p *partition, replica cluster.Replica, line []byte, write *pendingWrite) {
 	queued := queuedRecord{partition: p.id, epoch: p.epoch, line: line, write: write}
 	if write != nil {
@@ -59,7 +62,7 @@
 	s.replicator(replica).enqueue(queued)
 }
 
-// enqueue adds a record. The caller holds the store's lock.
+// enqueue adds a record to the queue and wakes run. The caller must hold r.store.mu.
 func (r *replicator) enqueue(queued queuedRecord) {
 	r.queue = append(r.queue, queued)
 	select {
@@ -68,7 +71,7 @@
 	}
 }
 
-// run sends what is queued until the store closes.
+// run sends the queued records until the store closes.
 func (r *replicator) run() {
 	for {
 		select {
@@ -82,7 +85,8 @@
 	}
 }
 
-// nextBatch removes from the queue what goes into one call: one record, and more up to batchBytes.
+// nextBatch removes the records for the next call from the queue and returns them: at least one, and further ones up to
+// batchBytes in total. It returns none if the queue is empty.
 func (r *replicator) nextBatch() []queuedRecord {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
@@ -99,7 +103,7 @@
 	return batch
 }
 
-// send makes one call of a batch and handles its result.
+// send sends a batch in one call and handles its result.
 func (r *replicator) send(batch []queuedRecord) {
 	request, body := r.replicateRequest(batch)
 	started := time.Now()
@@ -107,7 +111,7 @@
 	var response protocol.ReplicateResponse
 	err := r.call(protocol.MethodReplicate, replicateTimeout, request, body, &response)
 	if err != nil {
-		r.store.logger.Debug("replicating failed", zap.String("backup", r.replica.Store), zap.Error(err))
+		r.store.logger.Debug("replicating records to a backup failed", zap.String("backup", r.replica.Store), zap.Error(err))
 	}
 	result := batchResult{rejected: response.Rejected, err: err}
 	if request.WantsLease && err == nil {
@@ -116,7 +120,7 @@
 	r.handleResult(batch, result)
 }
 
-// replicateRequest returns the parameters and the body of a call.
+// replicateRequest returns the parameters and the body of the call for a batch.
 func (r *replicator) replicateRequest(batch []queuedRecord) (protocol.ReplicateRequest, []byte) {
 	request := protocol.ReplicateRequest{
 		From: r.store.options.Name, TargetDiskID: r.replica.DiskID,
@@ -132,20 +136,21 @@
 	return request, body
 }
 
-// recordCallStart notes when a call began.
+// recordCallStart records when the call in flight began.
 func (r *replicator) recordCallStart(started time.Time) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
 	r.callStarted = started
 }
 
-// isUnresponsive tells whether the backup has not answered the current call for so long that new messages should go to other partitions. The caller holds
-// the lock.
+// isUnresponsive reports whether the call in flight is unanswered for more than unresponsiveAfter, so that new messages
+// should go to other partitions. The caller must hold r.store.mu.
 func (r *replicator) isUnresponsive() bool {
 	return !r.callStarted.IsZero() && time.Since(r.callStarted) > unresponsiveAfter
 }
 
-// call calls the backup at the address that the table gives for it now.
+// call calls the backup at its address in the newest table, and reports the store to the control plane if it can't be
+// reached. It returns rpc.ErrNotSent if the table lists another disk for the store.
 func (r *replicator) call(method string, limit time.Duration, request any, body []byte, response any) error {
 	r.store.mu.Lock()
 	entry := r.store.table.Store(r.replica.Store)
@@ -166,14 +171,14 @@
 	return err
 }
 
-// batchResult is what came of sending a batch.
+// batchResult is the result of the call for a batch.
 type batchResult struct {
-	rejected         []int     // partitions whose records were rejected
-	leaseRequestedAt time.Time // when the backup was asked for a lease, where it granted one
+	rejected         []int     // partitions whose records the backup rejected
+	leaseRequestedAt time.Time // when the lease that the backup granted was requested; zero if it granted none
 	err              error
 }
 
-// handleResult commits what a batch has confirmed, and has a backup resynced that did not take it.
+// handleResult handles the result of the call for a batch, record by record, and calls the records' done functions.
 func (r *replicator) handleResult(batch []queuedRecord, result batchResult) {
 	s := r.store
 	s.mu.Lock()
@@ -189,7 +194,8 @@
 	}
 }
 
-// handleRecordResult handles what became of one record. The caller holds the store's lock.
+// handleRecordResult handles the result for one record. A rejection fences this store, as the backup knows a newer
+// epoch. After a rejection or an error the backup is resynced. The caller must hold r.store.mu.
 func (r *replicator) handleRecordResult(sent *queuedRecord, result batchResult) {
 	s := r.store
 	p := s.partition(sent.partition)
@@ -211,8 +217,9 @@
 	}
 }
 
-// handleConfirmation handles that the backup has synced a record. Confirmations from before an epoch in which the backup was
-// not synced do not count. The caller holds the store's lock.
+// handleConfirmation records that the backup has synced a record, and commits the write that waits for it if that was
+// the last confirmation. A confirmation does not count if the backup was not synced in a later epoch. The caller must
+// hold r.store.mu.
 func (r *replicator) handleConfirmation(p *partition, sent *queuedRecord, isCurrent bool, leaseRequestedAt time.Time) {
 	isOutdated := sent.epoch < p.unsyncedSince[r.replica.DiskID]
 	if sent.write != nil && !isOutdated {
@@ -224,7 +231,8 @@
 	}
 }
 
-// flush waits until everything queued for a backup so far has been answered.
+// flush waits until the backup has answered all records that are queued so far. It returns the error of the last call;
+// errors of earlier ones show in partition.resync.
 func (r *replicator) flush(ctx context.Context, p *partition) error {
 	answered := make(chan error, 1)
 	r.store.mu.Lock()
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -10,16 +10,16 @@
 	"gladepick/internal/messagestore/protocol"
 )
 
-// resyncState is a primary's note that a backup may lack records.
+// resyncState is the state of the resync of a backup that may lack records. Store.mu guards it.
 type resyncState struct {
 	running   bool
-	failed    bool      // a record was not taken while the resync was running
-	replace   bool      // writes wait for this backup: the control plane is asked to replace it
-	notBefore time.Time // of the next resync
-	since     time.Time // when the backup was first found lacking
+	failed    bool      // the backup failed to store a record while the resync was running
+	replace   bool      // before the next resync, the control plane is asked to replace the backup
+	notBefore time.Time // earliest start of the next resync
+	since     time.Time // when the backup was first found to lack records
 }
 
-// needResync notes that a backup may lack records. The caller holds the lock.
+// needResync records that a backup may lack records, and wakes maintain. The caller must hold s.mu.
 func (s *Store) needResync(p *partition, replica cluster.Replica) {
 	state := p.resync[replica.DiskID]
 	if state == nil {
@@ -30,8 +30,8 @@
 	s.wakeMaintenance()
 }
 
-// backupFailed notes that a backup did not take records. One that holds up writes is to be replaced at once. The
-// caller holds the lock.
+// backupFailed records that a backup failed to store records. If writes wait for the backup, it is replaced after
+// replacementDelay. The caller must hold s.mu.
 func (s *Store) backupFailed(p *partition, replica cluster.Replica) {
 	s.needResync(p, replica)
 	state := p.resync[replica.DiskID]
@@ -45,7 +45,7 @@
 	}
 }
 
-// startDueResyncs starts the resyncs of a partition's backups that are due. The caller holds the lock.
+// startDueResyncs starts the resyncs of a partition's backups that are due. The caller must hold s.mu.
 func (s *Store) startDueResyncs(p *partition) {
 	for _, replica := range p.backups() {
 		state := p.resync[replica.DiskID]
@@ -64,17 +64,17 @@
 	}
 }
 
-// requestReplacement asks the control plane to replace a backup that holds up writes.
+// requestReplacement asks the control plane to replace a backup that blocks writes or whose resync keeps failing.
 func (s *Store) requestReplacement(p *partition, epoch uint64, replica cluster.Replica) {
 	err := s.requestChange(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Drop: replica.Store})
 	if err != nil {
-		s.logger.Info("requesting another backup failed", zap.Int("partition", p.id),
+		s.logger.Info("requesting the replacement of a backup failed", zap.Int("partition", p.id),
 			zap.String("backup", replica.Store), zap.Error(err))
 	}
 }
 
-// resync sends a backup what it lacks. Where the backup was not synced before, or was suspected, the control plane is asked to
-// call it synced.
+// resync sends a backup the records that it lacks. If the backup was not synced before, or was suspected, the control
+// plane is then asked to mark it as synced.
 func (s *Store) resync(p *partition, epoch uint64, replica cluster.Replica) error {
 	s.mu.Lock()
 	backup := s.replicator(replica)
@@ -99,7 +99,8 @@
 	return s.requestChange(cluster.PartitionRequest{Partition: p.id, Epoch: epoch, Synced: replica.Store})
 }
 
-// resyncFailed tells whether a record was not taken since the resync of a backup began. The last one may have been.
+// resyncFailed reports whether the backup failed to store a record since its resync began. sendMissing does not notice
+// such a failure if the backup has stored later records.
 func (s *Store) resyncFailed(p *partition, replica cluster.Replica) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	return state == nil || state.failed
 }
 
-// resendPending sends waiting writes again to backups that failed to take them.
+// resendPending sends pending writes again to the backups that failed to store them.
 func (s *Store) resendPending(p *partition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// finishResync notes how a resync went, and when the next one is due.
+// finishResync records the result of a resync, and when the next one is due if it failed.
 func (s *Store) finishResync(p *partition, epoch uint64, replica cluster.Replica, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -16,22 +16,22 @@
 	"gladepick/internal/wal"
 )
 
-// Options configure a Store. All but the limits are required.
+// Options configures a Store. All fields but the limits are required.
 type Options struct {
-	Name              string // by which the cluster table lists the store
-	DiskID            string // by which the cluster table lists the store's disk
+	Name              string // the store's name in the cluster table
+	DiskID            string // the ID of the store's disk in the cluster table
 	FS                vfs.FS // the directory of the log
 	Pool              *rpc.Pool
-	Server            *rpc.Server // gets the store's handlers
+	Server            *rpc.Server // Open registers the store's handlers here
 	Control           Control
 	Logger            *zap.Logger
-	ReplicationFactor int           // disks that hold a message before it is acknowledged
-	StatusRetention   time.Duration // how long an ended message can be asked for
-	DiskBytes         int64         // how much the log may take; 0 for no limit
-	CacheBytes        int64         // how much the bodies of queued messages may take in memory
+	ReplicationFactor int           // least number of disks that hold a message before it is acknowledged
+	StatusRetention   time.Duration // how long the state of an ended message can be queried
+	DiskBytes         int64         // limit of the log's size on the disk; 0 for no limit
+	CacheBytes        int64         // limit of the memory for the bodies of queued messages
 }
 
-// Store keeps messages on a disk and replicates them. Its methods are safe for concurrent use.
+// Store stores messages on a disk and replicates them. Its methods are safe for concurrent use.
 type Store struct {
 	options Options
 	log     *wal.Log
@@ -39,22 +39,22 @@
 
 	mu          sync.Mutex
 	engine      Engine         // nil before Start
-	table       *cluster.Table // the newest applied; nil before the first
+	table       *cluster.Table // the newest table applied; nil before the first
 	partitions  map[int]*partition
 	changes     leadershipChanges      // not logged yet
 	fences      sync.Map               // by partition ID: *deliveryFence
 	replicators map[string]*replicator // by disk ID
 	lastReports map[string]time.Time   // by store: when it was last reported
-	leaseGrants map[string]time.Time   // by store: when the last lease that lets it deliver ends, as far as this store knows
+	leaseGrants map[string]time.Time   // by store: end of the last lease known here that a backup granted to it
 	cachedBytes int64                  // bytes of bodies in memory
-	wake        chan struct{}          // to maintain; holds one signal at the most
+	wake        chan struct{}          // wakes maintain; has room for one signal
 	context     context.Context
 	cancel      context.CancelFunc
 	background  sync.WaitGroup
 }
 
-// Open reads what the disk holds and registers the store's handlers. The store is no partition's primary before Start and the
-// first table. An error that is wal.ErrCorrupt means that the disk has lost data.
+// Open loads the index from the disk and registers the store's handlers. The store is not the primary of any partition
+// before Start and the first table. An error that wraps wal.ErrCorrupt means that the disk has lost data.
 func Open(options Options) (*Store, error) {
 	s := &Store{
 		options:     options,
@@ -82,7 +82,7 @@
 	return s, nil
 }
 
-// registerHandlers has a server answer the calls of package protocol.
+// registerHandlers registers the handlers for the calls of package protocol.
 func (s *Store) registerHandlers(server *rpc.Server) {
 	server.Handle(protocol.MethodPut, s.handlePut)
 	server.Handle(protocol.MethodState, s.handleState)
@@ -92,7 +92,8 @@
 	server.Handle(protocol.MethodOutcome, s.handleOutcome)
 }
 
-// Start gives the store its delivery engine and starts its background work. It is called once, before the first table.
+// Start sets the store's delivery engine and starts the background work. It must be called once, before the first
+// table.
 func (s *Store) Start(engine Engine) {
 	s.mu.Lock()
 	s.engine = engine
@@ -100,17 +101,17 @@
 	s.background.Go(s.maintain)
 }
 
-// Close ends the background work, waits for it, and closes the log. What was appended is synced.
+// Close ends the background work, waits for it, and closes the log. Appended records are synced first.
 func (s *Store) Close() error {
 	s.cancel()
 	s.background.Wait()
 	return trace.Wrap(s.log.Close())
 }
 
-// DiskFailing tells whether the disk takes no writes or takes far too long for them.
+// DiskFailing reports whether the disk accepts no writes or takes far too long for them.
 func (s *Store) DiskFailing() bool { return s.log.Failing() }
 
-// partition returns what is held of a partition, made where nothing is. The caller holds the lock.
+// partition returns the state of a partition and creates it if it does not exist. The caller must hold s.mu.
 func (s *Store) partition(id int) *partition {
 	found := s.partitions[id]
 	if found == nil {
@@ -120,15 +121,15 @@
 	return found
 }
 
-// Holdings are figures about what a store holds, replicas of other stores' messages among it.
+// Holdings counts what a store has on its disk, including messages of which it is only a backup.
 type Holdings struct {
 	Queued      int   // messages that have not ended
-	Led         int   // those of them in partitions whose primary the store is
-	DeadLetters int   // messages that ended without success, until they are forgotten
-	LogBytes    int64 // of the log on the disk, with its snapshot
+	Led         int   // those of the queued messages that are in partitions whose primary the store is
+	DeadLetters int   // messages that ended without success and are not expired
+	LogBytes    int64 // size of the log on the disk, including its snapshot
 }
 
-// Holdings returns what this store holds now.
+// Holdings returns the store's current figures.
 func (s *Store) Holdings() Holdings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
