--- a/internal/message/golden_test.go
+++ b/internal/message/golden_test.go
@@ -11,8 +11,9 @@
 	"gladepick/internal/message"
 )
 
-// The golden files under testdata are what stores have on disk and what processes send to each other. Every later version
-// must write the same bytes, and read these. They are made by the flag -update and never edited.
+// The golden files under testdata have the encoding that stores write to disk and that processes send to each other.
+// Every later version must read and write the same bytes. The flag -update writes the files; they are never edited by
+// hand.
 
 // completeMessage has a value in every field.
 func completeMessage() message.Message {
@@ -43,7 +44,8 @@
 	assertGolden(t, "outcome-queued.json", message.Outcome{State: message.Queued})
 }
 
-// assertGolden checks the encoding of a value, and that the golden file is read and written again byte for byte.
+// assertGolden checks that a value is encoded as the golden file, and that the golden file is decoded to the value and
+// encoded again without a change.
 func assertGolden[Value any](t *testing.T, file string, value Value) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -15,16 +15,15 @@
 	"gladepick/internal/messagestore/client"
 )
 
-// A caller with a deadline of 800 ms gets the error of a message that could not be stored with time left to come back.
 const (
-	callerTime = 800 * time.Millisecond
-	earlyLimit = callerTime / 2
+	callerTime = 800 * time.Millisecond // time that the caller of a put has
+	earlyLimit = callerTime / 2         // a put that fails before this leaves the caller time for a retry
 
-	// minResponseTimeout is the client's least time-out of a put.
+	// minResponseTimeout is the client's minimum for the time-out of a put.
 	minResponseTimeout = 60 * time.Millisecond
 )
 
-// putWithin stores a message for a caller with little time, and tells how long that took.
+// putWithin stores a message for a caller with a deadline of callerTime, and returns the duration of the put.
 func (h *harness) putWithin(orderKey string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(h.t.Context(), callerTime)
 	defer cancel()
@@ -34,7 +33,9 @@
 	return time.Since(started), err
 }
 
-func TestUnresponsiveStoresAreGivenUpEarly(t *testing.T) {
+// TestPutToUnresponsiveStoresFailsEarly guards against a put that uses up its caller's time when no store responds. The
+// stores are partitioned from the client, so the message may be stored.
+func TestPutToUnresponsiveStoresFailsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -45,7 +46,7 @@
 		for _, orderKey := range []string{"", "key"} {
 			took, err := h.putWithin(orderKey)
 			assert.Assert(t, err != nil)
-			assert.Assert(t, !errors.Is(err, message.ErrNotStored), "a store may have it")
+			assert.Assert(t, !errors.Is(err, message.ErrNotStored), "a store may have the message")
 			assert.Assert(t, took < earlyLimit, "%v", took)
 		}
 		for _, m := range h.machines {
@@ -54,9 +55,10 @@
 	})
 }
 
-// TestStoreThatWaitsForABackupIsAwaited cuts a primary off from its backup. It answers no other put meanwhile, so only a ping
-// tells the client that it is there. The backup is replaced within the caller's time, but after more than half of it.
-func TestStoreThatWaitsForABackupIsAwaited(t *testing.T) {
+// TestPutWaitsWhileABackupIsReplaced guards against a put that fails early although its primary is only waiting for a
+// backup. The primary is partitioned from its backup and answers no other put, so only a ping shows the client that it
+// responds. The backup is replaced within the caller's time, but after more than half of it.
+func TestPutWaitsWhileABackupIsReplaced(t *testing.T) {
 	for _, ordered := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(t, "a", "b", "c")
@@ -65,7 +67,7 @@
 			if ordered {
 				orderKey = h.keyOfPartition(0)
 			}
-			time.Sleep(2 * time.Second) // for the resyncs after the start
+			time.Sleep(2 * time.Second) // the resyncs after the start complete
 			h.onRequest = func(cluster.PartitionRequest) { time.Sleep(100 * time.Millisecond) }
 			h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 			took, err := h.putWithin(orderKey)
@@ -75,13 +77,15 @@
 	}
 }
 
-// TestPartitionedPrimaryIsGivenUpEarly cuts a primary off from everything but the client. The control plane marks it.
-func TestPartitionedPrimaryIsGivenUpEarly(t *testing.T) {
+// TestPutToPartitionedPrimaryFailsEarly guards against a put that waits for a primary which is partitioned from all
+// other stores and so cannot commit. The primary still responds to the client, but the control plane marks it as
+// unresponsive.
+func TestPutToPartitionedPrimaryFailsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
 		orderKey := h.keyOfPartition(0)
-		time.Sleep(2 * time.Second) // for the resyncs after the start
+		time.Sleep(2 * time.Second) // the resyncs after the start complete
 		h.rejectRequests()
 		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		h.network.Isolate(h.machines["a"].ip, h.machines["c"].ip)
@@ -105,11 +109,11 @@
 			return key
 		}
 	}
-	h.t.Fatalf("no order key goes to partition %d", id)
+	h.t.Fatalf("found no order key of partition %d", id)
 	return ""
 }
 
-func TestPartitionsWithoutPrimaryAreRefusedEarly(t *testing.T) {
+func TestPutWithoutPrimaryFailsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -126,8 +130,9 @@
 	})
 }
 
-// A process that was killed is back soon, and the message is stored under the same ID.
-func TestMessageOutlastsTheRestartOfItsStores(t *testing.T) {
+// TestPutSurvivesRestartOfItsStores guards against a put that fails although the killed stores restart within its
+// caller's time. The client must retry under the same ID.
+func TestPutSurvivesRestartOfItsStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -140,7 +145,7 @@
 			h.start("a")
 			h.start("b")
 		})
-		// The first call is on its way when the stores end.
+		// The first call is in flight when the stores are killed.
 		h.network.SetDelay("10.0.1.1", h.machines["a"].ip, 2*time.Millisecond)
 		h.network.SetDelay("10.0.1.1", h.machines["b"].ip, 2*time.Millisecond)
 		took, err := h.putWithin("key")
@@ -149,9 +154,10 @@
 	})
 }
 
-// A store that the control plane finds unresponsive gets nothing that can go elsewhere. What cannot is rejected at once, with
-// the promise that it is not stored.
-func TestUnresponsiveStoresGetNothing(t *testing.T) {
+// TestStoresMarkedUnresponsiveGetNoMessages guards against puts that wait for a store which the control plane has
+// marked as unresponsive. A message that can go to another store does so; any other one is rejected at once with
+// ErrNotStored.
+func TestStoresMarkedUnresponsiveGetNoMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
--- a/internal/messagestore/delivery_fence_test.go
+++ b/internal/messagestore/delivery_fence_test.go
@@ -19,7 +19,8 @@
 	"gladepick/internal/rpc"
 )
 
-// promote gives one machine alone a table by which a partition has other replicas, the first of them the primary.
+// promote applies a table in which a partition has other replicas at one machine only. The first replica is the
+// primary.
 func (h *harness) promote(receiver string, partition int, names ...string) {
 	table := *h.currentTable()
 	table.Revision += 100
@@ -32,8 +33,8 @@
 	h.machines[receiver].store.ApplyTable(&table)
 }
 
-// TestFormerPrimaryWithoutLeaseStopsBeforeItsSuccessorDelivers has a primary that the control plane can't reach go on by
-// a lease from its backup, until that backup is promoted: at no time may both deliver.
+// TestFormerPrimaryWithoutLeaseStopsBeforeItsSuccessorDelivers guards against two stores that deliver at the same time.
+// A primary without a lease from the control plane delivers by a lease from its backup until that backup is promoted.
 func TestFormerPrimaryWithoutLeaseStopsBeforeItsSuccessorDelivers(t *testing.T) {
 	for _, partition := range []int{0, 1} {
 		for offset := range 8 {
@@ -46,7 +47,7 @@
 				former.noLease.Store(true)
 				time.Sleep(2*time.Second + time.Duration(offset)*45*time.Millisecond)
 				assert.Assert(t, former.store.MayDeliver(partition), "by a lease from its backup")
-				h.rejectRequests() // as of a table that is not the newest
+				h.rejectRequests() // like a control plane whose table is newer than that of the former primary
 				h.promote(successor.name, partition, successor.name, third)
 				delivers := false
 				for range 600 {
@@ -61,7 +62,8 @@
 	}
 }
 
-// TestSuccessorOfADeadPrimaryDeliversAtOnce checks that nobody waits for a lease that was never granted.
+// TestSuccessorOfADeadPrimaryDeliversAtOnce guards against a new primary that waits for a lease which was never
+// granted.
 func TestSuccessorOfADeadPrimaryDeliversAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -74,9 +76,9 @@
 	})
 }
 
-// TestIncompleteResyncIsNotCalledSynced has a backup lose one call in the middle of a resync. It may be called synced
-// only when it holds everything, as it may be promoted from then on.
-func TestIncompleteResyncIsNotCalledSynced(t *testing.T) {
+// TestBackupIsMarkedSyncedOnlyAfterCompleteResync guards against a backup that is marked as synced, and so may be
+// promoted, without all messages. One call in the middle of its resync fails.
+func TestBackupIsMarkedSyncedOnlyAfterCompleteResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -107,12 +109,12 @@
 		}
 		h.mu.Unlock()
 		h.replace(partition, backup)
-		assert.Assert(t, <-synced, "called synced without a part of the resync")
+		assert.Assert(t, <-synced, "the backup was marked as synced without all messages")
 		assert.Assert(t, failed.Load())
 	})
 }
 
-// holdsAll tells whether a store holds all of some messages.
+// holdsAll reports whether a store has all of the given messages of a partition.
 func holdsAll(store *Store, partition int, ids []string) bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
@@ -124,7 +126,8 @@
 	return true
 }
 
-// TestAnotherDiskAtTheAddressConfirmsNothing has a backup come back with an empty disk before its primary learns of it.
+// TestAnotherDiskAtTheAddressConfirmsNothing guards against confirmations that count for the wrong disk. A backup
+// restarts with an empty disk at the same address before its primary learns of it.
 func TestAnotherDiskAtTheAddressConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -138,13 +141,14 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		_, err := h.clients.Get(h.address("a")).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
-		assert.Assert(t, err != nil, "the disk of the view has not synced it")
+		assert.Assert(t, err != nil, "acknowledged, but the backup's disk in the view has not synced the message")
 		assert.Assert(t, !holdsAll(h.machines["b"].store, 0, []string{"0-1"}))
 	})
 }
 
-// TestOnlyAConfirmedPrimaryDeniesAMessage asks a primary that may have been replaced for a message that it does not hold.
-func TestOnlyAConfirmedPrimaryDeniesAMessage(t *testing.T) {
+// TestOnlyAConfirmedPrimaryAnswersNotFound guards against a primary that may have been replaced and answers that a
+// message does not exist, although the new primary may have it.
+func TestOnlyAConfirmedPrimaryAnswersNotFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -156,7 +160,7 @@
 		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeNotFound)
 		h.machines["a"].noLease.Store(true)
 		time.Sleep(time.Second)
-		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeNotFound, "its backup grants a lease")
+		assert.Equal(t, rpc.CodeOf(query()), rpc.CodeNotFound, "with a lease from its backup")
 		h.rejectRequests()
 		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		time.Sleep(2 * time.Second)
@@ -167,7 +171,8 @@
 	})
 }
 
-// TestPrimaryWhoseRecordsAreRejectedStopsAtOnce has a backup know a newer epoch than its primary, whose lease still runs.
+// TestPrimaryWhoseRecordsAreRejectedStopsAtOnce guards against a primary that delivers on after a backup has rejected
+// its records for a newer epoch. The primary's lease from the control plane is still valid.
 func TestPrimaryWhoseRecordsAreRejectedStopsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -175,7 +180,7 @@
 		h.rejectRequests()
 		h.promote("b", 0, "b", "c")
 		former := h.machines["a"].store
-		assert.Assert(t, former.MayDeliver(0), "it has heard of nothing yet")
+		assert.Assert(t, former.MayDeliver(0), "before its first rejected record")
 		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -186,9 +191,10 @@
 	})
 }
 
-// TestSuccessorsSuccessorWaitsForGrantsToo promotes two backups one right after the other. The first has granted a lease to
-// the former primary, the second has not, and must wait all the same.
-func TestSuccessorsSuccessorWaitsForGrantsToo(t *testing.T) {
+// TestSecondSuccessorWaitsForLeaseGrants guards against two stores that deliver at the same time after two promotions
+// in quick succession. The first successor has granted a lease to the former primary. The second one has not, and must
+// wait for its end nevertheless.
+func TestSecondSuccessorWaitsForLeaseGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -218,19 +224,20 @@
 	})
 }
 
-// TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown loses the answer to a granted request for a handover: the
-// store must not take up its deliveries again before it knows of the next view.
+// TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown guards against a former primary that resumes deliveries
+// after a handover which the control plane has executed, but whose answer was lost. It must not resume before it has
+// applied the next view.
 func TestDeliveriesStayStoppedWhileAHandoversOutcomeIsUnknown(t *testing.T) {
 	for _, failure := range []error{cluster.ErrOutcomeUnknown, &rpc.Error{Code: rpc.CodeConflict}, &rpc.Error{Code: rpc.CodeInternal}} {
 		assert.Equal(t, handoverOutcomeOf(failure), handoverUnknown)
 	}
-	for _, refusal := range []error{cluster.ErrNoPrimary, &rpc.Error{Code: rpc.CodeUnavailable}} {
-		assert.Equal(t, handoverOutcomeOf(refusal), handoverRejected)
+	for _, rejection := range []error{cluster.ErrNoPrimary, &rpc.Error{Code: rpc.CodeUnavailable}} {
+		assert.Equal(t, handoverOutcomeOf(rejection), handoverRejected)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
-		h.rejectRequests() // with a conflict, as after a request that was granted before
+		h.rejectRequests() // with a conflict, like after an earlier request that was executed
 		a := h.machines["a"].store
 		a.mu.Lock()
 		p := a.partition(0)
@@ -252,9 +259,9 @@
 	})
 }
 
-// TestConfirmationsFromBeforeABackupLeftDoNotCount has a backup leave its group and come back between two tables that its
-// primary hears of. It has forgotten what it confirmed before, and a message that waits for another backup must not be
-// acknowledged on the strength of that.
+// TestConfirmationsFromBeforeABackupLeftDoNotCount guards against a message that is acknowledged by stale
+// confirmations. A backup leaves its group and rejoins it between two tables that its primary applies, and so drops
+// messages that it has confirmed. Its earlier confirmation of a message that waits for another backup must not count.
 func TestConfirmationsFromBeforeABackupLeftDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -283,12 +290,12 @@
 			accepted <- err
 		}()
 		time.Sleep(100 * time.Millisecond)
-		assert.Assert(t, holdsAll(c, 0, []string{"0-1"}), "it confirmed the message")
+		assert.Assert(t, holdsAll(c, 0, []string{"0-1"}), "the backup has confirmed the message")
 		c.ApplyTable(view(3, h.replica("a"), h.replica("b")))
-		assert.Assert(t, !holdsAll(c, 0, []string{"0-1"}), "it left, and forgot")
+		assert.Assert(t, !holdsAll(c, 0, []string{"0-1"}), "the backup has left the group and dropped the message")
 		a.ApplyTable(with(4))
 		h.network.Heal(h.machines["a"].ip, h.machines["b"].ip)
 		assert.NilError(t, <-accepted)
-		assert.Assert(t, holdsAll(c, 0, []string{"0-1"}), "acknowledged, and not on a disk of the view")
+		assert.Assert(t, holdsAll(c, 0, []string{"0-1"}), "acknowledged, but missing on a disk of the view")
 	})
 }
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -2,7 +2,7 @@
 
 package messagestore
 
-// The model has no goroutines: it is gone through without the race detector, which would take ten times as long.
+// The model has no goroutines, so these tests run without the race detector, which would take ten times as long.
 
 import (
 	"testing"
@@ -12,10 +12,11 @@
 	"gladepick/internal/modelcheck"
 )
 
-// explorerStates is how many states of a partition are gone through where EXPLORE_STATES sets no other number.
+// explorerStates is the maximum number of states that a search visits, unless EXPLORE_STATES sets another one.
 const explorerStates = 150_000
 
-// explorerCase is a search and what it comes to with explorerStates. The numbers change only with the model.
+// explorerCase has the limits of a search and its expected result with explorerStates. The numbers change only with the
+// model.
 type explorerCase struct {
 	limits   modelLimits
 	states   int
@@ -23,22 +24,23 @@
 	complete bool
 }
 
-// TestExplorePartition goes through the states of a partition. EXPLORE_STATES sets how many.
+// TestExplorePartition searches the reachable states of the model breadth-first for a violated invariant.
+// EXPLORE_STATES sets the maximum number of states per case.
 func TestExplorePartition(t *testing.T) {
 	cases := map[string]explorerCase{
-		"two copies, a failover":                            {modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}, 72408, 20, true},
-		"two copies, two changes of the view":               {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}, 150000, 12, false},
-		"two copies, a restart":                             {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, crashes: 1}, 150000, 10, false},
-		"two copies, two lost disks, one by one":            {modelLimits{stores: 3, replicas: 2, messages: 1, views: 5, losses: 2}, 150000, 10, false},
-		"three copies, a lost disk":                         {modelLimits{stores: 4, replicas: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
-		"two copies, a disk lost early":                     {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, earlyLosses: true}, 150000, 11, false},
-		"two copies, a dropped backup and a lost disk":      {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1}, 150000, 10, false},
-		"two copies, a suspected backup and two lost disks": {modelLimits{stores: 4, replicas: 2, messages: 1, views: 6, losses: 2}, 150000, 9, false},
-		"two copies, overlapping losses":                    {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1, overlappingLosses: true}, 150000, 10, false},
-		"two copies, two messages":                          {modelLimits{stores: 3, replicas: 2, messages: 2, views: 3}, 150000, 10, false},
-		"two copies, a store is emptied":                    {modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true}, 150000, 9, false},
-		"two copies, emptied, then a lost disk":             {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retirement: true, losses: 1}, 150000, 8, false},
-		"two copies, a handover":                            {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 11, false},
+		"two replicas, a failover":                          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}, 72408, 20, true},
+		"two replicas, two view changes":                    {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}, 150000, 12, false},
+		"two replicas, a restart":                           {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, crashes: 1}, 150000, 10, false},
+		"two replicas, two lost disks in sequence":          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 5, losses: 2}, 150000, 10, false},
+		"three replicas, a lost disk":                       {modelLimits{stores: 4, replicas: 3, messages: 1, views: 3, losses: 1}, 150000, 8, false},
+		"two replicas, an early lost disk":                  {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, earlyLosses: true}, 150000, 11, false},
+		"two replicas, a dropped backup and a lost disk":    {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1}, 150000, 10, false},
+		"two replicas, a suspected backup, two lost disks":  {modelLimits{stores: 4, replicas: 2, messages: 1, views: 6, losses: 2}, 150000, 9, false},
+		"two replicas, overlapping losses":                  {modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1, overlappingLosses: true}, 150000, 10, false},
+		"two replicas, two messages":                        {modelLimits{stores: 3, replicas: 2, messages: 2, views: 3}, 150000, 10, false},
+		"two replicas, a decommissioned store":              {modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true}, 150000, 9, false},
+		"two replicas, a decommissioned store, a lost disk": {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retirement: true, losses: 1}, 150000, 8, false},
+		"two replicas, a handover":                          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 11, false},
 	}
 	bound := modelcheck.EnvInt("EXPLORE_STATES", explorerStates)
 	for name, each := range cases {
@@ -57,10 +59,11 @@
 	}
 }
 
-// TestWalkPartition goes beyond what can be searched. EXPLORE_WALKS sets how many walks.
+// TestWalkPartition makes random walks through the model with limits that are too large for a search. EXPLORE_WALKS
+// sets the number of walks per case.
 func TestWalkPartition(t *testing.T) {
 	cases := map[string]modelLimits{
-		"losses one after the other": {
+		"losses in sequence": {
 			stores: 4, replicas: 2, messages: 2, views: modelViews, losses: 2, crashes: 2, retirement: true, handovers: true,
 		},
 		"overlapping losses": {
@@ -84,37 +87,37 @@
 	}
 }
 
-// mutation is a broken rule, with limits within which it shows soon.
+// mutation breaks one rule, with limits under which a search finds a violation.
 type mutation struct {
 	limits modelLimits
 	mutate func(rules *modelRules)
-	states int // after which it is found; the number changes only with the model
+	states int // number of states until the violation; it changes only with the model
 }
 
-// mutationStates is how many states a mutation has to be found in.
+// mutationStates is the maximum number of states in the search for a mutation.
 const mutationStates = 2_000_000
 
-// partitionMutations returns the broken rules by what they break.
+// partitionMutations returns the mutations by their descriptions.
 func partitionMutations() map[string]mutation {
 	failover := modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}
 	twice := modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}
 	overlapping := modelLimits{stores: 3, replicas: 2, messages: 1, views: 4, losses: 1, overlappingLosses: true}
 	return map[string]mutation{
-		"a store is promoted while the former one's lease runs": {failover, func(rules *modelRules) {
+		"a store is promoted while its predecessor has a lease": {failover, func(rules *modelRules) {
 			rules.mayPromote = func(*modelStore) bool { return true }
 		}, 38},
-		"a lease comes without the newest table": {failover, func(rules *modelRules) {
+		"a lease is renewed without the newest table": {failover, func(rules *modelRules) {
 			rules.onLeaseRenewal = func(*modelState, int) {}
 		}, 260},
-		"a rejection counts as a lease":                   {failover, func(rules *modelRules) { rules.grantOnRejection = true }, 262},
-		"a successor does not wait for the end of grants": {failover, func(rules *modelRules) { rules.ignoresGrants = true }, 225},
-		"a backup counts as synced before it is complete": {twice, func(rules *modelRules) {
+		"a rejection counts as a lease":                {failover, func(rules *modelRules) { rules.grantOnRejection = true }, 262},
+		"a new primary does not wait for lease grants": {failover, func(rules *modelRules) { rules.ignoresGrants = true }, 225},
+		"a backup is marked as synced before it has all messages": {twice, func(rules *modelRules) {
 			rules.maySync = func(messageSet, messageSet) bool { return true }
 		}, 8897},
-		"one disk is enough": {failover, func(rules *modelRules) {
+		"a message is committed on one disk": {failover, func(rules *modelRules) {
 			rules.committed = func(*partitionView, storeSet) bool { return true }
 		}, 16},
-		"another disk at the address confirms": {
+		"another disk at the address confirms a record": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1, earlyLosses: true},
 			func(rules *modelRules) {
 				rules.isTarget = func(*partitionView, *modelState, int) bool { return true }
@@ -122,7 +125,7 @@
 			},
 			81671,
 		},
-		"a store is removed before others are complete": {
+		"a store is removed before enough others are synced": {
 			modelLimits{stores: 4, replicas: 2, messages: 1, views: 4, retirement: true},
 			func(rules *modelRules) { rules.mayComplete = func(*modelState, int) bool { return true } },
 			408,
@@ -137,29 +140,29 @@
 			func(rules *modelRules) { rules.dropsResponding = true },
 			57,
 		},
-		"replaced replicas are not asked in a recovery": {
+		"a recovery does not ask dropped replicas": {
 			overlapping,
 			func(rules *modelRules) { rules.retains = false },
 			2540,
 		},
-		"a recovery asks nobody":                            {overlapping, func(rules *modelRules) { rules.collectsFromNobody = true }, 25628},
-		"a recovery begins without some that may be needed": {overlapping, func(rules *modelRules) { rules.recoversWithTooFew = true }, 169924},
-		"the primary of a recovery does not hear of grants": {
+		"a recovery asks no replica":                  {overlapping, func(rules *modelRules) { rules.collectsFromNobody = true }, 25628},
+		"a recovery begins without required replicas": {overlapping, func(rules *modelRules) { rules.recoversWithTooFew = true }, 169924},
+		"a recovery does not collect known grants": {
 			overlapping,
 			func(rules *modelRules) { rules.hidesCollectedGrants = true },
 			82848,
 		},
-		"a backup that was away counts with what it confirmed before": {
+		"confirmations from before a backup left the group count": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 5},
 			func(rules *modelRules) { rules.keepsStaleConfirmations = true },
 			1635931,
 		},
-		"a successor's successor knows nothing of grants": {
+		"a primary does not tell its backups of grants": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 4},
 			func(rules *modelRules) { rules.hidesGrants = true },
 			59144,
 		},
-		"deliveries go on after a handover without a clear answer": {
+		"deliveries resume after a handover of unknown outcome": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 2, handovers: true},
 			func(rules *modelRules) { rules.resumesOnUnknownOutcome = true },
 			560,
@@ -167,7 +170,8 @@
 	}
 }
 
-// TestPartitionMutationsAreFound breaks one rule at a time, and expects that the search finds it.
+// TestPartitionMutationsAreFound guards against a model that no longer detects faults: it breaks one rule at a time and
+// expects the search to find a violation.
 func TestPartitionMutationsAreFound(t *testing.T) {
 	for name, each := range partitionMutations() {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +179,7 @@
 			mutant := &partitionModel{rules: storeRules(each.limits), limits: each.limits}
 			each.mutate(&mutant.rules)
 			found := modelcheck.Explore(mutant, mutationStates)
-			assert.Assert(t, found.Violation != "", "not found in %d states", found.States)
+			assert.Assert(t, found.Violation != "", "no violation found in %d states", found.States)
 			assert.Equal(t, found.States, each.states)
 			t.Logf("%d states: %s by %q", found.States, found.Violation, found.Trace)
 		})
--- a/internal/messagestore/golden_test.go
+++ b/internal/messagestore/golden_test.go
@@ -23,16 +23,16 @@
 	"gladepick/internal/wal"
 )
 
-// The files under testdata/golden were written by the version before which nothing is promised. Every later version has
-// to read them with the recorded result, and to write the same steps as the same bytes. They are made by
+// The files under testdata/golden were written by the first version whose data later versions must read. Every later
+// version must load them with the recorded result, and must write the same bytes for the same steps. The command
 //
 //	go test ./internal/messagestore -run TestGolden -update
 //
-// and may change only where data of earlier versions goes on being read.
+// writes them. They may change only if later versions can still read data of earlier ones.
 
 var goldenTime = time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC)
 
-// goldenMessage returns a message with all its fields.
+// goldenMessage returns a message with a value in every field.
 func goldenMessage() *message.Message {
 	return &message.Message{
 		ID: "1-00000000000000ab", Partition: 1, Sequence: 3<<epochShift + 7, Route: "orders", Host: "example.org",
@@ -41,7 +41,7 @@
 	}
 }
 
-// goldenEntry is what a store holds of a message.
+// goldenEntry is the recorded state of a message.
 type goldenEntry struct {
 	ID       string           `json:"id"`
 	Message  *message.Message `json:"message"`
@@ -49,10 +49,10 @@
 	Failures int              `json:"failures"`
 	Outcome  message.Outcome  `json:"outcome"`
 	EndedAt  time.Time        `json:"endedAt"`
-	Body     string           `json:"body"` // where it may still be asked for
+	Body     string           `json:"body"` // empty if it is no longer needed
 }
 
-// goldenPartition is what a store holds of a partition.
+// goldenPartition is the recorded state of a partition.
 type goldenPartition struct {
 	ID      int           `json:"id"`
 	Epoch   uint64        `json:"epoch"`
@@ -60,13 +60,13 @@
 	Entries []goldenEntry `json:"entries"`
 }
 
-// goldenState is what a store holds after it was opened, and what it delivers when it leads again.
+// goldenState is the recorded state of a store after Open, with the messages that it submits once it is primary again.
 type goldenState struct {
 	Partitions []goldenPartition `json:"partitions"`
 	Submitted  []string          `json:"submitted"`
 }
 
-// useUTC has times be encoded alike on all machines.
+// useUTC sets the local time zone to UTC, so that times are encoded alike on all machines.
 func useUTC(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC
@@ -86,7 +86,7 @@
 	return store, engine
 }
 
-// putGolden hands a message in.
+// putGolden stores a message by a put to the store.
 func putGolden(t *testing.T, store *Store, partition int, id, body string) {
 	t.Helper()
 	submission := message.Submission{DelayMS: 250, RetentionMS: 90_000, Message: message.Message{
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// writeGoldenStore has a store lead two partitions: messages that wait, with and without failed attempts, that were
-// completed, and that are dead letters.
+// writeGoldenStore writes the disk of a store that is the primary of two partitions. Its messages are queued, with and
+// without failed attempts, completed, or dead letters.
 func writeGoldenStore(t *testing.T, disk *memfs.Disk) {
 	store, engine := openGoldenStore(t, disk)
 	store.ApplyTable(tableWithPrimaries(1, "a", "a"))
@@ -131,7 +131,8 @@
 	assert.NilError(t, store.Close())
 }
 
-// writeGoldenSnapshot goes on with a snapshot of the index, a table under a higher epoch, and more messages.
+// writeGoldenSnapshot extends the disk of writeGoldenStore by a higher epoch, a snapshot of the index, and more
+// messages.
 func writeGoldenSnapshot(t *testing.T, disk *memfs.Disk) {
 	writeGoldenStore(t, disk)
 	store, engine := openGoldenStore(t, disk)
@@ -171,7 +172,7 @@
 	return disk
 }
 
-// snapshotOf decodes a snapshot of the index, whose partitions and entries stand in no particular order.
+// snapshotOf decodes a snapshot of the index and sorts its partitions and entries by ID.
 func snapshotOf(t *testing.T, disk vfs.FS, name string) []snapshotPartition {
 	t.Helper()
 	data, err := wal.LoadFile(disk, name)
@@ -185,7 +186,8 @@
 	return all
 }
 
-// compareGoldenDisk compares what was written with the recorded files: segments byte by byte, snapshots by what they hold.
+// compareGoldenDisk compares a disk with the recorded files: segments byte by byte, snapshots by their decoded content,
+// as the order of entries in a snapshot is unspecified.
 func compareGoldenDisk(t *testing.T, written *memfs.Disk, folder string) {
 	t.Helper()
 	names, err := written.List()
@@ -208,7 +210,7 @@
 	}
 }
 
-// stateOfStore tells what a store holds.
+// stateOfStore returns the partitions and messages of a store, sorted by ID.
 func stateOfStore(t *testing.T, store *Store) []goldenPartition {
 	t.Helper()
 	var all []goldenPartition
@@ -233,7 +235,8 @@
 	return all
 }
 
-// TestGoldenStores writes the directory of a store again, and opens the recorded one with the recorded result.
+// TestGoldenStores guards against changes of the format on the disk. It writes the recorded steps to a new disk and
+// compares the files, and opens the recorded files and compares the state.
 func TestGoldenStores(t *testing.T) {
 	cases := map[string]func(t *testing.T, disk *memfs.Disk){
 		"log":      writeGoldenStore,
@@ -261,7 +264,8 @@
 	}
 }
 
-// TestGoldenSnapshot encodes a snapshot of the index as the recorded bytes, and restores a store from them.
+// TestGoldenSnapshot guards against changes of the snapshot's encoding: it encodes an index as the recorded bytes, and
+// restores a store from them.
 func TestGoldenSnapshot(t *testing.T) {
 	snapshot := []snapshotPartition{
 		{ID: 0, Epoch: 2, Last: 2<<epochShift + 5, Entries: []snapshotEntry{
--- a/internal/messagestore/handover_test.go
+++ b/internal/messagestore/handover_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestHandoverWaitsForBackupsThatLackRecords checks that a partition is not handed over while a backup that may be
-// promoted lacks records: it would run again what has ended.
+// TestHandoverWaitsForBackupsThatLackRecords guards against a handover while a backup that may be promoted lacks
+// records: as primary it would run ended messages again.
 func TestHandoverWaitsForBackupsThatLackRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -77,7 +77,7 @@
 		assert.Equal(t, h.leader(id), leader)
 		assert.Assert(t, !leader.store.MayDeliver(partition))
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, leader.store.MayDeliver(partition), "taken up again after its patience")
+		assert.Assert(t, leader.store.MayDeliver(partition), "deliveries did not resume after the time-out of the handover")
 
 		leader.engine.inFlight.Store(0)
 		h.update(func(table *cluster.Table) { table.DeliveringStores++ })
@@ -89,16 +89,17 @@
 	})
 }
 
-// handovers returns the requests for a handover that the control plane has got.
+// handovers returns the requests for a handover that the control plane has received.
 func (h *harness) handovers() []cluster.PartitionRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(h.requests), func(request cluster.PartitionRequest) bool { return !request.Handover })
 }
 
-// The control plane may call a backup synced before its primary knows. What the primary did not wait for may
-// still be on its way there: it must not be promoted.
-func TestHandoverNamesTheBackupsThatAreReady(t *testing.T) {
+// TestHandoverRequestListsOnlyReadyBackups guards against the promotion of a backup that lacks records. The control
+// plane may mark a backup as synced before its primary knows of that. Records that the primary did not wait for may
+// then still be in flight to the backup.
+func TestHandoverRequestListsOnlyReadyBackups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -124,8 +125,9 @@
 	})
 }
 
-// An outcome may be lost on its way to a backup while the handover waits behind it.
-func TestHandoverLooksAgainAfterTheFlush(t *testing.T) {
+// TestHandoverChecksBackupsAgainAfterTheFlush guards against a handover to a backup that lacks an outcome: the call
+// with the outcome may fail while the handover waits for the flush.
+func TestHandoverChecksBackupsAgainAfterTheFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -27,7 +27,7 @@
 	testPort              = 7000
 )
 
-// testEngine implements Engine and records what it gets.
+// testEngine implements Engine. It records the submitted messages and released partitions.
 type testEngine struct {
 	mu        sync.Mutex
 	submitted []*message.Message
@@ -61,13 +61,13 @@
 	return ids
 }
 
-// machine is the simulated machine of one store.
+// machine is the simulated machine of one store, with its disk and process.
 type machine struct {
 	name    string
 	ip      string
 	diskID  string
 	stopped atomic.Bool
-	noLease atomic.Bool // its lease from the control plane is over
+	noLease atomic.Bool // its lease from the control plane has ended
 
 	disk   *memfs.Disk
 	store  *Store
@@ -76,7 +76,7 @@
 	pool   *rpc.Pool
 }
 
-// harness plays the control plane of a few stores, on a simulated network.
+// harness runs a few stores on a simulated network and implements their control plane.
 type harness struct {
 	t        *testing.T
 	network  *simulated.Network
@@ -86,10 +86,10 @@
 
 	mu        sync.Mutex
 	table     *cluster.Table
-	leases    atomic.Bool
-	rejecting bool // requests are rejected
-	suspects  bool // backups that are to be replaced are suspected, and stay
-	requests  []cluster.PartitionRequest
+	leases    atomic.Bool                            // machines have leases, except those with noLease
+	rejecting bool                                   // all requests are rejected
+	suspects  bool                                   // a request to replace a backup marks it as suspected instead
+	requests  []cluster.PartitionRequest             // all requests so far
 	onRequest func(request cluster.PartitionRequest) // called with each request; may be nil
 }
 
@@ -129,7 +129,7 @@
 	return cluster.Replica{Store: name, DiskID: "disk-" + name, Synced: true}
 }
 
-// start starts a store's process.
+// start starts a store's process with the newest table.
 func (h *harness) start(name string) {
 	m := h.machines[name]
 	m.stopped.Store(false)
@@ -152,7 +152,7 @@
 	m.store.ApplyTable(table)
 }
 
-// stop ends a store's process without a shutdown.
+// stop kills a store's process.
 func (h *harness) stop(name string) {
 	m := h.machines[name]
 	m.stopped.Store(true)
@@ -163,7 +163,7 @@
 	m.store.Close()
 }
 
-// close ends everything.
+// close shuts all stores down.
 func (h *harness) close() {
 	h.clients.Close()
 	for _, m := range h.machines {
@@ -173,7 +173,7 @@
 	}
 }
 
-// update changes the table and distributes it.
+// update changes the table and sends it to all running stores.
 func (h *harness) update(change func(table *cluster.Table)) {
 	h.mu.Lock()
 	next := *h.table
@@ -194,7 +194,7 @@
 	}
 }
 
-// setView puts a view with other replicas, all synced, in force under a new epoch.
+// setView replaces a partition's replicas, all of them synced, under a new epoch.
 func (h *harness) setView(id int, names ...string) {
 	h.update(func(table *cluster.Table) {
 		view := &table.Partitions[id]
@@ -212,14 +212,14 @@
 	return h.table
 }
 
-// rejectRequests has the control plane reject all requests from now on.
+// rejectRequests makes the control plane reject all requests from now on.
 func (h *harness) rejectRequests() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rejecting = true
 }
 
-// RequestPartitionChange implements Control as the control plane does.
+// RequestPartitionChange implements Control. It changes the table like the control plane does, but always at once.
 func (h *harness) RequestPartitionChange(_ context.Context, request cluster.PartitionRequest) error {
 	h.mu.Lock()
 	h.requests = append(h.requests, request)
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// replace puts a store that is not in a group into the place of one that is.
+// replace replaces a replica by an unsynced running store that is not in the group, if there is one.
 func (h *harness) replace(id int, dropped string) {
 	h.update(func(table *cluster.Table) {
 		view := &table.Partitions[id]
@@ -276,7 +276,7 @@
 
 func (h *harness) ReportFailure(context.Context, cluster.FailureReport) error { return nil }
 
-// machineControl is the control plane as one machine sees it.
+// machineControl implements Control for the store of one machine.
 type machineControl struct {
 	*harness
 	machine *machine
@@ -293,7 +293,7 @@
 	return client.New("z0", h.clients, h.currentTable, func(cluster.FailureReport) {})
 }
 
-// put stores a message and returns its ID.
+// put stores a message by way of the client and returns its ID. A message with an order key is ordered.
 func (h *harness) put(requestID, orderKey string, body string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -303,7 +303,7 @@
 	return h.client().Put(ctx, submission, orderKey != "", []byte(body))
 }
 
-// putAt stores a message in a partition.
+// putAt stores a message in the given partition by a call to the primary. requestID is also the message's ID.
 func (h *harness) putAt(partition int, requestID string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -342,7 +342,7 @@
 	return h.machines[primary.Store]
 }
 
-// messageOf returns a message as its primary's engine got it.
+// messageOf returns a message as it was submitted to the primary's engine.
 func (h *harness) messageOf(id string) *message.Message {
 	engine := h.leader(id).engine
 	engine.mu.Lock()
--- a/internal/messagestore/leadership_test.go
+++ b/internal/messagestore/leadership_test.go
@@ -14,7 +14,8 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-// tableWithPrimaries returns a table of some partitions, each with one store only.
+// tableWithPrimaries returns a table with one partition per given store, which is the partition's only replica. The
+// epoch of all partitions is the table's revision.
 func tableWithPrimaries(revision uint64, stores ...string) *cluster.Table {
 	table := &cluster.Table{Revision: revision}
 	for id, store := range stores {
--- a/internal/messagestore/maintenance_test.go
+++ b/internal/messagestore/maintenance_test.go
@@ -16,7 +16,9 @@
 	"gladepick/internal/message"
 )
 
-func TestCompactionKeepsWhatIsNeeded(t *testing.T) {
+// TestCompactionKeepsBodiesAndOutcomes guards against a compaction that loses the bodies of queued messages or the
+// outcomes of completed ones. A power loss and a replay follow the compaction.
+func TestCompactionKeepsBodiesAndOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -49,9 +51,9 @@
 	})
 }
 
-// TestStoreGoesOnWhileASnapshotIsWritten stalls the disk under a snapshot: the store answers what needs no disk, and a replay
-// has what happened meanwhile.
-func TestStoreGoesOnWhileASnapshotIsWritten(t *testing.T) {
+// TestSnapshotDoesNotBlockStore guards against a snapshot that blocks the store during its I/O. While the disk is
+// stalled, the store answers calls that need no disk, and a later replay includes the changes made meanwhile.
+func TestSnapshotDoesNotBlockStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -83,8 +85,8 @@
 	})
 }
 
-// TestSnapshotsDuringWritesReplayToTheSameIndex writes snapshots while messages come and end, and compares the index before
-// and after a restart.
+// TestSnapshotsDuringWritesReplayToTheSameIndex guards against snapshots that are inconsistent with the log. It writes
+// snapshots while messages are stored and end, and compares the index before and after a restart.
 func TestSnapshotsDuringWritesReplayToTheSameIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
@@ -120,7 +122,7 @@
 	})
 }
 
-// indexedIDs lists the messages of an encoded index with their states.
+// indexedIDs returns the messages of an encoded index with their states, sorted.
 func indexedIDs(t *testing.T, data []byte) []string {
 	t.Helper()
 	var all []snapshotPartition
--- a/internal/messagestore/model_collect_steps_test.go
+++ b/internal/messagestore/model_collect_steps_test.go
@@ -2,11 +2,12 @@
 
 package messagestore
 
-// These are the steps of retained replicas, the design of docs/replication.md by which no overlap of losses takes what was
-// acknowledged as long as no more disks are lost than may be. The code does not have it yet.
+// This file has the steps of retained replicas, a design of docs/replication.md: acknowledged messages survive
+// overlapping losses as long as no more disks are lost than the service tolerates. The code does not implement it yet.
 
-// retain notes in a view which replicas were dropped since the group was last complete. A replica is a store with one disk:
-// one that is a replica again with the same disk is not retained, and one with another disk has lost what it had.
+// retain records in a view which replicas were dropped since the group was last complete. A replica is a store with one
+// disk: a store that is a replica again with the same disk is no longer retained, and a store with another disk has
+// lost its messages.
 func (m *partitionModel) retain(before, view *partitionView) {
 	if view.synced.count() >= m.limits.replicas {
 		view.retained, view.lost = 0, 0
@@ -21,7 +22,7 @@
 	}
 }
 
-// collectable returns the messages of all replicas and retained ones that are there.
+// collectable returns the messages of all available replicas and retained replicas.
 func (s *modelState) collectable() messageSet {
 	view := s.current()
 	var found messageSet
@@ -33,9 +34,9 @@
 	return found
 }
 
-// beginRecoverySteps put a replica that is not synced in the place of a primary that is lost, or without a lease, where no
-// backup is synced. It collects from all others but as many as may be lost: each message was acknowledged by all replicas
-// of a view, and each view has one more of them than may be lost.
+// beginRecoverySteps make an unsynced replica the primary if the primary is lost or without a lease and no backup is
+// synced. The new primary collects from all other replicas except as many as may be lost: each message was acknowledged
+// by all replicas of a view, and each view has one replica more than may be lost.
 func (m *partitionModel) beginRecoverySteps(state *modelState, add addStep) {
 	view := state.current()
 	former := int(view.primary)
@@ -63,12 +64,12 @@
 		next.primary = int8(store)
 		next.backups = sources.without(store)
 		next.synced = 0
-		m.addView(state, next, "the table has %s collect", []any{storeName(store)}, add)
+		m.addView(state, next, "the table starts a recovery at %s", []any{storeName(store)}, add)
 	}
 }
 
-// collectSteps are what a primary does that is not synced: it asks its backups, which reject all older epochs from then on,
-// and is called synced when it has asked all.
+// collectSteps are the steps of an unsynced primary. It collects the messages of its backups, which then reject all
+// older epochs, and is marked as synced once it has asked all of them.
 func (m *partitionModel) collectSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	view := state.applied(store)
@@ -98,5 +99,5 @@
 	next := *current
 	next.epoch++
 	next.synced = storeSet(0).with(store)
-	m.addView(state, next, "%s has collected everything", []any{storeName(store)}, add)
+	m.addView(state, next, "%s has collected from all backups", []any{storeName(store)}, add)
 }
--- a/internal/messagestore/model_control_steps_test.go
+++ b/internal/messagestore/model_control_steps_test.go
@@ -2,7 +2,8 @@
 
 package messagestore
 
-// controlSteps are the changes of the table: failover, replacement of a dead backup, what primaries request, decommissioning.
+// controlSteps are the changes of the table: failover, replacement of a dead backup, requests of primaries, and
+// decommissioning.
 func (m *partitionModel) controlSteps(state *modelState, add addStep) {
 	view := state.current()
 	m.beginRecoverySteps(state, add)
@@ -28,7 +29,7 @@
 	m.retireSteps(state, add)
 }
 
-// addView puts a view in force.
+// addView adds the step that makes a view current.
 func (m *partitionModel) addView(state *modelState, view partitionView, format string, args []any, add addStep) {
 	if m.rules.retains {
 		m.retain(state.current(), &view)
@@ -39,7 +40,7 @@
 	add(next, format, args...)
 }
 
-// promote makes a synced backup the primary. The former one leaves the group where another store can take its place.
+// promote makes a synced backup the primary. The former primary leaves the group if another store can take its place.
 func (m *partitionModel) promote(state *modelState, add addStep) {
 	view := state.current()
 	former := int(view.primary)
@@ -61,7 +62,7 @@
 	}
 }
 
-// spare returns a store that is no replica by a view and may become one.
+// spare returns a store that is not a replica in a view and may become one.
 func (m *partitionModel) spare(state *modelState, view *partitionView) (int, bool) {
 	for store := range modelStores {
 		if !state.stores[store].removed && !view.replicas().has(store) && int(state.retiring) != store+1 {
@@ -71,14 +72,14 @@
 	return 0, false
 }
 
-// addUnsynced adds a backup that is not synced.
+// addUnsynced adds an unsynced backup to a view.
 func (m *partitionModel) addUnsynced(state *modelState, view *partitionView, store int) {
 	view.backups = view.backups.with(store)
 	view.synced = view.synced.without(store)
 	view.disks[store] = state.stores[store].disk
 }
 
-// replace puts a spare store, or the same store with a new disk, in the place of a backup.
+// replace replaces a backup by a spare store, or by the same store with a new disk.
 func (m *partitionModel) replace(state *modelState, dropped int, what string, add addStep) {
 	view := state.current()
 	spare, found := m.spare(state, view)
@@ -96,7 +97,8 @@
 	m.addView(state, next, "the table %s %s by %s", []any{what, storeName(dropped), storeName(spare)}, add)
 }
 
-// requestSteps are what a primary requests of the control plane: to call a backup synced, to replace one, to hand over.
+// requestSteps are the requests of a primary to the control plane: to mark a backup as synced, to replace a backup, and
+// to hand over.
 func (m *partitionModel) requestSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	view := state.current()
@@ -112,7 +114,7 @@
 		if !view.synced.has(backup) && s.inventoried.has(backup) && state.isAvailable(view, backup) && m.rules.maySync(committed, s.knownStored[backup]) {
 			next := *view
 			next.synced = view.synced.with(backup)
-			m.addView(state, next, "%s has %s called synced", []any{storeName(store), storeName(backup)}, add)
+			m.addView(state, next, "%s has %s marked as synced", []any{storeName(store), storeName(backup)}, add)
 		}
 		if state.isAvailable(view, backup) {
 			m.replacementSteps(state, backup, add)
@@ -124,7 +126,7 @@
 	}
 }
 
-// handoverViews make a synced backup the primary; the former primary stays as a backup.
+// handoverViews make a synced backup the primary. The former primary stays in the group as a backup.
 func (m *partitionModel) handoverViews(state *modelState, add addStep) {
 	view := state.current()
 	for store := range modelStores {
@@ -139,7 +141,7 @@
 	}
 }
 
-// replacementSteps are what comes of a primary's request to replace a backup that does not take its records.
+// replacementSteps are the results of a primary's request to replace a backup that does not store its records.
 func (m *partitionModel) replacementSteps(state *modelState, backup int, add addStep) {
 	m.dropUnresponsive(state, backup, add)
 	if state.current().synced.has(backup) && !m.rules.dropsResponding {
@@ -149,15 +151,15 @@
 	m.replace(state, backup, "drops the responding", add)
 }
 
-// dropUnresponsive replaces a backup that does not respond to the control plane either. That is a fault: until the new replica
-// is complete, no other loss can be tolerated.
+// dropUnresponsive replaces a backup that does not respond to the control plane either. This counts as a fault: until
+// the new replica is complete, no other loss is tolerated.
 func (m *partitionModel) dropUnresponsive(state *modelState, backup int, add addStep) {
 	after := *state
 	after.recovering = !m.rules.lossWhileReplacing
 	m.replace(&after, backup, "drops", add)
 }
 
-// suspect adds a replica beside a synced backup that responds to the control plane.
+// suspect adds a replica to the group while the synced backup that responds to the control plane stays.
 func (m *partitionModel) suspect(state *modelState, backup int, add addStep) {
 	view := state.current()
 	spare, found := m.spare(state, view)
@@ -170,7 +172,8 @@
 	m.addView(state, next, "the table adds %s beside %s", []any{storeName(spare), storeName(backup)}, add)
 }
 
-// surplusStep drops a backup where enough others are synced: one that was suspected, or the one that was to replace it.
+// surplusStep drops a backup if enough other replicas are synced: either a suspected one, or the one that was added for
+// it.
 func (m *partitionModel) surplusStep(state *modelState, backup int, add addStep) {
 	view := state.current()
 	remaining := state.syncedAvailable().without(backup)
@@ -183,7 +186,8 @@
 	m.addView(state, next, "the table drops the surplus %s", []any{storeName(backup)}, add)
 }
 
-// retireSteps decommission a store: another store becomes a replica first, and the store is removed when it is none.
+// retireSteps decommission a store: another store becomes a replica first, and the store is removed once it is no
+// longer a replica.
 func (m *partitionModel) retireSteps(state *modelState, add addStep) {
 	if !m.limits.retirement {
 		return
@@ -193,7 +197,7 @@
 		for store := range m.limits.stores {
 			next := *state
 			next.retiring = int8(store + 1)
-			add(next, "%s is to be emptied", storeName(store))
+			add(next, "the decommissioning of %s begins", storeName(store))
 		}
 		return
 	}
@@ -201,7 +205,7 @@
 	if m.rules.mayComplete(state, leaving) {
 		next := *state
 		next.stores[leaving] = modelStore{removed: true, disk: state.stores[leaving].disk + 1}
-		add(next, "%s is taken away", storeName(leaving))
+		add(next, "%s is removed", storeName(leaving))
 	}
 	if !view.backups.has(leaving) {
 		return
@@ -216,6 +220,6 @@
 		next := *view
 		next.epoch++
 		next.backups, next.synced = view.backups.without(leaving), view.synced.without(leaving)
-		m.addView(state, next, "the table lets %s go", []any{storeName(leaving)}, add)
+		m.addView(state, next, "the table drops the decommissioned %s", []any{storeName(leaving)}, add)
 	}
 }
--- a/internal/messagestore/model_rules_test.go
+++ b/internal/messagestore/model_rules_test.go
@@ -2,28 +2,45 @@
 
 package messagestore
 
-// modelRules are the rules that mutations break.
+// modelRules are the rules of stores and the control plane. Each mutation breaks one of them.
 type modelRules struct {
-	mayPromote              func(former *modelStore) bool  // the former primary's lease is over for sure
-	onLeaseRenewal          func(s *modelState, store int) // what a store gets with a lease
-	isTarget                func(view *partitionView, s *modelState, to int) bool
-	grantOnRejection        bool                                      // a rejection counts as a lease
-	ignoresGrants           bool                                      // a new primary does not wait for the end of granted leases
-	lossWhileReplacing      bool                                      // a disk may be lost as soon as an unresponsive backup was replaced
-	retains                 bool                                      // replicas that were dropped are asked in a recovery, until the group is complete
-	collectsFromNobody      bool                                      // the new primary of a recovery asks no other replica
-	recoversWithTooFew      bool                                      // a recovery begins without replicas that may hold what no other does
-	hidesCollectedGrants    bool                                      // the new primary of a recovery does not hear of grants
-	dropsResponding         bool                                      // a synced backup that responds is replaced before another is synced
-	keepsStaleConfirmations bool                                      // confirmations count also where the backup was away meanwhile
-	hidesGrants             bool                                      // a primary does not pass on to its backups the grants that it waits for
-	maySync                 func(stored, knownStored messageSet) bool // a backup may be called synced
-	committed               func(view *partitionView, acks storeSet) bool
-	mayComplete             func(s *modelState, store int) bool // a store that is decommissioned may be removed
-	resumesOnUnknownOutcome bool                                // deliveries go on after a handover whose outcome is unknown
+	// mayPromote reports whether the former primary's lease has certainly ended.
+	mayPromote func(former *modelStore) bool
+	// onLeaseRenewal has the effects on a store when its lease is renewed.
+	onLeaseRenewal func(s *modelState, store int)
+	// isTarget reports whether a primary's call to a replica of its view reaches the disk that the view lists.
+	isTarget func(view *partitionView, s *modelState, to int) bool
+	// grantOnRejection counts a rejection as a lease.
+	grantOnRejection bool
+	// ignoresGrants lets a new primary deliver before the granted leases have ended.
+	ignoresGrants bool
+	// lossWhileReplacing allows the loss of a disk as soon as an unresponsive backup was replaced.
+	lossWhileReplacing bool
+	// retains has a recovery also ask the replicas that were dropped since the group was last complete.
+	retains bool
+	// collectsFromNobody lets the new primary of a recovery ask no other replica.
+	collectsFromNobody bool
+	// recoversWithTooFew begins a recovery without replicas that may have messages which no other replica has.
+	recoversWithTooFew bool
+	// hidesCollectedGrants keeps the grants that other replicas know of from the new primary of a recovery.
+	hidesCollectedGrants bool
+	// dropsResponding replaces a synced backup that responds before another one is synced.
+	dropsResponding bool
+	// keepsStaleConfirmations counts confirmations from before the backup left the group.
+	keepsStaleConfirmations bool
+	// hidesGrants keeps the grants that a primary waits for from its backups.
+	hidesGrants bool
+	// maySync reports whether a backup may be marked as synced.
+	maySync func(stored, knownStored messageSet) bool
+	// committed reports whether a message is committed by the backups that have confirmed it.
+	committed func(view *partitionView, acks storeSet) bool
+	// mayComplete reports whether a store that is being decommissioned may be removed.
+	mayComplete func(s *modelState, store int) bool
+	// resumesOnUnknownOutcome resumes deliveries after a handover whose outcome is unknown.
+	resumesOnUnknownOutcome bool
 }
 
-// modelLimits bound what may happen in a sequence of steps.
+// modelLimits limits the events in a sequence of steps and the size of the system.
 type modelLimits struct {
 	stores     int
 	replicas   int
@@ -32,16 +49,17 @@
 	losses     uint8
 	crashes    uint8
 	retirement bool
-	handovers  bool // handovers on purpose
+	handovers  bool // planned handovers
 
-	// earlyLosses loses disks as soon as all replicas of the newest view are synced, whatever former primaries still
-	// believe. That is more than the service has to tolerate.
+	// earlyLosses allows the loss of a disk as soon as all replicas of the newest view are synced, even if former
+	// primaries have not heard of that view. That is more than the service has to tolerate.
 	earlyLosses bool
-	// overlappingLosses loses disks at any moment: while other replicas are partitioned, or are being replaced.
+	// overlappingLosses allows the loss of a disk at any time, also while other replicas are partitioned or being
+	// replaced.
 	overlappingLosses bool
 }
 
-// storeRules returns the rules that stores and the control plane follow.
+// storeRules returns the rules without any mutation.
 func storeRules(limits modelLimits) modelRules {
 	return modelRules{
 		retains:        limits.overlappingLosses,
--- a/internal/messagestore/model_state_test.go
+++ b/internal/messagestore/model_state_test.go
@@ -2,42 +2,43 @@
 
 package messagestore
 
-// The model is one partition with its stores and the control plane's table, without time, connections and processes:
-// calls are handled at any moment or never. The control plane is one register that never forgets; its own replication has
-// a model of its own. What is valid for a time only ends by explicit steps, in the order that steady clocks give: the holder
-// of a lease stops to count on it before the store that granted it does.
+// The model covers one partition with its stores and the control plane's table. It has no time, connections or
+// processes: a call is handled at any moment or never. The control plane is a single reliable register; its own
+// replication has a separate model. Leases end by explicit steps, in the order that accurate clocks give: the holder of
+// a lease stops counting on it before the store that granted it does.
 //
-// Start reading at partitionModel in model_test.go. This file has the state, model_store_steps_test.go what stores do,
-// model_control_steps_test.go what the control plane does, model_rules_test.go the rules that mutations break.
+// Start reading at partitionModel in model_test.go. This file has the state, model_store_steps_test.go the steps of
+// stores, model_control_steps_test.go the steps of the control plane, model_collect_steps_test.go those of a recovery,
+// and model_rules_test.go the rules that mutations break.
 
-// The sizes of a state.
+// Sizes of the arrays in a state.
 const (
 	modelStores   = 4
 	modelMessages = 2
 	modelViews    = 6
 )
 
-// partitionView is a cluster.Partition with sets in place of lists, and the disks that its replicas have.
+// partitionView is a cluster.Partition with sets instead of lists, and with the disks of the replicas.
 type partitionView struct {
 	epoch   uint8
 	primary int8
 	backups storeSet
-	synced  storeSet           // of all replicas, the primary among them
+	synced  storeSet           // the synced replicas, which may include the primary
 	disks   [modelStores]uint8 // by replica: modelStore.disk when it joined
-	// retained are the replicas that were dropped since the group was last complete: they may hold what no replica has. Only
-	// with modelRules.retains, which the code does not have yet.
+	// retained are the replicas that were dropped since the group was last complete: they may have messages that no
+	// replica has. It is used only with modelRules.retains, which the code does not implement yet.
 	retained storeSet
-	lost     uint8 // of those that were dropped: their stores are replicas again, with other disks
+	lost     uint8 // number of dropped replicas whose stores are replicas again with other disks
 }
 
 func (v *partitionView) replicas() storeSet { return v.backups.with(int(v.primary)) }
 
-// modelStore is what one store holds, and what its process has in memory.
+// modelStore is the state of one store: that of its disk, and that of its process.
 type modelStore struct {
-	disk    uint8      // the disk's number, which grows when the disk is lost
+	disk    uint8      // the disk's number, which is incremented when the disk is lost
 	stored  messageSet // messages on the disk
-	removed bool       // decommissioned for good, or not part of the search
-	epoch   uint8      // the highest seen
+	removed bool       // decommissioned, or not part of the search
+	epoch   uint8      // the highest epoch seen
 
 	view                    uint8 // number of the newest view applied, counted from 1; 0 after a start
 	isPrimary               bool
@@ -46,17 +47,17 @@
 	hasLease                bool
 	pending                 messageSet
 	confirmations           [modelMessages]storeSet
-	knownStored             [modelStores]messageSet // what a backup has stored for sure, by its inventory and its confirmations
-	keepsStaleConfirmations bool                    // a broken rule: confirmations count also where the backup was away meanwhile
+	knownStored             [modelStores]messageSet // by backup: messages that it has by inventory or confirmation
+	keepsStaleConfirmations bool                    // modelRules.keepsStaleConfirmations
 	inventoried             storeSet                // backups that have answered a request for their inventory
-	collected               storeSet                // replicas whose messages a primary that is not synced has collected
+	collected               storeSet                // replicas from which an unsynced primary has collected messages
 	backupLeases            storeSet                // backups whose leases to this store are valid
-	// knownGrants tells by granter which former primaries may count on a lease: this store's own grants, and those that its
-	// primary has passed on.
+	// knownGrants are, by granter, the former primaries that may still count on a lease. They include this store's own
+	// grants and those that its primary has told it of.
 	knownGrants [modelStores]storeSet
 }
 
-// grantersTo returns the stores whose grant to a former primary this store waits for.
+// grantersTo returns the stores whose grants to a former primary must end before this store delivers.
 func (s *modelStore) grantersTo(former int) []int {
 	var found []int
 	for granter := range modelStores {
@@ -67,20 +68,20 @@
 	return found
 }
 
-// stepDown ends a leadership.
+// stepDown ends the store's role as primary.
 func (s *modelStore) stepDown() {
 	s.isPrimary, s.fenced, s.paused = false, false, false
 	s.forgetLeadership()
 }
 
-// forgetLeadership drops what belongs to one epoch of a leadership.
+// forgetLeadership drops the state that belongs to one epoch of a primary.
 func (s *modelStore) forgetLeadership() {
 	s.pending, s.backupLeases, s.inventoried, s.collected = 0, 0, 0, 0
 	s.confirmations, s.knownStored = [modelMessages]storeSet{}, [modelStores]messageSet{}
 }
 
-// changeReplicaGroup has a primary go on with another replica group. Inventories are requested anew; confirmations of pending
-// writes still count where the backup was synced all the time.
+// changeReplicaGroup applies a new replica group to a primary that stays primary. The primary requests inventories
+// again. Confirmations of pending writes remain valid for backups that are synced in the new view.
 func (s *modelStore) changeReplicaGroup(view *partitionView) {
 	s.inventoried, s.collected, s.knownStored = 0, 0, [modelStores]messageSet{}
 	if s.keepsStaleConfirmations {
@@ -95,28 +96,28 @@
 type modelState struct {
 	stores       [modelStores]modelStore
 	views        [modelViews]partitionView
-	count        uint8 // of the views; the last one is in force
+	count        uint8 // number of views; the last one is current
 	accepted     messageSet
 	acknowledged messageSet
 	losses       uint8
 	crashes      uint8
 	retiring     int8 // the store that is being decommissioned, counted from 1; 0 for none
-	recovering   bool // a store was lost, or without a lease, and replicas have not had the time to catch up since
-	factor       int8 // how many replicas a partition is to have
+	recovering   bool // a store was lost or without a lease, and the replicas have not caught up since
+	factor       int8 // replication factor
 }
 
-// current returns the view in force.
+// current returns the newest view.
 func (s *modelState) current() *partitionView { return &s.views[s.count-1] }
 
-// applied returns the view that a store acts by.
+// applied returns the newest view that a store has applied.
 func (s *modelState) applied(store int) *partitionView { return &s.views[s.stores[store].view-1] }
 
-// isAvailable tells whether a replica of a view is there with its disk.
+// isAvailable reports whether a replica of a view still exists with the disk that the view lists.
 func (s *modelState) isAvailable(view *partitionView, store int) bool {
 	return !s.stores[store].removed && s.stores[store].disk == view.disks[store]
 }
 
-// syncedAvailable returns the replicas in force that are synced and available.
+// syncedAvailable returns the replicas of the current view that are synced and available.
 func (s *modelState) syncedAvailable() storeSet {
 	view := s.current()
 	var found storeSet
@@ -128,7 +129,7 @@
 	return found
 }
 
-// apply has a store take in a view.
+// apply makes a store apply a view, unless it has applied a newer one or seen a higher epoch.
 func (s *modelState) apply(store int, number uint8) {
 	taken := &s.stores[store]
 	if number <= taken.view {
@@ -145,7 +146,7 @@
 	case !isPrimary:
 		taken.stepDown()
 		if !view.replicas().has(store) && view.synced == view.replicas() && view.synced.count() >= int(s.factor) {
-			taken.stored = 0 // a complete group of other stores has everything
+			taken.stored = 0 // a complete group of other stores has all messages
 		}
 	case !taken.isPrimary:
 		taken.stepDown()
@@ -156,7 +157,8 @@
 	}
 }
 
-// restart forgets what is in memory. Other stores notice the end of the process, and count on no lease from before.
+// restart drops the state of a store's process. Other stores notice the end of the process and no longer count on its
+// leases.
 func (s *modelState) restart(store int) {
 	s.recovering = true
 	before := s.stores[store]
--- a/internal/messagestore/model_store_steps_test.go
+++ b/internal/messagestore/model_store_steps_test.go
@@ -2,12 +2,12 @@
 
 package messagestore
 
-// tableSteps has a store apply newer views, and renew its lease.
+// tableSteps make a store apply newer views and renew its lease.
 func (m *partitionModel) tableSteps(state *modelState, store int, add addStep) {
 	for number := state.stores[store].view + 1; number <= state.count; number++ {
 		next := *state
 		next.apply(store, number)
-		add(next, "%s hears of view %d", storeName(store), number)
+		add(next, "%s applies view %d", storeName(store), number)
 	}
 	if !state.stores[store].hasLease {
 		next := *state
@@ -17,7 +17,7 @@
 	}
 }
 
-// leaseSteps ends leases of the control plane and of backups.
+// leaseSteps end leases from the control plane and from backups.
 func (m *partitionModel) leaseSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	if s.hasLease {
@@ -30,19 +30,19 @@
 		if s.backupLeases.has(other) {
 			next := *state
 			next.stores[store].backupLeases = s.backupLeases.without(other)
-			add(next, "%s counts on the lease from %s no more", storeName(store), storeName(other))
+			add(next, "%s no longer counts on the lease from %s", storeName(store), storeName(other))
 		}
 		for _, granter := range s.grantersTo(other) {
 			if !state.stores[other].backupLeases.has(granter) {
 				next := *state
 				next.stores[store].knownGrants[granter] = s.knownGrants[granter].without(other)
-				add(next, "%s knows that the lease from %s to %s is over", storeName(store), storeName(granter), storeName(other))
+				add(next, "%s knows that the lease from %s to %s has ended", storeName(store), storeName(granter), storeName(other))
 			}
 		}
 	}
 }
 
-// recoverySteps ends the time after a fault in which replicas catch up: from then on another fault has to be tolerated.
+// recoverySteps end the time after a fault in which replicas catch up. From then on, another fault has to be tolerated.
 func (m *partitionModel) recoverySteps(state *modelState, add addStep) {
 	if !state.recovering || state.syncedAvailable().count() < m.limits.replicas {
 		return
@@ -57,7 +57,7 @@
 	add(next, "the replicas have caught up")
 }
 
-// mayLoseDisk tells whether a disk may be lost now.
+// mayLoseDisk reports whether a disk may be lost now.
 func (m *partitionModel) mayLoseDisk(state *modelState) bool {
 	if m.limits.overlappingLosses {
 		return true
@@ -68,7 +68,8 @@
 	return !state.recovering
 }
 
-// faultSteps are restarts and lost disks. A disk is lost only after the replicas have caught up from the fault before.
+// faultSteps are restarts and lost disks. Unless the limits allow more, a disk is lost only after the replicas have
+// caught up since the previous fault.
 func (m *partitionModel) faultSteps(state *modelState, store int, add addStep) {
 	if state.crashes < m.limits.crashes {
 		next := *state
@@ -87,7 +88,7 @@
 	}
 }
 
-// primarySteps are what a primary does: it takes messages, acknowledges them, calls its backups and hands over.
+// primarySteps are the steps of a primary: it accepts and acknowledges messages, calls its backups and hands over.
 func (m *partitionModel) primarySteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	view := state.applied(store)
@@ -101,7 +102,7 @@
 			next.accepted = state.accepted.with(number)
 			p := &next.stores[store]
 			p.stored, p.pending = p.stored.with(number), p.pending.with(number)
-			add(next, "%s takes message %d", storeName(store), number)
+			add(next, "%s accepts message %d", storeName(store), number)
 		}
 		if s.pending.has(number) && m.rules.committed(view, s.confirmations[number]) {
 			next := *state
@@ -120,8 +121,8 @@
 	m.handoverSteps(state, store, add)
 }
 
-// acceptCall has a backup take a call under its primary's epoch, with the grants that the primary waits for. It tells false
-// where the call is rejected.
+// acceptCall makes a backup accept a call under its primary's epoch, with the grants that the primary waits for. It
+// returns false if the backup rejects the call.
 func (m *partitionModel) acceptCall(s *modelState, from, to int) bool {
 	epoch := s.stores[from].epoch
 	backup := &s.stores[to]
@@ -141,8 +142,8 @@
 	return true
 }
 
-// backupSteps are a primary's calls to a backup: replication, inventory, lease. Each record is stored with and without the
-// primary hearing of it.
+// backupSteps are a primary's calls to a backup: replication, inventory and lease. Each record is stored once with its
+// confirmation and once with the confirmation lost.
 func (m *partitionModel) backupSteps(state *modelState, from, to int, add addStep) {
 	if !m.rules.isTarget(state.applied(from), state, to) {
 		return
@@ -164,19 +165,19 @@
 		next := *state
 		m.acceptCall(&next, from, to)
 		next.stores[to].stored = next.stores[to].stored.with(number)
-		add(next, "%s logs message %d of %s", storeName(to), number, storeName(from))
+		add(next, "%s logs message %d of %s, the confirmation is lost", storeName(to), number, storeName(from))
 		if s.pending.has(number) {
 			next.stores[from].confirmations[number] = s.confirmations[number].with(to)
 		} else {
 			next.stores[from].knownStored[to] = s.knownStored[to].with(number)
 		}
-		add(next, "%s logs message %d of %s, which hears of it", storeName(to), number, storeName(from))
+		add(next, "%s logs message %d of %s and confirms it", storeName(to), number, storeName(from))
 	}
 	next := *state
 	m.acceptCall(&next, from, to)
 	next.stores[from].knownStored[to] = s.knownStored[to] | state.stores[to].stored
 	next.stores[from].inventoried = s.inventoried.with(to)
-	add(next, "%s tells %s what it holds", storeName(to), storeName(from))
+	add(next, "%s sends %s its inventory", storeName(to), storeName(from))
 	if !s.hasLease {
 		next := *state
 		m.acceptCall(&next, from, to)
@@ -186,8 +187,8 @@
 	}
 }
 
-// handoverSteps begin and end a handover: deliveries stop, the control plane is asked, and the store goes on only after a clear
-// rejection.
+// handoverSteps begin and end a handover: deliveries stop, the control plane is asked, and deliveries resume only after
+// a definite rejection.
 func (m *partitionModel) handoverSteps(state *modelState, store int, add addStep) {
 	s := &state.stores[store]
 	if !m.limits.handovers {
--- a/internal/messagestore/model_test.go
+++ b/internal/messagestore/model_test.go
@@ -16,7 +16,7 @@
 	limits modelLimits
 }
 
-// Start implements modelcheck.Model: the first stores are replicas, the first of them is the primary.
+// Start implements modelcheck.Model. The first stores are replicas, and the first of them is the primary.
 func (m *partitionModel) Start() modelState {
 	var state modelState
 	state.count = 1
@@ -38,14 +38,14 @@
 	return state
 }
 
-// addStep adds a state that may follow, with the name of the step that leads to it.
+// addStep adds a possible next state, with the name of the step that leads to it.
 type addStep func(next modelState, format string, args ...any)
 
 // Next implements modelcheck.Model.
 func (m *partitionModel) Next(state *modelState, named bool) []modelStep {
 	var steps []modelStep
 	add := func(next modelState, format string, args ...any) {
-		next.recovering = next.recovering && m.limits.losses > 0 // nothing else depends on it
+		next.recovering = next.recovering && m.limits.losses > 0 // only losses depend on it
 		if next == *state {
 			return
 		}
@@ -73,33 +73,34 @@
 	return steps
 }
 
-// Violation implements modelcheck.Model: a complete replica is left, each replica that counts as synced has what was acknowledged,
-// and one store delivers at the most.
+// Violation implements modelcheck.Model. The invariants are: a synced replica is available, except with overlapping
+// losses; the replicas that a recovery may ask have all acknowledged messages between them; each synced replica has all
+// acknowledged messages; at most one store delivers.
 func (m *partitionModel) Violation(state *modelState) string {
 	synced := state.syncedAvailable()
 	if synced == 0 && !m.limits.overlappingLosses {
-		return "no complete replica is left"
+		return "no synced replica is available"
 	}
 	if !state.collectable().contains(state.acknowledged) {
-		return "no replica that is asked has what was acknowledged"
+		return "an acknowledged message is on no replica that a recovery asks"
 	}
 	delivering := -1
 	for store := range modelStores {
 		if synced.has(store) && !state.stores[store].stored.contains(state.acknowledged) {
-			return storeName(store) + " counts as synced without what was acknowledged"
+			return storeName(store) + " is marked as synced, but lacks an acknowledged message"
 		}
 		if !m.delivers(state, store) {
 			continue
 		}
 		if delivering >= 0 {
-			return fmt.Sprintf("%s and %s deliver", storeName(delivering), storeName(store))
+			return fmt.Sprintf("both %s and %s deliver", storeName(delivering), storeName(store))
 		}
 		delivering = store
 	}
 	return ""
 }
 
-// delivers tells whether a store may start deliveries.
+// delivers reports whether a store may start deliveries.
 func (m *partitionModel) delivers(state *modelState, store int) bool {
 	s := &state.stores[store]
 	if s.removed || !s.isPrimary || s.fenced || s.paused || s.knownGrants != [modelStores]storeSet{} && !m.rules.ignoresGrants {
--- a/internal/messagestore/protocol/golden_test.go
+++ b/internal/messagestore/protocol/golden_test.go
@@ -13,12 +13,12 @@
 	"gladepick/internal/message"
 )
 
-// The files under testdata/golden were written by the version before which nothing is promised; the -update flag makes them
-// anew. Processes of other versions read and write these bytes.
+// The files under testdata/golden were written by the first version whose encoding later versions must keep. The flag
+// -update rewrites them. Processes of other versions read and write these bytes.
 
 var goldenTime = time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC)
 
-// goldenMessage returns a message with all its fields.
+// goldenMessage returns a message with a value in every field.
 func goldenMessage() *message.Message {
 	return &message.Message{
 		ID: "1-00000000000000ab", Partition: 1, Sequence: 3<<32 + 7, Route: "orders", Host: "example.org",
@@ -27,7 +27,8 @@
 	}
 }
 
-// TestGoldenCalls encodes the parameters and results of each call as the recorded bytes, and decodes them.
+// TestGoldenCalls guards against changes of the wire format: it encodes the parameters and results of each call as the
+// recorded bytes, and decodes them.
 func TestGoldenCalls(t *testing.T) {
 	checkCall(t, "put", PutRequest{Submission: message.Submission{Message: *goldenMessage(), DelayMS: 1500, RetentionMS: 90_000}})
 	checkCall(t, "put-with-little", PutRequest{})
--- a/internal/messagestore/put_test.go
+++ b/internal/messagestore/put_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestMessagesWithOneOrderKeyKeepOnePartitionAndTheirOrder(t *testing.T) {
+func TestMessagesWithOneOrderKeyAreSubmittedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -83,7 +83,9 @@
 	})
 }
 
-func TestFullDiskRefusesAndKeeps(t *testing.T) {
+// TestFullDiskRejectsPutsAndKeepsMessages guards against a store that loses stored messages on a full disk, or that
+// accepts no messages after the disk has room again.
+func TestFullDiskRejectsPutsAndKeepsMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
--- a/internal/messagestore/query_test.go
+++ b/internal/messagestore/query_test.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/message"
 )
 
-func TestUnknownMessage(t *testing.T) {
+func TestUnknownMessageIsNotFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
--- a/internal/messagestore/record/golden_test.go
+++ b/internal/messagestore/record/golden_test.go
@@ -11,12 +11,12 @@
 	"gladepick/internal/message"
 )
 
-// The files under testdata/golden were written by the version before which nothing is promised; the -update flag makes them
-// anew. The disks of stores hold these bytes.
+// The files under testdata/golden were written by the first version whose encoding later versions must keep. The flag
+// -update rewrites them. These bytes are stored on the disks of stores.
 
 var goldenTime = time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC)
 
-// goldenMessage returns a message with all its fields.
+// goldenMessage returns a message with a value in every field.
 func goldenMessage() *message.Message {
 	return &message.Message{
 		ID: "1-00000000000000ab", Partition: 1, Sequence: 3<<32 + 7, Route: "orders", Host: "example.org",
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestGoldenRecords encodes a record of each kind as the recorded bytes, and decodes them.
+// TestGoldenRecords guards against changes of the encoding: it encodes a record of each kind as the recorded bytes, and
+// decodes them.
 func TestGoldenRecords(t *testing.T) {
 	cases := map[string]struct {
 		record Record
--- a/internal/messagestore/recovery_test.go
+++ b/internal/messagestore/recovery_test.go
@@ -16,7 +16,9 @@
 	"gladepick/internal/messagestore/protocol"
 )
 
-func TestLostBackupIsReplacedAndTheNewOneGetsEverything(t *testing.T) {
+// TestReplacementOfALostBackupGetsAllMessages guards against a replacement that lacks messages or outcomes from before
+// it joined: after it is promoted, it has to deliver and answer for all of them.
+func TestReplacementOfALostBackupGetsAllMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -54,6 +56,8 @@
 	})
 }
 
+// TestFormerPrimaryCannotCommit guards against a former primary that acknowledges a message after its backup was
+// promoted.
 func TestFormerPrimaryCannotCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -84,7 +88,7 @@
 	})
 }
 
-func TestPowerLossOfAllKeepsWhatWasAcknowledged(t *testing.T) {
+func TestAcknowledgedMessagesSurvivePowerLossOfAllStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -109,7 +113,7 @@
 	})
 }
 
-func TestWipedStoreLosesNothing(t *testing.T) {
+func TestAcknowledgedMessagesSurviveAWipedDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
--- a/internal/messagestore/resync_test.go
+++ b/internal/messagestore/resync_test.go
@@ -10,21 +10,21 @@
 	"gladepick/internal/cluster"
 )
 
-// TestSuspectedBackupThatTakesRecordsAgainIsReported partitions a primary from its backup for a while: the message that waits
-// meanwhile is acknowledged when both disks have it, and the backup is no longer suspected.
-func TestSuspectedBackupThatTakesRecordsAgainIsReported(t *testing.T) {
+// TestSuspicionEndsWhenTheBackupTakesRecordsAgain guards against a backup that stays suspected after a partition from
+// its primary has healed. The message that is pending meanwhile is acknowledged only when both disks have it.
+func TestSuspicionEndsWhenTheBackupTakesRecordsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
 		h.suspects = true
-		time.Sleep(time.Second) // for the resyncs after the start
+		time.Sleep(time.Second) // the resyncs after the start complete
 		h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
 		acknowledged := make(chan error, 1)
 		go func() { acknowledged <- h.putAt(0, "r1") }()
 		time.Sleep(700 * time.Millisecond)
 		view := h.currentTable().Partitions[0]
 		assert.Assert(t, view.Replicas[1].Suspected)
-		assert.Equal(t, len(acknowledged), 0, "acknowledged with one disk")
+		assert.Equal(t, len(acknowledged), 0, "the message was acknowledged with one disk")
 		h.network.Heal(h.machines["a"].ip, h.machines["b"].ip)
 		time.Sleep(1500 * time.Millisecond)
 		assert.NilError(t, <-acknowledged)
@@ -33,8 +33,9 @@
 	})
 }
 
-// TestResyncGoesOnThroughOtherTables applies tables that change nothing for a partition while a backup of it is resynced.
-func TestResyncGoesOnThroughOtherTables(t *testing.T) {
+// TestUnrelatedTableDoesNotInterruptResync guards against a resync that fails or starts again when a table arrives that
+// does not change its partition.
+func TestUnrelatedTableDoesNotInterruptResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
