--- a/internal/messagestore/backup_lease_test.go
+++ b/internal/messagestore/backup_lease_test.go
@@ -13,15 +13,15 @@
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
 		id := h.mustPut("r", "key", "x")
-		leader, partition := h.leader(id), h.messageOf(id).Partition
+		primary, partition := h.primary(id), h.messageOf(id).Partition
 		h.leases.Store(false)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, leader.store.MayDeliver(partition))
+		assert.Assert(t, primary.store.MayDeliver(partition))
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
 		h.rejectRequests()
-		h.network.Isolate(leader.ip, h.machines[backup].ip)
+		h.network.Isolate(primary.ip, h.machines[backup].ip)
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, !leader.store.MayDeliver(partition))
-		h.network.Heal(leader.ip, h.machines[backup].ip)
+		assert.Assert(t, !primary.store.MayDeliver(partition))
+		h.network.Heal(primary.ip, h.machines[backup].ip)
 	})
 }
--- a/internal/messagestore/client/health.go
+++ b/internal/messagestore/client/health.go
@@ -20,11 +20,11 @@
 }
 
 // recordPut records that a store has stored a message, and how long the call took.
-func (c *Client) recordPut(entry *cluster.StoreEntry, took time.Duration) {
+func (c *Client) recordPut(entry *cluster.StoreEntry, elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastResponse[entry.Name] = time.Now()
-	c.putTimes.record(took)
+	c.putTimes.record(elapsed)
 }
 
 // recordResponse records that a store has answered a call.
@@ -58,10 +58,10 @@
 // that the store's process has certainly ended.
 func (c *Client) markUnhealthy(entry *cluster.StoreEntry, refused bool) {
 	c.mu.Lock()
-	last := c.unhealthyUntil[entry.Name]
+	until := c.unhealthyUntil[entry.Name]
 	c.unhealthyUntil[entry.Name] = time.Now().Add(unhealthyDuration)
 	c.mu.Unlock()
-	if time.Now().After(last) {
+	if time.Now().After(until) {
 		c.report(cluster.FailureReport{Node: entry.Name, Address: entry.Address, Refused: refused})
 	}
 }
--- a/internal/messagestore/client/put.go
+++ b/internal/messagestore/client/put.go
@@ -47,7 +47,7 @@
 	var place *placement
 	for {
 		if place == nil {
-			place = c.place(submission.Message.OrderKey, ordered)
+			place = c.pickPlacement(submission.Message.OrderKey, ordered)
 		}
 		if place != nil {
 			err := c.attemptPut(ctx, deadlines, place, submission, body)
@@ -81,7 +81,7 @@
 func putDeadlinesOf(ctx context.Context) putDeadlines {
 	now := time.Now()
 	limit := putTimeout
-	if deadline, limited := ctx.Deadline(); limited {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		limit = time.Duration(giveUpFraction * float64(time.Until(deadline)))
 	}
 	return putDeadlines{unsent: now.Add(min(limit, unsentTimeout)), unresponsive: now.Add(limit)}
@@ -107,8 +107,8 @@
 
 // waitForRetry waits for retryInterval and reports whether there is time for another attempt.
 func waitForRetry(ctx context.Context) bool {
-	deadline, limited := ctx.Deadline()
-	if limited && time.Until(deadline) < retryInterval+responseReserve {
+	deadline, hasDeadline := ctx.Deadline()
+	if hasDeadline && time.Until(deadline) < retryInterval+responseReserve {
 		return false
 	}
 	ctxtime.Sleep(ctx, retryInterval)
@@ -132,14 +132,14 @@
 	defer cancel()
 	started := time.Now()
 	timeout := c.responseTimeout()
-	slow := time.AfterFunc(timeout, func() { c.markUnhealthy(entry, false) })
-	defer slow.Stop()
-	giveUp := time.AfterFunc(max(time.Until(deadlines.unresponsive)-timeout, timeout), func() {
+	unhealthyTimer := time.AfterFunc(timeout, func() { c.markUnhealthy(entry, false) })
+	defer unhealthyTimer.Stop()
+	giveUpTimer := time.AfterFunc(max(time.Until(deadlines.unresponsive)-timeout, timeout), func() {
 		if !c.mayStillStore(ctx, entry, started, timeout) {
 			cancel()
 		}
 	})
-	defer giveUp.Stop()
+	defer giveUpTimer.Stop()
 	_, err := c.pool.Get(entry.Address).Call(ctx, protocol.MethodPut, protocol.PutRequest{Submission: submission}, body, nil)
 	c.recordAttempt(ctx, place, entry, started, err)
 	return err
@@ -150,7 +150,7 @@
 // to this process.
 func (c *Client) mayStillStore(ctx context.Context, entry *cluster.StoreEntry, since time.Time, timeout time.Duration) bool {
 	if table := c.table(); table != nil {
-		if now := table.Store(entry.Name); now != nil && now.Unresponsive {
+		if current := table.Store(entry.Name); current != nil && current.Unresponsive {
 			return false
 		}
 	}
--- a/internal/messagestore/client/query.go
+++ b/internal/messagestore/client/query.go
@@ -54,15 +54,15 @@
 	if partition >= len(table.Partitions) {
 		return nil, trace.Wrap(message.ErrNotFound)
 	}
-	last := errNoReplica
+	lastErr := errNoReplica
 	for _, replica := range table.Partitions[partition].Replicas {
 		entry := table.Store(replica.Store)
 		if entry == nil {
 			continue
 		}
-		limited, cancel := context.WithTimeout(ctx, queryTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 		request := protocol.QueryRequest{Partition: partition, ID: id}
-		body, err := c.pool.Get(entry.Address).Call(limited, method, request, nil, result)
+		body, err := c.pool.Get(entry.Address).Call(callCtx, method, request, nil, result)
 		cancel()
 		if err == nil {
 			return body, nil
@@ -70,7 +70,7 @@
 		if rpc.CodeOf(err) == rpc.CodeNotFound {
 			return nil, trace.Wrap(message.ErrNotFound)
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, trace.Wrap(last)
+	return nil, trace.Wrap(lastErr)
 }
--- a/internal/messagestore/client/response_times.go
+++ b/internal/messagestore/client/response_times.go
@@ -22,8 +22,8 @@
 }
 
 // record adds a response time to the estimate.
-func (r *responseTimes) record(took time.Duration) {
-	sample := float64(took)
+func (r *responseTimes) record(elapsed time.Duration) {
+	sample := float64(elapsed)
 	if !r.known {
 		r.known, r.mean, r.deviation = true, sample, sample/2
 		return
@@ -38,6 +38,6 @@
 	if !r.known {
 		return maxResponseTimeout
 	}
-	bound := time.Duration(r.mean + deviationFactor*r.deviation)
-	return min(max(bound, minResponseTimeout), maxResponseTimeout)
+	estimate := time.Duration(r.mean + deviationFactor*r.deviation)
+	return min(max(estimate, minResponseTimeout), maxResponseTimeout)
 }
--- a/internal/messagestore/client/routing.go
+++ b/internal/messagestore/client/routing.go
@@ -8,9 +8,9 @@
 	"gladepick/internal/cluster"
 )
 
-// place picks a partition for a message: that of the order key if the message is ordered, otherwise a random one with a
-// healthy primary, preferably in this zone. It returns nil if there is none.
-func (c *Client) place(orderKey string, ordered bool) *placement {
+// pickPlacement picks a partition for a message: that of the order key if the message is ordered, otherwise a random
+// one with a healthy primary, preferably in this zone. It returns nil if there is none.
+func (c *Client) pickPlacement(orderKey string, ordered bool) *placement {
 	table := c.table()
 	if table == nil || len(table.Partitions) == 0 {
 		return nil
@@ -20,7 +20,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sortPartitions(table)
+	c.classifyPartitions(table)
 	for _, candidates := range [][]int{c.sameZone, c.otherZones} {
 		if id, found := c.pickHealthy(table, candidates); found {
 			return newPlacement(id)
@@ -42,9 +42,9 @@
 	return &placement{partition: partition, id: newMessageID(partition)}
 }
 
-// sortPartitions sets sameZone and otherZones by a table, unless it has done so before. It leaves out partitions whose
-// replica group is incomplete, as these accept no messages. The caller must hold c.mu.
-func (c *Client) sortPartitions(table *cluster.Table) {
+// classifyPartitions sets sameZone and otherZones by a table, unless it has done so before. It leaves out partitions
+// whose replica group is incomplete, as these accept no messages. The caller must hold c.mu.
+func (c *Client) classifyPartitions(table *cluster.Table) {
 	if c.routedTable == table {
 		return
 	}
--- a/internal/messagestore/client_test.go
+++ b/internal/messagestore/client_test.go
@@ -44,10 +44,10 @@
 			h.network.Isolate("10.0.1.1", m.ip)
 		}
 		for _, orderKey := range []string{"", "key"} {
-			took, err := h.putWithin(orderKey)
+			duration, err := h.putWithin(orderKey)
 			assert.Assert(t, err != nil)
 			assert.Assert(t, !errors.Is(err, message.ErrNotStored), "a store may have the message")
-			assert.Assert(t, took < earlyLimit, "%v", took)
+			assert.Assert(t, duration < earlyLimit, "%v", duration)
 		}
 		for _, m := range h.machines {
 			h.network.Heal("10.0.1.1", m.ip)
@@ -70,9 +70,9 @@
 			time.Sleep(2 * time.Second) // the resyncs after the start complete
 			h.onRequest = func(cluster.PartitionRequest) { time.Sleep(100 * time.Millisecond) }
 			h.network.Isolate(h.machines["a"].ip, h.machines["b"].ip)
-			took, err := h.putWithin(orderKey)
+			duration, err := h.putWithin(orderKey)
 			assert.NilError(t, err)
-			assert.Assert(t, took > earlyLimit, "%v", took)
+			assert.Assert(t, duration > earlyLimit, "%v", duration)
 		})
 	}
 }
@@ -92,9 +92,9 @@
 		time.AfterFunc(150*time.Millisecond, func() {
 			h.update(func(table *cluster.Table) { table.Store("a").Unresponsive = true })
 		})
-		took, err := h.putWithin(orderKey)
+		duration, err := h.putWithin(orderKey)
 		assert.Assert(t, err != nil && !errors.Is(err, message.ErrNotStored), "%v", err)
-		assert.Assert(t, took < earlyLimit, "%v", took)
+		assert.Assert(t, duration < earlyLimit, "%v", duration)
 	})
 }
 
@@ -123,9 +123,9 @@
 			}
 		})
 		for _, orderKey := range []string{"", "key"} {
-			took, err := h.putWithin(orderKey)
+			duration, err := h.putWithin(orderKey)
 			assert.Assert(t, errors.Is(err, message.ErrNotStored))
-			assert.Assert(t, took < earlyLimit, "%v", took)
+			assert.Assert(t, duration < earlyLimit, "%v", duration)
 		}
 	})
 }
@@ -148,9 +148,9 @@
 		// The first call is in flight when the stores are killed.
 		h.network.SetDelay("10.0.1.1", h.machines["a"].ip, 2*time.Millisecond)
 		h.network.SetDelay("10.0.1.1", h.machines["b"].ip, 2*time.Millisecond)
-		took, err := h.putWithin("key")
+		duration, err := h.putWithin("key")
 		assert.NilError(t, err)
-		assert.Assert(t, took > earlyLimit, "%v", took)
+		assert.Assert(t, duration > earlyLimit, "%v", duration)
 	})
 }
 
@@ -171,14 +171,14 @@
 		}
 		setUnresponsive(true, "a")
 		for range 20 {
-			took, err := h.putWithin("")
+			duration, err := h.putWithin("")
 			assert.NilError(t, err)
-			assert.Assert(t, took < minResponseTimeout, "%v", took)
+			assert.Assert(t, duration < minResponseTimeout, "%v", duration)
 		}
 		setUnresponsive(true, "b")
-		took, err := h.putWithin("key")
+		duration, err := h.putWithin("key")
 		assert.Assert(t, errors.Is(err, message.ErrNotStored))
-		assert.Assert(t, took < time.Millisecond, "%v", took)
+		assert.Assert(t, duration < time.Millisecond, "%v", duration)
 		setUnresponsive(false, "a", "b")
 		_, err = h.putWithin("key")
 		assert.NilError(t, err)
--- a/internal/messagestore/compaction.go
+++ b/internal/messagestore/compaction.go
@@ -30,8 +30,8 @@
 		return nil
 	}
 	before := segments[len(segments)/compactionShare].Number
-	for _, moved := range s.entriesBefore(before) {
-		if err := s.rewriteEntry(moved); err != nil {
+	for _, located := range s.entriesBefore(before) {
+		if err := s.rewriteEntry(located); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -55,32 +55,32 @@
 func (s *Store) entriesBefore(segment uint64) []locatedEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []locatedEntry
+	var located []locatedEntry
 	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			if each.needsBody() && each.position.Segment < segment {
-				found = append(found, locatedEntry{partition: p, entry: each})
+		for _, candidate := range p.entries {
+			if candidate.needsBody() && candidate.position.Segment < segment {
+				located = append(located, locatedEntry{partition: p, entry: candidate})
 			}
 		}
 	}
-	return found
+	return located
 }
 
 // rewriteEntry appends a copy of an entry's accepted record to the log, so that the entry no longer refers to its old
 // segment.
-func (s *Store) rewriteEntry(moved locatedEntry) error {
-	body, err := s.readBody(s.positionOf(moved.entry))
+func (s *Store) rewriteEntry(located locatedEntry) error {
+	body, err := s.readBody(s.positionOf(located.entry))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !moved.entry.needsBody() {
+	if !located.entry.needsBody() {
 		return nil
 	}
 	line, err := (&record.Record{
-		Kind: record.Accepted, Partition: moved.partition.id, Epoch: moved.partition.epoch,
-		Message: moved.entry.message, Failures: moved.entry.failures,
+		Kind: record.Accepted, Partition: located.partition.id, Epoch: located.partition.epoch,
+		Message: located.entry.message, Failures: located.entry.failures,
 	}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
@@ -89,7 +89,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	moved.entry.position = position
+	located.entry.position = position
 	return nil
 }
 
@@ -100,9 +100,9 @@
 	defer s.mu.Unlock()
 	oldest := before
 	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			if each.needsBody() {
-				oldest = min(oldest, each.position.Segment)
+		for _, candidate := range p.entries {
+			if candidate.needsBody() {
+				oldest = min(oldest, candidate.position.Segment)
 			}
 		}
 	}
--- a/internal/messagestore/delivery_fence.go
+++ b/internal/messagestore/delivery_fence.go
@@ -108,8 +108,8 @@
 func (s *Store) awaitFormerPrimary(p *partition, former cluster.Partition) {
 	var until time.Time
 	for _, replica := range former.Replicas {
-		if grant := s.leaseGrants[replica.Store]; grant.After(until) {
-			until = grant
+		if grantEnd := s.leaseGrants[replica.Store]; grantEnd.After(until) {
+			until = grantEnd
 		}
 	}
 	s.fence(p.id).closedUntil.Store(&until)
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -11,15 +11,15 @@
 // when the store is no longer the primary of any partition, or when the context ends.
 func (s *Store) Drain(ctx context.Context) {
 	for ctx.Err() == nil {
-		led := s.ledPartitions()
-		if len(led) == 0 {
+		ids := s.primaryPartitions()
+		if len(ids) == 0 {
 			return
 		}
-		for _, id := range led {
+		for _, id := range ids {
 			s.pause(id)
 		}
 		handedOver := false
-		for _, id := range led {
+		for _, id := range ids {
 			if s.engine.InFlightOf(id) == 0 {
 				handedOver = s.handOver(ctx, id) == handoverDone || handedOver
 			}
@@ -30,17 +30,17 @@
 	}
 }
 
-// ledPartitions returns the IDs of the partitions whose primary this store is, in unspecified order.
-func (s *Store) ledPartitions() []int {
+// primaryPartitions returns the IDs of the partitions whose primary this store is, in unspecified order.
+func (s *Store) primaryPartitions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var led []int
+	var ids []int
 	for id, p := range s.partitions {
 		if p.isPrimary {
-			led = append(led, id)
+			ids = append(ids, id)
 		}
 	}
-	return led
+	return ids
 }
 
 // pause starts no more deliveries of a partition. Attempts in flight continue.
--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -28,12 +28,12 @@
 // log otherwise.
 func (s *Store) Body(m *message.Message) ([]byte, error) {
 	s.mu.Lock()
-	found := s.partition(m.Partition).entries[m.ID]
-	if found == nil {
+	e := s.partition(m.Partition).entries[m.ID]
+	if e == nil {
 		s.mu.Unlock()
 		return nil, trace.Wrap(message.ErrNotFound)
 	}
-	body, position := found.body, found.position
+	body, position := e.body, e.position
 	s.mu.Unlock()
 	if body != nil {
 		return body, nil
@@ -57,11 +57,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(m.Partition)
-	found := p.entries[m.ID]
-	if found == nil || found.ended() {
+	e := p.entries[m.ID]
+	if e == nil || e.ended() {
 		return
 	}
-	found.failures = max(found.failures, failures)
+	e.failures = max(e.failures, failures)
 	s.appendAndReplicate(p, &record.Record{
 		Kind: record.Failed, Partition: p.id, Epoch: p.epoch, ID: m.ID, Failures: failures,
 	})
@@ -84,11 +84,11 @@
 // endMessage records how a message ended and replicates the outcome. It ignores a message that is unknown or has ended
 // already. The caller must hold s.mu.
 func (s *Store) endMessage(p *partition, id string, outcome message.Outcome) {
-	found := p.entries[id]
-	if found == nil || found.ended() {
+	e := p.entries[id]
+	if e == nil || e.ended() {
 		return
 	}
-	s.cachedBytes -= int64(len(found.body))
+	s.cachedBytes -= int64(len(e.body))
 	ended := &record.Record{
 		Kind: record.Ended, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: time.Now(),
 	}
--- a/internal/messagestore/explorer_test.go
+++ b/internal/messagestore/explorer_test.go
@@ -12,12 +12,12 @@
 	"gladepick/internal/modelcheck"
 )
 
-// explorerStates is the maximum number of states that a search visits, unless EXPLORE_STATES sets another one.
-const explorerStates = 150_000
+// defaultSearchStates is the maximum number of states that a search visits, unless EXPLORE_STATES sets another one.
+const defaultSearchStates = 150_000
 
-// explorerCase has the limits of a search and its expected result with explorerStates. The numbers change only with the
-// model.
-type explorerCase struct {
+// searchCase has the limits of a search and its expected result with defaultSearchStates. The numbers change only with
+// the model.
+type searchCase struct {
 	limits   modelLimits
 	states   int
 	depth    int
@@ -27,7 +27,7 @@
 // TestExplorePartition searches the reachable states of the model breadth-first for a violated invariant.
 // EXPLORE_STATES sets the maximum number of states per case.
 func TestExplorePartition(t *testing.T) {
-	cases := map[string]explorerCase{
+	cases := map[string]searchCase{
 		"two replicas, a failover":                          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 2}, 72408, 20, true},
 		"two replicas, two view changes":                    {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3}, 150000, 12, false},
 		"two replicas, a restart":                           {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, crashes: 1}, 150000, 10, false},
@@ -42,15 +42,15 @@
 		"two replicas, a decommissioned store, a lost disk": {modelLimits{stores: 4, replicas: 2, messages: 1, views: 5, retirement: true, losses: 1}, 150000, 8, false},
 		"two replicas, a handover":                          {modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, handovers: true}, 150000, 11, false},
 	}
-	bound := modelcheck.EnvInt("EXPLORE_STATES", explorerStates)
+	bound := modelcheck.EnvInt("EXPLORE_STATES", defaultSearchStates)
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			searched := &partitionModel{rules: storeRules(each.limits), limits: each.limits}
-			found := modelcheck.Explore(searched, bound)
+			model := &partitionModel{rules: storeRules(each.limits), limits: each.limits}
+			found := modelcheck.Explore(model, bound)
 			t.Logf("%d states, depth %d, complete: %v", found.States, found.Depth, found.Complete)
 			assert.Equal(t, found.Violation, "", "%q", found.Trace)
-			if bound == explorerStates {
+			if bound == defaultSearchStates {
 				assert.Equal(t, found.States, each.states)
 				assert.Equal(t, found.Depth, each.depth)
 				assert.Equal(t, found.Complete, each.complete)
@@ -77,9 +77,9 @@
 	for name, limits := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			walked := &partitionModel{rules: storeRules(limits), limits: limits}
+			model := &partitionModel{rules: storeRules(limits), limits: limits}
 			for walk := range modelcheck.EnvInt("EXPLORE_WALKS", 2000) {
-				if steps := modelcheck.RandomWalk(walked, uint64(walk), 80); steps != nil {
+				if steps := modelcheck.RandomWalk(model, uint64(walk), 80); steps != nil {
 					t.Fatalf("%q", steps)
 				}
 			}
@@ -137,19 +137,19 @@
 		},
 		"a responding backup is dropped before another is synced": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 3, losses: 1},
-			func(rules *modelRules) { rules.dropsResponding = true },
+			func(rules *modelRules) { rules.dropsRespondingBackup = true },
 			57,
 		},
 		"a recovery does not ask dropped replicas": {
 			overlapping,
-			func(rules *modelRules) { rules.retains = false },
+			func(rules *modelRules) { rules.retainsReplicas = false },
 			2540,
 		},
-		"a recovery asks no replica":                  {overlapping, func(rules *modelRules) { rules.collectsFromNobody = true }, 25628},
+		"a recovery asks no replica":                  {overlapping, func(rules *modelRules) { rules.skipsCollection = true }, 25628},
 		"a recovery begins without required replicas": {overlapping, func(rules *modelRules) { rules.recoversWithTooFew = true }, 169924},
 		"a recovery does not collect known grants": {
 			overlapping,
-			func(rules *modelRules) { rules.hidesCollectedGrants = true },
+			func(rules *modelRules) { rules.omitsCollectedGrants = true },
 			82848,
 		},
 		"confirmations from before a backup left the group count": {
@@ -159,7 +159,7 @@
 		},
 		"a primary does not tell its backups of grants": {
 			modelLimits{stores: 3, replicas: 2, messages: 1, views: 4},
-			func(rules *modelRules) { rules.hidesGrants = true },
+			func(rules *modelRules) { rules.omitsGrants = true },
 			59144,
 		},
 		"deliveries resume after a handover of unknown outcome": {
--- a/internal/messagestore/handover.go
+++ b/internal/messagestore/handover.go
@@ -40,7 +40,7 @@
 // handOver waits until the backups have all records and asks the control plane to promote one of them. The caller has
 // stopped the partition's deliveries before.
 func (s *Store) handOver(ctx context.Context, id int) handoverOutcome {
-	p, epoch := s.ledPartition(id)
+	p, epoch := s.partitionAsPrimary(id)
 	if p == nil {
 		return handoverDone
 	}
@@ -53,7 +53,7 @@
 		return handoverRejected
 	}
 	// Records that were in flight to a backup before the flush may have failed in the meantime.
-	if still, complete := s.readyBackups(p, epoch); !complete || !slices.Equal(still, ready) {
+	if readyAfterFlush, complete := s.readyBackups(p, epoch); !complete || !slices.Equal(readyAfterFlush, ready) {
 		return handoverRejected
 	}
 	request := cluster.PartitionRequest{Partition: id, Epoch: epoch, Handover: true}
@@ -76,8 +76,8 @@
 // flushAll flushes the backups one after the other, each within replicateTimeout.
 func flushAll(ctx context.Context, p *partition, backups []*replicator) error {
 	for _, backup := range backups {
-		limited, cancel := context.WithTimeout(ctx, replicateTimeout)
-		err := backup.flush(limited, p)
+		flushCtx, cancel := context.WithTimeout(ctx, replicateTimeout)
+		err := backup.flush(flushCtx, p)
 		cancel()
 		if err != nil {
 			return err
@@ -95,8 +95,8 @@
 	return handoverOutcomeOf(err)
 }
 
-// ledPartition returns a partition and its epoch, or nil and 0 if this store is not its primary.
-func (s *Store) ledPartition(id int) (*partition, uint64) {
+// partitionAsPrimary returns a partition and its epoch, or nil and 0 if this store is not its primary.
+func (s *Store) partitionAsPrimary(id int) (*partition, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partitions[id]
@@ -166,18 +166,18 @@
 // repeatHandover attempts a handover until it is done, or until the context has ended and no outcome is unknown. An
 // outcome stays unknown until a newer view arrives or unknownOutcomeTimeout has passed.
 func (s *Store) repeatHandover(ctx context.Context, p *partition) {
-	attempts := ctx
+	attemptCtx := ctx
 	var unknownUntil time.Time
 	for outcome := handoverRejected; ; {
-		_, epoch := s.ledPartition(p.id)
+		_, epoch := s.partitionAsPrimary(p.id)
 		if s.engine.InFlightOf(p.id) == 0 {
-			outcome = s.handOver(attempts, p.id)
+			outcome = s.handOver(attemptCtx, p.id)
 		}
 		if outcome == handoverUnknown {
-			attempts = s.context // attempts continue after the end of ctx until the outcome is known
+			attemptCtx = s.context // attempts continue after the end of ctx until the outcome is known
 			unknownUntil = time.Now().Add(unknownOutcomeTimeout)
 		}
-		if _, current := s.ledPartition(p.id); current != epoch {
+		if _, currentEpoch := s.partitionAsPrimary(p.id); currentEpoch != epoch {
 			unknownUntil = time.Time{} // a newer view has arrived
 		}
 		isUnknown := time.Now().Before(unknownUntil)
--- a/internal/messagestore/harness_test.go
+++ b/internal/messagestore/harness_test.go
@@ -334,17 +334,17 @@
 	return string(body), err
 }
 
-// leader returns the machine that the table names as the primary of a message's partition.
-func (h *harness) leader(id string) *machine {
+// primary returns the machine that the table names as the primary of a message's partition.
+func (h *harness) primary(id string) *machine {
 	partition, err := client.PartitionOf(id)
 	assert.NilError(h.t, err)
-	primary, _ := h.currentTable().Partitions[partition].Primary()
-	return h.machines[primary.Store]
+	replica, _ := h.currentTable().Partitions[partition].Primary()
+	return h.machines[replica.Store]
 }
 
 // messageOf returns a message as it was submitted to the primary's engine.
 func (h *harness) messageOf(id string) *message.Message {
-	engine := h.leader(id).engine
+	engine := h.primary(id).engine
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	for _, m := range engine.submitted {
--- a/internal/messagestore/index_snapshot.go
+++ b/internal/messagestore/index_snapshot.go
@@ -50,14 +50,14 @@
 func (s *Store) encodeIndex() ([]byte, error) {
 	data := []byte{'['}
 	for i, id := range s.partitionIDs() {
-		one, err := json.Marshal(s.snapshotOf(id))
+		encoded, err := json.Marshal(s.snapshotOf(id))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		if i > 0 {
 			data = append(data, ',')
 		}
-		data = append(data, one...)
+		data = append(data, encoded...)
 	}
 	return append(data, ']'), nil
 }
@@ -74,29 +74,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(id)
-	one := snapshotPartition{ID: p.id, Epoch: p.epoch, Last: p.lastSequence}
-	for id, each := range p.entries {
-		one.Entries = append(one.Entries, snapshotEntry{
-			ID: id, Message: each.message, Position: each.position, Failures: each.failures,
-			Outcome: each.outcome, EndedAt: each.endedAt,
+	snapshot := snapshotPartition{ID: p.id, Epoch: p.epoch, Last: p.lastSequence}
+	for id, e := range p.entries {
+		snapshot.Entries = append(snapshot.Entries, snapshotEntry{
+			ID: id, Message: e.message, Position: e.position, Failures: e.failures,
+			Outcome: e.outcome, EndedAt: e.endedAt,
 		})
 	}
-	return one
+	return snapshot
 }
 
 // restore loads a snapshot of the index. Open calls it before any replay.
 func (s *Store) restore(snapshot []byte) error {
-	var all []snapshotPartition
-	if err := json.Unmarshal(snapshot, &all); err != nil {
+	var partitions []snapshotPartition
+	if err := json.Unmarshal(snapshot, &partitions); err != nil {
 		return trace.Wrap(err, "reading the snapshot of the index")
 	}
-	for _, one := range all {
-		p := s.partition(one.ID)
-		p.epoch, p.lastSequence = one.Epoch, one.Last
-		for _, each := range one.Entries {
-			p.entries[each.ID] = &entry{
-				message: each.Message, position: each.Position, failures: each.Failures,
-				outcome: each.Outcome, endedAt: each.EndedAt,
+	for _, restored := range partitions {
+		p := s.partition(restored.ID)
+		p.epoch, p.lastSequence = restored.Epoch, restored.Last
+		for _, e := range restored.Entries {
+			p.entries[e.ID] = &entry{
+				message: e.Message, position: e.Position, failures: e.Failures,
+				outcome: e.Outcome, endedAt: e.EndedAt,
 			}
 		}
 	}
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -83,8 +83,8 @@
 	s.updateFence(p)
 	s.engine.ResumePartition(p.id)
 	queued := p.queued()
-	for _, each := range queued {
-		s.engine.Submit(each.message, each.failures)
+	for _, e := range queued {
+		s.engine.Submit(e.message, e.failures)
 	}
 	s.changes.gained++
 	s.changes.messages += len(queued)
@@ -155,9 +155,9 @@
 		write.err = errSteppedDown
 		close(write.done)
 	}
-	for _, each := range p.entries {
-		s.cachedBytes -= int64(len(each.body))
-		each.body = nil
+	for _, e := range p.entries {
+		s.cachedBytes -= int64(len(e.body))
+		e.body = nil
 	}
 	s.logger.Debug("no longer primary of a partition", zap.Int("partition", p.id), zap.Uint64("epoch", p.epoch))
 }
--- a/internal/messagestore/maintenance.go
+++ b/internal/messagestore/maintenance.go
@@ -52,8 +52,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.partitions {
-		for id, each := range p.entries {
-			if each.ended() && now.Sub(each.endedAt) > s.options.StatusRetention {
+		for id, e := range p.entries {
+			if e.ended() && now.Sub(e.endedAt) > s.options.StatusRetention {
 				delete(p.entries, id)
 			}
 		}
--- a/internal/messagestore/maintenance_test.go
+++ b/internal/messagestore/maintenance_test.go
@@ -27,18 +27,18 @@
 		for i := range 120 {
 			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", fmt.Sprint(i, large)))
 		}
-		leader := h.leader(ids[0])
+		primary := h.primary(ids[0])
 		for _, id := range ids[10:] {
-			leader.store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: id})
+			primary.store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: id})
 		}
-		before := leader.store.log.Size()
+		before := primary.store.log.Size()
 		for range 6 {
-			assert.NilError(t, leader.store.Compact())
+			assert.NilError(t, primary.store.Compact())
 		}
-		assert.Assert(t, leader.store.log.Size() < before/2)
-		h.stop(leader.name)
-		leader.disk.PowerLoss()
-		h.start(leader.name)
+		assert.Assert(t, primary.store.log.Size() < before/2)
+		h.stop(primary.name)
+		primary.disk.PowerLoss()
+		h.start(primary.name)
 		time.Sleep(time.Second)
 		for i, id := range ids[:10] {
 			body, err := h.body(id)
@@ -58,23 +58,23 @@
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		first, second := h.mustPut("1", "key", "one"), h.mustPut("2", "key", "two")
-		leader := h.leader(first)
-		leader.disk.SetStalled(true)
+		primary := h.primary(first)
+		primary.disk.SetStalled(true)
 		written := make(chan error, 1)
-		go func() { written <- leader.store.writeSnapshot() }()
+		go func() { written <- primary.store.writeSnapshot() }()
 		synctest.Wait()
 		started := time.Now()
 		outcome, err := h.state(first)
 		assert.NilError(t, err)
 		assert.Equal(t, outcome.State, message.Queued)
-		leader.store.Ended(h.messageOf(first), message.Outcome{State: message.Completed, Stamp: "s"})
+		primary.store.Ended(h.messageOf(first), message.Outcome{State: message.Completed, Stamp: "s"})
 		assert.Assert(t, time.Since(started) < 100*time.Millisecond)
 		assert.Equal(t, len(written), 0)
-		leader.disk.SetStalled(false)
+		primary.disk.SetStalled(false)
 		assert.NilError(t, <-written)
-		assert.NilError(t, leader.store.log.Sync(t.Context()))
-		h.stop(leader.name)
-		h.start(leader.name)
+		assert.NilError(t, primary.store.log.Sync(t.Context()))
+		h.stop(primary.name)
+		h.start(primary.name)
 		time.Sleep(time.Second)
 		outcome, err = h.state(first)
 		assert.NilError(t, err)
@@ -91,32 +91,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
-		leader := h.machines["a"]
+		primary := h.machines["a"]
 		var writers sync.WaitGroup
 		for writer := range 4 {
 			writers.Go(func() {
 				for i := range 20 {
 					id := h.mustPut(fmt.Sprintf("%d-%d", writer, i), fmt.Sprint("key", writer), "body")
 					if i%2 == 0 {
-						h.leader(id).store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: id})
+						h.primary(id).store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: id})
 					}
 				}
 			})
 		}
 		writers.Go(func() {
 			for range 30 {
-				assert.Check(t, leader.store.writeSnapshot() == nil)
+				assert.Check(t, primary.store.writeSnapshot() == nil)
 				time.Sleep(time.Millisecond)
 			}
 		})
 		writers.Wait()
 		synctest.Wait()
-		before, err := leader.store.encodeIndex()
+		before, err := primary.store.encodeIndex()
 		assert.NilError(t, err)
-		assert.NilError(t, leader.store.log.Sync(t.Context()))
+		assert.NilError(t, primary.store.log.Sync(t.Context()))
 		h.stop("a")
 		h.start("a")
-		after, err := leader.store.encodeIndex()
+		after, err := primary.store.encodeIndex()
 		assert.NilError(t, err)
 		assert.DeepEqual(t, indexedIDs(t, before), indexedIDs(t, after))
 	})
@@ -142,8 +142,8 @@
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		id := h.mustPut("r", "", "x")
-		leader := h.leader(id)
-		leader.store.Ended(h.messageOf(id), message.Outcome{State: message.DeadLetter})
+		primary := h.primary(id)
+		primary.store.Ended(h.messageOf(id), message.Outcome{State: message.DeadLetter})
 		time.Sleep(50 * time.Second)
 		outcome, err := h.state(id)
 		assert.NilError(t, err)
--- a/internal/messagestore/missing.go
+++ b/internal/messagestore/missing.go
@@ -19,26 +19,26 @@
 // missing returns the entries of which a backup lacks records, by its inventory. It leaves out pending writes, which
 // are replicated separately. An entry with failed attempts is always included until it has ended, as the inventory does
 // not tell how many of its failures the backup knows.
-func (s *Store) missing(p *partition, held *protocol.InventoryResponse) []missingEntry {
-	queued := make(map[string]bool, len(held.Queued))
-	for _, id := range held.Queued {
+func (s *Store) missing(p *partition, inventory *protocol.InventoryResponse) []missingEntry {
+	queued := make(map[string]bool, len(inventory.Queued))
+	for _, id := range inventory.Queued {
 		queued[id] = true
 	}
-	ended := make(map[string]bool, len(held.Ended))
-	for _, id := range held.Ended {
+	ended := make(map[string]bool, len(inventory.Ended))
+	for _, id := range inventory.Ended {
 		ended[id] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []missingEntry
-	for id, each := range p.entries {
+	for id, e := range p.entries {
 		isKnown := queued[id] || ended[id]
 		switch {
-		case each.pending != nil:
-		case each.ended() && !ended[id]:
-			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !isKnown && each.needsBody()})
-		case !each.ended() && (!isKnown || each.failures > 0):
-			found = append(found, missingEntry{id: id, entry: each, needsAccepted: !isKnown})
+		case e.pending != nil:
+		case e.ended() && !ended[id]:
+			found = append(found, missingEntry{id: id, entry: e, needsAccepted: !isKnown && e.needsBody()})
+		case !e.ended() && (!isKnown || e.failures > 0):
+			found = append(found, missingEntry{id: id, entry: e, needsAccepted: !isKnown})
 		}
 	}
 	return found
@@ -68,22 +68,22 @@
 func (s *Store) enqueueMissing(p *partition, backup *replicator, missing missingEntry) (int, error) {
 	var body []byte
 	if missing.needsAccepted {
-		read, err := s.readBody(s.positionOf(missing.entry))
+		stored, err := s.readBody(s.positionOf(missing.entry))
 		if err != nil {
 			return 0, err
 		}
-		body = read
+		body = stored
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	size := 0
-	for _, each := range s.missingRecords(p, missing) {
-		line, err := each.Encode()
+	for _, missingRecord := range s.missingRecords(p, missing) {
+		line, err := missingRecord.Encode()
 		if err != nil {
 			return 0, err
 		}
 		queued := queuedRecord{partition: p.id, epoch: p.epoch, line: line}
-		if each.Kind == record.Accepted {
+		if missingRecord.Kind == record.Accepted {
 			queued.body = body
 		}
 		size += queued.size()
@@ -126,8 +126,8 @@
 		return nil, nil, errStaleEpoch
 	}
 	response := &protocol.InventoryResponse{}
-	for id, each := range s.partition(request.Partition).entries {
-		if each.outcome.State == message.Queued {
+	for id, e := range s.partition(request.Partition).entries {
+		if e.outcome.State == message.Queued {
 			response.Queued = append(response.Queued, id)
 		} else {
 			response.Ended = append(response.Ended, id)
--- a/internal/messagestore/model_collect_steps_test.go
+++ b/internal/messagestore/model_collect_steps_test.go
@@ -41,7 +41,7 @@
 	view := state.current()
 	former := int(view.primary)
 	lost := !state.isAvailable(view, former) || m.rules.mayPromote(&state.stores[former])
-	if !m.rules.retains || !lost || state.syncedAvailable().without(former) != 0 {
+	if !m.rules.retainsReplicas || !lost || state.syncedAvailable().without(former) != 0 {
 		return
 	}
 	members := view.replicas() | view.retained
@@ -83,7 +83,7 @@
 			collector.collected = s.collected.with(source)
 			collector.stored |= state.stores[source].stored
 			for granter, formers := range state.stores[source].knownGrants {
-				if !m.rules.hidesCollectedGrants {
+				if !m.rules.omitsCollectedGrants {
 					collector.knownGrants[granter] |= formers
 				}
 			}
@@ -92,7 +92,7 @@
 	}
 	current := state.current()
 	isCurrent := int(current.primary) == store && current.epoch == s.epoch && state.isAvailable(current, store)
-	enough := s.collected.contains(view.backups) || m.rules.collectsFromNobody
+	enough := s.collected.contains(view.backups) || m.rules.skipsCollection
 	if int(state.count) >= m.limits.views || !isCurrent || s.fenced || !enough {
 		return
 	}
--- a/internal/messagestore/model_control_steps_test.go
+++ b/internal/messagestore/model_control_steps_test.go
@@ -31,7 +31,7 @@
 
 // addView adds the step that makes a view current.
 func (m *partitionModel) addView(state *modelState, view partitionView, format string, args []any, add addStep) {
-	if m.rules.retains {
+	if m.rules.retainsReplicas {
 		m.retain(state.current(), &view)
 	}
 	next := *state
@@ -144,7 +144,7 @@
 // replacementSteps are the results of a primary's request to replace a backup that does not store its records.
 func (m *partitionModel) replacementSteps(state *modelState, backup int, add addStep) {
 	m.dropUnresponsive(state, backup, add)
-	if state.current().synced.has(backup) && !m.rules.dropsResponding {
+	if state.current().synced.has(backup) && !m.rules.dropsRespondingBackup {
 		m.suspect(state, backup, add)
 		return
 	}
--- a/internal/messagestore/model_rules_test.go
+++ b/internal/messagestore/model_rules_test.go
@@ -16,20 +16,20 @@
 	ignoresGrants bool
 	// lossWhileReplacing allows the loss of a disk as soon as an unresponsive backup was replaced.
 	lossWhileReplacing bool
-	// retains has a recovery also ask the replicas that were dropped since the group was last complete.
-	retains bool
-	// collectsFromNobody lets the new primary of a recovery ask no other replica.
-	collectsFromNobody bool
+	// retainsReplicas has a recovery also ask the replicas that were dropped since the group was last complete.
+	retainsReplicas bool
+	// skipsCollection lets the new primary of a recovery ask no other replica.
+	skipsCollection bool
 	// recoversWithTooFew begins a recovery without replicas that may have messages which no other replica has.
 	recoversWithTooFew bool
-	// hidesCollectedGrants keeps the grants that other replicas know of from the new primary of a recovery.
-	hidesCollectedGrants bool
-	// dropsResponding replaces a synced backup that responds before another one is synced.
-	dropsResponding bool
+	// omitsCollectedGrants keeps the grants that other replicas know of from the new primary of a recovery.
+	omitsCollectedGrants bool
+	// dropsRespondingBackup replaces a synced backup that responds before another one is synced.
+	dropsRespondingBackup bool
 	// keepsStaleConfirmations counts confirmations from before the backup left the group.
 	keepsStaleConfirmations bool
-	// hidesGrants keeps the grants that a primary waits for from its backups.
-	hidesGrants bool
+	// omitsGrants keeps the grants that a primary waits for from its backups.
+	omitsGrants bool
 	// maySync reports whether a backup may be marked as synced.
 	maySync func(stored, knownStored messageSet) bool
 	// committed reports whether a message is committed by the backups that have confirmed it.
@@ -62,11 +62,11 @@
 // storeRules returns the rules without any mutation.
 func storeRules(limits modelLimits) modelRules {
 	return modelRules{
-		retains:        limits.overlappingLosses,
-		mayPromote:     func(former *modelStore) bool { return !former.hasLease },
-		onLeaseRenewal: func(s *modelState, store int) { s.apply(store, s.count) },
-		isTarget:       func(view *partitionView, s *modelState, to int) bool { return s.isAvailable(view, to) },
-		maySync:        func(stored, knownStored messageSet) bool { return knownStored.contains(stored) },
+		retainsReplicas: limits.overlappingLosses,
+		mayPromote:      func(former *modelStore) bool { return !former.hasLease },
+		onLeaseRenewal:  func(s *modelState, store int) { s.apply(store, s.count) },
+		isTarget:        func(view *partitionView, s *modelState, to int) bool { return s.isAvailable(view, to) },
+		maySync:         func(stored, knownStored messageSet) bool { return knownStored.contains(stored) },
 		committed: func(view *partitionView, acks storeSet) bool {
 			return acks.contains(view.backups) && view.replicas().count() >= limits.replicas
 		},
--- a/internal/messagestore/model_state_test.go
+++ b/internal/messagestore/model_state_test.go
@@ -26,7 +26,7 @@
 	synced  storeSet           // the synced replicas, which may include the primary
 	disks   [modelStores]uint8 // by replica: modelStore.disk when it joined
 	// retained are the replicas that were dropped since the group was last complete: they may have messages that no
-	// replica has. It is used only with modelRules.retains, which the code does not implement yet.
+	// replica has. It is used only with modelRules.retainsReplicas, which the code does not implement yet.
 	retained storeSet
 	lost     uint8 // number of dropped replicas whose stores are replicas again with other disks
 }
@@ -131,29 +131,29 @@
 
 // apply makes a store apply a view, unless it has applied a newer one or seen a higher epoch.
 func (s *modelState) apply(store int, number uint8) {
-	taken := &s.stores[store]
-	if number <= taken.view {
+	target := &s.stores[store]
+	if number <= target.view {
 		return
 	}
 	view := &s.views[number-1]
-	newer := view.epoch > taken.epoch
-	if view.epoch < taken.epoch {
+	newer := view.epoch > target.epoch
+	if view.epoch < target.epoch {
 		return
 	}
-	taken.view, taken.epoch = number, view.epoch
+	target.view, target.epoch = number, view.epoch
 	isPrimary := int(view.primary) == store && s.isAvailable(view, store)
 	switch {
 	case !isPrimary:
-		taken.stepDown()
+		target.stepDown()
 		if !view.replicas().has(store) && view.synced == view.replicas() && view.synced.count() >= int(s.factor) {
-			taken.stored = 0 // a complete group of other stores has all messages
+			target.stored = 0 // a complete group of other stores has all messages
 		}
-	case !taken.isPrimary:
-		taken.stepDown()
-		taken.isPrimary = true
+	case !target.isPrimary:
+		target.stepDown()
+		target.isPrimary = true
 	case newer:
-		taken.fenced = false
-		taken.changeReplicaGroup(view)
+		target.fenced = false
+		target.changeReplicaGroup(view)
 	}
 }
 
--- a/internal/messagestore/model_store_steps_test.go
+++ b/internal/messagestore/model_store_steps_test.go
@@ -134,7 +134,7 @@
 		backup.stepDown()
 	}
 	backup.epoch = epoch
-	if !m.rules.hidesGrants {
+	if !m.rules.omitsGrants {
 		for granter, formers := range s.stores[from].knownGrants {
 			backup.knownGrants[granter] |= formers
 		}
--- a/internal/messagestore/partition.go
+++ b/internal/messagestore/partition.go
@@ -52,9 +52,9 @@
 // queued returns the entries that have not ended, in the order of their acceptance.
 func (p *partition) queued() []*entry {
 	var found []*entry
-	for _, each := range p.entries {
-		if !each.ended() {
-			found = append(found, each)
+	for _, e := range p.entries {
+		if !e.ended() {
+			found = append(found, e)
 		}
 	}
 	slices.SortFunc(found, func(a, b *entry) int {
@@ -71,8 +71,8 @@
 	case record.Accepted:
 		p.applyAccepted(r, position)
 	case record.Failed:
-		if found := p.entries[r.ID]; found != nil {
-			found.failures = max(found.failures, r.Failures)
+		if e := p.entries[r.ID]; e != nil {
+			e.failures = max(e.failures, r.Failures)
 		}
 	case record.Ended:
 		p.applyEnded(r)
@@ -85,10 +85,10 @@
 // details if they are still needed and not known.
 func (p *partition) applyAccepted(r *record.Record, position wal.Position) {
 	p.lastSequence = max(p.lastSequence, r.Message.Sequence)
-	if found := p.entries[r.Message.ID]; found != nil {
-		found.position = position
-		if found.message == nil && found.outcome.State != message.Completed {
-			found.message = r.Message
+	if e := p.entries[r.Message.ID]; e != nil {
+		e.position = position
+		if e.message == nil && e.outcome.State != message.Completed {
+			e.message = r.Message
 		}
 		return
 	}
@@ -106,15 +106,15 @@
 	if r.Outcome == nil {
 		return
 	}
-	found := p.entries[r.ID]
-	if found == nil {
-		found = &entry{}
-		p.entries[r.ID] = found
+	e := p.entries[r.ID]
+	if e == nil {
+		e = &entry{}
+		p.entries[r.ID] = e
 	}
-	found.outcome, found.endedAt = *r.Outcome, r.EndedAt
-	found.body = nil
+	e.outcome, e.endedAt = *r.Outcome, r.EndedAt
+	e.body = nil
 	if r.Outcome.State == message.Completed {
-		found.message = nil
+		e.message = nil
 	}
 }
 
--- a/internal/messagestore/put.go
+++ b/internal/messagestore/put.go
@@ -46,8 +46,8 @@
 	if p == nil || !p.isPrimary {
 		return nil, false, errNotPrimary
 	}
-	if found := p.entries[submission.Message.ID]; found != nil {
-		return found.pending, false, nil
+	if existing := p.entries[submission.Message.ID]; existing != nil {
+		return existing.pending, false, nil
 	}
 	if !s.canCommit(p) {
 		return nil, false, errCannotCommit
--- a/internal/messagestore/put_test.go
+++ b/internal/messagestore/put_test.go
@@ -19,7 +19,7 @@
 		defer h.close()
 		id := h.mustPut("r1", "", "payload")
 		synctest.Wait()
-		assert.DeepEqual(t, h.leader(id).engine.ids(), []string{id})
+		assert.DeepEqual(t, h.primary(id).engine.ids(), []string{id})
 		outcome, err := h.state(id)
 		assert.NilError(t, err)
 		assert.Equal(t, outcome.State, message.Queued)
@@ -27,8 +27,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, body, "payload")
 
-		leader := h.leader(id)
-		leader.store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: "s1"})
+		primary := h.primary(id)
+		primary.store.Ended(h.messageOf(id), message.Outcome{State: message.Completed, Stamp: "s1"})
 		outcome, err = h.state(id)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, outcome, message.Outcome{State: message.Completed, Stamp: "s1"})
@@ -46,7 +46,7 @@
 			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", "x"))
 		}
 		synctest.Wait()
-		assert.DeepEqual(t, h.leader(ids[0]).engine.ids(), ids)
+		assert.DeepEqual(t, h.primary(ids[0]).engine.ids(), ids)
 		last := uint64(0)
 		for _, id := range ids {
 			m := h.messageOf(id)
@@ -74,12 +74,12 @@
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		submission := message.Submission{Message: message.Message{Partition: 0, ID: "0-1", RequestID: "r"}}
-		leader := h.leader("0-1")
+		primary := h.primary("0-1")
 		for range 3 {
-			_, err := h.clients.Get(h.address(leader.name)).Call(t.Context(), protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
+			_, err := h.clients.Get(h.address(primary.name)).Call(t.Context(), protocol.MethodPut, protocol.PutRequest{Submission: submission}, []byte("x"), nil)
 			assert.NilError(t, err)
 		}
-		assert.DeepEqual(t, leader.engine.ids(), []string{"0-1"})
+		assert.DeepEqual(t, primary.engine.ids(), []string{"0-1"})
 	})
 }
 
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -16,11 +16,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, err := s.find(&request)
+	e, err := s.findEntry(&request)
 	if err != nil {
 		return nil, nil, err
 	}
-	return found.outcome, nil, nil
+	return e.outcome, nil, nil
 }
 
 // handleBody answers with the body of a message that has not completed.
@@ -30,12 +30,12 @@
 		return nil, nil, err
 	}
 	s.mu.Lock()
-	found, err := s.find(&request)
+	e, err := s.findEntry(&request)
 	if err != nil {
 		s.mu.Unlock()
 		return nil, nil, err
 	}
-	state, position, body := found.outcome.State, found.position, found.body
+	state, position, body := e.outcome.State, e.position, e.body
 	s.mu.Unlock()
 	if state == message.Completed {
 		return nil, nil, errBodyDropped
@@ -48,19 +48,20 @@
 	return nil, body, nil
 }
 
-// find returns a message's entry. Only a primary that no other store can have replaced may answer that a message does
-// not exist. All other replicas return an error that makes the client ask the next replica. The caller must hold s.mu.
-func (s *Store) find(request *protocol.QueryRequest) (*entry, error) {
+// findEntry returns a message's entry. Only a primary that no other store can have replaced may answer that a message
+// does not exist. All other replicas return an error that makes the client ask the next replica. The caller must hold
+// s.mu.
+func (s *Store) findEntry(request *protocol.QueryRequest) (*entry, error) {
 	p := s.partitions[request.Partition]
 	if p == nil || !p.isReplica {
 		return nil, errNotReplica
 	}
-	found := p.entries[request.ID]
-	if found == nil && s.isConfirmedPrimary(p) {
+	e := p.entries[request.ID]
+	if e == nil && s.isConfirmedPrimary(p) {
 		return nil, errUnknownMessage
 	}
-	if found == nil || found.message == nil && found.outcome.State == message.Queued {
+	if e == nil || e.message == nil && e.outcome.State == message.Queued {
 		return nil, errNotHeld
 	}
-	return found, nil
+	return e, nil
 }
--- a/internal/messagestore/recovery_test.go
+++ b/internal/messagestore/recovery_test.go
@@ -26,8 +26,8 @@
 		for i := range 30 {
 			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", fmt.Sprintf("body %d", i)))
 		}
-		leader := h.leader(ids[0])
-		leader.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
+		primary := h.primary(ids[0])
+		primary.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
 		partition, err := client.PartitionOf(ids[0])
 		assert.NilError(t, err)
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
@@ -38,7 +38,7 @@
 		assert.Assert(t, view.IndexOf(backup) < 0)
 		assert.Assert(t, view.Replicas[1].Synced)
 
-		h.stop(leader.name)
+		h.stop(primary.name)
 		h.setView(partition, view.Replicas[1].Store)
 		time.Sleep(time.Second)
 		successor := h.machines[view.Replicas[1].Store]
@@ -52,7 +52,7 @@
 			assert.Equal(t, body, fmt.Sprintf("body %d", i+1))
 		}
 		h.start(backup)
-		h.start(leader.name)
+		h.start(primary.name)
 	})
 }
 
@@ -108,7 +108,7 @@
 			body, err := h.body(id)
 			assert.NilError(t, err)
 			assert.Equal(t, body, fmt.Sprintf("body %d", i))
-			assert.Assert(t, slices.Contains(h.leader(id).engine.ids(), id))
+			assert.Assert(t, slices.Contains(h.primary(id).engine.ids(), id))
 		}
 	})
 }
--- a/internal/messagestore/replicator.go
+++ b/internal/messagestore/replicator.go
@@ -44,13 +44,13 @@
 
 // replicator returns the replicator for a backup's disk and starts it if there is none. The caller must hold s.mu.
 func (s *Store) replicator(replica cluster.Replica) *replicator {
-	found := s.replicators[replica.DiskID]
-	if found == nil {
-		found = &replicator{store: s, replica: replica, wake: make(chan struct{}, 1)}
-		s.replicators[replica.DiskID] = found
-		s.background.Go(found.run)
+	r := s.replicators[replica.DiskID]
+	if r == nil {
+		r = &replicator{store: s, replica: replica, wake: make(chan struct{}, 1)}
+		s.replicators[replica.DiskID] = r
+		s.background.Go(r.run)
 	}
-	return found
+	return r
 }
 
 // sendTo queues a record for a backup. write is the write that waits for the record, or nil. The caller must hold s.mu.
--- a/internal/messagestore/resync.go
+++ b/internal/messagestore/resync.go
@@ -79,15 +79,15 @@
 	s.mu.Lock()
 	backup := s.replicator(replica)
 	s.mu.Unlock()
-	var held protocol.InventoryResponse
+	var inventory protocol.InventoryResponse
 	request := protocol.InventoryRequest{TargetDiskID: replica.DiskID, Partition: p.id, Epoch: epoch}
-	if err := backup.call(protocol.MethodInventory, inventoryTimeout, request, nil, &held); err != nil {
+	if err := backup.call(protocol.MethodInventory, inventoryTimeout, request, nil, &inventory); err != nil {
 		return err
 	}
 	s.resendPending(p)
 	ctx, cancel := context.WithTimeout(s.context, resyncTimeout)
 	defer cancel()
-	if err := s.sendMissing(ctx, p, backup, s.missing(p, &held)); err != nil {
+	if err := s.sendMissing(ctx, p, backup, s.missing(p, &inventory)); err != nil {
 		return err
 	}
 	if s.resyncFailed(p, replica) {
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -75,8 +75,8 @@
 		return nil, trace.Wrap(err, "opening the message log")
 	}
 	s.log = log
-	for _, each := range s.partitions {
-		each.lastSequence += restartGap
+	for _, p := range s.partitions {
+		p.lastSequence += restartGap
 	}
 	s.registerHandlers(options.Server)
 	return s, nil
@@ -113,12 +113,12 @@
 
 // partition returns the state of a partition and creates it if it does not exist. The caller must hold s.mu.
 func (s *Store) partition(id int) *partition {
-	found := s.partitions[id]
-	if found == nil {
-		found = newPartition(id)
-		s.partitions[id] = found
+	p := s.partitions[id]
+	if p == nil {
+		p = newPartition(id)
+		s.partitions[id] = p
 	}
-	return found
+	return p
 }
 
 // Holdings counts what a store has on its disk, including messages of which it is only a backup.
@@ -135,8 +135,8 @@
 	defer s.mu.Unlock()
 	holdings := Holdings{LogBytes: s.log.Size()}
 	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			switch each.outcome.State {
+		for _, e := range p.entries {
+			switch e.outcome.State {
 			case message.Queued:
 				holdings.Queued++
 				if p.isPrimary {
