--- a/internal/delivery/attempt_result.go
+++ b/internal/delivery/attempt_result.go
@@ -9,26 +9,26 @@
 	"gladepick/internal/decision"
 )
 
-// attemptResult says how an attempt ended for its message.
+// attemptResult is how an attempt ended, as seen by its message.
 type attemptResult uint8
 
 const (
-	resultCompleted        attemptResult = iota + 1 // the worker did it
-	resultRejected                                  // it can never be done
-	resultFailed                                    // this attempt failed and is counted; a later one may succeed
+	resultCompleted        attemptResult = iota + 1 // the worker completed the message
+	resultRejected                                  // the message can never be completed
+	resultFailed                                    // the attempt counts as a failure; a later one may succeed
 	resultFull                                      // the worker had no capacity: not run
 	resultThrottled                                 // the service gets too many requests: not run
 	resultRunning                                   // another attempt of the message is still running: not run
 	resultMisdirected                               // another worker has the address now: not run
-	resultUncertain                                 // it may have run
-	resultTimedOut                                  // it may have run or run still
-	resultDeadlineExceeded                          // the worker gave up at its deadline: it may have run
+	resultUncertain                                 // the worker may have run the message
+	resultTimedOut                                  // the worker may have run the message, or may still run it
+	resultDeadlineExceeded                          // the worker stopped at its deadline: it may have run the message
 	resultUnreachable                               // no byte was sent
-	resultWithdrawn                                 // called off before the first byte
-	resultBodyUnreadable                            // the message's body could not be read
+	resultCancelled                                 // cancelled before the first byte
+	resultBodyUnreadable                            // the body of the message could not be read
 )
 
-// The headers of deliveries and their answers.
+// Headers of delivery requests and of their responses.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerOrderKey       = "X-Order-Key"
@@ -41,20 +41,21 @@
 	headerUserAgent      = "User-Agent"
 )
 
-// attemptReport is an attempt's result with its details.
+// attemptReport is the result of an attempt and its details.
 type attemptReport struct {
 	result    attemptResult
-	stamp     string        // of resultCompleted
+	stamp     string        // only with resultCompleted
 	ended     bool          // the message has ended with this attempt
-	keepAlive time.Duration // after which the worker closes idle connections, if it said so
+	keepAlive time.Duration // when the worker closes idle connections; 0 if it did not say
 }
 
-// answered tells whether a worker dealt with the message.
-func (r attemptResult) answered() bool {
+// processed reports whether a worker has processed the message or is processing it in another attempt.
+func (r attemptResult) processed() bool {
 	return r == resultCompleted || r == resultRejected || r == resultFailed || r == resultRunning
 }
 
-// moduleOutcome is the result in the decision module's terms. Ended tells whether the message has ended with the attempt.
+// moduleOutcome returns the outcome that the decision module has for the result. The argument ended says whether the
+// message ended with the attempt.
 func (r attemptResult) moduleOutcome(ended bool) decision.Outcome {
 	switch r {
 	case resultCompleted, resultRejected:
@@ -77,32 +78,33 @@
 	}
 }
 
-// classifyAnswer reads the result from an answer's head; the caller checks that the body is complete. An answer that does
-// not name this request says nothing about it: it may be another one's.
-func classifyAnswer(answer *http.Response, requestID string) attemptReport {
-	report := attemptReport{keepAlive: keepAliveOf(answer.Header)}
-	echoed := answer.Header.Get(headerRequestID)
+// classifyResponse returns the result that the status and the headers of a response state. The caller checks that the
+// body is complete. A response that does not name this request may belong to another request, so it does not show that
+// this one was processed.
+func classifyResponse(response *http.Response, requestID string) attemptReport {
+	report := attemptReport{keepAlive: keepAliveOf(response.Header)}
+	echoed := response.Header.Get(headerRequestID)
 	switch {
 	case echoed != "" && echoed != requestID:
 		report.result = resultUncertain
-	case answer.StatusCode >= 200 && answer.StatusCode < 300:
-		report.stamp = answer.Header.Get(headerStamp)
+	case response.StatusCode >= 200 && response.StatusCode < 300:
+		report.stamp = response.Header.Get(headerStamp)
 		report.result = resultUncertain
 		if report.stamp != "" && echoed == requestID {
 			report.result = resultCompleted
 		}
 	default:
-		report.result = classifyFailure(answer)
-		if report.result.answered() && echoed != requestID {
+		report.result = classifyFailure(response)
+		if report.result.processed() && echoed != requestID {
 			report.result = resultUncertain
 		}
 	}
 	return report
 }
 
-// classifyFailure reads the result from the head of an answer that is not a success.
-func classifyFailure(answer *http.Response) attemptResult {
-	switch answer.StatusCode {
+// classifyFailure returns the result that the status and the headers of an unsuccessful response state.
+func classifyFailure(response *http.Response) attemptResult {
+	switch response.StatusCode {
 	case http.StatusConflict:
 		return resultRunning
 	case http.StatusTooManyRequests:
@@ -113,33 +115,33 @@
 		return resultFull
 	}
 	switch {
-	case answer.Header.Get(headerNotExecuted) != "":
+	case response.Header.Get(headerNotExecuted) != "":
 		return resultFull
-	case answer.StatusCode == http.StatusUnprocessableEntity:
+	case response.StatusCode == http.StatusUnprocessableEntity:
 		return resultRejected
-	case answer.StatusCode == http.StatusInternalServerError:
+	case response.StatusCode == http.StatusInternalServerError:
 		return resultFailed
-	case answer.StatusCode == http.StatusGatewayTimeout:
+	case response.StatusCode == http.StatusGatewayTimeout:
 		return resultDeadlineExceeded
 	default:
 		return resultUncertain
 	}
 }
 
-// needsCompleteBody tells whether the result holds only if the answer was read to its end.
+// needsCompleteBody reports whether the result holds only if the response was read to its end.
 func (r attemptResult) needsCompleteBody() bool {
 	return r == resultCompleted || r == resultRejected || r == resultFailed
 }
 
-// keepAliveOf reads the time-out from a Keep-Alive header; 0 where there is none.
+// keepAliveOf returns the timeout parameter of a Keep-Alive header, or 0 if it is missing or invalid.
 func keepAliveOf(header http.Header) time.Duration {
 	for parameter := range strings.SplitSeq(header.Get(headerKeepAlive), ",") {
 		name, value, _ := strings.Cut(parameter, "=")
 		if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
 			continue
 		}
-		if span, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && span > 0 && span < 3600 {
-			return time.Duration(span * float64(time.Second))
+		if seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64); err == nil && seconds > 0 && seconds < 3600 {
+			return time.Duration(seconds * float64(time.Second))
 		}
 	}
 	return 0
