--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -121,31 +121,31 @@
 	return p
 }
 
-// Holdings counts what a store has on its disk, including messages of which it is only a backup.
-type Holdings struct {
-	Queued      int   // messages that have not ended
-	Led         int   // those of the queued messages that are in partitions whose primary the store is
-	DeadLetters int   // messages that ended without success and are not expired
-	LogBytes    int64 // size of the log on the disk, including its snapshot
+// Stats counts what a store has on its disk, including messages of which it is only a backup.
+type Stats struct {
+	Queued          int   // messages that have not ended
+	QueuedAsPrimary int   // those of the queued messages that are in partitions whose primary the store is
+	DeadLetters     int   // messages that ended without success and are not expired
+	LogBytes        int64 // size of the log on the disk, including its snapshot
 }
 
-// Holdings returns the store's current figures.
-func (s *Store) Holdings() Holdings {
+// Stats returns the store's current figures.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	holdings := Holdings{LogBytes: s.log.Size()}
+	stats := Stats{LogBytes: s.log.Size()}
 	for _, p := range s.partitions {
 		for _, e := range p.entries {
 			switch e.outcome.State {
 			case message.Queued:
-				holdings.Queued++
+				stats.Queued++
 				if p.isPrimary {
-					holdings.Led++
+					stats.QueuedAsPrimary++
 				}
 			case message.DeadLetter:
-				holdings.DeadLetters++
+				stats.DeadLetters++
 			}
 		}
 	}
-	return holdings
+	return stats
 }
--- a/internal/systemnode/storemetrics.go
+++ b/internal/systemnode/storemetrics.go
@@ -39,9 +39,9 @@
 
 // collectStore writes the metrics of a store: the totals, then each metric of a service for all services by name.
 func (s *Store) collectStore(samples *inspection.Samples) {
-	holdings := s.messages.Holdings()
+	holdings := s.messages.Stats()
 	samples.Add(metricMessages, float64(holdings.Queued))
-	samples.Add(metricMessagesLed, float64(holdings.Led))
+	samples.Add(metricMessagesLed, float64(holdings.QueuedAsPrimary))
 	samples.AddBool(metricDiskFailing, s.messages.DiskFailing())
 	stats := s.engine.Stats()
 	samples.Add(metricQueued, float64(stats.Queued))
