--- a/internal/controlplane/controlstate/snapshot.go
+++ b/internal/controlplane/controlstate/snapshot.go
@@ -11,21 +11,21 @@
 	"gladepick/internal/configuration"
 )
 
-// snapshotHeader is the first line of a snapshot; the configuration follows it byte for byte.
+// snapshotHeader is the first line of a snapshot. The configuration follows it byte for byte.
 type snapshotHeader struct {
-	Orders         []string       `json:"orders,omitempty"`
-	Bases          []uint64       `json:"bases,omitempty"`  // of the orders; older snapshots have none
-	ForgottenBelow uint64         `json:"forgot,omitempty"` // orders on lower versions may be missing
+	Digests        []string       `json:"orders,omitempty"` // digests of the remembered requests, oldest first
+	Bases          []uint64       `json:"bases,omitempty"`  // base versions of these requests; absent from older snapshots
+	ForgottenBelow uint64         `json:"forgot,omitempty"` // requests that are based on lower versions may be missing
 	Table          *cluster.Table `json:"table"`
 	Jobs           []RetireJob    `json:"jobs,omitempty"`
-	Configuration  bool           `json:"configuration,omitempty"` // one follows
+	Configuration  bool           `json:"configuration,omitempty"` // the configuration follows the line
 }
 
-// Snapshot returns the whole state. The updates that led to the configuration are not part of it.
+// Snapshot returns the whole state, except for the recent configuration updates and table changes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	current := m.current.Load()
 	header := snapshotHeader{
-		Orders:         current.orders,
+		Digests:        current.digests,
 		Bases:          current.bases,
 		ForgottenBelow: current.ForgottenBelow,
 		Table:          current.Table,
@@ -43,11 +43,11 @@
 	return snapshot, nil
 }
 
-// Restore replaces the whole state by a snapshot.
+// Restore replaces the whole state with that of a snapshot.
 func (m *Machine) Restore(snapshot []byte) error {
 	line, body, found := bytes.Cut(snapshot, []byte{'\n'})
 	if !found {
-		return trace.BadParameter("snapshot has no end of its first line")
+		return trace.BadParameter("snapshot has no newline after its first line")
 	}
 	var header snapshotHeader
 	if err := json.Unmarshal(line, &header); err != nil {
@@ -55,26 +55,26 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	next, err := m.restored(&header, body)
+	next, err := m.restoredState(&header, body)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	m.orders = make(map[string]struct{}, len(next.orders))
-	for _, digest := range next.orders {
-		m.orders[digest] = struct{}{}
+	m.digests = make(map[string]struct{}, len(next.digests))
+	for _, digest := range next.digests {
+		m.digests[digest] = struct{}{}
 	}
 	m.current.Store(next)
 	m.changed.Notify()
 	return nil
 }
 
-// restored returns the state that a snapshot holds. The caller holds the lock.
-func (m *Machine) restored(header *snapshotHeader, body []byte) (*State, error) {
+// restoredState returns the state that a snapshot holds. The caller holds the lock.
+func (m *Machine) restoredState(header *snapshotHeader, body []byte) (*State, error) {
 	next := &State{
 		Table:          header.Table,
 		Jobs:           header.Jobs,
 		ForgottenBelow: header.ForgottenBelow,
-		orders:         header.Orders,
+		digests:        header.Digests,
 		bases:          header.Bases,
 	}
 	if next.Table == nil {
@@ -87,8 +87,8 @@
 		}
 		next.Document = document
 	}
-	if len(next.bases) != len(next.orders) {
-		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.orders)) // at most that
+	if len(next.bases) != len(next.digests) {
+		next.bases = slices.Repeat([]uint64{next.ConfigVersion()}, len(next.digests)) // no base is higher
 	}
 	return next, nil
 }
