--- a/internal/decision/forecast_test.go
+++ b/internal/decision/forecast_test.go
@@ -61,11 +61,11 @@
 	}{{0.08, 285, 300}, {0.01, 0, 200}} { // a third of the workers are local
 		local := 0
 		newCheckerWithWorkers(t, 60,
-			func(s *Settings) { costlyZoneSettings(s); s.CrossZoneCost = tc.price },
-		).serveSequentially(400, func(id JobID, w Entry) workerReply {
-			local += boolToInt(w.Zone == 0 && id > 100)
-			return workerReply{startDelay: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
-		})
+			func(s *Settings) { costlyZoneSettings(s); s.CrossZoneCost = tc.price }).serveSequentially(400,
+			func(id JobID, w Entry) workerReply {
+				local += boolToInt(w.Zone == 0 && id > 100)
+				return workerReply{startDelay: time.Millisecond, run: time.Duration(100+60*w.Kind) * time.Millisecond, free: 4}
+			})
 		if local < tc.least || local > tc.most {
 			t.Errorf("cross-zone cost %v: %d of 300 jobs stay in their zone", tc.price, local)
 		}
--- a/internal/decision/key_affinity.go
+++ b/internal/decision/key_affinity.go
@@ -27,16 +27,17 @@
 
 // searchKindsForKey searches the kinds for a worker for a job with a key. The job leaves the first kind only
 // after one of its attempts.
-func (p *picker) searchKindsForKey(kinds []int, candidates [][]*workerState, s search) *workerState {
+func (p *picker) searchKindsForKey(kinds []int, candidates [][]*workerState,
+	search workerSearch) *workerState {
 	var best *workerState
 	for n, kind := range kinds {
-		if n > 0 && len(s.job.attempts) == 0 {
+		if n > 0 && len(search.job.attempts) == 0 {
 			break
 		}
 		if best != nil && !p.load.reported {
 			break
 		}
-		best = p.pickByRank(candidates[kind], best, s)
+		best = p.pickByRank(candidates[kind], best, search)
 	}
 	return best
 }
@@ -44,9 +45,9 @@
 // pickByRank returns the first worker in the ranking that accepts the job, or one of a lower rank if the
 // workers before it have rankSlotMargin more own slots in use for each rank. The best worker so far, of
 // another kind, ranks before all of them.
-func (p *picker) pickByRank(ranked []*workerState, best *workerState, s search) *workerState {
+func (p *picker) pickByRank(ranked []*workerState, best *workerState, search workerSearch) *workerState {
 	for rank, worker := range ranked {
-		if !p.health.accepts(worker, s.job, s.now) {
+		if !p.health.accepts(worker, search.job, search.now) {
 			continue
 		}
 		if best == nil || best.ownSlots >= worker.ownSlots+rankSlotMargin*float64(rank) {
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -96,9 +96,7 @@
 		t.Errorf("only %d different retry-after times for 20 rejections", n)
 	}
 	for name, got := range map[string]map[time.Duration]bool{
-		"not told": retryAfterTimes(false, 1, 0),
-		"failed":   retryAfterTimes(true, 1, 1),
-	} {
+		"not told": retryAfterTimes(false, 1, 0), "failed": retryAfterTimes(true, 1, 1)} {
 		if len(got) != 1 || !got[0] {
 			t.Errorf("%s: retry-after times %v, want none", name, got)
 		}
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -34,8 +34,8 @@
 	sharedFleet bool
 }
 
-// search holds the parameters of one search for a worker.
-type search struct {
+// workerSearch holds the parameters of one search for a worker.
+type workerSearch struct {
 	job       *jobState
 	now       time.Duration
 	allowFull bool // include workers without a free slot
@@ -44,10 +44,10 @@
 // pick returns a worker that can take a job now, or nil if there is none. anyReady reports whether some
 // worker could take the job later.
 func (p *picker) pick(job *jobState, now time.Duration) (best *workerState, anyReady bool) {
-	best, anyReady = p.searchPools(search{job: job, now: now})
+	best, anyReady = p.searchPools(workerSearch{job: job, now: now})
 	if best == nil && p.mayWaitAtWorker(job, now) {
 		var ready bool
-		best, ready = p.searchPools(search{job: job, now: now, allowFull: true})
+		best, ready = p.searchPools(workerSearch{job: job, now: now, allowFull: true})
 		anyReady = anyReady || ready
 	}
 	if best == nil || p.sharedFleet {
@@ -75,13 +75,13 @@
 
 // searchPools searches the tenant's own pool for a worker, and then the next pool. A job that exceeds its
 // tenant's share stays in the tenant's own pool.
-func (p *picker) searchPools(s search) (best *workerState, anyReady bool) {
+func (p *picker) searchPools(search workerSearch) (best *workerState, anyReady bool) {
 	tried := min(len(p.pools.members), maxPoolsTried)
-	if s.job.overQuota {
+	if search.job.overQuota {
 		tried = 1
 	}
 	for n := range tried {
-		worker, ready := p.searchPool(p.pools.poolAt(s.job.Tenant, n), s)
+		worker, ready := p.searchPool(p.pools.poolAt(search.job.Tenant, n), search)
 		anyReady = anyReady || ready
 		if worker != nil {
 			return worker, anyReady
@@ -94,17 +94,17 @@
 // take the job. Where many dispatchers share the workers, a warming-up worker with a permit is taken first,
 // because its permits are few. The best of the other workers is not taken if the risk of a late answer
 // because of waiting is too high.
-func (p *picker) searchPool(pool [][]*workerState, s search) (best *workerState, anyReady bool) {
-	kinds, candidates := p.orderKinds(pool, s)
+func (p *picker) searchPool(pool [][]*workerState, search workerSearch) (best *workerState, anyReady bool) {
+	kinds, candidates := p.orderKinds(pool, search)
 	anyReady = len(kinds) > 0
 	if !p.sharedFleet {
-		return p.searchKinds(kinds, candidates, s), anyReady
+		return p.searchKinds(kinds, candidates, search), anyReady
 	}
-	if warming := p.firstWarming(candidates, s); warming != nil {
+	if warming := p.firstWarming(candidates, search); warming != nil {
 		return warming, anyReady
 	}
-	best = p.searchKinds(kinds, candidates, s)
-	if best != nil && p.isTooRisky(best, s) {
+	best = p.searchKinds(kinds, candidates, search)
+	if best != nil && p.isTooRisky(best, search) {
 		return nil, anyReady
 	}
 	return best, anyReady
@@ -112,15 +112,16 @@
 
 // isTooRisky reports whether the risk that a job is late because of waiting at a worker exceeds the limit for
 // the job.
-func (p *picker) isTooRisky(worker *workerState, s search) bool {
-	return p.forecasts.forecastAt(worker, s.job, s.now).waitRisk > p.forecasts.maxWaitRisk(worker, s.job, s.now)
+func (p *picker) isTooRisky(worker *workerState, search workerSearch) bool {
+	return p.forecasts.forecastAt(worker, search.job, search.now).waitRisk >
+		p.forecasts.maxWaitRisk(worker, search.job, search.now)
 }
 
 // firstWarming returns the first warming-up worker that accepts the job.
-func (p *picker) firstWarming(candidates [][]*workerState, s search) *workerState {
+func (p *picker) firstWarming(candidates [][]*workerState, search workerSearch) *workerState {
 	for _, members := range candidates {
 		for _, worker := range members {
-			if !p.slowStart.isWarm(worker, s.now) && p.health.accepts(worker, s.job, s.now) {
+			if !p.slowStart.isWarm(worker, search.now) && p.health.accepts(worker, search.job, search.now) {
 				return worker
 			}
 		}
@@ -130,20 +131,21 @@
 
 // orderKinds returns the kinds of a pool that have workers for a job, in ascending order of load. candidates
 // holds the workers that may take the job, indexed by kind.
-func (p *picker) orderKinds(pool [][]*workerState, s search) (kinds []int, candidates [][]*workerState) {
+func (p *picker) orderKinds(pool [][]*workerState,
+	search workerSearch) (kinds []int, candidates [][]*workerState) {
 	loads := make([]float64, len(pool))
 	kinds = make([]int, 0, len(pool))
 	candidates = make([][]*workerState, len(pool))
 	for kind, members := range pool {
-		members = p.gate.allowedWorkers(members, s.job, s.now)
+		members = p.gate.allowedWorkers(members, search.job, search.now)
 		candidates[kind] = members
 		if len(members) == 0 {
 			continue
 		}
 		kinds = append(kinds, kind)
-		loads[kind] = p.kindLoad(kind, members, s.job)
-		if s.job.Key != 0 {
-			candidates[kind] = keyWorkers(members, s.job.Key)
+		loads[kind] = p.kindLoad(kind, members, search.job)
+		if search.job.Key != 0 {
+			candidates[kind] = keyWorkers(members, search.job.Key)
 		}
 	}
 	slices.SortFunc(kinds, func(a, b int) int { return cmp.Compare(loads[a], loads[b]) })
@@ -173,9 +175,9 @@
 
 // searchKinds searches the kinds of a pool for a worker, in their order. Where workers report their load, it
 // returns the best worker of all kinds. Otherwise it returns the best worker of the first kind that has one.
-func (p *picker) searchKinds(kinds []int, candidates [][]*workerState, s search) *workerState {
-	if s.job.Key != 0 {
-		return p.searchKindsForKey(kinds, candidates, s)
+func (p *picker) searchKinds(kinds []int, candidates [][]*workerState, search workerSearch) *workerState {
+	if search.job.Key != 0 {
+		return p.searchKindsForKey(kinds, candidates, search)
 	}
 	var best *workerState
 	for _, kind := range kinds {
@@ -183,8 +185,8 @@
 			break
 		}
 		local, remote := p.splitLocal(candidates[kind], kind)
-		best = p.cheaper(best, p.pickOfTwo(local, s), s)
-		best = p.cheaper(best, p.pickOfTwo(remote, s), s)
+		best = p.cheaper(best, p.pickOfTwo(local, search), search)
+		best = p.cheaper(best, p.pickOfTwo(remote, search), search)
 	}
 	return best
 }
@@ -200,17 +202,17 @@
 }
 
 // cheaper returns the worker with the lower cost for a job. Either may be nil. The first one wins a tie.
-func (p *picker) cheaper(first, second *workerState, s search) *workerState {
+func (p *picker) cheaper(first, second *workerState, search workerSearch) *workerState {
 	if first == nil {
 		return second
 	}
-	if second != nil && p.costsLess(second, first, s) {
+	if second != nil && p.costsLess(second, first, search) {
 		return second
 	}
 	return first
 }
 
 // costsLess reports whether a job costs less at worker than at other.
-func (p *picker) costsLess(worker, other *workerState, s search) bool {
-	return p.forecasts.cost(worker, s.job, s.now) < p.forecasts.cost(other, s.job, s.now)
+func (p *picker) costsLess(worker, other *workerState, search workerSearch) bool {
+	return p.forecasts.cost(worker, search.job, search.now) < p.forecasts.cost(other, search.job, search.now)
 }
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -10,7 +10,7 @@
 	const again, reject, fail, done = "again", "reject", "fail", "done"
 	for _, tc := range []struct {
 		outcome Outcome
-		want    [5]string // by class of site()
+		want    [5]string // by class of testSettings()
 	}{
 		{OK, [5]string{done, done, done, done, done}},
 		{Rejected, [5]string{again, again, again, again, again}},
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -33,7 +33,7 @@
 			}
 			return Rejected
 		})
-		// A warm worker gets a twelfth of the 20 jobs per second of this dispatcher, and a starting one can take a
+		// A warm worker gets a twelfth of the 20 jobs per second of this dispatcher. A starting one can take a
 		// fifth of that.
 		limit := c.settings.OverloadMultiple * c.settings.SlowStartShare * 20 / 12 * c.settings.OverloadSpan.Seconds()
 		n := 0
@@ -100,9 +100,12 @@
 // dispatchers waited until its part of the budget covered a whole job, 80 s at its part of what such a worker
 // can take. Meanwhile 36 new workers were idle for seconds while a third of all jobs was rejected.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
-	checkSharedWarmingWorker(t, 4, 2, 0, 8)  // warm peers get 13 jobs a second each; it can take 4 of these
-	checkSharedWarmingWorker(t, 1, 8, 0, 5)  // the load of mostly idle peers says little of its capacity: their slots count
-	checkSharedWarmingWorker(t, 1, 8, 8, 14) // with all slots of its peers in use, it need not wait for their load to grow
+	// Each warm peer gets 13 jobs per second, and the worker can take 4 of these.
+	checkSharedWarmingWorker(t, 4, 2, 0, 8)
+	// The load of mostly idle peers says little about the capacity of the worker. Their slots count instead.
+	checkSharedWarmingWorker(t, 1, 8, 0, 5)
+	// All slots of the peers are in use: the worker gets jobs before the load of its peers grows.
+	checkSharedWarmingWorker(t, 1, 8, 8, 14)
 }
 
 func checkSharedWarmingWorker(t *testing.T, perSecond int, slots, queue float64, least int) {
