--- a/internal/messagestore/delivery_fence_test.go
+++ b/internal/messagestore/delivery_fence_test.go
@@ -171,8 +171,8 @@
 	})
 }
 
-// TestPrimaryWhoseRecordsAreRejectedStopsAtOnce guards against a primary that delivers on after a backup has rejected
-// its records for a newer epoch. The primary's lease from the control plane is still valid.
+// TestPrimaryWhoseRecordsAreRejectedStopsAtOnce guards against a primary that continues to deliver after a backup has
+// rejected its records because of a newer epoch. The primary's lease from the control plane is still valid.
 func TestPrimaryWhoseRecordsAreRejectedStopsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -192,8 +192,8 @@
 }
 
 // TestSecondSuccessorWaitsForLeaseGrants guards against two stores that deliver at the same time after two promotions
-// in quick succession. The first successor has granted a lease to the former primary. The second one has not, and must
-// wait for its end nevertheless.
+// in quick succession. The first successor has granted a lease to the former primary. The second one has not, but must
+// wait for the end of that lease too.
 func TestSecondSuccessorWaitsForLeaseGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -103,8 +103,8 @@
 			p.discardConfirmations(replica.DiskID)
 		}
 		isNew := !slices.Contains(former.Replicas, replica)
-		isUnsettled := !replica.Synced || replica.Suspected
-		if isUnsettled && (isNew || p.resync[replica.DiskID] == nil) {
+		mayLackRecords := !replica.Synced || replica.Suspected
+		if mayLackRecords && (isNew || p.resync[replica.DiskID] == nil) {
 			s.needResync(p, replica)
 		}
 	}
--- a/internal/messagestore/limits.go
+++ b/internal/messagestore/limits.go
@@ -13,10 +13,10 @@
 // Leases that backups grant to a primary.
 const (
 	backupLease = time.Second // duration of a lease
-	// backupLeaseMargin is the rest of its lease from the control plane at which a primary begins to request leases
-	// from its backups.
+	// backupLeaseMargin is the remaining time of a store's lease from the control plane below which the store requests
+	// leases from its backups.
 	backupLeaseMargin = 300 * time.Millisecond
-	heartbeatInterval = 300 * time.Millisecond // between two requests
+	heartbeatInterval = 300 * time.Millisecond // between two requests for leases
 )
 
 // Calls to other processes.
--- a/internal/messagestore/model_control_steps_test.go
+++ b/internal/messagestore/model_control_steps_test.go
@@ -80,7 +80,7 @@
 }
 
 // replace replaces a backup by a spare store, or by the same store with a new disk.
-func (m *partitionModel) replace(state *modelState, dropped int, what string, add addStep) {
+func (m *partitionModel) replace(state *modelState, dropped int, verb string, add addStep) {
 	view := state.current()
 	spare, found := m.spare(state, view)
 	if !found && !state.isAvailable(view, dropped) && !state.stores[dropped].removed {
@@ -94,7 +94,7 @@
 	next.backups = view.backups.without(dropped)
 	next.synced = view.synced.without(dropped)
 	m.addUnsynced(state, &next, spare)
-	m.addView(state, next, "the table %s %s by %s", []any{what, storeName(dropped), storeName(spare)}, add)
+	m.addView(state, next, "the table %s %s by %s", []any{verb, storeName(dropped), storeName(spare)}, add)
 }
 
 // requestSteps are the requests of a primary to the control plane: to mark a backup as synced, to replace a backup, and
--- a/internal/messagestore/model_rules_test.go
+++ b/internal/messagestore/model_rules_test.go
@@ -8,7 +8,7 @@
 	mayPromote func(former *modelStore) bool
 	// onLeaseRenewal has the effects on a store when its lease is renewed.
 	onLeaseRenewal func(s *modelState, store int)
-	// isTarget reports whether a primary's call to a replica of its view reaches the disk that the view lists.
+	// isTarget reports whether a replica accepts a primary's call as meant for its disk.
 	isTarget func(view *partitionView, s *modelState, to int) bool
 	// grantOnRejection counts a rejection as a lease.
 	grantOnRejection bool
@@ -22,13 +22,13 @@
 	skipsCollection bool
 	// recoversWithTooFew begins a recovery without replicas that may have messages which no other replica has.
 	recoversWithTooFew bool
-	// omitsCollectedGrants keeps the grants that other replicas know of from the new primary of a recovery.
+	// omitsCollectedGrants leaves the new primary of a recovery unaware of the grants that other replicas know of.
 	omitsCollectedGrants bool
 	// dropsRespondingBackup replaces a synced backup that responds before another one is synced.
 	dropsRespondingBackup bool
-	// keepsStaleConfirmations counts confirmations from before the backup left the group.
+	// keepsStaleConfirmations counts a backup's confirmations even if it left and rejoined the group since.
 	keepsStaleConfirmations bool
-	// omitsGrants keeps the grants that a primary waits for from its backups.
+	// omitsGrants leaves backups unaware of the grants that their primary waits for.
 	omitsGrants bool
 	// maySync reports whether a backup may be marked as synced.
 	maySync func(stored, knownStored messageSet) bool
--- a/internal/messagestore/model_state_test.go
+++ b/internal/messagestore/model_state_test.go
@@ -81,7 +81,7 @@
 }
 
 // changeReplicaGroup applies a new replica group to a primary that stays primary. The primary requests inventories
-// again. Confirmations of pending writes remain valid for backups that are synced in the new view.
+// again. Confirmations of pending writes remain valid only for backups that are synced in the new view too.
 func (s *modelStore) changeReplicaGroup(view *partitionView) {
 	s.inventoried, s.collected, s.knownStored = 0, 0, [modelStores]messageSet{}
 	if s.keepsStaleConfirmations {
@@ -157,8 +157,8 @@
 	}
 }
 
-// restart drops the state of a store's process. Other stores notice the end of the process and no longer count on its
-// leases.
+// restart drops the state of a store's process. Other stores notice the end of the process and no longer count on
+// leases that it granted.
 func (s *modelState) restart(store int) {
 	s.recovering = true
 	before := s.stores[store]
--- a/internal/messagestore/protocol/protocol.go
+++ b/internal/messagestore/protocol/protocol.go
@@ -54,7 +54,7 @@
 	Rejected []int `json:"refused,omitempty"` // partitions whose records were sent under a stale epoch
 }
 
-// InventoryRequest asks a backup which messages of a partition it holds.
+// InventoryRequest asks a backup for the IDs of a partition's messages that it has.
 type InventoryRequest struct {
 	TargetDiskID string `json:"target"` // the disk that is asked
 	Partition    int    `json:"partition"`
--- a/internal/messagestore/put_test.go
+++ b/internal/messagestore/put_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestNothingIsAcknowledgedWithTooFewReplicas(t *testing.T) {
+func TestPutWithTooFewReplicasIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestRepeatedPutIsOneMessage(t *testing.T) {
+func TestRepeatedPutIsSubmittedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
