--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -15,7 +15,7 @@
 			{Kind: EventOutcome, Job: 1, Outcome: OK},
 		},
 		"unknown job": {{Kind: EventOutcome, Job: 99, Outcome: OK}, {Kind: EventClientLeft, Job: 98}},
-		"attempt never made": {
+		"attempt never sent": {
 			{Kind: EventOutcome, Job: 1, Attempt: 7, Outcome: OK},
 			{Kind: EventJobProgress, Job: 1, Attempt: -1},
 		},
@@ -28,7 +28,7 @@
 		},
 		"health check of unknown worker": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
 		"unknown timer":                  {{Kind: EventTimer, Token: 4e9}},
-		"garbled peer":                   {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
+		"garbled peer message":           {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
 		"invalid kind": {
 			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}},
 		},
--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -82,11 +82,11 @@
 // runGoldenStream feeds a seeded stream of valid and invalid events to one dispatcher and adds its actions to
 // the digest.
 func runGoldenStream(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
-	p := &goldenHost{d: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
-		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
-	p.feed(Event{Kind: EventList, List: ListCached, Entries: p.workers})
+	h := &goldenHost{dispatcher: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute,
+		rng: rand.New(rand.NewPCG(seed, 11)), classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
+	h.feed(Event{Kind: EventList, List: ListCached, Entries: h.workers})
 	for range steps {
-		p.step()
+		h.step()
 	}
 }
 
@@ -98,154 +98,154 @@
 // goldenHost simulates the host of one dispatcher: its clock, timers, open jobs and workers. All draws come
 // from one source.
 type goldenHost struct {
-	d       *Dispatcher
-	digest  *actionDigest
-	rng     *rand.Rand
-	now     time.Duration
-	nextJob JobID
-	classes int
-	jobs    []JobID // open, in order of arrival
-	open    map[JobID][]WorkerID
-	timers  []goldenTimer
-	workers []Entry
-}
-
-func (p *goldenHost) feed(ev Event) {
-	actions := p.d.Handle(p.now, &ev, nil)
-	p.digest.observe(p.now, actions)
+	dispatcher *Dispatcher
+	digest     *actionDigest
+	rng        *rand.Rand
+	now        time.Duration
+	nextJob    JobID
+	classes    int
+	jobs       []JobID // open, in order of arrival
+	open       map[JobID][]WorkerID
+	timers     []goldenTimer
+	workers    []Entry
+}
+
+func (h *goldenHost) feed(ev Event) {
+	actions := h.dispatcher.Handle(h.now, &ev, nil)
+	h.digest.observe(h.now, actions)
 	for _, action := range actions {
 		switch action.Kind {
 		case Send:
-			p.open[action.Job] = append(p.open[action.Job], action.Worker)
+			h.open[action.Job] = append(h.open[action.Job], action.Worker)
 		case Reject, Fail:
-			p.removeJob(action.Job)
+			h.removeJob(action.Job)
 		case SetTimer:
-			p.timers = append(p.timers, goldenTimer{at: p.now + action.Delay, token: action.Token})
+			h.timers = append(h.timers, goldenTimer{at: h.now + action.Delay, token: action.Token})
 		}
 	}
 }
 
-func (p *goldenHost) removeJob(id JobID) {
-	delete(p.open, id)
-	for i, job := range p.jobs {
+func (h *goldenHost) removeJob(id JobID) {
+	delete(h.open, id)
+	for i, job := range h.jobs {
 		if job == id {
-			p.jobs = append(p.jobs[:i:i], p.jobs[i+1:]...)
+			h.jobs = append(h.jobs[:i:i], h.jobs[i+1:]...)
 			return
 		}
 	}
 }
 
-func (p *goldenHost) step() {
-	for range p.rng.IntN(3) {
-		p.feedJob()
+func (h *goldenHost) step() {
+	for range h.rng.IntN(3) {
+		h.feedJob()
 	}
-	for range 1 + len(p.jobs)/4 {
-		if len(p.jobs) > 0 {
-			p.progress(p.jobs[p.rng.IntN(len(p.jobs))])
+	for range 1 + len(h.jobs)/4 {
+		if len(h.jobs) > 0 {
+			h.progress(h.jobs[h.rng.IntN(len(h.jobs))])
 		}
 	}
-	switch p.rng.IntN(40) {
+	switch h.rng.IntN(40) {
 	case 0:
-		p.changeList()
+		h.changeList()
 	case 1:
-		p.feedInvalidEvents()
+		h.feedInvalidEvents()
 	}
-	p.advance(time.Duration(1+p.rng.IntN(15)) * time.Millisecond)
+	h.advance(time.Duration(1+h.rng.IntN(15)) * time.Millisecond)
 }
 
-func (p *goldenHost) feedJob() {
-	p.nextJob++
-	p.jobs = append(p.jobs, p.nextJob)
-	p.feed(Event{Kind: EventJob, Job: p.nextJob, Class: p.rng.IntN(p.classes), Tenant: p.rng.IntN(8) - 1,
-		Key: uint64(p.rng.IntN(2)) * p.rng.Uint64N(60), Slots: float64(1 + p.rng.IntN(3)), Retry: p.rng.IntN(10) == 0,
-		Deadline: p.now + time.Duration(20+p.rng.IntN(4000))*time.Millisecond})
+func (h *goldenHost) feedJob() {
+	h.nextJob++
+	h.jobs = append(h.jobs, h.nextJob)
+	h.feed(Event{Kind: EventJob, Job: h.nextJob, Class: h.rng.IntN(h.classes), Tenant: h.rng.IntN(8) - 1,
+		Key: uint64(h.rng.IntN(2)) * h.rng.Uint64N(60), Slots: float64(1 + h.rng.IntN(3)), Retry: h.rng.IntN(10) == 0,
+		Deadline: h.now + time.Duration(20+h.rng.IntN(4000))*time.Millisecond})
 }
 
 // progress sends an event about one attempt of the job. The attempt may have ended, in which case the
 // dispatcher must ignore the event.
-func (p *goldenHost) progress(id JobID) {
-	sent := p.open[id]
+func (h *goldenHost) progress(id JobID) {
+	sent := h.open[id]
 	if len(sent) == 0 {
-		if p.rng.IntN(20) == 0 {
-			p.feed(Event{Kind: EventClientLeft, Job: id})
-			p.removeJob(id)
+		if h.rng.IntN(20) == 0 {
+			h.feed(Event{Kind: EventClientLeft, Job: id})
+			h.removeJob(id)
 		}
 		return
 	}
-	attempt := p.rng.IntN(len(sent))
+	attempt := h.rng.IntN(len(sent))
 	about := Event{Job: id, Attempt: attempt, Worker: sent[attempt]}
-	switch chance := p.rng.IntN(100); {
+	switch chance := h.rng.IntN(100); {
 	case chance < 35:
 		about.Kind, about.Progress = EventJobProgress, JobStarted
 	case chance < 40:
-		about.Kind, about.Progress, about.Value = EventJobProgress, JobAdvanced, p.rng.Float64()
+		about.Kind, about.Progress, about.Value = EventJobProgress, JobAdvanced, h.rng.Float64()
 	case chance < 42:
 		about.Kind = EventStreamStarted
 	case chance < 75:
-		about.Kind, about.Outcome, about.JobEnded, about.Load = EventOutcome, OK, true, p.load()
+		about.Kind, about.Outcome, about.JobEnded, about.Load = EventOutcome, OK, true, h.load()
 	case chance < 95:
-		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+p.rng.IntN(7)), p.load()
+		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+h.rng.IntN(7)), h.load()
 	case chance < 97:
 		about.Kind = EventClientLeft
 	default:
 		return
 	}
-	p.feed(about)
+	h.feed(about)
 	if about.Kind == EventClientLeft || about.Kind == EventOutcome && about.JobEnded {
-		p.removeJob(id)
+		h.removeJob(id)
 	}
 }
 
-func (p *goldenHost) load() Load {
-	load := Load{Count: p.rng.IntN(5)}
+func (h *goldenHost) load() Load {
+	load := Load{Count: h.rng.IntN(5)}
 	for i := range load.Values {
-		load.Values[i] = float64(p.rng.IntN(6))
+		load.Values[i] = float64(h.rng.IntN(6))
 	}
 	return load
 }
 
-func (p *goldenHost) changeList() {
-	e := &p.workers[p.rng.IntN(len(p.workers))]
-	if e.State = State(p.rng.IntN(3)); e.State == Ready && p.rng.IntN(2) == 0 {
-		e.Started = p.now
+func (h *goldenHost) changeList() {
+	e := &h.workers[h.rng.IntN(len(h.workers))]
+	if e.State = State(h.rng.IntN(3)); e.State == Ready && h.rng.IntN(2) == 0 {
+		e.Started = h.now
 	}
-	switch p.rng.IntN(5) {
+	switch h.rng.IntN(5) {
 	case 0:
-		p.feed(Event{Kind: EventList, List: ListFailed})
+		h.feed(Event{Kind: EventList, List: ListFailed})
 	case 1:
-		p.feed(Event{Kind: EventList, List: ListFull, Entries: append([]Entry(nil), p.workers...)})
+		h.feed(Event{Kind: EventList, List: ListFull, Entries: append([]Entry(nil), h.workers...)})
 	case 2:
-		p.feed(Event{Kind: EventList, List: ListCached, Entries: append([]Entry(nil), p.workers[:12]...)})
+		h.feed(Event{Kind: EventList, List: ListCached, Entries: append([]Entry(nil), h.workers[:12]...)})
 	default:
-		p.feed(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
+		h.feed(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
 	}
 }
 
 // feedInvalidEvents sends events that no host should send: unknown jobs, timers and workers, and meaningless
 // values.
-func (p *goldenHost) feedInvalidEvents() {
+func (h *goldenHost) feedInvalidEvents() {
 	for _, ev := range []Event{
-		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
-		{Kind: EventJobProgress, Job: p.nextJob, Attempt: 99, Progress: JobStarted},
+		{Kind: EventOutcome, Job: h.nextJob + 1000, Outcome: OK},
+		{Kind: EventJobProgress, Job: h.nextJob, Attempt: 99, Progress: JobStarted},
 		{Kind: EventTimer, Token: 1 << 30},
 		{Kind: EventHealthChecked, Worker: 13, Outcome: OK},
 		{Kind: EventPeerMessage, From: 3, Data: []byte("note")},
 		{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 13, Kind: 200, Zone: -4, Weight: math.NaN(), State: Ready}}},
-		{Kind: EventJob, Job: p.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
+		{Kind: EventJob, Job: h.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
 	} {
-		p.feed(ev)
+		h.feed(ev)
 	}
 }
 
-func (p *goldenHost) advance(by time.Duration) {
-	p.now += by
-	timers := p.timers
-	p.timers = nil
+func (h *goldenHost) advance(by time.Duration) {
+	h.now += by
+	timers := h.timers
+	h.timers = nil
 	for _, timer := range timers {
-		if timer.at > p.now {
-			p.timers = append(p.timers, timer)
+		if timer.at > h.now {
+			h.timers = append(h.timers, timer)
 			continue
 		}
-		p.feed(Event{Kind: EventTimer, Token: timer.token})
+		h.feed(Event{Kind: EventTimer, Token: timer.token})
 	}
 }
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -9,11 +9,11 @@
 const lateStartDivisor = 2
 
 // lateStartShed is the part by which the admitted share is reduced at a start that comes a whole latency
-// target late.
+// target or more after the send.
 const lateStartShed = 0.1
 
 // startRecovery is added to the admitted share at each start. The admitted share stays constant while a
-// quarter of the starts come a whole latency target late.
+// quarter of the starts come that late.
 const startRecovery = lateStartShed / 4
 
 // overQuotaBackoff is the factor applied to the admitted share of over-quota jobs at each sign of overload.
@@ -59,8 +59,9 @@
 // observeStart raises the admitted share a little.
 func (s *loadShedder) observeStart() { s.admittedShare = min(s.admittedShare+startRecovery, 1) }
 
-// observeLateStart lowers the admitted share in proportion to the time before the start, up to lateStartShed
-// at one latency target.
+// observeLateStart lowers the admitted share by lateStartShed if the start came at least one latency target
+// after the send. The number of missed targets is a whole number, 0 or 1, so an earlier start changes
+// nothing.
 func (s *loadShedder) observeLateStart(took, target time.Duration) {
 	missedTargets := float64(min(took/max(target, 1), 1))
 	s.admittedShare *= 1 - lateStartShed*missedTargets
