--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -83,7 +83,8 @@
 // the digest.
 func runGoldenStream(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
 	h := &goldenHost{dispatcher: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute,
-		rng: rand.New(rand.NewPCG(seed, 11)), classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
+		rng: rand.New(rand.NewPCG(seed, 11)), classes: max(len(s.Classes), 1),
+		open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
 	h.feed(Event{Kind: EventList, List: ListCached, Entries: h.workers})
 	for range steps {
 		h.step()
