--- a/internal/decision/dispatcher_test.go
+++ b/internal/decision/dispatcher_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Contradictory or absurd events must neither break a rule, which the checker would tell, nor panic.
-func TestContradictoryEvents(t *testing.T) {
+// Contradictory or invalid events must not break a rule of the checker or cause a panic.
+func TestContradictoryEventsDoNotBreakRules(t *testing.T) {
 	nan := math.NaN()
 	for name, evs := range map[string][]Event{
 		"outcome twice": {
@@ -20,36 +20,36 @@
 			{Kind: EventJobProgress, Job: 1, Attempt: -1},
 		},
 		"same job twice": {{Kind: EventJob, Job: 1, Deadline: time.Hour}},
-		"absurd job": {
+		"invalid job": {
 			{Kind: EventJob, Job: 2, Slots: nan, Memory: math.Inf(-1), Deadline: time.Minute + time.Second},
 		},
-		"absurd report": {
+		"invalid report": {
 			{Kind: EventHealthChecked, Worker: 13, Load: Load{Count: 4, Values: [4]float64{nan, math.Inf(1), -1e300, 0}}},
 		},
-		"unknown worker probed": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
-		"stray timer":           {{Kind: EventTimer, Token: 4e9}},
-		"garbled peer":          {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
-		"absurd kind": {
+		"health check of unknown worker": {{Kind: EventHealthChecked, Worker: 4, Outcome: OK}},
+		"unknown timer":                  {{Kind: EventTimer, Token: 4e9}},
+		"garbled peer":                   {{Kind: EventPeerMessage, From: -3, Data: []byte{0xff}}},
+		"invalid kind": {
 			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Kind: 300, State: Ready}}},
 		},
 		"started in the future": {
 			{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 5, Started: time.Hour, State: Ready}}},
 		},
-		"gone and answering": {{Kind: EventList, List: ListFull},
+		"answer of a gone worker": {{Kind: EventList, List: ListFull},
 			{Kind: EventJobProgress, Job: 1, Progress: JobStarted}, {Kind: EventOutcome, Job: 1, Outcome: OK, JobEnded: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := site()
+			s := testSettings()
 			s.HealthChecks, s.PeerMessages, s.Report.FreeSlots = true, true, 0
 			c := newChecker(t, s, 1)
-			c.event(Event{Kind: EventList, List: ListFull, Entries: fleet(24)})
+			c.event(Event{Kind: EventList, List: ListFull, Entries: testWorkers(24)})
 			c.event(Event{Kind: EventJob, Job: 1, Class: 1, Slots: 1, Deadline: c.now + 2*time.Second})
 			for _, ev := range evs {
 				if ev.Kind == EventJob && ev.Job == 1 {
 					before := len(c.jobs[1].sends)
-					c.d.Handle(c.now, &ev, nil)
+					c.dispatcher.Handle(c.now, &ev, nil)
 					if len(c.jobs[1].sends) != before {
-						t.Error("a repeated job was sent anew")
+						t.Error("a repeated job was sent again")
 					}
 					continue
 				}
@@ -59,24 +59,25 @@
 				c.advance(10 * time.Millisecond)
 			}
 			c.event(Event{Kind: EventJob, Job: 3, Slots: 1, Deadline: c.now + time.Second})
-			for range 90 { // no health check is ever answered here: that must not keep it waiting to its end
+			for range 90 { // no health check is answered: the job must not wait for one until its deadline
 				c.advance(10 * time.Millisecond)
 			}
-			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "gone and answering" {
-				t.Error("a plain job afterwards is neither sent nor answered")
+			if j := c.jobs[3]; !j.answered && len(j.sends) == 0 && name != "answer of a gone worker" {
+				t.Error("a later job is neither sent nor answered")
 			}
 		})
 	}
 }
 
-// State is released: long traffic and replaced workers leave nothing behind.
-func TestStateIsBounded(t *testing.T) {
-	c := ready(t, 12, nil)
-	list := fleet(12)
+// The state of ended jobs and replaced workers must be released, so that memory stays bounded under long
+// traffic.
+func TestEndedJobsAndGoneWorkersAreReleased(t *testing.T) {
+	c := newCheckerWithWorkers(t, 12, nil)
+	list := testWorkers(12)
 	for id := JobID(1); id < 20000; id++ {
 		c.event(Event{Kind: EventJob, Job: id, Class: int(id) % 5, Tenant: int(id) % 5, Key: uint64(id), Slots: 1,
 			Deadline: c.now + time.Second})
-		for _, job := range ids(c.jobs) {
+		for _, job := range sortedIDs(c.jobs) {
 			for n := 0; n < len(c.jobs[job].sends); n++ {
 				if !c.jobs[job].sends[n].done {
 					c.outcome(job, n, []Outcome{OK, Rejected, OK, Reset}[int(id)%4])
@@ -97,7 +98,7 @@
 	}
 	for range 100 {
 		c.advance(20 * time.Millisecond)
-		for _, job := range ids(c.jobs) {
+		for _, job := range sortedIDs(c.jobs) {
 			for n := range c.jobs[job].sends {
 				if !c.jobs[job].sends[n].done {
 					c.outcome(job, n, OK)
@@ -106,16 +107,17 @@
 		}
 	}
 	c.event(Event{Kind: EventList, List: ListDelta})
-	d := c.d
-	jobsLeft := len(d.jobs.byID) > 0 || len(d.jobs.open) > 0
-	workersLeft := len(d.workers.byID) != 12 || len(d.workers.ordered) != 12
-	if jobsLeft || workersLeft || len(c.timer) > 1 {
-		t.Errorf("left behind: %d jobs, %d open, %d workers, %d in order, %d timers",
-			len(d.jobs.byID), len(d.jobs.open), len(d.workers.byID), len(d.workers.ordered), len(c.timer))
+	dispatcher := c.dispatcher
+	jobsLeft := len(dispatcher.jobs.byID) > 0 || len(dispatcher.jobs.open) > 0
+	workersLeft := len(dispatcher.workers.byID) != 12 || len(dispatcher.workers.ordered) != 12
+	if jobsLeft || workersLeft || len(c.timers) > 1 {
+		t.Errorf("still held: %d jobs, %d open jobs, %d workers, %d ordered workers, %d timers",
+			len(dispatcher.jobs.byID), len(dispatcher.jobs.open), len(dispatcher.workers.byID),
+			len(dispatcher.workers.ordered), len(c.timers))
 	}
-	for _, w := range c.d.workers.ordered {
+	for _, w := range c.dispatcher.workers.ordered {
 		if w.ownSlots > 1e-9 {
-			t.Errorf("worker %d still counts %v slots", w.Worker, w.ownSlots)
+			t.Errorf("worker %d still has %v own slots in use", w.Worker, w.ownSlots)
 		}
 	}
 }
