--- a/internal/messagestore/compaction.go
+++ b/internal/messagestore/compaction.go
@@ -7,12 +7,12 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// diskFull tells whether the log has no room for further messages.
+// diskFull reports whether the log is too large to accept further messages.
 func (s *Store) diskFull() bool {
 	return s.options.DiskBytes > 0 && s.log.Size() > s.options.DiskBytes*fullNumerator/fullDenominator
 }
 
-// compactIfLarge compacts the log when it takes much of the disk.
+// compactIfLarge compacts the log if it takes at least 1/compactionThreshold of Options.DiskBytes.
 func (s *Store) compactIfLarge() {
 	if s.options.DiskBytes <= 0 || s.log.Size() < s.options.DiskBytes/compactionThreshold {
 		return
@@ -22,16 +22,16 @@
 	}
 }
 
-// Compact copies what is still needed out of the older half of the segments, writes a snapshot of the index, and
-// removes the segments that nothing refers to.
+// Compact copies the entries that are still needed from the older half of the segments to the end of the log, writes a
+// snapshot of the index, and removes the segments that no entry refers to.
 func (s *Store) Compact() error {
 	segments := s.log.Segments()
 	if len(segments) < compactionShare {
 		return nil
 	}
 	before := segments[len(segments)/compactionShare].Number
-	for _, moved := range s.entriesBefore(before) {
-		if err := s.rewriteEntry(moved); err != nil {
+	for _, located := range s.entriesBefore(before) {
+		if err := s.rewriteEntry(located); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -44,41 +44,43 @@
 	return trace.Wrap(s.log.RemoveSegments(s.oldestReferencedSegment(before)))
 }
 
-// locatedEntry is an entry with its partition.
+// locatedEntry is an entry together with its partition.
 type locatedEntry struct {
 	partition *partition
 	entry     *entry
 }
 
-// entriesBefore lists the entries whose body may be asked for and lies in a segment below a number.
+// entriesBefore returns the entries that need their body and have it in a segment with a lower number than the given
+// one.
 func (s *Store) entriesBefore(segment uint64) []locatedEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []locatedEntry
+	var located []locatedEntry
 	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			if each.needsBody() && each.position.Segment < segment {
-				found = append(found, locatedEntry{partition: p, entry: each})
+		for _, candidate := range p.entries {
+			if candidate.needsBody() && candidate.position.Segment < segment {
+				located = append(located, locatedEntry{partition: p, entry: candidate})
 			}
 		}
 	}
-	return found
+	return located
 }
 
-// rewriteEntry appends an entry's accepted record anew, so that its old segment is needed no more.
-func (s *Store) rewriteEntry(moved locatedEntry) error {
-	body, err := s.readBody(s.positionOf(moved.entry))
+// rewriteEntry appends a copy of an entry's accepted record to the log, so that the entry no longer refers to its old
+// segment.
+func (s *Store) rewriteEntry(located locatedEntry) error {
+	body, err := s.readBody(s.positionOf(located.entry))
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !moved.entry.needsBody() {
+	if !located.entry.needsBody() {
 		return nil
 	}
 	line, err := (&record.Record{
-		Kind: record.Accepted, Partition: moved.partition.id, Epoch: moved.partition.epoch,
-		Message: moved.entry.message, Failures: moved.entry.failures,
+		Kind: record.Accepted, Partition: located.partition.id, Epoch: located.partition.epoch,
+		Message: located.entry.message, Failures: located.entry.failures,
 	}).Encode()
 	if err != nil {
 		return trace.Wrap(err)
@@ -87,19 +89,20 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	moved.entry.position = position
+	located.entry.position = position
 	return nil
 }
 
-// oldestReferencedSegment returns the lowest segment that an entry refers to, at most the given one.
+// oldestReferencedSegment returns the lowest number of a segment that an entry refers to, or the given number if that
+// is lower.
 func (s *Store) oldestReferencedSegment(before uint64) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	oldest := before
 	for _, p := range s.partitions {
-		for _, each := range p.entries {
-			if each.needsBody() {
-				oldest = min(oldest, each.position.Segment)
+		for _, candidate := range p.entries {
+			if candidate.needsBody() {
+				oldest = min(oldest, candidate.position.Segment)
 			}
 		}
 	}
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -6,20 +6,20 @@
 	"gladepick/internal/ctxtime"
 )
 
-// Drain hands every partition whose primary the store is to another store: deliveries stop, those that are out end, their
-// outcomes reach the backups, and the control plane promotes one of them. It returns when the store is no partition's
-// primary, or when the context ends.
+// Drain hands over every partition whose primary the store is: it stops the deliveries, waits until those in flight
+// have ended and their outcomes have reached the backups, and asks the control plane to promote a backup. Drain returns
+// when the store is no longer the primary of any partition, or when the context ends.
 func (s *Store) Drain(ctx context.Context) {
 	for ctx.Err() == nil {
-		led := s.ledPartitions()
-		if len(led) == 0 {
+		ids := s.primaryPartitions()
+		if len(ids) == 0 {
 			return
 		}
-		for _, id := range led {
+		for _, id := range ids {
 			s.pause(id)
 		}
 		handedOver := false
-		for _, id := range led {
+		for _, id := range ids {
 			if s.engine.InFlightOf(id) == 0 {
 				handedOver = s.handOver(ctx, id) == handoverDone || handedOver
 			}
@@ -30,26 +30,26 @@
 	}
 }
 
-// ledPartitions returns the IDs of the partitions whose primary this store is, in no particular order.
-func (s *Store) ledPartitions() []int {
+// primaryPartitions returns the IDs of the partitions whose primary this store is, in unspecified order.
+func (s *Store) primaryPartitions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var led []int
+	var ids []int
 	for id, p := range s.partitions {
 		if p.isPrimary {
-			led = append(led, id)
+			ids = append(ids, id)
 		}
 	}
-	return led
+	return ids
 }
 
-// pause stops a partition's deliveries; attempts that are out go on.
+// pause starts no more deliveries of a partition. Attempts in flight continue.
 func (s *Store) pause(id int) {
 	s.setPaused(id, true)
 	s.engine.PausePartition(id)
 }
 
-// resume takes up a partition's deliveries again after a handover that did not come about.
+// resume starts a partition's deliveries again after a handover that did not take place.
 func (s *Store) resume(id int) {
 	s.setPaused(id, false)
 	s.engine.ResumePartition(id)
--- a/internal/messagestore/index_snapshot.go
+++ b/internal/messagestore/index_snapshot.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/wal"
 )
 
-// snapshotEntry is an entry in a snapshot of the index.
+// snapshotEntry is the encoding of an entry in a snapshot of the index.
 type snapshotEntry struct {
 	ID       string           `json:"id"`
 	Message  *message.Message `json:"message,omitempty"`
@@ -23,7 +23,7 @@
 	EndedAt  time.Time        `json:"endedAt,omitzero"`
 }
 
-// snapshotPartition is a partition in a snapshot of the index.
+// snapshotPartition is the encoding of a partition in a snapshot of the index.
 type snapshotPartition struct {
 	ID      int             `json:"id"`
 	Epoch   uint64          `json:"epoch"`
@@ -31,9 +31,9 @@
 	Entries []snapshotEntry `json:"entries"`
 }
 
-// writeSnapshot writes the index beside the log. The store goes on meanwhile: the lock is held for one partition at a time,
-// and not during I/O. So a partition's part may already have the effect of records that come after the snapshot in the log;
-// a replay applies them again, which changes nothing (see partition.apply).
+// writeSnapshot writes a snapshot of the index beside the log. It does not block the store: it holds Store.mu for one
+// partition at a time, and not during I/O. So the snapshot of a partition may already include records that follow the
+// snapshot in the log. A replay applies these records again, which changes nothing (see partition.apply).
 func (s *Store) writeSnapshot() error {
 	snapshot, err := s.log.BeginSnapshot()
 	if err != nil {
@@ -46,64 +46,64 @@
 	return trace.Wrap(snapshot.Commit(data))
 }
 
-// encodeIndex returns the index as an array of partitions in JSON, by their IDs.
+// encodeIndex returns the index as a JSON array of partitions in the order of their IDs.
 func (s *Store) encodeIndex() ([]byte, error) {
 	data := []byte{'['}
 	for i, id := range s.partitionIDs() {
-		one, err := json.Marshal(s.snapshotOf(id))
+		encoded, err := json.Marshal(s.snapshotOf(id))
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		if i > 0 {
 			data = append(data, ',')
 		}
-		data = append(data, one...)
+		data = append(data, encoded...)
 	}
 	return append(data, ']'), nil
 }
 
-// partitionIDs returns the IDs of all partitions of which something is held, in their order.
+// partitionIDs returns the IDs of all partitions in the index, in ascending order.
 func (s *Store) partitionIDs() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.partitions))
 }
 
-// snapshotOf returns one partition as it is now.
+// snapshotOf returns the encoding of one partition as of now.
 func (s *Store) snapshotOf(id int) snapshotPartition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(id)
-	one := snapshotPartition{ID: p.id, Epoch: p.epoch, Last: p.lastSequence}
-	for id, each := range p.entries {
-		one.Entries = append(one.Entries, snapshotEntry{
-			ID: id, Message: each.message, Position: each.position, Failures: each.failures,
-			Outcome: each.outcome, EndedAt: each.endedAt,
+	snapshot := snapshotPartition{ID: p.id, Epoch: p.epoch, Last: p.lastSequence}
+	for id, e := range p.entries {
+		snapshot.Entries = append(snapshot.Entries, snapshotEntry{
+			ID: id, Message: e.message, Position: e.position, Failures: e.failures,
+			Outcome: e.outcome, EndedAt: e.endedAt,
 		})
 	}
-	return one
+	return snapshot
 }
 
-// restore takes a snapshot of the index in.
+// restore loads a snapshot of the index. Open calls it before any replay.
 func (s *Store) restore(snapshot []byte) error {
-	var all []snapshotPartition
-	if err := json.Unmarshal(snapshot, &all); err != nil {
+	var partitions []snapshotPartition
+	if err := json.Unmarshal(snapshot, &partitions); err != nil {
 		return trace.Wrap(err, "reading the snapshot of the index")
 	}
-	for _, one := range all {
-		p := s.partition(one.ID)
-		p.epoch, p.lastSequence = one.Epoch, one.Last
-		for _, each := range one.Entries {
-			p.entries[each.ID] = &entry{
-				message: each.Message, position: each.Position, failures: each.Failures,
-				outcome: each.Outcome, endedAt: each.EndedAt,
+	for _, restored := range partitions {
+		p := s.partition(restored.ID)
+		p.epoch, p.lastSequence = restored.Epoch, restored.Last
+		for _, e := range restored.Entries {
+			p.entries[e.ID] = &entry{
+				message: e.Message, position: e.Position, failures: e.Failures,
+				outcome: e.Outcome, endedAt: e.EndedAt,
 			}
 		}
 	}
 	return nil
 }
 
-// replay takes a record of the log in.
+// replay applies a record of the log to the index. Open calls it for each record after the snapshot.
 func (s *Store) replay(position wal.Position, data []byte) error {
 	decoded, _, err := record.Decode(data)
 	if err != nil {
