--- a/internal/controlplane/replication/doc.go
+++ b/internal/controlplane/replication/doc.go
@@ -31,8 +31,8 @@
 //     is valid again only in a new view.
 //   - While the membership changes, every round needs majorities of the previous and of the new members.
 //
-// The tests in the files explorer_*_test.go search a model of the protocol for states that break the invariants;
-// docs/replication.md has the argument for safety.
+// The tests in the files whose names begin with explorer search a model of the protocol for states that break the
+// invariants; docs/replication.md has the argument for safety.
 //
 // # Goroutines and locks
 //
