--- a/internal/decision/golden_test.go
+++ b/internal/decision/golden_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// goldenEvents is the least number of events that the golden stream has to go through.
+// goldenEvents is the least number of events in the golden stream.
 const goldenEvents = 1_000_000
 
-// actionDigest hashes every action that follows from a stream of events. It writes the values of the actions one by
-// one, so a renamed field or type leaves the hash as it is and a changed decision does not.
+// actionDigest hashes every action that follows from a stream of events. It hashes the values of the actions
+// only, so that renaming a field or a type preserves the hash and a changed decision does not.
 type actionDigest struct {
 	sum    gohash.Hash
 	events int
@@ -29,7 +29,7 @@
 	a.number(uint64(len(actions)))
 	for _, action := range actions {
 		a.number(uint64(action.Kind))
-		a.number(uint64(count(action.On)))
+		a.number(uint64(boolToInt(action.On)))
 		a.number(uint64(action.Job))
 		a.number(uint64(action.Worker))
 		a.number(uint64(action.Attempt))
@@ -51,8 +51,9 @@
 
 func (a *actionDigest) String() string { return hex.EncodeToString(a.sum.Sum(nil)[:16]) }
 
-// TestGoldenActionStream holds the actions of a long stream of events of all kinds, at many settings, against the
-// hash that was recorded before the decision module was taken apart. The hash is never edited to get a pass.
+// The actions of a long stream of events of all kinds, at many settings, must match the hash that was
+// recorded before the decision module was split into components. The hash must not be edited to make the test
+// pass.
 func TestGoldenActionStream(t *testing.T) {
 	const want = "c02a95d8a10fdab65c71ae5ca6fe7e9f"
 	digest := newActionDigest()
@@ -60,31 +61,33 @@
 		s.ReportsLoad, s.ParallelAttempts, s.Report = true, false, LoadReportLayout{0, -1, 1, -1, -1, -1}
 	}
 	for seed, change := range []func(*Settings){
-		func(*Settings) {}, reports, shared, few,
+		func(*Settings) {}, reports, sharedFleetSettings, costlyZoneSettings,
 		func(s *Settings) { s.DrainCloseWithin, s.RejectionUnproven = 300*time.Millisecond, true },
 		func(s *Settings) {
 			s.Discovery, s.MaxAttempts, s.RetryAfter, s.MaxRetryAfter = DiscoveryPush, 0, true, time.Second
 		},
 	} {
-		s := site()
+		s := testSettings()
 		change(&s)
-		goldenPlay(t, digest, uint64(seed), s, 4000)
+		runGoldenStream(t, digest, uint64(seed), s, 4000)
 	}
 	for seed := uint64(100); digest.events < goldenEvents; seed++ {
-		goldenPlay(t, digest, seed, random(rand.New(rand.NewPCG(seed, 5))), 4000)
+		runGoldenStream(t, digest, seed, randomSettings(rand.New(rand.NewPCG(seed, 5))), 4000)
 	}
 	if got := digest.String(); got != want {
-		t.Errorf("the actions of %d events have the hash %s, recorded is %s", digest.events, got, want)
+		t.Errorf("actions of %d events have hash %s, want recorded hash %s", digest.events, got, want)
 	}
 }
 
-// goldenPlay feeds one dispatcher a seeded stream of events, legal and absurd ones, and digests what it does.
-func goldenPlay(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
-	p := &goldenPlayer{d: must(t, s, seed), digest: digest, now: time.Minute, rng: rand.New(rand.NewPCG(seed, 11)),
-		classes: max(len(s.Classes), 1), open: map[JobID][]WorkerID{}, workers: fleet(24)}
-	p.feed(Event{Kind: EventList, List: ListCached, Entries: p.workers})
+// runGoldenStream feeds a seeded stream of valid and invalid events to one dispatcher and adds its actions to
+// the digest.
+func runGoldenStream(t *testing.T, digest *actionDigest, seed uint64, s Settings, steps int) {
+	h := &goldenHost{dispatcher: newTestDispatcher(t, s, seed), digest: digest, now: time.Minute,
+		rng: rand.New(rand.NewPCG(seed, 11)), classes: max(len(s.Classes), 1),
+		open: map[JobID][]WorkerID{}, workers: testWorkers(24)}
+	h.feed(Event{Kind: EventList, List: ListCached, Entries: h.workers})
 	for range steps {
-		p.step()
+		h.step()
 	}
 }
 
@@ -93,154 +96,157 @@
 	token uint32
 }
 
-// goldenPlayer is the world of one dispatcher: its clock, timers, open jobs and workers, all drawn from one source.
-type goldenPlayer struct {
-	d       *Dispatcher
-	digest  *actionDigest
-	rng     *rand.Rand
-	now     time.Duration
-	nextJob JobID
-	classes int
-	jobs    []JobID // open, in the order of their arrival
-	open    map[JobID][]WorkerID
-	timers  []goldenTimer
-	workers []Entry
-}
-
-func (p *goldenPlayer) feed(ev Event) {
-	actions := p.d.Handle(p.now, &ev, nil)
-	p.digest.observe(p.now, actions)
+// goldenHost simulates the host of one dispatcher: its clock, timers, open jobs and workers. All draws come
+// from one source.
+type goldenHost struct {
+	dispatcher *Dispatcher
+	digest     *actionDigest
+	rng        *rand.Rand
+	now        time.Duration
+	nextJob    JobID
+	classes    int
+	jobs       []JobID // open, in order of arrival
+	open       map[JobID][]WorkerID
+	timers     []goldenTimer
+	workers    []Entry
+}
+
+func (h *goldenHost) feed(ev Event) {
+	actions := h.dispatcher.Handle(h.now, &ev, nil)
+	h.digest.observe(h.now, actions)
 	for _, action := range actions {
 		switch action.Kind {
 		case Send:
-			p.open[action.Job] = append(p.open[action.Job], action.Worker)
+			h.open[action.Job] = append(h.open[action.Job], action.Worker)
 		case Reject, Fail:
-			p.forget(action.Job)
+			h.removeJob(action.Job)
 		case SetTimer:
-			p.timers = append(p.timers, goldenTimer{at: p.now + action.Delay, token: action.Token})
+			h.timers = append(h.timers, goldenTimer{at: h.now + action.Delay, token: action.Token})
 		}
 	}
 }
 
-func (p *goldenPlayer) forget(id JobID) {
-	delete(p.open, id)
-	for i, job := range p.jobs {
+func (h *goldenHost) removeJob(id JobID) {
+	delete(h.open, id)
+	for i, job := range h.jobs {
 		if job == id {
-			p.jobs = append(p.jobs[:i:i], p.jobs[i+1:]...)
+			h.jobs = append(h.jobs[:i:i], h.jobs[i+1:]...)
 			return
 		}
 	}
 }
 
-func (p *goldenPlayer) step() {
-	for range p.rng.IntN(3) {
-		p.arrive()
+func (h *goldenHost) step() {
+	for range h.rng.IntN(3) {
+		h.feedJob()
 	}
-	for range 1 + len(p.jobs)/4 {
-		if len(p.jobs) > 0 {
-			p.progress(p.jobs[p.rng.IntN(len(p.jobs))])
+	for range 1 + len(h.jobs)/4 {
+		if len(h.jobs) > 0 {
+			h.progress(h.jobs[h.rng.IntN(len(h.jobs))])
 		}
 	}
-	switch p.rng.IntN(40) {
+	switch h.rng.IntN(40) {
 	case 0:
-		p.changeList()
+		h.changeList()
 	case 1:
-		p.absurd()
+		h.feedInvalidEvents()
 	}
-	p.advance(time.Duration(1+p.rng.IntN(15)) * time.Millisecond)
+	h.advance(time.Duration(1+h.rng.IntN(15)) * time.Millisecond)
 }
 
-func (p *goldenPlayer) arrive() {
-	p.nextJob++
-	p.jobs = append(p.jobs, p.nextJob)
-	p.feed(Event{Kind: EventJob, Job: p.nextJob, Class: p.rng.IntN(p.classes), Tenant: p.rng.IntN(8) - 1,
-		Key: uint64(p.rng.IntN(2)) * p.rng.Uint64N(60), Slots: float64(1 + p.rng.IntN(3)), Retry: p.rng.IntN(10) == 0,
-		Deadline: p.now + time.Duration(20+p.rng.IntN(4000))*time.Millisecond})
+func (h *goldenHost) feedJob() {
+	h.nextJob++
+	h.jobs = append(h.jobs, h.nextJob)
+	h.feed(Event{Kind: EventJob, Job: h.nextJob, Class: h.rng.IntN(h.classes), Tenant: h.rng.IntN(8) - 1,
+		Key: uint64(h.rng.IntN(2)) * h.rng.Uint64N(60), Slots: float64(1 + h.rng.IntN(3)), Retry: h.rng.IntN(10) == 0,
+		Deadline: h.now + time.Duration(20+h.rng.IntN(4000))*time.Millisecond})
 }
 
-// progress tells something of one of the job's attempts, ended ones too: the module has to pass over these.
-func (p *goldenPlayer) progress(id JobID) {
-	sent := p.open[id]
+// progress sends an event about one attempt of the job. The attempt may have ended, in which case the
+// dispatcher must ignore the event.
+func (h *goldenHost) progress(id JobID) {
+	sent := h.open[id]
 	if len(sent) == 0 {
-		if p.rng.IntN(20) == 0 {
-			p.feed(Event{Kind: EventClientLeft, Job: id})
-			p.forget(id)
+		if h.rng.IntN(20) == 0 {
+			h.feed(Event{Kind: EventClientLeft, Job: id})
+			h.removeJob(id)
 		}
 		return
 	}
-	attempt := p.rng.IntN(len(sent))
+	attempt := h.rng.IntN(len(sent))
 	about := Event{Job: id, Attempt: attempt, Worker: sent[attempt]}
-	switch chance := p.rng.IntN(100); {
+	switch chance := h.rng.IntN(100); {
 	case chance < 35:
 		about.Kind, about.Progress = EventJobProgress, JobStarted
 	case chance < 40:
-		about.Kind, about.Progress, about.Value = EventJobProgress, JobAdvanced, p.rng.Float64()
+		about.Kind, about.Progress, about.Value = EventJobProgress, JobAdvanced, h.rng.Float64()
 	case chance < 42:
 		about.Kind = EventStreamStarted
 	case chance < 75:
-		about.Kind, about.Outcome, about.JobEnded, about.Load = EventOutcome, OK, true, p.load()
+		about.Kind, about.Outcome, about.JobEnded, about.Load = EventOutcome, OK, true, h.load()
 	case chance < 95:
-		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+p.rng.IntN(7)), p.load()
+		about.Kind, about.Outcome, about.Load = EventOutcome, Outcome(int(Error)+h.rng.IntN(7)), h.load()
 	case chance < 97:
 		about.Kind = EventClientLeft
 	default:
 		return
 	}
-	p.feed(about)
+	h.feed(about)
 	if about.Kind == EventClientLeft || about.Kind == EventOutcome && about.JobEnded {
-		p.forget(id)
+		h.removeJob(id)
 	}
 }
 
-func (p *goldenPlayer) load() Load {
-	load := Load{Count: p.rng.IntN(5)}
+func (h *goldenHost) load() Load {
+	load := Load{Count: h.rng.IntN(5)}
 	for i := range load.Values {
-		load.Values[i] = float64(p.rng.IntN(6))
+		load.Values[i] = float64(h.rng.IntN(6))
 	}
 	return load
 }
 
-func (p *goldenPlayer) changeList() {
-	e := &p.workers[p.rng.IntN(len(p.workers))]
-	if e.State = State(p.rng.IntN(3)); e.State == Ready && p.rng.IntN(2) == 0 {
-		e.Started = p.now
+func (h *goldenHost) changeList() {
+	e := &h.workers[h.rng.IntN(len(h.workers))]
+	if e.State = State(h.rng.IntN(3)); e.State == Ready && h.rng.IntN(2) == 0 {
+		e.Started = h.now
 	}
-	switch p.rng.IntN(5) {
+	switch h.rng.IntN(5) {
 	case 0:
-		p.feed(Event{Kind: EventList, List: ListFailed})
+		h.feed(Event{Kind: EventList, List: ListFailed})
 	case 1:
-		p.feed(Event{Kind: EventList, List: ListFull, Entries: append([]Entry(nil), p.workers...)})
+		h.feed(Event{Kind: EventList, List: ListFull, Entries: append([]Entry(nil), h.workers...)})
 	case 2:
-		p.feed(Event{Kind: EventList, List: ListCached, Entries: append([]Entry(nil), p.workers[:12]...)})
+		h.feed(Event{Kind: EventList, List: ListCached, Entries: append([]Entry(nil), h.workers[:12]...)})
 	default:
-		p.feed(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
+		h.feed(Event{Kind: EventList, List: ListDelta, Entries: []Entry{*e}})
 	}
 }
 
-// absurd feeds what no host should say: unknown jobs, timers and workers, and values that mean nothing.
-func (p *goldenPlayer) absurd() {
+// feedInvalidEvents sends events that no host should send: unknown jobs, timers and workers, and meaningless
+// values.
+func (h *goldenHost) feedInvalidEvents() {
 	for _, ev := range []Event{
-		{Kind: EventOutcome, Job: p.nextJob + 1000, Outcome: OK},
-		{Kind: EventJobProgress, Job: p.nextJob, Attempt: 99, Progress: JobStarted},
+		{Kind: EventOutcome, Job: h.nextJob + 1000, Outcome: OK},
+		{Kind: EventJobProgress, Job: h.nextJob, Attempt: 99, Progress: JobStarted},
 		{Kind: EventTimer, Token: 1 << 30},
 		{Kind: EventHealthChecked, Worker: 13, Outcome: OK},
 		{Kind: EventPeerMessage, From: 3, Data: []byte("note")},
 		{Kind: EventList, List: ListDelta, Entries: []Entry{{Worker: 13, Kind: 200, Zone: -4, Weight: math.NaN(), State: Ready}}},
-		{Kind: EventJob, Job: p.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
+		{Kind: EventJob, Job: h.nextJob, Class: 99, Tenant: -5, Slots: math.Inf(1)},
 	} {
-		p.feed(ev)
+		h.feed(ev)
 	}
 }
 
-func (p *goldenPlayer) advance(by time.Duration) {
-	p.now += by
-	timers := p.timers
-	p.timers = nil
+func (h *goldenHost) advance(by time.Duration) {
+	h.now += by
+	timers := h.timers
+	h.timers = nil
 	for _, timer := range timers {
-		if timer.at > p.now {
-			p.timers = append(p.timers, timer)
+		if timer.at > h.now {
+			h.timers = append(h.timers, timer)
 			continue
 		}
-		p.feed(Event{Kind: EventTimer, Token: timer.token})
+		h.feed(Event{Kind: EventTimer, Token: timer.token})
 	}
 }
--- a/internal/messagestore/handover_test.go
+++ b/internal/messagestore/handover_test.go
@@ -17,22 +17,22 @@
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
 		id := h.mustPut("r", "key", "x")
-		leader := h.leader(id)
+		primary := h.primary(id)
 		moved := h.messageOf(id)
-		leader.engine.inFlight.Store(1)
+		primary.engine.inFlight.Store(1)
 		drained := make(chan bool)
 		go func() {
-			leader.store.Drain(t.Context())
+			primary.store.Drain(t.Context())
 			close(drained)
 		}()
 		time.Sleep(200 * time.Millisecond)
-		assert.Assert(t, !leader.store.MayDeliver(moved.Partition))
-		assert.Equal(t, h.leader(id), leader)
-		leader.store.Ended(moved, message.Outcome{State: message.Completed, Stamp: "s"})
-		leader.engine.inFlight.Store(0)
+		assert.Assert(t, !primary.store.MayDeliver(moved.Partition))
+		assert.Equal(t, h.primary(id), primary)
+		primary.store.Ended(moved, message.Outcome{State: message.Completed, Stamp: "s"})
+		primary.engine.inFlight.Store(0)
 		<-drained
-		successor := h.leader(id)
-		assert.Assert(t, successor != leader)
+		successor := h.primary(id)
+		assert.Assert(t, successor != primary)
 		synctest.Wait()
 		assert.Assert(t, !slices.Contains(successor.engine.ids(), id))
 		outcome, err := h.state(id)
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestHandoverWaitsForBackupsThatLackRecords checks that a partition is not handed over while a backup that may be
-// promoted lacks records: it would run again what has ended.
+// TestHandoverWaitsForBackupsThatLackRecords guards against a handover while a backup that may be promoted lacks
+// records: as primary it would run ended messages again.
 func TestHandoverWaitsForBackupsThatLackRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -67,38 +67,39 @@
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
 		id := h.mustPut("r", "key", "x")
-		leader, partition := h.leader(id), h.messageOf(id).Partition
-		leader.engine.inFlight.Store(1)
+		primary, partition := h.primary(id), h.messageOf(id).Partition
+		primary.engine.inFlight.Store(1)
 		h.update(func(table *cluster.Table) {
 			view := &table.Partitions[partition]
 			view.PreferredPrimary = view.Replicas[1].Store
 		})
 		time.Sleep(time.Second)
-		assert.Equal(t, h.leader(id), leader)
-		assert.Assert(t, !leader.store.MayDeliver(partition))
+		assert.Equal(t, h.primary(id), primary)
+		assert.Assert(t, !primary.store.MayDeliver(partition))
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, leader.store.MayDeliver(partition), "taken up again after its patience")
+		assert.Assert(t, primary.store.MayDeliver(partition), "deliveries did not resume after the time-out of the handover")
 
-		leader.engine.inFlight.Store(0)
+		primary.engine.inFlight.Store(0)
 		h.update(func(table *cluster.Table) { table.DeliveringStores++ })
 		time.Sleep(time.Second)
-		successor := h.leader(id)
-		assert.Assert(t, successor != leader)
+		successor := h.primary(id)
+		assert.Assert(t, successor != primary)
 		assert.DeepEqual(t, successor.engine.ids(), []string{id})
 		assert.Assert(t, successor.store.MayDeliver(partition))
 	})
 }
 
-// handovers returns the requests for a handover that the control plane has got.
+// handovers returns the requests for a handover that the control plane has received.
 func (h *harness) handovers() []cluster.PartitionRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(h.requests), func(request cluster.PartitionRequest) bool { return !request.Handover })
 }
 
-// The control plane may call a backup synced before its primary knows. What the primary did not wait for may
-// still be on its way there: it must not be promoted.
-func TestHandoverNamesTheBackupsThatAreReady(t *testing.T) {
+// TestHandoverRequestListsOnlyReadyBackups guards against the promotion of a backup that lacks records. The control
+// plane may mark a backup as synced before its primary knows of that. Records that the primary did not wait for may
+// then still be in flight to the backup.
+func TestHandoverRequestListsOnlyReadyBackups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -124,20 +125,21 @@
 	})
 }
 
-// An outcome may be lost on its way to a backup while the handover waits behind it.
-func TestHandoverLooksAgainAfterTheFlush(t *testing.T) {
+// TestHandoverChecksBackupsAgainAfterTheFlush guards against a handover to a backup that lacks an outcome: the call
+// with the outcome may fail while the handover waits for the flush.
+func TestHandoverChecksBackupsAgainAfterTheFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b")
 		defer h.close()
 		id := h.mustPut("r", "key", "x")
-		leader := h.leader(id)
+		primary := h.primary(id)
 		ended := h.messageOf(id)
 		backup := h.machines[h.currentTable().Partitions[ended.Partition].Replicas[1].Store]
-		h.network.Isolate(leader.ip, backup.ip)
-		leader.store.Ended(ended, message.Outcome{State: message.Completed, Stamp: "s"})
+		h.network.Isolate(primary.ip, backup.ip)
+		primary.store.Ended(ended, message.Outcome{State: message.Completed, Stamp: "s"})
 		time.Sleep(20 * time.Millisecond)
-		time.AfterFunc(replicateTimeout-10*time.Millisecond, func() { h.network.Heal(leader.ip, backup.ip) })
-		assert.Assert(t, leader.store.handOver(t.Context(), ended.Partition) != handoverDone)
+		time.AfterFunc(replicateTimeout-10*time.Millisecond, func() { h.network.Heal(primary.ip, backup.ip) })
+		assert.Assert(t, primary.store.handOver(t.Context(), ended.Partition) != handoverDone)
 		assert.Equal(t, len(h.handovers()), 0)
 	})
 }
