--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -13,7 +13,7 @@
 //
 // One goroutine, Core.Run, owns the module and all state that is neither atomic
 // nor under a lock. All other goroutines (fronts, transports, discovery) pass it
-// functions through a bounded mailbox, with Core.post. They may access only
+// functions through a bounded mailbox, with Core.post. They themselves access only
 // Core.ids, under Core.mu, and the atomic fields of Core, Job, Attempt and
 // workerState.
 //
@@ -75,7 +75,7 @@
 }
 
 // New creates a core for a node. fixed lists the workers that take their jobs from queues, and queues is the transport
-// to them; it may be nil if there are none. New returns an error if the module does not accept the settings.
+// to them. queues may be nil if fixed is empty. New returns an error if the module does not accept the settings.
 func New(
 	n *config.Node, counters *Counters, transport, queues Transport, watcher ListWatcher, fixed []config.Worker,
 ) (*Core, error) {
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -52,7 +52,8 @@
 	Memory         float64       // memory that the job takes at a worker, in the unit of the settings
 	Timeout        time.Duration // from Submit until the client stops waiting
 
-	// Reply receives the final answer, exactly once. It runs on the core's goroutine and must not block.
+	// Reply receives the final answer: exactly once, unless Abandon comes first. It runs on the core's goroutine and
+	// must not block.
 	Reply func(Answer)
 	// MayStart reports whether an attempt may write its first byte. It is called just before that write, on any
 	// goroutine; nil allows every attempt. Package durablejobs sets it, and OnAttemptEnd, for jobs that have replicas
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -117,8 +117,8 @@
 	}
 	w := c.workers[number]
 	if w == nil || state == decision.Ready && w.leaving.Load() {
-		// A new process has taken over the worker's name. Attempts in flight to the old process keep the old record and
-		// must still see that it is leaving.
+		// A worker that was leaving is ready again, as a new process. Attempts in flight to the old process keep the
+		// old record and must still see that it is leaving.
 		fresh := &workerState{number: number}
 		if w != nil {
 			fresh.Worker, fresh.started = w.Worker, w.started
