--- a/internal/wal/atomic_file.go
+++ b/internal/wal/atomic_file.go
@@ -11,20 +11,20 @@
 	"gladepick/internal/vfs"
 )
 
-// The layout of a file written by SaveFile: magic (8 bytes), format version (4), length of the data (8), CRC-32C over all
-// of these and the data (4), data. All integers are little-endian.
+// The layout of a file written by SaveFile: magic (8 bytes), format version (4 bytes), length of the data (8 bytes),
+// CRC-32C over the preceding fields and the data (4 bytes), data. All integers are little-endian.
 const (
-	fileMagic       = "ivyfile\n" // from the project's former name; it is on disk, so it never changes
-	fileHeaderSize  = 24
-	fileLengthStart = 12
-	fileCheckStart  = 20
+	fileMagic          = "ivyfile\n" // the project's former name; stored files contain it, so it never changes
+	fileHeaderSize     = 24
+	fileLengthOffset   = 12
+	fileChecksumOffset = 20
 )
 
-// SaveFile durably replaces a whole file. After a crash the file has either its old contents or the new ones.
+// SaveFile durably replaces a file or creates it. After a crash the file holds either its old data or the new data.
 func SaveFile(directory vfs.FS, name string, data []byte) error {
 	temporary := name + temporarySuffix
-	if err := writeWhole(directory, temporary, data); err != nil {
-		_ = directory.Remove(temporary) // the first error counts; Open and the next SaveFile clear leftovers too
+	if err := writeNewFile(directory, temporary, data); err != nil {
+		_ = directory.Remove(temporary) // best effort: Open removes a leftover too, and the next SaveFile overwrites it
 		return trace.Wrap(err)
 	}
 	if err := directory.Rename(temporary, name); err != nil {
@@ -33,8 +33,8 @@
 	return trace.Wrap(directory.SyncDir())
 }
 
-// writeWhole makes a file with a header and data, and makes both durable.
-func writeWhole(directory vfs.FS, name string, data []byte) error {
+// writeNewFile creates a file with a header and data, and syncs it. The caller syncs the directory.
+func writeNewFile(directory vfs.FS, name string, data []byte) error {
 	file, err := directory.Create(name)
 	if err != nil {
 		return err
@@ -50,14 +50,14 @@
 	return errors.Join(err, file.Close())
 }
 
-// LoadFile returns the data of a file written by SaveFile. The error satisfies errors.Is(err, fs.ErrNotExist) where
-// there is no such file, and errors.Is(err, ErrCorrupt) where its checksum fails.
+// LoadFile returns the data of a file written by SaveFile. The error satisfies errors.Is(err, fs.ErrNotExist) if the
+// file does not exist, and errors.Is(err, ErrCorrupt) if its header or its checksum is invalid.
 func LoadFile(directory vfs.FS, name string) ([]byte, error) {
 	file, err := directory.Open(name)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	contents, err := readWhole(file)
+	contents, err := readContents(file)
 	if err = errors.Join(err, file.Close()); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -71,8 +71,7 @@
 	return data, nil
 }
 
-// readWhole returns the contents of a file.
-func readWhole(file vfs.File) ([]byte, error) {
+func readContents(file vfs.File) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
 		return nil, err
@@ -85,14 +84,14 @@
 	return contents[:count], err
 }
 
-// newFileHeader returns the header of a file with this data.
+// newFileHeader returns the header of a file that holds the given data.
 func newFileHeader(data []byte) [fileHeaderSize]byte {
 	var header [fileHeaderSize]byte
 	copy(header[:], fileMagic)
 	binary.LittleEndian.PutUint32(header[len(fileMagic):], formatVersion)
-	binary.LittleEndian.PutUint64(header[fileLengthStart:], uint64(len(data)))
-	checksum := crc32.Checksum(header[:fileCheckStart], castagnoli)
+	binary.LittleEndian.PutUint64(header[fileLengthOffset:], uint64(len(data)))
+	checksum := crc32.Checksum(header[:fileChecksumOffset], castagnoli)
 	checksum = crc32.Update(checksum, castagnoli, data)
-	binary.LittleEndian.PutUint32(header[fileCheckStart:], checksum)
+	binary.LittleEndian.PutUint32(header[fileChecksumOffset:], checksum)
 	return header
 }
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -8,10 +8,10 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-func TestTornEndAtEveryByteIsCutOff(t *testing.T) {
+func TestSegmentTornAtAnyByteKeepsCompleteRecords(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
-	records := numbered("record", 5)
+	records := numberedRecords("record", 5)
 	var ends []int64
 	for _, record := range records {
 		position := appendRecord(t, log, record)
@@ -24,17 +24,18 @@
 		for _, garbage := range []string{"", "\x00\x00\x00\x00\x00\x00\x00\x00\x00", "\xff\xff\xff\xff\xff\xff\xff\xff\xff"} {
 			torn := memfs.New(1)
 			writeFile(t, torn, segmentName(1), append(append([]byte{}, whole[:size]...), garbage...))
-			kept := 0
-			for kept < len(ends) && ends[kept] <= int64(size) {
-				kept++
+			complete := 0
+			for complete < len(ends) && ends[complete] <= int64(size) {
+				complete++
 			}
-			assertGoesOn(t, torn, records[:kept])
+			assertRecoversAndAppends(t, torn, records[:complete])
 		}
 	}
 }
 
-// assertGoesOn checks that a disk holds exactly these records, and that a log on it takes another one.
-func assertGoesOn(t tester, disk *memfs.Disk, records []string) {
+// assertRecoversAndAppends checks that a log on the disk replays exactly these records, and that a record appended and
+// synced afterwards survives a power loss.
+func assertRecoversAndAppends(t testingT, disk *memfs.Disk, records []string) {
 	t.Helper()
 	log, found := openLog(t, disk, 0)
 	assertRecords(t, log, found, records...)
@@ -49,7 +50,7 @@
 func TestCorruptionAtEveryByteEndsTheReplay(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
-	records := numbered("record", 4)
+	records := numberedRecords("record", 4)
 	var ends []int
 	for _, record := range records {
 		position := appendRecord(t, log, record)
@@ -58,16 +59,16 @@
 	assert.NilError(t, log.Close())
 	whole := readFile(t, disk, segmentName(1))
 
-	for at := range whole {
+	for offset := range whole {
 		damaged := memfs.New(1)
 		copied := append([]byte{}, whole...)
-		copied[at] ^= 0x41
+		copied[offset] ^= 0x41
 		writeFile(t, damaged, segmentName(1), copied)
-		kept := 0
-		for at >= segmentHeaderSize && ends[kept] <= at {
-			kept++
+		intact := 0
+		for offset >= segmentHeaderSize && ends[intact] <= offset {
+			intact++
 		}
-		assertGoesOn(t, damaged, records[:kept])
+		assertRecoversAndAppends(t, damaged, records[:intact])
 	}
 }
 
@@ -75,14 +76,14 @@
 	build := func() *memfs.Disk {
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 60)
-		for _, record := range numbered("record", 8) {
+		for _, record := range numberedRecords("record", 8) {
 			appendRecord(t, log, record)
 		}
 		assert.NilError(t, log.Close())
 		return disk
 	}
 	reopen := func(disk *memfs.Disk) error {
-		found := &contents{}
+		found := &recoveredData{}
 		_, err := Open(Options{FS: disk}, found.restore, found.replay)
 		return err
 	}
@@ -97,7 +98,7 @@
 	assert.ErrorIs(t, reopen(missing), ErrCorrupt)
 }
 
-func TestSaveFileAtEveryStepOfItsLoss(t *testing.T) {
+func TestPowerLossDuringSaveFileKeepsOldOrNewData(t *testing.T) {
 	for seed := range uint64(20) {
 		for steps := range 10 {
 			disk := memfs.New(seed)
@@ -112,7 +113,7 @@
 	}
 }
 
-func TestRecordsBehindCorruptionDoNotComeBack(t *testing.T) {
+func TestRecordsAfterCorruptionStayDiscarded(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "first")
@@ -133,7 +134,7 @@
 
 func FuzzReplay(f *testing.F) {
 	seed := appendSegmentHeader(nil, 1)
-	for _, record := range numbered("record", 3) {
+	for _, record := range numberedRecords("record", 3) {
 		parts := [][]byte{[]byte(record)}
 		header := newRecordHeader(len(record), parts)
 		seed = append(append(seed, header[:]...), record...)
@@ -150,6 +151,6 @@
 			records = append(records, string(record))
 		}
 		assert.NilError(t, log.Close())
-		assertGoesOn(t, disk, records)
+		assertRecoversAndAppends(t, disk, records)
 	})
 }
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -1,27 +1,29 @@
-// Package wal is a write-ahead log: records in segment files, and snapshots beside them. docs/format/wal.md describes the
-// files.
+// Package wal is a write-ahead log. It stores records in segment files, and snapshots in the same directory.
+// docs/format/wal.md describes the files.
 //
-// A Log belongs to one owner, which rebuilds its state from it: Open hands the newest snapshot and all later records over.
-// Appended records gather in memory. Sync writes them and makes them durable; callers that wait at the same time share one
-// sync of the disk (group commit). A snapshot makes the segments before it unnecessary for a replay; they stay until
-// RemoveSegments, as their records can still be read by their positions.
+// A Log has one owner, which rebuilds its state from the log: Open passes the newest snapshot and all later records to
+// the owner. Append buffers records in memory. Sync writes them and makes them durable; concurrent callers share one
+// sync of the disk (group commit). A replay does not need the segments that a snapshot covers. They stay until
+// RemoveSegments, because their records can still be read by position.
 //
 // Invariants:
 //
-//   - Once Sync has returned nil, every record appended before the call outlives a loss of power.
-//   - A replay hands over a prefix of the appended records: all durable ones, in order, and none behind a torn or corrupt
-//     one. In the last segment the replay stops at the first torn or corrupt record and cuts off the rest; damage in an
-//     earlier segment is ErrCorrupt.
-//   - Segments have consecutive numbers. A segment's file is made only after the one before it is complete and synced.
+//   - Once Sync has returned nil, every record appended before the call survives a power loss.
+//   - A replay yields a prefix of the appended records in order. The prefix contains all durable records, and no record
+//     that follows a torn or corrupt one. In the last segment the replay stops at the first torn or corrupt record and
+//     truncates the segment there. Damage in an earlier segment is ErrCorrupt.
+//   - Segments have consecutive numbers. A segment's file is created only after the previous segment is complete and
+//     synced.
 //   - A snapshot is durable before older snapshots are removed.
-//   - After an error of the disk other than a full one, the log takes nothing any more: what a failed sync has left on the
-//     disk is not known.
+//   - After a disk error other than a full disk, the log rejects all appends and syncs, because the state that a failed
+//     sync left on the disk is unknown.
 //
-// Goroutines: the log starts one goroutine while somebody waits for a sync (flushBatches); it alone writes segments, and
-// owns the active segment. A timer wakes it about every second while the disk is full. Close waits for it.
+// Goroutines: the log runs one goroutine (flushBatches) while a caller waits for a sync. Only this goroutine writes
+// segments, and it owns the active segment. A timer restarts it about every second while the disk is full. Close waits
+// for it.
 //
-// Locks: Log.mutex guards the state in memory; of all I/O only the opening and closing of segments is done under it.
-// Log.snapshotMutex is held during the I/O of a snapshot, and is taken before Log.mutex.
+// Locks: Log.mutex guards the state in memory. The only I/O under it is opening and closing segment files.
+// Log.snapshotMutex is held during the I/O of a snapshot, and is acquired before Log.mutex.
 //
-// Start reading at Log in log.go, then group_commit.go; replay.go is what happens at a start.
+// Start reading at Log in log.go, then group_commit.go. replay.go implements Open.
 package wal
--- a/internal/wal/file_names.go
+++ b/internal/wal/file_names.go
@@ -10,19 +10,20 @@
 const (
 	segmentPrefix   = "segment-"
 	snapshotPrefix  = "snapshot-"
-	temporarySuffix = ".tmp" // of a file that SaveFile has not finished
+	temporarySuffix = ".tmp" // suffix of a file that SaveFile has not renamed yet
 
-	firstSegment = 1
+	firstSegmentNumber = 1
 )
 
 func segmentName(number uint64) string  { return fmt.Sprintf("%s%020d", segmentPrefix, number) }
 func snapshotName(number uint64) string { return fmt.Sprintf("%s%020d", snapshotPrefix, number) }
 
-func parseSegmentName(name string) (uint64, bool)  { return parseName(name, segmentPrefix) }
-func parseSnapshotName(name string) (uint64, bool) { return parseName(name, snapshotPrefix) }
+func parseSegmentName(name string) (uint64, bool)  { return parseNumberedName(name, segmentPrefix) }
+func parseSnapshotName(name string) (uint64, bool) { return parseNumberedName(name, snapshotPrefix) }
 
-// parseName returns the number behind a prefix, and false where the name is another kind of file's.
-func parseName(name, prefix string) (uint64, bool) {
+// parseNumberedName returns the number that follows a prefix in a file name. It returns false if the name lacks the
+// prefix or the number.
+func parseNumberedName(name, prefix string) (uint64, bool) {
 	digits, found := strings.CutPrefix(name, prefix)
 	if !found {
 		return 0, false
@@ -31,8 +32,8 @@
 	return number, err == nil
 }
 
-// numbersOf returns the numbers of those names that a parser knows, in ascending order.
-func numbersOf(names []string, parse func(string) (uint64, bool)) []uint64 {
+// sortedNumbers returns, in ascending order, the numbers of the file names that parse accepts.
+func sortedNumbers(names []string, parse func(string) (uint64, bool)) []uint64 {
 	var numbers []uint64
 	for _, name := range names {
 		if number, ok := parse(name); ok {
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -15,36 +15,36 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-// The files under testdata/golden were written by the version before which nothing is promised. Every later version has
-// to read them with the recorded result, and to write the same records as the same bytes. They are made by
+// The files under testdata/golden were written by the oldest version with which the format is compatible. Every later
+// version must read them with the recorded result, and must encode the same records as the same bytes. The command
 //
 //	go test ./internal/wal -run TestGolden -update
 //
-// and may change only with the number of the format's version.
+// writes them. They may change only together with formatVersion.
 
 const goldenSegmentBytes = 400
 
-// goldenCase is a directory of a log: how it is written, and what happens to its files afterwards.
+// goldenCase describes how a log directory is written, and how its files are damaged afterwards.
 type goldenCase struct {
 	write  func(t *testing.T, disk *memfs.Disk)
-	damage func(files map[string][]byte) // nil where the files stay as they were written
+	damage func(files map[string][]byte) // nil if the files are not damaged
 }
 
-// goldenRecord is a record as a replay hands it over.
+// goldenRecord is a replayed record.
 type goldenRecord struct {
 	Position Position `json:"position"`
 	Payload  []byte   `json:"payload"`
 }
 
-// goldenResult is what comes of opening a directory.
+// goldenResult is the result of opening a log directory.
 type goldenResult struct {
-	Damaged  bool             `json:"damaged"` // Open has returned ErrCorrupt
+	Damaged  bool             `json:"damaged"` // Open returned ErrCorrupt
 	Snapshot []byte           `json:"snapshot"`
 	Records  []goldenRecord   `json:"records"`
-	Sizes    map[string]int64 `json:"sizes"` // of the files after Open and Close
+	Sizes    map[string]int64 `json:"sizes"` // of the files after Open and Close, in bytes, by name
 }
 
-// goldenPayload returns a payload with all values of bytes in it, if it is long enough.
+// goldenPayload returns a payload of the given size in bytes. From 256 bytes on it contains every byte value.
 func goldenPayload(size int) []byte {
 	payload := make([]byte, size)
 	for i := range payload {
@@ -53,7 +53,7 @@
 	return payload
 }
 
-func appendSizes(t *testing.T, log *Log, sizes ...int) {
+func appendRecordsOfSizes(t *testing.T, log *Log, sizes ...int) {
 	t.Helper()
 	for _, size := range sizes {
 		payload := goldenPayload(size)
@@ -62,23 +62,24 @@
 	}
 }
 
-// writeSegments writes records of several sizes: none, one byte, some that share a segment, one that is larger than a segment.
+// writeSegments writes records of several sizes: an empty one, one of a single byte, several that share a segment, and
+// one that is larger than a segment.
 func writeSegments(t *testing.T, disk *memfs.Disk) {
 	log, _ := openLog(t, disk, goldenSegmentBytes)
-	appendSizes(t, log, 0, 1, 7, 150, 100)
+	appendRecordsOfSizes(t, log, 0, 1, 7, 150, 100)
 	syncLog(t, log)
-	appendSizes(t, log, 600, 33)
+	appendRecordsOfSizes(t, log, 600, 33)
 	assert.NilError(t, log.Close())
 }
 
-// writeSnapshots writes two snapshots, with records before, between and behind them.
+// writeSnapshots writes two snapshots, with records before, between and after them.
 func writeSnapshots(t *testing.T, disk *memfs.Disk) {
 	log, _ := openLog(t, disk, goldenSegmentBytes)
-	appendSizes(t, log, 20, 30)
+	appendRecordsOfSizes(t, log, 20, 30)
 	assert.NilError(t, log.WriteSnapshot(goldenPayload(50)))
-	appendSizes(t, log, 40)
+	appendRecordsOfSizes(t, log, 40)
 	assert.NilError(t, log.WriteSnapshot(goldenPayload(90)))
-	appendSizes(t, log, 60, 250, 80)
+	appendRecordsOfSizes(t, log, 60, 250, 80)
 	assert.NilError(t, log.Close())
 }
 
@@ -114,7 +115,7 @@
 	}
 }
 
-// readDisk returns the contents of all files.
+// readDisk returns the contents of all files by name.
 func readDisk(t *testing.T, disk *memfs.Disk) map[string][]byte {
 	t.Helper()
 	names, err := disk.List()
@@ -126,7 +127,7 @@
 	return files
 }
 
-// openGolden opens the directory of a case and tells what comes of it.
+// openGolden copies a recorded directory to a disk, opens a log on it and returns the result.
 func openGolden(t *testing.T, folder string) goldenResult {
 	t.Helper()
 	disk := memfs.New(1)
@@ -135,7 +136,7 @@
 	for _, entry := range entries {
 		writeFile(t, disk, entry.Name(), golden.Get(t, path.Join(folder, entry.Name())))
 	}
-	found := &contents{}
+	found := &recoveredData{}
 	log, err := Open(Options{FS: disk, SegmentBytes: goldenSegmentBytes}, found.restore, found.replay)
 	result := goldenResult{Damaged: errors.Is(err, ErrCorrupt), Snapshot: found.snapshot, Sizes: make(map[string]int64)}
 	if !result.Damaged {
@@ -151,7 +152,8 @@
 	return result
 }
 
-// TestGoldenLogs writes each directory again byte for byte, and reads the recorded one with the recorded result.
+// TestGoldenLogs guards the format of segments and snapshots: each directory is written with the recorded bytes, and
+// opening the recorded files gives the recorded result.
 func TestGoldenLogs(t *testing.T) {
 	for name, each := range goldenCases() {
 		t.Run(name, func(t *testing.T) {
@@ -176,7 +178,8 @@
 	}
 }
 
-// TestGoldenFile does the same for a file of its own.
+// TestGoldenFile guards the format of files written by SaveFile: the bytes equal the recorded ones, and LoadFile reads
+// the recorded file.
 func TestGoldenFile(t *testing.T) {
 	for name, data := range map[string][]byte{"empty": {}, "some": goldenPayload(300)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/wal/group_commit.go
+++ b/internal/wal/group_commit.go
@@ -13,43 +13,43 @@
 
 // commitBatch is a set of Sync calls that share one sync of the disk.
 type commitBatch struct {
-	target uint64 // count of records that are durable once the batch has succeeded
-	done   chan struct{}
-	err    error // valid after done is closed
+	target uint64        // number of records that are durable once the batch has succeeded; set when it starts
+	done   chan struct{} // closed when the batch has ended
+	err    error         // valid after done is closed
 }
 
-// groupCommit is the state of the sharing of syncs. The log's mutex guards it.
+// groupCommit is the state of group commit. Log.mutex guards it.
 type groupCommit struct {
-	running   *commitBatch // the batch whose sync is out, or nil
-	gathering *commitBatch // the next batch, or nil
-	started   time.Time    // when the running sync began
-	idle      chan struct{}
-	retry     *time.Timer // set while the disk is full
+	running *commitBatch  // the batch that is being synced, or nil
+	next    *commitBatch  // the batch that new callers of Sync join, or nil
+	started time.Time     // when the running batch began
+	idle    chan struct{} // closed when flushBatches returns; nil while it is not running
+	retry   *time.Timer   // set while the disk is full
 }
 
-// runningFor returns for how long the running sync has been out.
-func (g *groupCommit) runningFor() time.Duration {
+// runningDuration returns how long the running batch has taken so far, or 0 if none is running.
+func (g *groupCommit) runningDuration() time.Duration {
 	if g.running == nil {
 		return 0
 	}
 	return time.Since(g.started)
 }
 
-// activeSegment is the segment file that was written last.
+// activeSegment is the segment file that flushBatches writes to.
 type activeSegment struct {
 	segment *segment
 	file    vfs.File
 	dirty   bool // written since its last sync
-	created bool // its name may not be durable
+	created bool // its directory entry may not be durable yet
 }
 
 // Sync returns nil once every record appended before the call is durable. Concurrent callers share one sync of the
-// disk; while it runs, the next batch gathers.
+// disk; callers that arrive while a sync runs form the next batch.
 //
-// After an error the fate of the caller's records is unknown. Where the context ends early, they may become durable
-// later. Where the disk is full (see IsDiskFull), the file is cut back to its last durable record, the records stay in
-// memory and are tried again with the next Sync, and about every second by the log itself. Any other error of the disk
-// makes the log failed for good.
+// After an error, whether the caller's records are durable is unknown. If the context ends first, they may become
+// durable later. If the disk is full (see IsDiskFull), the file is truncated after its last durable record and the
+// records stay in memory. The next Sync retries them, and the log itself retries about every second. After any other
+// disk error the log has failed permanently.
 func (l *Log) Sync(ctx context.Context) error {
 	l.mutex.Lock()
 	err := l.checkUsable()
@@ -60,7 +60,7 @@
 	return trace.Wrap(l.syncAll(ctx))
 }
 
-// syncAll is Sync without the check whether the log is closed.
+// syncAll is Sync without the check for a closed log, so that Close can call it.
 func (l *Log) syncAll(ctx context.Context) error {
 	batch, err := l.joinBatch()
 	if batch == nil || err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// joinBatch returns the batch that makes durable all that has been appended so far, or nil where all of it is.
+// joinBatch returns the batch that will sync all records appended so far, or nil if all of them are durable.
 func (l *Log) joinBatch() (*commitBatch, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -87,57 +87,60 @@
 	if running := l.group.running; running != nil && running.target == l.appended {
 		return running, nil
 	}
-	return l.gather(), nil
+	return l.nextBatch(), nil
 }
 
-// gather returns the gathering batch, and starts a flush where none is running.
-func (l *Log) gather() *commitBatch {
-	if l.group.gathering == nil {
-		l.group.gathering = &commitBatch{done: make(chan struct{})}
+// nextBatch returns the batch that has not started yet, and starts flushBatches unless it is running. The caller holds
+// the mutex.
+func (l *Log) nextBatch() *commitBatch {
+	if l.group.next == nil {
+		l.group.next = &commitBatch{done: make(chan struct{})}
 	}
 	if l.group.idle == nil {
 		l.group.idle = make(chan struct{})
 		go l.flushBatches()
 	}
-	return l.group.gathering
+	return l.group.next
 }
 
-// flushBatches flushes one batch after the other until nobody waits. At most one goroutine runs it.
+// flushBatches syncs one batch after another until no caller waits. At most one goroutine runs it.
 func (l *Log) flushBatches() {
 	for {
-		batch, runs := l.beginBatch()
+		batch, extents := l.beginBatch()
 		if batch == nil {
 			return
 		}
-		written, err := l.writeRuns(runs)
+		durable, err := l.writeExtents(extents)
 		if IsDiskFull(err) {
-			err = errors.Join(err, l.cutBack(runs[written:]))
+			err = errors.Join(err, l.truncateFailedWrite(extents[durable:]))
 		}
-		l.endBatch(batch, written, err)
+		l.finishBatch(batch, durable, err)
 	}
 }
 
-// beginBatch takes the gathering batch and all that is pending.
+// beginBatch starts the next batch and returns it with the pending extents, which become the extents in flight. It
+// returns nil if no caller waits.
 func (l *Log) beginBatch() (*commitBatch, []*extent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	batch := l.group.gathering
+	batch := l.group.next
 	if batch == nil {
 		close(l.group.idle)
 		l.group.idle = nil
 		return nil, nil
 	}
 	batch.target = l.appended
-	l.group.gathering = nil
+	l.group.next = nil
 	l.group.running = batch
 	l.group.started = time.Now()
 	l.inFlight, l.pending = l.pending, nil
 	return batch, l.inFlight
 }
 
-// writeRuns writes runs and makes them durable. It returns how many of them, from the first, are.
-func (l *Log) writeRuns(runs []*extent) (durable int, err error) {
-	for i, each := range runs {
+// writeExtents writes extents in order and makes them durable. It returns how many of them, counted from the first, are
+// durable.
+func (l *Log) writeExtents(extents []*extent) (durable int, err error) {
+	for i, each := range extents {
 		if each.offset == 0 {
 			if err := l.syncActive(); err != nil {
 				return durable, err
@@ -155,10 +158,10 @@
 	if err := l.syncActive(); err != nil {
 		return durable, err
 	}
-	return len(runs), nil
+	return len(extents), nil
 }
 
-// syncActive makes the active segment durable, with its name.
+// syncActive makes the active segment and its directory entry durable.
 func (l *Log) syncActive() error {
 	if !l.active.dirty {
 		return nil
@@ -175,10 +178,10 @@
 	return nil
 }
 
-// startSegment makes an empty file for a segment and makes it the active one.
+// startSegment creates the file of a segment and makes the segment the active one.
 func (l *Log) startSegment(next *segment) error {
 	if l.active.segment == next {
-		return l.active.file.Truncate(0) // left by an attempt that failed
+		return l.active.file.Truncate(0) // a failed attempt left data in the file
 	}
 	file, err := l.fs.Create(segmentName(next.number))
 	if err != nil {
@@ -191,26 +194,27 @@
 	return nil
 }
 
-// cutBack removes from the active segment what a failed attempt to write these runs has left there.
-func (l *Log) cutBack(runs []*extent) error {
-	if len(runs) == 0 || l.active.segment != runs[0].segment {
+// truncateFailedWrite removes the bytes of extents that a failed write left in the active segment.
+func (l *Log) truncateFailedWrite(extents []*extent) error {
+	if len(extents) == 0 || l.active.segment != extents[0].segment {
 		return nil
 	}
-	return l.active.file.Truncate(runs[0].offset)
+	return l.active.file.Truncate(extents[0].offset)
 }
 
-// endBatch records the outcome of a batch and wakes those who wait for it.
-func (l *Log) endBatch(batch *commitBatch, written int, err error) {
+// finishBatch records the result of a batch and wakes the callers that wait for it. It releases the first durableCount
+// extents in flight; after an error the others become pending again.
+func (l *Log) finishBatch(batch *commitBatch, durableCount int, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.release(l.inFlight[:written])
-	unwritten := l.inFlight[written:]
+	l.releaseExtents(l.inFlight[:durableCount])
+	unwritten := l.inFlight[durableCount:]
 	l.inFlight = nil
 	l.group.running = nil
 	l.group.stopRetry()
 	if err == nil {
 		l.durable = batch.target
-		l.full = false
+		l.diskFull = false
 	} else {
 		l.pending = append(unwritten, l.pending...)
 		l.handleSyncError(err)
@@ -219,52 +223,55 @@
 	close(batch.done)
 }
 
-// release accounts for runs that are durable now, and keeps a small buffer for the next run.
-func (l *Log) release(runs []*extent) {
-	for _, each := range runs {
+// releaseExtents subtracts durable extents from the backlog, and keeps one small buffer for the next extent. The caller
+// holds the mutex.
+func (l *Log) releaseExtents(extents []*extent) {
+	for _, each := range extents {
 		l.backlog -= int64(len(each.data))
-		if l.spare == nil && cap(each.data) <= maxSpareBytes {
-			l.spare = each.data[:0]
+		if l.spareBuffer == nil && cap(each.data) <= maxSpareBufferBytes {
+			l.spareBuffer = each.data[:0]
 		}
 	}
 }
 
-// handleSyncError handles a failed sync: it schedules a retry if the disk is full, and fails the log for good at any other error.
+// handleSyncError schedules a retry if the disk is full. After any other error it marks the log as failed. The caller
+// holds the mutex.
 func (l *Log) handleSyncError(err error) {
 	if !IsDiskFull(err) {
 		l.failure = err
-		l.logger.Error("log failed", zap.Error(err))
-		l.failGathering(err)
+		l.logger.Error("write-ahead log failed permanently", zap.Error(err))
+		l.failNextBatch(err)
 		return
 	}
-	if !l.full {
-		l.logger.Warn("disk full", zap.Int64("backlog", l.backlog))
+	if !l.diskFull {
+		l.logger.Warn("disk is full", zap.Int64("backlog", l.backlog))
 	}
-	l.full = true
+	l.diskFull = true
 	if !l.closed {
-		l.group.retry = time.AfterFunc(fullRetryInterval, l.retryFull)
+		l.group.retry = time.AfterFunc(diskFullRetryInterval, l.retryOnFullDisk)
 	}
 }
 
-// failGathering ends the batch that gathers: the log takes nothing any more. The caller holds the mutex.
-func (l *Log) failGathering(err error) {
-	if batch := l.group.gathering; batch != nil {
-		l.group.gathering = nil
+// failNextBatch ends the batch that has not started yet with an error, because a failed log starts no batch. The caller
+// holds the mutex.
+func (l *Log) failNextBatch(err error) {
+	if batch := l.group.next; batch != nil {
+		l.group.next = nil
 		batch.err = err
 		close(batch.done)
 	}
 }
 
-// retryFull tries again to write to a disk that was full.
-func (l *Log) retryFull() {
+// retryOnFullDisk starts another attempt to write to a full disk. The retry timer calls it.
+func (l *Log) retryOnFullDisk() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.full && l.checkUsable() == nil {
-		l.gather()
+	if l.diskFull && l.checkUsable() == nil {
+		l.nextBatch()
 	}
 }
 
-// stopRetry stops the timer that retries on a full disk.
+// stopRetry stops the retry timer. The caller holds the mutex.
 func (g *groupCommit) stopRetry() {
 	if g.retry != nil {
 		g.retry.Stop()
@@ -272,7 +279,7 @@
 	}
 }
 
-// awaitIdle waits until no flush is running.
+// awaitIdle stops the retry timer and waits until flushBatches has returned.
 func (l *Log) awaitIdle() {
 	l.mutex.Lock()
 	l.group.stopRetry()
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -11,52 +11,52 @@
 	"gladepick/internal/vfs"
 )
 
-// contents is what a log handed over when it was opened.
-type contents struct {
+// recoveredData collects the snapshot and the records that Open passes to a log's owner.
+type recoveredData struct {
 	snapshot  []byte
 	records   [][]byte
 	positions []Position
 }
 
-func (c *contents) restore(snapshot []byte) error {
+func (c *recoveredData) restore(snapshot []byte) error {
 	c.snapshot = snapshot
 	return nil
 }
 
-func (c *contents) replay(position Position, record []byte) error {
+func (c *recoveredData) replay(position Position, record []byte) error {
 	c.records = append(c.records, bytes.Clone(record))
 	c.positions = append(c.positions, position)
 	return nil
 }
 
-// tester is what the helpers need of *testing.T and *rapid.T.
-type tester interface {
+// testingT is implemented by *testing.T and *rapid.T.
+type testingT interface {
 	assert.TestingT
 	Helper()
 }
 
-func openLog(t tester, disk vfs.FS, segmentBytes int64) (*Log, *contents) {
+func openLog(t testingT, disk vfs.FS, segmentBytes int64) (*Log, *recoveredData) {
 	t.Helper()
-	found := &contents{}
+	found := &recoveredData{}
 	log, err := Open(Options{FS: disk, SegmentBytes: segmentBytes}, found.restore, found.replay)
 	assert.NilError(t, err)
 	return log, found
 }
 
-func appendRecord(t tester, log *Log, record string) Position {
+func appendRecord(t testingT, log *Log, record string) Position {
 	t.Helper()
 	position, err := log.Append([]byte(record))
 	assert.NilError(t, err)
 	return position
 }
 
-func syncLog(t tester, log *Log) {
+func syncLog(t testingT, log *Log) {
 	t.Helper()
 	assert.NilError(t, log.Sync(context.Background()))
 }
 
-// assertRecords checks that records were replayed, in order, and that they can be read by their positions.
-func assertRecords(t tester, log *Log, found *contents, want ...string) {
+// assertRecords checks that exactly these records were replayed in order, and that they can be read by position.
+func assertRecords(t testingT, log *Log, found *recoveredData, want ...string) {
 	t.Helper()
 	got := make([]string, 0, len(found.records))
 	for _, record := range found.records {
@@ -70,8 +70,8 @@
 	}
 }
 
-// numbered returns count distinct records that begin with a prefix.
-func numbered(prefix string, count int) []string {
+// numberedRecords returns count distinct records with a common prefix.
+func numberedRecords(prefix string, count int) []string {
 	records := make([]string, count)
 	for i := range records {
 		records[i] = fmt.Sprintf("%s-%d", prefix, i)
@@ -83,13 +83,13 @@
 	t.Helper()
 	file, err := disk.Open(name)
 	assert.NilError(t, err)
-	data, err := readWhole(file)
+	data, err := readContents(file)
 	assert.NilError(t, err)
 	assert.NilError(t, file.Close())
 	return data
 }
 
-func writeFile(t tester, disk vfs.FS, name string, data []byte) {
+func writeFile(t testingT, disk vfs.FS, name string, data []byte) {
 	t.Helper()
 	file, err := disk.Create(name)
 	assert.NilError(t, err)
--- a/internal/wal/interrupted_test.go
+++ b/internal/wal/interrupted_test.go
@@ -2,7 +2,8 @@
 
 import "gladepick/internal/vfs"
 
-// interruptedFS calls a function, such as the disk's PowerLoss, after a number of changes.
+// interruptedFS calls interrupt, such as the disk's PowerLoss, just before the change that follows the first remaining
+// changes.
 type interruptedFS struct {
 	vfs.FS
 	interrupt func()
--- a/internal/wal/limits.go
+++ b/internal/wal/limits.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	defaultSegmentBytes = 8 << 20
-	maxBacklogBytes     = 16 << 20 // limit of what waits for a slow disk
-	maxFullBacklogBytes = 1 << 20  // limit of what waits for a full disk
-	maxSpareBytes       = 128 << 10
+	defaultSegmentBytes       = 8 << 20
+	maxBacklogBytes           = 16 << 20  // limit of the bytes that wait for a slow disk
+	maxBacklogBytesOnFullDisk = 1 << 20   // limit of the bytes that wait for a full disk
+	maxSpareBufferBytes       = 128 << 10 // larger buffers are not kept for reuse
 
-	failingAfter      = 500 * time.Millisecond // a sync that takes longer makes the disk count as failing
-	fullRetryInterval = time.Second
+	slowSyncThreshold     = 500 * time.Millisecond // while a sync takes longer, the disk counts as failing
+	diskFullRetryInterval = time.Second
 )
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -11,10 +11,10 @@
 	"gladepick/internal/vfs"
 )
 
-// Options configure a log.
+// Options configure a Log. FS is required.
 type Options struct {
 	FS           vfs.FS
-	SegmentBytes int64       // a segment that would grow larger is followed by a new one; 8 MiB where it is 0
+	SegmentBytes int64       // a record that would exceed this size begins a new segment; 0 means 8 MiB
 	Logger       *zap.Logger // may be nil
 }
 
@@ -24,18 +24,18 @@
 	segmentBytes int64
 	logger       *zap.Logger
 
-	mutex    sync.Mutex
-	segments []*segment // by number; the last one takes new records
-	pending  []*extent  // what the next sync writes
-	inFlight []*extent  // what the running sync writes
-	backlog  int64      // bytes in pending and inFlight
-	spare    []byte     // an empty buffer for the next run
-	appended uint64     // count of records appended
-	durable  uint64     // count of records that are durable
-	group    groupCommit
-	failure  error // set once and for all
-	full     bool  // the last sync found the disk full
-	closed   bool
+	mutex       sync.Mutex
+	segments    []*segment // by number; the last one takes new records
+	pending     []*extent  // the next batch writes these
+	inFlight    []*extent  // the running batch writes these
+	backlog     int64      // bytes in pending and inFlight
+	spareBuffer []byte     // an empty buffer for the next extent
+	appended    uint64     // number of records appended
+	durable     uint64     // number of records that are durable
+	group       groupCommit
+	failure     error // the disk error that made the log fail permanently, or nil
+	diskFull    bool  // the last sync found the disk full
+	closed      bool
 
 	snapshotMutex  sync.Mutex // held while a snapshot is written
 	snapshotNumber uint64     // the newest snapshot covers all segments below this number; 0 without a snapshot
@@ -43,17 +43,17 @@
 
 	corruptSnapshot uint64 // the newest snapshot that Open found corrupt; 0 without one
 
-	// active belongs to the goroutine that flushes.
+	// active is owned by the goroutine that runs flushBatches.
 	active activeSegment
 }
 
-// Append adds a record. It copies the record into memory; only Sync makes it durable.
+// Append adds a record and returns its position. It copies the record into memory; only Sync makes it durable.
 func (l *Log) Append(record []byte) (Position, error) {
 	return l.AppendParts(record)
 }
 
-// AppendParts adds one record whose payload is the given parts, one after the other. It copies them into memory; only
-// Sync makes the record durable.
+// AppendParts adds one record whose payload is the concatenation of the parts, and returns its position. It copies the
+// parts into memory; only Sync makes the record durable.
 func (l *Log) AppendParts(parts ...[]byte) (Position, error) {
 	length := 0
 	for _, part := range parts {
@@ -69,30 +69,30 @@
 	if err := l.checkAppend(); err != nil {
 		return Position{}, trace.Wrap(err)
 	}
-	target := l.targetRun(int64(recordHeaderSize + length))
+	target := l.targetExtent(int64(recordHeaderSize + length))
 	before := len(target.data)
 	target.data = append(target.data, header[:]...)
 	for _, part := range parts {
 		target.data = append(target.data, part...)
 	}
-	l.grow(target, len(target.data)-before)
+	l.countBytes(target, len(target.data)-before)
 	l.appended++
 	offset := target.segment.size - int64(length)
 	return Position{Segment: target.segment.number, Offset: offset, Length: int32(length)}, nil
 }
 
-// checkAppend returns why the log takes no record now, or nil.
+// checkAppend returns an error if the log accepts no record now. The caller holds the mutex.
 func (l *Log) checkAppend() error {
 	if err := l.checkUsable(); err != nil {
 		return err
 	}
-	if l.backlog >= maxBacklogBytes || l.full && l.backlog >= maxFullBacklogBytes {
+	if l.backlog >= maxBacklogBytes || l.diskFull && l.backlog >= maxBacklogBytesOnFullDisk {
 		return ErrBacklogFull
 	}
 	return nil
 }
 
-// checkUsable returns an error if the log has failed or is closed.
+// checkUsable returns an error if the log has failed or is closed. The caller holds the mutex.
 func (l *Log) checkUsable() error {
 	if l.failure != nil {
 		return l.failure
@@ -103,8 +103,9 @@
 	return nil
 }
 
-// targetRun returns the run that takes the next record; it begins a new segment where the current one is full.
-func (l *Log) targetRun(recordSize int64) *extent {
+// targetExtent returns the extent to which the next record is appended. It begins a new segment if the record would
+// exceed the segment size. The caller holds the mutex.
+func (l *Log) targetExtent(recordSize int64) *extent {
 	tail := l.tail()
 	if tail.size > segmentHeaderSize && tail.size+recordSize > l.segmentBytes {
 		tail = l.rollSegment()
@@ -115,23 +116,24 @@
 			return last
 		}
 	}
-	next := &extent{segment: tail, offset: tail.size, data: l.spare}
-	l.spare = nil
+	next := &extent{segment: tail, offset: tail.size, data: l.spareBuffer}
+	l.spareBuffer = nil
 	l.pending = append(l.pending, next)
 	if tail.size == 0 {
 		next.data = appendSegmentHeader(next.data, tail.number)
-		l.grow(next, len(next.data))
+		l.countBytes(next, len(next.data))
 	}
 	return next
 }
 
-// grow accounts for bytes that were added to a run.
-func (l *Log) grow(target *extent, bytes int) {
+// countBytes adds bytes that were appended to an extent to the segment's size and the backlog. The caller holds the
+// mutex.
+func (l *Log) countBytes(target *extent, bytes int) {
 	target.segment.size += int64(bytes)
 	l.backlog += int64(bytes)
 }
 
-// Size returns the bytes of all segments and of the newest snapshot.
+// Size returns the total size of all segments and the newest snapshot, in bytes. It includes buffered records.
 func (l *Log) Size() int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -142,15 +144,15 @@
 	return total
 }
 
-// Failing tells whether the disk seems bad: a sync has been out for over 500 ms, the log has failed, or the disk is
-// full.
+// Failing reports whether the disk seems unhealthy: the running sync has taken more than 500 ms, the log has failed, or
+// the disk is full.
 func (l *Log) Failing() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.failure != nil || l.full || l.group.runningFor() > failingAfter
+	return l.failure != nil || l.diskFull || l.group.runningDuration() > slowSyncThreshold
 }
 
-// Close syncs what was appended and closes the log's files. All later calls fail.
+// Close syncs the appended records and closes the log's files. Later calls of methods that return an error fail.
 func (l *Log) Close() error {
 	l.mutex.Lock()
 	if l.closed {
@@ -165,7 +167,7 @@
 	return trace.Wrap(errors.Join(err, l.closeFiles()))
 }
 
-// closeFiles closes the segments that are open.
+// closeFiles closes the segment files that are open.
 func (l *Log) closeFiles() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -179,9 +181,9 @@
 	return errors.Join(errs...)
 }
 
-// extent is a range of consecutive bytes of one segment that is not written yet.
+// extent is a range of consecutive bytes of one segment that are not durable yet.
 type extent struct {
 	segment *segment
-	offset  int64 // 0 where the run begins with the segment's header
+	offset  int64 // in the segment's file, in bytes; 0 if the extent begins with the segment's header
 	data    []byte
 }
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -24,7 +24,7 @@
 	log, found := openLog(t, disk, 200)
 	assertRecords(t, log, found)
 
-	want := append(numbered("record", 40), "", strings.Repeat("long", 100))
+	want := append(numberedRecords("record", 40), "", strings.Repeat("long", 100))
 	for _, record := range want {
 		position, err := log.AppendParts([]byte(record[:len(record)/2]), []byte(record[len(record)/2:]))
 		assert.NilError(t, err)
@@ -52,7 +52,7 @@
 	assert.Equal(t, len(entries), len(log.Segments()))
 }
 
-func TestReadRefusesPositionsWithoutRecord(t *testing.T) {
+func TestReadRejectsPositionsWithoutRecord(t *testing.T) {
 	log, _ := openLog(t, memfs.New(1), 0)
 	position := appendRecord(t, log, "record")
 	syncLog(t, log)
@@ -73,7 +73,7 @@
 	assert.ErrorIs(t, err, ErrTooLarge)
 }
 
-func TestConcurrentSyncsShareOneSyncOfTheDisk(t *testing.T) {
+func TestConcurrentSyncsShareOneDiskSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
 		disk.SetSyncDelay(10 * time.Millisecond)
@@ -84,7 +84,7 @@
 		first := startSync(log)
 		synctest.Wait()
 		var waiters sync.WaitGroup
-		for _, record := range numbered("record", 100) {
+		for _, record := range numberedRecords("record", 100) {
 			waiters.Go(func() {
 				_, err := log.Append([]byte(record))
 				assert.Check(t, err)
@@ -121,20 +121,20 @@
 	})
 }
 
-// startSync calls Sync and passes its result on.
+// startSync calls Sync in a goroutine and returns a channel that receives its result.
 func startSync(log *Log) <-chan error {
 	result := make(chan error, 1)
 	go func() { result <- log.Sync(context.Background()) }()
 	return result
 }
 
-func TestSyncEndsWithItsContextOnAStalledDisk(t *testing.T) {
+func TestSyncReturnsWhenContextEndsOnStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetStalled(true)
 		position := appendRecord(t, log, "record")
-		ctx, cancel := context.WithTimeout(t.Context(), failingAfter)
+		ctx, cancel := context.WithTimeout(t.Context(), slowSyncThreshold)
 		defer cancel()
 
 		assert.Assert(t, !log.Failing())
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestFullDiskFailsTheCallAndLogGoesOnWithRoom(t *testing.T) {
+func TestFullDiskFailsSyncUntilSpaceIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for seed := range uint64(50) {
 			disk := memfs.New(seed)
@@ -207,17 +207,17 @@
 	})
 }
 
-func TestFullDiskIsTriedAgainWithoutACall(t *testing.T) {
+func TestFullDiskIsRetriedWithoutFurtherSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetFull(true)
 		appendRecord(t, log, "record")
 		assert.Assert(t, IsDiskFull(log.Sync(t.Context())))
-		time.Sleep(3 * fullRetryInterval)
+		time.Sleep(3 * diskFullRetryInterval)
 		assert.Assert(t, log.Failing())
 		disk.SetFull(false)
-		time.Sleep(fullRetryInterval)
+		time.Sleep(diskFullRetryInterval)
 		synctest.Wait()
 		assert.Assert(t, !log.Failing())
 		assert.NilError(t, log.Close())
@@ -229,7 +229,7 @@
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
 		disk.SetFull(true)
-		record := make([]byte, maxFullBacklogBytes)
+		record := make([]byte, maxBacklogBytesOnFullDisk)
 		_, err := log.Append(record)
 		assert.NilError(t, err)
 		assert.Assert(t, IsDiskFull(log.Sync(t.Context())))
@@ -239,7 +239,7 @@
 	})
 }
 
-func TestDiskErrorFailsTheLogForGood(t *testing.T) {
+func TestDiskErrorFailsTheLogPermanently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
 		log, _ := openLog(t, disk, 0)
@@ -250,12 +250,12 @@
 		running := startSync(log)
 		synctest.Wait()
 		appendRecord(t, log, "third")
-		gathering := startSync(log)
+		waiting := startSync(log)
 		synctest.Wait()
 		disk.PowerLoss()
 
 		assert.ErrorIs(t, <-running, memfs.ErrPowerLost)
-		assert.ErrorIs(t, <-gathering, memfs.ErrPowerLost)
+		assert.ErrorIs(t, <-waiting, memfs.ErrPowerLost)
 		assert.ErrorIs(t, log.Sync(t.Context()), memfs.ErrPowerLost)
 		_, err := log.Append(nil)
 		assert.ErrorIs(t, err, memfs.ErrPowerLost)
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestReplayErrorEndsOpen(t *testing.T) {
+func TestReplayErrorFailsOpen(t *testing.T) {
 	disk := memfs.New(1)
 	log, found := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
@@ -302,13 +302,13 @@
 	assert.ErrorIs(t, err, refusal)
 }
 
-func TestConcurrentUseOfADirectory(t *testing.T) {
+func TestConcurrentAppendsSnapshotsAndRemovals(t *testing.T) {
 	disk, err := vfs.OpenDirectory(t.TempDir())
 	assert.NilError(t, err)
 	log, _ := openLog(t, disk, 500)
 	var workers sync.WaitGroup
-	for _, prefix := range numbered("worker", 4) {
-		workers.Go(func() { appendAndRead(t, log, numbered(prefix, 30)) })
+	for _, prefix := range numberedRecords("worker", 4) {
+		workers.Go(func() { appendAndRead(t, log, numberedRecords(prefix, 30)) })
 	}
 	for range 5 {
 		assert.NilError(t, log.WriteSnapshot([]byte("snapshot")))
@@ -323,7 +323,7 @@
 	assert.Equal(t, string(found.snapshot), "snapshot")
 }
 
-// appendAndRead appends records one by one; each is readable unless its segment was removed.
+// appendAndRead appends and syncs records one by one, and checks that each is readable unless its segment was removed.
 func appendAndRead(t *testing.T, log *Log, records []string) {
 	for _, record := range records {
 		position, err := log.Append([]byte(record))
--- a/internal/wal/model_test.go
+++ b/internal/wal/model_test.go
@@ -10,16 +10,16 @@
 	"gladepick/internal/vfs/memfs"
 )
 
-// model is what a disk has to hold: the records, and how many of them are durable.
+// model holds what a disk must contain: the appended records, and how many of them must survive a crash.
 type model struct {
 	disk    *memfs.Disk
 	log     *Log
 	records []string
-	synced  int
+	synced  int // number of records that a successful Sync or snapshot covers
 }
 
-// state is what a snapshot of the model's log holds: the first records, joined.
-func (m *model) state(count int) string {
+// snapshotData returns the data of a snapshot that covers the first count records.
+func (m *model) snapshotData(count int) string {
 	joined := ""
 	for _, record := range m.records[:count] {
 		joined += record + "\n"
@@ -27,7 +27,7 @@
 	return joined
 }
 
-// reopen opens the log and checks that it holds a beginning of what was appended, and all that was synced.
+// reopen opens the log and checks that it holds a prefix of the appended records that includes all synced ones.
 func (m *model) reopen(t *rapid.T) {
 	log, found := openLog(t, m.disk.Mount(), 150)
 	got := string(found.snapshot)
@@ -35,10 +35,10 @@
 		got += string(record) + "\n"
 	}
 	count := m.synced
-	for count < len(m.records) && m.state(count) != got {
+	for count < len(m.records) && m.snapshotData(count) != got {
 		count++
 	}
-	assert.Equal(t, got, m.state(count))
+	assert.Equal(t, got, m.snapshotData(count))
 	for i, position := range found.positions {
 		record, err := log.Read(position)
 		assert.NilError(t, err)
@@ -59,7 +59,7 @@
 			m.synced = len(m.records)
 		},
 		"snapshot": func(t *rapid.T) {
-			assert.NilError(t, m.log.WriteSnapshot([]byte(m.state(len(m.records)))))
+			assert.NilError(t, m.log.WriteSnapshot([]byte(m.snapshotData(len(m.records)))))
 			m.synced = len(m.records)
 		},
 		"remove": func(t *rapid.T) {
@@ -85,7 +85,7 @@
 	m.reopen(t)
 }
 
-// interrupt ends the program or cuts the power in the middle of a sync or a snapshot.
+// interrupt simulates a process crash or a power loss at a random step of several syncs and snapshots.
 func (m *model) interrupt(t *rapid.T) {
 	m.disk.Crash()
 	m.reopen(t)
@@ -94,7 +94,7 @@
 	if rapid.Bool().Draw(t, "only the program") {
 		interrupted.interrupt = m.disk.Crash
 	}
-	found := &contents{}
+	found := &recoveredData{}
 	log, err := Open(Options{FS: interrupted, SegmentBytes: 150}, found.restore, found.replay)
 	if err == nil {
 		for range 3 {
@@ -112,7 +112,7 @@
 	count := len(m.records)
 	var err error
 	if rapid.Bool().Draw(t, "snapshot") {
-		err = log.WriteSnapshot([]byte(m.state(count)))
+		err = log.WriteSnapshot([]byte(m.snapshotData(count)))
 	} else {
 		err = log.Sync(context.Background())
 	}
@@ -121,6 +121,7 @@
 	}
 }
 
+// TestPowerLossKeepsEverythingSynced checks random sequences of operations, crashes and power losses against the model.
 func TestPowerLossKeepsEverythingSynced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{disk: memfs.New(rapid.Uint64().Draw(t, "seed"))}
--- a/internal/wal/position.go
+++ b/internal/wal/position.go
@@ -1,7 +1,7 @@
 package wal
 
-// Position says where the payload of one record lies. It goes into snapshots of a log's owner as JSON: its names there are
-// those of the fields, and stay.
+// Position locates the payload of one record. The log's owner stores positions as JSON in its snapshots, so the JSON
+// names must not change.
 type Position struct {
 	Segment uint64 `json:"Segment"` // the segment's number
 	Offset  int64  `json:"Offset"`  // of the payload in the segment's file, in bytes
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -10,8 +10,9 @@
 	"gladepick/internal/vfs"
 )
 
-// Read returns the payload of the record at a position, in a slice of its own. It also finds records that are not
-// written yet.
+// Read returns a copy of the payload of the record at a position. The record may still be in memory only. The error
+// satisfies errors.Is(err, ErrNoRecord) if there is no such record, and errors.Is(err, ErrCorrupt) if the stored record
+// does not match the position or its checksum.
 func (l *Log) Read(position Position) ([]byte, error) {
 	if position.Offset < segmentHeaderSize+recordHeaderSize || position.Length < 0 {
 		return nil, trace.Wrap(ErrNoRecord)
@@ -27,7 +28,7 @@
 	return payload, trace.Wrap(err)
 }
 
-// locate returns either a copy of a payload that is still in memory, or the file that holds it.
+// locate returns either a copy of the payload, if it is still in memory, or the file that holds the record.
 func (l *Log) locate(position Position) ([]byte, vfs.File, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -45,13 +46,13 @@
 	return nil, file, err
 }
 
-// findBuffered returns a copy of a payload that is not written yet, or nil. The caller holds the mutex.
-func (l *Log) findBuffered(in *segment, position Position) []byte {
-	for _, runs := range [][]*extent{l.inFlight, l.pending} {
-		for _, candidate := range runs {
+// findBuffered returns a copy of a payload that is in flight or pending, or nil. The caller holds the mutex.
+func (l *Log) findBuffered(wanted *segment, position Position) []byte {
+	for _, extents := range [][]*extent{l.inFlight, l.pending} {
+		for _, candidate := range extents {
 			start := position.Offset - candidate.offset
 			end := start + int64(position.Length)
-			if candidate.segment == in && start >= 0 && end <= int64(len(candidate.data)) {
+			if candidate.segment == wanted && start >= 0 && end <= int64(len(candidate.data)) {
 				return append(make([]byte, 0, position.Length), candidate.data[start:end]...)
 			}
 		}
@@ -59,12 +60,13 @@
 	return nil
 }
 
-// readRecordAt reads the record at a position of its segment's file and checks it.
+// readRecordAt reads the record at a position of a segment file, verifies its length and checksum, and returns its
+// payload.
 func readRecordAt(file vfs.File, position Position) ([]byte, error) {
 	buffer := make([]byte, recordHeaderSize+int(position.Length))
 	_, err := file.ReadAt(buffer, position.Offset-recordHeaderSize)
 	if errors.Is(err, fs.ErrClosed) {
-		return nil, ErrNoRecord // the segment was removed meanwhile
+		return nil, ErrNoRecord // RemoveSegments closed the file after the caller had located it
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -8,7 +8,8 @@
 // recordHeader is the encoded header of one record.
 type recordHeader [recordHeaderSize]byte
 
-// newRecordHeader returns the header of the record whose payload is these parts, one after the other.
+// newRecordHeader returns the header of a record. The parts, concatenated, are its payload; length is their total size
+// in bytes.
 func newRecordHeader(length int, parts [][]byte) recordHeader {
 	var header recordHeader
 	binary.LittleEndian.PutUint32(header[:4], uint32(length))
@@ -20,10 +21,10 @@
 	return header
 }
 
-// length returns the length of the payload as the header states it.
+// length returns the length of the payload according to the header, in bytes.
 func (h recordHeader) length() int64 { return int64(binary.LittleEndian.Uint32(h[:4])) }
 
-// matches tells whether the checksum is that of the payload.
+// matches reports whether the header's checksum is valid for the payload.
 func (h recordHeader) matches(payload []byte) bool {
 	checksum := crc32.Checksum(h[:4], castagnoli)
 	checksum = crc32.Update(checksum, castagnoli, payload)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -11,19 +11,20 @@
 	"go.uber.org/zap"
 )
 
-// RestoreFunc takes the data of a snapshot. It may keep the slice.
+// RestoreFunc receives the data of a snapshot. It may keep the slice. Its error ends Open.
 type RestoreFunc = func(snapshot []byte) error
 
-// ReplayFunc takes one record. The slice is reused after the call returns: nobody may keep it or a part of it.
+// ReplayFunc receives one record. The record's slice is reused after the call returns, so the function must not keep it
+// or a part of it. Its error ends Open.
 type ReplayFunc = func(position Position, record []byte) error
 
-// Open opens the log in a directory, or begins one. It first hands the newest valid snapshot, if there is one, to
-// restore, and then every record that the snapshot does not cover to replay, in order. The record slice that replay
-// gets is reused after each call: nobody may keep it.
+// Open opens the log in a directory, or starts a new one. It first passes the newest valid snapshot, if there is one,
+// to restore. Then it passes every record that the snapshot does not cover to replay, in order. The record's slice is
+// reused after each call of replay, which must not keep it.
 //
-// In the last segment the replay ends before the first record that is torn or corrupt, and the rest of that segment is
-// cut off. A crash leaves no damage in an earlier segment and no gap between segments; Open returns ErrCorrupt there.
-// All that has been replayed is durable when Open returns.
+// In the last segment the replay ends before the first torn or corrupt record, and Open truncates the segment there. A
+// crash causes neither damage in an earlier segment nor a gap between segments, so Open returns ErrCorrupt for either.
+// All replayed records are durable when Open returns.
 func Open(options Options, restore RestoreFunc, replay ReplayFunc) (*Log, error) {
 	l := &Log{fs: options.FS, segmentBytes: options.SegmentBytes, logger: options.Logger}
 	if l.segmentBytes <= 0 {
@@ -38,7 +39,7 @@
 	return l, nil
 }
 
-// load brings the log and its owner to the state that the disk holds.
+// load reads the directory, passes the snapshot and the records to the owner, and prepares the log for appends.
 func (l *Log) load(restore RestoreFunc, replay ReplayFunc) error {
 	names, err := l.fs.List()
 	if err != nil {
@@ -59,7 +60,7 @@
 	return l.fs.SyncDir()
 }
 
-// removeTemporaries removes snapshots that were not finished.
+// removeTemporaries removes the temporary files of snapshots that a crash interrupted.
 func (l *Log) removeTemporaries(names []string) error {
 	for _, name := range names {
 		stem, isTemporary := strings.CutSuffix(name, temporarySuffix)
@@ -73,12 +74,12 @@
 	return nil
 }
 
-// restoreSnapshot hands over the newest snapshot that is valid.
+// restoreSnapshot passes the newest valid snapshot to restore. It skips corrupt ones and records the newest of these.
 func (l *Log) restoreSnapshot(names []string, restore RestoreFunc) error {
-	for _, number := range slices.Backward(numbersOf(names, parseSnapshotName)) {
+	for _, number := range slices.Backward(sortedNumbers(names, parseSnapshotName)) {
 		data, err := LoadFile(l.fs, snapshotName(number))
 		if errors.Is(err, ErrCorrupt) {
-			l.logger.Error("snapshot corrupt", zap.Uint64("snapshot", number))
+			l.logger.Error("snapshot is corrupt", zap.Uint64("snapshot", number))
 			l.corruptSnapshot = max(l.corruptSnapshot, number)
 			continue
 		}
@@ -92,11 +93,11 @@
 	return nil
 }
 
-// listSegments fills the list of segments, so that the last one is the one that takes new records. It checks that none
-// is missing among those that have to be replayed.
+// listSegments fills the list of segments. Its last segment receives new records. It returns ErrCorrupt if a segment
+// that must be replayed is missing.
 func (l *Log) listSegments(names []string) error {
-	expected := max(l.snapshotNumber, firstSegment)
-	for _, number := range numbersOf(names, parseSegmentName) {
+	expected := max(l.snapshotNumber, firstSegmentNumber)
+	for _, number := range sortedNumbers(names, parseSegmentName) {
 		if number > expected {
 			return fmt.Errorf("%w: segment %d is missing", ErrCorrupt, expected)
 		}
@@ -108,15 +109,15 @@
 		}
 	}
 	if expected < l.corruptSnapshot {
-		return fmt.Errorf("%w: snapshot %d, and its segments are gone", ErrCorrupt, l.corruptSnapshot)
+		return fmt.Errorf("%w: snapshot %d, and the segments it covers were removed", ErrCorrupt, l.corruptSnapshot)
 	}
-	if len(l.segments) == 0 || l.tail().number < max(l.snapshotNumber, firstSegment) {
+	if len(l.segments) == 0 || l.tail().number < max(l.snapshotNumber, firstSegmentNumber) {
 		l.segments = append(l.segments, &segment{number: expected})
 	}
 	return nil
 }
 
-// addSegment adds a segment that a start has found. Its file stays open where it has to be replayed.
+// addSegment adds a segment that Open found on the disk. Its file stays open if the segment must be replayed.
 func (l *Log) addSegment(number uint64) error {
 	file, err := l.fs.Open(segmentName(number))
 	if err != nil {
@@ -135,7 +136,8 @@
 	return nil
 }
 
-// replaySegments replays all segments that the snapshot does not cover.
+// replaySegments replays all segments that the snapshot does not cover. It returns ErrCorrupt if a segment other than
+// the last one ends with invalid data.
 func (l *Log) replaySegments(replay ReplayFunc) error {
 	for _, each := range l.segments {
 		if each.number < l.snapshotNumber || each.file == nil {
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// replaySegment replays the valid records of one segment and returns where they end.
+// replaySegment replays the records of one segment up to the first invalid one, and returns the offset where they end.
 func (l *Log) replaySegment(from *segment, replay ReplayFunc) (end int64, err error) {
 	reader := newSegmentReader(from.file, from.size)
 	err = reader.readHeader(from.number)
@@ -175,27 +177,28 @@
 		return reader.offset, nil
 	}
 	if errors.Is(err, errTorn) {
-		l.reportTorn(from, reader)
+		l.logTornSegment(from, reader)
 		return reader.offset, nil
 	}
 	return reader.offset, err
 }
 
-// reportTorn logs where a segment ends. Valid records behind an invalid one are no trace of a crash.
-func (l *Log) reportTorn(in *segment, reader *segmentReader) {
+// logTornSegment logs at which offset the valid records of a segment end. A valid record after the invalid one means
+// corruption, because a crash only leaves an incomplete tail.
+func (l *Log) logTornSegment(torn *segment, reader *segmentReader) {
 	fields := []zap.Field{
-		zap.Uint64("segment", in.number),
+		zap.Uint64("segment", torn.number),
 		zap.Int64("offset", reader.offset),
-		zap.Int64("bytes", in.size-reader.offset),
+		zap.Int64("bytes", torn.size-reader.offset),
 	}
 	if reader.validRecordFollows() {
-		l.logger.Error("corrupt record with valid ones behind it", fields...)
+		l.logger.Error("corrupt record is followed by a valid one", fields...)
 		return
 	}
-	l.logger.Warn("torn end of segment", fields...)
+	l.logger.Warn("segment ends with an incomplete or corrupt record", fields...)
 }
 
-// resumeSegment prepares the last segment for new records behind its last valid one.
+// resumeSegment truncates the last segment after its last valid record, makes it durable, and makes it the active one.
 func (l *Log) resumeSegment(last *segment, end int64) error {
 	if end != last.size {
 		if err := last.file.Truncate(end); err != nil {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -14,27 +14,27 @@
 // SegmentInfo describes one segment of a log.
 type SegmentInfo struct {
 	Number uint64
-	Bytes  int64 // including what is not written yet
+	Bytes  int64 // size in bytes, including buffered records
 }
 
-// segment is one segment file. The log's mutex guards its fields.
+// segment is one segment file. Log.mutex guards its fields.
 type segment struct {
 	number uint64
-	size   int64    // including what is not written yet; 0 before its first record
-	file   vfs.File // nil until it is needed
+	size   int64    // in bytes, including buffered records; 0 before its first record
+	file   vfs.File // nil until the file is created or opened
 }
 
-// tail returns the segment that takes new records. The caller holds the mutex.
+// tail returns the segment that receives new records. The caller holds the mutex.
 func (l *Log) tail() *segment { return l.segments[len(l.segments)-1] }
 
-// rollSegment begins a new segment, whose file is made by the next sync. The caller holds the mutex.
+// rollSegment begins a new segment. The next batch creates its file. The caller holds the mutex.
 func (l *Log) rollSegment() *segment {
 	next := &segment{number: l.tail().number + 1}
 	l.segments = append(l.segments, next)
 	return next
 }
 
-// findSegment returns the segment with a number, or nil. The caller holds the mutex.
+// findSegment returns the segment with the given number, or nil. The caller holds the mutex.
 func (l *Log) findSegment(number uint64) *segment {
 	compare := func(candidate *segment, wanted uint64) int { return cmp.Compare(candidate.number, wanted) }
 	index, found := slices.BinarySearchFunc(l.segments, number, compare)
@@ -44,7 +44,7 @@
 	return l.segments[index]
 }
 
-// openSegment returns the segment's file and opens it on first use. The caller holds the mutex.
+// openSegment returns the segment's file, which it opens on first use. The caller holds the mutex.
 func (l *Log) openSegment(wanted *segment) (vfs.File, error) {
 	if wanted.file != nil {
 		return wanted.file, nil
@@ -60,7 +60,7 @@
 	return file, nil
 }
 
-// Segments returns the segments that hold records, by number.
+// Segments returns the segments that hold records, sorted by number.
 func (l *Log) Segments() []SegmentInfo {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,9 +73,9 @@
 	return infos
 }
 
-// RemoveSegments removes the segments below a number, as far as the newest snapshot covers them.
+// RemoveSegments removes the segments whose number is less than before and that the newest snapshot covers.
 func (l *Log) RemoveSegments(before uint64) error {
-	numbers, err := l.removable(before)
+	numbers, err := l.removableSegments(before)
 	if err != nil || len(numbers) == 0 {
 		return trace.Wrap(err)
 	}
@@ -84,15 +84,15 @@
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return trace.Wrap(err)
 		}
-		if err := l.forgetSegment(number); err != nil {
+		if err := l.dropSegment(number); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	return trace.Wrap(l.fs.SyncDir())
 }
 
-// removable lists the segments below a number that the newest snapshot covers.
-func (l *Log) removable(before uint64) ([]uint64, error) {
+// removableSegments returns the numbers of the segments below a number that the newest snapshot covers.
+func (l *Log) removableSegments(before uint64) ([]uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if err := l.checkUsable(); err != nil {
@@ -107,8 +107,9 @@
 	return numbers, nil
 }
 
-// forgetSegment drops a segment whose file was removed. Readers that still hold the file get ErrNoRecord.
-func (l *Log) forgetSegment(number uint64) error {
+// dropSegment removes a segment whose file was removed from the list, and closes its file. A concurrent Read that has
+// already located the file returns ErrNoRecord.
+func (l *Log) dropSegment(number uint64) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for i, each := range l.segments {
--- a/internal/wal/segment_reader.go
+++ b/internal/wal/segment_reader.go
@@ -8,15 +8,15 @@
 
 const replayBufferBytes = 64 << 10
 
-// errTorn ends the reading of a segment: what follows is not a complete, valid record.
+// errTorn means that the rest of a segment does not begin with a complete, valid record or header.
 var errTorn = errors.New("wal: torn or corrupt record")
 
-// segmentReader reads the records of one segment file in their order.
+// segmentReader reads the records of one segment file in order.
 type segmentReader struct {
 	reader  *bufio.Reader
 	size    int64
-	offset  int64 // end of the last valid record or of the header; 0 before the header
-	payload []byte
+	offset  int64  // end of the last valid record or of the header, in bytes; 0 before the header
+	payload []byte // reused for each record
 }
 
 // newSegmentReader returns a reader of the first size bytes of a file.
@@ -25,10 +25,10 @@
 	return &segmentReader{reader: bufio.NewReaderSize(section, replayBufferBytes), size: size}
 }
 
-// readHeader reads the segment's header. It returns errTorn where there is no valid one.
+// readHeader reads the segment's header. It returns errTorn if the header is incomplete or invalid.
 func (r *segmentReader) readHeader(number uint64) error {
 	var header [segmentHeaderSize]byte
-	if err := r.fill(header[:]); err != nil {
+	if err := r.readFull(header[:]); err != nil {
 		return err
 	}
 	if !validSegmentHeader(header[:], number) {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// next returns the next payload, which is valid until the following call. It returns io.EOF at the end of the file
-// and errTorn where the rest is not a valid record.
+// next returns the next payload, which is valid until the following call. It returns io.EOF at the end of the file,
+// and errTorn if the next record is incomplete or invalid.
 func (r *segmentReader) next() ([]byte, error) {
 	if r.offset == r.size {
 		return nil, io.EOF
@@ -55,39 +55,40 @@
 	return payload, nil
 }
 
-// readRecord reads one complete record, valid or not. It returns errTorn where the file ends within it.
+// readRecord reads one complete record and reports whether its checksum is valid. It returns errTorn if the length
+// exceeds the limit or the file ends within the record.
 func (r *segmentReader) readRecord() (payload []byte, valid bool, err error) {
 	var header recordHeader
-	if err := r.fill(header[:]); err != nil {
+	if err := r.readFull(header[:]); err != nil {
 		return nil, false, err
 	}
 	length := header.length()
 	if length > MaxRecordBytes || length > r.size-r.offset-recordHeaderSize {
 		return nil, false, errTorn
 	}
-	r.reserve(int(length))
-	if err := r.fill(r.payload); err != nil {
+	r.resizePayload(int(length))
+	if err := r.readFull(r.payload); err != nil {
 		return nil, false, err
 	}
 	return r.payload, header.matches(r.payload), nil
 }
 
-// validRecordFollows tells, after errTorn, whether the record behind the invalid one is valid.
+// validRecordFollows reports, after errTorn, whether a valid record follows the invalid one.
 func (r *segmentReader) validRecordFollows() bool {
 	_, valid, err := r.readRecord()
 	return err == nil && valid
 }
 
-// reserve sets the length of the buffer for a payload.
-func (r *segmentReader) reserve(length int) {
+// resizePayload sets the length of the payload buffer, in bytes, and enlarges the buffer if necessary.
+func (r *segmentReader) resizePayload(length int) {
 	if cap(r.payload) < length {
 		r.payload = make([]byte, length)
 	}
 	r.payload = r.payload[:length]
 }
 
-// fill reads exactly as many bytes as the buffer holds. The end of the file within them counts as a torn record.
-func (r *segmentReader) fill(buffer []byte) error {
+// readFull fills the buffer from the file. It returns errTorn if the file ends first.
+func (r *segmentReader) readFull(buffer []byte) error {
 	_, err := io.ReadFull(r.reader, buffer)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errTorn
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -8,14 +8,14 @@
 	"gladepick/internal/vfs"
 )
 
-// Snapshot is a snapshot that has been begun: what it has to cover is fixed, its data is still to come.
+// Snapshot is a snapshot in progress. BeginSnapshot fixes which records it covers; Commit receives its data.
 type Snapshot struct {
 	log    *Log
-	number uint64 // the first segment it does not cover
+	number uint64 // number of the first segment that it does not cover
 }
 
-// BeginSnapshot begins a snapshot that covers all records appended before this call; later ones go to a new segment.
-// It does no I/O, so that a caller may hold its own lock during this call and write the data without it.
+// BeginSnapshot begins a snapshot that covers all records appended before this call; later records go to a new segment.
+// It does no I/O, so that a caller may hold its own lock during this call and release it before Commit.
 func (l *Log) BeginSnapshot() (*Snapshot, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -29,7 +29,8 @@
 	return &Snapshot{log: l, number: tail.number}, nil
 }
 
-// Commit makes the snapshot durable and removes older ones. A snapshot that is older than the newest one is dropped.
+// Commit syncs the log, makes the snapshot durable and removes older snapshots. It does nothing further if a newer
+// snapshot has been committed meanwhile.
 func (s *Snapshot) Commit(data []byte) error {
 	l := s.log
 	if err := l.Sync(context.Background()); err != nil {
@@ -51,8 +52,8 @@
 }
 
 // WriteSnapshot durably writes a snapshot that covers all records appended before this call, and removes older
-// snapshots. Records appended afterwards go to a new segment. Older segments stay: their records can still be read by
-// their positions, until RemoveSegments. Use BeginSnapshot where no lock may be held during the I/O.
+// snapshots. Records appended afterwards go to a new segment. Older segments stay until RemoveSegments, so that their
+// records can still be read by position. Use BeginSnapshot if the caller's lock must not be held during the I/O.
 func (l *Log) WriteSnapshot(data []byte) error {
 	snapshot, err := l.BeginSnapshot()
 	if err != nil {
@@ -61,14 +62,14 @@
 	return trace.Wrap(snapshot.Commit(data))
 }
 
-// newestSnapshot returns the number of the newest snapshot, 0 without one.
+// newestSnapshot returns the number of the newest snapshot, or 0 if there is none.
 func (l *Log) newestSnapshot() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.snapshotNumber
 }
 
-// removeSnapshots removes all snapshots below a number.
+// removeSnapshots removes all snapshots whose number is less than below.
 func removeSnapshots(disk vfs.FS, below uint64) error {
 	names, err := disk.List()
 	if err != nil {
--- a/internal/wal/snapshot_test.go
+++ b/internal/wal/snapshot_test.go
@@ -16,12 +16,12 @@
 	assert.NilError(t, log.RemoveSegments(2))
 	assert.NilError(t, log.Close())
 	writeFile(t, disk, snapshotName(2), []byte("damaged"))
-	found := &contents{}
+	found := &recoveredData{}
 	_, err := Open(Options{FS: disk}, found.restore, found.replay)
 	assert.ErrorIs(t, err, ErrCorrupt)
 }
 
-func TestCorruptSnapshotWithItsSegmentsIsReplayed(t *testing.T) {
+func TestCorruptSnapshotFallsBackToItsSegments(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "record")
@@ -34,7 +34,7 @@
 	assertRecords(t, log, found, "record", "later")
 }
 
-func TestSnapshotReplacesTheReplayAndKeepsSegments(t *testing.T) {
+func TestCoveredSegmentsAreNotReplayedAndStayReadable(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	covered := appendRecord(t, log, "covered")
@@ -85,7 +85,7 @@
 	assertRecords(t, log, found, "replayed")
 }
 
-func TestFullDiskRefusesASnapshotAndKeepsTheLog(t *testing.T) {
+func TestFullDiskFailsSnapshotButNotTheLog(t *testing.T) {
 	disk := memfs.New(1)
 	log, _ := openLog(t, disk, 0)
 	appendRecord(t, log, "one")
@@ -103,7 +103,7 @@
 	assertRecords(t, log, found, "two", "three")
 }
 
-func TestSnapshotAtEveryStepOfItsLoss(t *testing.T) {
+func TestPowerLossDuringSnapshotKeepsOldOrNewSnapshot(t *testing.T) {
 	const mostSteps = 40
 	for seed := range uint64(20) {
 		for steps := range mostSteps {
@@ -115,7 +115,7 @@
 			assert.NilError(t, log.Close())
 
 			interrupted := &interruptedFS{FS: disk.Mount(), interrupt: disk.PowerLoss, remaining: steps}
-			found := &contents{}
+			found := &recoveredData{}
 			log, err := Open(Options{FS: interrupted}, found.restore, found.replay)
 			committed := err == nil && log.WriteSnapshot([]byte("second")) == nil
 			if committed {
