--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -14,50 +14,50 @@
 	"gladepick/internal/vfs"
 )
 
-// LeaseDuration is how long a lease is valid after the request that renewed it was sent.
+// LeaseDuration is how long a lease is valid, counted from the sending of the request that renewed it.
 const LeaseDuration = 1200 * time.Millisecond
 
 // AgentOptions configure an Agent. Info and Pool are required.
 type AgentOptions struct {
-	Info         func() NodeInfo // returns what the process announces; called for every renewal
+	Info         func() NodeInfo // returns the identity that the process announces; called for every renewal
 	Pool         *rpc.Pool
-	Server       *rpc.Server // the agent registers the handlers that every process serves there; may be nil
+	Server       *rpc.Server // the agent registers its handlers of MethodPing and MethodCore there; may be nil
 	Seeds        []string    // control addresses of the seeds, "ip:port"
 	InternalPort int         // port of the internal RPC server on every machine
-	Disk         vfs.FS      // where the members of the control group are stored; may be nil
-	Register     bool        // announces the process at the seeds until the control group is known, for the first start
+	Disk         vfs.FS      // stores the members of the control group; may be nil
+	Register     bool        // on the first start: register the process at the seeds until the control group is known
 	Logger       *zap.Logger
 }
 
-// Agent finds the control group, renews the lease of its process, and holds the newest snapshots of the
-// configuration, the cluster table and the list of workers. No snapshot is ever replaced by an older one. Its
-// methods are safe for concurrent use; reading a snapshot takes no lock.
+// Agent finds the control group, renews the lease of its process, and holds the newest snapshots of the configuration,
+// the cluster table and the list of workers. It never replaces a snapshot by an older one. Its methods are safe for
+// concurrent use; reading a snapshot takes no lock.
 type Agent struct {
 	options        AgentOptions
 	logger         *zap.Logger
 	config         atomic.Pointer[configuration.Document]
 	table          atomic.Pointer[Table]
 	workers        atomic.Pointer[WorkerList]
-	servingMember  atomic.Pointer[string]    // address of the member that served last
+	servingMember  atomic.Pointer[string]    // address of the member that served the last sync
 	leaseRenewedAt atomic.Pointer[time.Time] // when the last successful renewal was sent
 	workerCount    atomic.Int64              // number of entries of the list of workers
-	workersReadAt  atomic.Pointer[time.Time] // when the list of workers was last read from the platform
+	workersReadAt  atomic.Pointer[time.Time] // about when the control plane last read the list of workers
 
-	responseTimeout atomic.Int64 // how long the response to a sync may take beyond its wait, in nanoseconds
+	responseTimeout atomic.Int64 // time limit of a sync's response in addition to its wait, in nanoseconds
 
 	mutex          sync.Mutex
 	seeds          []string // internal RPC addresses
 	subscribers    []func()
 	coreSources    []func() []CoreMember
 	localDocuments func(version uint64) *configuration.Document
-	learnedCore    []CoreMember // members that a seed has named
-	primaryHint    string       // address of the member that last answered as the primary
-	applying       sync.Mutex   // held while a response is applied to the snapshots
-	coreSaving     sync.Mutex   // held while the members are saved
-	savedCore      []CoreMember // members that this process has saved; guarded by coreSaving
+	learnedCore    []CoreMember // members loaded from the disk, or named by a seed
+	primaryHint    string       // address of the member that last responded as the primary
+	applyMutex     sync.Mutex   // held while a response is applied to the snapshots
+	coreSaveMutex  sync.Mutex   // held while the members are saved
+	savedCore      []CoreMember // members that this process last saved; guarded by coreSaveMutex
 }
 
-// NewAgent returns an agent, which Run starts. It fails where a seed is not an address with a port.
+// NewAgent returns an agent, which does nothing until Run. It returns an error if a seed is not an address with a port.
 func NewAgent(options AgentOptions) (*Agent, error) {
 	agent := &Agent{options: options, logger: options.Logger}
 	if agent.logger == nil {
@@ -78,10 +78,10 @@
 	return agent, nil
 }
 
-// LeaseValid reports whether the lease of this process surely is still valid.
+// LeaseValid reports whether the lease of this process is certainly still valid.
 func (a *Agent) LeaseValid() bool { return a.LeaseRemaining() > 0 }
 
-// LeaseRemaining returns for how long the lease of this process surely is still valid; 0 where it is not.
+// LeaseRemaining returns how long the lease of this process is certainly still valid, or 0 if it may have expired.
 func (a *Agent) LeaseRemaining() time.Duration {
 	renewed := loadTime(&a.leaseRenewedAt)
 	if renewed.IsZero() {
@@ -90,15 +90,14 @@
 	return max(0, LeaseDuration-time.Since(renewed))
 }
 
-// Subscribe registers a function that is called after each change of a snapshot, by the goroutine that syncs. It
-// must not block.
+// Subscribe registers a function that the agent calls after each change of a snapshot, in the goroutine that syncs. The
+// function must not block.
 func (a *Agent) Subscribe(changed func()) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.subscribers = append(a.subscribers, changed)
 }
 
-// notify calls the subscribers.
 func (a *Agent) notify() {
 	a.mutex.Lock()
 	subscribers := a.subscribers
@@ -108,13 +107,13 @@
 	}
 }
 
-// handlePing responds with the identity of this process.
+// handlePing responds with the name and the incarnation of this process.
 func (a *Agent) handlePing(context.Context, *rpc.Call) (any, []byte, error) {
 	info := a.options.Info()
 	return PingResponse{Name: info.Name, Incarnation: info.Incarnation}, nil, nil
 }
 
-// handleCore responds with the members of the control group that this process knows.
+// handleCore responds with the members of the control group, as far as this process knows them.
 func (a *Agent) handleCore(context.Context, *rpc.Call) (any, []byte, error) {
 	return CoreResponse{Core: a.Core()}, nil, nil
 }
--- a/internal/cluster/agent_core.go
+++ b/internal/cluster/agent_core.go
@@ -7,7 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// Core returns the members of the control group as this process knows them.
+// Core returns the members of the control group as this process knows them: from the cluster table, else from the first
+// source that knows them, else from the disk or a seed.
 func (a *Agent) Core() []CoreMember {
 	if table := a.table.Load(); table != nil && len(table.Core) > 0 {
 		return table.Core
@@ -23,46 +24,47 @@
 	return learned
 }
 
-// AddCoreSource adds a function that returns the members of the control group which this process knows otherwise,
-// such as a member by its own disk. Sources are used while there is no cluster table.
+// AddCoreSource adds a function that returns the members of the control group from another source, such as the disk of
+// a process that is itself a member. Sources are used while there is no cluster table.
 func (a *Agent) AddCoreSource(source func() []CoreMember) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.coreSources = append(a.coreSources, source)
 }
 
-// learnCore remembers the members that a seed has named.
+// learnCore stores the members that a seed has named.
 func (a *Agent) learnCore(core []CoreMember) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.learnedCore = core
 }
 
-// saveCoreInBackground saves the members of the control group on the disk where they have changed. It does so in a
-// goroutine of its own, so that a stalled disk stops nothing else.
+// saveCoreInBackground saves the members of the control group on the disk if they have changed. It does so in a
+// separate goroutine, so that a stalled disk does not block syncs.
 func (a *Agent) saveCoreInBackground() {
-	if a.options.Disk == nil || !a.coreSaving.TryLock() {
+	if a.options.Disk == nil || !a.coreSaveMutex.TryLock() {
 		return
 	}
 	if !a.coreUnsaved() {
-		a.coreSaving.Unlock()
+		a.coreSaveMutex.Unlock()
 		return
 	}
 	go func() {
 		saved := a.saveCore()
-		a.coreSaving.Unlock()
+		a.coreSaveMutex.Unlock()
 		if saved {
-			a.saveCoreInBackground() // a list that came just before the unlock found the lock taken
+			a.saveCoreInBackground() // a change just before the unlock was skipped, because TryLock failed
 		}
 	}()
 }
 
-// saveCore saves the members until the newest list is saved, and tells whether that succeeded. The caller holds coreSaving.
+// saveCore saves the members, repeatedly if they change meanwhile, and reports whether the newest ones are saved. The
+// caller holds coreSaveMutex.
 func (a *Agent) saveCore() bool {
 	for a.coreUnsaved() {
 		core := a.table.Load().Core
 		if err := saveCore(a.options.Disk, core); err != nil {
-			a.logger.Warn("members of the control group not saved", zap.Error(err))
+			a.logger.Warn("saving the members of the control group failed", zap.Error(err))
 			return false
 		}
 		a.savedCore = core
@@ -70,15 +72,16 @@
 	return true
 }
 
-// coreUnsaved reports whether the members differ from those that were saved. The caller holds coreSaving.
+// coreUnsaved reports whether the members in the cluster table differ from the saved ones. The caller holds
+// coreSaveMutex.
 func (a *Agent) coreUnsaved() bool {
 	table := a.table.Load()
 	return table != nil && len(table.Core) > 0 && !slices.Equal(a.savedCore, table.Core)
 }
 
-// candidates returns the addresses of all members that may serve a sync, the preferred one first: the process
-// itself, then the members in its own zone, then the others. The processes of a zone are spread over its members by
-// a hash of their names.
+// candidates returns the addresses of all known members of the control group in order of preference: the process
+// itself, then the members in its zone, then the others. Members of equal rank are ordered by a hash of the process's
+// name and the member's address, which spreads the processes over the members.
 func (a *Agent) candidates() []string {
 	info := a.options.Info()
 	members := slices.Clone(a.Core())
@@ -109,7 +112,8 @@
 	return addresses
 }
 
-// memberHash returns a hash by which processes prefer different members.
+// memberHash returns a hash of a process's name and a member's address, by which different processes prefer different
+// members.
 func memberHash(node, address string) uint16 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(node))
--- a/internal/cluster/agent_primary.go
+++ b/internal/cluster/agent_primary.go
@@ -13,44 +13,47 @@
 )
 
 const (
-	primaryTimeout        = 900 * time.Millisecond // for a call to the primary, with all its attempts
+	primaryTimeout        = 900 * time.Millisecond // for a call to the primary, including all attempts
 	primaryAttemptTimeout = 500 * time.Millisecond // for one attempt
 	primaryRetryDelay     = 50 * time.Millisecond  // between two rounds through all known members
-	bodyBytesPerExtraMS   = 200                    // a call has a millisecond more for so many bytes of its body
-	maxExtraTimeout       = 5 * time.Second
+	bodyBytesPerExtraMS   = 200                    // both time limits grow by 1 ms per this many bytes of the body
+	maxExtraTimeout       = 5 * time.Second        // limit of that growth
 )
 
-// The calls that are retried at the next member where a response is lost.
+// The methods that are retried at the next member if a response is lost. Each comment says why a repetition is safe.
 const (
-	idempotentOperator         rpc.Idempotent = MethodOperator         // a configuration change names its base version, and the digests of accepted changes are stored
-	idempotentPartitionRequest rpc.Idempotent = MethodPartitionRequest // requests name the epoch that they change
-	idempotentFailureReport    rpc.Idempotent = MethodFailureReport    // the control plane checks the process itself
+	// A configuration change names its base version, and the control plane stores the digests of accepted changes.
+	idempotentOperator rpc.Idempotent = MethodOperator
+	// A partition request names the epoch that it changes.
+	idempotentPartitionRequest rpc.Idempotent = MethodPartitionRequest
+	// The control plane checks the reported process itself.
+	idempotentFailureReport rpc.Idempotent = MethodFailureReport
 )
 
-// Operator forwards a request to the operator's API to the control group's primary. Repeating such a request is
-// safe, so it is retried where a response is lost. It returns ErrNoPrimary or ErrOutcomeUnknown where no primary has
-// answered in time.
+// Operator forwards a request to the operator's API to the control group's primary. Repeating such a request is safe,
+// so Operator retries it if a response is lost. It returns ErrNoPrimary or ErrOutcomeUnknown if no primary responds in
+// time.
 func (a *Agent) Operator(ctx context.Context, call OperatorRequest, body []byte) (OperatorResponse, []byte, error) {
 	var response OperatorResponse
 	responseBody, err := a.callPrimary(ctx, idempotentOperator, call, body, &response)
 	return response, responseBody, trace.Wrap(err)
 }
 
-// RequestPartitionChange asks the control plane for a change of a replica group that this process leads. An error
-// with the code rpc.CodeConflict means that the caller's view is not the current one.
+// RequestPartitionChange asks the control plane to change a replica group whose primary is this process. An error with
+// the code rpc.CodeConflict means that the caller's view is not the current one.
 func (a *Agent) RequestPartitionChange(ctx context.Context, request PartitionRequest) error {
 	_, err := a.callPrimary(ctx, idempotentPartitionRequest, request, nil, nil)
 	return trace.Wrap(err)
 }
 
-// ReportFailure tells the control plane that a process could not be reached.
+// ReportFailure reports to the control plane that a process could not be reached.
 func (a *Agent) ReportFailure(ctx context.Context, report FailureReport) error {
 	_, err := a.callPrimary(ctx, idempotentFailureReport, report, nil, nil)
 	return trace.Wrap(err)
 }
 
-// callPrimary makes a call at the control group's primary. It searches the members for it, and retries until one of
-// them gives a definite answer or the time limit is over.
+// callPrimary calls a method of the control group's primary. It tries the members in turn until one of them gives a
+// definite response or the time limit expires.
 func (a *Agent) callPrimary(
 	ctx context.Context, method rpc.Idempotent, params any, body []byte, result any,
 ) ([]byte, error) {
@@ -74,13 +77,13 @@
 	return nil, search.outcome
 }
 
-// primarySearch goes through the members of the control group, and follows what they say about their primary.
+// primarySearch iterates over the members of the control group in rounds, and follows their redirects to the primary.
 type primarySearch struct {
 	agent   *Agent
-	queue   []string
-	tried   []string // the addresses tried in this round
-	started bool
-	outcome error
+	queue   []string // addresses to try in this round
+	tried   []string // addresses tried in this round
+	started bool     // a round is in progress
+	outcome error    // the error to return if no member gives a definite response
 }
 
 // next returns the address to try next, and false at the end of a round.
@@ -104,7 +107,7 @@
 	return "", false
 }
 
-// handleResult takes the result of an attempt, and reports whether it ends the search.
+// handleResult processes the result of an attempt, and reports whether the result is definite and ends the search.
 func (s *primarySearch) handleResult(address string, err error) bool {
 	switch code := rpc.CodeOf(err); {
 	case err == nil:
@@ -121,7 +124,7 @@
 	return false
 }
 
-// followRedirect puts the primary that a member has named at the head of the queue.
+// followRedirect puts the primary that a CodeNotLeader error names at the head of the queue.
 func (s *primarySearch) followRedirect(err error) {
 	var remote *rpc.Error
 	if !errors.As(err, &remote) || remote.Message == "" {
@@ -136,7 +139,7 @@
 	a.primaryHint = address
 }
 
-// primaryCandidates returns the addresses of all known members, the most likely primary first.
+// primaryCandidates returns the addresses of all known members, with the most likely primary first.
 func (a *Agent) primaryCandidates() []string {
 	a.mutex.Lock()
 	hint := a.primaryHint
@@ -151,7 +154,7 @@
 	return append([]string{hint}, addresses...)
 }
 
-// tablePrimary returns the address of the primary by the cluster table, or "".
+// tablePrimary returns the address of the primary according to the cluster table, or "".
 func (a *Agent) tablePrimary() string {
 	table := a.table.Load()
 	if table == nil {
--- a/internal/cluster/agent_seeds.go
+++ b/internal/cluster/agent_seeds.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	seedTimeout  = 400 * time.Millisecond // for one request to a seed
-	seedInterval = 200 * time.Millisecond // between two rounds of requests while no member is known
+	seedTimeout  = 400 * time.Millisecond // for one round of requests to all seeds
+	seedInterval = 200 * time.Millisecond // between two rounds while no member is known
 )
 
-// SetSeeds replaces the seeds, given as control addresses. Where one of them is not an address with a port, the
-// seeds stay as they are, and the error names all such ones.
+// SetSeeds replaces the seeds, given as control addresses. If any of them is not an address with a port, the agent
+// keeps its seeds and the error names all invalid ones.
 func (a *Agent) SetSeeds(seeds []string) error {
 	addresses, err := internalAddresses(seeds, a.options.InternalPort)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// seedAddresses returns the internal addresses of the seeds. The slice must not be changed.
+// seedAddresses returns the internal RPC addresses of the seeds. The caller must not modify the slice.
 func (a *Agent) seedAddresses() []string {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -40,24 +40,24 @@
 // internalAddresses returns the internal RPC addresses of seeds, or an error that names all seeds that are not
 // addresses with a port.
 func internalAddresses(seeds []string, internalPort int) ([]string, error) {
-	var findings []error
+	var invalid []error
 	addresses := make([]string, 0, len(seeds))
 	for _, seed := range seeds {
 		address, err := InternalAddress(seed, internalPort)
 		if err != nil {
-			findings = append(findings, err)
+			invalid = append(invalid, err)
 			continue
 		}
 		addresses = append(addresses, address)
 	}
-	if len(findings) > 0 {
-		return nil, trace.NewAggregate(findings...)
+	if len(invalid) > 0 {
+		return nil, trace.NewAggregate(invalid...)
 	}
 	return addresses, nil
 }
 
-// InternalAddress returns the address of the internal RPC server of the machine that has the given control address.
-// The internal port is the same on all machines.
+// InternalAddress returns the address of the internal RPC server of the machine with the given control address. The
+// internal port is the same on all machines.
 func InternalAddress(controlAddress string, internalPort int) (string, error) {
 	host, _, err := net.SplitHostPort(controlAddress)
 	if err != nil {
@@ -75,8 +75,8 @@
 	}
 }
 
-// querySeeds queries every seed once, concurrently, and reports whether one of them named the control group. The
-// first one that does ends the round.
+// querySeeds queries every seed once, concurrently, and reports whether one of them named the control group. The first
+// seed that does so ends the round.
 func (a *Agent) querySeeds(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
@@ -101,7 +101,7 @@
 	return false
 }
 
-// querySeed returns the members that a seed names, or none.
+// querySeed returns the members that a seed names. It returns none if the call fails.
 func (a *Agent) querySeed(ctx context.Context, seed string) []CoreMember {
 	var response CoreResponse
 	method, params := MethodCore, any(struct{}{})
--- a/internal/cluster/agent_snapshots.go
+++ b/internal/cluster/agent_snapshots.go
@@ -9,7 +9,7 @@
 	"gladepick/internal/configuration"
 )
 
-// Config returns the configuration in force, or nil before the first one is known.
+// Config returns the current configuration, or nil before the first one is known.
 func (a *Agent) Config() *configuration.Document { return a.config.Load() }
 
 // Table returns the cluster table, or nil before it is known.
@@ -18,19 +18,19 @@
 // Workers returns the list of workers, or nil before it is known.
 func (a *Agent) Workers() *WorkerList { return a.workers.Load() }
 
-// WorkerCount returns the number of entries of the list of workers. A process that is not a store knows only this
-// number.
+// WorkerCount returns the number of entries in the list of workers. A process that is not a store receives only this
+// number, not the list.
 func (a *Agent) WorkerCount() int { return int(a.workerCount.Load()) }
 
-// WorkersReadAt returns about when the control plane last read the list of workers; the zero time where it never
-// did.
+// WorkersReadAt returns approximately when the control plane last read the list of workers, or the zero time if it
+// never did.
 func (a *Agent) WorkersReadAt() time.Time { return loadTime(&a.workersReadAt) }
 
-// UpToDate reports whether the snapshots were confirmed as current within the duration of a lease.
+// UpToDate reports whether a member confirmed the snapshots as current within the last LeaseDuration.
 func (a *Agent) UpToDate() bool { return a.LeaseValid() }
 
-// acceptConfig adopts a newer configuration, and reports whether there was one.
-func (a *Agent) acceptConfig(request *SyncRequest, response *SyncResponse, body []byte) (bool, error) {
+// applyConfig stores the configuration of a response if it is newer, and reports whether it was.
+func (a *Agent) applyConfig(request *SyncRequest, response *SyncResponse, body []byte) (bool, error) {
 	current := a.config.Load()
 	if response.ConfigVersion == 0 || current != nil && current.Version() >= response.ConfigVersion {
 		return false, nil
@@ -43,8 +43,8 @@
 	return true, nil
 }
 
-// readConfig returns the configuration of a response: the local document, the updated current one, or the parsed
-// body.
+// readConfig returns the configuration of a response: the local document of that version, the current document with the
+// updates in the body applied, or the parsed body.
 func (a *Agent) readConfig(
 	current *configuration.Document, request *SyncRequest, response *SyncResponse, body []byte,
 ) (*configuration.Document, error) {
@@ -55,12 +55,12 @@
 		return configuration.ParseAfter(current, body)
 	}
 	if current == nil || current.Version() != request.ConfigVersion {
-		return nil, trace.CompareFailed("updates do not start at the configuration held here")
+		return nil, trace.CompareFailed("updates do not apply to the current configuration version")
 	}
 	document := current
 	for _, length := range response.ConfigUpdates {
 		if length < 0 || length > len(body) {
-			return nil, trace.BadParameter("update is longer than the body")
+			return nil, trace.BadParameter("update has a negative length or exceeds the body")
 		}
 		next, err := document.Update(body[:length])
 		if err != nil {
@@ -71,8 +71,8 @@
 	return document, nil
 }
 
-// SetLocalDocuments sets a function that returns a configuration which this process has already parsed, or nil, so
-// that it is not parsed twice.
+// SetLocalDocuments sets a function that returns the configuration of a version if this process has already parsed it,
+// and nil otherwise. The agent then does not parse it again.
 func (a *Agent) SetLocalDocuments(documents func(version uint64) *configuration.Document) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -89,8 +89,8 @@
 	return documents(version)
 }
 
-// acceptTable adopts a newer cluster table, and reports whether there was one.
-func (a *Agent) acceptTable(table *Table) bool {
+// applyTable stores a cluster table if it is newer, and reports whether it was. The table may be nil.
+func (a *Agent) applyTable(table *Table) bool {
 	if table == nil {
 		return false
 	}
@@ -101,8 +101,9 @@
 	return true
 }
 
-// acceptTableChanges applies the changes that the present table lacks, and reports whether there were some.
-func (a *Agent) acceptTableChanges(changes []TableChange) bool {
+// applyTableChanges applies those changes whose base is the current table, in order, and reports whether there were
+// any.
+func (a *Agent) applyTableChanges(changes []TableChange) bool {
 	before := a.table.Load()
 	if before == nil {
 		return false
@@ -115,8 +116,8 @@
 	return table != before
 }
 
-// acceptWorkers adopts a newer list of workers, and reports whether there was one.
-func (a *Agent) acceptWorkers(workers *WorkerList) bool {
+// applyWorkers stores a list of workers if it is newer, and reports whether it was. The list may be nil.
+func (a *Agent) applyWorkers(workers *WorkerList) bool {
 	if workers == nil || !workers.NewerThan(a.workers.Load()) {
 		return false
 	}
@@ -125,13 +126,14 @@
 	return true
 }
 
-// acceptWorkerChanges applies changes that start at the present list, and reports whether they did.
-func (a *Agent) acceptWorkerChanges(changes []WorkerChange) bool {
+// applyWorkerChanges applies changes to the current list, and reports whether the list has changed. It applies none of
+// them if any change starts from another version.
+func (a *Agent) applyWorkerChanges(changes []WorkerChange) bool {
 	if len(changes) == 0 {
 		return false
 	}
 	workers, applied := a.workers.Load().ApplyAll(changes)
-	return applied && a.acceptWorkers(workers)
+	return applied && a.applyWorkers(workers)
 }
 
 // loadTime returns a stored time, or the zero time.
--- a/internal/cluster/agent_sync.go
+++ b/internal/cluster/agent_sync.go
@@ -13,42 +13,45 @@
 
 const (
 	syncWait        = 400 * time.Millisecond // how long a member may hold back its response
-	syncTimeout     = 350 * time.Millisecond // how long a response may take beyond that
-	noLeaseWait     = 100 * time.Millisecond // syncWait while there is no lease: one begins when the primary knows of a renewal
-	roundRetryDelay = 100 * time.Millisecond // between two rounds in which no known member has served
-	// A large configuration takes a while to transfer: the time limit of responses doubles up to this while no member serves.
+	syncTimeout     = 350 * time.Millisecond // initial time limit of a response in addition to the wait
+	roundRetryDelay = 100 * time.Millisecond // delay after a round in which no known member has served
+	// noLeaseWait replaces syncWait while there is no valid lease. A lease begins only once the primary knows of a
+	// renewal, so the agent syncs again soon.
+	noLeaseWait = 100 * time.Millisecond
+	// maxSyncTimeout limits the time limit of a response, which doubles after each round in which no member has served: a
+	// large configuration may take longer than syncTimeout to transfer.
 	maxSyncTimeout = 4 * time.Second
-	// An agent that is not served by the preferred member tries that one again after so long.
+	// preferenceInterval is how often an agent checks whether another member than the serving one is preferred.
 	preferenceInterval = 10 * time.Second
 )
 
 // Run renews the lease and keeps the snapshots current until the context ends.
 func (a *Agent) Run(ctx context.Context) {
-	failed := "" // the member that served last and then failed
+	failedMember := "" // the member that served in the last round and then failed
 	a.responseTimeout.Store(int64(syncTimeout))
 	for ctx.Err() == nil {
 		a.discover(ctx)
-		served, reason := a.syncRound(ctx, failed)
+		served, reason := a.syncRound(ctx, failedMember)
 		if ctx.Err() != nil {
 			return
 		}
 		if served == "" {
-			failed = ""
+			failedMember = ""
 			a.responseTimeout.Store(min(2*a.responseTimeout.Load(), int64(maxSyncTimeout)))
 			a.querySeeds(ctx)
 			ctxtime.Sleep(ctx, roundRetryDelay)
 			continue
 		}
-		failed = ""
+		failedMember = ""
 		if reason != nil {
-			failed = served
+			failedMember = served
 		}
 	}
 }
 
-// syncRound tries each known member in turn, the one to avoid last, and stays with the first that serves, for as
-// long as it does. It returns that member and why it was left: an error, or nil where another member is to be
-// preferred.
+// syncRound tries each known member in turn, with avoid as the last one, and syncs with the first that serves for as
+// long as it does. It returns that member and why the syncs ended: an error, or nil if another member is preferred. It
+// returns "" if no member has served.
 func (a *Agent) syncRound(ctx context.Context, avoid string) (string, error) {
 	addresses := a.candidates()
 	if i := slices.Index(addresses, avoid); i >= 0 {
@@ -63,7 +66,8 @@
 	return "", nil
 }
 
-// syncWith syncs with one member until that fails or another one is to be preferred, and reports whether it served.
+// syncWith syncs with one member until a sync fails or another member is preferred. It reports whether the member has
+// served at least one sync.
 func (a *Agent) syncWith(ctx context.Context, address string) (bool, error) {
 	served := false
 	wait := time.Duration(0)
@@ -90,7 +94,7 @@
 	return served, ctx.Err()
 }
 
-// Renew announces the process at once, by an extra sync, as after a change of what it announces.
+// Renew renews the lease at once by an additional sync, for example after a change in the process's NodeInfo.
 func (a *Agent) Renew(ctx context.Context) error {
 	member := a.servingMember.Load()
 	if member == nil {
@@ -99,7 +103,7 @@
 	return a.sync(ctx, *member, 0)
 }
 
-// sync renews the lease at a member and adopts what is newer there.
+// sync renews the lease at a member and applies the newer snapshots in its response.
 func (a *Agent) sync(ctx context.Context, address string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+time.Duration(a.responseTimeout.Load()))
 	defer cancel()
@@ -110,10 +114,10 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(a.accept(&request, &response, body, sent))
+	return trace.Wrap(a.applyResponse(&request, &response, body, sent))
 }
 
-// syncRequest returns the request that names the versions held here.
+// syncRequest returns a request with the versions of the current snapshots.
 func (a *Agent) syncRequest(wait time.Duration) SyncRequest {
 	request := SyncRequest{Node: a.options.Info(), WaitMS: wait.Milliseconds()}
 	if config := a.config.Load(); config != nil {
@@ -128,21 +132,22 @@
 	return request
 }
 
-// accept applies a response. The lease counts from the sending of this request, or from an earlier time that the
-// response names.
-func (a *Agent) accept(request *SyncRequest, response *SyncResponse, body []byte, sent time.Time) error {
+// applyResponse applies a response to the snapshots and renews the lease. The lease counts from sent, the time at which
+// the request was sent, minus the age of the lease in the response.
+func (a *Agent) applyResponse(request *SyncRequest, response *SyncResponse, body []byte, sent time.Time) error {
 	body, err := decompressBody(response, body)
 	if err != nil {
 		return err
 	}
-	// The lease is renewed after the subscribers have the snapshots: whoever acts by the lease acts by the newest table.
-	a.applying.Lock()
-	defer a.applying.Unlock()
-	changed, err := a.acceptConfig(request, response, body)
-	changed = a.acceptTable(response.Table) || changed
-	changed = a.acceptTableChanges(response.TableChanges) || changed
-	changed = a.acceptWorkers(response.Workers) || changed
-	changed = a.acceptWorkerChanges(response.WorkerChanges) || changed
+	// The lease is renewed only after the subscribers have the snapshots, so that they never act under a renewed lease by
+	// an older table.
+	a.applyMutex.Lock()
+	defer a.applyMutex.Unlock()
+	changed, err := a.applyConfig(request, response, body)
+	changed = a.applyTable(response.Table) || changed
+	changed = a.applyTableChanges(response.TableChanges) || changed
+	changed = a.applyWorkers(response.Workers) || changed
+	changed = a.applyWorkerChanges(response.WorkerChanges) || changed
 	if response.WorkersAgeMS >= 0 {
 		read := time.Now().Add(-time.Duration(response.WorkersAgeMS) * time.Millisecond)
 		a.workersReadAt.Store(&read)
@@ -158,7 +163,7 @@
 	return err
 }
 
-// decompressBody returns the body of a response as it was before Compress.
+// decompressBody returns the body of a response, decompressed if necessary.
 func decompressBody(response *SyncResponse, body []byte) ([]byte, error) {
 	if !response.Compressed {
 		return body, nil
@@ -166,7 +171,7 @@
 	return Decompress(body)
 }
 
-// recordRenewal remembers when the latest successful renewal was sent.
+// recordRenewal stores when a successful renewal was sent, unless a later one is already stored.
 func (a *Agent) recordRenewal(sent time.Time) {
 	for {
 		known := a.leaseRenewedAt.Load()
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -32,18 +32,18 @@
 	body     string
 	failure  error
 	syncs    []cluster.SyncRequest
-	calls    int // of the primary's methods
+	calls    int // number of calls of MethodOperator and MethodPartitionRequest
 }
 
 func (m *member) address() string { return fmt.Sprintf("%s:%d", m.ip, port) }
 
-func (m *member) set(change func(*member)) {
+func (m *member) update(change func(*member)) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	change(m)
 }
 
-// testbed is a process with an agent, and fake members of the control group.
+// testbed is a simulated network with an agent and fake members of the control group.
 type testbed struct {
 	network *simulated.Network
 	members []*member
@@ -53,55 +53,55 @@
 
 func runTestbed(t *testing.T, members int, test func(*testing.T, *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testbed{network: simulated.New(1)}
+		bed := &testbed{network: simulated.New(1)}
 		var wait sync.WaitGroup
 		for i := range members {
 			m := &member{ip: fmt.Sprintf("10.0.0.%d", i+1), server: rpc.NewServer(zap.NewNop())}
-			w.members = append(w.members, m)
+			bed.members = append(bed.members, m)
 		}
-		for _, m := range w.members {
-			w.serve(m)
-			listener, err := w.network.Host(m.ip).Listen(m.address())
+		for _, m := range bed.members {
+			bed.serve(m)
+			listener, err := bed.network.Host(m.ip).Listen(m.address())
 			assert.NilError(t, err)
 			wait.Go(func() { _ = m.server.Serve(listener) })
 		}
-		w.pool = rpc.NewPool(w.network.Host("10.0.1.1"))
-		w.agent = w.newAgent(t, nil, "10.0.0.1:8046", "10.0.0.2:8046")
+		bed.pool = rpc.NewPool(bed.network.Host("10.0.1.1"))
+		bed.agent = bed.newAgent(t, nil, "10.0.0.1:8046", "10.0.0.2:8046")
 		ctx, cancel := context.WithCancel(t.Context())
-		wait.Go(func() { w.agent.Run(ctx) })
+		wait.Go(func() { bed.agent.Run(ctx) })
 		defer func() {
 			cancel()
-			w.pool.Close()
-			for _, m := range w.members {
+			bed.pool.Close()
+			for _, m := range bed.members {
 				m.server.Close()
 			}
 			wait.Wait()
 		}()
-		test(t, w)
+		test(t, bed)
 	})
 }
 
-func (w *testbed) newAgent(t *testing.T, disk vfs.FS, seeds ...string) *cluster.Agent {
+func (bed *testbed) newAgent(t *testing.T, disk vfs.FS, seeds ...string) *cluster.Agent {
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Info: func() cluster.NodeInfo { return cluster.NodeInfo{Name: "node", Address: "10.0.1.1:7240"} },
-		Pool: w.pool, Seeds: seeds, InternalPort: port, Disk: disk,
+		Pool: bed.pool, Seeds: seeds, InternalPort: port, Disk: disk,
 	})
 	assert.NilError(t, err)
 	return agent
 }
 
-func (w *testbed) core() []cluster.CoreMember {
+func (bed *testbed) core() []cluster.CoreMember {
 	var core []cluster.CoreMember
-	for _, m := range w.members {
+	for _, m := range bed.members {
 		core = append(core, cluster.CoreMember{Name: m.ip, Address: m.address()})
 	}
 	return core
 }
 
-func (w *testbed) serve(m *member) {
+func (bed *testbed) serve(m *member) {
 	m.response.WorkersAgeMS = -1
 	m.server.Handle(cluster.MethodCore, func(context.Context, *rpc.Call) (any, []byte, error) {
-		return cluster.CoreResponse{Core: w.core()}, nil, nil
+		return cluster.CoreResponse{Core: bed.core()}, nil, nil
 	})
 	m.server.Handle(cluster.MethodSync, func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 		var request cluster.SyncRequest
@@ -130,75 +130,75 @@
 	m.server.Handle(cluster.MethodPartitionRequest, primary)
 }
 
-func configurationOf(version int) string {
+func configurationJSON(version int) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[],"services":[]}`, version)
 }
 
-func TestSnapshotsNeverGoBack(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
-		m := w.members[0]
-		m.set(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 5, Core: w.core()}
+func TestSnapshotsAreNeverReplacedByOlderOnes(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
+		m := bed.members[0]
+		m.update(func(m *member) {
+			m.response.Table = &cluster.Table{Revision: 5, Core: bed.core()}
 			m.response.Workers = &cluster.WorkerList{Epoch: 2, Revision: 9}
-			m.response.ConfigVersion, m.body = 7, configurationOf(7)
+			m.response.ConfigVersion, m.body = 7, configurationJSON(7)
 		})
 		time.Sleep(time.Second)
-		m.set(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 4, Core: w.core()}
+		m.update(func(m *member) {
+			m.response.Table = &cluster.Table{Revision: 4, Core: bed.core()}
 			m.response.Workers = &cluster.WorkerList{Epoch: 1, Revision: 12}
-			m.response.ConfigVersion, m.body = 6, configurationOf(6)
+			m.response.ConfigVersion, m.body = 6, configurationJSON(6)
 		})
 		time.Sleep(time.Second)
-		assert.Equal(t, w.agent.Table().Revision, uint64(5))
-		assert.Equal(t, w.agent.Workers().Epoch, uint64(2))
-		assert.Equal(t, w.agent.Config().Version(), uint64(7))
-		assert.Assert(t, w.agent.LeaseValid())
+		assert.Equal(t, bed.agent.Table().Revision, uint64(5))
+		assert.Equal(t, bed.agent.Workers().Epoch, uint64(2))
+		assert.Equal(t, bed.agent.Config().Version(), uint64(7))
+		assert.Assert(t, bed.agent.LeaseValid())
 	})
 }
 
-func TestChangesReplaceCompleteValues(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
-		m := w.members[0]
-		m.set(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 5, Core: w.core(), ReplicationFactor: 2}
-			m.response.ConfigVersion, m.body = 7, configurationOf(7)
+func TestChangesUpdateTheHeldSnapshots(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
+		m := bed.members[0]
+		m.update(func(m *member) {
+			m.response.Table = &cluster.Table{Revision: 5, Core: bed.core(), ReplicationFactor: 2}
+			m.response.ConfigVersion, m.body = 7, configurationJSON(7)
 		})
 		time.Sleep(time.Second)
 		updates := []string{`{"version":8,"upsert":{}}`, `{"version":9,"upsert":{}}`}
-		m.set(func(m *member) {
+		m.update(func(m *member) {
 			m.response.Table = nil
 			m.response.TableChanges = []cluster.TableChange{{Base: 5, ReplicationFactor: 3}, {Base: 6, DeliveringStores: 4}}
 			m.response.ConfigVersion, m.body = 9, updates[0]+updates[1]
 			m.response.ConfigUpdates = []int{len(updates[0]), len(updates[1])}
 		})
 		time.Sleep(time.Second)
-		assert.Equal(t, w.agent.Table().Revision, uint64(7))
-		assert.Equal(t, w.agent.Table().ReplicationFactor, 3)
-		assert.Equal(t, w.agent.Table().DeliveringStores, 4)
-		assert.Equal(t, w.agent.Config().Version(), uint64(9))
+		assert.Equal(t, bed.agent.Table().Revision, uint64(7))
+		assert.Equal(t, bed.agent.Table().ReplicationFactor, 3)
+		assert.Equal(t, bed.agent.Table().DeliveringStores, 4)
+		assert.Equal(t, bed.agent.Config().Version(), uint64(9))
 	})
 }
 
-func TestConfigurationThatCannotBeReadIsNotTakenOver(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
-		w.members[0].set(func(m *member) { m.response.ConfigVersion, m.body = 7, `{"version":7` })
+func TestMalformedConfigurationIsNotApplied(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
+		bed.members[0].update(func(m *member) { m.response.ConfigVersion, m.body = 7, `{"version":7` })
 		time.Sleep(3 * time.Second)
-		assert.Assert(t, w.agent.Config() == nil)
-		assert.Assert(t, !w.agent.LeaseValid())
+		assert.Assert(t, bed.agent.Config() == nil)
+		assert.Assert(t, !bed.agent.LeaseValid())
 	})
 }
 
 func TestLeaseSurvivesTheLossOfAMember(t *testing.T) {
-	runTestbed(t, 3, func(t *testing.T, w *testbed) {
+	runTestbed(t, 3, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		for _, lost := range w.members {
-			w.network.PowerOff(lost.ip)
+		for _, lost := range bed.members {
+			bed.network.PowerOff(lost.ip)
 			for range 60 {
 				time.Sleep(50 * time.Millisecond)
-				assert.Assert(t, w.agent.LeaseValid())
+				assert.Assert(t, bed.agent.LeaseValid())
 			}
-			w.network.PowerOn(lost.ip)
-			listener, err := w.network.Host(lost.ip).Listen(lost.address())
+			bed.network.PowerOn(lost.ip)
+			listener, err := bed.network.Host(lost.ip).Listen(lost.address())
 			assert.NilError(t, err)
 			go func() { _ = lost.server.Serve(listener) }()
 			time.Sleep(time.Second)
@@ -206,80 +206,80 @@
 	})
 }
 
-func TestLeaseRunsOutWithoutMembers(t *testing.T) {
-	runTestbed(t, 2, func(t *testing.T, w *testbed) {
+func TestLeaseExpiresWhenNoMemberServes(t *testing.T) {
+	runTestbed(t, 2, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		assert.Assert(t, w.agent.LeaseValid())
-		for _, m := range w.members {
-			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeUnavailable} })
+		assert.Assert(t, bed.agent.LeaseValid())
+		for _, m := range bed.members {
+			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeUnavailable} })
 		}
 		time.Sleep(cluster.LeaseDuration + 100*time.Millisecond)
-		assert.Assert(t, !w.agent.LeaseValid())
-		w.members[1].set(func(m *member) { m.failure = nil })
+		assert.Assert(t, !bed.agent.LeaseValid())
+		bed.members[1].update(func(m *member) { m.failure = nil })
 		time.Sleep(600 * time.Millisecond)
-		assert.Assert(t, w.agent.LeaseValid())
+		assert.Assert(t, bed.agent.LeaseValid())
 	})
 }
 
 func TestIdleAgentSyncsRarely(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		w.members[0].set(func(m *member) { m.syncs = nil })
+		bed.members[0].update(func(m *member) { m.syncs = nil })
 		time.Sleep(10 * time.Second)
-		w.members[0].set(func(m *member) { assert.Assert(t, len(m.syncs) <= 26, "%d syncs", len(m.syncs)) })
+		bed.members[0].update(func(m *member) { assert.Assert(t, len(m.syncs) <= 26, "%d syncs", len(m.syncs)) })
 	})
 }
 
-func TestCallsFollowThePrimary(t *testing.T) {
-	runTestbed(t, 3, func(t *testing.T, w *testbed) {
+func TestCallsFollowRedirectsToThePrimary(t *testing.T) {
+	runTestbed(t, 3, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		last := w.members[2]
-		for _, m := range w.members[:2] {
-			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader, Message: last.address()} })
+		last := bed.members[2]
+		for _, m := range bed.members[:2] {
+			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader, Message: last.address()} })
 		}
 		for range 2 {
-			answer, body, err := w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+			answer, body, err := bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Status, http.StatusOK)
 			assert.Equal(t, string(body), last.ip)
 		}
-		w.members[0].set(func(m *member) { assert.Assert(t, m.calls <= 1, "the primary is remembered") })
+		bed.members[0].update(func(m *member) { assert.Assert(t, m.calls <= 1, "the agent forgot the primary") })
 	})
 }
 
-func TestCallsWithoutAPrimaryEndInTime(t *testing.T) {
-	runTestbed(t, 3, func(t *testing.T, w *testbed) {
+func TestCallsWithoutAPrimaryReturnInTime(t *testing.T) {
+	runTestbed(t, 3, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		for _, m := range w.members {
-			m.set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader} })
+		for _, m := range bed.members {
+			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader} })
 		}
 		begin := time.Now()
-		_, _, err := w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+		_, _, err := bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrNoPrimary), "%v", err)
 		assert.Assert(t, time.Since(begin) <= time.Second)
-		for _, m := range w.members {
-			w.network.PowerOff(m.ip)
+		for _, m := range bed.members {
+			bed.network.PowerOff(m.ip)
 		}
-		_, _, err = w.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+		_, _, err = bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrOutcomeUnknown), "%v", err)
 	})
 }
 
 func TestRejectedPartitionRequestIsReported(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
 		time.Sleep(time.Second)
-		w.members[0].set(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeConflict} })
-		err := w.agent.RequestPartitionChange(t.Context(), cluster.PartitionRequest{})
+		bed.members[0].update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeConflict} })
+		err := bed.agent.RequestPartitionChange(t.Context(), cluster.PartitionRequest{})
 		assert.Equal(t, rpc.CodeOf(err), rpc.CodeConflict)
 	})
 }
 
-func TestCoreMembersAreStoredOnTheDisk(t *testing.T) {
-	runTestbed(t, 1, func(t *testing.T, w *testbed) {
-		w.members[0].set(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, Core: w.core()} })
+func TestCoreMembersSurviveARestart(t *testing.T) {
+	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
+		bed.members[0].update(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, Core: bed.core()} })
 		disk := memfs.New(1)
 		ctx, cancel := context.WithCancel(t.Context())
-		first := w.newAgent(t, disk, "10.0.0.1:8046")
+		first := bed.newAgent(t, disk, "10.0.0.1:8046")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -289,12 +289,12 @@
 		cancel()
 		<-done
 		disk.PowerLoss()
-		second := w.newAgent(t, disk)
-		assert.DeepEqual(t, second.Core(), w.core())
+		second := bed.newAgent(t, disk)
+		assert.DeepEqual(t, second.Core(), bed.core())
 	})
 }
 
-func TestSeedsAreChecked(t *testing.T) {
+func TestInvalidSeedsAreRejected(t *testing.T) {
 	_, err := cluster.NewAgent(cluster.AgentOptions{Seeds: []string{"nowhere", "10.0.0.1"}, InternalPort: port})
 	assert.ErrorContains(t, err, `"nowhere"`)
 	assert.ErrorContains(t, err, `"10.0.0.1"`)
--- a/internal/cluster/compression.go
+++ b/internal/cluster/compression.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// minCompressBytes is the size from which on a body is compressed.
+	// minCompressBytes is the size of the smallest body that is compressed, in bytes.
 	minCompressBytes = 4 << 10
-	// maxDecompressedBytes bounds the size of a decompressed body.
+	// maxDecompressedBytes is the maximum size of a decompressed body, in bytes.
 	maxDecompressedBytes = 64 << 20
 )
 
-// Compress compresses a body with DEFLATE (RFC 1951), and returns false where the body is small or does not shrink.
+// Compress compresses a body with DEFLATE (RFC 1951). It returns false if the body is smaller than 4 KiB or does not
+// shrink.
 func Compress(body []byte) ([]byte, bool) {
 	if len(body) < minCompressBytes {
 		return nil, false
 	}
-	var packed bytes.Buffer
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, false
 	}
@@ -31,21 +32,21 @@
 	if err := writer.Close(); err != nil {
 		return nil, false
 	}
-	if packed.Len() >= len(body) {
+	if compressed.Len() >= len(body) {
 		return nil, false
 	}
-	return packed.Bytes(), true
+	return compressed.Bytes(), true
 }
 
-// Decompress returns the body that Compress has compressed. It fails where that is malformed or larger than 64 MiB.
-func Decompress(packed []byte) ([]byte, error) {
-	reader := flate.NewReader(bytes.NewReader(packed))
+// Decompress reverses Compress. It returns an error if the data is malformed or the body is larger than 64 MiB.
+func Decompress(compressed []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(compressed))
 	body, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
-		return nil, trace.Wrap(err, "unpacking a body")
+		return nil, trace.Wrap(err, "decompressing a body")
 	}
 	if len(body) > maxDecompressedBytes {
-		return nil, trace.LimitExceeded("a body of more than %d bytes", maxDecompressedBytes)
+		return nil, trace.LimitExceeded("decompressed body exceeds %d bytes", maxDecompressedBytes)
 	}
 	return body, nil
 }
--- a/internal/cluster/compression_test.go
+++ b/internal/cluster/compression_test.go
@@ -11,14 +11,14 @@
 	"gladepick/internal/cluster"
 )
 
-func TestCompressedBodiesComeBack(t *testing.T) {
+func TestDecompressRestoresCompressedBodies(t *testing.T) {
 	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 2000))
-	packed, ok := cluster.Compress(body)
+	compressed, ok := cluster.Compress(body)
 	assert.Assert(t, ok)
-	assert.Assert(t, len(packed) < len(body)/10)
-	unpacked, err := cluster.Decompress(packed)
+	assert.Assert(t, len(compressed) < len(body)/10)
+	decompressed, err := cluster.Decompress(compressed)
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(unpacked, body))
+	assert.Assert(t, bytes.Equal(decompressed, body))
 }
 
 func TestBodiesThatDoNotShrinkStayUncompressed(t *testing.T) {
--- a/internal/cluster/control_messages.go
+++ b/internal/cluster/control_messages.go
@@ -5,30 +5,33 @@
 	MethodSync             = "control.sync"          // SyncRequest -> SyncResponse, at any core member that is up to date
 	MethodFailureReport    = "control.report"        // FailureReport -> empty, at any core member
 	MethodOperator         = "control.operator"      // OperatorRequest with the body -> OperatorResponse with the body
-	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty, at any core member: a primary asks for a change of its replica group
+	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty, at any core member
 )
 
-// FailureReport tells the control plane that a process could not be reached. The control plane checks for itself.
+// FailureReport reports to the control plane that a process could not be reached. The control plane checks the process
+// itself.
 type FailureReport struct {
 	Node    string `json:"node"`    // name of the process that seems to have failed
 	Address string `json:"address"` // address that was called
-	Refused bool   `json:"refused"` // the connection was refused or reset; informative only, the control primary pings the process itself
+	// Refused is set if the connection was refused or reset. It is informative only, as the control group's primary pings
+	// the process itself.
+	Refused bool `json:"refused"`
 }
 
-// PartitionRequest is a primary's request to change its replica group. It is rejected unless the epoch is the
-// current one.
+// PartitionRequest is a request by a partition's primary to change its replica group. The control plane rejects it
+// unless the epoch is the current one.
 type PartitionRequest struct {
 	Partition int    `json:"partition"`
 	Epoch     uint64 `json:"epoch"`
 	Store     string `json:"store"` // name of the primary that makes the request
-	// Drop names a backup that does not respond. Another store takes its place where there is one.
+	// Drop names a backup that does not respond. Another store replaces it if one is available.
 	Drop string `json:"drop,omitempty"`
-	// Synced names a backup that now holds every committed message.
+	// Synced names a backup that now has every committed message.
 	Synced string `json:"synced,omitempty"`
 	// Handover asks for another synced replica to become the primary. The store has stopped delivering.
 	Handover bool `json:"handover,omitempty"`
-	// Ready names the backups that may take over: they surely hold the result of every message. A backup that the
-	// control plane knows as synced may still lack the latest results. Empty stands for any backup.
+	// Ready names the backups to which the primary may hand over: they certainly have the result of every message. A
+	// backup that the control plane knows as synced may still lack the latest results. Empty means any backup.
 	Ready []string `json:"ready,omitempty"`
 }
 
--- a/internal/cluster/core_member.go
+++ b/internal/cluster/core_member.go
@@ -17,11 +17,11 @@
 	Zone    string `json:"zone,omitempty"` // empty until the member's first renewal
 }
 
-// coreFile is the file in which a process with a disk stores the members of the control group, as JSON, so that it
-// finds them after a restart without its seeds.
+// coreFile is the name of the file in which a process with a disk stores the members of the control group as JSON, so
+// that it can find them after a restart without the seeds.
 const coreFile = "core"
 
-// loadCore returns the stored members, or none where there are none that can be read.
+// loadCore returns the stored members. It returns none if the file is missing or cannot be read.
 func loadCore(disk vfs.FS) []CoreMember {
 	data, err := wal.LoadFile(disk, coreFile)
 	if err != nil {
--- a/internal/cluster/discovery_messages.go
+++ b/internal/cluster/discovery_messages.go
@@ -2,21 +2,24 @@
 
 // Method strings of the calls by which processes find each other, with their parameters and results.
 const (
-	MethodRegister = "cluster.register" // NodeInfo -> CoreResponse, at a seed: announces a process before the bootstrap
-	MethodCore     = "cluster.core"     // empty -> CoreResponse, at any process: the members of the control group it knows
-	MethodAnnounce = "cluster.announce" // CoreResponse -> empty, at a seed: a member of the control group names the members
-	MethodPing     = "node.ping"        // empty -> PingResponse, at any process
+	// MethodRegister registers a process at a seed before the bootstrap: NodeInfo -> CoreResponse.
+	MethodRegister = "cluster.register"
+	// MethodCore asks any process for the members of the control group that it knows: empty -> CoreResponse.
+	MethodCore = "cluster.core"
+	// MethodAnnounce is called by a member of the control group to tell a seed the members: CoreResponse -> empty.
+	MethodAnnounce = "cluster.announce"
+	// MethodPing asks any process for its identity: empty -> PingResponse.
+	MethodPing = "node.ping"
 )
 
-// CoreResponse lists the members of the control group as the responding process knows them; none before the
-// bootstrap.
+// CoreResponse lists the members of the control group as the sender knows them. It lists none before the bootstrap.
 type CoreResponse struct {
 	Core []CoreMember `json:"core,omitempty"`
-	// Bootstrap is set where the responding process takes part in the first start: as a seed it may bootstrap the group.
+	// Bootstrap is set if the sender takes part in the first start: as a seed it may bootstrap the control group.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 }
 
-// PingResponse tells which process responds at an address.
+// PingResponse identifies the process that responds at an address.
 type PingResponse struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"incarnation"`
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -17,17 +17,17 @@
 	"gladepick/internal/vfs"
 )
 
-// The files under testdata were written by the first version that has these tests (`go test -update`). They stay as they
-// are: every later version has to read them, and to write the same bytes again.
+// The files under testdata were written by the first version with these tests (`go test -update`). They must not
+// change: every later version must read them and write the same bytes again.
 
 const (
-	goldenMessages = "messages.txt"   // messages and parts of the cluster table, a line each
+	goldenMessages = "messages.txt"   // messages and parts of the cluster table, one value a line
 	goldenAdded    = "added.txt"      // the same with the fields that later versions have added
-	goldenCore     = "disk"           // a disk that remembers the control group's members
+	goldenCore     = "disk"           // a data directory that contains the file of the control group's members
 	goldenBody     = "compressed.bin" // a compressed body
 )
 
-// goldenValue is a value with every field set, by its name in the golden file.
+// goldenValue is a value with every field set, and its name in the golden file.
 type goldenValue struct {
 	name string
 	full any
@@ -139,8 +139,8 @@
 	}
 }
 
-// addedFields are the fields that later versions have added, by the ends of their paths. They stay unset in goldenValues, so that
-// the first version's file stays as it is, and are set in goldenAddedValues.
+// addedFields are the suffixes of the paths of fields that later versions have added. goldenValues leaves these fields
+// unset, so that the file of the first version does not change; goldenAddedValues sets them.
 var addedFields = []string{"Replicas.Suspected", "replica.Suspected"}
 
 func goldenAddedValues() []goldenValue {
@@ -149,12 +149,13 @@
 	return []goldenValue{{"replica", replica}}
 }
 
-// isAdded tells whether a later version has added the field with a path.
+// isAdded reports whether a later version has added the field with the given path.
 func isAdded(path string) bool {
 	return slices.ContainsFunc(addedFields, func(end string) bool { return strings.HasSuffix(path, end) })
 }
 
-// TestGoldenMessages writes each value with all fields set and with none, and reads both again.
+// TestGoldenMessages guards the JSON of messages and table entries: each value is written and read again, once with all
+// fields set and once with none.
 func TestGoldenMessages(t *testing.T) {
 	for _, each := range goldenValues() {
 		unset := slices.DeleteFunc(unsetFields(reflect.ValueOf(each.full), each.name), isAdded)
@@ -171,7 +172,8 @@
 	requireGolden(t, goldenAddedValues(), goldenAdded)
 }
 
-// requireGolden writes each value with all fields set and with none, compares the lines with a file, and reads them again.
+// requireGolden encodes each value with all fields set and with none, compares the lines with a file, and checks that
+// the lines of the file are the same after decoding and encoding.
 func requireGolden(t *testing.T, values []goldenValue, file string) {
 	t.Helper()
 	var lines bytes.Buffer
@@ -198,7 +200,7 @@
 	assert.Equal(t, len(read), 2*len(values))
 }
 
-// unsetFields returns the paths of the fields that have their zero value, in a value and in all that it holds.
+// unsetFields returns the paths of all fields of a value, including nested ones, that have their zero value.
 func unsetFields(value reflect.Value, path string) []string {
 	if value.IsZero() {
 		return []string{path}
@@ -222,7 +224,7 @@
 	return slices.Compact(unset)
 }
 
-// TestGoldenCoreFile writes the file that remembers the members of the control group, and reads it again.
+// TestGoldenCoreFile guards the format of the file that stores the members of the control group.
 func TestGoldenCoreFile(t *testing.T) {
 	path := t.TempDir()
 	disk, err := vfs.OpenDirectory(path)
@@ -236,16 +238,16 @@
 	assert.DeepEqual(t, loadCore(written), goldenMembers())
 }
 
-// TestGoldenCompressedBody reads a body that an earlier version has compressed. The compressed bytes may differ from one
-// version of the compressor to the next, so they are not compared.
+// TestGoldenCompressedBody guards against a Decompress that cannot read the bodies of earlier versions. The compressed
+// bytes may differ between versions of the compressor, so the test does not compare them.
 func TestGoldenCompressedBody(t *testing.T) {
 	body := []byte(strings.Repeat(`{"name":"r-1","host":"h.example","path-prefix":"/a/"},`, 200))
 	if golden.FlagUpdate() {
-		packed, worthwhile := Compress(body)
+		compressed, worthwhile := Compress(body)
 		assert.Assert(t, worthwhile)
-		golden.AssertBytes(t, packed, goldenBody)
+		golden.AssertBytes(t, compressed, goldenBody)
 	}
-	unpacked, err := Decompress(golden.Get(t, goldenBody))
+	decompressed, err := Decompress(golden.Get(t, goldenBody))
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(unpacked, body))
+	assert.Assert(t, bytes.Equal(decompressed, body))
 }
--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// StoreState is the state of a store by the control plane's decisions.
+// StoreState is the state of a store as decided by the control plane.
 type StoreState string
 
 // The states of a store.
 const (
-	StoreActive   StoreState = "active"   // may hold partitions
+	StoreActive   StoreState = "active"   // it may hold replicas
 	StoreDown     StoreState = "down"     // its lease has expired
-	StoreDraining StoreState = "leaving"  // it is shutting down gracefully: its primaries move away
-	StoreRetiring StoreState = "retiring" // the operator decommissions it: all its replicas move away
-	StoreRetired  StoreState = "retired"  // it is decommissioned and holds nothing
+	StoreDraining StoreState = "leaving"  // it is shutting down gracefully: its primaries move to other stores
+	StoreRetiring StoreState = "retiring" // the operator is decommissioning it: all its replicas move to other stores
+	StoreRetired  StoreState = "retired"  // it is decommissioned and holds no replicas
 )
 
 // StoreEntry is a store in the cluster table.
@@ -22,10 +22,10 @@
 	DiskID      string     `json:"diskId"`
 	Incarnation string     `json:"incarnation"`
 	State       StoreState `json:"state"`
-	// Unresponsive is set while the store does not respond although its lease is still valid: messages that can go to
-	// another store should.
+	// Unresponsive is set while the store does not respond although its lease is still valid. Messages go to other stores
+	// where possible.
 	Unresponsive bool `json:"silent,omitempty"`
 }
 
-// CompareStoreName compares the name of a store's entry with another name, for binary searches in a table's stores.
+// CompareStoreName compares the name of an entry with a name, for binary searches in Table.Stores.
 func CompareStoreName(entry StoreEntry, name string) int { return strings.Compare(entry.Name, name) }
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -1,7 +1,7 @@
 package cluster
 
-// Table is the cluster table, which the control plane publishes. Revision grows by one with every change, also
-// across a failover of the control plane.
+// Table is the cluster table that the control plane publishes. Revision grows by one with every change, also across a
+// failover of the control plane.
 type Table struct {
 	Revision          uint64       `json:"revision"`
 	Primary           string       `json:"primary"` // name of the control group's primary; it may be out of date
@@ -9,12 +9,12 @@
 	Stores            []StoreEntry `json:"stores"`     // sorted by name
 	Partitions        []Partition  `json:"partitions"` // a partition's index is its ID
 	ReplicationFactor int          `json:"copies"`     // number of disks that hold a message before it is acknowledged
-	// DeliveringStores is the number of stores that deliver messages now, or that may not have stopped delivering yet. Limits
-	// are not divided by it but by LimitDivisor.
+	// DeliveringStores is the number of stores that deliver messages now, or that may not have stopped delivering yet.
+	// Cluster-wide limits are divided by LimitDivisor, not by this number.
 	DeliveringStores int `json:"deliverers"`
 }
 
-// Store returns the entry of a store by its name, or nil. The table may be nil.
+// Store returns the entry of the store with the given name, or nil. The table may be nil.
 func (t *Table) Store(name string) *StoreEntry {
 	if t == nil {
 		return nil
@@ -38,11 +38,11 @@
 	return len(leaders)
 }
 
-// LimitDivisor returns by how much a limit for the whole cluster, such as a service's requests per second, is to be
-// divided for a store, as each store enforces its part by itself. It has no unit: it is the number of all partitions
-// divided by the number of those that the store leads, rounded up. So the parts of all leading stores together stay within
-// the limit, however unevenly the partitions are led. For a store that leads none it is the number of partitions; it
-// is never less than 1.
+// LimitDivisor returns the number by which a cluster-wide limit, such as a service's requests per second, is divided to
+// get a store's share of it. Each store enforces its share by itself. The divisor has no unit: it is the number of all
+// partitions divided by the number of partitions that the store leads, rounded up. Therefore the shares of all leading
+// stores add up to at most the limit, however unevenly the primaries are distributed. For a store that leads no
+// partition it is the number of partitions. It is never less than 1.
 func (t *Table) LimitDivisor(store string) int {
 	led := 0
 	for _, partition := range t.Partitions {
--- a/internal/cluster/table_change.go
+++ b/internal/cluster/table_change.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// TableChange holds the parts of a cluster table that differ from one revision to the next. Zero values stand for
-// parts that have not changed.
+// TableChange contains the parts of a cluster table that differ between one revision and the next. A zero value means
+// that a part has not changed.
 type TableChange struct {
-	Base              uint64       `json:"base"` // the revision to which it is applied
+	Base              uint64       `json:"base"` // revision of the table to which the change applies
 	Primary           string       `json:"primary,omitempty"`
 	Core              []CoreMember `json:"core,omitempty"`
 	Stores            []StoreEntry `json:"stores,omitempty"`
@@ -14,8 +14,8 @@
 	DeliveringStores  int          `json:"deliverers,omitempty"`
 }
 
-// Apply returns the table of the next revision, and false where the change is for another revision. The table itself
-// is not changed.
+// Apply returns the table of the next revision. If the change applies to another revision, it returns the table itself
+// and false. The table itself is not modified.
 func (t *Table) Apply(change *TableChange) (*Table, bool) {
 	if t.Revision != change.Base {
 		return t, false
@@ -39,7 +39,7 @@
 	return &next, true
 }
 
-// mergeStores returns the stores, sorted by name, with changed and new entries.
+// mergeStores returns a copy of the stores, sorted by name, with changed entries replaced and new ones inserted.
 func mergeStores(stores, changed []StoreEntry) []StoreEntry {
 	if len(changed) == 0 {
 		return stores
@@ -56,7 +56,7 @@
 	return merged
 }
 
-// mergePartitions returns the partitions with changed and new ones.
+// mergePartitions returns a copy of the partitions with changed ones replaced and new ones added.
 func mergePartitions(partitions, changed []Partition) []Partition {
 	if len(changed) == 0 {
 		return partitions
--- a/internal/cluster/table_test.go
+++ b/internal/cluster/table_test.go
@@ -8,9 +8,9 @@
 	"gladepick/internal/cluster"
 )
 
-// TestPartsStayWithinTheLimit checks that the parts of all stores never add up to more than the limit, and that a
-// store that leads more gets more.
-func TestPartsStayWithinTheLimit(t *testing.T) {
+// TestStoreLimitsAddUpToAtMostTheClusterLimit guards against stores that together exceed a cluster-wide limit. It also
+// checks that a store that leads more partitions gets a larger share.
+func TestStoreLimitsAddUpToAtMostTheClusterLimit(t *testing.T) {
 	table := &cluster.Table{}
 	for id := range 64 {
 		leader := []string{"a", "a", "a", "b", "b", "c"}[id%6]
--- a/internal/cluster/worker.go
+++ b/internal/cluster/worker.go
@@ -9,5 +9,5 @@
 	Version           string `json:"version,omitempty"`
 	Capacity          int    `json:"capacity"`
 	Draining          bool   `json:"draining,omitempty"`
-	WarmupRemainingMS int64  `json:"warmupLeftMs,omitempty"` // rest of its warm-up time, in milliseconds, as the platform reported it
+	WarmupRemainingMS int64  `json:"warmupLeftMs,omitempty"` // remaining warm-up time in ms, as the platform reported it
 }
--- a/internal/cluster/worker_change.go
+++ b/internal/cluster/worker_change.go
@@ -10,14 +10,14 @@
 	From    WorkerVersion `json:"from"`
 	To      WorkerVersion `json:"to"`
 	Set     []Worker      `json:"set,omitempty"`     // new and changed entries, sorted by id
-	Removed []string      `json:"removed,omitempty"` // ids of the entries that are gone, sorted
+	Removed []string      `json:"removed,omitempty"` // ids of the removed entries, sorted
 }
 
-// Size returns the number of entries that the change touches.
+// Size returns the number of entries that the change sets or removes.
 func (c *WorkerChange) Size() int { return len(c.Set) + len(c.Removed) }
 
-// DiffWorkers returns the change that leads from one list to another. The entries of both must be sorted by id. An
-// entry is left out of the change where same reports that the two lists agree on it.
+// DiffWorkers returns the change that leads from one list to another. The entries of both must be sorted by id. The
+// change omits an entry of both lists if same reports that its two versions are equal.
 func DiffWorkers(from, to *WorkerList, same func(a, b Worker) bool) *WorkerChange {
 	change := &WorkerChange{From: from.Version(), To: to.Version()}
 	position := 0
@@ -41,8 +41,8 @@
 	return change
 }
 
-// Apply returns the list with a change applied, and false where the change starts from another version. The list
-// itself is not changed.
+// Apply returns a new list with the change applied. If the change starts from another version, it returns the list
+// itself and false. The list itself is not modified.
 func (l *WorkerList) Apply(change *WorkerChange) (*WorkerList, bool) {
 	if l == nil || l.Version() != change.From {
 		return l, false
@@ -70,7 +70,8 @@
 	return next, true
 }
 
-// ApplyAll applies changes one after the other, and returns false where one of them starts from another version.
+// ApplyAll applies changes in order. It returns false if one of them starts from another version than the list reached
+// so far.
 func (l *WorkerList) ApplyAll(changes []WorkerChange) (*WorkerList, bool) {
 	for i := range changes {
 		next, applied := l.Apply(&changes[i])
