--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -12,27 +12,28 @@
 
 // Engine delivers the messages of the partitions whose primary the store is. The store may hold its lock during a call.
 type Engine interface {
-	// Submit hands over a committed message, with the number of its attempts that have failed.
+	// Submit passes a committed message to the engine. failures is the number of its failed attempts so far.
 	Submit(m *message.Message, failures int)
-	// Release drops a partition's messages: another store is its primary.
+	// Release drops a partition's messages. The store calls it when it is no longer the partition's primary.
 	Release(partition int)
-	// PausePartition starts no more attempts of a partition's messages.
+	// PausePartition stops new attempts of a partition's messages. Attempts in flight continue.
 	PausePartition(partition int)
-	// ResumePartition ends a pause.
+	// ResumePartition ends the effect of PausePartition.
 	ResumePartition(partition int)
-	// InFlightOf returns how many attempts of a partition's messages are out.
+	// InFlightOf returns how many attempts of a partition's messages are in flight.
 	InFlightOf(partition int) int
 }
 
-// Body implements delivery.Owner: it returns the body of a message that was submitted.
+// Body implements delivery.Owner. It returns the body of a submitted message, from memory if it is cached and from the
+// log otherwise.
 func (s *Store) Body(m *message.Message) ([]byte, error) {
 	s.mu.Lock()
-	found := s.partition(m.Partition).entries[m.ID]
-	if found == nil {
+	e := s.partition(m.Partition).entries[m.ID]
+	if e == nil {
 		s.mu.Unlock()
 		return nil, trace.Wrap(message.ErrNotFound)
 	}
-	body, position := found.body, found.position
+	body, position := e.body, e.position
 	s.mu.Unlock()
 	if body != nil {
 		return body, nil
@@ -50,22 +51,24 @@
 	return body, trace.Wrap(err)
 }
 
-// Failed implements delivery.Owner: a worker answered an attempt with a failure.
+// Failed implements delivery.Owner. It records that a worker answered an attempt with a failure; failures is the total
+// so far.
 func (s *Store) Failed(m *message.Message, failures int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(m.Partition)
-	found := p.entries[m.ID]
-	if found == nil || found.ended() {
+	e := p.entries[m.ID]
+	if e == nil || e.ended() {
 		return
 	}
-	found.failures = max(found.failures, failures)
+	e.failures = max(e.failures, failures)
 	s.appendAndReplicate(p, &record.Record{
 		Kind: record.Failed, Partition: p.id, Epoch: p.epoch, ID: m.ID, Failures: failures,
 	})
 }
 
-// Ended implements delivery.Owner: a message has ended. Where another store is the primary by now, it gets the outcome.
+// Ended implements delivery.Owner. It records how a message ended. If this store is no longer the partition's primary,
+// it forwards the outcome to the new one.
 func (s *Store) Ended(m *message.Message, outcome message.Outcome) {
 	s.mu.Lock()
 	p := s.partition(m.Partition)
@@ -78,13 +81,14 @@
 	s.mu.Unlock()
 }
 
-// endMessage notes how a message ended and replicates it. The caller holds the lock.
+// endMessage records how a message ended and replicates the outcome. It ignores a message that is unknown or has ended
+// already. The caller must hold s.mu.
 func (s *Store) endMessage(p *partition, id string, outcome message.Outcome) {
-	found := p.entries[id]
-	if found == nil || found.ended() {
+	e := p.entries[id]
+	if e == nil || e.ended() {
 		return
 	}
-	s.cachedBytes -= int64(len(found.body))
+	s.cachedBytes -= int64(len(e.body))
 	ended := &record.Record{
 		Kind: record.Ended, Partition: p.id, Epoch: p.epoch, ID: id, Outcome: &outcome, EndedAt: time.Now(),
 	}
--- a/internal/messagestore/recovery_test.go
+++ b/internal/messagestore/recovery_test.go
@@ -16,7 +16,9 @@
 	"gladepick/internal/messagestore/protocol"
 )
 
-func TestLostBackupIsReplacedAndTheNewOneGetsEverything(t *testing.T) {
+// TestReplacementOfALostBackupGetsAllMessages guards against a replacement that lacks messages or outcomes from before
+// it joined: after it is promoted, it has to deliver and answer for all of them.
+func TestReplacementOfALostBackupGetsAllMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -24,8 +26,8 @@
 		for i := range 30 {
 			ids = append(ids, h.mustPut(fmt.Sprint(i), "key", fmt.Sprintf("body %d", i)))
 		}
-		leader := h.leader(ids[0])
-		leader.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
+		primary := h.primary(ids[0])
+		primary.store.Ended(h.messageOf(ids[0]), message.Outcome{State: message.Completed, Stamp: "s"})
 		partition, err := client.PartitionOf(ids[0])
 		assert.NilError(t, err)
 		backup := h.currentTable().Partitions[partition].Replicas[1].Store
@@ -36,7 +38,7 @@
 		assert.Assert(t, view.IndexOf(backup) < 0)
 		assert.Assert(t, view.Replicas[1].Synced)
 
-		h.stop(leader.name)
+		h.stop(primary.name)
 		h.setView(partition, view.Replicas[1].Store)
 		time.Sleep(time.Second)
 		successor := h.machines[view.Replicas[1].Store]
@@ -50,10 +52,12 @@
 			assert.Equal(t, body, fmt.Sprintf("body %d", i+1))
 		}
 		h.start(backup)
-		h.start(leader.name)
+		h.start(primary.name)
 	})
 }
 
+// TestFormerPrimaryCannotCommit guards against a former primary that acknowledges a message after its backup was
+// promoted.
 func TestFormerPrimaryCannotCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
@@ -84,7 +88,7 @@
 	})
 }
 
-func TestPowerLossOfAllKeepsWhatWasAcknowledged(t *testing.T) {
+func TestAcknowledgedMessagesSurvivePowerLossOfAllStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
@@ -104,12 +108,12 @@
 			body, err := h.body(id)
 			assert.NilError(t, err)
 			assert.Equal(t, body, fmt.Sprintf("body %d", i))
-			assert.Assert(t, slices.Contains(h.leader(id).engine.ids(), id))
+			assert.Assert(t, slices.Contains(h.primary(id).engine.ids(), id))
 		}
 	})
 }
 
-func TestWipedStoreLosesNothing(t *testing.T) {
+func TestAcknowledgedMessagesSurviveAWipedDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, "a", "b", "c")
 		defer h.close()
