--- a/internal/cluster/agent_primary.go
+++ b/internal/cluster/agent_primary.go
@@ -30,12 +30,14 @@
 	idempotentFailureReport rpc.Idempotent = MethodFailureReport
 )
 
-// Operator forwards a request to the operator's API to the control group's primary. Repeating such a request is safe,
-// so Operator retries it if a response is lost. It returns ErrNoPrimary or ErrOutcomeUnknown if no primary responds in
-// time.
-func (a *Agent) Operator(ctx context.Context, call OperatorRequest, body []byte) (OperatorResponse, []byte, error) {
+// ForwardOperatorRequest forwards a request to the operator's API to the control group's primary. Repeating such a
+// request is safe, so it is retried if a response is lost. It returns ErrNoPrimary or ErrOutcomeUnknown if no primary
+// responds in time.
+func (a *Agent) ForwardOperatorRequest(
+	ctx context.Context, request OperatorRequest, body []byte,
+) (OperatorResponse, []byte, error) {
 	var response OperatorResponse
-	responseBody, err := a.callPrimary(ctx, idempotentOperator, call, body, &response)
+	responseBody, err := a.callPrimary(ctx, idempotentOperator, request, body, &response)
 	return response, responseBody, trace.Wrap(err)
 }
 
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -238,7 +238,7 @@
 			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader, Message: last.address()} })
 		}
 		for range 2 {
-			answer, body, err := bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+			answer, body, err := bed.agent.ForwardOperatorRequest(t.Context(), cluster.OperatorRequest{}, nil)
 			assert.NilError(t, err)
 			assert.Equal(t, answer.Status, http.StatusOK)
 			assert.Equal(t, string(body), last.ip)
@@ -254,13 +254,13 @@
 			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader} })
 		}
 		begin := time.Now()
-		_, _, err := bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+		_, _, err := bed.agent.ForwardOperatorRequest(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrNoPrimary), "%v", err)
 		assert.Assert(t, time.Since(begin) <= time.Second)
 		for _, m := range bed.members {
 			bed.network.PowerOff(m.ip)
 		}
-		_, _, err = bed.agent.Operator(t.Context(), cluster.OperatorRequest{}, nil)
+		_, _, err = bed.agent.ForwardOperatorRequest(t.Context(), cluster.OperatorRequest{}, nil)
 		assert.Assert(t, errors.Is(err, cluster.ErrOutcomeUnknown), "%v", err)
 	})
 }
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -126,7 +126,7 @@
 // operatorCall makes an operator's call at a machine. It returns the HTTP status and the body of the response.
 func (m *machine) operatorCall(method, path, base, body string) (int, string, error) {
 	call := cluster.OperatorRequest{Method: method, Path: path, BaseVersion: base}
-	answer, answerBody, err := m.agent().Operator(context.Background(), call, []byte(body))
+	answer, answerBody, err := m.agent().ForwardOperatorRequest(context.Background(), call, []byte(body))
 	return answer.Status, string(answerBody), err
 }
 
--- a/internal/ingress/operator.go
+++ b/internal/ingress/operator.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
 
-	response, responseBody, err := h.control.Operator(ctx, newOperatorCall(r), body)
+	response, responseBody, err := h.control.ForwardOperatorRequest(ctx, newOperatorCall(r), body)
 	if err != nil || response.Status == 0 {
 		writeError(w, errControlUnreachable)
 		return
--- a/internal/ingress/operator_test.go
+++ b/internal/ingress/operator_test.go
@@ -23,7 +23,7 @@
 	err    error
 }
 
-func (c *fakeControl) Operator(
+func (c *fakeControl) ForwardOperatorRequest(
 	_ context.Context, call cluster.OperatorRequest, body []byte,
 ) (cluster.OperatorResponse, []byte, error) {
 	c.calls = append(c.calls, call)
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -26,8 +26,10 @@
 
 // ControlPlane forwards the operator's calls to the control group's primary.
 type ControlPlane interface {
-	// Operator makes a call with its body, and returns the primary's answer with its body.
-	Operator(ctx context.Context, call cluster.OperatorRequest, body []byte) (cluster.OperatorResponse, []byte, error)
+	// ForwardOperatorRequest makes a call with its body, and returns the primary's answer with its body.
+	ForwardOperatorRequest(
+		ctx context.Context, call cluster.OperatorRequest, body []byte,
+	) (cluster.OperatorResponse, []byte, error)
 }
 
 // Defaults of the options.
