--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -21,7 +21,7 @@
 type AgentOptions struct {
 	Info         func() NodeInfo // returns the identity that the process announces; called for every renewal
 	Pool         *rpc.Pool
-	Server       *rpc.Server // the agent registers its handlers of MethodPing and MethodCore there; may be nil
+	Server       *rpc.Server // the agent registers its handlers of MethodPing and MethodControlGroup there; may be nil
 	Seeds        []string    // control addresses of the seeds, "ip:port"
 	InternalPort int         // port of the internal RPC server on every machine
 	Disk         vfs.FS      // stores the members of the control group; may be nil
@@ -45,16 +45,16 @@
 
 	responseTimeout atomic.Int64 // time limit of a sync's response in addition to its wait, in nanoseconds
 
-	mutex          sync.Mutex
-	seeds          []string // internal RPC addresses
-	subscribers    []func()
-	coreSources    []func() []CoreMember
-	localDocuments func(version uint64) *configuration.Document
-	learnedCore    []CoreMember // members loaded from the disk, or named by a seed
-	primaryHint    string       // address of the member that last responded as the primary
-	applyMutex     sync.Mutex   // held while a response is applied to the snapshots
-	coreSaveMutex  sync.Mutex   // held while the members are saved
-	savedCore      []CoreMember // members that this process last saved; guarded by coreSaveMutex
+	mutex           sync.Mutex
+	seeds           []string // internal RPC addresses
+	subscribers     []func()
+	memberSources   []func() []ControlMember
+	localDocuments  func(version uint64) *configuration.Document
+	learnedMembers  []ControlMember // members loaded from the disk, or named by a seed
+	primaryHint     string          // address of the member that last responded as the primary
+	applyMutex      sync.Mutex      // held while a response is applied to the snapshots
+	memberSaveMutex sync.Mutex      // held while the members are saved
+	savedMembers    []ControlMember // members that this process last saved; guarded by memberSaveMutex
 }
 
 // NewAgent returns an agent, which does nothing until Run. It returns an error if a seed is not an address with a port.
@@ -69,11 +69,11 @@
 	}
 	agent.seeds = seeds
 	if options.Disk != nil {
-		agent.learnedCore = loadCore(options.Disk)
+		agent.learnedMembers = loadMembers(options.Disk)
 	}
 	if options.Server != nil {
 		options.Server.Handle(MethodPing, agent.handlePing)
-		options.Server.Handle(MethodCore, agent.handleCore)
+		options.Server.Handle(MethodControlGroup, agent.handleControlGroup)
 	}
 	return agent, nil
 }
@@ -113,7 +113,7 @@
 	return PingResponse{Name: info.Name, Incarnation: info.Incarnation}, nil, nil
 }
 
-// handleCore responds with the members of the control group, as far as this process knows them.
-func (a *Agent) handleCore(context.Context, *rpc.Call) (any, []byte, error) {
-	return CoreResponse{Core: a.Core()}, nil, nil
+// handleControlGroup responds with the members of the control group, as far as this process knows them.
+func (a *Agent) handleControlGroup(context.Context, *rpc.Call) (any, []byte, error) {
+	return ControlGroupInfo{Members: a.ControlGroup()}, nil, nil
 }
--- a/internal/cluster/agent_primary.go
+++ b/internal/cluster/agent_primary.go
@@ -162,7 +162,7 @@
 	if table == nil {
 		return ""
 	}
-	for _, member := range table.Core {
+	for _, member := range table.ControlGroup {
 		if member.Name == table.Primary {
 			return member.Address
 		}
--- a/internal/cluster/agent_seeds.go
+++ b/internal/cluster/agent_seeds.go
@@ -68,7 +68,7 @@
 
 // discover queries all seeds for the members of the control group until some are known or the context ends.
 func (a *Agent) discover(ctx context.Context) {
-	for ctx.Err() == nil && len(a.Core()) == 0 {
+	for ctx.Err() == nil && len(a.ControlGroup()) == 0 {
 		if !a.querySeeds(ctx) {
 			ctxtime.Sleep(ctx, seedInterval)
 		}
@@ -82,7 +82,7 @@
 	defer cancel()
 	var wait sync.WaitGroup
 	seeds := a.seedAddresses()
-	responses := make([][]CoreMember, len(seeds))
+	responses := make([][]ControlMember, len(seeds))
 	for i, seed := range seeds {
 		wait.Go(func() {
 			responses[i] = a.querySeed(ctx, seed)
@@ -92,9 +92,9 @@
 		})
 	}
 	wait.Wait()
-	for _, core := range responses {
-		if len(core) > 0 {
-			a.learnCore(core)
+	for _, members := range responses {
+		if len(members) > 0 {
+			a.learnMembers(members)
 			return true
 		}
 	}
@@ -102,14 +102,14 @@
 }
 
 // querySeed returns the members that a seed names. It returns none if the call fails.
-func (a *Agent) querySeed(ctx context.Context, seed string) []CoreMember {
-	var response CoreResponse
-	method, params := MethodCore, any(struct{}{})
+func (a *Agent) querySeed(ctx context.Context, seed string) []ControlMember {
+	var response ControlGroupInfo
+	method, params := MethodControlGroup, any(struct{}{})
 	if a.options.Register {
 		method, params = MethodRegister, a.options.Info()
 	}
 	if _, err := a.options.Pool.Get(seed).Call(ctx, method, params, nil, &response); err != nil {
 		return nil
 	}
-	return response.Core
+	return response.Members
 }
--- a/internal/cluster/agent_sync.go
+++ b/internal/cluster/agent_sync.go
@@ -155,7 +155,7 @@
 	}
 	if changed {
 		a.notify()
-		a.saveCoreInBackground()
+		a.saveMembersInBackground()
 	}
 	if err == nil && response.LeaseAgeMS != NoLease {
 		a.recordRenewal(sent.Add(-time.Duration(response.LeaseAgeMS) * time.Millisecond))
--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -90,18 +90,18 @@
 	return agent
 }
 
-func (bed *testbed) core() []cluster.CoreMember {
-	var core []cluster.CoreMember
+func (bed *testbed) controlGroup() []cluster.ControlMember {
+	var controlGroup []cluster.ControlMember
 	for _, m := range bed.members {
-		core = append(core, cluster.CoreMember{Name: m.ip, Address: m.address()})
+		controlGroup = append(controlGroup, cluster.ControlMember{Name: m.ip, Address: m.address()})
 	}
-	return core
+	return controlGroup
 }
 
 func (bed *testbed) serve(m *member) {
 	m.response.WorkersAgeMS = -1
-	m.server.Handle(cluster.MethodCore, func(context.Context, *rpc.Call) (any, []byte, error) {
-		return cluster.CoreResponse{Core: bed.core()}, nil, nil
+	m.server.Handle(cluster.MethodControlGroup, func(context.Context, *rpc.Call) (any, []byte, error) {
+		return cluster.ControlGroupInfo{Members: bed.controlGroup()}, nil, nil
 	})
 	m.server.Handle(cluster.MethodSync, func(ctx context.Context, call *rpc.Call) (any, []byte, error) {
 		var request cluster.SyncRequest
@@ -138,13 +138,13 @@
 	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
 		m := bed.members[0]
 		m.update(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 5, Core: bed.core()}
+			m.response.Table = &cluster.Table{Revision: 5, ControlGroup: bed.controlGroup()}
 			m.response.Workers = &cluster.WorkerList{Epoch: 2, Revision: 9}
 			m.response.ConfigVersion, m.body = 7, configurationJSON(7)
 		})
 		time.Sleep(time.Second)
 		m.update(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 4, Core: bed.core()}
+			m.response.Table = &cluster.Table{Revision: 4, ControlGroup: bed.controlGroup()}
 			m.response.Workers = &cluster.WorkerList{Epoch: 1, Revision: 12}
 			m.response.ConfigVersion, m.body = 6, configurationJSON(6)
 		})
@@ -160,7 +160,7 @@
 	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
 		m := bed.members[0]
 		m.update(func(m *member) {
-			m.response.Table = &cluster.Table{Revision: 5, Core: bed.core(), ReplicationFactor: 2}
+			m.response.Table = &cluster.Table{Revision: 5, ControlGroup: bed.controlGroup(), ReplicationFactor: 2}
 			m.response.ConfigVersion, m.body = 7, configurationJSON(7)
 		})
 		time.Sleep(time.Second)
@@ -274,9 +274,9 @@
 	})
 }
 
-func TestCoreMembersSurviveARestart(t *testing.T) {
+func TestControlMembersSurviveARestart(t *testing.T) {
 	runTestbed(t, 1, func(t *testing.T, bed *testbed) {
-		bed.members[0].update(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, Core: bed.core()} })
+		bed.members[0].update(func(m *member) { m.response.Table = &cluster.Table{Revision: 1, ControlGroup: bed.controlGroup()} })
 		disk := memfs.New(1)
 		ctx, cancel := context.WithCancel(t.Context())
 		first := bed.newAgent(t, disk, "10.0.0.1:8046")
@@ -290,7 +290,7 @@
 		<-done
 		disk.PowerLoss()
 		second := bed.newAgent(t, disk)
-		assert.DeepEqual(t, second.Core(), bed.core())
+		assert.DeepEqual(t, second.ControlGroup(), bed.controlGroup())
 	})
 }
 
--- a/internal/cluster/control_messages.go
+++ b/internal/cluster/control_messages.go
@@ -1,11 +1,18 @@
 package cluster
 
-// Method strings of the control plane's calls, with their parameters and results. See package controlplane.
+// Method strings of the control plane's calls, with their parameters and results. See package controlplane. A caller may
+// send any of them to any member of the control group; a member that is not the primary rejects the primary's methods
+// with rpc.CodeNotLeader and may name the primary.
 const (
-	MethodSync             = "control.sync"          // SyncRequest -> SyncResponse, at any core member that is up to date
-	MethodFailureReport    = "control.report"        // FailureReport -> empty, at any core member
-	MethodOperator         = "control.operator"      // OperatorRequest with the body -> OperatorResponse with the body
-	MethodPartitionRequest = "control.partition.ask" // PartitionRequest -> empty, at any core member
+	// MethodSync is served by any member of the control group that is up to date: SyncRequest -> SyncResponse.
+	MethodSync = "control.sync"
+	// MethodFailureReport is served by the control group's primary: FailureReport -> empty.
+	MethodFailureReport = "control.report"
+	// MethodOperator is served by the control group's primary: OperatorRequest with the body -> OperatorResponse with the
+	// body.
+	MethodOperator = "control.operator"
+	// MethodPartitionRequest is served by the control group's primary: PartitionRequest -> empty.
+	MethodPartitionRequest = "control.partition.ask"
 )
 
 // FailureReport reports to the control plane that a process could not be reached. The control plane checks the process
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -23,7 +23,7 @@
 const (
 	goldenMessages = "messages.txt"   // messages and parts of the cluster table, one value a line
 	goldenAdded    = "added.txt"      // the same with the fields that later versions have added
-	goldenCore     = "disk"           // a data directory that contains the file of the control group's members
+	goldenDisk     = "disk"           // a data directory that contains the file of the control group's members
 	goldenBody     = "compressed.bin" // a compressed body
 )
 
@@ -36,12 +36,12 @@
 func goldenNode() NodeInfo {
 	return NodeInfo{
 		Name: "store-1", Class: "store", Zone: "zone-1", Region: "region-1", Address: "10.0.0.1:7240",
-		Incarnation: "4f2a", DiskID: "disk-1", Core: true, Store: true, Draining: true, DiskFailing: true,
+		Incarnation: "4f2a", DiskID: "disk-1", ControlEligible: true, Store: true, Draining: true, DiskFailing: true,
 	}
 }
 
-func goldenMembers() []CoreMember {
-	return []CoreMember{
+func goldenMembers() []ControlMember {
+	return []ControlMember{
 		{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-2", Zone: "zone-2"},
 		{Name: "front-2", Address: "[fd00::3]:7240", DiskID: "disk-3", Zone: "zone-3"},
 	}
@@ -68,14 +68,14 @@
 
 func goldenTable() *Table {
 	return &Table{
-		Revision: 1<<63 + 7, Primary: "front-1", Core: goldenMembers(), Stores: goldenStores(),
+		Revision: 1<<63 + 7, Primary: "front-1", ControlGroup: goldenMembers(), Stores: goldenStores(),
 		Partitions: goldenPartitions(), ReplicationFactor: 3, DeliveringStores: 4,
 	}
 }
 
 func goldenTableChange() TableChange {
 	return TableChange{
-		Base: 1<<63 + 9, Primary: "front-2", Core: goldenMembers(), Stores: goldenStores(),
+		Base: 1<<63 + 9, Primary: "front-2", ControlGroup: goldenMembers(), Stores: goldenStores(),
 		Partitions: goldenPartitions(), ReplicationFactor: 5, DeliveringStores: 6,
 	}
 }
@@ -101,8 +101,8 @@
 func goldenValues() []goldenValue {
 	return []goldenValue{
 		{MethodRegister + " request", goldenNode()},
-		{MethodCore + " response", CoreResponse{Core: goldenMembers(), Bootstrap: true}},
-		{MethodAnnounce + " request", CoreResponse{Core: goldenMembers(), Bootstrap: true}},
+		{MethodControlGroup + " response", ControlGroupInfo{Members: goldenMembers(), Bootstrap: true}},
+		{MethodAnnounce + " request", ControlGroupInfo{Members: goldenMembers(), Bootstrap: true}},
 		{MethodPing + " response", PingResponse{Name: "store-1", Incarnation: "4f2a"}},
 		{MethodSync + " request", SyncRequest{
 			Node: goldenNode(), ConfigVersion: 1<<63 + 23, TableRevision: 1<<63 + 25, WorkersEpoch: 1<<63 + 27,
@@ -224,18 +224,18 @@
 	return slices.Compact(unset)
 }
 
-// TestGoldenCoreFile guards the format of the file that stores the members of the control group.
-func TestGoldenCoreFile(t *testing.T) {
+// TestGoldenMembersFile guards the format of the file that stores the members of the control group.
+func TestGoldenMembersFile(t *testing.T) {
 	path := t.TempDir()
 	disk, err := vfs.OpenDirectory(path)
 	assert.NilError(t, err)
-	assert.NilError(t, saveCore(disk, goldenMembers()))
-	contents, err := os.ReadFile(filepath.Join(path, coreFile))
+	assert.NilError(t, saveMembers(disk, goldenMembers()))
+	contents, err := os.ReadFile(filepath.Join(path, membersFile))
 	assert.NilError(t, err)
-	golden.AssertBytes(t, contents, filepath.Join(goldenCore, coreFile))
-	written, err := vfs.OpenDirectory(golden.Path(goldenCore))
+	golden.AssertBytes(t, contents, filepath.Join(goldenDisk, membersFile))
+	written, err := vfs.OpenDirectory(golden.Path(goldenDisk))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, loadCore(written), goldenMembers())
+	assert.DeepEqual(t, loadMembers(written), goldenMembers())
 }
 
 // TestGoldenCompressedBody guards against a Decompress that cannot read the bodies of earlier versions. The compressed
--- a/internal/cluster/table.go
+++ b/internal/cluster/table.go
@@ -3,12 +3,12 @@
 // Table is the cluster table that the control plane publishes. Revision grows by one with every change, also across a
 // failover of the control plane.
 type Table struct {
-	Revision          uint64       `json:"revision"`
-	Primary           string       `json:"primary"` // name of the control group's primary; it may be out of date
-	Core              []CoreMember `json:"core"`
-	Stores            []StoreEntry `json:"stores"`     // sorted by name
-	Partitions        []Partition  `json:"partitions"` // a partition's index is its ID
-	ReplicationFactor int          `json:"copies"`     // number of disks that hold a message before it is acknowledged
+	Revision          uint64          `json:"revision"`
+	Primary           string          `json:"primary"` // name of the control group's primary; it may be out of date
+	ControlGroup      []ControlMember `json:"core"`
+	Stores            []StoreEntry    `json:"stores"`     // sorted by name
+	Partitions        []Partition     `json:"partitions"` // a partition's index is its ID
+	ReplicationFactor int             `json:"copies"`     // number of disks that hold a message before it is acknowledged
 	// DeliveringStores is the number of stores that deliver messages now, or that may not have stopped delivering yet.
 	// Cluster-wide limits are divided by LimitDivisor, not by this number.
 	DeliveringStores int `json:"deliverers"`
--- a/internal/cluster/table_change.go
+++ b/internal/cluster/table_change.go
@@ -5,13 +5,13 @@
 // TableChange contains the parts of a cluster table that differ between one revision and the next. A zero value means
 // that a part has not changed.
 type TableChange struct {
-	Base              uint64       `json:"base"` // revision of the table to which the change applies
-	Primary           string       `json:"primary,omitempty"`
-	Core              []CoreMember `json:"core,omitempty"`
-	Stores            []StoreEntry `json:"stores,omitempty"`
-	Partitions        []Partition  `json:"partitions,omitempty"`
-	ReplicationFactor int          `json:"copies,omitempty"`
-	DeliveringStores  int          `json:"deliverers,omitempty"`
+	Base              uint64          `json:"base"` // revision of the table to which the change applies
+	Primary           string          `json:"primary,omitempty"`
+	ControlGroup      []ControlMember `json:"core,omitempty"`
+	Stores            []StoreEntry    `json:"stores,omitempty"`
+	Partitions        []Partition     `json:"partitions,omitempty"`
+	ReplicationFactor int             `json:"copies,omitempty"`
+	DeliveringStores  int             `json:"deliverers,omitempty"`
 }
 
 // Apply returns the table of the next revision. If the change applies to another revision, it returns the table itself
@@ -25,8 +25,8 @@
 	if change.Primary != "" {
 		next.Primary = change.Primary
 	}
-	if change.Core != nil {
-		next.Core = change.Core
+	if change.ControlGroup != nil {
+		next.ControlGroup = change.ControlGroup
 	}
 	if change.ReplicationFactor > 0 {
 		next.ReplicationFactor = change.ReplicationFactor
--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -45,7 +45,7 @@
 // Group is the part of the control group's API that a Bootstrapper uses.
 type Group interface {
 	// Members returns the members that this process last knew, or none if it cannot be a member.
-	Members() []cluster.CoreMember
+	Members() []cluster.ControlMember
 	// UpToDate reports whether this process is a member whose list of members may be served to other processes.
 	UpToDate() bool
 	// Bootstrap creates the group. It is called only at processes that may be members.
@@ -78,7 +78,7 @@
 	mutex      sync.Mutex
 	registered map[string]cluster.NodeInfo // by name
 	lastNew    time.Time                   // when an incarnation last registered for the first time
-	members    []cluster.CoreMember        // of the group, as chosen here or as reported by another process
+	members    []cluster.ControlMember     // of the group, as chosen here or as reported by another process
 }
 
 // New returns a bootstrapper. It fails if a seed's address is invalid.
@@ -101,7 +101,7 @@
 	if err := call.Decode(&info); err != nil {
 		return nil, nil, err
 	}
-	core := b.core()
+	core := b.controlGroup()
 	if len(core) == 0 && b.options.FirstStart {
 		b.register(info)
 	}
@@ -118,26 +118,26 @@
 	b.registered[info.Name] = info
 }
 
-// HandleCore serves cluster.MethodCore: it responds with the members of the group if they are known.
-func (b *Bootstrapper) HandleCore(context.Context, *rpc.Call) (any, []byte, error) {
-	return b.response(b.core()), nil, nil
+// HandleControlGroup serves cluster.MethodControlGroup: it responds with the members of the group if they are known.
+func (b *Bootstrapper) HandleControlGroup(context.Context, *rpc.Call) (any, []byte, error) {
+	return b.response(b.controlGroup()), nil, nil
 }
 
-func (b *Bootstrapper) response(core []cluster.CoreMember) cluster.CoreResponse {
-	return cluster.CoreResponse{Core: core, Bootstrap: b.options.FirstStart}
+func (b *Bootstrapper) response(core []cluster.ControlMember) cluster.ControlGroupInfo {
+	return cluster.ControlGroupInfo{Members: core, Bootstrap: b.options.FirstStart}
 }
 
-// core returns the members of the group as the agent knows them, or KnownMembers if there is no agent.
-func (b *Bootstrapper) core() []cluster.CoreMember {
+// controlGroup returns the members of the group as the agent knows them, or KnownMembers if there is no agent.
+func (b *Bootstrapper) controlGroup() []cluster.ControlMember {
 	if agent := b.options.Agent; agent != nil {
-		return agent.Core()
+		return agent.ControlGroup()
 	}
 	return b.KnownMembers()
 }
 
 // KnownMembers returns the members from this process's replica of the control state or, if it has none, those that
 // another process reported.
-func (b *Bootstrapper) KnownMembers() []cluster.CoreMember {
+func (b *Bootstrapper) KnownMembers() []cluster.ControlMember {
 	if core := b.options.Group.Members(); len(core) > 0 {
 		return core
 	}
@@ -149,12 +149,12 @@
 // HandleAnnounce serves cluster.MethodAnnounce: it stores the announced members of the group. After a restart, a
 // process without a disk has no other source of them.
 func (b *Bootstrapper) HandleAnnounce(_ context.Context, call *rpc.Call) (any, []byte, error) {
-	var announced cluster.CoreResponse
+	var announced cluster.ControlGroupInfo
 	if err := call.Decode(&announced); err != nil {
 		return nil, nil, err
 	}
-	if len(announced.Core) > 0 {
-		b.setMembers(announced.Core)
+	if len(announced.Members) > 0 {
+		b.setMembers(announced.Members)
 	}
 	return nil, nil, nil
 }
@@ -197,12 +197,12 @@
 	core := b.options.Group.Members()
 	var wait sync.WaitGroup
 	for _, seed := range b.seeds {
-		isMember := slices.ContainsFunc(core, func(member cluster.CoreMember) bool { return member.Address == seed })
+		isMember := slices.ContainsFunc(core, func(member cluster.ControlMember) bool { return member.Address == seed })
 		if isMember {
 			continue
 		}
 		wait.Go(func() {
-			announced := cluster.CoreResponse{Core: core}
+			announced := cluster.ControlGroupInfo{Members: core}
 			_, _ = b.options.Pool.Get(seed).Call(ctx, cluster.MethodAnnounce, announced, nil, nil)
 		})
 	}
@@ -219,7 +219,7 @@
 	b.started = time.Now()
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	for attempts := 0; len(b.core()) == 0; {
+	for attempts := 0; len(b.controlGroup()) == 0; {
 		select {
 		case <-ctx.Done():
 			return
@@ -255,7 +255,7 @@
 	for _, seed := range b.seeds[:rank] {
 		response, err := b.fetchMembers(ctx, seed)
 		otherLeads := err == nil && response.Bootstrap
-		if otherLeads || len(b.core()) > 0 {
+		if otherLeads || len(b.controlGroup()) > 0 {
 			return false
 		}
 	}
@@ -263,18 +263,18 @@
 }
 
 // fetchMembers asks a process for the members of the group and stores them if the process knows any.
-func (b *Bootstrapper) fetchMembers(ctx context.Context, address string) (cluster.CoreResponse, error) {
+func (b *Bootstrapper) fetchMembers(ctx context.Context, address string) (cluster.ControlGroupInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedProbeTimeout)
 	defer cancel()
-	var response cluster.CoreResponse
-	_, err := b.options.Pool.Get(address).Call(ctx, cluster.MethodCore, struct{}{}, nil, &response)
-	if err == nil && len(response.Core) > 0 {
-		b.setMembers(response.Core)
+	var response cluster.ControlGroupInfo
+	_, err := b.options.Pool.Get(address).Call(ctx, cluster.MethodControlGroup, struct{}{}, nil, &response)
+	if err == nil && len(response.Members) > 0 {
+		b.setMembers(response.Members)
 	}
 	return response, trace.Wrap(err)
 }
 
-func (b *Bootstrapper) setMembers(core []cluster.CoreMember) {
+func (b *Bootstrapper) setMembers(core []cluster.ControlMember) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.members = core
@@ -288,7 +288,7 @@
 		return
 	}
 	for _, member := range members {
-		if response, err := b.fetchMembers(ctx, member.Address); err == nil && len(response.Core) > 0 {
+		if response, err := b.fetchMembers(ctx, member.Address); err == nil && len(response.Members) > 0 {
 			return
 		}
 	}
@@ -301,7 +301,7 @@
 		return
 	}
 	b.options.Logger.Info("control group bootstrapped", zap.Int("members", len(members)))
-	b.setMembers(membership.CoreMembers(members))
+	b.setMembers(membership.ControlMembers(members))
 }
 
 // candidates returns the registered processes that may be members, in no particular order.
@@ -310,7 +310,7 @@
 	defer b.mutex.Unlock()
 	candidates := make([]cluster.NodeInfo, 0, len(b.registered))
 	for _, info := range b.registered {
-		if info.Core && info.DiskID != "" && !info.Draining {
+		if info.ControlEligible && info.DiskID != "" && !info.Draining {
 			candidates = append(candidates, info)
 		}
 	}
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -35,10 +35,10 @@
 		sim.awaitConfigurationVersion(time.Second, 3)
 		sim.awaitPlacement()
 		for _, m := range sim.machines {
-			assert.Equal(t, len(m.agent().Table().Core), 5)
+			assert.Equal(t, len(m.agent().Table().ControlGroup), 5)
 			assert.Equal(t, m.agent().Table().ReplicationFactor, 2)
 			assert.Equal(t, m.agent().Table().DeliveringStores, 3)
-			assert.Assert(t, m.agent().Table().Core[0].Zone != "")
+			assert.Assert(t, m.agent().Table().ControlGroup[0].Zone != "")
 		}
 		status, body = sim.operatorCallUntilAnswered(time.Second, http.MethodGet, read, "", "")
 		assert.Equal(t, status, http.StatusOK)
@@ -163,10 +163,10 @@
 		assert.Assert(t, wiped.diskID != oldDisk)
 		took := sim.eventually(8*time.Second, "the new disk is a member", func() bool {
 			table := sim.machine("store-0").agent().Table()
-			if len(table.Core) != 4 {
+			if len(table.ControlGroup) != 4 {
 				return false
 			}
-			for _, member := range table.Core {
+			for _, member := range table.ControlGroup {
 				if member.Name == wiped.name {
 					return member.DiskID == wiped.diskID
 				}
--- a/internal/controlplane/faults_test.go
+++ b/internal/controlplane/faults_test.go
@@ -39,7 +39,7 @@
 		late.start()
 		sim.eventually(5*time.Second, "the first seed is a member", func() bool {
 			table := late.agent().Table()
-			return table != nil && len(table.Core) == 5
+			return table != nil && len(table.ControlGroup) == 5
 		})
 	})
 }
@@ -51,7 +51,7 @@
 		time.Sleep(100 * time.Millisecond)
 		sim.machines[0].start()
 		sim.awaitPlacement()
-		sim.eventually(5*time.Second, "all are members", func() bool { return len(sim.machines[0].agent().Table().Core) == 5 })
+		sim.eventually(5*time.Second, "all are members", func() bool { return len(sim.machines[0].agent().Table().ControlGroup) == 5 })
 	})
 }
 
--- a/internal/controlplane/lease/renewal.go
+++ b/internal/controlplane/lease/renewal.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		known.forwarded.pending = false
-		if known.info.Store || known.info.Core {
+		if known.info.Store || known.info.ControlEligible {
 			renewals = append(renewals, known.forward(response, now))
 		}
 	}
--- a/internal/controlplane/localmember.go
+++ b/internal/controlplane/localmember.go
@@ -40,11 +40,11 @@
 }
 
 // Members returns the members of the group that this process last knew, or nil if it cannot be a member.
-func (m *localMember) Members() []cluster.CoreMember {
+func (m *localMember) Members() []cluster.ControlMember {
 	if m.group == nil {
 		return nil
 	}
-	return membership.CoreMembers(m.Role().View.Members)
+	return membership.ControlMembers(m.Role().View.Members)
 }
 
 // UpToDate reports whether this process may serve its replica of the control state to other processes.
--- a/internal/controlplane/machine_test.go
+++ b/internal/controlplane/machine_test.go
@@ -63,7 +63,7 @@
 // newProcess returns a process that neither listens nor runs yet.
 func (m *machine) newProcess() *process {
 	info := cluster.NodeInfo{
-		Name: m.name, Class: "front", Zone: m.zone, Core: m.core, Store: m.store,
+		Name: m.name, Class: "front", Zone: m.zone, ControlEligible: m.core, Store: m.store,
 		Address:     fmt.Sprintf("%s:%d", m.ip, internalPort),
 		Incarnation: fmt.Sprintf("%s-%d", m.name, m.starts),
 	}
--- a/internal/controlplane/membership/manager.go
+++ b/internal/controlplane/membership/manager.go
@@ -177,7 +177,7 @@
 // mayJoin reports whether a process is alive, can be a member, and is expected to stay: it neither drains nor reports a
 // failing disk.
 func mayJoin(node lease.Status) bool {
-	return node.Recent && node.Info.Core && node.Info.DiskID != "" && !node.Info.Draining && !node.Info.DiskFailing
+	return node.Recent && node.Info.ControlEligible && node.Info.DiskID != "" && !node.Info.Draining && !node.Info.DiskFailing
 }
 
 // planRemoval returns the change that removes a member that has not answered for longer than removeAfter, or nil. It
--- a/internal/controlplane/membership/manager_test.go
+++ b/internal/controlplane/membership/manager_test.go
@@ -13,7 +13,7 @@
 )
 
 func coreNode(name, disk string) lease.Status {
-	info := cluster.NodeInfo{Name: name, DiskID: disk, Core: true, Address: name + ":1"}
+	info := cluster.NodeInfo{Name: name, DiskID: disk, ControlEligible: true, Address: name + ":1"}
 	return lease.Status{Info: info, Live: true, Recent: true}
 }
 
--- a/internal/controlplane/placement/builder.go
+++ b/internal/controlplane/placement/builder.go
@@ -40,7 +40,7 @@
 	Redundancy
 
 	primary             string
-	core                []cluster.CoreMember
+	controlGroup        []cluster.ControlMember
 	stores              []cluster.StoreEntry // by name
 	partitions          []cluster.Partition
 	jobs                []controlstate.RetireJob
@@ -57,7 +57,7 @@
 	builder := &Builder{
 		Redundancy:       required,
 		primary:          table.Primary,
-		core:             table.Core,
+		controlGroup:     table.ControlGroup,
 		stores:           slices.Clone(table.Stores),
 		partitions:       slices.Clone(table.Partitions),
 		jobs:             slices.Clone(current.Jobs),
--- a/internal/controlplane/placement/diff.go
+++ b/internal/controlplane/placement/diff.go
@@ -17,8 +17,8 @@
 	if b.primary != table.Primary {
 		change.Primary, empty = b.primary, false
 	}
-	if !slices.Equal(b.core, table.Core) {
-		change.Core, empty = b.core, false
+	if !slices.Equal(b.controlGroup, table.ControlGroup) {
+		change.ControlGroup, empty = b.controlGroup, false
 	}
 	if b.ReplicationFactor != table.ReplicationFactor {
 		change.ReplicationFactor, empty = b.ReplicationFactor, false
--- a/internal/controlplane/plane.go
+++ b/internal/controlplane/plane.go
@@ -133,17 +133,17 @@
 	}
 	plane.bootstrapper = bootstrapper
 	options.Server.Handle(cluster.MethodRegister, bootstrapper.HandleRegister)
-	options.Server.Handle(cluster.MethodCore, bootstrapper.HandleCore)
+	options.Server.Handle(cluster.MethodControlGroup, bootstrapper.HandleControlGroup)
 	options.Server.Handle(cluster.MethodAnnounce, bootstrapper.HandleAnnounce)
 	if options.Agent != nil {
-		options.Agent.AddCoreSource(bootstrapper.KnownMembers)
+		options.Agent.AddControlGroupSource(bootstrapper.KnownMembers)
 		options.Agent.SetLocalDocuments(plane.document)
 	}
 	return plane, nil
 }
 
 func (p *Plane) canBeMember() bool {
-	return p.options.Info.Core && p.options.FS != nil && p.options.Info.DiskID != ""
+	return p.options.Info.ControlEligible && p.options.FS != nil && p.options.Info.DiskID != ""
 }
 
 // makeParts creates the parts that only a possible member of the group needs.
--- a/internal/controlplane/tablemanager/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -121,7 +121,7 @@
 	}
 	for _, member := range d.role.View.Members {
 		if d.random.IntN(6) == 0 {
-			d.manager.options.Leases.Renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, Core: true}, d.now)
+			d.manager.options.Leases.Renew(cluster.NodeInfo{Name: member.Name, Zone: "zone-" + member.Name, DiskID: member.DiskID, ControlEligible: true}, d.now)
 		}
 	}
 	if d.random.IntN(12) == 0 {
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -218,7 +218,7 @@
 
 // plan makes all changes of the table that follow from the leases, the group's view and the time.
 func (m *Manager) plan(builder *placement.Builder, role replication.Role, now time.Time) {
-	builder.UpdateCore(membership.CoreMembers(role.View.Members), role.View.Primary)
+	builder.UpdateControlGroup(membership.ControlMembers(role.View.Members), role.View.Primary)
 	builder.UpdateStores() // edits may have made stores retire
 	if count := builder.StoreCount(); count != m.knownStores {
 		m.knownStores, m.lastNewStore = count, now
--- a/internal/controlplane/updates/golden_test.go
+++ b/internal/controlplane/updates/golden_test.go
@@ -15,7 +15,7 @@
 	return &cluster.Table{
 		Revision: 7,
 		Primary:  "front-0",
-		Core: []cluster.CoreMember{
+		ControlGroup: []cluster.ControlMember{
 			{Name: "front-0", Address: "10.0.0.1:7240", DiskID: "disk-f0", Zone: "zone-0"},
 			{Name: "front-1", Address: "10.0.0.2:7240", DiskID: "disk-f1"},
 		},
--- a/internal/systemnode/inspection/members.go
+++ b/internal/systemnode/inspection/members.go
@@ -35,7 +35,7 @@
 	if table == nil {
 		return members
 	}
-	for _, entry := range table.Core {
+	for _, entry := range table.ControlGroup {
 		members = append(members, controlMember(entry, table.Primary))
 	}
 	leads, holds := countReplicas(table)
@@ -54,7 +54,7 @@
 	return members
 }
 
-func controlMember(entry cluster.CoreMember, primary string) Member {
+func controlMember(entry cluster.ControlMember, primary string) Member {
 	state := ControlBackup
 	if entry.Name == primary {
 		state = ControlPrimary
@@ -92,7 +92,7 @@
 	if table == nil {
 		return "", false
 	}
-	for _, entry := range table.Core {
+	for _, entry := range table.ControlGroup {
 		if entry.Name == name {
 			return entry.Address, true
 		}
--- a/internal/systemnode/inspection/status.go
+++ b/internal/systemnode/inspection/status.go
@@ -59,7 +59,7 @@
 	s.TableRevision = table.Revision
 	s.Primary = table.Primary
 	s.Copies = table.ReplicationFactor
-	s.Control = len(table.Core)
+	s.Control = len(table.ControlGroup)
 	for _, store := range table.Stores {
 		s.Stores[string(store.State)]++
 	}
--- a/internal/systemnode/inspection/views_test.go
+++ b/internal/systemnode/inspection/views_test.go
@@ -44,7 +44,7 @@
 		Revision:          9,
 		Primary:           "front-2",
 		ReplicationFactor: 2,
-		Core: []cluster.CoreMember{
+		ControlGroup: []cluster.ControlMember{
 			{Name: "front-1", Address: "10.0.0.1:7000", DiskID: "d1", Zone: "a"},
 			{Name: "front-2", Address: "10.0.0.2:7000", DiskID: "d2", Zone: "b"},
 		},
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -86,7 +86,7 @@
 		return info, trace.Wrap(err, "reading the disk's identity")
 	}
 	info.DiskID = disk
-	info.Core = n.settings.ServesParty(settings.ServesControl) && n.settings.CountsForQuorum
+	info.ControlEligible = n.settings.ServesParty(settings.ServesControl) && n.settings.CountsForQuorum
 	info.Store = n.settings.ServesParty(settings.ServesStore)
 	return info, nil
 }
