--- a/internal/cluster/agent_test.go
+++ b/internal/cluster/agent_test.go
@@ -238,9 +238,9 @@
 			m.update(func(m *member) { m.failure = &rpc.Error{Code: rpc.CodeNotLeader, Message: last.address()} })
 		}
 		for range 2 {
-			answer, body, err := bed.agent.ForwardOperatorRequest(t.Context(), cluster.OperatorRequest{}, nil)
+			response, body, err := bed.agent.ForwardOperatorRequest(t.Context(), cluster.OperatorRequest{}, nil)
 			assert.NilError(t, err)
-			assert.Equal(t, answer.Status, http.StatusOK)
+			assert.Equal(t, response.Status, http.StatusOK)
 			assert.Equal(t, string(body), last.ip)
 		}
 		bed.members[0].update(func(m *member) { assert.Assert(t, m.calls <= 1, "the agent forgot the primary") })
--- a/internal/wal/group_commit.go
+++ b/internal/wal/group_commit.go
@@ -24,7 +24,7 @@
 	next    *commitBatch  // the batch that new callers of Sync join, or nil
 	started time.Time     // when the running batch began
 	idle    chan struct{} // closed when flushBatches returns; nil while it is not running
-	retry   *time.Timer   // set while the disk is full
+	retry   *time.Timer   // starts the next attempt on a full disk; nil if none is scheduled
 }
 
 // runningDuration returns how long the running batch has taken so far, or 0 if none is running.
@@ -103,7 +103,7 @@
 	return l.group.next
 }
 
-// flushBatches syncs one batch after another until no caller waits. At most one goroutine runs it.
+// flushBatches syncs one batch after another until there is no next batch. At most one goroutine runs it.
 func (l *Log) flushBatches() {
 	for {
 		batch, extents := l.beginBatch()
@@ -119,7 +119,7 @@
 }
 
 // beginBatch starts the next batch and returns it with the pending extents, which become the extents in flight. It
-// returns nil if no caller waits.
+// returns a nil batch if there is none.
 func (l *Log) beginBatch() (*commitBatch, []*extent) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// startSegment creates the file of a segment and makes the segment the active one.
+// startSegment creates an empty file for a segment and makes the segment the active one.
 func (l *Log) startSegment(next *segment) error {
 	if l.active.segment == next {
 		return l.active.file.Truncate(0) // a failed attempt left data in the file
--- a/internal/wal/interrupted_test.go
+++ b/internal/wal/interrupted_test.go
@@ -2,12 +2,12 @@
 
 import "gladepick/internal/vfs"
 
-// interruptedFS calls interrupt, such as the disk's PowerLoss, just before the change that follows the first remaining
-// changes.
+// interruptedFS simulates a crash or a power loss at a chosen step. It counts the changes of the file system and calls
+// interrupt just before one of them.
 type interruptedFS struct {
 	vfs.FS
 	interrupt func()
-	remaining int
+	remaining int // number of changes before the interrupt
 }
 
 func (i *interruptedFS) step() {
