--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -164,7 +164,7 @@
 	requireGolden(t, goldenValues(), goldenMessages)
 }
 
-// TestGoldenAddedFields does the same with the fields that later versions have added.
+// TestGoldenAddedFields guards the JSON of the fields that later versions have added.
 func TestGoldenAddedFields(t *testing.T) {
 	for _, each := range goldenAddedValues() {
 		assert.DeepEqual(t, unsetFields(reflect.ValueOf(each.full), each.name), []string(nil))
--- a/internal/wal/atomic_file.go
+++ b/internal/wal/atomic_file.go
@@ -24,7 +24,8 @@
 func SaveFile(directory vfs.FS, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	if err := writeNewFile(directory, temporary, data); err != nil {
-		_ = directory.Remove(temporary) // best effort: Open removes a leftover too, and the next SaveFile overwrites it
+		// The first error counts: the next SaveFile overwrites a leftover, and Open removes those of snapshots.
+		_ = directory.Remove(temporary)
 		return trace.Wrap(err)
 	}
 	if err := directory.Rename(temporary, name); err != nil {
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -18,14 +18,14 @@
 	positions []Position
 }
 
-func (c *recoveredData) restore(snapshot []byte) error {
-	c.snapshot = snapshot
+func (r *recoveredData) restore(snapshot []byte) error {
+	r.snapshot = snapshot
 	return nil
 }
 
-func (c *recoveredData) replay(position Position, record []byte) error {
-	c.records = append(c.records, bytes.Clone(record))
-	c.positions = append(c.positions, position)
+func (r *recoveredData) replay(position Position, record []byte) error {
+	r.records = append(r.records, bytes.Clone(record))
+	r.positions = append(r.positions, position)
 	return nil
 }
 
--- a/internal/wal/interrupted_test.go
+++ b/internal/wal/interrupted_test.go
@@ -10,37 +10,37 @@
 	remaining int // number of changes before the interrupt
 }
 
-func (i *interruptedFS) step() {
-	if i.remaining == 0 {
-		i.interrupt()
+func (f *interruptedFS) step() {
+	if f.remaining == 0 {
+		f.interrupt()
 	}
-	i.remaining--
+	f.remaining--
 }
 
-func (i *interruptedFS) Create(name string) (vfs.File, error) {
-	i.step()
-	file, err := i.FS.Create(name)
-	return &interruptedFile{File: file, fs: i}, err
+func (f *interruptedFS) Create(name string) (vfs.File, error) {
+	f.step()
+	file, err := f.FS.Create(name)
+	return &interruptedFile{File: file, fs: f}, err
 }
 
-func (i *interruptedFS) Open(name string) (vfs.File, error) {
-	file, err := i.FS.Open(name)
-	return &interruptedFile{File: file, fs: i}, err
+func (f *interruptedFS) Open(name string) (vfs.File, error) {
+	file, err := f.FS.Open(name)
+	return &interruptedFile{File: file, fs: f}, err
 }
 
-func (i *interruptedFS) Rename(from, to string) error {
-	i.step()
-	return i.FS.Rename(from, to)
+func (f *interruptedFS) Rename(from, to string) error {
+	f.step()
+	return f.FS.Rename(from, to)
 }
 
-func (i *interruptedFS) Remove(name string) error {
-	i.step()
-	return i.FS.Remove(name)
+func (f *interruptedFS) Remove(name string) error {
+	f.step()
+	return f.FS.Remove(name)
 }
 
-func (i *interruptedFS) SyncDir() error {
-	i.step()
-	return i.FS.SyncDir()
+func (f *interruptedFS) SyncDir() error {
+	f.step()
+	return f.FS.SyncDir()
 }
 
 type interruptedFile struct {
