--- a/internal/cluster/control_messages.go
+++ b/internal/cluster/control_messages.go
@@ -1,8 +1,8 @@
 package cluster
 
-// Method strings of the control plane's calls, with their parameters and results. See package controlplane. A caller may
-// send any of them to any member of the control group. A member that is not the primary rejects the primary's methods
-// with rpc.CodeNotLeader and may name the primary.
+// Method strings of the control plane's calls, with their parameters and results. See package controlplane. A caller
+// may send any of them to any member of the control group. A member that is not the primary rejects the primary's
+// methods with rpc.CodeNotLeader and may name the primary.
 const (
 	// MethodSync is served by any member of the control group that is up to date: SyncRequest -> SyncResponse.
 	MethodSync = "control.sync"
