--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// checkItems finds what is wrong between the items of a document.
+// checkItems checks the items of a document against each other: names, references and route keys.
 func (d *Document) checkItems() Findings {
 	findings := checkUniqueNames(d.routes, fieldRoutes)
 	findings = append(findings, checkUniqueNames(d.services, fieldServices)...)
@@ -14,13 +14,13 @@
 	return append(findings, d.checkRouteKeys()...)
 }
 
-// checkUniqueNames finds items of one list that share a name.
+// checkUniqueNames reports items of one list that have the same name.
 func checkUniqueNames[Value any](items []item[Value], list string) Findings {
 	var findings Findings
 	first := make(map[string]int, len(items))
 	for i, item := range items {
 		if item.name == "" {
-			continue // reported when it was read
+			continue // parseItem has reported the missing name
 		}
 		if earlier, ok := first[item.name]; ok {
 			findings.add(itemPath(list, i, item.name), fmt.Sprintf("%s[%d] has the same name", list, earlier))
@@ -31,7 +31,7 @@
 	return findings
 }
 
-// checkRouteServices finds routes whose service does not exist.
+// checkRouteServices reports routes whose service does not exist.
 func (d *Document) checkRouteServices() Findings {
 	var findings Findings
 	services := make(map[string]bool, len(d.services))
@@ -48,19 +48,19 @@
 	return findings
 }
 
-// routeKey is what no two routes may share: the host in lower case and the path prefix.
+// routeKey is the part of a route that must be unique: the host in lower case and the path prefix.
 type routeKey struct {
 	host   string
 	prefix string
 }
 
-// checkRouteKeys finds routes that share host and prefix.
+// checkRouteKeys reports routes that have the same host and path prefix.
 func (d *Document) checkRouteKeys() Findings {
 	var findings Findings
 	first := make(map[routeKey]int, len(d.routes))
 	for i, route := range d.routes {
 		if route.value == nil || route.value.Host == "" || route.value.PathPrefix == "" {
-			continue // reported when it was read
+			continue // parseRoute has reported the missing or invalid fields
 		}
 		key := routeKey{strings.ToLower(route.value.Host), route.value.PathPrefix}
 		if earlier, ok := first[key]; ok {
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// jsonNull is the value that counts as absent.
+// jsonNull is the JSON value null, which counts as absent.
 const jsonNull = "null"
 
 // decoder ignores fields that this version does not know.
 var decoder = protojson.UnmarshalOptions{DiscardUnknown: true}
 
-// decodeMessage reads a JSON object into a message. It is stricter than protojson, which takes strings for numbers.
+// decodeMessage decodes a JSON object into a message. It is stricter than protojson, which accepts strings as numbers.
 func decodeMessage(value []byte, message proto.Message, path string) Findings {
 	if !isKind(value, '{') {
 		return Findings{{Path: path, Problem: "must be an object"}}
@@ -29,13 +29,14 @@
 	return checkNotNegative(message.ProtoReflect(), path)
 }
 
-// plainText removes the prefix and the no-break spaces that the protobuf library puts into its errors.
+// plainText returns a protobuf error's text without the prefix and the no-break spaces that the library adds.
 func plainText(err error) string {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	return strings.TrimSpace(strings.TrimPrefix(text, "proto:"))
 }
 
-// checkMemberTypes compares the members of a JSON object with the fields of a message.
+// checkMemberTypes checks the types of a JSON object's members against the fields of a message. It ignores unknown
+// members and null.
 func checkMemberTypes(object []byte, descriptor protoreflect.MessageDescriptor, path string) Findings {
 	var findings Findings
 	for _, member := range members(object) {
@@ -63,7 +64,7 @@
 	return findings
 }
 
-// checkValueType checks a single value against the type of its field.
+// checkValueType checks one value, or one element of a list, against the type of its field.
 func checkValueType(value []byte, field protoreflect.FieldDescriptor, path string) Findings {
 	first := value[0]
 	problem := ""
@@ -92,7 +93,7 @@
 	return Findings{{Path: path, Problem: problem}}
 }
 
-// checkNotNegative finds the numbers of a message that are negative.
+// checkNotNegative reports the fields of a message that hold a negative number.
 func checkNotNegative(message protoreflect.Message, path string) Findings {
 	var findings Findings
 	fields := message.Descriptor().Fields()
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Diff describes to an operator what changed from one document to another, one line for each item: first the top-level
-// members, then the routes, then the services, each sorted by name. Either document may be nil.
+// Diff returns the changes from document a to document b as text for an operator, one line for each changed item: first
+// the top-level members, then the routes, then the services, each sorted by name. Either document may be nil.
 func Diff(a, b *Document) []string {
 	if a == nil {
 		a = &Document{}
@@ -66,7 +66,7 @@
 	return lines
 }
 
-// rawByName returns the bytes of items by their names.
+// rawByName returns the JSON text of each item by the item's name.
 func rawByName[Value any](items []item[Value]) map[string][]byte {
 	byName := make(map[string][]byte, len(items))
 	for _, item := range items {
@@ -75,7 +75,7 @@
 	return byName
 }
 
-// diffFields compares two JSON objects.
+// diffFields returns the changes from one JSON object to another, sorted by the names of the members.
 func diffFields(a, b []byte) []string {
 	var changes []string
 	before := valueByName(a)
@@ -97,7 +97,7 @@
 	return byName
 }
 
-// describeChange returns how a value changed, or returns "" where it did not. A value that is nil is absent.
+// describeChange returns how a value changed, or "" if it did not. A nil value is absent.
 func describeChange(name string, before, after []byte) string {
 	switch {
 	case before == nil:
@@ -111,7 +111,7 @@
 	}
 }
 
-// unionOfKeys returns the names that are in either map, sorted.
+// unionOfKeys returns the keys of both maps, sorted and without duplicates.
 func unionOfKeys(a, b map[string][]byte) []string {
 	union := make(map[string]bool, len(a)+len(b))
 	for name := range a {
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -9,24 +9,24 @@
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative configurationpb/configuration.proto
 
-// Document is a complete configuration that has been checked. It is immutable.
+// Document is a complete, valid configuration. It is immutable.
 type Document struct {
 	raw      []byte
-	members  []member // the top-level members of raw in their order
+	members  []member // the top-level members of raw, in the order of raw
 	version  uint64
 	limits   Limits
 	routes   []item[*Route]   // in the order of raw
 	services []item[*Service] // in the order of raw
-	table    func() *Table    // makes the table at the first call
+	table    func() *Table    // builds the table at the first call
 }
 
-// Parse reads a complete configuration. An error is of the type Findings, and has everything that is wrong.
+// Parse reads a complete configuration. An error is of type Findings and lists everything that is wrong.
 func Parse(raw []byte) (*Document, error) {
 	return ParseAfter(nil, raw)
 }
 
-// ParseAfter is Parse, but takes the items that have not changed from an earlier document, which may be nil. This is
-// several times faster where most have not.
+// ParseAfter is like Parse, but reuses the unchanged items of an earlier document, which may be nil. If most items are
+// unchanged, this is several times faster than Parse.
 func ParseAfter(previous *Document, raw []byte) (*Document, error) {
 	if err := checkSyntax(raw); err != nil {
 		return nil, Findings{{Problem: err.Error()}}
@@ -47,7 +47,7 @@
 	return document.withTable(), nil
 }
 
-// readMembers fills a document from its top-level members.
+// readMembers sets the document's fields from its top-level members and returns the findings within each member.
 func (d *Document) readMembers(previous *Document) Findings {
 	findings := checkUniqueMembers(d.members)
 	header, found := readHeader(d.members)
@@ -64,13 +64,13 @@
 	return findings
 }
 
-// withTable completes a document that has been checked.
+// withTable makes the table of a checked document available and returns the document.
 func (d *Document) withTable() *Document {
 	d.table = sync.OnceValue(func() *Table { return newTable(d) })
 	return d
 }
 
-// findMember returns the value of a member, or nil.
+// findMember returns the value of the first member with the name, or nil if there is none.
 func findMember(members []member, name string) []byte {
 	for _, member := range members {
 		if member.name == name {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// checkUniqueMembers finds members whose name occurs twice.
+// checkUniqueMembers reports members whose name occurs more than once.
 func checkUniqueMembers(members []member) Findings {
 	var findings Findings
 	seen := make(map[string]bool, len(members))
@@ -93,7 +93,7 @@
 	return findings
 }
 
-// readHeader reads the members that are not lists of items.
+// readHeader decodes the members that are not lists of items: the version and the limits.
 func readHeader(members []member) (*configurationpb.Header, Findings) {
 	text := []byte{'{'}
 	for _, name := range []string{fieldVersion, fieldLimits} {
@@ -116,19 +116,19 @@
 	return header, findings
 }
 
-// quote returns a name of the wire as a JSON string.
+// quote returns a member's name as a JSON string. The name must not need escaping.
 func quote(name string) []byte {
 	return []byte(`"` + name + `"`)
 }
 
-// appendMember writes a member of an object.
+// appendMember appends a member of an object to the text.
 func appendMember(text, key, value []byte) []byte {
 	text = append(text, key...)
 	text = append(text, ':')
 	return append(text, value...)
 }
 
-// Version returns the version that the operator gave. It is 0 for nil, which stands for no configuration.
+// Version returns the version that the operator gave. It is 0 for a nil Document, which means no configuration.
 func (d *Document) Version() uint64 {
 	if d == nil {
 		return 0
@@ -136,7 +136,8 @@
 	return d.version
 }
 
-// JSON returns the whole configuration, and nil for nil. The bytes must not be changed.
+// JSON returns the whole configuration as the operator sent it, or nil for a nil Document. The caller must not change
+// the bytes.
 func (d *Document) JSON() []byte {
 	if d == nil {
 		return nil
@@ -144,7 +145,8 @@
 	return d.raw
 }
 
-// Table returns the table of routes and services. It is made at the first call. The table of nil matches nothing.
+// Table returns the table of routes and services. The first call builds it. The table of a nil Document matches
+// nothing.
 func (d *Document) Table() *Table {
 	if d == nil {
 		return emptyTable
--- a/internal/configuration/equal.go
+++ b/internal/configuration/equal.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// Equal reports whether two documents have the same JSON value. The order of members and the form of numbers (90 and
-// 90.0) don't matter, nor does the order of the routes and of the services, which are compared by name.
+// Equal reports whether two documents have the same JSON value. It ignores the order of members and the spelling of
+// numbers (90 equals 90.0). It compares routes and services by name, so their order does not matter either.
 func (d *Document) Equal(other *Document) bool {
 	if d == nil || other == nil {
 		return d == other
@@ -20,7 +20,7 @@
 		equalMembers(d.members, other.members)
 }
 
-// equalItems compares two lists by the names of their items.
+// equalItems reports whether two lists hold equal items under the same names, in any order.
 func equalItems[Value any](a, b []item[Value]) bool {
 	if len(a) != len(b) {
 		return false
@@ -38,7 +38,8 @@
 	return true
 }
 
-// equalMembers compares the top-level members, except those that are compared otherwise.
+// equalMembers reports whether two lists of top-level members have the same names and equal values. It does not compare
+// the values of the members that equalItems compares.
 func equalMembers(a, b []member) bool {
 	if len(a) != len(b) {
 		return false
@@ -63,23 +64,23 @@
 	return name == fieldRoutes || name == fieldServices
 }
 
-// equalJSON compares two JSON texts by their values.
+// equalJSON reports whether two JSON texts have the same value.
 func equalJSON(a, b []byte) bool {
 	return bytes.Equal(a, b) || equalValues(decodeAny(a), decodeAny(b))
 }
 
-// decodeAny decodes valid JSON, and keeps the texts of numbers.
+// decodeAny decodes valid JSON. Numbers become json.Number, which keeps their text.
 func decodeAny(text []byte) any {
 	var value any
 	reader := json.NewDecoder(bytes.NewReader(text))
 	reader.UseNumber()
 	if err := reader.Decode(&value); err != nil {
-		return nil // not reached: documents are valid JSON
+		return nil // unreachable: documents are valid JSON
 	}
 	return value
 }
 
-// equalValues compares two decoded JSON values.
+// equalValues reports whether two decoded JSON values are equal.
 func equalValues(a, b any) bool {
 	switch a := a.(type) {
 	case map[string]any:
@@ -96,7 +97,7 @@
 	}
 }
 
-// equalObjects compares the members of two objects.
+// equalObjects reports whether two objects have the same members.
 func equalObjects(a, b map[string]any) bool {
 	if len(a) != len(b) {
 		return false
@@ -110,7 +111,7 @@
 	return true
 }
 
-// equalArrays compares the elements of two arrays.
+// equalArrays reports whether two arrays have the same elements in the same order.
 func equalArrays(a, b []any) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/configuration/finding.go
+++ b/internal/configuration/finding.go
@@ -5,14 +5,16 @@
 	"strings"
 )
 
-// maxFindingsInText bounds the text of an error; a configuration may hold thousands of items.
+// maxFindingsInText is the maximum number of findings in the text of an error. A configuration may hold thousands of
+// items, each with findings of its own.
 const maxFindingsInText = 50
 
 // Finding is one thing that is wrong in a configuration or an update.
 type Finding struct {
-	// Path is where it is, as in `routes[3] "r-x" timeout-ms`. It is empty where the text as a whole is wrong.
+	// Path is the location of the problem, as in `routes[3] "r-x" timeout-ms`. It is empty if the text as a whole is
+	// wrong.
 	Path string
-	// Problem is what is wrong, as in "must be above 0".
+	// Problem says what is wrong, as in "must be above 0".
 	Problem string
 }
 
@@ -24,10 +26,10 @@
 	return f.Path + ": " + f.Problem
 }
 
-// Findings is everything that is wrong in a configuration or an update. It is an error.
+// Findings lists everything that is wrong in a configuration or an update. It implements error.
 type Findings []Finding
 
-// Error implements error.
+// Error implements error. The text has one finding a line, and at most maxFindingsInText findings.
 func (f Findings) Error() string {
 	var text strings.Builder
 	for i, finding := range f {
@@ -48,7 +50,7 @@
 	*f = append(*f, Finding{Path: path, Problem: problem})
 }
 
-// asError returns nil where nothing was found.
+// asError returns the findings as an error, or nil if there are none.
 func (f Findings) asError() error {
 	if len(f) == 0 {
 		return nil
@@ -56,7 +58,7 @@
 	return f
 }
 
-// joinPath appends a field's name to a path. Either may be empty.
+// joinPath appends a field's name to a path, separated by a space. Either may be empty.
 func joinPath(path, field string) string {
 	if path == "" {
 		return field
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// The golden files under testdata are configurations, updates and what is read from them. Every later version must return
-// the same bytes and findings. They are made by the flag -update and never edited.
+// The golden files under testdata are configurations, updates and what is read from them. Every later version must
+// return the same bytes and findings. They are made by the flag -update and never edited.
 
 // goldenUpdate changes something of every kind.
 const goldenUpdate = `{"version": 9.0,
--- a/internal/configuration/item.go
+++ b/internal/configuration/item.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Names of JSON members that are used more than once.
+// Names of JSON members that several functions use.
 const (
 	fieldVersion  = "version"
 	fieldRoutes   = "routes"
@@ -14,23 +14,23 @@
 	fieldName     = "name"
 )
 
-// item is a route or a service, together with the bytes that the operator sent for it.
+// item is a route or a service together with the JSON text that the operator sent for it.
 type item[Value any] struct {
 	name  string
 	raw   []byte
 	value Value
 }
 
-// parseItem reads one item. The findings name the fields but not the item's path in its list.
+// parseItem decodes and checks one item. The paths of its findings are relative to the item.
 type parseItem[Value any] func(raw []byte) (item[Value], Findings)
 
-// itemReader reads the items of one list. Items with the same bytes in the previous document are taken from there.
+// itemReader reads the items of one list. It reuses an item of the previous document if the JSON text is the same.
 type itemReader[Value any] struct {
 	parse    parseItem[Value]
-	previous map[string]item[Value] // by their bytes
+	previous map[string]item[Value] // by their JSON text
 }
 
-// newItemReader makes a reader that takes unchanged items from a list of the previous document.
+// newItemReader returns a reader that reuses unchanged items of the previous document's list.
 func newItemReader[Value any](parse parseItem[Value], previous []item[Value]) itemReader[Value] {
 	known := make(map[string]item[Value], len(previous))
 	for _, old := range previous {
@@ -39,7 +39,7 @@
 	return itemReader[Value]{parse: parse, previous: known}
 }
 
-// read returns the items of a JSON array that is at a path.
+// read returns the items of a JSON array. The paths of its findings begin with the array's path.
 func (r itemReader[Value]) read(array []byte, path string) ([]item[Value], Findings) {
 	if !isKind(array, '[') {
 		return nil, Findings{{Path: path, Problem: "must be a list"}}
@@ -52,11 +52,11 @@
 			items = append(items, item[Value]{name: old.name, raw: raw, value: old.value})
 			continue
 		}
-		read, found := r.parse(raw)
+		parsed, found := r.parse(raw)
 		for _, finding := range found {
 			findings.add(joinPath(itemPath(path, i, nameOf(raw)), finding.Path), finding.Problem)
 		}
-		items = append(items, read)
+		items = append(items, parsed)
 	}
 	return items, findings
 }
@@ -70,7 +70,7 @@
 	return path + " " + strconv.Quote(name)
 }
 
-// nameOf returns the name of an item that may be faulty, or "".
+// nameOf returns the name of an item that may be invalid, or "" if it has no name.
 func nameOf(raw []byte) string {
 	for _, member := range members(raw) {
 		if member.name == fieldName && isKind(member.value, '"') {
--- a/internal/configuration/limits.go
+++ b/internal/configuration/limits.go
@@ -6,7 +6,7 @@
 	"gladepick/internal/configuration/configurationpb"
 )
 
-// Limits that apply where the operator states none, or 0.
+// Limits that apply if the operator states none or 0.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 256 << 10
@@ -14,15 +14,15 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Limits bounds what a client may send.
+// Limits holds the bounds on the size and duration of clients' requests.
 type Limits struct {
-	MaxHeaderBytes int           // of the request line and all header fields
-	MaxBodyBytes   int           // of one message
+	MaxHeaderBytes int           // size of the request line and all header fields
+	MaxBodyBytes   int           // size of one message's body
 	HeaderTimeout  time.Duration // from a request's first byte to the end of its header
-	IdleTimeout    time.Duration // of a connection without a request
+	IdleTimeout    time.Duration // how long a connection may stay open without a request
 }
 
-// newLimits converts the limits of a configuration, which may be nil.
+// newLimits converts the limits of a configuration. A nil message yields the defaults.
 func newLimits(message *configurationpb.Limits) Limits {
 	limits := Limits{
 		MaxHeaderBytes: toInteger(message.GetMaxHeaderBytes()),
@@ -37,7 +37,7 @@
 	return limits
 }
 
-// setDefault replaces the zero value.
+// setDefault sets a field that has its zero value.
 func setDefault[Value comparable](field *Value, value Value) {
 	var zero Value
 	if *field == zero {
--- a/internal/configuration/number.go
+++ b/internal/configuration/number.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// number is a decimal number: the digits, without zeros at their ends, times ten to the exponent.
+// number is a decimal number: its digits, without leading and trailing zeros, times ten to the exponent.
 type number struct {
 	negative bool
 	digits   string
 	exponent int64
 }
 
-// canonicalNumber returns the same for all texts of one number. It is exact, whatever the number's size.
+// canonicalNumber returns the same value for every spelling of a number, such as 90, 90.0 and 9e1. All digits count;
+// exponents saturate at maxExponent.
 func canonicalNumber(text string) number {
 	mantissa, exponentText, _ := strings.Cut(strings.ToLower(text), "e")
 	negative := strings.HasPrefix(mantissa, "-")
@@ -29,10 +30,10 @@
 	return number{negative: negative, digits: trimmed, exponent: exponent}
 }
 
-// maxExponent is far above any exponent that a number may usefully have.
+// maxExponent is far above any exponent of practical use.
 const maxExponent = math.MaxInt32
 
-// parseExponent reads an exponent, which may be empty. It saturates.
+// parseExponent parses an exponent, which is 0 if the text is empty. The result saturates at ±maxExponent.
 func parseExponent(text string) int64 {
 	if text == "" {
 		return 0
@@ -47,7 +48,8 @@
 	return min(max(exponent, -maxExponent), maxExponent)
 }
 
-// toDuration converts a number of some unit. It saturates, and never rounds what is above 0 down to 0.
+// toDuration converts a number of the given unit. The result saturates at math.MaxInt64, and is at least 1 ns for a
+// value above 0.
 func toDuration(value float64, unit time.Duration) time.Duration {
 	nanoseconds := math.Round(value * float64(unit))
 	if nanoseconds >= math.MaxInt64 {
@@ -59,7 +61,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// toInteger converts a number. It saturates at math.MaxInt32, and cuts a fraction off.
+// toInteger truncates a number to an integer. The result saturates at math.MaxInt32.
 func toInteger(value float64) int {
 	if value >= math.MaxInt32 {
 		return math.MaxInt32
@@ -67,10 +69,10 @@
 	return int(value)
 }
 
-// valueOr returns the value of an optional field.
-func valueOr[Value any](field *Value, absent Value) Value {
+// valueOr returns the value of an optional field, or the fallback if the field is absent.
+func valueOr[Value any](field *Value, fallback Value) Value {
 	if field == nil {
-		return absent
+		return fallback
 	}
 	return *field
 }
--- a/internal/configuration/route.go
+++ b/internal/configuration/route.go
@@ -7,30 +7,30 @@
 	"gladepick/internal/configuration/configurationpb"
 )
 
-// Values of a route's fields that the operator left out.
+// Values of a route's optional fields if the operator omits them.
 const (
 	defaultRouteType   = "async"
 	defaultMaxAttempts = 1
 	defaultRetention   = 90 * time.Second
 )
 
-// Route says which requests are messages, and how they are delivered. It must not be changed.
+// Route defines which requests are accepted as messages, and how those are delivered. It is read-only once parsed.
 type Route struct {
 	Name          string
-	Host          string        // as the operator wrote it; compared without regard to case
+	Host          string        // as the operator wrote it; matched case-insensitively
 	PathPrefix    string        // begins with "/"
-	Service       string        // the name of the service that runs the messages
-	Type          string        // field route-type
-	Timeout       time.Duration // of one attempt
-	LatencyTarget time.Duration // for the answer to the client; field target-latency-ms
-	StartTarget   time.Duration // for the start of the first attempt; field target-start-ms
-	Retention     time.Duration // from acceptance, after which a message expires
-	Priority      int           // 0 is the highest
-	MaxAttempts   int           // 1 or more
-	Ordered       bool          // messages with one order key are delivered one after the other
+	Service       string        // name of the service whose workers process the messages
+	Type          string        // value of the field route-type
+	Timeout       time.Duration // for one attempt
+	LatencyTarget time.Duration // target for the answer to the client; field target-latency-ms
+	StartTarget   time.Duration // target for the start of the first attempt; field target-start-ms
+	Retention     time.Duration // time from acceptance until a message expires
+	Priority      int           // 0 is the highest priority
+	MaxAttempts   int           // at least 1
+	Ordered       bool          // messages with the same order key are delivered one after the other
 }
 
-// parseRoute reads and checks one route.
+// parseRoute decodes, checks and converts one route.
 func parseRoute(raw []byte) (item[*Route], Findings) {
 	message := &configurationpb.Route{}
 	findings := decodeMessage(raw, message, "")
@@ -55,7 +55,7 @@
 	return item[*Route]{name: route.Name, raw: raw, value: route}, findings
 }
 
-// checkRoute finds what is wrong in a route by itself.
+// checkRoute checks a route without regard to the other items of the configuration.
 func checkRoute(message *configurationpb.Route) Findings {
 	var findings Findings
 	required := []struct{ field, value string }{
--- a/internal/configuration/scan.go
+++ b/internal/configuration/scan.go
@@ -7,14 +7,15 @@
 	"unicode/utf8"
 )
 
-// member is one name and value of a JSON object. Key and value are the bytes as they were written.
+// member is one member of a JSON object. The key (with its quotes) and the value are the bytes of the text.
 type member struct {
 	name  string
 	key   []byte
 	value []byte
 }
 
-// checkSyntax reports whether text is one JSON value in UTF-8. The other functions of this file rely on it.
+// checkSyntax returns an error unless text is one JSON value in UTF-8. The other functions of this file require text
+// that has passed this check.
 func checkSyntax(text []byte) error {
 	if !utf8.Valid(text) {
 		return fmt.Errorf("not valid UTF-8")
@@ -30,13 +31,13 @@
 	return err
 }
 
-// scanner walks over valid JSON without decoding it.
+// scanner reads valid JSON without decoding it.
 type scanner struct {
 	text     []byte
 	position int
 }
 
-// members returns the members of a JSON object in their order, and nil for any other value.
+// members returns the members of a JSON object in the order of the text, or nil for any other value.
 func members(object []byte) []member {
 	if !isKind(object, '{') {
 		return nil
@@ -54,7 +55,7 @@
 	return found
 }
 
-// elements returns the elements of a JSON array, and nil for any other value.
+// elements returns the elements of a JSON array, or nil for any other value.
 func elements(array []byte) [][]byte {
 	if !isKind(array, '[') {
 		return nil
@@ -69,13 +70,14 @@
 	return found
 }
 
-// isKind reports whether a value begins with a byte, which tells objects, arrays and strings from the rest.
+// isKind reports whether a value is of the kind that begins with the given byte: '{' for an object, '[' for an array,
+// '"' for a string.
 func isKind(value []byte, first byte) bool {
 	value = bytes.TrimLeft(value, " \t\r\n")
 	return len(value) > 0 && value[0] == first
 }
 
-// unquote returns the text of a JSON string.
+// unquote decodes a JSON string.
 func unquote(quoted []byte) string {
 	if bytes.IndexByte(quoted, '\\') < 0 {
 		return string(quoted[1 : len(quoted)-1])
@@ -87,7 +89,7 @@
 	return text
 }
 
-// more passes a comma, and reports whether another member or element stands before the closing byte.
+// more skips a comma, if there is one, and reports whether another member or element precedes the closing byte.
 func (s *scanner) more(closing byte) bool {
 	s.skipSpace()
 	if s.position < len(s.text) && s.text[s.position] == ',' {
@@ -97,7 +99,7 @@
 	return s.position < len(s.text) && s.text[s.position] != closing
 }
 
-// skipSpace passes white space.
+// skipSpace skips white space.
 func (s *scanner) skipSpace() {
 	for s.position < len(s.text) {
 		switch s.text[s.position] {
@@ -109,7 +111,7 @@
 	}
 }
 
-// value passes a value and returns its bytes, without the space around it.
+// value skips the next value and returns its bytes without the surrounding white space.
 func (s *scanner) value() []byte {
 	s.skipSpace()
 	start := s.position
@@ -124,7 +126,7 @@
 	return s.text[start:s.position:s.position]
 }
 
-// skipString passes a string.
+// skipString skips a string.
 func (s *scanner) skipString() {
 	for s.position++; s.position < len(s.text); s.position++ {
 		switch s.text[s.position] {
@@ -137,7 +139,7 @@
 	}
 }
 
-// skipNested passes an object or an array.
+// skipNested skips an object or an array.
 func (s *scanner) skipNested() {
 	depth := 0
 	for s.position < len(s.text) {
@@ -157,7 +159,7 @@
 	}
 }
 
-// skipLiteral passes a number, a truth value or null.
+// skipLiteral skips a number, true, false or null.
 func (s *scanner) skipLiteral() {
 	for s.position < len(s.text) {
 		switch s.text[s.position] {
--- a/internal/configuration/service.go
+++ b/internal/configuration/service.go
@@ -7,21 +7,21 @@
 	"gladepick/internal/configuration/configurationpb"
 )
 
-// defaultProtocol is the protocol of a service for which the operator states none.
+// defaultProtocol is the protocol of a service if the operator states none.
 const defaultProtocol = "h1"
 
-// Service describes a group of workers. It must not be changed.
+// Service describes a group of workers. It is read-only once parsed.
 type Service struct {
 	Name               string
 	HealthCheck        string  // path of the health check
 	Protocol           string  // "h1" for HTTP/1.1
-	StaticEndpoint     string  // host:port of the single endpoint; empty where the workers are discovered
-	MaxConnections     int     // of one worker, across all callers; 0 where none is stated
-	RateLimitPerSecond float64 // requests a second over all stores; 0 where there is no rate limit
-	Deduplicates       bool    // the workers recognise a repeated request; field dedup
+	StaticEndpoint     string  // host:port of the only endpoint; empty if the workers are discovered
+	MaxConnections     int     // to one worker from all callers together; 0 if not stated
+	RateLimitPerSecond float64 // requests per second across all stores; 0 for no rate limit
+	Deduplicates       bool    // the workers detect repeated requests; field dedup
 }
 
-// parseService reads and checks one service.
+// parseService decodes, checks and converts one service.
 func parseService(raw []byte) (item[*Service], Findings) {
 	message := &configurationpb.Service{}
 	findings := decodeMessage(raw, message, "")
@@ -46,7 +46,7 @@
 	return item[*Service]{name: service.Name, raw: raw, value: service}, findings
 }
 
-// isEndpoint reports whether a text is host:port.
+// isEndpoint reports whether a text has the form host:port, with a port from 1 to 65535.
 func isEndpoint(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || host == "" {
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Table is an immutable snapshot of a configuration, made for look-ups.
+// Table is an immutable snapshot of a configuration, indexed for look-ups by request and by name.
 type Table struct {
 	Version uint64
 	Limits  Limits
@@ -17,17 +17,18 @@
 	hosts         map[string]*hostRoutes
 }
 
-// emptyTable is the table of a process that has no configuration.
+// emptyTable is the table of a process without a configuration: default limits and no routes.
 var emptyTable = &Table{Limits: newLimits(nil)}
 
 // hostRoutes holds the routes of one host, sorted by prefix.
 type hostRoutes struct {
 	routes []*Route
-	// parents holds for each route the position of the longest other prefix that starts its own, or -1.
+	// parents[i] is the index of the route with the longest path prefix that is a proper prefix of
+	// routes[i].PathPrefix, or -1 if there is none.
 	parents []int
 }
 
-// newTable builds the table of a document that has been checked.
+// newTable builds the table of a checked document.
 func newTable(document *Document) *Table {
 	table := &Table{
 		Version:       document.version,
@@ -51,7 +52,7 @@
 	return table
 }
 
-// addRoute enters a route in a table under construction.
+// addRoute adds a route to a table under construction.
 func (t *Table) addRoute(route *Route) {
 	t.routes = append(t.routes, route)
 	t.routeByName[route.Name] = route
@@ -62,8 +63,9 @@
 	t.hosts[host].routes = append(t.hosts[host].routes, route)
 }
 
-// Match returns the route of a request: of those with its host, which is compared without its port and without
-// regard to case, the one with the longest prefix that starts the path. It returns nil where there is none.
+// Match returns the route of a request, or nil if no route matches. Among the routes of the request's host, it chooses
+// the one with the longest path prefix of the request's path. Hosts are compared case-insensitively and without the
+// request's port.
 func (t *Table) Match(host, path string) *Route {
 	if t == nil {
 		return nil
@@ -75,7 +77,7 @@
 	return routes.match(path)
 }
 
-// Route returns a route by its name, or nil.
+// Route returns the route with the name, or nil if there is none.
 func (t *Table) Route(name string) *Route {
 	if t == nil {
 		return nil
@@ -83,7 +85,7 @@
 	return t.routeByName[name]
 }
 
-// Service returns a service by its name, or nil.
+// Service returns the service with the name, or nil if there is none.
 func (t *Table) Service(name string) *Service {
 	if t == nil {
 		return nil
@@ -91,7 +93,7 @@
 	return t.serviceByName[name]
 }
 
-// Routes returns all routes sorted by name. The slice must not be changed.
+// Routes returns all routes sorted by name. The caller must not change the slice.
 func (t *Table) Routes() []*Route {
 	if t == nil {
 		return nil
@@ -99,7 +101,7 @@
 	return t.routes
 }
 
-// Services returns all services sorted by name. The slice must not be changed.
+// Services returns all services sorted by name. The caller must not change the slice.
 func (t *Table) Services() []*Service {
 	if t == nil {
 		return nil
@@ -107,7 +109,7 @@
 	return t.services
 }
 
-// sort orders the routes by prefix and links each to its parent.
+// sort sorts the routes by path prefix and sets their parents.
 func (h *hostRoutes) sort() {
 	slices.SortFunc(h.routes, func(a, b *Route) int { return strings.Compare(a.PathPrefix, b.PathPrefix) })
 	h.parents = make([]int, len(h.routes))
@@ -116,8 +118,8 @@
 	}
 }
 
-// ancestor goes from a position up through the parents, to the first prefix that starts the path. It returns -1 where
-// there is none.
+// ancestor follows the parents from a position to the first route whose path prefix is a prefix of the path, and
+// returns that route's position. It returns -1 if there is none.
 func (h *hostRoutes) ancestor(position int, path string) int {
 	for position >= 0 && !strings.HasPrefix(path, h.routes[position].PathPrefix) {
 		position = h.parents[position]
@@ -125,23 +127,25 @@
 	return position
 }
 
-// match returns the route with the longest prefix that starts the path, or nil. Every prefix of the path sorts at or
-// before the last prefix that is not above the path, and starts that one too: so it is among its ancestors.
+// match returns the route with the longest path prefix of the path, or nil if there is none. Let last be the last route
+// whose path prefix does not sort after the path. A path prefix that matches the path sorts at or before last, and is
+// also a prefix of last's path prefix. The search can therefore be limited to last and its ancestors.
 func (h *hostRoutes) match(path string) *Route {
-	above, found := slices.BinarySearchFunc(h.routes, path, func(route *Route, path string) int {
+	insertion, found := slices.BinarySearchFunc(h.routes, path, func(route *Route, path string) int {
 		return strings.Compare(route.PathPrefix, path)
 	})
 	if found {
-		return h.routes[above]
+		return h.routes[insertion]
 	}
-	position := h.ancestor(above-1, path)
+	position := h.ancestor(insertion-1, path)
 	if position < 0 {
 		return nil
 	}
 	return h.routes[position]
 }
 
-// withoutPort removes the port of a host. The colons of an IPv6 address stand in brackets.
+// withoutPort returns a host without its port. The colons of an IPv6 address are in brackets, so they do not start a
+// port.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || colon < strings.LastIndexByte(host, ']') {
--- a/internal/configuration/unknown.go
+++ b/internal/configuration/unknown.go
@@ -8,38 +8,40 @@
 	"gladepick/internal/configuration/configurationpb"
 )
 
-// notRead is the problem of a member that this version does not know. The wire ignores it, since later versions may know
-// it; in a file it is most likely misspelt.
+// notRead is the problem of a member that this version does not know. Parse and Update ignore such a member, because a
+// later version may define it. In a file that an operator checks, it is most likely misspelt.
 const notRead = "is not read"
 
-// unusedMembers are members of routes and services that operators' pages have, and that this service has no use for.
+// unusedMembers are members of routes and services that the documentation for operators lists and this program does not
+// use. They are not reported as unknown.
 var unusedMembers = []string{"callback-url", "pull-mode", "tls"}
 
-// memberKinds are the members of an object that are read, with the messages that they hold; nil where they hold no objects.
-type memberKinds map[string]protoreflect.MessageDescriptor
+// knownMembers maps the name of each member that is read from an object to the message type of the member's value. The
+// type is nil if the members of the value are not to be checked against a message.
+type knownMembers map[string]protoreflect.MessageDescriptor
 
 // The members of a configuration, of an update, and of an update's member upsert.
 var (
-	documentMembers = memberKinds{
+	documentMembers = knownMembers{
 		fieldVersion:  nil,
 		fieldLimits:   (&configurationpb.Limits{}).ProtoReflect().Descriptor(),
 		fieldRoutes:   (&configurationpb.Route{}).ProtoReflect().Descriptor(),
 		fieldServices: (&configurationpb.Service{}).ProtoReflect().Descriptor(),
 	}
-	updateMembers = memberKinds{
+	updateMembers = knownMembers{
 		fieldVersion: nil,
-		fieldUpsert:  nil, // see UnknownUpdateMembers
+		fieldUpsert:  nil, // UnknownUpdateMembers checks it against upsertMembers
 		fieldRemove:  (&configurationpb.Removal{}).ProtoReflect().Descriptor(),
 	}
-	upsertMembers = memberKinds{
+	upsertMembers = knownMembers{
 		fieldLimits:   documentMembers[fieldLimits],
 		fieldRoutes:   documentMembers[fieldRoutes],
 		fieldServices: documentMembers[fieldServices],
 	}
 )
 
-// UnknownMembers lists the members of a complete configuration that are not read, with their places. Of a text that is no
-// JSON it lists none: Parse tells what is wrong with that.
+// UnknownMembers returns a finding for each member of a complete configuration that this version does not read. It
+// returns none for a text that is not valid JSON; Parse reports what is wrong with such a text.
 func UnknownMembers(raw []byte) Findings {
 	if checkSyntax(raw) != nil {
 		return nil
@@ -47,7 +49,7 @@
 	return unknownMembers(raw, documentMembers, "")
 }
 
-// UnknownUpdateMembers is UnknownMembers for an update.
+// UnknownUpdateMembers is like UnknownMembers, but for an update.
 func UnknownUpdateMembers(raw []byte) Findings {
 	if checkSyntax(raw) != nil {
 		return nil
@@ -57,27 +59,28 @@
 	return append(findings, unknownMembers(upsert, upsertMembers, fieldUpsert)...)
 }
 
-// unknownMembers looks at an object of which some members are known.
-func unknownMembers(object []byte, known memberKinds, path string) Findings {
+// unknownMembers returns a finding for each unknown member of an object, and for those nested in its known members.
+func unknownMembers(object []byte, known knownMembers, path string) Findings {
 	var findings Findings
 	for _, member := range members(object) {
-		place := member.name
+		memberPath := member.name
 		if path != "" {
-			place = path + "." + member.name
+			memberPath = path + "." + member.name
 		}
 		descriptor, found := known[member.name]
 		switch {
 		case !found:
-			findings.add(place, notRead)
+			findings.add(memberPath, notRead)
 		case descriptor != nil:
-			findings = append(findings, unknownIn(member.value, descriptor, place)...)
+			findings = append(findings, unknownFields(member.value, descriptor, memberPath)...)
 		}
 	}
 	return findings
 }
 
-// unknownIn looks at a value: an object, or a list of objects, of which a message has the fields.
-func unknownIn(value []byte, descriptor protoreflect.MessageDescriptor, path string) Findings {
+// unknownFields returns a finding for each unknown member of a value, which is an object or a list of objects of one
+// message type.
+func unknownFields(value []byte, descriptor protoreflect.MessageDescriptor, path string) Findings {
 	var findings Findings
 	for _, member := range members(value) {
 		if descriptor.Fields().ByJSONName(member.name) == nil && !slices.Contains(unusedMembers, member.name) {
@@ -85,7 +88,7 @@
 		}
 	}
 	for i, element := range elements(value) {
-		findings = append(findings, unknownIn(element, descriptor, itemPath(path, i, nameOf(element)))...)
+		findings = append(findings, unknownFields(element, descriptor, itemPath(path, i, nameOf(element)))...)
 	}
 	return findings
 }
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -10,11 +10,11 @@
 	fieldRemove = "remove"
 )
 
-// update is an operator's change of named items.
+// update is a decoded update: the items to add, replace or remove, and the new version and limits.
 type update struct {
 	version        uint64
 	versionRaw     []byte
-	limits         *configurationpb.Limits // nil where they stay
+	limits         *configurationpb.Limits // nil if the limits stay unchanged
 	limitsRaw      []byte
 	routes         []item[*Route]   // to add or to replace
 	services       []item[*Service] // to add or to replace
@@ -22,9 +22,9 @@
 	removeServices []string
 }
 
-// Update returns the document after an update: items to add, or to put in the place of those with their names, and
-// names to remove. What is upserted and also removed is gone. The result is checked as a whole. An error is of the
-// type Findings. The caller compares the versions, see CheckVersion.
+// Update returns the document that results from an update. The update lists items to add, items that replace those of
+// the same name, and names of items to remove. An item that is both upserted and removed is removed. Update checks the
+// result as a whole. An error is of type Findings. The caller must compare the versions with CheckVersion.
 func (d *Document) Update(raw []byte) (*Document, error) {
 	if d == nil {
 		return nil, Findings{{Problem: "no configuration to update"}}
@@ -40,7 +40,7 @@
 	return next.withTable(), nil
 }
 
-// parseUpdate reads an update.
+// parseUpdate decodes an update and checks each of its items.
 func parseUpdate(raw []byte) (*update, Findings) {
 	if err := checkSyntax(raw); err != nil {
 		return nil, Findings{{Problem: err.Error()}}
@@ -110,8 +110,8 @@
 	return findings
 }
 
-// apply returns the changed document, not yet checked. It copies everything into bytes of its own, so that no
-// document keeps the bytes of earlier ones in memory.
+// apply returns the changed document, not yet checked. It copies all bytes into a new buffer, so that the new document
+// does not keep the buffers of earlier ones in memory.
 func (d *Document) apply(change *update, changeSize int) *Document {
 	next := &Document{version: change.version, limits: d.limits}
 	if change.limits != nil {
@@ -144,7 +144,8 @@
 	return next
 }
 
-// membersFor returns the top-level members, with one for limits where the update brings the first.
+// membersFor returns the top-level members of the changed document. It adds a member for the limits if the update has
+// limits and the document has none.
 func (d *Document) membersFor(change *update) []member {
 	if change.limitsRaw == nil || findMember(d.members, fieldLimits) != nil {
 		return d.members
@@ -154,7 +155,7 @@
 	return append(extended, member{name: fieldLimits, key: quote(fieldLimits)})
 }
 
-// limitsOrOld returns the new limits, or the old ones where they stay.
+// limitsOrOld returns the update's limits, or the old ones if the update has none.
 func (u *update) limitsOrOld(old []byte) []byte {
 	if u.limitsRaw != nil {
 		return u.limitsRaw
@@ -162,7 +163,8 @@
 	return old
 }
 
-// applyItems returns a list after the change.
+// applyItems returns a copy of a list after the upserts and removals. Replaced items keep their position; new items
+// follow at the end.
 func applyItems[Value any](old, upsert []item[Value], remove []string) []item[Value] {
 	positions := make(map[string]int, len(old)+len(upsert))
 	items := make([]item[Value], 0, len(old)+len(upsert))
@@ -180,7 +182,7 @@
 	return removeItems(items, remove)
 }
 
-// removeItems returns a list without some names. It reuses the list's memory.
+// removeItems returns a list without the items of the given names. It reuses the list's memory.
 func removeItems[Value any](items []item[Value], names []string) []item[Value] {
 	if len(names) == 0 {
 		return items
@@ -198,7 +200,8 @@
 	return kept
 }
 
-// appendItems writes a list of items, and returns them with their bytes in the text.
+// appendItems appends a list of items to the text as a JSON array. It returns the text and the items with their bytes
+// in it.
 func appendItems[Value any](text []byte, items []item[Value]) ([]byte, []item[Value]) {
 	moved := make([]item[Value], 0, len(items))
 	if len(items) == 0 {
@@ -213,7 +216,8 @@
 	return append(text, ']'), moved
 }
 
-// separator returns what precedes a member or an element: the opening byte, or a comma.
+// separator returns the byte that precedes a member or an element: the opening byte before the first, otherwise a
+// comma.
 func separator(index int, opening byte) byte {
 	if index == 0 {
 		return opening
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// VersionError reports a version that is not above the current one.
+// VersionError is the error for a version that is not above the current one.
 type VersionError struct {
 	Next    uint64
 	Current uint64
