--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for durations that a context may cut short. It owns no goroutines and no locks.
+// Package ctxtime provides a sleep that ends early if its context ends. It starts no goroutines and has no locks.
 package ctxtime
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration, or until the context ends, and reports whether the whole duration has passed. For a
-// duration of zero or less it returns at once, and reports whether the context has not ended.
+// Sleep waits for the duration or until the context ends, and reports whether the whole duration has passed. If the
+// duration is zero or negative, Sleep returns at once and reports whether the context is still active.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/modelcheck/model.go
+++ b/internal/modelcheck/model.go
@@ -1,19 +1,19 @@
 package modelcheck
 
-// Step is a state that may follow another one, and how it comes about.
+// Step is a transition of a model to a following state.
 type Step[State any] struct {
-	Name  string // what happens; empty unless names were asked for
+	Name  string // what happens; may be empty if the caller did not ask for names
 	State State
 }
 
-// Model is a protocol with its rules and bounds. A state is a value: two states that compare as equal are the same
-// state.
+// Model is a protocol with its transitions, invariants and bounds. A state is a value: two states that compare equal
+// are the same state.
 type Model[State comparable] interface {
 	// Start returns the initial state.
 	Start() State
-	// Next returns all states that may follow, always in the same order. Their names cost time, so they are given only where
-	// named is set.
+	// Next returns all steps that may follow a state, always in the same order. Names are costly to build, so steps
+	// need names only if named is set.
 	Next(state *State, named bool) []Step[State]
-	// Violation returns which invariant a state breaks; "" for none.
+	// Violation returns a description of the invariant that a state violates, or "" if it violates none.
 	Violation(state *State) string
 }
--- a/internal/modelcheck/random_walk.go
+++ b/internal/modelcheck/random_walk.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// RandomWalk takes random steps, drawn from a seed. It returns nil, or, where they lead to a violation, the names of
-// the steps and then the violation.
+// RandomWalk takes up to length random steps, drawn from the seed. If they lead to a violation, it returns the names of
+// the steps followed by the violation; otherwise it returns nil.
 func RandomWalk[State comparable](model Model[State], seed uint64, length int) []string {
 	if randomWalk(model, seed, length, false) == nil {
 		return nil
@@ -11,8 +11,8 @@
 	return randomWalk(model, seed, length, true)
 }
 
-// randomWalk is RandomWalk, with or without names: these are costly, so only walks that have failed are repeated
-// with them.
+// randomWalk implements RandomWalk with or without the names of steps. Names are costly to build, so RandomWalk asks
+// for them only when it repeats a walk that has found a violation.
 func randomWalk[State comparable](model Model[State], seed uint64, length int, named bool) []string {
 	random := rand.New(rand.NewPCG(seed, seed))
 	state := model.Start()
@@ -25,8 +25,8 @@
 		step := steps[random.IntN(len(steps))]
 		state = step.State
 		taken = append(taken, step.Name)
-		if broken := model.Violation(&state); broken != "" {
-			return append(taken, broken)
+		if violation := model.Violation(&state); violation != "" {
+			return append(taken, violation)
 		}
 	}
 	return nil
--- a/internal/modelcheck/replay.go
+++ b/internal/modelcheck/replay.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Replay takes the steps with the given names. It returns the state that they lead to, or the first name that no
-// step has.
+// Replay takes the steps with the given names in order and returns the state that they lead to. If no possible step has
+// the next name, it stops, and returns the state before it and that name as missing.
 func Replay[State comparable](model Model[State], names []string) (state State, missing string) {
 	state = model.Start()
 	for _, name := range names {
 		steps := model.Next(&state, true)
-		found := slices.IndexFunc(steps, func(step Step[State]) bool { return step.Name == name })
-		if found < 0 {
+		index := slices.IndexFunc(steps, func(step Step[State]) bool { return step.Name == name })
+		if index < 0 {
 			return state, name
 		}
-		state = steps[found].State
+		state = steps[index].State
 	}
 	return state, ""
 }
--- a/internal/priorityqueue/priorityqueue.go
+++ b/internal/priorityqueue/priorityqueue.go
@@ -1,15 +1,15 @@
-// Package priorityqueue has a binary heap of typed items. It does what container/heap does, in the same steps, without an
-// interface value an item and without the five methods that each type of items would have to repeat.
+// Package priorityqueue implements a priority queue as a binary heap of typed items. It takes the same steps as
+// container/heap, but stores no item in an interface value and requires one method of an item type instead of five.
 package priorityqueue
 
-// Item is what a Queue holds: a type that tells its own order.
+// Item is the constraint for the items of a Queue: a type that defines its own order.
 type Item[T any] interface {
-	// Before tells whether the item is to leave the queue before the other one.
+	// Before reports whether the item must leave the queue before the other item.
 	Before(other T) bool
 }
 
-// Queue is a priority queue. Its first element is the next one to leave; the others stand in heap order. The zero value
-// is an empty queue. Items of which neither is before the other leave in no particular order.
+// Queue is a priority queue. Its first element is the next item that Pop returns; the others are in heap order. The
+// zero value is an empty queue. Two items of which neither is before the other leave in no particular order.
 type Queue[T Item[T]] []T
 
 // Push adds an item.
@@ -26,12 +26,12 @@
 	q.down(last)
 	first := items[last]
 	var zero T
-	items[last] = zero // the queue's memory keeps nothing alive that has left
+	items[last] = zero // so that the queue's array does not keep a removed item reachable
 	*q = items[:last]
 	return first
 }
 
-// up moves an item towards the front until its parent is not behind it.
+// up moves the item at the index towards the front until it is not before its parent.
 func (q *Queue[T]) up(index int) {
 	items := *q
 	for index > 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// down moves the first item towards the back of the first length items until no child is before it.
+// down moves the first item towards the back until no child is before it. It considers only the first length items.
 func (q *Queue[T]) down(length int) {
 	items := *q
 	index := 0
--- a/internal/programname/programname.go
+++ b/internal/programname/programname.go
@@ -1,5 +1,5 @@
-// Package programname keeps the former names of the programs working. The build makes each former name a symbolic
-// link to the program; a program that is started by such a link says once which name to use from now on.
+// Package programname supports the former names of renamed programs. The build makes each former name a symbolic link
+// to the program. A program that is started through such a link writes once which name to use instead.
 package programname
 
 import (
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// WarnIfFormer writes one line to w if the program was started by its former name. The argument started is the
-// program's os.Args[0].
+// WarnIfFormer writes a one-line warning to w if the program was started by its former name. started is the program's
+// os.Args[0], former its old name and current its new one.
 func WarnIfFormer(w io.Writer, started, former, current string) {
 	if filepath.Base(started) == former {
 		fmt.Fprintf(w, "%s: this program is now called %s; the former name goes on working\n", former, current)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -1,6 +1,6 @@
 package settings
 
-// decodeSettings converts the whole file. The order of the keys is the order of the findings.
+// decodeSettings decodes the whole file. It reports findings in the order in which it reads the keys.
 func decodeSettings(top section) *Settings {
 	settings := &Settings{
 		Node:              top.text("node"),
@@ -32,7 +32,8 @@
 	return settings
 }
 
-// decodePorts reads a range of ports. A list of another length is an empty range, which check reports.
+// decodePorts decodes a range of ports from a list of two numbers. A list of another length yields an empty range,
+// which Settings.check reports.
 func decodePorts(from section, key string) PortRange {
 	ports := from.integerList(key)
 	if len(ports) != 2 {
@@ -41,7 +42,7 @@
 	return PortRange{First: ports[0], Last: ports[1]}
 }
 
-// decodeListenAddresses reads where the process listens.
+// decodeListenAddresses decodes the addresses that the process listens on.
 func decodeListenAddresses(from section) ListenAddresses {
 	return ListenAddresses{
 		Front:   from.text("front"),
@@ -50,7 +51,7 @@
 	}
 }
 
-// decodeLimits reads the resources of the process.
+// decodeLimits decodes the resources of the process.
 func decodeLimits(from section) Limits {
 	return Limits{
 		CPUShare: from.number("cpu-share", defaultCPUShare),
@@ -62,7 +63,7 @@
 	}
 }
 
-// decodeFaultTolerance reads how much may be lost at once.
+// decodeFaultTolerance decodes how many machines, zones and regions may fail at once.
 func decodeFaultTolerance(from section) FaultTolerance {
 	return FaultTolerance{
 		Machines: from.integer("machines", 0),
@@ -71,7 +72,7 @@
 	}
 }
 
-// decodeBounds reads the figures of the rules.
+// decodeBounds decodes the bounds that the contracts set.
 func decodeBounds(from section) Bounds {
 	return Bounds{
 		SeedLag:            from.seconds("seed-lag-s", defaultSeedLag),
@@ -96,7 +97,7 @@
 	}
 }
 
-// decodeCloud reads how to reach the platform's list of workers.
+// decodeCloud decodes how to reach the platform's list of workers.
 func decodeCloud(from section) Cloud {
 	return Cloud{
 		Address:       from.text("address"),
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values of fields that are absent or empty.
+// Values of keys that are absent or empty.
 const (
 	defaultHeartbeatInterval  = time.Second
 	defaultCPUShare           = 0.2 // of a core
@@ -14,7 +14,7 @@
 	defaultCloudLag           = time.Second
 )
 
-// Bounds that are absent or empty.
+// Values of keys of the table bounds that are absent or empty.
 const (
 	defaultSeedLag            = 3 * time.Second
 	defaultReuseAfter         = 2 * time.Second
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,13 +1,13 @@
 // Package settings reads the settings file of a process.
 //
-// The file is TOML. Fields that this version does not know are ignored. A field that is absent or empty takes its
-// default; only what no process can do without is required. Everything that is wrong in a file is reported at once, as
-// Findings.
+// The file is TOML. Keys that this version does not know are ignored. A key that is absent or empty takes its default;
+// the only required keys are those without which no process can run. Load and Parse report everything that is wrong in
+// a file at once, as Findings.
 //
-// The names of the keys and the defaults are a contract with operators: the files under testdata hold each key with the
-// value that is read from it. Keys carry their unit ("-ms", "-s", "-mb"); values of this package are time.Duration, or
-// carry the unit in their name.
+// The names of the keys and the defaults are a contract with operators. The files under testdata therefore hold each
+// key together with the value read from it. Names of keys carry their unit ("-ms", "-s", "-mb"). In this package a
+// value is a time.Duration or carries the unit in its name.
 //
-// The package starts no goroutine, and has no state: Settings are not changed after they were read, so they may be shared.
-// Start reading at Load; decode.go names each key, and section.go says how a value of a type is read.
+// The package starts no goroutine and has no state. Settings do not change after they are read, so goroutines may share
+// them. Start reading at Load; decode.go names each key, and section.go reads values by type.
 package settings
--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -4,12 +4,12 @@
 
 // Finding is one thing that is wrong in a settings file.
 type Finding struct {
-	File    string // path of the file
-	Key     string // with the names of its tables, as in "bounds.grace-s"; empty where the file as a whole is wrong
-	Problem string // what is wrong, as in "missing"
+	File    string // path of the settings file
+	Key     string // with the name of its table, as in "bounds.grace-s"; empty if the file as a whole is wrong
+	Problem string // description, as in "missing"
 }
 
-// String returns file, key and problem.
+// String returns the file, the key (if any) and the problem.
 func (f Finding) String() string {
 	if f.Key == "" {
 		return f.File + ": " + f.Problem
@@ -17,10 +17,10 @@
 	return f.File + ": " + f.Key + ": " + f.Problem
 }
 
-// Findings is everything that is wrong in a settings file. It is an error.
+// Findings lists everything that is wrong in a settings file. It implements error.
 type Findings []Finding
 
-// Error implements error.
+// Error implements error. The text has one finding a line.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -29,7 +29,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// collector collects the findings of one file, in the order in which they are found.
+// collector collects the findings of one file in the order in which they are reported.
 type collector struct {
 	file  string
 	found Findings
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// The golden files under testdata are settings files and what is read from them. Every later version must read the same.
-// They are made by the flag -update and never edited.
+// The golden files under testdata are settings files and what is read from them. Every later version must read the
+// same. They are made by the flag -update and never edited.
 
 // valuesByKey returns all settings by the keys of the file. Durations are in nanoseconds.
 func valuesByKey(s *Settings) map[string]any {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -7,16 +7,16 @@
 	"github.com/gravitational/trace"
 )
 
-// EnvironmentVariable names the variable with the path of the settings file.
+// EnvironmentVariable is the name of the environment variable that holds the path of the settings file.
 const EnvironmentVariable = "GLADEPICK_SETTINGS"
 
-// DefaultPath is the path of the settings file where the variable is not set.
+// DefaultPath is the path of the settings file if the environment variable is not set or empty.
 const DefaultPath = "/etc/gladepick/node.toml"
 
-// maxPort is the highest port of TCP.
+// maxPort is the highest TCP port.
 const maxPort = 65535
 
-// Path returns the path of the settings file.
+// Path returns the path of the settings file: the value of the environment variable, or DefaultPath.
 func Path() string {
 	if path := os.Getenv(EnvironmentVariable); path != "" {
 		return path
@@ -24,7 +24,8 @@
 	return DefaultPath
 }
 
-// Load reads a settings file. What is wrong in it is returned as one error of the type Findings.
+// Load reads a settings file. If the content is invalid, the error is of type Findings and lists everything that is
+// wrong.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads settings from a text. The path only names the file in the findings.
+// Parse reads settings from the text of a settings file. An error is of type Findings; path is used only to name the
+// file in them.
 func Parse(path string, text []byte) (*Settings, error) {
 	var values map[string]any
 	if _, err := toml.Decode(string(text), &values); err != nil {
@@ -48,7 +50,7 @@
 	return settings, nil
 }
 
-// check finds what is missing, and what no process can work with.
+// check reports required keys that are missing and a range of ports that is invalid.
 func (s *Settings) check(findings *collector) {
 	required := []struct{ key, value string }{
 		{"node", s.Node},
--- a/internal/settings/section.go
+++ b/internal/settings/section.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// section reads the values of one table of the file. A value that is absent or empty (a string, list or table without
-// content, whatever the type ought to be) takes its default. A value of another type is a finding.
+// section reads the values of one table of the file. A value that is absent or empty takes its default; an empty
+// string, list or table counts as empty for a key of any type. A value of the wrong type is reported as a finding.
 type section struct {
-	name     string // empty at the top
+	name     string // empty for the top level
 	values   map[string]any
 	findings *collector
 }
 
-// key returns a key's full name.
+// key returns a key's full name, which includes the names of its tables.
 func (s section) key(key string) string {
 	if s.name == "" {
 		return key
@@ -22,7 +22,7 @@
 	return s.name + "." + key
 }
 
-// has reports whether a key holds anything.
+// has reports whether a key is present and not empty.
 func (s section) has(key string) bool {
 	switch value := s.values[key].(type) {
 	case nil:
@@ -38,12 +38,12 @@
 	}
 }
 
-// reportType reports a value of a wrong type.
-func (s section) reportType(key, wanted string) {
+// reportWrongType adds a finding for a value of the wrong type or out of range.
+func (s section) reportWrongType(key, wanted string) {
 	s.findings.add(s.key(key), fmt.Sprintf("must be %s, is %v", wanted, s.values[key]))
 }
 
-// table returns a table within this one, which is empty where it is absent.
+// table returns a table within this one. The result is empty if the table is absent.
 func (s section) table(key string) section {
 	nested := section{name: s.key(key), findings: s.findings}
 	if !s.has(key) {
@@ -51,39 +51,39 @@
 	}
 	values, ok := s.values[key].(map[string]any)
 	if !ok {
-		s.reportType(key, "a table")
+		s.reportWrongType(key, "a table")
 	}
 	nested.values = values
 	return nested
 }
 
-// text reads a string.
+// text returns a string. The default is "".
 func (s section) text(key string) string {
 	if !s.has(key) {
 		return ""
 	}
 	text, ok := s.values[key].(string)
 	if !ok {
-		s.reportType(key, "a string")
+		s.reportWrongType(key, "a string")
 	}
 	return text
 }
 
-// textList reads a list of strings. The default is none.
+// textList returns a list of strings. The default is nil.
 func (s section) textList(key string) []string {
 	if !s.has(key) {
 		return nil
 	}
 	values, ok := s.values[key].([]any)
 	if !ok {
-		s.reportType(key, "a list of strings")
+		s.reportWrongType(key, "a list of strings")
 		return nil
 	}
 	texts := make([]string, 0, len(values))
 	for _, value := range values {
 		text, ok := value.(string)
 		if !ok {
-			s.reportType(key, "a list of strings")
+			s.reportWrongType(key, "a list of strings")
 			return nil
 		}
 		texts = append(texts, text)
@@ -91,7 +91,7 @@
 	return texts
 }
 
-// textTable reads a table of strings.
+// textTable returns a table of strings as a map. The default is an empty map.
 func (s section) textTable(key string) map[string]string {
 	nested := s.table(key)
 	texts := make(map[string]string, len(nested.values))
@@ -101,37 +101,38 @@
 	return texts
 }
 
-// boolean reads a truth value. The default is false.
+// boolean returns a boolean. The default is false.
 func (s section) boolean(key string) bool {
 	if !s.has(key) {
 		return false
 	}
 	value, ok := s.values[key].(bool)
 	if !ok {
-		s.reportType(key, "true or false")
+		s.reportWrongType(key, "true or false")
 	}
 	return value
 }
 
-// number reads a number that is not negative and not infinite.
-func (s section) number(key string, absent float64) float64 {
+// number returns a finite number that is not negative.
+func (s section) number(key string, fallback float64) float64 {
 	if !s.has(key) {
-		return absent
+		return fallback
 	}
 	number, ok := toNumber(s.values[key])
 	if !ok || !(number >= 0) || math.IsInf(number, 1) {
-		s.reportType(key, "a number, 0 or above")
-		return absent
+		s.reportWrongType(key, "a number, 0 or above")
+		return fallback
 	}
 	return number
 }
 
-// integer reads a number that is not negative, and cuts a fraction off. It saturates at math.MaxInt32.
-func (s section) integer(key string, absent int) int {
-	return int(min(s.number(key, float64(absent)), math.MaxInt32))
+// integer returns a number that is not negative, truncated to an integer. The result saturates at math.MaxInt32.
+func (s section) integer(key string, fallback int) int {
+	return int(min(s.number(key, float64(fallback)), math.MaxInt32))
 }
 
-// integerList reads a list of numbers, and cuts their fractions off. What is no list is empty.
+// integerList returns a list of numbers, truncated to integers. A value that is not a list yields nil without a
+// finding.
 func (s section) integerList(key string) []int {
 	if !s.has(key) {
 		return nil
@@ -141,7 +142,7 @@
 	for _, value := range values {
 		number, ok := toNumber(value)
 		if !ok {
-			s.reportType(key, "a list of numbers")
+			s.reportWrongType(key, "a list of numbers")
 			return nil
 		}
 		integers = append(integers, int(number))
@@ -149,21 +150,22 @@
 	return integers
 }
 
-// milliseconds reads a time that is given in milliseconds.
-func (s section) milliseconds(key string, absent time.Duration) time.Duration {
-	return s.duration(key, time.Millisecond, absent)
+// milliseconds returns a duration that the file gives in milliseconds.
+func (s section) milliseconds(key string, fallback time.Duration) time.Duration {
+	return s.duration(key, time.Millisecond, fallback)
 }
 
-// seconds reads a time that is given in seconds.
-func (s section) seconds(key string, absent time.Duration) time.Duration {
-	return s.duration(key, time.Second, absent)
+// seconds returns a duration that the file gives in seconds.
+func (s section) seconds(key string, fallback time.Duration) time.Duration {
+	return s.duration(key, time.Second, fallback)
 }
 
-// duration reads a time that is given in a unit, and rounds it to nanoseconds. It saturates.
-func (s section) duration(key string, unit, absent time.Duration) time.Duration {
+// duration returns a duration that the file gives in the unit, rounded to nanoseconds. The result saturates at
+// math.MaxInt64.
+func (s section) duration(key string, unit, fallback time.Duration) time.Duration {
 	number := s.number(key, -1)
 	if number < 0 {
-		return absent
+		return fallback
 	}
 	nanoseconds := math.Round(number * float64(unit))
 	if nanoseconds >= math.MaxInt64 {
@@ -172,7 +174,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// toNumber converts a number of either type that a TOML file may have.
+// toNumber converts a TOML integer or float. It reports whether the value is one of these.
 func toNumber(value any) (float64, bool) {
 	switch value := value.(type) {
 	case int64:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Parties that a role may serve.
+// Values of the key "serves": the kinds of callers that the role serves.
 const (
 	ServesFront   = "front"
 	ServesControl = "control"
 	ServesStore   = "store"
 )
 
-// Settings is what a process is given at its start. It must not be changed after it was loaded.
+// Settings holds the content of a process's settings file. It is read-only once loaded.
 type Settings struct {
 	Node              string   // the machine's name
 	Role              string   // the program's role
 	Class             string   // the machine's class
-	Serves            []string // the parties that may call the role
+	Serves            []string // kinds of callers that the role serves: ServesFront and so on
 	IP                string
 	Zone              string
-	Region            string // where none is given, that of the zone by Zones
+	Region            string // if the file gives none, the region of Zone by Zones
 	InternalPorts     PortRange
-	Seeds             []string // control addresses of a few machines, "ip:port"
-	Bootstrap         bool     // the first start of the whole system
-	CountsForQuorum   bool     // the machine counts in the tolerance of faults
-	DataDir           string   // empty where the machine has no disk
+	Seeds             []string // control addresses of some machines of the system, "ip:port"
+	Bootstrap         bool     // this is the first start of the whole system
+	CountsForQuorum   bool     // the machine counts towards the fault tolerance
+	DataDir           string   // empty if the machine has no disk
 	Discovery         string
 	Entry             string
 	HeartbeatInterval time.Duration     // key heartbeat-ms
-	Contracts         []string          // parts of the rules that are in force
-	Zones             map[string]string // region by zone
+	Contracts         []string          // names of the contracts that are in force
+	Zones             map[string]string // maps each zone to its region
 	ListenAddresses   ListenAddresses
 	Limits            Limits
 	FaultTolerance    FaultTolerance
@@ -44,47 +44,48 @@
 	Last  int
 }
 
-// ListenAddresses holds where the process listens for others, "ip:port". What the role does not serve is empty.
+// ListenAddresses holds the addresses that the process listens on, as "ip:port". An address is empty if the role does
+// not serve its callers.
 type ListenAddresses struct {
-	Front   string // messages of clients
-	Ready   string // the platform's health check
-	Control string // the operator and other callers of the control plane
+	Front   string // clients that send messages
+	Ready   string // health checks of the platform
+	Control string // operator and other callers of the control plane
 }
 
 // Limits holds the resources of the process.
 type Limits struct {
-	CPUShare float64 // of a core
+	CPUShare float64 // as a share of a core
 	Cores    int
 	MemoryMB int
 	MaxFDs   int     // file descriptors
-	LinkMbps float64 // megabits a second
-	DiskMB   int     // 0 where none is stated
+	LinkMbps float64 // megabits per second
+	DiskMB   int     // 0 if not stated
 }
 
-// FaultTolerance says how much may be lost at once.
+// FaultTolerance holds how many machines, zones and regions may fail at once.
 type FaultTolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// Bounds holds the figures of the rules that are in force. This version works by Drain, Grace and Status; the others are
-// read and checked only.
+// Bounds holds the bounds that the contracts set. This version acts on Drain, Grace and Status only; it reads and
+// checks the others but does not use them.
 type Bounds struct {
 	SeedLag            time.Duration
 	ReuseAfter         time.Duration
 	Contact            time.Duration
 	Acknowledge        time.Duration // key ack-ms
 	CatchUp            time.Duration
-	Drain              time.Duration // for the deliveries that are out when a store ends
-	Grace              time.Duration // from SIGTERM to the end of the process
+	Drain              time.Duration // for the deliveries in flight when a store shuts down
+	Grace              time.Duration // from SIGTERM to the exit of the process
 	LossSlack          time.Duration
 	ConfigurationLag   time.Duration // key config-apply-ms
 	RevertSlack        time.Duration
 	MaxSkew            time.Duration
 	Recovery           time.Duration
 	Finish             time.Duration
-	Status             time.Duration // for which a message's end can be queried
+	Status             time.Duration // how long the outcome of a message can be queried
 	Callback           time.Duration
 	Visibility         time.Duration
 	Early              time.Duration
@@ -92,20 +93,20 @@
 	RateLimitOvershoot float64       // key ceiling-overshoot; a factor
 }
 
-// Cloud says how to reach the platform's list of workers.
+// Cloud holds how to reach the platform's list of workers.
 type Cloud struct {
 	Address       string  // "ip:port"
-	RatePerSecond float64 // calls a second, of all processes together
+	RatePerSecond float64 // calls per second of all processes together
 	Duties        []string
-	Lag           time.Duration // by which the list is behind
+	Lag           time.Duration // how far the list may lag behind the workers
 }
 
-// ServesParty reports whether a party may call the role.
+// ServesParty reports whether the role serves a kind of caller, such as ServesFront.
 func (s *Settings) ServesParty(party string) bool {
 	return slices.Contains(s.Serves, party)
 }
 
-// HasContract reports whether a part of the rules is in force.
+// HasContract reports whether the named contract is in force.
 func (s *Settings) HasContract(name string) bool {
 	return slices.Contains(s.Contracts, name)
 }
