--- a/internal/configuration/compare_test.go
+++ b/internal/configuration/compare_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEqualDisregardsForm(t *testing.T) {
+func TestEqualIgnoresOrderAndSpelling(t *testing.T) {
 	document := mustParse(t, complete("7"))
 	for _, other := range []string{
 		complete("7"),
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestEqualSeesEveryDifference(t *testing.T) {
+func TestEqualDetectsEveryDifference(t *testing.T) {
 	document := mustParse(t, complete("7"))
 	for _, other := range []string{
 		complete("8"),
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestCanonicalNumber(t *testing.T) {
+func TestCanonicalNumberComparesExactly(t *testing.T) {
 	for _, same := range [][]string{
 		{"90", "90.0", "9e1", "9E+1", "0.9e2", "900e-1", "90.000"},
 		{"0", "-0", "0.0", "0e5", "-0.00E-7"},
@@ -63,7 +63,7 @@
 	assert.Assert(t, canonicalNumber("9007199254740993") != canonicalNumber("9007199254740992"))
 }
 
-func TestDiff(t *testing.T) {
+func TestDiffListsEachChangedItem(t *testing.T) {
 	before := mustParse(t, complete("7"))
 	after := mustUpdate(t, before, `{"version":9,"upsert":{"routes":[`+
 		strings.Replace(strings.Replace(ordersRoute, `600`, `700`, 1), `,"callback-url":false`, ``, 1)+
--- a/internal/configuration/document_test.go
+++ b/internal/configuration/document_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestValidForms(t *testing.T) {
+func TestParseAcceptsEveryValidForm(t *testing.T) {
 	for _, text := range []string{
 		`{"version":1.0,"routes":[],"services":[]}`,
 		`{"version":1e2,"routes":[],"services":[]}`,
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestFindingsOfParse(t *testing.T) {
+func TestParseReportsEveryFinding(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want []string
@@ -128,20 +128,20 @@
 	}
 }
 
-func TestFieldThatStandsTwice(t *testing.T) {
+func TestParseRejectsDuplicateFields(t *testing.T) {
 	_, err := Parse([]byte(configurationOf("1", nil, []string{`{"name":"s","name":"s"}`})))
 	assert.ErrorContains(t, err, `services[0] "s": `)
 	assert.ErrorContains(t, err, `duplicate field "name"`)
 }
 
-func TestVersionThatIsNoWholeNumber(t *testing.T) {
+func TestParseRejectsVersionsOutsideUint64(t *testing.T) {
 	for _, version := range []string{"1.5", "-1", "18446744073709551616"} {
 		_, err := Parse([]byte(`{"version":` + version + `,"routes":[],"services":[]}`))
 		assert.Equal(t, len(findingsOf(t, err)), 1)
 	}
 }
 
-func TestLongErrorsAreCut(t *testing.T) {
+func TestErrorTextIsTruncated(t *testing.T) {
 	services := make([]string, 100)
 	for i := range services {
 		services[i] = `{}`
@@ -152,7 +152,7 @@
 	assert.Assert(t, strings.HasSuffix(err.Error(), "\nand 50 more"))
 }
 
-func TestCheckVersion(t *testing.T) {
+func TestCheckVersionRequiresAHigherVersion(t *testing.T) {
 	assert.NilError(t, CheckVersion(3, 2))
 	assert.Error(t, CheckVersion(2, 2), "version: 2 is not above the current version 2")
 	assert.ErrorType(t, CheckVersion(1, 2), &VersionError{})
@@ -170,7 +170,7 @@
 	assert.Equal(t, before.Route("r-mail").Timeout, 1200*time.Millisecond)
 }
 
-func TestNilDocument(t *testing.T) {
+func TestNilDocumentIsEmpty(t *testing.T) {
 	var document *Document
 	assert.Equal(t, document.Version(), uint64(0))
 	assert.Assert(t, document.JSON() == nil)
@@ -182,7 +182,7 @@
 	assert.DeepEqual(t, findingsOf(t, err), []string{"no configuration to update"})
 }
 
-func TestHugeFiguresSaturate(t *testing.T) {
+func TestExtremeNumbersSaturate(t *testing.T) {
 	route := `{"name":"r","host":"h","path-prefix":"/","service":"s","timeout-ms":1e300,"max-attempts":1e300,"retention-s":1e-300}`
 	document := mustParse(t, configurationOf("1", []string{route}, []string{`{"name":"s"}`}))
 	read := document.Table().Route("r")
@@ -231,7 +231,7 @@
 	})
 }
 
-// largeConfiguration builds a configuration with many routes on a few hosts.
+// largeConfiguration returns a configuration with the given number of routes, all on one host.
 func largeConfiguration(routes int) string {
 	var sources []string
 	for i := range routes {
--- a/internal/configuration/fixtures_test.go
+++ b/internal/configuration/fixtures_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Items for the tests, each with a spelling of its own, and with fields that the package does not know.
+// Items for the tests. They differ in white space, spelling of numbers and order of fields, and some have fields that
+// the package does not know.
 const (
 	ordersRoute  = `{"name":"r-orders","host":"Shop.example","path-prefix":"/orders/","route-type":"async","timeout-ms":600,"target-latency-ms":80.0,"priority":1,"service":"ledger","max-attempts":6,"ordered":true,"retention-s":45.0,"callback-url":false,"target-start-ms":700}`
 	mailRoute    = `{ "service" : "mailer", "path-prefix" : "/mail", "host" : "shop.example", "name" : "r-mail", "timeout-ms" : 1.2e3, "extra" : {"a":[1,"]}"]} }`
@@ -18,32 +19,32 @@
 	limitsSource = `{"max-header-bytes":1024,"max-body-bytes":2048,"header-timeout-ms":3100,"idle-timeout-ms":15100}`
 )
 
-// complete builds a configuration with all items above.
+// complete returns a configuration with all items above.
 func complete(version string) string {
 	return configurationOf(version, []string{ordersRoute, mailRoute}, []string{ledgerSource, mailerSource})
 }
 
-// configurationOf builds a configuration.
+// configurationOf returns a configuration with the given items, limitsSource and an unknown member.
 func configurationOf(version string, routes, services []string) string {
 	return fmt.Sprintf(`{"version":%s, "routes":[%s],"services":[ %s],"limits":%s,"note":"kept"}`,
 		version, strings.Join(routes, ",\n"), strings.Join(services, " , "), limitsSource)
 }
 
-// serviceSource is a service without anything but its name.
+// serviceSource is a service with only a name.
 const serviceSource = `{"name":"s"}`
 
-// routeWith builds a configuration of one route with some more fields.
+// routeWith returns a configuration with one route that has the required texts and the given fields.
 func routeWith(fields string) string {
 	source := `{"name":"r-x","host":"h","path-prefix":"/p","service":"s",` + fields + `}`
 	return configurationOf("1", []string{source}, []string{serviceSource})
 }
 
-// serviceWith builds a configuration of one service with some more fields.
+// serviceWith returns a configuration with one service that has a name and the given fields.
 func serviceWith(fields string) string {
 	return configurationOf("1", nil, []string{`{"name":"s",` + fields + `}`})
 }
 
-// mustParse reads a configuration that is valid.
+// mustParse parses a valid configuration.
 func mustParse(t testing.TB, text string) *Document {
 	t.Helper()
 	document, err := Parse([]byte(text))
@@ -51,7 +52,7 @@
 	return document
 }
 
-// mustUpdate applies an update that is valid.
+// mustUpdate applies a valid update.
 func mustUpdate(t testing.TB, document *Document, text string) *Document {
 	t.Helper()
 	updated, err := document.Update([]byte(text))
@@ -59,7 +60,7 @@
 	return updated
 }
 
-// findingsOf returns the texts of all findings of an error.
+// findingsOf returns the texts of an error's findings.
 func findingsOf(t testing.TB, err error) []string {
 	t.Helper()
 	var findings Findings
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/golden"
 )
 
-// The golden files under testdata are configurations, updates and what is read from them. Every later version must
-// return the same bytes and findings. They are made by the flag -update and never edited.
+// The golden files under testdata hold configurations, updates and what is read from them. Every later version must
+// return the same bytes and findings. The flag -update writes them; never edit them by hand.
 
-// goldenUpdate changes something of every kind.
+// goldenUpdate adds, replaces and removes routes and services, and replaces the limits.
 const goldenUpdate = `{"version": 9.0,
 	"upsert":{"routes":[
 		{"name":"r-new","host":"[::1]:80","path-prefix":"/","service":"added","timeout-ms":0.25, "later":[1,"}"]},
@@ -23,7 +23,7 @@
 		"limits":{"max-body-bytes": 10,"idle-timeout-ms":2.5}},
 	"remove":{"routes":["r-mail","r-absent"],"services":["mailer"]}}`
 
-// tableByField returns all values of a table by the field names of the operator's API. Durations are in nanoseconds.
+// tableByField returns all values of a table under the field names of the operator's API. Durations are in nanoseconds.
 func tableByField(table *Table) map[string]any {
 	routes := []any{}
 	for _, route := range table.Routes() {
@@ -160,7 +160,7 @@
 	golden.Assert(t, report.String(), "findings.txt")
 }
 
-// reportFindings writes what is wrong in a text, place by place.
+// reportFindings writes a text and each of its findings to the report.
 func reportFindings(t *testing.T, report *strings.Builder, kind, text string, err error) {
 	t.Helper()
 	var findings Findings
--- a/internal/configuration/table_test.go
+++ b/internal/configuration/table_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMatch(t *testing.T) {
+func TestMatchChoosesTheLongestPrefix(t *testing.T) {
 	sources := []string{}
 	for i, prefix := range []string{"/", "/a", "/a/", "/a/b/c", "/ab", "/b/"} {
 		sources = append(sources, fmt.Sprintf(`{"name":"r%d","host":"One.example","path-prefix":%q,"service":"s","timeout-ms":1}`, i, prefix))
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestMatchAgainstSearch compares the look-up with a search through all routes, on random prefixes of few letters.
-func TestMatchAgainstSearch(t *testing.T) {
+// TestMatchAgreesWithLinearSearch compares Match with a linear search on random path prefixes. The prefixes use few
+// characters, so that many are prefixes of others.
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	text := func(length int) string {
 		var built strings.Builder
@@ -73,7 +74,7 @@
 	}
 }
 
-// longestPrefix searches through all routes.
+// longestPrefix returns the route with the longest path prefix of the path by a linear search.
 func longestPrefix(table *Table, path string) *Route {
 	var longest *Route
 	for _, route := range table.Routes() {
@@ -88,7 +89,7 @@
 	table := mustParse(t, largeConfiguration(500)).Table()
 	allocations := testing.AllocsPerRun(100, func() {
 		if table.Match("shop.example:80", "/orders/250/17") == nil {
-			t.Error("no match")
+			t.Error("Match found no route for /orders/250/17")
 		}
 	})
 	assert.Equal(t, allocations, 0.0)
--- a/internal/configuration/unknown_test.go
+++ b/internal/configuration/unknown_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestUnknownMembersAreFoundWithTheirPlaces(t *testing.T) {
+func TestUnknownMembersAreReportedWithTheirPaths(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want Findings
@@ -21,14 +21,14 @@
 		"no JSON":                     {text: `{"version":1,"servces":[`},
 		"of another type":             {text: `{"routes":7,"limits":null,"services":["s"]}`},
 	}
-	for name, each := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.DeepEqual(t, UnknownMembers([]byte(each.text)), each.want)
+			assert.DeepEqual(t, UnknownMembers([]byte(test.text)), test.want)
 		})
 	}
 }
 
-func TestUnknownMembersOfAnUpdateAreFound(t *testing.T) {
+func TestUnknownMembersOfAnUpdateAreReported(t *testing.T) {
 	text := `{"version":2,"upset":{},"upsert":{"routes":[{"name":"r","hst":"h"}],"limit":{}},"remove":{"route":["x"],"services":["y"]}}`
 	assert.DeepEqual(t, UnknownUpdateMembers([]byte(text)), Findings{
 		{"upset", notRead},
--- a/internal/configuration/update_test.go
+++ b/internal/configuration/update_test.go
@@ -25,7 +25,7 @@
 	assert.Assert(t, updated.Equal(mustParse(t, want)))
 }
 
-func TestUpdateRemoves(t *testing.T) {
+func TestUpdateRemovesItems(t *testing.T) {
 	document := mustParse(t, complete("7"))
 	updated := mustUpdate(t, document, `{"version":8,"remove":{"routes":["r-mail","r-orders"],"services":["mailer"]}}`)
 	want := `{"version":8,"routes":[],"services":[` + ledgerSource + `],"limits":` + limitsSource + `,"note":"kept"}`
@@ -33,7 +33,7 @@
 	assert.Equal(t, len(document.Table().Routes()), 2)
 }
 
-func TestUpdateOfLimits(t *testing.T) {
+func TestUpdateReplacesLimits(t *testing.T) {
 	const newLimits = `{"max-body-bytes": 10}`
 	update := `{"version":8,"upsert":{"limits":` + newLimits + `}}`
 	updated := mustUpdate(t, mustParse(t, complete("7")), update)
@@ -47,7 +47,7 @@
 	assert.Equal(t, len(withoutLimits.members), 3)
 }
 
-func TestUpdateWithoutChanges(t *testing.T) {
+func TestEmptyUpdateChangesOnlyTheVersion(t *testing.T) {
 	document := mustParse(t, complete("7"))
 	for _, update := range []string{
 		`{"version":8}`,
@@ -59,13 +59,13 @@
 	}
 }
 
-func TestUpsertedAndRemovedIsGone(t *testing.T) {
+func TestUpdateRemovesItemsThatItAlsoUpserts(t *testing.T) {
 	updated := mustUpdate(t, mustParse(t, complete("7")),
 		`{"version":8,"upsert":{"routes":[`+mailRoute+`]},"remove":{"routes":["r-mail"]}}`)
 	assert.Assert(t, updated.Table().Route("r-mail") == nil)
 }
 
-func TestFindingsOfUpdate(t *testing.T) {
+func TestUpdateReportsEveryFinding(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want []string
--- a/internal/ctxtime/sleep_test.go
+++ b/internal/ctxtime/sleep_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepEndsAfterTheDurationOrWithTheContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		started := time.Now()
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// counter is a model that counts up to a limit by one or two, and must not reach a forbidden number.
+// counter is a model that counts up to a limit in steps of one or two. Its invariant is that the count never equals a
+// forbidden number.
 type counter struct {
 	limit     int
 	forbidden int
@@ -36,25 +37,25 @@
 	return ""
 }
 
-func TestExploreFindsTheShortestWayToAViolation(t *testing.T) {
-	found := Explore(counter{limit: 9, forbidden: 5}, 100)
-	assert.Equal(t, found.Violation, "forbidden")
-	assert.DeepEqual(t, found.Trace, []string{"one", "two", "two"})
+func TestExploreFindsAShortestTrace(t *testing.T) {
+	result := Explore(counter{limit: 9, forbidden: 5}, 100)
+	assert.Equal(t, result.Violation, "forbidden")
+	assert.DeepEqual(t, result.Trace, []string{"one", "two", "two"})
 }
 
-func TestExploreTellsWhetherItWasComplete(t *testing.T) {
-	found := Explore(counter{limit: 9, forbidden: -1}, 100)
-	assert.Equal(t, found.Violation, "")
-	assert.Assert(t, found.Complete)
-	assert.Equal(t, found.States, 10)
+func TestExploreReportsWhetherItWasComplete(t *testing.T) {
+	result := Explore(counter{limit: 9, forbidden: -1}, 100)
+	assert.Equal(t, result.Violation, "")
+	assert.Assert(t, result.Complete)
+	assert.Equal(t, result.States, 10)
 	bounded := Explore(counter{limit: 9, forbidden: -1}, 4)
 	assert.Assert(t, !bounded.Complete)
 	assert.Equal(t, bounded.States, 4)
 }
 
-func TestWalksAndScripts(t *testing.T) {
-	broken := RandomWalk(counter{limit: 9, forbidden: 9}, 1, 20)
-	assert.Equal(t, broken[len(broken)-1], "forbidden")
+func TestRandomWalkAndReplayFollowTheModel(t *testing.T) {
+	trace := RandomWalk(counter{limit: 9, forbidden: 9}, 1, 20)
+	assert.Equal(t, trace[len(trace)-1], "forbidden")
 	assert.Assert(t, RandomWalk(counter{limit: 9, forbidden: -1}, 1, 20) == nil)
 	state, missing := Replay(counter{limit: 3}, []string{"two", "one"})
 	assert.Equal(t, state, 3)
--- a/internal/priorityqueue/priorityqueue_test.go
+++ b/internal/priorityqueue/priorityqueue_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// task is an item with a number that its order does not look at.
+// task is an item that is ordered by due only. Its number tells apart tasks that are due at the same time.
 type task struct{ due, number int }
 
-// Before tells whether the task is due earlier.
+// Before reports whether the task is due earlier than the other.
 func (t task) Before(other task) bool { return t.due < other.due }
 
-// reference is the same queue on container/heap.
+// reference is a queue of tasks for container/heap.
 type reference []task
 
 func (r reference) Len() int           { return len(r) }
@@ -28,8 +28,9 @@
 	return last
 }
 
-// TestQueueDoesWhatTheStandardHeapDoes compares the whole arrangement after each step, ties among the items.
-func TestQueueDoesWhatTheStandardHeapDoes(t *testing.T) {
+// TestQueueMatchesContainerHeap compares the whole heap array after each step. Many tasks are due at the same time, so
+// a different order among equal items shows as well.
+func TestQueueMatchesContainerHeap(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var queue Queue[task]
 	var expected reference
@@ -41,7 +42,7 @@
 			queue.Push(added)
 			heap.Push(&expected, added)
 		}
-		assert.Assert(t, slices.Equal([]task(queue), []task(expected)), "step %d", number)
+		assert.Assert(t, slices.Equal([]task(queue), []task(expected)), "the heap differs from container/heap after step %d", number)
 	}
 	for previous := -1; len(queue) > 0; {
 		next := queue.Pop()
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestPopForgetsTheItem(t *testing.T) {
+func TestPopClearsTheFreedSlot(t *testing.T) {
 	queue := Queue[task]{{due: 1, number: 7}}
 	assert.Equal(t, queue.Pop(), task{due: 1, number: 7})
 	assert.Equal(t, queue[:1][0], task{})
--- a/internal/programname/programname_test.go
+++ b/internal/programname/programname_test.go
@@ -14,7 +14,7 @@
 		{"former name", "bin/old", "old: this program is now called new; the former name goes on working\n"},
 		{"current name", "bin/new", ""},
 		{"no path", "old", "old: this program is now called new; the former name goes on working\n"},
-		{"folder of that name", "old/new", ""},
+		{"directory of that name", "old/new", ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out strings.Builder
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/golden"
 )
 
-// The golden files under testdata are settings files and what is read from them. Every later version must read the
-// same. They are made by the flag -update and never edited.
+// The golden files under testdata hold settings files and what is read from them. Every later version must read the
+// same values. The flag -update writes them; never edit them by hand.
 
-// valuesByKey returns all settings by the keys of the file. Durations are in nanoseconds.
+// valuesByKey returns all settings under the keys of the file. Durations are in nanoseconds.
 func valuesByKey(s *Settings) map[string]any {
 	return map[string]any{
 		"node":              s.Node,
@@ -62,7 +62,7 @@
 	}
 }
 
-// boundsByKey returns the figures of the rules by their keys.
+// boundsByKey returns the bounds under the keys of the file. Durations are in nanoseconds.
 func boundsByKey(bounds Bounds) map[string]any {
 	return map[string]any{
 		"seed-lag-s":        bounds.SeedLag,
@@ -90,8 +90,8 @@
 func TestGoldenValues(t *testing.T) {
 	for name, text := range map[string]string{
 		"every-key": everyKey,
-		"defaults":  required,
-		"saturated": required + `
+		"defaults":  requiredKeys,
+		"saturated": requiredKeys + `
 			heartbeat-ms = 1e300
 			[limits]
 			cores = 1e300
@@ -115,18 +115,18 @@
 	texts := []string{
 		"",
 		"node = \n",
-		required + "node = \"twice\"\n",
-		required + "internal-ports = 5\n",
+		requiredKeys + "node = \"twice\"\n",
+		requiredKeys + "internal-ports = 5\n",
 		"node = 3\nip = []\nzone = [\"z\"]\ninternal-ports = [9, 8]\n",
 		"node = \"n\"\nip = \"i\"\nzone = \"z\"\ninternal-ports = [0, 1]\n",
 		"node = \"n\"\nip = \"i\"\nzone = \"z\"\ninternal-ports = [1, 65536]\n",
 		"node = \"n\"\nip = \"i\"\nzone = \"z\"\ninternal-ports = [1]\n",
 		"node = \"n\"\nip = \"i\"\nzone = \"z\"\ninternal-ports = [\"a\", 2]\n",
-		required + "seeds = [\"a\", 1]\nserves = \"front\"\ncontracts = 1\nbootstrap = \"yes\"\ncounts-for-quorum = 1\nheartbeat-ms = -1\n",
-		required + "zones = 1\nlimits = [1]\nbounds = \"b\"\n",
-		required + "[zones]\nz = 1\n[limits]\ncores = -1\ncpu-share = inf\n[cloud]\nrate-per-s = \"one\"\nduties = [1]\n",
-		required + "[bounds]\ngrace-s = \"soon\"\nfinish-s = nan\nearly-ms = true\nceiling-overshoot = -0.5\n",
-		required + "[listen-addrs]\nfront = 1\nready = true\n[fault-tolerance]\nmachines = -2\n",
+		requiredKeys + "seeds = [\"a\", 1]\nserves = \"front\"\ncontracts = 1\nbootstrap = \"yes\"\ncounts-for-quorum = 1\nheartbeat-ms = -1\n",
+		requiredKeys + "zones = 1\nlimits = [1]\nbounds = \"b\"\n",
+		requiredKeys + "[zones]\nz = 1\n[limits]\ncores = -1\ncpu-share = inf\n[cloud]\nrate-per-s = \"one\"\nduties = [1]\n",
+		requiredKeys + "[bounds]\ngrace-s = \"soon\"\nfinish-s = nan\nearly-ms = true\nceiling-overshoot = -0.5\n",
+		requiredKeys + "[listen-addrs]\nfront = 1\nready = true\n[fault-tolerance]\nmachines = -2\n",
 	}
 	var report strings.Builder
 	for _, text := range texts {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	Serves            []string // kinds of callers that the role serves: ServesFront and so on
 	IP                string
 	Zone              string
-	Region            string // if the file gives none, the region of Zone by Zones
+	Region            string // if the file gives none, the region that Zones gives for Zone
 	InternalPorts     PortRange
 	Seeds             []string // control addresses of some machines of the system, "ip:port"
 	Bootstrap         bool     // this is the first start of the whole system
@@ -54,7 +54,7 @@
 
 // Limits holds the resources of the process.
 type Limits struct {
-	CPUShare float64 // as a share of a core
+	CPUShare float64 // as a share of one core
 	Cores    int
 	MemoryMB int
 	MaxFDs   int     // file descriptors
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -82,16 +82,16 @@
 lag-ms = 900
 `
 
-// required holds only what no process can do without.
-const required = `
+// requiredKeys holds only the required keys.
+const requiredKeys = `
 node = "n"
 ip = "127.0.0.1"
 zone = "z"
 internal-ports = [1, 2]
 `
 
-// write makes a settings file.
-func write(t *testing.T, text string) string {
+// writeSettings writes a settings file and returns its path.
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -99,7 +99,7 @@
 }
 
 func TestLoadReadsEveryKey(t *testing.T) {
-	loaded, err := Load(write(t, everyKey))
+	loaded, err := Load(writeSettings(t, everyKey))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, loaded, &Settings{
 		Node:              "store-7",
@@ -152,7 +152,7 @@
 }
 
 func TestAbsentKeysTakeTheirDefaults(t *testing.T) {
-	loaded, err := Parse("file", []byte(required))
+	loaded, err := Parse("file", []byte(requiredKeys))
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.HeartbeatInterval, defaultHeartbeatInterval)
 	assert.Equal(t, loaded.Bounds.Status, defaultStatus)
@@ -164,7 +164,7 @@
 }
 
 func TestEmptyKeysCountAsAbsent(t *testing.T) {
-	empty := required + `
+	empty := requiredKeys + `
 seeds = ""
 bootstrap = ""
 heartbeat-ms = ""
@@ -179,24 +179,24 @@
 `
 	loaded, err := Parse("file", []byte(empty))
 	assert.NilError(t, err)
-	plain, err := Parse("file", []byte(required))
+	plain, err := Parse("file", []byte(requiredKeys))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, loaded, plain)
 }
 
 func TestZeroIsNotAbsent(t *testing.T) {
-	loaded, err := Parse("file", []byte(required+"[bounds]\nstatus-s = 0\n"))
+	loaded, err := Parse("file", []byte(requiredKeys+"[bounds]\nstatus-s = 0\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.Bounds.Status, time.Duration(0))
 }
 
-func TestRegionFollowsFromTheZone(t *testing.T) {
-	loaded, err := Parse("file", []byte(required+"[zones]\nz = \"west\"\n"))
+func TestAbsentRegionIsTakenFromTheZone(t *testing.T) {
+	loaded, err := Parse("file", []byte(requiredKeys+"[zones]\nz = \"west\"\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, loaded.Region, "west")
 }
 
-func TestFindingsAreCollected(t *testing.T) {
+func TestParseReportsEveryFinding(t *testing.T) {
 	_, err := Parse("some.toml", []byte(`
 node = 3
 internal-ports = [9, 8]
@@ -224,17 +224,17 @@
 	assert.ErrorContains(t, err, "some.toml: bounds.grace-s: must be a number, 0 or above, is soon\n")
 }
 
-func TestUnreadableFiles(t *testing.T) {
+func TestLoadRejectsUnreadableFiles(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "absent.toml"))
 	assert.Assert(t, os.IsNotExist(trace.Unwrap(err)), "%v", err)
 
-	_, err = Load(write(t, "node = \n"))
+	_, err = Load(writeSettings(t, "node = \n"))
 	var findings Findings
 	assert.Assert(t, errors.As(err, &findings))
 	assert.Equal(t, len(findings), 1)
 }
 
-func TestPath(t *testing.T) {
+func TestPathPrefersTheEnvironmentVariable(t *testing.T) {
 	t.Setenv(EnvironmentVariable, "")
 	assert.Equal(t, Path(), DefaultPath)
 	t.Setenv(EnvironmentVariable, "/some/where.toml")
@@ -243,7 +243,7 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add(everyKey)
-	f.Add(required)
+	f.Add(requiredKeys)
 	f.Add("internal-ports = [[1]]\n[bounds]\ngrace-s = 1e300\n[limits]\ncores = 1e300")
 	f.Fuzz(func(t *testing.T, text string) {
 		loaded, err := Parse("file", []byte(text))
