--- a/internal/dispatcher/config/agent.go
+++ b/internal/dispatcher/config/agent.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// DefaultControl is where an agent is asked where no other address is given.
+// DefaultControl is the default address and port at which an agent listens for queries.
 const DefaultControl = "127.0.0.1:7470"
 
-// instanceNameBytes bounds an instance's name.
+// instanceNameBytes is the longest name of an instance, in bytes.
 const instanceNameBytes = 64
 
-// Agent is what an operator's file says of an agent and its instances.
+// Agent holds the settings of an agent and its instances. It is read from an operator's file.
 type Agent struct {
-	Control   string // address and port for questions, on loopback
-	Program   string // what runs an instance; empty: this program
+	Control   string // address and port for queries, on loopback
+	Program   string // path of the program that runs an instance; empty: this program
 	SNMP      string // address and port for SNMP, on loopback; empty: none
 	Community string
 	Instances []Instance
 	Limits    AgentLimits
 }
 
-// Instance is one dispatcher that an agent keeps running.
+// Instance is one dispatcher process that an agent keeps running.
 type Instance struct {
 	Name      string `toml:"name"`
 	Listen    string `toml:"listen"`
@@ -34,22 +34,22 @@
 	Promises  string `toml:"promises"`
 }
 
-// AgentLimits are the agent's sizes and times.
+// AgentLimits holds the agent's sizes, counts and times.
 type AgentLimits struct {
-	PollInterval      time.Duration // between two looks at an instance
-	RequestTimeout    time.Duration // of a look or a question
-	RestartBackoff    time.Duration // first delay before a restart
-	RestartBackoffMax time.Duration // up to which it doubles
-	StableAfter       time.Duration // an instance that ran so long starts over with the first delay
-	StopTimeout       time.Duration // after SIGTERM, within which an instance answers what it has
-	Instances         int
-	ReplyBytes        int   // of what an instance or an agent answers
-	DatagramBytes     int   // of an SNMP message
-	Variables         int   // in one SNMP answer
-	RequestBytes      int64 // of a question to the agent
+	PollInterval      time.Duration // between two polls of an instance
+	RequestTimeout    time.Duration // of a poll or a query
+	RestartBackoff    time.Duration // delay before the first restart
+	RestartBackoffMax time.Duration // limit up to which that delay doubles
+	StableAfter       time.Duration // run time after which the restart delay starts over at RestartBackoff
+	StopTimeout       time.Duration // after SIGTERM, for an instance to answer its open jobs
+	Instances         int           // most instances of an agent
+	ReplyBytes        int           // of a reply of an instance or an agent
+	DatagramBytes     int           // of an SNMP message
+	Variables         int           // in one SNMP response
+	RequestBytes      int64         // of a query to the agent
 }
 
-// defaultAgentLimits are those of every agent, but for the poll interval, which its file may set.
+// defaultAgentLimits are the limits of every agent; only PollInterval can be set in its file.
 var defaultAgentLimits = AgentLimits{
 	PollInterval:      time.Second,
 	RequestTimeout:    2 * time.Second,
@@ -64,7 +64,7 @@
 	RequestBytes:      4 << 10,
 }
 
-// agentFile is an agent's file.
+// agentFile is the operator's file of an agent.
 type agentFile struct {
 	Agent struct {
 		Control string `toml:"control"`
@@ -78,7 +78,7 @@
 	Instances []Instance `toml:"instance"`
 }
 
-// LoadAgent reads an agent's file.
+// LoadAgent reads the operator's file of an agent, fills in the defaults and checks every value.
 func LoadAgent(path string) (*Agent, error) {
 	var f agentFile
 	if err := decodeTOML(path, &f); err != nil {
@@ -117,7 +117,7 @@
 	return a, nil
 }
 
-// checkLoopback checks an address, where there is one.
+// checkLoopback checks that an address is a loopback address with a port. An empty address is valid.
 func checkLoopback(at section, key, address string) error {
 	if address == "" {
 		return nil
@@ -128,19 +128,19 @@
 	return nil
 }
 
-// checkInstances checks that there are instances, and that names and addresses are their own.
+// checkInstances checks the number of instances and that each has a unique name, a unique address and settings.
 func (a *Agent) checkInstances(at section) error {
 	if n := len(a.Instances); n == 0 || n > a.Limits.Instances {
-		return at.errorf("instance", "%d of them; 1 to %d can be", n, a.Limits.Instances)
+		return at.errorf("instance", "there are %d instances; 1 to %d are allowed", n, a.Limits.Instances)
 	}
 	seen := map[string]bool{}
 	for i, in := range a.Instances {
 		at := section{at.path, fmt.Sprintf("instance.%d", i)}
 		if in.Name == "" || seen[in.Name] || len(in.Name) > instanceNameBytes {
-			return at.errorf("name", "%q is missing, double or too long", in.Name)
+			return at.errorf("name", "%q is missing, a duplicate or too long", in.Name)
 		}
 		if _, err := netip.ParseAddrPort(in.Listen); err != nil || seen[in.Listen] {
-			return at.errorf("listen", "%q is no address and port, or double", in.Listen)
+			return at.errorf("listen", "%q is not an address and port, or is a duplicate", in.Listen)
 		}
 		if in.Discovery != "" {
 			if _, err := netip.ParseAddrPort(in.Discovery); err != nil {
--- a/internal/dispatcher/config/amqp.go
+++ b/internal/dispatcher/config/amqp.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// AMQP sets up the front and the workers at a broker. Its file is an operator's.
+// AMQP holds the settings of a broker, at which clients submit jobs and workers take them. It is read from an
+// operator's file.
 type AMQP struct {
 	URL      string       `toml:"url"`
-	Jobs     string       `toml:"jobs"`     // the queue that clients put jobs into
-	Prefetch int          `toml:"prefetch"` // deliveries out at a time
+	Jobs     string       `toml:"jobs"`     // the queue to which clients publish jobs
+	Prefetch int          `toml:"prefetch"` // most unacknowledged deliveries
 	Workers  []AMQPWorker `toml:"worker"`
 }
 
-// AMQPWorker is a worker that takes its jobs from a queue.
+// AMQPWorker is a worker that consumes its jobs from a queue of the broker.
 type AMQPWorker struct {
 	ID    string `toml:"id"`
 	Queue string `toml:"queue"`
@@ -31,7 +32,8 @@
 		return nil, err
 	}
 	a, at := &file.AMQP, section{path, "amqp"}
-	if !strings.HasPrefix(a.URL, "amqp://") && !strings.HasPrefix(a.URL, "amqps://") { // not shown: it may hold a password
+	if !strings.HasPrefix(a.URL, "amqp://") && !strings.HasPrefix(a.URL, "amqps://") {
+		// The error leaves the URL out: it may hold a password.
 		return nil, at.errorf("url", "it does not begin with amqp:// or amqps://")
 	}
 	if a.Jobs == "" {
@@ -48,13 +50,13 @@
 		at := section{path, fmt.Sprintf("amqp.worker.%d", i)}
 		switch {
 		case w.ID == "" || seen[w.ID]:
-			return nil, at.errorf("id", "%q is missing or double", w.ID)
+			return nil, at.errorf("id", "%q is missing or a duplicate", w.ID)
 		case w.Queue == "":
 			return nil, at.errorf("queue", "the name of a queue is missing")
 		case Index(n.Zones, w.Zone) < 0:
-			return nil, at.errorf("zone", "%q is none of %v", w.Zone, n.Zones)
+			return nil, at.errorf("zone", "%q is not one of %v", w.Zone, n.Zones)
 		case Index(n.Kinds, w.Kind) < 0:
-			return nil, at.errorf("kind", "%q is none of %v", w.Kind, n.Kinds)
+			return nil, at.errorf("kind", "%q is not one of %v", w.Kind, n.Kinds)
 		}
 		seen[w.ID] = true
 	}
--- a/internal/dispatcher/config/durablejobs.go
+++ b/internal/dispatcher/config/durablejobs.go
@@ -10,29 +10,30 @@
 	"gladepick/internal/decision"
 )
 
-// DurableJobs sets up jobs that outlive the dispatcher that took them: replicated to other dispatchers before anything is
-// done for them.
+// DurableJobs holds the settings of durable jobs. A durable job is replicated to other dispatchers before it is
+// processed, so it outlives the dispatcher that accepted it.
 type DurableJobs struct {
 	Path         string         // of the operator's file
 	Listen       netip.AddrPort // for the other dispatchers
-	Peers        []Peer         // the others, all named
+	Peers        []Peer         // the other dispatchers, each with a name
 	Groups       int
 	Replicas     int
-	Retention    time.Duration // for how long outcomes are kept after the client's deadline
-	MaxClockSkew time.Duration // between two dispatchers' clocks
-	MaxJobs      int           // kept, open ones among them, over all groups
-	Events       string        // a file that gets a JSON line for each step
+	Retention    time.Duration // how long an outcome is kept after the client's deadline
+	MaxClockSkew time.Duration // between the clocks of two dispatchers
+	MaxJobs      int           // most jobs kept over all groups, open ones included
+	Events       string        // a file to which a JSON line is written for each step
 
-	// For trials: the process ends itself, or stops itself until somebody wakes it, when a point is reached for the nth time.
-	CrashAt     string // one of CrashPoints; empty is never
+	// For fault tests: when the process reaches the point CrashAt for the CrashOn-th time, it kills itself, or with
+	// CrashByStop suspends itself until it is resumed from outside.
+	CrashAt     string // one of CrashPoints; empty: no crash
 	CrashOn     int
 	CrashByStop bool
 }
 
-// CrashPoints are the values of DurableJobs.CrashAt, in the order in which a job passes them.
+// CrashPoints lists the values of DurableJobs.CrashAt in the order in which a job passes them.
 var CrashPoints = []string{"before-take", "taken", "before-intent", "intended", "sent", "worked", "ended", "told"}
 
-// durableJobsTable is the table of an operator's file.
+// durableJobsTable is the table promises of an operator's file.
 type durableJobsTable struct {
 	Listen  string      `toml:"listen"`
 	Groups  int         `toml:"groups"`
@@ -47,17 +48,17 @@
 	Peers   []namedPeer `toml:"peer"`
 }
 
-// loadDurableJobs reads the operator's file for durable jobs. They stand on the membership, and need a path between
-// dispatchers that carries more than the module's messages: where the platform itself carries datagrams for them, it is
-// said to be the only one.
+// loadDurableJobs reads the operator's file for durable jobs. They need the membership, and a network path between
+// dispatchers that carries more than the decision module's messages. A platform that sets peer_listen carries only
+// datagrams between dispatchers and is documented as the only path, so there durable jobs are an error.
 func loadDurableJobs(path string, n *Node, f *nodeFile) (*DurableJobs, error) {
 	switch {
 	case !n.Module.PeerMessages:
-		return nil, fmt.Errorf("NODE_PROMISES: %s: the settings forbid talk among dispatchers (limits.peers is not true); start without the variable", path)
-	case f.PeerAt != "":
-		return nil, fmt.Errorf("NODE_PROMISES: %s: this platform carries notes between dispatchers (peer_listen), and no other path leads from one to another; start without the variable", path)
+		return nil, fmt.Errorf("NODE_PROMISES: %s: the settings forbid messages among dispatchers (limits.peers is not true); unset the variable to start", path)
+	case f.PeerListen != "":
+		return nil, fmt.Errorf("NODE_PROMISES: %s: this platform carries only datagrams between dispatchers (peer_listen), and there is no other path between them; unset the variable to start", path)
 	case n.Membership == nil:
-		return nil, fmt.Errorf("NODE_PROMISES: %s: promises stand on the membership; set NODE_MEMBERS too", path)
+		return nil, fmt.Errorf("NODE_PROMISES: %s: promises need the membership; set NODE_MEMBERS too", path)
 	}
 	var file struct {
 		Promises durableJobsTable `toml:"promises"`
@@ -93,12 +94,12 @@
 		return nil, err
 	}
 	if len(d.Peers)+1 < d.Replicas {
-		return nil, at.errorf("peer", "%d others are named, and %d copies need %d", len(d.Peers), d.Replicas, d.Replicas-1)
+		return nil, at.errorf("peer", "%d other dispatchers are named; %d copies need %d", len(d.Peers), d.Replicas, d.Replicas-1)
 	}
 	return d, nil
 }
 
-// check checks the values that are used as they stand.
+// check checks the range of the values that need no parsing.
 func (table *durableJobsTable) check(at section) error {
 	switch {
 	case table.Groups < 1 || table.Groups > 256:
@@ -112,7 +113,7 @@
 	case table.Most < 1 || table.Most > 1<<24:
 		return at.errorf("most", "%d is not in 1 to %d", table.Most, 1<<24)
 	case table.CrashAt != "" && !slices.Contains(CrashPoints, table.CrashAt):
-		return at.errorf("crash_at", "%q is none of %s", table.CrashAt, strings.Join(CrashPoints, ", "))
+		return at.errorf("crash_at", "%q is not one of %s", table.CrashAt, strings.Join(CrashPoints, ", "))
 	case table.CrashBy != "" && table.CrashBy != "kill" && table.CrashBy != "stop":
 		return at.errorf("crash_by", "%q is not kill or stop", table.CrashBy)
 	case table.CrashOn < 1:
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// checkSkew checks that clocks so far apart leave room within each class's window for retries.
+// checkSkew checks that MaxClockSkew leaves time for retries within the deduplication window of each class: the skew
+// and a tenth of the window may take up half of the window at most.
 func (d *DurableJobs) checkSkew(at section, n *Node) error {
 	for i, class := range n.Module.Classes {
 		if class.Idempotency != decision.Deduplicated || class.DedupWindow <= 0 {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// readPeers reads the other dispatchers. This one's own entry is passed over: the files may be alike.
+// readPeers reads the other dispatchers. It skips the entry of this one, so that all dispatchers can share one file.
 func (d *DurableJobs) readPeers(table *durableJobsTable, at section, self string) error {
 	for i, p := range table.Peers {
 		address, err := netip.ParseAddrPort(p.Address)
@@ -143,7 +145,7 @@
 			return at.errorf(fmt.Sprintf("peer.%d.address", i), "%q is not an address and port", p.Address)
 		}
 		if p.Name == "" || slices.ContainsFunc(table.Peers[:i], func(q namedPeer) bool { return q.Name == p.Name }) {
-			return at.errorf(fmt.Sprintf("peer.%d.name", i), "%q is missing or double", p.Name)
+			return at.errorf(fmt.Sprintf("peer.%d.name", i), "%q is missing or a duplicate", p.Name)
 		}
 		if p.Name != self {
 			d.Peers = append(d.Peers, Peer{p.Name, address})
--- a/internal/dispatcher/config/limits.go
+++ b/internal/dispatcher/config/limits.go
@@ -10,93 +10,94 @@
 	"gladepick/internal/decision"
 )
 
-// Limits holds every size, count and time that the parts work with. It is filled once at the start and handed down by
-// value; no part has its own.
+// Limits holds every size, count and time that the other packages of the dispatcher use. It is filled once at the start
+// and passed by value; the other packages define no limits of their own.
 type Limits struct {
 	Cores    float64 // processor share
-	MemoryMB int     // MiB at which the platform ends the process
-	Sockets  int     // descriptors in all; split into those of clients, workers and discovery
+	MemoryMB int     // MiB at which the platform kills the process
+	Sockets  int     // file descriptors of the process, divided among clients, workers and discovery
 
-	ClientConns            int // client connections open at a time
-	ClientConnsWithoutHead int // among them those whose first request's head is not complete yet
-	SpareClientConns       int // so many more while others close that were asked to; so many rejected ones that still send
-	WorkerConns            int // worker connections open at a time, idle ones included
-	DiscoveryConns         int // calls to discovery open at a time
+	ClientConns            int // most open client connections
+	ClientConnsWithoutHead int // of these, most whose first request head is not complete yet
+	SpareClientConns       int // most beyond ClientConns while idle ones close; also most rejected ones that still send
+	WorkerConns            int // most open connections to workers, idle ones included
+	DiscoveryConns         int // most open calls to discovery
 
 	BodyBytes       int64 // of a job's body
-	AllBodiesBytes  int64 // of all clients' bodies held at a time
-	HeadBytes       int   // of a message's head
-	LineBytes       int   // of one line of a worker's answer
-	WorkerListBytes int   // of one object of the watch on discovery
-	Workers         int   // workers listed at a time
-	OpenJobs        int   // jobs taken and not answered at a time
-	QueuedEvents    int   // functions that wait for the core's goroutine
-	TrailingBytes   int   // read at most of what follows a worker's last line
+	AllBodiesBytes  int64 // of the bodies of all clients in memory
+	HeadBytes       int   // of the head of an HTTP message
+	LineBytes       int   // of one line of a worker's response
+	WorkerListBytes int   // of one JSON object in the watch stream of discovery
+	Workers         int   // most workers in the list
+	OpenJobs        int   // most jobs accepted and not yet answered
+	QueuedEvents    int   // most functions queued for the core's goroutine
+	TrailingBytes   int   // most bytes read behind the last line of a worker's response
 
-	AnswerReserve     time.Duration // kept free before a client's deadline for the answer's way back
-	RetryAfter        time.Duration // told to a rejected client where the module names no time
-	MaxJobTimeout     time.Duration // the longest that a client may ask for
-	ConnectTimeout    time.Duration // of a connection to a worker
-	WorkerIdleTimeout time.Duration // after it idle worker connections are closed
-	ClientIdleTimeout time.Duration // after it idle client connections are closed
-	ReadTimeout       time.Duration // of a client's head and body, from connecting on or from the head's first byte
-	LingerTimeout     time.Duration // for how long what a client still sends behind an early answer is read and dropped
-	LingerBytes       int64         // and how much of it at most
-	TrailingTimeout   time.Duration // of the end of an answer behind its last line
-	LateAnswerWindow  time.Duration // for how long a worker may send an answer a second time
+	AnswerReserve     time.Duration // reserved before a client's deadline for sending the answer
+	RetryAfter        time.Duration // for a rejected client if the decision module returns no time
+	MaxJobTimeout     time.Duration // longest time-out that a client may request
+	ConnectTimeout    time.Duration // of a connection attempt to a worker
+	WorkerIdleTimeout time.Duration // after which an idle worker connection is closed
+	ClientIdleTimeout time.Duration // after which an idle client connection is closed
+	ReadTimeout       time.Duration // for a request's head and body, from the connect or the head's first byte
+	LingerTimeout     time.Duration // how long a request is read and discarded after an early answer
+	LingerBytes       int64         // most bytes read and discarded in that time
+	TrailingTimeout   time.Duration // for the end of a worker's response after its last line
+	LateAnswerWindow  time.Duration // how long a worker may send a duplicate response
 
-	DiscoveryCallTimeout    time.Duration // of a call to discovery, up to its head
-	DiscoverySilenceTimeout time.Duration // of a watch that says nothing
-	DiscoveryBackoff        time.Duration // first delay, on average, after a call that has ended
-	DiscoveryBackoffMax     time.Duration // up to which it doubles
+	DiscoveryCallTimeout    time.Duration // of a call to discovery, until the response head is read
+	DiscoverySilenceTimeout time.Duration // of a watch stream that sends nothing
+	DiscoveryBackoff        time.Duration // average of the first delay after a call has ended
+	DiscoveryBackoffMax     time.Duration // limit up to which that delay doubles
 
-	DrainGrace       time.Duration // after it no byte of a new request goes to a leaving worker
-	DrainDelay       time.Duration // for how long the listener stays open after SIGTERM
-	LastAcceptWindow time.Duration // for how long then what has already come there is let in
-	LastAnswerWindow time.Duration // after SIGTERM, within which late jobs are answered: then the platform may kill
+	DrainGrace       time.Duration // after which no byte of a new request is sent to a draining worker
+	DrainDelay       time.Duration // how long the listener stays open after SIGTERM
+	LastAcceptWindow time.Duration // after DrainDelay, how long connections in the backlog are accepted
+	LastAnswerWindow time.Duration // after SIGTERM, for answering late jobs; then the platform may kill the process
 
-	OutcomeRetention     time.Duration // for how long outcomes of keyed jobs are remembered
-	RetainedOutcomes     int           // how many of them at most
-	RetainedOutcomeBytes int           // of their results together at most
-	BrokerBackoff        time.Duration // first delay before a broker is called again
-	BrokerBackoffMax     time.Duration // up to which it doubles
-	ConfirmTimeout       time.Duration // of a broker's confirm of an answer
+	OutcomeRetention     time.Duration // how long the outcome of a job with an idempotency key is kept
+	RetainedOutcomes     int           // most outcomes kept
+	RetainedOutcomeBytes int           // most bytes of their results together
+	BrokerBackoff        time.Duration // first delay before a reconnection to the broker
+	BrokerBackoffMax     time.Duration // limit up to which that delay doubles
+	ConfirmTimeout       time.Duration // for the broker to confirm a published answer
 
-	CaptureQueueRows  int           // rows of each kind that wait for the recorder at most
-	CaptureGroupRows  int           // rows that the recorder writes at a time
-	CaptureRetryDelay time.Duration // after a disk that took nothing
+	CaptureQueueRows  int           // most rows of each kind queued for the recorder
+	CaptureGroupRows  int           // rows that the recorder writes in one group
+	CaptureRetryDelay time.Duration // after a failed write to the disk
 
-	PeerDatagramsPerSecond        int           // read at most
-	UnknownPeerDatagramsPerSecond int           // among them from addresses that are no member's
-	QueuedPeerDatagrams           int           // that wait for the membership
-	PeerBytesPerSecond            int           // sent to other dispatchers at most
-	PeerLeaveTimeout              time.Duration // for how long the others are told that this one leaves
+	PeerDatagramsPerSecond        int           // most read
+	UnknownPeerDatagramsPerSecond int           // of these, most from addresses of no member
+	QueuedPeerDatagrams           int           // most queued for the membership
+	PeerBytesPerSecond            int           // most sent to other dispatchers
+	PeerLeaveTimeout              time.Duration // how long this dispatcher announces that it leaves
 
-	ReplicaFrameBytes    int           // of one frame between dispatchers with replicas
-	ReplicaQueueBytes    int           // of frames that wait for one of them; what is beyond is as good as lost
-	ReplicaDialTimeout   time.Duration // of a connection to one of them, and of a frame
-	ReplicaRetryDelay    time.Duration // after a connection that failed
-	LeaseReserve         time.Duration // kept free before a client's deadline for the replicas' answer
-	LeasePollInterval    time.Duration // between two looks at a job that another dispatcher has
-	LeaseNotifyWindow    time.Duration // for how long after its deadline the replicas are told of an outcome
-	LeaseTransferBatch   int           // leases of a dead dispatcher that one command moves
-	LeaseSubmitBatch     int           // of those, jobs handed to the module in one LeaseRoundInterval
-	LeaseRoundInterval   time.Duration // between two looks at who is gone
-	LeaseShutdownTimeout time.Duration // for how long who leaves waits for others to get its replicas
-	LeaseOrphanDelay     time.Duration // for how long a dispatcher is out of the view before its leases move
+	ReplicaFrameBytes    int           // of one replication frame
+	ReplicaQueueBytes    int           // of frames queued for one peer; frames beyond that are dropped, as if lost
+	ReplicaDialTimeout   time.Duration // of a connection attempt to a peer, and of a frame
+	ReplicaRetryDelay    time.Duration // after a failed connection to a peer
+	LeaseReserve         time.Duration // reserved before a client's deadline for the replicas' reply
+	LeasePollInterval    time.Duration // between two queries about a job that another dispatcher owns
+	LeaseNotifyWindow    time.Duration // after a job's deadline, how long its outcome is proposed to the replicas
+	LeaseTransferBatch   int           // most leases of a failed dispatcher that one command transfers
+	LeaseSubmitBatch     int           // most of these jobs submitted to the core in one LeaseRoundInterval
+	LeaseRoundInterval   time.Duration // between two checks for failed dispatchers
+	LeaseShutdownTimeout time.Duration // how long a leaving dispatcher waits for others to take over its replicas
+	LeaseOrphanDelay     time.Duration // how long a dispatcher is missing from the view before its leases move
 }
 
-// The defaults of what the platform grants.
+// The grants that apply if the platform's file sets none.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// longestLateAnswer is how long the platform lets a process live after SIGTERM at most, but for Limits.DrainDelay.
-const longestLateAnswer = 3 * time.Second
+// maxLastAnswerWindow is the longest Limits.LastAnswerWindow, not counting Limits.DrainDelay: the platform lets a
+// process live no longer after SIGTERM.
+const maxLastAnswerWindow = 3 * time.Second
 
-// deriveLimits fills Limits from what the platform grants and the settings say.
+// deriveLimits derives n.Limits from the platform's grants and the settings.
 func (n *Node) deriveLimits(f *nodeFile) (err error) {
 	cores, memoryMB, sockets := defaultCores, defaultMemoryMB, defaultSockets
 	if v := f.Limits.Cores; v != nil {
@@ -111,11 +112,12 @@
 	if n.Limits, err = newLimits(cores, memoryMB, sockets, &n.Module); err != nil {
 		return err
 	}
-	n.Limits.ConnectTimeout = nanoseconds(f.Settings, n.Limits.ConnectTimeout, "limits", "connect_timeout")
+	n.Limits.ConnectTimeout = durationSetting(f.Settings, n.Limits.ConnectTimeout, "limits", "connect_timeout")
 	return nil
 }
 
-// newLimits derives the limits of a process that is granted so much.
+// newLimits derives the limits from the grants of processor cores, memory and sockets, and from the decision module's
+// settings.
 func newLimits(cores float64, memoryMB, sockets int, s *decision.Settings) (Limits, error) {
 	switch {
 	case !(cores > 0 && cores <= 1024):
@@ -132,7 +134,7 @@
 	if s.MaxRetryAfter > 0 {
 		l.RetryAfter = min(l.RetryAfter, s.MaxRetryAfter)
 	}
-	if s.ConnIdle > 0 { // a fifth earlier than the machine at the other end
+	if s.ConnIdle > 0 { // close a fifth earlier than the worker does
 		l.WorkerIdleTimeout = s.ConnIdle - s.ConnIdle/5
 	}
 	if s.DrainGrace > 0 {
@@ -143,7 +145,7 @@
 	return l, nil
 }
 
-// defaultLimits returns what depends on nothing that the platform grants.
+// defaultLimits returns the limits that do not depend on the platform's grants.
 func defaultLimits() Limits {
 	return Limits{
 		DiscoveryConns: 4,
@@ -205,8 +207,8 @@
 	}
 }
 
-// splitSockets divides the descriptors. A tenth stays for the listener, standard streams, the poller and what is just
-// being closed; discovery has its few, and clients and workers share the rest by 5 to 4.
+// splitSockets divides the file descriptors. A tenth is reserved for the listener, the standard streams, the poller and
+// connections that are being closed. Discovery gets DiscoveryConns; clients and workers share the rest 5 to 4.
 func (l *Limits) splitSockets() {
 	shared := l.Sockets - l.Sockets/10 - l.DiscoveryConns
 	l.ClientConns = shared * 5 / 9
@@ -215,8 +217,8 @@
 	l.SpareClientConns = max(l.Sockets/40, 2)
 }
 
-// splitMemory bounds what is held. Bodies are counted by themselves; answers of half a body's size to all open jobs fit
-// into a third of the memory.
+// splitMemory divides the memory. Request bodies have a bound of their own. Answers of half of BodyBytes to all open
+// jobs fit into a third of the memory.
 func (l *Limits) splitMemory() {
 	memory := l.MemoryMB << 20
 	l.AllBodiesBytes = int64(l.MemoryMB) << 20 / 4
@@ -227,17 +229,18 @@
 	l.QueuedEvents = 8 * l.OpenJobs
 }
 
-// fitDiscovery shortens the times of the watch on discovery to what the settings need.
+// fitDiscovery shortens the times of the discovery watch as the settings require.
 func (l *Limits) fitDiscovery(s *decision.Settings) {
-	// Lines of a watch come every 2 s: a shorter silence is none.
+	// A watch stream sends a line every 2 s, so a shorter silence is normal.
 	const shortestSilence = 2500 * time.Millisecond
-	if s.MaxDiscoverySilence > 0 { // a watch must be known to be broken well before its silence counts as news
+	if s.MaxDiscoverySilence > 0 { // a broken watch must be detected well before MaxDiscoverySilence has passed
 		l.DiscoverySilenceTimeout = max(min(l.DiscoverySilenceTimeout, s.MaxDiscoverySilence/2), shortestSilence)
 		l.DiscoveryBackoffMax = min(l.DiscoveryBackoffMax, s.MaxDiscoverySilence/3)
 	}
 	if s.Discovery == decision.DiscoveryPush && s.DrainGrace > 0 {
-		// The agent on this machine answers at once or not at all, and what it holds counts as delivered: a call that it left
-		// without an answer while discovery was down may not outlast the grace of a drain announced at its return.
+		// The discovery agent on this machine answers at once or not at all, and a list counts as delivered once the
+		// agent has it. So a call that stays unanswered while discovery is down must time out within the grace of a
+		// drain that is announced when discovery returns.
 		l.DiscoveryCallTimeout = max(l.DrainGrace/4, 50*time.Millisecond)
 		l.DiscoverySilenceTimeout = min(l.DiscoverySilenceTimeout, shortestSilence)
 		l.DiscoveryBackoff = min(l.DiscoveryBackoff, max(l.DrainGrace/8, 20*time.Millisecond))
@@ -245,21 +248,21 @@
 	}
 }
 
-// fitClasses fits the times that depend on the classes' windows and deadlines.
+// fitClasses sets the times that depend on the deduplication windows and deadlines of the classes.
 func (l *Limits) fitClasses(classes []decision.ClassSettings) {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		l.OutcomeRetention = max(l.OutcomeRetention, c.DedupWindow)
 		longest = max(longest, c.Deadline)
 	}
-	if longest == 0 || longest > longestLateAnswer {
-		longest = longestLateAnswer
+	if longest == 0 || longest > maxLastAnswerWindow {
+		longest = maxLastAnswerWindow
 	}
-	l.LastAnswerWindow = longest + l.DrainDelay // the platform kills 0.1 s later at the earliest
+	l.LastAnswerWindow = longest + l.DrainDelay // the platform kills the process at least 0.1 s later
 }
 
-// Apply makes the runtime keep to the limits on processors and memory. A memory limit set under the platform's own makes
-// the collector work harder before the process is killed.
+// Apply sets the Go runtime's limits on processors and memory. The memory limit is below the platform's, so the garbage
+// collector works harder before the platform kills the process.
 func (l *Limits) Apply() {
 	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 3 / 4)
--- a/internal/dispatcher/config/node.go
+++ b/internal/dispatcher/config/node.go
@@ -1,11 +1,11 @@
-// Package config is the one place where settings come in. It reads the
+// Package config reads the settings of a dispatcher and of an agent. It reads the
 // environment, the platform's file that NODE_CONFIG names and the operator's
-// files, checks every value, fills in the defaults and derives Limits, the one
-// type that holds all sizes, counts and times of the program. Its errors name the
-// faulty key, and stop the start. It reads files and opens no socket.
+// files, checks every value, fills in the defaults and derives Limits, which
+// holds all sizes, counts and times of the program. No other package reads
+// settings. An error names the faulty key and prevents the start. The package
+// opens no socket.
 //
-// The types are values that nobody changes once they are read: they may be used
-// on any goroutine.
+// Values are not changed once they are read and may be used on any goroutine.
 //
 // Start reading at Load.
 package config
@@ -27,58 +27,58 @@
 	"gladepick/internal/dispatcher/simadapter"
 )
 
-// Node is all that one dispatcher is told.
+// Node holds all settings of one dispatcher.
 type Node struct {
 	Name      string
 	Listen    string // address and port for clients
-	Discovery string // address and port; empty: the list of workers is the operator's
-	Seed      uint64 // of the module's random draws
+	Discovery string // address and port; empty: the list of workers is fixed
+	Seed      uint64 // of the decision module's random numbers
 	Known     WorkerList
 
 	Module     decision.Settings
-	Classes    []string // names, in the module's order
+	Classes    []string // names, in the decision module's order
 	Tenants    []string
 	Zones      []string
 	Kinds      []string // of workers
-	LoadFields []string // as workers name them, in the module's order
+	LoadFields []string // names of the load figures, in the decision module's order
 
 	Limits      Limits
 	AMQP        *AMQP        // nil: no broker
 	Capture     *Capture     // nil: nothing is recorded
-	Membership  *Membership  // nil: it knows of no other dispatcher
-	DurableJobs *DurableJobs // nil: jobs end with their dispatcher
+	Membership  *Membership  // nil: no membership with other dispatchers
+	DurableJobs *DurableJobs // nil: a job does not outlive its dispatcher
 }
 
-// nodeFile is the platform's file.
+// nodeFile is the platform's file, which NODE_CONFIG names.
 type nodeFile struct {
-	Name      string         `json:"name"`
-	Listen    string         `json:"listen"`
-	Discovery string         `json:"discovery"`
-	Seed      string         `json:"seed"` // hexadecimal, 64 bits
-	Limits    platformLimits `json:"limits"`
-	Known     WorkerList     `json:"known"`
-	Peers     []string       `json:"peers"`       // where the other dispatchers are reached, this one's own address among them
-	PeerAt    string         `json:"peer_listen"` // where this one listens for them
-	Settings  map[string]any `json:"settings"`    // nested, with keys that this program does not know
+	Name       string         `json:"name"`
+	Listen     string         `json:"listen"`
+	Discovery  string         `json:"discovery"`
+	Seed       string         `json:"seed"` // hexadecimal, 64 bits
+	Limits     platformLimits `json:"limits"`
+	Known      WorkerList     `json:"known"`
+	Peers      []string       `json:"peers"`       // addresses of all dispatchers, this one included
+	PeerListen string         `json:"peer_listen"` // address at which this dispatcher listens for the others
+	Settings   map[string]any `json:"settings"`    // nested; may hold keys that this program does not know
 }
 
-// platformLimits is what the platform grants a process; nil is a default.
+// platformLimits holds what the platform grants the process. A nil field stands for its default.
 type platformLimits struct {
 	Cores    *float64 `json:"cores"`
 	MemoryMB *int     `json:"memory_mb"`
 	Sockets  *int     `json:"sockets"`
 }
 
-// Load reads what one dispatcher is told, from the environment and the file that NODE_CONFIG names. The environment wins
-// over the file.
+// Load reads the settings of one dispatcher from the environment, the platform's file that NODE_CONFIG names and the
+// operator's files. The environment takes precedence over the platform's file.
 func Load(getenv func(string) string) (*Node, error) {
 	f, err := readNodeFile(getenv("NODE_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
-	for key, to := range map[string]*string{"NODE_NAME": &f.Name, "NODE_LISTEN": &f.Listen, "NODE_DISCOVERY": &f.Discovery} {
+	for key, field := range map[string]*string{"NODE_NAME": &f.Name, "NODE_LISTEN": &f.Listen, "NODE_DISCOVERY": &f.Discovery} {
 		if v := getenv(key); v != "" {
-			*to = v
+			*field = v
 		}
 	}
 	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known}
@@ -94,14 +94,14 @@
 	if err := n.deriveLimits(f); err != nil {
 		return nil, err
 	}
-	if err := n.loadOperatorsFiles(f, getenv); err != nil {
+	if err := n.loadOperatorFiles(f, getenv); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// Reload reads the same again for a program that runs. Now the file wins over NODE_DISCOVERY: that is what the program
-// was started with, the file is what has been put in its place since.
+// Reload reads the settings again while the program runs. Here the discovery address in the file takes precedence over
+// NODE_DISCOVERY: the variable holds the address at the start, and the file may have been changed since.
 func Reload(getenv func(string) string) (*Node, error) {
 	n, err := Load(func(key string) string {
 		if key == "NODE_DISCOVERY" {
@@ -115,7 +115,7 @@
 	return n, err
 }
 
-// readNodeFile reads the platform's file; without a path it is empty.
+// readNodeFile reads the platform's file. If path is empty, it returns an empty nodeFile.
 func readNodeFile(path string) (*nodeFile, error) {
 	f := new(nodeFile)
 	if path == "" {
@@ -126,10 +126,10 @@
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
-	decoder.UseNumber() // nanoseconds keep their digits
+	decoder.UseNumber() // a float64 would round large numbers of nanoseconds
 	err = decoder.Decode(f)
 	if err == nil && decoder.Decode(new(any)) != io.EOF {
-		err = errors.New("more stands behind the end of the object")
+		err = errors.New("unexpected data after the end of the object")
 	}
 	var wrong *json.UnmarshalTypeError
 	switch {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// parseSeed reads a seed; without one it is another at each start.
+// parseSeed reads a hexadecimal seed. If text is empty, it returns a new seed at each start.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return uint64(time.Now().UnixNano()), nil
@@ -166,28 +166,28 @@
 	return seed, nil
 }
 
-// readSettings reads the module's settings, and the names that stand in them.
+// readSettings reads the decision module's settings and the names of classes, tenants, zones, kinds and load figures.
 func (n *Node) readSettings(settings map[string]any, path string) (err error) {
 	var lines strings.Builder
 	flatten(&lines, "", settings)
 	if n.Module, err = simadapter.ParseSettings(lines.String()); err != nil {
 		return fmt.Errorf("NODE_CONFIG: %s: %w", path, err)
 	}
-	if n.Classes, err = names(settings, "classes"); err != nil {
+	if n.Classes, err = objectNames(settings, "classes"); err != nil {
 		return err
 	}
-	if n.Tenants, err = names(settings, "tenants"); err != nil {
+	if n.Tenants, err = objectNames(settings, "tenants"); err != nil {
 		return err
 	}
-	n.Zones, n.Kinds = texts(settings["zones"]), texts(settings["kinds"])
+	n.Zones, n.Kinds = stringList(settings["zones"]), stringList(settings["kinds"])
 	if report, ok := settings["report"].(map[string]any); ok {
-		n.LoadFields = texts(report["fields"])
+		n.LoadFields = stringList(report["fields"])
 	}
 	return nil
 }
 
-// loadOperatorsFiles reads the files that the environment names.
-func (n *Node) loadOperatorsFiles(f *nodeFile, getenv func(string) string) (err error) {
+// loadOperatorFiles reads the operator's files that the environment names.
+func (n *Node) loadOperatorFiles(f *nodeFile, getenv func(string) string) (err error) {
 	if path := getenv("NODE_AMQP"); path != "" {
 		if n.AMQP, err = loadAMQP(path, n); err != nil {
 			return err
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// ChangedKeys names the keys that differ from those of a node read later and that hold until the next start.
+// ChangedKeys returns the keys whose values differ in later, a node read later, and take effect only at the next start.
 func (n *Node) ChangedKeys(later *Node) (keys []string) {
 	for _, k := range []struct {
 		key      string
@@ -229,13 +229,13 @@
 	return keys
 }
 
-// SharesNoClass returns whether a node read later is another customer's: none of its classes is one of this one's.
+// SharesNoClass reports whether a node read later belongs to another customer: it has no class in common with n.
 func (n *Node) SharesNoClass(later *Node) bool {
 	shared := slices.ContainsFunc(later.Classes, func(c string) bool { return slices.Contains(n.Classes, c) })
 	return len(n.Classes) > 0 && !shared
 }
 
-// ZoneName returns the name of this dispatcher's zone, empty where the settings name none.
+// ZoneName returns the name of this dispatcher's zone, or an empty string if the settings name no zones.
 func (n *Node) ZoneName() string {
 	if z := n.Module.Zone; z < len(n.Zones) {
 		return n.Zones[z]
@@ -243,13 +243,14 @@
 	return ""
 }
 
-// workersWord has the workers' own name for a load figure that the settings name otherwise.
-var workersWord = map[string]string{"fail_rate": "eps", "rate": "qps", "q": "queue", "rif": "inflight", "busy": "util", "lat_ms": "latency_ms"}
+// workerLoadNames maps the settings' name of a load figure to the name that workers send, where the two differ.
+var workerLoadNames = map[string]string{"fail_rate": "eps", "rate": "qps", "q": "queue", "rif": "inflight", "busy": "util", "lat_ms": "latency_ms"}
 
-// LoadFieldIndex finds the index of a load figure by the settings' name or by the workers' own, -1 where there is none.
+// LoadFieldIndex returns the index of a load figure, given the settings' name or the workers' name, or -1 if there is
+// none.
 func (n *Node) LoadFieldIndex(name string) int {
-	return slices.IndexFunc(n.LoadFields, func(f string) bool { return f == name || workersWord[f] == name })
+	return slices.IndexFunc(n.LoadFields, func(f string) bool { return f == name || workerLoadNames[f] == name })
 }
 
-// Index finds the index of a name in a list of names, -1 where it is not there.
+// Index returns the index of a name in a list, or -1 if the list does not hold it.
 func Index(list []string, name string) int { return slices.Index(list, name) }
--- a/internal/dispatcher/config/settings.go
+++ b/internal/dispatcher/config/settings.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// flatten writes nested settings as the path=value lines that simadapter reads. A list of objects is written under their
-// indices and has its length under count; any other list is one value.
+// flatten writes nested settings as the path=value lines that simadapter reads. The objects of a list are written under
+// their indices, and the length of the list under count. Any other list is written as one value.
 func flatten(out *strings.Builder, path string, v any) {
 	switch v := v.(type) {
 	case nil:
@@ -48,13 +48,13 @@
 	return ok
 }
 
-// plainText writes a value such that it neither ends a line nor divides a list.
+// plainText formats a value without the characters that separate lines and list items.
 func plainText(v any) string {
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_").Replace(fmt.Sprint(v))
 }
 
-// texts reads a list of simple values.
-func texts(v any) (out []string) {
+// stringList formats each value of a list as a string.
+func stringList(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, e := range list {
 		out = append(out, fmt.Sprint(e))
@@ -62,8 +62,8 @@
 	return out
 }
 
-// names reads the names of a list of objects; each needs one of its own.
-func names(settings map[string]any, key string) (out []string, err error) {
+// objectNames returns the names of the objects in the list at key. Each object needs a unique name.
+func objectNames(settings map[string]any, key string) (out []string, err error) {
 	list, _ := settings[key].([]any)
 	for i, e := range list {
 		object, _ := e.(map[string]any)
@@ -76,8 +76,9 @@
 	return out, nil
 }
 
-// nanoseconds reads a time from nested settings, and returns otherwise where there is none between 0 and an hour.
-func nanoseconds(settings any, otherwise time.Duration, path ...string) time.Duration {
+// durationSetting returns the duration in nanoseconds at a path of nested settings. If there is no number between 0 and
+// an hour, it returns fallback.
+func durationSetting(settings any, fallback time.Duration, path ...string) time.Duration {
 	for _, key := range path {
 		object, _ := settings.(map[string]any)
 		settings = object[key]
@@ -87,5 +88,5 @@
 			return time.Duration(f)
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/dispatcher/config/toml.go
+++ b/internal/dispatcher/config/toml.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML reads an operator's file strictly: a key that nobody reads is an error that names it.
+// decodeTOML reads an operator's file. An unknown key is an error that names the key.
 func decodeTOML(path string, into any) error {
 	meta, err := toml.DecodeFile(path, into)
 	if err != nil {
@@ -24,13 +24,13 @@
 	return nil
 }
 
-// section names the place of a faulty key in an operator's file.
+// section is a table of an operator's file; its errors name the file and the key.
 type section struct {
 	path string
-	name string // of the table; empty is the file's top
+	name string // of the table; empty: the top level of the file
 }
 
-// errorf makes the error of a key of the section.
+// errorf returns an error about a key of the section.
 func (s section) errorf(key, format string, v ...any) error {
 	if s.name != "" {
 		key = s.name + "." + key
@@ -38,13 +38,13 @@
 	return fmt.Errorf("%s: key %s: %s", s.path, key, fmt.Sprintf(format, v...))
 }
 
-// Peer is another dispatcher.
+// Peer is the name and address of another dispatcher.
 type Peer struct {
-	Name    string // empty: not known
+	Name    string // empty: unknown
 	Address netip.AddrPort
 }
 
-// namedPeer is another dispatcher in an operator's file.
+// namedPeer is the entry of another dispatcher in an operator's file.
 type namedPeer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
--- a/internal/dispatcher/config/worker.go
+++ b/internal/dispatcher/config/worker.go
@@ -1,6 +1,6 @@
 package config
 
-// Worker is one entry of the list of workers, as discovery has it.
+// Worker is one entry of the list of workers, as discovery sends it.
 type Worker struct {
 	ID          string  `json:"instanceId"`
 	Address     string  `json:"hostPort"`
@@ -10,12 +10,12 @@
 	State       string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
 	StartedAtMs int64   `json:"startedAtMs"` // Unix time
-	Queue       string  `json:"-"`           // set where the worker takes its jobs over AMQP
+	Queue       string  `json:"-"`           // set if the worker takes its jobs over AMQP
 }
 
-// WorkerList is a list of workers, complete (Reset) or only what changed.
+// WorkerList is a list of workers: all of them if Reset is set, otherwise only the changed ones.
 type WorkerList struct {
-	Generation int64    `json:"generation"` // its version
+	Generation int64    `json:"generation"` // version of the list
 	Reset      bool     `json:"reset"`
 	Workers    []Worker `json:"instances"`
 }
