--- a/internal/dispatcher/config/document/document.go
+++ b/internal/dispatcher/config/document/document.go
@@ -1,8 +1,8 @@
-// Package document reads the JSON documents of operators: each is checked against
-// a schema that this package ships, and an error names the file, the line and
-// column, and the key. A document that the schema refuses is never used, and
-// nothing is guessed. It stands apart from its parent because the library for
-// schemas takes 7 ms and 2 MB of every start.
+// Package document reads the JSON documents of operators. Each document is
+// validated against a schema that this package embeds. An error names the file,
+// the line and column, and the key. A document that does not match its schema is
+// not used. The package is separate from its parent because the JSON Schema
+// library adds 7 ms and 2 MB to every start.
 //
 // All functions may be called on any goroutine. Start reading at Parse.
 package document
@@ -25,17 +25,17 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// MaxBytes is how long a document may be.
+// MaxBytes is the longest document, in bytes.
 const MaxBytes = 16 << 20
 
-// The defaults of a recorder: config.Capture has their meaning.
+// The defaults of the recorder's settings. config.Capture describes them.
 const (
 	defaultRotateMB = 64
 	defaultRotateS  = 300
 	defaultGroupS   = 10
 )
 
-// Read reads a file that must keep to a schema.
+// Read validates a file of at most MaxBytes against the named schema and decodes it into into.
 func Read(path, schema string, into any) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return Parse(path, text, schema, into)
 }
 
-// Parse does the same with a text; path stands in its errors alone.
+// Parse validates a text against the named schema and decodes it into into. path only names the text in errors.
 func Parse(path string, text []byte, schema string, into any) error {
 	offsets, err := keyOffsets(text)
 	if err != nil {
@@ -76,25 +76,25 @@
 	return decode(path, text, into)
 }
 
-// explain says of a document that its schema refuses what is wrong, each cause with its place.
+// explain converts a validation error into one error for each cause, with its line, column and key.
 func explain(path string, text []byte, offsets map[string]int64, err error) error {
-	var refused *jsonschema.ValidationError
-	if !errors.As(err, &refused) {
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	var all []error
-	for _, cause := range rootCauses(refused, nil) {
+	var errs []error
+	for _, cause := range rootCauses(invalid, nil) {
 		key := cause.InstanceLocation
 		if extra, ok := cause.ErrorKind.(*kind.AdditionalProperties); ok && len(extra.Properties) > 0 {
 			key = append(slices.Clone(key), extra.Properties[0])
 		}
 		reason := cause.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		all = append(all, fmt.Errorf("%s:%s: %s: %s", path, position(text, offsets[joinKey(key)]), describeKey(key), reason))
+		errs = append(errs, fmt.Errorf("%s:%s: %s: %s", path, position(text, offsets[joinKey(key)]), describeKey(key), reason))
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
-// rootCauses returns the causes at the bottom, each once.
+// rootCauses appends the leaves of the tree of causes to causes and returns the result.
 func rootCauses(e *jsonschema.ValidationError, causes []*jsonschema.ValidationError) []*jsonschema.ValidationError {
 	if len(e.Causes) == 0 {
 		return append(causes, e)
@@ -105,25 +105,25 @@
 	return causes
 }
 
-// decode reads a document that its schema lets through, which may still hold what the type cannot.
+// decode decodes a valid document. A value may match its schema and still not fit the Go type; that is an error.
 func decode(path string, text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
-	var wrong *json.UnmarshalTypeError
+	var mismatch *json.UnmarshalTypeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &wrong):
-		return fmt.Errorf("%s:%s: key %s: a %s is not valid", path, position(text, wrong.Offset), wrong.Field, wrong.Value)
+	case errors.As(err, &mismatch):
+		return fmt.Errorf("%s:%s: key %s: a %s is not valid", path, position(text, mismatch.Offset), mismatch.Field, mismatch.Value)
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// joinKey makes one word of a key's path.
+// joinKey joins the parts of a key's path into one string, which is unique to the path.
 func joinKey(path []string) string { return strings.Join(path, "\x00") }
 
-// describeKey names a key in an error.
+// describeKey returns the name of a key for an error message.
 func describeKey(path []string) string {
 	if len(path) == 0 {
 		return "the document"
@@ -131,7 +131,7 @@
 	return "key " + strings.Join(path, ".")
 }
 
-// ReadCapture reads what sets up a recorder.
+// ReadCapture reads the settings of a recorder, fills in the defaults and checks that the directory exists.
 func ReadCapture(path string) (*config.Capture, error) {
 	c := &config.Capture{RotateMB: defaultRotateMB, RotateS: defaultRotateS, GroupS: defaultGroupS}
 	if err := Read(path, "capture", c); err != nil {
@@ -142,7 +142,7 @@
 		return nil, fmt.Errorf("%s: key dir: %w", path, err)
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s: key dir: %s is no directory", path, c.Dir)
+		return nil, fmt.Errorf("%s: key dir: %s is not a directory", path, c.Dir)
 	}
 	return c, nil
 }
--- a/internal/dispatcher/config/document/schema.go
+++ b/internal/dispatcher/config/document/schema.go
@@ -13,7 +13,7 @@
 //go:embed schemas/*.json
 var schemas embed.FS
 
-// SchemaNames returns the names of the schemas that are shipped, sorted.
+// SchemaNames returns the names of the embedded schemas, sorted.
 func SchemaNames() (names []string) {
 	files, _ := fs.Glob(schemas, "schemas/*.json")
 	for _, f := range files {
@@ -22,11 +22,11 @@
 	return names
 }
 
-// Schema returns the text of a shipped schema.
+// Schema returns the text of an embedded schema.
 func Schema(name string) ([]byte, error) {
 	text, err := schemas.ReadFile("schemas/" + name + ".json")
 	if err != nil {
-		return nil, fmt.Errorf("there is no schema %q; there are %s", name, strings.Join(SchemaNames(), ", "))
+		return nil, fmt.Errorf("there is no schema %q; the schemas are %s", name, strings.Join(SchemaNames(), ", "))
 	}
 	return text, nil
 }
--- a/internal/dispatcher/config/document/shipped_test.go
+++ b/internal/dispatcher/config/document/shipped_test.go
@@ -13,8 +13,8 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// testdata/shipped.json holds what the shipped documents come to, written again under their keys.
-func TestShippedDocumentsAsTheyAreRead(t *testing.T) {
+// testdata/shipped.json holds the values that are read from the shipped documents, encoded as JSON again.
+func TestShippedDocumentsKeepTheirValues(t *testing.T) {
 	var out bytes.Buffer
 	for _, name := range []string{"fleet", "load", "capture"} {
 		into := map[string]any{"fleet": new(fleetsim.Fleet), "load": new(fleetsim.Load), "capture": new(config.Capture)}[name]
@@ -30,8 +30,8 @@
 	golden.AssertBytes(t, out.Bytes(), "shipped.json")
 }
 
-// testdata/defaults.json holds a recorder's settings where the operator names a folder alone.
-func TestDefaultsOfARecorder(t *testing.T) {
+// testdata/defaults.json holds a recorder's settings when the operator sets only the directory.
+func TestCaptureDefaults(t *testing.T) {
 	path := t.TempDir() + "/capture.json"
 	if err := os.WriteFile(path, []byte(`{"dir":"/"}`), 0o600); err != nil {
 		t.Fatal(err)
