--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -1,11 +1,11 @@
-// Package instance runs one dispatcher as a process: it reads the settings, wires
-// the dispatcher's parts together, serves the process's signals and sees the
-// dispatcher out. What becomes of a job is decided elsewhere, and no command
-// line is needed.
+// Package instance runs one dispatcher as a process. It reads the settings, connects
+// the dispatcher's components, handles the process's signals and shuts the
+// dispatcher down. Other packages decide what happens to a job. The package reads
+// no command line.
 //
-// Run has the goroutine that it is called on; it starts one for each part, and
-// one for SIGHUP, which is served up to the process's end. Parts that an
-// operator may leave out are nil in an instance.
+// Run blocks its caller's goroutine. It starts one goroutine for each component,
+// and one that handles SIGHUP until the process ends. Optional components that are
+// not configured are nil in an instance.
 //
 // Start reading at Run.
 package instance
@@ -29,53 +29,53 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-// errFrontEnded is the error of Run where the clients' listener has failed for good.
+// errFrontEnded is the error of Run if the clients' listener fails for good.
 var errFrontEnded = errors.New("the portal has ended")
 
-// StartRecorder puts an observer on the core before it runs. It returns what ends the observer once the core has ended,
-// nil where nothing is recorded.
-type StartRecorder func(*config.Node, *dispatch.Counters, *dispatch.Core) (end func(context.Context) error, err error)
+// StartRecorder attaches an observer to the core before the core runs. It returns a function that stops the observer,
+// to be called after the core has ended, or nil if nothing is recorded.
+type StartRecorder func(*config.Node, *dispatch.Counters, *dispatch.Core) (stop func(context.Context) error, err error)
 
-// DurableJobs stands between the fronts, the core and the transports where jobs outlive their dispatcher.
+// DurableJobs connects the fronts, the core and the transports if jobs are to outlive their dispatcher.
 type DurableJobs interface {
 	dispatch.Submitter
-	// WrapTransport returns what stands before a transport, nil before none.
+	// WrapTransport returns a transport that wraps the given one, or nil if that is nil.
 	WrapTransport(dispatch.Transport) dispatch.Transport
-	// Run is called before the first job, and returns when ctx ends.
+	// Run is called before the first job. It returns when ctx ends.
 	Run(context.Context, *dispatch.Core)
-	// Status returns what GET /leases shows, and false once Run has ended.
+	// Status returns the reply to GET /leases, and false once Run has ended.
 	Status(ctx context.Context, key string) (any, bool)
-	// Shutdown hands over what this dispatcher has.
+	// Shutdown hands this dispatcher's jobs and replicas over to other dispatchers.
 	Shutdown(context.Context)
 }
 
-// NewDurableJobs makes the durable jobs of a node whose settings ask for them.
+// NewDurableJobs creates the durable jobs component of a node whose settings enable it.
 type NewDurableJobs func(*config.Node, *transport.Transport) (DurableJobs, error)
 
-// instance is one dispatcher's parts.
+// instance holds the components of one dispatcher.
 type instance struct {
 	node    *config.Node
 	core    *dispatch.Core
 	watcher *discovery.Watcher
 	front   *clienthttp.Server
 
-	broker      *amqp.Adapter               // nil: no broker
-	members     *transport.Transport        // nil: no membership
-	durableJobs DurableJobs                 // nil: jobs end with their dispatcher
-	endRecorder func(context.Context) error // nil: nothing is recorded
+	broker       *amqp.Adapter               // nil: no broker
+	members      *transport.Transport        // nil: no membership
+	durableJobs  DurableJobs                 // nil: a job does not outlive its dispatcher
+	stopRecorder func(context.Context) error // nil: nothing is recorded
 }
 
-// Run runs one dispatcher until SIGTERM or an interrupt has been served. Either function may be nil: then nothing is
-// recorded, and settings that ask for durable jobs are an error.
+// Run runs one dispatcher until SIGTERM, an interrupt or a failure of the clients' listener, and shuts it down then. If
+// startRecorder is nil, nothing is recorded. If newDurableJobs is nil, settings that enable durable jobs are an error.
 func Run(startRecorder StartRecorder, newDurableJobs NewDurableJobs) error {
-	reloads := notifyOn(syscall.SIGHUP) // from the first: by itself this signal would end the program
+	reloadSignals := notifyOn(syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the process
 	node, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
 	node.Limits.Apply()
-	stops := notifyOn(syscall.SIGTERM, os.Interrupt)
-	prints := notifyOn(syscall.SIGUSR1)
+	stopSignals := notifyOn(syscall.SIGTERM, os.Interrupt)
+	counterSignals := notifyOn(syscall.SIGUSR1)
 	i, err := assemble(node, startRecorder, newDurableJobs)
 	if err != nil {
 		return err
@@ -87,20 +87,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	frontEnded := i.start(ctx, listener)
-	go i.serveReloads(reloads)
+	go i.serveReloads(reloadSignals)
 	log.Printf("%s serves on %s", node.Name, node.Listen)
-	fault := i.awaitStop(frontEnded, stops, prints)
-	return i.shutdown(ctx, cancel, fault)
+	frontErr := i.awaitStop(frontEnded, stopSignals, counterSignals)
+	return i.shutdown(ctx, cancel, frontErr)
 }
 
-// notifyOn returns a channel that gets the signals; one that comes while another waits there is dropped.
+// notifyOn returns a channel that receives the signals. A signal that arrives while another is pending is dropped.
 func notifyOn(signals ...os.Signal) chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, signals...)
 	return c
 }
 
-// assemble makes the parts and wires them together. Nothing runs yet.
+// assemble creates the components and connects them. It starts none.
 func assemble(node *config.Node, startRecorder StartRecorder, newDurableJobs NewDurableJobs) (*instance, error) {
 	i := &instance{node: node, watcher: discovery.New(node)}
 	counters := new(dispatch.Counters)
@@ -119,7 +119,7 @@
 	var workers dispatch.Transport = workerhttp.New(node, counters)
 	if node.DurableJobs != nil {
 		if newDurableJobs == nil {
-			return nil, errors.New("NODE_PROMISES: this program cannot keep promises: gladepick-full can")
+			return nil, errors.New("NODE_PROMISES: this program does not support durable jobs; run gladepick-full instead")
 		}
 		if i.durableJobs, err = newDurableJobs(node, i.members); err != nil {
 			return nil, err
@@ -131,7 +131,7 @@
 	}
 	i.watcher.OnList = i.core.UpdateWorkers
 	if startRecorder != nil {
-		if i.endRecorder, err = startRecorder(node, counters, i.core); err != nil {
+		if i.stopRecorder, err = startRecorder(node, counters, i.core); err != nil {
 			return nil, err
 		}
 	}
@@ -139,7 +139,8 @@
 	return i, nil
 }
 
-// assembleFronts makes the clients' sides, and connects them with what takes the jobs.
+// assembleFronts creates the HTTP front and connects the fronts with the component to which they submit jobs: durable
+// jobs if enabled, otherwise the core.
 func (i *instance) assembleFronts() {
 	i.front = clienthttp.New(i.node, i.core)
 	var jobs dispatch.Submitter = i.core
@@ -154,7 +155,8 @@
 	}
 }
 
-// start sets the parts to work until ctx ends, and the front until it is shut down. The channel gets the front's error.
+// start runs the components until ctx ends, and the front until it is shut down. The channel receives the front's
+// error.
 func (i *instance) start(ctx context.Context, listener net.Listener) <-chan error {
 	go i.core.Run(ctx)
 	go i.watcher.Run(ctx)
@@ -172,27 +174,27 @@
 	return ended
 }
 
-// awaitStop serves the signals until the dispatcher is to end: as it was told to, or because the front has failed, which
-// is its error.
-func (i *instance) awaitStop(frontEnded <-chan error, stops, prints <-chan os.Signal) error {
+// awaitStop handles signals until one asks the dispatcher to stop or the front fails. It returns the front's error, or
+// nil after a signal.
+func (i *instance) awaitStop(frontEnded <-chan error, stopSignals, counterSignals <-chan os.Signal) error {
 	for {
 		select {
-		case err := <-frontEnded: // what has been taken is owed its answer all the same
-			fault := errors.Join(errFrontEnded, err)
-			log.Print(fault)
-			return fault
-		case <-prints:
+		case err := <-frontEnded: // accepted jobs are still answered: Run shuts down as after a signal
+			frontErr := errors.Join(errFrontEnded, err)
+			log.Print(frontErr)
+			return frontErr
+		case <-counterSignals:
 			log.Print(i.core.CountersLine())
-		case <-stops:
+		case <-stopSignals:
 			return nil
 		}
 	}
 }
 
-// shutdown sees the dispatcher out: every job that was taken is answered. cancel ends the parts' context. The error joins
-// fault with what went wrong here.
-func (i *instance) shutdown(ctx context.Context, cancel context.CancelFunc, fault error) error {
-	// New connections keep coming for a while after SIGTERM: they are served, and told to go elsewhere afterwards.
+// shutdown stops the dispatcher after every accepted job has been answered. cancel ends ctx, the context of the
+// components. It returns frontErr joined with the errors of the shutdown.
+func (i *instance) shutdown(ctx context.Context, cancel context.CancelFunc, frontErr error) error {
+	// New connections still arrive for a while after SIGTERM. They are served, and each answer closes its connection.
 	i.front.Drain()
 	log.Printf("%s is leaving", i.node.Name)
 	if i.broker != nil {
@@ -202,22 +204,22 @@
 		i.members.Draining(ctx)
 	}
 	time.Sleep(i.node.Limits.DrainDelay)
-	late, done := context.WithTimeout(context.Background(), i.node.Limits.MaxJobTimeout)
-	defer done()
-	err := errors.Join(fault, i.front.Shutdown(late))
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), i.node.Limits.MaxJobTimeout)
+	defer cancelShutdown()
+	err := errors.Join(frontErr, i.front.Shutdown(shutdownCtx))
 	if i.broker != nil {
-		err = errors.Join(err, i.broker.Wait(late))
+		err = errors.Join(err, i.broker.Wait(shutdownCtx))
 	}
 	if i.durableJobs != nil {
-		i.durableJobs.Shutdown(late)
+		i.durableJobs.Shutdown(shutdownCtx)
 	}
 	if i.members != nil {
-		i.members.Leave(late)
+		i.members.Leave(shutdownCtx)
 	}
-	if i.endRecorder != nil {
+	if i.stopRecorder != nil {
 		cancel()
 		i.core.Wait()
-		err = errors.Join(err, i.endRecorder(late))
+		err = errors.Join(err, i.stopRecorder(shutdownCtx))
 	}
 	log.Print(i.core.CountersLine())
 	return err
