--- a/internal/dispatcher/instance/attempt_ends_test.go
+++ b/internal/dispatcher/instance/attempt_ends_test.go
@@ -10,92 +10,93 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// A job's time ends while its connection comes up, while its request is half written, and while its last line is half
-// read: it is answered then, and nothing more of it goes out. One that may have run is never called harmless where it may
-// not run twice.
-func TestTimeEndsOnTheWay(t *testing.T) {
-	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
-		want := map[decision.Idempotency]string{decision.Idempotent: "503 refused: try again later", decision.NotIdempotent: "502 the job failed"}[effect]
-		for _, at := range []string{"connecting", "writing", "reading"} {
-			r := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = effect, bound })
-			// Its time ends in the core and at the dial at one instant. The dial's word would be that it never ran, and a
-			// refusal is right then for either class: so the core's alone is asked for here.
-			r.holdDials, r.ignoreTimeouts = true, true
-			r.start()
-			c := r.newClient()
-			c.send(jobHead("d1", "seat-check", 400*time.Millisecond, 2) + "go")
-			d := receive(t, "a connection", r.dials)
-			w := receive(t, "the worker's side", r.workerConns)
-			switch at {
+// A job times out while its connection is being established, while its request is half written, or while the last line
+// of its response is half read. It is answered then, and nothing more of it is sent. A job that may have run and may
+// not run twice is answered as failed, never as rejected.
+func TestJobTimesOutDuringConnectWriteOrRead(t *testing.T) {
+	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
+		want := map[decision.Idempotency]string{decision.Idempotent: "503 refused: try again later", decision.NotIdempotent: "502 the job failed"}[idempotency]
+		for _, stage := range []string{"connecting", "writing", "reading"} {
+			f := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = idempotency, maxWait })
+			// The job times out in the core and in the dial at the same instant. If the dial reports first that the job
+			// never ran, a rejection is correct for either class. So the dial ignores its time-out here, and only the
+			// core's counts.
+			f.holdDials, f.ignoreTimeouts = true, true
+			f.start()
+			client := f.newClient()
+			client.send(jobHead("d1", "seat-check", 400*time.Millisecond, 2) + "go")
+			dial := receive(t, "a connection", f.dials)
+			worker := receive(t, "the worker's side", f.workerConns)
+			switch stage {
 			case "writing":
-				s := &halfWriter{Conn: d.real, halfWritten: make(chan bool), broken: make(chan struct{})}
-				d.up <- s
-				receive(t, "the first half", s.halfWritten)
+				half := &halfWriter{Conn: dial.real, halfWritten: make(chan bool), broken: make(chan struct{})}
+				dial.release <- half
+				receive(t, "the first half", half.halfWritten)
 			case "reading":
-				d.up <- d.real
-				r.readRequest(w)
-				io.WriteString(w, chunkedHead+doneChunk("d1")[:30])
+				dial.release <- dial.real
+				f.readRequest(worker)
+				io.WriteString(worker, chunkedHead+doneChunk("d1")[:30])
 			}
-			if got := c.readAnswer(); got != want {
-				t.Errorf("effect %v, %s: answered %s", effect, at, got)
+			if got := client.readAnswer(); got != want {
+				t.Errorf("idempotency %v, %s: the client received %s", idempotency, stage, got)
 			}
-			if at == "connecting" { // it comes up now, and ends
-				d.real.Close()
-				d.up <- d.real
+			if stage == "connecting" { // the connection is established now, and closed
+				dial.real.Close()
+				dial.release <- dial.real
 			}
-			w.SetReadDeadline(time.Now().Add(bound))
-			if text, err := io.ReadAll(w); err != nil || strings.HasSuffix(string(text), "go") || at == "connecting" && len(text) > 0 {
-				t.Errorf("effect %v, %s: the worker got %q, %v", effect, at, text, err)
+			worker.SetReadDeadline(time.Now().Add(maxWait))
+			if text, err := io.ReadAll(worker); err != nil || strings.HasSuffix(string(text), "go") || stage == "connecting" && len(text) > 0 {
+				t.Errorf("idempotency %v, %s: the worker received %q, %v", idempotency, stage, text, err)
 			}
-			if r.counter("sent") != 1 {
-				t.Errorf("effect %v, %s: %s", effect, at, r.core.CountersLine())
+			if f.counter("sent") != 1 {
+				t.Errorf("idempotency %v, %s: the job was not sent once: %s", idempotency, stage, f.core.CountersLine())
 			}
 		}
 	}
 }
 
-// A worker that is told off, or is missing from the whole list, while a connection to it comes up gets nothing, also when
-// it is back under its name by then.
-func TestWorkerLeavesWhileAConnectionComesUp(t *testing.T) {
-	for _, back := range []bool{false, true} {
-		for _, how := range []string{"drains", "is missing"} {
-			r := newFixture(t, func(n *config.Node) { n.Limits.ConnectTimeout = bound })
-			r.holdDials = true
-			r.start()
-			c := r.newClient()
-			c.send(jobRequest("v1"))
-			d := receive(t, "a connection", r.dials)
-			w := receive(t, "the worker's side", r.workerConns)
-			if how == "drains" {
-				var off []config.Worker
-				for _, w := range r.node.Known.Workers {
-					w.State = "draining"
-					off = append(off, w)
+// A worker begins to drain, or is missing from a full list, while a connection to it is being established. It receives
+// no request, even if the list holds it as ready again by then.
+func TestWorkerLeavesDuringConnect(t *testing.T) {
+	for _, returns := range []bool{false, true} {
+		for _, reason := range []string{"drains", "is missing"} {
+			f := newFixture(t, func(n *config.Node) { n.Limits.ConnectTimeout = maxWait })
+			f.holdDials = true
+			f.start()
+			client := f.newClient()
+			client.send(jobRequest("v1"))
+			dial := receive(t, "a connection", f.dials)
+			worker := receive(t, "the worker's side", f.workerConns)
+			if reason == "drains" {
+				var draining []config.Worker
+				for _, worker := range f.node.Known.Workers {
+					worker.State = "draining"
+					draining = append(draining, worker)
 				}
-				r.core.UpdateWorkers(decision.ListDelta, off)
-				r.waitDraining(3)
+				f.core.UpdateWorkers(decision.ListDelta, draining)
+				f.waitDraining(3)
 			} else {
-				r.core.UpdateWorkers(decision.ListFull, nil)
-				r.waitUntil("no ready worker", func() bool { return r.core.WorkerCounts()[decision.Ready] == 0 })
+				f.core.UpdateWorkers(decision.ListFull, nil)
+				f.waitUntil("no ready worker", func() bool { return f.core.WorkerCounts()[decision.Ready] == 0 })
 			}
-			if back {
-				r.core.UpdateWorkers(decision.ListFull, r.node.Known.Workers)
-				r.waitUntil("three ready workers", func() bool { return r.core.WorkerCounts()[decision.Ready] == 3 })
+			if returns {
+				f.core.UpdateWorkers(decision.ListFull, f.node.Known.Workers)
+				f.waitUntil("three ready workers", func() bool { return f.core.WorkerCounts()[decision.Ready] == 3 })
 			}
-			d.up <- d.real
-			r.waitUntil("the attempt's end", func() bool { return r.counter("moot") == 1 })
-			if back { // another one of them has it, on the connection that was kept
-				if id := r.readRequest(w); id != "v1" {
-					t.Errorf("%s came", id)
+			dial.release <- dial.real
+			f.waitUntil("the attempt's end", func() bool { return f.counter("moot") == 1 })
+			if returns { // another worker receives the job, on the connection that was kept
+				if id := f.readRequest(worker); id != "v1" {
+					t.Errorf("the worker received %s, want v1", id)
 				}
-				answerDone(w, "v1")
+				answerDone(worker, "v1")
 			}
-			got, want := c.readAnswer(), "503 refused: try again later"
-			if back {
+			got, want := client.readAnswer(), "503 refused: try again later"
+			if returns {
 				want = "200 of v1"
 			}
 			if got != want {
-				t.Errorf("%s, back %v: answered %s; %s", how, back, got, r.core.CountersLine())
+				t.Errorf("%s, returns %v: the client received %s; %s", reason, returns, got, f.core.CountersLine())
 			}
 		}
 	}
--- a/internal/dispatcher/instance/client_connections_test.go
+++ b/internal/dispatcher/instance/client_connections_test.go
@@ -13,118 +13,120 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-// Two requests at once on a connection are answered in turn; what comes before its time is kept.
-func TestRequestsBeforeTheirTime(t *testing.T) {
-	r := newFixture(t, nil).start()
-	c := r.newClient()
+// Pipelined requests on a connection are answered in order, and none of their bytes are lost.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	f := newFixture(t, nil).start()
+	client := f.newClient()
 	large := jobHead("q2", "seat-check", 5*time.Second, 60<<10) + strings.Repeat("y", 60<<10)
-	c.send(jobRequest("q1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	c.send(large + "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
-	answerDone(w, "q1")
-	if got := c.readAnswer(); got != "200 of q1" {
-		t.Errorf("the first is answered %s", got)
+	client.send(jobRequest("q1"))
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	client.send(large + "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
+	answerDone(worker, "q1")
+	if got := client.readAnswer(); got != "200 of q1" {
+		t.Errorf("the first response is %s", got)
 	}
-	if id := r.readRequest(w); id != "q2" {
-		t.Errorf("then %s came", id)
+	if id := f.readRequest(worker); id != "q2" {
+		t.Errorf("the worker received %s, want q2", id)
 	}
-	answerDone(w, "q2")
-	if got := c.readAnswer(); got != "200 of q2" {
-		t.Errorf("the second is answered %s", got)
+	answerDone(worker, "q2")
+	if got := client.readAnswer(); got != "200 of q2" {
+		t.Errorf("the second response is %s", got)
 	}
-	if got := c.readAnswer(); got != "200 up" {
-		t.Errorf("the third is answered %s", got)
+	if got := client.readAnswer(); got != "200 up" {
+		t.Errorf("the third response is %s", got)
 	}
 }
 
-// A client's connection ends between two requests after a time, and under an answer that the client does not read.
-func TestIdleAndDeafClients(t *testing.T) {
-	r := newFixture(t, func(n *config.Node) {
+// The dispatcher closes a connection that is idle between two requests, and one whose client does not read its
+// response.
+func TestIdleAndNonReadingClientsAreClosed(t *testing.T) {
+	f := newFixture(t, func(n *config.Node) {
 		n.Limits.ClientIdleTimeout, n.Limits.ReadTimeout = 150*time.Millisecond, 500*time.Millisecond
 	})
-	passed := make(chan *gatedConn, 64)
-	r.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, accepted: passed} }
-	r.start()
-	c, _ := r.idleClient(passed)
-	if got := c.readAnswer(); got != io.EOF.Error() && got != io.ErrUnexpectedEOF.Error() {
-		t.Errorf("an idle client hears %s", got)
+	acceptedConns := make(chan *gatedConn, 64)
+	f.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, accepted: acceptedConns} }
+	f.start()
+	client, _ := f.idleClient(acceptedConns)
+	if got := client.readAnswer(); got != io.EOF.Error() && got != io.ErrUnexpectedEOF.Error() {
+		t.Errorf("an idle client received %s", got)
 	}
-	c = r.newClient()
-	s := receive(t, "a connection", passed)
-	c.SetReadBuffer(1) // the kernel's least
-	s.SetWriteBuffer(1)
-	c.send(jobRequest("i1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	io.WriteString(w, chunkedHead+chunkOf(`{"id":"i1","from":"w","state":"done","result":"`+strings.Repeat("r", 100<<10)+"\"}\n")+"0\r\n\r\n")
-	r.waitUntil("the answer", func() bool { return r.counter("served") == 1 })
-	late, done := context.WithTimeout(context.Background(), bound)
-	defer done()
-	if err := r.server.Shutdown(late); err != nil { // it waits for every connection's end
-		t.Errorf("the answer that nobody reads has no end: %v", err)
+	client = f.newClient()
+	conn := receive(t, "a connection", acceptedConns)
+	client.SetReadBuffer(1) // the kernel raises this to its minimum
+	conn.SetWriteBuffer(1)
+	client.send(jobRequest("i1"))
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	io.WriteString(worker, chunkedHead+chunkOf(`{"id":"i1","from":"w","state":"done","result":"`+strings.Repeat("r", 100<<10)+"\"}\n")+"0\r\n\r\n")
+	f.waitUntil("the answer", func() bool { return f.counter("served") == 1 })
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
+	defer cancel()
+	if err := f.server.Shutdown(ctx); err != nil { // it waits until every connection is closed
+		t.Errorf("the connection with the unread response stays open: %v", err)
 	}
-	c.SetReadBuffer(1 << 20)
-	if got := c.readAnswer(); !strings.Contains(got, io.ErrUnexpectedEOF.Error()) && !strings.Contains(got, "reset") {
-		t.Errorf("a client that read too late hears %.60s", got)
+	client.SetReadBuffer(1 << 20)
+	if got := client.readAnswer(); !strings.Contains(got, io.ErrUnexpectedEOF.Error()) && !strings.Contains(got, "reset") {
+		t.Errorf("a client that read too late received %.60s", got)
 	}
 }
 
-// A process that stood still finds a request and the end of its time at once: the request was there first.
-func TestRequestThatMeetsItsTimeOut(t *testing.T) {
-	r := newFixture(t, nil)
-	late := make(chan struct{})
-	r.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, readsExpired: late} }
-	r.start()
-	c := r.newClient()
-	c.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
-	close(late)
-	if got := c.readAnswer(); got != "200 up" {
-		t.Errorf("it is answered %s", got)
+// After a pause the process finds a request and its expired read deadline at once. The request arrived first, so it is
+// served.
+func TestRequestArrivesWithItsReadDeadline(t *testing.T) {
+	f := newFixture(t, nil)
+	expired := make(chan struct{})
+	f.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, readsExpired: expired} }
+	f.start()
+	client := f.newClient()
+	client.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
+	close(expired)
+	if got := client.readAnswer(); got != "200 up" {
+		t.Errorf("the response is %s", got)
 	}
 }
 
-// Who is turned away while it still sends hears so, and is not reset under it.
-func TestTurnedAwayWhileSending(t *testing.T) {
-	r := newFixture(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.LingerTimeout = 1, bound }).start()
-	busy := r.newClient()
+// A client that is rejected while it still sends receives the rejection, and its connection is not reset meanwhile.
+func TestRejectedWhileSendingIsNotReset(t *testing.T) {
+	f := newFixture(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.LingerTimeout = 1, maxWait }).start()
+	busy := f.newClient()
 	busy.send(jobRequest("w1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	c := r.newClient()
-	c.send(jobHead("w2", "seat-check", 5*time.Second, 60<<10))
-	if got := c.readAnswer(); got != "503 refused: no room for connections (closes)" {
-		t.Errorf("it hears %s", got)
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	client := f.newClient()
+	client.send(jobHead("w2", "seat-check", 5*time.Second, 60<<10))
+	if got := client.readAnswer(); got != "503 refused: no room for connections (closes)" {
+		t.Errorf("the rejected client received %s", got)
 	}
 	for range 60 {
-		c.send(strings.Repeat("x", 1<<10)) // each of them reports an error
+		client.send(strings.Repeat("x", 1<<10)) // an error of any of these fails the test
 	}
-	answerDone(w, "w1")
+	answerDone(worker, "w1")
 	if got := busy.readAnswer(); got != "200 of w1" {
-		t.Errorf("who was there hears %s", got)
+		t.Errorf("the client with the open job received %s", got)
 	}
 }
 
-// Full tables: no connection to a worker can be spared, more workers are listed than are kept. What was under way goes on,
-// and who finds no room hears so at once.
-func TestFullTables(t *testing.T) {
-	r := newFixture(t, func(n *config.Node) { n.Limits.WorkerConns, n.Limits.Workers = 1, 3 }).start()
-	first, second := r.newClient(), r.newClient()
+// The pool of worker connections is full, and the list has more workers than the limit. Open jobs continue, and a job
+// that needs another connection is rejected at once.
+func TestFullConnectionPoolAndWorkerTable(t *testing.T) {
+	f := newFixture(t, func(n *config.Node) { n.Limits.WorkerConns, n.Limits.Workers = 1, 3 }).start()
+	first, second := f.newClient(), f.newClient()
 	first.send(jobRequest("f1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
 	second.send(jobHead("f2", "enrol", 5*time.Second, 2) + "go")
-	if got := second.readAnswer(); got != "503 refused: try again later" || r.counter("dialled") != 1 {
-		t.Errorf("with no connection to spare: %s; %s", got, r.core.CountersLine())
+	if got := second.readAnswer(); got != "503 refused: try again later" || f.counter("dialled") != 1 {
+		t.Errorf("with a full connection pool: the client received %s; %s", got, f.core.CountersLine())
 	}
-	more := append([]config.Worker{testenv.Worker("s-0000000f", "127.0.0.1:9", "ready")}, r.node.Known.Workers...)
-	r.core.UpdateWorkers(decision.ListDelta, more)
-	r.waitUntil("the list", func() bool { return r.counter("roster_changes") == 2 })
-	if n := r.core.WorkerCounts(); n != [3]int{0, 3, 0} {
-		t.Errorf("workers by state %v", n)
+	more := append([]config.Worker{testenv.Worker("s-0000000f", "127.0.0.1:9", "ready")}, f.node.Known.Workers...)
+	f.core.UpdateWorkers(decision.ListDelta, more)
+	f.waitUntil("the list", func() bool { return f.counter("roster_changes") == 2 })
+	if n := f.core.WorkerCounts(); n != [3]int{0, 3, 0} {
+		t.Errorf("workers by state (gone, ready, draining): %v", n)
 	}
-	answerDone(w, "f1")
+	answerDone(worker, "f1")
 	if got := first.readAnswer(); got != "200 of f1" {
-		t.Errorf("the first hears %s", got)
+		t.Errorf("the first client received %s", got)
 	}
 }
--- a/internal/dispatcher/instance/client_leaves_test.go
+++ b/internal/dispatcher/instance/client_leaves_test.go
@@ -13,174 +13,176 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// A client that leaves while the connection for its job comes up: nothing is written to it, whatever the class; the
-// connection serves the next job.
-func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	for _, effect := range []decision.Idempotency{decision.Idempotent, decision.Deduplicated, decision.NotIdempotent} {
-		r := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = effect, bound })
-		r.holdDials = true
-		r.start()
-		c := r.newClient()
+// A client leaves while the connection for its job is being established. Whatever the class, the job is not sent on
+// that connection, which then serves the next job.
+func TestClientLeavesDuringConnect(t *testing.T) {
+	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.Deduplicated, decision.NotIdempotent} {
+		f := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = idempotency, maxWait })
+		f.holdDials = true
+		f.start()
+		client := f.newClient()
 		text := jobRequest("g1")
-		if effect == decision.Deduplicated {
+		if idempotency == decision.Deduplicated {
 			text = strings.Replace(text, "Content-Length", "Idempotency-Key: k\r\nContent-Length", 1)
 		}
-		c.send(text)
-		d := receive(t, "a connection", r.dials)
-		c.Close()
-		r.waitUntil("the client's leaving", func() bool { return r.counter("left") == 1 })
-		d.up <- d.real
-		r.waitUntil("the attempt's end", func() bool { return r.counter("moot") == 1 })
-		r.waitIdle(1)
-		c = r.newClient()
-		c.send(strings.Replace(text, "X-Request-ID: g1", "X-Request-ID: g2", 1))
-		w := receive(t, "the worker's side", r.workerConns)
-		if id := r.readRequest(w); id != "g2" {
-			t.Errorf("effect %v: %s was sent on after its client had left", effect, id)
+		client.send(text)
+		dial := receive(t, "a connection", f.dials)
+		client.Close()
+		f.waitUntil("the client's leaving", func() bool { return f.counter("left") == 1 })
+		dial.release <- dial.real
+		f.waitUntil("the attempt's end", func() bool { return f.counter("moot") == 1 })
+		f.waitIdle(1)
+		client = f.newClient()
+		client.send(strings.Replace(text, "X-Request-ID: g1", "X-Request-ID: g2", 1))
+		worker := receive(t, "the worker's side", f.workerConns)
+		if id := f.readRequest(worker); id != "g2" {
+			t.Errorf("idempotency %v: the worker received %s, want g2 alone: the client of g1 had left", idempotency, id)
 		}
-		answerDone(w, "g2")
-		if got := c.readAnswer(); got != "200 of g2" {
-			t.Errorf("the next client hears %s", got)
+		answerDone(worker, "g2")
+		if got := client.readAnswer(); got != "200 of g2" {
+			t.Errorf("the next client received %s", got)
 		}
 	}
 }
 
-// A client that leaves while its request is half written: the rest never goes out, and the connection is closed.
-func TestClientLeavesWhileItsRequestIsHalfWritten(t *testing.T) {
-	r := newFixture(t, nil)
-	r.holdDials = true
-	r.start()
-	c := r.newClient()
-	c.send(jobRequest("h1"))
-	d := receive(t, "a connection", r.dials)
-	s := &halfWriter{Conn: d.real, halfWritten: make(chan bool), broken: make(chan struct{})}
-	d.up <- s
-	receive(t, "the first half", s.halfWritten)
-	c.Close()
+// A client leaves while its request is half written to a worker. The rest is not written, and the connection is closed.
+func TestClientLeavesDuringRequestWrite(t *testing.T) {
+	f := newFixture(t, nil)
+	f.holdDials = true
+	f.start()
+	client := f.newClient()
+	client.send(jobRequest("h1"))
+	dial := receive(t, "a connection", f.dials)
+	half := &halfWriter{Conn: dial.real, halfWritten: make(chan bool), broken: make(chan struct{})}
+	dial.release <- half
+	receive(t, "the first half", half.halfWritten)
+	client.Close()
 	select {
-	case <-s.broken:
-	case <-time.After(3 * time.Second): // the job itself has five
-		t.Fatal("the write goes on after the client has left")
+	case <-half.broken:
+	case <-time.After(3 * time.Second): // the job itself times out after 5 s
+		t.Fatal("the write continues after the client has left")
 	}
-	w := receive(t, "the worker's side", r.workerConns)
-	w.SetReadDeadline(time.Now().Add(bound))
-	if text, err := io.ReadAll(w); err != nil || strings.HasSuffix(string(text), "go") {
-		t.Errorf("the worker got %q, %v", text, err)
+	worker := receive(t, "the worker's side", f.workerConns)
+	worker.SetReadDeadline(time.Now().Add(maxWait))
+	if text, err := io.ReadAll(worker); err != nil || strings.HasSuffix(string(text), "go") {
+		t.Errorf("the worker received %q, %v", text, err)
 	}
 }
 
-// The end of a client's connection shows also behind bytes that came before their time, however it is closed and whatever
-// form the body has: the job is not sent a second time. One that has only ended its sending hears that nothing comes of it.
-func TestClientLeavesBehindItsBytes(t *testing.T) {
-	for _, more := range []string{"", "P", "POST /seat-check/x HT", jobRequest("b2"), strings.Repeat("x", 200<<10)} {
-		for _, way := range [][2]string{{"close", jobRequest("b1")}, {"reset", jobRequest("b1")}, {"half", jobRequest("b1")},
+// A client sends pipelined bytes and then leaves while its job is open. The dispatcher notices this behind the bytes,
+// however the connection is closed and whatever encoding the body has, and does not send the job again. A client that
+// has only closed its sending side receives an error.
+func TestClientLeavesAfterPipelinedBytes(t *testing.T) {
+	for _, pipelined := range []string{"", "P", "POST /seat-check/x HT", jobRequest("b2"), strings.Repeat("x", 200<<10)} {
+		for _, variant := range [][2]string{{"close", jobRequest("b1")}, {"reset", jobRequest("b1")}, {"half", jobRequest("b1")},
 			{"close", chunkedJob(jobRequest("b1"))}, {"reset", chunkedJob(jobRequest("b1"))}, {"half", chunkedJob(jobRequest("b1"))}} {
-			how := way[0]
-			r := newFixture(t, nil).start()
-			c := r.newClient()
-			c.send(way[1])
-			w := receive(t, "the worker's side", r.workerConns)
-			r.readRequest(w)
-			c.send(more)
-			switch how {
+			closing := variant[0]
+			f := newFixture(t, nil).start()
+			client := f.newClient()
+			client.send(variant[1])
+			worker := receive(t, "the worker's side", f.workerConns)
+			f.readRequest(worker)
+			client.send(pipelined)
+			switch closing {
 			case "reset":
-				c.SetLinger(0)
-				c.Close()
+				client.SetLinger(0)
+				client.Close()
 			case "half":
-				c.CloseWrite()
+				client.CloseWrite()
 			default:
-				c.Close()
+				client.Close()
 			}
-			r.waitUntil(fmt.Sprintf("the client's leaving (%s behind %.20q)", how, more), func() bool { return r.counter("left") == 1 })
-			if how == "half" {
-				if got := c.readAnswer(); got != "502 the client has left (closes)" {
-					t.Errorf("behind %.20q a client that has ended its sending hears %s", more, got)
+			f.waitUntil(fmt.Sprintf("the client's leaving (%s after %.20q)", closing, pipelined), func() bool { return f.counter("left") == 1 })
+			if closing == "half" {
+				if got := client.readAnswer(); got != "502 the client has left (closes)" {
+					t.Errorf("after %.20q a client that has closed its sending side received %s", pipelined, got)
 				}
 			}
-			io.WriteString(w, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-			// It was whole, or broken off: which of the two the core saw first is no matter.
-			r.waitUntil("the attempt's end", func() bool { return r.counter("full")+r.counter("cancelled") == 1 })
-			if n := r.counter("sent"); n != 1 || r.counter("taken") != 1 {
-				t.Errorf("%s behind %.20q: sent %d times; %s", how, more, n, r.core.CountersLine())
+			io.WriteString(worker, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+			// The attempt was either completed or cancelled, depending on which of the two the core saw first.
+			f.waitUntil("the attempt's end", func() bool { return f.counter("full")+f.counter("cancelled") == 1 })
+			if n := f.counter("sent"); n != 1 || f.counter("taken") != 1 {
+				t.Errorf("%s after %.20q: sent %d times; %s", closing, pipelined, n, f.core.CountersLine())
 			}
 		}
 	}
 }
 
-// A request whose client had left before anybody read it is not taken.
-func TestClientLeftBeforeItWasRead(t *testing.T) {
-	r := newFixture(t, nil)
-	open := make(chan struct{})
-	r.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, gate: open} }
-	r.start()
-	c := r.newClient()
-	c.send(jobRequest("u1"))
-	c.Close() // the kernel has let it in, nobody else
-	close(open)
-	r.waitUntil("its end", func() bool { return r.counter("left") == 1 })
-	if r.counter("taken") != 0 || r.counter("sent") != 0 {
-		t.Errorf("it was taken: %s", r.core.CountersLine())
+// A job whose client left before the dispatcher read the request is not accepted.
+func TestClientLeftBeforeItsRequestIsRead(t *testing.T) {
+	f := newFixture(t, nil)
+	gateOpen := make(chan struct{})
+	f.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, gate: gateOpen} }
+	f.start()
+	client := f.newClient()
+	client.send(jobRequest("u1"))
+	client.Close() // the kernel has accepted the connection, the dispatcher has not
+	close(gateOpen)
+	f.waitUntil("its end", func() bool { return f.counter("left") == 1 })
+	if f.counter("taken") != 0 || f.counter("sent") != 0 {
+		t.Errorf("the job was accepted: %s", f.core.CountersLine())
 	}
 }
 
-// The core stands still with a job in its mailbox, and the client leaves: it is not sent afterwards, though a worker is
-// free and its connection up.
-func TestClientLeavesWhileItsJobWaitsInTheMailbox(t *testing.T) {
-	r := newFixture(t, nil)
-	in, proceed := make(chan bool), make(chan struct{})
-	r.core.Observer = observerFunc(func(m *dispatch.Event) {
-		if m.Kind == dispatch.JobAnswered && m.Job.ID == "m1" {
-			in <- true
+// A client leaves while its job is queued for the core's goroutine, which is blocked. The job is not sent afterwards,
+// although a worker is free and connected.
+func TestClientLeavesWhileItsJobIsQueued(t *testing.T) {
+	f := newFixture(t, nil)
+	observed, proceed := make(chan bool), make(chan struct{})
+	f.core.Observer = observerFunc(func(event *dispatch.Event) {
+		if event.Kind == dispatch.JobAnswered && event.Job.ID == "m1" {
+			observed <- true
 			<-proceed
 		}
 	})
-	r.start()
-	first, second := r.newClient(), r.newClient()
+	f.start()
+	first, second := f.newClient(), f.newClient()
 	first.send(jobRequest("m1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	answerDone(w, "m1")
-	receive(t, "the first job's end", in)
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	answerDone(worker, "m1")
+	receive(t, "the first job's end", observed)
 	second.send(jobRequest("m2"))
-	r.waitUntil("the second job", func() bool { return r.counter("taken") == 2 })
+	f.waitUntil("the second job", func() bool { return f.counter("taken") == 2 })
 	second.CloseWrite()
-	if got := second.readAnswer(); got != "502 the client has left (closes)" { // so its leaving has been told to the core
-		t.Errorf("the second client hears %s", got)
+	// This answer shows that the core has been told that the client left.
+	if got := second.readAnswer(); got != "502 the client has left (closes)" {
+		t.Errorf("the second client received %s", got)
 	}
 	close(proceed)
 	if got := first.readAnswer(); got != "200 of m1" {
-		t.Errorf("the first client hears %s", got)
+		t.Errorf("the first client received %s", got)
 	}
-	r.waitUntil("its end", func() bool { return r.counter("left") == 1 && r.counter("open") == 0 })
-	if r.counter("sent") != 1 {
-		t.Errorf("it was sent: %s", r.core.CountersLine())
+	f.waitUntil("its end", func() bool { return f.counter("left") == 1 && f.counter("open") == 0 })
+	if f.counter("sent") != 1 {
+		t.Errorf("the second job was sent: %s", f.core.CountersLine())
 	}
 }
 
-// A client leaves just when its attempt has ended and the next would begin: that one does not.
-func TestClientLeavesBetweenTwoAttempts(t *testing.T) {
-	r := newFixture(t, nil)
-	in, proceed := make(chan bool), make(chan struct{})
-	r.core.Observer = observerFunc(func(m *dispatch.Event) {
-		if m.Kind == dispatch.AttemptEnded && m.Outcome == decision.Rejected {
-			in <- true
+// A client leaves after one attempt of its job has ended and before the next begins. The next attempt is not made.
+func TestClientLeavesBetweenAttempts(t *testing.T) {
+	f := newFixture(t, nil)
+	observed, proceed := make(chan bool), make(chan struct{})
+	f.core.Observer = observerFunc(func(event *dispatch.Event) {
+		if event.Kind == dispatch.AttemptEnded && event.Outcome == decision.Rejected {
+			observed <- true
 			<-proceed
 		}
 	})
-	r.start()
-	c := r.newClient()
-	c.send(jobRequest("t1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	io.WriteString(w, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-	receive(t, "the attempt's end", in)
-	c.CloseWrite()
-	if got := c.readAnswer(); got != "502 the client has left (closes)" {
-		t.Errorf("the client hears %s", got)
+	f.start()
+	client := f.newClient()
+	client.send(jobRequest("t1"))
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	io.WriteString(worker, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+	receive(t, "the attempt's end", observed)
+	client.CloseWrite()
+	if got := client.readAnswer(); got != "502 the client has left (closes)" {
+		t.Errorf("the client received %s", got)
 	}
 	close(proceed)
-	r.waitUntil("its end", func() bool { return r.counter("open") == 0 && r.counter("left")+r.counter("refused") == 1 })
-	if r.counter("sent") != 1 {
-		t.Errorf("it was sent again: %s", r.core.CountersLine())
+	f.waitUntil("its end", func() bool { return f.counter("open") == 0 && f.counter("left")+f.counter("refused") == 1 })
+	if f.counter("sent") != 1 {
+		t.Errorf("the job was sent again: %s", f.core.CountersLine())
 	}
 }
--- a/internal/dispatcher/instance/client_test.go
+++ b/internal/dispatcher/instance/client_test.go
@@ -11,52 +11,52 @@
 	"time"
 )
 
-// jobHead begins a job's request with a body of so many bytes.
-func jobHead(id, class string, wait time.Duration, body int) string {
+// jobHead returns the head of a job's request, with a time-out of wait and a body of bodyBytes.
+func jobHead(id, class string, wait time.Duration, bodyBytes int) string {
 	key := ""
 	if class == "enrol" {
 		key = "Idempotency-Key: k-" + id + "\r\n"
 	}
 	return fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: b\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Tenant-Id: univ-gaspesie\r\n"+
-		"X-Timeout: %.3f\r\n%sContent-Length: %d\r\n\r\n", class, id, class, wait.Seconds(), key, body)
+		"X-Timeout: %.3f\r\n%sContent-Length: %d\r\n\r\n", class, id, class, wait.Seconds(), key, bodyBytes)
 }
 
-// jobRequest is a complete job.
+// jobRequest returns a complete request of a job.
 func jobRequest(id string) string { return jobHead(id, "seat-check", 5*time.Second, 2) + "go" }
 
-// chunkedJob writes a job's body in chunks: where it ends the head does not say.
+// chunkedJob converts a job's request to one with a chunked body, whose length the head does not say.
 func chunkedJob(job string) string {
 	return strings.Replace(strings.TrimSuffix(job, "go"), "Content-Length: 2", "Transfer-Encoding: chunked", 1) + chunkOf("go") + "0\r\n\r\n"
 }
 
-// client is a connection of a client.
-type client struct {
+// testClient is a client with one connection to the dispatcher.
+type testClient struct {
 	*net.TCPConn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-// newClient opens a client's connection.
-func (r *fixture) newClient() *client {
-	c, err := net.Dial("tcp", r.address)
+// newClient connects a client to the dispatcher.
+func (f *fixture) newClient() *testClient {
+	conn, err := net.Dial("tcp", f.address)
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	return &client{c.(*net.TCPConn), bufio.NewReader(c), r.t}
+	f.t.Cleanup(func() { conn.Close() })
+	return &testClient{conn.(*net.TCPConn), bufio.NewReader(conn), f.t}
 }
 
-// send writes a text; an error fails the test, which goes on.
-func (c *client) send(text string) {
+// send writes a text. An error fails the test but does not end it.
+func (c *testClient) send(text string) {
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// readAnswer reads one answer: its status and body, and whether it closes; or the error in its place.
-func (c *client) readAnswer() string {
-	c.SetReadDeadline(time.Now().Add(bound))
-	resp, err := http.ReadResponse(c.in, nil)
+// readAnswer reads one response and returns its status, its body and whether the connection closes, or else the error.
+func (c *testClient) readAnswer() string {
+	c.SetReadDeadline(time.Now().Add(maxWait))
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/dispatcher/instance/fixture_test.go
+++ b/internal/dispatcher/instance/fixture_test.go
@@ -1,6 +1,6 @@
-// These tests force the instants at which something ends while something else is under way, over loopback sockets: a
-// dispatcher's parts stand between a discovery, workers and clients that do nothing before the test allows it. Each wait is
-// for a sign that must come, and has a bound that only a failure meets.
+// These tests force races over loopback sockets: something ends while something else is in progress. The components of
+// a dispatcher run between a discovery, workers and clients that act only when the test says so. Each wait is for an
+// event that must occur; it reaches its limit of maxWait only if the test fails.
 package instance_test
 
 import (
@@ -21,9 +21,9 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-const bound = 10 * time.Second // for what must come; a test that fails waits so long
+const maxWait = 10 * time.Second // for an event that must occur
 
-// fixture is a dispatcher on sockets.
+// fixture is a dispatcher on loopback sockets, with its discovery and its workers.
 type fixture struct {
 	t              *testing.T
 	node           *config.Node
@@ -31,28 +31,28 @@
 	transport      *workerhttp.Transport
 	server         *clienthttp.Server
 	watcher        *discovery.Watcher
-	address        string        // the clients'
-	calls          chan *call    // that have come to discovery
-	workerConns    chan net.Conn // that have come to the workers, all at one address
-	dials          chan *dial    // that the transport makes, where holdDials is set
+	address        string              // at which clients connect
+	calls          chan *discoveryCall // received by discovery
+	workerConns    chan net.Conn       // accepted by the workers, which share one address
+	dials          chan *pendingDial   // started by the transport, if holdDials is set
 	holdDials      bool
-	ignoreTimeouts bool                            // a dial does not end with its time
-	wrapListener   func(net.Listener) net.Listener // stands before the server's listener
+	ignoreTimeouts bool                            // a held dial does not end with its context
+	wrapListener   func(net.Listener) net.Listener // wraps the server's listener
 
 	mu    sync.Mutex
-	conns []net.Conn // to close at the end
+	conns []net.Conn // closed when the test ends
 }
 
-// call is one call to discovery, unanswered.
-type call struct {
+// discoveryCall is a call to discovery that has no response yet.
+type discoveryCall struct {
 	net.Conn
 	target string
 }
 
-// dial is a connection that comes up when the test allows it.
-type dial struct {
-	up   chan net.Conn
-	real net.Conn
+// pendingDial is a dial that returns the connection which the test sends on release.
+type pendingDial struct {
+	release chan net.Conn
+	real    net.Conn
 }
 
 func listen(t *testing.T) net.Listener {
@@ -64,157 +64,157 @@
 	return l
 }
 
-// newFixture makes the surroundings and the parts; change has the last word on the node.
+// newFixture creates the discovery, the workers and the components. change, if not nil, adjusts the settings before.
 func newFixture(t *testing.T, change func(*config.Node)) *fixture {
-	r := &fixture{t: t, calls: make(chan *call, 64), workerConns: make(chan net.Conn, 64), dials: make(chan *dial, 64)}
+	f := &fixture{t: t, calls: make(chan *discoveryCall, 64), workerConns: make(chan net.Conn, 64), dials: make(chan *pendingDial, 64)}
 	discoveryListener, workers := listen(t), listen(t)
-	t.Cleanup(r.closeConns)
-	go r.acceptCalls(discoveryListener)
-	go r.acceptWorkerConns(workers)
+	t.Cleanup(f.closeConns)
+	go f.acceptCalls(discoveryListener)
+	go f.acceptWorkerConns(workers)
 	var known []config.Worker
-	for i := range 3 { // one machine plays all: where a job goes does not matter, how often does
+	for i := range 3 { // all share one address: how often a job is sent matters, not where to
 		known = append(known, testenv.Worker(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
 	}
-	r.node = testenv.Node(t, known, "")
-	r.node.Discovery = discoveryListener.Addr().String()
+	f.node = testenv.Node(t, known, "")
+	f.node.Discovery = discoveryListener.Addr().String()
 	if change != nil {
-		change(r.node)
+		change(f.node)
 	}
 	counters := new(dispatch.Counters)
-	r.transport, r.watcher = workerhttp.New(r.node, counters), discovery.New(r.node)
-	r.transport.Dial = r.gatedDial(r.transport.Dial)
+	f.transport, f.watcher = workerhttp.New(f.node, counters), discovery.New(f.node)
+	f.transport.Dial = f.gatedDial(f.transport.Dial)
 	var err error
-	if r.core, err = dispatch.New(r.node, counters, r.transport, nil, r.watcher, nil); err != nil {
+	if f.core, err = dispatch.New(f.node, counters, f.transport, nil, f.watcher, nil); err != nil {
 		t.Fatal(err)
 	}
-	r.watcher.OnList = r.core.UpdateWorkers
-	r.server = clienthttp.New(r.node, r.core)
-	return r
+	f.watcher.OnList = f.core.UpdateWorkers
+	f.server = clienthttp.New(f.node, f.core)
+	return f
 }
 
-func (r *fixture) closeAtEnd(c net.Conn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.conns = append(r.conns, c)
+func (f *fixture) closeAtEnd(conn net.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.conns = append(f.conns, conn)
 }
 
-func (r *fixture) closeConns() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.conns {
-		c.Close()
+func (f *fixture) closeConns() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.conns {
+		conn.Close()
 	}
 }
 
-// acceptCalls shows the test each call to discovery once its request is read.
-func (r *fixture) acceptCalls(l net.Listener) {
+// acceptCalls sends each call to discovery on f.calls once its request is read.
+func (f *fixture) acceptCalls(l net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		r.closeAtEnd(c)
+		f.closeAtEnd(conn)
 		go func() {
-			if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				r.calls <- &call{c, req.RequestURI}
+			if req, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				f.calls <- &discoveryCall{conn, req.RequestURI}
 			}
 		}()
 	}
 }
 
-// acceptWorkerConns shows the test each connection to a worker.
-func (r *fixture) acceptWorkerConns(l net.Listener) {
+// acceptWorkerConns sends each connection to a worker on f.workerConns.
+func (f *fixture) acceptWorkerConns(l net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		r.closeAtEnd(c)
-		r.workerConns <- c
+		f.closeAtEnd(conn)
+		f.workerConns <- conn
 	}
 }
 
-// gatedDial wraps the transport's Dial: where holdDials is set, the connection comes up when the test allows it.
-func (r *fixture) gatedDial(direct func(context.Context, string) (net.Conn, error)) func(context.Context, string) (net.Conn, error) {
+// gatedDial wraps the transport's Dial. If holdDials is set, a dial returns when the test releases it.
+func (f *fixture) gatedDial(direct func(context.Context, string) (net.Conn, error)) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		if !r.holdDials {
+		if !f.holdDials {
 			return direct(ctx, address)
 		}
-		c, err := direct(context.Background(), address)
+		conn, err := direct(context.Background(), address)
 		if err != nil {
 			return nil, err
 		}
-		d := &dial{make(chan net.Conn), c}
-		r.dials <- d
-		if r.ignoreTimeouts {
-			return <-d.up, nil
+		pending := &pendingDial{make(chan net.Conn), conn}
+		f.dials <- pending
+		if f.ignoreTimeouts {
+			return <-pending.release, nil
 		}
 		select {
-		case c := <-d.up:
-			return c, nil
+		case conn := <-pending.release:
+			return conn, nil
 		case <-ctx.Done():
-			c.Close()
+			conn.Close()
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// start sets the parts to work until the test ends.
-func (r *fixture) start() *fixture {
+// start runs the components until the test ends.
+func (f *fixture) start() *fixture {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := listen(r.t)
-	r.address = l.Addr().String()
-	if r.wrapListener != nil {
-		l = r.wrapListener(l)
+	listener := listen(f.t)
+	f.address = listener.Addr().String()
+	if f.wrapListener != nil {
+		listener = f.wrapListener(listener)
 	}
-	go r.core.Run(ctx)
-	go r.watcher.Run(ctx)
-	go r.server.Serve(l)
-	r.t.Cleanup(func() {
+	go f.core.Run(ctx)
+	go f.watcher.Run(ctx)
+	go f.server.Serve(listener)
+	f.t.Cleanup(func() {
 		cancel()
-		over, end := context.WithCancel(context.Background())
-		end()
-		r.server.Shutdown(over)
-		for _, w := range r.node.Known.Workers {
-			r.transport.CloseIdle(w)
+		canceled, cancelNow := context.WithCancel(context.Background())
+		cancelNow()
+		f.server.Shutdown(canceled)
+		for _, worker := range f.node.Known.Workers {
+			f.transport.CloseIdle(worker)
 		}
 	})
-	return r
+	return f
 }
 
-// receive waits for what must come.
+// receive returns the next value of a channel. It fails the test if none arrives within maxWait.
 func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(bound):
-		t.Fatalf("%s did not come", what)
+	case <-time.After(maxWait):
+		t.Fatalf("%s did not arrive", what)
 	}
 	return v
 }
 
-// waitUntil waits for a state that must be reached.
-func (r *fixture) waitUntil(what string, is func() bool) {
-	r.t.Helper()
-	for end := time.Now().Add(bound); !is(); time.Sleep(time.Millisecond) {
+// waitUntil waits until reached returns true. It fails the test after maxWait.
+func (f *fixture) waitUntil(state string, reached func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(maxWait); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%s was not reached: %s", what, r.core.CountersLine())
+			f.t.Fatalf("%s was not reached: %s", state, f.core.CountersLine())
 		}
 	}
 }
 
-// counter returns a counter by its name.
-func (r *fixture) counter(name string) int64 {
-	for _, c := range r.core.Counts() {
+// counter returns the value of one of the core's counters.
+func (f *fixture) counter(name string) int64 {
+	for _, c := range f.core.Counts() {
 		if c.Name == name {
 			return c.Value
 		}
 	}
-	r.t.Fatalf("no counter %s", name)
+	f.t.Fatalf("there is no counter %s", name)
 	return 0
 }
 
-// observerFunc is a dispatch.Observer.
+// observerFunc is a function that implements dispatch.Observer.
 type observerFunc func(*dispatch.Event)
 
-func (s observerFunc) Observe(m *dispatch.Event) { s(m) }
+func (o observerFunc) Observe(event *dispatch.Event) { o(event) }
--- a/internal/dispatcher/instance/gates_test.go
+++ b/internal/dispatcher/instance/gates_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// halfWriter is a connection to a worker that takes half of a request and no more.
+// halfWriter is a connection to a worker that writes half of a request and blocks until its deadline is in the past.
 type halfWriter struct {
 	net.Conn
 	halfWritten chan bool
@@ -15,106 +15,107 @@
 	broken      chan struct{}
 }
 
-func (s *halfWriter) Write(p []byte) (int, error) {
-	n, _ := s.Conn.Write(p[:len(p)/2])
-	s.halfWritten <- true
-	<-s.broken
+func (w *halfWriter) Write(p []byte) (int, error) {
+	n, _ := w.Conn.Write(p[:len(p)/2])
+	w.halfWritten <- true
+	<-w.broken
 	return n, os.ErrDeadlineExceeded
 }
 
-func (s *halfWriter) SetDeadline(at time.Time) error {
+func (w *halfWriter) SetDeadline(at time.Time) error {
 	if !at.IsZero() && at.Before(time.Now()) {
-		s.once.Do(func() { close(s.broken) })
+		w.once.Do(func() { close(w.broken) })
 	}
-	return s.Conn.SetDeadline(at)
+	return w.Conn.SetDeadline(at)
 }
 
-// gatedListener is a listener that accepts no connection before the test allows it, and whose connections show each read to the test.
+// gatedListener is a listener that accepts no connection before the test opens its gate. Its connections are
+// gatedConns.
 type gatedListener struct {
 	net.Listener
-	gate          chan struct{} // nil: open
-	accepting     chan struct{} // somebody waits to be let in
-	deadlineSet   chan struct{} // SetDeadline was called
+	gate          chan struct{} // closed to open the gate; nil: always open
+	accepting     chan struct{} // closed when Accept is first called
+	deadlineSet   chan struct{} // closed when SetDeadline is first called
 	deadlineOnce  sync.Once
 	acceptingOnce sync.Once
-	readsExpired  chan struct{}
-	accepted      chan *gatedConn
+	readsExpired  chan struct{}   // see gatedConn
+	accepted      chan *gatedConn // receives each accepted connection
 }
 
-func (d *gatedListener) Accept() (net.Conn, error) {
-	if d.accepting != nil {
-		d.acceptingOnce.Do(func() { close(d.accepting) })
+func (l *gatedListener) Accept() (net.Conn, error) {
+	if l.accepting != nil {
+		l.acceptingOnce.Do(func() { close(l.accepting) })
 	}
-	if d.gate != nil {
-		<-d.gate
+	if l.gate != nil {
+		<-l.gate
 	}
-	c, err := d.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	s := &gatedConn{TCPConn: c.(*net.TCPConn), readHeld: make(chan string), proceed: make(chan struct{}), readsExpired: d.readsExpired}
-	if d.accepted != nil {
-		d.accepted <- s
+	gated := &gatedConn{TCPConn: conn.(*net.TCPConn), readHeld: make(chan string), proceed: make(chan struct{}), readsExpired: l.readsExpired}
+	if l.accepted != nil {
+		l.accepted <- gated
 	}
-	return s, nil
+	return gated, nil
 }
 
-func (d *gatedListener) SetDeadline(at time.Time) error {
-	if d.deadlineSet != nil {
-		d.deadlineOnce.Do(func() { close(d.deadlineSet) })
+func (l *gatedListener) SetDeadline(at time.Time) error {
+	if l.deadlineSet != nil {
+		l.deadlineOnce.Do(func() { close(l.deadlineSet) })
 	}
-	return d.Listener.(*net.TCPListener).SetDeadline(at)
+	return l.Listener.(*net.TCPListener).SetDeadline(at)
 }
 
-// gatedConn is a connection whose reads can be held between the socket and the reader.
+// gatedConn is a connection whose reads and writes can be held after the socket has finished them.
 type gatedConn struct {
 	*net.TCPConn
 	mu           sync.Mutex
 	readsHeld    bool
-	readsExpired chan struct{} // a read that begins ends with this, and its deadline is over
-	readHeld     chan string
-	writeHeld    chan bool // where it is set, a write that is out waits for the test before its writer knows
-	proceed      chan struct{}
+	readsExpired chan struct{} // if set, the next read waits for this and then exceeds its deadline
+	readHeld     chan string   // receives the text of a held read
+	writeHeld    chan bool     // if set, receives true after each write, which then waits for proceed
+	proceed      chan struct{} // releases held reads and writes
 }
 
-func (s *gatedConn) holdReads(on bool) { s.mu.Lock(); s.readsHeld = on; s.mu.Unlock() }
+func (c *gatedConn) holdReads(on bool) { c.mu.Lock(); c.readsHeld = on; c.mu.Unlock() }
 
-func (s *gatedConn) Write(p []byte) (int, error) {
-	n, err := s.TCPConn.Write(p)
-	s.mu.Lock()
-	wrote := s.writeHeld
-	s.mu.Unlock()
-	if wrote != nil {
-		wrote <- true
-		<-s.proceed
+func (c *gatedConn) Write(p []byte) (int, error) {
+	n, err := c.TCPConn.Write(p)
+	c.mu.Lock()
+	held := c.writeHeld
+	c.mu.Unlock()
+	if held != nil {
+		held <- true
+		<-c.proceed
 	}
 	return n, err
 }
 
-func (s *gatedConn) Read(p []byte) (int, error) {
-	if s.readsExpired != nil {
-		<-s.readsExpired
-		s.readsExpired = nil
+func (c *gatedConn) Read(p []byte) (int, error) {
+	if c.readsExpired != nil {
+		<-c.readsExpired
+		c.readsExpired = nil
 		return 0, os.ErrDeadlineExceeded
 	}
-	n, err := s.TCPConn.Read(p)
-	s.mu.Lock()
-	held := s.readsHeld && n > 0
-	s.mu.Unlock()
-	if held { // it has been read, and its reader does not know yet
-		s.readHeld <- string(p[:n])
-		<-s.proceed
+	n, err := c.TCPConn.Read(p)
+	c.mu.Lock()
+	held := c.readsHeld && n > 0
+	c.mu.Unlock()
+	if held { // read from the socket, not yet returned to the reader
+		c.readHeld <- string(p[:n])
+		<-c.proceed
 	}
 	return n, err
 }
 
-// idleClient makes a client's connection that has been served once and is idle.
-func (r *fixture) idleClient(passed chan *gatedConn) (*client, *gatedConn) {
-	c := r.newClient()
-	s := receive(r.t, "a connection", passed)
-	c.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
-	if got := c.readAnswer(); got != "200 up" {
-		r.t.Fatalf("the first request is answered %s", got)
+// idleClient returns a client that has had one response and is idle, and the server's side of its connection.
+func (f *fixture) idleClient(acceptedConns chan *gatedConn) (*testClient, *gatedConn) {
+	client := f.newClient()
+	conn := receive(f.t, "a connection", acceptedConns)
+	client.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
+	if got := client.readAnswer(); got != "200 up" {
+		f.t.Fatalf("the first response is %s", got)
 	}
-	return c, s
+	return client, conn
 }
--- a/internal/dispatcher/instance/shutdown_test.go
+++ b/internal/dispatcher/instance/shutdown_test.go
@@ -11,143 +11,147 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// A request that was just read on an idle connection when that is to make room, or when the dispatcher ends, is answered.
-func TestRequestReadAsItsConnectionIsToGo(t *testing.T) {
-	for _, why := range []string{"room", "end"} {
-		r := newFixture(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.SpareClientConns = 4, 8 })
-		passed, asked := make(chan *gatedConn, 64), make(chan struct{})
-		r.wrapListener = func(l net.Listener) net.Listener {
-			return &gatedListener{Listener: l, accepted: passed, deadlineSet: asked}
+// A request has just been read on an idle connection when that connection is to be closed, to make room for others or
+// on shutdown. The request is answered.
+func TestRequestReadWhileItsConnectionCloses(t *testing.T) {
+	for _, cause := range []string{"room", "end"} {
+		f := newFixture(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.SpareClientConns = 4, 8 })
+		acceptedConns, closing := make(chan *gatedConn, 64), make(chan struct{})
+		f.wrapListener = func(l net.Listener) net.Listener {
+			return &gatedListener{Listener: l, accepted: acceptedConns, deadlineSet: closing}
 		}
-		r.start()
-		c, s := r.idleClient(passed)
-		s.holdReads(true)
-		c.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
-		receive(t, "the request", s.readHeld)
-		over := make(chan error, 1)
-		if why == "room" {
-			for range 6 { // all others stay: they are newer
-				r.idleClient(passed)
+		f.start()
+		client, conn := f.idleClient(acceptedConns)
+		conn.holdReads(true)
+		client.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
+		receive(t, "the request", conn.readHeld)
+		shutdownErr := make(chan error, 1)
+		if cause == "room" {
+			for range 6 { // the others are newer, so none of them is closed
+				f.idleClient(acceptedConns)
 			}
 		} else {
-			go func() { over <- r.server.Shutdown(context.Background()) }()
-			receive(t, "the end of the listener", asked)
-			r.waitUntil("the closed listener", func() bool {
-				c, err := net.Dial("tcp", r.address)
+			go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
+			receive(t, "the end of the listener", closing)
+			f.waitUntil("the closed listener", func() bool {
+				client, err := net.Dial("tcp", f.address)
 				if err == nil {
-					c.Close()
+					client.Close()
 				}
 				return err != nil
 			})
 		}
-		s.holdReads(false)
-		close(s.proceed)
-		if got := c.readAnswer(); !strings.HasPrefix(got, "200 [{") {
-			t.Errorf("%s: a request that was read is answered %s", why, got)
+		conn.holdReads(false)
+		close(conn.proceed)
+		if got := client.readAnswer(); !strings.HasPrefix(got, "200 [{") {
+			t.Errorf("%s: the response to a request that was read is %s", cause, got)
 		}
-		if why == "end" {
-			if err := receive(t, "the end", over); err != nil {
+		if cause == "end" {
+			if err := receive(t, "the end", shutdownErr); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 }
 
-// On leaving, a client hears its answer and sends the next request before the dispatcher has closed: that one is not read
-// any more, so the close crosses it and it comes again elsewhere. Read and dropped, it would be lost.
-func TestRequestUponTheLastAnswer(t *testing.T) {
-	r := newFixture(t, nil)
-	passed := make(chan *gatedConn, 64)
-	r.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, accepted: passed} }
-	r.start()
-	c, s := r.idleClient(passed)
-	r.server.Drain()
-	c.send(jobRequest("y1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	s.mu.Lock()
-	s.writeHeld = make(chan bool)
-	s.mu.Unlock()
-	answerDone(w, "y1")
-	receive(t, "the answer", s.writeHeld)
-	if got := c.readAnswer(); got != "200 of y1 (closes)" {
-		t.Errorf("the first is answered %s", got)
+// During a shutdown a client receives its answer and sends the next request before the dispatcher has closed the
+// connection. That request is not read, so the client sees the close without an answer and sends the request elsewhere.
+// A request that was read and dropped would be lost.
+func TestRequestAfterTheLastAnswerIsNotRead(t *testing.T) {
+	f := newFixture(t, nil)
+	acceptedConns := make(chan *gatedConn, 64)
+	f.wrapListener = func(l net.Listener) net.Listener { return &gatedListener{Listener: l, accepted: acceptedConns} }
+	f.start()
+	client, conn := f.idleClient(acceptedConns)
+	f.server.Drain()
+	client.send(jobRequest("y1"))
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	conn.mu.Lock()
+	conn.writeHeld = make(chan bool)
+	conn.mu.Unlock()
+	answerDone(worker, "y1")
+	receive(t, "the answer", conn.writeHeld)
+	if got := client.readAnswer(); got != "200 of y1 (closes)" {
+		t.Errorf("the first response is %s", got)
 	}
-	s.holdReads(true)
-	c.send(jobRequest("y2"))
+	conn.holdReads(true)
+	client.send(jobRequest("y2"))
 	select {
-	case text := <-s.readHeld: // at once, where it is read at all
-		t.Errorf("%.30q was read on a connection that is to be closed", text)
+	case text := <-conn.readHeld: // arrives at once if the request is read at all
+		t.Errorf("%.30q was read on a connection that is being closed", text)
 	case <-time.After(300 * time.Millisecond):
 	}
-	close(s.proceed)
-	if got := c.readAnswer(); strings.HasPrefix(got, "200") || r.counter("taken") != 1 {
-		t.Errorf("the second is answered %s; %s", got, r.core.CountersLine())
+	close(conn.proceed)
+	if got := client.readAnswer(); strings.HasPrefix(got, "200") || f.counter("taken") != 1 {
+		t.Errorf("the second response is %s; %s", got, f.core.CountersLine())
 	}
 }
 
-// What the kernel had let in when the listener is to close is served; so is a request whose bytes are there.
-func TestLastConnectionsBeforeTheListenerCloses(t *testing.T) {
-	r := newFixture(t, func(n *config.Node) { n.Limits.LastAcceptWindow = 300 * time.Millisecond })
-	open, asked, stands := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	r.wrapListener = func(l net.Listener) net.Listener {
-		return &gatedListener{Listener: l, gate: open, deadlineSet: asked, accepting: stands}
+// On shutdown, connections in the kernel's backlog are served before the listener closes, and so are requests that have
+// already arrived on them.
+func TestBacklogIsServedOnShutdown(t *testing.T) {
+	f := newFixture(t, func(n *config.Node) { n.Limits.LastAcceptWindow = 300 * time.Millisecond })
+	gateOpen, closing, acceptCalled := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	f.wrapListener = func(l net.Listener) net.Listener {
+		return &gatedListener{Listener: l, gate: gateOpen, deadlineSet: closing, accepting: acceptCalled}
 	}
-	r.start()
-	receive(t, "the server at its listener", stands) // a shutdown before that would find none
-	c := r.newClient()
-	c.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
-	over := make(chan error, 1)
-	go func() { over <- r.server.Shutdown(context.Background()) }()
-	receive(t, "the end of the listener", asked)
-	close(open)
-	if got := c.readAnswer(); !strings.HasPrefix(got, "200 [{") || !strings.HasSuffix(got, "(closes)") {
-		t.Errorf("it is answered %s", got)
+	f.start()
+	receive(t, "the call of Accept", acceptCalled) // a shutdown before that would find no listener
+	client := f.newClient()
+	client.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
+	receive(t, "the end of the listener", closing)
+	close(gateOpen)
+	if got := client.readAnswer(); !strings.HasPrefix(got, "200 [{") || !strings.HasSuffix(got, "(closes)") {
+		t.Errorf("the response is %s", got)
 	}
-	if err := receive(t, "the end", over); err != nil {
+	if err := receive(t, "the end", shutdownErr); err != nil {
 		t.Error(err)
 	}
 }
 
-// On leaving, idle connections close, and open jobs keep theirs up to their answers.
-func TestLeavingWithJobsAndIdleConnections(t *testing.T) {
-	r := newFixture(t, nil).start()
-	idle, out := r.newClient(), r.newClient()
+// On shutdown, idle connections are closed, and those with open jobs stay open until the jobs are answered.
+func TestShutdownWithOpenJobsAndIdleConnections(t *testing.T) {
+	f := newFixture(t, nil).start()
+	idle, busy := f.newClient(), f.newClient()
 	idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
 	if got := idle.readAnswer(); got != "200 up" {
 		t.Fatal(got)
 	}
-	out.send(jobRequest("l1"))
-	w := receive(t, "the worker's side", r.workerConns)
-	r.readRequest(w)
-	over := make(chan error, 1)
-	go func() { over <- r.server.Shutdown(context.Background()) }()
+	busy.send(jobRequest("l1"))
+	worker := receive(t, "the worker's side", f.workerConns)
+	f.readRequest(worker)
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
 	if got := idle.readAnswer(); got != io.EOF.Error() && got != io.ErrUnexpectedEOF.Error() {
-		t.Errorf("an idle client hears %s", got)
+		t.Errorf("an idle client received %s", got)
 	}
 	select {
-	case err := <-over:
-		t.Errorf("the end has come with a job open: %v", err)
+	case err := <-shutdownErr:
+		t.Errorf("the shutdown ended with a job open: %v", err)
 	default:
 	}
-	answerDone(w, "l1")
-	if got := out.readAnswer(); got != "200 of l1 (closes)" {
-		t.Errorf("the job that was out is answered %s", got)
+	answerDone(worker, "l1")
+	if got := busy.readAnswer(); got != "200 of l1 (closes)" {
+		t.Errorf("the response to the open job is %s", got)
 	}
-	if err := receive(t, "the end", over); err != nil {
+	if err := receive(t, "the end", shutdownErr); err != nil {
 		t.Error(err)
 	}
 }
 
-// A job that comes on leaving does not wait beyond the moment at which the process is killed, whatever its client does.
-func TestLastAnswerOnLeaving(t *testing.T) {
-	r := newFixture(t, func(n *config.Node) { n.Limits.DrainDelay, n.Limits.LastAnswerWindow = 0, 700*time.Millisecond }).start()
-	c := r.newClient()
-	r.server.Drain()
+// A job that arrives during a shutdown is answered before the platform kills the process, whatever time-out its client
+// requests.
+func TestLateJobIsAnsweredBeforeTheKill(t *testing.T) {
+	f := newFixture(t, func(n *config.Node) { n.Limits.DrainDelay, n.Limits.LastAnswerWindow = 0, 700*time.Millisecond }).start()
+	client := f.newClient()
+	f.server.Drain()
 	began := time.Now()
-	c.send(jobHead("s1", "seat-check", 300*time.Second, 2) + "go")
-	r.readRequest(receive(t, "the worker's side", r.workerConns)) // which never answers
-	if got := c.readAnswer(); got != "503 refused: try again later (closes)" || time.Since(began) > 5*time.Second {
-		t.Errorf("it is answered %s after %v", got, time.Since(began))
+	client.send(jobHead("s1", "seat-check", 300*time.Second, 2) + "go")
+	f.readRequest(receive(t, "the worker's side", f.workerConns)) // the worker never answers
+	if got := client.readAnswer(); got != "503 refused: try again later (closes)" || time.Since(began) > 5*time.Second {
+		t.Errorf("the response is %s after %v", got, time.Since(began))
 	}
 }
--- a/internal/dispatcher/instance/worker_test.go
+++ b/internal/dispatcher/instance/worker_test.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// chunkOf writes a text as one chunk.
+// chunkOf encodes a text as one chunk.
 func chunkOf(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// chunkedHead is the head of an answer whose body is in chunks.
+// chunkedHead is the head of a response with a chunked body.
 const chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// doneChunk is the last line of an answer, in a chunk.
+// doneChunk returns the last line of a response, which holds the result, as one chunk.
 func doneChunk(id string) string {
 	return chunkOf(fmt.Sprintf(`{"id":%q,"from":"w","state":"done","result":"of %s"}`+"\n", id, id))
 }
 
-// answerDone answers a worker's request completely.
+// answerDone writes a complete response with a result.
 func answerDone(c net.Conn, id string) { io.WriteString(c, chunkedHead+doneChunk(id)+"0\r\n\r\n") }
 
-// readRequest reads the next request at a worker, and gives its id.
-func (r *fixture) readRequest(c net.Conn) string {
-	r.t.Helper()
-	c.SetReadDeadline(time.Now().Add(bound))
-	in := bufio.NewReaderSize(c, 256<<10)
+// readRequest reads the next request from a connection to a worker and returns its id.
+func (f *fixture) readRequest(conn net.Conn) string {
+	f.t.Helper()
+	conn.SetReadDeadline(time.Now().Add(maxWait))
+	in := bufio.NewReaderSize(conn, 256<<10)
 	req, err := http.ReadRequest(in)
 	if err != nil {
-		r.t.Fatalf("a worker got no request: %v", err)
+		f.t.Fatalf("the worker received no request: %v", err)
 	}
 	io.Copy(io.Discard, req.Body)
 	if in.Buffered() > 0 {
-		r.t.Errorf("more than one request has come on a connection")
+		f.t.Errorf("the connection holds more than one request")
 	}
 	return req.Header.Get("X-Request-ID")
 }
 
-// waitIdle waits until a connection is in the pool again.
-func (r *fixture) waitIdle(idle int) {
-	r.t.Helper()
-	r.waitUntil("an idle connection", func() bool { n, _ := r.transport.ConnectionCounts(); return n == idle })
+// waitIdle waits until the pool holds so many idle connections.
+func (f *fixture) waitIdle(idle int) {
+	f.t.Helper()
+	f.waitUntil("the number of idle connections", func() bool { n, _ := f.transport.ConnectionCounts(); return n == idle })
 }
