--- a/internal/dispatcher/config/golden_test.go
+++ b/internal/dispatcher/config/golden_test.go
@@ -12,21 +12,22 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// value is one thing that was read, under a name of this test's own: the files in testdata/ outlive the Go names.
-type value struct {
-	name string
-	is   any
+// namedValue is a value that was read. Its name is independent of the Go names, so that the files in testdata need no
+// change when those are renamed.
+type namedValue struct {
+	name  string
+	value any
 }
 
-func show(out *bytes.Buffer, title string, values []value) {
+func writeValues(out *bytes.Buffer, title string, values []namedValue) {
 	fmt.Fprintf(out, "== %s ==\n", title)
 	for _, v := range values {
-		fmt.Fprintf(out, "%s = %v\n", v.name, v.is)
+		fmt.Fprintf(out, "%s = %v\n", v.name, v.value)
 	}
 }
 
-func limitValues(l *config.Limits) []value {
-	return []value{
+func limitValues(l *config.Limits) []namedValue {
+	return []namedValue{
 		{"cores", l.Cores},
 		{"memory_mb", l.MemoryMB},
 		{"sockets", l.Sockets},
@@ -92,8 +93,8 @@
 	}
 }
 
-func nodeValues(n *config.Node) []value {
-	return []value{
+func nodeValues(n *config.Node) []namedValue {
+	return []namedValue{
 		{"name", n.Name}, {"listen", n.Listen}, {"discovery", n.Discovery}, {"seed", n.Seed}, {"known", n.Known}, {"module", n.Module},
 		{"classes", n.Classes}, {"tenants", n.Tenants}, {"zones", n.Zones}, {"kinds", n.Kinds}, {"load_fields", n.LoadFields},
 		{"zone_name", n.ZoneName()},
@@ -107,8 +108,8 @@
 	return out
 }
 
-// example reads one of the operator's files that are shipped.
-func example(t *testing.T, name string) string {
+// shippedFile reads one of the operator's files in deploy.
+func shippedFile(t *testing.T, name string) string {
 	text, err := os.ReadFile("../../../deploy/" + name)
 	if err != nil {
 		t.Fatal(err)
@@ -116,14 +117,14 @@
 	return string(text)
 }
 
-// withPeers is the platform's file of a deployment that allows talk among dispatchers.
+// withPeers is the platform's file of a deployment that permits messages among dispatchers.
 var withPeers = strings.Replace(completeFile, `"max_attempts":3`, `"max_attempts":3,"peers":true`, 1)
 
-// testdata/node.txt holds what the platform's file and the settings come to: with all that is given, with the least that
-// may be given, and where lists of workers are pushed.
-func TestNodesAsTheyAreRead(t *testing.T) {
+// testdata/node.txt holds the values read from the platform's file and the settings: with all settings, with only the
+// required ones, and with pushed worker lists, among others.
+func TestNodeValuesMatchGoldenFile(t *testing.T) {
 	var out bytes.Buffer
-	for _, k := range []struct{ title, text string }{
+	for _, tc := range []struct{ title, text string }{
 		{"whole", completeFile},
 		{"least", `{"listen":"127.0.0.1:5000","seed":"1"}`},
 		{"pushed lists", strings.Replace(completeFile, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1)},
@@ -131,85 +132,86 @@
 		{"with known workers", strings.Replace(completeFile, `"instances":[]`, `"instances":[{"instanceId":"s-00000001","hostPort":"127.0.1.1:5000",`+
 			`"zone":"montreal","machineType":"std-2c","cell":3,"lifecycle":"ready","weight":1.5,"startedAtMs":77}]`, 1)},
 	} {
-		n, err := load(t, k.text, nil)
+		n, err := loadNode(t, tc.text, nil)
 		if err != nil {
-			t.Fatal(k.title, err)
+			t.Fatal(tc.title, err)
 		}
-		show(&out, k.title, nodeValues(n))
-		show(&out, k.title+", limits", limitValues(&n.Limits))
+		writeValues(&out, tc.title, nodeValues(n))
+		writeValues(&out, tc.title+", limits", limitValues(&n.Limits))
 	}
 	golden.AssertBytes(t, out.Bytes(), "node.txt")
 }
 
-// testdata/operator.txt holds what the operator's files that are shipped come to.
-func TestOperatorsFilesAsTheyAreRead(t *testing.T) {
+// testdata/operator.txt holds the values read from the operator's files in deploy.
+func TestOperatorFileValuesMatchGoldenFile(t *testing.T) {
 	var out bytes.Buffer
-	amqp := example(t, "amqp.toml")
+	amqp := shippedFile(t, "amqp.toml")
 	worker := strings.NewReplacer("# [[amqp.worker]]", "[[amqp.worker]]", "# id", "id", "# queue", "queue", "# zone", "zone", "# kind", "kind").Replace(amqp)
 	for _, text := range []string{amqp, worker, strings.Replace(amqp, "prefetch", "# prefetch", 1)} {
-		n, err := load(t, completeFile, map[string]string{"NODE_AMQP": write(t, "amqp.toml", text)})
+		n, err := loadNode(t, completeFile, map[string]string{"NODE_AMQP": writeFile(t, "amqp.toml", text)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		a := n.AMQP
-		show(&out, "amqp.toml", []value{{"url", a.URL}, {"jobs", a.Jobs}, {"prefetch", a.Prefetch}})
+		writeValues(&out, "amqp.toml", []namedValue{{"url", a.URL}, {"jobs", a.Jobs}, {"prefetch", a.Prefetch}})
 		for _, w := range a.Workers {
-			show(&out, "amqp.toml, worker", []value{{"id", w.ID}, {"queue", w.Queue}, {"zone", w.Zone}, {"kind", w.Kind}, {"cell", w.Cell}})
+			writeValues(&out, "amqp.toml, worker", []namedValue{{"id", w.ID}, {"queue", w.Queue}, {"zone", w.Zone}, {"kind", w.Kind}, {"cell", w.Cell}})
 		}
 	}
-	members, promises := write(t, "members.toml", example(t, "members.toml")), write(t, "promises.toml", example(t, "promises.toml"))
-	n, err := load(t, withPeers, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": promises})
+	members, promises := writeFile(t, "members.toml", shippedFile(t, "members.toml")), writeFile(t, "promises.toml", shippedFile(t, "promises.toml"))
+	n, err := loadNode(t, withPeers, map[string]string{"NODE_MEMBERS": members, "NODE_PROMISES": promises})
 	if err != nil {
 		t.Fatal(err)
 	}
-	showMembers(&out, "members.toml", n.Membership)
-	p := n.DurableJobs
-	show(&out, "promises.toml", []value{{"listen", p.Listen}, {"peers", peerValues(p.Peers)}, {"groups", p.Groups}, {"copies", p.Replicas}, {"keep", p.Retention},
-		{"skew", p.MaxClockSkew}, {"most", p.MaxJobs}, {"events", p.Events}, {"crash_at", p.CrashAt}, {"crash_on", p.CrashOn}, {"stops", p.CrashByStop}})
-	learning := strings.Replace(withPeers, `"settings":`, `"peers":["127.0.0.1:7400","127.0.0.1:7401"],"peer_listen":"127.0.0.1:7400","settings":`, 1)
-	if n, err = load(t, learning, map[string]string{"NODE_MEMBERS": write(t, "members.toml", "[members]\n")}); err != nil {
+	writeMembers(&out, "members.toml", n.Membership)
+	durable := n.DurableJobs
+	writeValues(&out, "promises.toml", []namedValue{{"listen", durable.Listen}, {"peers", peerValues(durable.Peers)}, {"groups", durable.Groups}, {"copies", durable.Replicas}, {"keep", durable.Retention},
+		{"skew", durable.MaxClockSkew}, {"most", durable.MaxJobs}, {"events", durable.Events}, {"crash_at", durable.CrashAt}, {"crash_on", durable.CrashOn}, {"stops", durable.CrashByStop}})
+	withoutNames := strings.Replace(withPeers, `"settings":`, `"peers":["127.0.0.1:7400","127.0.0.1:7401"],"peer_listen":"127.0.0.1:7400","settings":`, 1)
+	if n, err = loadNode(t, withoutNames, map[string]string{"NODE_MEMBERS": writeFile(t, "members.toml", "[members]\n")}); err != nil {
 		t.Fatal(err)
 	}
-	showMembers(&out, "an empty members.toml", n.Membership)
+	writeMembers(&out, "an empty members.toml", n.Membership)
 	a, err := config.LoadAgent("../../../deploy/agent.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	show(&out, "agent.toml", []value{{"control", a.Control}, {"program", a.Program}, {"snmp", a.SNMP}, {"community", a.Community},
+	writeValues(&out, "agent.toml", []namedValue{{"control", a.Control}, {"program", a.Program}, {"snmp", a.SNMP}, {"community", a.Community},
 		{"instances", a.Instances}, {"limits", a.Limits}, {"default_control", config.DefaultControl}})
 	fmt.Fprintf(&out, "== crash points ==\n%v\n", config.CrashPoints)
 	golden.AssertBytes(t, out.Bytes(), "operator.txt")
 }
 
-func showMembers(out *bytes.Buffer, title string, m *config.Membership) {
-	show(out, title, []value{{"listen", m.Listen}, {"at", m.Advertise}, {"peers", peerValues(m.Peers)}, {"learn", m.LearnNames}, {"period", m.ProbeInterval},
+func writeMembers(out *bytes.Buffer, title string, m *config.Membership) {
+	writeValues(out, title, []namedValue{{"listen", m.Listen}, {"at", m.Advertise}, {"peers", peerValues(m.Peers)}, {"learn", m.LearnNames}, {"period", m.ProbeInterval},
 		{"bear", m.SuspicionTimeout}, {"weight", m.Weight}, {"version", m.Version}, {"events", m.Events}})
 }
 
-// testdata/faults.txt holds what is said of faulty files: operators look for these words.
-func TestFaultsAsTheyAreSaid(t *testing.T) {
+// testdata/faults.txt holds the errors about invalid files. Operators search for these texts.
+func TestErrorTextsMatchGoldenFile(t *testing.T) {
 	var out bytes.Buffer
-	say := func(title string, err error) {
+	record := func(title string, err error) {
 		if err == nil {
 			t.Errorf("%s: no error", title)
 			return
 		}
 		text := err.Error()
-		if at := strings.Index(text, "/"); at >= 0 && strings.Contains(text, ".toml") { // the test's folder differs from run to run
+		// The directory differs from run to run.
+		if at := strings.Index(text, "/"); at >= 0 && strings.Contains(text, ".toml") {
 			end := strings.LastIndex(text[:strings.Index(text, ".toml")], "/")
 			text = text[:at] + "DIR" + text[end:]
 		}
 		fmt.Fprintf(&out, "%s: %s\n", title, text)
 	}
-	for _, change := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"listen":"127.0.0.1:5000"`, `"listen":"here"`}, {`"discovery":"127.0.0.1:8500"`, `"discovery":"there"`}, {`"seed":"8c`, `"seed":"x`},
 		{`"cores":1.0`, `"cores":0`}, {`"cores":1.0`, `"cores":"one"`}, {`"memory_mb":192`, `"memory_mb":1`}, {`"sockets":1024`, `"sockets":3`},
 		{`"name":"enrol"`, `"name":"seat-check"`}, {`"name":"univ-gaspesie"`, `"name":""`},
 	} {
-		_, err := load(t, strings.Replace(completeFile, change[0], change[1], 1), nil)
-		say(change[1], err)
+		_, err := loadNode(t, strings.Replace(completeFile, replacement[0], replacement[1], 1), nil)
+		record(replacement[1], err)
 	}
-	for _, k := range []struct{ variable, file, from, to string }{
+	for _, tc := range []struct{ variable, file, from, to string }{
 		{"NODE_AMQP", "amqp.toml", "amqp://", "http://"}, {"NODE_AMQP", "amqp.toml", "prefetch = 128", "prefetch = 100000"}, {"NODE_AMQP", "amqp.toml", "prefetch", "fetch"},
 		{"NODE_AMQP", "amqp.toml", "registration.jobs", ""}, {"NODE_MEMBERS", "members.toml", "period_ms = 500", "period_ms = 5"},
 		{"NODE_MEMBERS", "members.toml", "bear_ms = 3000", "bear_ms = 3"}, {"NODE_MEMBERS", "members.toml", "127.0.0.1:7401", "x"},
@@ -218,12 +220,12 @@
 		{"NODE_PROMISES", "promises.toml", "skew_ms = 250", "skew_ms = 9000"}, {"NODE_PROMISES", "promises.toml", "most = 100000", "most = 0"},
 		{"NODE_PROMISES", "promises.toml", "listen = \"127.0.0.1:7500\"", "listen = \"\""},
 	} {
-		env := map[string]string{k.variable: write(t, k.file, strings.Replace(example(t, k.file), k.from, k.to, 1))}
-		if k.variable == "NODE_PROMISES" {
-			env["NODE_MEMBERS"] = write(t, "members.toml", example(t, "members.toml"))
+		env := map[string]string{tc.variable: writeFile(t, tc.file, strings.Replace(shippedFile(t, tc.file), tc.from, tc.to, 1))}
+		if tc.variable == "NODE_PROMISES" {
+			env["NODE_MEMBERS"] = writeFile(t, "members.toml", shippedFile(t, "members.toml"))
 		}
-		_, err := load(t, withPeers, env)
-		say(k.to, err)
+		_, err := loadNode(t, withPeers, env)
+		record(tc.to, err)
 	}
 	golden.AssertBytes(t, out.Bytes(), "faults.txt")
 }
