--- a/internal/dispatcher/config/golden_test.go
+++ b/internal/dispatcher/config/golden_test.go
@@ -95,7 +95,7 @@
 
 func nodeValues(n *config.Node) []namedValue {
 	return []namedValue{
-		{"name", n.Name}, {"listen", n.Listen}, {"discovery", n.Discovery}, {"seed", n.Seed}, {"known", n.Known}, {"module", n.Module},
+		{"name", n.Name}, {"listen", n.Listen}, {"discovery", n.Discovery}, {"seed", n.Seed}, {"known", n.KnownWorkers}, {"module", n.Module},
 		{"classes", n.Classes}, {"tenants", n.Tenants}, {"zones", n.Zones}, {"kinds", n.Kinds}, {"load_fields", n.LoadFields},
 		{"zone_name", n.ZoneName()},
 	}
--- a/internal/dispatcher/config/node.go
+++ b/internal/dispatcher/config/node.go
@@ -29,11 +29,11 @@
 
 // Node holds all settings of one dispatcher.
 type Node struct {
-	Name      string
-	Listen    string // address and port for clients
-	Discovery string // address and port; empty: the list of workers is fixed
-	Seed      uint64 // of the decision module's random numbers
-	Known     WorkerList
+	Name         string
+	Listen       string     // address and port for clients
+	Discovery    string     // address and port; empty: the list of workers is fixed
+	Seed         uint64     // of the decision module's random numbers
+	KnownWorkers WorkerList // the workers known at the start, used until discovery sends a list
 
 	Module     decision.Settings
 	Classes    []string // names, in the decision module's order
@@ -51,15 +51,15 @@
 
 // nodeFile is the platform's file, which NODE_CONFIG names.
 type nodeFile struct {
-	Name       string         `json:"name"`
-	Listen     string         `json:"listen"`
-	Discovery  string         `json:"discovery"`
-	Seed       string         `json:"seed"` // hexadecimal, 64 bits
-	Limits     platformLimits `json:"limits"`
-	Known      WorkerList     `json:"known"`
-	Peers      []string       `json:"peers"`       // addresses of all dispatchers, this one included
-	PeerListen string         `json:"peer_listen"` // address at which this dispatcher listens for the others
-	Settings   map[string]any `json:"settings"`    // nested; may hold keys that this program does not know
+	Name         string         `json:"name"`
+	Listen       string         `json:"listen"`
+	Discovery    string         `json:"discovery"`
+	Seed         string         `json:"seed"` // hexadecimal, 64 bits
+	Limits       platformLimits `json:"limits"`
+	KnownWorkers WorkerList     `json:"known"`
+	Peers        []string       `json:"peers"`       // addresses of all dispatchers, this one included
+	PeerListen   string         `json:"peer_listen"` // address at which this dispatcher listens for the others
+	Settings     map[string]any `json:"settings"`    // nested; may hold keys that this program does not know
 }
 
 // platformLimits holds what the platform grants the process. A nil field stands for its default.
@@ -81,7 +81,7 @@
 			*field = v
 		}
 	}
-	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: f.Known}
+	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, KnownWorkers: f.KnownWorkers}
 	if err := n.checkAddresses(); err != nil {
 		return nil, err
 	}
--- a/internal/dispatcher/discovery/watcher.go
+++ b/internal/dispatcher/discovery/watcher.go
@@ -69,7 +69,7 @@
 		asked:      make(chan struct{}, 1),
 		moved:      make(chan struct{}, 1),
 		address:    n.Discovery,
-		generation: n.Known.Generation,
+		generation: n.KnownWorkers.Generation,
 		hangUp:     func(error) {},
 	}
 	w.client = &http.Client{Transport: &http.Transport{
--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -105,7 +105,7 @@
 // Run owns the module until ctx ends. The list of workers that the node knows from before comes first.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.ended)
-	c.applyList(decision.ListCached, c.node.Known.Workers)
+	c.applyList(decision.ListCached, c.node.KnownWorkers.Workers)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
--- a/internal/dispatcher/instance/attempt_ends_test.go
+++ b/internal/dispatcher/instance/attempt_ends_test.go
@@ -69,7 +69,7 @@
 			worker := receive(t, "the worker's side", f.workerConns)
 			if reason == "drains" {
 				var draining []config.Worker
-				for _, worker := range f.node.Known.Workers {
+				for _, worker := range f.node.KnownWorkers.Workers {
 					worker.State = "draining"
 					draining = append(draining, worker)
 				}
@@ -80,7 +80,7 @@
 				f.waitUntil("no ready worker", func() bool { return f.core.WorkerCounts()[decision.Ready] == 0 })
 			}
 			if returns {
-				f.core.UpdateWorkers(decision.ListFull, f.node.Known.Workers)
+				f.core.UpdateWorkers(decision.ListFull, f.node.KnownWorkers.Workers)
 				f.waitUntil("three ready workers", func() bool { return f.core.WorkerCounts()[decision.Ready] == 3 })
 			}
 			dial.release <- dial.real
--- a/internal/dispatcher/instance/client_connections_test.go
+++ b/internal/dispatcher/instance/client_connections_test.go
@@ -119,7 +119,7 @@
 	if got := second.readAnswer(); got != "503 refused: try again later" || f.counter("dialled") != 1 {
 		t.Errorf("with a full connection pool: the client received %s; %s", got, f.core.CountersLine())
 	}
-	more := append([]config.Worker{testenv.Worker("s-0000000f", "127.0.0.1:9", "ready")}, f.node.Known.Workers...)
+	more := append([]config.Worker{testenv.Worker("s-0000000f", "127.0.0.1:9", "ready")}, f.node.KnownWorkers.Workers...)
 	f.core.UpdateWorkers(decision.ListDelta, more)
 	f.waitUntil("the list", func() bool { return f.counter("roster_changes") == 2 })
 	if n := f.core.WorkerCounts(); n != [3]int{0, 3, 0} {
--- a/internal/dispatcher/instance/fixture_test.go
+++ b/internal/dispatcher/instance/fixture_test.go
@@ -175,7 +175,7 @@
 		canceled, cancelNow := context.WithCancel(context.Background())
 		cancelNow()
 		f.server.Shutdown(canceled)
-		for _, worker := range f.node.Known.Workers {
+		for _, worker := range f.node.KnownWorkers.Workers {
 			f.transport.CloseIdle(worker)
 		}
 	})
--- a/internal/dispatcher/instance/lists_test.go
+++ b/internal/dispatcher/instance/lists_test.go
@@ -25,7 +25,7 @@
 		if i < draining {
 			state = "draining"
 		}
-		entries = append(entries, fmt.Sprintf(listEntry, i+1, f.node.Known.Workers[0].Address, state))
+		entries = append(entries, fmt.Sprintf(listEntry, i+1, f.node.KnownWorkers.Workers[0].Address, state))
 	}
 	text := fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, strings.Join(entries, ","))
 	if form == "line" {
