--- a/internal/dispatcher/amqp/session.go
+++ b/internal/dispatcher/amqp/session.go
@@ -90,7 +90,7 @@
 	case <-draining: // a session that comes up late only brings workers' answers home
 		draining = nil
 	default:
-		if jobs, err = s.jobs.Consume(a.operator.Jobs, jobsConsumer, false, false, false, false, nil); err != nil {
+		if jobs, err = s.jobs.Consume(a.operator.JobQueue, jobsConsumer, false, false, false, false, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/dispatcher/config/amqp.go
+++ b/internal/dispatcher/config/amqp.go
@@ -9,7 +9,7 @@
 // operator's file.
 type AMQP struct {
 	URL      string       `toml:"url"`
-	Jobs     string       `toml:"jobs"`     // the queue to which clients publish jobs
+	JobQueue string       `toml:"jobs"`     // the queue to which clients publish jobs
 	Prefetch int          `toml:"prefetch"` // most unacknowledged deliveries
 	Workers  []AMQPWorker `toml:"worker"`
 }
@@ -36,7 +36,7 @@
 		// The error leaves the URL out: it may hold a password.
 		return nil, at.errorf("url", "it does not begin with amqp:// or amqps://")
 	}
-	if a.Jobs == "" {
+	if a.JobQueue == "" {
 		return nil, at.errorf("jobs", "the name of a queue is missing")
 	}
 	if a.Prefetch == 0 {
--- a/internal/dispatcher/config/durablejobs.go
+++ b/internal/dispatcher/config/durablejobs.go
@@ -23,11 +23,11 @@
 	MaxJobs      int           // most jobs kept over all groups, open ones included
 	Events       string        // a file to which a JSON line is written for each step
 
-	// For fault tests: when the process reaches the point CrashAt for the CrashOn-th time, it kills itself, or with
-	// CrashByStop suspends itself until it is resumed from outside.
-	CrashAt     string // one of CrashPoints; empty: no crash
-	CrashOn     int
-	CrashByStop bool
+	// For fault tests: the process kills itself when it reaches the point CrashAt for the CrashOccurrence-th time. With
+	// CrashByStop it suspends itself instead, until it is resumed from outside.
+	CrashAt         string // one of CrashPoints; empty: no crash
+	CrashOccurrence int
+	CrashByStop     bool
 }
 
 // CrashPoints lists the values of DurableJobs.CrashAt in the order in which a job passes them.
@@ -69,16 +69,16 @@
 	}
 	table, at := &file.Promises, section{path, "promises"}
 	d := &DurableJobs{
-		Path:         path,
-		Groups:       table.Groups,
-		Replicas:     table.Copies,
-		Retention:    time.Duration(table.KeepS * float64(time.Second)),
-		MaxClockSkew: time.Duration(table.SkewMs) * time.Millisecond,
-		MaxJobs:      table.Most,
-		Events:       table.Events,
-		CrashAt:      table.CrashAt,
-		CrashOn:      table.CrashOn,
-		CrashByStop:  table.CrashBy == "stop",
+		Path:            path,
+		Groups:          table.Groups,
+		Replicas:        table.Copies,
+		Retention:       time.Duration(table.KeepS * float64(time.Second)),
+		MaxClockSkew:    time.Duration(table.SkewMs) * time.Millisecond,
+		MaxJobs:         table.Most,
+		Events:          table.Events,
+		CrashAt:         table.CrashAt,
+		CrashOccurrence: table.CrashOn,
+		CrashByStop:     table.CrashBy == "stop",
 	}
 	var err error
 	if d.Listen, err = netip.ParseAddrPort(table.Listen); err != nil {
--- a/internal/dispatcher/config/golden_test.go
+++ b/internal/dispatcher/config/golden_test.go
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		a := n.AMQP
-		writeValues(&out, "amqp.toml", []namedValue{{"url", a.URL}, {"jobs", a.Jobs}, {"prefetch", a.Prefetch}})
+		writeValues(&out, "amqp.toml", []namedValue{{"url", a.URL}, {"jobs", a.JobQueue}, {"prefetch", a.Prefetch}})
 		for _, w := range a.Workers {
 			writeValues(&out, "amqp.toml, worker", []namedValue{{"id", w.ID}, {"queue", w.Queue}, {"zone", w.Zone}, {"kind", w.Kind}, {"cell", w.Cell}})
 		}
@@ -166,7 +166,7 @@
 	writeMembers(&out, "members.toml", n.Membership)
 	durable := n.DurableJobs
 	writeValues(&out, "promises.toml", []namedValue{{"listen", durable.Listen}, {"peers", peerValues(durable.Peers)}, {"groups", durable.Groups}, {"copies", durable.Replicas}, {"keep", durable.Retention},
-		{"skew", durable.MaxClockSkew}, {"most", durable.MaxJobs}, {"events", durable.Events}, {"crash_at", durable.CrashAt}, {"crash_on", durable.CrashOn}, {"stops", durable.CrashByStop}})
+		{"skew", durable.MaxClockSkew}, {"most", durable.MaxJobs}, {"events", durable.Events}, {"crash_at", durable.CrashAt}, {"crash_on", durable.CrashOccurrence}, {"stops", durable.CrashByStop}})
 	withoutNames := strings.Replace(withPeers, `"settings":`, `"peers":["127.0.0.1:7400","127.0.0.1:7401"],"peer_listen":"127.0.0.1:7400","settings":`, 1)
 	if n, err = loadNode(t, withoutNames, map[string]string{"NODE_MEMBERS": writeFile(t, "members.toml", "[members]\n")}); err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/durablejobs/manager.go
+++ b/internal/dispatcher/durablejobs/manager.go
@@ -138,7 +138,7 @@
 // crashPoint is a place at which a test of faults may kill or pause the process.
 func (m *Manager) crashPoint(name string) {
 	if name == m.options.CrashAt {
-		if m.crashCounts[name]++; m.crashCounts[name] == m.options.CrashOn {
+		if m.crashCounts[name]++; m.crashCounts[name] == m.options.CrashOccurrence {
 			m.logEvent(map[string]any{"crash": name})
 			if m.options.CrashByStop {
 				syscall.Kill(syscall.Getpid(), syscall.SIGSTOP)
