--- a/internal/dispatcher/config/document/document.go
+++ b/internal/dispatcher/config/document/document.go
@@ -25,7 +25,7 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// MaxBytes is the longest document, in bytes.
+// MaxBytes is the maximum size of a document, in bytes.
 const MaxBytes = 16 << 20
 
 // The defaults of the recorder's settings. config.Capture describes them.
@@ -35,8 +35,8 @@
 	defaultGroupS   = 10
 )
 
-// Read validates a file of at most MaxBytes against the named schema and decodes it into into.
-func Read(path, schema string, into any) error {
+// Read validates a file of at most MaxBytes against the named schema and decodes it into target.
+func Read(path, schema string, target any) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -49,11 +49,11 @@
 	if len(text) > MaxBytes {
 		return fmt.Errorf("%s: longer than %d bytes", path, MaxBytes)
 	}
-	return Parse(path, text, schema, into)
+	return Parse(path, text, schema, target)
 }
 
-// Parse validates a text against the named schema and decodes it into into. path only names the text in errors.
-func Parse(path string, text []byte, schema string, into any) error {
+// Parse validates a text against the named schema and decodes it into target. path only names the text in errors.
+func Parse(path string, text []byte, schema string, target any) error {
 	offsets, err := keyOffsets(text)
 	if err != nil {
 		var at *syntaxError
@@ -73,7 +73,7 @@
 	if err := s.Validate(value); err != nil {
 		return explain(path, text, offsets, err)
 	}
-	return decode(path, text, into)
+	return decode(path, text, target)
 }
 
 // explain converts a validation error into one error for each cause, with its line, column and key.
@@ -106,10 +106,10 @@
 }
 
 // decode decodes a valid document. A value may match its schema and still not fit the Go type; that is an error.
-func decode(path string, text []byte, into any) error {
+func decode(path string, text []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	err := decoder.Decode(into)
+	err := decoder.Decode(target)
 	var mismatch *json.UnmarshalTypeError
 	switch {
 	case err == nil:
--- a/internal/dispatcher/config/document/document_test.go
+++ b/internal/dispatcher/config/document/document_test.go
@@ -60,11 +60,11 @@
 		f.Add(i == 0, document[:len(document)/2])
 	}
 	f.Fuzz(func(t *testing.T, fleet bool, text []byte) {
-		schema, into := "load", any(new(fleetsim.Load))
+		schema, target := "load", any(new(fleetsim.Load))
 		if fleet {
-			schema, into = "fleet", new(fleetsim.Fleet)
+			schema, target = "fleet", new(fleetsim.Fleet)
 		}
-		if err := Parse("x.json", text, schema, into); err != nil && !strings.HasPrefix(err.Error(), "x.json:") {
+		if err := Parse("x.json", text, schema, target); err != nil && !strings.HasPrefix(err.Error(), "x.json:") {
 			t.Errorf("%q: error %v does not name the file", text, err)
 		}
 	})
--- a/internal/dispatcher/config/document/shipped_test.go
+++ b/internal/dispatcher/config/document/shipped_test.go
@@ -17,11 +17,11 @@
 func TestShippedDocumentsKeepTheirValues(t *testing.T) {
 	var out bytes.Buffer
 	for _, name := range []string{"fleet", "load", "capture"} {
-		into := map[string]any{"fleet": new(fleetsim.Fleet), "load": new(fleetsim.Load), "capture": new(config.Capture)}[name]
-		if err := Read("../../../../deploy/"+name+".json", name, into); err != nil {
+		target := map[string]any{"fleet": new(fleetsim.Fleet), "load": new(fleetsim.Load), "capture": new(config.Capture)}[name]
+		if err := Read("../../../../deploy/"+name+".json", name, target); err != nil {
 			t.Fatal(err)
 		}
-		text, err := json.MarshalIndent(into, "", " ")
+		text, err := json.MarshalIndent(target, "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatcher/config/durablejobs.go
+++ b/internal/dispatcher/config/durablejobs.go
@@ -35,17 +35,17 @@
 
 // durableJobsTable is the table promises of an operator's file.
 type durableJobsTable struct {
-	Listen  string      `toml:"listen"`
-	Groups  int         `toml:"groups"`
-	Copies  int         `toml:"copies"`
-	KeepS   float64     `toml:"keep_s"`
-	SkewMs  int         `toml:"skew_ms"`
-	Most    int         `toml:"most"`
-	Events  string      `toml:"events"`
-	CrashAt string      `toml:"crash_at"`
-	CrashOn int         `toml:"crash_on"`
-	CrashBy string      `toml:"crash_by"`
-	Peers   []namedPeer `toml:"peer"`
+	Listen          string      `toml:"listen"`
+	Groups          int         `toml:"groups"`
+	Copies          int         `toml:"copies"`
+	KeepS           float64     `toml:"keep_s"`
+	SkewMs          int         `toml:"skew_ms"`
+	Most            int         `toml:"most"`
+	Events          string      `toml:"events"`
+	CrashAt         string      `toml:"crash_at"`
+	CrashOccurrence int         `toml:"crash_on"`
+	CrashBy         string      `toml:"crash_by"`
+	Peers           []namedPeer `toml:"peer"`
 }
 
 // loadDurableJobs reads the operator's file for durable jobs. They need the membership, and a network path between
@@ -58,12 +58,12 @@
 	case f.PeerListen != "":
 		return nil, fmt.Errorf("NODE_PROMISES: %s: this platform carries only datagrams between dispatchers (peer_listen), and there is no other path between them; unset the variable to start", path)
 	case n.Membership == nil:
-		return nil, fmt.Errorf("NODE_PROMISES: %s: promises need the membership; set NODE_MEMBERS too", path)
+		return nil, fmt.Errorf("NODE_PROMISES: %s: durable jobs need the membership; set NODE_MEMBERS too", path)
 	}
 	var file struct {
 		Promises durableJobsTable `toml:"promises"`
 	}
-	file.Promises = durableJobsTable{Groups: 16, Copies: 3, KeepS: 600, SkewMs: 250, Most: 100000, CrashOn: 1}
+	file.Promises = durableJobsTable{Groups: 16, Copies: 3, KeepS: 600, SkewMs: 250, Most: 100000, CrashOccurrence: 1}
 	if err := decodeTOML(path, &file); err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 		MaxJobs:         table.Most,
 		Events:          table.Events,
 		CrashAt:         table.CrashAt,
-		CrashOccurrence: table.CrashOn,
+		CrashOccurrence: table.CrashOccurrence,
 		CrashByStop:     table.CrashBy == "stop",
 	}
 	var err error
@@ -116,8 +116,8 @@
 		return at.errorf("crash_at", "%q is not one of %s", table.CrashAt, strings.Join(CrashPoints, ", "))
 	case table.CrashBy != "" && table.CrashBy != "kill" && table.CrashBy != "stop":
 		return at.errorf("crash_by", "%q is not kill or stop", table.CrashBy)
-	case table.CrashOn < 1:
-		return at.errorf("crash_on", "%d is not 1 or more", table.CrashOn)
+	case table.CrashOccurrence < 1:
+		return at.errorf("crash_on", "%d is not 1 or more", table.CrashOccurrence)
 	}
 	return nil
 }
--- a/internal/dispatcher/config/node.go
+++ b/internal/dispatcher/config/node.go
@@ -1,9 +1,9 @@
 // Package config reads the settings of a dispatcher and of an agent. It reads the
 // environment, the platform's file that NODE_CONFIG names and the operator's
 // files, checks every value, fills in the defaults and derives Limits, which
-// holds all sizes, counts and times of the program. No other package reads
-// settings. An error names the faulty key and prevents the start. The package
-// opens no socket.
+// holds all sizes, counts and times of the program. Apart from package document
+// below it, no other package of the dispatcher reads settings. An error names the
+// faulty key and prevents the start. The package opens no socket.
 //
 // Values are not changed once they are read and may be used on any goroutine.
 //
@@ -31,7 +31,7 @@
 type Node struct {
 	Name         string
 	Listen       string     // address and port for clients
-	Discovery    string     // address and port; empty: the list of workers is fixed
+	Discovery    string     // address and port; empty: no discovery, the operator lists the workers
 	Seed         uint64     // of the decision module's random numbers
 	KnownWorkers WorkerList // the workers known at the start, used until discovery sends a list
 
@@ -101,7 +101,8 @@
 }
 
 // Reload reads the settings again while the program runs. Here the discovery address in the file takes precedence over
-// NODE_DISCOVERY: the variable holds the address at the start, and the file may have been changed since.
+// NODE_DISCOVERY: the variable holds the address at the start, and the file may have been changed since. If the file
+// has no discovery address, that of the variable applies.
 func Reload(getenv func(string) string) (*Node, error) {
 	n, err := Load(func(key string) string {
 		if key == "NODE_DISCOVERY" {
@@ -131,10 +132,10 @@
 	if err == nil && decoder.Decode(new(any)) != io.EOF {
 		err = errors.New("unexpected data after the end of the object")
 	}
-	var wrong *json.UnmarshalTypeError
+	var mismatch *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &wrong):
-		return nil, fmt.Errorf("NODE_CONFIG: key %s: a %s is not valid", wrong.Field, wrong.Value)
+	case errors.As(err, &mismatch):
+		return nil, fmt.Errorf("NODE_CONFIG: key %s: a %s is not valid", mismatch.Field, mismatch.Value)
 	case err != nil:
 		return nil, fmt.Errorf("NODE_CONFIG: %s: %w", path, err)
 	}
--- a/internal/dispatcher/config/toml.go
+++ b/internal/dispatcher/config/toml.go
@@ -9,8 +9,8 @@
 )
 
 // decodeTOML reads an operator's file. An unknown key is an error that names the key.
-func decodeTOML(path string, into any) error {
-	meta, err := toml.DecodeFile(path, into)
+func decodeTOML(path string, target any) error {
+	meta, err := toml.DecodeFile(path, target)
 	if err != nil {
 		var parse toml.ParseError
 		if errors.As(err, &parse) {
--- a/internal/dispatcher/instance/attempt_ends_test.go
+++ b/internal/dispatcher/instance/attempt_ends_test.go
@@ -25,8 +25,8 @@
 			f.start()
 			client := f.newClient()
 			client.send(jobHead("d1", "seat-check", 400*time.Millisecond, 2) + "go")
-			dial := receive(t, "a connection", f.dials)
-			worker := receive(t, "the worker's side", f.workerConns)
+			dial := receive(t, "a dial", f.dials)
+			worker := receive(t, "a connection to the worker", f.workerConns)
 			switch stage {
 			case "writing":
 				half := &halfWriter{Conn: dial.real, halfWritten: make(chan bool), broken: make(chan struct{})}
@@ -65,8 +65,8 @@
 			f.start()
 			client := f.newClient()
 			client.send(jobRequest("v1"))
-			dial := receive(t, "a connection", f.dials)
-			worker := receive(t, "the worker's side", f.workerConns)
+			dial := receive(t, "a dial", f.dials)
+			worker := receive(t, "a connection to the worker", f.workerConns)
 			if reason == "drains" {
 				var draining []config.Worker
 				for _, worker := range f.node.KnownWorkers.Workers {
--- a/internal/dispatcher/instance/client_leaves_test.go
+++ b/internal/dispatcher/instance/client_leaves_test.go
@@ -26,7 +26,7 @@
 			text = strings.Replace(text, "Content-Length", "Idempotency-Key: k\r\nContent-Length", 1)
 		}
 		client.send(text)
-		dial := receive(t, "a connection", f.dials)
+		dial := receive(t, "a dial", f.dials)
 		client.Close()
 		f.waitUntil("the client's leaving", func() bool { return f.counter("left") == 1 })
 		dial.release <- dial.real
@@ -34,7 +34,7 @@
 		f.waitIdle(1)
 		client = f.newClient()
 		client.send(strings.Replace(text, "X-Request-ID: g1", "X-Request-ID: g2", 1))
-		worker := receive(t, "the worker's side", f.workerConns)
+		worker := receive(t, "a connection to the worker", f.workerConns)
 		if id := f.readRequest(worker); id != "g2" {
 			t.Errorf("idempotency %v: the worker received %s, want g2 alone: the client of g1 had left", idempotency, id)
 		}
@@ -52,7 +52,7 @@
 	f.start()
 	client := f.newClient()
 	client.send(jobRequest("h1"))
-	dial := receive(t, "a connection", f.dials)
+	dial := receive(t, "a dial", f.dials)
 	half := &halfWriter{Conn: dial.real, halfWritten: make(chan bool), broken: make(chan struct{})}
 	dial.release <- half
 	receive(t, "the first half", half.halfWritten)
@@ -62,7 +62,7 @@
 	case <-time.After(3 * time.Second): // the job itself times out after 5 s
 		t.Fatal("the write continues after the client has left")
 	}
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	worker.SetReadDeadline(time.Now().Add(maxWait))
 	if text, err := io.ReadAll(worker); err != nil || strings.HasSuffix(string(text), "go") {
 		t.Errorf("the worker received %q, %v", text, err)
@@ -80,7 +80,7 @@
 			f := newFixture(t, nil).start()
 			client := f.newClient()
 			client.send(variant[1])
-			worker := receive(t, "the worker's side", f.workerConns)
+			worker := receive(t, "a connection to the worker", f.workerConns)
 			f.readRequest(worker)
 			client.send(pipelined)
 			switch closing {
@@ -138,7 +138,7 @@
 	f.start()
 	first, second := f.newClient(), f.newClient()
 	first.send(jobRequest("m1"))
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	f.readRequest(worker)
 	answerDone(worker, "m1")
 	receive(t, "the first job's end", observed)
@@ -172,7 +172,7 @@
 	f.start()
 	client := f.newClient()
 	client.send(jobRequest("t1"))
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	f.readRequest(worker)
 	io.WriteString(worker, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 	receive(t, "the attempt's end", observed)
--- a/internal/dispatcher/instance/fixture_test.go
+++ b/internal/dispatcher/instance/fixture_test.go
@@ -64,7 +64,7 @@
 	return l
 }
 
-// newFixture creates the discovery, the workers and the components. change, if not nil, adjusts the settings before.
+// newFixture creates the discovery, the workers and the components. change, if not nil, adjusts the settings first.
 func newFixture(t *testing.T, change func(*config.Node)) *fixture {
 	f := &fixture{t: t, calls: make(chan *discoveryCall, 64), workerConns: make(chan net.Conn, 64), dials: make(chan *pendingDial, 64)}
 	discoveryListener, workers := listen(t), listen(t)
--- a/internal/dispatcher/instance/shutdown_test.go
+++ b/internal/dispatcher/instance/shutdown_test.go
@@ -32,7 +32,7 @@
 			}
 		} else {
 			go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
-			receive(t, "the end of the listener", closing)
+			receive(t, "the deadline of the listener", closing)
 			f.waitUntil("the closed listener", func() bool {
 				client, err := net.Dial("tcp", f.address)
 				if err == nil {
@@ -47,7 +47,7 @@
 			t.Errorf("%s: the response to a request that was read is %s", cause, got)
 		}
 		if cause == "end" {
-			if err := receive(t, "the end", shutdownErr); err != nil {
+			if err := receive(t, "the result of Shutdown", shutdownErr); err != nil {
 				t.Error(err)
 			}
 		}
@@ -65,7 +65,7 @@
 	client, conn := f.idleClient(acceptedConns)
 	f.server.Drain()
 	client.send(jobRequest("y1"))
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	f.readRequest(worker)
 	conn.mu.Lock()
 	conn.writeHeld = make(chan bool)
@@ -102,12 +102,12 @@
 	client.send("GET /counters HTTP/1.1\r\nHost: b\r\n\r\n")
 	shutdownErr := make(chan error, 1)
 	go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
-	receive(t, "the end of the listener", closing)
+	receive(t, "the deadline of the listener", closing)
 	close(gateOpen)
 	if got := client.readAnswer(); !strings.HasPrefix(got, "200 [{") || !strings.HasSuffix(got, "(closes)") {
 		t.Errorf("the response is %s", got)
 	}
-	if err := receive(t, "the end", shutdownErr); err != nil {
+	if err := receive(t, "the result of Shutdown", shutdownErr); err != nil {
 		t.Error(err)
 	}
 }
@@ -121,7 +121,7 @@
 		t.Fatal(got)
 	}
 	busy.send(jobRequest("l1"))
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	f.readRequest(worker)
 	shutdownErr := make(chan error, 1)
 	go func() { shutdownErr <- f.server.Shutdown(context.Background()) }()
@@ -137,7 +137,7 @@
 	if got := busy.readAnswer(); got != "200 of l1 (closes)" {
 		t.Errorf("the response to the open job is %s", got)
 	}
-	if err := receive(t, "the end", shutdownErr); err != nil {
+	if err := receive(t, "the result of Shutdown", shutdownErr); err != nil {
 		t.Error(err)
 	}
 }
@@ -150,7 +150,7 @@
 	f.server.Drain()
 	began := time.Now()
 	client.send(jobHead("s1", "seat-check", 300*time.Second, 2) + "go")
-	f.readRequest(receive(t, "the worker's side", f.workerConns)) // the worker never answers
+	f.readRequest(receive(t, "a connection to the worker", f.workerConns)) // the worker never answers
 	if got := client.readAnswer(); got != "503 refused: try again later (closes)" || time.Since(began) > 5*time.Second {
 		t.Errorf("the response is %s after %v", got, time.Since(began))
 	}
--- a/internal/dispatcher/instance/worker_answers_test.go
+++ b/internal/dispatcher/instance/worker_answers_test.go
@@ -18,7 +18,7 @@
 		f := newFixture(t, func(n *config.Node) { n.Limits.TrailingTimeout = maxWait }).start()
 		client := f.newClient()
 		client.send(jobHead("e1", "seat-check", 4*time.Second, 2) + "go")
-		worker := receive(t, "the worker's side", f.workerConns)
+		worker := receive(t, "a connection to the worker", f.workerConns)
 		f.readRequest(worker)
 		began := time.Now()
 		io.WriteString(worker, chunkedHead+doneChunk("e1")+framing)
@@ -40,7 +40,7 @@
 		f := newFixture(t, nil).start()
 		client := f.newClient()
 		client.send(jobRequest("f1"))
-		worker := receive(t, "the worker's side", f.workerConns)
+		worker := receive(t, "a connection to the worker", f.workerConns)
 		f.readRequest(worker)
 		io.WriteString(worker, chunkedHead+text)
 		if got := client.readAnswer(); got != "200 of f1" {
@@ -66,7 +66,7 @@
 			f := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency = idempotency }).start()
 			client := f.newClient()
 			client.send(jobRequest("a1"))
-			worker := receive(t, "the worker's side", f.workerConns)
+			worker := receive(t, "a connection to the worker", f.workerConns)
 			f.readRequest(worker)
 			answerDone(worker, "a1")
 			if got := client.readAnswer(); got != "200 of a1" {
@@ -97,7 +97,7 @@
 }
 
 // A worker sends a response that names no job a second time, some milliseconds late. The duplicate is not taken for the
-// response to the next job, which may not run twice. The connection is not reused before.
+// response to the next job, which may not run twice. The connection is not reused until LateAnswerWindow has passed.
 func TestDuplicateResponseWithoutJobID(t *testing.T) {
 	for status, first := range map[string]string{
 		"503 Service Unavailable\r\nX-Not-Processed: 1": "", "500 Internal Server Error": "502 the job failed", "400 Bad Request": "502 the job failed",
@@ -107,7 +107,7 @@
 		}).start()
 		client := f.newClient()
 		client.send(jobRequest("n1"))
-		worker := receive(t, "the worker's side", f.workerConns)
+		worker := receive(t, "a connection to the worker", f.workerConns)
 		f.readRequest(worker)
 		answer := "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n"
 		io.WriteString(worker, answer)
@@ -136,7 +136,7 @@
 	f := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency = decision.NotIdempotent }).start()
 	client := f.newClient()
 	client.send(jobRequest("r1"))
-	worker := receive(t, "the worker's side", f.workerConns)
+	worker := receive(t, "a connection to the worker", f.workerConns)
 	f.readRequest(worker)
 	io.WriteString(worker, chunkedHead+doneChunk("r1"))
 	worker.(*net.TCPConn).SetLinger(0)
