--- a/internal/dispatcher/config/document/schema.go
+++ b/internal/dispatcher/config/document/schema.go
@@ -26,7 +26,7 @@
 func Schema(name string) ([]byte, error) {
 	text, err := schemas.ReadFile("schemas/" + name + ".json")
 	if err != nil {
-		return nil, fmt.Errorf("there is no schema %q; the schemas are %s", name, strings.Join(SchemaNames(), ", "))
+		return nil, fmt.Errorf("there is no schema %q; there are %s", name, strings.Join(SchemaNames(), ", "))
 	}
 	return text, nil
 }
