--- a/internal/dispatcher/config/agent.go
+++ b/internal/dispatcher/config/agent.go
@@ -42,7 +42,7 @@
 	RestartBackoffMax time.Duration // limit up to which that delay doubles
 	StableAfter       time.Duration // run time after which the restart delay starts over at RestartBackoff
 	StopTimeout       time.Duration // after SIGTERM, for an instance to answer its open jobs
-	Instances         int           // most instances of an agent
+	Instances         int           // maximum number of instances of an agent
 	ReplyBytes        int           // of a reply of an instance or an agent
 	DatagramBytes     int           // of an SNMP message
 	Variables         int           // in one SNMP response
--- a/internal/dispatcher/config/amqp.go
+++ b/internal/dispatcher/config/amqp.go
@@ -10,7 +10,7 @@
 type AMQP struct {
 	URL      string       `toml:"url"`
 	JobQueue string       `toml:"jobs"`     // the queue to which clients publish jobs
-	Prefetch int          `toml:"prefetch"` // most unacknowledged deliveries
+	Prefetch int          `toml:"prefetch"` // maximum number of unacknowledged deliveries
 	Workers  []AMQPWorker `toml:"worker"`
 }
 
--- a/internal/dispatcher/config/durablejobs.go
+++ b/internal/dispatcher/config/durablejobs.go
@@ -20,7 +20,7 @@
 	Replicas     int
 	Retention    time.Duration // how long an outcome is kept after the client's deadline
 	MaxClockSkew time.Duration // between the clocks of two dispatchers
-	MaxJobs      int           // most jobs kept over all groups, open ones included
+	MaxJobs      int           // maximum number of jobs kept over all groups, open ones included
 	Events       string        // a file to which a JSON line is written for each step
 
 	// For fault tests: the process kills itself when it reaches the point CrashAt for the CrashOccurrence-th time. With
--- a/internal/dispatcher/config/limits.go
+++ b/internal/dispatcher/config/limits.go
@@ -17,21 +17,21 @@
 	MemoryMB int     // MiB at which the platform kills the process
 	Sockets  int     // file descriptors of the process, divided among clients, workers and discovery
 
-	ClientConns            int // most open client connections
-	ClientConnsWithoutHead int // of these, most whose first request head is not complete yet
-	SpareClientConns       int // most beyond ClientConns while idle ones close; also most rejected ones that still send
-	WorkerConns            int // most open connections to workers, idle ones included
-	DiscoveryConns         int // most open calls to discovery
+	ClientConns            int // maximum number of open client connections
+	ClientConnsWithoutHead int // of these, maximum number whose first request head is incomplete
+	SpareClientConns       int // maximum beyond ClientConns while idle ones close; also of rejected ones that still send
+	WorkerConns            int // maximum number of open connections to workers, idle ones included
+	DiscoveryConns         int // maximum number of open calls to discovery
 
 	BodyBytes       int64 // of a job's body
 	AllBodiesBytes  int64 // of the bodies of all clients in memory
 	HeadBytes       int   // of the head of an HTTP message
 	LineBytes       int   // of one line of a worker's response
 	WorkerListBytes int   // of one JSON object in the watch stream of discovery
-	Workers         int   // most workers in the list
-	OpenJobs        int   // most jobs accepted and not yet answered
-	QueuedEvents    int   // most functions queued for the core's goroutine
-	TrailingBytes   int   // most bytes read behind the last line of a worker's response
+	Workers         int   // maximum number of workers in the list
+	OpenJobs        int   // maximum number of jobs accepted and not yet answered
+	QueuedEvents    int   // maximum number of functions queued for the core's goroutine
+	TrailingBytes   int   // maximum bytes read after the last line of a worker's response
 
 	AnswerReserve     time.Duration // reserved before a client's deadline for sending the answer
 	RetryAfter        time.Duration // for a rejected client if the decision module returns no time
@@ -41,7 +41,7 @@
 	ClientIdleTimeout time.Duration // after which an idle client connection is closed
 	ReadTimeout       time.Duration // for a request's head and body, from the connect or the head's first byte
 	LingerTimeout     time.Duration // how long a request is read and discarded after an early answer
-	LingerBytes       int64         // most bytes read and discarded in that time
+	LingerBytes       int64         // maximum bytes read and discarded in that time
 	TrailingTimeout   time.Duration // for the end of a worker's response after its last line
 	LateAnswerWindow  time.Duration // how long a worker may send a duplicate response
 
@@ -56,20 +56,20 @@
 	LastAnswerWindow time.Duration // after SIGTERM, for answering late jobs; then the platform may kill the process
 
 	OutcomeRetention     time.Duration // how long the outcome of a job with an idempotency key is kept
-	RetainedOutcomes     int           // most outcomes kept
-	RetainedOutcomeBytes int           // most bytes of their results together
+	RetainedOutcomes     int           // maximum number of outcomes kept
+	RetainedOutcomeBytes int           // maximum bytes of their results together
 	BrokerBackoff        time.Duration // first delay before a reconnection to the broker
 	BrokerBackoffMax     time.Duration // limit up to which that delay doubles
 	ConfirmTimeout       time.Duration // for the broker to confirm a published answer
 
-	CaptureQueueRows  int           // most rows of each kind queued for the recorder
+	CaptureQueueRows  int           // maximum number of rows of each kind queued for the recorder
 	CaptureGroupRows  int           // rows that the recorder writes in one group
 	CaptureRetryDelay time.Duration // after a failed write to the disk
 
-	PeerDatagramsPerSecond        int           // most read
-	UnknownPeerDatagramsPerSecond int           // of these, most from addresses of no member
-	QueuedPeerDatagrams           int           // most queued for the membership
-	PeerBytesPerSecond            int           // most sent to other dispatchers
+	PeerDatagramsPerSecond        int           // maximum read
+	UnknownPeerDatagramsPerSecond int           // of these, maximum from addresses of no member
+	QueuedPeerDatagrams           int           // maximum number of queued for the membership
+	PeerBytesPerSecond            int           // maximum sent to other dispatchers
 	PeerLeaveTimeout              time.Duration // how long this dispatcher announces that it leaves
 
 	ReplicaFrameBytes    int           // of one replication frame
@@ -79,8 +79,8 @@
 	LeaseReserve         time.Duration // reserved before a client's deadline for the replicas' reply
 	LeasePollInterval    time.Duration // between two queries about a job that another dispatcher owns
 	LeaseNotifyWindow    time.Duration // after a job's deadline, how long its outcome is proposed to the replicas
-	LeaseTransferBatch   int           // most leases of a failed dispatcher that one command transfers
-	LeaseSubmitBatch     int           // most of these jobs submitted to the core in one LeaseRoundInterval
+	LeaseTransferBatch   int           // maximum number of leases of a failed dispatcher that one command transfers
+	LeaseSubmitBatch     int           // maximum number of these jobs submitted to the core in one LeaseRoundInterval
 	LeaseRoundInterval   time.Duration // between two checks for failed dispatchers
 	LeaseShutdownTimeout time.Duration // how long a leaving dispatcher waits for others to take over its replicas
 	LeaseOrphanDelay     time.Duration // how long a dispatcher is missing from the view before its leases move
