--- a/internal/dispatcher/config/limits.go
+++ b/internal/dispatcher/config/limits.go
@@ -19,7 +19,7 @@
 
 	ClientConns            int // maximum number of open client connections
 	ClientConnsWithoutHead int // of these, maximum number whose first request head is incomplete
-	SpareClientConns       int // maximum beyond ClientConns while idle ones close; also of rejected ones that still send
+	SpareClientConns       int // maximum beyond ClientConns while idle ones close; also of rejected ones still sending
 	WorkerConns            int // maximum number of open connections to workers, idle ones included
 	DiscoveryConns         int // maximum number of open calls to discovery
 
@@ -66,9 +66,9 @@
 	CaptureGroupRows  int           // rows that the recorder writes in one group
 	CaptureRetryDelay time.Duration // after a failed write to the disk
 
-	PeerDatagramsPerSecond        int           // maximum read
-	UnknownPeerDatagramsPerSecond int           // of these, maximum from addresses of no member
-	QueuedPeerDatagrams           int           // maximum number of queued for the membership
+	PeerDatagramsPerSecond        int           // maximum number read
+	UnknownPeerDatagramsPerSecond int           // of these, maximum number from addresses of no member
+	QueuedPeerDatagrams           int           // maximum number queued for the membership
 	PeerBytesPerSecond            int           // maximum sent to other dispatchers
 	PeerLeaveTimeout              time.Duration // how long this dispatcher announces that it leaves
 
