--- a/internal/dispatcher/durablejobs/golden_test.go
+++ b/internal/dispatcher/durablejobs/golden_test.go
@@ -16,7 +16,7 @@
 		ID: "a1", Key: "k1", Target: "/enrol?x=1", Header: []dispatch.HeaderField{{Name: "X-One", Value: "1"}, {Name: "X-Two", Value: "2"}}, Body: []byte("body"),
 		Class: "enrol", Tenant: "t1", AffinityKey: 77, Retry: true, Slots: 2, Memory: 0.5,
 	}
-	greeting := greeting{Form: 1, Name: "n1", Memory: 9, StartedAt: 123456789, Assignment: 5, Leaving: true}
+	greeting := greeting{Form: 1, Name: "n1", Incarnation: 9, StartedAt: 123456789, Assignment: 5, Leaving: true}
 	answer := queryAnswer{Found: true, Record: lease.Record{Key: "enrol/k1", State: lease.Ended, Owner: "n1.3", Epoch: 4, Result: []byte("ok")}}
 	for _, test := range []struct {
 		name string
--- a/internal/dispatcher/durablejobs/manager.go
+++ b/internal/dispatcher/durablejobs/manager.go
@@ -103,7 +103,7 @@
 		founders = append(founders, p.Name)
 	}
 	var err error
-	m.replicas, err = raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: n.Name, Memory: copy}, Founders: founders, Groups: c.Groups, Replicas: c.Replicas,
+	m.replicas, err = raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: n.Name, Incarnation: copy}, InitialMembers: founders, Groups: c.Groups, Replicas: c.Replicas,
 		NewStateMachine: func(int) raftgroup.StateMachine { return &leaseMachine{lease.New()} }, Seed: n.Seed ^ copy}, m.now())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", c.Path, err)
@@ -113,7 +113,7 @@
 			return nil, fmt.Errorf("%s: key promises.events: %w", c.Path, err)
 		}
 	}
-	if m.links, err = openLinks(n, greeting{Form: 1, Name: n.Name, Memory: copy, StartedAt: uint64(time.Now().UnixNano())}, &m.Counters.Dropped); err != nil {
+	if m.links, err = openLinks(n, greeting{Form: 1, Name: n.Name, Incarnation: copy, StartedAt: uint64(time.Now().UnixNano())}, &m.Counters.Dropped); err != nil {
 		return nil, fmt.Errorf("%s: key promises.listen: %w", c.Path, err)
 	}
 	return m, nil
--- a/internal/dispatcher/durablejobs/peers.go
+++ b/internal/dispatcher/durablejobs/peers.go
@@ -24,13 +24,13 @@
 
 // greeting is the first frame of a connection, and is sent again when it changes.
 type greeting struct {
-	_          struct{} `cbor:",toarray"`
-	Form       int      // version of the frames; 1 is the first
-	Name       string
-	Memory     uint64
-	StartedAt  uint64 // a later start under the same name has a larger one
-	Assignment uint64
-	Leaving    bool
+	_           struct{} `cbor:",toarray"`
+	Form        int      // version of the frames; 1 is the first
+	Name        string
+	Incarnation uint64
+	StartedAt   uint64 // a later start under the same name has a larger one
+	Assignment  uint64
+	Leaving     bool
 }
 
 const (
@@ -71,7 +71,7 @@
 }
 
 func (l *peerLinks) self() raftgroup.NodeID {
-	return raftgroup.NodeID{Name: l.greeting.Name, Memory: l.greeting.Memory}
+	return raftgroup.NodeID{Name: l.greeting.Name, Incarnation: l.greeting.Incarnation}
 }
 
 // memberOf returns what a peer last said of itself.
@@ -79,7 +79,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h, ok := l.greetings[name]
-	return raftgroup.Member{NodeID: raftgroup.NodeID{Name: h.Name, Memory: h.Memory}, Assignment: h.Assignment, Leaving: h.Leaving}, ok
+	return raftgroup.Member{NodeID: raftgroup.NodeID{Name: h.Name, Incarnation: h.Incarnation}, Assignment: h.Assignment, Leaving: h.Leaving}, ok
 }
 
 // announce tells the peers what has changed here.
@@ -220,7 +220,7 @@
 			return err
 		}
 		n := int(binary.BigEndian.Uint32(head))
-		if n > l.limits.ReplicaFrameBytes || from.Memory == 0 && (head[4] != greetingFrameKind || n > 1024) {
+		if n > l.limits.ReplicaFrameBytes || from.Incarnation == 0 && (head[4] != greetingFrameKind || n > 1024) {
 			return fmt.Errorf("a frame of %d bytes", n)
 		}
 		data := make([]byte, n)
@@ -232,10 +232,10 @@
 			continue
 		}
 		var h greeting
-		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.peers[h.Name] == nil || h.Memory == 0 || from.Memory != 0 && h.Memory != from.Memory {
+		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.peers[h.Name] == nil || h.Incarnation == 0 || from.Incarnation != 0 && h.Incarnation != from.Incarnation {
 			return errors.New("a hello that cannot be")
 		}
-		from = raftgroup.NodeID{Name: h.Name, Memory: h.Memory}
+		from = raftgroup.NodeID{Name: h.Name, Incarnation: h.Incarnation}
 		c.SetReadDeadline(time.Time{})
 		l.mu.Lock()
 		if h.StartedAt >= l.greetings[h.Name].StartedAt {
--- a/internal/dispatcher/durablejobs/peers_test.go
+++ b/internal/dispatcher/durablejobs/peers_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	n := &config.Node{Name: name, DurableJobs: &config.DurableJobs{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Peers: peers},
 		Limits: config.Limits{ReplicaFrameBytes: 1 << 20, ReplicaQueueBytes: 1 << 20, ReplicaDialTimeout: time.Second, ReplicaRetryDelay: 10 * time.Millisecond}}
-	l, err := openLinks(n, greeting{Form: 1, Name: name, Memory: 7, StartedAt: 1}, new(atomic.Int64))
+	l, err := openLinks(n, greeting{Form: 1, Name: name, Incarnation: 7, StartedAt: 1}, new(atomic.Int64))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +42,13 @@
 	binary.BigEndian.PutUint32(large, 1<<30)
 	for name, data := range map[string][]byte{
 		"no hello":             frame(replicaFrameKind, []byte("x")),
-		"an unknown name":      word(greeting{Form: 1, Name: "z", Memory: 1}),
-		"a later form":         word(greeting{Form: 2, Name: "b", Memory: 1}),
+		"an unknown name":      word(greeting{Form: 1, Name: "z", Incarnation: 1}),
+		"a later form":         word(greeting{Form: 2, Name: "b", Incarnation: 1}),
 		"no memory":            word(greeting{Form: 1, Name: "b"}),
 		"nothing":              nil,
 		"noise":                []byte("GET / HTTP/1.1\r\n\r\n"),
-		"too large a frame":    append(word(greeting{Form: 1, Name: "b", Memory: 1}), append(large, replicaFrameKind)...),
-		"another memory later": append(word(greeting{Form: 1, Name: "b", Memory: 1}), word(greeting{Form: 1, Name: "b", Memory: 2})...),
+		"too large a frame":    append(word(greeting{Form: 1, Name: "b", Incarnation: 1}), append(large, replicaFrameKind)...),
+		"another memory later": append(word(greeting{Form: 1, Name: "b", Incarnation: 1}), word(greeting{Form: 1, Name: "b", Incarnation: 2})...),
 	} {
 		c, err := net.Dial("tcp", l.listen.Addr().String())
 		if err != nil {
@@ -74,11 +74,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(append(word(greeting{Form: 1, Name: "b", Memory: 3, StartedAt: 9, Assignment: 5}), append(frame(replicaFrameKind, []byte("one")), frame(replicaFrameKind, []byte("two"))...)...))
+	c.Write(append(word(greeting{Form: 1, Name: "b", Incarnation: 3, StartedAt: 9, Assignment: 5}), append(frame(replicaFrameKind, []byte("one")), frame(replicaFrameKind, []byte("two"))...)...))
 	if a, b := string(<-heard), string(<-heard); a != "one" || b != "two" {
 		t.Errorf("%q and %q are heard", a, b)
 	}
-	if m, ok := l.memberOf("b"); !ok || m.Memory != 3 || m.Assignment != 5 {
+	if m, ok := l.memberOf("b"); !ok || m.Incarnation != 3 || m.Assignment != 5 {
 		t.Errorf("%+v is known of b", m)
 	}
 }
@@ -87,9 +87,9 @@
 func TestPeerThatIsNotThere(t *testing.T) {
 	l, _ := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	for range 40 {
-		l.send(raftgroup.NodeID{Name: "b", Memory: 1}, make([]byte, 100<<10))
+		l.send(raftgroup.NodeID{Name: "b", Incarnation: 1}, make([]byte, 100<<10))
 	}
-	l.send(raftgroup.NodeID{Name: "nobody", Memory: 1}, []byte("x"))
+	l.send(raftgroup.NodeID{Name: "nobody", Incarnation: 1}, []byte("x"))
 	k := l.peers["b"]
 	k.mu.Lock()
 	held := k.queuedBytes
--- a/internal/dispatcher/raftgroup/assignment.go
+++ b/internal/dispatcher/raftgroup/assignment.go
@@ -1,4 +1,4 @@
-// The assignment: which dispatchers hold the first replicas of each group.
+// The assignment of the initial replicas of each group to dispatchers.
 
 package raftgroup
 
@@ -14,23 +14,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Assignment says which seats the groups began with. Nodes of different assignments reject each other's frames.
+// Assignment holds the initial voters of all groups. One node makes it, once, and every node keeps it unchanged. Nodes
+// with different assignments reject each other's frames.
 type Assignment struct {
-	_        struct{} `cbor:",toarray"`
-	ID       uint64
-	Groups   int
-	Replicas int
-	Initial  [][]Seat // the seats of each group
+	_             struct{} `cbor:",toarray"`
+	ID            uint64   // random, never 0
+	Groups        int
+	Replicas      int       // of each group
+	InitialVoters [][]Voter // indexed by group
 }
 
-// Seat is a vote in a group. Its ID is given once.
-type Seat struct {
-	_     struct{} `cbor:",toarray"`
-	ID    uint64
-	Place NodeID
+// Voter is one voting replica of a group and the node that hosts it. A voter ID is never reused: a node that gets a
+// replica of the same group again gets it under another ID.
+type Voter struct {
+	_    struct{} `cbor:",toarray"`
+	ID   uint64
+	Host NodeID
 }
 
-// AssignmentID returns the number of this node's assignment; 0 where it has none yet.
+// AssignmentID returns the ID of this node's assignment, or 0 if it has none yet.
 func (node *Node) AssignmentID() uint64 {
 	if node.assignment == nil {
 		return 0
@@ -38,105 +40,108 @@
 	return node.assignment.ID
 }
 
-// bootstrap makes the assignment, where that is this node's role and all founders take part and have none.
+// bootstrap makes the assignment and sends it to the initial members. It does so only on the initial member whose name
+// sorts first, and only while all initial members are in the view and none has an assignment.
 func (node *Node) bootstrap() {
-	if node.assignment != nil || !node.hasQuorum || len(node.config.Founders) == 0 || node.config.Self.Name != slices.Min(node.config.Founders) {
+	if node.assignment != nil || !node.hasQuorum || len(node.config.InitialMembers) == 0 || node.config.Self.Name != slices.Min(node.config.InitialMembers) {
 		return
 	}
-	var all []Member
-	for _, name := range node.config.Founders {
+	var initial []Member
+	for _, name := range node.config.InitialMembers {
 		m, ok := node.members[name]
 		if !ok || m.Assignment != 0 {
 			return
 		}
-		all = append(all, m)
+		initial = append(initial, m)
 	}
-	c := &Assignment{ID: node.rng.Uint64() | 1, Groups: node.config.Groups, Replicas: min(node.config.Replicas, len(all))}
-	for n := range c.Groups {
-		var seats []Seat
-		for _, m := range chooseMembers(n, all, nil, c.Replicas) {
-			seats = append(seats, Seat{ID: node.rng.Uint64() | 1, Place: m.NodeID})
+	created := &Assignment{ID: node.rng.Uint64() | 1, Groups: node.config.Groups, Replicas: min(node.config.Replicas, len(initial))}
+	for n := range created.Groups {
+		var voters []Voter
+		for _, m := range chooseMembers(n, initial, nil, created.Replicas) {
+			voters = append(voters, Voter{ID: node.rng.Uint64() | 1, Host: m.NodeID})
 		}
-		c.Initial = append(c.Initial, seats)
+		created.InitialVoters = append(created.InitialVoters, voters)
 	}
-	node.notice("founded: charter %x, %d groups of %d copies", c.ID, c.Groups, c.Replicas)
-	node.installAssignment(c)
-	for _, m := range all {
+	node.notice("founded: assignment %x, %d groups of %d replicas", created.ID, created.Groups, created.Replicas)
+	node.installAssignment(created)
+	for _, m := range initial {
 		if m.Name != node.config.Self.Name {
-			node.send(m.NodeID, frame{Kind: assignmentFrame, Data: c.encode()})
+			node.send(m.NodeID, frame{Kind: assignmentFrame, Data: created.encode()})
 		}
 	}
 }
 
-func (c *Assignment) encode() []byte {
-	data, err := cbor.Marshal(c)
+func (a *Assignment) encode() []byte {
+	data, err := cbor.Marshal(a)
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-// chooseMembers chooses members for a group by rendezvous hashing, from the zones with the fewest replicas first; those that
-// stay count in their zones.
-func chooseMembers(n int, members []Member, stay []Member, count int) []Member {
-	rank := func(m Member) uint64 { return xxhash.Sum64String(fmt.Sprintf("%d/%s", n, m.Name)) }
-	rest := slices.Clone(members)
-	slices.SortFunc(rest, func(a, b Member) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Name, b.Name)) })
-	zones := map[string]int{}
-	for _, m := range stay {
-		zones[m.Zone]++
+// chooseMembers returns up to count of the members for new replicas of a group. It takes from the zone with the fewest
+// replicas first, counting the staying members, and orders members within a zone by rendezvous hashing.
+func chooseMembers(group int, members []Member, staying []Member, count int) []Member {
+	rank := func(m Member) uint64 { return xxhash.Sum64String(fmt.Sprintf("%d/%s", group, m.Name)) }
+	candidates := slices.Clone(members)
+	slices.SortFunc(candidates, func(a, b Member) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Name, b.Name)) })
+	replicasInZone := map[string]int{}
+	for _, m := range staying {
+		replicasInZone[m.Zone]++
 	}
-	var out []Member
-	for len(out) < count && len(rest) > 0 {
+	var chosen []Member
+	for len(chosen) < count && len(candidates) > 0 {
 		best := 0
-		for i, m := range rest {
-			if zones[m.Zone] < zones[rest[best].Zone] {
+		for i, m := range candidates {
+			if replicasInZone[m.Zone] < replicasInZone[candidates[best].Zone] {
 				best = i
 			}
 		}
-		zones[rest[best].Zone]++
-		out = append(out, rest[best])
-		rest = slices.Delete(rest, best, best+1)
+		replicasInZone[candidates[best].Zone]++
+		chosen = append(chosen, candidates[best])
+		candidates = slices.Delete(candidates, best, best+1)
 	}
-	return out
+	return chosen
 }
 
-// installAssignment takes an assignment in. The groups in which it gives this node a seat begin here, once.
-func (node *Node) installAssignment(c *Assignment) {
-	node.assignment = c
-	for n, seats := range c.Initial {
-		first := make(map[uint64]NodeID, len(seats))
-		voters := make([]uint64, 0, len(seats))
-		mine := uint64(0)
-		for _, s := range seats {
-			first[s.ID], voters = s.Place, append(voters, s.ID)
-			node.replicasOf[n] = append(node.replicasOf[n], s.Place)
-			if s.Place == node.config.Self {
-				mine = s.ID
+// installAssignment adopts an assignment and starts a replica of each group that has a voter on this node. A voter that
+// this node has started before is not started again.
+func (node *Node) installAssignment(adopted *Assignment) {
+	node.assignment = adopted
+	for n, voters := range adopted.InitialVoters {
+		hosts := make(map[uint64]NodeID, len(voters))
+		voterIDs := make([]uint64, 0, len(voters))
+		ownVoterID := uint64(0)
+		for _, voter := range voters {
+			hosts[voter.ID], voterIDs = voter.Host, append(voterIDs, voter.ID)
+			node.replicasOf[n] = append(node.replicasOf[n], voter.Host)
+			if voter.Host == node.config.Self {
+				ownVoterID = voter.ID
 			}
 		}
-		if mine == 0 || node.usedSeats[mine] {
+		if ownVoterID == 0 || node.usedVoterIDs[ownVoterID] {
 			continue
 		}
-		g := node.newGroup(n, mine)
-		g.seats = first
+		g := node.newGroup(n, ownVoterID)
+		g.voters = hosts
 		data, err := g.encodeState()
 		if err == nil {
 			err = g.storage.ApplySnapshot(&raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-				ConfState: &raftpb.ConfState{Voters: voters}}})
+				ConfState: &raftpb.ConfState{Voters: voterIDs}}})
 		}
-		g.applied, g.snapshotIndex, g.configuration = 1, 1, &raftpb.ConfState{Voters: voters}
+		g.applied, g.snapshotIndex, g.configuration = 1, 1, &raftpb.ConfState{Voters: voterIDs}
 		if err == nil {
 			err = node.startGroup(g)
 		}
 		if err != nil {
-			node.notice("group %d cannot begin: %v", n, err)
+			node.notice("group %d: starting the replica: %v", n, err)
 		}
 	}
 }
 
-func (node *Node) newGroup(n int, seat uint64) *group {
-	node.usedSeats[seat] = true
-	return &group{number: n, seat: seat, storage: raft.NewMemoryStorage(), machine: node.config.NewStateMachine(n), seats: map[uint64]NodeID{}, configuration: &raftpb.ConfState{},
+// newGroup returns an empty replica with a voter ID, and marks that ID as used.
+func (node *Node) newGroup(groupNumber int, voterID uint64) *group {
+	node.usedVoterIDs[voterID] = true
+	return &group{number: groupNumber, voterID: voterID, storage: raft.NewMemoryStorage(), machine: node.config.NewStateMachine(groupNumber), voters: map[uint64]NodeID{}, configuration: &raftpb.ConfState{},
 		remoteCommands: map[uint64]NodeID{}}
 }
--- a/internal/dispatcher/raftgroup/golden_test.go
+++ b/internal/dispatcher/raftgroup/golden_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestGoldenBytes holds what travels between nodes, or stands in logs and snapshots that do, against the bytes that
-// earlier versions write. They are never edited to get a pass.
+// TestGoldenBytes guards against changes of the encoding of frames, log entries and snapshots, which nodes of different
+// versions exchange. The expected bytes were written by earlier versions and are never edited to get a pass.
 func TestGoldenBytes(t *testing.T) {
-	seats := []Seat{{ID: 8, Place: NodeID{Name: "n1", Memory: 9}}}
+	voters := []Voter{{ID: 8, Host: NodeID{Name: "n1", Incarnation: 9}}}
 	for _, test := range []struct {
 		name  string
 		value any
@@ -19,12 +19,12 @@
 	}{
 		{
 			"frame",
-			frame{Kind: redirectFrame, Group: 3, Assignment: 4, Memory: 5, Seat: 6, ID: 7, Data: []byte("data"), Seats: seats},
+			frame{Kind: redirectFrame, Group: 3, Assignment: 4, Incarnation: 5, VoterID: 6, ID: 7, Data: []byte("data"), Voters: voters},
 			"88040304050607446461746181820882626e3109",
 		},
 		{"log entry", logEntry{ID: 2, Data: []byte("command")}, "820247636f6d6d616e64"},
-		{"group state", groupState{Seats: seats, State: []byte("state")}, "8281820882626e3109457374617465"},
-		{"assignment", Assignment{ID: 1, Groups: 2, Replicas: 3, Initial: [][]Seat{seats, {}}}, "840102038281820882626e310980"},
+		{"group state", groupState{Voters: voters, State: []byte("state")}, "8281820882626e3109457374617465"},
+		{"assignment", Assignment{ID: 1, Groups: 2, Replicas: 3, InitialVoters: [][]Voter{voters, {}}}, "840102038281820882626e310980"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			encoded, err := cbor.Marshal(test.value)
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestFrameKindsKeepTheirNumbers holds the numbers that frames carry.
+// TestFrameKindsKeepTheirNumbers guards against renumbered frame kinds: nodes of different versions exchange the
+// numbers.
 func TestFrameKindsKeepTheirNumbers(t *testing.T) {
 	for i, kind := range []frameKind{
 		raftFrame, proposeFrame, resultFrame, redirectFrame, assignmentFrame, queryFrame, queryResultFrame, removedFrame,
--- a/internal/dispatcher/raftgroup/repair.go
+++ b/internal/dispatcher/raftgroup/repair.go
@@ -1,4 +1,4 @@
-// How lost replicas are replaced, and how a leaving dispatcher gives its replicas away.
+// The replacement of lost replicas, and the handover of the replicas of a leaving dispatcher.
 
 package raftgroup
 
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// transferIntervalTicks is how many ticks of Raft lie between two attempts to transfer a group's leadership. Commands are
-// rejected during each.
+// transferIntervalTicks is the least number of Raft ticks between two attempts to transfer the leadership of a group.
+// The group rejects commands during an attempt.
 const transferIntervalTicks = 30
 
-// repairGroups replaces lost replicas in the groups that this node leads, a few at a time.
+// repairGroups repairs the groups that this node leads, at most Config.MaxRepairs at a time.
 func (node *Node) repairGroups() {
 	if !node.hasQuorum || node.assignment == nil {
 		return
@@ -32,35 +32,37 @@
 	}
 }
 
-// repairGroup proposes one change of the seats of a group where it needs one, and tells whether it did.
+// repairGroup proposes the next change of the voters that a group needs, if any, and reports whether it did. Lost and
+// leaving replicas are replaced; a node that leaves itself transfers its leadership first.
 func (node *Node) repairGroup(g *group) bool {
 	staying, lost, leaving := node.replicasByState(g)
 	lost = append(lost, leaving...)
-	if slices.Contains(leaving, g.seat) { // the next leader goes on with the repair
+	if slices.Contains(leaving, g.voterID) { // the next leader continues the repair
 		node.retryTransfer(g, lost)
 		return false
 	}
 	missing := max(node.assignment.Replicas-len(staying), 0)
 	added := chooseMembers(g.number, node.membersWithout(staying), staying, missing)
 	var changes []*raftpb.ConfChangeSingle
-	var seats []Seat
-	for _, m := range added[:min(len(added), 1)] { // one at a time: the existing replicas stay a majority
-		seat := Seat{ID: node.rng.Uint64() | 1, Place: m.NodeID}
-		seats = append(seats, seat)
-		changes = append(changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(seat.ID)})
+	var voters []Voter
+	for _, m := range added[:min(len(added), 1)] { // one at a time, so that the existing replicas stay a majority
+		voter := Voter{ID: node.rng.Uint64() | 1, Host: m.NodeID}
+		voters = append(voters, voter)
+		changes = append(changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(voter.ID)})
 	}
-	if len(lost) > 0 && (len(seats) > 0 || len(g.seats) > node.assignment.Replicas) {
+	if len(lost) > 0 && (len(voters) > 0 || len(g.voters) > node.assignment.Replicas) {
 		changes = append(changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(lost[0])})
 	}
-	return len(changes) > 0 && g.proposeSeats(changes, seats) == nil
+	return len(changes) > 0 && g.proposeVoters(changes, voters) == nil
 }
 
-// replicasByState returns the members whose replicas of a group stay, and the seats that are lost and that are leaving.
+// replicasByState returns the members whose replicas of a group stay, the voter IDs of lost replicas, and those of
+// replicas on leaving members.
 func (node *Node) replicasByState(g *group) (staying []Member, lost, leaving []uint64) {
-	for _, id := range slices.Sorted(maps.Keys(g.seats)) {
-		place := g.seats[id]
-		switch m, ok := node.members[place.Name]; {
-		case !ok || m.Memory != place.Memory:
+	for _, id := range slices.Sorted(maps.Keys(g.voters)) {
+		host := g.voters[id]
+		switch m, ok := node.members[host.Name]; {
+		case !ok || m.Incarnation != host.Incarnation:
 			lost = append(lost, id)
 		case m.Leaving:
 			leaving = append(leaving, id)
@@ -71,21 +73,22 @@
 	return staying, lost, leaving
 }
 
-// membersWithout returns the members that can take a replica and are not among those given.
+// membersWithout returns the members that can host a replica, without the excluded ones.
 func (node *Node) membersWithout(excluded []Member) []Member {
-	var free []Member
+	var available []Member
 	for _, m := range node.members {
 		isExcluded := slices.ContainsFunc(excluded, func(other Member) bool { return other.Name == m.Name })
 		if m.Assignment == node.assignment.ID && !m.Leaving && !isExcluded {
-			free = append(free, m)
+			available = append(available, m)
 		}
 	}
-	return free
+	return available
 }
 
-// proposeSeats proposes a change of the group's seats. The context tells all replicas where the new seats are.
-func (g *group) proposeSeats(changes []*raftpb.ConfChangeSingle, seats []Seat) error {
-	context, err := cbor.Marshal(seats)
+// proposeVoters proposes a change of the group's voters. Its context carries the new voters with their hosts to all
+// replicas.
+func (g *group) proposeVoters(changes []*raftpb.ConfChangeSingle, added []Voter) error {
+	context, err := cbor.Marshal(added)
 	if err != nil {
 		return err
 	}
@@ -96,7 +99,8 @@
 	})
 }
 
-// retryTransfer tries to transfer the leadership of a group, where the last attempt was some time ago.
+// retryTransfer tries to transfer the leadership of a group unless the last attempt was less than transferIntervalTicks
+// ago.
 func (node *Node) retryTransfer(g *group, lost []uint64) {
 	if node.now < g.transferredAt+transferIntervalTicks*node.config.Tick {
 		return
@@ -105,13 +109,13 @@
 	node.transferLeadership(g, lost)
 }
 
-// transferLeadership makes the replica with the longest log among those that stay the leader. Whether it has answered lately
-// does not count: Raft forgets that at the very tick at which this is called.
+// transferLeadership transfers the leadership to the staying replica with the longest log. It ignores whether that
+// replica was active recently, because Raft resets that information at the tick in which this is called.
 func (node *Node) transferLeadership(g *group, lost []uint64) {
 	best, match := uint64(0), uint64(0)
-	for id, pr := range g.raftNode.Status().Progress {
-		if id != g.seat && !slices.Contains(lost, id) && (best == 0 || pr.Match > match || pr.Match == match && id < best) {
-			best, match = id, pr.Match
+	for id, progress := range g.raftNode.Status().Progress {
+		if id != g.voterID && !slices.Contains(lost, id) && (best == 0 || progress.Match > match || progress.Match == match && id < best) {
+			best, match = id, progress.Match
 		}
 	}
 	if best != 0 {
@@ -119,22 +123,23 @@
 	}
 }
 
-// IsEvacuated tells whether this node, which leaves, has no replica that another node should get first: each is given up, or
-// no node is left to get it and its other replicas are complete.
+// IsEvacuated reports whether this leaving node may stop: it has handed over all its replicas, or, for each one that it
+// still has, no other node can take it and no other replica of its group is lost. Without an assignment or a quorum it
+// reports true, because nothing can be handed over.
 func (node *Node) IsEvacuated() bool {
 	if node.assignment == nil || !node.hasQuorum {
 		return true
 	}
 	for _, g := range node.groups {
-		spare, lost := false, false
-		for _, m := range node.members {
-			spare = spare || !m.Leaving && m.Assignment == node.assignment.ID && !slices.ContainsFunc(slices.Collect(maps.Values(g.seats)), func(p NodeID) bool { return p.Name == m.Name })
+		hasCandidate, hasLost := false, false
+		for _, member := range node.members {
+			hasCandidate = hasCandidate || !member.Leaving && member.Assignment == node.assignment.ID && !slices.ContainsFunc(slices.Collect(maps.Values(g.voters)), func(host NodeID) bool { return host.Name == member.Name })
 		}
-		for id, p := range g.seats {
-			m, ok := node.members[p.Name]
-			lost = lost || id != g.seat && (!ok || m.Memory != p.Memory)
+		for id, host := range g.voters {
+			member, ok := node.members[host.Name]
+			hasLost = hasLost || id != g.voterID && (!ok || member.Incarnation != host.Incarnation)
 		}
-		if spare || lost {
+		if hasCandidate || hasLost {
 			return false
 		}
 	}
--- a/internal/dispatcher/raftgroup/replica_test.go
+++ b/internal/dispatcher/raftgroup/replica_test.go
@@ -1,6 +1,7 @@
-// Hosts in a network of the test's own, in virtual time: frames are lost, late, doubled and cut off, hosts are killed with all
-// their memory, stopped, and started again. Raft draws its election times from the system's randomness, so that two runs
-// differ in their order; what must hold is looked at in every copy and at every step, and does not hang on the order.
+// Nodes in a simulated network and in virtual time. Frames are lost, delayed, duplicated and blocked; nodes crash and
+// lose their memory, pause, and restart. Raft draws its election time-outs from the system's randomness, so two runs
+// differ in the order of events. The invariants are checked on every replica at every step and do not depend on that
+// order.
 
 package raftgroup_test
 
@@ -15,417 +16,431 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// list is the machine that is copied: every command it was given, in order.
-type list struct {
-	play  *play
-	group int
-	items []string
+// commandLog is the replicated state machine: the list of all applied commands.
+type commandLog struct {
+	simulation *simulation
+	group      int
+	commands   []string
 }
 
-func (l *list) Apply(c []byte) []byte {
-	l.items = append(l.items, string(c))
-	l.play.applied(l)
-	return fmt.Append(nil, len(l.items))
+func (l *commandLog) Apply(command []byte) []byte {
+	l.commands = append(l.commands, string(command))
+	l.simulation.checkApplied(l)
+	return fmt.Append(nil, len(l.commands))
 }
-func (l *list) Query([]byte) []byte { return fmt.Append(nil, len(l.items)) }
-func (l *list) Snapshot() ([]byte, error) {
+func (l *commandLog) Query([]byte) []byte { return fmt.Append(nil, len(l.commands)) }
+func (l *commandLog) Snapshot() ([]byte, error) {
 	var out []byte
-	for _, s := range l.items {
-		out = append(append(out, s...), 0)
+	for _, command := range l.commands {
+		out = append(append(out, command...), 0)
 	}
 	return out, nil
 }
-func (l *list) Restore(data []byte) error {
-	l.items = nil
+func (l *commandLog) Restore(data []byte) error {
+	l.commands = nil
 	for len(data) > 0 {
 		i := slices.Index(data, 0)
-		l.items, data = append(l.items, string(data[:i])), data[i+1:]
+		l.commands, data = append(l.commands, string(data[:i])), data[i+1:]
 	}
-	l.play.applied(l)
+	l.simulation.checkApplied(l)
 	return nil
 }
 
-type host struct {
+// testNode is a node of the simulation.
+type testNode struct {
 	*raftgroup.Node
-	place   raftgroup.NodeID
-	zone    string
-	up      bool
-	stopped time.Duration
-	leaving bool
-	waiting []mail
+	id          raftgroup.NodeID
+	zone        string
+	isRunning   bool
+	pausedUntil time.Duration
+	isLeaving   bool
+	heldFrames  []heldFrame
 }
 
-type mail struct {
+// heldFrame is a frame that arrived while its receiver was paused.
+type heldFrame struct {
 	from raftgroup.NodeID
 	data []byte
 }
 
+// event is a function call that is due at a virtual time.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at     time.Duration
+	order  int
+	action func()
 }
 
-// Before tells whether the event comes first; events of one moment come in the order in which they were set.
+// Before reports whether the event is due first. Events with the same time run in the order in which they were
+// scheduled.
 func (e event) Before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
-type play struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	queue  priorityqueue.Queue[event]
-	order  int
-	hosts  []*host
-	loss   float64
-	cut    map[[2]int]bool
-	stands map[int][]string // of each group, what was applied somewhere, by place
-	told   map[string]int   // commands that had a reply: their group
-	asked  int
-	unsure int
-	broken string
-	relive bool // a seeded fault: who comes back without its memory says that it is the same as before
+// simulation is a cluster of nodes with its network, its event queue and the state of the invariants.
+type simulation struct {
+	t                  *testing.T
+	rng                *rand.Rand
+	now                time.Duration
+	queue              priorityqueue.Queue[event]
+	order              int
+	nodes              []*testNode
+	frameLoss          float64
+	blocked            map[[2]int]bool
+	committed          map[int][]string // by group, the commands that any replica has applied, in order
+	acknowledged       map[string]int   // the group of each command that had a reply
+	proposed           int
+	unknownOutcomes    int
+	violation          string
+	reusesIncarnations bool // injected fault: a node keeps its incarnation when it restarts without its memory
 }
 
-// applied holds a copy against what others have.
-func (p *play) applied(l *list) {
-	have := p.stands[l.group]
-	for i, c := range l.items {
-		if i >= len(have) {
-			have = append(have, c)
-		} else if have[i] != c && p.broken == "" {
-			p.broken = fmt.Sprintf("%v: group %d has %q in place %d at one copy and %q at another", p.now, l.group, c, i, have[i])
+// checkApplied compares the commands of a replica with those that other replicas of its group have applied.
+func (sim *simulation) checkApplied(machine *commandLog) {
+	longest := sim.committed[machine.group]
+	for i, command := range machine.commands {
+		if i >= len(longest) {
+			longest = append(longest, command)
+		} else if longest[i] != command && sim.violation == "" {
+			sim.violation = fmt.Sprintf("%v: group %d has command %q at index %d on one replica and %q on another", sim.now, machine.group, command, i, longest[i])
 		}
 	}
-	p.stands[l.group] = have
+	sim.committed[machine.group] = longest
 }
 
-func newPlay(t *testing.T, n int, seed uint64) *play {
-	p := &play{t: t, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, stands: map[int][]string{}, told: map[string]int{}}
+func newSimulation(t *testing.T, n int, seed uint64) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 7)), blocked: map[[2]int]bool{}, committed: map[int][]string{}, acknowledged: map[string]int{}}
 	for i := range n {
-		p.hosts = append(p.hosts, &host{place: raftgroup.NodeID{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
-		p.start(i)
+		sim.nodes = append(sim.nodes, &testNode{id: raftgroup.NodeID{Name: fmt.Sprintf("n%d", i)}, zone: fmt.Sprintf("z%d", i%3)})
+		sim.start(i)
 	}
-	p.every(10*time.Millisecond, func() {
-		for _, h := range p.hosts {
-			if h.up && p.now >= h.stopped {
-				for _, m := range h.waiting {
-					p.do(h, h.HandleFrame(p.now, m.from, m.data))
+	sim.every(10*time.Millisecond, func() {
+		for _, node := range sim.nodes {
+			if node.isRunning && sim.now >= node.pausedUntil {
+				for _, frame := range node.heldFrames {
+					sim.carryOut(node, node.HandleFrame(sim.now, frame.from, frame.data))
 				}
-				h.waiting = nil
-				p.do(h, h.Tick(p.now))
+				node.heldFrames = nil
+				sim.carryOut(node, node.Tick(sim.now))
 			}
 		}
 	})
-	p.every(200*time.Millisecond, p.view)
-	return p
+	sim.every(200*time.Millisecond, sim.updateMembers)
+	return sim
 }
 
-func (p *play) at(d time.Duration, do func()) {
-	p.order++
-	p.queue.Push(event{p.now + d, p.order, do})
+func (sim *simulation) schedule(delay time.Duration, action func()) {
+	sim.order++
+	sim.queue.Push(event{sim.now + delay, sim.order, action})
 }
 
-func (p *play) every(d time.Duration, do func()) {
-	p.at(d, func() { do(); p.every(d, do) })
+func (sim *simulation) every(interval time.Duration, action func()) {
+	sim.schedule(interval, func() { action(); sim.every(interval, action) })
 }
 
-func (p *play) run(d time.Duration) {
-	until := p.now + d
-	for p.queue[0].at <= until {
-		e := p.queue.Pop()
-		p.now = e.at
-		e.do()
+func (sim *simulation) run(duration time.Duration) {
+	until := sim.now + duration
+	for sim.queue[0].at <= until {
+		e := sim.queue.Pop()
+		sim.now = e.at
+		e.action()
 	}
-	p.now = until
+	sim.now = until
 }
 
-func (p *play) start(i int) {
-	h := p.hosts[i]
-	if h.place.Memory == 0 || !p.relive {
-		h.place.Memory = p.rng.Uint64() | 1
+func (sim *simulation) start(i int) {
+	node := sim.nodes[i]
+	if node.id.Incarnation == 0 || !sim.reusesIncarnations {
+		node.id.Incarnation = sim.rng.Uint64() | 1
 	}
-	var names []string
-	for _, x := range p.hosts {
-		names = append(names, x.place.Name)
+	var initialMembers []string
+	for _, other := range sim.nodes {
+		initialMembers = append(initialMembers, other.id.Name)
 	}
-	for k := len(names); k < 5; k++ {
-		names = append(names, fmt.Sprintf("n%d", k))
+	for k := len(initialMembers); k < 5; k++ {
+		initialMembers = append(initialMembers, fmt.Sprintf("n%d", k))
 	}
 	var err error
-	h.Node, err = raftgroup.New(raftgroup.Config{Self: h.place, Founders: names[:5], Groups: 4, SnapshotInterval: 40, Seed: p.rng.Uint64(),
-		NewStateMachine: func(g int) raftgroup.StateMachine { return &list{play: p, group: g} }}, p.now)
+	node.Node, err = raftgroup.New(raftgroup.Config{Self: node.id, InitialMembers: initialMembers[:5], Groups: 4, SnapshotInterval: 40, Seed: sim.rng.Uint64(),
+		NewStateMachine: func(g int) raftgroup.StateMachine { return &commandLog{simulation: sim, group: g} }}, sim.now)
 	if err != nil {
-		p.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	h.up, h.stopped, h.waiting, h.leaving = true, 0, nil, false
+	node.isRunning, node.pausedUntil, node.heldFrames, node.isLeaving = true, 0, nil, false
 }
 
-// view tells every host who is there: as the membership would, those that are up and not cut off from most.
-func (p *play) view() {
-	for i, h := range p.hosts {
-		if !h.up || p.now < h.stopped {
+// updateMembers passes each running node its members, as the membership would: the running nodes that it is connected
+// to in both directions.
+func (sim *simulation) updateMembers() {
+	for i, node := range sim.nodes {
+		if !node.isRunning || sim.now < node.pausedUntil {
 			continue
 		}
-		var there []raftgroup.Member
-		for k, x := range p.hosts {
-			if x.up && !p.cut[[2]int{i, k}] && !p.cut[[2]int{k, i}] {
-				there = append(there, raftgroup.Member{NodeID: x.place, Zone: x.zone, Assignment: x.AssignmentID(), Leaving: x.leaving})
+		var members []raftgroup.Member
+		for k, other := range sim.nodes {
+			if other.isRunning && !sim.blocked[[2]int{i, k}] && !sim.blocked[[2]int{k, i}] {
+				members = append(members, raftgroup.Member{NodeID: other.id, Zone: other.zone, Assignment: other.AssignmentID(), Leaving: other.isLeaving})
 			}
 		}
-		p.do(h, h.SetMembers(p.now, there, 2*len(there) > len(p.hosts)))
+		sim.carryOut(node, node.SetMembers(sim.now, members, 2*len(members) > len(sim.nodes)))
 	}
 }
 
-func (p *play) do(h *host, acts *raftgroup.Actions) {
-	from := slices.Index(p.hosts, h)
-	for _, o := range acts.Send {
-		to := slices.IndexFunc(p.hosts, func(x *host) bool { return x.place.Name == o.To.Name })
-		if p.cut[[2]int{from, to}] || p.rng.Float64() < p.loss {
+// carryOut sends the frames of a node through the network and delivers its results.
+func (sim *simulation) carryOut(node *testNode, actions *raftgroup.Actions) {
+	from := slices.Index(sim.nodes, node)
+	for _, frame := range actions.Send {
+		to := slices.IndexFunc(sim.nodes, func(receiver *testNode) bool { return receiver.id.Name == frame.To.Name })
+		if sim.blocked[[2]int{from, to}] || sim.rng.Float64() < sim.frameLoss {
 			continue
 		}
-		data, place := slices.Clone(o.Data), h.place
-		for copies := 1 + p.rng.IntN(20)/19; copies > 0; copies-- {
-			p.at(time.Millisecond+time.Duration(p.rng.Int64N(int64(4*time.Millisecond))), func() {
-				if x := p.hosts[to]; x.up && p.now >= x.stopped {
-					p.do(x, x.HandleFrame(p.now, place, data))
-				} else if x.up && len(x.waiting) < 500 {
-					x.waiting = append(x.waiting, mail{place, data})
+		data, id := slices.Clone(frame.Data), node.id
+		for copies := 1 + sim.rng.IntN(20)/19; copies > 0; copies-- {
+			sim.schedule(time.Millisecond+time.Duration(sim.rng.Int64N(int64(4*time.Millisecond))), func() {
+				if receiver := sim.nodes[to]; receiver.isRunning && sim.now >= receiver.pausedUntil {
+					sim.carryOut(receiver, receiver.HandleFrame(sim.now, id, data))
+				} else if receiver.isRunning && len(receiver.heldFrames) < 500 {
+					receiver.heldFrames = append(receiver.heldFrames, heldFrame{id, data})
 				}
 			})
 		}
 	}
-	for _, r := range acts.Results {
-		if f := asks[r.Token]; f != nil {
-			delete(asks, r.Token)
-			f(r)
+	for _, r := range actions.Results {
+		if handle := resultHandlers[r.Token]; handle != nil {
+			delete(resultHandlers, r.Token)
+			handle(r)
 		}
 	}
 }
 
-var asks = map[uint64]func(raftgroup.Result){}
+// resultHandlers has the handler of each pending proposal, by token.
+var resultHandlers = map[uint64]func(raftgroup.Result){}
 
-// load brings commands in at random hosts, one each few milliseconds.
-func (p *play) load(for_ time.Duration) {
-	end := p.now + for_
+// propose proposes a command on a random node every 1 to 30 ms for a duration.
+func (sim *simulation) propose(duration time.Duration) {
+	end := sim.now + duration
 	var next func()
 	next = func() {
-		if p.now >= end {
+		if sim.now >= end {
 			return
 		}
-		p.at(time.Duration(1+p.rng.IntN(30))*time.Millisecond, next)
-		h := p.hosts[p.rng.IntN(len(p.hosts))]
-		if !h.up || p.now < h.stopped || !h.Ready() {
+		sim.schedule(time.Duration(1+sim.rng.IntN(30))*time.Millisecond, next)
+		node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
+		if !node.isRunning || sim.now < node.pausedUntil || !node.Ready() {
 			return
 		}
-		p.asked++
-		word := fmt.Sprintf("c%d", p.asked)
-		g := h.GroupOf(word)
-		token, acts := h.Propose(p.now, g, []byte(word), p.now+2*time.Second)
-		asks[token] = func(r raftgroup.Result) {
+		sim.proposed++
+		command := fmt.Sprintf("c%d", sim.proposed)
+		g := node.GroupOf(command)
+		token, actions := node.Propose(sim.now, g, []byte(command), sim.now+2*time.Second)
+		resultHandlers[token] = func(r raftgroup.Result) {
 			if r.Err != nil {
-				p.unsure++
+				sim.unknownOutcomes++
 			} else {
-				p.told[word] = g
+				sim.acknowledged[command] = g
 			}
 		}
-		p.do(h, acts)
+		sim.carryOut(node, actions)
 	}
 	next()
 }
 
-// check looks for commands that had a reply and stand nowhere, and tells how many of the groups have all their copies.
-func (p *play) check() (whole int) {
-	for word, g := range p.told {
-		if !slices.Contains(p.stands[g], word) && p.broken == "" {
-			p.broken = fmt.Sprintf("%s of group %d had a reply and stands nowhere", word, g)
+// check looks for commands that had a reply and that no replica has applied. It returns the number of groups with at
+// least 3 complete replicas.
+func (sim *simulation) check() (complete int) {
+	for command, g := range sim.acknowledged {
+		if !slices.Contains(sim.committed[g], command) && sim.violation == "" {
+			sim.violation = fmt.Sprintf("command %s of group %d had a reply, and no replica has applied it", command, g)
 		}
 	}
 	for g := range 4 {
 		longest := 0
-		for _, h := range p.hosts {
-			if m, _ := h.StateMachine(g); h.up && m != nil {
-				longest = max(longest, len(m.(*list).items))
+		for _, node := range sim.nodes {
+			if m, _ := node.StateMachine(g); node.isRunning && m != nil {
+				longest = max(longest, len(m.(*commandLog).commands))
 			}
 		}
-		copies := 0
-		for _, h := range p.hosts {
-			if m, _ := h.StateMachine(g); h.up && m != nil && len(m.(*list).items) == longest {
-				copies++
+		completeReplicas := 0
+		for _, node := range sim.nodes {
+			if m, _ := node.StateMachine(g); node.isRunning && m != nil && len(m.(*commandLog).commands) == longest {
+				completeReplicas++
 			}
 		}
-		if copies >= 3 && longest == len(p.stands[g]) {
-			whole++
+		if completeReplicas >= 3 && longest == len(sim.committed[g]) {
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// Hosts die one after the other with all they know, are cut off, stopped and come back, five and nine of them.
-func TestCopiesOutliveTheirPlaces(t *testing.T) {
+// Guards against acknowledged commands being lost, and replicas diverging, when 5 or 9 nodes crash, pause or are cut
+// off one after the other, or frames are lost.
+func TestCommandsSurviveCrashesPausesAndPartitions(t *testing.T) {
 	for seed := range uint64(6) {
-		p := newPlay(t, 5+4*int(seed%2), seed)
-		p.run(3 * time.Second)
-		if !p.hosts[0].Ready() || p.hosts[4].Groups() != 4 {
-			t.Fatalf("seed %d: not founded after 3 s", seed)
+		sim := newSimulation(t, 5+4*int(seed%2), seed)
+		sim.run(3 * time.Second)
+		if !sim.nodes[0].Ready() || sim.nodes[4].Groups() != 4 {
+			t.Fatalf("seed %d: the cluster has no assignment after 3 s", seed)
 		}
-		p.load(40 * time.Second)
+		sim.propose(40 * time.Second)
 		for range 6 {
-			i := p.rng.IntN(len(p.hosts))
-			switch p.rng.IntN(4) {
+			i := sim.rng.IntN(len(sim.nodes))
+			switch sim.rng.IntN(4) {
 			case 0:
-				p.hosts[i].up = false
-				p.run(time.Duration(1+p.rng.IntN(3)) * time.Second)
-				p.start(i)
+				sim.nodes[i].isRunning = false
+				sim.run(time.Duration(1+sim.rng.IntN(3)) * time.Second)
+				sim.start(i)
 			case 1:
-				p.hosts[i].stopped = p.now + 3*time.Second
-				p.run(4 * time.Second)
+				sim.nodes[i].pausedUntil = sim.now + 3*time.Second
+				sim.run(4 * time.Second)
 			case 2:
-				for k := range p.hosts {
-					p.cut[[2]int{i, k}], p.cut[[2]int{k, i}] = k != i, k != i && p.rng.IntN(2) == 0
+				for k := range sim.nodes {
+					sim.blocked[[2]int{i, k}], sim.blocked[[2]int{k, i}] = k != i, k != i && sim.rng.IntN(2) == 0
 				}
-				p.run(3 * time.Second)
-				clear(p.cut)
+				sim.run(3 * time.Second)
+				clear(sim.blocked)
 			case 3:
-				p.loss = 0.2
-				p.run(3 * time.Second)
-				p.loss = 0
+				sim.frameLoss = 0.2
+				sim.run(3 * time.Second)
+				sim.frameLoss = 0
 			}
-			p.run(3 * time.Second) // the copies are restored: then another may go
+			sim.run(3 * time.Second) // the lost replicas are replaced before the next fault
 		}
-		p.run(30 * time.Second)
-		whole := p.check()
-		if p.broken != "" || whole < 4 || len(p.told) < p.asked/2 {
-			t.Errorf("seed %d: %s; %d of 4 groups whole, %d of %d commands had a reply, %d unsure", seed, p.broken, whole, len(p.told), p.asked, p.unsure)
+		sim.run(30 * time.Second)
+		complete := sim.check()
+		if sim.violation != "" || complete < 4 || len(sim.acknowledged) < sim.proposed/2 {
+			t.Errorf("seed %d: %s; %d of 4 groups are complete, %d of %d commands had a reply, %d have an unknown outcome", seed, sim.violation, complete, len(sim.acknowledged), sim.proposed, sim.unknownOutcomes)
 		}
 	}
 }
 
-// Who leaves gives its copies up first: all hosts are restarted one after the other, and no command is lost though every
-// memory that was there at the founding has gone.
-func TestLeavingGivesCopiesUp(t *testing.T) {
-	p := newPlay(t, 5, 11)
-	p.run(3 * time.Second)
-	p.load(60 * time.Second)
-	for i := range p.hosts {
-		p.hosts[i].leaving = true
-		for k := 0; k < 100 && !p.hosts[i].IsEvacuated(); k++ {
-			p.run(200 * time.Millisecond)
+// Guards against a leaving node stopping before others have its replicas. All nodes restart one after the other, so
+// that no initial replica is left, and no command may be lost.
+func TestRollingRestartLosesNoCommand(t *testing.T) {
+	sim := newSimulation(t, 5, 11)
+	sim.run(3 * time.Second)
+	sim.propose(60 * time.Second)
+	for i := range sim.nodes {
+		sim.nodes[i].isLeaving = true
+		for k := 0; k < 100 && !sim.nodes[i].IsEvacuated(); k++ {
+			sim.run(200 * time.Millisecond)
 		}
-		if !p.hosts[i].IsEvacuated() {
-			t.Errorf("n%d has copies after 20 s", i)
+		if !sim.nodes[i].IsEvacuated() {
+			t.Errorf("n%d still has replicas 20 s after it began to leave", i)
 		}
-		p.hosts[i].up = false
-		p.run(300 * time.Millisecond)
-		p.start(i)
-		p.run(time.Second)
+		sim.nodes[i].isRunning = false
+		sim.run(300 * time.Millisecond)
+		sim.start(i)
+		sim.run(time.Second)
 	}
-	p.run(70 * time.Second) // the load has ended by then
-	if whole := p.check(); p.broken != "" || whole < 4 || p.unsure > p.asked/20 {
-		t.Errorf("%s; %d of 4 groups whole, %d of %d commands unsure", p.broken, whole, p.unsure, p.asked)
+	sim.run(70 * time.Second) // the proposals have ended by then
+	if complete := sim.check(); sim.violation != "" || complete < 4 || sim.unknownOutcomes > sim.proposed/20 {
+		t.Errorf("%s; %d of 4 groups are complete, %d of %d commands have an unknown outcome", sim.violation, complete, sim.unknownOutcomes, sim.proposed)
 	}
 }
 
-// Three of five die with their memories: their groups stand still, and nothing is made up. What comes back is blank, and does
-// not vote for what it has forgotten.
-func TestLostQuorumStandsStill(t *testing.T) {
-	p := newPlay(t, 5, 12)
-	p.run(3 * time.Second)
-	p.load(4 * time.Second)
-	p.run(5 * time.Second)
-	was := map[int]int{}
+// Guards against a group that commits after it lost its quorum. Three of five nodes restart without their memory; they
+// come back empty and must not vote in place of the replicas that they have lost.
+func TestGroupWithoutQuorumStops(t *testing.T) {
+	sim := newSimulation(t, 5, 12)
+	sim.run(3 * time.Second)
+	sim.propose(4 * time.Second)
+	sim.run(5 * time.Second)
+	before := map[int]int{}
 	for g := range 4 {
-		was[g] = len(p.stands[g])
+		before[g] = len(sim.committed[g])
 	}
 	for i := range 3 {
-		p.hosts[i].up = false
+		sim.nodes[i].isRunning = false
 	}
-	p.run(time.Second)
+	sim.run(time.Second)
 	for i := range 3 {
-		p.start(i)
+		sim.start(i)
 	}
-	p.run(10 * time.Second)
-	p.load(5 * time.Second)
-	p.run(10 * time.Second)
-	stands := 0
+	sim.run(10 * time.Second)
+	sim.propose(5 * time.Second)
+	sim.run(10 * time.Second)
+	committed := 0
 	for g := range 4 {
-		copies := 0
-		for _, h := range p.hosts[3:] {
-			if m, _ := h.StateMachine(g); m != nil {
-				copies++
+		replicas := 0
+		for _, node := range sim.nodes[3:] {
+			if m, _ := node.StateMachine(g); m != nil {
+				replicas++
 			}
 		}
-		if copies < 2 && len(p.stands[g]) != was[g] {
-			t.Errorf("group %d lost its quorum with its memory, and went on", g)
+		if replicas < 2 && len(sim.committed[g]) != before[g] {
+			t.Errorf("group %d lost its quorum and still committed commands", g)
 		}
-		stands += len(p.stands[g]) - was[g]
+		committed += len(sim.committed[g]) - before[g]
 	}
-	if p.check(); p.broken != "" {
-		t.Error(p.broken)
+	if sim.check(); sim.violation != "" {
+		t.Error(sim.violation)
 	}
 }
 
-// Files that name different dispatchers can found two fleets. What one of them sends is never taken in by the other: its copies
-// would take the place of those that are there.
-func TestAnotherFoundingIsNotHeard(t *testing.T) {
-	make_ := func(name string, founders ...string) *raftgroup.Node {
-		h, err := raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: name, Memory: uint64(name[0])}, Founders: founders, Groups: 1, Seed: 1,
-			NewStateMachine: func(g int) raftgroup.StateMachine { return &list{play: &play{stands: map[int][]string{}}} }}, 0)
+// Guards against nodes of two clusters mixing their groups. Two assignments arise if the operators' files name
+// different initial members; frames of the other cluster would replace existing replicas.
+func TestFramesOfAnotherAssignmentAreDropped(t *testing.T) {
+	newNode := func(name string, initialMembers ...string) *raftgroup.Node {
+		node, err := raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: name, Incarnation: uint64(name[0])}, InitialMembers: initialMembers, Groups: 1, Seed: 1,
+			NewStateMachine: func(g int) raftgroup.StateMachine {
+				return &commandLog{simulation: &simulation{committed: map[int][]string{}}}
+			}}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return h
+		return node
 	}
-	member := func(h *raftgroup.Node, name string) raftgroup.Member {
-		return raftgroup.Member{NodeID: raftgroup.NodeID{Name: name, Memory: uint64(name[0])}, Assignment: h.AssignmentID()}
+	member := func(node *raftgroup.Node, name string) raftgroup.Member {
+		return raftgroup.Member{NodeID: raftgroup.NodeID{Name: name, Incarnation: uint64(name[0])}, Assignment: node.AssignmentID()}
 	}
-	a, alone := make_("a", "a", "b"), make_("b", "b")
-	alone.SetMembers(0, []raftgroup.Member{member(alone, "b")}, true)
-	if a.SetMembers(0, []raftgroup.Member{member(a, "a"), {NodeID: raftgroup.NodeID{Name: "b", Memory: 'b'}}}, true); a.AssignmentID() == 0 || alone.AssignmentID() == 0 || a.AssignmentID() == alone.AssignmentID() {
-		t.Fatalf("foundings %x and %x", a.AssignmentID(), alone.AssignmentID())
+	a, other := newNode("a", "a", "b"), newNode("b", "b")
+	other.SetMembers(0, []raftgroup.Member{member(other, "b")}, true)
+	if a.SetMembers(0, []raftgroup.Member{member(a, "a"), {NodeID: raftgroup.NodeID{Name: "b", Incarnation: 'b'}}}, true); a.AssignmentID() == 0 || other.AssignmentID() == 0 || a.AssignmentID() == other.AssignmentID() {
+		t.Fatalf("the assignments are %x and %x, they must be set and differ", a.AssignmentID(), other.AssignmentID())
 	}
-	was, frames, notices := fmt.Sprint(alone.Status()), 0, 0
+	before, frames, notices := fmt.Sprint(other.Status()), 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
-		for _, o := range a.Tick(now).Send {
+		for _, frame := range a.Tick(now).Send {
 			frames++
-			notices += len(alone.HandleFrame(now, raftgroup.NodeID{Name: "a", Memory: 'a'}, o.Data).Notices)
+			notices += len(other.HandleFrame(now, raftgroup.NodeID{Name: "a", Incarnation: 'a'}, frame.Data).Notices)
 		}
 	}
-	if got := fmt.Sprint(alone.Status()); frames == 0 || notices != 1 || got != was {
-		t.Errorf("after %d frames and %d notices its groups are %s, they were %s", frames, notices, got, was)
+	if got := fmt.Sprint(other.Status()); frames == 0 || notices != 1 || got != before {
+		t.Errorf("after %d frames of another assignment there are %d notices, and the groups are %s; before: %s", frames, notices, got, before)
 	}
 }
 
-// The same with hosts that come back without their memory and say that they are who they were: Raft finds its log shorter
-// than what it has said, or commands that had a reply are lost, or copies differ. One of these is seen.
-func TestForgottenVotesAreSeen(t *testing.T) {
+// Guards against checks that detect nothing. Nodes restart without their memory under their old incarnation, which must
+// show at least once: Raft panics because its log is shorter than what it acknowledged, a command with a reply is lost,
+// or replicas diverge.
+func TestReusedIncarnationIsDetected(t *testing.T) {
 	for seed := range uint64(20) {
-		if forgets(t, 100+seed) {
+		if violatesWithReusedIncarnations(t, 100+seed) {
 			return
 		}
 	}
-	t.Error("twenty plays with votes by who has forgotten them show nothing")
+	t.Error("20 simulations in which nodes forget their votes violate no invariant")
 }
 
-func forgets(t *testing.T, seed uint64) (seen bool) {
-	p := newPlay(t, 5, seed)
-	p.relive = true
-	defer func() { seen = seen || recover() != nil }()
-	p.run(3 * time.Second)
-	p.load(30 * time.Second)
+// violatesWithReusedIncarnations reports whether a simulation with reused incarnations violates an invariant or panics.
+func violatesWithReusedIncarnations(t *testing.T, seed uint64) (detected bool) {
+	sim := newSimulation(t, 5, seed)
+	sim.reusesIncarnations = true
+	defer func() { detected = detected || recover() != nil }()
+	sim.run(3 * time.Second)
+	sim.propose(30 * time.Second)
 	for range 8 {
-		p.run(time.Second)
-		x := p.rng.Perm(5)
-		for _, i := range x[:2] {
-			p.hosts[i].up = false
+		sim.run(time.Second)
+		restarted := sim.rng.Perm(5)
+		for _, i := range restarted[:2] {
+			sim.nodes[i].isRunning = false
 		}
-		p.run(50 * time.Millisecond)
-		for _, i := range x[:2] {
-			p.start(i)
+		sim.run(50 * time.Millisecond)
+		for _, i := range restarted[:2] {
+			sim.start(i)
 		}
 	}
-	p.run(5 * time.Second)
-	p.check()
-	return p.broken != ""
+	sim.run(5 * time.Second)
+	sim.check()
+	return sim.violation != ""
 }
