--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -110,7 +110,7 @@
 // printGroups prints a line for each group that an instance has a replica of.
 func printGroups(out io.Writer, status *lease.Status) error {
 	fmt.Fprintf(out, "%s may promise: %s, charter %s, %d open here, %d kept in its copies, %d of its groups lack a copy\n",
-		status.Name, yesNo(status.Ready), status.Charter, status.Open, status.Kept, status.Lost)
+		status.Name, yesNo(status.Ready), status.AssignmentID, status.Open, status.RecordCount, status.Lost)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "GROUP\tLEADER\tTERM\tENTRIES\tCOPIES\tBEHIND\tLOST")
 	for _, g := range status.Groups {
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -91,7 +91,7 @@
 	room := min(m.limits.LeaseReserve, j.Timeout/4)
 	left := j.Timeout - room
 	terms := lease.Terms{RetryWindow: (class.DedupWindow - class.DedupWindow*3/10 - m.options.MaxClockSkew).Milliseconds(), SamePlaceOnly: class.DedupScope != decision.DedupByAll,
-		Deadline: now + left.Milliseconds(), Retention: m.options.Retention.Milliseconds(), MaxRecords: max(m.options.MaxJobs/max(m.replicas.Groups(), 1), 1), Sender: xxhash.Sum64String(j.ID)}
+		Deadline: now + left.Milliseconds(), Retention: m.options.Retention.Milliseconds(), MaxRecords: max(m.options.MaxJobs/max(m.replicas.Groups(), 1), 1), RequestID: xxhash.Sum64String(j.ID)}
 	tenant := ""
 	if j.Tenant >= 0 && j.Tenant < len(m.node.Tenants) {
 		tenant = m.node.Tenants[j.Tenant]
--- a/internal/dispatcher/durablejobs/status.go
+++ b/internal/dispatcher/durablejobs/status.go
@@ -19,7 +19,7 @@
 			Counters: map[string]int64{"taken": c.Acquired.Load(), "joined": c.OwnedElsewhere.Load(), "known": c.AlreadyFinished.Load(), "refused": c.Rejected.Load(),
 				"inherited": c.TakenOver.Load(), "fenced": c.Fenced.Load(), "barred": c.Forbidden.Load(), "unsure": c.UnknownOutcome.Load(), "dropped": c.Dropped.Load()}}
 		if id := m.replicas.AssignmentID(); id != 0 {
-			s.Charter = strconv.FormatUint(id, 16)
+			s.AssignmentID = strconv.FormatUint(id, 16)
 		}
 		for _, g := range m.replicas.Status() {
 			s.Groups = append(s.Groups, lease.GroupStatus(g))
@@ -33,7 +33,7 @@
 				continue
 			}
 			t := machine.(*leaseMachine).Table
-			s.Kept += t.Len()
+			s.RecordCount += t.Len()
 			show := func(r *lease.Record) {
 				s.Records = append(s.Records, lease.RecordStatus{Key: r.Key, Group: n, State: r.State.String(), Owner: r.Owner, Epoch: r.Epoch, Attempt: r.Attempt,
 					First: cmp.Or(r.EarlierSendAt, r.FirstSendAt), Deadline: r.Terms.Deadline, Served: r.Outcome == lease.Served, Result: string(r.Result)})
--- a/internal/dispatcher/durablejobs/transport.go
+++ b/internal/dispatcher/durablejobs/transport.go
@@ -71,7 +71,7 @@
 	for e := range m.entries {
 		switch {
 		case now >= e.deadline && e.clientJob != nil:
-			m.carryOutLease(e, e.lease.Expire())
+			m.carryOutLease(e, e.lease.ClientTimedOut())
 		case e.lease.IsWaiting() && now >= e.nextQueryAt:
 			e.nextQueryAt = now + m.limits.LeasePollInterval
 			if e.queryToken == 0 {
--- a/internal/dispatcher/lease/command.go
+++ b/internal/dispatcher/lease/command.go
@@ -46,7 +46,7 @@
 	Deadline      int64    // the client's own deadline: nothing is sent after it
 	Retention     int64    // ms that the outcome is kept
 	MaxRecords    int      // records that a table may hold
-	Sender        uint64   // whose attempt this is: the same command, repeated, is granted again
+	RequestID     uint64   // whose attempt this is: the same command, repeated, is granted again
 }
 
 // Decision is what becomes of a command.
--- a/internal/dispatcher/lease/explore_test.go
+++ b/internal/dispatcher/lease/explore_test.go
@@ -160,7 +160,7 @@
 }
 
 func terms(now int64, sender uint64, fault mutant) lease.Terms {
-	t := lease.Terms{RetryWindow: again, SamePlaceOnly: true, Deadline: min(now+deadline, horizon), Retention: 100, MaxRecords: 10, Sender: sender}
+	t := lease.Terms{RetryWindow: again, SamePlaceOnly: true, Deadline: min(now+deadline, horizon), Retention: 100, MaxRecords: 10, RequestID: sender}
 	if fault == forgetful {
 		t.RetryWindow = 100
 	}
--- a/internal/dispatcher/lease/export_test.go
+++ b/internal/dispatcher/lease/export_test.go
@@ -25,5 +25,5 @@
 
 // Shape is all of a lease that its steps depend on.
 func (l *Lease) Shape() []any {
-	return []any{l.owner, l.Epoch, l.terms, l.phase, l.isAnswered, l.attempt, l.pendingAttempt, l.intendedAt, l.unprovenSends, l.mayHaveRun, l.pending != nil}
+	return []any{l.owner, l.Epoch, l.terms, l.phase, l.clientDone, l.attempt, l.pendingAttempt, l.intendedAt, l.unprovenSends, l.mayHaveRun, l.pending != nil}
 }
--- a/internal/dispatcher/lease/golden_test.go
+++ b/internal/dispatcher/lease/golden_test.go
@@ -69,7 +69,7 @@
 	if command.Kind == Acquire {
 		command.Job = []byte(fmt.Sprintf("job %d", random.IntN(9)))
 		command.Terms = Terms{RetryWindow: int64(random.IntN(4000)), SamePlaceOnly: random.IntN(2) == 0, Deadline: now + int64(random.IntN(9000)),
-			Retention: int64(random.IntN(6000)), MaxRecords: 40, Sender: random.Uint64N(5)}
+			Retention: int64(random.IntN(6000)), MaxRecords: 40, RequestID: random.Uint64N(5)}
 	}
 	if random.IntN(2) == 0 {
 		command.PreviousOwner = owner()
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -50,7 +50,7 @@
 	sendWindow     int64 // ms after its intent within which a send has to begin
 	job            []byte
 	phase          phase
-	isAnswered     bool // the client has its answer, or there is no client any more
+	clientDone     bool // the client has its answer, or there is no client any more
 	attempt        uint32
 	pendingAttempt int   // the attempt whose intent has no response, as the caller counts; -1: none
 	intendedAt     int64 // when the last one was proposed
@@ -68,7 +68,7 @@
 // Resume goes on with a record that its owner took over from a failed one. No client waits for the answer here.
 func Resume(r *Record, sendWindow, now int64) (*Lease, []Action) {
 	l := &Lease{Key: r.Key, Epoch: r.Epoch, owner: r.Owner, terms: r.Terms, sendWindow: sendWindow, job: r.Job, pendingAttempt: -1,
-		isAnswered: true, phase: running, mayHaveRun: r.earliestSendAt() != 0, attempt: r.Attempt}
+		clientDone: true, phase: running, mayHaveRun: r.earliestSendAt() != 0, attempt: r.Attempt}
 	if r.FirstSendAt != 0 { // it is this owner's own, from before: what has gone out under it may have run
 		l.unprovenSends = 1
 	}
@@ -99,13 +99,13 @@
 // Job returns what another owner needs to run the job.
 func (l *Lease) Job() []byte { return l.job }
 
-// IsTakenOver tells whether no client waits here for the answer.
-func (l *Lease) IsTakenOver() bool { return l.isAnswered }
+// HasNoClient tells whether no client waits here for the answer.
+func (l *Lease) HasNoClient() bool { return l.clientDone }
 
 // reject tells the client to come again.
 func (l *Lease) reject(actions []Action) []Action {
-	if !l.isAnswered {
-		l.isAnswered = true
+	if !l.clientDone {
+		l.clientDone = true
 		actions = append(actions, Action{Kind: Reject})
 	}
 	return actions
@@ -113,8 +113,8 @@
 
 // answer answers the client with the committed outcome.
 func (l *Lease) answer(v Outcome, result []byte) (actions []Action) {
-	if !l.isAnswered {
-		l.isAnswered = true
+	if !l.clientDone {
+		l.clientDone = true
 		actions = append(actions, Action{Kind: Answer, Outcome: v, Result: result})
 	}
 	return l.close(actions)
@@ -130,7 +130,7 @@
 
 // awaitOwner waits for the outcome under another owner. An attempt in flight at a worker goes on.
 func (l *Lease) awaitOwner(actions []Action) []Action {
-	if l.isAnswered {
+	if l.clientDone {
 		return l.close(actions)
 	}
 	l.phase, l.pending = waiting, nil
@@ -231,9 +231,9 @@
 		return nil
 	case v == Served || v == Failed && ran:
 		return l.finish(v, result, now)
-	case l.IsTakenOver() && now < l.terms.Deadline-minRetryTimeMilliseconds:
+	case l.HasNoClient() && now < l.terms.Deadline-minRetryTimeMilliseconds:
 		return []Action{{Kind: Retry}}
-	case l.IsTakenOver() && ran: // nobody will come for it with more time
+	case l.HasNoClient() && ran: // nobody will come for it with more time
 		return l.finish(Failed, nil, now)
 	}
 	return append(l.reject(nil), l.release(now)...)
@@ -250,8 +250,8 @@
 	return nil
 }
 
-// Expire ends the wait of the client. What the replicas have to be told goes on.
-func (l *Lease) Expire() []Action {
+// ClientTimedOut ends the wait of the client. What the replicas have to be told goes on.
+func (l *Lease) ClientTimedOut() []Action {
 	actions := l.reject(nil)
 	if l.phase == waiting || l.phase == acquiring {
 		return l.close(actions)
@@ -261,7 +261,7 @@
 
 // ClientLeft notes that the client has left: there is nobody to be answered any more.
 func (l *Lease) ClientLeft() []Action {
-	l.isAnswered = true
+	l.clientDone = true
 	if l.phase == waiting {
 		return l.close(nil)
 	}
--- a/internal/dispatcher/lease/lease_test.go
+++ b/internal/dispatcher/lease/lease_test.go
@@ -17,7 +17,7 @@
 // that one, and the place that counts is where the send went.
 func TestGivenUpIntentComesLate(t *testing.T) {
 	table := lease.New()
-	h, acts := lease.Begin("k", "a.1", lease.Terms{RetryWindow: 5000, SamePlaceOnly: true, Deadline: 20_000, Retention: 1, MaxRecords: 1, Sender: 1}, 500, nil, 1000)
+	h, acts := lease.Begin("k", "a.1", lease.Terms{RetryWindow: 5000, SamePlaceOnly: true, Deadline: 20_000, Retention: 1, MaxRecords: 1, RequestID: 1}, 500, nil, 1000)
 	h.HandleResponse(acts[0].Command, table.Apply(acts[0].Command))
 	first := h.RequestSend(0, 1, 1100)[0].Command
 	if acts := h.HandleUnknownOutcome(first); len(acts) != 1 || acts[0].Kind != lease.SkipSend {
@@ -97,7 +97,7 @@
 				Time: now - rapid.Int64Range(0, 300).Draw(t, "late"), Place: rapid.Uint32Range(0, 2).Draw(t, "place"), NothingRan: rapid.Bool().Draw(t, "clean"), Limit: most,
 				Outcome: lease.Outcome(rapid.IntRange(1, 2).Draw(t, "verdict")), Result: fmt.Append(nil, i), PreviousOwner: rapid.SampledFrom(append(owners, "")).Draw(t, "from"),
 				Terms: lease.Terms{RetryWindow: rapid.Int64Range(0, 1000).Draw(t, "again"), SamePlaceOnly: rapid.Bool().Draw(t, "bound"), Deadline: now + rapid.Int64Range(0, 3000).Draw(t, "until"),
-					Retention: rapid.Int64Range(0, 2000).Draw(t, "keep"), MaxRecords: most, Sender: rapid.Uint64Range(1, 2).Draw(t, "sender")}}
+					Retention: rapid.Int64Range(0, 2000).Draw(t, "keep"), MaxRecords: most, RequestID: rapid.Uint64Range(1, 2).Draw(t, "sender")}}
 			if r, ok := a.Get(c.Key); ok {
 				c.Epoch, c.Attempt = r.Epoch-rapid.Uint64Range(0, min(r.Epoch, 1)).Draw(t, "epoch"), r.Attempt+rapid.Uint32Range(0, 1).Draw(t, "attempt")
 			}
--- a/internal/dispatcher/lease/status.go
+++ b/internal/dispatcher/lease/status.go
@@ -5,16 +5,16 @@
 
 // Status is what an operator is shown. Its JSON form is that of GET /leases.
 type Status struct {
-	Name     string           `json:"name"`
-	Owner    string           `json:"owner"`
-	Charter  string           `json:"charter"` // of the founding; empty before it
-	Ready    bool             `json:"ready"`   // it may promise
-	Open     int              `json:"open"`    // holds here
-	Kept     int              `json:"kept"`    // records in the copies here
-	Lost     int              `json:"lost"`    // groups led here with a copy whose place is not there
-	Counters map[string]int64 `json:"counters"`
-	Groups   []GroupStatus    `json:"groups"`
-	Records  []RecordStatus   `json:"records,omitempty"`
+	Name         string           `json:"name"`
+	Owner        string           `json:"owner"`
+	AssignmentID string           `json:"charter"` // of the founding; empty before it
+	Ready        bool             `json:"ready"`   // it may promise
+	Open         int              `json:"open"`    // holds here
+	RecordCount  int              `json:"kept"`    // records in the copies here
+	Lost         int              `json:"lost"`    // groups led here with a copy whose place is not there
+	Counters     map[string]int64 `json:"counters"`
+	Groups       []GroupStatus    `json:"groups"`
+	Records      []RecordStatus   `json:"records,omitempty"`
 }
 
 // RecordStatus is one promise as an operator sees it.
--- a/internal/dispatcher/lease/table.go
+++ b/internal/dispatcher/lease/table.go
@@ -171,13 +171,13 @@
 		return Response{Decision: Granted, Epoch: r.Epoch}
 	case r.State == Ended:
 		return r.finishedResponse()
-	case r.State != Released && r.Owner == c.Owner && r.Terms.Sender == c.Terms.Sender: // the same command once more
+	case r.State != Released && r.Owner == c.Owner && r.Terms.RequestID == c.Terms.RequestID: // the same command once more
 		return Response{Decision: Granted, Epoch: r.Epoch, MayHaveRun: r.EarlierSendAt != 0}
 	case r.State != Released:
 		return Response{Decision: OwnedElsewhere, Epoch: r.Epoch}
 	}
 	// Its client comes again. He waits longer now; what the class allows after the first send stays as it was.
-	r.Terms.Deadline, r.Terms.Sender = max(r.Terms.Deadline, c.Terms.Deadline), c.Terms.Sender
+	r.Terms.Deadline, r.Terms.RequestID = max(r.Terms.Deadline, c.Terms.Deadline), c.Terms.RequestID
 	if r.IsBeyondRetry(c.Time) {
 		t.finish(r, Failed, nil, c.Time)
 		return r.finishedResponse()
