--- a/internal/dispatcher/lease/command.go
+++ b/internal/dispatcher/lease/command.go
@@ -6,96 +6,97 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind is the operation of a command.
+// Kind is the operation of a command. The numbers are part of the encoding.
 type Kind uint8
 
 // The commands.
 const (
-	Acquire    Kind = iota + 1 // Owner makes a job durable and holds it
-	IntendSend                 // Owner is about to send it to a worker
-	Finish                     // Owner reports its outcome
-	Release                    // Owner releases it without an outcome
-	TakeOver                   // Owner gets all that PreviousOwner holds, in new epochs: that one is no member any more
-	Expire                     // records that are finished or released, and past their retention, are removed
+	Acquire    Kind = iota + 1 // Owner makes a job durable and acquires its lease
+	IntendSend                 // Owner is about to send the job to a worker
+	Finish                     // Owner reports the job's outcome
+	Release                    // Owner releases the lease without an outcome
+	TakeOver                   // Owner gets the leases of PreviousOwner, which has failed, under new epochs
+	Expire                     // finished and released records past their retention are removed
 )
 
-// Command is one entry of the log. Times are Unix time in milliseconds, by the clock of who wrote it.
+// Command is one entry of a group's log. Times are Unix milliseconds by the clock of the proposing dispatcher.
 type Command struct {
 	_             struct{} `cbor:",toarray"`
 	Kind          Kind
 	Key           string
-	Owner         string // a dispatcher's name and incarnation
-	Epoch         uint64 // IntendSend, Finish, Release: under which the owner holds it
+	Owner         string // the proposing dispatcher: its name and membership incarnation
+	Epoch         uint64 // IntendSend, Finish, Release: the epoch of the lease, its fencing token
 	Time          int64
 	Terms         Terms  // Acquire
-	Job           []byte // Acquire: all that another owner needs to run it
-	Attempt       uint32 // IntendSend: counted from 1 in the epoch
-	Place         uint32 // IntendSend: the zone or cell of the worker, whichever binds a repeat
-	NothingRan    bool   // IntendSend, Release: every earlier send of this epoch is proved never to have run
+	Job           []byte // Acquire: the encoded job, for another owner to run it
+	Attempt       uint32 // IntendSend: number of the attempt, from 1 in each epoch
+	Place         uint32 // IntendSend: the zone or cell of the worker, within which workers detect duplicates
+	NothingRan    bool   // IntendSend, Release: no earlier send of this epoch has run at a worker
 	Outcome       Outcome
 	Result        []byte
-	PreviousOwner string // TakeOver: whose; empty for all that are overdue
-	Limit         int    // TakeOver, Expire: records at most
+	PreviousOwner string // TakeOver: the failed owner; empty: the owners of overdue records
+	Limit         int    // TakeOver, Expire: maximum number of records
 }
 
-// Terms are what the class of a job allows, fixed when it is first taken.
+// Terms are the rules for a job that follow from its class. They are fixed when the lease is first acquired, except
+// that a later Acquire of a released record updates RequestID and may extend Deadline.
 type Terms struct {
 	_             struct{} `cbor:",toarray"`
-	RetryWindow   int64    // ms after the first send that may have run, within which it may be sent again; 0: never again
-	SamePlaceOnly bool     // and only to a worker of the same place
-	Deadline      int64    // the client's own deadline: nothing is sent after it
-	Retention     int64    // ms that the outcome is kept
-	MaxRecords    int      // records that a table may hold
-	RequestID     uint64   // whose attempt this is: the same command, repeated, is granted again
+	RetryWindow   int64    // ms after the first send that may have run in which repeats are allowed; 0: none
+	SamePlaceOnly bool     // the job may be sent again only to workers of the same Place
+	Deadline      int64    // of the client, Unix ms; nothing is sent after it
+	Retention     int64    // ms that the outcome is kept after Deadline or, if later, the last change
+	MaxRecords    int      // maximum number of records in a table
+	RequestID     uint64   // hash of the client's request ID; a repeated Acquire of the same request is granted again
 }
 
-// Decision is what becomes of a command.
+// Decision is the result of a command.
 type Decision uint8
 
 // The decisions.
 const (
-	Granted         Decision = iota + 1 // go ahead; Epoch is the owner's
-	OwnedElsewhere                      // another owner holds it: its outcome is to be waited for
-	AlreadyFinished                     // it is finished: Outcome and Result say how
-	Fenced                              // the owner does not hold it any more
-	Forbidden                           // the class forbids this send; the owner may only finish it
-	TableFull                           // no room for another record
-	Done                                // TakeOver, Expire: Moved records were moved or forgotten
+	Granted         Decision = iota + 1 // the command is applied; Epoch is the owner's
+	OwnedElsewhere                      // another owner or request has the lease; the caller waits for its outcome
+	AlreadyFinished                     // the job is finished; Outcome and Result are set
+	Fenced                              // the owner has lost the lease
+	Forbidden                           // the terms forbid this send, or the command is invalid
+	TableFull                           // the table has MaxRecords records
+	Done                                // TakeOver, Expire: Moved records were moved or removed
 )
 
-// String returns the name of the value.
-func (w Decision) String() string {
-	return [...]string{"none", "granted", "joined", "known", "fenced", "barred", "full", "done"}[min(w, Done)]
+// String returns the name under which operators see the decision.
+func (d Decision) String() string {
+	return [...]string{"none", "granted", "joined", "known", "fenced", "barred", "full", "done"}[min(d, Done)]
 }
 
-// Response answers a command.
+// Response is a replica's response to a command.
 type Response struct {
 	_          struct{} `cbor:",toarray"`
 	Decision   Decision
 	Epoch      uint64
-	MayHaveRun bool // Acquire: an earlier epoch may have run it
+	MayHaveRun bool // Acquire: a worker may have run the job in an earlier epoch
 	Outcome    Outcome
 	Result     []byte
 	Moved      int
-	More       bool // TakeOver, Expire: there are more
+	More       bool // TakeOver, Expire: Limit was reached, and more records remain
 }
 
-// Encode writes a command or a reply, Decode and DecodeReply read them.
+// Encode encodes a Command or a Response. Decode and DecodeResponse are the inverse.
 func Encode(v any) ([]byte, error) { return cbor.Marshal(v) }
 
-// Decode reads a command.
+// Decode decodes a command.
 func Decode(data []byte) (*Command, error) {
 	c := new(Command)
 	if err := cbor.Unmarshal(data, c); err != nil {
-		return nil, fmt.Errorf("lease: command: %w", err)
+		return nil, fmt.Errorf("lease: decoding a command: %w", err)
 	}
 	return c, nil
 }
 
-// DecodeResponse reads a reply.
+// DecodeResponse decodes a response.
 func DecodeResponse(data []byte) (r Response, err error) {
 	if err = cbor.Unmarshal(data, &r); err != nil {
-		err = fmt.Errorf("lease: reply: %w", err)
+		err = fmt.Errorf("lease: decoding a response: %w", err)
 	}
 	return r, err
 }
--- a/internal/dispatcher/lease/export_test.go
+++ b/internal/dispatcher/lease/export_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Clone copies a table, so that an explorer can go on from one state in several ways. Records are copied, what they point to is
-// never changed in place.
+// Clone copies a table, so that the explorer can continue from one state in several ways. It copies the records, but
+// not the byte slices in them, which are never changed in place.
 func (t *Table) Clone() *Table {
 	out := New()
 	out.lastEpoch, out.expiries = t.lastEpoch, slices.Clone(t.expiries)
@@ -23,7 +23,7 @@
 // Clone copies a lease.
 func (l *Lease) Clone() *Lease { c := *l; return &c }
 
-// Shape is all of a lease that its steps depend on.
+// Shape returns the fields of a lease that its further steps depend on.
 func (l *Lease) Shape() []any {
 	return []any{l.owner, l.Epoch, l.terms, l.phase, l.clientDone, l.attempt, l.pendingAttempt, l.intendedAt, l.unprovenSends, l.mayHaveRun, l.pending != nil}
 }
--- a/internal/dispatcher/lease/golden_test.go
+++ b/internal/dispatcher/lease/golden_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestGoldenBytes holds the encoded commands, replies and snapshots of a long seeded play against a hash that was
-// recorded before the code was made easier to read. The bytes travel between dispatchers of different versions, so the
-// hash is never edited.
+// TestGoldenBytes guards against changes of the encoding of commands, responses and snapshots, and of the responses
+// themselves. Dispatchers of different versions exchange these bytes, so the recorded hash of a seeded sequence of
+// commands is never edited.
 func TestGoldenBytes(t *testing.T) {
 	const want = "0c5db361be5177fc6b461dba9222eb46"
 	digest := sha256.New()
@@ -22,26 +22,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := Decode(encoded)
+		decoded, err := Decode(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reply, err := Encode(table.Apply(read))
+		response, err := Encode(table.Apply(decoded))
 		if err != nil {
 			t.Fatal(err)
 		}
 		digest.Write(encoded)
-		digest.Write(reply)
+		digest.Write(response)
 		if step%1000 == 0 {
 			digest.Write(throughSnapshot(t, table))
 		}
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)[:16]); got != want {
-		t.Errorf("the bytes have the hash %s, recorded is %s", got, want)
+		t.Errorf("the encoded commands, responses and snapshots have the hash %s, want %s", got, want)
 	}
 }
 
-// throughSnapshot replaces a table by what its snapshot holds, and returns the snapshot.
+// throughSnapshot restores a table from its own snapshot, and returns the snapshot.
 func throughSnapshot(t *testing.T, table *Table) []byte {
 	t.Helper()
 	snapshot, err := table.Snapshot()
@@ -54,7 +54,8 @@
 	return snapshot
 }
 
-// randomCommand is most often one of the record's owner under its epoch, and else of anybody.
+// randomCommand returns a command of a random owner. For an existing record, 7 of 10 commands come from its owner under
+// its epoch.
 func randomCommand(random *rand.Rand, table *Table, now int64) *Command {
 	owner := func() string { return fmt.Sprintf("d%d", random.IntN(4)) }
 	command := &Command{
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -1,75 +1,77 @@
-// The holder's side of a lease: what a dispatcher asks of the replicas for one job, and what it may do by their responses. No
-// send goes out before its intent is committed, and no outcome is answered before it is. A rejection is no outcome: with a key
-// a client may always come again.
+// The owner's side of a lease: the commands that a dispatcher proposes for one job, and what it may do after their
+// responses. It sends an attempt only after its intent is committed, and answers the client only after the outcome is
+// committed. A rejection is not an outcome: the client may always retry under the same key.
 
 package lease
 
-// ActionKind tells what is to be done.
+// ActionKind tells what the caller has to do.
 type ActionKind uint8
 
 // The actions.
 const (
-	Propose    ActionKind = iota + 1 // propose Command until there is a response: give that to HandleResponse
-	Admit                            // hand the job to the decision module
-	Send                             // the attempt that was requested may be sent now, while SendTimeLeft is above 0
-	SkipSend                         // it must not be sent: as if it had never been requested
+	Propose    ActionKind = iota + 1 // propose Command; pass its result to HandleResponse or HandleUnknownOutcome
+	Admit                            // submit the job to the decision module
+	Send                             // send the requested attempt while SendTimeLeft is above 0
+	SkipSend                         // end the requested attempt without sending it
 	Answer                           // answer the client with Outcome and Result
-	Reject                           // tell the client to come again
-	AwaitOwner                       // another owner has the job: read its record now and then, and give it to HandleRecord
-	Retry                            // hand the job to the decision module again, after a pause
-	Closed                           // nothing more follows from this lease
+	Reject                           // reject the request; the client may retry
+	AwaitOwner                       // another owner has the job: poll its record and pass it to HandleRecord
+	Retry                            // submit the job to the decision module again, after a pause
+	Closed                           // the lease is closed: it returns no further actions
 )
 
-// Action is one thing to be done.
+// Action is a step that the caller has to carry out. Several are carried out in order.
 type Action struct {
 	Kind    ActionKind
-	Command *Command
-	Attempt int // Send, SkipSend: as it was given to RequestSend
-	Outcome Outcome
+	Command *Command // Propose
+	Attempt int      // Send, SkipSend: the number passed to RequestSend
+	Outcome Outcome  // Answer, with Result
 	Result  []byte
 }
 
-// phase is how far a lease has come at its holder.
+// phase is the state of a lease at its owner.
 type phase uint8
 
 const (
-	acquiring phase = iota // its Acquire has no response yet
-	running                // the decision module has it
-	finishing              // its Finish or Release has no response yet
-	waiting                // for the outcome under another owner
+	acquiring phase = iota // Acquire is proposed
+	running                // the decision module has the job
+	finishing              // Finish or Release is proposed
+	waiting                // another owner has the job; its outcome is polled
 	closed
 )
 
-// Lease is one durable job at one dispatcher. It is not safe for concurrent use.
+// Lease is the state of one durable job at one dispatcher. It is not safe for concurrent use.
 type Lease struct {
 	Key   string
 	Epoch uint64
 
 	terms          Terms
 	owner          string
-	sendWindow     int64 // ms after its intent within which a send has to begin
+	sendWindow     int64 // ms after an intent is proposed within which its send has to begin
 	job            []byte
 	phase          phase
-	clientDone     bool // the client has its answer, or there is no client any more
-	attempt        uint32
-	pendingAttempt int   // the attempt whose intent has no response, as the caller counts; -1: none
-	intendedAt     int64 // when the last one was proposed
-	unprovenSends  int   // sends that may have run, those in flight among them
-	mayHaveRun     bool  // an earlier epoch may have run it
-	pending        *Command
+	clientDone     bool     // the client has its answer or has left, or there never was one
+	attempt        uint32   // number of the last attempt whose intent may be committed
+	pendingAttempt int      // the attempt whose intent is proposed, in the numbers of RequestSend; -1: none
+	intendedAt     int64    // when the last intent was proposed, Unix ms
+	unprovenSends  int      // sends that may have run, those in flight included
+	mayHaveRun     bool     // a worker may have run the job in an earlier epoch
+	pending        *Command // the proposed command that has no response; nil: none
 }
 
-// Begin asks the replicas for the lease on a job. A send has to begin within sendWindow milliseconds of its intent.
+// Begin returns a new lease on a job, and the action that proposes its Acquire. A send has to begin within sendWindow
+// milliseconds after its intent is proposed. now is in Unix milliseconds, here and in all methods.
 func Begin(key, owner string, terms Terms, sendWindow int64, job []byte, now int64) (*Lease, []Action) {
 	l := &Lease{Key: key, owner: owner, terms: terms, sendWindow: sendWindow, job: job, pendingAttempt: -1}
 	return l, l.propose(&Command{Kind: Acquire, Key: key, Owner: owner, Time: now, Terms: terms, Job: job})
 }
 
-// Resume goes on with a record that its owner took over from a failed one. No client waits for the answer here.
+// Resume returns the lease on a record that its owner took over from a failed one. It has no client. A job that may not
+// be sent any more is released if it cannot have run, and finished as Failed otherwise.
 func Resume(r *Record, sendWindow, now int64) (*Lease, []Action) {
 	l := &Lease{Key: r.Key, Epoch: r.Epoch, owner: r.Owner, terms: r.Terms, sendWindow: sendWindow, job: r.Job, pendingAttempt: -1,
 		clientDone: true, phase: running, mayHaveRun: r.earliestSendAt() != 0, attempt: r.Attempt}
-	if r.FirstSendAt != 0 { // it is this owner's own, from before: what has gone out under it may have run
+	if r.FirstSendAt != 0 { // this owner has sent in this epoch before: that send may have run
 		l.unprovenSends = 1
 	}
 	switch {
@@ -81,14 +83,15 @@
 	return l, l.finish(Failed, nil, now)
 }
 
+// propose makes a command the pending one.
 func (l *Lease) propose(c *Command) []Action {
 	l.pending = c
 	return []Action{{Kind: Propose, Command: c}}
 }
 
-func (l *Lease) finish(v Outcome, result []byte, now int64) []Action {
+func (l *Lease) finish(outcome Outcome, result []byte, now int64) []Action {
 	l.phase = finishing
-	return l.propose(&Command{Kind: Finish, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, Outcome: v, Result: result})
+	return l.propose(&Command{Kind: Finish, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, Outcome: outcome, Result: result})
 }
 
 func (l *Lease) release(now int64) []Action {
@@ -96,13 +99,13 @@
 	return l.propose(&Command{Kind: Release, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, NothingRan: l.unprovenSends == 0})
 }
 
-// Job returns what another owner needs to run the job.
+// Job returns the encoded job.
 func (l *Lease) Job() []byte { return l.job }
 
 // HasNoClient tells whether no client waits here for the answer.
 func (l *Lease) HasNoClient() bool { return l.clientDone }
 
-// reject tells the client to come again.
+// reject adds a rejection to the actions if a client waits.
 func (l *Lease) reject(actions []Action) []Action {
 	if !l.clientDone {
 		l.clientDone = true
@@ -111,15 +114,16 @@
 	return actions
 }
 
-// answer answers the client with the committed outcome.
-func (l *Lease) answer(v Outcome, result []byte) (actions []Action) {
+// answer returns the actions that answer the client, if one waits, with the committed outcome, and closes the lease.
+func (l *Lease) answer(outcome Outcome, result []byte) (actions []Action) {
 	if !l.clientDone {
 		l.clientDone = true
-		actions = append(actions, Action{Kind: Answer, Outcome: v, Result: result})
+		actions = append(actions, Action{Kind: Answer, Outcome: outcome, Result: result})
 	}
 	return l.close(actions)
 }
 
+// close adds Closed to the actions, once.
 func (l *Lease) close(actions []Action) []Action {
 	if l.phase != closed {
 		l.phase, l.pending = closed, nil
@@ -128,7 +132,8 @@
 	return actions
 }
 
-// awaitOwner waits for the outcome under another owner. An attempt in flight at a worker goes on.
+// awaitOwner lets the client, if one waits, wait for the outcome of another owner. Attempts in flight at workers
+// continue.
 func (l *Lease) awaitOwner(actions []Action) []Action {
 	if l.clientDone {
 		return l.close(actions)
@@ -137,7 +142,7 @@
 	return append(actions, Action{Kind: AwaitOwner})
 }
 
-// skipSend ends the attempt that waits for its intent.
+// skipSend ends the attempt that waits for its intent, if there is one.
 func (l *Lease) skipSend(actions []Action) []Action {
 	if l.pendingAttempt >= 0 {
 		actions = append(actions, Action{Kind: SkipSend, Attempt: l.pendingAttempt})
@@ -146,7 +151,7 @@
 	return actions
 }
 
-// HandleResponse takes the response to a command in. One to a command that is not pending any more changes nothing.
+// HandleResponse handles the response to a command. It ignores responses to commands that are no longer pending.
 func (l *Lease) HandleResponse(c *Command, r Response) (actions []Action) {
 	if c != l.pending || l.phase == closed {
 		return nil
@@ -180,21 +185,24 @@
 	return l.close(nil)
 }
 
-// HandleUnknownOutcome gives a command up that may or may not have been applied.
+// HandleUnknownOutcome gives up a pending command that may or may not have been applied, and may still be.
 func (l *Lease) HandleUnknownOutcome(c *Command) []Action {
 	if c != l.pending || l.phase == closed {
 		return nil
 	}
 	l.pending = nil
 	actions := l.skipSend(nil)
-	if c.Kind == IntendSend { // the module may try again, under another number: nothing has gone out, and this one may yet come in
+	if c.Kind == IntendSend {
+		// Nothing was sent, so the decision module may try again. The next intent needs another number, because this
+		// one may still be applied.
 		l.attempt = c.Attempt
 		return actions
 	}
 	return l.close(l.reject(actions))
 }
 
-// RequestSend asks for the decision module's next attempt, to a worker of a place (a zone or a cell).
+// RequestSend proposes the intent of the decision module's next attempt, to a worker of a place (a zone or a cell).
+// While another command is pending, or the lease is not running, it skips the attempt.
 func (l *Lease) RequestSend(attempt int, place uint32, now int64) []Action {
 	if l.phase != running || l.pending != nil {
 		return []Action{{Kind: SkipSend, Attempt: attempt}}
@@ -204,8 +212,8 @@
 		NothingRan: l.unprovenSends == 0})
 }
 
-// SendTimeLeft returns for how long from now, in ms, the send whose intent is committed may still begin. An owner whose
-// process was paused since then sends nothing.
+// SendTimeLeft returns for how many ms from now the send whose intent is committed may still begin. An owner whose
+// process was paused for longer than the send window sends nothing.
 func (l *Lease) SendTimeLeft(now int64) int64 {
 	if l.phase != running {
 		return 0
@@ -213,36 +221,38 @@
 	return max(l.intendedAt+l.sendWindow-now, 0)
 }
 
-// IsWaiting tells whether another owner has the job.
+// IsWaiting reports whether the client waits for the outcome of another owner.
 func (l *Lease) IsWaiting() bool { return l.phase == waiting }
 
-// AttemptEnded notes that an attempt has ended, and whether it is proved never to have run.
-func (l *Lease) AttemptEnded(never bool) {
-	if never {
+// AttemptEnded records the end of a granted attempt. neverRan means that it is proved that no worker ran it.
+func (l *Lease) AttemptEnded(neverRan bool) {
+	if neverRan {
 		l.unprovenSends--
 	}
 }
 
-// Finish takes the decision module's final answer: Served with a worker's result, Failed, or 0 for a rejection.
-func (l *Lease) Finish(v Outcome, result []byte, now int64) []Action {
-	ran := l.mayHaveRun || l.unprovenSends > 0
+// Finish handles the decision module's final answer: Served with a worker's result, Failed, or 0 for a rejection.
+// Without a client, a job that did not succeed is retried while enough time is left.
+func (l *Lease) Finish(outcome Outcome, result []byte, now int64) []Action {
+	jobMayHaveRun := l.mayHaveRun || l.unprovenSends > 0
 	switch {
 	case l.phase != running:
 		return nil
-	case v == Served || v == Failed && ran:
-		return l.finish(v, result, now)
+	case outcome == Served || outcome == Failed && jobMayHaveRun:
+		return l.finish(outcome, result, now)
 	case l.HasNoClient() && now < l.terms.Deadline-minRetryTimeMilliseconds:
 		return []Action{{Kind: Retry}}
-	case l.HasNoClient() && ran: // nobody will come for it with more time
+	case l.HasNoClient() && jobMayHaveRun: // no client will retry it with a later deadline
 		return l.finish(Failed, nil, now)
 	}
 	return append(l.reject(nil), l.release(now)...)
 }
 
-// minRetryTimeMilliseconds is the time, in ms, that is left at least when a job that was taken over is tried again.
+// minRetryTimeMilliseconds is the least time before the deadline, in ms, at which a job without a client is retried.
 const minRetryTimeMilliseconds = 300
 
-// HandleRecord takes in what a read of the record gave; found is false where the replica that was asked has none.
+// HandleRecord handles a record that was read for a waiting client. found is false if the queried replica has no
+// record.
 func (l *Lease) HandleRecord(r Record, found bool) []Action {
 	if l.phase == waiting && found && r.State == Ended {
 		return l.answer(r.Outcome, r.Result)
@@ -259,7 +269,7 @@
 	return actions
 }
 
-// ClientLeft notes that the client has left: there is nobody to be answered any more.
+// ClientLeft records that the client has left. A running job continues without a client; a waiting lease closes.
 func (l *Lease) ClientLeft() []Action {
 	l.clientDone = true
 	if l.phase == waiting {
--- a/internal/dispatcher/lease/snapshot.go
+++ b/internal/dispatcher/lease/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// snapshot is the form in which a table is copied whole. Form 1 is the first.
+// snapshot is the encoding of a whole table. Form is its version: 1.
 type snapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Form    int
@@ -15,7 +15,7 @@
 	Records []*Record
 }
 
-// Snapshot writes the whole table; equal tables give equal bytes.
+// Snapshot encodes the whole table. Equal tables give equal bytes.
 func (t *Table) Snapshot() ([]byte, error) {
 	s := snapshot{Form: 1, Last: t.lastEpoch}
 	for _, k := range sortedKeys(t.records) {
@@ -24,28 +24,28 @@
 	return cbor.Marshal(s)
 }
 
-// Restore puts a table in the place of what this one held. After an error it holds what it held before.
+// Restore replaces the content of the table by that of a snapshot. After an error the table is unchanged.
 func (t *Table) Restore(data []byte) error {
 	var s snapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
-		return fmt.Errorf("lease: snapshot: %w", err)
+		return fmt.Errorf("lease: decoding a snapshot: %w", err)
 	}
 	if s.Form != 1 {
-		return fmt.Errorf("lease: snapshot: form %d, and 1 is known", s.Form)
+		return fmt.Errorf("lease: snapshot has version %d, want 1", s.Form)
 	}
-	fresh := New()
-	fresh.lastEpoch = s.Last
+	restored := New()
+	restored.lastEpoch = s.Last
 	for _, r := range s.Records {
-		if r == nil || r.State < Owned || r.State > Ended || fresh.records[r.Key] != nil {
-			return errors.New("lease: snapshot: a record that cannot be")
+		if r == nil || r.State < Owned || r.State > Ended || restored.records[r.Key] != nil {
+			return errors.New("lease: snapshot has a missing, duplicate or invalid record")
 		}
-		fresh.records[r.Key] = r
+		restored.records[r.Key] = r
 		if r.State == Owned || r.State == SendIntended {
-			fresh.setOwner(r, r.Owner)
+			restored.setOwner(r, r.Owner)
 		} else {
-			fresh.scheduleExpiry(r)
+			restored.scheduleExpiry(r)
 		}
 	}
-	*t = *fresh
+	*t = *restored
 	return nil
 }
--- a/internal/dispatcher/lease/table.go
+++ b/internal/dispatcher/lease/table.go
@@ -1,11 +1,12 @@
-// Package lease decides what may be done with a durable job. Each placement group of dispatchers replicates one Table; a
-// quorum agrees on the order of its commands, and every replica applies them to the same records with the same responses. A
-// record is a lease on a job: one owner holds it under an epoch, a fencing token that rejects the commands of an owner that
-// was replaced. A Lease, with capital letter, is the holder's side of one record (lease.go).
+// Package lease keeps the leases on durable jobs. Each placement group of dispatchers replicates one Table: a quorum
+// agrees on the order of its commands, and every replica applies them with the same responses. A record of the table is
+// the lease on one job. One owner holds it under an epoch, a fencing token that rejects the commands of replaced
+// owners. The type Lease is the owner's side of one record (lease.go).
 //
-// Two owners never act under one epoch, an outcome never changes, and no send passes that the job's class forbids. The
-// package has no I/O, clock or goroutine: each command carries the time of the dispatcher that wrote it. It chooses no worker
-// and rejects no job for load, which the decision module does. docs/durable-jobs-design.md has the tables.
+// The package guarantees that two owners never act under the same epoch, that an outcome never changes, and that no
+// send is granted that the job's class forbids. It does no I/O and has no clock and no goroutine: each command carries
+// the time of the dispatcher that proposed it. It does not choose workers or reject jobs for load; the decision module
+// does. docs/durable-jobs-design.md has the tables of what an owner may do.
 //
 // Start reading at Table.Apply (table.go), then Lease.HandleResponse (lease.go).
 package lease
@@ -21,24 +22,25 @@
 type Table struct {
 	records     map[string]*Record
 	keysByOwner map[string]map[string]bool  // keys of open records, by owner
-	lastEpoch   uint64                      // the last epoch given; none is given twice, so that a late command of one does not count in another
-	expiries    priorityqueue.Queue[expiry] // when records may be removed; some of them have been acquired again since
+	lastEpoch   uint64                      // the last epoch assigned; never reused, so that late commands are fenced
+	expiries    priorityqueue.Queue[expiry] // removal times; stale for a record that was acquired again
 }
 
+// expiry is the time, in Unix ms, at which a record may be removed.
 type expiry struct {
 	at  int64
 	key string
 }
 
-// Before orders by time, then by key, so that the order is the same at all replicas whatever way they came to the set.
-func (d expiry) Before(other expiry) bool {
-	return d.at < other.at || d.at == other.at && d.key < other.key
+// Before orders by time, then by key. The order is the same on all replicas, also on one restored from a snapshot.
+func (e expiry) Before(other expiry) bool {
+	return e.at < other.at || e.at == other.at && e.key < other.key
 }
 
-// expiresAt is when a record that is over may go.
+// expiresAt returns the time, in Unix ms, at which a finished or released record may be removed.
 func (r *Record) expiresAt() int64 { return max(r.ChangedAt, r.Terms.Deadline) + r.Terms.Retention }
 
-// scheduleExpiry has a record removed after its retention.
+// scheduleExpiry schedules the removal of a finished or released record.
 func (t *Table) scheduleExpiry(r *Record) { t.expiries.Push(expiry{r.expiresAt(), r.Key}) }
 
 // New returns an empty table.
@@ -46,7 +48,7 @@
 	return &Table{records: map[string]*Record{}, keysByOwner: map[string]map[string]bool{}}
 }
 
-// Get returns the record of a key. One that is Ended is final; others may be behind the group's leader.
+// Get returns the record of a key. A record that is Ended is final; another may lag behind the group's leader.
 func (t *Table) Get(key string) (Record, bool) {
 	r := t.records[key]
 	if r == nil {
@@ -58,13 +60,13 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// Owned returns the keys of the open records that an owner holds, sorted.
+// Owned returns the sorted keys of the open records of an owner.
 func (t *Table) Owned(owner string) []string { return sortedKeys(t.keysByOwner[owner]) }
 
-// Owners returns the owners that hold open records, sorted.
+// Owners returns the sorted owners of open records.
 func (t *Table) Owners() []string { return sortedKeys(t.keysByOwner) }
 
-// ForEach calls f with each record, in order of the keys, until it returns false.
+// ForEach calls f with each record, sorted by key, until f returns false.
 func (t *Table) ForEach(f func(*Record) bool) {
 	for _, k := range sortedKeys(t.records) {
 		if !f(t.records[k]) {
@@ -82,7 +84,7 @@
 	return out
 }
 
-// setOwner gives a record to an owner, or to nobody where it is empty.
+// setOwner changes the owner of a record. An empty owner means none.
 func (t *Table) setOwner(r *Record, owner string) {
 	if keys := t.keysByOwner[r.Owner]; keys != nil {
 		if delete(keys, r.Key); len(keys) == 0 {
@@ -97,7 +99,7 @@
 	}
 }
 
-// beginEpoch begins another epoch of a record, and remembers what the one before may have run.
+// beginEpoch gives a record to an owner under a new epoch. It remembers the first send that may have run before.
 func (t *Table) beginEpoch(r *Record, owner string, now int64) {
 	t.setOwner(r, owner)
 	t.lastEpoch++
@@ -105,18 +107,20 @@
 	r.Epoch, r.Attempt, r.State, r.ChangedAt = t.lastEpoch, 0, Owned, now
 }
 
-// finish gives a record its outcome, and drops the job, which is not needed any more.
-func (t *Table) finish(r *Record, v Outcome, result []byte, now int64) {
+// finish sets the outcome of a record. It drops the job, which will not be sent any more.
+func (t *Table) finish(r *Record, outcome Outcome, result []byte, now int64) {
 	t.setOwner(r, "")
-	r.State, r.Outcome, r.Result, r.Job, r.ChangedAt = Ended, v, result, nil, now
+	r.State, r.Outcome, r.Result, r.Job, r.ChangedAt = Ended, outcome, result, nil, now
 	t.scheduleExpiry(r)
 }
 
+// finishedResponse returns the response to a command for a finished record.
 func (r *Record) finishedResponse() Response {
 	return Response{Decision: AlreadyFinished, Epoch: r.Epoch, Outcome: r.Outcome, Result: r.Result}
 }
 
-// Apply applies the next command. The same commands in the same order lead to the same responses at every replica.
+// Apply applies the next command of the log. The same commands in the same order give the same responses on every
+// replica.
 func (t *Table) Apply(c *Command) Response {
 	switch c.Kind {
 	case Acquire:
@@ -131,7 +135,7 @@
 	case r == nil:
 		return Response{Decision: Fenced}
 	case r.State == Ended && r.Epoch == c.Epoch && c.Kind == Finish && r.Outcome == c.Outcome && bytes.Equal(r.Result, c.Result):
-		return Response{Decision: Granted, Epoch: r.Epoch} // the same command once more
+		return Response{Decision: Granted, Epoch: r.Epoch} // a repetition of the same command
 	case r.State == Ended:
 		return r.finishedResponse()
 	case r.Owner != c.Owner || r.Epoch != c.Epoch:
@@ -148,7 +152,7 @@
 			r.FirstSendAt = 0
 		}
 		epoch := r.Epoch
-		if t.setOwner(r, ""); r.earliestSendAt() == 0 { // it never ran: as if it had never been taken
+		if t.setOwner(r, ""); r.earliestSendAt() == 0 { // the job never ran: forget it
 			delete(t.records, r.Key)
 		} else {
 			r.State, r.ChangedAt = Released, c.Time
@@ -159,6 +163,7 @@
 	return Response{Decision: Forbidden}
 }
 
+// acquire gives the lease on a new or released job to an owner. A released job that may not be sent again is finished.
 func (t *Table) acquire(c *Command) Response {
 	r := t.records[c.Key]
 	switch {
@@ -171,12 +176,14 @@
 		return Response{Decision: Granted, Epoch: r.Epoch}
 	case r.State == Ended:
 		return r.finishedResponse()
-	case r.State != Released && r.Owner == c.Owner && r.Terms.RequestID == c.Terms.RequestID: // the same command once more
+	case r.State != Released && r.Owner == c.Owner && r.Terms.RequestID == c.Terms.RequestID:
+		// A repetition of the same command.
 		return Response{Decision: Granted, Epoch: r.Epoch, MayHaveRun: r.EarlierSendAt != 0}
 	case r.State != Released:
 		return Response{Decision: OwnedElsewhere, Epoch: r.Epoch}
 	}
-	// Its client comes again. He waits longer now; what the class allows after the first send stays as it was.
+	// The client retries a released job. Its later deadline counts; the other terms stay as they were at the first
+	// Acquire.
 	r.Terms.Deadline, r.Terms.RequestID = max(r.Terms.Deadline, c.Terms.Deadline), c.Terms.RequestID
 	if r.IsBeyondRetry(c.Time) {
 		t.finish(r, Failed, nil, c.Time)
@@ -187,15 +194,16 @@
 	return Response{Decision: Granted, Epoch: r.Epoch, MayHaveRun: true}
 }
 
-// intendSend allows or forbids a send: every send of every owner passes here.
+// intendSend grants or forbids a send. Every send of every owner needs this grant.
 func (t *Table) intendSend(r *Record, c *Command) Response {
-	if c.Attempt == r.Attempt && r.State == SendIntended { // the same command once more
+	if c.Attempt == r.Attempt && r.State == SendIntended { // a repetition of the same command
 		return Response{Decision: Granted, Epoch: r.Epoch}
 	}
 	if c.NothingRan && c.Attempt > r.Attempt {
 		r.FirstSendAt = 0
 	}
-	if c.Attempt <= r.Attempt || !r.MaySend(c.Time, c.Place) { // one in between may have been given up on its way
+	// Attempt numbers may have gaps: the owner may have given up an intent before it was applied.
+	if c.Attempt <= r.Attempt || !r.MaySend(c.Time, c.Place) {
 		return Response{Decision: Forbidden, Epoch: r.Epoch}
 	}
 	if r.earliestSendAt() == 0 {
@@ -208,11 +216,12 @@
 	return Response{Decision: Granted, Epoch: r.Epoch}
 }
 
-// takeOverDelayMilliseconds is how long after its client's deadline, in ms, a record may be open before any dispatcher may finish it.
+// takeOverDelayMilliseconds is the time after the client's deadline, in ms, after which an open record is overdue and
+// may be taken over from an owner that has not failed.
 const takeOverDelayMilliseconds = 5000
 
-// takeOver gives the records of a failed owner to another, some at a time; without a name, those that their owner has not
-// finished in time.
+// takeOver gives records of a failed owner to another, at most Limit. Without PreviousOwner it gives the overdue
+// records of all owners.
 func (t *Table) takeOver(c *Command) Response {
 	out := Response{Decision: Done}
 	owners := []string{c.PreviousOwner}
@@ -236,20 +245,20 @@
 	return out
 }
 
-// expire removes finished and released records past their retention. Released ones stay as long as finished ones: their
-// history prevents a second run.
+// expire removes finished and released records past their retention, at most Limit. Released records are kept as long
+// as finished ones, because their history prevents a second run.
 func (t *Table) expire(c *Command) Response {
 	out := Response{Decision: Done}
 	for len(t.expiries) > 0 && t.expiries[0].at <= c.Time {
-		d := t.expiries[0]
-		r := t.records[d.key]
-		over := r != nil && (r.State == Ended || r.State == Released) && r.expiresAt() == d.at
-		if over && out.Moved >= c.Limit {
+		next := t.expiries[0]
+		r := t.records[next.key]
+		isExpired := r != nil && (r.State == Ended || r.State == Released) && r.expiresAt() == next.at
+		if isExpired && out.Moved >= c.Limit {
 			out.More = true
 			break
 		}
-		if t.expiries.Pop(); over {
-			delete(t.records, d.key)
+		if t.expiries.Pop(); isExpired {
+			delete(t.records, next.key)
 			out.Moved++
 		}
 	}
