--- a/internal/dispatcher/lease/command.go
+++ b/internal/dispatcher/lease/command.go
@@ -31,7 +31,7 @@
 	Job           []byte // Acquire: the encoded job, for another owner to run it
 	Attempt       uint32 // IntendSend: number of the attempt, from 1 in each epoch
 	Place         uint32 // IntendSend: the zone or cell of the worker, within which workers detect duplicates
-	NothingRan    bool   // IntendSend, Release: no earlier send of this epoch has run at a worker
+	NothingRan    bool   // IntendSend, Release: it is proved that no earlier send of this epoch has run
 	Outcome       Outcome
 	Result        []byte
 	PreviousOwner string // TakeOver: the failed owner; empty: the owners of overdue records
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -89,11 +89,13 @@
 	return []Action{{Kind: Propose, Command: c}}
 }
 
+// finish proposes the outcome.
 func (l *Lease) finish(outcome Outcome, result []byte, now int64) []Action {
 	l.phase = finishing
 	return l.propose(&Command{Kind: Finish, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, Outcome: outcome, Result: result})
 }
 
+// release proposes to release the lease without an outcome.
 func (l *Lease) release(now int64) []Action {
 	l.phase = finishing
 	return l.propose(&Command{Kind: Release, Key: l.Key, Owner: l.owner, Epoch: l.Epoch, Time: now, NothingRan: l.unprovenSends == 0})
@@ -102,7 +104,7 @@
 // Job returns the encoded job.
 func (l *Lease) Job() []byte { return l.job }
 
-// HasNoClient tells whether no client waits here for the answer.
+// HasNoClient reports whether no client waits for the answer: it has been answered, has left, or never was here.
 func (l *Lease) HasNoClient() bool { return l.clientDone }
 
 // reject adds a rejection to the actions if a client waits.
@@ -260,7 +262,7 @@
 	return nil
 }
 
-// ClientTimedOut ends the wait of the client. What the replicas have to be told goes on.
+// ClientTimedOut rejects a client whose deadline has passed. A pending Finish or Release is still proposed.
 func (l *Lease) ClientTimedOut() []Action {
 	actions := l.reject(nil)
 	if l.phase == waiting || l.phase == acquiring {
