--- a/internal/dispatcher/durablejobs/golden_test.go
+++ b/internal/dispatcher/durablejobs/golden_test.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/dispatcher/lease"
 )
 
-// TestGoldenBytes holds what travels between dispatchers, of this version and of others, against recorded bytes.
+// TestGoldenBytes guards against changes of the encodings that dispatchers of different versions exchange.
 func TestGoldenBytes(t *testing.T) {
 	stored := storedJob{
 		ID: "a1", Key: "k1", Target: "/enrol?x=1", Header: []dispatch.HeaderField{{Name: "X-One", Value: "1"}, {Name: "X-Two", Value: "2"}}, Body: []byte("body"),
@@ -25,8 +25,8 @@
 	}{
 		{"stored job", encode(stored), "8b626131626b316a2f656e726f6c3f783d3182a2644e616d6565582d4f6e656556616c75656131a2644e616d6565582d54776f6556616c7565613244626f647965656e726f6c627431184df5fb4000000000000000fb3fe0000000000000"},
 		{"greeting", frame(greetingFrameKind, encode(greeting)), "0000000d018601626e31091a075bcd1505f5"},
-		{"frame of a group", frame(replicaFrameKind, []byte("raft")), "000000040272616674"},
-		{"answer of a query", encode(answer), "82f58d68656e726f6c2f6b3104646e312e33048600f400000000f6000000000000426f6b"},
+		{"replica frame", frame(replicaFrameKind, []byte("raft")), "000000040272616674"},
+		{"answer to a query", encode(answer), "82f58d68656e726f6c2f6b3104646e312e33048600f400000000f6000000000000426f6b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, hex.EncodeToString(test.got), test.want)
--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -1,4 +1,4 @@
-// Durable jobs from their submission to their end.
+// The life of a durable job, from its submission to its outcome.
 
 package durablejobs
 
@@ -17,7 +17,7 @@
 	"gladepick/internal/dispatcher/lease"
 )
 
-// storedJob is what is replicated of a job, so that another dispatcher can run it.
+// storedJob is the replicated form of a job, from which another dispatcher can run it.
 type storedJob struct {
 	_               struct{} `cbor:",toarray"`
 	ID, Key, Target string
@@ -29,29 +29,31 @@
 	Slots, Memory   float64
 }
 
-// entry is a lease of this dispatcher with what belongs to it here.
+// entry is a lease of this dispatcher with the jobs and attempts that belong to it. Only Run's goroutine accesses it,
+// except sendBy.
 type entry struct {
 	lease       *lease.Lease
-	clientJob   *dispatch.Job // nil: no client waits here
-	innerJob    *dispatch.Job // the one that the core has
+	clientJob   *dispatch.Job // of the waiting client; nil: none
+	innerJob    *dispatch.Job // as submitted to the core
 	id          string
 	group       int
 	deadline    time.Duration
-	requested   map[int]requestedSend // attempts whose intents are proposed
-	granted     map[int]bool          // attempts whose intents are committed
-	sendBy      atomic.Int64          // on the manager's clock; 0: nothing may be sent
+	requested   map[int]requestedSend // attempts whose intents are proposed, by number
+	granted     map[int]bool          // attempts whose intents are committed, by number
+	sendBy      atomic.Int64          // manager's time in ns at which the permission to send ends; 0: none
 	nextQueryAt time.Duration
 	queryToken  uint64
 	isClosed    bool
 }
 
-// requestedSend is an attempt that waits for its intent, and the transport that is to send it.
+// requestedSend is an attempt that waits for its intent to be committed, and the transport that will send it.
 type requestedSend struct {
 	*dispatch.Attempt
 	transport dispatch.Transport
 }
 
-// Submit hands a job to the core: at once, or after it is durable. It is the fronts' Submitter.
+// Submit accepts a job from a front end. A durable job goes to the core once its lease is committed, any other at once.
+// Submit returns ErrNotReady, or the core's error, if the job is not accepted.
 func (m *Manager) Submit(j *dispatch.Job) error {
 	<-m.started
 	if !m.isDurable(j.Class) {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// Abandon passes on that the client has left. A durable job goes on.
+// Abandon handles a client that has left. A durable job continues.
 func (m *Manager) Abandon(j *dispatch.Job) {
 	if !m.isDurable(j.Class) {
 		m.core.Abandon(j)
@@ -84,66 +86,68 @@
 	})
 }
 
-func (m *Manager) acquire(j *dispatch.Job) {
+// acquire begins the lease of a client's job.
+func (m *Manager) acquire(job *dispatch.Job) {
 	m.crashPoint("before-take")
-	class := &m.node.Module.Classes[j.Class]
-	now, key := m.wall(), m.node.Classes[j.Class]+"/"+j.IdempotencyKey
-	room := min(m.limits.LeaseReserve, j.Timeout/4)
-	left := j.Timeout - room
+	class := &m.node.Module.Classes[job.Class]
+	now, key := m.unixMs(), m.node.Classes[job.Class]+"/"+job.IdempotencyKey
+	reserve := min(m.limits.LeaseReserve, job.Timeout/4)
+	timeLeft := job.Timeout - reserve
 	terms := lease.Terms{RetryWindow: (class.DedupWindow - class.DedupWindow*3/10 - m.options.MaxClockSkew).Milliseconds(), SamePlaceOnly: class.DedupScope != decision.DedupByAll,
-		Deadline: now + left.Milliseconds(), Retention: m.options.Retention.Milliseconds(), MaxRecords: max(m.options.MaxJobs/max(m.replicas.Groups(), 1), 1), RequestID: xxhash.Sum64String(j.ID)}
+		Deadline: now + timeLeft.Milliseconds(), Retention: m.options.Retention.Milliseconds(), MaxRecords: max(m.options.MaxJobs/max(m.replicas.Groups(), 1), 1), RequestID: xxhash.Sum64String(job.ID)}
 	tenant := ""
-	if j.Tenant >= 0 && j.Tenant < len(m.node.Tenants) {
-		tenant = m.node.Tenants[j.Tenant]
+	if job.Tenant >= 0 && job.Tenant < len(m.node.Tenants) {
+		tenant = m.node.Tenants[job.Tenant]
 	}
-	body := encode(storedJob{ID: j.ID, Key: j.IdempotencyKey, Target: j.Target, Header: j.Header, Body: j.Body, Class: m.node.Classes[j.Class], Tenant: tenant, AffinityKey: j.AffinityKey,
-		Retry: j.Retry, Slots: j.Slots, Memory: j.Memory})
-	e := &entry{clientJob: j, id: j.ID, deadline: m.now() + left}
-	h, acts := lease.Begin(key, m.owner(), terms, m.sendWindow(class), body, now)
-	m.add(e, h)
-	m.carryOutLease(e, acts)
+	stored := encode(storedJob{ID: job.ID, Key: job.IdempotencyKey, Target: job.Target, Header: job.Header, Body: job.Body, Class: m.node.Classes[job.Class], Tenant: tenant, AffinityKey: job.AffinityKey,
+		Retry: job.Retry, Slots: job.Slots, Memory: job.Memory})
+	newEntry := &entry{clientJob: job, id: job.ID, deadline: m.now() + timeLeft}
+	newLease, actions := lease.Begin(key, m.owner(), terms, m.sendWindow(class), stored, now)
+	m.add(newEntry, newLease)
+	m.carryOutLease(newEntry, actions)
 }
 
-// sendWindow returns for how long after its intent a send may begin, in ms: what the class's window leaves above
-// Terms.RetryWindow.
+// sendWindow returns for how many ms after its intent a send of a class may begin. Terms.RetryWindow leaves at least
+// this much of the class's dedup window unused.
 func (m *Manager) sendWindow(class *decision.ClassSettings) int64 {
 	return max((class.DedupWindow/5 - m.options.MaxClockSkew/2).Milliseconds(), 20)
 }
 
-func (m *Manager) add(e *entry, h *lease.Lease) {
-	e.lease, e.group = h, m.replicas.GroupOf(h.Key)
+// add registers an entry with its lease.
+func (m *Manager) add(e *entry, newLease *lease.Lease) {
+	e.lease, e.group = newLease, m.replicas.GroupOf(newLease.Key)
 	e.requested, e.granted = map[int]requestedSend{}, map[int]bool{}
 	m.entries[e] = true
 	if e.clientJob != nil {
 		m.entryByClientJob[e.clientJob] = e
 	}
-	m.entriesByKey[h.Key] = append(m.entriesByKey[h.Key], e)
+	m.entriesByKey[newLease.Key] = append(m.entriesByKey[newLease.Key], e)
 }
 
-// carryOutLease carries out the actions of a lease.
-func (m *Manager) carryOutLease(e *entry, acts []lease.Action) {
-	for _, a := range acts {
-		switch a.Kind {
+// carryOutLease carries out the actions of an entry's lease.
+func (m *Manager) carryOutLease(e *entry, actions []lease.Action) {
+	for _, action := range actions {
+		switch action.Kind {
 		case lease.Propose:
-			m.proposeFor(e, a.Command)
+			m.proposeFor(e, action.Command)
 		case lease.Admit:
 			m.logEvent(map[string]any{"act": "take", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "owner": m.owner()})
 			m.crashPoint("taken")
 			m.admit(e)
 		case lease.Send:
-			m.sendGranted(e, a.Attempt)
+			m.sendGranted(e, action.Attempt)
 		case lease.SkipSend:
-			if t, ok := e.requested[a.Attempt]; ok {
-				delete(e.requested, a.Attempt)
-				t.End(decision.NeverSent, decision.Load{}, nil)
+			if send, ok := e.requested[action.Attempt]; ok {
+				delete(e.requested, action.Attempt)
+				send.End(decision.NeverSent, decision.Load{}, nil)
 			}
 		case lease.Answer:
-			verdict := dispatch.Served
-			if a.Outcome != lease.Served {
-				verdict = dispatch.Failed
+			kind := dispatch.Served
+			if action.Outcome != lease.Served {
+				kind = dispatch.Failed
 			}
-			m.logEvent(map[string]any{"act": "tell", "key": e.lease.Key, "id": e.id, "served": a.Outcome == lease.Served, "result": string(a.Result)})
-			m.reply(e, dispatch.Answer{Kind: verdict, Result: a.Result})
+			m.logEvent(map[string]any{"act": "tell", "key": e.lease.Key, "id": e.id, "served": action.Outcome == lease.Served, "result": string(action.Result)})
+			m.reply(e, dispatch.Answer{Kind: kind, Result: action.Result})
 			m.crashPoint("told")
 		case lease.Reject:
 			m.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: m.limits.RetryAfter})
@@ -164,13 +168,14 @@
 	}
 }
 
+// reply answers the client of an entry, if one waits.
 func (m *Manager) reply(e *entry, a dispatch.Answer) {
 	if j := m.takeClient(e); j != nil {
 		j.Reply(a)
 	}
 }
 
-// takeClient takes the client's job off an entry.
+// takeClient removes and returns the client's job of an entry, or nil.
 func (m *Manager) takeClient(e *entry) *dispatch.Job {
 	j := e.clientJob
 	delete(m.entryByClientJob, j)
@@ -178,16 +183,17 @@
 	return j
 }
 
-// drop forgets an entry. An attempt of it that the core has goes on without anybody to answer.
+// drop removes an entry, ends its requested attempts and rejects its client, if one waits. An attempt that
+// the core already has continues, and its result is ignored.
 func (m *Manager) drop(e *entry) {
 	if e.isClosed {
 		return
 	}
 	e.isClosed = true
 	e.sendBy.Store(0)
-	for n, t := range e.requested {
+	for n, send := range e.requested {
 		delete(e.requested, n)
-		t.End(decision.NeverSent, decision.Load{}, nil)
+		send.End(decision.NeverSent, decision.Load{}, nil)
 	}
 	if e.queryToken != 0 {
 		m.replicas.Cancel(e.queryToken)
@@ -196,108 +202,109 @@
 	m.reply(e, dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: m.limits.RetryAfter})
 	delete(m.entries, e)
 	delete(m.entryByInnerJob, e.innerJob)
-	m.entriesByKey[e.lease.Key] = slices.DeleteFunc(m.entriesByKey[e.lease.Key], func(x *entry) bool { return x == e })
+	m.entriesByKey[e.lease.Key] = slices.DeleteFunc(m.entriesByKey[e.lease.Key], func(other *entry) bool { return other == e })
 	if len(m.entriesByKey[e.lease.Key]) == 0 {
 		delete(m.entriesByKey, e.lease.Key)
 	}
 	m.openJobs.Add(-1)
 }
 
-// proposeFor proposes a command of a lease. An outcome is proposed for some time longer than any client waits.
-func (m *Manager) proposeFor(e *entry, c *lease.Command) {
+// proposeFor proposes a command of a lease until the deadline of the job. Finish and Release are proposed for
+// Limits.LeaseNotifyWindow longer.
+func (m *Manager) proposeFor(e *entry, command *lease.Command) {
 	until := e.deadline
-	switch c.Kind {
+	switch command.Kind {
 	case lease.IntendSend:
 		m.crashPoint("before-intent")
 	case lease.Finish, lease.Release:
 		until = max(e.deadline, m.now()) + m.limits.LeaseNotifyWindow
 	}
-	m.propose(e.group, c, max(until, m.now()+m.limits.LeaseReserve), func(r lease.Response, err error) {
+	m.propose(e.group, command, max(until, m.now()+m.limits.LeaseReserve), func(response lease.Response, err error) {
 		if e.isClosed {
 			return
 		}
 		if err != nil {
-			m.carryOutLease(e, e.lease.HandleUnknownOutcome(c))
+			m.carryOutLease(e, e.lease.HandleUnknownOutcome(command))
 			return
 		}
 		switch {
-		case r.Decision == lease.Fenced:
+		case response.Decision == lease.Fenced:
 			m.Counters.Fenced.Add(1)
-		case r.Decision == lease.Forbidden:
+		case response.Decision == lease.Forbidden:
 			m.Counters.Forbidden.Add(1)
-		case r.Decision == lease.Granted && c.Kind == lease.Acquire:
+		case response.Decision == lease.Granted && command.Kind == lease.Acquire:
 			m.Counters.Acquired.Add(1)
-		case r.Decision == lease.OwnedElsewhere:
+		case response.Decision == lease.OwnedElsewhere:
 			m.Counters.OwnedElsewhere.Add(1)
-		case r.Decision == lease.AlreadyFinished && c.Kind == lease.Acquire:
+		case response.Decision == lease.AlreadyFinished && command.Kind == lease.Acquire:
 			m.Counters.AlreadyFinished.Add(1)
-		case r.Decision == lease.Granted && c.Kind == lease.IntendSend:
-			m.logEvent(map[string]any{"act": "intent", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "attempt": c.Attempt, "owner": m.owner()})
+		case response.Decision == lease.Granted && command.Kind == lease.IntendSend:
+			m.logEvent(map[string]any{"act": "intent", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "attempt": command.Attempt, "owner": m.owner()})
 			m.crashPoint("intended")
-		case r.Decision == lease.Granted && c.Kind == lease.Finish:
-			m.logEvent(map[string]any{"act": "end", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "served": c.Outcome == lease.Served, "result": string(c.Result)})
+		case response.Decision == lease.Granted && command.Kind == lease.Finish:
+			m.logEvent(map[string]any{"act": "end", "key": e.lease.Key, "id": e.id, "epoch": e.lease.Epoch, "served": command.Outcome == lease.Served, "result": string(command.Result)})
 			m.crashPoint("ended")
 		}
-		m.carryOutLease(e, e.lease.HandleResponse(c, r))
+		m.carryOutLease(e, e.lease.HandleResponse(command, response))
 	})
 }
 
-// admit hands a job to the core.
+// admit submits a job to the core.
 func (m *Manager) admit(e *entry) {
-	var j storedJob
-	if err := cbor.Unmarshal(e.lease.Job(), &j); err != nil {
-		slog.Error("a promise that cannot be read", "key", e.lease.Key, "error", err)
-		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
+	var stored storedJob
+	if err := cbor.Unmarshal(e.lease.Job(), &stored); err != nil {
+		slog.Error("cannot decode a durable job", "key", e.lease.Key, "error", err)
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.unixMs()))
 		return
 	}
-	e.id = j.ID
-	left := e.deadline - m.now()
-	inner := &dispatch.Job{ID: j.ID, IdempotencyKey: j.Key, Target: j.Target, Header: j.Header, Body: j.Body, Class: config.Index(m.node.Classes, j.Class),
-		Tenant: config.Index(m.node.Tenants, j.Tenant), AffinityKey: j.AffinityKey, Retry: j.Retry, Slots: j.Slots, Memory: j.Memory,
-		Timeout: left - min(m.limits.LeaseReserve, left/4)}
+	e.id = stored.ID
+	timeLeft := e.deadline - m.now()
+	inner := &dispatch.Job{ID: stored.ID, IdempotencyKey: stored.Key, Target: stored.Target, Header: stored.Header, Body: stored.Body, Class: config.Index(m.node.Classes, stored.Class),
+		Tenant: config.Index(m.node.Tenants, stored.Tenant), AffinityKey: stored.AffinityKey, Retry: stored.Retry, Slots: stored.Slots, Memory: stored.Memory,
+		Timeout: timeLeft - min(m.limits.LeaseReserve, timeLeft/4)}
 	if inner.Class < 0 || inner.Tenant < 0 && len(m.node.Tenants) > 0 || inner.Timeout <= 0 {
-		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.unixMs()))
 		return
 	}
 	inner.MayStart = func() bool { return int64(m.now()) < e.sendBy.Load() }
-	inner.OnAttemptEnd = func(a *dispatch.Attempt, o decision.Outcome) {
-		never := o == decision.Rejected && !m.node.Module.RejectionUnproven || o == decision.ConnectFailed || o == decision.NeverSent
-		n := a.Number()
+	inner.OnAttemptEnd = func(a *dispatch.Attempt, outcome decision.Outcome) {
+		neverRan := outcome == decision.Rejected && !m.node.Module.RejectionUnproven || outcome == decision.ConnectFailed || outcome == decision.NeverSent
+		number := a.Number()
 		m.post(func() {
-			if delete(e.requested, n); e.granted[n] && e.innerJob == inner {
-				delete(e.granted, n)
-				e.lease.AttemptEnded(never)
+			if delete(e.requested, number); e.granted[number] && e.innerJob == inner {
+				delete(e.granted, number)
+				e.lease.AttemptEnded(neverRan)
 			}
 		})
 	}
 	inner.Reply = func(a dispatch.Answer) {
-		verdict := map[dispatch.AnswerKind]lease.Outcome{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
+		leaseOutcome := map[dispatch.AnswerKind]lease.Outcome{dispatch.Served: lease.Served, dispatch.Failed: lease.Failed}[a.Kind]
 		m.post(func() {
 			if e.innerJob == inner && !e.isClosed {
 				m.crashPoint("worked")
-				m.carryOutLease(e, e.lease.Finish(verdict, a.Result, m.wall()))
+				m.carryOutLease(e, e.lease.Finish(leaseOutcome, a.Result, m.unixMs()))
 			}
 		})
 	}
 	delete(m.entryByInnerJob, e.innerJob)
 	e.innerJob, m.entryByInnerJob[inner] = inner, e
-	clear(e.granted) // its attempts count from 0 again: a grant of an earlier inner job is none of its own
+	clear(e.granted) // attempt numbers start from 0 again; grants of an earlier inner job do not apply
 	if err := m.core.Submit(inner); err != nil {
-		m.carryOutLease(e, e.lease.Finish(0, nil, m.wall()))
+		m.carryOutLease(e, e.lease.Finish(0, nil, m.unixMs()))
 	}
 }
 
-// queryRecord reads the record of a job that another dispatcher holds.
+// queryRecord reads the record of a job whose lease another owner has, and passes it to the lease.
 func (m *Manager) queryRecord(e *entry) {
-	token, acts := m.replicas.Query(m.now(), e.group, []byte(e.lease.Key), min(e.deadline, m.now()+time.Second))
+	token, actions := m.replicas.Query(m.now(), e.group, []byte(e.lease.Key), min(e.deadline, m.now()+time.Second))
 	e.queryToken = token
 	m.callbacks[token] = func(data []byte, err error) {
 		e.queryToken = 0
-		var s queryAnswer
-		if err != nil || e.isClosed || cbor.Unmarshal(data, &s) != nil {
+		var answer queryAnswer
+		if err != nil || e.isClosed || cbor.Unmarshal(data, &answer) != nil {
 			return
 		}
-		m.carryOutLease(e, e.lease.HandleRecord(s.Record, s.Found))
+		m.carryOutLease(e, e.lease.HandleRecord(answer.Record, answer.Found))
 	}
-	m.carryOut(acts)
+	m.carryOut(actions)
 }
--- a/internal/dispatcher/durablejobs/manager.go
+++ b/internal/dispatcher/durablejobs/manager.go
@@ -1,13 +1,15 @@
-// Package durablejobs makes jobs with a key outlive the dispatcher that took them. It stands between the fronts and the core,
-// and between the core and the transports: a job reaches the core once its lease is committed by a quorum of replicas, an
-// attempt reaches a worker once its intent is, and a client gets an outcome once that is.
+// Package durablejobs makes jobs with an idempotency key survive the failure of the dispatcher that accepted them. It
+// sits between the front ends and the core, and between the core and the transports. A job reaches the core after a
+// quorum of replicas has committed its lease, an attempt reaches a worker after its intent is committed, and a client
+// gets an outcome after the outcome is committed.
 //
-// A Manager's goroutine (Run) owns the leases of this dispatcher (package lease) and its replicas (package raftgroup); other
-// goroutines reach them by post alone. peers.go has the connections to other dispatchers, with two goroutines each that end
-// with Run's context. Which worker takes a job, and whether it is admitted, is the decision module's decision; what a class
-// allows is the lease tables'.
+// The goroutine of Manager.Run owns the leases of this dispatcher (package lease) and its replicas (package raftgroup).
+// Other goroutines access them only through Manager.post. peers.go has the connections to other dispatchers; each has
+// two goroutines, which end with Run's context. The decision module admits jobs and chooses workers; the lease tables
+// decide what the class of a job allows.
 //
-// Start reading at Manager.Submit and Manager.acquire (jobs.go); takeover.go takes over from dispatchers that have failed.
+// Start reading at Manager.Submit and Manager.acquire (jobs.go); takeover.go takes over from dispatchers that have
+// failed.
 package durablejobs
 
 import (
@@ -32,33 +34,34 @@
 	"gladepick/internal/dispatcher/raftgroup"
 )
 
-// Membership tells which dispatchers take part.
+// Membership provides the current view of the dispatchers, and this dispatcher's incarnation in it.
 type Membership interface {
-	View(context.Context) (v membership.View, life uint64, joined, quorum bool)
+	View(context.Context) (view membership.View, incarnation uint64, joined, quorum bool)
 }
 
-// ErrNotReady is the error of Submit while no job can be made durable: without a quorum, an assignment of the replicas, or room.
-var ErrNotReady = errors.New("nothing can be promised now")
+// ErrNotReady is returned by Submit while no durable job can be accepted: without a quorum or an assignment of the
+// replicas, or with Limits.OpenJobs jobs open.
+var ErrNotReady = errors.New("durable jobs are not available now")
 
-// Counters count since the start of the process.
+// Counters count events since the start of the process.
 type Counters struct {
-	Acquired        atomic.Int64 // leases that this dispatcher got
-	OwnedElsewhere  atomic.Int64 // jobs that another dispatcher or attempt held already
-	AlreadyFinished atomic.Int64 // answered with an outcome that was committed before
-	Rejected        atomic.Int64 // without a quorum, an assignment or room
-	TakenOver       atomic.Int64 // taken over from failed dispatchers
-	Fenced          atomic.Int64 // lost to another dispatcher
-	Forbidden       atomic.Int64 // sends that the job's class forbade
-	UnknownOutcome  atomic.Int64 // commands without an answer of a quorum in time
-	Dropped         atomic.Int64 // frames without room in a queue or without a connection
+	Acquired        atomic.Int64 // leases that this dispatcher acquired
+	OwnedElsewhere  atomic.Int64 // commands for a job whose lease another dispatcher or request had
+	AlreadyFinished atomic.Int64 // requests for a job whose outcome was already committed
+	Rejected        atomic.Int64 // requests rejected with ErrNotReady
+	TakenOver       atomic.Int64 // leases taken over from failed dispatchers
+	Fenced          atomic.Int64 // commands rejected because another dispatcher has the lease
+	Forbidden       atomic.Int64 // commands that the lease table forbade, such as sends outside the terms
+	UnknownOutcome  atomic.Int64 // commands without a valid response before their deadline
+	Dropped         atomic.Int64 // frames dropped: queue full, no connection, too large or unknown peer
 }
 
-// Manager is one dispatcher's part in durable jobs. Make it with New, then call Run.
+// Manager runs the durable jobs of one dispatcher. Create it with New, then call Run.
 type Manager struct {
 	Counters Counters
 
 	core    *dispatch.Core
-	started chan struct{} // closed once the core is known
+	started chan struct{} // closed once Run has set core
 
 	node      *config.Node
 	options   *config.DurableJobs
@@ -67,13 +70,13 @@
 	replicas  *raftgroup.Node
 	links     *peerLinks
 	startedAt time.Time
-	ended     chan struct{}
+	ended     chan struct{} // closed when Run returns
 
 	mu    sync.Mutex
 	queue []func()
 	wake  chan struct{}
 
-	// Owned by Run's goroutine:
+	// Only Run's goroutine accesses these, except the atomic ones:
 	entries          map[*entry]bool
 	entryByInnerJob  map[*dispatch.Job]*entry
 	entryByClientJob map[*dispatch.Job]*entry
@@ -81,7 +84,7 @@
 	callbacks        map[uint64]func([]byte, error)
 	incarnation      uint64
 	view             membership.View
-	missingSince     map[string]time.Duration // owners that are not in the view, since when
+	missingSince     map[string]time.Duration // time at which an owner of open records was first missing from the view
 	takingOver       map[int]bool
 	expiredAt        time.Duration
 	events           *transport.EventLog
@@ -91,40 +94,40 @@
 	openJobs         atomic.Int64
 }
 
-// New makes a manager, and opens its socket.
+// New returns a manager with an open listener for the connections of other dispatchers.
 func New(n *config.Node, members Membership) (*Manager, error) {
-	c := n.DurableJobs
-	m := &Manager{node: n, options: c, limits: n.Limits, members: members, startedAt: time.Now(), ended: make(chan struct{}), started: make(chan struct{}), wake: make(chan struct{}, 1),
+	settings := n.DurableJobs
+	m := &Manager{node: n, options: settings, limits: n.Limits, members: members, startedAt: time.Now(), ended: make(chan struct{}), started: make(chan struct{}), wake: make(chan struct{}, 1),
 		entries: map[*entry]bool{}, entryByInnerJob: map[*dispatch.Job]*entry{}, entryByClientJob: map[*dispatch.Job]*entry{}, entriesByKey: map[string][]*entry{}, callbacks: map[uint64]func([]byte, error){}, missingSince: map[string]time.Duration{},
 		takingOver: map[int]bool{}, crashCounts: map[string]int{}}
-	copy := rand.Uint64() | 1
-	founders := []string{n.Name}
-	for _, p := range c.Peers {
-		founders = append(founders, p.Name)
+	incarnation := rand.Uint64() | 1
+	initialMembers := []string{n.Name}
+	for _, peer := range settings.Peers {
+		initialMembers = append(initialMembers, peer.Name)
 	}
 	var err error
-	m.replicas, err = raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: n.Name, Incarnation: copy}, InitialMembers: founders, Groups: c.Groups, Replicas: c.Replicas,
-		NewStateMachine: func(int) raftgroup.StateMachine { return &leaseMachine{lease.New()} }, Seed: n.Seed ^ copy}, m.now())
+	m.replicas, err = raftgroup.New(raftgroup.Config{Self: raftgroup.NodeID{Name: n.Name, Incarnation: incarnation}, InitialMembers: initialMembers, Groups: settings.Groups, Replicas: settings.Replicas,
+		NewStateMachine: func(int) raftgroup.StateMachine { return &leaseMachine{lease.New()} }, Seed: n.Seed ^ incarnation}, m.now())
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Path, err)
+		return nil, fmt.Errorf("%s: %w", settings.Path, err)
 	}
-	if c.Events != "" {
-		if m.events, err = transport.OpenEventLog(c.Events); err != nil {
-			return nil, fmt.Errorf("%s: key promises.events: %w", c.Path, err)
+	if settings.Events != "" {
+		if m.events, err = transport.OpenEventLog(settings.Events); err != nil {
+			return nil, fmt.Errorf("%s: key promises.events: %w", settings.Path, err)
 		}
 	}
-	if m.links, err = openLinks(n, greeting{Form: 1, Name: n.Name, Incarnation: copy, StartedAt: uint64(time.Now().UnixNano())}, &m.Counters.Dropped); err != nil {
-		return nil, fmt.Errorf("%s: key promises.listen: %w", c.Path, err)
+	if m.links, err = openLinks(n, greeting{Form: 1, Name: n.Name, Incarnation: incarnation, StartedAt: uint64(time.Now().UnixNano())}, &m.Counters.Dropped); err != nil {
+		return nil, fmt.Errorf("%s: key promises.listen: %w", settings.Path, err)
 	}
 	return m, nil
 }
 
-// now is the manager's clock: monotonic. wall is Unix milliseconds by the calendar of the start and that clock, so that
-// steps of the calendar change nothing later.
+// now returns the manager's monotonic time. unixMs returns the wall-clock time at the start plus the
+// monotonic time since then, so that later steps of the wall clock have no effect.
 func (m *Manager) now() time.Duration { return time.Hour + time.Since(m.startedAt) }
-func (m *Manager) wall() int64        { return m.startedAt.Add(time.Since(m.startedAt)).UnixMilli() }
+func (m *Manager) unixMs() int64      { return m.startedAt.Add(time.Since(m.startedAt)).UnixMilli() }
 
-// post has Run's goroutine call f. It never blocks: the queue is bounded by the open jobs.
+// post queues f for Run's goroutine. It never blocks. The queue is bounded by the number of open jobs.
 func (m *Manager) post(f func()) {
 	m.mu.Lock()
 	m.queue = append(m.queue, f)
@@ -135,7 +138,7 @@
 	}
 }
 
-// crashPoint is a place at which a test of faults may kill or pause the process.
+// crashPoint kills or pauses the process if a fault-injection test has chosen this point in the settings.
 func (m *Manager) crashPoint(name string) {
 	if name == m.options.CrashAt {
 		if m.crashCounts[name]++; m.crashCounts[name] == m.options.CrashOn {
@@ -150,7 +153,7 @@
 	}
 }
 
-// Run works until ctx ends. The core gets the jobs.
+// Run runs the manager until ctx ends. It submits the jobs to core.
 func (m *Manager) Run(ctx context.Context, core *dispatch.Core) {
 	m.core = core
 	close(m.started)
@@ -158,87 +161,88 @@
 	go m.links.run(ctx, func(from raftgroup.NodeID, data []byte) {
 		m.post(func() { m.carryOut(m.replicas.HandleFrame(m.now(), from, data)) })
 	})
-	beat := time.NewTicker(10 * time.Millisecond)
-	defer beat.Stop()
-	round := m.now()
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
+	nextRound := m.now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-m.wake:
-		case <-beat.C:
+		case <-ticker.C:
 			m.carryOut(m.replicas.Tick(m.now()))
 			m.expire()
 		}
 		m.mu.Lock()
-		work := m.queue
+		queued := m.queue
 		m.queue = nil
 		m.mu.Unlock()
-		for _, f := range work {
+		for _, f := range queued {
 			f()
 		}
-		if m.now() >= round {
-			round = m.now() + m.limits.LeaseRoundInterval
+		if m.now() >= nextRound {
+			nextRound = m.now() + m.limits.LeaseRoundInterval
 			m.runRound(ctx)
 		}
 	}
 }
 
 // carryOut carries out the actions of this dispatcher's replicas.
-func (m *Manager) carryOut(acts *raftgroup.Actions) {
-	for _, o := range acts.Send {
-		m.links.send(o.To, o.Data)
+func (m *Manager) carryOut(actions *raftgroup.Actions) {
+	for _, frame := range actions.Send {
+		m.links.send(frame.To, frame.Data)
 	}
-	for _, n := range acts.Notices {
-		slog.Info("copies", "text", n)
-		m.logEvent(map[string]any{"notice": n})
+	for _, notice := range actions.Notices {
+		slog.Info("copies", "text", notice)
+		m.logEvent(map[string]any{"notice": notice})
 	}
-	results := slices.Clone(acts.Results) // what follows from them calls the host again
-	for _, r := range results {
-		if f := m.callbacks[r.Token]; f != nil {
-			delete(m.callbacks, r.Token)
-			f(r.Data, r.Err)
+	results := slices.Clone(actions.Results) // a callback may call m.replicas, which reuses the slice
+	for _, result := range results {
+		if callback := m.callbacks[result.Token]; callback != nil {
+			delete(m.callbacks, result.Token)
+			callback(result.Data, result.Err)
 		}
 	}
 }
 
-// logEvent writes a line of the operator's log of events.
+// logEvent writes a line to the event log, if the settings name one.
 func (m *Manager) logEvent(line map[string]any) {
 	line["by"] = m.node.Name
 	m.events.Write(line)
 }
 
-// owner returns this dispatcher's name in the lease tables.
+// owner returns the name of this dispatcher in the lease tables: its name and its membership incarnation.
 func (m *Manager) owner() string { return m.node.Name + "." + strconv.FormatUint(m.incarnation, 10) }
 
-// isDurable tells whether jobs of a class are made durable.
+// isDurable reports whether the jobs of a class are durable.
 func (m *Manager) isDurable(class int) bool {
 	return m.node.Module.Classes[class].Idempotency == decision.Deduplicated
 }
 
-// Shutdown waits until this dispatcher's open jobs have ended and other dispatchers have its replicas: as long as ctx lasts,
-// or until no dispatcher is left to get them.
+// Shutdown announces that this dispatcher is leaving, and waits until its open jobs have ended and other dispatchers
+// have taken its replicas or none is left to take them. It waits until ctx ends or for Limits.LeaseShutdownTimeout at
+// most.
 func (m *Manager) Shutdown(ctx context.Context) {
 	m.isLeaving.Store(true)
-	ctx, done := context.WithTimeout(ctx, m.limits.LeaseShutdownTimeout)
-	defer done()
-	type hand struct {
-		open  int
-		moved bool
+	ctx, cancel := context.WithTimeout(ctx, m.limits.LeaseShutdownTimeout)
+	defer cancel()
+	type progress struct {
+		openJobs    int
+		isEvacuated bool
 	}
-	last := hand{}
-	for began := time.Now(); ; {
-		now := make(chan hand, 1)
-		m.post(func() { now <- hand{len(m.entries), m.replicas.IsEvacuated()} })
+	last := progress{}
+	for startedAt := time.Now(); ; {
+		current := make(chan progress, 1)
+		m.post(func() { current <- progress{len(m.entries), m.replicas.IsEvacuated()} })
 		select {
 		case <-ctx.Done():
-			slog.Warn("leaving with something in hand", "jobs", last.open, "copies", !last.moved)
+			slog.Warn("shutdown timed out with open jobs or replicas", "jobs", last.openJobs, "copies", !last.isEvacuated)
 			return
 		case <-m.ended:
 			return
-		case last = <-now:
-			if last.open == 0 && last.moved {
-				slog.Info("gave up what it had", "after", time.Since(began))
+		case last = <-current:
+			if last.openJobs == 0 && last.isEvacuated {
+				slog.Info("all durable jobs and replicas are handed over", "after", time.Since(startedAt))
 				return
 			}
 		}
--- a/internal/dispatcher/durablejobs/peers.go
+++ b/internal/dispatcher/durablejobs/peers.go
@@ -1,6 +1,6 @@
-// The connections between dispatchers with replicas: one to each peer that the operator's file names, for what this one
-// sends, and those that come in, for what it receives. Frames without room in the queue or without a connection are dropped,
-// which Raft tolerates; a slow peer does not delay others.
+// The connections between dispatchers. Each dispatcher opens one connection to every peer in its settings, on which it
+// only sends, and receives on the connections that its peers open. Frames are dropped if a queue is full or a
+// connection is down, which Raft tolerates. A slow peer does not delay the others.
 
 package durablejobs
 
@@ -22,22 +22,24 @@
 	"gladepick/internal/dispatcher/raftgroup"
 )
 
-// greeting is the first frame of a connection, and is sent again when it changes.
+// greeting is the first frame on a connection. It is sent again when it changes.
 type greeting struct {
 	_           struct{} `cbor:",toarray"`
-	Form        int      // version of the frames; 1 is the first
+	Form        int      // version of the frame format: 1
 	Name        string
 	Incarnation uint64
-	StartedAt   uint64 // a later start under the same name has a larger one
-	Assignment  uint64
-	Leaving     bool
+	StartedAt   uint64 // Unix ns; of two starts under the same name, the larger one counts
+	Assignment  uint64 // ID of the sender's assignment; 0: none
+	Leaving     bool   // the sender is shutting down
 }
 
+// The kinds of frames. A frame is a 4-byte big-endian length, a byte for the kind, and the data.
 const (
 	greetingFrameKind byte = iota + 1
 	replicaFrameKind
 )
 
+// peerLinks are the connections to all peers.
 type peerLinks struct {
 	limits  config.Limits
 	listen  net.Listener
@@ -46,10 +48,10 @@
 
 	mu        sync.Mutex
 	greeting  greeting
-	greetings map[string]greeting
+	greetings map[string]greeting // latest greeting of each peer, by name
 }
 
-// peerLink is the queue of frames to one peer.
+// peerLink is the queue of encoded frames to one peer.
 type peerLink struct {
 	address     string
 	mu          sync.Mutex
@@ -58,12 +60,13 @@
 	wake        chan struct{}
 }
 
-func openLinks(n *config.Node, me greeting, dropped *atomic.Int64) (*peerLinks, error) {
+// openLinks opens the listener for the peers. run makes the connections.
+func openLinks(n *config.Node, own greeting, dropped *atomic.Int64) (*peerLinks, error) {
 	listen, err := net.Listen("tcp", n.DurableJobs.Listen.String())
 	if err != nil {
 		return nil, err
 	}
-	l := &peerLinks{limits: n.Limits, listen: listen, peers: map[string]*peerLink{}, dropped: dropped, greeting: me, greetings: map[string]greeting{}}
+	l := &peerLinks{limits: n.Limits, listen: listen, peers: map[string]*peerLink{}, dropped: dropped, greeting: own, greetings: map[string]greeting{}}
 	for _, p := range n.DurableJobs.Peers {
 		l.peers[p.Name] = &peerLink{address: p.Address.String(), wake: make(chan struct{}, 1)}
 	}
@@ -74,19 +77,19 @@
 	return raftgroup.NodeID{Name: l.greeting.Name, Incarnation: l.greeting.Incarnation}
 }
 
-// memberOf returns what a peer last said of itself.
+// memberOf returns a peer as described by its latest greeting, without its zone.
 func (l *peerLinks) memberOf(name string) (raftgroup.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h, ok := l.greetings[name]
-	return raftgroup.Member{NodeID: raftgroup.NodeID{Name: h.Name, Incarnation: h.Incarnation}, Assignment: h.Assignment, Leaving: h.Leaving}, ok
+	latest, ok := l.greetings[name]
+	return raftgroup.Member{NodeID: raftgroup.NodeID{Name: latest.Name, Incarnation: latest.Incarnation}, Assignment: latest.Assignment, Leaving: latest.Leaving}, ok
 }
 
-// announce tells the peers what has changed here.
-func (l *peerLinks) announce(charter uint64, leaving bool) {
+// announce sends a new greeting to the peers if the assignment or the leaving state has changed.
+func (l *peerLinks) announce(assignmentID uint64, leaving bool) {
 	l.mu.Lock()
-	changed := l.greeting.Assignment != charter || l.greeting.Leaving != leaving
-	l.greeting.Assignment, l.greeting.Leaving = charter, leaving
+	changed := l.greeting.Assignment != assignmentID || l.greeting.Leaving != leaving
+	l.greeting.Assignment, l.greeting.Leaving = assignmentID, leaving
 	frame := l.greetingFrame()
 	l.mu.Unlock()
 	if changed {
@@ -99,6 +102,7 @@
 // greetingFrame returns this dispatcher's greeting as a frame. The caller holds l.mu.
 func (l *peerLinks) greetingFrame() []byte { return frame(greetingFrameKind, encode(l.greeting)) }
 
+// frame returns an encoded frame.
 func frame(kind byte, data []byte) []byte {
 	out := make([]byte, 5, 5+len(data))
 	binary.BigEndian.PutUint32(out, uint32(len(data)))
@@ -106,7 +110,7 @@
 	return append(out, data...)
 }
 
-// send queues a frame for a node.
+// send queues a replica frame for a node. It drops frames that are too large or for an unknown peer.
 func (l *peerLinks) send(to raftgroup.NodeID, data []byte) {
 	p := l.peers[to.Name]
 	if p == nil || len(data) > l.limits.ReplicaFrameBytes {
@@ -116,6 +120,7 @@
 	p.enqueue(frame(replicaFrameKind, data), l)
 }
 
+// enqueue adds a frame to the queue, or drops it if the queue has other frames and is full.
 func (p *peerLink) enqueue(f []byte, l *peerLinks) {
 	p.mu.Lock()
 	if p.queuedBytes+len(f) > l.limits.ReplicaQueueBytes && p.queuedBytes > 0 {
@@ -131,7 +136,7 @@
 	}
 }
 
-// takeQueue returns all queued frames, and empties the queue.
+// takeQueue empties the queue and returns its frames.
 func (p *peerLink) takeQueue() net.Buffers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,31 +145,33 @@
 	return out
 }
 
-// run accepts and keeps connections until ctx ends.
-func (l *peerLinks) run(ctx context.Context, hear func(raftgroup.NodeID, []byte)) {
-	var all sync.WaitGroup
-	defer all.Wait()
+// run accepts connections, and keeps one open to each peer, until ctx ends. It calls handle with each received replica
+// frame, on the goroutine of the connection.
+func (l *peerLinks) run(ctx context.Context, handle func(raftgroup.NodeID, []byte)) {
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer context.AfterFunc(ctx, func() { l.listen.Close() })()
 	for _, p := range l.peers {
-		all.Go(func() { l.runPeer(ctx, p) })
+		goroutines.Go(func() { l.runPeer(ctx, p) })
 	}
 	for {
 		c, err := l.listen.Accept()
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		} else if err != nil {
-			time.Sleep(l.limits.ReplicaRetryDelay) // no descriptor is free; others will be closed
+			time.Sleep(l.limits.ReplicaRetryDelay) // no free descriptor; other connections will close
 			continue
 		}
-		all.Go(func() {
+		goroutines.Go(func() {
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { c.Close() })()
-			l.read(c, hear)
+			l.read(c, handle)
 		})
 	}
 }
 
-// runPeer keeps a connection to a peer and writes its queue.
+// runPeer keeps a connection to a peer open and writes its queue to it. After a failure it waits for ReplicaRetryDelay
+// and drops the queued frames.
 func (l *peerLinks) runPeer(ctx context.Context, p *peerLink) {
 	d := net.Dialer{Timeout: l.limits.ReplicaDialTimeout}
 	for ctx.Err() == nil {
@@ -183,11 +190,12 @@
 	}
 }
 
+// write sends the greeting and then the queue of a peer, until the connection fails or ctx ends.
 func (l *peerLinks) write(ctx context.Context, c net.Conn, p *peerLink) error {
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	gone := make(chan struct{}) // the peer sends nothing on this connection but its end
+	closed := make(chan struct{}) // closed when the peer closes the connection, on which it sends nothing
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		c.Read(make([]byte, 1))
 	}()
 	l.mu.Lock()
@@ -201,7 +209,7 @@
 		select {
 		case <-p.wake:
 			out = p.takeQueue()
-		case <-gone:
+		case <-closed:
 			return io.EOF
 		case <-ctx.Done():
 			return ctx.Err()
@@ -209,37 +217,38 @@
 	}
 }
 
-// read reads frames of a peer, until the connection ends or a frame is invalid.
-func (l *peerLinks) read(c net.Conn, hear func(raftgroup.NodeID, []byte)) error {
+// read reads the frames of a peer until the connection ends or a frame is invalid. A connection must begin with a valid
+// greeting of a known peer.
+func (l *peerLinks) read(c net.Conn, handle func(raftgroup.NodeID, []byte)) error {
 	in := bufio.NewReaderSize(c, 64<<10)
 	var from raftgroup.NodeID
-	head := make([]byte, 5)
-	c.SetReadDeadline(time.Now().Add(2 * l.limits.ReplicaDialTimeout)) // whoever connects has to greet soon
+	header := make([]byte, 5)
+	c.SetReadDeadline(time.Now().Add(2 * l.limits.ReplicaDialTimeout)) // for the greeting only
 	for {
-		if _, err := io.ReadFull(in, head); err != nil {
+		if _, err := io.ReadFull(in, header); err != nil {
 			return err
 		}
-		n := int(binary.BigEndian.Uint32(head))
-		if n > l.limits.ReplicaFrameBytes || from.Incarnation == 0 && (head[4] != greetingFrameKind || n > 1024) {
-			return fmt.Errorf("a frame of %d bytes", n)
+		length := int(binary.BigEndian.Uint32(header))
+		if length > l.limits.ReplicaFrameBytes || from.Incarnation == 0 && (header[4] != greetingFrameKind || length > 1024) {
+			return fmt.Errorf("a frame of %d bytes is too large or comes before the greeting", length)
 		}
-		data := make([]byte, n)
+		data := make([]byte, length)
 		if _, err := io.ReadFull(in, data); err != nil {
 			return err
 		}
-		if head[4] == replicaFrameKind {
-			hear(from, data)
+		if header[4] == replicaFrameKind {
+			handle(from, data)
 			continue
 		}
-		var h greeting
-		if err := cbor.Unmarshal(data, &h); err != nil || h.Form != 1 || l.peers[h.Name] == nil || h.Incarnation == 0 || from.Incarnation != 0 && h.Incarnation != from.Incarnation {
-			return errors.New("a hello that cannot be")
+		var received greeting
+		if err := cbor.Unmarshal(data, &received); err != nil || received.Form != 1 || l.peers[received.Name] == nil || received.Incarnation == 0 || from.Incarnation != 0 && received.Incarnation != from.Incarnation {
+			return errors.New("invalid greeting")
 		}
-		from = raftgroup.NodeID{Name: h.Name, Incarnation: h.Incarnation}
+		from = raftgroup.NodeID{Name: received.Name, Incarnation: received.Incarnation}
 		c.SetReadDeadline(time.Time{})
 		l.mu.Lock()
-		if h.StartedAt >= l.greetings[h.Name].StartedAt {
-			l.greetings[h.Name] = h
+		if received.StartedAt >= l.greetings[received.Name].StartedAt {
+			l.greetings[received.Name] = received
 		}
 		l.mu.Unlock()
 	}
--- a/internal/dispatcher/durablejobs/peers_test.go
+++ b/internal/dispatcher/durablejobs/peers_test.go
@@ -1,4 +1,4 @@
-// The carrier against peers that say what cannot be, and a keeper's settings.
+// The connections to peers that send invalid data or cannot be reached.
 
 package durablejobs
 
@@ -15,7 +15,8 @@
 	"gladepick/internal/dispatcher/raftgroup"
 )
 
-func linksOf(t *testing.T, name string, peers ...config.Peer) (*peerLinks, chan []byte) {
+// startLinks runs the links of a dispatcher. It returns them with a channel of the replica frames that they receive.
+func startLinks(t *testing.T, name string, peers ...config.Peer) (*peerLinks, chan []byte) {
 	t.Helper()
 	n := &config.Node{Name: name, DurableJobs: &config.DurableJobs{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Peers: peers},
 		Limits: config.Limits{ReplicaFrameBytes: 1 << 20, ReplicaQueueBytes: 1 << 20, ReplicaDialTimeout: time.Second, ReplicaRetryDelay: 10 * time.Millisecond}}
@@ -24,31 +25,32 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	heard := make(chan []byte, 16)
+	received := make(chan []byte, 16)
 	done := make(chan bool)
 	go func() {
-		l.run(ctx, func(_ raftgroup.NodeID, data []byte) { heard <- data })
+		l.run(ctx, func(_ raftgroup.NodeID, data []byte) { received <- data })
 		close(done)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return l, heard
+	return l, received
 }
 
-// What a stranger sends is never handed on, and his connection ends; frames of a known peer are, in order.
-func TestStrangersAreNotHeard(t *testing.T) {
-	l, heard := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
-	word := func(h greeting) []byte { return frame(greetingFrameKind, encode(h)) }
+// Guards against frames from connections without a valid greeting reaching the replicas: such a connection is closed
+// without a reply. The frames of a known peer arrive in order.
+func TestInvalidConnectionsAreClosed(t *testing.T) {
+	l, received := startLinks(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
+	greetingBytes := func(g greeting) []byte { return frame(greetingFrameKind, encode(g)) }
 	large := make([]byte, 5)
 	binary.BigEndian.PutUint32(large, 1<<30)
 	for name, data := range map[string][]byte{
-		"no hello":             frame(replicaFrameKind, []byte("x")),
-		"an unknown name":      word(greeting{Form: 1, Name: "z", Incarnation: 1}),
-		"a later form":         word(greeting{Form: 2, Name: "b", Incarnation: 1}),
-		"no memory":            word(greeting{Form: 1, Name: "b"}),
-		"nothing":              nil,
-		"noise":                []byte("GET / HTTP/1.1\r\n\r\n"),
-		"too large a frame":    append(word(greeting{Form: 1, Name: "b", Incarnation: 1}), append(large, replicaFrameKind)...),
-		"another memory later": append(word(greeting{Form: 1, Name: "b", Incarnation: 1}), word(greeting{Form: 1, Name: "b", Incarnation: 2})...),
+		"no greeting":               frame(replicaFrameKind, []byte("x")),
+		"an unknown name":           greetingBytes(greeting{Form: 1, Name: "z", Incarnation: 1}),
+		"a later format version":    greetingBytes(greeting{Form: 2, Name: "b", Incarnation: 1}),
+		"no incarnation":            greetingBytes(greeting{Form: 1, Name: "b"}),
+		"nothing":                   nil,
+		"noise":                     []byte("GET / HTTP/1.1\r\n\r\n"),
+		"a frame that is too large": append(greetingBytes(greeting{Form: 1, Name: "b", Incarnation: 1}), append(large, replicaFrameKind)...),
+		"another incarnation later": append(greetingBytes(greeting{Form: 1, Name: "b", Incarnation: 1}), greetingBytes(greeting{Form: 1, Name: "b", Incarnation: 2})...),
 	} {
 		c, err := net.Dial("tcp", l.listen.Addr().String())
 		if err != nil {
@@ -60,41 +62,41 @@
 		}
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil {
-			t.Errorf("%s: it is answered", name)
+			t.Errorf("%s: the connection got a reply", name)
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Errorf("%s: the connection stays", name)
+			t.Errorf("%s: the connection is not closed within 5 s", name)
 		}
 		c.Close()
 	}
-	if len(heard) > 0 {
-		t.Errorf("%q is handed on", <-heard)
+	if len(received) > 0 {
+		t.Errorf("a frame of an invalid connection is received: %q", <-received)
 	}
 	c, err := net.Dial("tcp", l.listen.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(append(word(greeting{Form: 1, Name: "b", Incarnation: 3, StartedAt: 9, Assignment: 5}), append(frame(replicaFrameKind, []byte("one")), frame(replicaFrameKind, []byte("two"))...)...))
-	if a, b := string(<-heard), string(<-heard); a != "one" || b != "two" {
-		t.Errorf("%q and %q are heard", a, b)
+	c.Write(append(greetingBytes(greeting{Form: 1, Name: "b", Incarnation: 3, StartedAt: 9, Assignment: 5}), append(frame(replicaFrameKind, []byte("one")), frame(replicaFrameKind, []byte("two"))...)...))
+	if a, b := string(<-received), string(<-received); a != "one" || b != "two" {
+		t.Errorf("received the frames %q and %q", a, b)
 	}
 	if m, ok := l.memberOf("b"); !ok || m.Incarnation != 3 || m.Assignment != 5 {
-		t.Errorf("%+v is known of b", m)
+		t.Errorf("peer b is %+v", m)
 	}
 }
 
-// A peer that is not there costs no more than the queue's bytes; what does not fit is dropped and counted.
-func TestPeerThatIsNotThere(t *testing.T) {
-	l, _ := linksOf(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
+// Guards against an unreachable peer using unbounded memory: frames beyond the queue's limit are dropped and counted.
+func TestQueueOfUnreachablePeerIsBounded(t *testing.T) {
+	l, _ := startLinks(t, "a", config.Peer{Name: "b", Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	for range 40 {
 		l.send(raftgroup.NodeID{Name: "b", Incarnation: 1}, make([]byte, 100<<10))
 	}
 	l.send(raftgroup.NodeID{Name: "nobody", Incarnation: 1}, []byte("x"))
-	k := l.peers["b"]
-	k.mu.Lock()
-	held := k.queuedBytes
-	k.mu.Unlock()
-	if held > 1<<20 || l.dropped.Load() < 30 {
-		t.Errorf("%d bytes wait, %d are dropped", held, l.dropped.Load())
+	peer := l.peers["b"]
+	peer.mu.Lock()
+	queued := peer.queuedBytes
+	peer.mu.Unlock()
+	if queued > 1<<20 || l.dropped.Load() < 30 {
+		t.Errorf("%d bytes are queued, %d frames are dropped", queued, l.dropped.Load())
 	}
 }
--- a/internal/dispatcher/durablejobs/statemachine.go
+++ b/internal/dispatcher/durablejobs/statemachine.go
@@ -1,4 +1,4 @@
-// The replicated table of leases and its commands.
+// The lease table as a replicated state machine, and the proposal of its commands.
 
 package durablejobs
 
@@ -11,26 +11,28 @@
 	"gladepick/internal/dispatcher/lease"
 )
 
-// leaseMachine is a lease table as a replicated state machine.
+// leaseMachine adapts a lease table to raftgroup.StateMachine.
 type leaseMachine struct{ *lease.Table }
 
+// Apply applies an encoded lease.Command and returns the encoded lease.Response.
 func (m *leaseMachine) Apply(command []byte) []byte {
-	var r lease.Response
+	var response lease.Response
 	if c, err := lease.Decode(command); err == nil {
-		r = m.Table.Apply(c)
-	} else { // of a later version of the program, which replicas of this one cannot follow
-		r.Decision = lease.Forbidden
+		response = m.Table.Apply(c)
+	} else { // the command is of a later version of the program
+		response.Decision = lease.Forbidden
 	}
-	return encode(r)
+	return encode(response)
 }
 
-// queryAnswer is the answer to a query.
+// queryAnswer is the answer to a query for a record.
 type queryAnswer struct {
 	_      struct{} `cbor:",toarray"`
 	Found  bool
 	Record lease.Record
 }
 
+// Query returns the encoded queryAnswer for a key.
 func (m *leaseMachine) Query(key []byte) []byte {
 	r, ok := m.Get(string(key))
 	return encode(queryAnswer{Found: ok, Record: r})
@@ -39,14 +41,14 @@
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // nothing in these can fail
+		panic(err) // unreachable: all encoded types can be encoded
 	}
 	return data
 }
 
-// propose sends a command to its group's replicas.
+// propose proposes a command to a group until a time. It calls then, on Run's goroutine, with the response or an error.
 func (m *Manager) propose(group int, c *lease.Command, until time.Duration, then func(lease.Response, error)) {
-	token, acts := m.replicas.Propose(m.now(), group, encode(c), until)
+	token, actions := m.replicas.Propose(m.now(), group, encode(c), until)
 	m.callbacks[token] = func(data []byte, err error) {
 		var r lease.Response
 		if err == nil {
@@ -57,10 +59,10 @@
 		}
 		then(r, err)
 	}
-	m.carryOut(acts)
+	m.carryOut(actions)
 }
 
-// proposeGroupCommand proposes a command of the group's leader.
+// proposeGroupCommand proposes a TakeOver or Expire command as the leader of a group.
 func (m *Manager) proposeGroupCommand(group int, c *lease.Command) {
 	m.takingOver[group] = true
 	m.propose(group, c, m.now()+time.Second, func(r lease.Response, err error) {
--- a/internal/dispatcher/durablejobs/takeover.go
+++ b/internal/dispatcher/durablejobs/takeover.go
@@ -1,4 +1,4 @@
-// The rounds in which a dispatcher learns who takes part, and takes over from those that have failed.
+// The periodic round in which a dispatcher updates its members and takes over leases of failed dispatchers.
 
 package durablejobs
 
@@ -15,91 +15,95 @@
 	"gladepick/internal/dispatcher/raftgroup"
 )
 
-// runRound learns who takes part, and takes over from dispatchers that do not.
+// runRound updates the members from the membership view and resumes the leases that this dispatcher owns. For each
+// group that it leads, it proposes to take over the leases of a failed owner, and every 2 s to take over overdue
+// records and to remove expired ones.
 func (m *Manager) runRound(ctx context.Context) {
 	m.links.announce(m.replicas.AssignmentID(), m.isLeaving.Load())
-	v, life, joined, quorum := m.members.View(ctx)
-	m.view, m.incarnation, quorum = v, life, joined && quorum
-	var there []raftgroup.Member
-	for i := range v.Members {
-		r := &v.Members[i]
-		if r.Name == m.node.Name {
-			there = append(there, raftgroup.Member{NodeID: m.links.self(), Zone: r.Zone, Assignment: m.replicas.AssignmentID(), Leaving: m.isLeaving.Load()})
-		} else if peer, ok := m.links.memberOf(r.Name); ok {
-			peer.Zone = r.Zone
-			there = append(there, peer)
+	currentView, ownIncarnation, joined, quorum := m.members.View(ctx)
+	m.view, m.incarnation, quorum = currentView, ownIncarnation, joined && quorum
+	var present []raftgroup.Member
+	for i := range currentView.Members {
+		record := &currentView.Members[i]
+		if record.Name == m.node.Name {
+			present = append(present, raftgroup.Member{NodeID: m.links.self(), Zone: record.Zone, Assignment: m.replicas.AssignmentID(), Leaving: m.isLeaving.Load()})
+		} else if peer, ok := m.links.memberOf(record.Name); ok {
+			peer.Zone = record.Zone
+			present = append(present, peer)
 		}
 	}
-	m.carryOut(m.replicas.SetMembers(m.now(), there, quorum))
-	m.isReady.Store(m.replicas.Ready() && v.Contains(m.node.Name, life))
+	m.carryOut(m.replicas.SetMembers(m.now(), present, quorum))
+	m.isReady.Store(m.replicas.Ready() && currentView.Contains(m.node.Name, ownIncarnation))
 	if !quorum {
 		clear(m.missingSince)
 		return
 	}
-	tidy := m.now() >= m.expiredAt+2*time.Second
-	if tidy {
+	isExpiryDue := m.now() >= m.expiredAt+2*time.Second
+	if isExpiryDue {
 		m.expiredAt = m.now()
 	}
-	room := m.limits.LeaseSubmitBatch
-	for n := range m.replicas.Groups() {
-		machine, leads := m.replicas.StateMachine(n)
+	batchLeft := m.limits.LeaseSubmitBatch
+	for group := range m.replicas.Groups() {
+		machine, leads := m.replicas.StateMachine(group)
 		if machine == nil {
 			continue
 		}
-		t := machine.(*leaseMachine).Table
-		m.resumeOwned(n, t, &room)
-		if !leads || m.takingOver[n] {
+		table := machine.(*leaseMachine).Table
+		m.resumeOwned(group, table, &batchLeft)
+		if !leads || m.takingOver[group] {
 			continue
 		}
-		if from := m.failedOwner(t); from != "" {
-			m.proposeGroupCommand(n, &lease.Command{Kind: lease.TakeOver, PreviousOwner: from, Owner: m.owner(), Time: m.wall(), Limit: m.limits.LeaseTransferBatch})
-		} else if tidy {
-			m.proposeGroupCommand(n, &lease.Command{Kind: lease.TakeOver, Owner: m.owner(), Time: m.wall(), Limit: m.limits.LeaseTransferBatch})
-			m.proposeGroupCommand(n, &lease.Command{Kind: lease.Expire, Time: m.wall(), Limit: 1000})
+		if from := m.failedOwner(table); from != "" {
+			m.proposeGroupCommand(group, &lease.Command{Kind: lease.TakeOver, PreviousOwner: from, Owner: m.owner(), Time: m.unixMs(), Limit: m.limits.LeaseTransferBatch})
+		} else if isExpiryDue {
+			m.proposeGroupCommand(group, &lease.Command{Kind: lease.TakeOver, Owner: m.owner(), Time: m.unixMs(), Limit: m.limits.LeaseTransferBatch})
+			m.proposeGroupCommand(group, &lease.Command{Kind: lease.Expire, Time: m.unixMs(), Limit: 1000})
 		}
 	}
 }
 
-// failedOwner returns an owner of open records that has not been in the view for some time, or nothing.
-func (m *Manager) failedOwner(t *lease.Table) string {
-	for _, o := range t.Owners() {
-		at := max(strings.LastIndexByte(o, '.'), 0)
-		name := o[:at]
-		life, _ := strconv.ParseUint(o[at+1:], 10, 64)
-		if i := slices.IndexFunc(m.view.Members, func(r membership.Record) bool { return r.Name == name }); i >= 0 && m.view.Members[i].Incarnation <= life {
-			delete(m.missingSince, o)
+// failedOwner returns an owner of open records that has been missing from the view for Limits.LeaseOrphanDelay, or "".
+// An owner with an earlier incarnation than the member of its name is missing too.
+func (m *Manager) failedOwner(table *lease.Table) string {
+	for _, owner := range table.Owners() {
+		separator := max(strings.LastIndexByte(owner, '.'), 0)
+		name := owner[:separator]
+		incarnation, _ := strconv.ParseUint(owner[separator+1:], 10, 64)
+		if i := slices.IndexFunc(m.view.Members, func(r membership.Record) bool { return r.Name == name }); i >= 0 && m.view.Members[i].Incarnation <= incarnation {
+			delete(m.missingSince, owner)
 			continue
 		}
-		if since, ok := m.missingSince[o]; !ok {
-			m.missingSince[o] = m.now()
+		if since, ok := m.missingSince[owner]; !ok {
+			m.missingSince[owner] = m.now()
 		} else if m.now() >= since+m.limits.LeaseOrphanDelay {
-			return o
+			return owner
 		}
 	}
 	return ""
 }
 
-// resumeOwned goes on with records that this dispatcher has taken over, some at a time.
-func (m *Manager) resumeOwned(n int, t *lease.Table, room *int) {
-	for _, key := range t.Owned(m.owner()) {
-		if *room <= 0 {
+// resumeOwned resumes the leases that this dispatcher owns in a group and has no entry for: it has taken them over from
+// a failed dispatcher. batchLeft is the number of leases that it may still resume in this round.
+func (m *Manager) resumeOwned(group int, table *lease.Table, batchLeft *int) {
+	for _, key := range table.Owned(m.owner()) {
+		if *batchLeft <= 0 {
 			return
 		}
 		if len(m.entriesByKey[key]) > 0 {
 			continue
 		}
-		r, _ := t.Get(key)
+		record, _ := table.Get(key)
 		class := config.Index(m.node.Classes, key[:max(strings.IndexByte(key, '/'), 0)])
 		if class < 0 {
-			continue // a class that this dispatcher's settings don't have
+			continue // this dispatcher's settings do not have the class
 		}
-		*room--
+		*batchLeft--
 		m.openJobs.Add(1)
 		m.Counters.TakenOver.Add(1)
-		m.logEvent(map[string]any{"act": "inherit", "key": key, "epoch": r.Epoch, "state": r.State.String(), "owner": m.owner()})
-		e := &entry{deadline: m.now() + time.Duration(r.Terms.Deadline-m.wall())*time.Millisecond}
-		h, acts := lease.Resume(&r, m.sendWindow(&m.node.Module.Classes[class]), m.wall())
-		m.add(e, h)
-		m.carryOutLease(e, acts)
+		m.logEvent(map[string]any{"act": "inherit", "key": key, "epoch": record.Epoch, "state": record.State.String(), "owner": m.owner()})
+		newEntry := &entry{deadline: m.now() + time.Duration(record.Terms.Deadline-m.unixMs())*time.Millisecond}
+		resumed, actions := lease.Resume(&record, m.sendWindow(&m.node.Module.Classes[class]), m.unixMs())
+		m.add(newEntry, resumed)
+		m.carryOutLease(newEntry, actions)
 	}
 }
--- a/internal/dispatcher/durablejobs/transport.go
+++ b/internal/dispatcher/durablejobs/transport.go
@@ -1,4 +1,4 @@
-// Attempts of durable jobs: which may be sent, and until when.
+// The attempts of durable jobs: each waits for the commit of its intent and must begin before a deadline.
 
 package durablejobs
 
@@ -10,62 +10,64 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// leasedTransport stands before a transport: attempts of durable jobs wait until their intents are committed.
+// leasedTransport wraps a transport. Attempts of durable jobs wait until their intents are committed; other attempts
+// pass through.
 type leasedTransport struct {
 	manager *Manager
 	dispatch.Transport
 }
 
-// WrapTransport puts the manager before a transport.
-func (m *Manager) WrapTransport(f dispatch.Transport) dispatch.Transport {
-	if f == nil {
+// WrapTransport returns a transport that delays the attempts of durable jobs until they are granted. It returns nil for
+// nil.
+func (m *Manager) WrapTransport(wrapped dispatch.Transport) dispatch.Transport {
+	if wrapped == nil {
 		return nil
 	}
-	return &leasedTransport{m, f}
+	return &leasedTransport{m, wrapped}
 }
 
 // Send is called on the core's goroutine.
-func (f *leasedTransport) Send(a *dispatch.Attempt) {
+func (t *leasedTransport) Send(a *dispatch.Attempt) {
 	if a.Job.MayStart == nil {
-		f.Transport.Send(a)
+		t.Transport.Send(a)
 		return
 	}
-	f.manager.post(func() { f.manager.requestSend(a, f.Transport) })
+	t.manager.post(func() { t.manager.requestSend(a, t.Transport) })
 }
 
-// requestSend asks the replicas to allow a send.
-func (m *Manager) requestSend(a *dispatch.Attempt, floor dispatch.Transport) {
-	e := m.entryByInnerJob[a.Job]
+// requestSend proposes the intent of an attempt. It ends the attempt if its job has no entry any more.
+func (m *Manager) requestSend(attempt *dispatch.Attempt, transport dispatch.Transport) {
+	e := m.entryByInnerJob[attempt.Job]
 	if e == nil {
-		a.End(decision.NeverSent, decision.Load{}, nil)
+		attempt.End(decision.NeverSent, decision.Load{}, nil)
 		return
 	}
 	place := uint32(0)
-	switch m.node.Module.Classes[a.Job.Class].DedupScope {
+	switch m.node.Module.Classes[attempt.Job.Class].DedupScope {
 	case decision.DedupByZone:
-		place = uint32(config.Index(m.node.Zones, a.Worker.Zone) + 1)
+		place = uint32(config.Index(m.node.Zones, attempt.Worker.Zone) + 1)
 	case decision.DedupByCell:
-		place = uint32(a.Worker.Cell + 1)
+		place = uint32(attempt.Worker.Cell + 1)
 	}
-	e.requested[a.Number()] = requestedSend{a, floor}
-	m.carryOutLease(e, e.lease.RequestSend(a.Number(), place, m.wall()))
+	e.requested[attempt.Number()] = requestedSend{attempt, transport}
+	m.carryOutLease(e, e.lease.RequestSend(attempt.Number(), place, m.unixMs()))
 }
 
 // sendGranted sends an attempt whose intent is committed.
-func (m *Manager) sendGranted(e *entry, n int) {
-	a, ok := e.requested[n]
-	if !ok { // it has ended meanwhile: nothing was sent
+func (m *Manager) sendGranted(e *entry, number int) {
+	send, ok := e.requested[number]
+	if !ok { // the attempt has ended in the meantime and was not sent
 		e.lease.AttemptEnded(true)
 		return
 	}
-	delete(e.requested, n)
-	e.granted[n] = true
-	e.sendBy.Store(int64(m.now()) + e.lease.SendTimeLeft(m.wall())*int64(time.Millisecond))
-	a.transport.Send(a.Attempt)
+	delete(e.requested, number)
+	e.granted[number] = true
+	e.sendBy.Store(int64(m.now()) + e.lease.SendTimeLeft(m.unixMs())*int64(time.Millisecond))
+	send.transport.Send(send.Attempt)
 	m.crashPoint("sent")
 }
 
-// expire answers clients whose time is over, and queries the jobs that other dispatchers hold.
+// expire rejects clients whose deadline has passed, and polls the records of jobs whose lease another owner has.
 func (m *Manager) expire() {
 	now := m.now()
 	for e := range m.entries {
