--- a/internal/dispatcher/durablejobs/manager.go
+++ b/internal/dispatcher/durablejobs/manager.go
@@ -141,7 +141,7 @@
 // crashPoint kills or pauses the process if a fault-injection test has chosen this point in the settings.
 func (m *Manager) crashPoint(name string) {
 	if name == m.options.CrashAt {
-		if m.crashCounts[name]++; m.crashCounts[name] == m.options.CrashOn {
+		if m.crashCounts[name]++; m.crashCounts[name] == m.options.CrashOccurrence {
 			m.logEvent(map[string]any{"crash": name})
 			if m.options.CrashByStop {
 				syscall.Kill(syscall.Getpid(), syscall.SIGSTOP)
