--- a/internal/dispatcher/membership/ballot.go
+++ b/internal/dispatcher/membership/ballot.go
@@ -1,4 +1,5 @@
-// How a ballot runs: prepare and accept, as in single-decree Paxos, with votes of a majority of the view.
+// Ballots: members agree on the next view by prepare and accept, as in single-decree Paxos. A ballot needs the votes of
+// a majority of the current view.
 
 package membership
 
@@ -8,10 +9,10 @@
 	"time"
 )
 
-// driveBallot sends the proposal to the voters, and again to those that have not answered.
+// driveBallot sends the proposal to the voters and repeats it to those that have not answered. It gives up after 2 s.
 func (m *Machine) driveBallot() {
 	v := &m.view
-	if m.now >= v.ballotStartedAt+2*time.Second { // too few answer: another may have more luck, or this one later
+	if m.now >= v.ballotStartedAt+2*time.Second { // too few voters answer; another member may reach more of them
 		v.ballot, v.backoffUntil = 0, m.now+m.config.Period/2+time.Duration(m.rng.Int64N(int64(m.config.Period)))
 		return
 	}
@@ -19,7 +20,7 @@
 		v.ballotResendAt = m.now + resendInterval
 		if _, ok := v.votes[m.self.Name]; !ok {
 			m.recordVote(m.self.Name, m.self.Incarnation, true)
-			if v.ballot == 0 { // that was enough
+			if v.ballot == 0 { // this member's vote completed the ballot, or a later ballot ended it
 				return
 			}
 		}
@@ -40,7 +41,8 @@
 	m.wakeBy(v.ballotResendAt)
 }
 
-// recordVote takes a vote in, this member's own or another's.
+// recordVote counts a vote for this member's ballot. When a majority has voted, it ends the prepare phase or commits
+// the proposal. own marks this member's own vote, which also updates its state as a voter.
 func (m *Machine) recordVote(name string, life uint64, own bool) {
 	v := &m.view
 	if own {
@@ -76,10 +78,10 @@
 	m.applyCommit(viewChange{v.ViewID, v.proposal, num}, true)
 }
 
-// finishPrepare ends the prepare phase once a majority has promised, and tells whether it did. A proposal that was accepted
-// before under the highest ballot may be committed already, and then it has to be proposed again, whoever is alive by now.
-// It cannot be committed if too few have accepted it, and then it is dropped: a network partition that has ended must not
-// decide who is removed.
+// finishPrepare ends the prepare phase once a majority has promised, and reports whether it did. The proposal that was
+// accepted under the highest ballot may already be committed. This member then has to propose it again, whoever is
+// alive by now. If too few voters have accepted it for a commit, this member drops it and proposes its own change: a
+// network partition that has ended must not decide who is removed.
 func (m *Machine) finishPrepare() bool {
 	v := &m.view
 	n := len(v.Members)
@@ -95,7 +97,8 @@
 		}
 		if 2*(same+n-len(v.votes)) <= n {
 			v.proposal = v.ownProposal
-		} else if v.majorityPromisedAt = cmp.Or(v.majorityPromisedAt, m.now); m.now < v.majorityPromisedAt+3*resendInterval { // more promises may show it
+		} else if v.majorityPromisedAt = cmp.Or(v.majorityPromisedAt, m.now); m.now < v.majorityPromisedAt+3*resendInterval {
+			// Further promises may show whether the proposal is committed.
 			return false
 		} else {
 			v.isForced = true
@@ -106,11 +109,11 @@
 	return true
 }
 
-// handleVote takes a voter's answer to this member's ballot in.
+// handleVote handles a voter's answer to this member's ballot.
 func (m *Machine) handleVote(p *packet) {
 	v := &m.view
 	switch {
-	case v.ballot < p.Sequence: // another ballot is ahead
+	case v.ballot < p.Sequence: // the voter has promised a higher ballot
 		v.ballot = 0
 		v.ballotFloor = max(v.ballotFloor, p.Sequence)
 		v.backoffUntil = m.now + time.Duration(m.rng.Int64N(int64(m.config.Period)))
@@ -122,7 +125,8 @@
 	}
 }
 
-// recordAccepted takes in what a voter has accepted before; the proposal under the highest ballot is proposed again.
+// recordAccepted records the proposal that a voter has accepted before. The one with the highest ballot becomes the
+// proposal of this ballot.
 func (m *Machine) recordAccepted(p *packet) {
 	v := &m.view
 	v.acceptedProposals[p.From] = string(p.Body)
@@ -132,7 +136,8 @@
 	}
 }
 
-// handleVeto gives a ballot up that would remove a member which a voter still hears.
+// handleVeto abandons the ballot because a voter still receives answers from a member that it would remove. The member
+// is not proposed for removal again until the time-out has passed.
 func (m *Machine) handleVeto(p *packet) {
 	v := &m.view
 	subject := m.members[p.Subject]
@@ -145,11 +150,11 @@
 	delete(v.suspicionReports, p.Subject)
 }
 
-// handleBallot answers a ballot of another member, as a voter.
+// handleBallot answers another member's prepare or accept, as a voter.
 func (m *Machine) handleBallot(p *packet, from netip.AddrPort) {
 	v := &m.view
 	if p.Sequence < v.promised {
-		m.send(from, packet{Kind: promise, Sequence: v.promised}) // it learns the highest ballot
+		m.send(from, packet{Kind: promise, Sequence: v.promised}) // tells the sender the highest ballot
 		return
 	}
 	if p.Kind == prepare {
@@ -170,8 +175,9 @@
 	m.send(from, packet{Kind: accepted, Sequence: p.Sequence})
 }
 
-// agreesToRemovals tells whether this member, as a voter, agrees that the members of a proposal have failed. It vetoes the
-// removal of one that it hears, and asks one once more that it has not investigated; the proposal comes again then.
+// agreesToRemovals reports whether this member, as a voter, agrees that the members which a proposal removes have
+// failed. It vetoes the removal of a member that answers it. It pings a member that it has not investigated and
+// withholds its vote meanwhile; the proposer repeats the proposal.
 func (m *Machine) agreesToRemovals(proposed *change, p *packet, from netip.AddrPort) bool {
 	v := &m.view
 	isWaiting := false
@@ -194,18 +200,18 @@
 	return !isWaiting
 }
 
-// isSelf tells whether a record is that of this member, which is not leaving.
+// isSelf reports whether a record is of this member's incarnation and this member is not leaving.
 func (m *Machine) isSelf(record *Record) bool {
 	return record.Name == m.self.Name && record.Incarnation == m.self.Incarnation && m.leavingSince == 0
 }
 
-// wasAnsweredBy tells whether a member has answered this one within half of the time-out.
+// wasAnsweredBy reports whether a member has answered this one within half of the failure time-out.
 func (m *Machine) wasAnsweredBy(x *member) bool {
 	return x.hasAnswered && m.now-x.lastAnswerAt < m.config.FailureTimeout/2
 }
 
-// recheck pings a member once more that this one has not investigated for the time-out, and tells whether its answer is
-// still to be waited for.
+// recheck pings a member again that this one has not investigated for the whole failure time-out. It reports whether
+// this member still waits for the answer.
 func (m *Machine) recheck(x *member) bool {
 	isInvestigated := x.investigation != nil && x.investigation.pings >= minObserverPings &&
 		m.now-x.investigation.startedAt >= m.config.FailureTimeout
--- a/internal/dispatcher/membership/coordinator.go
+++ b/internal/dispatcher/membership/coordinator.go
@@ -1,4 +1,4 @@
-// How members agree on the next view: the coordinator counts reports, proposes a change and drives its ballot.
+// The coordinator counts the observers' reports, proposes the next change of the view and drives its ballot.
 
 package membership
 
@@ -7,14 +7,16 @@
 	"time"
 )
 
-// suspicionReport is what an observer has said of a member.
+// suspicionReport is an observer's report on a suspected member: age is how long the member had not answered the
+// observer when the report arrived at receivedAt.
 type suspicionReport struct {
 	age, receivedAt time.Duration
 	incarnation     uint64
 	revision        uint32
 }
 
-// recordSuspicionReport keeps an observer's report that a member has not answered it for some time.
+// recordSuspicionReport stores an observer's report that a member has not answered it for age. It replaces the
+// observer's earlier report.
 func (m *Machine) recordSuspicionReport(observer string, x *member, age time.Duration) {
 	if m.view.suspicionReports[x.Name] == nil {
 		m.view.suspicionReports[x.Name] = map[string]suspicionReport{}
@@ -22,13 +24,14 @@
 	m.view.suspicionReports[x.Name][observer] = suspicionReport{age: age, receivedAt: m.now, incarnation: x.Incarnation, revision: x.Revision}
 }
 
-// The ages at which an observer's report counts, in twentieths and fifths of the settings' times.
+// Limits on observers' reports, in fifths of the period and twentieths of the failure time-out.
 const (
-	reportLifetimeFifths   = 13 // of a period: an observer reports again each period
-	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that is as close to it as that
+	reportLifetimeFifths   = 13 // of a period: an observer repeats its report each period
+	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that has been silent for so long
 )
 
-// failedMembers counts the observers' reports. It returns the members that have failed, and whether others are about to.
+// failedMembers returns the members that a majority of their observers reports as failed, and whether other members are
+// close to that. It drops the reports on members that need none any more.
 func (m *Machine) failedMembers() (failed []*member, othersAreClose bool) {
 	v := &m.view
 	for _, name := range sortedKeys(v.suspicionReports) {
@@ -49,8 +52,8 @@
 	return failed, othersAreClose
 }
 
-// countReports returns how many observers say that a member did not answer for the time-out, and how many are close to
-// saying so. It drops reports that are old or about another incarnation or revision.
+// countReports returns how many observers report that a member has not answered for the failure time-out, and how many
+// are close to it. It drops reports that are old or about another incarnation or revision.
 func (m *Machine) countReports(x *member) (votes, almost int) {
 	reports := m.view.suspicionReports[x.Name]
 	for observer, report := range reports {
@@ -68,7 +71,7 @@
 	return votes, almost
 }
 
-// isPresent tells whether a member is this one, or alive and in the view.
+// isPresent reports whether a member is this one, or is alive and in the view.
 func (m *Machine) isPresent(name string) bool {
 	if name == m.self.Name {
 		return true
@@ -77,8 +80,8 @@
 	return x != nil && x.state == Alive && m.view.indexOf(name) >= 0
 }
 
-// coordinate is called with every event. It keeps a transfer and a ballot of this member going, and proposes the next
-// view where it is this member's turn to coordinate.
+// coordinate runs with every event. It continues this member's view transfer and ballot, and proposes the next view if
+// this member is the coordinator.
 func (m *Machine) coordinate() {
 	m.continueTransfer()
 	if m.view.Number == 0 {
@@ -99,7 +102,7 @@
 	}
 }
 
-// noteMajority tells whether this member sees a majority of the view, and remembers since when.
+// noteMajority reports whether this member sees a majority of the view, and records since when.
 func (m *Machine) noteMajority() bool {
 	seesMajority := m.seesMajority()
 	switch {
@@ -111,7 +114,7 @@
 	return seesMajority
 }
 
-// mayPropose tells whether it is this member's turn to propose a change of the view.
+// mayPropose reports whether this member is the coordinator, has a vote and is not backing off.
 func (m *Machine) mayPropose() bool {
 	leaders := m.leaders(1)
 	isFirst := len(leaders) > 0 && leaders[0] == m.self.Name
@@ -120,7 +123,7 @@
 	return isFirst && !isLeaving && hasVote && m.now >= m.view.backoffUntil
 }
 
-// nextChange collects what the next view is to change: members that have failed, that have left, and that join.
+// nextChange returns the change for the next view: the members that have failed, have left and are joining.
 func (m *Machine) nextChange() *change {
 	failed := m.removableMembers()
 	left := m.leftMembers()
@@ -134,8 +137,9 @@
 	return next
 }
 
-// removableMembers returns the places of the members that have failed and may be removed now. Removals wait for others
-// that are about to fail, and after the end of a network partition for the observers' next reports.
+// removableMembers returns the indexes in the view of the failed members that may be removed now. A removal waits up to
+// BatchDelay for members that are about to fail, so that one view removes them all. After a network partition has
+// ended, it also waits for the observers' next reports.
 func (m *Machine) removableMembers() []int {
 	v := &m.view
 	failed, othersAreClose := m.failedMembers()
@@ -158,7 +162,7 @@
 	return places
 }
 
-// leftMembers returns the places of the members that have said that they leave.
+// leftMembers returns the indexes in the view of the members that have announced that they leave.
 func (m *Machine) leftMembers() []int {
 	var places []int
 	for i := range m.view.Members {
@@ -171,7 +175,7 @@
 	return places
 }
 
-// startBallot proposes a change under a ballot of this member's own.
+// startBallot proposes a change under a ballot number that no other member uses.
 func (m *Machine) startBallot(proposed *change) {
 	v := &m.view
 	v.isPreparing = !m.maySkipPrepare()
@@ -196,21 +200,22 @@
 	m.driveBallot()
 }
 
-// maySkipPrepare tells whether this member may begin with accept: one member of a view only, in its first attempt, and
-// never one that may have forgotten what it did.
+// maySkipPrepare reports whether this member may begin with accept. Only the first member by rank may, in its first
+// attempt for the view, and only if its incarnation is in the view: a restarted one may have forgotten what it
+// proposed.
 func (m *Machine) maySkipPrepare() bool {
 	v := &m.view
 	return v.ranked[0] == m.self.Name && v.Contains(m.self.Name, m.self.Incarnation) && v.ballotAttempts == 0
 }
 
-// ownBallot returns a ballot that no other member of the view uses.
+// ownBallot returns a ballot number that no other member of the view uses.
 func (m *Machine) ownBallot() uint32 {
 	v := &m.view
 	place := uint32(v.index[m.self.Name])
 	return uint32(v.ballotAttempts)*ballotsPerAttempt*2 + ballotsPerAttempt + place%ballotsPerAttempt + 1
 }
 
-// joinRanges joins neighbouring places to ranges, limit of them at most.
+// joinRanges merges neighbouring indexes into ranges. It returns the first limit ranges at most and drops the rest.
 func joinRanges(places []int, most int) (out [][2]uint32) {
 	slices.Sort(places)
 	for _, i := range places {
@@ -225,13 +230,14 @@
 	return out
 }
 
-// isRestartedVoter tells whether the view has an earlier incarnation of this member: it may vote, but has no memory.
+// isRestartedVoter reports whether the view has an earlier incarnation of this member. The member may vote, but has
+// lost the state of its earlier votes.
 func (m *Machine) isRestartedVoter() bool {
 	i, ok := m.view.index[m.self.Name]
 	return ok && m.view.Members[i].Incarnation < m.self.Incarnation
 }
 
-// addJoining puts members that join into a change, as many as fit into a datagram.
+// addJoining adds the joining members to a change, as many as fit into a datagram.
 func (m *Machine) addJoining(c *change) {
 	v := &m.view
 	size := len(encodeCBOR(c))
@@ -257,7 +263,7 @@
 	}
 }
 
-// joiningMembers returns the members that are alive and not in the view with their incarnation, by name.
+// joiningMembers returns the sorted names of the members that are alive and whose incarnation is not in the view.
 func (m *Machine) joiningMembers() (out []string) {
 	for name, x := range m.members {
 		if x.state == Alive && !m.view.Contains(name, x.Incarnation) {
--- a/internal/dispatcher/membership/datagrams.go
+++ b/internal/dispatcher/membership/datagrams.go
@@ -1,4 +1,4 @@
-// Datagrams out and in: what fills them up, and who handles them.
+// Sending and receiving datagrams: gossip fills up outgoing ones, and incoming ones go to the handler of their kind.
 
 package membership
 
@@ -12,10 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxRumors is how many rumors a datagram carries at most.
+// maxRumors is the maximum number of rumors in a datagram.
 const maxRumors = 20
 
-// send sends a packet. The room that is left in the datagram takes rumors: first what concerns the receiver itself.
+// send encodes a packet and queues it for sending. Pings, acks and ping requests carry rumors in the space that is
+// left.
 func (m *Machine) send(to netip.AddrPort, p packet) {
 	if !to.IsValid() {
 		return
@@ -32,7 +33,7 @@
 		body = encodeCBOR(p)
 	}
 	data := append(append(make([]byte, 0, 1+len(body)), formatVersion), body...)
-	if len(data) > MaxDatagramBytes { // sizes are bounded where bodies are made
+	if len(data) > MaxDatagramBytes { // the code that builds a body bounds its size
 		panic(fmt.Sprintf("membership: a datagram of %d bytes, kind %d", len(data), p.Kind))
 	}
 	m.Counters.Sent++
@@ -40,8 +41,8 @@
 	m.actions.Send = append(m.actions.Send, OutgoingDatagram{To: to, Data: data})
 }
 
-// addRumors fills a datagram of so many bytes up with rumors: the suspicion of the member that is pinged, so that it can
-// refute it, then those that were sent least often.
+// addRumors adds rumors to a packet whose datagram has size bytes without them. The suspicion of the pinged member goes
+// first, so that the member can refute it, then the rumors that were sent least often.
 func (m *Machine) addRumors(p *packet, size int) {
 	if own := m.suspicionOfReceiver(p); own != nil && size+len(own)+1 <= MaxDatagramBytes {
 		p.Rumors = append(p.Rumors, own)
@@ -60,7 +61,8 @@
 	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(entry *gossipEntry) bool { return entry.transmissions >= maxTransmissions })
 }
 
-// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to, or nil.
+// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to. It returns nil if there is none
+// that has been disseminated.
 func (m *Machine) suspicionOfReceiver(p *packet) cbor.RawMessage {
 	x := m.members[p.Subject]
 	if p.Kind != ping || x == nil || !x.isDisseminated || !x.isDoubtful() {
@@ -72,7 +74,7 @@
 	})
 }
 
-// handleDatagram takes a datagram in.
+// handleDatagram decodes a datagram, applies its rumors and handles its packet.
 func (m *Machine) handleDatagram(from netip.AddrPort, data []byte) {
 	p, err := decodePacket(data)
 	if err != nil {
@@ -103,12 +105,12 @@
 	}
 }
 
-// hasEnded tells whether an incarnation of a member is over: a later one is known, or it has left or failed.
+// hasEnded reports whether an incarnation of a member has ended: a later one is known, or it has left or failed.
 func (x *member) hasEnded(incarnation uint64) bool {
 	return incarnation < x.Incarnation || incarnation == x.Incarnation && (x.state == Left || x.state == Failed)
 }
 
-// notifyEnded tells the sender of a packet, once a period at most, that its incarnation has ended.
+// notifyEnded tells the sender of a packet that its incarnation has ended, at most once a period.
 func (m *Machine) notifyEnded(p *packet, x *member, from netip.AddrPort) {
 	if p.Kind == incarnationEnded || m.now < m.notifiedAt[p.From]+m.config.Period {
 		return
@@ -117,7 +119,7 @@
 	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: x.Incarnation, Number: isAtOtherAddress(x, from)})
 }
 
-// recordHeard takes in what any packet of a member tells: that it sent something, from where, and its revision.
+// recordHeard records what every packet shows of its sender: that it sends, from which address, and its revision.
 func (m *Machine) recordHeard(x *member, p *packet, from netip.AddrPort) {
 	x.lastHeardAt = m.now
 	if m.config.LearnAddresses && x.endpoint != from && slices.Contains(m.config.Seeds, from) {
@@ -126,7 +128,7 @@
 	m.applyRevision(x, p.Revision, "says something new of itself")
 }
 
-// handlePacket does what a packet asks for. The sender x is nil where it is not known yet.
+// handlePacket passes a packet to the handler of its kind. x is nil if the sender is not known yet.
 func (m *Machine) handlePacket(p *packet, x *member, from netip.AddrPort) {
 	switch p.Kind {
 	case ping:
@@ -150,7 +152,7 @@
 	}
 }
 
-// relayPing pings a member for another one, which gets the answer.
+// relayPing pings a member on behalf of the sender of a ping request. handleAck forwards the answer.
 func (m *Machine) relayPing(p *packet, from netip.AddrPort) {
 	subject := m.members[p.Subject]
 	if subject == nil || subject.Incarnation != p.SubjectIncarnation {
@@ -161,7 +163,8 @@
 	m.send(subject.endpoint, packet{Kind: ping, Sequence: sequence, Subject: subject.Name, SubjectIncarnation: subject.Incarnation})
 }
 
-// handleInvestigateRequest takes in that the sender suspects a member which this one observes, or this one itself.
+// handleInvestigateRequest records that the sender suspects a member which this one observes. If the sender suspects
+// this member itself, this member refutes it.
 func (m *Machine) handleInvestigateRequest(p *packet) {
 	subject := m.members[p.Subject]
 	switch {
--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -1,4 +1,4 @@
-// What goes into the machine and what comes out: settings, events, actions, counters.
+// The machine's input and output: its configuration, events, actions and counters.
 
 package membership
 
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// State is what a member is taken for.
+// State is the state of a member as another member sees it.
 type State uint8
 
-// The states. Unknown is not failed: nobody could reach it, and too few could say so together.
+// The states. A suspected member becomes Unknown if no member reaches it and the view does not remove it, because too
+// few observers could report it.
 const (
 	Alive State = iota + 1
 	Suspected
@@ -22,36 +23,36 @@
 	Failed
 )
 
-// String returns the name of the value.
+// String returns the state's name in logs and in the JSON form of MemberStatus; the zero value is "none".
 func (s State) String() string {
 	return [...]string{"none", "alive", "suspect", "unknown", "left", "failed"}[min(s, Failed)]
 }
 
-// Config is what a member is told. Times that are 0 get the default that Fill gives.
+// Config configures a member. SetDefaults replaces durations and counts that are 0.
 type Config struct {
 	Name        string
 	Zone        string
-	Address     netip.AddrPort // where the others reach it
-	Incarnation uint64         // of this start; larger than that of any earlier one under this name
+	Address     netip.AddrPort // at which the other members reach this one
+	Incarnation uint64         // of this start; larger than that of any earlier start under this name
 	Metadata    Metadata
-	Seeds       []netip.AddrPort // whom to ask for the way in
-	// Book has the addresses at which this member reaches the others, by name, where those that they tell of themselves
-	// are not valid here. nil: what they tell.
+	Seeds       []netip.AddrPort // addresses at which to join
+	// AddressBook has the addresses at which this member reaches the others, by name. It overrides the addresses in
+	// their records where those are not reachable from here.
 	AddressBook map[string]netip.AddrPort
-	// Learn takes the address from which a member was heard for its own, if it is one of the seeds: where each member has
-	// addresses of its own for the others, and no names to them.
+	// LearnAddresses takes the source address of a member's datagrams as the member's address, if it is one of Seeds.
+	// It serves networks in which each member reaches the others at different addresses and has no names for them.
 	LearnAddresses bool
-	Seed           uint64 // of its random numbers
+	Seed           uint64 // of the random number generator
 
 	Period           time.Duration // between two probes
-	FailureTimeout   time.Duration // a member may be silent for so long before its jury may say that it has failed
-	ObserverCount    int           // members that look into an accusation
-	BootstrapTimeout time.Duration // so long a member looks for others before it founds a fleet of its own
-	BatchDelay       time.Duration // a change waits so long at most for others that are about to be ripe
-	History          int           // changes kept for members that are behind
+	FailureTimeout   time.Duration // silence after which observers may report a member as failed
+	ObserverCount    int           // members that investigate a suspicion
+	BootstrapTimeout time.Duration // search for others before the member founds a fleet of its own
+	BatchDelay       time.Duration // maximum wait of a removal for members that are about to fail
+	History          int           // changes kept for members with an older view
 }
 
-// SetDefaults puts the defaults in, and tells what cannot work.
+// SetDefaults replaces zero values by the defaults. It returns an error if a value is out of range.
 func (c *Config) SetDefaults() error {
 	for _, f := range []struct {
 		to   *time.Duration
@@ -60,28 +61,28 @@
 	}{{&c.Period, 500 * time.Millisecond, "period"}, {&c.FailureTimeout, 3 * time.Second, "bear"}, {&c.BootstrapTimeout, 2 * time.Second, "found"},
 		{&c.BatchDelay, 3 * time.Second, "hold"}} {
 		if *f.to = cmp.Or(*f.to, f.v); *f.to < 10*time.Millisecond || *f.to > 10*time.Minute {
-			return fmt.Errorf("membership: %s: %v is not in 10ms to 10m", f.name, *f.to)
+			return fmt.Errorf("membership: %s: %v is not between 10ms and 10m", f.name, *f.to)
 		}
 	}
 	c.ObserverCount, c.History = cmp.Or(c.ObserverCount, 7), cmp.Or(c.History, 16)
 	if c.ObserverCount < 1 || c.History < 1 {
-		return errors.New("membership: jury and history are 1 or more")
+		return errors.New("membership: the observer count and the history must be at least 1")
 	}
 	return nil
 }
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
 // The events.
 const (
-	Tick             EventKind = iota + 1 // only the time
-	DatagramReceived                      // From, Data: a datagram
-	MetadataChanged                       // Facts: what the others may read from now on
-	Leave                                 // this member goes
+	Tick             EventKind = iota + 1 // time has passed; no field is set
+	DatagramReceived                      // From, Data: the sender and the datagram
+	MetadataChanged                       // Metadata: this member's new metadata
+	Leave                                 // this member leaves
 )
 
-// Event is one thing that happened.
+// Event is one input of the machine.
 type Event struct {
 	Kind     EventKind
 	From     netip.AddrPort
@@ -95,38 +96,38 @@
 	Data []byte
 }
 
-// Change is a member that is taken for something else than before.
+// Change is a change of a member's state.
 type Change struct {
 	Name        string
 	Incarnation uint64
 	State       State
-	Reason      string // whose accusation, or what else led to it
-	Joined      bool   // it is new here
+	Reason      string // what caused the change, for operators
+	Joined      bool   // the member was not known before
 }
 
-// Notice is something that this member's operator should know of.
+// Notice is a message to this member's operator.
 type Notice struct {
 	Kind string // paused, twice, superseded, expelled, founded, adopted
 	Text string
 }
 
-// Actions are what follows from an event, in order. They are valid until the next call.
+// Actions are what the caller has to carry out after an event. They are valid until the next call of Handle.
 type Actions struct {
 	Send    []OutgoingDatagram
 	Changes []Change
 	Notices []Notice
 	View    *View         // the new view, if there is one
-	Next    time.Duration // when to call again at the latest, by the clock of the events
+	Next    time.Duration // latest time of the next call, by the clock of the events
 }
 
-// Counters only grow.
+// Counters count what a member has done since its start. They only grow.
 type Counters struct {
 	Sent       uint64 `json:"sent"` // datagrams
 	SentBytes  uint64 `json:"sent_bytes"`
 	Received   uint64 `json:"heard"`
-	Malformed  uint64 `json:"foreign"` // torn, of another version, or with what cannot be
-	Refuted    uint64 `json:"refuted"` // accusations of this member
-	Suspicions uint64 `json:"accused"` // its own
-	Pauses     uint64 `json:"pauses"`
-	Conflicts  uint64 `json:"conflicts"` // its name was used elsewhere
+	Malformed  uint64 `json:"foreign"`   // truncated, of another version, or with invalid values
+	Refuted    uint64 `json:"refuted"`   // suspicions of this member that it refuted
+	Suspicions uint64 `json:"accused"`   // suspicions that this member started
+	Pauses     uint64 `json:"pauses"`    // times that this process was found to have been paused
+	Conflicts  uint64 `json:"conflicts"` // other processes found to use this member's name
 }
--- a/internal/dispatcher/membership/joining.go
+++ b/internal/dispatcher/membership/joining.go
@@ -1,4 +1,4 @@
-// How a member joins, how fleets that were founded apart find each other, and how an incarnation ends.
+// Joining, the merging of fleets that were founded separately, and the end of an incarnation.
 
 package membership
 
@@ -10,7 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// handleJoin is a member that wants in, or says so of itself again.
+// handleJoin handles a request to join, or a member's repeated announcement of itself. It passes a new request on to
+// the leaders and pings the sender, which learns the current view from that.
 func (m *Machine) handleJoin(p *packet, from netip.AddrPort) {
 	list, err := decodeRecords(p.Body)
 	if err != nil || len(list) != 1 || list[0].Name != p.From || list[0].Incarnation != p.Incarnation {
@@ -26,17 +27,17 @@
 	if m.config.LearnAddresses && slices.Contains(m.config.Seeds, from) {
 		x.endpoint = from
 	}
-	if p.Sequence == 0 { // not passed on yet: those that lead should know of it
+	if p.Sequence == 0 { // not passed on yet
 		for _, name := range m.leaders(2) {
 			if y := m.members[name]; y != nil && y != x {
 				m.send(y.endpoint, packet{Kind: join, Sequence: 1, Body: p.Body, Subject: p.From})
 			}
 		}
 	}
-	m.send(from, packet{Kind: ping, Sequence: m.nextSequence()}) // it hears from this what the view is
+	m.send(from, packet{Kind: ping, Sequence: m.nextSequence()}) // carries the ID of this member's view
 }
 
-// sendJoin looks for the way in.
+// sendJoin sends a request to join to two known members and to the next two seeds.
 func (m *Machine) sendJoin() {
 	body := encodeCBOR([]Record{m.self})
 	var to []netip.AddrPort
@@ -54,8 +55,8 @@
 	}
 }
 
-// isAtOtherAddress tells, as a number for a datagram, whether a later life than that of a datagram's sender is there, at another
-// address. At the same one it is the same place, started anew with a clock that was set back.
+// isAtOtherAddress returns 1 if the known incarnation of a datagram's sender is present at another address than from,
+// and otherwise 0. At the same address, the sender is that member restarted after its clock was set back.
 func isAtOtherAddress(x *member, from netip.AddrPort) uint32 {
 	if x.endpoint != from && x.state <= Unknown {
 		return 1
@@ -63,7 +64,8 @@
 	return 0
 }
 
-// contactSeed asks a seed that is no member here now and then: two fleets that were founded apart find each other by it.
+// contactSeed sends a join to a random seed that is not a member, every 10 to 20 periods. Two fleets that were founded
+// separately find each other by it.
 func (m *Machine) contactSeed() {
 	m.nextSeedContactAt = m.now + 10*m.config.Period + time.Duration(m.rng.Int64N(int64(10*m.config.Period)))
 	if len(m.config.Seeds) == 0 {
@@ -72,7 +74,7 @@
 	a := m.config.Seeds[m.rng.IntN(len(m.config.Seeds))]
 	for _, x := range m.members {
 		if x.endpoint == a && x.state <= Unknown {
-			return // it is probed as it is
+			return // it is probed anyway
 		}
 	}
 	if a != m.config.Address {
@@ -80,7 +82,8 @@
 	}
 }
 
-// handleNameConflict is a datagram of somebody else under this member's own name: both are told, and the later life keeps it.
+// handleNameConflict handles a datagram of another process that uses this member's name. Both operators are notified,
+// and the later incarnation keeps the name.
 func (m *Machine) handleNameConflict(p *packet, from netip.AddrPort) {
 	if at, ok := m.notifiedAt[""]; !ok || m.now >= at+10*m.config.Period {
 		m.notifiedAt[""] = m.now
@@ -98,7 +101,8 @@
 	}
 }
 
-// handleIncarnationEnded is told to this member: its life is over, or a later one is known under its name, perhaps at another place.
+// handleIncarnationEnded handles the news that this member's incarnation has ended, or that a later one has its name.
+// Unless the later one runs elsewhere, this member joins again with a new incarnation.
 func (m *Machine) handleIncarnationEnded(life uint64, elsewhere bool) {
 	switch {
 	case life < m.self.Incarnation || m.leavingSince > 0:
@@ -111,7 +115,8 @@
 	}
 }
 
-// startNewIncarnation begins a new life: an ended one never comes back.
+// startNewIncarnation makes this member join again under its next incarnation. An ended incarnation never becomes a
+// member again.
 func (m *Machine) startNewIncarnation(why string) {
 	m.self.Incarnation++
 	m.self.Revision = 0
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -1,16 +1,16 @@
-// Package membership tells which dispatchers are there. A Machine is the state of one member, without I/O, clock or
-// goroutine: it is handed datagrams, the time and its operator's wishes, and returns datagrams, changes, views and the time
-// of its next call. The same events always lead to the same actions.
+// Package membership determines which dispatchers are members of a fleet. A Machine is the state machine of one member,
+// without I/O, clock or goroutines. It takes datagrams, the time and its operator's commands, and returns datagrams,
+// changes of members, views and the time of its next call. The same events always lead to the same actions.
 //
-// A member is suspected when it does not answer a ping, directly or through others (SWIM). A suspicion goes to the
-// member's observers, some members chosen by a hash of the names, who ping it themselves and report to the coordinator.
-// Nobody is removed by a suspicion alone: a member has failed when a view says so, and the views are agreed on by a
-// majority, each by a ballot of prepare and accept.
+// A member is suspected if it answers neither a ping nor the pings of relays (SWIM). The suspicion goes to the member's
+// observers, a few members chosen by a hash of the names, which ping it themselves and report to the coordinator. A
+// suspicion alone removes no member: a member has failed if a view without it is installed. A majority agrees on each
+// view in a ballot of prepare and accept.
 //
-// Start reading at Machine.Handle (machine.go): probes.go pings and investigates, members.go keeps what is known of each
-// member, gossip in traffic.go spreads it, coordinator.go and ballot.go agree on the next view, transfer.go brings views to
-// members that are behind, packet.go encodes datagrams. docs/membership-design.md weighs the alternatives and has the table
-// of states.
+// Start reading at Machine.Handle (machine.go). probes.go pings and investigates, members.go holds the state of each
+// member, datagrams.go sends and receives datagrams and their gossip, coordinator.go and ballot.go agree on the next
+// view, transfer.go brings views to members that are behind, and packet.go encodes datagrams. docs/membership-design.md
+// weighs the alternatives and has the table of states.
 package membership
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Machine is one member. It is not safe for concurrent use.
+// Machine is the state machine of one member. It is not safe for concurrent use.
 type Machine struct {
 	Counters Counters
 
@@ -34,35 +34,38 @@
 	leavingSince      time.Duration
 	isEnded           bool // it has left, or a later incarnation has its name
 	members           map[string]*member
-	ring              []*member // members to ping, in a random order that is drawn anew each round
+	ring              []*member // members to ping, shuffled at the start of each round
 	ringPosition      int
 	nextProbeAt       time.Duration
 	nextJoinAt        time.Duration
 	nextSeedContactAt time.Duration
-	seedsAsked        int // seeds asked so far
+	seedsAsked        int // joins sent to seeds so far
 	sequence          uint32
 	probes            map[uint32]*probe
 	relayedPings      map[uint32]relayedPing
 	gossipQueue       []*gossipEntry
 	healthPenalty     int           // 0 is healthy: its own probes are answered in time
-	lastSignAt        time.Duration // when this member was last answered by anybody
+	lastSignAt        time.Duration // when any member last answered this one
 	startedAt         time.Duration
 	investigated      []*member
 	suspected         []*member
-	notifiedAt        map[string]time.Duration // when a member was last told that its incarnation has ended
-	view              viewState
+	// When a name was last told that its incarnation has ended; "": when a name conflict was last reported.
+	notifiedAt map[string]time.Duration
+	view       viewState
 }
 
 const (
-	indirectProbes           = 3 // members asked to ping another one for this member
-	maxHealthPenalty         = 8 // periods by which a suspicion may wait for the health of the member that has it
-	minObserverPings         = 6 // unanswered pings of an observer before its report counts
-	pingsBeforeDissemination = 5 // pings of an observer before it spreads the suspicion: with two, 300 members that lost a fifth of all datagrams sent 2 kB/s
+	indirectProbes   = 3 // relays that are asked to ping another member
+	maxHealthPenalty = 8 // maximum of Machine.healthPenalty; a point delays suspicions by half a period or more
+	minObserverPings = 6 // unanswered pings of an observer before its report counts
+	// Pings of an observer before it spreads the suspicion; with 2, each of 300 members sent 2 kB/s at 20% loss.
+	pingsBeforeDissemination = 5
 	leavePeriods             = 4 // periods for which a leaving member still answers
-	gossipFactor             = 3 // times the logarithm of the number of members that a rumor is sent
+	gossipFactor             = 3 // a rumor is sent this many times the binary logarithm of the number of members
 )
 
-// New makes a member. The time is that of the events.
+// New returns a member that starts at the time now, which is of the same clock as the events. It returns an error if
+// the configuration is invalid.
 func New(cfg Config, now time.Duration) (*Machine, error) {
 	if err := cfg.SetDefaults(); err != nil {
 		return nil, err
@@ -82,7 +85,7 @@
 	return m, nil
 }
 
-// Handle takes one event at the time now.
+// Handle handles an event at the time now and returns the actions that follow.
 func (m *Machine) Handle(now time.Duration, ev Event) *Actions {
 	m.actions = Actions{Send: m.actions.Send[:0], Changes: m.actions.Changes[:0], Notices: m.actions.Notices[:0]}
 	m.now = max(now, m.now)
@@ -90,7 +93,7 @@
 		m.actions.Next = m.now + time.Hour
 		return &m.actions
 	}
-	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // called as late as this, the process itself was stopped
+	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // so late a call means that this process was paused
 		m.handlePause(late)
 	}
 	switch ev.Kind {
@@ -104,7 +107,8 @@
 		if m.leavingSince == 0 {
 			m.leavingSince = m.now
 			m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Left})
-			for _, x := range m.randomAlive(indirectProbes, nil) { // they hear of it, so that nobody has to suspect it
+			// Spread the news, so that no member suspects this one.
+			for _, x := range m.randomAlive(indirectProbes, nil) {
 				m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 			}
 		}
@@ -116,7 +120,8 @@
 	return &m.actions
 }
 
-// handlePause is called when this member finds that its process was stopped: what it missed says nothing about others.
+// handlePause discards this member's probes and observations after its own process was paused: answers that it missed
+// meanwhile say nothing about other members.
 func (m *Machine) handlePause(late time.Duration) {
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
@@ -126,7 +131,7 @@
 	for _, x := range m.investigated {
 		x.investigation.startedAt, x.investigation.pings = m.now, 0
 	}
-	for _, x := range m.suspected { // the time of the pause does not count as theirs without an answer
+	for _, x := range m.suspected { // the pause does not count as their silence
 		x.stateSince = m.now
 	}
 	m.view.pause(m.now)
@@ -138,7 +143,7 @@
 
 func (m *Machine) nextSequence() uint32 { m.sequence++; return m.sequence }
 
-// runDue does all that is due, and finds out when the next thing will be.
+// runDue runs everything that is due and sets wakeAt to when the next work is due.
 func (m *Machine) runDue() {
 	if m.leavingSince > 0 && m.now >= m.leavingSince+leavePeriods*m.config.Period {
 		m.isEnded = true
@@ -180,7 +185,7 @@
 	}
 }
 
-// wakeBy has the machine called at the latest then.
+// wakeBy makes the caller call Handle again by the time at, at the latest.
 func (m *Machine) wakeBy(at time.Duration) {
 	if at > m.now {
 		m.wakeAt = min(m.wakeAt, at)
@@ -193,8 +198,8 @@
 // Incarnation returns the number of this start of the member; a later start has a larger number.
 func (m *Machine) Incarnation() uint64 { return m.self.Incarnation }
 
-// Joined tells whether this member has joined the others.
+// Joined reports whether this member's incarnation is in its view.
 func (m *Machine) Joined() bool { return m.joined }
 
-// Health returns how unhealthy this member is: 0 while its own probes are answered in time, 8 at most.
+// Health returns this member's health penalty: 0 while its probes are answered in time, at most 8.
 func (m *Machine) Health() int { return m.healthPenalty }
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -1,4 +1,4 @@
-// What this member knows of each member: alive, suspected, left.
+// The table of members: the state of each as this member sees it, and the rumors that spread it.
 
 package membership
 
@@ -17,29 +17,29 @@
 	endpoint        netip.AddrPort
 	state           State
 	stateSince      time.Duration
-	suspectedBy     []string      // who suspects it
+	suspectedBy     []string      // names of up to 4 members that suspect it
 	lastAnswerAt    time.Duration // its last answer to this member, direct or relayed
 	lastHeardAt     time.Duration // its last datagram of any kind
 	falseSuspicions int           // this member's suspicions of it that proved wrong, decaying
 	investigation   *investigation
-	hasAnswered     bool          // it has answered once at least
-	recheckedAt     time.Duration // since when it is asked once more, as a proposal removes it
-	isDisseminated  bool          // its suspicion has been spread: others believe it, and the member has to refute it
+	hasAnswered     bool          // it has answered at least once
+	recheckedAt     time.Duration // when recheck began to ping it again
+	isDisseminated  bool          // its suspicion has been spread; other members hold it, and this one has to refute it
 }
 
-// isDoubtful tells whether a member is suspected, or was and could not be reached since.
+// isDoubtful reports whether a member is suspected, or was suspected and has not been reached since.
 func (x *member) isDoubtful() bool { return x.state == Suspected || x.state == Unknown }
 
-// gossipEntry is a rumor to be spread; the one sent least often goes first.
+// gossipEntry is a rumor to be spread. The entry that was sent least often goes first.
 type gossipEntry struct {
 	memberName    string
 	encoded       cbor.RawMessage
 	transmissions int
 }
 
-// startSuspicion says that a member does not answer, to its jury alone: with a fifth of all datagrams lost most accusations are
-// wrong, and the jury finds that out in half a second. Passed on at once, they and their refutations were nine tenths of
-// all bytes.
+// startSuspicion suspects a member that does not answer and tells only its observers. At 20% loss most suspicions are
+// wrong, and the observers find that out within half a second. When suspicions were gossiped at once, they and their
+// refutations made up nine tenths of all bytes.
 func (m *Machine) startSuspicion(x *member) {
 	if x.state == Left || x.state == Failed {
 		return
@@ -53,7 +53,8 @@
 	}
 }
 
-// addSuspicion takes an accusation in, one that is meant for all or only for its jury.
+// addSuspicion records that the member by has suspected x since a time, and begins an investigation if this member is
+// an observer of x. A public suspicion is spread to all members, any other one is for the observers alone.
 func (m *Machine) addSuspicion(x *member, by string, since time.Duration, public bool) {
 	fresh := !slices.Contains(x.suspectedBy, by)
 	if x.state == Alive {
@@ -77,7 +78,7 @@
 	}
 }
 
-// setState changes what a member is taken for.
+// setState changes a member's state and reports the change with its reason.
 func (m *Machine) setState(x *member, s State, why string) {
 	if x.state == s {
 		return
@@ -94,7 +95,7 @@
 	m.actions.Changes = append(m.actions.Changes, Change{Name: x.Name, Incarnation: x.Incarnation, State: s, Reason: why, Joined: was == 0})
 }
 
-// endInvestigation ends what this member does as an observer of x.
+// endInvestigation ends this member's investigation of x, if there is one.
 func (m *Machine) endInvestigation(x *member) {
 	if x.investigation != nil {
 		x.investigation = nil
@@ -102,13 +103,13 @@
 	}
 }
 
-// disseminateSelf spreads what this member says of itself.
+// disseminateSelf spreads this member's record.
 func (m *Machine) disseminateSelf() {
 	whole := m.self
 	m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive, Record: &whole})
 }
 
-// disseminate spreads a rumor; it replaces an older one of the same member.
+// disseminate queues a rumor for gossip. It replaces an older rumor about the same member.
 func (m *Machine) disseminate(r rumor) {
 	raw := cbor.RawMessage(encodeCBOR(r))
 	for _, n := range m.gossipQueue {
@@ -120,7 +121,8 @@
 	m.gossipQueue = append(m.gossipQueue, &gossipEntry{memberName: r.Name, encoded: raw})
 }
 
-// applyRevision takes in that a member has raised its number: it lives, and knows what was said before.
+// applyRevision records that a member has raised its revision. The member is alive and has refuted every suspicion of
+// an earlier revision.
 func (m *Machine) applyRevision(x *member, n uint32, why string) {
 	if n <= x.Revision || x.state == Left || x.state == Failed {
 		return
@@ -134,7 +136,7 @@
 	}
 }
 
-// refute says that this member is there, above what was said of it.
+// refute raises this member's revision above n, that of a suspicion, and spreads that this member is alive.
 func (m *Machine) refute(n uint32) {
 	if n >= m.self.Revision {
 		m.Counters.Refuted++
@@ -146,7 +148,8 @@
 	}
 }
 
-// applyRumor takes in what is said of a member.
+// applyRumor applies a rumor to the table of members, and spreads it further if it is new. A rumor about this member
+// itself is refuted, or ends its incarnation.
 func (m *Machine) applyRumor(r *rumor) {
 	if r.Name == m.self.Name {
 		switch {
@@ -186,7 +189,8 @@
 	}
 }
 
-// addMember puts a member, or a new life of one, into the table.
+// addMember adds a member, or a new incarnation of one, to the table. It returns the table's entry, whose incarnation
+// may be later than that of r.
 func (m *Machine) addMember(r Record) *member {
 	x := m.members[r.Name]
 	switch {
@@ -204,19 +208,19 @@
 	x = &member{Record: r, endpoint: m.endpointOf(&r)}
 	m.members[r.Name] = x
 	m.setState(x, Alive, "it is new")
-	// It would wait for a complete round otherwise.
+	// Inserted into the rest of this round, the member does not wait for the next round to be probed.
 	if m.ringPosition <= len(m.ring) {
 		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), x)
 	}
 	return x
 }
 
-// endpointOf is the address at which this member reaches another.
+// endpointOf returns the address at which this member reaches another.
 func (m *Machine) endpointOf(r *Record) netip.AddrPort {
 	if a, ok := m.config.AddressBook[r.Name]; ok {
 		return a
 	} else if m.config.LearnAddresses {
-		return netip.AddrPort{} // none before it is heard
+		return netip.AddrPort{} // unknown until the member is heard
 	}
 	return r.AddrPort()
 }
@@ -230,7 +234,7 @@
 	return out
 }
 
-// MemberStatus is what this member knows of a member, itself included, as operators are shown it.
+// MemberStatus is the state of a member as shown to operators.
 type MemberStatus struct {
 	Name         string   `json:"name"`
 	Zone         string   `json:"zone"`
@@ -245,7 +249,7 @@
 	Version      string   `json:"version"`
 }
 
-// Members returns all members that this one knows of, by zone and name.
+// Members returns the status of this member and of all others that it knows, ordered by zone and name.
 func (m *Machine) Members() []MemberStatus {
 	see := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) MemberStatus {
 		return MemberStatus{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Address: addr.String(), State: state.String(), SinceSeconds: (m.now - since).Seconds(),
@@ -263,7 +267,7 @@
 	return out
 }
 
-// Addresses returns the addresses that a datagram of this fleet may come from.
+// Addresses returns the addresses from which datagrams of this fleet may come: those of seeds and known members.
 func (m *Machine) Addresses() map[netip.AddrPort]bool {
 	out := map[netip.AddrPort]bool{}
 	for _, a := range m.config.Seeds {
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -1,5 +1,5 @@
-// The datagrams of the membership: a version byte, then a CBOR array (RFC 8949). A datagram that is too long, of another
-// version or torn is rejected, and each is read once.
+// The format of datagrams: a version byte, then a CBOR array (RFC 8949). A datagram that is too long, truncated or of
+// another version is rejected.
 
 package membership
 
@@ -13,22 +13,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDatagramBytes is the most bytes that a datagram may have, as the second deployment's protocol page has it.
+// MaxDatagramBytes is the maximum size of a datagram, in bytes. The second deployment's protocol page sets it.
 const MaxDatagramBytes = 256
 
 const (
 	formatVersion   = 1
-	maxNameBytes    = 24 // bytes of a name
+	maxNameBytes    = 24
 	maxZoneBytes    = 16
-	maxVersionBytes = 12 // of a version
+	maxVersionBytes = 12
 )
 
-// Metadata are what a member lets the others read.
+// Metadata is what a member publishes to the others.
 type Metadata struct {
 	_        struct{} `cbor:",toarray"`
-	Weight   float32  // how much it carries, in a unit of the user's own
-	Draining bool     // it is on its way out and takes nothing new
-	Version  string   // of its program, 12 bytes at most
+	Weight   float32  // capacity, in a unit that the user chooses
+	Draining bool     // it is shutting down and takes no new work
+	Version  string   // of its program, at most 12 bytes
 }
 
 // Record is a member as it describes itself.
@@ -36,13 +36,13 @@
 	_           struct{} `cbor:",toarray"`
 	Name        string
 	Incarnation uint64 // a later start has a larger number
-	Revision    uint32 // raised by the member alone, with each thing it says anew of itself
+	Revision    uint32 // raised only by the member itself, with each change of its record and each refutation
 	Zone        string
-	Address     []byte // address and port
+	Address     []byte // IP address and port, as of netip.AddrPort.MarshalBinary
 	Metadata    Metadata
 }
 
-// AddrPort is where the member is reached.
+// AddrPort returns the address of the member, or an invalid one if it cannot be decoded.
 func (r *Record) AddrPort() netip.AddrPort {
 	var a netip.AddrPort
 	if a.UnmarshalBinary(r.Address) != nil {
@@ -51,36 +51,37 @@
 	return a
 }
 
-// check tells what a record may not be.
+// check returns an error if a field of the record is out of range.
 func (r *Record) check() error {
 	switch {
 	case r.Name == "" || len(r.Name) > maxNameBytes:
-		return fmt.Errorf("name %q: 1 to %d bytes are right", r.Name, maxNameBytes)
+		return fmt.Errorf("name %q must have 1 to %d bytes", r.Name, maxNameBytes)
 	case len(r.Zone) > maxZoneBytes:
-		return fmt.Errorf("zone %q: %d bytes at most are right", r.Zone, maxZoneBytes)
+		return fmt.Errorf("zone %q must have at most %d bytes", r.Zone, maxZoneBytes)
 	case len(r.Metadata.Version) > maxVersionBytes:
-		return fmt.Errorf("version %q: %d bytes at most are right", r.Metadata.Version, maxVersionBytes)
+		return fmt.Errorf("version %q must have at most %d bytes", r.Metadata.Version, maxVersionBytes)
 	case r.Metadata.Weight < 0 || math.IsNaN(float64(r.Metadata.Weight)) || math.IsInf(float64(r.Metadata.Weight), 0):
-		return fmt.Errorf("weight %v: 0 or more is right", r.Metadata.Weight)
+		return fmt.Errorf("weight %v must be finite and not negative", r.Metadata.Weight)
 	case r.Incarnation == 0:
-		return errors.New("life 0: 1 or more is right")
+		return errors.New("incarnation must not be 0")
 	case !r.AddrPort().IsValid():
-		return errors.New("address: none that can be read")
+		return errors.New("address cannot be decoded")
 	}
 	return nil
 }
 
-// ViewID names a view. Of two views the one with the later epoch, then the larger number, is the later one.
+// ViewID identifies a view. Of two views, the one with the larger epoch, then the larger number, is the later one.
 type ViewID struct {
 	_       struct{} `cbor:",toarray"`
-	FleetID uint32   // how it was founded: by whose start, or of which members that were left
-	Epoch   uint32   // goes up where members without a memory made up the majority and founded it anew
-	Number  uint64
-	Digest  uint64 // of the members
+	FleetID uint32   // hash of the member that founded the fleet, or of the members that founded it anew
+	// Raised when a majority that includes restarted members, without their earlier state, founds the fleet anew.
+	Epoch  uint32
+	Number uint64
+	Digest uint64 // hash of the ID and the members
 }
 
-// After tells whether v is a later view than w. Equal numbers with other digests are told apart by these: one of
-// the two sides lost its memory, and all must end with the same one.
+// After reports whether v is a later view than w. Views with equal numbers and different digests are ordered by digest:
+// one of the two sides has lost its state, and all members have to end with the same view.
 func (v ViewID) After(w ViewID) bool {
 	switch {
 	case v.Epoch != w.Epoch:
@@ -91,7 +92,7 @@
 	return v.Digest > w.Digest
 }
 
-// String returns the view's number with its hash.
+// String returns the view's epoch and number with the lower half of its digest.
 func (v ViewID) String() string {
 	return fmt.Sprintf("%d.%d-%08x", v.Epoch, v.Number, uint32(v.Digest))
 }
@@ -108,25 +109,42 @@
 type packetKind uint8
 
 const (
-	ping               packetKind = iota + 1 // Seq: answer me
-	ack                                      // Seq of the ping; For where it answers for somebody that a relay reached
-	pingRequest                              // Seq, For: ping that member for me
-	investigateRequest                       // For, ForLife, ForNews: it does not answer me; you are of its jury
-	suspicionNotice                          // the same, Num: milliseconds that it has not answered a juror
-	join                                     // Body: a record; I want to be a member, or say what is new of me
-	incarnationEnded                         // For, ForLife: that life has ended
-	viewRequest                              // Seq: send me your view from that member on, or what leads there from mine
-	viewChunk                                // Seq, Num, Body: records of the view from place Seq on, of Num
-	prepare                                  // Seq: a ballot for the view after View
-	promise                                  // Seq; Num and Body: ballot and change accepted before
-	accept                                   // Seq, Body: a ballot and its change
-	accepted                                 // Seq
-	veto                                     // Seq, For, ForLife: that member is there, I hear it
-	commit                                   // Body: the change after View; Num: 1 where it opens an epoch
+	// Sequence; Subject: the member that is to answer.
+	ping packetKind = iota + 1
+	// Sequence of the ping; Subject: the member that a relay reached, empty in a direct answer.
+	ack
+	// Sequence, Subject: asks a relay to ping the subject.
+	pingRequest
+	// Subject: the subject does not answer the sender; goes to its observers.
+	investigateRequest
+	// Subject, Number: milliseconds for which the subject has not answered the sender, an observer.
+	suspicionNotice
+	// Body: the record of a member that joins or announces itself; Sequence: 0 if it is to be passed on.
+	join
+	// Subject: the subject's incarnation has ended; Number: 1 if a later one runs at another address.
+	incarnationEnded
+	// Sequence: asks for the receiver's view from that index on, or for the changes that lead there from View.
+	viewRequest
+	// Body: records of the view from index Sequence on; Number: the view's size.
+	viewChunk
+	// Sequence: a ballot for the view after View.
+	prepare
+	// Sequence: the ballot; Number, Body: ballot and change that the sender accepted before.
+	promise
+	// Sequence, Body: a ballot and its change; Number: 1 if the change may be committed already.
+	accept
+	// Sequence: the ballot.
+	accepted
+	// Sequence: the ballot; Subject: a member that the ballot would remove and that answers the sender.
+	veto
+	// Body: the change that follows View; Number: 1 if it begins an epoch.
+	commit
 	packetKindCount
 )
 
-// packet is one datagram. View is the sender's, but for a commit, where it is the one that the change applies to.
+// packet is the content of a datagram. View is the sender's view, or in a commit the view that the change applies to. A
+// packet with a Subject has the subject's incarnation in SubjectIncarnation, and in SubjectRevision its revision as far
+// as the kind needs it.
 type packet struct {
 	_                  struct{} `cbor:",toarray"`
 	Kind               packetKind
@@ -143,20 +161,21 @@
 	Rumors             []cbor.RawMessage
 }
 
-// rumor is what members pass on of others. Of the states only Alive, Suspect and Left are passed on; who has failed
-// is what a view says.
+// rumor is news about a member that members pass on. Only the states Alive, Suspected and Left are passed on. Failures
+// are known from views alone.
 type rumor struct {
 	_               struct{} `cbor:",toarray"`
 	Name            string
 	Incarnation     uint64
 	Revision        uint32
 	State           State
-	SuspectedBy     string  // Suspect: who accuses
-	AgeMilliseconds uint32  // Suspect: for how long by now
-	Record          *Record // Alive: the whole record
+	SuspectedBy     string  // in Suspected: the name of the member that suspects it
+	AgeMilliseconds uint32  // in Suspected: time since the suspicion began
+	Record          *Record // in Alive: the whole record, if the rumor announces one
 }
 
-// change leads from a view to the next one: ranges of places that have failed, and that have left, and records that come.
+// change leads from a view to the next one. Failed and Left are inclusive ranges of indexes in the view of members to
+// remove, and In has the records of the members to add.
 type change struct {
 	_      struct{} `cbor:",toarray"`
 	Failed [][2]uint32
@@ -164,14 +183,14 @@
 	In     []Record
 }
 
-// isEmpty tells whether the change changes nothing.
+// isEmpty reports whether the change neither removes nor adds a member.
 func (c *change) isEmpty() bool { return len(c.Failed)+len(c.Left)+len(c.In) == 0 }
 
 var (
 	encoder = func() cbor.EncMode {
 		m, err := cbor.CoreDetEncOptions().EncMode()
 		if err != nil {
-			panic(err) // options that are fixed here
+			panic(err) // the options are constant
 		}
 		return m
 	}()
@@ -188,14 +207,15 @@
 func encodeCBOR(v any) []byte {
 	b, err := encoder.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs of this file, always writable
+		panic(err) // the structs of this file can always be encoded
 	}
 	return b
 }
 
 var errMalformed = errors.New("not a datagram of this version")
 
-// decodePacket takes a datagram apart; everything in it has been checked but for what only the table can tell.
+// decodePacket decodes a datagram and checks the fields of its packet that need no knowledge of members. It leaves Body
+// and Rumors encoded.
 func decodePacket(b []byte) (*packet, error) {
 	if len(b) < 2 || len(b) > MaxDatagramBytes || b[0] != formatVersion {
 		return nil, errMalformed
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -1,4 +1,4 @@
-// Pings, observers that investigate a suspicion, and answers that are overdue.
+// Probing: pings, overdue answers, and the observers' investigations of suspicions.
 
 package membership
 
@@ -11,31 +11,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// investigation is what a juror does about an accused member.
+// investigation is the state of an observer's investigation of a suspected member.
 type investigation struct {
 	startedAt, lastPingAt, lastReportAt time.Duration
 	pings                               int
 }
 
-// probe is a ping that has not been answered yet.
+// probe is a ping that has not been answered.
 type probe struct {
 	target          *member
 	incarnation     uint64
 	sequence        uint32
 	sentAt          time.Duration
-	dueAt           time.Duration // the member is suspected then
-	isRelayed       bool          // relays were asked
-	isInvestigation bool          // part of an investigation: nobody is suspected for it
+	dueAt           time.Duration // when the member is suspected if it has not answered
+	isRelayed       bool          // relays have been asked to ping the member
+	isInvestigation bool          // part of an investigation or already overdue; no suspicion follows from it
 }
 
-// relayedPing is a ping sent for somebody else.
+// relayedPing is a ping sent on behalf of another member, which gets the answer under its own sequence number.
 type relayedPing struct {
 	to       netip.AddrPort
 	sequence uint32
 	sentAt   time.Duration
 }
 
-// probeNext pings the next member of this round.
+// probeNext pings the next member of this round. It shuffles the members anew when a round is complete.
 func (m *Machine) probeNext() {
 	for range len(m.ring) + 1 {
 		if m.ringPosition >= len(m.ring) {
@@ -57,7 +57,7 @@
 			continue
 		}
 		p := &probe{target: x, incarnation: x.Incarnation, sentAt: m.now}
-		// Whoever often accused it wrongly waits longer next time: its own link may be the bad one.
+		// After wrong suspicions of a member this one waits longer for its answer: the link of this member may be bad.
 		p.dueAt = m.now + m.config.Period*time.Duration(2+m.healthPenalty)/2*time.Duration(1+min(x.falseSuspicions, 6))
 		m.sendPing(x, p)
 		return
@@ -70,7 +70,8 @@
 	m.send(x.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: x.Name, SubjectIncarnation: x.Incarnation})
 }
 
-// checkOverdueProbes looks for probes without an answer: relays are asked first, then the member is accused.
+// checkOverdueProbes handles probes without an answer. After two fifths of a period it asks relays to ping the member,
+// and from dueAt on it suspects the member.
 func (m *Machine) checkOverdueProbes() {
 	for _, seq := range sortedKeys(m.probes) {
 		p := m.probes[seq]
@@ -83,13 +84,14 @@
 			m.wakeBy(help)
 		case !p.isRelayed:
 			p.isRelayed = true
-			m.send(p.target.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: p.target.Name, SubjectIncarnation: p.target.Incarnation}) // and once more itself
+			// One more direct ping.
+			m.send(p.target.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: p.target.Name, SubjectIncarnation: p.target.Incarnation})
 			for _, r := range m.randomAlive(indirectProbes, p.target) {
 				m.send(r.endpoint, packet{Kind: pingRequest, Sequence: p.sequence, Subject: p.target.Name, SubjectIncarnation: p.target.Incarnation})
 			}
 			m.wakeBy(p.dueAt)
 		case m.now >= p.dueAt:
-			p.isInvestigation = true // a late answer still counts
+			p.isInvestigation = true // a late answer still ends the suspicion
 			m.healthPenalty = min(m.healthPenalty+1, maxHealthPenalty)
 			m.startSuspicion(p.target)
 		default:
@@ -98,7 +100,7 @@
 	}
 }
 
-// randomAlive are members at random that seem to be there.
+// randomAlive returns up to n random members that are alive, without except.
 func (m *Machine) randomAlive(n int, but *member) (out []*member) {
 	if len(m.ring) == 0 {
 		return nil
@@ -118,8 +120,8 @@
 	return out
 }
 
-// observersOf are the members that look into an accusation of x: the first of the view by a hash of both names, passing over
-// those that are not there themselves.
+// observersOf returns the names of the members that investigate a suspicion of x: the first ObserverCount members of
+// the view, ordered by a hash of both names, without those that are not alive themselves.
 func (m *Machine) observersOf(x *member) (out []string) {
 	type ranked struct {
 		name string
@@ -140,8 +142,9 @@
 	return out
 }
 
-// investigate goes on with an inquiry: it pings the member itself and through others, by turns, and tells who leads what came
-// of it. Only an answer of the member ends it, or news of its own.
+// investigate continues this member's investigation of x as an observer. Twice a period it pings x directly and through
+// a relay. Once a period it reports the silence of x to the first two leaders. Only an answer of x or a new revision
+// ends the investigation, or that x has left or was removed.
 func (m *Machine) investigate(x *member) {
 	q := x.investigation
 	if x.state != Suspected && x.state != Unknown {
@@ -151,7 +154,7 @@
 	every := m.config.Period / 2
 	if m.now >= q.lastPingAt+every {
 		q.lastPingAt = m.now
-		if q.pings++; q.pings == pingsBeforeDissemination { // now all should know, and it above all
+		if q.pings++; q.pings == pingsBeforeDissemination { // tell all members, so that x can refute it
 			m.addSuspicion(x, m.self.Name, q.startedAt, true)
 		}
 		p := &probe{target: x, incarnation: x.Incarnation, sentAt: m.now, isInvestigation: true}
@@ -162,7 +165,8 @@
 	}
 	m.wakeBy(q.lastPingAt + every)
 	age := m.now - q.startedAt
-	if m.now-m.lastSignAt > m.config.FailureTimeout/2 || q.pings < minObserverPings { // who hears nobody has nothing to say of one
+	// A member that hears no other cannot judge x.
+	if m.now-m.lastSignAt > m.config.FailureTimeout/2 || q.pings < minObserverPings {
 		return
 	}
 	if m.now >= q.lastReportAt+2*every {
@@ -177,7 +181,7 @@
 	}
 }
 
-// recordAnswer is a sign that x hears this member, and it x.
+// recordAnswer records that x has answered this member, which ends this member's suspicion of it.
 func (m *Machine) recordAnswer(x *member) {
 	x.lastAnswerAt, x.hasAnswered, m.lastSignAt = m.now, true, m.now
 	m.view.recordHeard(x.Name)
@@ -192,7 +196,8 @@
 	}
 }
 
-// handleAck takes an answer to a ping in, direct or from a relay, or passes it on.
+// handleAck handles an answer to a ping, either direct or from a relay. If this member was the relay, it passes the
+// answer on.
 func (m *Machine) handleAck(p *packet, x *member) {
 	if e, ok := m.relayedPings[p.Sequence]; ok {
 		delete(m.relayedPings, p.Sequence)
--- a/internal/dispatcher/membership/transfer.go
+++ b/internal/dispatcher/membership/transfer.go
@@ -1,4 +1,5 @@
-// How a view reaches who is behind: told again, fetched, and in pieces.
+// View transfer: commits are repeated until confirmed, and a member that is behind fetches changes or the whole view in
+// chunks.
 
 package membership
 
@@ -8,21 +9,23 @@
 	"time"
 )
 
+// viewTransfer is a fetch of a later view from another member.
 type viewTransfer struct {
 	from          netip.AddrPort
 	id            ViewID
 	total         uint32
 	received      []Record
-	outOfOrder    map[uint32][]Record // come out of order
+	outOfOrder    map[uint32][]Record // chunks that wait for an earlier one, by index of their first record
 	lastChunkAt   time.Duration
 	retries       int
-	requestMoreAt int // the next part is asked for once so many members are there
+	requestMoreAt int // number of received records from which on the next chunks are requested
 }
 
-// maxTransferRetries is how often a part of a view is asked for again at the same member.
+// maxTransferRetries is how often this member repeats a request for chunks of a view to the same member.
 const maxTransferRetries = 5
 
-// resendCommit sends the last change to those that have not shown its number yet, a few times.
+// resendCommit sends the last committed change to the members that have not confirmed it. commitResendsLeft bounds how
+// often.
 func (m *Machine) resendCommit() {
 	v := &m.view
 	if v.commitResendsLeft == 0 {
@@ -42,7 +45,8 @@
 	}
 }
 
-// continueTransfer asks once more for the next part of a view that stopped coming, and gives up after some times.
+// continueTransfer repeats the request for the next chunk if none has arrived for two resend intervals. It gives up
+// after maxTransferRetries.
 func (m *Machine) continueTransfer() {
 	transfer := m.view.fetch
 	if transfer == nil {
@@ -53,7 +57,7 @@
 		return
 	}
 	transfer.retries++
-	if transfer.retries > maxTransferRetries { // whoever has a later view is asked anew
+	if transfer.retries > maxTransferRetries { // the next packet with a later view starts a new transfer
 		m.view.fetch = nil
 		return
 	}
@@ -62,7 +66,7 @@
 	m.wakeBy(transfer.lastChunkAt + 2*resendInterval)
 }
 
-// requestView asks somebody that has a later view for it.
+// requestView asks the sender of a packet with a later view for that view, unless a transfer is already running.
 func (m *Machine) requestView(from netip.AddrPort) {
 	v := &m.view
 	v.laterViewSeenAt = m.now
@@ -74,7 +78,8 @@
 	m.send(from, packet{Kind: viewRequest})
 }
 
-// handleViewPacket takes in what is about views: reports of observers, transfers, and ballots.
+// handleViewPacket handles the packets about views: observers' reports, transfers and ballots. x is the sender, or nil
+// if it is not known.
 func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, x *member) {
 	v := &m.view
 	isSameView := p.View == v.ViewID
@@ -93,7 +98,7 @@
 	case prepare, accept:
 		if !isSameView || !isVoter {
 			if v.ViewID.After(p.View) {
-				m.send(from, packet{Kind: ack}) // its view is older, as it sees by this
+				m.send(from, packet{Kind: ack}) // shows the sender that its view is older
 			}
 			return
 		}
@@ -112,7 +117,7 @@
 	}
 }
 
-// handleSuspicionNotice takes an observer's report in. It may come before the suspicion itself.
+// handleSuspicionNotice records an observer's report. The report may arrive before the suspicion itself.
 func (m *Machine) handleSuspicionNotice(p *packet) {
 	subject := m.members[p.Subject]
 	if subject == nil || subject.Incarnation != p.SubjectIncarnation || subject.Revision != p.SubjectRevision || subject.state > Unknown {
@@ -125,18 +130,20 @@
 	m.recordSuspicionReport(p.From, subject, age)
 }
 
-// handleCommit installs the next view where the commit leads there from this member's own, and asks for it where it does not.
+// handleCommit installs the next view if the commit applies to this member's view. If the commit applies to a later
+// view, this member requests that view.
 func (m *Machine) handleCommit(p *packet, from netip.AddrPort) {
 	switch {
 	case p.View == m.view.ViewID:
 		m.applyCommit(viewChange{p.View, p.Body, p.Number}, false)
-		m.send(from, packet{Kind: ack}) // it shows the number of the view
+		m.send(from, packet{Kind: ack}) // confirms the view by its number
 	case !m.view.ViewID.After(p.View):
 		m.requestView(from)
 	}
 }
 
-// sendView gives somebody that is behind the changes that lead here, or the members one part after the other.
+// sendView answers a request for a view. It sends up to 4 of the changes that follow the sender's view if they are
+// still in the history, and otherwise up to 8 chunks of the member list.
 func (m *Machine) sendView(p *packet, from netip.AddrPort) {
 	v := &m.view
 	if v.Number == 0 {
@@ -155,7 +162,7 @@
 		for ; at < len(v.Members); at++ {
 			r := v.Members[at]
 			if x := m.members[r.Name]; x != nil && x.Incarnation == r.Incarnation {
-				r = x.Record // the newest of it
+				r = x.Record // may have a later revision
 			}
 			if k := len(encodeCBOR(r)); size+k > maxBodyBytes && len(list) > 0 {
 				break
@@ -168,7 +175,8 @@
 	}
 }
 
-// handleViewChunk takes a part of a view in.
+// handleViewChunk adds a chunk to the view being fetched. It requests further chunks, and installs the view once it is
+// complete and its digest is right.
 func (m *Machine) handleViewChunk(p *packet, from netip.AddrPort) {
 	v := &m.view
 	f := v.fetch
@@ -193,7 +201,7 @@
 	}
 	if len(f.received) < int(f.total) {
 		if len(f.outOfOrder) == 0 && len(f.received) >= f.requestMoreAt {
-			f.requestMoreAt = len(f.received) + 8 // some parts further on
+			f.requestMoreAt = len(f.received) + 8 // request more after 8 further records
 			m.send(from, packet{Kind: viewRequest, Sequence: uint32(len(f.received))})
 		}
 		return
--- a/internal/dispatcher/membership/view.go
+++ b/internal/dispatcher/membership/view.go
@@ -1,5 +1,6 @@
-// Views: numbered lists of the members, the same at all members that have the number. No view is installed that a
-// majority of the one before did not accept, and a vote counts for the incarnation, view and place alone that it was given for.
+// Views: numbered lists of members. All members that have a view of one number have the same list. A view is installed
+// only if a majority of the view before it has accepted it. A vote counts only for the incarnation, the view and the
+// index that it was given for.
 
 package membership
 
@@ -19,12 +20,12 @@
 	Members []Record
 }
 
-// indexOf finds a member by name.
+// indexOf returns the index of the member with a name, or -1.
 func (v *View) indexOf(name string) int {
 	return slices.IndexFunc(v.Members, func(r Record) bool { return r.Name == name })
 }
 
-// Contains tells whether a life of a member is in the view.
+// Contains reports whether an incarnation of a member is in the view.
 func (v *View) Contains(name string, life uint64) bool {
 	i := v.indexOf(name)
 	return i >= 0 && v.Members[i].Incarnation == life
@@ -34,7 +35,8 @@
 	return cmp.Or(strings.Compare(a.Zone, b.Zone), strings.Compare(a.Name, b.Name))
 }
 
-// after is the view that a change leads to.
+// after returns the view that a change leads to, or an error if the change does not apply to v. heirs begins a new
+// epoch.
 func (v *View) after(c *change, heirs bool) (*View, error) {
 	next := &View{ViewID: ViewID{FleetID: v.FleetID, Epoch: v.Epoch, Number: v.Number + 1}}
 	out := make([]bool, len(v.Members))
@@ -58,7 +60,7 @@
 		next.Members = append(next.Members, r)
 	}
 	slices.SortFunc(next.Members, compareRecords)
-	if heirs { // the fleet is founded anew of what is left: another majority without a memory may do so elsewhere
+	if heirs { // A new FleetID: another majority of members that lost their state may found the fleet anew elsewhere.
 		next.Epoch++
 		next.FleetID = uint32(digest(next.ViewID, next.Members))
 	}
@@ -66,47 +68,49 @@
 	return next, nil
 }
 
-// viewState is the view and what is under way to the next.
+// viewState is the current view and the state of the agreement on the next one.
 type viewState struct {
 	View
 	index  map[string]int // of Members
 	ranked []string       // names, in the order in which they lead
 
-	// As a voter, for the view after this one:
+	// State as a voter, on ballots for the next view.
 	promised, acceptedAt uint32
 	acceptedBody         []byte
 
-	// As the one that leads:
-	suspicionReports   map[string]map[string]suspicionReport // by member, by juror
-	failedSince        map[string]time.Duration              // since when a member's jury has enough votes
-	vetoedUntil        map[string]time.Duration              // until when a member is not proposed to go
-	ballot             uint32                                // 0: nothing is proposed
-	isPreparing        bool                                  // the first round of the ballot is under way
+	// State as the coordinator and proposer.
+	suspicionReports   map[string]map[string]suspicionReport // by member, then by observer
+	failedSince        map[string]time.Duration              // since when enough observers report a member
+	vetoedUntil        map[string]time.Duration              // until when no removal of a member is proposed
+	ballot             uint32                                // number of the ballot that runs; 0: none
+	isPreparing        bool                                  // the ballot is in its prepare phase
 	proposal           []byte
-	ownProposal        []byte            // what it would propose if it is free to
-	highestAccepted    uint32            // the latest ballot under which somebody has accepted something
-	acceptedProposals  map[string]string // what voters have accepted, by name
-	isForced           bool              // it may stand already: nobody's veto counts
-	ballotFloor        uint32            // some voter has promised so much
-	majorityPromisedAt time.Duration     // when a majority had promised
-	majoritySince      time.Duration     // since when more than half of the view seem to be there
-	votes              map[string]uint64 // lives that promised or accepted, by name
+	ownProposal        []byte            // this member's change, proposed unless an earlier proposal may be committed
+	highestAccepted    uint32            // highest ballot under which a voter has accepted a proposal
+	acceptedProposals  map[string]string // proposals that voters have accepted before, by voter
+	isForced           bool              // the proposal may already be committed; voters do not veto it
+	ballotFloor        uint32            // highest ballot that a voter has promised
+	majorityPromisedAt time.Duration     // when a majority had promised this ballot
+	majoritySince      time.Duration     // since when this member sees a majority of the view; 0: it does not
+	votes              map[string]uint64 // incarnations of the voters that promised or accepted, by name
 	ballotStartedAt    time.Duration
-	ballotResendAt     time.Duration // when to send it again
+	ballotResendAt     time.Duration
 	ballotAttempts     int
 	backoffUntil       time.Duration
 	nextFetchAt        time.Duration
 	fetch              *viewTransfer
 	history            []viewChange
-	unconfirmed        map[string]time.Duration // members that were sent a change and have not shown it yet
+	unconfirmed        map[string]time.Duration // members that have not confirmed the last commit
 	commitBody         []byte
 	commitBase         ViewID
 	commitNumber       uint32
 	commitResendAt     time.Duration
 	commitResendsLeft  int
-	laterViewSeenAt    time.Duration // when somebody who has a later view was last heard
+	laterViewSeenAt    time.Duration // when a member with a later view was last heard
 }
 
+// viewChange is a committed change: its encoded body and the view that it applies to. number is 1 if it begins an
+// epoch.
 type viewChange struct {
 	base   ViewID
 	body   []byte
@@ -115,8 +119,8 @@
 
 const (
 	resendInterval    = 150 * time.Millisecond
-	maxBodyBytes      = 170 // bytes of a change or of records in a datagram
-	maxRanges         = 12  // ranges in a change
+	maxBodyBytes      = 170 // bytes of the encoded change or records in a datagram
+	maxRanges         = 12  // ranges of removed members in a change
 	ballotsPerAttempt = 1 << 12
 )
 
@@ -125,25 +129,26 @@
 	v.unconfirmed, v.index = map[string]time.Duration{}, map[string]int{}
 }
 
-// pause forgets what depended on having been there.
+// pause drops the reports and the ballot, which depend on this process having run without a pause.
 func (v *viewState) pause(now time.Duration) {
 	clear(v.suspicionReports)
 	clear(v.failedSince)
 	v.ballot, v.backoffUntil, v.fetch = 0, now, nil
 }
 
-// recordHeard takes in that a member is there after all.
+// recordHeard records that a member has answered: the time since which it counts as failed is dropped.
 func (v *viewState) recordHeard(name string) { delete(v.failedSince, name) }
 
-// View is the last view that this member knows.
+// View returns a copy of this member's current view.
 func (m *Machine) View() View {
 	return View{ViewID: m.view.ViewID, Members: slices.Clone(m.view.Members)}
 }
 
-// Quorum tells whether this member's side has a majority of the view, as far as it can see.
+// Quorum reports whether this member is in its view and sees a majority of it.
 func (m *Machine) Quorum() bool { return m.joined && m.seesMajority() }
 
-// seesMajority tells whether more than half of the view seem to be there.
+// seesMajority reports whether more than half of the view's members, including this one, are alive as this member sees
+// them.
 func (m *Machine) seesMajority() bool {
 	n := 0
 	for i := range m.view.Members {
@@ -155,7 +160,8 @@
 	return 2*n > len(m.view.Members)
 }
 
-// leaders are the first n by rank of those members of the view that seem to be there. The rank moves with the number.
+// leaders returns the first n members of the view by rank that are alive, including this one. The first one is the
+// coordinator. The rank changes every 8 views.
 func (m *Machine) leaders(n int) (out []string) {
 	for _, name := range m.view.ranked {
 		if x := m.members[name]; name == m.self.Name || x != nil && x.state == Alive {
@@ -167,7 +173,7 @@
 	return out
 }
 
-// rank orders the members of a view; the first is the one that may propose without a first round.
+// rank orders the members of the view by a hash. The first one may propose without a prepare phase.
 func (v *viewState) rank() {
 	ranks := make(map[string]uint64, len(v.Members))
 	v.ranked = v.ranked[:0]
@@ -179,7 +185,8 @@
 	slices.SortFunc(v.ranked, func(a, b string) int { return cmp.Or(cmp.Compare(ranks[a], ranks[b]), cmp.Compare(a, b)) })
 }
 
-// indexOf and Has are those of the view, by the index: each datagram on views asks for its sender.
+// indexOf and Contains do the same as those of View. They use the index, because each packet about views looks its
+// sender up.
 func (v *viewState) indexOf(name string) int {
 	if i, ok := v.index[name]; ok {
 		return i
@@ -192,7 +199,8 @@
 	return i >= 0 && v.Members[i].Incarnation == life
 }
 
-// applyCommit goes over to the next view. Whoever led there tells the others.
+// applyCommit installs the view that a committed change leads to. tell is set at the proposer, which sends the commit
+// to the members of both views.
 func (m *Machine) applyCommit(s viewChange, tell bool) {
 	v := &m.view
 	c, err := decodeChange(s.body)
@@ -232,7 +240,8 @@
 	}
 }
 
-// installView takes a view in. straight tells that a change led there from this member's own view.
+// installView makes next the current view. straight reports that a change of this member's previous view led to it. why
+// is the reason given for members that are no longer in the view.
 func (m *Machine) installView(next *View, why string, straight bool) {
 	v := &m.view
 	old, apart := v.Members, v.FleetID != 0 && v.FleetID != next.FleetID && !straight
@@ -246,7 +255,8 @@
 	v.promised, v.acceptedAt, v.acceptedBody, v.ballot, v.ballotAttempts, v.fetch, v.ballotFloor = 0, 0, nil, 0, 0, nil, 0
 	clear(v.failedSince)
 	clear(v.unconfirmed)
-	clear(v.suspicionReports) // a change may be old news by the time it comes: jurors' words from before it say nothing of now
+	// A change may arrive late: observers' reports from before it say nothing about the present.
+	clear(v.suspicionReports)
 	v.commitResendsLeft = 0
 	for i := range next.Members {
 		if r := &next.Members[i]; r.Name != m.self.Name {
@@ -264,7 +274,7 @@
 	}
 	m.joined = v.Contains(m.self.Name, m.self.Incarnation)
 	switch {
-	case apart: // two fleets that were founded apart: nobody has failed for that
+	case apart: // the fleets were founded separately: no member has failed by the change
 		m.notice("adopted", "there is another fleet, with view %v: it goes over to that", v.ViewID)
 		m.nextJoinAt = m.now
 	case was && !m.joined && m.leavingSince == 0:
@@ -273,7 +283,8 @@
 	m.actions.View = &View{ViewID: v.ViewID, Members: slices.Clone(v.Members)}
 }
 
-// bootstrap begins a fleet: alone, if nobody was heard that has a view, nor anybody that comes first.
+// bootstrap founds a fleet of this member alone if BootstrapTimeout has passed without a view. It waits longer while it
+// hears a member with a view, or one whose name sorts before its own.
 func (m *Machine) bootstrap() {
 	if at := m.startedAt + m.config.BootstrapTimeout; m.now < at {
 		m.wakeBy(at)
@@ -281,10 +292,11 @@
 	}
 	for _, x := range m.members {
 		if x.state == Alive && x.Name < m.self.Name && m.now-x.lastHeardAt < 4*m.config.Period {
-			return // that one founds, or tells of one
+			return // that member founds the fleet, or passes a view on
 		}
 	}
-	if seen := m.view.laterViewSeenAt; m.leavingSince > 0 || seen > 0 && m.now < seen+m.config.BootstrapTimeout { // it may have gone since
+	// The member with a view may be gone after the time-out.
+	if seen := m.view.laterViewSeenAt; m.leavingSince > 0 || seen > 0 && m.now < seen+m.config.BootstrapTimeout {
 		return
 	}
 	v := &View{ViewID: ViewID{FleetID: uint32(xxhash.Sum64String(fmt.Sprint(m.self.Name, m.self.Incarnation))), Epoch: 1, Number: 1}, Members: []Record{m.self}}
