--- a/internal/dispatcher/membership/ballot.go
+++ b/internal/dispatcher/membership/ballot.go
@@ -27,7 +27,7 @@
 		if v.isPreparing && m.finishPrepare() {
 			return
 		}
-		p := packet{Kind: accept, Sequence: v.ballot, Body: v.proposal, Number: uint32(flag(v.isForced))}
+		p := packet{Kind: accept, Sequence: v.ballot, Body: v.proposal, Number: uint32(boolToInt(v.isForced))}
 		if v.isPreparing {
 			p = packet{Kind: prepare, Sequence: v.ballot}
 		}
@@ -42,10 +42,10 @@
 }
 
 // recordVote counts a vote for this member's ballot. When a majority has voted, it ends the prepare phase or commits
-// the proposal. own marks this member's own vote, which also updates its state as a voter.
-func (m *Machine) recordVote(name string, life uint64, own bool) {
+// the proposal. isOwn marks this member's own vote, which also updates its state as a voter.
+func (m *Machine) recordVote(name string, incarnation uint64, isOwn bool) {
 	v := &m.view
-	if own {
+	if isOwn {
 		if v.ballot < v.promised {
 			v.ballot, v.backoffUntil = 0, m.now+m.config.Period
 			return
@@ -61,7 +61,7 @@
 			v.acceptedAt, v.acceptedBody = v.ballot, v.proposal
 		}
 	}
-	v.votes[name] = life
+	v.votes[name] = incarnation
 	if v.isPreparing {
 		m.finishPrepare()
 		return
@@ -69,13 +69,13 @@
 	if 2*len(v.votes) <= len(v.Members) {
 		return
 	}
-	num := uint32(0)
-	for name, life := range v.votes {
-		if !v.Contains(name, life) {
-			num = 1
+	beginsEpoch := uint32(0)
+	for name, incarnation := range v.votes {
+		if !v.Contains(name, incarnation) {
+			beginsEpoch = 1
 		}
 	}
-	m.applyCommit(viewChange{v.ViewID, v.proposal, num}, true)
+	m.applyCommit(viewChange{v.ViewID, v.proposal, beginsEpoch}, true)
 }
 
 // finishPrepare ends the prepare phase once a majority has promised, and reports whether it did. The proposal that was
@@ -84,18 +84,18 @@
 // network partition that has ended must not decide who is removed.
 func (m *Machine) finishPrepare() bool {
 	v := &m.view
-	n := len(v.Members)
-	if 2*len(v.votes) <= n {
+	viewSize := len(v.Members)
+	if 2*len(v.votes) <= viewSize {
 		return false
 	}
 	if v.highestAccepted > 0 {
-		same := 0
+		acceptances := 0
 		for _, body := range v.acceptedProposals {
 			if body == string(v.proposal) {
-				same++
+				acceptances++
 			}
 		}
-		if 2*(same+n-len(v.votes)) <= n {
+		if 2*(acceptances+viewSize-len(v.votes)) <= viewSize {
 			v.proposal = v.ownProposal
 		} else if v.majorityPromisedAt = cmp.Or(v.majorityPromisedAt, m.now); m.now < v.majorityPromisedAt+3*resendInterval {
 			// Further promises may show whether the proposal is committed.
@@ -181,18 +181,18 @@
 func (m *Machine) agreesToRemovals(proposed *change, p *packet, from netip.AddrPort) bool {
 	v := &m.view
 	isWaiting := false
-	for _, places := range proposed.Failed {
-		for i := places[0]; i <= places[1] && int(i) < len(v.Members); i++ {
+	for _, indexes := range proposed.Failed {
+		for i := indexes[0]; i <= indexes[1] && int(i) < len(v.Members); i++ {
 			removed := &v.Members[i]
-			x := m.members[removed.Name]
-			if x != nil && x.Incarnation != removed.Incarnation {
-				x = nil
+			peer := m.members[removed.Name]
+			if peer != nil && peer.Incarnation != removed.Incarnation {
+				peer = nil
 			}
-			if m.isSelf(removed) || x != nil && m.wasAnsweredBy(x) {
+			if m.isSelf(removed) || peer != nil && m.wasAnsweredBy(peer) {
 				m.send(from, packet{Kind: veto, Sequence: p.Sequence, Subject: removed.Name, SubjectIncarnation: removed.Incarnation})
 				return false
 			}
-			if x != nil && m.recheck(x) {
+			if peer != nil && m.recheck(peer) {
 				isWaiting = true
 			}
 		}
@@ -206,24 +206,24 @@
 }
 
 // wasAnsweredBy reports whether a member has answered this one within half of the failure time-out.
-func (m *Machine) wasAnsweredBy(x *member) bool {
-	return x.hasAnswered && m.now-x.lastAnswerAt < m.config.FailureTimeout/2
+func (m *Machine) wasAnsweredBy(peer *member) bool {
+	return peer.hasAnswered && m.now-peer.lastAnswerAt < m.config.FailureTimeout/2
 }
 
 // recheck pings a member again that this one has not investigated for the whole failure time-out. It reports whether
 // this member still waits for the answer.
-func (m *Machine) recheck(x *member) bool {
-	isInvestigated := x.investigation != nil && x.investigation.pings >= minObserverPings &&
-		m.now-x.investigation.startedAt >= m.config.FailureTimeout
-	if x.state > Unknown || isInvestigated {
+func (m *Machine) recheck(peer *member) bool {
+	isInvestigated := peer.investigation != nil && peer.investigation.pings >= minObserverPings &&
+		m.now-peer.investigation.startedAt >= m.config.FailureTimeout
+	if peer.state > Unknown || isInvestigated {
 		return false
 	}
-	if m.now >= x.recheckedAt+m.config.FailureTimeout {
-		x.recheckedAt = m.now
+	if m.now >= peer.recheckedAt+m.config.FailureTimeout {
+		peer.recheckedAt = m.now
 	}
-	if m.now >= x.recheckedAt+2*resendInterval {
+	if m.now >= peer.recheckedAt+2*resendInterval {
 		return false
 	}
-	m.sendPing(x, &probe{target: x, incarnation: x.Incarnation, sentAt: m.now, isInvestigation: true})
+	m.sendPing(peer, &probe{target: peer, incarnation: peer.Incarnation, sentAt: m.now, isInvestigation: true})
 	return true
 }
--- a/internal/dispatcher/membership/coordinator.go
+++ b/internal/dispatcher/membership/coordinator.go
@@ -17,11 +17,11 @@
 
 // recordSuspicionReport stores an observer's report that a member has not answered it for age. It replaces the
 // observer's earlier report.
-func (m *Machine) recordSuspicionReport(observer string, x *member, age time.Duration) {
-	if m.view.suspicionReports[x.Name] == nil {
-		m.view.suspicionReports[x.Name] = map[string]suspicionReport{}
+func (m *Machine) recordSuspicionReport(observer string, peer *member, age time.Duration) {
+	if m.view.suspicionReports[peer.Name] == nil {
+		m.view.suspicionReports[peer.Name] = map[string]suspicionReport{}
 	}
-	m.view.suspicionReports[x.Name][observer] = suspicionReport{age: age, receivedAt: m.now, incarnation: x.Incarnation, revision: x.Revision}
+	m.view.suspicionReports[peer.Name][observer] = suspicionReport{age: age, receivedAt: m.now, incarnation: peer.Incarnation, revision: peer.Revision}
 }
 
 // Limits on observers' reports, in fifths of the period and twentieths of the failure time-out.
@@ -35,16 +35,16 @@
 func (m *Machine) failedMembers() (failed []*member, othersAreClose bool) {
 	v := &m.view
 	for _, name := range sortedKeys(v.suspicionReports) {
-		x := m.members[name]
-		if x == nil || !x.isDoubtful() || m.now < v.vetoedUntil[name] || v.indexOf(name) < 0 {
+		peer := m.members[name]
+		if peer == nil || !peer.isDoubtful() || m.now < v.vetoedUntil[name] || v.indexOf(name) < 0 {
 			delete(v.suspicionReports, name)
 			delete(v.failedSince, name)
 			continue
 		}
-		votes, almost := m.countReports(x)
+		votes, almost := m.countReports(peer)
 		needed := min(m.config.ObserverCount, len(v.Members)-1)/2 + 1
 		if votes >= needed {
-			failed = append(failed, x)
+			failed = append(failed, peer)
 		} else if votes+almost > 0 {
 			othersAreClose = true
 		}
@@ -54,12 +54,12 @@
 
 // countReports returns how many observers report that a member has not answered for the failure time-out, and how many
 // are close to it. It drops reports that are old or about another incarnation or revision.
-func (m *Machine) countReports(x *member) (votes, almost int) {
-	reports := m.view.suspicionReports[x.Name]
+func (m *Machine) countReports(peer *member) (votes, almost int) {
+	reports := m.view.suspicionReports[peer.Name]
 	for observer, report := range reports {
 		isOld := m.now-report.receivedAt > m.config.Period*reportLifetimeFifths/5
 		switch {
-		case isOld || report.incarnation != x.Incarnation || report.revision != x.Revision:
+		case isOld || report.incarnation != peer.Incarnation || report.revision != peer.Revision:
 			delete(reports, observer)
 		case !m.isPresent(observer):
 		case report.age >= m.config.FailureTimeout:
@@ -76,8 +76,8 @@
 	if name == m.self.Name {
 		return true
 	}
-	x := m.members[name]
-	return x != nil && x.state == Alive && m.view.indexOf(name) >= 0
+	peer := m.members[name]
+	return peer != nil && peer.state == Alive && m.view.indexOf(name) >= 0
 }
 
 // coordinate runs with every event. It continues this member's view transfer and ballot, and proposes the next view if
@@ -143,14 +143,14 @@
 func (m *Machine) removableMembers() []int {
 	v := &m.view
 	failed, othersAreClose := m.failedMembers()
-	var places []int
+	var indexes []int
 	since := m.now
-	for _, x := range failed {
-		if _, known := v.failedSince[x.Name]; !known {
-			v.failedSince[x.Name] = m.now
+	for _, peer := range failed {
+		if _, known := v.failedSince[peer.Name]; !known {
+			v.failedSince[peer.Name] = m.now
 		}
-		places = append(places, v.index[x.Name])
-		since = min(since, v.failedSince[x.Name])
+		indexes = append(indexes, v.index[peer.Name])
+		since = min(since, v.failedSince[peer.Name])
 	}
 	if reportsAreNew := v.majoritySince + 2*m.config.Period; m.now < reportsAreNew {
 		m.wakeBy(reportsAreNew)
@@ -159,20 +159,20 @@
 	if othersAreClose && m.now < since+m.config.BatchDelay {
 		return nil
 	}
-	return places
+	return indexes
 }
 
 // leftMembers returns the indexes in the view of the members that have announced that they leave.
 func (m *Machine) leftMembers() []int {
-	var places []int
+	var indexes []int
 	for i := range m.view.Members {
 		record := &m.view.Members[i]
-		x := m.members[record.Name]
-		if x != nil && x.state == Left && x.Incarnation == record.Incarnation {
-			places = append(places, i)
+		peer := m.members[record.Name]
+		if peer != nil && peer.state == Left && peer.Incarnation == record.Incarnation {
+			indexes = append(indexes, i)
 		}
 	}
-	return places
+	return indexes
 }
 
 // startBallot proposes a change under a ballot number that no other member uses.
@@ -211,17 +211,17 @@
 // ownBallot returns a ballot number that no other member of the view uses.
 func (m *Machine) ownBallot() uint32 {
 	v := &m.view
-	place := uint32(v.index[m.self.Name])
-	return uint32(v.ballotAttempts)*ballotsPerAttempt*2 + ballotsPerAttempt + place%ballotsPerAttempt + 1
+	ownIndex := uint32(v.index[m.self.Name])
+	return uint32(v.ballotAttempts)*ballotsPerAttempt*2 + ballotsPerAttempt + ownIndex%ballotsPerAttempt + 1
 }
 
 // joinRanges merges neighbouring indexes into ranges. It returns the first limit ranges at most and drops the rest.
-func joinRanges(places []int, most int) (out [][2]uint32) {
-	slices.Sort(places)
-	for _, i := range places {
+func joinRanges(indexes []int, limit int) (out [][2]uint32) {
+	slices.Sort(indexes)
+	for _, i := range indexes {
 		if n := len(out); n > 0 && int(out[n-1][1]) == i-1 {
 			out[n-1][1]++
-		} else if n < most {
+		} else if n < limit {
 			out = append(out, [2]uint32{uint32(i), uint32(i)})
 		} else {
 			break
@@ -238,16 +238,16 @@
 }
 
 // addJoining adds the joining members to a change, as many as fit into a datagram.
-func (m *Machine) addJoining(c *change) {
+func (m *Machine) addJoining(next *change) {
 	v := &m.view
-	size := len(encodeCBOR(c))
+	size := len(encodeCBOR(next))
 	add := func(r Record) bool {
-		n := len(encodeCBOR(r))
-		if size+n > maxBodyBytes {
+		recordSize := len(encodeCBOR(r))
+		if size+recordSize > maxBodyBytes {
 			return false
 		}
-		size += n
-		c.In = append(c.In, r)
+		size += recordSize
+		next.Joined = append(next.Joined, r)
 		return true
 	}
 	if !v.Contains(m.self.Name, m.self.Incarnation) && m.leavingSince == 0 {
@@ -265,8 +265,8 @@
 
 // joiningMembers returns the sorted names of the members that are alive and whose incarnation is not in the view.
 func (m *Machine) joiningMembers() (out []string) {
-	for name, x := range m.members {
-		if x.state == Alive && !m.view.Contains(name, x.Incarnation) {
+	for name, peer := range m.members {
+		if peer.state == Alive && !m.view.Contains(name, peer.Incarnation) {
 			out = append(out, name)
 		}
 	}
@@ -274,8 +274,8 @@
 	return out
 }
 
-func flag(b bool) int {
-	if b {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/dispatcher/membership/datagrams.go
+++ b/internal/dispatcher/membership/datagrams.go
@@ -64,13 +64,13 @@
 // suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to. It returns nil if there is none
 // that has been disseminated.
 func (m *Machine) suspicionOfReceiver(p *packet) cbor.RawMessage {
-	x := m.members[p.Subject]
-	if p.Kind != ping || x == nil || !x.isDisseminated || !x.isDoubtful() {
+	peer := m.members[p.Subject]
+	if p.Kind != ping || peer == nil || !peer.isDisseminated || !peer.isDoubtful() {
 		return nil
 	}
 	return encodeCBOR(rumor{
-		Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected,
-		SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds()),
+		Name: peer.Name, Incarnation: peer.Incarnation, Revision: peer.Revision, State: Suspected,
+		SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - peer.stateSince).Milliseconds()),
 	})
 }
 
@@ -86,50 +86,50 @@
 		m.handleNameConflict(p, from)
 		return
 	}
-	x := m.members[p.From]
-	if x != nil && x.hasEnded(p.Incarnation) {
-		m.notifyEnded(p, x, from)
+	peer := m.members[p.From]
+	if peer != nil && peer.hasEnded(p.Incarnation) {
+		m.notifyEnded(p, peer, from)
 		return
 	}
-	if x != nil && p.Incarnation == x.Incarnation {
-		m.recordHeard(x, p, from)
+	if peer != nil && p.Incarnation == peer.Incarnation {
+		m.recordHeard(peer, p, from)
 	}
 	for _, raw := range p.Rumors {
 		if r, err := decodeRumor(raw); err == nil {
 			m.applyRumor(r)
 		}
 	}
-	m.handlePacket(p, x, from)
+	m.handlePacket(p, peer, from)
 	if p.View.After(m.view.ViewID) && p.Kind != commit {
 		m.requestView(from)
 	}
 }
 
 // hasEnded reports whether an incarnation of a member has ended: a later one is known, or it has left or failed.
-func (x *member) hasEnded(incarnation uint64) bool {
-	return incarnation < x.Incarnation || incarnation == x.Incarnation && (x.state == Left || x.state == Failed)
+func (peer *member) hasEnded(incarnation uint64) bool {
+	return incarnation < peer.Incarnation || incarnation == peer.Incarnation && (peer.state == Left || peer.state == Failed)
 }
 
 // notifyEnded tells the sender of a packet that its incarnation has ended, at most once a period.
-func (m *Machine) notifyEnded(p *packet, x *member, from netip.AddrPort) {
+func (m *Machine) notifyEnded(p *packet, peer *member, from netip.AddrPort) {
 	if p.Kind == incarnationEnded || m.now < m.notifiedAt[p.From]+m.config.Period {
 		return
 	}
 	m.notifiedAt[p.From] = m.now
-	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: x.Incarnation, Number: isAtOtherAddress(x, from)})
+	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: peer.Incarnation, Number: isAtOtherAddress(peer, from)})
 }
 
 // recordHeard records what every packet shows of its sender: that it sends, from which address, and its revision.
-func (m *Machine) recordHeard(x *member, p *packet, from netip.AddrPort) {
-	x.lastHeardAt = m.now
-	if m.config.LearnAddresses && x.endpoint != from && slices.Contains(m.config.Seeds, from) {
-		x.endpoint = from
+func (m *Machine) recordHeard(peer *member, p *packet, from netip.AddrPort) {
+	peer.lastHeardAt = m.now
+	if m.config.LearnAddresses && peer.endpoint != from && slices.Contains(m.config.Seeds, from) {
+		peer.endpoint = from
 	}
-	m.applyRevision(x, p.Revision, "says something new of itself")
+	m.applyRevision(peer, p.Revision, "says something new of itself")
 }
 
-// handlePacket passes a packet to the handler of its kind. x is nil if the sender is not known yet.
-func (m *Machine) handlePacket(p *packet, x *member, from netip.AddrPort) {
+// handlePacket passes a packet to the handler of its kind. peer is nil if the sender is not known yet.
+func (m *Machine) handlePacket(p *packet, peer *member, from netip.AddrPort) {
 	switch p.Kind {
 	case ping:
 		if p.Subject == "" || p.Subject == m.self.Name && p.SubjectIncarnation <= m.self.Incarnation {
@@ -138,7 +138,7 @@
 	case pingRequest:
 		m.relayPing(p, from)
 	case ack:
-		m.handleAck(p, x)
+		m.handleAck(p, peer)
 	case investigateRequest:
 		m.handleInvestigateRequest(p)
 	case join:
@@ -148,7 +148,7 @@
 			m.handleIncarnationEnded(p.SubjectIncarnation, p.Number == 1)
 		}
 	default:
-		m.handleViewPacket(p, from, x)
+		m.handleViewPacket(p, from, peer)
 	}
 }
 
--- a/internal/dispatcher/membership/joining.go
+++ b/internal/dispatcher/membership/joining.go
@@ -13,24 +13,24 @@
 // handleJoin handles a request to join, or a member's repeated announcement of itself. It passes a new request on to
 // the leaders and pings the sender, which learns the current view from that.
 func (m *Machine) handleJoin(p *packet, from netip.AddrPort) {
-	list, err := decodeRecords(p.Body)
-	if err != nil || len(list) != 1 || list[0].Name != p.From || list[0].Incarnation != p.Incarnation {
+	records, err := decodeRecords(p.Body)
+	if err != nil || len(records) != 1 || records[0].Name != p.From || records[0].Incarnation != p.Incarnation {
 		m.Counters.Malformed++
 		return
 	}
 	known := m.members[p.From] != nil && m.members[p.From].Incarnation >= p.Incarnation
-	x := m.addMember(list[0])
-	if x.Incarnation == p.Incarnation && !known {
-		m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Alive, Record: &x.Record})
+	peer := m.addMember(records[0])
+	if peer.Incarnation == p.Incarnation && !known {
+		m.disseminate(rumor{Name: peer.Name, Incarnation: peer.Incarnation, Revision: peer.Revision, State: Alive, Record: &peer.Record})
 	}
-	x.lastHeardAt = m.now
+	peer.lastHeardAt = m.now
 	if m.config.LearnAddresses && slices.Contains(m.config.Seeds, from) {
-		x.endpoint = from
+		peer.endpoint = from
 	}
 	if p.Sequence == 0 { // not passed on yet
 		for _, name := range m.leaders(2) {
-			if y := m.members[name]; y != nil && y != x {
-				m.send(y.endpoint, packet{Kind: join, Sequence: 1, Body: p.Body, Subject: p.From})
+			if leader := m.members[name]; leader != nil && leader != peer {
+				m.send(leader.endpoint, packet{Kind: join, Sequence: 1, Body: p.Body, Subject: p.From})
 			}
 		}
 	}
@@ -40,25 +40,25 @@
 // sendJoin sends a request to join to two known members and to the next two seeds.
 func (m *Machine) sendJoin() {
 	body := encodeCBOR([]Record{m.self})
-	var to []netip.AddrPort
-	for _, x := range m.randomAlive(2, nil) {
-		to = append(to, x.endpoint)
+	var targets []netip.AddrPort
+	for _, peer := range m.randomAlive(2, nil) {
+		targets = append(targets, peer.endpoint)
 	}
 	for range min(2, len(m.config.Seeds)) {
-		to = append(to, m.config.Seeds[m.seedsAsked%len(m.config.Seeds)])
+		targets = append(targets, m.config.Seeds[m.seedsAsked%len(m.config.Seeds)])
 		m.seedsAsked++
 	}
-	for _, a := range to {
-		if a != m.config.Address {
-			m.send(a, packet{Kind: join, Body: body})
+	for _, address := range targets {
+		if address != m.config.Address {
+			m.send(address, packet{Kind: join, Body: body})
 		}
 	}
 }
 
 // isAtOtherAddress returns 1 if the known incarnation of a datagram's sender is present at another address than from,
 // and otherwise 0. At the same address, the sender is that member restarted after its clock was set back.
-func isAtOtherAddress(x *member, from netip.AddrPort) uint32 {
-	if x.endpoint != from && x.state <= Unknown {
+func isAtOtherAddress(peer *member, from netip.AddrPort) uint32 {
+	if peer.endpoint != from && peer.state <= Unknown {
 		return 1
 	}
 	return 0
@@ -71,14 +71,14 @@
 	if len(m.config.Seeds) == 0 {
 		return
 	}
-	a := m.config.Seeds[m.rng.IntN(len(m.config.Seeds))]
-	for _, x := range m.members {
-		if x.endpoint == a && x.state <= Unknown {
+	seed := m.config.Seeds[m.rng.IntN(len(m.config.Seeds))]
+	for _, peer := range m.members {
+		if peer.endpoint == seed && peer.state <= Unknown {
 			return // it is probed anyway
 		}
 	}
-	if a != m.config.Address {
-		m.send(a, packet{Kind: join, Sequence: 1, Body: encodeCBOR([]Record{m.self})})
+	if seed != m.config.Address {
+		m.send(seed, packet{Kind: join, Sequence: 1, Body: encodeCBOR([]Record{m.self})})
 	}
 }
 
@@ -103,24 +103,24 @@
 
 // handleIncarnationEnded handles the news that this member's incarnation has ended, or that a later one has its name.
 // Unless the later one runs elsewhere, this member joins again with a new incarnation.
-func (m *Machine) handleIncarnationEnded(life uint64, elsewhere bool) {
+func (m *Machine) handleIncarnationEnded(incarnation uint64, elsewhere bool) {
 	switch {
-	case life < m.self.Incarnation || m.leavingSince > 0:
-	case elsewhere && life > m.self.Incarnation:
+	case incarnation < m.self.Incarnation || m.leavingSince > 0:
+	case elsewhere && incarnation > m.self.Incarnation:
 		m.isEnded = true
 		m.notice("superseded", "a later start has the name %s; this one is a member no more", m.self.Name)
 	default:
-		m.self.Incarnation = life
+		m.self.Incarnation = incarnation
 		m.startNewIncarnation("the others went on without it")
 	}
 }
 
 // startNewIncarnation makes this member join again under its next incarnation. An ended incarnation never becomes a
 // member again.
-func (m *Machine) startNewIncarnation(why string) {
+func (m *Machine) startNewIncarnation(reason string) {
 	m.self.Incarnation++
 	m.self.Revision = 0
 	m.joined, m.nextJoinAt = false, m.now
-	m.notice("expelled", "%s; it comes back as life %d", why, m.self.Incarnation)
+	m.notice("expelled", "%s; it comes back as life %d", reason, m.self.Incarnation)
 	m.disseminateSelf()
 }
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -70,12 +70,12 @@
 	if err := cfg.SetDefaults(); err != nil {
 		return nil, err
 	}
-	at, err := cfg.Address.MarshalBinary()
+	address, err := cfg.Address.MarshalBinary()
 	if err != nil {
 		return nil, err
 	}
 	m := &Machine{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), now: now, wakeAt: now, startedAt: now, lastSignAt: now,
-		self:    Record{Name: cfg.Name, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Address: at, Metadata: cfg.Metadata},
+		self:    Record{Name: cfg.Name, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Address: address, Metadata: cfg.Metadata},
 		members: map[string]*member{}, probes: map[uint32]*probe{}, relayedPings: map[uint32]relayedPing{}, notifiedAt: map[string]time.Duration{}}
 	if err := m.self.check(); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -108,8 +108,8 @@
 			m.leavingSince = m.now
 			m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Left})
 			// Spread the news, so that no member suspects this one.
-			for _, x := range m.randomAlive(indirectProbes, nil) {
-				m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
+			for _, peer := range m.randomAlive(indirectProbes, nil) {
+				m.send(peer.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 			}
 		}
 	}
@@ -128,17 +128,17 @@
 	clear(m.probes)
 	m.nextProbeAt, m.nextJoinAt, m.lastSignAt = m.now+m.config.Period, m.now, m.now
 	m.healthPenalty = min(m.healthPenalty+2, maxHealthPenalty)
-	for _, x := range m.investigated {
-		x.investigation.startedAt, x.investigation.pings = m.now, 0
+	for _, peer := range m.investigated {
+		peer.investigation.startedAt, peer.investigation.pings = m.now, 0
 	}
-	for _, x := range m.suspected { // the pause does not count as their silence
-		x.stateSince = m.now
+	for _, peer := range m.suspected { // the pause does not count as their silence
+		peer.stateSince = m.now
 	}
 	m.view.pause(m.now)
 }
 
-func (m *Machine) notice(kind, format string, v ...any) {
-	m.actions.Notices = append(m.actions.Notices, Notice{kind, fmt.Sprintf(format, v...)})
+func (m *Machine) notice(kind, format string, args ...any) {
+	m.actions.Notices = append(m.actions.Notices, Notice{kind, fmt.Sprintf(format, args...)})
 }
 
 func (m *Machine) nextSequence() uint32 { m.sequence++; return m.sequence }
@@ -156,15 +156,15 @@
 		m.nextProbeAt = max(m.nextProbeAt+m.config.Period, m.now+m.config.Period/2)
 	}
 	m.checkOverdueProbes()
-	for _, x := range slices.Clone(m.investigated) {
-		m.investigate(x)
+	for _, peer := range slices.Clone(m.investigated) {
+		m.investigate(peer)
 	}
-	m.suspected = slices.DeleteFunc(m.suspected, func(x *member) bool { return x.state != Suspected })
-	for _, x := range m.suspected {
-		if ripe := x.stateSince + m.config.FailureTimeout + 4*m.config.Period; m.now < ripe {
-			m.wakeBy(ripe)
+	m.suspected = slices.DeleteFunc(m.suspected, func(peer *member) bool { return peer.state != Suspected })
+	for _, peer := range m.suspected {
+		if unknownAt := peer.stateSince + m.config.FailureTimeout + 4*m.config.Period; m.now < unknownAt {
+			m.wakeBy(unknownAt)
 		} else {
-			m.setState(x, Unknown, "nobody reaches it, and too few can say so together")
+			m.setState(peer, Unknown, "nobody reaches it, and too few can say so together")
 		}
 	}
 	if m.leavingSince == 0 && !m.joined && m.now >= m.nextJoinAt {
@@ -178,8 +178,8 @@
 	}
 	m.coordinate()
 	m.wakeBy(m.nextProbeAt)
-	for seq, e := range m.relayedPings {
-		if m.now-e.sentAt > 2*m.config.FailureTimeout {
+	for seq, relayed := range m.relayedPings {
+		if m.now-relayed.sentAt > 2*m.config.FailureTimeout {
 			delete(m.relayedPings, seq)
 		}
 	}
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -28,7 +28,7 @@
 }
 
 // isDoubtful reports whether a member is suspected, or was suspected and has not been reached since.
-func (x *member) isDoubtful() bool { return x.state == Suspected || x.state == Unknown }
+func (peer *member) isDoubtful() bool { return peer.state == Suspected || peer.state == Unknown }
 
 // gossipEntry is a rumor to be spread. The entry that was sent least often goes first.
 type gossipEntry struct {
@@ -40,110 +40,111 @@
 // startSuspicion suspects a member that does not answer and tells only its observers. At 20% loss most suspicions are
 // wrong, and the observers find that out within half a second. When suspicions were gossiped at once, they and their
 // refutations made up nine tenths of all bytes.
-func (m *Machine) startSuspicion(x *member) {
-	if x.state == Left || x.state == Failed {
+func (m *Machine) startSuspicion(peer *member) {
+	if peer.state == Left || peer.state == Failed {
 		return
 	}
 	m.Counters.Suspicions++
-	m.addSuspicion(x, m.self.Name, m.now, false)
-	for _, j := range m.observersOf(x) {
-		if j != m.self.Name {
-			m.send(m.members[j].endpoint, packet{Kind: investigateRequest, Subject: x.Name, SubjectIncarnation: x.Incarnation, SubjectRevision: x.Revision})
+	m.addSuspicion(peer, m.self.Name, m.now, false)
+	for _, observer := range m.observersOf(peer) {
+		if observer != m.self.Name {
+			m.send(m.members[observer].endpoint, packet{Kind: investigateRequest, Subject: peer.Name, SubjectIncarnation: peer.Incarnation, SubjectRevision: peer.Revision})
 		}
 	}
 }
 
-// addSuspicion records that the member by has suspected x since a time, and begins an investigation if this member is
-// an observer of x. A public suspicion is spread to all members, any other one is for the observers alone.
-func (m *Machine) addSuspicion(x *member, by string, since time.Duration, public bool) {
-	fresh := !slices.Contains(x.suspectedBy, by)
-	if x.state == Alive {
-		x.stateSince, x.suspectedBy = since, nil
-		m.setState(x, Suspected, "accused by "+by)
-		m.suspected = append(m.suspected, x)
-	} else if x.state == Suspected && fresh {
-		x.stateSince = min(x.stateSince, since)
+// addSuspicion records that the member by has suspected peer since a time, and begins an investigation if this member
+// is an observer of peer. If isPublic is set, the suspicion is spread to all members, otherwise it is for the observers
+// alone.
+func (m *Machine) addSuspicion(peer *member, by string, since time.Duration, isPublic bool) {
+	isNewSuspect := !slices.Contains(peer.suspectedBy, by)
+	if peer.state == Alive {
+		peer.stateSince, peer.suspectedBy = since, nil
+		m.setState(peer, Suspected, "accused by "+by)
+		m.suspected = append(m.suspected, peer)
+	} else if peer.state == Suspected && isNewSuspect {
+		peer.stateSince = min(peer.stateSince, since)
 	}
-	if fresh && len(x.suspectedBy) < 4 {
-		x.suspectedBy = append(x.suspectedBy, by)
+	if isNewSuspect && len(peer.suspectedBy) < 4 {
+		peer.suspectedBy = append(peer.suspectedBy, by)
 	}
-	if public && !x.isDisseminated {
-		x.isDisseminated = true
-		m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected, SuspectedBy: by, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds())})
+	if isPublic && !peer.isDisseminated {
+		peer.isDisseminated = true
+		m.disseminate(rumor{Name: peer.Name, Incarnation: peer.Incarnation, Revision: peer.Revision, State: Suspected, SuspectedBy: by, AgeMilliseconds: uint32((m.now - peer.stateSince).Milliseconds())})
 	}
-	if x.investigation == nil && slices.Contains(m.observersOf(x), m.self.Name) {
-		x.investigation = &investigation{startedAt: m.now}
-		m.investigated = append(m.investigated, x)
-		m.investigate(x)
+	if peer.investigation == nil && slices.Contains(m.observersOf(peer), m.self.Name) {
+		peer.investigation = &investigation{startedAt: m.now}
+		m.investigated = append(m.investigated, peer)
+		m.investigate(peer)
 	}
 }
 
 // setState changes a member's state and reports the change with its reason.
-func (m *Machine) setState(x *member, s State, why string) {
-	if x.state == s {
+func (m *Machine) setState(peer *member, newState State, reason string) {
+	if peer.state == newState {
 		return
 	}
-	was := x.state
-	x.state = s
-	if s != Suspected {
-		x.stateSince = m.now
+	previous := peer.state
+	peer.state = newState
+	if newState != Suspected {
+		peer.stateSince = m.now
 	}
-	if s == Alive || s == Left || s == Failed {
-		x.suspectedBy, x.isDisseminated = nil, false
-		m.endInvestigation(x)
+	if newState == Alive || newState == Left || newState == Failed {
+		peer.suspectedBy, peer.isDisseminated = nil, false
+		m.endInvestigation(peer)
 	}
-	m.actions.Changes = append(m.actions.Changes, Change{Name: x.Name, Incarnation: x.Incarnation, State: s, Reason: why, Joined: was == 0})
+	m.actions.Changes = append(m.actions.Changes, Change{Name: peer.Name, Incarnation: peer.Incarnation, State: newState, Reason: reason, Joined: previous == 0})
 }
 
-// endInvestigation ends this member's investigation of x, if there is one.
-func (m *Machine) endInvestigation(x *member) {
-	if x.investigation != nil {
-		x.investigation = nil
-		m.investigated = slices.DeleteFunc(m.investigated, func(y *member) bool { return x == y })
+// endInvestigation ends this member's investigation of peer, if there is one.
+func (m *Machine) endInvestigation(peer *member) {
+	if peer.investigation != nil {
+		peer.investigation = nil
+		m.investigated = slices.DeleteFunc(m.investigated, func(other *member) bool { return peer == other })
 	}
 }
 
 // disseminateSelf spreads this member's record.
 func (m *Machine) disseminateSelf() {
-	whole := m.self
-	m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive, Record: &whole})
+	record := m.self
+	m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive, Record: &record})
 }
 
 // disseminate queues a rumor for gossip. It replaces an older rumor about the same member.
 func (m *Machine) disseminate(r rumor) {
-	raw := cbor.RawMessage(encodeCBOR(r))
-	for _, n := range m.gossipQueue {
-		if n.memberName == r.Name {
-			n.encoded, n.transmissions = raw, 0
+	body := cbor.RawMessage(encodeCBOR(r))
+	for _, entry := range m.gossipQueue {
+		if entry.memberName == r.Name {
+			entry.encoded, entry.transmissions = body, 0
 			return
 		}
 	}
-	m.gossipQueue = append(m.gossipQueue, &gossipEntry{memberName: r.Name, encoded: raw})
+	m.gossipQueue = append(m.gossipQueue, &gossipEntry{memberName: r.Name, encoded: body})
 }
 
 // applyRevision records that a member has raised its revision. The member is alive and has refuted every suspicion of
 // an earlier revision.
-func (m *Machine) applyRevision(x *member, n uint32, why string) {
-	if n <= x.Revision || x.state == Left || x.state == Failed {
+func (m *Machine) applyRevision(peer *member, revision uint32, reason string) {
+	if revision <= peer.Revision || peer.state == Left || peer.state == Failed {
 		return
 	}
-	x.Revision = n
-	if x.state == Suspected || x.state == Unknown {
-		public := x.isDisseminated
-		if m.setState(x, Alive, why); public {
-			m.disseminate(rumor{Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Alive})
+	peer.Revision = revision
+	if peer.state == Suspected || peer.state == Unknown {
+		wasDisseminated := peer.isDisseminated
+		if m.setState(peer, Alive, reason); wasDisseminated {
+			m.disseminate(rumor{Name: peer.Name, Incarnation: peer.Incarnation, Revision: peer.Revision, State: Alive})
 		}
 	}
 }
 
-// refute raises this member's revision above n, that of a suspicion, and spreads that this member is alive.
-func (m *Machine) refute(n uint32) {
-	if n >= m.self.Revision {
+// refute raises this member's revision above that of a suspicion, and spreads that this member is alive.
+func (m *Machine) refute(revision uint32) {
+	if revision >= m.self.Revision {
 		m.Counters.Refuted++
-		m.self.Revision = n + 1
+		m.self.Revision = revision + 1
 		m.disseminate(rumor{Name: m.self.Name, Incarnation: m.self.Incarnation, Revision: m.self.Revision, State: Alive})
-		for _, x := range m.randomAlive(indirectProbes, nil) {
-			m.send(x.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
+		for _, peer := range m.randomAlive(indirectProbes, nil) {
+			m.send(peer.endpoint, packet{Kind: ping, Sequence: m.nextSequence()})
 		}
 	}
 }
@@ -166,25 +167,25 @@
 		}
 		return
 	}
-	x := m.members[r.Name]
+	peer := m.members[r.Name]
 	switch {
-	case x == nil || r.Incarnation > x.Incarnation:
+	case peer == nil || r.Incarnation > peer.Incarnation:
 		if r.State == Alive && r.Record != nil {
 			m.addMember(*r.Record)
 			m.disseminate(*r)
 		}
-	case r.Incarnation < x.Incarnation || x.state == Left || x.state == Failed:
-	case r.State == Alive && r.Revision > x.Revision:
-		if x.Revision = r.Revision; r.Record != nil {
-			x.Metadata = r.Record.Metadata
+	case r.Incarnation < peer.Incarnation || peer.state == Left || peer.state == Failed:
+	case r.State == Alive && r.Revision > peer.Revision:
+		if peer.Revision = r.Revision; r.Record != nil {
+			peer.Metadata = r.Record.Metadata
 		}
-		m.setState(x, Alive, "it says so")
+		m.setState(peer, Alive, "it says so")
 		m.disseminate(*r)
-	case r.State == Suspected && r.Revision >= x.Revision:
-		x.Revision = r.Revision
-		m.addSuspicion(x, r.SuspectedBy, m.now-time.Duration(r.AgeMilliseconds)*time.Millisecond, true)
+	case r.State == Suspected && r.Revision >= peer.Revision:
+		peer.Revision = r.Revision
+		m.addSuspicion(peer, r.SuspectedBy, m.now-time.Duration(r.AgeMilliseconds)*time.Millisecond, true)
 	case r.State == Left:
-		m.setState(x, Left, "it said so")
+		m.setState(peer, Left, "it said so")
 		m.disseminate(*r)
 	}
 }
@@ -192,33 +193,33 @@
 // addMember adds a member, or a new incarnation of one, to the table. It returns the table's entry, whose incarnation
 // may be later than that of r.
 func (m *Machine) addMember(r Record) *member {
-	x := m.members[r.Name]
+	peer := m.members[r.Name]
 	switch {
-	case x != nil && x.Incarnation == r.Incarnation:
-		if r.Revision > x.Revision && x.state <= Unknown {
-			x.Metadata, x.Address, x.endpoint, x.Zone = r.Metadata, r.Address, m.endpointOf(&r), r.Zone
-			m.applyRevision(x, r.Revision, "it says so")
+	case peer != nil && peer.Incarnation == r.Incarnation:
+		if r.Revision > peer.Revision && peer.state <= Unknown {
+			peer.Metadata, peer.Address, peer.endpoint, peer.Zone = r.Metadata, r.Address, m.endpointOf(&r), r.Zone
+			m.applyRevision(peer, r.Revision, "it says so")
 		}
-		return x
-	case x != nil && x.Incarnation > r.Incarnation:
-		return x
-	case x != nil:
-		m.endInvestigation(x)
+		return peer
+	case peer != nil && peer.Incarnation > r.Incarnation:
+		return peer
+	case peer != nil:
+		m.endInvestigation(peer)
 	}
-	x = &member{Record: r, endpoint: m.endpointOf(&r)}
-	m.members[r.Name] = x
-	m.setState(x, Alive, "it is new")
+	peer = &member{Record: r, endpoint: m.endpointOf(&r)}
+	m.members[r.Name] = peer
+	m.setState(peer, Alive, "it is new")
 	// Inserted into the rest of this round, the member does not wait for the next round to be probed.
 	if m.ringPosition <= len(m.ring) {
-		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), x)
+		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), peer)
 	}
-	return x
+	return peer
 }
 
 // endpointOf returns the address at which this member reaches another.
 func (m *Machine) endpointOf(r *Record) netip.AddrPort {
-	if a, ok := m.config.AddressBook[r.Name]; ok {
-		return a
+	if address, ok := m.config.AddressBook[r.Name]; ok {
+		return address
 	} else if m.config.LearnAddresses {
 		return netip.AddrPort{} // unknown until the member is heard
 	}
@@ -251,7 +252,7 @@
 
 // Members returns the status of this member and of all others that it knows, ordered by zone and name.
 func (m *Machine) Members() []MemberStatus {
-	see := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) MemberStatus {
+	status := func(r *Record, addr netip.AddrPort, state State, since time.Duration, by []string) MemberStatus {
 		return MemberStatus{Name: r.Name, Zone: r.Zone, Incarnation: r.Incarnation, Address: addr.String(), State: state.String(), SinceSeconds: (m.now - since).Seconds(),
 			SuspectedBy: slices.Clone(by), InView: m.view.Contains(r.Name, r.Incarnation), Weight: r.Metadata.Weight, Draining: r.Metadata.Draining, Version: r.Metadata.Version}
 	}
@@ -259,9 +260,9 @@
 	if m.leavingSince > 0 || m.isEnded {
 		state = Left
 	}
-	out := []MemberStatus{see(&m.self, m.config.Address, state, m.startedAt, nil)}
-	for _, x := range m.members {
-		out = append(out, see(&x.Record, x.endpoint, x.state, x.stateSince, x.suspectedBy))
+	out := []MemberStatus{status(&m.self, m.config.Address, state, m.startedAt, nil)}
+	for _, peer := range m.members {
+		out = append(out, status(&peer.Record, peer.endpoint, peer.state, peer.stateSince, peer.suspectedBy))
 	}
 	slices.SortFunc(out, func(a, b MemberStatus) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	return out
@@ -273,8 +274,8 @@
 	for _, a := range m.config.Seeds {
 		out[a] = true
 	}
-	for _, x := range m.members {
-		out[x.endpoint] = true
+	for _, peer := range m.members {
+		out[peer.endpoint] = true
 	}
 	return out
 }
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -175,16 +175,16 @@
 }
 
 // change leads from a view to the next one. Failed and Left are inclusive ranges of indexes in the view of members to
-// remove, and In has the records of the members to add.
+// remove, and Joined has the records of the members to add.
 type change struct {
 	_      struct{} `cbor:",toarray"`
 	Failed [][2]uint32
 	Left   [][2]uint32
-	In     []Record
+	Joined []Record
 }
 
 // isEmpty reports whether the change neither removes nor adds a member.
-func (c *change) isEmpty() bool { return len(c.Failed)+len(c.Left)+len(c.In) == 0 }
+func (c *change) isEmpty() bool { return len(c.Failed)+len(c.Left)+len(c.Joined) == 0 }
 
 var (
 	encoder = func() cbor.EncMode {
@@ -260,8 +260,8 @@
 	if err := decoder.Unmarshal(b, c); err != nil {
 		return nil, err
 	}
-	for i := range c.In {
-		if err := c.In[i].check(); err != nil {
+	for i := range c.Joined {
+		if err := c.Joined[i].check(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -40,34 +40,34 @@
 	for range len(m.ring) + 1 {
 		if m.ringPosition >= len(m.ring) {
 			m.ringPosition, m.ring = 0, m.ring[:0]
-			for _, x := range m.members {
-				if x.state != Left && x.state != Failed {
-					m.ring = append(m.ring, x)
+			for _, peer := range m.members {
+				if peer.state != Left && peer.state != Failed {
+					m.ring = append(m.ring, peer)
 				}
 			}
 			slices.SortFunc(m.ring, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
-			m.rng.Shuffle(len(m.ring), func(i, k int) { m.ring[i], m.ring[k] = m.ring[k], m.ring[i] })
+			m.rng.Shuffle(len(m.ring), func(i, j int) { m.ring[i], m.ring[j] = m.ring[j], m.ring[i] })
 		}
 		if len(m.ring) == 0 {
 			return
 		}
-		x := m.ring[m.ringPosition]
+		peer := m.ring[m.ringPosition]
 		m.ringPosition++
-		if x.state == Left || x.state == Failed || m.members[x.Name] != x || !x.endpoint.IsValid() {
+		if peer.state == Left || peer.state == Failed || m.members[peer.Name] != peer || !peer.endpoint.IsValid() {
 			continue
 		}
-		p := &probe{target: x, incarnation: x.Incarnation, sentAt: m.now}
+		p := &probe{target: peer, incarnation: peer.Incarnation, sentAt: m.now}
 		// After wrong suspicions of a member this one waits longer for its answer: the link of this member may be bad.
-		p.dueAt = m.now + m.config.Period*time.Duration(2+m.healthPenalty)/2*time.Duration(1+min(x.falseSuspicions, 6))
-		m.sendPing(x, p)
+		p.dueAt = m.now + m.config.Period*time.Duration(2+m.healthPenalty)/2*time.Duration(1+min(peer.falseSuspicions, 6))
+		m.sendPing(peer, p)
 		return
 	}
 }
 
-func (m *Machine) sendPing(x *member, p *probe) {
+func (m *Machine) sendPing(peer *member, p *probe) {
 	p.sequence = m.nextSequence()
 	m.probes[p.sequence] = p
-	m.send(x.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: x.Name, SubjectIncarnation: x.Incarnation})
+	m.send(peer.endpoint, packet{Kind: ping, Sequence: p.sequence, Subject: peer.Name, SubjectIncarnation: peer.Incarnation})
 }
 
 // checkOverdueProbes handles probes without an answer. After two fifths of a period it asks relays to ping the member,
@@ -75,13 +75,13 @@
 func (m *Machine) checkOverdueProbes() {
 	for _, seq := range sortedKeys(m.probes) {
 		p := m.probes[seq]
-		help := p.sentAt + m.config.Period*2/5
+		askRelaysAt := p.sentAt + m.config.Period*2/5
 		switch {
 		case p.target.Incarnation != p.incarnation || p.target.state == Left || p.target.state == Failed || m.now-p.sentAt > 2*m.config.FailureTimeout:
 			delete(m.probes, seq)
 		case p.isInvestigation:
-		case m.now < help:
-			m.wakeBy(help)
+		case m.now < askRelaysAt:
+			m.wakeBy(askRelaysAt)
 		case !p.isRelayed:
 			p.isRelayed = true
 			// One more direct ping.
@@ -101,15 +101,15 @@
 }
 
 // randomAlive returns up to n random members that are alive, without except.
-func (m *Machine) randomAlive(n int, but *member) (out []*member) {
+func (m *Machine) randomAlive(n int, except *member) (out []*member) {
 	if len(m.ring) == 0 {
 		return nil
 	}
-	at := m.rng.IntN(len(m.ring))
+	start := m.rng.IntN(len(m.ring))
 	for i := range m.ring {
-		x := m.ring[(at+i*7919)%len(m.ring)]
-		if x != but && x.state == Alive && m.members[x.Name] == x && !slices.Contains(out, x) {
-			if out = append(out, x); len(out) == n {
+		peer := m.ring[(start+i*7919)%len(m.ring)]
+		if peer != except && peer.state == Alive && m.members[peer.Name] == peer && !slices.Contains(out, peer) {
+			if out = append(out, peer); len(out) == n {
 				break
 			}
 		}
@@ -120,109 +120,109 @@
 	return out
 }
 
-// observersOf returns the names of the members that investigate a suspicion of x: the first ObserverCount members of
+// observersOf returns the names of the members that investigate a suspicion of peer: the first ObserverCount members of
 // the view, ordered by a hash of both names, without those that are not alive themselves.
-func (m *Machine) observersOf(x *member) (out []string) {
+func (m *Machine) observersOf(peer *member) (out []string) {
 	type ranked struct {
 		name string
 		rank uint64
 	}
-	var all []ranked
+	var candidates []ranked
 	for i := range m.view.Members {
 		name := m.view.Members[i].Name
-		if y := m.members[name]; name == x.Name || name != m.self.Name && (y == nil || y.state != Alive) {
+		if other := m.members[name]; name == peer.Name || name != m.self.Name && (other == nil || other.state != Alive) {
 			continue
 		}
-		all = append(all, ranked{name, xxhash.Sum64String(x.Name + "/" + name)})
+		candidates = append(candidates, ranked{name, xxhash.Sum64String(peer.Name + "/" + name)})
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
-	for _, r := range all[:min(len(all), m.config.ObserverCount)] {
+	slices.SortFunc(candidates, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
+	for _, r := range candidates[:min(len(candidates), m.config.ObserverCount)] {
 		out = append(out, r.name)
 	}
 	return out
 }
 
-// investigate continues this member's investigation of x as an observer. Twice a period it pings x directly and through
-// a relay. Once a period it reports the silence of x to the first two leaders. Only an answer of x or a new revision
-// ends the investigation, or that x has left or was removed.
-func (m *Machine) investigate(x *member) {
-	q := x.investigation
-	if x.state != Suspected && x.state != Unknown {
-		m.endInvestigation(x)
+// investigate continues this member's investigation of peer as an observer. Twice a period it pings peer directly and
+// through a relay. Once a period it reports the silence of peer to the first two leaders. Only an answer of peer or a
+// new revision ends the investigation, or that peer has left or was removed.
+func (m *Machine) investigate(peer *member) {
+	inquiry := peer.investigation
+	if peer.state != Suspected && peer.state != Unknown {
+		m.endInvestigation(peer)
 		return
 	}
-	every := m.config.Period / 2
-	if m.now >= q.lastPingAt+every {
-		q.lastPingAt = m.now
-		if q.pings++; q.pings == pingsBeforeDissemination { // tell all members, so that x can refute it
-			m.addSuspicion(x, m.self.Name, q.startedAt, true)
+	pingInterval := m.config.Period / 2
+	if m.now >= inquiry.lastPingAt+pingInterval {
+		inquiry.lastPingAt = m.now
+		if inquiry.pings++; inquiry.pings == pingsBeforeDissemination { // tell all members, so that peer can refute it
+			m.addSuspicion(peer, m.self.Name, inquiry.startedAt, true)
 		}
-		p := &probe{target: x, incarnation: x.Incarnation, sentAt: m.now, isInvestigation: true}
-		m.sendPing(x, p)
-		for _, r := range m.randomAlive(1, x) {
-			m.send(r.endpoint, packet{Kind: pingRequest, Sequence: p.sequence, Subject: x.Name, SubjectIncarnation: x.Incarnation})
+		p := &probe{target: peer, incarnation: peer.Incarnation, sentAt: m.now, isInvestigation: true}
+		m.sendPing(peer, p)
+		for _, r := range m.randomAlive(1, peer) {
+			m.send(r.endpoint, packet{Kind: pingRequest, Sequence: p.sequence, Subject: peer.Name, SubjectIncarnation: peer.Incarnation})
 		}
 	}
-	m.wakeBy(q.lastPingAt + every)
-	age := m.now - q.startedAt
-	// A member that hears no other cannot judge x.
-	if m.now-m.lastSignAt > m.config.FailureTimeout/2 || q.pings < minObserverPings {
+	m.wakeBy(inquiry.lastPingAt + pingInterval)
+	age := m.now - inquiry.startedAt
+	// A member that hears no other cannot judge peer.
+	if m.now-m.lastSignAt > m.config.FailureTimeout/2 || inquiry.pings < minObserverPings {
 		return
 	}
-	if m.now >= q.lastReportAt+2*every {
-		q.lastReportAt = m.now
+	if m.now >= inquiry.lastReportAt+2*pingInterval {
+		inquiry.lastReportAt = m.now
 		for _, name := range m.leaders(2) {
 			if name == m.self.Name {
-				m.recordSuspicionReport(m.self.Name, x, age)
-			} else if y := m.members[name]; y != nil {
-				m.send(y.endpoint, packet{Kind: suspicionNotice, Subject: x.Name, SubjectIncarnation: x.Incarnation, SubjectRevision: x.Revision, Number: uint32(age.Milliseconds())})
+				m.recordSuspicionReport(m.self.Name, peer, age)
+			} else if leader := m.members[name]; leader != nil {
+				m.send(leader.endpoint, packet{Kind: suspicionNotice, Subject: peer.Name, SubjectIncarnation: peer.Incarnation, SubjectRevision: peer.Revision, Number: uint32(age.Milliseconds())})
 			}
 		}
 	}
 }
 
-// recordAnswer records that x has answered this member, which ends this member's suspicion of it.
-func (m *Machine) recordAnswer(x *member) {
-	x.lastAnswerAt, x.hasAnswered, m.lastSignAt = m.now, true, m.now
-	m.view.recordHeard(x.Name)
-	if x.state == Suspected || x.state == Unknown {
-		if slices.Contains(x.suspectedBy, m.self.Name) {
-			x.falseSuspicions = min(x.falseSuspicions+1, 6)
-			x.suspectedBy = slices.DeleteFunc(x.suspectedBy, func(s string) bool { return s == m.self.Name })
+// recordAnswer records that peer has answered this member, which ends this member's suspicion of it.
+func (m *Machine) recordAnswer(peer *member) {
+	peer.lastAnswerAt, peer.hasAnswered, m.lastSignAt = m.now, true, m.now
+	m.view.recordHeard(peer.Name)
+	if peer.state == Suspected || peer.state == Unknown {
+		if slices.Contains(peer.suspectedBy, m.self.Name) {
+			peer.falseSuspicions = min(peer.falseSuspicions+1, 6)
+			peer.suspectedBy = slices.DeleteFunc(peer.suspectedBy, func(s string) bool { return s == m.self.Name })
 		}
-		m.setState(x, Alive, "it answers")
-	} else if x.falseSuspicions > 0 && m.rng.IntN(8) == 0 {
-		x.falseSuspicions--
+		m.setState(peer, Alive, "it answers")
+	} else if peer.falseSuspicions > 0 && m.rng.IntN(8) == 0 {
+		peer.falseSuspicions--
 	}
 }
 
 // handleAck handles an answer to a ping, either direct or from a relay. If this member was the relay, it passes the
 // answer on.
-func (m *Machine) handleAck(p *packet, x *member) {
-	if e, ok := m.relayedPings[p.Sequence]; ok {
+func (m *Machine) handleAck(p *packet, peer *member) {
+	if relayed, ok := m.relayedPings[p.Sequence]; ok {
 		delete(m.relayedPings, p.Sequence)
-		m.send(e.to, packet{Kind: ack, Sequence: e.sequence, Subject: p.From, SubjectIncarnation: p.Incarnation, SubjectRevision: p.Revision})
-		if x != nil {
-			x.lastAnswerAt = m.now
+		m.send(relayed.to, packet{Kind: ack, Sequence: relayed.sequence, Subject: p.From, SubjectIncarnation: p.Incarnation, SubjectRevision: p.Revision})
+		if peer != nil {
+			peer.lastAnswerAt = m.now
 		}
 		return
 	}
-	q := m.probes[p.Sequence]
-	if q == nil {
+	pending := m.probes[p.Sequence]
+	if pending == nil {
 		return
 	}
-	life, of := p.Incarnation, p.From
+	ackedIncarnation, ackedName := p.Incarnation, p.From
 	if p.Subject != "" {
-		life, of = p.SubjectIncarnation, p.Subject
-		m.applyRevision(q.target, p.SubjectRevision, "a relay reaches it")
+		ackedIncarnation, ackedName = p.SubjectIncarnation, p.Subject
+		m.applyRevision(pending.target, p.SubjectRevision, "a relay reaches it")
 		m.lastSignAt = m.now
 	}
-	if q.target.Name != of || q.incarnation != life || q.target.Incarnation != life {
+	if pending.target.Name != ackedName || pending.incarnation != ackedIncarnation || pending.target.Incarnation != ackedIncarnation {
 		return
 	}
 	delete(m.probes, p.Sequence)
-	if !q.isInvestigation && m.now < q.sentAt+m.config.Period && m.healthPenalty > 0 {
+	if !pending.isInvestigation && m.now < pending.sentAt+m.config.Period && m.healthPenalty > 0 {
 		m.healthPenalty--
 	}
-	m.recordAnswer(q.target)
+	m.recordAnswer(pending.target)
 }
--- a/internal/dispatcher/membership/transfer.go
+++ b/internal/dispatcher/membership/transfer.go
@@ -35,8 +35,8 @@
 		v.commitResendAt = m.now + resendInterval
 		v.commitResendsLeft--
 		for _, name := range sortedKeys(v.unconfirmed) {
-			if x := m.members[name]; x != nil {
-				m.send(x.endpoint, packet{Kind: commit, View: v.commitBase, Body: v.commitBody, Number: v.commitNumber})
+			if peer := m.members[name]; peer != nil {
+				m.send(peer.endpoint, packet{Kind: commit, View: v.commitBase, Body: v.commitBody, Number: v.commitNumber})
 			}
 		}
 	}
@@ -78,12 +78,12 @@
 	m.send(from, packet{Kind: viewRequest})
 }
 
-// handleViewPacket handles the packets about views: observers' reports, transfers and ballots. x is the sender, or nil
-// if it is not known.
-func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, x *member) {
+// handleViewPacket handles the packets about views: observers' reports, transfers and ballots. peer is the sender, or
+// nil if it is not known.
+func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, peer *member) {
 	v := &m.view
 	isSameView := p.View == v.ViewID
-	isVoter := x != nil && v.indexOf(p.From) >= 0
+	isVoter := peer != nil && v.indexOf(p.From) >= 0
 	switch p.Kind {
 	case suspicionNotice:
 		if isSameView && isVoter {
@@ -150,28 +150,28 @@
 		return
 	}
 	if p.Sequence == 0 {
-		if i := slices.IndexFunc(v.history, func(s viewChange) bool { return s.base == p.View }); i >= 0 {
-			for _, s := range v.history[i:min(i+4, len(v.history))] {
-				m.send(from, packet{Kind: commit, View: s.base, Body: s.body, Number: s.number})
+		if i := slices.IndexFunc(v.history, func(committed viewChange) bool { return committed.base == p.View }); i >= 0 {
+			for _, committed := range v.history[i:min(i+4, len(v.history))] {
+				m.send(from, packet{Kind: commit, View: committed.base, Body: committed.body, Number: committed.number})
 			}
 			return
 		}
 	}
-	for at, n := int(p.Sequence), 0; at < len(v.Members) && n < 8; n++ {
-		first, list, size := at, []Record(nil), 1
-		for ; at < len(v.Members); at++ {
-			r := v.Members[at]
-			if x := m.members[r.Name]; x != nil && x.Incarnation == r.Incarnation {
-				r = x.Record // may have a later revision
+	for index, chunks := int(p.Sequence), 0; index < len(v.Members) && chunks < 8; chunks++ {
+		first, records, size := index, []Record(nil), 1
+		for ; index < len(v.Members); index++ {
+			r := v.Members[index]
+			if peer := m.members[r.Name]; peer != nil && peer.Incarnation == r.Incarnation {
+				r = peer.Record // may have a later revision
 			}
-			if k := len(encodeCBOR(r)); size+k > maxBodyBytes && len(list) > 0 {
+			if recordSize := len(encodeCBOR(r)); size+recordSize > maxBodyBytes && len(records) > 0 {
 				break
 			} else {
-				size += k
+				size += recordSize
 			}
-			list = append(list, r)
+			records = append(records, r)
 		}
-		m.send(from, packet{Kind: viewChunk, Sequence: uint32(first), Number: uint32(len(v.Members)), Body: encodeCBOR(list)})
+		m.send(from, packet{Kind: viewChunk, Sequence: uint32(first), Number: uint32(len(v.Members)), Body: encodeCBOR(records)})
 	}
 }
 
@@ -179,34 +179,34 @@
 // complete and its digest is right.
 func (m *Machine) handleViewChunk(p *packet, from netip.AddrPort) {
 	v := &m.view
-	f := v.fetch
-	if f == nil || !p.View.After(v.ViewID) {
+	transfer := v.fetch
+	if transfer == nil || !p.View.After(v.ViewID) {
 		return
 	}
-	list, err := decodeRecords(p.Body)
-	if err != nil || len(list) == 0 || p.Number > 1<<16 {
+	records, err := decodeRecords(p.Body)
+	if err != nil || len(records) == 0 || p.Number > 1<<16 {
 		m.Counters.Malformed++
 		return
 	}
-	if f.id != p.View || f.total != p.Number {
-		f.id, f.total, f.received, f.outOfOrder = p.View, p.Number, nil, map[uint32][]Record{}
+	if transfer.id != p.View || transfer.total != p.Number {
+		transfer.id, transfer.total, transfer.received, transfer.outOfOrder = p.View, p.Number, nil, map[uint32][]Record{}
 	}
-	if len(f.outOfOrder) < 64 {
-		f.outOfOrder[p.Sequence] = list
+	if len(transfer.outOfOrder) < 64 {
+		transfer.outOfOrder[p.Sequence] = records
 	}
-	f.lastChunkAt, f.retries = m.now, 0
-	for next := f.outOfOrder[uint32(len(f.received))]; next != nil; next = f.outOfOrder[uint32(len(f.received))] {
-		delete(f.outOfOrder, uint32(len(f.received)))
-		f.received = append(f.received, next...)
+	transfer.lastChunkAt, transfer.retries = m.now, 0
+	for next := transfer.outOfOrder[uint32(len(transfer.received))]; next != nil; next = transfer.outOfOrder[uint32(len(transfer.received))] {
+		delete(transfer.outOfOrder, uint32(len(transfer.received)))
+		transfer.received = append(transfer.received, next...)
 	}
-	if len(f.received) < int(f.total) {
-		if len(f.outOfOrder) == 0 && len(f.received) >= f.requestMoreAt {
-			f.requestMoreAt = len(f.received) + 8 // request more after 8 further records
-			m.send(from, packet{Kind: viewRequest, Sequence: uint32(len(f.received))})
+	if len(transfer.received) < int(transfer.total) {
+		if len(transfer.outOfOrder) == 0 && len(transfer.received) >= transfer.requestMoreAt {
+			transfer.requestMoreAt = len(transfer.received) + 8 // request more after 8 further records
+			m.send(from, packet{Kind: viewRequest, Sequence: uint32(len(transfer.received))})
 		}
 		return
 	}
-	next := &View{ViewID: f.id, Members: f.received}
+	next := &View{ViewID: transfer.id, Members: transfer.received}
 	v.fetch = nil
 	if digest(next.ViewID, next.Members) != next.Digest {
 		m.Counters.Malformed++
--- a/internal/dispatcher/membership/view.go
+++ b/internal/dispatcher/membership/view.go
@@ -26,41 +26,42 @@
 }
 
 // Contains reports whether an incarnation of a member is in the view.
-func (v *View) Contains(name string, life uint64) bool {
+func (v *View) Contains(name string, incarnation uint64) bool {
 	i := v.indexOf(name)
-	return i >= 0 && v.Members[i].Incarnation == life
+	return i >= 0 && v.Members[i].Incarnation == incarnation
 }
 
 func compareRecords(a, b Record) int {
 	return cmp.Or(strings.Compare(a.Zone, b.Zone), strings.Compare(a.Name, b.Name))
 }
 
-// after returns the view that a change leads to, or an error if the change does not apply to v. heirs begins a new
-// epoch.
-func (v *View) after(c *change, heirs bool) (*View, error) {
+// after returns the view that a change leads to, or an error if the change does not apply to v. beginsEpoch starts a
+// new epoch.
+func (v *View) after(proposed *change, beginsEpoch bool) (*View, error) {
 	next := &View{ViewID: ViewID{FleetID: v.FleetID, Epoch: v.Epoch, Number: v.Number + 1}}
-	out := make([]bool, len(v.Members))
-	for _, r := range slices.Concat(c.Failed, c.Left) {
+	removed := make([]bool, len(v.Members))
+	for _, r := range slices.Concat(proposed.Failed, proposed.Left) {
 		if r[0] > r[1] || int(r[1]) >= len(v.Members) {
-			return nil, fmt.Errorf("places %v of %d members", r, len(v.Members))
+			return nil, fmt.Errorf("indexes %v are not a range of a view of %d members", r, len(v.Members))
 		}
 		for i := r[0]; i <= r[1]; i++ {
-			out[i] = true
+			removed[i] = true
 		}
 	}
 	for i, r := range v.Members {
-		if !out[i] && !slices.ContainsFunc(c.In, func(in Record) bool { return in.Name == r.Name }) {
+		if !removed[i] && !slices.ContainsFunc(proposed.Joined, func(in Record) bool { return in.Name == r.Name }) {
 			next.Members = append(next.Members, r)
 		}
 	}
-	for _, r := range c.In {
+	for _, r := range proposed.Joined {
 		if next.indexOf(r.Name) >= 0 {
-			return nil, fmt.Errorf("member %s comes twice", r.Name)
+			return nil, fmt.Errorf("member %s is added twice", r.Name)
 		}
 		next.Members = append(next.Members, r)
 	}
 	slices.SortFunc(next.Members, compareRecords)
-	if heirs { // A new FleetID: another majority of members that lost their state may found the fleet anew elsewhere.
+	// A new FleetID: another majority of members that lost their state may found the fleet anew elsewhere.
+	if beginsEpoch {
 		next.Epoch++
 		next.FleetID = uint32(digest(next.ViewID, next.Members))
 	}
@@ -153,7 +154,7 @@
 	n := 0
 	for i := range m.view.Members {
 		name := m.view.Members[i].Name
-		if x := m.members[name]; name == m.self.Name || x != nil && x.state == Alive {
+		if peer := m.members[name]; name == m.self.Name || peer != nil && peer.state == Alive {
 			n++
 		}
 	}
@@ -164,7 +165,7 @@
 // coordinator. The rank changes every 8 views.
 func (m *Machine) leaders(n int) (out []string) {
 	for _, name := range m.view.ranked {
-		if x := m.members[name]; name == m.self.Name || x != nil && x.state == Alive {
+		if peer := m.members[name]; name == m.self.Name || peer != nil && peer.state == Alive {
 			if out = append(out, name); len(out) == n {
 				break
 			}
@@ -194,42 +195,42 @@
 	return -1
 }
 
-func (v *viewState) Contains(name string, life uint64) bool {
+func (v *viewState) Contains(name string, incarnation uint64) bool {
 	i := v.indexOf(name)
-	return i >= 0 && v.Members[i].Incarnation == life
+	return i >= 0 && v.Members[i].Incarnation == incarnation
 }
 
-// applyCommit installs the view that a committed change leads to. tell is set at the proposer, which sends the commit
-// to the members of both views.
-func (m *Machine) applyCommit(s viewChange, tell bool) {
+// applyCommit installs the view that a committed change leads to. isProposer is set at the proposer, which sends the
+// commit to the members of both views.
+func (m *Machine) applyCommit(committed viewChange, isProposer bool) {
 	v := &m.view
-	c, err := decodeChange(s.body)
+	applied, err := decodeChange(committed.body)
 	var next *View
 	if err == nil {
-		next, err = v.after(c, s.number == 1)
+		next, err = v.after(applied, committed.number == 1)
 	}
 	if err != nil {
 		m.Counters.Malformed++
 		v.ballot = 0
 		return
 	}
-	v.history = append(v.history, s)
+	v.history = append(v.history, committed)
 	if len(v.history) > m.config.History {
 		v.history = v.history[1:]
 	}
-	old := v.Members
-	for _, r := range c.Left {
-		for _, gone := range old[r[0] : r[1]+1] {
-			if x := m.members[gone.Name]; x != nil && x.Incarnation == gone.Incarnation {
-				m.setState(x, Left, "it said so")
+	oldMembers := v.Members
+	for _, r := range applied.Left {
+		for _, left := range oldMembers[r[0] : r[1]+1] {
+			if peer := m.members[left.Name]; peer != nil && peer.Incarnation == left.Incarnation {
+				m.setState(peer, Left, "it said so")
 			}
 		}
 	}
 	m.installView(next, "by a change of the view", true)
-	if tell {
-		v.commitBody, v.commitBase, v.commitNumber, v.commitResendAt, v.commitResendsLeft = s.body, s.base, s.number, m.now, 3
+	if isProposer {
+		v.commitBody, v.commitBase, v.commitNumber, v.commitResendAt, v.commitResendsLeft = committed.body, committed.base, committed.number, m.now, 3
 		clear(v.unconfirmed)
-		for _, list := range [][]Record{old, next.Members} {
+		for _, list := range [][]Record{oldMembers, next.Members} {
 			for i := range list {
 				if list[i].Name != m.self.Name {
 					v.unconfirmed[list[i].Name] = m.now
@@ -240,12 +241,12 @@
 	}
 }
 
-// installView makes next the current view. straight reports that a change of this member's previous view led to it. why
-// is the reason given for members that are no longer in the view.
-func (m *Machine) installView(next *View, why string, straight bool) {
+// installView makes next the current view. isSuccessor reports that a change of this member's previous view led to it.
+// reason is reported for members that are no longer in the view.
+func (m *Machine) installView(next *View, reason string, isSuccessor bool) {
 	v := &m.view
-	old, apart := v.Members, v.FleetID != 0 && v.FleetID != next.FleetID && !straight
-	was := m.joined
+	oldMembers, isOtherFleet := v.Members, v.FleetID != 0 && v.FleetID != next.FleetID && !isSuccessor
+	wasJoined := m.joined
 	v.View = *next
 	v.index = make(map[string]int, len(next.Members))
 	for i := range next.Members {
@@ -263,21 +264,21 @@
 			m.addMember(*r)
 		}
 	}
-	for i := range old {
-		r := &old[i]
-		if x := m.members[r.Name]; x != nil && x.Incarnation == r.Incarnation && !v.Contains(r.Name, r.Incarnation) && !apart {
+	for i := range oldMembers {
+		r := &oldMembers[i]
+		if peer := m.members[r.Name]; peer != nil && peer.Incarnation == r.Incarnation && !v.Contains(r.Name, r.Incarnation) && !isOtherFleet {
 			delete(v.suspicionReports, r.Name)
-			if x.state != Left {
-				m.setState(x, Failed, why)
+			if peer.state != Left {
+				m.setState(peer, Failed, reason)
 			}
 		}
 	}
 	m.joined = v.Contains(m.self.Name, m.self.Incarnation)
 	switch {
-	case apart: // the fleets were founded separately: no member has failed by the change
+	case isOtherFleet: // the fleets were founded separately: no member has failed by the change
 		m.notice("adopted", "there is another fleet, with view %v: it goes over to that", v.ViewID)
 		m.nextJoinAt = m.now
-	case was && !m.joined && m.leavingSince == 0:
+	case wasJoined && !m.joined && m.leavingSince == 0:
 		m.handleIncarnationEnded(m.self.Incarnation, false)
 	}
 	m.actions.View = &View{ViewID: v.ViewID, Members: slices.Clone(v.Members)}
@@ -290,8 +291,8 @@
 		m.wakeBy(at)
 		return
 	}
-	for _, x := range m.members {
-		if x.state == Alive && x.Name < m.self.Name && m.now-x.lastHeardAt < 4*m.config.Period {
+	for _, peer := range m.members {
+		if peer.state == Alive && peer.Name < m.self.Name && m.now-peer.lastHeardAt < 4*m.config.Period {
 			return // that member founds the fleet, or passes a view on
 		}
 	}
