--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -1,5 +1,5 @@
-// The explorer: three members, and every place at which one fault, or each pair of two, can fall into a stretch in which
-// a member is killed, is stopped or leaves. And walks far beyond that at random, always the same ones.
+// The explorer: three members, and every place at which one fault, or each pair of two, can fall into a stretch in
+// which a member is killed, is stopped or leaves. And walks far beyond that at random, always the same ones.
 
 package membership_test
 
@@ -91,8 +91,8 @@
 	return datagrams, h.Sum64(), bad
 }
 
-// TestEveryPlaceOfAFault plays each drama with each fault at each datagram of its 8 s. MEMBERSHIP_PAIRS=n adds every nth of
-// all pairs of faults.
+// TestEveryPlaceOfAFault plays each drama with each fault at each datagram of its 8 s. MEMBERSHIP_PAIRS=n adds every
+// nth of all pairs of faults.
 func TestEveryPlaceOfAFault(t *testing.T) {
 	t.Parallel()
 	every, _ := strconv.Atoi(os.Getenv("MEMBERSHIP_PAIRS"))
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -160,7 +160,8 @@
 			}
 		case r.Incarnation == m.self.Incarnation && r.State == Suspected:
 			m.refute(r.Revision)
-		case r.Incarnation == m.self.Incarnation && r.Revision > m.self.Revision: // this process was restored to an earlier state
+		case r.Incarnation == m.self.Incarnation && r.Revision > m.self.Revision:
+			// This process was restored to an earlier state.
 			m.refute(r.Revision)
 		case r.Incarnation == m.self.Incarnation && r.State == Left && m.leavingSince == 0:
 			m.startNewIncarnation("it was put back to before it left")
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// A chain in which neighbours alone hear each other: too few hear the ends to say anything of the others, and nobody fails.
+// A chain in which neighbours alone hear each other: too few hear the ends to say anything of the others, and nobody
+// fails.
 func TestAChain(t *testing.T) {
 	t.Parallel()
 	w := up(t, 5, 1, 3)
@@ -149,7 +150,8 @@
 	settle(t, w)
 }
 
-// A cut of three and two: the larger side goes on, the smaller knows that it is one and says of nobody that he has failed.
+// A cut of three and two: the larger side goes on, the smaller knows that it is one and says of nobody that he has
+// failed.
 func TestACutAndItsEnd(t *testing.T) {
 	t.Parallel()
 	for _, small := range []int{1, 2} {
@@ -195,7 +197,8 @@
 	settle(t, w)
 }
 
-// Two thirds are killed at once and come back within a second, cold: no majority has a memory, and yet they find together.
+// Two thirds are killed at once and come back within a second, cold: no majority has a memory, and yet they find
+// together.
 func TestTwoThirdsStartAnew(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 9, 24} {
@@ -323,8 +326,8 @@
 	settle(t, w)
 }
 
-// News that is on its way when a life ends must not bring it back, however new it says it is; nor may a member that left
-// be taken for failed or accused.
+// News that is on its way when a life ends must not bring it back, however new it says it is; nor may a member that
+// left be taken for failed or accused.
 func TestAnEndedLifeStaysOver(t *testing.T) {
 	t.Parallel()
 	for _, end := range []membership.State{membership.Failed, membership.Left} {
@@ -375,9 +378,9 @@
 	audit(t, w)
 }
 
-// A cut of four and five, in which one of the five leaves: the five go on without it, and then there are four and four, and
-// no majority. When the cut ended the four took over the later view and still had their jurors' words on the others, and
-// a voter from there that had not probed them of late agreed.
+// A cut of four and five, in which one of the five leaves: the five go on without it, and then there are four and four,
+// and no majority. When the cut ended the four took over the later view and still had their jurors' words on the
+// others, and a voter from there that had not probed them of late agreed.
 func TestOldWordsDoNotCountAfterACut(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -1,4 +1,4 @@
-// The auditor: what the record of a play must not show, whatever faults the play injected.
+// The audit of a run's record. Its invariants hold whatever faults the run injects.
 
 package simulation
 
@@ -10,55 +10,55 @@
 	"gladepick/internal/dispatcher/membership"
 )
 
-// Audit returns the violations of the membership's guarantees: two views with one number, an incarnation that came back, a
-// member that was alive and connected taken for failed, one that left taken for failed.
-func (w *World) Audit() (faults []string) {
-	type number struct {
+// Audit returns the violations of the membership's guarantees: two views with the same number, an earlier view after a
+// later one, an ended incarnation that changed its state, or a member taken for failed that was alive and connected.
+func (w *World) Audit() (violations []string) {
+	type viewNumber struct {
 		fleet, epoch uint32
-		number       uint64
+		viewNumber   uint64
 	}
-	type seen struct {
-		node int
-		of   uint64
-		name string
-		life uint64
+	type observation struct {
+		observer            int
+		observerIncarnation uint64
+		name                string
+		incarnation         uint64
 	}
-	digests := map[number]uint64{}
-	ended := map[seen]membership.State{}
+	digests := map[viewNumber]uint64{}
+	ended := map[observation]membership.State{}
 	last := map[[2]uint64]membership.ViewID{}
 	for _, e := range w.Record {
 		at := fmt.Sprintf("%v %s", e.At.Round(time.Millisecond), w.Nodes[e.Node].Name)
 		if v := e.View; v != nil {
-			k := number{v.FleetID, v.Epoch, v.Number}
-			if d, ok := digests[k]; ok && d != v.Digest {
-				faults = append(faults, fmt.Sprintf("%s: view %d.%d is another one than elsewhere", at, v.Epoch, v.Number))
+			key := viewNumber{v.FleetID, v.Epoch, v.Number}
+			if digest, ok := digests[key]; ok && digest != v.Digest {
+				violations = append(violations, fmt.Sprintf("%s: view %d.%d has another digest than at another node", at, v.Epoch, v.Number))
 			}
-			digests[k] = v.Digest
-			me := [2]uint64{uint64(e.Node), e.Incarnation}
-			if was, ok := last[me]; ok && !v.ViewID.After(was) {
-				faults = append(faults, fmt.Sprintf("%s: view %v after %v", at, v.ViewID, was))
+			digests[key] = v.Digest
+			reporter := [2]uint64{uint64(e.Node), e.Incarnation}
+			if previous, ok := last[reporter]; ok && !v.ViewID.After(previous) {
+				violations = append(violations, fmt.Sprintf("%s: view %v is installed after %v", at, v.ViewID, previous))
 			}
-			last[me] = v.ViewID
+			last[reporter] = v.ViewID
 		}
 		if c := e.Change; c != nil {
-			k := seen{e.Node, e.Incarnation, c.Name, c.Incarnation}
-			if was, ok := ended[k]; ok && c.State != was {
-				faults = append(faults, fmt.Sprintf("%s: %s life %d is %v after it was %v", at, c.Name, c.Incarnation, c.State, was))
+			key := observation{e.Node, e.Incarnation, c.Name, c.Incarnation}
+			if previous, ok := ended[key]; ok && c.State != previous {
+				violations = append(violations, fmt.Sprintf("%s: %s with incarnation %d is %v after it was %v", at, c.Name, c.Incarnation, c.State, previous))
 			}
 			if c.State >= membership.Left {
-				ended[k] = c.State
+				ended[key] = c.State
 			}
 			if c.State == membership.Failed && !w.isExplained(c.Name, c.Incarnation, e) {
-				faults = append(faults, fmt.Sprintf("%s: %s life %d is taken for failed, and it is there", at, c.Name, c.Incarnation))
+				violations = append(violations, fmt.Sprintf("%s: %s with incarnation %d is taken for failed though it is alive", at, c.Name, c.Incarnation))
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-// isExplained tells whether a fault within the last 15 s, of a member or of the one that says so, may explain that it is
-// taken for failed.
-func (w *World) isExplained(name string, life uint64, e Entry) bool {
+// isExplained reports whether a fault may explain the change of a member's state in an entry: one of the member or of
+// the reporting node that lasted within the 15 s before it, or a restart of the member.
+func (w *World) isExplained(name string, incarnation uint64, e Entry) bool {
 	i := slices.IndexFunc(w.Nodes, func(n *Node) bool { return n.Name == name })
 	if i < 0 {
 		return false
@@ -67,20 +67,21 @@
 		return slices.ContainsFunc(n.Faults, func(s Span) bool { return s.From <= e.At && (s.To == 0 || s.To+15*time.Second >= e.At) })
 	}
 	n := w.Nodes[i]
-	return hasFault(n) || hasFault(w.Nodes[e.Node]) || life < n.Incarnation && e.At >= n.Started
+	return hasFault(n) || hasFault(w.Nodes[e.Node]) || incarnation < n.Incarnation && e.At >= n.Started
 }
 
-// FalseFailures counts the changes that suspect a member without a fault that would explain it.
-func (w *World) FalseFailures() (accused int) {
+// FalseFailures returns the number of suspicions that no fault explains.
+func (w *World) FalseFailures() (count int) {
 	for _, e := range w.Record {
 		if c := e.Change; c != nil && c.State == membership.Suspected && !w.isExplained(c.Name, c.Incarnation, e) {
-			accused++
+			count++
 		}
 	}
-	return accused
+	return count
 }
 
-// Agreed gives the view that all nodes that are up have, if they do, and whether it holds just them.
+// Agreed returns the view that all running nodes have. ok reports whether they have the same view and it contains
+// exactly these nodes.
 func (w *World) Agreed() (id membership.ViewID, ok bool) {
 	last := map[int]*membership.View{}
 	for _, e := range w.Record {
@@ -108,20 +109,21 @@
 	return id, up > 0
 }
 
-// ChangesOf gives, for each node that is up, how long after since it first took a member's life for a state.
-func (w *World) ChangesOf(name string, life uint64, s membership.State, since time.Duration) (out []time.Duration) {
-	done := map[int]bool{}
+// ChangesOf returns, for each node that has reported it, the time from since to the first change of an incarnation of a
+// member to a state, in ascending order.
+func (w *World) ChangesOf(name string, incarnation uint64, state membership.State, since time.Duration) (delays []time.Duration) {
+	counted := map[int]bool{}
 	for _, e := range w.Record {
-		if c := e.Change; c != nil && c.Name == name && c.Incarnation == life && c.State == s && e.At >= since && !done[e.Node] {
-			done[e.Node] = true
-			out = append(out, e.At-since)
+		if c := e.Change; c != nil && c.Name == name && c.Incarnation == incarnation && c.State == state && e.At >= since && !counted[e.Node] {
+			counted[e.Node] = true
+			delays = append(delays, e.At-since)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(delays)
+	return delays
 }
 
-// Views counts the different views in a stretch of the record.
+// Views returns the number of distinct views in the entries from time from up to, but without, time to.
 func (w *World) Views(from, to time.Duration) int {
 	ids := map[membership.ViewID]bool{}
 	for _, e := range w.Record {
--- a/internal/dispatcher/membership/simulation/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -1,6 +1,6 @@
-// Two baselines for the same world, written from their papers: SWIM (Das, Gupta, Motivala, DSN 2002: a probe a period,
-// relays, suspicion for a fixed time, gossip on the probes) and heartbeats of all to all with a fixed time-out. They are
-// for comparison only and take part in no program.
+// Two baselines to compare the membership with. One is SWIM as published (Das, Gupta, Motivala, DSN 2002): a probe a
+// period, relays, suspicion for a fixed time, and gossip on the probes. The other one is heartbeats from all to all
+// with a fixed time-out. No program runs them.
 
 package simulation
 
@@ -14,158 +14,160 @@
 	"gladepick/internal/dispatcher/membership"
 )
 
-// Baseline is one member of either kind. Members are known by number: who is in the world is given from the start.
+// Baseline is a member of either protocol. Members are identified by their index in World.Nodes, and the list of
+// members is fixed from the start.
 type Baseline struct {
-	w        *World
-	n        *Node
-	rng      *rand.Rand
-	period   time.Duration
-	patience time.Duration // heartbeats: until failed; SWIM: from suspect to failed
-	all      bool          // heartbeats of all to all
-	state    []membership.State
-	heard    []time.Duration
-	inc      []uint32
-	due      []time.Duration
-	ring     []int
-	probed   int // who is probed now, -1 for none
-	asked    bool
-	acked    bool
-	probeAt  time.Duration
-	since    time.Duration
-	gossip   []gossip
-	acts     membership.Actions
+	world       *World
+	node        *Node
+	rng         *rand.Rand
+	period      time.Duration
+	timeout     time.Duration // heartbeats: silence until failed; SWIM: time from suspected to failed
+	heartbeats  bool          // heartbeats from all to all; false: SWIM
+	state       []membership.State
+	lastHeardAt []time.Duration
+	incarnation []uint32
+	failAt      []time.Duration
+	probeOrder  []int
+	probed      int // the member that is probed in this period, or -1
+	relaysAsked bool
+	acked       bool
+	nextProbeAt time.Duration
+	probedAt    time.Duration
+	gossip      []gossip
+	actions     membership.Actions
 }
 
 type gossip struct {
-	who, sent int
+	member, transmissions int
 }
 
-// NewBaseline makes a member; all stands for heartbeats.
-func NewBaseline(w *World, n *Node, seed uint64, all bool, period, patience time.Duration) *Baseline {
-	b := &Baseline{w: w, n: n, rng: rand.New(rand.NewPCG(seed, 3)), period: period, patience: patience, all: all, probed: -1,
-		state: make([]membership.State, len(w.Nodes)), heard: make([]time.Duration, len(w.Nodes)), inc: make([]uint32, len(w.Nodes)), due: make([]time.Duration, len(w.Nodes))}
+// NewBaseline returns a member at a node that runs heartbeats if heartbeats is set, and otherwise SWIM.
+func NewBaseline(world *World, node *Node, seed uint64, heartbeats bool, period, timeout time.Duration) *Baseline {
+	b := &Baseline{world: world, node: node, rng: rand.New(rand.NewPCG(seed, 3)), period: period, timeout: timeout, heartbeats: heartbeats, probed: -1,
+		state: make([]membership.State, len(world.Nodes)), lastHeardAt: make([]time.Duration, len(world.Nodes)), incarnation: make([]uint32, len(world.Nodes)), failAt: make([]time.Duration, len(world.Nodes))}
 	for i := range b.state {
-		b.state[i], b.heard[i] = membership.Alive, w.Now
+		b.state[i], b.lastHeardAt[i] = membership.Alive, world.Now
 	}
-	b.probeAt = w.Now + time.Duration(b.rng.Int64N(int64(period)))
+	b.nextProbeAt = world.Now + time.Duration(b.rng.Int64N(int64(period)))
 	return b
 }
 
 const (
-	bPing = iota + 1
-	bAck
-	bAsk
-	bRelay // ping for somebody else: who asked stands in it
-	bBeat
+	kindPing = iota + 1
+	kindAck
+	kindPingRequest
+	kindRelayedPing // a ping on behalf of the member whose index is x
+	kindHeartbeat
 )
 
 func (b *Baseline) set(i int, s membership.State) {
 	if b.state[i] != s {
 		b.state[i] = s
-		b.acts.Changes = append(b.acts.Changes, membership.Change{Name: b.w.Nodes[i].Name, Incarnation: b.w.Nodes[i].Incarnation, State: s})
-		if !b.all {
+		b.actions.Changes = append(b.actions.Changes, membership.Change{Name: b.world.Nodes[i].Name, Incarnation: b.world.Nodes[i].Incarnation, State: s})
+		if !b.heartbeats {
 			b.recordChange(i)
 		}
 	}
 }
 
 func (b *Baseline) recordChange(i int) {
-	b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.who == i })
-	b.gossip = append(b.gossip, gossip{who: i})
+	b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.member == i })
+	b.gossip = append(b.gossip, gossip{member: i})
 }
 
-// send writes kind, sender, two numbers and as much gossip as fits into 256 bytes, at 8 bytes a member.
+// send sends a datagram with its kind, the sender and two numbers. SWIM adds as much gossip as fits into
+// membership.MaxDatagramBytes, at 8 bytes a member.
 func (b *Baseline) send(to, kind, x, y int) {
-	data := binary.LittleEndian.AppendUint16([]byte{byte(kind)}, uint16(b.n.number))
+	data := binary.LittleEndian.AppendUint16([]byte{byte(kind)}, uint16(b.node.index))
 	data = binary.LittleEndian.AppendUint16(data, uint16(x))
 	data = binary.LittleEndian.AppendUint16(data, uint16(y))
-	if kind == bBeat {
-		data = append(data, make([]byte, 33)...) // as long as a datagram of the membership without rumours
+	if kind == kindHeartbeat {
+		data = append(data, make([]byte, 33)...) // the size of a membership datagram without rumors
 	} else {
-		most := 3 * bits.Len(uint(len(b.state)))
-		slices.SortStableFunc(b.gossip, func(a, c gossip) int { return a.sent - c.sent })
+		maxTransmissions := 3 * bits.Len(uint(len(b.state)))
+		slices.SortStableFunc(b.gossip, func(a, c gossip) int { return a.transmissions - c.transmissions })
 		for k := range b.gossip {
 			if g := &b.gossip[k]; len(data)+8 <= membership.MaxDatagramBytes {
-				data = binary.LittleEndian.AppendUint16(data, uint16(g.who))
-				data = append(data, byte(b.state[g.who]), 0)
-				data = binary.LittleEndian.AppendUint32(data, b.inc[g.who])
-				g.sent++
+				data = binary.LittleEndian.AppendUint16(data, uint16(g.member))
+				data = append(data, byte(b.state[g.member]), 0)
+				data = binary.LittleEndian.AppendUint32(data, b.incarnation[g.member])
+				g.transmissions++
 			}
 		}
-		b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.sent >= most })
+		b.gossip = slices.DeleteFunc(b.gossip, func(g gossip) bool { return g.transmissions >= maxTransmissions })
 	}
-	b.acts.Send = append(b.acts.Send, membership.OutgoingDatagram{To: b.w.Nodes[to].Addr, Data: data})
+	b.actions.Send = append(b.actions.Send, membership.OutgoingDatagram{To: b.world.Nodes[to].Addr, Data: data})
 }
 
-// Handle takes one event.
+// Handle handles an event and returns the actions that follow.
 func (b *Baseline) Handle(now time.Duration, ev membership.Event) *membership.Actions {
-	b.acts = membership.Actions{Send: b.acts.Send[:0], Changes: b.acts.Changes[:0]}
+	b.actions = membership.Actions{Send: b.actions.Send[:0], Changes: b.actions.Changes[:0]}
 	if ev.Kind == membership.DatagramReceived {
 		b.handleDatagram(now, ev.Data)
 	}
-	if b.all {
+	if b.heartbeats {
 		b.runHeartbeats(now)
 	} else {
 		b.runSWIM(now)
 	}
-	return &b.acts
+	return &b.actions
 }
 
 func (b *Baseline) runHeartbeats(now time.Duration) {
-	if now >= b.probeAt {
-		b.probeAt += b.period
+	if now >= b.nextProbeAt {
+		b.nextProbeAt += b.period
 		for i := range b.state {
-			if i != b.n.number {
-				b.send(i, bBeat, 0, 0)
-				if now-b.heard[i] > b.patience {
+			if i != b.node.index {
+				b.send(i, kindHeartbeat, 0, 0)
+				if now-b.lastHeardAt[i] > b.timeout {
 					b.set(i, membership.Failed)
 				}
 			}
 		}
 	}
-	b.acts.Next = b.probeAt
+	b.actions.Next = b.nextProbeAt
 }
 
 func (b *Baseline) runSWIM(now time.Duration) {
 	for i, s := range b.state {
-		if s == membership.Suspected && now >= b.due[i] {
+		if s == membership.Suspected && now >= b.failAt[i] {
 			b.set(i, membership.Failed)
 		}
 	}
-	if b.probed >= 0 && !b.acked && !b.asked && now >= b.since+b.period*2/5 {
-		b.asked = true
+	if b.probed >= 0 && !b.acked && !b.relaysAsked && now >= b.probedAt+b.period*2/5 {
+		b.relaysAsked = true
 		for range 3 {
-			if r := b.rng.IntN(len(b.state)); r != b.n.number && r != b.probed && b.state[r] == membership.Alive {
-				b.send(r, bAsk, b.probed, 0)
+			if r := b.rng.IntN(len(b.state)); r != b.node.index && r != b.probed && b.state[r] == membership.Alive {
+				b.send(r, kindPingRequest, b.probed, 0)
 			}
 		}
 	}
-	if now >= b.probeAt {
+	if now >= b.nextProbeAt {
 		if b.probed >= 0 && !b.acked && b.state[b.probed] == membership.Alive {
-			b.due[b.probed] = now + b.patience
+			b.failAt[b.probed] = now + b.timeout
 			b.set(b.probed, membership.Suspected)
 		}
-		b.probeAt += b.period
-		b.probed, b.asked, b.acked, b.since = -1, false, false, now
+		b.nextProbeAt += b.period
+		b.probed, b.relaysAsked, b.acked, b.probedAt = -1, false, false, now
 		for range 2 * len(b.state) {
-			if len(b.ring) == 0 {
-				b.ring = b.rng.Perm(len(b.state))
+			if len(b.probeOrder) == 0 {
+				b.probeOrder = b.rng.Perm(len(b.state))
 			}
-			i := b.ring[0]
-			if b.ring = b.ring[1:]; i != b.n.number && b.state[i] != membership.Failed {
+			i := b.probeOrder[0]
+			if b.probeOrder = b.probeOrder[1:]; i != b.node.index && b.state[i] != membership.Failed {
 				b.probed = i
-				b.send(i, bPing, 0, 0)
+				b.send(i, kindPing, 0, 0)
 				break
 			}
 		}
 	}
-	b.acts.Next = b.probeAt
-	if b.probed >= 0 && !b.asked {
-		b.acts.Next = min(b.acts.Next, max(b.since+b.period*2/5, now+time.Millisecond))
+	b.actions.Next = b.nextProbeAt
+	if b.probed >= 0 && !b.relaysAsked {
+		b.actions.Next = min(b.actions.Next, max(b.probedAt+b.period*2/5, now+time.Millisecond))
 	}
 	for i, s := range b.state {
 		if s == membership.Suspected {
-			b.acts.Next = min(b.acts.Next, max(b.due[i], now+time.Millisecond))
+			b.actions.Next = min(b.actions.Next, max(b.failAt[i], now+time.Millisecond))
 		}
 	}
 }
@@ -173,39 +175,39 @@
 func (b *Baseline) handleDatagram(now time.Duration, data []byte) {
 	kind, from := int(data[0]), int(binary.LittleEndian.Uint16(data[1:]))
 	x, y := int(binary.LittleEndian.Uint16(data[3:])), int(binary.LittleEndian.Uint16(data[5:]))
-	b.heard[from] = now
-	if kind == bBeat {
+	b.lastHeardAt[from] = now
+	if kind == kindHeartbeat {
 		if b.state[from] == membership.Failed {
 			b.set(from, membership.Alive)
 		}
 		return
 	}
 	for rest := data[7:]; len(rest) >= 8; rest = rest[8:] {
-		i, s, inc := int(binary.LittleEndian.Uint16(rest)), membership.State(rest[2]), binary.LittleEndian.Uint32(rest[4:])
+		i, s, incarnation := int(binary.LittleEndian.Uint16(rest)), membership.State(rest[2]), binary.LittleEndian.Uint32(rest[4:])
 		switch {
-		case i == b.n.number:
-			if s != membership.Alive && inc >= b.inc[i] {
-				b.inc[i] = inc + 1
+		case i == b.node.index:
+			if s != membership.Alive && incarnation >= b.incarnation[i] {
+				b.incarnation[i] = incarnation + 1
 				b.recordChange(i)
 			}
-		case s == membership.Failed && b.state[i] != s, s == membership.Alive && inc > b.inc[i] && b.state[i] != membership.Failed,
-			s == membership.Suspected && inc >= b.inc[i] && b.state[i] == membership.Alive:
-			if b.inc[i] = max(inc, b.inc[i]); s == membership.Suspected {
-				b.due[i] = now + b.patience
+		case s == membership.Failed && b.state[i] != s, s == membership.Alive && incarnation > b.incarnation[i] && b.state[i] != membership.Failed,
+			s == membership.Suspected && incarnation >= b.incarnation[i] && b.state[i] == membership.Alive:
+			if b.incarnation[i] = max(incarnation, b.incarnation[i]); s == membership.Suspected {
+				b.failAt[i] = now + b.timeout
 			}
 			b.set(i, s)
 		}
 	}
 	switch kind {
-	case bPing:
-		b.send(from, bAck, b.n.number, 0)
-	case bAsk:
-		b.send(x, bRelay, from, 0)
-	case bRelay:
-		b.send(from, bAck, b.n.number, x+1)
-	case bAck:
-		if y > 0 { // for whom it was asked
-			b.send(y-1, bAck, x, 0)
+	case kindPing:
+		b.send(from, kindAck, b.node.index, 0)
+	case kindPingRequest:
+		b.send(x, kindRelayedPing, from, 0)
+	case kindRelayedPing:
+		b.send(from, kindAck, b.node.index, x+1)
+	case kindAck:
+		if y > 0 { // forwards a relayed ack to the member that asked for it
+			b.send(y-1, kindAck, x, 0)
 		} else if x == b.probed {
 			b.acked = true
 		}
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -1,7 +1,7 @@
-// Package simulation runs members in virtual time, on a network with loss, delay, duplicates and partitions by direction,
-// with members that are paused, killed and started again. It measures and tests the membership at sizes that processes do
-// not reach. A World owns the clock, the network and the record that Audit checks; it has no goroutines, and all chance
-// comes from its seed.
+// Package simulation runs members in virtual time. Its network loses, delays and duplicates datagrams and can be
+// partitioned in one direction, and its members can be paused, killed and restarted. It tests and measures the
+// membership at sizes that are out of reach with processes. A World owns the clock, the network and the record that
+// Audit checks. It has no goroutines, and all its randomness comes from its seed.
 package simulation
 
 import (
@@ -14,12 +14,12 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// Member is what is played: the machine, or a baseline.
+// Member is the state machine that runs at a node: a membership.Machine or a Baseline.
 type Member interface {
 	Handle(now time.Duration, ev membership.Event) *membership.Actions
 }
 
-// Node is one place of the world, with the process that runs there now.
+// Node is an address in the simulated network and the process that runs there.
 type Node struct {
 	Name         string
 	Zone         string
@@ -28,30 +28,32 @@
 	Up           bool
 	Incarnation  uint64
 	Started      time.Duration
-	Ended        time.Duration // when it was killed or had left, if it is not up
-	StoppedUntil time.Duration // until when it is stopped
-	Deaf         bool          // it sends, and nothing reaches it
-	Sent         uint64        // bytes, all lives
-	Faults       []Span        // in which others may take it for failed: killed, stopped for longer than is borne, cut off
-	waiting      []delivery
-	since        time.Duration // when the stop began that is on
-	wake         time.Duration
-	number       int
+	Ended        time.Duration // when its process last ended
+	StoppedUntil time.Duration // until when its process is paused
+	Deaf         bool          // it sends, but receives no datagrams
+	Sent         uint64        // bytes sent by all incarnations
+	// Faults are the spans in which others may take the node for failed: its process is killed, paused for longer than
+	// FailureTimeout or partitioned.
+	Faults      []Span
+	waiting     []delivery    // datagrams that arrived during a pause
+	pausedSince time.Duration // when the current pause began
+	nextTick    time.Duration // time of the next tick
+	index       int
 }
 
-// DatagramFault is what may be done to one datagram.
+// DatagramFault is a fault of a single datagram.
 type DatagramFault uint8
 
-// The faults of a datagram; DatagramFaults is their number.
+// The faults of a datagram. DatagramFaults is their number, with NoFault.
 const (
 	NoFault DatagramFault = iota
 	Dropped
 	Duplicated
-	Delayed // by a second
+	Delayed // by 1 s
 	DatagramFaults
 )
 
-// Span is a stretch of time; To is 0 while it lasts.
+// Span is a span of time. To is 0 while the span lasts.
 type Span struct{ From, To time.Duration }
 
 type delivery struct {
@@ -59,30 +61,32 @@
 	data []byte
 }
 
-// Entry is one line of the record.
+// Entry is a change, a notice or a view that a node has reported. One of the three pointers is set.
 type Entry struct {
 	At          time.Duration
-	Node        int // who saw it
+	Node        int // index in World.Nodes of the reporting node
 	Incarnation uint64
 	Change      *membership.Change
 	Notice      *membership.Notice
 	View        *membership.View
 }
 
-// World is one play. All chance comes from its seed.
+// World is a simulation run. The same seed and the same calls lead to the same run.
 type World struct {
-	Now            time.Duration
-	Nodes          []*Node
-	Loss           float64
-	Duplicates     float64
-	Delay          [2]time.Duration // of a datagram, from and to
-	IsPartitioned  func(from, to *Node) bool
-	Make           func(n *Node, seed uint64) (Member, error)
-	Record         []Entry
-	Quiet          bool                                        // changes to suspect and back are not recorded
-	InjectFault    func(nth int, from, to *Node) DatagramFault // with the nth datagram of the play; nil: nothing is done to any
-	Events         int                                         // handled so far
-	FailureTimeout time.Duration                               // stops of up to this are no reason to take a member for failed
+	Now           time.Duration
+	Nodes         []*Node
+	Loss          float64
+	Duplicates    float64
+	Delay         [2]time.Duration // shortest and longest delay of a datagram
+	IsPartitioned func(from, to *Node) bool
+	Make          func(n *Node, seed uint64) (Member, error)
+	Record        []Entry
+	Quiet         bool // leaves changes to Alive, Suspected and Unknown out of Record
+	// InjectFault chooses the fault of the nth datagram of the run, counted from 0. nil injects none.
+	InjectFault func(nth int, from, to *Node) DatagramFault
+	Events      int // events handled so far
+	// A pause longer than FailureTimeout counts as a fault of the node.
+	FailureTimeout time.Duration
 
 	rng             *rand.Rand
 	queue           priorityqueue.Queue[event]
@@ -97,22 +101,22 @@
 	order       uint64
 	node        *Node
 	incarnation uint64
-	datagram    *delivery // nil: its own time has come
+	datagram    *delivery // nil: a tick, or do
 	do          func()
 }
 
-// Before tells whether the event comes first; events of one moment come in the order in which they were set.
+// Before reports whether e runs before other. Events of the same time run in the order in which they were scheduled.
 func (e event) Before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
-// New makes a world of n nodes in some zones. Nobody is up yet.
+// New returns a World of n nodes, spread evenly over the zones. No node is up yet.
 func New(n, zones int, seed uint64) *World {
 	w := &World{FailureTimeout: 3 * time.Second, rng: rand.New(rand.NewPCG(seed, 1)), Delay: [2]time.Duration{time.Millisecond, 5 * time.Millisecond}, byAddr: map[netip.AddrPort]*Node{}}
 	for i := range n {
-		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7400)
-		w.Nodes = append(w.Nodes, &Node{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%zones), Addr: a, number: i})
-		w.byAddr[a] = w.Nodes[i]
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 7400)
+		w.Nodes = append(w.Nodes, &Node{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%zones), Addr: address, index: i})
+		w.byAddr[address] = w.Nodes[i]
 	}
 	w.Make = func(n *Node, seed uint64) (Member, error) {
 		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
@@ -120,10 +124,10 @@
 	return w
 }
 
-// Seeds are the addresses of the first n nodes.
+// Seeds returns the addresses of the first n nodes.
 func (w *World) Seeds(n int) (out []netip.AddrPort) {
-	for _, x := range w.Nodes[:min(n, len(w.Nodes))] {
-		out = append(out, x.Addr)
+	for _, node := range w.Nodes[:min(n, len(w.Nodes))] {
+		out = append(out, node.Addr)
 	}
 	return out
 }
@@ -134,23 +138,23 @@
 	w.queue.Push(e)
 }
 
-// At does something at a time.
+// At schedules a call of do at a time.
 func (w *World) At(at time.Duration, do func()) { w.push(event{at: at, do: do}) }
 
-// Start brings a process up.
+// Start starts a new incarnation of the process at a node.
 func (w *World) Start(n *Node) {
 	w.lastIncarnation += 1000
 	n.Up, n.Incarnation, n.Started, n.StoppedUntil, n.waiting = true, w.lastIncarnation, w.Now, 0, nil
 	w.EndFault(n)
-	m, err := w.Make(n, w.rng.Uint64())
+	member, err := w.Make(n, w.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	n.Member = m
+	n.Member = member
 	w.handle(n, membership.Event{Kind: membership.Tick})
 }
 
-// Kill ends its process without notice.
+// Kill ends the process at a node without notice to other nodes.
 func (w *World) Kill(n *Node) {
 	if n.Up {
 		n.Up, n.Member, n.Ended = false, nil, w.Now
@@ -170,22 +174,22 @@
 	}
 }
 
-// Stop pauses its process for a while; datagrams wait for it.
+// Stop pauses the process at a node. Up to 1000 datagrams wait until the pause ends.
 func (w *World) Stop(n *Node, d time.Duration) {
 	if w.Now >= n.StoppedUntil {
-		n.since = w.Now
+		n.pausedSince = w.Now
 	}
 	n.StoppedUntil = max(n.StoppedUntil, w.Now+d)
-	if n.StoppedUntil-n.since > w.FailureTimeout {
+	if n.StoppedUntil-n.pausedSince > w.FailureTimeout {
 		w.BeginFault(n)
 		w.At(n.StoppedUntil, func() { w.EndFault(n) })
 	}
-	life := n.Incarnation
+	incarnation := n.Incarnation
 	w.At(n.StoppedUntil, func() {
-		if n.Up && n.Incarnation == life && w.Now >= n.StoppedUntil {
-			mail := n.waiting
+		if n.Up && n.Incarnation == incarnation && w.Now >= n.StoppedUntil {
+			datagrams := n.waiting
 			n.waiting = nil
-			for _, d := range mail {
+			for _, d := range datagrams {
 				w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: d.from, Data: d.data})
 			}
 			w.handle(n, membership.Event{Kind: membership.Tick})
@@ -193,10 +197,10 @@
 	})
 }
 
-// Deliver hands an event to a member, one of its operator's.
+// Deliver hands an event to a member, such as a command of its operator.
 func (w *World) Deliver(n *Node, ev membership.Event) { w.handle(n, ev) }
 
-// Run plays until a time.
+// Run runs the simulation until a time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := w.queue.Pop()
@@ -204,7 +208,8 @@
 		switch n := e.node; {
 		case e.do != nil:
 			e.do()
-		case !n.Up || e.datagram == nil && (n.Incarnation != e.incarnation || n.wake != e.at): // gone, or it wants to be called at another time now
+		case !n.Up || e.datagram == nil && (n.Incarnation != e.incarnation || n.nextTick != e.at):
+			// The process has ended, or has asked for a tick at another time since.
 		case w.Now < n.StoppedUntil:
 			if e.datagram != nil && len(n.waiting) < 1000 {
 				n.waiting = append(n.waiting, *e.datagram)
@@ -218,55 +223,55 @@
 	w.Now = max(w.Now, until)
 }
 
-// handle gives a member one event and carries out what follows.
+// handle hands an event to a member and carries out the actions that it returns.
 func (w *World) handle(n *Node, ev membership.Event) {
 	if !n.Up {
 		return
 	}
 	w.Events++
-	acts := n.Member.Handle(w.Now, ev)
-	for _, o := range acts.Send {
-		n.Sent += uint64(len(o.Data))
-		to := w.byAddr[o.To]
+	actions := n.Member.Handle(w.Now, ev)
+	for _, outgoing := range actions.Send {
+		n.Sent += uint64(len(outgoing.Data))
+		to := w.byAddr[outgoing.To]
 		if to == nil || w.IsPartitioned != nil && w.IsPartitioned(n, to) {
 			continue
 		}
-		m := NoFault
+		fault := NoFault
 		if w.InjectFault != nil {
-			m = w.InjectFault(w.datagramsSent, n, to)
+			fault = w.InjectFault(w.datagramsSent, n, to)
 		}
 		w.datagramsSent++
-		if m == Dropped {
+		if fault == Dropped {
 			continue
 		}
-		for copies := 1 + count(m == Duplicated) + count(w.Duplicates > 0 && w.rng.Float64() < w.Duplicates); copies > 0; copies-- {
+		for copies := 1 + count(fault == Duplicated) + count(w.Duplicates > 0 && w.rng.Float64() < w.Duplicates); copies > 0; copies-- {
 			if w.Loss > 0 && w.rng.Float64() < w.Loss {
 				continue
 			}
-			d := time.Duration(count(m == Delayed))*time.Second + w.Delay[0] + time.Duration(w.rng.Int64N(int64(w.Delay[1]-w.Delay[0])+1))
-			w.push(event{at: w.Now + d, node: to, datagram: &delivery{n.Addr, append([]byte(nil), o.Data...)}})
+			delay := time.Duration(count(fault == Delayed))*time.Second + w.Delay[0] + time.Duration(w.rng.Int64N(int64(w.Delay[1]-w.Delay[0])+1))
+			w.push(event{at: w.Now + delay, node: to, datagram: &delivery{n.Addr, append([]byte(nil), outgoing.Data...)}})
 		}
 	}
-	for i := range acts.Changes {
-		if c := acts.Changes[i]; !w.Quiet || c.State >= membership.Left {
-			w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, Change: &c})
+	for i := range actions.Changes {
+		if c := actions.Changes[i]; !w.Quiet || c.State >= membership.Left {
+			w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Change: &c})
 		}
 	}
-	for i := range acts.Notices {
-		c := acts.Notices[i]
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, Notice: &c})
+	for i := range actions.Notices {
+		c := actions.Notices[i]
+		w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Notice: &c})
 	}
-	if acts.View != nil {
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.number, Incarnation: n.Incarnation, View: acts.View})
+	if actions.View != nil {
+		w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, View: actions.View})
 	}
-	if n.wake != acts.Next || n.wake <= w.Now {
-		n.wake = acts.Next
-		w.push(event{at: n.wake, node: n, incarnation: n.Incarnation})
+	if n.nextTick != actions.Next || n.nextTick <= w.Now {
+		n.nextTick = actions.Next
+		w.push(event{at: n.nextTick, node: n, incarnation: n.Incarnation})
 	}
 }
 
-func count(yes bool) int {
-	if yes {
+func count(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/dispatcher/membership/transport/eventlog.go
+++ b/internal/dispatcher/membership/transport/eventlog.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// EventLog is a file with a JSON line for each event, in order. A nil one drops what is written to it.
+// EventLog writes events to a file in order, each as a line of JSON. A nil EventLog discards them.
 type EventLog struct{ file *os.File }
 
-// OpenEventLog opens a file to append to it, and creates it where there is none.
+// OpenEventLog opens a file for appending and creates it if it does not exist.
 func OpenEventLog(path string) (*EventLog, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -19,7 +19,8 @@
 	return &EventLog{f}, nil
 }
 
-// Write appends a line with the time, "at", in Unix nanoseconds. After a line that cannot be written, the log is closed.
+// Write adds the key "at", the time in Unix nanoseconds, to an event and appends it to the file. A failed write closes
+// the log, and later events are discarded.
 func (l *EventLog) Write(line map[string]any) {
 	if l == nil || l.file == nil {
 		return
@@ -30,7 +31,7 @@
 		_, err = l.file.Write(append(text, '\n'))
 	}
 	if err != nil {
-		slog.Error("a record ends here", "file", l.file.Name(), "error", err)
+		slog.Error("event log closed after a failed write", "file", l.file.Name(), "error", err)
 		l.file.Close()
 		l.file = nil
 	}
--- a/internal/dispatcher/membership/transport/transport.go
+++ b/internal/dispatcher/membership/transport/transport.go
@@ -1,8 +1,9 @@
-// Package transport carries the membership over UDP. It owns the socket, the clock of the state machine, the operator's
-// log of events, and the status that operators are shown.
+// Package transport runs the membership over UDP. It owns the socket, the clock of the state machine, the operator's
+// event log, and the status that operators see.
 //
-// The goroutine of Run owns the state machine and sends; another goroutine, ended with the socket, reads datagrams and
-// drops those of unknown senders beyond a small budget. Other goroutines reach the machine by Run's calls alone.
+// The goroutine of Run owns the state machine and sends datagrams. A second goroutine reads datagrams until the socket
+// closes, and drops those of unknown senders beyond a small rate. Other goroutines reach the machine only through
+// functions that Run's goroutine runs for them.
 package transport
 
 import (
@@ -22,19 +23,22 @@
 	"gladepick/internal/dispatcher/membership"
 )
 
-// Status is what an operator is shown. Its JSON form is that of GET /members.
+// Status is the state of the membership as operators see it. Its JSON form is the response of GET /members.
 type Status struct {
-	Name        string                    `json:"name"`
-	Incarnation uint64                    `json:"life"`
-	View        string                    `json:"view"`
-	Number      uint64                    `json:"view_number"`
-	Size        int                       `json:"view_members"`
-	Quorum      bool                      `json:"quorum"` // this side has a majority of the view
-	Joined      bool                      `json:"joined"`
-	Health      int                       `json:"health"` // 0 is well; each step makes its accusations wait longer
-	Members     []membership.MemberStatus `json:"members"`
-	Counts      membership.Counters       `json:"counters"`
-	Dropped     uint64                    `json:"dropped"` // datagrams read and not taken in: strangers' beyond the budget, and overflow
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"life"`
+	View        string `json:"view"`
+	Number      uint64 `json:"view_number"`
+	Size        int    `json:"view_members"`
+	Quorum      bool   `json:"quorum"` // this side has a majority of the view
+	Joined      bool   `json:"joined"`
+	// Health penalty: 0 is healthy; each point delays this member's suspicions.
+	Health  int                       `json:"health"`
+	Members []membership.MemberStatus `json:"members"`
+	Counts  membership.Counters       `json:"counters"`
+	// Dropped counts datagrams that were dropped by a full queue, the rate limit for unknown senders or the limit on
+	// sent bytes.
+	Dropped uint64 `json:"dropped"`
 }
 
 type datagram struct {
@@ -42,7 +46,7 @@
 	data []byte
 }
 
-// Transport carries one member. Make it with New, then call Run.
+// Transport runs one member. Create it with New, then call Run.
 type Transport struct {
 	config         *config.Membership
 	limits         config.Limits
@@ -53,24 +57,24 @@
 	calls          chan func()
 	ended          chan struct{}
 	knownAddresses atomic.Pointer[map[netip.AddrPort]bool]
-	sendLimiter    *rate.Limiter // bytes
+	sendLimiter    *rate.Limiter // limits sent bytes
 	dropped        atomic.Uint64
 	events         *EventLog
 }
 
-// New opens the socket and makes the machine.
-func New(n *config.Node) (*Transport, error) {
-	c := n.Membership
-	t := &Transport{config: c, limits: n.Limits, startedAt: time.Now(), received: make(chan datagram, n.Limits.QueuedPeerDatagrams), calls: make(chan func()),
-		ended: make(chan struct{}), sendLimiter: rate.NewLimiter(rate.Limit(n.Limits.PeerBytesPerSecond), n.Limits.PeerBytesPerSecond)}
-	conf := membership.Config{Name: n.Name, Zone: n.ZoneName(), Address: c.Advertise, Seed: n.Seed ^ rand.Uint64(), Period: c.ProbeInterval, FailureTimeout: c.SuspicionTimeout,
-		Incarnation: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), LearnAddresses: c.LearnNames,
-		Metadata: membership.Metadata{Weight: float32(c.Weight), Version: c.Version}}
-	if len(c.Peers) > 0 {
+// New creates the machine and opens the event log and the socket.
+func New(node *config.Node) (*Transport, error) {
+	settings := node.Membership
+	t := &Transport{config: settings, limits: node.Limits, startedAt: time.Now(), received: make(chan datagram, node.Limits.QueuedPeerDatagrams), calls: make(chan func()),
+		ended: make(chan struct{}), sendLimiter: rate.NewLimiter(rate.Limit(node.Limits.PeerBytesPerSecond), node.Limits.PeerBytesPerSecond)}
+	conf := membership.Config{Name: node.Name, Zone: node.ZoneName(), Address: settings.Advertise, Seed: node.Seed ^ rand.Uint64(), Period: settings.ProbeInterval, FailureTimeout: settings.SuspicionTimeout,
+		Incarnation: uint64(time.Now().UnixMilli())<<10 | rand.Uint64N(1<<10), LearnAddresses: settings.LearnNames,
+		Metadata: membership.Metadata{Weight: float32(settings.Weight), Version: settings.Version}}
+	if len(settings.Peers) > 0 {
 		conf.AddressBook = map[string]netip.AddrPort{}
 	}
-	for _, peer := range c.Peers {
-		if peer.Name != n.Name {
+	for _, peer := range settings.Peers {
+		if peer.Name != node.Name {
 			conf.Seeds = append(conf.Seeds, peer.Address)
 			if peer.Name != "" {
 				conf.AddressBook[peer.Name] = peer.Address
@@ -79,25 +83,25 @@
 	}
 	var err error
 	if t.machine, err = membership.New(conf, t.now()); err != nil {
-		return nil, fmt.Errorf("%s: %w", c.Path, err)
+		return nil, fmt.Errorf("%s: %w", settings.Path, err)
 	}
-	if c.Events != "" {
-		if t.events, err = OpenEventLog(c.Events); err != nil {
-			return nil, fmt.Errorf("%s: key members.events: %w", c.Path, err)
+	if settings.Events != "" {
+		if t.events, err = OpenEventLog(settings.Events); err != nil {
+			return nil, fmt.Errorf("%s: key members.events: %w", settings.Path, err)
 		}
 	}
-	if t.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(c.Listen)); err != nil {
-		return nil, fmt.Errorf("%s: key members.listen: %w", c.Path, err)
+	if t.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(settings.Listen)); err != nil {
+		return nil, fmt.Errorf("%s: key members.listen: %w", settings.Path, err)
 	}
-	t.logEvent(map[string]any{"start": conf.Incarnation, "name": n.Name})
+	t.logEvent(map[string]any{"start": conf.Incarnation, "name": node.Name})
 	t.updateKnownAddresses()
 	return t, nil
 }
 
-// now is the machine's clock: monotonic.
+// now returns the machine's time, which is monotonic and starts at 1 h.
 func (t *Transport) now() time.Duration { return time.Hour + time.Since(t.startedAt) }
 
-// Run carries the member until ctx ends.
+// Run runs the member until ctx ends.
 func (t *Transport) Run(ctx context.Context) {
 	defer close(t.ended)
 	stop := context.AfterFunc(ctx, func() { t.socket.Close() })
@@ -106,7 +110,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var ev membership.Event
+		var event membership.Event
 		select {
 		case <-ctx.Done():
 			return
@@ -114,33 +118,35 @@
 			f()
 			continue
 		case d := <-t.received:
-			ev = membership.Event{Kind: membership.DatagramReceived, From: d.from, Data: d.data}
+			event = membership.Event{Kind: membership.DatagramReceived, From: d.from, Data: d.data}
 		case <-timer.C:
-			ev = membership.Event{Kind: membership.Tick}
+			event = membership.Event{Kind: membership.Tick}
 		}
-		timer.Reset(t.handle(ev))
+		timer.Reset(t.handle(event))
 	}
 }
 
-// handle gives the machine one event and carries out what follows; it tells when the next one is due at the latest.
-func (t *Transport) handle(ev membership.Event) time.Duration {
-	acts := t.machine.Handle(t.now(), ev)
-	for _, o := range acts.Send {
-		if !t.sendLimiter.AllowN(time.Now(), len(o.Data)) { // the same as a loss on the way, which the machine tolerates
+// handle hands an event to the machine and carries out the actions that it returns. It returns the time until the next
+// event is due. Only Run's goroutine calls it.
+func (t *Transport) handle(event membership.Event) time.Duration {
+	actions := t.machine.Handle(t.now(), event)
+	for _, outgoing := range actions.Send {
+		// The machine tolerates this like a loss in the network.
+		if !t.sendLimiter.AllowN(time.Now(), len(outgoing.Data)) {
 			t.dropped.Add(1)
 			continue
 		}
-		t.socket.WriteToUDPAddrPort(o.Data, o.To) // an error is a loss too: the receiver does not answer
+		t.socket.WriteToUDPAddrPort(outgoing.Data, outgoing.To) // an error counts as a loss: the receiver does not answer
 	}
-	for _, c := range acts.Changes {
-		slog.Info("member", "name", c.Name, "life", c.Incarnation, "state", c.State.String(), "why", c.Reason)
-		t.logEvent(map[string]any{"member": c.Name, "of": c.Incarnation, "state": c.State.String(), "why": c.Reason})
+	for _, change := range actions.Changes {
+		slog.Info("member", "name", change.Name, "life", change.Incarnation, "state", change.State.String(), "why", change.Reason)
+		t.logEvent(map[string]any{"member": change.Name, "of": change.Incarnation, "state": change.State.String(), "why": change.Reason})
 	}
-	for _, n := range acts.Notices {
-		slog.Warn("membership", "kind", n.Kind, "text", n.Text)
-		t.logEvent(map[string]any{"notice": n.Kind, "text": n.Text})
+	for _, notice := range actions.Notices {
+		slog.Warn("membership", "kind", notice.Kind, "text", notice.Text)
+		t.logEvent(map[string]any{"notice": notice.Kind, "text": notice.Text})
 	}
-	if v := acts.View; v != nil {
+	if v := actions.View; v != nil {
 		slog.Info("view", "view", v.ViewID.String(), "members", len(v.Members))
 		if t.events != nil {
 			ids := make([]string, len(v.Members))
@@ -150,42 +156,42 @@
 			t.logEvent(map[string]any{"view": v.Number, "epoch": v.Epoch, "fleet": v.FleetID, "digest": fmt.Sprintf("%016x", v.Digest), "members": ids})
 		}
 	}
-	if len(acts.Changes) > 0 || acts.View != nil {
+	if len(actions.Changes) > 0 || actions.View != nil {
 		t.updateKnownAddresses()
 	}
-	return max(acts.Next-t.now(), time.Millisecond)
+	return max(actions.Next-t.now(), time.Millisecond)
 }
 
-// logEvent writes a line of the operator's log of events.
+// logEvent writes a line to the operator's event log.
 func (t *Transport) logEvent(line map[string]any) {
 	line["life"] = t.machine.Incarnation()
 	t.events.Write(line)
 }
 
-// updateKnownAddresses tells the reader which senders are known.
+// updateKnownAddresses passes the addresses of known senders to the reading goroutine.
 func (t *Transport) updateKnownAddresses() {
 	known := t.machine.Addresses()
 	t.knownAddresses.Store(&known)
 }
 
-// read takes datagrams off the socket. Beyond a number a second it stops reading for a moment, and the machine's own
-// buffers drop the rest at no cost here.
+// read reads datagrams from the socket until it closes. Above PeerDatagramsPerSecond it pauses, and the kernel's
+// receive buffer drops the excess at no cost to this process.
 func (t *Transport) read(ctx context.Context) {
-	all := rate.NewLimiter(rate.Limit(t.limits.PeerDatagramsPerSecond), t.limits.PeerDatagramsPerSecond/10)
-	strangers := rate.NewLimiter(rate.Limit(t.limits.UnknownPeerDatagramsPerSecond), t.limits.UnknownPeerDatagramsPerSecond)
+	allSenders := rate.NewLimiter(rate.Limit(t.limits.PeerDatagramsPerSecond), t.limits.PeerDatagramsPerSecond/10)
+	unknownSenders := rate.NewLimiter(rate.Limit(t.limits.UnknownPeerDatagramsPerSecond), t.limits.UnknownPeerDatagramsPerSecond)
 	buffer := make([]byte, membership.MaxDatagramBytes+1)
 	for {
 		n, from, err := t.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
-		} else if err != nil { // some systems report here that a datagram was rejected by a port without a process
+		} else if err != nil { // some systems report here that no process listens on the port of a sent datagram
 			continue
 		}
-		if all.Wait(ctx) != nil {
+		if allSenders.Wait(ctx) != nil {
 			return
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		if !(*t.knownAddresses.Load())[from] && !strangers.Allow() {
+		if !(*t.knownAddresses.Load())[from] && !unknownSenders.Allow() {
 			t.dropped.Add(1)
 			continue
 		}
@@ -197,7 +203,7 @@
 	}
 }
 
-// call runs f on the goroutine that owns the machine, and tells whether that still runs.
+// call runs f on Run's goroutine and reports whether it did. It did not if Run or ctx ended first.
 func (t *Transport) call(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -210,7 +216,7 @@
 	return false
 }
 
-// Status returns what this member knows now, and false where Run has ended or ctx does.
+// Status returns the current status. ok is false if Run or ctx has ended.
 func (t *Transport) Status(ctx context.Context) (s Status, ok bool) {
 	ok = t.call(ctx, func() {
 		v := t.machine.View()
@@ -220,8 +226,8 @@
 	return s, ok
 }
 
-// View returns the last view of this member, its own incarnation, whether it is in the view, and whether its side has a
-// majority of it.
+// View returns this member's current view, its incarnation, whether it is in the view, and whether it sees a majority
+// of the view. All are zero if Run or ctx has ended.
 func (t *Transport) View(ctx context.Context) (v membership.View, incarnation uint64, joined, quorum bool) {
 	t.call(ctx, func() {
 		v, incarnation, joined, quorum = t.machine.View(), t.machine.Incarnation(), t.machine.Joined(), t.machine.Quorum()
@@ -229,19 +235,20 @@
 	return v, incarnation, joined, quorum
 }
 
-// Draining lets the other members read that this dispatcher is draining.
+// Draining publishes to the other members that this dispatcher is draining.
 func (t *Transport) Draining(ctx context.Context) {
 	t.call(ctx, func() {
 		t.handle(membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: float32(t.config.Weight), Version: t.config.Version, Draining: true}})
 	})
 }
 
-// Leave tells the other members that this one leaves, and gives the news time to spread.
+// Leave announces to the other members that this one leaves. It returns after PeerLeaveTimeout, so that the news can
+// spread, or when ctx ends.
 func (t *Transport) Leave(ctx context.Context) {
 	if !t.call(ctx, func() { t.handle(membership.Event{Kind: membership.Leave}) }) {
 		return
 	}
-	for range 4 { // the machine goes on answering while it leaves
+	for range 4 { // the machine still answers while it leaves
 		select {
 		case <-ctx.Done():
 			return
