--- a/Makefile
+++ b/Makefile
@@ -61,7 +61,7 @@
 MEMBERSHIP_PAIRS ?= 50
 membership:
 	MEMBERSHIP_SECONDS=$(MEMBERSHIP_SECONDS) MEMBERSHIP_SIZES=$(MEMBERSHIP_SIZES) MEMBERSHIP_STOPS=$(MEMBERSHIP_STOPS) go test ./internal/dispatcher/membership -run TestMeasure -count=1 -v -timeout 60m
-	MEMBERSHIP_PAIRS=$(MEMBERSHIP_PAIRS) go test ./internal/dispatcher/membership -run TestEveryPlaceOfAFault -count=1 -v -timeout 60m
+	MEMBERSHIP_PAIRS=$(MEMBERSHIP_PAIRS) go test ./internal/dispatcher/membership -run TestInvariantsHoldWithFaultAtEachDatagram -count=1 -v -timeout 60m
 
 # Real processes with faults between them. FAULTS_KINDS=a,b FAULTS_SIZES=5,9 FAULTS_SEEDS=n choose the set, FAULTS_FILE a
 # timeline of one's own, FAULTS_AT_ONCE how many are played side by side.
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -1,5 +1,5 @@
-// The explorer: three members, and every place at which one fault, or each pair of two, can fall into a stretch in
-// which a member is killed, is stopped or leaves. And walks far beyond that at random, always the same ones.
+// Exploration of faults. Three members run through scenarios in which a member is killed, is paused or leaves, with a
+// fault, or a pair of faults, at each datagram of the scenario. Random walks with a fixed seed go far beyond that.
 
 package membership_test
 
@@ -19,67 +19,68 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// drama is what happens in a stretch, without the faults that the explorer adds.
-type drama struct {
+// scenario is what happens to the members, apart from the faults that the explorer injects.
+type scenario struct {
 	name string
 	do   func(w *simulation.World)
 }
 
-var dramas = []drama{
+var scenarios = []scenario{
 	{"nothing", func(*simulation.World) {}},
 	{"a kill", func(w *simulation.World) { w.Kill(w.Nodes[1]) }},
 	{"a kill and a start", func(w *simulation.World) {
 		w.Kill(w.Nodes[1])
 		w.At(w.Now+700*time.Millisecond, func() { w.Start(w.Nodes[1]) })
 	}},
-	{"a short stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
-	{"a long stop", func(w *simulation.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
+	{"a short pause", func(w *simulation.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
+	{"a long pause", func(w *simulation.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
 	{"a leave", func(w *simulation.World) {
 		w.Deliver(w.Nodes[1], membership.Event{Kind: membership.Leave})
 		w.At(w.Now+2500*time.Millisecond, func() { w.Kill(w.Nodes[1]) })
 	}},
 }
 
-// fault is one thing at one place: a mischief with the nth datagram, or a stop of a member when it is sent.
+// fault is a fault of the nth datagram of a scenario, or a pause of a member when that datagram is sent.
 type fault struct {
 	nth  int
-	what int // a mischief, or beyond them a stop of 2 s of member what-Mischiefs
+	kind int // a simulation.DatagramFault; from DatagramFaults on, a pause of 2 s of node kind-DatagramFaults
 }
 
-const faults = int(simulation.DatagramFaults) + 3
+const faultKinds = int(simulation.DatagramFaults) + 3
 
-// explored plays a drama with some faults; it gives how many datagrams the stretch had, and a sum of the record.
-func explored(d drama, list []fault) (datagrams int, sum uint64, bad []string) {
+// runScenario runs a scenario with some faults. It returns the number of datagrams during the scenario, a hash of the
+// record, and the violated invariants.
+func runScenario(tested scenario, injected []fault) (datagrams int, hash uint64, violations []string) {
 	w := simulation.New(3, 3, 1)
-	for _, x := range w.Nodes {
-		w.Start(x)
+	for _, node := range w.Nodes {
+		w.Start(node)
 	}
 	w.Run(5 * time.Second)
-	first := -1
+	firstDatagram := -1
 	w.InjectFault = func(nth int, _, _ *simulation.Node) simulation.DatagramFault {
-		if first < 0 {
-			first = nth
+		if firstDatagram < 0 {
+			firstDatagram = nth
 		}
-		datagrams = nth - first
-		for _, f := range list {
-			if f.nth != nth-first {
+		datagrams = nth - firstDatagram
+		for _, f := range injected {
+			if f.nth != nth-firstDatagram {
 				continue
-			} else if f.what < int(simulation.DatagramFaults) {
-				return simulation.DatagramFault(f.what)
+			} else if f.kind < int(simulation.DatagramFaults) {
+				return simulation.DatagramFault(f.kind)
 			}
-			if x := w.Nodes[f.what-int(simulation.DatagramFaults)]; x.Up {
-				w.Stop(x, 2*time.Second)
+			if node := w.Nodes[f.kind-int(simulation.DatagramFaults)]; node.Up {
+				w.Stop(node, 2*time.Second)
 			}
 		}
 		return simulation.NoFault
 	}
-	d.do(w)
+	tested.do(w)
 	w.Run(w.Now + 8*time.Second)
 	w.InjectFault = nil
 	w.Run(w.Now + 12*time.Second)
-	bad = w.Audit()
+	violations = w.Audit()
 	if id, ok := w.Agreed(); !ok {
-		bad = append(bad, fmt.Sprintf("no agreement at the end (%v)", id))
+		violations = append(violations, fmt.Sprintf("running nodes have no common view at the end (last view %v)", id))
 	}
 	h := fnv.New64a()
 	for _, e := range w.Record {
@@ -88,52 +89,53 @@
 			fmt.Fprint(h, e.View.ViewID)
 		}
 	}
-	return datagrams, h.Sum64(), bad
+	return datagrams, h.Sum64(), violations
 }
 
-// TestEveryPlaceOfAFault plays each drama with each fault at each datagram of its 8 s. MEMBERSHIP_PAIRS=n adds every
-// nth of all pairs of faults.
-func TestEveryPlaceOfAFault(t *testing.T) {
+// TestInvariantsHoldWithFaultAtEachDatagram guards against a fault at a particular moment that breaks an invariant. It
+// runs each scenario with each fault at each third datagram of its 8 s. MEMBERSHIP_PAIRS=n takes every datagram and
+// adds every nth of all pairs of faults.
+func TestInvariantsHoldWithFaultAtEachDatagram(t *testing.T) {
 	t.Parallel()
 	every, _ := strconv.Atoi(os.Getenv("MEMBERSHIP_PAIRS"))
-	for _, d := range dramas {
-		t.Run(d.name, func(t *testing.T) {
+	for _, tested := range scenarios {
+		t.Run(tested.name, func(t *testing.T) {
 			t.Parallel()
-			n, _, bad := explored(d, nil)
-			if len(bad) > 0 {
-				t.Fatal(bad)
+			datagrams, _, violations := runScenario(tested, nil)
+			if len(violations) > 0 {
+				t.Fatal(violations)
 			}
 			step := 1
 			if testing.Short() || every == 0 {
-				step = 3 // each third place in CI
+				step = 3 // every third datagram in CI
 			}
-			var one []fault
-			for nth := 0; nth <= n; nth += step {
-				for what := 1; what < faults; what++ {
-					one = append(one, fault{nth, what})
+			var singles []fault
+			for nth := 0; nth <= datagrams; nth += step {
+				for kind := 1; kind < faultKinds; kind++ {
+					singles = append(singles, fault{nth, kind})
 				}
 			}
-			runs, sums := 0, map[uint64]bool{}
+			runs, hashes := 0, map[uint64]bool{}
 			var mu sync.Mutex
-			check := func(list ...fault) {
-				_, sum, bad := explored(d, list)
+			check := func(injected ...fault) {
+				_, hash, violations := runScenario(tested, injected)
 				mu.Lock()
 				defer mu.Unlock()
 				runs++
-				sums[sum] = true
-				if len(bad) > 0 {
-					t.Errorf("faults %v: %v", list, bad[:min(len(bad), 3)])
+				hashes[hash] = true
+				if len(violations) > 0 {
+					t.Errorf("faults %v: %v", injected, violations[:min(len(violations), 3)])
 				}
 			}
-			for _, f := range one {
+			for _, f := range singles {
 				if check(f); t.Failed() {
 					return
 				}
 			}
 			if every > 0 {
 				k := 0
-				for i, f := range one {
-					for _, g := range one[i+1:] {
+				for i, f := range singles {
+					for _, g := range singles[i+1:] {
 						if k++; k%every == 0 {
 							check(f, g)
 						}
@@ -143,81 +145,82 @@
 					}
 				}
 			}
-			t.Logf("%d datagrams, %d plays, %d different records", n, runs, len(sums))
+			t.Logf("%d datagrams, %d runs, %d distinct records", datagrams, runs, len(hashes))
 		})
 	}
 }
 
-// TestWalks lets anything happen to some members for a while; then all is quiet, and they must agree.
-func TestWalks(t *testing.T) {
+// TestMembersAgreeAfterRandomFaults guards against a sequence of faults after which the members do not agree. It
+// injects random faults for a while, and then none.
+func TestMembersAgreeAfterRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "members")
 		w := simulation.New(n, 1+n/3, rapid.Uint64().Draw(t, "seed"))
-		for _, x := range w.Nodes {
-			w.Start(x)
+		for _, node := range w.Nodes {
+			w.Start(node)
 		}
 		w.Run(8 * time.Second)
-		var hurt []*simulation.Node
+		var isolated []*simulation.Node
 		heal := func() {
 			w.IsPartitioned = nil
-			for _, x := range hurt {
-				if x.Up {
-					w.EndFault(x)
+			for _, node := range isolated {
+				if node.Up {
+					w.EndFault(node)
 				}
 			}
-			hurt = nil
+			isolated = nil
 		}
 		for range rapid.IntRange(3, 14).Draw(t, "steps") {
-			x := w.Nodes[rapid.IntRange(0, n-1).Draw(t, "node")]
+			node := w.Nodes[rapid.IntRange(0, n-1).Draw(t, "node")]
 			switch rapid.SampledFrom([]string{"kill", "start", "stop", "leave", "cut", "heal", "loss", "wait", "facts"}).Draw(t, "what") {
 			case "kill":
-				w.Kill(x)
+				w.Kill(node)
 			case "start":
-				if !x.Up {
-					w.Start(x)
+				if !node.Up {
+					w.Start(node)
 				}
 			case "stop":
-				if x.Up {
-					w.Stop(x, time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms"))*time.Millisecond)
+				if node.Up {
+					w.Stop(node, time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms"))*time.Millisecond)
 				}
 			case "leave":
-				if x.Up {
-					w.Deliver(x, membership.Event{Kind: membership.Leave})
-					life := x.Incarnation
+				if node.Up {
+					w.Deliver(node, membership.Event{Kind: membership.Leave})
+					incarnation := node.Incarnation
 					w.At(w.Now+2200*time.Millisecond, func() {
-						if x.Incarnation == life {
-							w.Kill(x)
+						if node.Incarnation == incarnation {
+							w.Kill(node)
 						}
 					})
 				}
 			case "facts":
-				w.Deliver(x, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
-			case "cut": // who is not on the side with more than half of the latest view may be taken for failed
+				w.Deliver(node, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
+			case "cut": // nodes on a side without a majority of the latest view may be taken for failed
 				heal()
 				side := map[*simulation.Node]bool{}
-				for _, y := range w.Nodes {
-					side[y] = rapid.Bool().Draw(t, "side")
+				for _, other := range w.Nodes {
+					side[other] = rapid.Bool().Draw(t, "side")
 				}
 				w.IsPartitioned = func(from, to *simulation.Node) bool { return side[from] != side[to] }
 				var last membership.View
-				for _, y := range w.Nodes {
-					if y.Up {
-						if v := y.Member.(*membership.Machine).View(); v.ViewID.After(last.ViewID) {
+				for _, other := range w.Nodes {
+					if other.Up {
+						if v := other.Member.(*membership.Machine).View(); v.ViewID.After(last.ViewID) {
 							last = v
 						}
 					}
 				}
-				for _, y := range w.Nodes {
-					same := 0
-					for _, z := range w.Nodes {
-						if z.Up && side[z] == side[y] && last.Contains(z.Name, z.Member.(*membership.Machine).Incarnation()) {
-							same++
+				for _, other := range w.Nodes {
+					reachable := 0
+					for _, peer := range w.Nodes {
+						if peer.Up && side[peer] == side[other] && last.Contains(peer.Name, peer.Member.(*membership.Machine).Incarnation()) {
+							reachable++
 						}
 					}
-					if 2*same <= len(last.Members) {
-						w.BeginFault(y)
-						hurt = append(hurt, y)
+					if 2*reachable <= len(last.Members) {
+						w.BeginFault(other)
+						isolated = append(isolated, other)
 					}
 				}
 			case "heal":
@@ -230,40 +233,40 @@
 		heal()
 		w.Loss = 0
 		w.Run(w.Now + 12*time.Second)
-		for _, x := range w.Nodes {
-			if !x.Up {
-				w.Start(x)
+		for _, node := range w.Nodes {
+			if !node.Up {
+				w.Start(node)
 			}
 		}
 		w.Run(w.Now + 40*time.Second)
-		if bad := w.Audit(); len(bad) > 0 {
-			t.Fatalf("%d faults: %v", len(bad), bad[:min(len(bad), 4)])
+		if violations := w.Audit(); len(violations) > 0 {
+			t.Fatalf("%d violations: %v", len(violations), violations[:min(len(violations), 4)])
 		}
 		if id, ok := w.Agreed(); !ok {
 			var last []string
 			for _, e := range w.Record[max(0, len(w.Record)-30):] {
 				last = append(last, fmt.Sprintf("%v %s %v %v", e.At, w.Nodes[e.Node].Name, e.Change, e.Notice))
 			}
-			for _, x := range w.Nodes {
-				m := x.Member.(*membership.Machine)
-				last = append(last, fmt.Sprintf("%s life %d view %v joined %v quorum %v: %+v", x.Name, m.Incarnation(), m.View().ViewID, m.Joined(), m.Quorum(), m.Members()))
+			for _, node := range w.Nodes {
+				m := node.Member.(*membership.Machine)
+				last = append(last, fmt.Sprintf("%s: incarnation %d view %v joined %v quorum %v: %+v", node.Name, m.Incarnation(), m.View().ViewID, m.Joined(), m.Quorum(), m.Members()))
 			}
-			t.Fatalf("no agreement at the end (%v): %s", id, slices.Concat(last))
+			t.Fatalf("running nodes have no common view at the end (last view %v): %s", id, slices.Concat(last))
 		}
 	})
 }
 
-// Whatever comes in, a machine neither panics nor sends more than a bounded answer.
-func FuzzHeard(f *testing.F) {
+// FuzzReceivedDatagram guards against received datagrams that make a machine panic or amplify traffic.
+func FuzzReceivedDatagram(f *testing.F) {
 	w := simulation.New(3, 1, 1)
 	var seen [][]byte
-	make_ := w.Make
+	newMember := w.Make
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
-		m, err := make_(n, seed)
-		return spy{m, &seen}, err
+		m, err := newMember(n, seed)
+		return datagramRecorder{m, &seen}, err
 	}
-	for _, x := range w.Nodes {
-		w.Start(x)
+	for _, node := range w.Nodes {
+		w.Start(node)
 	}
 	w.Run(4 * time.Second)
 	w.Kill(w.Nodes[2])
@@ -276,27 +279,27 @@
 	f.Add([]byte{1, 0x8d})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		w := simulation.New(3, 1, 1)
-		for _, x := range w.Nodes {
-			w.Start(x)
+		for _, node := range w.Nodes {
+			w.Start(node)
 		}
 		w.Run(3 * time.Second)
 		m := w.Nodes[0].Member.(*membership.Machine)
 		for range 3 {
 			if acts := m.Handle(w.Now, membership.Event{Kind: membership.DatagramReceived, From: w.Nodes[1].Addr, Data: data}); len(acts.Send) > 40 {
-				t.Errorf("%d datagrams for one", len(acts.Send))
+				t.Errorf("%d datagrams sent in answer to one, want at most 40", len(acts.Send))
 			}
 		}
 		w.Run(w.Now + time.Second)
 	})
 }
 
-// spy keeps what a member hears.
-type spy struct {
+// datagramRecorder records the datagrams that a member receives.
+type datagramRecorder struct {
 	simulation.Member
 	seen *[][]byte
 }
 
-func (s spy) Handle(now time.Duration, ev membership.Event) *membership.Actions {
+func (s datagramRecorder) Handle(now time.Duration, ev membership.Event) *membership.Actions {
 	if ev.Kind == membership.DatagramReceived {
 		*s.seen = append(*s.seen, ev.Data)
 	}
--- a/internal/dispatcher/membership/golden_test.go
+++ b/internal/dispatcher/membership/golden_test.go
@@ -12,15 +12,15 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// digestedMember hands every event to a member and digests what the member does: datagrams by their bytes, changes,
-// notices and views by their values.
+// digestedMember hands every event to a member and digests the actions that it returns: datagrams by their bytes,
+// changes, notices and views by their values.
 type digestedMember struct {
 	member simulation.Member
 	digest hash.Hash
 	events *int
 }
 
-// Handle passes the event on.
+// Handle implements simulation.Member.
 func (d *digestedMember) Handle(now time.Duration, event membership.Event) *membership.Actions {
 	actions := d.member.Handle(now, event)
 	*d.events++
@@ -58,26 +58,27 @@
 	d.digest.Write([]byte(value))
 }
 
-// TestGoldenPlay holds everything that members send and say in seeded plays with loss, kills, stops, cuts and leavings
-// against a hash that was recorded before the code was made easier to read. The hash is never edited to get a pass.
-func TestGoldenPlay(t *testing.T) {
+// TestActionsMatchRecordedHash guards against an unintended change of behaviour. It compares all actions of the members
+// in seeded runs with loss, kills, pauses, partitions and leaves with a recorded hash. The hash is never edited to get
+// a pass.
+func TestActionsMatchRecordedHash(t *testing.T) {
 	const want = "481af8f4e4381ee274fc001224ff278a"
 	digest, events := sha256.New(), 0
 	for seed := range uint64(4) {
-		playGolden(t, seed, digest, &events)
+		runGolden(t, seed, digest, &events)
 	}
 	if got := hex.EncodeToString(digest.Sum(nil)[:16]); got != want {
-		t.Errorf("%d events have the hash %s, recorded is %s", events, got, want)
+		t.Errorf("%d events have the hash %s, want %s", events, got, want)
 	}
 }
 
-func playGolden(t *testing.T, seed uint64, digest hash.Hash, events *int) {
+func runGolden(t *testing.T, seed uint64, digest hash.Hash, events *int) {
 	t.Helper()
 	w := simulation.New(14, 3, 50+seed)
 	w.Loss, w.Duplicates = 0.05, 0.02
-	start := w.Make
+	newMember := w.Make
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
-		member, err := start(n, seed)
+		member, err := newMember(n, seed)
 		return &digestedMember{member: member, digest: digest, events: events}, err
 	}
 	for i, n := range w.Nodes {
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -1,4 +1,4 @@
-// Long measurements in virtual time, outside CI: `make membership` prints the tables of docs/membership-design.md.
+// Long measurements in virtual time, which CI skips: `make membership` prints the tables of docs/membership-design.md.
 
 package membership_test
 
@@ -16,89 +16,90 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// played is a world of n members of a kind that all know each other from the start.
-func played(kind string, n int, seed uint64, bear time.Duration) *simulation.World {
+// newWorld returns a world of n members of a protocol that know each other from the start.
+func newWorld(protocol string, n int, seed uint64, failureTimeout time.Duration) *simulation.World {
 	w := simulation.New(n, 3, seed)
 	w.Quiet = true
-	var all []membership.Record
-	for i, x := range w.Nodes {
-		at, _ := x.Addr.MarshalBinary()
-		all = append(all, membership.Record{Name: x.Name, Incarnation: uint64(i+1) * 1000, Zone: x.Zone, Address: at})
+	var records []membership.Record
+	for i, node := range w.Nodes {
+		address, _ := node.Addr.MarshalBinary()
+		records = append(records, membership.Record{Name: node.Name, Incarnation: uint64(i+1) * 1000, Zone: node.Zone, Address: address})
 	}
-	slices.SortFunc(all, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
-	first := membership.Viewed(all)
-	w.Make = func(x *simulation.Node, seed uint64) (simulation.Member, error) {
-		if kind != "views" {
-			return simulation.NewBaseline(w, x, seed, kind == "heartbeats", 500*time.Millisecond, bear), nil
+	slices.SortFunc(records, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
+	first := membership.Viewed(records)
+	w.Make = func(node *simulation.Node, seed uint64) (simulation.Member, error) {
+		if protocol != "views" {
+			return simulation.NewBaseline(w, node, seed, protocol == "heartbeats", 500*time.Millisecond, failureTimeout), nil
 		}
-		m, err := membership.New(membership.Config{Name: x.Name, Zone: x.Zone, Address: x.Addr, Incarnation: x.Incarnation, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: bear}, w.Now)
+		m, err := membership.New(membership.Config{Name: node.Name, Zone: node.Zone, Address: node.Addr, Incarnation: node.Incarnation, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: failureTimeout}, w.Now)
 		if err == nil && w.Now < time.Second {
 			m.Born(first)
 		}
 		return m, err
 	}
-	for i, x := range w.Nodes {
-		w.At(time.Duration(i)*500*time.Millisecond/time.Duration(n), func() { w.Start(x) })
+	for i, node := range w.Nodes {
+		w.At(time.Duration(i)*500*time.Millisecond/time.Duration(n), func() { w.Start(node) })
 	}
 	w.Run(time.Second)
 	return w
 }
 
+// figures are the results of measure.
 type figures struct {
-	hours           float64
-	failed, accused int // though they were there
-	rate            float64
-	first, last     []time.Duration
-	views           int
-	undetected      int
+	hours             float64
+	failed, suspected int // changes to Failed and to Suspected of live members
+	rate              float64
+	first, last       []time.Duration
+	views             int
+	undetected        int
 }
 
-// measure plays a stretch with loss and stops, then crashes one after the other.
-func measure(kind string, n int, seed uint64, bear, stretch time.Duration, stops time.Duration, loss float64, crashes int) (f figures) {
-	w := played(kind, n, seed, bear)
-	w.Quiet, w.FailureTimeout, w.Loss = false, time.Hour, loss // no stop is an excuse here
+// measure runs n members with loss and pauses for a time, and then crashes members one after the other.
+func measure(protocol string, n int, seed uint64, failureTimeout, duration time.Duration, maxPause time.Duration, loss float64, crashes int) (f figures) {
+	w := newWorld(protocol, n, seed, failureTimeout)
+	w.Quiet, w.FailureTimeout, w.Loss = false, time.Hour, loss // no pause counts as a fault
 	began, sent := w.Now, uint64(0)
-	if stops > 0 { // each member once in 30 s
+	if maxPause > 0 { // each member once in 30 s
 		every := 30 * time.Second / time.Duration(n)
-		for k := 0; time.Duration(k)*every < stretch; k++ {
-			x := w.Nodes[(k*7919+int(seed))%n]
-			d := time.Duration(uint64(k)*2654435761%1000) * stops / 1000
-			w.At(began+time.Duration(k)*every, func() { w.Stop(x, d) })
+		for k := 0; time.Duration(k)*every < duration; k++ {
+			node := w.Nodes[(k*7919+int(seed))%n]
+			pause := time.Duration(uint64(k)*2654435761%1000) * maxPause / 1000
+			w.At(began+time.Duration(k)*every, func() { w.Stop(node, pause) })
 		}
 	}
-	for _, x := range w.Nodes {
-		sent -= x.Sent
+	for _, node := range w.Nodes {
+		sent -= node.Sent
 	}
-	w.Run(began + stretch)
-	for _, x := range w.Nodes {
-		sent += x.Sent
+	w.Run(began + duration)
+	for _, node := range w.Nodes {
+		sent += node.Sent
 	}
-	f.hours = stretch.Hours() * float64(n)
-	f.rate = float64(sent) / stretch.Seconds() / float64(n)
+	f.hours = duration.Hours() * float64(n)
+	f.rate = float64(sent) / duration.Seconds() / float64(n)
 	for _, e := range w.Record {
 		if c := e.Change; c != nil && c.State == membership.Failed {
 			f.failed++
 		} else if c != nil && c.State == membership.Suspected {
-			f.accused++
+			f.suspected++
 		}
 	}
-	w.Run(w.Now + 10*time.Second) // stops that are under way end
+	w.Run(w.Now + 10*time.Second) // until all pauses have ended
 	for k := range crashes {
-		x := w.Nodes[(k*31+n/2)%n]
-		at, life := w.Now, x.Incarnation
+		node := w.Nodes[(k*31+n/2)%n]
+		at, incarnation := w.Now, node.Incarnation
 		w.Record = w.Record[:0]
-		w.Kill(x)
+		w.Kill(node)
 		w.Run(w.Now + 20*time.Second)
 		f.views += w.Views(at, w.Now)
-		suspected, gone := w.ChangesOf(x.Name, life, membership.Suspected, at), w.ChangesOf(x.Name, life, membership.Failed, at)
-		if kind == "heartbeats" {
-			suspected = gone
+		suspectedAfter, failedAfter := w.ChangesOf(node.Name, incarnation, membership.Suspected, at), w.ChangesOf(node.Name, incarnation, membership.Failed, at)
+		if protocol == "heartbeats" {
+			suspectedAfter = failedAfter
 		}
-		if len(gone) < n-1-k {
+		if len(failedAfter) < n-1-k {
 			f.undetected++
 			continue
 		}
-		f.first, f.last = append(f.first, suspected[0]), append(f.last, gone[len(gone)-1])
+		f.first, f.last = append(f.first, suspectedAfter[0]), append(f.last, failedAfter[len(failedAfter)-1])
 	}
 	slices.Sort(f.first)
 	slices.Sort(f.last)
@@ -125,27 +126,27 @@
 		}
 		sizes = append(sizes, n)
 	}
-	loss, stops := 0.2, 3*time.Second
+	loss, maxPause := 0.2, 3*time.Second
 	if v, err := time.ParseDuration(os.Getenv("MEMBERSHIP_STOPS")); err == nil {
-		stops = v
+		maxPause = v
 	}
 	var mu sync.Mutex
 	var table []string
 	t.Run("plays", func(t *testing.T) {
 		for _, n := range sizes {
-			for _, k := range []struct {
+			for _, setup := range []struct {
 				kind string
 				bear time.Duration
 			}{{"views", 3 * time.Second}, {"views", 1500 * time.Millisecond}, {"views", 6 * time.Second},
 				{"SWIM", 3500 * time.Millisecond}, {"SWIM", 7 * time.Second}, {"heartbeats", 3500 * time.Millisecond}} {
-				if k.kind == "heartbeats" && n > 300 || n > 1000 && k.bear != 3*time.Second {
-					continue // n times n datagrams a period
+				if setup.kind == "heartbeats" && n > 300 || n > 1000 && setup.bear != 3*time.Second {
+					continue // heartbeats send n² datagrams a period
 				}
-				t.Run(fmt.Sprintf("%s/%v/%d", k.kind, k.bear, n), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/%d", setup.kind, setup.bear, n), func(t *testing.T) {
 					t.Parallel()
-					stretch := time.Duration(seconds) * time.Second * 100 / time.Duration(max(n, 100))
-					f := measure(k.kind, n, 1, k.bear, stretch, stops, loss, 5)
-					line := fmt.Sprintf("| %5d | %-10s | %v | %.2f | %d | %d | %s | %s | %.1f | %.0f |", n, k.kind, k.bear, f.hours, f.failed, f.accused, median(f.first), median(f.last), float64(f.views)/5, f.rate)
+					duration := time.Duration(seconds) * time.Second * 100 / time.Duration(max(n, 100))
+					f := measure(setup.kind, n, 1, setup.bear, duration, maxPause, loss, 5)
+					line := fmt.Sprintf("| %5d | %-10s | %v | %.2f | %d | %d | %s | %s | %.1f | %.0f |", n, setup.kind, setup.bear, f.hours, f.failed, f.suspected, median(f.first), median(f.last), float64(f.views)/5, f.rate)
 					mu.Lock()
 					defer mu.Unlock()
 					table = append(table, line)
@@ -154,5 +155,5 @@
 		}
 	})
 	slices.Sort(table)
-	t.Logf("loss %v, stops up to %v, each member once in 30 s\n| members | protocol | silence borne | member-hours | taken for failed though there | accusations of those that are there | suspected by somebody | failed for all | views a crash | bytes a second sent |\n%s", loss, stops, strings.Join(table, "\n"))
+	t.Logf("loss %v, pauses up to %v, each member once in 30 s\n| members | protocol | failure time-out | member-hours | live members taken for failed | suspicions of live members | first suspicion | failed at all members | views per crash | bytes sent per second and member |\n%s", loss, maxPause, strings.Join(table, "\n"))
 }
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -1,5 +1,5 @@
-// Members in virtual time: what happens to them, and what their record must show at the end. No clock of the machine
-// plays a part, and every run is the same.
+// Tests of members in virtual time: each injects faults and checks the record at the end. They read no real clock, and
+// every run is the same.
 
 package membership_test
 
@@ -15,16 +15,16 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
-// up is a world of n nodes that have found each other.
-func up(t *testing.T, n, zones int, seed uint64) *simulation.World {
+// startNodes returns a world of n running nodes that have one view.
+func startNodes(t *testing.T, n, zones int, seed uint64) *simulation.World {
 	t.Helper()
 	w := simulation.New(n, zones, seed)
-	for i, x := range w.Nodes {
-		w.At(time.Duration(i)*20*time.Millisecond, func() { w.Start(x) })
+	for i, node := range w.Nodes {
+		w.At(time.Duration(i)*20*time.Millisecond, func() { w.Start(node) })
 	}
 	w.Run(20*time.Second + time.Duration(n)*50*time.Millisecond)
 	if id, ok := w.Agreed(); !ok {
-		t.Fatalf("%d nodes have not found each other after %v (%v)", n, w.Now, id)
+		t.Fatalf("%d nodes have no common view after %v (last view %v)", n, w.Now, id)
 	}
 	return w
 }
@@ -38,12 +38,13 @@
 	}
 }
 
-// settle runs a quiet stretch, after which all that are up must have one view of themselves.
+// settle runs 30 s without faults and checks that the running nodes then have one view, of exactly these nodes. It also
+// audits the record.
 func settle(t *testing.T, w *simulation.World) {
 	t.Helper()
 	w.Run(w.Now + 30*time.Second)
 	if id, ok := w.Agreed(); !ok {
-		t.Errorf("no agreement 30 s after the last trouble (last view %v)", id)
+		t.Errorf("no common view 30 s after the last fault (last view %v)", id)
 		for _, e := range w.Record[max(0, len(w.Record)-12):] {
 			t.Logf("%v %s: %+v %+v", e.At, w.Nodes[e.Node].Name, e.Change, e.Notice)
 		}
@@ -51,39 +52,39 @@
 	audit(t, w)
 }
 
-func TestACrashIsToldToAllInOneView(t *testing.T) {
+func TestCrashReachesAllMembersInOneView(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 9, 60} {
-		w := up(t, n, 3, 1)
+		w := startNodes(t, n, 3, 1)
 		var first, last []time.Duration
 		for k := range 5 {
-			x := w.Nodes[(n/2+7*k)%n]
-			life, at := x.Incarnation, w.Now
-			w.Kill(x)
+			node := w.Nodes[(n/2+7*k)%n]
+			incarnation, killedAt := node.Incarnation, w.Now
+			w.Kill(node)
 			w.Run(w.Now + 12*time.Second)
-			failed := w.ChangesOf(x.Name, life, membership.Failed, at)
+			failed := w.ChangesOf(node.Name, incarnation, membership.Failed, killedAt)
 			if len(failed) != n-1 || failed[0] < 3*time.Second {
-				t.Fatalf("%d members: failed is known to %d, from %v on", n, len(failed), failed)
+				t.Fatalf("%d members: %d know of the failure, after %v", n, len(failed), failed)
 			}
-			first, last = append(first, w.ChangesOf(x.Name, life, membership.Suspected, at)[0]), append(last, failed[n-2])
-			if got := w.Views(at, w.Now); got != 1 {
+			first, last = append(first, w.ChangesOf(node.Name, incarnation, membership.Suspected, killedAt)[0]), append(last, failed[n-2])
+			if got := w.Views(killedAt, w.Now); got != 1 {
 				t.Errorf("%d members: %d views for one crash", n, got)
 			}
-			w.Start(x)
+			w.Start(node)
 			settle(t, w)
 		}
 		slices.Sort(first)
 		slices.Sort(last)
-		t.Logf("%d members, 5 crashes: suspected by somebody after %v, failed for all after %v", n, first, last)
+		t.Logf("%d members, 5 crashes: first suspicion after %v, failed at all members after %v", n, first, last)
 		if first[0] > 1500*time.Millisecond || first[2] > 2500*time.Millisecond || last[2] > 7*time.Second || last[4] > 9*time.Second {
-			t.Errorf("%d members: suspected after %v, failed for all after %v", n, first, last)
+			t.Errorf("%d members: first suspicion after %v, failed at all members after %v", n, first, last)
 		}
 	}
 }
 
-func TestNobodyThereIsTakenForFailed(t *testing.T) {
+func TestNoLiveMemberIsTakenForFailed(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(w *simulation.World){
+	for name, inject := range map[string]func(w *simulation.World){
 		"loss":   func(w *simulation.World) { w.Loss = 0.2 },
 		"loss30": func(w *simulation.World) { w.Loss = 0.3 },
 		"delays": func(w *simulation.World) {
@@ -92,14 +93,14 @@
 		"pauses": func(w *simulation.World) {
 			w.Loss = 0.05
 			for i := range 60 {
-				x := w.Nodes[i*5%len(w.Nodes)]
-				w.At(w.Now+time.Duration(i)*2*time.Second, func() { w.Stop(x, []time.Duration{500 * time.Millisecond, 3 * time.Second}[i%2]) })
+				node := w.Nodes[i*5%len(w.Nodes)]
+				w.At(w.Now+time.Duration(i)*2*time.Second, func() { w.Stop(node, []time.Duration{500 * time.Millisecond, 3 * time.Second}[i%2]) })
 			}
 		},
-		"all stopped in turns": func(w *simulation.World) {
+		"all paused in turn": func(w *simulation.World) {
 			for i := range 4 * len(w.Nodes) {
-				x := w.Nodes[i%len(w.Nodes)]
-				w.At(w.Now+time.Duration(i)*700*time.Millisecond, func() { w.Stop(x, 2500*time.Millisecond) })
+				node := w.Nodes[i%len(w.Nodes)]
+				w.At(w.Now+time.Duration(i)*700*time.Millisecond, func() { w.Stop(node, 2500*time.Millisecond) })
 			}
 		},
 		"one way": func(w *simulation.World) {
@@ -110,15 +111,15 @@
 			a, b := w.Nodes[0], w.Nodes[1]
 			w.IsPartitioned = func(from, to *simulation.Node) bool { return from == a && to == b || from == b && to == a }
 		},
-		"a bad member": func(w *simulation.World) { // half of what it sends and gets is lost
+		"a bad member": func(w *simulation.World) { // it loses half of the datagrams that it sends and receives
 			n := 0
 			w.IsPartitioned = func(from, to *simulation.Node) bool { n++; return (from == w.Nodes[2] || to == w.Nodes[2]) && n%2 == 0 }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := up(t, 15, 3, 2)
-			trouble(w)
+			w := startNodes(t, 15, 3, 2)
+			inject(w)
 			w.Run(w.Now + time.Minute)
 			w.Loss, w.IsPartitioned, w.Duplicates, w.Delay = 0, nil, 0, [2]time.Duration{time.Millisecond, 5 * time.Millisecond}
 			settle(t, w)
@@ -131,11 +132,11 @@
 	}
 }
 
-// A chain in which neighbours alone hear each other: too few hear the ends to say anything of the others, and nobody
-// fails.
-func TestAChain(t *testing.T) {
+// Only neighbours in a chain of members reach each other. Too few members lose contact with the same member, and none
+// may be taken for failed.
+func TestPartialConnectivityRemovesNoMember(t *testing.T) {
 	t.Parallel()
-	w := up(t, 5, 1, 3)
+	w := startNodes(t, 5, 1, 3)
 	w.IsPartitioned = func(from, to *simulation.Node) bool {
 		i, k := slices.Index(w.Nodes, from), slices.Index(w.Nodes, to)
 		return i-k > 1 || k-i > 1
@@ -150,18 +151,18 @@
 	settle(t, w)
 }
 
-// A cut of three and two: the larger side goes on, the smaller knows that it is one and says of nobody that he has
-// failed.
-func TestACutAndItsEnd(t *testing.T) {
+// In a partition the larger side continues with a view of its own. The smaller side knows that it has no quorum and
+// takes no member for failed.
+func TestMinorityRemovesNoMemberInPartition(t *testing.T) {
 	t.Parallel()
 	for _, small := range []int{1, 2} {
-		w := up(t, 5, 1, uint64(small))
+		w := startNodes(t, 5, 1, uint64(small))
 		side := func(n *simulation.Node) bool { return slices.Index(w.Nodes, n) < small }
 		for _, n := range w.Nodes[:small] {
 			w.BeginFault(n)
 		}
 		w.IsPartitioned = func(from, to *simulation.Node) bool { return side(from) != side(to) }
-		began := w.Now
+		partitionedAt := w.Now
 		w.Run(w.Now + 20*time.Second)
 		for i, n := range w.Nodes {
 			m := n.Member.(*membership.Machine)
@@ -170,7 +171,7 @@
 			}
 		}
 		for _, e := range w.Record {
-			if c := e.Change; c != nil && c.State == membership.Failed && e.At > began && e.Node < small {
+			if c := e.Change; c != nil && c.State == membership.Failed && e.At > partitionedAt && e.Node < small {
 				t.Errorf("%s, on the smaller side, takes %s for failed", w.Nodes[e.Node].Name, c.Name)
 			}
 		}
@@ -182,70 +183,71 @@
 	}
 }
 
-func TestLeavingIsTold(t *testing.T) {
+func TestLeaveIsNotTakenForFailure(t *testing.T) {
 	t.Parallel()
-	w := up(t, 9, 3, 4)
-	x := w.Nodes[4]
-	life, at := x.Incarnation, w.Now
-	w.Deliver(x, membership.Event{Kind: membership.Leave})
+	w := startNodes(t, 9, 3, 4)
+	node := w.Nodes[4]
+	incarnation, leftAt := node.Incarnation, w.Now
+	w.Deliver(node, membership.Event{Kind: membership.Leave})
 	w.Run(w.Now + 3*time.Second)
-	w.Kill(x)
-	left := w.ChangesOf(x.Name, life, membership.Left, at)
-	if len(left) != 8 || left[7] > 2*time.Second || len(w.ChangesOf(x.Name, life, membership.Failed, at)) > 0 {
-		t.Errorf("known to %d, %v; failed for %d", len(left), left, len(w.ChangesOf(x.Name, life, membership.Failed, at)))
+	w.Kill(node)
+	left := w.ChangesOf(node.Name, incarnation, membership.Left, leftAt)
+	if len(left) != 8 || left[7] > 2*time.Second || len(w.ChangesOf(node.Name, incarnation, membership.Failed, leftAt)) > 0 {
+		t.Errorf("the leave is known to %d members after %v, want 8; taken for failed by %d", len(left), left, len(w.ChangesOf(node.Name, incarnation, membership.Failed, leftAt)))
 	}
 	settle(t, w)
 }
 
-// Two thirds are killed at once and come back within a second, cold: no majority has a memory, and yet they find
-// together.
-func TestTwoThirdsStartAnew(t *testing.T) {
+// Two thirds of the members are killed at once and restart within a second without their state. No majority has kept
+// its state, and yet the members must agree on a view.
+func TestMembersAgreeAfterRestartOfMajority(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 9, 24} {
-		w := up(t, n, 3, 5)
-		for _, x := range w.Nodes[:n*2/3] {
-			w.Kill(x)
+		w := startNodes(t, n, 3, 5)
+		for _, node := range w.Nodes[:n*2/3] {
+			w.Kill(node)
 		}
 		w.Run(w.Now + 800*time.Millisecond)
-		for _, x := range w.Nodes[:n*2/3] {
-			w.Start(x)
+		for _, node := range w.Nodes[:n*2/3] {
+			w.Start(node)
 		}
 		settle(t, w)
 	}
 }
 
-func TestALongStopAndADeafMember(t *testing.T) {
+func TestPausedOrDeafMemberIsRemoved(t *testing.T) {
 	t.Parallel()
-	w := up(t, 9, 3, 6)
-	x, at, life := w.Nodes[3], w.Now, w.Nodes[3].Incarnation
-	w.Stop(x, 30*time.Second)
+	w := startNodes(t, 9, 3, 6)
+	node, at, incarnation := w.Nodes[3], w.Now, w.Nodes[3].Incarnation
+	w.Stop(node, 30*time.Second)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.ChangesOf(x.Name, life, membership.Failed, at)); got != 8 {
-		t.Errorf("stopped for 20 s, it has failed for %d of 8", got)
+	if got := len(w.ChangesOf(node.Name, incarnation, membership.Failed, at)); got != 8 {
+		t.Errorf("paused for 20 s, it is taken for failed by %d of 8 members", got)
 	}
 	w.Run(w.Now + 10*time.Second)
 	settle(t, w)
-	y, at := w.Nodes[5], w.Now
-	y.Deaf = true
-	w.BeginFault(y)
+	deaf, at := w.Nodes[5], w.Now
+	deaf.Deaf = true
+	w.BeginFault(deaf)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.ChangesOf(y.Name, y.Incarnation, membership.Failed, at)); got != 8 {
-		t.Errorf("sending and hearing nothing, it has failed for %d of 8", got)
+	if got := len(w.ChangesOf(deaf.Name, deaf.Incarnation, membership.Failed, at)); got != 8 {
+		t.Errorf("sending but receiving nothing, it is taken for failed by %d of 8 members", got)
 	}
 	for _, e := range w.Record {
-		if c := e.Change; c != nil && c.State == membership.Failed && e.At > at && c.Name != y.Name {
-			t.Errorf("%s is taken for failed by %s, on a deaf member's word", c.Name, w.Nodes[e.Node].Name)
+		if c := e.Change; c != nil && c.State == membership.Failed && e.At > at && c.Name != deaf.Name {
+			t.Errorf("%s is taken for failed by %s after a report of the deaf member", c.Name, w.Nodes[e.Node].Name)
 		}
 	}
-	y.Deaf = false
-	w.EndFault(y)
+	deaf.Deaf = false
+	w.EndFault(deaf)
 	settle(t, w)
 }
 
-// One name at two places: both are told, the later start keeps it, and neither comes and goes.
-func TestOneNameTwice(t *testing.T) {
+// Two processes run under one name: the later start keeps the name, the earlier one is superseded once, and neither is
+// removed and joins again.
+func TestDuplicateNameRemovesOnlyEarlierStart(t *testing.T) {
 	t.Parallel()
-	w := up(t, 6, 3, 7)
+	w := startNodes(t, 6, 3, 7)
 	a, b := w.Nodes[2], w.Nodes[5]
 	w.Kill(b)
 	w.Run(w.Now + 15*time.Second)
@@ -269,33 +271,34 @@
 	}
 }
 
-func TestSeedsThatAreDead(t *testing.T) {
+func TestDeadSeedsDoNotPreventJoining(t *testing.T) {
 	t.Parallel()
 	w := simulation.New(4, 1, 8)
 	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
 	}
 	w.Start(w.Nodes[2])
-	w.Run(10 * time.Second) // alone
+	w.Run(10 * time.Second) // without another member
 	if v := w.Nodes[2].Member.(*membership.Machine).View(); len(v.Members) != 1 {
-		t.Errorf("with dead seeds it is in %+v", v)
+		t.Errorf("with dead seeds its view is %+v, want one member", v)
 	}
-	w.Start(w.Nodes[0]) // a seed comes back, and another that knows only the seeds
+	w.Start(w.Nodes[0]) // a seed, and then a node that knows only the seeds
 	w.Start(w.Nodes[3])
 	settle(t, w)
 }
 
-// A zone of thirds is lost and comes back: one change of the view each way is the aim.
-func TestAZoneIsLostInOneView(t *testing.T) {
+// One zone of three is lost and comes back. One change of the view each way is the aim; the test checks
+// that of the loss.
+func TestZoneLossNeedsOneView(t *testing.T) {
 	t.Parallel()
-	w := up(t, 60, 3, 9)
-	at := w.Now
+	w := startNodes(t, 60, 3, 9)
+	lostAt := w.Now
 	for i := 0; i < 60; i += 3 {
 		w.Kill(w.Nodes[i])
 	}
 	w.Run(w.Now + 15*time.Second)
-	if got := w.Views(at, w.Now); got != 1 {
-		t.Errorf("%d views for a zone lost", got)
+	if got := w.Views(lostAt, w.Now); got != 1 {
+		t.Errorf("%d views for the loss of a zone, want 1", got)
 	}
 	settle(t, w)
 	for i := 0; i < 60; i += 3 {
@@ -304,48 +307,48 @@
 	settle(t, w)
 }
 
-func TestRollingRestartAndGrowth(t *testing.T) {
+func TestMembersAgreeAfterRollingRestartAndGrowth(t *testing.T) {
 	t.Parallel()
-	w := up(t, 30, 3, 10)
+	w := startNodes(t, 30, 3, 10)
 	for i := range 10 { // a tenth at a time
-		for _, x := range w.Nodes[3*i : 3*i+3] {
-			w.Deliver(x, membership.Event{Kind: membership.Leave})
+		for _, node := range w.Nodes[3*i : 3*i+3] {
+			w.Deliver(node, membership.Event{Kind: membership.Leave})
 		}
 		w.Run(w.Now + 2500*time.Millisecond)
-		for _, x := range w.Nodes[3*i : 3*i+3] {
-			w.Kill(x)
-			w.Start(x)
+		for _, node := range w.Nodes[3*i : 3*i+3] {
+			w.Kill(node)
+			w.Start(node)
 		}
 	}
 	settle(t, w)
 	w = simulation.New(100, 3, 11)
-	for i, x := range w.Nodes {
-		w.At(time.Duration(max(i-2, 0))*100*time.Millisecond, func() { w.Start(x) })
+	for i, node := range w.Nodes {
+		w.At(time.Duration(max(i-2, 0))*100*time.Millisecond, func() { w.Start(node) })
 	}
 	w.Run(10 * time.Second)
 	settle(t, w)
 }
 
-// News that is on its way when a life ends must not bring it back, however new it says it is; nor may a member that
-// left be taken for failed or accused.
-func TestAnEndedLifeStaysOver(t *testing.T) {
+// A rumor that arrives after an incarnation has ended must not revive it, however high its revision. A member that left
+// must not be suspected or taken for failed either.
+func TestLateRumorDoesNotReviveEndedIncarnation(t *testing.T) {
 	t.Parallel()
 	for _, end := range []membership.State{membership.Failed, membership.Left} {
-		w := up(t, 5, 1, 12)
-		x, y, z := w.Nodes[1], w.Nodes[0], w.Nodes[2]
-		life := x.Incarnation
+		w := startNodes(t, 5, 1, 12)
+		node, receiver, sender := w.Nodes[1], w.Nodes[0], w.Nodes[2]
+		incarnation := node.Incarnation
 		if end == membership.Left {
-			w.Deliver(x, membership.Event{Kind: membership.Leave})
+			w.Deliver(node, membership.Event{Kind: membership.Leave})
 			w.Run(w.Now + 2500*time.Millisecond)
 		}
-		w.Kill(x)
+		w.Kill(node)
 		w.Run(w.Now + 12*time.Second)
-		id := z.Member.(*membership.Machine).View().ViewID
-		for _, s := range []membership.State{membership.Alive, membership.Suspected, membership.Left} {
-			w.Deliver(y, membership.Event{Kind: membership.DatagramReceived, From: z.Addr, Data: membership.Forged(z.Name, z.Incarnation, id, x.Name, life, 99, s)})
-			for _, seen := range y.Member.(*membership.Machine).Members() {
-				if seen.Name == x.Name && seen.State != end.String() {
-					t.Errorf("%v, then %v with later news: it is %s", end, s, seen.State)
+		id := sender.Member.(*membership.Machine).View().ViewID
+		for _, state := range []membership.State{membership.Alive, membership.Suspected, membership.Left} {
+			w.Deliver(receiver, membership.Event{Kind: membership.DatagramReceived, From: sender.Addr, Data: membership.Forged(sender.Name, sender.Incarnation, id, node.Name, incarnation, 99, state)})
+			for _, seen := range receiver.Member.(*membership.Machine).Members() {
+				if seen.Name == node.Name && seen.State != end.String() {
+					t.Errorf("%v, then a rumor of %v with a higher revision: it is %s", end, state, seen.State)
 				}
 			}
 		}
@@ -353,38 +356,40 @@
 	}
 }
 
-// A member that was stopped itself hears first: what it did not hear meanwhile says nothing of the others.
-func TestAStoppedMemberAccusesNobody(t *testing.T) {
+// A member that was paused must not suspect others at once: what it did not hear during the pause says nothing about
+// them.
+func TestPausedMemberSuspectsNoOther(t *testing.T) {
 	t.Parallel()
-	w := up(t, 12, 3, 13)
+	w := startNodes(t, 12, 3, 13)
 	for k := range 12 {
-		x := w.Nodes[k]
-		at := w.Now + 2900*time.Millisecond
-		w.Stop(x, 2900*time.Millisecond)
+		node := w.Nodes[k]
+		pauseEnd := w.Now + 2900*time.Millisecond
+		w.Stop(node, 2900*time.Millisecond)
 		w.Run(w.Now + 10*time.Second)
 		paused := false
 		for _, e := range w.Record {
-			if e.Node != k || e.At < at {
+			if e.Node != k || e.At < pauseEnd {
 				continue
 			}
 			if paused = paused || e.Notice != nil && e.Notice.Kind == "paused"; e.Change != nil && e.Change.State == membership.Suspected {
-				t.Errorf("%s, stopped till %v, accuses %s at %v", x.Name, at, e.Change.Name, e.At)
+				t.Errorf("%s, paused until %v, suspects %s at %v", node.Name, pauseEnd, e.Change.Name, e.At)
 			}
 		}
 		if !paused {
-			t.Errorf("%s does not say that it was stopped", x.Name)
+			t.Errorf("%s gives no notice of its pause", node.Name)
 		}
 	}
 	audit(t, w)
 }
 
-// A cut of four and five, in which one of the five leaves: the five go on without it, and then there are four and four,
-// and no majority. When the cut ended the four took over the later view and still had their jurors' words on the
-// others, and a voter from there that had not probed them of late agreed.
-func TestOldWordsDoNotCountAfterACut(t *testing.T) {
+// A partition of four and five members, in which one of the five leaves. The five install a view without it, and then
+// the sides are four and four without a majority. After the partition the first four once installed the later view,
+// still counted their observers' reports from during the partition, and a voter of the other side that had not probed
+// the reported members lately agreed to remove them.
+func TestStaleReportsDoNotCountAfterPartition(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
-		w := up(t, 9, 4, 100+seed)
+		w := startNodes(t, 9, 4, 100+seed)
 		side := func(n *simulation.Node) bool { return slices.Contains([]int{1, 4, 6, 7, 8}, slices.Index(w.Nodes, n)) }
 		w.IsPartitioned = func(from, to *simulation.Node) bool { return side(from) != side(to) }
 		w.Run(w.Now + 20*time.Millisecond)
--- a/internal/dispatcher/membership/transport/transport.go
+++ b/internal/dispatcher/membership/transport/transport.go
@@ -136,7 +136,8 @@
 			t.dropped.Add(1)
 			continue
 		}
-		t.socket.WriteToUDPAddrPort(outgoing.Data, outgoing.To) // an error counts as a loss: the receiver does not answer
+		// An error counts as a loss: the receiver does not answer.
+		t.socket.WriteToUDPAddrPort(outgoing.Data, outgoing.To)
 	}
 	for _, change := range actions.Changes {
 		slog.Info("member", "name", change.Name, "life", change.Incarnation, "state", change.State.String(), "why", change.Reason)
