--- a/internal/dispatcher/faultinjection/eventlog.go
+++ b/internal/dispatcher/faultinjection/eventlog.go
@@ -65,10 +65,10 @@
 				e.Change = &membership.Change{Name: l.Member, Incarnation: l.Of, State: state, Reason: l.Why}
 			}
 			e.Incarnation = life
-			p.world.Record = append(p.world.Record, e)
+			p.world.Entries = append(p.world.Entries, e)
 		}
 		f.Close()
 	}
-	slices.SortStableFunc(p.world.Record, func(a, b simulation.Entry) int { return int(a.At - b.At) })
+	slices.SortStableFunc(p.world.Entries, func(a, b simulation.Entry) int { return int(a.At - b.At) })
 	return nil
 }
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -71,7 +71,7 @@
 		text, _ := json.Marshal(line)
 		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d faults: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Violations),
 			strings.Join(out.Violations[:min(len(out.Violations), 5)], "; "), text)
-		for _, e := range out.World.Record[max(0, len(out.World.Record)-40):] {
+		for _, e := range out.World.Entries[max(0, len(out.World.Entries)-40):] {
 			name := out.World.Nodes[e.Node].Name
 			switch {
 			case e.View != nil:
--- a/internal/dispatcher/faultinjection/play.go
+++ b/internal/dispatcher/faultinjection/play.go
@@ -206,8 +206,8 @@
 
 // result audits the record.
 func (p *Play) result(kills []kill) *Result {
-	out := &Result{Violations: p.world.Audit(), FalseSuspicions: p.world.FalseFailures(), Views: p.world.Views(0, time.Hour), World: p.world}
-	_, out.Agreed = p.world.Agreed()
+	out := &Result{Violations: p.world.Audit(), FalseSuspicions: p.world.CountFalseSuspicions(), Views: p.world.CountViews(0, time.Hour), World: p.world}
+	_, out.Agreed = p.world.AgreedView()
 	for _, killed := range kills {
 		if detected, known := p.detectedAfter(killed); known {
 			out.Detected = append(out.Detected, detected)
@@ -222,7 +222,7 @@
 // detectedAfter returns how long after a kill the last node took the killed one for failed, and whether any did.
 func (p *Play) detectedAfter(killed kill) (last time.Duration, known bool) {
 	name := p.nodes[killed.node].name
-	for _, e := range p.world.Record {
+	for _, e := range p.world.Entries {
 		c := e.Change
 		if c == nil || c.Name != name || c.State != membership.Failed {
 			continue
@@ -330,7 +330,7 @@
 	over := n.ended
 	go func() { c.Wait(); close(over) }()
 	p.world.Now = time.Since(p.began)
-	w.Up, w.Started = true, p.world.Now
+	w.Up, w.StartedAt = true, p.world.Now
 	p.world.EndFault(w)
 	return nil
 }
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -32,8 +32,8 @@
 		w.Kill(w.Nodes[1])
 		w.At(w.Now+700*time.Millisecond, func() { w.Start(w.Nodes[1]) })
 	}},
-	{"a short pause", func(w *simulation.World) { w.Stop(w.Nodes[1], 2900*time.Millisecond) }},
-	{"a long pause", func(w *simulation.World) { w.Stop(w.Nodes[1], 6*time.Second) }},
+	{"a short pause", func(w *simulation.World) { w.Pause(w.Nodes[1], 2900*time.Millisecond) }},
+	{"a long pause", func(w *simulation.World) { w.Pause(w.Nodes[1], 6*time.Second) }},
 	{"a leave", func(w *simulation.World) {
 		w.Deliver(w.Nodes[1], membership.Event{Kind: membership.Leave})
 		w.At(w.Now+2500*time.Millisecond, func() { w.Kill(w.Nodes[1]) })
@@ -69,7 +69,7 @@
 				return simulation.DatagramFault(f.kind)
 			}
 			if node := w.Nodes[f.kind-int(simulation.DatagramFaults)]; node.Up {
-				w.Stop(node, 2*time.Second)
+				w.Pause(node, 2*time.Second)
 			}
 		}
 		return simulation.NoFault
@@ -79,11 +79,11 @@
 	w.InjectFault = nil
 	w.Run(w.Now + 12*time.Second)
 	violations = w.Audit()
-	if id, ok := w.Agreed(); !ok {
+	if id, ok := w.AgreedView(); !ok {
 		violations = append(violations, fmt.Sprintf("running nodes have no common view at the end (last view %v)", id))
 	}
 	h := fnv.New64a()
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		fmt.Fprint(h, e.At, e.Node, e.Change, e.Notice)
 		if e.View != nil {
 			fmt.Fprint(h, e.View.ViewID)
@@ -182,7 +182,7 @@
 				}
 			case "stop":
 				if node.Up {
-					w.Stop(node, time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms"))*time.Millisecond)
+					w.Pause(node, time.Duration(rapid.IntRange(100, 9000).Draw(t, "ms"))*time.Millisecond)
 				}
 			case "leave":
 				if node.Up {
@@ -242,9 +242,9 @@
 		if violations := w.Audit(); len(violations) > 0 {
 			t.Fatalf("%d violations: %v", len(violations), violations[:min(len(violations), 4)])
 		}
-		if id, ok := w.Agreed(); !ok {
+		if id, ok := w.AgreedView(); !ok {
 			var last []string
-			for _, e := range w.Record[max(0, len(w.Record)-30):] {
+			for _, e := range w.Entries[max(0, len(w.Entries)-30):] {
 				last = append(last, fmt.Sprintf("%v %s %v %v", e.At, w.Nodes[e.Node].Name, e.Change, e.Notice))
 			}
 			for _, node := range w.Nodes {
@@ -260,8 +260,8 @@
 func FuzzReceivedDatagram(f *testing.F) {
 	w := simulation.New(3, 1, 1)
 	var seen [][]byte
-	newMember := w.Make
-	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
+	newMember := w.NewMember
+	w.NewMember = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		m, err := newMember(n, seed)
 		return datagramRecorder{m, &seen}, err
 	}
--- a/internal/dispatcher/membership/golden_test.go
+++ b/internal/dispatcher/membership/golden_test.go
@@ -76,8 +76,8 @@
 	t.Helper()
 	w := simulation.New(14, 3, 50+seed)
 	w.Loss, w.Duplicates = 0.05, 0.02
-	newMember := w.Make
-	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
+	newMember := w.NewMember
+	w.NewMember = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		member, err := newMember(n, seed)
 		return &digestedMember{member: member, digest: digest, events: events}, err
 	}
@@ -86,18 +86,18 @@
 	}
 	at := func(seconds int, do func()) { w.At(time.Duration(seconds)*time.Second, do) }
 	at(15, func() { w.Kill(w.Nodes[3]) })
-	at(22, func() { w.Stop(w.Nodes[5], 2*time.Second) })
+	at(22, func() { w.Pause(w.Nodes[5], 2*time.Second) })
 	at(25, func() { w.Deliver(w.Nodes[7], membership.Event{Kind: membership.Leave}) })
 	at(35, func() { w.Start(w.Nodes[3]) })
-	at(40, func() { w.Stop(w.Nodes[6], 9*time.Second) })
+	at(40, func() { w.Pause(w.Nodes[6], 9*time.Second) })
 	at(50, func() {
 		w.IsPartitioned = func(from, to *simulation.Node) bool {
 			return from.Zone != to.Zone && (from.Zone == "z0" || to.Zone == "z0")
 		}
 	})
 	at(65, func() { w.IsPartitioned = nil })
-	at(75, func() { w.Nodes[8].Deaf = true })
-	at(85, func() { w.Nodes[8].Deaf = false })
+	at(75, func() { w.Nodes[8].ReceivesNothing = true })
+	at(85, func() { w.Nodes[8].ReceivesNothing = false })
 	at(90, func() {
 		for _, n := range w.Nodes[:9] {
 			w.Kill(n)
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -49,7 +49,8 @@
 	startedAt         time.Duration
 	investigated      []*member
 	suspected         []*member
-	// When a name was last told that its incarnation has ended; "": when a name conflict was last reported.
+	// notifiedAt is when a name was last told that its incarnation has ended. Key "" is for the last report of a name
+	// conflict.
 	notifiedAt map[string]time.Duration
 	view       viewState
 }
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -19,7 +19,7 @@
 // newWorld returns a world of n members of a protocol that know each other from the start.
 func newWorld(protocol string, n int, seed uint64, failureTimeout time.Duration) *simulation.World {
 	w := simulation.New(n, 3, seed)
-	w.Quiet = true
+	w.SkipSuspicions = true
 	var records []membership.Record
 	for i, node := range w.Nodes {
 		address, _ := node.Addr.MarshalBinary()
@@ -27,7 +27,7 @@
 	}
 	slices.SortFunc(records, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
 	first := membership.Viewed(records)
-	w.Make = func(node *simulation.Node, seed uint64) (simulation.Member, error) {
+	w.NewMember = func(node *simulation.Node, seed uint64) (simulation.Member, error) {
 		if protocol != "views" {
 			return simulation.NewBaseline(w, node, seed, protocol == "heartbeats", 500*time.Millisecond, failureTimeout), nil
 		}
@@ -46,25 +46,25 @@
 
 // figures are the results of measure.
 type figures struct {
-	hours             float64
-	failed, suspected int // changes to Failed and to Suspected of live members
-	rate              float64
-	first, last       []time.Duration
+	hours             float64         // member-hours of simulated time
+	failed, suspected int             // changes to Failed and to Suspected of live members
+	rate              float64         // sent bytes per second and member
+	first, last       []time.Duration // per crash: time to the first suspicion, and to Failed at all members
 	views             int
-	undetected        int
+	undetected        int // crashes that not all members noticed within 20 s
 }
 
 // measure runs n members with loss and pauses for a time, and then crashes members one after the other.
 func measure(protocol string, n int, seed uint64, failureTimeout, duration time.Duration, maxPause time.Duration, loss float64, crashes int) (f figures) {
 	w := newWorld(protocol, n, seed, failureTimeout)
-	w.Quiet, w.FailureTimeout, w.Loss = false, time.Hour, loss // no pause counts as a fault
+	w.SkipSuspicions, w.FailureTimeout, w.Loss = false, time.Hour, loss // no pause counts as a fault
 	began, sent := w.Now, uint64(0)
 	if maxPause > 0 { // each member once in 30 s
 		every := 30 * time.Second / time.Duration(n)
 		for k := 0; time.Duration(k)*every < duration; k++ {
 			node := w.Nodes[(k*7919+int(seed))%n]
 			pause := time.Duration(uint64(k)*2654435761%1000) * maxPause / 1000
-			w.At(began+time.Duration(k)*every, func() { w.Stop(node, pause) })
+			w.At(began+time.Duration(k)*every, func() { w.Pause(node, pause) })
 		}
 	}
 	for _, node := range w.Nodes {
@@ -76,7 +76,7 @@
 	}
 	f.hours = duration.Hours() * float64(n)
 	f.rate = float64(sent) / duration.Seconds() / float64(n)
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if c := e.Change; c != nil && c.State == membership.Failed {
 			f.failed++
 		} else if c != nil && c.State == membership.Suspected {
@@ -87,11 +87,11 @@
 	for k := range crashes {
 		node := w.Nodes[(k*31+n/2)%n]
 		at, incarnation := w.Now, node.Incarnation
-		w.Record = w.Record[:0]
+		w.Entries = w.Entries[:0]
 		w.Kill(node)
 		w.Run(w.Now + 20*time.Second)
-		f.views += w.Views(at, w.Now)
-		suspectedAfter, failedAfter := w.ChangesOf(node.Name, incarnation, membership.Suspected, at), w.ChangesOf(node.Name, incarnation, membership.Failed, at)
+		f.views += w.CountViews(at, w.Now)
+		suspectedAfter, failedAfter := w.ChangeDelays(node.Name, incarnation, membership.Suspected, at), w.ChangeDelays(node.Name, incarnation, membership.Failed, at)
 		if protocol == "heartbeats" {
 			suspectedAfter = failedAfter
 		}
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -23,7 +23,7 @@
 		w.At(time.Duration(i)*20*time.Millisecond, func() { w.Start(node) })
 	}
 	w.Run(20*time.Second + time.Duration(n)*50*time.Millisecond)
-	if id, ok := w.Agreed(); !ok {
+	if id, ok := w.AgreedView(); !ok {
 		t.Fatalf("%d nodes have no common view after %v (last view %v)", n, w.Now, id)
 	}
 	return w
@@ -43,9 +43,9 @@
 func settle(t *testing.T, w *simulation.World) {
 	t.Helper()
 	w.Run(w.Now + 30*time.Second)
-	if id, ok := w.Agreed(); !ok {
+	if id, ok := w.AgreedView(); !ok {
 		t.Errorf("no common view 30 s after the last fault (last view %v)", id)
-		for _, e := range w.Record[max(0, len(w.Record)-12):] {
+		for _, e := range w.Entries[max(0, len(w.Entries)-12):] {
 			t.Logf("%v %s: %+v %+v", e.At, w.Nodes[e.Node].Name, e.Change, e.Notice)
 		}
 	}
@@ -62,12 +62,12 @@
 			incarnation, killedAt := node.Incarnation, w.Now
 			w.Kill(node)
 			w.Run(w.Now + 12*time.Second)
-			failed := w.ChangesOf(node.Name, incarnation, membership.Failed, killedAt)
+			failed := w.ChangeDelays(node.Name, incarnation, membership.Failed, killedAt)
 			if len(failed) != n-1 || failed[0] < 3*time.Second {
 				t.Fatalf("%d members: %d know of the failure, after %v", n, len(failed), failed)
 			}
-			first, last = append(first, w.ChangesOf(node.Name, incarnation, membership.Suspected, killedAt)[0]), append(last, failed[n-2])
-			if got := w.Views(killedAt, w.Now); got != 1 {
+			first, last = append(first, w.ChangeDelays(node.Name, incarnation, membership.Suspected, killedAt)[0]), append(last, failed[n-2])
+			if got := w.CountViews(killedAt, w.Now); got != 1 {
 				t.Errorf("%d members: %d views for one crash", n, got)
 			}
 			w.Start(node)
@@ -94,13 +94,13 @@
 			w.Loss = 0.05
 			for i := range 60 {
 				node := w.Nodes[i*5%len(w.Nodes)]
-				w.At(w.Now+time.Duration(i)*2*time.Second, func() { w.Stop(node, []time.Duration{500 * time.Millisecond, 3 * time.Second}[i%2]) })
+				w.At(w.Now+time.Duration(i)*2*time.Second, func() { w.Pause(node, []time.Duration{500 * time.Millisecond, 3 * time.Second}[i%2]) })
 			}
 		},
 		"all paused in turn": func(w *simulation.World) {
 			for i := range 4 * len(w.Nodes) {
 				node := w.Nodes[i%len(w.Nodes)]
-				w.At(w.Now+time.Duration(i)*700*time.Millisecond, func() { w.Stop(node, 2500*time.Millisecond) })
+				w.At(w.Now+time.Duration(i)*700*time.Millisecond, func() { w.Pause(node, 2500*time.Millisecond) })
 			}
 		},
 		"one way": func(w *simulation.World) {
@@ -123,7 +123,7 @@
 			w.Run(w.Now + time.Minute)
 			w.Loss, w.IsPartitioned, w.Duplicates, w.Delay = 0, nil, 0, [2]time.Duration{time.Millisecond, 5 * time.Millisecond}
 			settle(t, w)
-			for _, e := range w.Record {
+			for _, e := range w.Entries {
 				if e.Change != nil && e.Change.State == membership.Failed {
 					t.Fatalf("%v: %s takes %s for failed", e.At, w.Nodes[e.Node].Name, e.Change.Name)
 				}
@@ -142,7 +142,7 @@
 		return i-k > 1 || k-i > 1
 	}
 	w.Run(w.Now + time.Minute)
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if e.Change != nil && e.Change.State == membership.Failed {
 			t.Errorf("%v: %s takes %s for failed", e.At, w.Nodes[e.Node].Name, e.Change.Name)
 		}
@@ -170,7 +170,7 @@
 				t.Errorf("%s: quorum %v, view %v of %d", n.Name, m.Quorum(), v.ViewID, len(v.Members))
 			}
 		}
-		for _, e := range w.Record {
+		for _, e := range w.Entries {
 			if c := e.Change; c != nil && c.State == membership.Failed && e.At > partitionedAt && e.Node < small {
 				t.Errorf("%s, on the smaller side, takes %s for failed", w.Nodes[e.Node].Name, c.Name)
 			}
@@ -191,9 +191,9 @@
 	w.Deliver(node, membership.Event{Kind: membership.Leave})
 	w.Run(w.Now + 3*time.Second)
 	w.Kill(node)
-	left := w.ChangesOf(node.Name, incarnation, membership.Left, leftAt)
-	if len(left) != 8 || left[7] > 2*time.Second || len(w.ChangesOf(node.Name, incarnation, membership.Failed, leftAt)) > 0 {
-		t.Errorf("the leave is known to %d members after %v, want 8; taken for failed by %d", len(left), left, len(w.ChangesOf(node.Name, incarnation, membership.Failed, leftAt)))
+	left := w.ChangeDelays(node.Name, incarnation, membership.Left, leftAt)
+	if len(left) != 8 || left[7] > 2*time.Second || len(w.ChangeDelays(node.Name, incarnation, membership.Failed, leftAt)) > 0 {
+		t.Errorf("the leave is known to %d members after %v, want 8; taken for failed by %d", len(left), left, len(w.ChangeDelays(node.Name, incarnation, membership.Failed, leftAt)))
 	}
 	settle(t, w)
 }
@@ -219,26 +219,26 @@
 	t.Parallel()
 	w := startNodes(t, 9, 3, 6)
 	node, at, incarnation := w.Nodes[3], w.Now, w.Nodes[3].Incarnation
-	w.Stop(node, 30*time.Second)
+	w.Pause(node, 30*time.Second)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.ChangesOf(node.Name, incarnation, membership.Failed, at)); got != 8 {
+	if got := len(w.ChangeDelays(node.Name, incarnation, membership.Failed, at)); got != 8 {
 		t.Errorf("paused for 20 s, it is taken for failed by %d of 8 members", got)
 	}
 	w.Run(w.Now + 10*time.Second)
 	settle(t, w)
 	deaf, at := w.Nodes[5], w.Now
-	deaf.Deaf = true
+	deaf.ReceivesNothing = true
 	w.BeginFault(deaf)
 	w.Run(w.Now + 20*time.Second)
-	if got := len(w.ChangesOf(deaf.Name, deaf.Incarnation, membership.Failed, at)); got != 8 {
+	if got := len(w.ChangeDelays(deaf.Name, deaf.Incarnation, membership.Failed, at)); got != 8 {
 		t.Errorf("sending but receiving nothing, it is taken for failed by %d of 8 members", got)
 	}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if c := e.Change; c != nil && c.State == membership.Failed && e.At > at && c.Name != deaf.Name {
 			t.Errorf("%s is taken for failed by %s after a report of the deaf member", c.Name, w.Nodes[e.Node].Name)
 		}
 	}
-	deaf.Deaf = false
+	deaf.ReceivesNothing = false
 	w.EndFault(deaf)
 	settle(t, w)
 }
@@ -255,7 +255,7 @@
 	w.Start(b)
 	w.Run(w.Now + 20*time.Second)
 	notices := map[int]map[string]int{}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if e.Notice != nil {
 			if notices[e.Node] == nil {
 				notices[e.Node] = map[string]int{}
@@ -274,7 +274,7 @@
 func TestDeadSeedsDoNotPreventJoining(t *testing.T) {
 	t.Parallel()
 	w := simulation.New(4, 1, 8)
-	w.Make = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
+	w.NewMember = func(n *simulation.Node, seed uint64) (simulation.Member, error) {
 		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(2)}, w.Now)
 	}
 	w.Start(w.Nodes[2])
@@ -297,7 +297,7 @@
 		w.Kill(w.Nodes[i])
 	}
 	w.Run(w.Now + 15*time.Second)
-	if got := w.Views(lostAt, w.Now); got != 1 {
+	if got := w.CountViews(lostAt, w.Now); got != 1 {
 		t.Errorf("%d views for the loss of a zone, want 1", got)
 	}
 	settle(t, w)
@@ -364,10 +364,10 @@
 	for k := range 12 {
 		node := w.Nodes[k]
 		pauseEnd := w.Now + 2900*time.Millisecond
-		w.Stop(node, 2900*time.Millisecond)
+		w.Pause(node, 2900*time.Millisecond)
 		w.Run(w.Now + 10*time.Second)
 		paused := false
-		for _, e := range w.Record {
+		for _, e := range w.Entries {
 			if e.Node != k || e.At < pauseEnd {
 				continue
 			}
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -74,7 +74,8 @@
 type ViewID struct {
 	_       struct{} `cbor:",toarray"`
 	FleetID uint32   // hash of the member that founded the fleet, or of the members that founded it anew
-	// Raised when a majority that includes restarted members, without their earlier state, founds the fleet anew.
+	// Epoch is raised when a majority that includes restarted members, without their earlier state, founds the fleet
+	// anew.
 	Epoch  uint32
 	Number uint64
 	Digest uint64 // hash of the ID and the members
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -26,7 +26,7 @@
 	digests := map[viewNumber]uint64{}
 	ended := map[observation]membership.State{}
 	last := map[[2]uint64]membership.ViewID{}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		at := fmt.Sprintf("%v %s", e.At.Round(time.Millisecond), w.Nodes[e.Node].Name)
 		if v := e.View; v != nil {
 			key := viewNumber{v.FleetID, v.Epoch, v.Number}
@@ -67,12 +67,12 @@
 		return slices.ContainsFunc(n.Faults, func(s Span) bool { return s.From <= e.At && (s.To == 0 || s.To+15*time.Second >= e.At) })
 	}
 	n := w.Nodes[i]
-	return hasFault(n) || hasFault(w.Nodes[e.Node]) || incarnation < n.Incarnation && e.At >= n.Started
+	return hasFault(n) || hasFault(w.Nodes[e.Node]) || incarnation < n.Incarnation && e.At >= n.StartedAt
 }
 
-// FalseFailures returns the number of suspicions that no fault explains.
-func (w *World) FalseFailures() (count int) {
-	for _, e := range w.Record {
+// CountFalseSuspicions returns the number of suspicions that no fault explains.
+func (w *World) CountFalseSuspicions() (count int) {
+	for _, e := range w.Entries {
 		if c := e.Change; c != nil && c.State == membership.Suspected && !w.isExplained(c.Name, c.Incarnation, e) {
 			count++
 		}
@@ -80,11 +80,11 @@
 	return count
 }
 
-// Agreed returns the view that all running nodes have. ok reports whether they have the same view and it contains
+// AgreedView returns the view that all running nodes have. ok reports whether they have the same view and it contains
 // exactly these nodes.
-func (w *World) Agreed() (id membership.ViewID, ok bool) {
+func (w *World) AgreedView() (id membership.ViewID, ok bool) {
 	last := map[int]*membership.View{}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if e.View != nil && w.Nodes[e.Node].Incarnation == e.Incarnation {
 			last[e.Node] = e.View
 		}
@@ -109,11 +109,11 @@
 	return id, up > 0
 }
 
-// ChangesOf returns, for each node that has reported it, the time from since to the first change of an incarnation of a
-// member to a state, in ascending order.
-func (w *World) ChangesOf(name string, incarnation uint64, state membership.State, since time.Duration) (delays []time.Duration) {
+// ChangeDelays returns, for each node that has reported it, the time from since to the first change of an incarnation
+// of a member to a state, in ascending order.
+func (w *World) ChangeDelays(name string, incarnation uint64, state membership.State, since time.Duration) (delays []time.Duration) {
 	counted := map[int]bool{}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if c := e.Change; c != nil && c.Name == name && c.Incarnation == incarnation && c.State == state && e.At >= since && !counted[e.Node] {
 			counted[e.Node] = true
 			delays = append(delays, e.At-since)
@@ -123,10 +123,10 @@
 	return delays
 }
 
-// Views returns the number of distinct views in the entries from time from up to, but without, time to.
-func (w *World) Views(from, to time.Duration) int {
+// CountViews returns the number of distinct views in the entries from time from up to, but without, time to.
+func (w *World) CountViews(from, to time.Duration) int {
 	ids := map[membership.ViewID]bool{}
-	for _, e := range w.Record {
+	for _, e := range w.Entries {
 		if e.View != nil && e.At >= from && e.At < to {
 			ids[e.View.ViewID] = true
 		}
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -21,17 +21,17 @@
 
 // Node is an address in the simulated network and the process that runs there.
 type Node struct {
-	Name         string
-	Zone         string
-	Addr         netip.AddrPort
-	Member       Member
-	Up           bool
-	Incarnation  uint64
-	Started      time.Duration
-	Ended        time.Duration // when its process last ended
-	StoppedUntil time.Duration // until when its process is paused
-	Deaf         bool          // it sends, but receives no datagrams
-	Sent         uint64        // bytes sent by all incarnations
+	Name            string
+	Zone            string
+	Addr            netip.AddrPort
+	Member          Member
+	Up              bool
+	Incarnation     uint64
+	StartedAt       time.Duration
+	EndedAt         time.Duration // when its process last ended
+	PausedUntil     time.Duration // until when its process is paused
+	ReceivesNothing bool          // it sends, but receives no datagrams
+	Sent            uint64        // bytes sent by all incarnations
 	// Faults are the spans in which others may take the node for failed: its process is killed, paused for longer than
 	// FailureTimeout or partitioned.
 	Faults      []Span
@@ -73,19 +73,21 @@
 
 // World is a simulation run. The same seed and the same calls lead to the same run.
 type World struct {
-	Now           time.Duration
-	Nodes         []*Node
-	Loss          float64
-	Duplicates    float64
-	Delay         [2]time.Duration // shortest and longest delay of a datagram
+	Now        time.Duration
+	Nodes      []*Node
+	Loss       float64          // share of datagrams that are lost, 0 to 1
+	Duplicates float64          // share of datagrams that arrive twice, 0 to 1
+	Delay      [2]time.Duration // shortest and longest delay of a datagram
+	// IsPartitioned reports whether datagrams between two nodes are lost. It may be nil.
 	IsPartitioned func(from, to *Node) bool
-	Make          func(n *Node, seed uint64) (Member, error)
-	Record        []Entry
-	Quiet         bool // leaves changes to Alive, Suspected and Unknown out of Record
+	NewMember     func(n *Node, seed uint64) (Member, error) // returns the member for a start of a node
+	Entries       []Entry                                    // the record: what the nodes have reported, in order
+	// SkipSuspicions leaves changes to Alive, Suspected and Unknown out of Entries.
+	SkipSuspicions bool
 	// InjectFault chooses the fault of the nth datagram of the run, counted from 0. nil injects none.
 	InjectFault func(nth int, from, to *Node) DatagramFault
 	Events      int // events handled so far
-	// A pause longer than FailureTimeout counts as a fault of the node.
+	// FailureTimeout is the longest pause that does not count as a fault of the node.
 	FailureTimeout time.Duration
 
 	rng             *rand.Rand
@@ -118,7 +120,7 @@
 		w.Nodes = append(w.Nodes, &Node{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprintf("z%d", i%zones), Addr: address, index: i})
 		w.byAddr[address] = w.Nodes[i]
 	}
-	w.Make = func(n *Node, seed uint64) (Member, error) {
+	w.NewMember = func(n *Node, seed uint64) (Member, error) {
 		return membership.New(membership.Config{Name: n.Name, Zone: n.Zone, Address: n.Addr, Incarnation: n.Incarnation, Seed: seed, Seeds: w.Seeds(5)}, w.Now)
 	}
 	return w
@@ -144,9 +146,9 @@
 // Start starts a new incarnation of the process at a node.
 func (w *World) Start(n *Node) {
 	w.lastIncarnation += 1000
-	n.Up, n.Incarnation, n.Started, n.StoppedUntil, n.waiting = true, w.lastIncarnation, w.Now, 0, nil
+	n.Up, n.Incarnation, n.StartedAt, n.PausedUntil, n.waiting = true, w.lastIncarnation, w.Now, 0, nil
 	w.EndFault(n)
-	member, err := w.Make(n, w.rng.Uint64())
+	member, err := w.NewMember(n, w.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
@@ -157,7 +159,7 @@
 // Kill ends the process at a node without notice to other nodes.
 func (w *World) Kill(n *Node) {
 	if n.Up {
-		n.Up, n.Member, n.Ended = false, nil, w.Now
+		n.Up, n.Member, n.EndedAt = false, nil, w.Now
 		w.BeginFault(n)
 	}
 }
@@ -174,19 +176,19 @@
 	}
 }
 
-// Stop pauses the process at a node. Up to 1000 datagrams wait until the pause ends.
-func (w *World) Stop(n *Node, d time.Duration) {
-	if w.Now >= n.StoppedUntil {
+// Pause pauses the process at a node. Up to 1000 datagrams wait until the pause ends.
+func (w *World) Pause(n *Node, d time.Duration) {
+	if w.Now >= n.PausedUntil {
 		n.pausedSince = w.Now
 	}
-	n.StoppedUntil = max(n.StoppedUntil, w.Now+d)
-	if n.StoppedUntil-n.pausedSince > w.FailureTimeout {
+	n.PausedUntil = max(n.PausedUntil, w.Now+d)
+	if n.PausedUntil-n.pausedSince > w.FailureTimeout {
 		w.BeginFault(n)
-		w.At(n.StoppedUntil, func() { w.EndFault(n) })
+		w.At(n.PausedUntil, func() { w.EndFault(n) })
 	}
 	incarnation := n.Incarnation
-	w.At(n.StoppedUntil, func() {
-		if n.Up && n.Incarnation == incarnation && w.Now >= n.StoppedUntil {
+	w.At(n.PausedUntil, func() {
+		if n.Up && n.Incarnation == incarnation && w.Now >= n.PausedUntil {
 			datagrams := n.waiting
 			n.waiting = nil
 			for _, d := range datagrams {
@@ -210,13 +212,13 @@
 			e.do()
 		case !n.Up || e.datagram == nil && (n.Incarnation != e.incarnation || n.nextTick != e.at):
 			// The process has ended, or has asked for a tick at another time since.
-		case w.Now < n.StoppedUntil:
+		case w.Now < n.PausedUntil:
 			if e.datagram != nil && len(n.waiting) < 1000 {
 				n.waiting = append(n.waiting, *e.datagram)
 			}
 		case e.datagram == nil:
 			w.handle(n, membership.Event{Kind: membership.Tick})
-		case !n.Deaf:
+		case !n.ReceivesNothing:
 			w.handle(n, membership.Event{Kind: membership.DatagramReceived, From: e.datagram.from, Data: e.datagram.data})
 		}
 	}
@@ -253,16 +255,16 @@
 		}
 	}
 	for i := range actions.Changes {
-		if c := actions.Changes[i]; !w.Quiet || c.State >= membership.Left {
-			w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Change: &c})
+		if c := actions.Changes[i]; !w.SkipSuspicions || c.State >= membership.Left {
+			w.Entries = append(w.Entries, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Change: &c})
 		}
 	}
 	for i := range actions.Notices {
 		c := actions.Notices[i]
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Notice: &c})
+		w.Entries = append(w.Entries, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, Notice: &c})
 	}
 	if actions.View != nil {
-		w.Record = append(w.Record, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, View: actions.View})
+		w.Entries = append(w.Entries, Entry{At: w.Now, Node: n.index, Incarnation: n.Incarnation, View: actions.View})
 	}
 	if n.nextTick != actions.Next || n.nextTick <= w.Now {
 		n.nextTick = actions.Next
