--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -67,7 +67,7 @@
 // printMembers prints a line for each member that an instance knows of.
 func printMembers(out io.Writer, status *transport.Status) error {
 	fmt.Fprintf(out, "%s sees view %s of %d members, quorum %s, own health %d\n",
-		status.Name, status.View, status.Size, yesNo(status.Quorum), status.Health)
+		status.Name, status.View, status.ViewSize, yesNo(status.Quorum), status.Health)
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tZONE\tSTATE\tSINCE\tIN VIEW\tLIFE\tADDRESS\tACCUSED BY")
 	for _, m := range status.Members {
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -121,7 +121,7 @@
 		if err == nil {
 			err = json.Unmarshal(text, &s)
 		}
-		if err != nil || s.Name != "n0" || !s.Quorum || s.Size != 3 || len(s.Members) != 4 {
+		if err != nil || s.Name != "n0" || !s.Quorum || s.ViewSize != 3 || len(s.Members) != 4 {
 			t.Errorf("%v: %s", err, text)
 		}
 		for _, m := range s.Members {
--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -199,7 +199,7 @@
 		i.broker.Drain()
 	}
 	if i.members != nil {
-		i.members.Draining(ctx)
+		i.members.AnnounceDraining(ctx)
 	}
 	time.Sleep(i.node.Limits.DrainDelay)
 	late, done := context.WithTimeout(context.Background(), i.node.Limits.MaxJobTimeout)
--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -102,7 +102,7 @@
 	Incarnation uint64
 	State       State
 	Reason      string // what caused the change, for operators
-	Joined      bool   // the member was not known before
+	IsNew       bool   // the member was not known before
 }
 
 // Notice is a message to this member's operator.
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -26,14 +26,14 @@
 		records = append(records, membership.Record{Name: node.Name, Incarnation: uint64(i+1) * 1000, Zone: node.Zone, Address: address})
 	}
 	slices.SortFunc(records, func(a, b membership.Record) int { return strings.Compare(a.Zone+"\x00"+a.Name, b.Zone+"\x00"+b.Name) })
-	first := membership.Viewed(records)
+	first := membership.NewFirstView(records)
 	w.NewMember = func(node *simulation.Node, seed uint64) (simulation.Member, error) {
 		if protocol != "views" {
 			return simulation.NewBaseline(w, node, seed, protocol == "heartbeats", 500*time.Millisecond, failureTimeout), nil
 		}
 		m, err := membership.New(membership.Config{Name: node.Name, Zone: node.Zone, Address: node.Addr, Incarnation: node.Incarnation, Seed: seed, Seeds: w.Seeds(5), FailureTimeout: failureTimeout}, w.Now)
 		if err == nil && w.Now < time.Second {
-			m.Born(first)
+			m.InstallFirstView(first)
 		}
 		return m, err
 	}
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -93,7 +93,7 @@
 		peer.suspectedBy, peer.isDisseminated = nil, false
 		m.endInvestigation(peer)
 	}
-	m.actions.Changes = append(m.actions.Changes, Change{Name: peer.Name, Incarnation: peer.Incarnation, State: newState, Reason: reason, Joined: previous == 0})
+	m.actions.Changes = append(m.actions.Changes, Change{Name: peer.Name, Incarnation: peer.Incarnation, State: newState, Reason: reason, IsNew: previous == 0})
 }
 
 // endInvestigation ends this member's investigation of peer, if there is one.
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -345,7 +345,7 @@
 		w.Run(w.Now + 12*time.Second)
 		id := sender.Member.(*membership.Machine).View().ViewID
 		for _, state := range []membership.State{membership.Alive, membership.Suspected, membership.Left} {
-			w.Deliver(receiver, membership.Event{Kind: membership.DatagramReceived, From: sender.Addr, Data: membership.Forged(sender.Name, sender.Incarnation, id, node.Name, incarnation, 99, state)})
+			w.Deliver(receiver, membership.Event{Kind: membership.DatagramReceived, From: sender.Addr, Data: membership.EncodeRumorPing(sender.Name, sender.Incarnation, id, node.Name, incarnation, 99, state)})
 			for _, seen := range receiver.Member.(*membership.Machine).Members() {
 				if seen.Name == node.Name && seen.State != end.String() {
 					t.Errorf("%v, then a rumor of %v with a higher revision: it is %s", end, state, seen.State)
--- a/internal/dispatcher/membership/transport/transport.go
+++ b/internal/dispatcher/membership/transport/transport.go
@@ -28,14 +28,14 @@
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`
 	View        string `json:"view"`
-	Number      uint64 `json:"view_number"`
-	Size        int    `json:"view_members"`
-	Quorum      bool   `json:"quorum"` // this side has a majority of the view
+	ViewNumber  uint64 `json:"view_number"`
+	ViewSize    int    `json:"view_members"`
+	Quorum      bool   `json:"quorum"` // this member is in its view and sees a majority of it
 	Joined      bool   `json:"joined"`
-	// Health penalty: 0 is healthy; each point delays this member's suspicions.
-	Health  int                       `json:"health"`
-	Members []membership.MemberStatus `json:"members"`
-	Counts  membership.Counters       `json:"counters"`
+	// Health is the member's health penalty. 0 is healthy, and each point delays its suspicions.
+	Health   int                       `json:"health"`
+	Members  []membership.MemberStatus `json:"members"`
+	Counters membership.Counters       `json:"counters"`
 	// Dropped counts datagrams that were dropped by a full queue, the rate limit for unknown senders or the limit on
 	// sent bytes.
 	Dropped uint64 `json:"dropped"`
@@ -221,8 +221,8 @@
 func (t *Transport) Status(ctx context.Context) (s Status, ok bool) {
 	ok = t.call(ctx, func() {
 		v := t.machine.View()
-		s = Status{Name: t.machine.Name(), Incarnation: t.machine.Incarnation(), View: v.ViewID.String(), Number: v.Number, Size: len(v.Members), Quorum: t.machine.Quorum(),
-			Joined: t.machine.Joined(), Health: t.machine.Health(), Members: t.machine.Members(), Counts: t.machine.Counters, Dropped: t.dropped.Load()}
+		s = Status{Name: t.machine.Name(), Incarnation: t.machine.Incarnation(), View: v.ViewID.String(), ViewNumber: v.Number, ViewSize: len(v.Members), Quorum: t.machine.Quorum(),
+			Joined: t.machine.Joined(), Health: t.machine.Health(), Members: t.machine.Members(), Counters: t.machine.Counters, Dropped: t.dropped.Load()}
 	})
 	return s, ok
 }
@@ -236,8 +236,8 @@
 	return v, incarnation, joined, quorum
 }
 
-// Draining publishes to the other members that this dispatcher is draining.
-func (t *Transport) Draining(ctx context.Context) {
+// AnnounceDraining publishes to the other members that this dispatcher is draining.
+func (t *Transport) AnnounceDraining(ctx context.Context) {
 	t.call(ctx, func() {
 		t.handle(membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: float32(t.config.Weight), Version: t.config.Version, Draining: true}})
 	})
