--- a/internal/dispatcher/membership/coordinator.go
+++ b/internal/dispatcher/membership/coordinator.go
@@ -31,7 +31,8 @@
 )
 
 // failedMembers returns the members that a majority of their observers reports as failed, and whether other members are
-// close to that. It drops the reports on members that need none any more.
+// close to that. It drops reports on
+// members that are no longer suspected, were vetoed or are not in the view.
 func (m *Machine) failedMembers() (failed []*member, othersAreClose bool) {
 	v := &m.view
 	for _, name := range sortedKeys(v.suspicionReports) {
@@ -175,7 +176,8 @@
 	return indexes
 }
 
-// startBallot proposes a change under a ballot number that no other member uses.
+// startBallot starts a ballot of this member on a change. Its number is higher than every number that this member has
+// promised or learned from a voter.
 func (m *Machine) startBallot(proposed *change) {
 	v := &m.view
 	v.isPreparing = !m.maySkipPrepare()
--- a/internal/dispatcher/membership/joining.go
+++ b/internal/dispatcher/membership/joining.go
@@ -102,7 +102,8 @@
 }
 
 // handleIncarnationEnded handles the news that this member's incarnation has ended, or that a later one has its name.
-// Unless the later one runs elsewhere, this member joins again with a new incarnation.
+// If the later one runs elsewhere, this member ends. Otherwise it joins again with a new incarnation. News of an
+// earlier incarnation is ignored.
 func (m *Machine) handleIncarnationEnded(incarnation uint64, elsewhere bool) {
 	switch {
 	case incarnation < m.self.Incarnation || m.leavingSince > 0:
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -57,15 +57,15 @@
 // is an observer of peer. If isPublic is set, the suspicion is spread to all members, otherwise it is for the observers
 // alone.
 func (m *Machine) addSuspicion(peer *member, by string, since time.Duration, isPublic bool) {
-	isNewSuspect := !slices.Contains(peer.suspectedBy, by)
+	isNewReporter := !slices.Contains(peer.suspectedBy, by)
 	if peer.state == Alive {
 		peer.stateSince, peer.suspectedBy = since, nil
 		m.setState(peer, Suspected, "accused by "+by)
 		m.suspected = append(m.suspected, peer)
-	} else if peer.state == Suspected && isNewSuspect {
+	} else if peer.state == Suspected && isNewReporter {
 		peer.stateSince = min(peer.stateSince, since)
 	}
-	if isNewSuspect && len(peer.suspectedBy) < 4 {
+	if isNewReporter && len(peer.suspectedBy) < 4 {
 		peer.suspectedBy = append(peer.suspectedBy, by)
 	}
 	if isPublic && !peer.isDisseminated {
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -143,8 +143,8 @@
 }
 
 // investigate continues this member's investigation of peer as an observer. Twice a period it pings peer directly and
-// through a relay. Once a period it reports the silence of peer to the first two leaders. Only an answer of peer or a
-// new revision ends the investigation, or that peer has left or was removed.
+// through a relay. Once a period it reports the silence of peer to the first two leaders. The
+// investigation ends when peer answers, raises its revision, leaves or is removed.
 func (m *Machine) investigate(peer *member) {
 	inquiry := peer.investigation
 	if peer.state != Suspected && peer.state != Unknown {
