--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -201,7 +201,7 @@
 		i.broker.Drain()
 	}
 	if i.members != nil {
-		i.members.Draining(ctx)
+		i.members.AnnounceDraining(ctx)
 	}
 	time.Sleep(i.node.Limits.DrainDelay)
 	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), i.node.Limits.MaxJobTimeout)
