--- a/internal/dispatcher/durablejobs/jobs.go
+++ b/internal/dispatcher/durablejobs/jobs.go
@@ -107,8 +107,8 @@
 	m.carryOutLease(newEntry, actions)
 }
 
-// sendWindow returns for how many ms after its intent a send of a class may begin. Terms.RetryWindow leaves at least
-// this much of the class's dedup window unused.
+// sendWindow returns for how many ms after its intent a send of a class may begin, at least 20. Terms.RetryWindow leaves
+// room for it in the class's dedup window.
 func (m *Manager) sendWindow(class *decision.ClassSettings) int64 {
 	return max((class.DedupWindow/5 - m.options.MaxClockSkew/2).Milliseconds(), 20)
 }
--- a/internal/dispatcher/raftgroup/node.go
+++ b/internal/dispatcher/raftgroup/node.go
@@ -48,7 +48,7 @@
 // lead to the same state and the same replies.
 type StateMachine interface {
 	Apply(command []byte) (reply []byte)
-	Query(question []byte) (answer []byte) // must not change the state; the replica may lag behind the leader
+	Query(query []byte) (answer []byte) // must not change the state; the replica may lag behind the leader
 	Snapshot() ([]byte, error)
 	Restore([]byte) error
 }
--- a/internal/dispatcher/raftgroup/proposals.go
+++ b/internal/dispatcher/raftgroup/proposals.go
@@ -40,8 +40,8 @@
 }
 
 // Query sends a query to any replica of a group. The answer may be stale.
-func (node *Node) Query(now time.Duration, group int, question []byte, until time.Duration) (uint64, *Actions) {
-	return node.startRequest(now, &pending{group: group, data: question, deadline: until, isQuery: true})
+func (node *Node) Query(now time.Duration, group int, query []byte, until time.Duration) (uint64, *Actions) {
+	return node.startRequest(now, &pending{group: group, data: query, deadline: until, isQuery: true})
 }
 
 // startRequest registers a request under a random token and sends it.
