--- a/internal/dispatcher/membership/ballot.go
+++ b/internal/dispatcher/membership/ballot.go
@@ -79,9 +79,9 @@
 }
 
 // finishPrepare ends the prepare phase once a majority has promised, and reports whether it did. The proposal that was
-// accepted under the highest ballot may already be committed. This member then has to propose it again, whoever is
-// alive by now. If too few voters have accepted it for a commit, this member drops it and proposes its own change: a
-// network partition that has ended must not decide who is removed.
+// accepted under the highest ballot may already be committed. This member then has to propose it again, even if the
+// members that it removes are alive by now. If too few voters have accepted it for a commit, this member drops it and
+// proposes its own change: a network partition that has ended must not decide who is removed.
 func (m *Machine) finishPrepare() bool {
 	v := &m.view
 	viewSize := len(v.Members)
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -22,7 +22,7 @@
 // scenario is what happens to the members, apart from the faults that the explorer injects.
 type scenario struct {
 	name string
-	do   func(w *simulation.World)
+	run  func(w *simulation.World)
 }
 
 var scenarios = []scenario{
@@ -74,7 +74,7 @@
 		}
 		return simulation.NoFault
 	}
-	tested.do(w)
+	tested.run(w)
 	w.Run(w.Now + 8*time.Second)
 	w.InjectFault = nil
 	w.Run(w.Now + 12*time.Second)
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -34,8 +34,8 @@
 	leavingSince      time.Duration
 	isEnded           bool // it has left, or a later incarnation has its name
 	members           map[string]*member
-	ring              []*member // members to ping, shuffled at the start of each round
-	ringPosition      int
+	probeOrder        []*member // members to ping, shuffled at the start of each round
+	probePosition     int
 	nextProbeAt       time.Duration
 	nextJoinAt        time.Duration
 	nextSeedContactAt time.Duration
@@ -45,7 +45,7 @@
 	relayedPings      map[uint32]relayedPing
 	gossipQueue       []*gossipEntry
 	healthPenalty     int           // 0 is healthy: its own probes are answered in time
-	lastSignAt        time.Duration // when any member last answered this one
+	lastAnyAnswerAt   time.Duration // when any member last answered this one
 	startedAt         time.Duration
 	investigated      []*member
 	suspected         []*member
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), now: now, wakeAt: now, startedAt: now, lastSignAt: now,
+	m := &Machine{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), now: now, wakeAt: now, startedAt: now, lastAnyAnswerAt: now,
 		self:    Record{Name: cfg.Name, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Address: address, Metadata: cfg.Metadata},
 		members: map[string]*member{}, probes: map[uint32]*probe{}, relayedPings: map[uint32]relayedPing{}, notifiedAt: map[string]time.Duration{}}
 	if err := m.self.check(); err != nil {
@@ -127,7 +127,7 @@
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
 	clear(m.probes)
-	m.nextProbeAt, m.nextJoinAt, m.lastSignAt = m.now+m.config.Period, m.now, m.now
+	m.nextProbeAt, m.nextJoinAt, m.lastAnyAnswerAt = m.now+m.config.Period, m.now, m.now
 	m.healthPenalty = min(m.healthPenalty+2, maxHealthPenalty)
 	for _, peer := range m.investigated {
 		peer.investigation.startedAt, peer.investigation.pings = m.now, 0
@@ -135,7 +135,7 @@
 	for _, peer := range m.suspected { // the pause does not count as their silence
 		peer.stateSince = m.now
 	}
-	m.view.pause(m.now)
+	m.view.resetAfterPause(m.now)
 }
 
 func (m *Machine) notice(kind, format string, args ...any) {
--- a/internal/dispatcher/membership/measure_test.go
+++ b/internal/dispatcher/membership/measure_test.go
@@ -135,18 +135,18 @@
 	t.Run("plays", func(t *testing.T) {
 		for _, n := range sizes {
 			for _, setup := range []struct {
-				kind string
-				bear time.Duration
+				protocol       string
+				failureTimeout time.Duration
 			}{{"views", 3 * time.Second}, {"views", 1500 * time.Millisecond}, {"views", 6 * time.Second},
 				{"SWIM", 3500 * time.Millisecond}, {"SWIM", 7 * time.Second}, {"heartbeats", 3500 * time.Millisecond}} {
-				if setup.kind == "heartbeats" && n > 300 || n > 1000 && setup.bear != 3*time.Second {
+				if setup.protocol == "heartbeats" && n > 300 || n > 1000 && setup.failureTimeout != 3*time.Second {
 					continue // heartbeats send n² datagrams a period
 				}
-				t.Run(fmt.Sprintf("%s/%v/%d", setup.kind, setup.bear, n), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%v/%d", setup.protocol, setup.failureTimeout, n), func(t *testing.T) {
 					t.Parallel()
 					duration := time.Duration(seconds) * time.Second * 100 / time.Duration(max(n, 100))
-					f := measure(setup.kind, n, 1, setup.bear, duration, maxPause, loss, 5)
-					line := fmt.Sprintf("| %5d | %-10s | %v | %.2f | %d | %d | %s | %s | %.1f | %.0f |", n, setup.kind, setup.bear, f.hours, f.failed, f.suspected, median(f.first), median(f.last), float64(f.views)/5, f.rate)
+					f := measure(setup.protocol, n, 1, setup.failureTimeout, duration, maxPause, loss, 5)
+					line := fmt.Sprintf("| %5d | %-10s | %v | %.2f | %d | %d | %s | %s | %.1f | %.0f |", n, setup.protocol, setup.failureTimeout, f.hours, f.failed, f.suspected, median(f.first), median(f.last), float64(f.views)/5, f.rate)
 					mu.Lock()
 					defer mu.Unlock()
 					table = append(table, line)
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -211,8 +211,8 @@
 	m.members[r.Name] = peer
 	m.setState(peer, Alive, "it is new")
 	// Inserted into the rest of this round, the member does not wait for the next round to be probed.
-	if m.ringPosition <= len(m.ring) {
-		m.ring = slices.Insert(m.ring, m.ringPosition+m.rng.IntN(len(m.ring)-m.ringPosition+1), peer)
+	if m.probePosition <= len(m.probeOrder) {
+		m.probeOrder = slices.Insert(m.probeOrder, m.probePosition+m.rng.IntN(len(m.probeOrder)-m.probePosition+1), peer)
 	}
 	return peer
 }
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -37,22 +37,22 @@
 
 // probeNext pings the next member of this round. It shuffles the members anew when a round is complete.
 func (m *Machine) probeNext() {
-	for range len(m.ring) + 1 {
-		if m.ringPosition >= len(m.ring) {
-			m.ringPosition, m.ring = 0, m.ring[:0]
+	for range len(m.probeOrder) + 1 {
+		if m.probePosition >= len(m.probeOrder) {
+			m.probePosition, m.probeOrder = 0, m.probeOrder[:0]
 			for _, peer := range m.members {
 				if peer.state != Left && peer.state != Failed {
-					m.ring = append(m.ring, peer)
+					m.probeOrder = append(m.probeOrder, peer)
 				}
 			}
-			slices.SortFunc(m.ring, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
-			m.rng.Shuffle(len(m.ring), func(i, j int) { m.ring[i], m.ring[j] = m.ring[j], m.ring[i] })
+			slices.SortFunc(m.probeOrder, func(a, b *member) int { return cmp.Compare(a.Name, b.Name) })
+			m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 		}
-		if len(m.ring) == 0 {
+		if len(m.probeOrder) == 0 {
 			return
 		}
-		peer := m.ring[m.ringPosition]
-		m.ringPosition++
+		peer := m.probeOrder[m.probePosition]
+		m.probePosition++
 		if peer.state == Left || peer.state == Failed || m.members[peer.Name] != peer || !peer.endpoint.IsValid() {
 			continue
 		}
@@ -102,12 +102,12 @@
 
 // randomAlive returns up to n random members that are alive, without except.
 func (m *Machine) randomAlive(n int, except *member) (out []*member) {
-	if len(m.ring) == 0 {
+	if len(m.probeOrder) == 0 {
 		return nil
 	}
-	start := m.rng.IntN(len(m.ring))
-	for i := range m.ring {
-		peer := m.ring[(start+i*7919)%len(m.ring)]
+	start := m.rng.IntN(len(m.probeOrder))
+	for i := range m.probeOrder {
+		peer := m.probeOrder[(start+i*7919)%len(m.probeOrder)]
 		if peer != except && peer.state == Alive && m.members[peer.Name] == peer && !slices.Contains(out, peer) {
 			if out = append(out, peer); len(out) == n {
 				break
@@ -166,7 +166,7 @@
 	m.wakeBy(inquiry.lastPingAt + pingInterval)
 	age := m.now - inquiry.startedAt
 	// A member that hears no other cannot judge peer.
-	if m.now-m.lastSignAt > m.config.FailureTimeout/2 || inquiry.pings < minObserverPings {
+	if m.now-m.lastAnyAnswerAt > m.config.FailureTimeout/2 || inquiry.pings < minObserverPings {
 		return
 	}
 	if m.now >= inquiry.lastReportAt+2*pingInterval {
@@ -183,8 +183,8 @@
 
 // recordAnswer records that peer has answered this member, which ends this member's suspicion of it.
 func (m *Machine) recordAnswer(peer *member) {
-	peer.lastAnswerAt, peer.hasAnswered, m.lastSignAt = m.now, true, m.now
-	m.view.recordHeard(peer.Name)
+	peer.lastAnswerAt, peer.hasAnswered, m.lastAnyAnswerAt = m.now, true, m.now
+	m.view.clearFailedSince(peer.Name)
 	if peer.state == Suspected || peer.state == Unknown {
 		if slices.Contains(peer.suspectedBy, m.self.Name) {
 			peer.falseSuspicions = min(peer.falseSuspicions+1, 6)
@@ -215,7 +215,7 @@
 	if p.Subject != "" {
 		ackedIncarnation, ackedName = p.SubjectIncarnation, p.Subject
 		m.applyRevision(pending.target, p.SubjectRevision, "a relay reaches it")
-		m.lastSignAt = m.now
+		m.lastAnyAnswerAt = m.now
 	}
 	if pending.target.Name != ackedName || pending.incarnation != ackedIncarnation || pending.target.Incarnation != ackedIncarnation {
 		return
--- a/internal/dispatcher/membership/simulation/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -60,7 +60,7 @@
 	kindHeartbeat
 )
 
-func (b *Baseline) set(i int, s membership.State) {
+func (b *Baseline) setState(i int, s membership.State) {
 	if b.state[i] != s {
 		b.state[i] = s
 		b.actions.Changes = append(b.actions.Changes, membership.Change{Name: b.world.Nodes[i].Name, Incarnation: b.world.Nodes[i].Incarnation, State: s})
@@ -120,7 +120,7 @@
 			if i != b.node.index {
 				b.send(i, kindHeartbeat, 0, 0)
 				if now-b.lastHeardAt[i] > b.timeout {
-					b.set(i, membership.Failed)
+					b.setState(i, membership.Failed)
 				}
 			}
 		}
@@ -131,7 +131,7 @@
 func (b *Baseline) runSWIM(now time.Duration) {
 	for i, s := range b.state {
 		if s == membership.Suspected && now >= b.failAt[i] {
-			b.set(i, membership.Failed)
+			b.setState(i, membership.Failed)
 		}
 	}
 	if b.probed >= 0 && !b.acked && !b.relaysAsked && now >= b.probedAt+b.period*2/5 {
@@ -145,7 +145,7 @@
 	if now >= b.nextProbeAt {
 		if b.probed >= 0 && !b.acked && b.state[b.probed] == membership.Alive {
 			b.failAt[b.probed] = now + b.timeout
-			b.set(b.probed, membership.Suspected)
+			b.setState(b.probed, membership.Suspected)
 		}
 		b.nextProbeAt += b.period
 		b.probed, b.relaysAsked, b.acked, b.probedAt = -1, false, false, now
@@ -178,7 +178,7 @@
 	b.lastHeardAt[from] = now
 	if kind == kindHeartbeat {
 		if b.state[from] == membership.Failed {
-			b.set(from, membership.Alive)
+			b.setState(from, membership.Alive)
 		}
 		return
 	}
@@ -195,7 +195,7 @@
 			if b.incarnation[i] = max(incarnation, b.incarnation[i]); s == membership.Suspected {
 				b.failAt[i] = now + b.timeout
 			}
-			b.set(i, s)
+			b.setState(i, s)
 		}
 	}
 	switch kind {
--- a/internal/dispatcher/membership/view.go
+++ b/internal/dispatcher/membership/view.go
@@ -130,15 +130,15 @@
 	v.unconfirmed, v.index = map[string]time.Duration{}, map[string]int{}
 }
 
-// pause drops the reports and the ballot, which depend on this process having run without a pause.
-func (v *viewState) pause(now time.Duration) {
+// resetAfterPause drops the reports and the ballot, which depend on this process having run without a pause.
+func (v *viewState) resetAfterPause(now time.Duration) {
 	clear(v.suspicionReports)
 	clear(v.failedSince)
 	v.ballot, v.backoffUntil, v.fetch = 0, now, nil
 }
 
-// recordHeard records that a member has answered: the time since which it counts as failed is dropped.
-func (v *viewState) recordHeard(name string) { delete(v.failedSince, name) }
+// clearFailedSince records that a member has answered, and so no longer counts as failed.
+func (v *viewState) clearFailedSince(name string) { delete(v.failedSince, name) }
 
 // View returns a copy of this member's current view.
 func (m *Machine) View() View {
