--- a/internal/dispatcher/discovery/watcher.go
+++ b/internal/dispatcher/discovery/watcher.go
@@ -70,7 +70,7 @@
 		watchRequested: make(chan struct{}, 1),
 		addressChanged: make(chan struct{}, 1),
 		address:        n.Discovery,
-		generation:     n.Known.Generation,
+		generation:     n.KnownWorkers.Generation,
 		cancelCall:     func(error) {},
 	}
 	w.client = &http.Client{Transport: &http.Transport{
