--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// AwaitCopies waits until every partition has all its replicas on active stores.
-func (c *Cluster) AwaitCopies(limit time.Duration) {
+// AwaitReplication waits until every partition has all its replicas on active stores.
+func (c *Cluster) AwaitReplication(limit time.Duration) {
 	c.t.Helper()
 	c.Await(limit, "all partitions have their copies", c.hasCopies)
 }
--- a/internal/simcluster/hardening_test.go
+++ b/internal/simcluster/hardening_test.go
@@ -27,7 +27,7 @@
 		var asking sync.WaitGroup
 		asking.Go(func() { queryIsolatedMachine(c, cut, before) })
 		for range 5 {
-			c.Operator.Move(orderLimit)
+			c.Operator.MoveRoute(orderLimit)
 			time.Sleep(isolationDuration / 5)
 		}
 		asking.Wait()
@@ -45,7 +45,7 @@
 	rival.setCurrent(before)
 	for begin := time.Now(); time.Since(begin) < isolationDuration; {
 		rival.ReadAt(cut)
-		rival.ReplaceAt(cut, before.Version, rival.nextMove())
+		rival.ReplaceAt(cut, before.Version, rival.nextConfiguration())
 		time.Sleep(700 * time.Millisecond)
 	}
 }
@@ -67,7 +67,7 @@
 		for _, operator := range []*Operator{c.Operator, rival} {
 			operator.setCurrent(newest)
 			operator.DropResponses(0.7)
-			racing.Go(func() { operator.Replace(newest.Version, operator.nextMove(), orderLimit) })
+			racing.Go(func() { operator.Replace(newest.Version, operator.nextConfiguration(), orderLimit) })
 		}
 		if pair%2 == 1 {
 			killed := c.ControlPrimary()
@@ -90,7 +90,7 @@
 	time.Sleep(time.Second)
 	successor.Start()
 	time.Sleep(catchUp)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 	loseDiskBriefly(c, c.Store(1))
 
 	if !c.Operator.Retire(c.Store(2), 40*time.Second) {
@@ -106,7 +106,7 @@
 	time.Sleep(catchUp)
 	loseDiskBriefly(c, c.ControlPrimary())
 
-	c.Operator.Move(orderLimit)
+	c.Operator.MoveRoute(orderLimit)
 	c.Store(4).LoseDisk()
 	c.Each(func(machine *Machine) {
 		if !machine.removed.Load() {
@@ -120,7 +120,7 @@
 		}
 	})
 	time.Sleep(12 * time.Second)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 // loseDiskBriefly wipes a machine's disk and waits until the loss is repaired.
@@ -130,7 +130,7 @@
 	time.Sleep(time.Second)
 	machine.Start()
 	time.Sleep(catchUp)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 // playDisconnectedStores has a store and a backup of it not reach each other while the control group reaches both, and wipes
@@ -153,8 +153,8 @@
 		one.Start()
 		c.Connect(one, other)
 		time.Sleep(catchUp)
-		endpoint.StartAgain()
-		c.AwaitCopies(copiesLimit)
+		endpoint.Restart()
+		c.AwaitReplication(copiesLimit)
 	}
 }
 
@@ -198,7 +198,7 @@
 	c.Operator.Exclude(away)
 	defer c.Operator.Exclude(nil)
 	for change := range manyChanges {
-		if !c.Operator.Move(orderLimit) {
+		if !c.Operator.MoveRoute(orderLimit) {
 			c.t.Errorf("change %d was not acknowledged", change)
 			return
 		}
@@ -208,7 +208,7 @@
 	c.Operator.ReadAt(away)
 	primary.LoseDisk()
 	time.Sleep(catchUp)
-	c.Operator.Move(orderLimit)
+	c.Operator.MoveRoute(orderLimit)
 	c.Operator.ReadAt(away)
 	primary.Start()
 	time.Sleep(catchUp)
@@ -216,7 +216,7 @@
 	time.Sleep(time.Second)
 	c.Each((*Machine).Start)
 	time.Sleep(2 * recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 // playResets resets connections of all machines again and again, and wipes a store's disk while copies are made.
@@ -236,7 +236,7 @@
 		time.Sleep(150 * time.Millisecond)
 	}
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 // partitionFaults are faults that isolate a machine together with others, or reset its connections.
--- a/internal/simcluster/operator.go
+++ b/internal/simcluster/operator.go
@@ -163,15 +163,15 @@
 	return status
 }
 
-// Move changes the current configuration so that the route "moving" goes to the next service, and waits for the
+// MoveRoute changes the current configuration so that the route "moving" goes to the next service, and waits for the
 // acknowledgement.
-func (o *Operator) Move(limit time.Duration) bool {
-	next := o.nextMove()
+func (o *Operator) MoveRoute(limit time.Duration) bool {
+	next := o.nextConfiguration()
 	return o.Update(next, limit)
 }
 
-// nextMove returns the configuration that Move sends next. Those of two operators differ.
-func (o *Operator) nextMove() Configuration {
+// nextConfiguration returns the configuration that MoveRoute sends next. Those of two operators differ.
+func (o *Operator) nextConfiguration() Configuration {
 	next := o.Current()
 	next.Version++
 	if route := next.Route("plain"); route != nil {
--- a/internal/simcluster/randomfaults_test.go
+++ b/internal/simcluster/randomfaults_test.go
@@ -63,13 +63,13 @@
 		changed := make(chan struct{})
 		go func() {
 			defer close(changed)
-			c.Operator.Move(orderLimit)
+			c.Operator.MoveRoute(orderLimit)
 		}()
 		time.Sleep(length / 2)
 		drawn.end(c, machine)
 		<-changed
 		time.Sleep(pauseBetweenFaults)
-		c.AwaitCopies(randomFaultCopiesLimit)
+		c.AwaitReplication(randomFaultCopiesLimit)
 	}
 }
 
--- a/internal/simcluster/scenarios_test.go
+++ b/internal/simcluster/scenarios_test.go
@@ -58,7 +58,7 @@
 	time.Sleep(time.Second)
 	c.Store(1).Start()
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playStorePowerLoss(c *Cluster) {
@@ -67,7 +67,7 @@
 	time.Sleep(4 * time.Second)
 	c.Store(0).Start()
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playAllKilled(c *Cluster) {
@@ -76,17 +76,17 @@
 	time.Sleep(time.Second)
 	c.Each((*Machine).Start)
 	time.Sleep(8 * time.Second)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playAllPowerLoss(c *Cluster) {
 	time.Sleep(warmUp)
-	c.Operator.Move(orderLimit)
+	c.Operator.MoveRoute(orderLimit)
 	c.Each((*Machine).LosePower)
 	time.Sleep(2 * time.Second)
 	c.Each((*Machine).Start)
 	time.Sleep(8 * time.Second)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playStoreWiped(c *Cluster) {
@@ -95,7 +95,7 @@
 	time.Sleep(time.Second)
 	c.Store(2).Start()
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playRollingStores(c *Cluster) {
@@ -105,7 +105,7 @@
 		c.Store(i).Start()
 		time.Sleep(betweenRestarts)
 	}
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playRollingFronts(c *Cluster) {
@@ -137,7 +137,7 @@
 // changeRepeatedly has an operator make changes, each on top of the newest version that it can read.
 func changeRepeatedly(operator *Operator) {
 	for range 5 {
-		if !operator.Move(orderLimit) {
+		if !operator.MoveRoute(orderLimit) {
 			if read, ok := operator.Read(orderLimit); ok {
 				read.Services = operator.Current().Services
 				operator.setCurrent(read)
@@ -152,7 +152,7 @@
 	cut := c.ControlPrimary()
 	c.Isolate(cut)
 	time.Sleep(5 * time.Second)
-	c.Operator.Move(orderLimit)
+	c.Operator.MoveRoute(orderLimit)
 	c.Reconnect(cut)
 	time.Sleep(2 * recoveryPause)
 }
@@ -163,7 +163,7 @@
 	time.Sleep(6 * time.Second)
 	c.Reconnect(c.Store(0))
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playStoreOutgoingBlocked(c *Cluster) {
@@ -172,7 +172,7 @@
 	time.Sleep(6 * time.Second)
 	c.Reconnect(c.Store(3))
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playDiskStalled(c *Cluster) {
@@ -181,7 +181,7 @@
 	time.Sleep(6 * time.Second)
 	c.Store(1).StallDisk(false)
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playDiskFull(c *Cluster) {
@@ -190,7 +190,7 @@
 	time.Sleep(6 * time.Second)
 	c.Store(1).FillDisk(false)
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playStoreReplaced(c *Cluster) {
@@ -199,7 +199,7 @@
 	time.Sleep(3 * time.Second)
 	successor.Start()
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playRetire(c *Cluster) {
@@ -221,7 +221,7 @@
 	c.Store(1).Start()
 	retiring.Wait()
 	time.Sleep(recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playWorkerRelease(c *Cluster) {
@@ -261,7 +261,7 @@
 	c.Store(2).Terminate()
 	c.Store(2).Start()
 	time.Sleep(recoveryPause)
-	endpoint.StartAgain()
+	endpoint.Restart()
 	time.Sleep(recoveryPause)
 }
 
@@ -273,21 +273,21 @@
 	c.Store(0).Start()
 	c.Store(3).Start()
 	time.Sleep(2 * recoveryPause)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 // playFinalFault wipes as many disks as may be lost and takes the power of everything, right after an
 // acknowledgement.
 func playFinalFault(c *Cluster) {
 	time.Sleep(warmUp)
-	c.Operator.Move(orderLimit)
+	c.Operator.MoveRoute(orderLimit)
 	c.Front(0).LoseDisk()
 	c.Store(1).LoseDisk()
 	c.Each((*Machine).LosePower)
 	time.Sleep(time.Second)
 	c.Each((*Machine).Start)
 	time.Sleep(12 * time.Second)
-	c.AwaitCopies(copiesLimit)
+	c.AwaitReplication(copiesLimit)
 }
 
 func playEndpointDown(c *Cluster) {
@@ -295,7 +295,7 @@
 	endpoint := c.Workers("endpoint")[0]
 	endpoint.Stop()
 	time.Sleep(6 * time.Second)
-	endpoint.StartAgain()
+	endpoint.Restart()
 	time.Sleep(recoveryPause)
 }
 
@@ -303,7 +303,7 @@
 func playConfigurationStorm(c *Cluster) {
 	time.Sleep(warmUp)
 	for i := range 12 {
-		next := c.Operator.nextMove()
+		next := c.Operator.nextConfiguration()
 		next.Routes = withStormRoutes(next.Routes, i)
 		if c.Operator.Update(next, orderLimit) {
 			c.Load.SetRoutes(next.Routes)
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -126,8 +126,8 @@
 	_ = w.server.Close()
 }
 
-// StartAgain starts a stopped worker at its former address, as a new incarnation.
-func (w *Worker) StartAgain() *Worker {
+// Restart starts a stopped worker at its former address, as a new incarnation.
+func (w *Worker) Restart() *Worker {
 	started := w.service.start(w.ip)
 	if !w.service.Static {
 		gone := w.entry
