--- a/internal/simcluster/audit.go
+++ b/internal/simcluster/audit.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Figures of the rules.
+// Time limits and tolerances of the rules.
 const (
-	faultExcuse        = 4 * time.Second // how long a fault excuses what comes after it
-	drainBound         = 3 * time.Second
-	configurationBound = 3 * time.Second
-	revertSlack        = 250 * time.Millisecond
-	earlySlack         = 100 * time.Millisecond
-	rateLimitWindow    = 5 * time.Second
-	rateLimitOvershoot = 1.1
-	rateLimitExtra     = 5
-	answerMargin       = 50 * time.Millisecond // before the deadline, for a success that counts as read
-	readTime           = 50 * time.Millisecond // an answer takes no longer to its reader
+	faultGrace          = 4 * time.Second // how long after a fault the rules still make allowance for it
+	drainBound          = 3 * time.Second
+	configurationBound  = 3 * time.Second
+	revertSlack         = 250 * time.Millisecond
+	earlySlack          = 100 * time.Millisecond
+	rateLimitWindow     = 5 * time.Second
+	rateLimitOvershoot  = 1.1
+	rateLimitExtra      = 5
+	responseMargin      = 50 * time.Millisecond // before the deadline; a later success may not be read in time
+	responseTransitTime = 50 * time.Millisecond // upper limit on the time between a worker's response and its receipt
 )
 
-// Rule names what an auditor checks. The values are the names that the operators' pages use.
+// Rule is a guarantee of the service that Audit checks. The values are the names in the operators' documentation.
 type Rule string
 
 // The rules.
@@ -48,7 +48,7 @@
 // String implements fmt.Stringer.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Text) }
 
-// Audit checks a history by all rules and returns the violations.
+// Audit checks a history against all rules and returns the violations.
 func Audit(history *History) []Violation {
 	a := newAudit(history)
 	a.checkAccepted()
@@ -69,12 +69,12 @@
 	return a.violations
 }
 
-// audit is a history with indexes into it, and the violations that were found so far.
+// audit is a history with indexes into it, and the violations found so far.
 type audit struct {
 	*History
 	violations []Violation
 	attempts   map[string]*Attempt
-	arrivals   map[string][]*Arrival // by request id, sorted by time
+	arrivals   map[string][]*Arrival // by request ID, sorted by time
 }
 
 func newAudit(history *History) *audit {
@@ -93,7 +93,7 @@
 	a.violations = append(a.violations, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, values...)})
 }
 
-// hadFault tells whether a fault that the filter counts lasted at some moment of a span.
+// hadFault reports whether a fault that the filter selects was in effect at any time between from and until.
 func (a *audit) hadFault(from, until time.Duration, counts func(fault *Fault) bool) bool {
 	return slices.ContainsFunc(a.Faults, func(fault Fault) bool {
 		ended := fault.Until != 0 && fault.Until < from
@@ -101,9 +101,9 @@
 	})
 }
 
-// faultFree tells whether no fault lasted at a moment, or within faultExcuse before it.
+// faultFree reports whether no fault was in effect at a time, or within faultGrace before it.
 func (a *audit) faultFree(at time.Duration) bool {
-	return !a.hadFault(at-faultExcuse, at, func(*Fault) bool { return true })
+	return !a.hadFault(at-faultGrace, at, func(*Fault) bool { return true })
 }
 
 // ending is when and how a message ended.
@@ -112,83 +112,83 @@
 	dead bool // without a success
 }
 
-// endingOf returns when a message ended according to the rules; false where it has not ended.
+// endingOf returns the earliest time at which a message ended by the rules. It returns false if it has not ended.
 func (a *audit) endingOf(attempt *Attempt) (ending, bool) {
-	earliest, ended := ending{}, false
-	note := func(at time.Duration, dead bool) {
-		if !ended || at < earliest.at {
-			earliest, ended = ending{at: at, dead: dead}, true
+	earliest, found := ending{}, false
+	record := func(at time.Duration, dead bool) {
+		if !found || at < earliest.at {
+			earliest, found = ending{at: at, dead: dead}, true
 		}
 	}
 	failures := 0
 	for _, arrival := range a.arrivals[attempt.RequestID] {
 		switch arrival.Result {
 		case Succeeded:
-			note(arrival.EndedAt, false)
+			record(arrival.EndedAt, false)
 		case Rejected:
-			note(arrival.EndedAt, true)
+			record(arrival.EndedAt, true)
 		case Failed:
-			if failures++; failures >= a.attemptsOf(attempt) {
-				note(arrival.EndedAt, true)
+			if failures++; failures >= a.minAttemptsOf(attempt) {
+				record(arrival.EndedAt, true)
 			}
 		}
 	}
 	if at, dropped := a.droppedAt(attempt); dropped {
-		note(at, true)
+		record(at, true)
 	}
-	if at := attempt.FirstSent + a.retentionOf(attempt); at <= a.End {
-		note(at, true)
+	if at := attempt.FirstSent + a.minRetentionOf(attempt); at <= a.End {
+		record(at, true)
 	}
-	return earliest, ended
+	return earliest, found
 }
 
-// attemptsOf returns the smallest number of failed attempts after which some configuration gives a message up.
-func (a *audit) attemptsOf(attempt *Attempt) int {
-	least := 0
+// minAttemptsOf returns the smallest number of failed attempts after which any configuration gives up a message.
+func (a *audit) minAttemptsOf(attempt *Attempt) int {
+	lowest := 0
 	for i := range a.Changes {
 		if route := a.Changes[i].Configuration.Route(attempt.Route); route != nil {
-			if least == 0 || route.MaxAttempts < least {
-				least = route.MaxAttempts
+			if lowest == 0 || route.MaxAttempts < lowest {
+				lowest = route.MaxAttempts
 			}
 		}
 	}
-	return max(least, 1)
+	return max(lowest, 1)
 }
 
-// retentionOf returns the shortest time for which some configuration keeps a message.
-func (a *audit) retentionOf(attempt *Attempt) time.Duration {
-	least := time.Duration(0)
+// minRetentionOf returns the shortest time for which any configuration retains a message.
+func (a *audit) minRetentionOf(attempt *Attempt) time.Duration {
+	lowest := time.Duration(0)
 	for i := range a.Changes {
 		if route := a.Changes[i].Configuration.Route(attempt.Route); route != nil {
-			if least == 0 || route.Retention < least {
-				least = route.Retention
+			if lowest == 0 || route.Retention < lowest {
+				lowest = route.Retention
 			}
 		}
 	}
-	return least
+	return lowest
 }
 
-// droppedAt returns when a configuration may first have dropped a message's route after the message was sent. A
-// change that was refused drops nothing.
+// droppedAt returns when a change may first have dropped the route of a message after the message was sent. Changes
+// that were refused do not count.
 func (a *audit) droppedAt(attempt *Attempt) (time.Duration, bool) {
 	for i := range a.Changes {
 		change := &a.Changes[i]
-		if change.mayBeInForce() && change.Configuration.Route(attempt.Route) == nil && a.later(change, attempt) {
+		if change.mayBeInForce() && change.Configuration.Route(attempt.Route) == nil && a.mayTakeEffectAfter(change, attempt) {
 			return max(change.SentAt, attempt.SentAt), true
 		}
 	}
 	return 0, false
 }
 
-// later tells whether a change may have come into force after a message was sent.
-func (a *audit) later(change *ConfigurationChange, attempt *Attempt) bool {
+// mayTakeEffectAfter reports whether a change may have come into force after a message was sent.
+func (a *audit) mayTakeEffectAfter(change *ConfigurationChange, attempt *Attempt) bool {
 	if change.SentAt >= attempt.SentAt {
 		return true
 	}
 	return change.AnsweredAt == 0 || change.Status != statusOK || change.AnsweredAt+configurationBound >= attempt.SentAt
 }
 
-// mayBeInForce tells whether a change was not conclusively refused.
+// mayBeInForce reports whether a change may have been accepted: it was acknowledged, or no response was conclusive.
 func (c *ConfigurationChange) mayBeInForce() bool {
 	return c.Status == statusOK || c.Status == statusNoResponse
 }
--- a/internal/simcluster/audit_configuration.go
+++ b/internal/simcluster/audit_configuration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkStaleConfigurations checks that no message is handled as only an outdated configuration allows, once
+// checkStaleConfigurations checks that no message is handled in a way that only outdated configurations allow, once
 // configurationBound has passed since a newer one was acknowledged.
 func (a *audit) checkStaleConfigurations() {
 	for i := range a.Arrivals {
@@ -16,13 +16,14 @@
 		}
 		minimum := a.acknowledgedBy(attempt.SentAt - configurationBound)
 		if newest, known := a.newestAllowing(attempt.Route, arrival.Service, arrival.At); !known || newest < minimum {
-			a.report(RuleConfiguration, arrival.At, "%s (sent at %v) ran at %s as only version %d allows; %d was acknowledged",
+			a.report(RuleConfiguration, arrival.At,
+				"%s (sent at %v) ran at %s, which only versions up to %d allow, but version %d was acknowledged",
 				arrival.RequestID, attempt.SentAt, arrival.Service, newest, minimum)
 		}
 	}
 }
 
-// acknowledgedBy returns the newest version that was acknowledged by some time.
+// acknowledgedBy returns the newest version that was acknowledged at or before a time.
 func (a *audit) acknowledgedBy(at time.Duration) uint64 {
 	newest := uint64(0)
 	for i := range a.Changes {
@@ -33,8 +34,8 @@
 	return newest
 }
 
-// newestAllowing returns the newest version, of those sent by some time and not refused, by which a route's messages
-// go to a service.
+// newestAllowing returns the newest version that routes a route's messages to a service. It considers the versions that
+// were sent at or before a time and not refused.
 func (a *audit) newestAllowing(route, service string, by time.Duration) (uint64, bool) {
 	newest, known := uint64(0), false
 	for i := range a.Changes {
@@ -45,7 +46,7 @@
 	return newest, known
 }
 
-// oldestAllowing returns the oldest such version that is not below a minimum.
+// oldestAllowing returns the oldest of these versions that is not below a minimum.
 func (a *audit) oldestAllowing(route, service string, by time.Duration, minimum uint64) (uint64, bool) {
 	oldest, known := uint64(0), false
 	for i := range a.Changes {
@@ -66,21 +67,21 @@
 	return found != nil && found.Service == service
 }
 
-// processID identifies one process: a machine runs one process after another.
+// processID identifies one process. A machine runs one process after another.
 type processID struct {
 	machine     string
 	incarnation int
 }
 
-// sighting is a version that a process has shown to have in force.
-type sighting struct {
+// observedVersion is a version that a process demonstrably had in force.
+type observedVersion struct {
 	version uint64
 	at      time.Duration
 }
 
-// checkRegressions checks that no process goes back to an older configuration than it has shown.
+// checkRegressions checks that no process returns to a configuration older than one that it has used before.
 func (a *audit) checkRegressions() {
-	shown := make(map[processID][]sighting)
+	shown := make(map[processID][]observedVersion)
 	for _, run := range a.sortedRuns() {
 		attempt := a.attempts[run.RequestID]
 		if attempt == nil {
@@ -90,18 +91,19 @@
 		minimum := newestBefore(shown[sender], attempt.SentAt-revertSlack)
 		version, allowed := a.oldestAllowing(attempt.Route, run.Service, run.At, minimum)
 		if !allowed {
-			a.report(RuleConfiguration, run.At, "%s goes back: %s (sent at %v) ran at %s, version %d was in force there before",
+			a.report(RuleConfiguration, run.At,
+				"%s returned to an older configuration: %s (sent at %v) ran at %s, but version %d was in force there before",
 				run.Sender, run.RequestID, attempt.SentAt, run.Service, minimum)
 			continue
 		}
 		if newestBefore(shown[sender], run.At) < version {
-			shown[sender] = append(shown[sender], sighting{version, run.At})
+			shown[sender] = append(shown[sender], observedVersion{version, run.At})
 		}
 	}
 }
 
-// newestBefore returns the newest version that was shown before some time.
-func newestBefore(shown []sighting, before time.Duration) uint64 {
+// newestBefore returns the newest version that was observed before a time.
+func newestBefore(shown []observedVersion, before time.Duration) uint64 {
 	newest := uint64(0)
 	for _, seen := range shown {
 		if seen.at < before {
@@ -121,14 +123,15 @@
 		}
 		minimum := a.acknowledgedBy(attempt.SentAt - configurationBound)
 		if !a.anyVersionExplains(minimum, attempt, missing) {
-			a.report(RuleConfiguration, attempt.AnsweredAt, "%s on the route %s got %d at %s, which no version from %d on allows",
+			a.report(RuleConfiguration, attempt.AnsweredAt,
+				"%s on route %s got status %d from %s, which no version from %d on allows",
 				attempt.RequestID, attempt.Route, attempt.Status, attempt.Front, minimum)
 		}
 	}
 }
 
-// anyVersionExplains tells whether a version that may be in force lacks the route of an attempt (missing), or has
-// it.
+// anyVersionExplains reports whether a version that may be in force, and is not below a minimum, explains the response
+// to an attempt: it lacks the route if missing is set, and has the route otherwise.
 func (a *audit) anyVersionExplains(minimum uint64, attempt *Attempt, missing bool) bool {
 	for i := range a.Changes {
 		change := &a.Changes[i]
@@ -142,59 +145,62 @@
 	return minimum == 0 && missing
 }
 
-// checkAcknowledgements checks that of several changes on top of one version only one is acknowledged, and that no
-// valid change is refused that no other has preceded.
+// checkAcknowledgements checks that at most one of several different changes with the same base version is
+// acknowledged, and that a valid change is refused only if another change came before it.
 func (a *audit) checkAcknowledgements() {
-	taken := make(map[uint64]*ConfigurationChange)
+	acknowledged := make(map[uint64]*ConfigurationChange)
 	for i := range a.Changes {
 		change := &a.Changes[i]
 		if !change.Acknowledged() {
 			a.checkRefusal(change)
 			continue
 		}
-		if other := taken[change.Base]; other != nil && !other.Configuration.sameAs(&change.Configuration) {
-			a.report(RuleConfiguration, change.AnsweredAt, "%s and %s both had a change on top of version %d acknowledged",
+		if other := acknowledged[change.Base]; other != nil && !other.Configuration.sameAs(&change.Configuration) {
+			a.report(RuleConfiguration, change.AnsweredAt, "%s and %s both had a change with base version %d acknowledged",
 				other.Operator, change.Operator, change.Base)
 		}
-		taken[change.Base] = change
+		acknowledged[change.Base] = change
 	}
 }
 
-// checkRefusal checks that another change had preceded one that was refused for its base version.
+// checkRefusal checks that another change may have come before a refused one and made its base version outdated.
 func (a *audit) checkRefusal(refused *ConfigurationChange) {
 	if refused.Status == statusNoResponse {
 		return
 	}
 	for i := range a.Changes {
 		other := &a.Changes[i]
-		rivals := other != refused && other.mayBeInForce() && other.SentAt <= refused.AnsweredAt
-		if rivals && other.Configuration.Version > refused.Base {
+		precedes := other != refused && other.mayBeInForce() && other.SentAt <= refused.AnsweredAt
+		if precedes && other.Configuration.Version > refused.Base {
 			return
 		}
 	}
-	a.report(RuleConfiguration, refused.AnsweredAt, "version %d of %s was refused with %d, although nothing had come before it",
+	a.report(RuleConfiguration, refused.AnsweredAt,
+		"version %d of %s was refused with status %d, although no other change came before it",
 		refused.Configuration.Version, refused.Operator, refused.Status)
 }
 
-// checkReadBack checks that the newest acknowledged configuration, or a newer one, is read back as it was sent.
+// checkReadBack checks that every read returns the newest acknowledged configuration, or a newer one, as it was sent.
 func (a *audit) checkReadBack() {
 	if len(a.Reads) == 0 {
-		a.report(RuleConfiguration, a.End, "the configuration can't be read back")
+		a.report(RuleConfiguration, a.End, "no read of the configuration succeeded")
 	}
 	for i := range a.Reads {
 		read := &a.Reads[i]
 		newest := a.acknowledgedBy(read.At)
 		if read.Configuration.Version < newest {
-			a.report(RuleConfiguration, read.At, "version %d is read back, %d was acknowledged", read.Configuration.Version, newest)
+			a.report(RuleConfiguration, read.At, "version %d was read, although version %d was acknowledged before",
+				read.Configuration.Version, newest)
 		}
 		if !a.wasSent(&read.Configuration) {
-			a.report(RuleConfiguration, read.At, "what is read back as version %d was not sent, or was refused: %s",
+			a.report(RuleConfiguration, read.At,
+				"the configuration that was read as version %d was not sent, or was refused: %s",
 				read.Configuration.Version, read.Configuration.routesText())
 		}
 	}
 }
 
-// wasSent tells whether a configuration that was read back was sent and not refused.
+// wasSent reports whether a configuration that was read was sent and not refused.
 func (a *audit) wasSent(read *Configuration) bool {
 	for i := range a.Changes {
 		change := &a.Changes[i]
--- a/internal/simcluster/audit_linearizable.go
+++ b/internal/simcluster/audit_linearizable.go
@@ -7,11 +7,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizeLimit bounds the search for a linearization of the operators' calls.
-const linearizeLimit = 10 * time.Second
+// linearizationTimeout limits the search for a linearization of the operators' calls.
+const linearizationTimeout = 10 * time.Second
 
-// configurationState is the configuration in force: its version, and its text, which distinguishes two of one
-// version.
+// configurationState is the configuration in force. The text distinguishes two configurations with the same version.
 type configurationState struct {
 	version uint64
 	text    string
@@ -21,7 +20,7 @@
 	return configurationState{configuration.Version, configuration.routesText()}
 }
 
-// configurationCall is a change, or a read where next is the zero value.
+// configurationCall is a change of the configuration, or a read if next is the zero value.
 type configurationCall struct {
 	base uint64
 	next configurationState
@@ -29,9 +28,9 @@
 
 // configurationOutcome is the result of a call.
 type configurationOutcome struct {
-	taken   bool // the change was acknowledged
-	refused bool
-	read    configurationState
+	acknowledged bool
+	refused      bool
+	read         configurationState
 }
 
 // configurationRegister models the configuration as a compare-and-swap register.
@@ -42,8 +41,8 @@
 	},
 }
 
-// stepRegister returns the states to which a call with an outcome may lead; none where the call can't have that
-// outcome. A change without a response may have been taken or not.
+// stepRegister returns the states that a call with an outcome may lead to, or none if the call can't have that outcome.
+// A change without a conclusive response may or may not have taken effect.
 func stepRegister(state configurationState, call configurationCall, outcome configurationOutcome) []any {
 	applies := state.version == call.base
 	switch {
@@ -51,27 +50,27 @@
 		if outcome.read == state {
 			return []any{state}
 		}
-	case outcome.taken && (applies || state == call.next):
+	case outcome.acknowledged && (applies || state == call.next):
 		return []any{call.next}
 	case outcome.refused && !applies && state != call.next:
 		return []any{state}
-	case !outcome.taken && !outcome.refused && applies:
+	case !outcome.acknowledged && !outcome.refused && applies:
 		return []any{state, call.next}
-	case !outcome.taken && !outcome.refused:
+	case !outcome.acknowledged && !outcome.refused:
 		return []any{state}
 	}
 	return nil
 }
 
-// checkLinearizable checks that the calls of all operators are linearizable: that there is one order in which each
-// takes effect between its start and its response.
+// checkLinearizable checks that the calls of all operators are linearizable: that there is an order of the calls in
+// which each takes effect between its start and its response.
 func (a *audit) checkLinearizable() {
 	var operations []porcupine.Operation
 	for i := range a.Changes {
 		change := &a.Changes[i]
 		outcome := configurationOutcome{
-			taken:   change.Acknowledged(),
-			refused: !change.Acknowledged() && change.Status != statusNoResponse,
+			acknowledged: change.Acknowledged(),
+			refused:      !change.Acknowledged() && change.Status != statusNoResponse,
 		}
 		answered := int64(change.AnsweredAt)
 		if change.Status == statusNoResponse {
@@ -89,8 +88,8 @@
 			Output: configurationOutcome{read: stateOf(&read.Configuration)}, Input: configurationCall{},
 		})
 	}
-	result := porcupine.CheckOperationsTimeout(configurationRegister.ToModel(), operations, linearizeLimit)
+	result := porcupine.CheckOperationsTimeout(configurationRegister.ToModel(), operations, linearizationTimeout)
 	if result == porcupine.Illegal {
-		a.report(RuleConfiguration, a.End, "the operators' calls have no order in which each sees those before it")
+		a.report(RuleConfiguration, a.End, "the operators' calls are not linearizable")
 	}
 }
--- a/internal/simcluster/audit_messages.go
+++ b/internal/simcluster/audit_messages.go
@@ -14,66 +14,69 @@
 	stateDeadLetter = "dead_letter"
 )
 
-// checkAccepted checks that no accepted message is lost, and that its reported state is true.
+// checkAccepted checks that no accepted message is lost, and that its reported state is correct.
 func (a *audit) checkAccepted() {
-	answers := make(map[string]*StateResponse)
+	responses := make(map[string]*StateResponse)
 	for i := range a.StateResponses {
-		answers[a.StateResponses[i].RequestID] = &a.StateResponses[i]
+		responses[a.StateResponses[i].RequestID] = &a.StateResponses[i]
 	}
 	for i := range a.Attempts {
 		attempt := &a.Attempts[i]
 		if !attempt.Accepted() {
 			continue
 		}
-		answer := answers[attempt.RequestID]
-		if answer == nil || answer.Status != statusOK {
+		response := responses[attempt.RequestID]
+		if response == nil || response.Status != statusOK {
 			status := statusNoResponse
-			if answer != nil {
-				status = answer.Status
+			if response != nil {
+				status = response.Status
 			}
-			a.report(RuleLost, attempt.AnsweredAt, "%s (%s) was accepted, its state can't be had: %d", attempt.RequestID, attempt.MessageID, status)
+			a.report(RuleLost, attempt.AnsweredAt, "%s (%s) was accepted, but the query for its state ended with status %d",
+				attempt.RequestID, attempt.MessageID, status)
 			continue
 		}
-		a.checkState(attempt, answer)
+		a.checkState(attempt, response)
 	}
 }
 
 // checkState checks the reported state of an accepted message.
-func (a *audit) checkState(attempt *Attempt, answer *StateResponse) {
-	ended, hasEnded := a.endingOf(attempt)
-	switch answer.State {
+func (a *audit) checkState(attempt *Attempt, response *StateResponse) {
+	end, hasEnded := a.endingOf(attempt)
+	switch response.State {
 	case stateCompleted:
-		if !a.hasStamp(attempt, answer.Stamp) {
-			a.report(RuleMixed, attempt.AnsweredAt, "%s is completed with the stamp %q of no successful run", attempt.RequestID, answer.Stamp)
+		if !a.hasStamp(attempt, response.Stamp) {
+			a.report(RuleMixed, attempt.AnsweredAt, "%s is completed with stamp %q, which no successful run returned",
+				attempt.RequestID, response.Stamp)
 		}
 	case stateDeadLetter:
 		if !hasEnded {
-			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter and has not ended: %s", attempt.RequestID,
-				attempt.MessageID, a.describeArrivals(attempt))
-		} else if !ended.dead {
-			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter and had succeeded before: %s", attempt.RequestID,
-				attempt.MessageID, a.describeArrivals(attempt))
+			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter, although it has not ended: %s",
+				attempt.RequestID, attempt.MessageID, a.describeArrivals(attempt))
+		} else if !end.dead {
+			a.report(RuleMixed, attempt.AnsweredAt, "%s (%s) is a dead letter, although it succeeded first: %s",
+				attempt.RequestID, attempt.MessageID, a.describeArrivals(attempt))
 		}
-		a.checkBody(attempt, answer)
+		a.checkBody(attempt, response)
 	case stateQueued:
-		a.checkBody(attempt, answer)
+		a.checkBody(attempt, response)
 	default:
-		a.report(RuleMixed, attempt.AnsweredAt, "%s has the state %q", attempt.RequestID, answer.State)
+		a.report(RuleMixed, attempt.AnsweredAt, "%s has the unknown state %q", attempt.RequestID, response.State)
 	}
 }
 
-// checkBody checks that the body of a message that has not completed can be read, and is unchanged.
-func (a *audit) checkBody(attempt *Attempt, answer *StateResponse) {
+// checkBody checks that the body of a message that has not completed can be read and is unchanged.
+func (a *audit) checkBody(attempt *Attempt, response *StateResponse) {
 	switch {
-	case answer.BodyStatus != statusOK:
-		a.report(RuleLost, attempt.AnsweredAt, "%s (%s) is %s, its body can't be had: %d", attempt.RequestID, attempt.MessageID,
-			answer.State, answer.BodyStatus)
-	case answer.Body != attempt.Body:
-		a.report(RuleMixed, attempt.AnsweredAt, "%s is %s with the body %q", attempt.RequestID, answer.State, answer.Body)
+	case response.BodyStatus != statusOK:
+		a.report(RuleLost, attempt.AnsweredAt, "%s (%s) is %s, but the query for its body ended with status %d",
+			attempt.RequestID, attempt.MessageID, response.State, response.BodyStatus)
+	case response.Body != attempt.Body:
+		a.report(RuleMixed, attempt.AnsweredAt, "%s is %s with the body %q", attempt.RequestID, response.State,
+			response.Body)
 	}
 }
 
-// hasStamp tells whether a successful run of a message carries a stamp.
+// hasStamp reports whether a successful run of a message returned the stamp.
 func (a *audit) hasStamp(attempt *Attempt, stamp string) bool {
 	return slices.ContainsFunc(a.arrivals[attempt.RequestID], func(arrival *Arrival) bool {
 		return arrival.Result == Succeeded && arrival.Stamp == stamp && stamp != ""
@@ -89,7 +92,7 @@
 	return text
 }
 
-// checkOrder checks that messages with one order key run one after the other, in the order of their acceptance.
+// checkOrder checks that messages with the same order key run one after another, in the order of their acceptance.
 func (a *audit) checkOrder() {
 	keyed := make(map[[2]string][]*Attempt)
 	for i := range a.Attempts {
@@ -107,16 +110,17 @@
 	}
 }
 
-// checkKeyOrder finds messages that began before an earlier one with the same key had ended.
+// checkKeyOrder reports messages that began to run before an earlier message with the same key had ended.
 func (a *audit) checkKeyOrder(earlier *Attempt, attempts []*Attempt) {
-	ended, hasEnded := a.endingOf(earlier)
+	end, hasEnded := a.endingOf(earlier)
 	for _, later := range attempts {
 		if later.SentAt <= earlier.AnsweredAt {
 			continue
 		}
 		for _, arrival := range a.arrivals[later.RequestID] {
-			if arrival.Result.Ran() && (!hasEnded || arrival.At < ended.at) {
-				a.report(RuleOrder, arrival.At, "%s (%s, sent at %v) began before %s (%s, accepted at %v) had ended: %s",
+			if arrival.Result.Ran() && (!hasEnded || arrival.At < end.at) {
+				a.report(RuleOrder, arrival.At,
+					"%s (%s, sent at %v) began to run before %s (%s, accepted at %v) had ended: %s",
 					later.RequestID, later.MessageID, later.SentAt, earlier.RequestID, earlier.MessageID,
 					earlier.AnsweredAt, a.describeArrivals(earlier))
 			}
@@ -124,36 +128,36 @@
 	}
 }
 
-// checkDuplicates checks that no message runs again after a success that its sender has read, except near an
+// checkDuplicates checks that no message runs again after a success that its sender has read, except close to an
 // unplanned fault.
 func (a *audit) checkDuplicates() {
 	for id, arrivals := range a.arrivals {
-		read := time.Duration(0)
+		readAt := time.Duration(0)
 		for _, arrival := range arrivals {
-			if read > 0 && arrival.Result.Ran() && arrival.At > read && !a.excusesRepeat(id, arrival) {
-				a.report(RuleDuplicate, arrival.At, "%s runs again after the success at %v: %s", id, read,
+			if readAt > 0 && arrival.Result.Ran() && arrival.At > readAt && !a.faultExplainsRepeat(id, arrival) {
+				a.report(RuleDuplicate, arrival.At, "%s ran again after its success at %v: %s", id, readAt,
 					a.describeArrivals(&Attempt{RequestID: id}))
 			}
-			if read == 0 && a.wasRead(arrival) {
-				read = arrival.EndedAt
+			if readAt == 0 && a.wasRead(arrival) {
+				readAt = arrival.EndedAt
 			}
 		}
 	}
 }
 
-// wasRead tells whether an arrival ended in a success that was in time and that its sender was able to read.
+// wasRead reports whether an arrival ended in a success that was in time and that its sender could read.
 func (a *audit) wasRead(arrival *Arrival) bool {
-	if arrival.Result != Succeeded || arrival.Unread || arrival.EndedAt > arrival.At+arrival.Deadline-answerMargin {
+	if arrival.Result != Succeeded || arrival.Unread || arrival.EndedAt > arrival.At+arrival.Deadline-responseMargin {
 		return false
 	}
-	return !a.hadFault(arrival.EndedAt, arrival.EndedAt+readTime, func(fault *Fault) bool {
+	return !a.hadFault(arrival.EndedAt, arrival.EndedAt+responseTransitTime, func(fault *Fault) bool {
 		return fault.Machine == arrival.Sender
 	})
 }
 
-// excusesRepeat tells whether an unplanned fault lasted between faultExcuse before a run and the message's next
-// arrival.
-func (a *audit) excusesRepeat(id string, run *Arrival) bool {
+// faultExplainsRepeat reports whether an unplanned fault was in effect between faultGrace before a run and the next
+// arrival of the message.
+func (a *audit) faultExplainsRepeat(id string, run *Arrival) bool {
 	until := a.End
 	for _, next := range a.arrivals[id] {
 		if next.At > run.At {
@@ -161,10 +165,10 @@
 			break
 		}
 	}
-	return a.hadFault(run.At-faultExcuse, until, func(fault *Fault) bool { return !fault.Planned })
+	return a.hadFault(run.At-faultGrace, until, func(fault *Fault) bool { return !fault.Planned })
 }
 
-// checkRateLimits checks that no service gets more requests than its rate limit allows.
+// checkRateLimits checks that no service receives more requests than its rate limit allows.
 func (a *audit) checkRateLimits() {
 	for _, service := range a.Services {
 		if service.RatePerSecond <= 0 {
@@ -182,20 +186,21 @@
 	}
 }
 
-// checkRateLimit slides a window over the arrival times of a service, which are sorted.
+// checkRateLimit checks a sliding window over the sorted arrival times of a service.
 func (a *audit) checkRateLimit(service string, times []time.Duration, allowed int) {
 	for first, last := 0, 0; last < len(times); last++ {
 		for times[last]-times[first] >= rateLimitWindow {
 			first++
 		}
 		if count := last - first + 1; count > allowed {
-			a.report(RuleRateLimit, times[last], "%s got %d requests in %v, %d are allowed", service, count, rateLimitWindow, allowed)
+			a.report(RuleRateLimit, times[last], "%s received %d requests in %v, but only %d are allowed", service,
+				count, rateLimitWindow, allowed)
 			return
 		}
 	}
 }
 
-// checkRefused checks that a message never runs after a response that promises so.
+// checkRefused checks that a message never runs if the response promised that it would not.
 func (a *audit) checkRefused() {
 	for i := range a.Attempts {
 		attempt := &a.Attempts[i]
@@ -204,13 +209,14 @@
 		}
 		for _, arrival := range a.arrivals[attempt.RequestID] {
 			if arrival.Result.Ran() {
-				a.report(RuleRefused, arrival.At, "%s was refused at %v with %d and ran", attempt.RequestID, attempt.AnsweredAt, attempt.Status)
+				a.report(RuleRefused, arrival.At, "%s was refused at %v with status %d, but ran", attempt.RequestID,
+					attempt.AnsweredAt, attempt.Status)
 			}
 		}
 	}
 }
 
-// checkDraining checks that workers that are draining, or gone, get no new messages.
+// checkDraining checks that workers that are draining or gone receive no new messages.
 func (a *audit) checkDraining() {
 	shown := make(map[string]time.Duration)
 	for _, departure := range a.Departures {
@@ -223,23 +229,25 @@
 		at, departs := shown[arrival.Worker]
 		misdirected := arrival.Status == http.StatusMisdirectedRequest
 		if departs && !misdirected && arrival.At > at+drainBound && a.faultFree(arrival.At) {
-			a.report(RuleDrain, arrival.At, "%s got %s from %s; the list has shown it as draining since %v", arrival.Worker,
+			a.report(RuleDrain, arrival.At,
+				"%s received %s from %s, although the list has shown it as draining or gone since %v", arrival.Worker,
 				arrival.RequestID, arrival.Sender, at)
 		}
 	}
 }
 
-// checkUnsolicited checks that workers run only what clients have sent, unchanged.
+// checkUnsolicited checks that workers receive only messages that clients have sent, unchanged.
 func (a *audit) checkUnsolicited() {
 	for i := range a.Arrivals {
 		arrival := &a.Arrivals[i]
 		attempt := a.attempts[arrival.RequestID]
 		switch {
 		case attempt == nil:
-			a.report(RuleUnsolicited, arrival.At, "%s at %s: no client has sent it", arrival.RequestID, arrival.Worker)
+			a.report(RuleUnsolicited, arrival.At, "%s arrived at %s, but no client has sent it", arrival.RequestID,
+				arrival.Worker)
 		case arrival.Method != http.MethodPost || arrival.Path != attempt.Path || arrival.Body != attempt.Body:
-			a.report(RuleUnsolicited, arrival.At, "%s at %s: it was changed: %s %s %q", arrival.RequestID, arrival.Worker,
-				arrival.Method, arrival.Path, arrival.Body)
+			a.report(RuleUnsolicited, arrival.At, "%s arrived at %s with a changed request: %s %s %q",
+				arrival.RequestID, arrival.Worker, arrival.Method, arrival.Path, arrival.Body)
 		}
 	}
 }
@@ -250,22 +258,23 @@
 		arrival := &a.Arrivals[i]
 		attempt := a.attempts[arrival.RequestID]
 		if attempt != nil && arrival.Result.Ran() && arrival.At < attempt.SentAt+attempt.Delay-earlySlack {
-			a.report(RuleEarly, arrival.At, "%s was sent at %v with a delay of %v", arrival.RequestID, attempt.SentAt, attempt.Delay)
+			a.report(RuleEarly, arrival.At, "%s ran before its delay had passed: it was sent at %v with a delay of %v",
+				arrival.RequestID, attempt.SentAt, attempt.Delay)
 		}
 	}
 }
 
 // checkUnexpectedExits checks that no process exits on its own, except during a fault of its machine.
 func (a *audit) checkUnexpectedExits() {
-	for _, end := range a.UnexpectedExits {
-		excused := a.hadFault(end.At-time.Second, end.At, func(fault *Fault) bool { return fault.Machine == end.Machine })
+	for _, exit := range a.UnexpectedExits {
+		excused := a.hadFault(exit.At-time.Second, exit.At, func(fault *Fault) bool { return fault.Machine == exit.Machine })
 		if !excused {
-			a.report(RuleUnexpectedExit, end.At, "the process of %s ended by itself: %s", end.Machine, end.Reason)
+			a.report(RuleUnexpectedExit, exit.At, "the process of %s exited unexpectedly: %s", exit.Machine, exit.Reason)
 		}
 	}
 }
 
-// sortedRuns returns the arrivals on which a worker began to work, sorted by time.
+// sortedRuns returns the arrivals that a worker began to run, sorted by time.
 func (a *audit) sortedRuns() []*Arrival {
 	var runs []*Arrival
 	for i := range a.Arrivals {
--- a/internal/simcluster/audit_test.go
+++ b/internal/simcluster/audit_test.go
@@ -10,8 +10,8 @@
 
 const second = time.Second
 
-// faultless is a history in which no rule is broken.
-func faultless() *History {
+// validHistory returns a history that breaks no rule.
+func validHistory() *History {
 	route := func(name, service string) Route {
 		return Route{Name: name, Service: service, MaxAttempts: 3, Timeout: second, Retention: 90 * second}
 	}
@@ -38,7 +38,7 @@
 	return history
 }
 
-// send adds an accepted message.
+// send adds an attempt that was accepted, and the state of a completed message.
 func (h *History) send(id, route string, at time.Duration) *Attempt {
 	h.Attempts = append(h.Attempts, Attempt{
 		RequestID: id, Front: "front-0", Route: route, Path: "/" + route + "/" + id, Body: "body " + id, OrderKey: "key",
@@ -50,7 +50,7 @@
 	return &h.Attempts[len(h.Attempts)-1]
 }
 
-// run adds a successful run.
+// run adds a delivery that succeeded.
 func (h *History) run(id, service string, at time.Duration) *Arrival {
 	route := ""
 	for _, attempt := range h.Attempts {
@@ -66,7 +66,7 @@
 	return &h.Arrivals[len(h.Arrivals)-1]
 }
 
-func (h *History) answer(id string) *StateResponse {
+func (h *History) responseTo(id string) *StateResponse {
 	for i := range h.StateResponses {
 		if h.StateResponses[i].RequestID == id {
 			return &h.StateResponses[i]
@@ -75,39 +75,39 @@
 	return nil
 }
 
-func TestAuditPassesWhatIsRight(t *testing.T) {
-	assert.DeepEqual(t, Audit(faultless()), []Violation(nil))
+func TestAuditAcceptsValidHistory(t *testing.T) {
+	assert.DeepEqual(t, Audit(validHistory()), []Violation(nil))
 }
 
-// mutations break one rule each.
-var mutations = []struct {
+// violatingMutations are changes of a valid history, each of which breaks one rule.
+var violatingMutations = []struct {
 	name   string
 	rule   Rule
 	mutate func(h *History)
 }{
-	{"accepted and unknown", RuleLost, func(h *History) { h.answer("1").Status = http.StatusNotFound }},
-	{"accepted and no answer", RuleLost, func(h *History) { h.StateResponses = h.StateResponses[1:] }},
+	{"accepted but unknown", RuleLost, func(h *History) { h.responseTo("1").Status = http.StatusNotFound }},
+	{"accepted but no state response", RuleLost, func(h *History) { h.StateResponses = h.StateResponses[1:] }},
 	{"queued without its body", RuleLost, func(h *History) {
-		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: http.StatusNotFound}
+		*h.responseTo("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: http.StatusNotFound}
 	}},
 	{"queued with another body", RuleMixed, func(h *History) {
-		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: statusOK, Body: "else"}
+		*h.responseTo("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateQueued, BodyStatus: statusOK, Body: "else"}
 	}},
-	{"completed with a foreign stamp", RuleMixed, func(h *History) { h.answer("1").Stamp = "stamp 2" }},
+	{"completed with the stamp of another message", RuleMixed, func(h *History) { h.responseTo("1").Stamp = "stamp 2" }},
 	{"completed without a run", RuleMixed, func(h *History) { h.Arrivals = h.Arrivals[1:] }},
-	{"dead too soon", RuleMixed, func(h *History) {
+	{"dead letter before all attempts failed", RuleMixed, func(h *History) {
 		h.Arrivals[3].Result = Failed
-		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+		*h.responseTo("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
-	{"dead although it succeeded", RuleMixed, func(h *History) {
-		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+	{"dead letter after a success", RuleMixed, func(h *History) {
+		*h.responseTo("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
-	{"no state", RuleMixed, func(h *History) { h.answer("1").State = "" }},
+	{"no state in the response", RuleMixed, func(h *History) { h.responseTo("1").State = "" }},
 	{"overtaken", RuleOrder, func(h *History) { h.Arrivals[0].At, h.Arrivals[0].EndedAt = 6*second, 6*second+1 }},
-	{"overtaken and never run", RuleOrder, func(h *History) { h.Arrivals[0].Result = Failed }},
-	{"begun while the one before runs", RuleOrder, func(h *History) { h.Arrivals[0].EndedAt = 5*second + 1 }},
+	{"run before an earlier message ended", RuleOrder, func(h *History) { h.Arrivals[0].Result = Failed }},
+	{"run while an earlier message is running", RuleOrder, func(h *History) { h.Arrivals[0].EndedAt = 5*second + 1 }},
 	{"run twice", RuleDuplicate, func(h *History) { h.run("1", "orders", 8*second) }},
-	{"run twice around planned work", RuleDuplicate, func(h *History) {
+	{"run twice during a planned restart", RuleDuplicate, func(h *History) {
 		h.run("1", "orders", 8*second)
 		h.Faults = []Fault{{Machine: "store-0", Kind: faultTermination, Planned: true, From: 7 * second, Until: 9 * second}}
 	}},
@@ -115,46 +115,46 @@
 		h.run("1", "orders", 12*second)
 		h.Faults = []Fault{{Machine: "store-0", Kind: faultKill, From: 5 * second, Until: 6 * second}}
 	}},
-	{"rate limit", RuleRateLimit, func(h *History) {
+	{"rate limit exceeded", RuleRateLimit, func(h *History) {
 		for i := range 11 {
 			h.run("1", "orders", 10*second+time.Duration(i)*300*time.Millisecond).Result = NotRun
 		}
 	}},
-	{"refused and run", RuleRefused, func(h *History) { h.Attempts[0].Status = http.StatusServiceUnavailable }},
-	{"drained worker", RuleDrain, func(h *History) {
+	{"refused but run", RuleRefused, func(h *History) { h.Attempts[0].Status = http.StatusServiceUnavailable }},
+	{"delivery to a draining worker", RuleDrain, func(h *History) {
 		h.Departures = []Departure{{Worker: "i-1", ShownAt: 37 * second}}
 	}},
 	{"unsolicited", RuleUnsolicited, func(h *History) { h.run("5", "orders", 9*second) }},
-	{"changed body", RuleUnsolicited, func(h *History) { h.Arrivals[0].Body = "else" }},
-	{"changed path", RuleUnsolicited, func(h *History) { h.Arrivals[0].Path += "?" }},
-	{"too early", RuleEarly, func(h *History) { h.Attempts[0].Delay = 2 * second }},
-	{"process ends", RuleUnexpectedExit, func(h *History) { h.UnexpectedExits = []UnexpectedExit{{Machine: "store-0", At: 9 * second}} }},
+	{"body changed on the way", RuleUnsolicited, func(h *History) { h.Arrivals[0].Body = "else" }},
+	{"path changed on the way", RuleUnsolicited, func(h *History) { h.Arrivals[0].Path += "?" }},
+	{"run before its delay", RuleEarly, func(h *History) { h.Attempts[0].Delay = 2 * second }},
+	{"process exits unexpectedly", RuleUnexpectedExit, func(h *History) { h.UnexpectedExits = []UnexpectedExit{{Machine: "store-0", At: 9 * second}} }},
 	{"old service after the acknowledgement", RuleConfiguration, func(h *History) { h.Arrivals[2].Service = "moving-0" }},
 	{"back to the old service", RuleConfiguration, func(h *History) {
 		h.Arrivals[3].Service = "moving-0"
 		h.Faults = []Fault{{Machine: "store-1", Kind: faultKill, From: 38 * second, Until: 39 * second}}
 	}},
-	{"never allowed", RuleConfiguration, func(h *History) { h.Arrivals[0].Service = "moving-0" }},
-	{"404 for a route that is there", RuleConfiguration, func(h *History) { h.Attempts[3].Status = http.StatusNotFound }},
-	{"accepted on a route that is gone", RuleConfiguration, func(h *History) {
+	{"service that no version allows", RuleConfiguration, func(h *History) { h.Arrivals[0].Service = "moving-0" }},
+	{"404 for a route that exists", RuleConfiguration, func(h *History) { h.Attempts[3].Status = http.StatusNotFound }},
+	{"accepted on a route that does not exist", RuleConfiguration, func(h *History) {
 		h.send("5", "gone", 50*second)
 		h.run("5", "orders", 51*second)
 	}},
-	{"both acknowledged", RuleConfiguration, func(h *History) { h.Changes[2].Status = http.StatusOK }},
-	{"refused for nothing", RuleConfiguration, func(h *History) { h.Changes = append(h.Changes[:1:1], h.Changes[2]) }},
-	{"lost configuration", RuleConfiguration, func(h *History) { h.Reads[0].Configuration = h.Changes[0].Configuration }},
-	{"loser of a race read back", RuleConfiguration, func(h *History) {
+	{"two changes with one base acknowledged", RuleConfiguration, func(h *History) { h.Changes[2].Status = http.StatusOK }},
+	{"refused without a conflicting change", RuleConfiguration, func(h *History) { h.Changes = append(h.Changes[:1:1], h.Changes[2]) }},
+	{"older configuration than acknowledged is read", RuleConfiguration, func(h *History) { h.Reads[0].Configuration = h.Changes[0].Configuration }},
+	{"refused configuration is read", RuleConfiguration, func(h *History) {
 		h.Changes[2].Configuration = h.Changes[1].Configuration.clone()
 		h.Changes[2].Configuration.Routes[0].MaxAttempts++
 		h.Reads[0].Configuration = h.Changes[2].Configuration
 	}},
-	{"nothing read back", RuleConfiguration, func(h *History) { h.Reads = nil }},
+	{"no configuration is read", RuleConfiguration, func(h *History) { h.Reads = nil }},
 }
 
-func TestAuditorsCatchMutations(t *testing.T) {
-	for _, mutation := range mutations {
+func TestAuditDetectsEachViolation(t *testing.T) {
+	for _, mutation := range violatingMutations {
 		t.Run(mutation.name, func(t *testing.T) {
-			history := faultless()
+			history := validHistory()
 			mutation.mutate(history)
 			found := false
 			for _, violation := range Audit(history) {
@@ -165,8 +165,8 @@
 	}
 }
 
-// excuses are histories that look like violations and are none.
-var excuses = []struct {
+// permittedAnomalies are changes of a valid history that look like violations but are allowed.
+var permittedAnomalies = []struct {
 	name   string
 	mutate func(h *History)
 }{
@@ -174,15 +174,15 @@
 		h.run("1", "orders", 8*second)
 		h.Faults = []Fault{{Machine: "store-1", Kind: faultKill, From: 5 * second, Until: 6 * second}}
 	}},
-	{"success that came too late", func(h *History) {
-		h.Arrivals[0].EndedAt = h.Arrivals[0].At + h.Arrivals[0].Deadline - answerMargin/2
+	{"run again after a success close to the deadline", func(h *History) {
+		h.Arrivals[0].EndedAt = h.Arrivals[0].At + h.Arrivals[0].Deadline - responseMargin/2
 		h.run("1", "orders", 8*second)
 	}},
-	{"success that nobody read", func(h *History) {
+	{"run again after a success whose sender failed", func(h *History) {
 		h.run("1", "orders", 20*second)
 		h.Faults = []Fault{{Machine: "store-0", Kind: faultKill, From: 3*second + 110*time.Millisecond, Until: 4 * second}}
 	}},
-	{"success on a connection that had ended", func(h *History) {
+	{"run again after a success on a closed connection", func(h *History) {
 		h.Arrivals[0].Unread = true
 		h.run("1", "orders", 8*second)
 	}},
@@ -190,68 +190,68 @@
 		h.Arrivals[2].Service = "moving-0"
 		h.Faults = []Fault{{Machine: "front-1", Kind: faultKill, From: 29 * second, Until: 32 * second}}
 	}},
-	{"another process has the old version", func(h *History) {
+	{"old service from another process", func(h *History) {
 		h.Arrivals[2].At, h.Attempts[2].SentAt = 22*second, 21*second
 		h.Attempts[3].SentAt, h.Arrivals[3].At = 23*second, 23*second
 		h.Arrivals[3].Service, h.Arrivals[3].Incarnation = "moving-0", 2
 	}},
-	{"dead after its attempts", func(h *History) {
+	{"dead letter after all attempts failed", func(h *History) {
 		h.Arrivals[3].Result = Failed
 		for i := range 2 {
 			h.run("4", "moving-1", 42*second+time.Duration(i)*second).Result = Failed
 		}
-		*h.answer("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
+		*h.responseTo("4") = StateResponse{RequestID: "4", Status: statusOK, State: stateDeadLetter, BodyStatus: statusOK, Body: "body 4"}
 	}},
-	{"draining worker says no", func(h *History) {
+	{"delivery to a worker that has just begun to drain", func(h *History) {
 		h.Departures = []Departure{{Worker: "i-1", ShownAt: 39 * second}}
 	}},
 }
 
-func TestAuditorsKnowExcuses(t *testing.T) {
-	for _, excuse := range excuses {
-		t.Run(excuse.name, func(t *testing.T) {
-			history := faultless()
-			excuse.mutate(history)
+func TestAuditAcceptsPermittedAnomalies(t *testing.T) {
+	for _, anomaly := range permittedAnomalies {
+		t.Run(anomaly.name, func(t *testing.T) {
+			history := validHistory()
+			anomaly.mutate(history)
 			assert.DeepEqual(t, Audit(history), []Violation(nil))
 		})
 	}
 }
 
-// Calls that no single rule forbids by itself may still have no order.
-func TestConfigurationHistoriesAreLinearizable(t *testing.T) {
+// Calls may have no valid order even if they break no other rule.
+func TestAuditRejectsNonLinearizableConfigurationCalls(t *testing.T) {
 	one := Configuration{Version: 1, Routes: []Route{{Name: "r", Service: "one"}}}
 	two := Configuration{Version: 2, Routes: []Route{{Name: "r", Service: "two"}}}
 	other := Configuration{Version: 2, Routes: []Route{{Name: "r", Service: "other"}}}
-	order := func(base uint64, next Configuration, from, until time.Duration, status int) ConfigurationChange {
+	change := func(base uint64, next Configuration, from, until time.Duration, status int) ConfigurationChange {
 		return ConfigurationChange{Base: base, Configuration: next, SentAt: from * second, AnsweredAt: until * second, Status: status}
 	}
 	read := func(seen Configuration, from, until time.Duration) ConfigurationRead {
 		return ConfigurationRead{Configuration: seen, From: from * second, At: until * second}
 	}
-	first := order(0, one, 0, 1, http.StatusOK)
+	first := change(0, one, 0, 1, http.StatusOK)
 	cases := map[string]struct {
-		orders []ConfigurationChange
-		reads  []ConfigurationRead
-		legal  bool
+		changes      []ConfigurationChange
+		reads        []ConfigurationRead
+		linearizable bool
 	}{
-		"one writer wins":    {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)}, []ConfigurationRead{read(two, 5, 6)}, true},
-		"both writers win":   {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusOK)}, nil, false},
-		"nobody wins":        {[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusPreconditionFailed), order(1, other, 2, 4, http.StatusPreconditionFailed)}, nil, false},
-		"unknown, taken":     {[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(one, 5, 6), read(two, 7, 8)}, true},
-		"unknown, not taken": {[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse), order(1, other, 5, 6, http.StatusOK)}, nil, true},
-		"a reading goes back": {
-			[]ConfigurationChange{first, order(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(two, 5, 6), read(one, 7, 8)}, false,
+		"one writer wins":          {[]ConfigurationChange{first, change(1, two, 2, 4, http.StatusOK), change(1, other, 2, 4, http.StatusPreconditionFailed)}, []ConfigurationRead{read(two, 5, 6)}, true},
+		"both writers win":         {[]ConfigurationChange{first, change(1, two, 2, 4, http.StatusOK), change(1, other, 2, 4, http.StatusOK)}, nil, false},
+		"no writer wins":           {[]ConfigurationChange{first, change(1, two, 2, 4, http.StatusPreconditionFailed), change(1, other, 2, 4, http.StatusPreconditionFailed)}, nil, false},
+		"no response, applied":     {[]ConfigurationChange{first, change(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(one, 5, 6), read(two, 7, 8)}, true},
+		"no response, not applied": {[]ConfigurationChange{first, change(1, two, 2, 4, statusNoResponse), change(1, other, 5, 6, http.StatusOK)}, nil, true},
+		"a read returns an older version": {
+			[]ConfigurationChange{first, change(1, two, 2, 4, statusNoResponse)}, []ConfigurationRead{read(two, 5, 6), read(one, 7, 8)}, false,
 		},
-		"a refused one is read": {
-			[]ConfigurationChange{first, order(1, two, 2, 4, http.StatusOK), order(1, other, 2, 4, http.StatusPreconditionFailed)},
+		"a read returns a refused change": {
+			[]ConfigurationChange{first, change(1, two, 2, 4, http.StatusOK), change(1, other, 2, 4, http.StatusPreconditionFailed)},
 			[]ConfigurationRead{read(other, 5, 6)}, false,
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			a := newAudit(&History{Changes: test.orders, Reads: test.reads, End: 10 * second})
+			a := newAudit(&History{Changes: test.changes, Reads: test.reads, End: 10 * second})
 			a.checkLinearizable()
-			assert.Equal(t, len(a.violations) == 0, test.legal)
+			assert.Equal(t, len(a.violations) == 0, test.linearizable)
 		})
 	}
 }
--- a/internal/simcluster/client.go
+++ b/internal/simcluster/client.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	clientIP      = "10.4.0.1"
-	clientPort    = 8044
-	deadline      = 2500 * time.Millisecond // of a client's message
-	answerSlack   = 200 * time.Millisecond  // for which a client waits beyond its deadline
-	maxAttempts   = 4
-	retryPause    = 200 * time.Millisecond // where the answer names none
-	rejectedShare = 0.01                   // of the messages are answered 422 by workers
-	failingShare  = 0.01                   // of the messages always fail
-	idlePerFront  = 32
-	idleFor       = 5 * time.Second
-	requestIDForm = "try-%d"
+	clientIP                   = "10.4.0.1"
+	clientPort                 = 8044
+	messageDeadline            = 2500 * time.Millisecond // after the first attempt of a client's message
+	responseSlack              = 200 * time.Millisecond  // how long a client waits for a response beyond the deadline
+	maxAttempts                = 4
+	defaultRetryPause          = 200 * time.Millisecond // for responses without a Retry-After header
+	rejectedShare              = 0.01                   // share of messages that workers answer with 422
+	failingShare               = 0.01                   // share of messages whose every delivery fails
+	maxIdleConnectionsPerFront = 32
+	idleConnectionTimeout      = 5 * time.Second
+	requestIDFormat            = "try-%d"
 )
 
-// newHTTPClient makes a client on a host of the network.
+// newHTTPClient returns an HTTP client that dials from an IP address of the simulated network.
 func (c *Cluster) newHTTPClient(ip string) *http.Client {
 	host := c.network.Host(ip)
 	transport := &http.Transport{
 		DialContext:        func(ctx context.Context, _, address string) (net.Conn, error) { return host.Dial(ctx, address) },
-		DisableCompression: true, MaxIdleConnsPerHost: idlePerFront, IdleConnTimeout: idleFor,
+		DisableCompression: true, MaxIdleConnsPerHost: maxIdleConnectionsPerFront, IdleConnTimeout: idleConnectionTimeout,
 	}
 	context.AfterFunc(c.ctx, transport.CloseIdleConnections)
 	return &http.Client{
@@ -40,13 +40,13 @@
 	}
 }
 
-// Load is an open-loop load of clients: it sends new messages whether or not earlier ones were answered. One
-// goroutine starts one goroutine a message.
+// Load is an open-loop load of clients: it sends new messages at random intervals, whether or not earlier ones were
+// answered. Each message has a goroutine of its own.
 type Load struct {
-	cluster *Cluster
-	client  *http.Client
-	end     context.CancelFunc
-	sending sync.WaitGroup
+	cluster     *Cluster
+	client      *http.Client
+	stopSending context.CancelFunc
+	senders     sync.WaitGroup
 
 	mutex    sync.Mutex
 	routes   []Route
@@ -54,25 +54,25 @@
 	attempts int
 }
 
-// newLoad starts the load.
+// newLoad creates the load and starts it.
 func newLoad(c *Cluster) *Load {
 	ctx, cancel := context.WithCancel(c.ctx)
-	l := &Load{cluster: c, client: c.newHTTPClient(clientIP), end: cancel, routes: c.options.Routes, rate: c.options.Rate}
-	l.sending.Go(func() { l.run(ctx) })
+	l := &Load{cluster: c, client: c.newHTTPClient(clientIP), stopSending: cancel, routes: c.options.Routes, rate: c.options.Rate}
+	l.senders.Go(func() { l.run(ctx) })
 	return l
 }
 
-// SetRoutes changes the routes that messages are sent on.
+// SetRoutes changes the routes that new messages are sent on.
 func (l *Load) SetRoutes(routes []Route) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.routes = routes
 }
 
-// stop ends the load and waits for the answers.
+// stop ends the load and waits for the clients of all messages that were sent.
 func (l *Load) stop() {
-	l.end()
-	l.sending.Wait()
+	l.stopSending()
+	l.senders.Wait()
 }
 
 func (l *Load) run(ctx context.Context) {
@@ -83,11 +83,11 @@
 			return
 		case <-time.After(pause):
 		}
-		l.sending.Go(l.newMessage().send)
+		l.senders.Go(l.newMessage().send)
 	}
 }
 
-// clientMessage is a message of a client, which is submitted in one or more attempts.
+// clientMessage is a message of a client, submitted in one or more attempts.
 type clientMessage struct {
 	load           *Load
 	route          Route
@@ -115,7 +115,7 @@
 	return m
 }
 
-// drawRoute draws a route by the weights.
+// drawRoute returns a route at random, with a probability proportional to its weight.
 func (l *Load) drawRoute() Route {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,27 +136,28 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.attempts++
-	return fmt.Sprintf(requestIDForm, l.attempts)
+	return fmt.Sprintf(requestIDFormat, l.attempts)
 }
 
-// send makes attempts until the message is accepted, a response leaves open whether it was, or the time is up.
+// send makes attempts until the message is accepted, a response leaves open whether it was accepted, or too little time
+// is left before the deadline.
 func (m *clientMessage) send() {
 	recorder := m.load.cluster.recorder
 	for range maxAttempts {
 		attempt, pause := m.attempt()
 		recorder.write(func(history *History) { history.Attempts = append(history.Attempts, attempt) })
 		unsent := attempt.Status == statusNotSent
-		if !attempt.Refused() && !unsent || recorder.now()+pause > m.firstSent+deadline {
+		if !attempt.Refused() && !unsent || recorder.now()+pause > m.firstSent+messageDeadline {
 			return
 		}
 		time.Sleep(pause)
 	}
 }
 
-// statusNotSent is the status of an attempt that reached no front.
+// statusNotSent is the status of an attempt that could not connect to a front.
 const statusNotSent = -1
 
-// attempt makes one request. It also returns how long to wait before the next one.
+// attempt makes one request. It returns the record of it, and how long to wait before the next attempt.
 func (m *clientMessage) attempt() (Attempt, time.Duration) {
 	cluster := m.load.cluster
 	front := cluster.loadBalancer.pick()
@@ -165,7 +166,7 @@
 		RequestID: id, Front: front.Name, Route: m.route.Name, Path: m.route.prefix() + id + "?" + scriptedResultQuery + m.scriptedResult,
 		OrderKey: m.orderKey, Body: "body of " + id, Delay: m.delay, FirstSent: m.firstSent, SentAt: cluster.recorder.now(),
 	}
-	ctx, cancel := context.WithTimeout(cluster.ctx, m.firstSent+deadline+answerSlack-cluster.recorder.now())
+	ctx, cancel := context.WithTimeout(cluster.ctx, m.firstSent+messageDeadline+responseSlack-cluster.recorder.now())
 	defer cancel()
 	url := "http://" + front.address(clientPort) + attempt.Path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(attempt.Body))
@@ -179,18 +180,18 @@
 		if isDialError(err) {
 			attempt.Status = statusNotSent
 		}
-		return attempt, retryPause
+		return attempt, defaultRetryPause
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 	attempt.Status, attempt.MessageID = response.StatusCode, response.Header.Get("X-Message-Id")
-	return attempt, pauseOf(response)
+	return attempt, retryAfter(response)
 }
 
 func (m *clientMessage) setHeader(request *http.Request, id string) {
 	request.Host = routeHost
 	request.Header.Set("X-Request-Id", id)
-	left := m.firstSent + deadline - m.load.cluster.recorder.now()
+	left := m.firstSent + messageDeadline - m.load.cluster.recorder.now()
 	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(left.Milliseconds(), 10))
 	if m.orderKey != "" {
 		request.Header.Set("X-Order-Key", m.orderKey)
@@ -200,11 +201,11 @@
 	}
 }
 
-// pauseOf returns the pause that a response asks for in Retry-After.
-func pauseOf(response *http.Response) time.Duration {
+// retryAfter returns the pause that the Retry-After header of a response asks for, or defaultRetryPause.
+func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
-		return retryPause
+		return defaultRetryPause
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -1,14 +1,15 @@
-// Package simcluster is test support: it runs whole clusters of the system in one process, on a simulated network,
-// simulated disks and a simulated clock. Fronts and stores are the real ones of internal/systemnode; workers, the
+// Package simcluster is test support. It runs whole clusters of the system in one process, on a simulated network,
+// simulated disks and a simulated clock. Fronts and stores run the production code of internal/systemnode. Workers, the
 // platform, clients and operators are simulated.
 //
-// A test makes a Cluster with New, injects faults into its machines (faults.go, machine.go), and calls Finish.
-// What the simulated parties observe is recorded in a History, and Audit checks it against the rules that the
-// service promises to keep (LOST, ORDER, CEILING and so on). Start reading at Cluster, then scenarios_test.go.
+// A test creates a Cluster with New, injects faults into its machines (faults.go, machine.go) and calls Finish. A
+// History records what the simulated parties observe. Audit checks the history against the guarantees of the service
+// (LOST, ORDER, CEILING and so on; see Rule). Start reading at Cluster, then scenarios_test.go.
 //
-// A cluster lives in a bubble of testing/synctest: New, all faults and Finish belong into one. It owns one
-// goroutine a process, one for the load and one a message, and a few helpers; Finish waits for all of them. All
-// random draws come from one seeded source, but goroutines share it, so a run is not repeated draw by draw.
+// A cluster lives in a bubble of testing/synctest: call New, inject all faults and call Finish within one bubble. A
+// cluster owns one goroutine per process, one for the load, one per message and a few in the background. Finish waits
+// for all of them. All random numbers come from one seeded source that the goroutines share, so two runs with one seed
+// may draw them in different orders.
 package simcluster
 
 import (
@@ -32,17 +33,17 @@
 const (
 	seedCount        = 3
 	observerIP       = "10.7.0.1"
-	zoneDelay        = 3 * time.Millisecond // between machines in different zones, one way
+	zoneDelay        = 3 * time.Millisecond // one way, between machines in different zones
 	bootstrapTimeout = 20 * time.Second
-	finishTimeout    = 10 * time.Second // for the messages that are left when the load ends
+	finishTimeout    = 10 * time.Second // for the messages that are unfinished when the load ends
 	pollInterval     = 100 * time.Millisecond
 )
 
-// Cluster is a running system with everything around it. Its methods may be called from any goroutine of the
-// bubble.
+// Cluster is a running system with its simulated workers, platform, clients and operators. Its methods may be called
+// from any goroutine of the bubble.
 type Cluster struct {
 	Machines []*Machine
-	Operator *Operator // the first operator
+	Operator *Operator // the first operator; NewOperator adds others
 	Platform *Platform
 	Load     *Load
 
@@ -62,12 +63,12 @@
 	loadBalancer *loadBalancer
 	observer     *cluster.Agent
 	operators    int
-	machineIP    map[string]string // machine name by address
+	machineIP    map[string]string // machine name by IP address
 	mutex        sync.Mutex        // guards Machines and machineIP once processes run
 }
 
-// New starts a cluster and waits until it serves a first configuration. It must be called within a bubble of
-// testing/synctest.
+// New starts a cluster and returns once the cluster serves its first configuration and all fronts are ready. It fails
+// the test if either takes longer than bootstrapTimeout. Call it within a bubble of testing/synctest.
 func New(t testing.TB, options Options) *Cluster {
 	options = options.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
@@ -92,9 +93,9 @@
 	}
 	first := Configuration{Version: 1, Routes: options.Routes, Services: options.Services}
 	if !c.Operator.Replace(0, first, bootstrapTimeout) {
-		t.Fatalf("no first configuration within %v", bootstrapTimeout)
+		t.Fatalf("the first configuration was not acknowledged within %v", bootstrapTimeout)
 	}
-	c.Await(bootstrapTimeout, "the cluster takes messages", c.loadBalancer.allReady)
+	c.Await(bootstrapTimeout, "all fronts are ready", c.loadBalancer.allReady)
 	c.Load = newLoad(c)
 	return c
 }
@@ -113,7 +114,7 @@
 
 func (c *Cluster) zone(index int) string { return fmt.Sprintf("zone-%d", index%c.options.Zones) }
 
-// addMachine adds a machine at an address of its own.
+// addMachine adds a machine with an IP address that no other machine has used. It does not start the machine.
 func (c *Cluster) addMachine(class, name, zone string, disk bool) *Machine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -133,13 +134,14 @@
 	return machine
 }
 
+// machineAt returns the name of the machine with an IP address, or "" if there is none.
 func (c *Cluster) machineAt(ip string) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.machineIP[ip]
 }
 
-// Machine returns the newest machine of a name.
+// Machine returns the machine with a name. If Replace has added a successor of the same name, it returns the newest.
 func (c *Cluster) Machine(name string) *Machine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -148,17 +150,17 @@
 			return c.Machines[i]
 		}
 	}
-	c.t.Fatalf("no machine %s", name)
+	c.t.Fatalf("no machine has the name %q", name)
 	return nil
 }
 
-// Store returns a store by its number.
+// Store returns the store with a number, counted from 0.
 func (c *Cluster) Store(number int) *Machine { return c.Machine(fmt.Sprintf("store-%d", number)) }
 
-// Front returns a front by its number.
+// Front returns the front with a number, counted from 0.
 func (c *Cluster) Front(number int) *Machine { return c.Machine(fmt.Sprintf("front-%d", number)) }
 
-// machinesOf returns the machines of a class.
+// machinesOf returns the machines of a class, including replaced and removed ones.
 func (c *Cluster) machinesOf(class string) []*Machine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -171,7 +173,7 @@
 	return found
 }
 
-// newObserver makes an agent that follows the cluster table without taking part.
+// newObserver creates an agent that follows the cluster table without serving any role.
 func (c *Cluster) newObserver() *cluster.Agent {
 	pool := rpc.NewPool(c.network.Host(observerIP))
 	info := cluster.NodeInfo{Name: "observer", Class: "observer", Address: observerIP + ":1", Incarnation: "observer"}
@@ -186,32 +188,32 @@
 	return agent
 }
 
-// Table returns the cluster table as an outside observer has it.
+// Table returns the cluster table as an observer outside the system receives it.
 func (c *Cluster) Table() *cluster.Table { return c.observer.Table() }
 
-// ControlPrimary returns the machine that leads the control group.
+// ControlPrimary returns the machine that is the control group's primary.
 func (c *Cluster) ControlPrimary() *Machine { return c.Machine(c.Table().Primary) }
 
-// Await waits until a condition holds, and fails the test where it does not within a limit.
+// Await waits until a condition holds. It fails the test if the condition does not hold within the limit.
 func (c *Cluster) Await(limit time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Errorf("%v: not within %v: %s", c.recorder.now(), limit, what)
+			c.t.Errorf("%v: condition not met within %v: %s", c.recorder.now(), limit, what)
 			return
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// AwaitReplication waits until every partition has all its replicas on active stores.
+// AwaitReplication waits until every partition has all its replicas, synced, on active stores.
 func (c *Cluster) AwaitReplication(limit time.Duration) {
 	c.t.Helper()
-	c.Await(limit, "all partitions have their copies", c.hasCopies)
+	c.Await(limit, "all partitions have all their replicas synced on active stores", c.fullyReplicated)
 }
 
-func (c *Cluster) hasCopies() bool {
+func (c *Cluster) fullyReplicated() bool {
 	table := c.Table()
 	if table == nil {
 		return false
--- a/internal/simcluster/completion.go
+++ b/internal/simcluster/completion.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// unfinished counts the accepted messages that have not ended.
+// unfinished returns the number of accepted messages that have not ended.
 func (c *Cluster) unfinished() int {
 	count := 0
 	c.recorder.write(func(history *History) {
--- a/internal/simcluster/configuration.go
+++ b/internal/simcluster/configuration.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Service describes a service and the stand-in workers that it has.
+// Service describes a service and its simulated workers.
 type Service struct {
 	Name          string
-	Workers       int // 1 where it is static
+	Workers       int // 1 if the service is static
 	Capacity      int
-	Work          time.Duration // on average
-	FailureShare  float64       // of the attempts are answered 500
+	Work          time.Duration // average time that a worker takes for a message
+	FailureShare  float64       // share of the deliveries that workers answer with 500
 	RatePerSecond float64       // 0 for no rate limit
 	Deduplicates  bool
-	Static        bool // one endpoint that is on no list
+	Static        bool // one endpoint that is not in the platform's list
 }
 
 // Route describes a route and the load on it.
@@ -27,36 +27,36 @@
 	MaxAttempts int
 	Timeout     time.Duration
 	Retention   time.Duration
-	Weight      int           // its share of the load, relative to the others
+	Weight      int           // share of the load, relative to the other routes
 	Keys        int           // number of order keys in use
-	Delay       time.Duration // longest delay that its messages ask for
+	Delay       time.Duration // longest delay that a message asks for
 }
 
-// prefix is the path prefix of a route.
+// prefix returns the path prefix of the route.
 func (r *Route) prefix() string { return "/" + r.Name + "/" }
 
 const (
-	routeHost         = "shop.example"
-	workersServed     = 130 // connections that a worker accepts
-	routeType         = "async"
-	targetLatencyMS   = 80
-	targetStartMS     = 600
-	maxBodyBytes      = 1 << 18
-	maxHeaderBytes    = 1 << 14
-	headerTimeoutMS   = 3000
-	idleTimeoutMS     = 15000
-	healthCheckPath   = "/health"
-	configurationPath = "/api/config/"
+	routeHost            = "shop.example"
+	workerMaxConnections = 130 // connections that a worker accepts
+	routeType            = "async"
+	targetLatencyMS      = 80
+	targetStartMS        = 600
+	maxBodyBytes         = 1 << 18
+	maxHeaderBytes       = 1 << 14
+	headerTimeoutMS      = 3000
+	idleTimeoutMS        = 15000
+	healthCheckPath      = "/health"
+	configurationPath    = "/api/config/"
 )
 
-// Configuration is an operator's configuration.
+// Configuration is the configuration of the system as operators send and read it.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 }
 
-// Route returns a route by its name, or nil.
+// Route returns the route with a name, or nil.
 func (c *Configuration) Route(name string) *Route {
 	for i := range c.Routes {
 		if c.Routes[i].Name == name {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// clone copies a configuration.
+// clone returns a copy that shares no slices with the configuration.
 func (c *Configuration) clone() Configuration {
 	copied := *c
 	copied.Routes = append([]Route(nil), c.Routes...)
@@ -137,7 +137,7 @@
 
 func (s *Service) document() serviceDocument {
 	document := serviceDocument{
-		Name: s.Name, HealthCheck: healthCheckPath, MaxConnections: workersServed, Protocol: "h1",
+		Name: s.Name, HealthCheck: healthCheckPath, MaxConnections: workerMaxConnections, Protocol: "h1",
 		RatePerSecond: s.RatePerSecond, Deduplicates: s.Deduplicates,
 	}
 	if s.Static {
@@ -147,7 +147,7 @@
 	return document
 }
 
-// replacement is the request body that replaces the complete configuration.
+// replacement returns the request body that replaces the complete configuration.
 func (c *Configuration) replacement() []byte {
 	document := configurationDocument{
 		Version: c.Version,
@@ -165,7 +165,8 @@
 	return mustMarshal(document)
 }
 
-// update is the request body that brings the routes that differ from an older configuration.
+// update returns the request body that turns a base configuration into this one. It upserts the routes that differ and
+// removes those that only the base has.
 func (c *Configuration) update(base *Configuration) []byte {
 	document := updateDocument{Version: c.Version}
 	for i := range c.Routes {
@@ -181,7 +182,7 @@
 	return mustMarshal(document)
 }
 
-// parseConfiguration reads a configuration that the system returned.
+// parseConfiguration parses a configuration that the system returned. It reads no services.
 func parseConfiguration(text []byte) (Configuration, error) {
 	var document configurationDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -198,7 +199,7 @@
 	return read, nil
 }
 
-// routesText describes the routes, so that configurations can be compared.
+// routesText returns a text that is equal for equal routes, regardless of the load on them.
 func (c *Configuration) routesText() string {
 	var text strings.Builder
 	for _, route := range c.Routes {
@@ -208,7 +209,7 @@
 	return text.String()
 }
 
-// sameAs tells whether two configurations have the same version and the same routes.
+// sameAs reports whether two configurations have the same version and the same routes.
 func (c *Configuration) sameAs(other *Configuration) bool {
 	return c.Version == other.Version && c.routesText() == other.routesText()
 }
--- a/internal/simcluster/delivery.go
+++ b/internal/simcluster/delivery.go
@@ -16,14 +16,14 @@
 	deadline *time.Timer
 }
 
-// outcome is how a worker ended a delivery.
+// outcome is the result of a delivery and the response to it.
 type outcome struct {
 	result Result
 	status int
 	stamp  string
 }
 
-// serve rejects a delivery, or runs it.
+// serve rejects a delivery or runs it.
 func (d *delivery) serve() outcome {
 	service := d.worker.service
 	if expected := d.request.Header.Get("X-Expect-Instance"); expected != "" && expected != d.worker.entry.ID {
@@ -45,13 +45,14 @@
 	return d.awaitSlot()
 }
 
-// reject answers that the message has not run and will not run because of this request.
+// reject returns the outcome for a delivery that has not run, and tells the sender so in X-Not-Executed.
 func (d *delivery) reject(status int) outcome {
 	d.writer.Header().Set("X-Not-Executed", "1")
 	return outcome{result: NotRun, status: status}
 }
 
-// awaitSlot runs the delivery once the worker has a free slot.
+// awaitSlot runs the delivery once the worker has a free slot. It rejects the delivery if the worker's queue is full,
+// or if the deadline passes first.
 func (d *delivery) awaitSlot() outcome {
 	select {
 	case d.worker.waiting <- struct{}{}:
@@ -70,12 +71,12 @@
 	return d.work()
 }
 
-// work runs the delivery and draws its result.
+// work runs the delivery for a random time around the service's average, and returns its result.
 func (d *delivery) work() outcome {
 	service := d.worker.service
 	random := service.cluster.random
-	span := time.Duration((0.5 + random.fraction()) * float64(service.Work))
-	work := time.NewTimer(span)
+	duration := time.Duration((0.5 + random.fraction()) * float64(service.Work))
+	work := time.NewTimer(duration)
 	defer work.Stop()
 	select {
 	case <-work.C:
@@ -96,10 +97,10 @@
 	return outcome{Succeeded, http.StatusOK, stamp}
 }
 
-// abandoned returns a channel that is ready when the worker gives a message up because its connection has ended.
-// One worker of three never does, and gets no channel.
+// abandoned returns a channel that is closed when the connection of a request ends, on which the worker gives the
+// message up. For one worker of three it returns nil: these workers finish the message anyway.
 func (w *Worker) abandoned(request *http.Request) <-chan struct{} {
-	if w.number%persistentEvery == 0 {
+	if w.number%persistentWorkerInterval == 0 {
 		return nil
 	}
 	return request.Context().Done()
--- a/internal/simcluster/faults.go
+++ b/internal/simcluster/faults.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Isolate partitions a machine from all other machines of the system, in both directions. Workers, clients and the
-// platform still reach it.
+// Isolate partitions a machine from all other machines of the system, in both directions. Workers, clients, operators
+// and the platform still reach it.
 func (c *Cluster) Isolate(machine *Machine) {
 	c.recorder.beginFault(machine.Name, faultNetwork, false)
 	c.eachPeer(machine, func(other *Machine) { c.network.Isolate(machine.ip, other.ip) })
 }
 
-// BlockOutgoing drops what a machine sends to the other machines of the system. It still receives from them.
+// BlockOutgoing stops the traffic from a machine to the other machines of the system. It still receives from them.
 func (c *Cluster) BlockOutgoing(machine *Machine) {
 	c.recorder.beginFault(machine.Name, faultNetwork, false)
 	c.eachPeer(machine, func(other *Machine) { c.network.IsolateOneWay(machine.ip, other.ip) })
 }
 
-// Reconnect ends Isolate and BlockOutgoing.
+// Reconnect ends the effect of Isolate and BlockOutgoing on a machine.
 func (c *Cluster) Reconnect(machine *Machine) {
 	c.eachPeer(machine, func(other *Machine) { c.network.Heal(machine.ip, other.ip) })
 	c.recorder.endFaults(machine.Name, faultNetwork)
 }
 
-// Disconnect partitions two machines from each other, in both directions. All others reach both.
+// Disconnect partitions two machines from each other, in both directions. Both still reach all other machines.
 func (c *Cluster) Disconnect(one, other *Machine) {
 	for _, machine := range []*Machine{one, other} {
 		c.recorder.beginFault(machine.Name, faultNetwork, false)
@@ -32,7 +32,7 @@
 	c.network.Isolate(one.ip, other.ip)
 }
 
-// Connect ends Disconnect.
+// Connect ends the effect of Disconnect.
 func (c *Cluster) Connect(one, other *Machine) {
 	c.network.Heal(one.ip, other.ip)
 	for _, machine := range []*Machine{one, other} {
@@ -40,14 +40,14 @@
 	}
 }
 
-// ResetConnections resets a share of a machine's connections.
-func (c *Cluster) ResetConnections(machine *Machine, part float64) {
+// ResetConnections resets a share of a machine's connections, from 0 to 1. The machine keeps running.
+func (c *Cluster) ResetConnections(machine *Machine, share float64) {
 	c.recorder.beginFault(machine.Name, faultNetwork, false)
-	c.network.ResetConnections(machine.ip, part)
+	c.network.ResetConnections(machine.ip, share)
 	c.recorder.endFaults(machine.Name, faultNetwork)
 }
 
-// Split partitions some machines of the system from all others, and leaves them connected with one another.
+// Split partitions a group of machines from all other machines of the system. Connections within the group remain.
 func (c *Cluster) Split(machines ...*Machine) {
 	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Isolate(inside.ip, outside.ip) })
 	for _, machine := range machines {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Join ends Split.
+// Join ends the effect of Split.
 func (c *Cluster) Join(machines ...*Machine) {
 	c.eachAcross(machines, func(inside, outside *Machine) { c.network.Heal(inside.ip, outside.ip) })
 	for _, machine := range machines {
@@ -63,43 +63,46 @@
 	}
 }
 
-func (c *Cluster) eachAcross(machines []*Machine, act func(inside, outside *Machine)) {
+// eachAcross calls a function for each pair of a machine in a group and a machine outside of it.
+func (c *Cluster) eachAcross(machines []*Machine, do func(inside, outside *Machine)) {
 	for _, inside := range machines {
 		c.eachPeer(inside, func(outside *Machine) {
 			if !slices.Contains(machines, outside) {
-				act(inside, outside)
+				do(inside, outside)
 			}
 		})
 	}
 }
 
-func (c *Cluster) eachPeer(machine *Machine, act func(other *Machine)) {
+// eachPeer calls a function for each machine other than the given one.
+func (c *Cluster) eachPeer(machine *Machine, do func(other *Machine)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, other := range c.Machines {
 		if other != machine {
-			act(other)
+			do(other)
 		}
 	}
 }
 
-// Each calls a function for all machines of the system at one moment of the simulated clock.
-func (c *Cluster) Each(act func(machine *Machine)) {
+// Each calls a function for all machines of the system, one after another. The simulated clock stands still meanwhile
+// unless the function waits.
+func (c *Cluster) Each(do func(machine *Machine)) {
 	for _, machine := range append(c.machinesOf(classFront), c.machinesOf(classStore)...) {
-		act(machine)
+		do(machine)
 	}
 }
 
-// Replace takes a machine away for good, and adds one of the same name with an empty disk and another address. The
-// caller starts it.
+// Replace powers a machine off for good, and adds a machine with the same name and class, an empty disk and another IP
+// address. The caller starts the new machine.
 func (c *Cluster) Replace(machine *Machine) *Machine {
 	machine.LosePower()
 	c.recorder.beginFault(machine.Name, faultReplacement, false)
-	successor := c.addMachine(machine.class, machine.Name, machine.Zone, machine.disk != nil)
-	return successor
+	replacement := c.addMachine(machine.class, machine.Name, machine.Zone, machine.disk != nil)
+	return replacement
 }
 
-// Remove takes a machine away for good, with its disk, as the platform does after the machine was retired.
+// Remove takes a machine and its disk away for good, as the platform does after the machine has been retired.
 func (c *Cluster) Remove(machine *Machine) {
 	c.recorder.beginFault(machine.Name, faultRemoval, true)
 	if running := machine.process(); running != nil {
@@ -116,8 +119,8 @@
 	return added
 }
 
-// Finish ends the load and all faults, gives the system time to end its work, queries the state of everything it
-// has accepted, and stops it. It returns the history.
+// Finish ends the load and all faults, waits until the system has completed its work, queries the state of every
+// accepted message and stops the cluster. It returns the history.
 func (c *Cluster) Finish() *History {
 	c.Load.stop()
 	c.restoreMachines()
@@ -130,7 +133,7 @@
 	return history
 }
 
-// restoreMachines ends every fault that lasts. A replaced or removed machine stays away.
+// restoreMachines ends all faults that are in effect and starts all machines. Replaced and removed machines stay off.
 func (c *Cluster) restoreMachines() {
 	c.Each(func(machine *Machine) {
 		if c.Machine(machine.Name) != machine || machine.removed.Load() {
@@ -145,22 +148,22 @@
 	})
 }
 
-// close stops everything and waits for all goroutines.
+// close stops the cluster and waits for all its goroutines.
 func (c *Cluster) close() {
 	c.closing.Store(true)
 	c.Each(func(machine *Machine) {
 		if running := machine.process(); running != nil {
-			running.notified.Store(true)
+			running.stopRequested.Store(true)
 		}
 	})
 	c.Each(func(machine *Machine) {
 		machine.Kill()
-		c.network.PowerOn(machine.ip) // resets what is left of its connections
+		c.network.PowerOn(machine.ip) // resets the connections that are left
 	})
 	c.stop()
 	c.Platform.close()
 	c.closeWorkers()
 	c.processes.Wait()
 	c.helpers.Wait()
-	time.Sleep(2 * deadDialTime) // a bubble's clock stands still once its test is over
+	time.Sleep(2 * endedProcessDialTimeout) // pending dials must fail before the bubble's clock stops
 }
--- a/internal/simcluster/loadbalancer.go
+++ b/internal/simcluster/loadbalancer.go
@@ -12,12 +12,12 @@
 const (
 	loadBalancerIP      = "10.6.0.1"
 	healthCheckInterval = time.Second
-	maxFailedChecks     = 2 // a front that fails so many health checks in a row gets no new connections
+	maxFailedChecks     = 2 // after this many failed health checks in a row, a front gets no new connections
 	readyPath           = "/api/ready"
 )
 
-// loadBalancer distributes clients' requests over the fronts that are ready, as the platform's load balancer does.
-// One goroutine checks the health of all fronts once in a healthCheckInterval.
+// loadBalancer distributes the clients' requests over the fronts that are ready, like the load balancer of the
+// platform. It checks the health of all fronts every healthCheckInterval.
 type loadBalancer struct {
 	cluster *Cluster
 	client  *http.Client
@@ -27,86 +27,86 @@
 }
 
 func newLoadBalancer(c *Cluster) *loadBalancer {
-	e := &loadBalancer{cluster: c, client: c.newHTTPClient(loadBalancerIP), failedChecks: make(map[*Machine]int)}
+	b := &loadBalancer{cluster: c, client: c.newHTTPClient(loadBalancerIP), failedChecks: make(map[*Machine]int)}
 	for _, front := range c.machinesOf(classFront) {
-		e.failedChecks[front] = maxFailedChecks
+		b.failedChecks[front] = maxFailedChecks
 	}
-	c.helpers.Go(e.run)
-	return e
+	c.helpers.Go(b.run)
+	return b
 }
 
-func (e *loadBalancer) run() {
-	for e.cluster.ctx.Err() == nil {
-		var probing sync.WaitGroup
-		for _, front := range e.cluster.machinesOf(classFront) {
-			probing.Go(func() { e.checkHealth(front) })
+func (b *loadBalancer) run() {
+	for b.cluster.ctx.Err() == nil {
+		var checks sync.WaitGroup
+		for _, front := range b.cluster.machinesOf(classFront) {
+			checks.Go(func() { b.checkHealth(front) })
 		}
 		select {
-		case <-e.cluster.ctx.Done():
+		case <-b.cluster.ctx.Done():
 		case <-time.After(healthCheckInterval):
 		}
-		probing.Wait()
+		checks.Wait()
 	}
 }
 
-// checkHealth asks a front once whether it is ready.
-func (e *loadBalancer) checkHealth(front *Machine) {
-	ctx, cancel := context.WithTimeout(e.cluster.ctx, healthCheckInterval)
+// checkHealth sends one health check to a front and counts the result.
+func (b *loadBalancer) checkHealth(front *Machine) {
+	ctx, cancel := context.WithTimeout(b.cluster.ctx, healthCheckInterval)
 	defer cancel()
 	ready := false
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+front.address(readyPort)+readyPath, nil)
 	if err == nil {
-		if response, err := e.client.Do(request); err == nil {
+		if response, err := b.client.Do(request); err == nil {
 			_ = response.Body.Close()
 			ready = response.StatusCode == http.StatusOK
 		}
 	}
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	if ready {
-		e.failedChecks[front] = 0
+		b.failedChecks[front] = 0
 		return
 	}
-	e.failedChecks[front]++
+	b.failedChecks[front]++
 }
 
-// ready returns the fronts that take new connections. If fewer than half do, it returns all: failing open, as the
-// platform does.
-func (e *loadBalancer) ready() []*Machine {
-	all := e.cluster.machinesOf(classFront)
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	var in []*Machine
+// ready returns the fronts that get new connections. If fewer than half of all fronts are ready, it returns all of
+// them: the load balancer fails open, as the platform's does.
+func (b *loadBalancer) ready() []*Machine {
+	all := b.cluster.machinesOf(classFront)
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	var available []*Machine
 	for _, front := range all {
-		if e.failedChecks[front] < maxFailedChecks {
-			in = append(in, front)
+		if b.failedChecks[front] < maxFailedChecks {
+			available = append(available, front)
 		}
 	}
-	if 2*len(in) < len(all) {
+	if 2*len(available) < len(all) {
 		return all
 	}
-	return in
+	return available
 }
 
-// allReady tells whether all fronts are ready.
-func (e *loadBalancer) allReady() bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	for _, misses := range e.failedChecks {
-		if misses > 0 {
+// allReady reports whether the last health check of every front succeeded.
+func (b *loadBalancer) allReady() bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for _, failures := range b.failedChecks {
+		if failures > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// pick draws one of the fronts that take new connections.
-func (e *loadBalancer) pick() *Machine {
-	ready := e.ready()
-	return ready[e.cluster.random.intN(len(ready))]
+// pick returns one of the fronts that get new connections, at random.
+func (b *loadBalancer) pick() *Machine {
+	ready := b.ready()
+	return ready[b.cluster.random.intN(len(ready))]
 }
 
-// isDialError tells whether a request failed because no connection was established, so that no byte was sent.
+// isDialError reports whether a request failed because no connection was established, so that no byte of it was sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -22,15 +22,15 @@
 	classFront = "front"
 	classStore = "store"
 
-	grace        = 6 * time.Second // between SIGTERM and SIGKILL
-	restartPause = time.Second     // after a process has ended by itself
-	deadDialTime = time.Second     // until a connection attempt of an ended process fails
+	terminationGrace        = 6 * time.Second // between SIGTERM and SIGKILL
+	restartDelay            = time.Second     // between an unexpected exit and the restart of the process
+	endedProcessDialTimeout = time.Second     // after which a connection attempt of an ended process fails
 )
 
-// FaultKind is what was done to a machine.
+// FaultKind is a kind of fault that is injected into a machine.
 type FaultKind string
 
-// Kinds of faults. allFaults stands for every kind where faults end.
+// Kinds of faults. As an argument of endFaults, allFaults selects every kind.
 const (
 	allFaults        FaultKind = ""
 	faultKill        FaultKind = "kill"
@@ -44,7 +44,7 @@
 	faultRemoval     FaultKind = "removal"
 )
 
-// Machine is a simulated machine, which runs one process at a time.
+// Machine is a simulated machine. It runs at most one process at a time.
 type Machine struct {
 	Name string
 	Zone string
@@ -52,28 +52,29 @@
 	cluster   *Cluster
 	class     string
 	ip        string
-	disk      *memfs.Disk // nil without a disk
-	bootstrap bool        // its next start bootstraps the system
+	disk      *memfs.Disk // nil if the machine has no disk
+	bootstrap bool        // whether its next start bootstraps the system
 
-	removed atomic.Bool // for good
+	removed atomic.Bool // set by Remove; the machine never starts again
 	mutex   sync.Mutex
 	current *process
 }
 
 // process is one run of a machine's program.
 type process struct {
-	network  *processNetwork
-	cancel   context.CancelFunc
-	ended    chan struct{}
-	notified atomic.Bool // asked to end, so that its end is no unexpected exit
+	network       *processNetwork
+	cancel        context.CancelFunc
+	ended         chan struct{}
+	stopRequested atomic.Bool // the end of the process is then not an UnexpectedExit
 }
 
-// program is a front or a store.
+// program is a front or a store of internal/systemnode.
 type program interface {
 	Run(ctx context.Context) error
 }
 
-// Start starts the machine's process, and the machine itself where it had no power.
+// Start starts the machine's process, and powers the machine on if it has lost power. It does nothing if a process is
+// running.
 func (m *Machine) Start() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -107,54 +108,54 @@
 	m.cluster.processes.Go(func() { m.run(ctx, started, options) })
 }
 
-// run runs a process until it ends. A process that was not stopped is recorded as an unexpected exit, and
-// restarted after restartPause.
+// run runs a process until it ends. If nothing has asked the process to stop, run records an UnexpectedExit and starts
+// the machine again after restartDelay.
 func (m *Machine) run(ctx context.Context, started *process, options systemnode.Options) {
 	err := m.runProgram(ctx, options)
 	close(started.ended)
-	if started.notified.Load() {
+	if started.stopRequested.Load() {
 		return
 	}
 	m.cluster.recorder.write(func(history *History) {
-		end := UnexpectedExit{Machine: m.Name, At: m.cluster.recorder.now(), Reason: fmt.Sprint(err)}
-		history.UnexpectedExits = append(history.UnexpectedExits, end)
+		exit := UnexpectedExit{Machine: m.Name, At: m.cluster.recorder.now(), Reason: fmt.Sprint(err)}
+		history.UnexpectedExits = append(history.UnexpectedExits, exit)
 	})
 	m.detach(started)
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	if !m.cluster.closing.Load() {
 		m.Start()
 	}
 }
 
 func (m *Machine) runProgram(ctx context.Context, options systemnode.Options) error {
-	var made program
+	var node program
 	var err error
 	if m.class == classStore {
-		made, err = systemnode.NewStore(options)
+		node, err = systemnode.NewStore(options)
 	} else {
-		made, err = systemnode.NewFront(options)
+		node, err = systemnode.NewFront(options)
 	}
 	if err != nil {
 		return err
 	}
-	return made.Run(ctx)
+	return node.Run(ctx)
 }
 
-// detach cuts a process off from its machine, as its end does: what is left of its goroutines can reach neither
-// network nor disk.
-func (m *Machine) detach(ending *process) {
+// detach ends a process and releases its machine. Goroutines of the process that are still running reach neither the
+// network nor the disk.
+func (m *Machine) detach(stopped *process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.current != ending {
+	if m.current != stopped {
 		return
 	}
-	ending.notified.Store(true)
-	ending.network.dead.Store(true)
+	stopped.stopRequested.Store(true)
+	stopped.network.ended.Store(true)
 	m.cluster.network.Kill(m.ip)
 	if m.disk != nil {
 		m.disk.Crash()
 	}
-	ending.cancel()
+	stopped.cancel()
 	m.current = nil
 }
 
@@ -164,10 +165,10 @@
 	return m.current
 }
 
-// Running tells whether the machine has a process.
+// Running reports whether the machine has a process.
 func (m *Machine) Running() bool { return m.process() != nil }
 
-// Kill ends the process at once. The disk keeps what was written.
+// Kill ends the process at once, like SIGKILL. The disk keeps everything that was written, synced or not.
 func (m *Machine) Kill() {
 	m.cluster.recorder.beginFault(m.Name, faultKill, false)
 	if running := m.process(); running != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// LosePower ends the machine at once. The disk loses all, some or nothing of what was not synced.
+// LosePower powers the machine off at once. The disk may lose all, some or none of the writes that were not synced.
 func (m *Machine) LosePower() {
 	m.cluster.recorder.beginFault(m.Name, faultPowerLoss, false)
 	if m.disk != nil {
@@ -187,13 +188,13 @@
 	if m.current == nil {
 		return
 	}
-	m.current.notified.Store(true)
-	m.current.network.dead.Store(true)
+	m.current.stopRequested.Store(true)
+	m.current.network.ended.Store(true)
 	m.current.cancel()
 	m.current = nil
 }
 
-// LoseDisk ends the machine at once, and wipes its disk.
+// LoseDisk powers the machine off at once and wipes its disk.
 func (m *Machine) LoseDisk() {
 	m.LosePower()
 	m.cluster.recorder.beginFault(m.Name, faultDiskLoss, false)
@@ -202,30 +203,30 @@
 	}
 }
 
-// Terminate sends SIGTERM and waits until the process has ended; after the grace period it is killed.
+// Terminate sends SIGTERM and waits until the process has ended. It kills the process after terminationGrace.
 func (m *Machine) Terminate() {
 	m.cluster.recorder.beginFault(m.Name, faultTermination, true)
 	running := m.process()
 	if running == nil {
 		return
 	}
-	running.notified.Store(true)
+	running.stopRequested.Store(true)
 	running.cancel()
 	select {
 	case <-running.ended:
-	case <-time.After(grace):
-		m.cluster.t.Logf("%v: %s was still running after the grace", m.cluster.recorder.now(), m.Name)
+	case <-time.After(terminationGrace):
+		m.cluster.t.Logf("%v: killing %s, which did not end within the grace period", m.cluster.recorder.now(), m.Name)
 	}
 	m.detach(running)
 }
 
-// StallDisk makes the disk hang, or ends that.
+// StallDisk sets whether the disk's writes and syncs hang.
 func (m *Machine) StallDisk(stalled bool) {
 	m.recordDiskFault(stalled)
 	m.disk.SetStalled(stalled)
 }
 
-// FillDisk makes the disk run full, or gives it room again.
+// FillDisk sets whether the disk is full.
 func (m *Machine) FillDisk(full bool) {
 	m.recordDiskFault(full)
 	m.disk.SetFull(full)
--- a/internal/simcluster/operator.go
+++ b/internal/simcluster/operator.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	operatorIP          = "10.5.0.1"
-	operatorCallTimeout = time.Second // so long a front may take to respond
-	initialBackoff      = 100 * time.Millisecond
-	maxBackoff          = time.Second
-	readBackFor         = faultExcuse
-	headerBase          = "X-If-Base-Version"
-	pathReplace         = configurationPath + "replace"
-	pathUpdate          = configurationPath + "update"
-	pathRead            = configurationPath + "read"
-	pathRetire          = "/api/retire/"
-	retireCompleted     = "completed"
-	statusNoResponse    = 0
-	serverErrorsFrom    = 500
+	operatorIP             = "10.5.0.1"
+	operatorCallTimeout    = time.Second // limit on a front's response time
+	initialBackoff         = 100 * time.Millisecond
+	maxBackoff             = time.Second
+	readBackDuration       = faultGrace
+	headerBase             = "X-If-Base-Version"
+	pathReplace            = configurationPath + "replace"
+	pathUpdate             = configurationPath + "update"
+	pathRead               = configurationPath + "read"
+	pathRetire             = "/api/retire/"
+	retireCompleted        = "completed"
+	statusNoResponse       = 0
+	firstServerErrorStatus = 500
 )
 
-// Operator simulates an operator: it sends each change to one front after another until one answers conclusively.
+// Operator simulates an operator. It sends each change to one front after another until one responds conclusively.
 type Operator struct {
 	cluster *Cluster
 	name    string
-	number  int // from 1
+	number  int // counted from 1
 	client  *http.Client
 
 	mutex     sync.Mutex
-	current   Configuration // the newest that it has read, or that was acknowledged
-	dropShare float64       // share of the responses that is dropped
-	excluded  *Machine      // a front that is not called; nil for none
+	current   Configuration // newest configuration that was read or acknowledged
+	dropShare float64       // share of the responses that are dropped, from 0 to 1
+	excluded  *Machine      // a front that the operator does not call; nil for none
 }
 
-// NewOperator makes one more operator.
+// NewOperator adds an operator to the cluster.
 func (c *Cluster) NewOperator() *Operator {
 	c.operators++
 	name := fmt.Sprintf("operator-%d", c.operators)
 	return &Operator{cluster: c, name: name, number: c.operators, client: c.newHTTPClient(operatorIP)}
 }
 
-// Current returns the newest configuration that the operator knows of.
+// Current returns the newest configuration that the operator has read or has had acknowledged.
 func (o *Operator) Current() Configuration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -62,14 +62,14 @@
 	o.current = configuration
 }
 
-// DropResponses drops a share of all responses to the operator, from now on.
-func (o *Operator) DropResponses(part float64) {
+// DropResponses drops a share of all further responses to the operator, from 0 to 1.
+func (o *Operator) DropResponses(share float64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.dropShare = part
+	o.dropShare = share
 }
 
-// Exclude keeps the operator from calling a front, as one who knows of its fault. Nil ends that.
+// Exclude makes the operator avoid a front that is known to be faulty. Nil ends that.
 func (o *Operator) Exclude(front *Machine) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -83,15 +83,15 @@
 	return slices.DeleteFunc(o.cluster.machinesOf(classFront), func(front *Machine) bool { return front == o.excluded })
 }
 
-// dropsResponse draws whether a response is dropped.
+// dropsResponse reports, at random, whether to drop a response.
 func (o *Operator) dropsResponse() bool {
 	o.mutex.Lock()
-	part := o.dropShare
+	share := o.dropShare
 	o.mutex.Unlock()
-	return part > 0 && o.cluster.random.fraction() < part
+	return share > 0 && o.cluster.random.fraction() < share
 }
 
-// ReadAt reads the configuration at one front, once, and records the response.
+// ReadAt reads the configuration once, at one front, and records the response.
 func (o *Operator) ReadAt(front *Machine) {
 	from := o.cluster.recorder.now()
 	status, body := o.call(front, http.MethodGet, pathRead, nil, nil)
@@ -100,13 +100,13 @@
 	}
 	read, err := parseConfiguration(body)
 	if err != nil {
-		o.cluster.t.Errorf("what %s answered is no configuration: %v", front.Name, err)
+		o.cluster.t.Errorf("%s returned an invalid configuration: %v", front.Name, err)
 		return
 	}
 	o.recordRead(from, read)
 }
 
-// ReplaceAt sends a complete configuration to one front, once. It tells whether the response was conclusive.
+// ReplaceAt sends a complete configuration once, to one front. It reports whether the response was conclusive.
 func (o *Operator) ReplaceAt(front *Machine, base uint64, next Configuration) bool {
 	header := http.Header{headerBase: {strconv.FormatUint(base, 10)}, "Content-Type": {"application/json"}}
 	status := o.recordChange(base, next, func() int {
@@ -119,20 +119,20 @@
 	return status != statusNoResponse
 }
 
-// Replace sends a complete configuration. It tells whether it was acknowledged within a limit.
+// Replace sends a complete configuration. It reports whether the system acknowledged it within the limit.
 func (o *Operator) Replace(base uint64, next Configuration, limit time.Duration) bool {
 	return o.submit(pathReplace, base, next, next.replacement(), limit)
 }
 
-// Update sends a configuration as an update of the current one. It tells whether it was acknowledged within a
-// limit.
+// Update sends a configuration as an update of the current one. It reports whether the system acknowledged it within
+// the limit.
 func (o *Operator) Update(next Configuration, limit time.Duration) bool {
 	current := o.Current()
 	return o.submit(pathUpdate, current.Version, next, next.update(&current), limit)
 }
 
-// submit sends a change until the response is conclusive or the limit has passed. It tells whether it was
-// acknowledged.
+// submit sends a change until a response is conclusive or the limit has passed. It reports whether the system
+// acknowledged the change.
 func (o *Operator) submit(path string, base uint64, next Configuration, body []byte, limit time.Duration) bool {
 	header := http.Header{headerBase: {strconv.FormatUint(base, 10)}, "Content-Type": {"application/json"}}
 	status := o.recordChange(base, next, func() int {
@@ -145,7 +145,8 @@
 	return status == http.StatusOK
 }
 
-// recordChange records a change and the conclusive response to it, if there is one.
+// recordChange records a change, sends it, and records the status of its response: statusNoResponse if none was
+// conclusive.
 func (o *Operator) recordChange(base uint64, next Configuration, send func() int) int {
 	recorder := o.cluster.recorder
 	position := 0
@@ -163,14 +164,14 @@
 	return status
 }
 
-// MoveRoute changes the current configuration so that the route "moving" goes to the next service, and waits for the
-// acknowledgement.
+// MoveRoute changes the current configuration so that the route "moving" points to the next service, and waits for the
+// acknowledgement. It reports whether that arrived within the limit.
 func (o *Operator) MoveRoute(limit time.Duration) bool {
 	next := o.nextConfiguration()
 	return o.Update(next, limit)
 }
 
-// nextConfiguration returns the configuration that MoveRoute sends next. Those of two operators differ.
+// nextConfiguration returns the configuration that MoveRoute sends next. It differs between operators.
 func (o *Operator) nextConfiguration() Configuration {
 	next := o.Current()
 	next.Version++
@@ -183,13 +184,14 @@
 	return next
 }
 
-// Retire has a store retired. It tells whether that was completed within a limit.
+// Retire starts the retirement of a store and waits for it. It reports whether the retirement completed within the
+// limit.
 func (o *Operator) Retire(store *Machine, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	path := pathRetire + store.Name
 	status, _ := o.callUntilConclusive(http.MethodPost, path+"/start", nil, []byte(`{"duration-s":10}`), limit)
 	if status != http.StatusOK {
-		o.cluster.t.Errorf("%v: retiring %s: answer %d", o.cluster.recorder.now(), store.Name, status)
+		o.cluster.t.Errorf("%v: starting to retire %s failed with status %d", o.cluster.recorder.now(), store.Name, status)
 		return false
 	}
 	for time.Now().Before(deadline) {
@@ -203,7 +205,7 @@
 	return false
 }
 
-// Read returns the configuration that the system reports.
+// Read returns the configuration that the system reports, and whether there was a valid response within the limit.
 func (o *Operator) Read(limit time.Duration) (Configuration, bool) {
 	status, body := o.callUntilConclusive(http.MethodGet, pathRead, nil, nil, limit)
 	if status != http.StatusOK {
@@ -211,15 +213,15 @@
 	}
 	read, err := parseConfiguration(body)
 	if err != nil {
-		o.cluster.t.Errorf("the configuration that was read back is no configuration: %v", err)
+		o.cluster.t.Errorf("the system returned an invalid configuration: %v", err)
 		return Configuration{}, false
 	}
 	return read, true
 }
 
-// readBack reads the configuration repeatedly for readBackFor, and records every response.
+// readBack reads the configuration repeatedly for readBackDuration, and records every response.
 func (o *Operator) readBack() {
-	deadline := time.Now().Add(readBackFor)
+	deadline := time.Now().Add(readBackDuration)
 	for time.Now().Before(deadline) {
 		from := o.cluster.recorder.now()
 		if read, ok := o.Read(time.Until(deadline)); ok {
@@ -231,12 +233,13 @@
 
 func (o *Operator) recordRead(from time.Duration, read Configuration) {
 	o.cluster.recorder.write(func(history *History) {
-		answer := ConfigurationRead{From: from, At: o.cluster.recorder.now(), Configuration: read}
-		history.Reads = append(history.Reads, answer)
+		record := ConfigurationRead{From: from, At: o.cluster.recorder.now(), Configuration: read}
+		history.Reads = append(history.Reads, record)
 	})
 }
 
-// callUntilConclusive repeats a call, at any front, until the response is conclusive or the limit has passed.
+// callUntilConclusive repeats a call, each time at a random front, until a response is conclusive or the limit has
+// passed.
 func (o *Operator) callUntilConclusive(
 	method, path string, header http.Header, body []byte, limit time.Duration,
 ) (int, []byte) {
@@ -245,9 +248,9 @@
 	for time.Now().Before(deadline) {
 		fronts := o.fronts()
 		front := fronts[o.cluster.random.intN(len(fronts))]
-		status, answer := o.call(front, method, path, header, body)
+		status, responseBody := o.call(front, method, path, header, body)
 		if isConclusive(status) {
-			return status, answer
+			return status, responseBody
 		}
 		time.Sleep(pause)
 		pause = min(2*pause, maxBackoff)
@@ -255,17 +258,17 @@
 	return statusNoResponse, nil
 }
 
-// isConclusive tells whether a status is the final result of a call: neither a missing response nor one that asks
-// for a retry.
+// isConclusive reports whether a status is the final result of a call. A missing response and a response that asks for
+// a retry are not.
 func isConclusive(status int) bool {
 	switch status {
 	case statusNoResponse, http.StatusRequestTimeout, http.StatusTooManyRequests:
 		return false
 	}
-	return status < serverErrorsFrom
+	return status < firstServerErrorStatus
 }
 
-// call makes one call. The status is statusNoResponse where no complete response arrives.
+// call makes one call. The status is statusNoResponse if no complete response arrives.
 func (o *Operator) call(front *Machine, method, path string, header http.Header, body []byte) (int, []byte) {
 	ctx, cancel := context.WithTimeout(o.cluster.ctx, operatorCallTimeout)
 	defer cancel()
--- a/internal/simcluster/options.go
+++ b/internal/simcluster/options.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Options describe a cluster. Fields that are zero take defaults.
+// Options describe a cluster. New replaces fields that are zero by defaults.
 type Options struct {
 	Fronts     int
-	CoreFronts int // how many of the fronts have a disk and are members of the control group
+	CoreFronts int // number of fronts that have a disk and are members of the control group
 	Stores     int
 	Zones      int
-	Tolerated  int // machines that may be lost at once; a message has one replica more
+	Tolerated  int // machines that may be lost at once; each message has one replica more
 	Seed       uint64
-	Rate       float64 // messages a second
+	Rate       float64 // messages per second
 	Services   []Service
 	Routes     []Route
-	Verbose    bool // log what the processes log
+	Verbose    bool // write the log lines of the processes to the test log
 }
 
 func (o Options) withDefaults() Options {
@@ -40,10 +40,11 @@
 	}
 }
 
-// MovingServices are the services to which the route "moving" goes in turn, version by version.
+// MovingServices are the services that the route "moving" points to, one after another, as versions of the
+// configuration succeed each other.
 var MovingServices = []string{"moving-0", "moving-1", "moving-2"}
 
-// DefaultServices are the services of a cluster that names none.
+// DefaultServices returns the services of a cluster whose Options name none.
 func DefaultServices() []Service {
 	services := []Service{
 		{Name: "plain", Workers: 3, Capacity: 8, Work: 30 * time.Millisecond, FailureShare: 0.03},
@@ -59,25 +60,25 @@
 	return services
 }
 
-// DefaultRoutes are the routes of a cluster that names none.
+// DefaultRoutes returns the routes of a cluster whose Options name none.
 func DefaultRoutes() []Route {
-	route := Route{MaxAttempts: 6, Timeout: time.Second, Retention: 90 * time.Second, Weight: 2}
-	named := func(name, service string, change func(*Route)) Route {
-		made := route
-		made.Name, made.Service = name, service
+	base := Route{MaxAttempts: 6, Timeout: time.Second, Retention: 90 * time.Second, Weight: 2}
+	newRoute := func(name, service string, change func(*Route)) Route {
+		route := base
+		route.Name, route.Service = name, service
 		if change != nil {
-			change(&made)
+			change(&route)
 		}
-		return made
+		return route
 	}
 	return []Route{
-		named("plain", "plain", func(r *Route) { r.Weight = 5 }),
-		named("orders", "orders", func(r *Route) { r.Ordered, r.Keys, r.Weight = true, 4, 5 }),
-		named("ledger", "ledger", nil),
-		named("delayed", "plain", func(r *Route) { r.Delay = 2 * time.Second }),
-		named("slow", "slow", func(r *Route) { r.Timeout = 2 * time.Second }),
-		named("limited", "limited", func(r *Route) { r.Weight = 5 }),
-		named("endpoint", "endpoint", nil),
-		named("moving", MovingServices[0], nil),
+		newRoute("plain", "plain", func(r *Route) { r.Weight = 5 }),
+		newRoute("orders", "orders", func(r *Route) { r.Ordered, r.Keys, r.Weight = true, 4, 5 }),
+		newRoute("ledger", "ledger", nil),
+		newRoute("delayed", "plain", func(r *Route) { r.Delay = 2 * time.Second }),
+		newRoute("slow", "slow", func(r *Route) { r.Timeout = 2 * time.Second }),
+		newRoute("limited", "limited", func(r *Route) { r.Weight = 5 }),
+		newRoute("endpoint", "endpoint", nil),
+		newRoute("moving", MovingServices[0], nil),
 	}
 }
--- a/internal/simcluster/platform.go
+++ b/internal/simcluster/platform.go
@@ -13,14 +13,14 @@
 const (
 	platformAddress  = "10.200.0.1:8040"
 	platformIP       = "10.200.0.1"
-	platformRate     = 47 // calls a second
+	platformRate     = 47 // calls per second
 	platformLag      = 800 * time.Millisecond
 	platformPageSize = 5
 	stateReady       = "ready"
 	stateDraining    = "draining"
 )
 
-// instance is an entry of the platform's list.
+// instance is a worker in the platform's list.
 type instance struct {
 	ID       string `json:"id"`
 	Service  string `json:"service"`
@@ -32,27 +32,27 @@
 	Warmup   int    `json:"warmup-left-ms"`
 }
 
-// listPage is a page of the list.
+// listPage is one page of the platform's list.
 type listPage struct {
 	Instances []instance `json:"instances"`
 	NextToken *string    `json:"next-token"`
 }
 
-// Platform simulates the platform's list of workers. The list lags behind the workers, comes in pages, and allows
-// only so many calls a second.
+// Platform simulates the platform's list of workers. The list lags behind the workers by platformLag, is served in
+// pages of platformPageSize, and allows platformRate calls per second.
 type Platform struct {
 	cluster *Cluster
 	server  *http.Server
 
-	mutex   sync.Mutex
-	listed  []instance // as shown
-	tokens  float64
-	counted time.Time
-	down    bool
+	mutex      sync.Mutex
+	listed     []instance // the list that calls return
+	tokens     float64
+	refilledAt time.Time
+	down       bool
 }
 
 func newPlatform(c *Cluster) *Platform {
-	p := &Platform{cluster: c, tokens: platformRate, counted: time.Now()}
+	p := &Platform{cluster: c, tokens: platformRate, refilledAt: time.Now()}
 	p.server = &http.Server{Handler: p}
 	listener, err := c.network.Host(platformIP).Listen(platformAddress)
 	assert.NilError(c.t, err)
@@ -62,22 +62,22 @@
 
 func (p *Platform) close() { _ = p.server.Close() }
 
-// SetDown makes the platform answer 503, or ends that.
+// SetDown sets whether the platform answers every call with 503.
 func (p *Platform) SetDown(down bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.down = down
 }
 
-// add adds an entry at once, as it was before the system started.
+// add lists a worker at once, for workers that run before the system starts.
 func (p *Platform) add(entry instance) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.listed = append(p.listed, entry)
 }
 
-// updateAfterLag applies a change of a worker's entry once the list's lag has passed. An empty state removes the
-// entry.
+// updateAfterLag applies the new entry of a worker to the list after platformLag. An entry with an empty state removes
+// the worker from the list.
 func (p *Platform) updateAfterLag(entry instance) {
 	p.cluster.helpers.Go(func() {
 		select {
@@ -88,7 +88,7 @@
 	})
 }
 
-// update replaces or removes an entry, and records workers that drain or depart.
+// update replaces or removes the entry of a worker, and records a Departure if the worker is no longer ready.
 func (p *Platform) update(entry instance) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -135,11 +135,11 @@
 	_ = json.NewEncoder(writer).Encode(page)
 }
 
-// allow takes one call from the token bucket.
+// allow takes one call from the token bucket, and reports whether there was one. The caller holds the mutex.
 func (p *Platform) allow() bool {
 	now := time.Now()
-	p.tokens = min(p.tokens+platformRate*now.Sub(p.counted).Seconds(), platformRate)
-	p.counted = now
+	p.tokens = min(p.tokens+platformRate*now.Sub(p.refilledAt).Seconds(), platformRate)
+	p.refilledAt = now
 	if p.tokens < 1 {
 		return false
 	}
--- a/internal/simcluster/query.go
+++ b/internal/simcluster/query.go
@@ -12,19 +12,19 @@
 const (
 	queryTimeout      = 2 * time.Second
 	queryAttempts     = 8
-	queryPause        = 500 * time.Millisecond
+	queryRetryPause   = 500 * time.Millisecond
 	concurrentQueries = 8
 	statePath         = "/api/message/"
 	bodyPath          = "/api/message-body/"
 )
 
-// stateDocument is the body of the response to a query for a message's state.
+// stateDocument is the body of a response that states a message's or a retirement's state.
 type stateDocument struct {
 	State string `json:"state"`
 	Stamp string `json:"stamp"`
 }
 
-// queryStates queries the state of each accepted message, and the body of those that have not completed.
+// queryStates queries the state of each accepted message, and the body of each message that has not completed.
 func (c *Cluster) queryStates() {
 	client := c.newHTTPClient(clientIP)
 	var accepted []Attempt
@@ -35,54 +35,55 @@
 			}
 		}
 	})
-	var asking sync.WaitGroup
-	places := make(chan struct{}, concurrentQueries)
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, concurrentQueries)
 	for _, attempt := range accepted {
-		places <- struct{}{}
-		asking.Go(func() {
-			defer func() { <-places }()
-			answer := c.queryState(client, attempt)
-			c.recorder.write(func(history *History) { history.StateResponses = append(history.StateResponses, answer) })
+		slots <- struct{}{}
+		queries.Go(func() {
+			defer func() { <-slots }()
+			response := c.queryState(client, attempt)
+			c.recorder.write(func(history *History) { history.StateResponses = append(history.StateResponses, response) })
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 }
 
-// queryState queries a message's state, and its body unless it has completed. A message may complete between the
-// two queries, and its body is gone then; so both are repeated once where a queued message has no body.
+// queryState queries a message's state, and its body unless it has completed. A message that completes between the two
+// queries no longer has a body, so queryState repeats both once if a queued message has none.
 func (c *Cluster) queryState(client *http.Client, attempt Attempt) StateResponse {
-	answer := c.queryOnce(client, attempt)
-	if answer.State == stateQueued && answer.BodyStatus == http.StatusNotFound {
+	response := c.queryOnce(client, attempt)
+	if response.State == stateQueued && response.BodyStatus == http.StatusNotFound {
 		return c.queryOnce(client, attempt)
 	}
-	return answer
+	return response
 }
 
-// queryOnce queries a message's state and body without repeating.
+// queryOnce queries a message's state and body once.
 func (c *Cluster) queryOnce(client *http.Client, attempt Attempt) StateResponse {
-	answer := StateResponse{RequestID: attempt.RequestID}
+	response := StateResponse{RequestID: attempt.RequestID}
 	var text []byte
-	answer.Status, text = c.queryFronts(client, statePath+attempt.queryName())
+	response.Status, text = c.queryFronts(client, statePath+attempt.queryName())
 	var state stateDocument
-	if answer.Status == http.StatusOK && json.Unmarshal(text, &state) == nil {
-		answer.State, answer.Stamp = state.State, state.Stamp
+	if response.Status == http.StatusOK && json.Unmarshal(text, &state) == nil {
+		response.State, response.Stamp = state.State, state.Stamp
 	}
-	if answer.State != stateCompleted {
-		answer.BodyStatus, text = c.queryFronts(client, bodyPath+attempt.queryName())
-		answer.Body = string(text)
+	if response.State != stateCompleted {
+		response.BodyStatus, text = c.queryFronts(client, bodyPath+attempt.queryName())
+		response.Body = string(text)
 	}
-	return answer
+	return response
 }
 
-// queryName is the name by which the message can be queried: its ID where the client knows it.
-func (t *Attempt) queryName() string {
-	if t.MessageID != "" {
-		return t.MessageID
+// queryName returns the ID by which the message is queried: the message ID if the client knows it, else the request ID.
+func (a *Attempt) queryName() string {
+	if a.MessageID != "" {
+		return a.MessageID
 	}
-	return t.RequestID
+	return a.RequestID
 }
 
-// queryFronts queries one front after another until one answers 200, and returns the last response.
+// queryFronts sends a query to fronts at random until one answers 200, up to queryAttempts times. It returns the last
+// response.
 func (c *Cluster) queryFronts(client *http.Client, path string) (int, []byte) {
 	status, text := 0, []byte(nil)
 	for range queryAttempts {
@@ -90,12 +91,12 @@
 		if status == http.StatusOK {
 			break
 		}
-		time.Sleep(queryPause)
+		time.Sleep(queryRetryPause)
 	}
 	return status, text
 }
 
-// get makes one GET request. The status is 0 where there is no complete response.
+// get makes one GET request. The status is 0 if there is no complete response.
 func (c *Cluster) get(client *http.Client, url string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(c.ctx, queryTimeout)
 	defer cancel()
@@ -104,14 +105,14 @@
 		return 0, nil
 	}
 	request.Host = routeHost
-	response, err := client.Do(request)
+	httpResponse, err := client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(response.Body)
+	defer func() { _ = httpResponse.Body.Close() }()
+	text, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return response.StatusCode, text
+	return httpResponse.StatusCode, text
 }
--- a/internal/simcluster/random.go
+++ b/internal/simcluster/random.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// random is a seeded source of random numbers that goroutines may share.
+// random is a seeded source of random numbers that is safe for concurrent use.
 type random struct {
 	mutex  sync.Mutex
 	source *rand.Rand
@@ -25,7 +25,7 @@
 	return r.source.IntN(limit)
 }
 
-// fraction draws a number from the half-open interval [0, 1).
+// fraction returns a random number in the half-open interval [0, 1).
 func (r *random) fraction() float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/simcluster/service.go
+++ b/internal/simcluster/service.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// workerService is a service and its workers. The mutex guards what is below it.
+// workerService is a service and its workers. The mutex guards the fields below it.
 type workerService struct {
 	cluster *Cluster
 	Service
@@ -13,12 +13,12 @@
 	mutex    sync.Mutex
 	workers  []*Worker
 	started  int
-	stamps   map[string]string // by request id, of a service that deduplicates
+	stamps   map[string]string // by request ID; read only if the service deduplicates
 	running  map[string]bool
 	arrivals []time.Time // of the last second
 }
 
-// admit tells whether the service's rate limit allows one more arrival.
+// admit reports whether the service's rate limit allows one more arrival, and counts the arrival.
 func (s *workerService) admit() bool {
 	if s.RatePerSecond <= 0 {
 		return true
@@ -45,7 +45,8 @@
 	s.stamps[id] = stamp
 }
 
-// begin tells whether no other run of a message is in progress, and marks this one as such.
+// begin marks a message as running at a service that deduplicates. It reports false if another run of it is in
+// progress.
 func (s *workerService) begin(id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/simcluster/settings.go
+++ b/internal/simcluster/settings.go
@@ -8,7 +8,7 @@
 
 // settings returns the settings of the machine's process.
 func (m *Machine) settings() *settings.Settings {
-	made := &settings.Settings{
+	result := &settings.Settings{
 		Node: m.Name, Role: m.class, Class: m.class, Serves: []string{settings.ServesStore},
 		IP: m.ip, Zone: m.Zone, Region: "region",
 		InternalPorts:     settings.PortRange{First: internalPort, Last: internalPort + 15},
@@ -22,21 +22,21 @@
 		Cloud:             settings.Cloud{Address: platformAddress, RatePerSecond: platformRate, Lag: platformLag},
 	}
 	if m.disk != nil {
-		made.DataDir = "data"
+		result.DataDir = "data"
 	}
 	if m.class == classFront {
-		made.Serves = []string{settings.ServesFront, settings.ServesControl}
-		made.ListenAddresses = settings.ListenAddresses{
+		result.Serves = []string{settings.ServesFront, settings.ServesControl}
+		result.ListenAddresses = settings.ListenAddresses{
 			Front: m.address(frontPort), Ready: m.address(readyPort), Control: m.address(controlPort),
 		}
 	}
-	return made
+	return result
 }
 
-// bounds are the limits of the rules that processes find in their settings.
+// bounds are the time limits and slacks that all processes of a cluster have in their settings.
 var bounds = settings.Bounds{
-	SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Contact: faultExcuse, Acknowledge: 5 * time.Second,
-	CatchUp: 4400 * time.Millisecond, Drain: drainBound, Grace: grace, LossSlack: 200 * time.Millisecond,
+	SeedLag: 3 * time.Second, ReuseAfter: 2 * time.Second, Contact: faultGrace, Acknowledge: 5 * time.Second,
+	CatchUp: 4400 * time.Millisecond, Drain: drainBound, Grace: terminationGrace, LossSlack: 200 * time.Millisecond,
 	ConfigurationLag: configurationBound, RevertSlack: revertSlack, MaxSkew: 12 * time.Second,
 	Recovery: 12 * time.Second, Finish: finishTimeout, Status: 2 * time.Minute, Callback: 5 * time.Second,
 	Visibility: 3 * time.Second, Early: earlySlack, RateLimitWindow: rateLimitWindow, RateLimitOvershoot: rateLimitOvershoot,
--- a/internal/simcluster/worker.go
+++ b/internal/simcluster/worker.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	workerPort          = 8080
-	queuePerSlot        = 1  // deliveries that may wait at a worker, per slot
-	endpointNet         = 30 // second-to-last part of a static endpoint's address
-	scriptedResultQuery = "fate="
-	scriptedReject      = "reject" // the worker answers 422
-	scriptedFailure     = "fail"   // the worker always answers 500
-	rateLimitAllowance  = 1.1      // of a service's rate is admitted
-	persistentEvery     = 3
-	stopAfterDrain      = 4 * time.Second
+	workerPort               = 8080
+	waitingPerSlot           = 1  // deliveries that may wait at a worker, per slot
+	endpointThirdOctet       = 30 // third octet of a static endpoint's IP address
+	scriptedResultQuery      = "fate="
+	scriptedReject           = "reject"        // the worker answers 422
+	scriptedFailure          = "fail"          // the worker always answers 500
+	rateLimitAllowance       = 1.1             // factor on a service's rate limit up to which its workers admit requests
+	persistentWorkerInterval = 3               // every third worker finishes messages whose connection has ended
+	stopDelayAfterDrain      = 4 * time.Second // from drainBound to the stop of a released worker
 )
 
-// Worker simulates a worker. Each start is an incarnation with an id of its own.
+// Worker simulates one incarnation of a worker. Each start of a worker is a new incarnation with an ID of its own.
 type Worker struct {
 	service *workerService
 	entry   instance
-	number  int // among the service's incarnations
+	number  int // of the service's incarnations, counted from 1
 	ip      string
 	server  *http.Server
 	slots   chan struct{}
 	waiting chan struct{}
 }
 
-// startWorkers starts the workers of all services, and lists them.
+// startWorkers starts the workers of all services, and adds those that are not static endpoints to the platform's list.
 func (c *Cluster) startWorkers() {
 	for i, definition := range c.options.Services {
 		service := &workerService{
@@ -55,21 +55,21 @@
 	}
 }
 
-// endpointAddress is the address of a static endpoint.
+// endpointAddress returns the address of a service's static endpoint.
 func endpointAddress(service string) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(service))
-	return fmt.Sprintf("10.3.%d.%d:%d", endpointNet, hash.Sum32()%200+1, workerPort)
+	return fmt.Sprintf("10.3.%d.%d:%d", endpointThirdOctet, hash.Sum32()%200+1, workerPort)
 }
 
-// start starts a worker at an address.
+// start starts a worker of the service at an IP address. It does not add the worker to the platform's list.
 func (s *workerService) start(ip string) *Worker {
 	s.mutex.Lock()
 	s.started++
 	started := &Worker{
 		service: s, ip: ip, number: s.started,
 		slots:   make(chan struct{}, s.Capacity),
-		waiting: make(chan struct{}, s.Capacity*(1+queuePerSlot)),
+		waiting: make(chan struct{}, s.Capacity*(1+waitingPerSlot)),
 	}
 	started.entry = instance{
 		ID: fmt.Sprintf("i-%s-%d", s.Name, s.started), Service: s.Name, Address: fmt.Sprintf("%s:%d", ip, workerPort),
@@ -89,7 +89,7 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// Workers returns the workers of a service that run.
+// Workers returns the running workers of a service.
 func (c *Cluster) Workers(service string) []*Worker {
 	s := c.services[service]
 	s.mutex.Lock()
@@ -97,22 +97,22 @@
 	return append([]*Worker(nil), s.workers...)
 }
 
-// Release replaces a worker as a deployment does: a new one starts at another address, then the old one drains and
-// stops.
+// Release replaces a worker as a deployment does: a new worker starts at another IP address, then the old one drains
+// and stops. It returns once the old worker has stopped.
 func (w *Worker) Release(ip string) {
 	c := w.service.cluster
-	successor := w.service.start(ip)
-	c.Platform.updateAfterLag(successor.entry)
-	leaving := w.entry
-	leaving.State = stateDraining
-	c.Platform.updateAfterLag(leaving)
-	time.Sleep(platformLag + drainBound + stopAfterDrain)
+	replacement := w.service.start(ip)
+	c.Platform.updateAfterLag(replacement.entry)
+	draining := w.entry
+	draining.State = stateDraining
+	c.Platform.updateAfterLag(draining)
+	time.Sleep(platformLag + drainBound + stopDelayAfterDrain)
 	w.Stop()
-	leaving.State = ""
-	c.Platform.updateAfterLag(leaving)
+	draining.State = ""
+	c.Platform.updateAfterLag(draining)
 }
 
-// Stop stops a worker at once, without draining.
+// Stop stops a worker at once, without draining. The platform keeps it in the list.
 func (w *Worker) Stop() {
 	w.service.mutex.Lock()
 	for i, other := range w.service.workers {
@@ -126,13 +126,14 @@
 	_ = w.server.Close()
 }
 
-// Restart starts a stopped worker at its former address, as a new incarnation.
+// Restart starts a stopped worker at its former IP address, as a new incarnation. Unless the worker is a static
+// endpoint, the platform's list follows after its lag.
 func (w *Worker) Restart() *Worker {
 	started := w.service.start(w.ip)
 	if !w.service.Static {
-		gone := w.entry
-		gone.State = ""
-		w.service.cluster.Platform.updateAfterLag(gone)
+		departed := w.entry
+		departed.State = ""
+		w.service.cluster.Platform.updateAfterLag(departed)
 		w.service.cluster.Platform.updateAfterLag(started.entry)
 	}
 	return started
