--- a/internal/simcluster/helpers_test.go
+++ b/internal/simcluster/helpers_test.go
@@ -8,21 +8,21 @@
 
 const (
 	stormRoutePrefix = "storm-"
-	limitedRoute     = "limited" // its service has a rate limit
+	rateLimitedRoute = "limited" // its service has a rate limit
 )
 
-// releaseAddress is where the successor of a released worker runs.
-func releaseAddress(number int) string { return fmt.Sprintf("10.3.100.%d", number+1) }
+// replacementAddress returns the IP address for the replacement of a released worker.
+func replacementAddress(number int) string { return fmt.Sprintf("10.3.100.%d", number+1) }
 
-// withStormRoutes returns the routes together with the two newest routes of the configuration storm.
-func withStormRoutes(routes []Route, number int) []Route {
+// withNewestStormRoutes returns the routes with the storm routes replaced by those of this step and the one before it.
+func withNewestStormRoutes(routes []Route, step int) []Route {
 	var kept []Route
 	for _, route := range routes {
 		if !strings.HasPrefix(route.Name, stormRoutePrefix) {
 			kept = append(kept, route)
 		}
 	}
-	for i := max(0, number-1); i <= number; i++ {
+	for i := max(0, step-1); i <= step; i++ {
 		kept = append(kept, Route{
 			Name: fmt.Sprintf("%s%d", stormRoutePrefix, i), Service: "plain", MaxAttempts: 6, Timeout: time.Second,
 			Retention: 90 * time.Second, Weight: 1,
@@ -31,18 +31,19 @@
 	return kept
 }
 
-// logPlacement logs the cluster table.
-func (c *Cluster) logPlacement() {
+// logTable logs the stores and partitions of the cluster table.
+func (c *Cluster) logTable() {
 	table := c.Table()
 	for _, store := range table.Stores {
 		c.t.Logf("%v: store %s: %s", c.recorder.now(), store.Name, store.State)
 	}
 	for _, partition := range table.Partitions {
-		c.t.Logf("partition %d, epoch %d: %v, wanted %q", partition.ID, partition.Epoch, partition.Replicas, partition.PreferredPrimary)
+		c.t.Logf("partition %d, epoch %d: replicas %v, preferred primary %q", partition.ID, partition.Epoch,
+			partition.Replicas, partition.PreferredPrimary)
 	}
 }
 
-// workerAddresses returns where workers run.
+// workerAddresses returns the IP addresses of workers.
 func workerAddresses(workers []*Worker) []string {
 	var addresses []string
 	for _, worker := range workers {
@@ -51,26 +52,26 @@
 	return addresses
 }
 
-// reuseAddress starts a worker of another service at the address of one that has stopped.
-func reuseAddress(c *Cluster, address string) {
+// startOtherServiceAt starts a worker of the service "orders" at the IP address of a stopped worker of another service.
+func startOtherServiceAt(c *Cluster, address string) {
 	started := c.services["orders"].start(address)
 	c.Platform.updateAfterLag(started.entry)
 }
 
-// rateLimitRoutes send most messages to the service with the rate limit.
-func rateLimitRoutes() []Route {
+// mostlyRateLimitedRoutes returns the default routes, weighted so that most messages go to the rate-limited service.
+func mostlyRateLimitedRoutes() []Route {
 	routes := DefaultRoutes()
 	for i := range routes {
 		routes[i].Weight = 1
-		if routes[i].Name == limitedRoute {
+		if routes[i].Name == rateLimitedRoute {
 			routes[i].Weight = 10
 		}
 	}
 	return routes
 }
 
-// expiryRoutes keep messages for the endpoint for a short time.
-func expiryRoutes() []Route {
+// shortRetentionRoutes returns the default routes with an ordered route to the endpoint that retains messages for 4 s.
+func shortRetentionRoutes() []Route {
 	routes := DefaultRoutes()
 	for i := range routes {
 		if routes[i].Service == "endpoint" {
--- a/internal/simcluster/randomfaults_test.go
+++ b/internal/simcluster/randomfaults_test.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	randomFaults           = 4
-	minFaultDuration       = 300 * time.Millisecond
-	maxFaultDuration       = 6 * time.Second
-	pauseBetweenFaults     = 5 * time.Second // a machine counts as lost for 4.4 s after it is back
-	randomFaultCopiesLimit = 20 * time.Second
+	randomFaults                  = 4
+	minFaultDuration              = 300 * time.Millisecond
+	maxFaultDuration              = 6 * time.Second
+	pauseBetweenFaults            = 5 * time.Second // a machine counts as lost for another 4.4 s after its return
+	randomFaultReplicationTimeout = 20 * time.Second
 )
 
-// injectedFault is a fault that counts as one tolerated loss.
+// injectedFault is a fault that counts as one tolerated loss of a machine.
 type injectedFault struct {
 	name  string
 	begin func(c *Cluster, machine *Machine)
 	end   func(c *Cluster, machine *Machine)
-	disk  bool // only for machines that have a disk
+	disk  bool // whether the fault needs a machine with a disk
 }
 
 func startMachine(_ *Cluster, machine *Machine) { machine.Start() }
@@ -23,7 +23,7 @@
 var injectedFaults = []injectedFault{
 	{name: "kill", begin: func(_ *Cluster, m *Machine) { m.Kill() }, end: startMachine},
 	{name: "power loss", begin: func(_ *Cluster, m *Machine) { m.LosePower() }, end: startMachine},
-	{name: "lost disk", begin: func(_ *Cluster, m *Machine) { m.LoseDisk() }, end: startMachine, disk: true},
+	{name: "disk lost", begin: func(_ *Cluster, m *Machine) { m.LoseDisk() }, end: startMachine, disk: true},
 	{name: "SIGTERM", begin: func(_ *Cluster, m *Machine) { m.Terminate() }, end: startMachine},
 	{name: "cut off", begin: (*Cluster).Isolate, end: (*Cluster).Reconnect},
 	{name: "not heard", begin: (*Cluster).BlockOutgoing, end: (*Cluster).Reconnect},
@@ -43,46 +43,46 @@
 		end:   func(c *Cluster, _ *Machine) { c.Each((*Machine).Start) },
 	},
 	{
-		name:  "all without power",
+		name:  "all lose power",
 		begin: func(c *Cluster, _ *Machine) { c.Each((*Machine).LosePower) },
 		end:   func(c *Cluster, _ *Machine) { c.Each((*Machine).Start) },
 	},
 }
 
-// playRandomFaults injects randomly drawn faults one after another, with time to recover between them, while an
-// operator makes changes.
-func playRandomFaults(c *Cluster) {
-	time.Sleep(warmUp)
+// runRandomFaults injects random faults one after another, with time to recover in between. During each fault the
+// operator changes the configuration.
+func runRandomFaults(c *Cluster) {
+	time.Sleep(loadWarmUp)
 	for range randomFaults {
-		drawn := c.drawFault()
-		machine := c.drawMachine(drawn.disk)
-		c.t.Logf("%v: %s: %s", c.recorder.now(), machine.Name, drawn.name)
-		drawn.begin(c, machine)
-		length := minFaultDuration + time.Duration(c.random.fraction()*float64(maxFaultDuration-minFaultDuration))
-		time.Sleep(length / 2)
+		fault := c.drawFault()
+		machine := c.drawMachine(fault.disk)
+		c.t.Logf("%v: %s: %s", c.recorder.now(), machine.Name, fault.name)
+		fault.begin(c, machine)
+		duration := minFaultDuration + time.Duration(c.random.fraction()*float64(maxFaultDuration-minFaultDuration))
+		time.Sleep(duration / 2)
 		changed := make(chan struct{})
 		go func() {
 			defer close(changed)
-			c.Operator.MoveRoute(orderLimit)
+			c.Operator.MoveRoute(changeTimeout)
 		}()
-		time.Sleep(length / 2)
-		drawn.end(c, machine)
+		time.Sleep(duration / 2)
+		fault.end(c, machine)
 		<-changed
 		time.Sleep(pauseBetweenFaults)
-		c.AwaitReplication(randomFaultCopiesLimit)
+		c.AwaitReplication(randomFaultReplicationTimeout)
 	}
 }
 
-// drawFault draws one of all faults.
+// drawFault returns one of all faults at random.
 func (c *Cluster) drawFault() injectedFault {
-	drawn := c.random.intN(len(injectedFaults) + len(partitionFaults))
-	if drawn < len(injectedFaults) {
-		return injectedFaults[drawn]
+	index := c.random.intN(len(injectedFaults) + len(connectionFaults))
+	if index < len(injectedFaults) {
+		return injectedFaults[index]
 	}
-	return partitionFaults[drawn-len(injectedFaults)]
+	return connectionFaults[index-len(injectedFaults)]
 }
 
-// drawMachine draws a front or a store, one with a disk if the fault needs it.
+// drawMachine returns a front or a store at random. If disk is set, it returns a machine that has one.
 func (c *Cluster) drawMachine(disk bool) *Machine {
 	for {
 		machine := c.Machines[c.random.intN(len(c.Machines))]
