--- a/internal/systemnode/doc.go
+++ b/internal/systemnode/doc.go
@@ -1,38 +1,45 @@
-// Package systemnode assembles the two kinds of processes of the system, a Front and a Store, from the packages of each
-// plane, and owns their lifecycle. It makes no decision about messages itself.
+// Package systemnode assembles the two kinds of processes of the system, Front and Store, from the components of the
+// control plane and the data plane, and manages their lifecycle. It makes no decisions about messages.
 //
-// RunFront and RunStore run a process on this machine by its settings file; tests use the parts that follow directly.
+// RunFront and RunStore run a process on this machine as its settings file says. Tests and package
+// demo use NewFront and NewStore with Options of their own.
 //
-// NewFront and NewStore open what is on disk and connect the parts; nothing runs and no port is open yet. Run starts the
-// goroutines, serves until its context ends (SIGTERM or SIGINT, which cmd/gladepick-system turns into the end of a
-// context), drains, and returns when all goroutines have ended.
+// NewFront and NewStore open the files on disk and connect the components. They start no goroutine and open no port.
+// Run starts the goroutines and serves until its context ends, which cmd/gladepick-system causes on SIGTERM or SIGINT.
+// Then Run drains the process and returns when all goroutines have ended.
 //
-// # Order of the start
+// # Start-up order
 //
-// A front starts its internal listener and its agent (package cluster), then the control plane, the watch on the settings
-// file, and at last the listeners for clients, health checks and operators, so that nothing arrives before it can be
-// served. A store starts the delivery engine and the message store first, since the agent's first snapshot is applied to
-// both; then the internal listener and the agent, the reading of the list of workers, and the watch on the settings file.
+// A front starts its internal listener and its agent (package cluster) first, then the control plane and the watch on
+// the settings file. Last, it opens the listeners for clients, health checks and operators, so that no request arrives
+// before the front can serve it.
 //
-// # Order of the end
+// A store starts the delivery engine and the message store first, because the agent's first snapshot is applied to
+// both. Then it starts the internal listener and the agent, the reading of the worker list, and the watch on the
+// settings file.
 //
-// When the context of Run ends, the process announces itself as draining and keeps serving internal calls meanwhile. A
-// front answers the requests that it has read; a store hands every partition that it leads to a backup. Both take at most
-// the settings' grace less exitReserve, so that they end before they are killed. Then the second context, alive, ends,
-// which ends the goroutines; a store closes its log; at last node.close closes the internal server and the connections,
-// and waits. Run defers these steps, so they stand in it in reverse order.
+// # Shutdown order
+//
+// When the context of Run ends, the process announces that it is draining and continues to serve internal calls. A
+// front answers the requests that it has received; a store hands over every partition that it leads to a backup. Both
+// take at most the grace period of the settings less exitReserve, so that the process ends before it is killed.
+//
+// After the drain, Run cancels runCtx, the context of all goroutines. A store then closes its log. Finally, node.close
+// closes the internal server and the connections and waits for the goroutines. Run defers these steps, so its code
+// lists them in reverse order.
 //
 // # Goroutines
 //
-//   - node.running counts the internal server, the agent, the watch on the settings file, and what Front.Run and
-//     Store.Run start beside them: the control plane and the listeners of a front, the delivery engine and the reading of
-//     the list of workers of a store. All end with alive or with node.close, which waits for them.
-//   - The message store has goroutines of its own, which end with its Close.
-//   - node.report starts one short goroutine for each report; nobody waits for it, and it ends within reportTimeout.
+//   - node.running counts the internal server, the agent, the watch on the settings file, and the goroutines that
+//     Front.Run and Store.Run start: for a front the control plane and the listeners, for a store the delivery engine
+//     and the reading of the worker list. All of them end with runCtx or with node.close, which waits for them.
+//   - The message store has goroutines of its own, which its Close ends.
+//   - node.report starts one goroutine per report. It ends within reportTimeout, and node.close does not wait for it.
 //   - The agent calls applySnapshots from one goroutine at a time.
 //
-// A change of the settings file takes effect while the process runs for the keys of settingsTarget alone; SIGHUP only makes
-// the watch look at once. Metrics are collected when they are asked for, by package inspection.
+// Only the keys that a settingsTarget applies take effect while the process runs. All other changes of the settings
+// file take effect at the next start. SIGHUP makes the watch check the file at once. Metrics are collected on request,
+// by package inspection.
 //
 // Start reading at Front.Run and Store.Run.
 package systemnode
--- a/internal/systemnode/front.go
+++ b/internal/systemnode/front.go
@@ -16,20 +16,20 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-// Front is a front process: it receives clients' messages, and is a member of the control group on machines that
-// have a disk and count for the quorum.
+// Front is a front process. It receives messages from clients. On a machine that has a disk and counts for the quorum,
+// it is also a member of the control group.
 type Front struct {
 	*node
 	plane      *controlplane.Plane
 	stores     *client.Client
 	ingress    *ingress.Front
 	table      atomic.Pointer[configuration.Table]
-	lastStored atomic.Int64 // when a message was last stored, in nanoseconds since started
+	lastStored atomic.Int64 // time of the last stored message, in nanoseconds since started; 0 for none
 	started    time.Time
 	metrics    *inspection.Registry
 }
 
-// NewFront opens the control state and connects the parts of a front. Run starts it.
+// NewFront opens the state of the control plane and connects the components of a front. Run starts them.
 func NewFront(options Options) (*Front, error) {
 	base, err := newNode(options)
 	if err != nil {
@@ -65,24 +65,24 @@
 	}
 }
 
-// SetPlatformAddress changes the address from which the control plane reads the platform's list of workers.
+// SetPlatformAddress sets the address from which the control plane reads the platform's worker list.
 func (f *Front) SetPlatformAddress(address string) { f.plane.SetPlatformAddress(address) }
 
-// announce returns what the agent announces of the front with every renewal of its lease.
+// announce returns the node info that the agent sends with every renewal of the front's lease.
 func (f *Front) announce() cluster.NodeInfo {
 	info := f.info
 	info.Draining = f.draining.Load()
 	return info
 }
 
-// Run serves until the context ends, then drains and returns. It must be called once. Its errors concern the
-// start: a listener that can't be opened.
+// Run serves until the context ends, then drains and returns. It must be called once. It returns an error only if a
+// listener can't be opened.
 func (f *Front) Run(ctx context.Context) error {
-	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer f.close()
 	defer stop()
 	f.stores = client.New(f.settings.Zone, f.pool, f.agent.Table, func(report cluster.FailureReport) {
-		f.report(alive, report)
+		f.report(runCtx, report)
 	})
 	f.agent.Subscribe(f.applySnapshots)
 	f.ingress = ingress.NewFront(f.ingressOptions())
@@ -90,20 +90,21 @@
 		collectIngress(samples, f.ingress.Counters(), f.ready())
 		collectMemory(samples, f.settings.Limits.MemoryMB)
 	})
-	if err := f.serveInternal(alive); err != nil {
+	if err := f.serveInternal(runCtx); err != nil {
 		return trace.Wrap(err)
 	}
-	f.running.Go(func() { f.plane.Run(alive) })
-	f.watchSettings(alive, f)
-	if err := f.listen(alive); err != nil {
+	f.running.Go(func() { f.plane.Run(runCtx) })
+	f.watchSettings(runCtx, f)
+	if err := f.listen(runCtx); err != nil {
 		return trace.Wrap(err)
 	}
 	<-ctx.Done()
-	f.drain(alive)
+	f.drain(runCtx)
 	return nil
 }
 
-// applySnapshots takes over the newest configuration of the agent. Versions never go back.
+// applySnapshots loads the agent's newest configuration, unless the front already has this version or a newer one. The
+// agent calls it after each change, from one goroutine at a time.
 func (f *Front) applySnapshots() {
 	document := f.agent.Config()
 	if document == nil {
@@ -116,7 +117,7 @@
 
 func (f *Front) ingressOptions() ingress.Options {
 	return ingress.Options{
-		Messages:         storedTimeRecorder{MessageStore: f.stores, stored: f.noteStored},
+		Messages:         storedTimeRecorder{MessageStore: f.stores, stored: f.recordStored},
 		Control:          f.agent,
 		Configuration:    f.table.Load,
 		Ready:            f.ready,
@@ -125,12 +126,12 @@
 	}
 }
 
-// drain answers the requests that have been received, for as long as the grace period allows.
+// drain answers the requests that have been received. It gives up exitReserve before the grace period ends.
 func (f *Front) drain(ctx context.Context) {
 	f.draining.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, f.settings.Bounds.Grace-exitReserve)
 	defer cancel()
 	if err := f.ingress.Drain(ctx); err != nil {
-		f.logger.Warn("draining clients failed", zap.Error(err))
+		f.logger.Warn("draining the client connections failed", zap.Error(err))
 	}
 }
--- a/internal/systemnode/frontlisteners.go
+++ b/internal/systemnode/frontlisteners.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/ingress"
 )
 
-// listen opens the listeners for clients, for health checks and for operators. An empty address in the settings
-// stands for no listener.
+// listen opens the listeners for clients, health checks and operators, and starts serving them. If the address of a
+// listener is empty in the settings, that listener is not opened.
 func (f *Front) listen(ctx context.Context) error {
 	addresses := f.settings.ListenAddresses
 	if addresses.Front != "" {
@@ -19,7 +19,7 @@
 		if err != nil {
 			return trace.Wrap(err, "listening for clients")
 		}
-		f.running.Go(func() { f.logEnd("clients", f.ingress.Serve(ctx, listener)) })
+		f.running.Go(func() { f.logListenerError("clients", f.ingress.Serve(ctx, listener)) })
 	}
 	options := f.ingressOptions()
 	if err := f.serveHTTP(ctx, addresses.Ready, ingress.NewReadyHandler(options)); err != nil {
@@ -29,14 +29,15 @@
 	return f.serveHTTP(ctx, addresses.Control, control)
 }
 
-// logEnd logs a listener that has failed.
-func (f *Front) logEnd(listener string, err error) {
+// logListenerError logs the error with which a listener ended, unless it is nil.
+func (f *Front) logListenerError(listener string, err error) {
 	if err != nil {
 		f.logger.Error("listener failed", zap.String("listener", listener), zap.Error(err))
 	}
 }
 
-// serveHTTP serves HTTP at an address until the context ends, in a goroutine that node.close waits for.
+// serveHTTP opens a listener and serves HTTP until the context ends, in a goroutine that node.close waits for. It does
+// nothing if the address is empty.
 func (f *Front) serveHTTP(ctx context.Context, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -49,7 +50,7 @@
 	context.AfterFunc(ctx, func() { server.Close() })
 	f.running.Go(func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
-			f.logEnd(address, err)
+			f.logListenerError(address, err)
 		}
 	})
 	return nil
--- a/internal/systemnode/limits.go
+++ b/internal/systemnode/limits.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// reportTimeout bounds a report to the control plane that a process can't be reached.
+	// reportTimeout bounds the call that reports an unreachable process to the control plane.
 	reportTimeout = time.Second
-	// statusReserve is added to the time for which an ended message can be queried, so that it is kept a little longer
-	// than promised.
+	// statusReserve is added to the configured retention of an ended message's status, so that the status is available
+	// a little longer than promised.
 	statusReserve = 10 * time.Second
-	// exitReserve is the part of the time between SIGTERM and SIGKILL that is left for closing after the drain.
+	// exitReserve is the part of the grace period, from SIGTERM to SIGKILL, that is left for closing after the drain.
 	exitReserve = 800 * time.Millisecond
-	// readyAfterStored is how long a front without a fresh control plane stays ready after it has stored a message.
+	// readyAfterStored is how long a front whose snapshots are not confirmed as current stays ready after it has stored
+	// a message.
 	readyAfterStored = 4 * time.Second
-	// settingsPollInterval is the time between two looks at the settings file.
+	// settingsPollInterval is the interval at which the settings file is checked for changes.
 	settingsPollInterval = 2 * time.Second
 )
 
-// How a store reads the platform's list of workers itself.
+// Intervals and time-outs of a store that reads the platform's worker list itself.
 const (
-	// workersStaleAfter is the age of the control plane's list after which a store reads the platform's.
+	// workersStaleAfter is the age of the control plane's worker list above which a store reads the platform's list.
 	workersStaleAfter   = 2200 * time.Millisecond
 	workersReadInterval = time.Second
 	workersReadTimeout  = 2 * time.Second
 )
 
-// Shares of the memory of the settings.
+// Shares of the memory limit of the settings.
 const (
 	bytesPerMegabyte = 1 << 20
-	cacheDivisor     = 8 // one part in so many holds the bodies of stored messages
-	ingressDivisor   = 8 // one part in so many holds the bodies of requests that are being received
+	cacheDivisor     = 8 // 1/cacheDivisor of the memory caches the bodies of stored messages
+	ingressDivisor   = 8 // 1/ingressDivisor of the memory buffers the bodies of incoming requests
 )
--- a/internal/systemnode/logging.go
+++ b/internal/systemnode/logging.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger returns a logger that writes JSON lines of at least a level to standard error. Each line names the
-// process, and has each error as one line of text without a stack trace. Lines carry no time; what
-// collects the logs has to add it.
+// NewLogger returns a logger that writes entries of at least the given level to standard error, one JSON object per
+// line. Each entry names the process. Errors are written as one line of text without a stack trace. Entries have no
+// time stamp; the log collector has to add it.
 func NewLogger(process string, level zapcore.Level) (*zap.Logger, error) {
 	config := zap.NewProductionConfig()
 	config.Sampling = nil
@@ -26,8 +26,8 @@
 	return logger.With(zap.String("process", process)), nil
 }
 
-// errorTextCore is a core that writes errors as one line of text. Errors of package trace would otherwise bring
-// their stack traces.
+// errorTextCore is a core that writes errors as one line of text. zap would otherwise add the stack traces of errors
+// of package trace.
 type errorTextCore struct {
 	zapcore.Core
 }
@@ -36,10 +36,10 @@
 
 // With implements zapcore.Core.
 func (c errorTextCore) With(fields []zapcore.Field) zapcore.Core {
-	return errorTextCore{Core: c.Core.With(textOfErrors(fields))}
+	return errorTextCore{Core: c.Core.With(errorsToText(fields))}
 }
 
-// Check implements zapcore.Core. It adds this core, so that Write here is called.
+// Check implements zapcore.Core. It adds this core and not the wrapped one, so that zap calls the Write method below.
 func (c errorTextCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
@@ -49,11 +49,12 @@
 
 // Write implements zapcore.Core.
 func (c errorTextCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	return c.Core.Write(entry, textOfErrors(fields))
+	return c.Core.Write(entry, errorsToText(fields))
 }
 
-// textOfErrors returns the fields with text in place of errors. It copies only where there are errors.
-func textOfErrors(fields []zapcore.Field) []zapcore.Field {
+// errorsToText returns the fields with each error replaced by its text. It copies the slice only if it contains an
+// error.
+func errorsToText(fields []zapcore.Field) []zapcore.Field {
 	if !slices.ContainsFunc(fields, isError) {
 		return fields
 	}
@@ -68,8 +69,8 @@
 
 func isError(field zapcore.Field) bool { return field.Type == zapcore.ErrorType }
 
-// ErrorText returns the message of an error on one line. The lines of a wrapped error, from the outermost context
-// to the cause, are joined by colons. It returns an empty text for nil.
+// ErrorText returns the message of an error as one line. It joins the lines of a wrapped error, from the outermost
+// context to the cause, with ": ". For nil it returns "".
 func ErrorText(err error) string {
 	var parts []string
 	for line := range strings.Lines(trace.UserMessage(err)) {
--- a/internal/systemnode/memorymetrics.go
+++ b/internal/systemnode/memorymetrics.go
@@ -6,7 +6,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-// Metrics of a process's memory.
+// Metrics of the memory of a process.
 var (
 	metricMemory = inspection.Metric{
 		Name: "gladepick_memory_bytes", Kind: inspection.Gauge, Help: "Memory that the Go runtime has from the system."}
@@ -14,14 +14,14 @@
 		Name: "gladepick_memory_limit_bytes", Kind: inspection.Gauge, Help: "Memory at which the platform ends the process."}
 )
 
-// The runtime's metrics of which the difference is what the process has.
+// Names of the metrics of package runtime/metrics. Their difference is the memory that the runtime has from the system.
 const (
 	memoryMapped   = "/memory/classes/total:bytes"
 	memoryReturned = "/memory/classes/heap/released:bytes"
 )
 
-// collectMemory writes how much memory the process has, and how much it may have. The runtime does not count threads' stacks
-// of C code and the program's text.
+// collectMemory writes the memory that the process uses and the limit of the settings, both in bytes. The runtime's
+// figure leaves out the stacks of C code and the program text.
 func collectMemory(samples *inspection.Samples, limitMB int) {
 	read := []metrics.Sample{{Name: memoryMapped}, {Name: memoryReturned}}
 	metrics.Read(read)
--- a/internal/systemnode/metrics.go
+++ b/internal/systemnode/metrics.go
@@ -7,7 +7,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-// Metrics of every process.
+// Metrics that every process has.
 var (
 	metricUptime = inspection.Metric{
 		Name: "gladepick_uptime_seconds", Kind: inspection.Gauge, Help: "Time since the start of the process."}
@@ -21,8 +21,8 @@
 		Name: "gladepick_workers", Kind: inspection.Gauge, Help: "Workers on the platform's list."}
 )
 
-// newMetrics makes the registry of a process with the metrics that every process has, and serves it to other
-// processes by inspection.MethodMetrics.
+// newMetrics returns a registry with the metrics that every process has, and serves it to other processes as the
+// internal call inspection.MethodMetrics.
 func (n *node) newMetrics() *inspection.Registry {
 	registry := &inspection.Registry{}
 	started := time.Now()
@@ -34,7 +34,7 @@
 	return registry
 }
 
-// collect writes what the agent knows.
+// collect writes the metrics of the agent's snapshots.
 func (n *node) collect(samples *inspection.Samples) {
 	samples.AddBool(metricLeaseValid, n.agent.LeaseValid())
 	samples.Add(metricConfigurationVersion, float64(n.agent.Config().Version()))
@@ -44,13 +44,13 @@
 	samples.Add(metricWorkers, float64(n.agent.WorkerCount()))
 }
 
-// withInspection returns a handler of the read-only calls of package inspection, which leaves all other requests
-// to another handler.
-func (n *node) withInspection(registry *inspection.Registry, otherwise http.Handler) http.Handler {
+// withInspection returns a handler that serves the read-only calls of package inspection and passes all other
+// requests to fallback.
+func (n *node) withInspection(registry *inspection.Registry, fallback http.Handler) http.Handler {
 	return inspection.NewHandler(inspection.Options{
 		Self:      n.info,
 		Snapshots: n.agent,
 		Metrics:   registry,
 		Call:      inspection.PoolCaller(n.pool),
-	}, otherwise)
+	}, fallback)
 }
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -21,22 +21,22 @@
 	"gladepick/internal/vfs"
 )
 
-// Options configure a process. Everything through which it reaches the outside world is passed in, so that tests can
-// run whole clusters on a simulated network and disk.
+// Options configure a process. They contain the network and the disk, so that tests can run whole clusters on
+// simulated ones.
 type Options struct {
 	Settings *settings.Settings
 	Network  network.Network
-	FS       vfs.FS // the data directory, nil without a disk
+	FS       vfs.FS // the data directory; nil for a process without a disk
 	Logger   *zap.Logger
-	Seed     uint64 // of the random draws; processes of one system should have different ones
-	// SettingsFile is watched for changes. It may be nil.
+	Seed     uint64 // of the random numbers; the processes of one system should have different seeds
+	// SettingsFile is watched for changes. If it is nil, no file is watched.
 	SettingsFile *SettingsFile
-	// Hangups delivers SIGHUP, upon which the settings file is read at once. It may be nil.
+	// Hangups delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
 	Hangups <-chan os.Signal
 }
 
-// node is what fronts and stores have in common: identity, internal server, connections to other processes, and
-// the agent that renews the lease and keeps snapshots of configuration and cluster table current.
+// node is the common part of Front and Store: the identity, the internal server, the connections to other processes,
+// and the agent. The agent renews the lease and updates the snapshots of the configuration and the cluster table.
 type node struct {
 	options  Options
 	settings *settings.Settings
@@ -44,13 +44,13 @@
 	server   *rpc.Server
 	pool     *rpc.Pool
 	agent    *cluster.Agent
-	info     cluster.NodeInfo // what never changes; announce adds the rest
-	draining atomic.Bool      // set when Run begins to end
+	info     cluster.NodeInfo // the fields that never change; announce adds the others
+	draining atomic.Bool      // set when Run starts to drain
 
 	running sync.WaitGroup // the goroutines that close waits for
 }
 
-// newNode makes the parts that every process has, except the agent. newAgent must follow.
+// newNode returns a node without an agent. The caller must call newAgent next.
 func newNode(options Options) (*node, error) {
 	n := &node{
 		options:  options,
@@ -67,8 +67,8 @@
 	return n, nil
 }
 
-// identity returns what the process announces of itself and what never changes. The incarnation is random, so that
-// each start of a process can be distinguished from the one before.
+// identity returns the fields of the node info that never change while the process runs. The incarnation is random,
+// so that each start of a process differs from the previous one.
 func (n *node) identity() (cluster.NodeInfo, error) {
 	info := cluster.NodeInfo{
 		Name:        n.settings.Node,
@@ -91,7 +91,7 @@
 	return info, nil
 }
 
-// newAgent makes the agent, which calls info with every renewal of the lease.
+// newAgent creates the agent, which calls info at every renewal of the lease.
 func (n *node) newAgent(info func() cluster.NodeInfo) error {
 	agent, err := cluster.NewAgent(cluster.AgentOptions{
 		Info:         info,
@@ -104,19 +104,19 @@
 		Logger:       n.logger,
 	})
 	if err != nil {
-		return trace.Wrap(err, "settings of the seeds")
+		return trace.Wrap(err, "settings: seeds")
 	}
 	n.agent = agent
 	return nil
 }
 
-// report tells the control plane, in a goroutine of its own, that a process can't be reached.
+// report reports an unreachable process to the control plane, in a goroutine of its own.
 func (n *node) report(ctx context.Context, report cluster.FailureReport) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		if err := n.agent.ReportFailure(ctx, report); err != nil {
-			n.logger.Debug("reporting a process failed", zap.String("node", report.Node), zap.Error(err))
+			n.logger.Debug("reporting an unreachable process failed", zap.String("node", report.Node), zap.Error(err))
 		}
 	}()
 }
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// watchSettings starts the watch on the settings file, if there is one.
+// watchSettings starts the watch on the settings file, if the options have one.
 func (n *node) watchSettings(ctx context.Context, target settingsTarget) {
 	if n.options.SettingsFile == nil {
 		return
@@ -145,8 +145,8 @@
 	n.running.Go(func() { watch.run(ctx, n.options.Hangups) })
 }
 
-// SetSeeds replaces the control addresses by which the control group is found. It changes nothing where one of
-// them is not an address.
+// SetSeeds replaces the control addresses at which the agent looks for the control group. If one of them is not an
+// address with a port, SetSeeds returns an error and changes nothing.
 func (n *node) SetSeeds(seeds []string) error { return trace.Wrap(n.agent.SetSeeds(seeds)) }
 
 // close closes the internal server and all connections, and waits for the goroutines of the process.
--- a/internal/systemnode/process.go
+++ b/internal/systemnode/process.go
@@ -11,31 +11,32 @@
 	"gladepick/internal/vfs"
 )
 
-// ProcessOptions say how to run a process on this machine.
+// ProcessOptions configure RunFront and RunStore.
 type ProcessOptions struct {
 	SettingsPath string
 	LogLevel     zapcore.Level
-	// Hangups delivers SIGHUP, upon which the settings file is read at once. It may be nil.
+	// Hangups delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
 	Hangups <-chan os.Signal
 }
 
-// process is a front or a store.
+// process is a Front or a Store.
 type process interface {
 	Run(ctx context.Context) error
 }
 
-// RunFront runs a front, on TCP and on the data directory of its settings, until the context ends.
+// RunFront runs a front until the context ends. The front uses TCP and the data directory of its settings.
 func RunFront(ctx context.Context, options ProcessOptions) error {
 	return runProcess(ctx, options, func(options Options) (process, error) { return NewFront(options) })
 }
 
-// RunStore runs a store, on TCP and on the data directory of its settings, until the context ends.
+// RunStore runs a store until the context ends. The store uses TCP and the data directory of its settings.
 func RunStore(ctx context.Context, options ProcessOptions) error {
 	return runProcess(ctx, options, func(options Options) (process, error) { return NewStore(options) })
 }
 
-// runProcess reads the settings, opens what they name, and runs a process. Besides what Run returns, its errors are
-// settings.Findings where the settings file is faulty, and those of the logger, the data directory and newProcess.
+// runProcess reads the settings, opens the logger and the data directory, and runs a process. If the settings file is
+// invalid, the error is a settings.Findings. Errors of the logger, the data directory, newProcess and Run are returned
+// as they are.
 func runProcess(
 	ctx context.Context, processOptions ProcessOptions, newProcess func(Options) (process, error),
 ) error {
--- a/internal/systemnode/readiness.go
+++ b/internal/systemnode/readiness.go
@@ -8,12 +8,13 @@
 	"gladepick/internal/message"
 )
 
-// noteStored records that the stores have just accepted a message.
-func (f *Front) noteStored() { f.lastStored.Store(int64(time.Since(f.started))) }
+// recordStored records the current time as that of the last stored message.
+func (f *Front) recordStored() { f.lastStored.Store(int64(time.Since(f.started))) }
 
-// ready tells whether a message could be stored now: there are a configuration and stores with partitions, and the
-// control plane or the stores have answered lately. A front whose control plane is away stays ready while its
-// messages are stored.
+// ready reports whether a message could be stored now. The front must not be draining, it must have a configuration,
+// and a partition must have a complete replica group. In addition, the control plane must have confirmed the snapshots
+// as current, or the stores must have stored a message within readyAfterStored. Therefore a front that can't reach the
+// control plane stays ready as long as its messages are stored.
 func (f *Front) ready() bool {
 	if f.draining.Load() || f.table.Load() == nil || !f.stores.Ready() {
 		return false
@@ -22,7 +23,7 @@
 	return f.agent.UpToDate() || stored > 0 && time.Since(f.started)-stored < readyAfterStored
 }
 
-// storedTimeRecorder calls a function whenever a message was stored.
+// storedTimeRecorder is a MessageStore that calls a function after each message that was stored.
 type storedTimeRecorder struct {
 	ingress.MessageStore
 	stored func()
--- a/internal/systemnode/settingsfile.go
+++ b/internal/systemnode/settingsfile.go
@@ -19,17 +19,18 @@
 	keyCloudAddress = "cloud.address"
 )
 
+// keyNode is the key of the process's name.
 const keyNode = "node"
 
-// SettingsFile is a settings file as it was read. It must not be changed.
+// SettingsFile holds the parsed contents of a settings file. It must not be modified.
 type SettingsFile struct {
 	Path     string
 	Settings *settings.Settings
 	keys     map[string]any // all values of the file by dotted key
 }
 
-// ReadSettings reads a settings file. Everything that is wrong in it is returned as one error of the type
-// settings.Findings.
+// ReadSettings reads and parses a settings file. If the contents are invalid, the error is a settings.Findings that
+// lists every problem.
 func ReadSettings(path string) (*SettingsFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return parseSettings(path, text)
 }
 
-// parseSettings reads the text of a settings file, which was read from a path.
+// parseSettings parses the text of the settings file at the given path.
 func parseSettings(path string, text []byte) (*SettingsFile, error) {
 	read, err := settings.Parse(path, text)
 	if err != nil {
@@ -53,18 +54,18 @@
 	return &SettingsFile{Path: path, Settings: read, keys: keys}, nil
 }
 
-// flatten puts the values of a table, and of the tables within it, under their dotted keys.
-func flatten(into map[string]any, prefix string, table map[string]any) {
+// flatten adds the values of a TOML table and of its nested tables to a map, by dotted key.
+func flatten(flat map[string]any, prefix string, table map[string]any) {
 	for name, value := range table {
 		if inner, isTable := value.(map[string]any); isTable {
-			flatten(into, prefix+name+".", inner)
+			flatten(flat, prefix+name+".", inner)
 			continue
 		}
-		into[prefix+name] = value
+		flat[prefix+name] = value
 	}
 }
 
-// differingKeys returns the dotted keys whose values differ between two files, sorted. It never returns nil.
+// differingKeys returns the sorted dotted keys whose values differ between two files. The result is never nil.
 func differingKeys(before, after *SettingsFile) []string {
 	keys := maps.Clone(before.keys)
 	maps.Copy(keys, after.keys)
@@ -78,8 +79,8 @@
 	return differing
 }
 
-// checkSameMachine returns an error where a file belongs to another machine than the one as which this process was
-// started.
+// checkSameMachine returns a settings.Findings error if the node name in a file differs from the name under which
+// this process was started.
 func checkSameMachine(running *settings.Settings, read *SettingsFile) error {
 	if read.Settings.Node == running.Node {
 		return nil
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -12,19 +12,19 @@
 	"gladepick/internal/settings"
 )
 
-// settingsTarget applies the settings that take effect while a process runs. Front and Store are such targets.
+// settingsTarget applies the settings that take effect while a process runs. Front and Store implement it.
 type settingsTarget interface {
 	SetSeeds(seeds []string) error
 	SetPlatformAddress(address string)
 }
 
-// settingsWatch reads the settings file again when it has changed, or upon SIGHUP. All of its methods run on the
-// goroutine of run, so it needs no lock.
+// settingsWatch reads the settings file again when the file has changed or when the process receives SIGHUP. All its
+// methods run on the goroutine of run, so it needs no lock.
 type settingsWatch struct {
-	started  *settings.Settings // those of the start, which hold until the process ends
-	current  *SettingsFile      // the newest file without findings
-	lastInfo os.FileInfo        // of the file that was read last; nil after it could not be read
-	missing  bool               // the file could not be looked at, which was logged
+	started  *settings.Settings // the settings with which the process was started
+	current  *SettingsFile      // the newest file that was accepted
+	lastInfo os.FileInfo        // of the last check; nil before the first one and after a failed one
+	missing  bool               // the last check failed, and the failure was logged
 	target   settingsTarget
 	logger   *zap.Logger
 }
@@ -33,8 +33,8 @@
 	return &settingsWatch{started: file.Settings, current: file, target: target, logger: logger}
 }
 
-// run watches until the context ends. The first look reads the file in any case, since it may have changed after
-// the start.
+// run checks the file until the context ends. The first check always reads the file, because it may have changed
+// between the start of the process and the check.
 func (w *settingsWatch) run(ctx context.Context, hangups <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -50,30 +50,30 @@
 	}
 }
 
-// check reads the file if it has changed, or always.
-func (w *settingsWatch) check(always bool) {
+// check reads the file if it has changed since the last check, or in any case if force is set.
+func (w *settingsWatch) check(force bool) {
 	info, err := os.Stat(w.current.Path)
 	if err != nil {
-		w.noteMissing(err)
+		w.logMissing(err)
 		return
 	}
 	w.missing = false
-	if !always && w.lastInfo != nil && unchanged(w.lastInfo, info) {
+	if !force && w.lastInfo != nil && unchanged(w.lastInfo, info) {
 		return
 	}
 	w.lastInfo = info
 	w.reload()
 }
 
-// unchanged tells whether a file has the same time of change, size and identity as before. A tool may replace a
-// file by another one of the same size and time, hence the identity.
+// unchanged reports whether a file has the same modification time, size and identity as before. The identity is
+// compared because a tool may replace the file by another one of the same size and modification time.
 func unchanged(before, after os.FileInfo) bool {
 	sameContent := before.ModTime().Equal(after.ModTime()) && before.Size() == after.Size()
 	return sameContent && os.SameFile(before, after)
 }
 
-// noteMissing logs, once, that the file can't be looked at.
-func (w *settingsWatch) noteMissing(err error) {
+// logMissing logs that the file can't be checked. It logs once until a check succeeds again.
+func (w *settingsWatch) logMissing(err error) {
 	w.lastInfo = nil
 	if w.missing {
 		return
@@ -82,7 +82,8 @@
 	w.logger.Warn("settings not read", zap.Error(err))
 }
 
-// reload reads the file and applies it, unless something is wrong in it.
+// reload reads the file and applies it. If the file is invalid or belongs to another machine, reload logs that and
+// applies nothing.
 func (w *settingsWatch) reload() {
 	next, err := ReadSettings(w.current.Path)
 	if err == nil {
@@ -104,8 +105,8 @@
 	w.logApplied(differing)
 }
 
-// apply passes on what takes effect at once. The seeds come first, since they can be refused, and then nothing is
-// applied.
+// apply passes the settings that take effect at once to the target. The target may reject the seeds, so they are
+// passed first: if they are rejected, nothing is applied.
 func (w *settingsWatch) apply(differing []string, next *SettingsFile) error {
 	if slices.Contains(differing, keySeeds) {
 		if err := w.target.SetSeeds(next.Settings.Seeds); err != nil {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// logApplied logs which keys have taken effect, and which take effect at the next start.
+// logApplied logs which of the changed keys have taken effect, and which take effect at the next start.
 func (w *settingsWatch) logApplied(differing []string) {
 	var applied, atNextStart []string
 	for _, key := range differing {
@@ -131,7 +132,7 @@
 	w.logger.Info("settings read again", zap.Strings("applied", applied), zap.Strings("at_next_start", atNextStart))
 }
 
-// logRejected logs everything that is wrong in a file. The settings in force stay as they are.
+// logRejected logs why a file was rejected, with all findings if there are any.
 func (w *settingsWatch) logRejected(err error) {
 	var found settings.Findings
 	if !errors.As(err, &found) {
--- a/internal/systemnode/store.go
+++ b/internal/systemnode/store.go
@@ -14,26 +14,26 @@
 	"gladepick/internal/messagestore"
 )
 
-// Store is a store process: it stores messages, and delivers those of the partitions that it leads.
+// Store is a store process. It stores messages and delivers those of the partitions whose primary it is.
 type Store struct {
 	*node
 	messages        *messagestore.Store
 	engine          *delivery.Engine
 	platformClient  *http.Client
-	platformAddress atomic.Pointer[string] // address of the platform's list of workers
-	engineVersion   uint64                 // version of the configuration that the engine has
-	leadingStores   atomic.Int64           // how many stores lead partitions
+	platformAddress atomic.Pointer[string] // where the platform's worker list is read
+	engineVersion   uint64                 // version of the configuration that was last passed to the engine
+	leadingStores   atomic.Int64           // number of stores that are the primary of a partition
 }
 
-// NewStore opens the message log and connects the parts of a store. Run starts it. It fails with a BadParameter
-// error where the settings name no data directory.
+// NewStore opens the message log and connects the components of a store. Run starts them. If the options contain no
+// FS, since the settings name no data directory, NewStore returns a BadParameter error.
 func NewStore(options Options) (*Store, error) {
 	base, err := newNode(options)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if options.FS == nil {
-		return nil, trace.BadParameter("settings: data-dir: a store needs one")
+		return nil, trace.BadParameter("settings: data-dir: missing, but a store requires it")
 	}
 	s := &Store{node: base, platformClient: workerlist.NewPlatformClient(options.Network)}
 	if err := base.newAgent(s.announce); err != nil {
@@ -74,11 +74,11 @@
 		Logger:      s.logger,
 		Seed:        s.options.Seed,
 		DrainGrace:  s.settings.Bounds.Drain,
-		CallerCount: s.connectionShare,
+		CallerCount: s.callerCount,
 	}
 }
 
-// announce returns what the agent announces of the store with every renewal of its lease.
+// announce returns the node info that the agent sends with every renewal of the store's lease.
 func (s *Store) announce() cluster.NodeInfo {
 	info := s.info
 	info.Draining = s.draining.Load()
@@ -86,31 +86,31 @@
 	return info
 }
 
-// connectionShare is the number of stores that share the workers' connections and slots: those that lead
-// partitions.
-func (s *Store) connectionShare() int { return max(int(s.leadingStores.Load()), 1) }
+// callerCount returns the number of stores that share the connections and slots of each worker: the stores that are
+// the primary of a partition. It is at least 1.
+func (s *Store) callerCount() int { return max(int(s.leadingStores.Load()), 1) }
 
-// Run serves until the context ends, then hands its partitions over and returns. It must be called once. Its
-// errors concern the start: a listener that can't be opened.
+// Run serves until the context ends, then hands over the store's partitions and returns. It must be called once. It
+// returns an error only if the internal listener can't be opened.
 func (s *Store) Run(ctx context.Context) error {
-	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer s.close()
 	defer s.closeMessages()
 	defer stop()
-	s.running.Go(func() { s.engine.Run(alive) })
+	s.running.Go(func() { s.engine.Run(runCtx) })
 	s.messages.Start(s.engine)
 	s.agent.Subscribe(s.applySnapshots)
-	if err := s.serveInternal(alive); err != nil {
+	if err := s.serveInternal(runCtx); err != nil {
 		return trace.Wrap(err)
 	}
-	s.running.Go(func() { s.watchWorkers(alive) })
-	s.watchSettings(alive, s)
+	s.running.Go(func() { s.watchWorkers(runCtx) })
+	s.watchSettings(runCtx, s)
 	<-ctx.Done()
-	s.drain(alive)
+	s.drain(runCtx)
 	return nil
 }
 
-// drain hands over the partitions that the store leads, for as long as the grace period allows.
+// drain hands over the partitions whose primary the store is. It gives up exitReserve before the grace period ends.
 func (s *Store) drain(ctx context.Context) {
 	s.draining.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Bounds.Grace-exitReserve)
@@ -124,8 +124,8 @@
 	}
 }
 
-// applySnapshots passes new snapshots of the agent on to the delivery engine and the message store. The agent
-// calls it from one goroutine at a time.
+// applySnapshots passes the agent's newest snapshots to the delivery engine and the message store. The agent calls it
+// after each change, from one goroutine at a time.
 func (s *Store) applySnapshots() {
 	if document := s.agent.Config(); document != nil && document.Version() > s.engineVersion {
 		s.engineVersion = document.Version()
--- a/internal/systemnode/storemetrics.go
+++ b/internal/systemnode/storemetrics.go
@@ -37,30 +37,31 @@
 		Name: "gladepick_store_disk_limit_bytes", Kind: inspection.Gauge, Help: "Size of the disk by the settings; 0 for no limit."}
 )
 
-// collectStore writes the metrics of a store: the totals, then each metric of a service for all services by name.
+// collectStore writes the metrics of a store: the totals, then each per-service metric for all services in the order
+// of their names.
 func (s *Store) collectStore(samples *inspection.Samples) {
-	holdings := s.messages.Stats()
-	samples.Add(metricMessages, float64(holdings.Queued))
-	samples.Add(metricMessagesLed, float64(holdings.QueuedAsPrimary))
+	messageStats := s.messages.Stats()
+	samples.Add(metricMessages, float64(messageStats.Queued))
+	samples.Add(metricMessagesLed, float64(messageStats.QueuedAsPrimary))
 	samples.AddBool(metricDiskFailing, s.messages.DiskFailing())
-	stats := s.engine.Stats()
-	samples.Add(metricQueued, float64(stats.Queued))
-	samples.Add(metricInFlight, float64(stats.InFlight))
-	names := slices.Sorted(maps.Keys(stats.Services))
-	each := func(metric inspection.Metric, figure func(name string) int) {
+	engineStats := s.engine.Stats()
+	samples.Add(metricQueued, float64(engineStats.Queued))
+	samples.Add(metricInFlight, float64(engineStats.InFlight))
+	names := slices.Sorted(maps.Keys(engineStats.Services))
+	addPerService := func(metric inspection.Metric, value func(name string) int) {
 		for _, name := range names {
-			samples.Add(metric, float64(figure(name)), inspection.Label{Name: "service", Value: name})
+			samples.Add(metric, float64(value(name)), inspection.Label{Name: "service", Value: name})
 		}
 	}
-	each(metricServiceDue, func(name string) int { return stats.Services[name].Due })
-	each(metricServiceOpen, func(name string) int { return stats.Services[name].Pending })
-	each(metricServiceWindow, func(name string) int { return stats.Services[name].ConcurrencyLimit })
-	each(metricServiceWorkers, func(name string) int { return stats.Services[name].Ready })
+	addPerService(metricServiceDue, func(name string) int { return engineStats.Services[name].Due })
+	addPerService(metricServiceOpen, func(name string) int { return engineStats.Services[name].Pending })
+	addPerService(metricServiceWindow, func(name string) int { return engineStats.Services[name].ConcurrencyLimit })
+	addPerService(metricServiceWorkers, func(name string) int { return engineStats.Services[name].Ready })
 	for _, name := range names {
-		samples.AddBool(metricServiceDown, stats.Services[name].Down, inspection.Label{Name: "service", Value: name})
+		samples.AddBool(metricServiceDown, engineStats.Services[name].Down, inspection.Label{Name: "service", Value: name})
 	}
-	samples.Add(metricDeadLetters, float64(holdings.DeadLetters))
-	samples.Add(metricLogBytes, float64(holdings.LogBytes))
+	samples.Add(metricDeadLetters, float64(messageStats.DeadLetters))
+	samples.Add(metricLogBytes, float64(messageStats.LogBytes))
 	samples.Add(metricDiskLimit, float64(s.settings.Limits.DiskMB)*bytesPerMegabyte)
 	collectMemory(samples, s.settings.Limits.MemoryMB)
 }
