--- a/internal/systemnode/demo/configuration.go
+++ b/internal/systemnode/demo/configuration.go
@@ -1,6 +1,6 @@
 package demo
 
-// document is a configuration as an operator sends it.
+// document is a configuration in the JSON form that operators send.
 type document struct {
 	Version  int                `json:"version"`
 	Routes   []route            `json:"routes"`
@@ -33,8 +33,8 @@
 	PullMode       bool    `json:"pull-mode"`
 }
 
-// firstConfiguration has one route to one service.
-func firstConfiguration() document {
+// initialConfiguration returns a configuration with one route to one service.
+func initialConfiguration() document {
 	return document{
 		Version: 1,
 		Routes: []route{{
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -1,9 +1,9 @@
-// Package demo runs a small complete system in one process, to try it out: real fronts and stores on loopback
-// addresses, with their files in one folder, and simulated workers and a simulated list of them in place of the
-// platform's.
+// Package demo runs a small but complete system in one operating system process, for trying it out. The fronts and
+// stores are real. They use loopback addresses and keep their files in one directory. The workers and the platform's
+// worker list are simulated.
 //
-// Run owns all goroutines and waits for them. When one process fails, the whole demonstration ends with its error.
-// Start reading at Run; machine.go lays out addresses, ports and settings.
+// Run owns all goroutines and waits for them. If one front or store fails, the whole demonstration ends with its error.
+// Start reading at Run. The file machine.go assigns addresses, ports and settings.
 package demo
 
 import (
@@ -26,7 +26,7 @@
 	"gladepick/internal/vfs"
 )
 
-// What the system knows of at its start.
+// Values of the initial configuration.
 const (
 	RouteHost  = "demo.example"
 	RoutePath  = "/echo/"
@@ -37,27 +37,27 @@
 const (
 	startTimeout  = 30 * time.Second
 	pathReady     = "/api/ready"
-	firstBase     = "0" // there is no configuration yet
+	initialBase   = "0" // base version of the first configuration
 	settingsName  = "settings.toml"
 	dataName      = "data"
 	directoryMode = 0o755
 	fileMode      = 0o644
 )
 
-// Options say how large the system is and where it runs.
+// Options configure the size of the demonstration and the resources that it uses.
 type Options struct {
 	Fronts    int
 	Stores    int
-	Tolerated int // losses of machines
-	Port      int // the first of some ports that are used on each address
+	Tolerated int // number of machine losses that the system tolerates
+	Port      int // first port; the same consecutive ports are used on each address
 	Folder    string
-	// Network returns the network as the machine of an address sees it.
+	// Network returns the network of the machine with the given IP address.
 	Network func(ip string) network.Network
-	// Logger returns the logger of a process.
+	// Logger returns the logger of the front or store with the given name.
 	Logger func(process string) (*zap.Logger, error)
 }
 
-// Addresses are where a running system can be called, one of each kind for each front.
+// Addresses are the client addresses and the control addresses of a running system, one of each for each front.
 type Addresses struct {
 	Clients []string
 	Control []string
@@ -71,8 +71,8 @@
 	fail     context.CancelCauseFunc
 }
 
-// Run runs a system until the context ends or one of its processes fails, whose error it returns. It calls ready
-// once messages are accepted.
+// Run runs a system until the context ends or a front or store fails, and returns the error of the one that failed. It
+// calls ready once the system accepts messages.
 func Run(ctx context.Context, options Options, ready func(Addresses)) error {
 	ctx, fail := context.WithCancelCause(ctx)
 	s := &system{options: options, machines: planMachines(options), fail: fail}
@@ -82,28 +82,28 @@
 		return trace.Wrap(err)
 	}
 	if err := s.awaitReady(ctx); err != nil {
-		return trace.Wrap(firstCause(ctx, err))
+		return trace.Wrap(failureCause(ctx, err))
 	}
 	ready(s.addresses())
 	<-ctx.Done()
-	return trace.Wrap(firstCause(ctx, nil))
+	return trace.Wrap(failureCause(ctx, nil))
 }
 
-// firstCause returns the error of the process that failed, nil after an end that was asked for, or else another
-// error.
-func firstCause(ctx context.Context, otherwise error) error {
+// failureCause returns the error with which ctx was cancelled if a front or store failed, and nil if the caller of Run
+// ended the demonstration. If ctx has not ended, it returns fallback.
+func failureCause(ctx context.Context, fallback error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 	if ctx.Err() != nil {
 		return nil
 	}
-	return otherwise
+	return fallback
 }
 
-// start starts the simulated platform and then all processes.
+// start starts the simulated platform and then all fronts and stores.
 func (s *system) start(ctx context.Context) error {
-	if err := s.startSimulated(ctx); err != nil {
+	if err := s.startPlatform(ctx); err != nil {
 		return err
 	}
 	for _, machine := range s.machines {
@@ -120,12 +120,12 @@
 	return nil
 }
 
-// process is a front or a store.
+// process is a systemnode.Front or a systemnode.Store.
 type process interface {
 	Run(ctx context.Context) error
 }
 
-// newProcess writes a machine's settings file and makes its process.
+// newProcess writes the settings file of a machine and returns its front or store, which is not started.
 func (s *system) newProcess(machine machine) (process, error) {
 	folder := filepath.Join(s.options.Folder, machine.name)
 	if err := os.MkdirAll(folder, directoryMode); err != nil {
@@ -162,25 +162,25 @@
 	return systemnode.NewStore(options)
 }
 
-// awaitReady puts the first configuration in force and waits until a front accepts messages.
+// awaitReady applies the initial configuration and waits until the first front accepts messages.
 func (s *system) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	body, err := json.Marshal(firstConfiguration())
+	body, err := json.Marshal(initialConfiguration())
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	transport := workerlist.NewPlatformClient(s.options.Network(hostIP)).Transport
 	operator := operatorcli.NewClient(s.addresses().Control, transport)
-	order := operatorcli.Request{
-		Method: http.MethodPost, Path: operatorcli.PathConfigReplace, Base: firstBase, Body: body,
+	replace := operatorcli.Request{
+		Method: http.MethodPost, Path: operatorcli.PathConfigReplace, Base: initialBase, Body: body,
 	}
-	if _, err := operator.Do(ctx, order); err != nil {
-		return trace.Wrap(err, "putting the configuration in force")
+	if _, err := operator.Do(ctx, replace); err != nil {
+		return trace.Wrap(err, "applying the initial configuration")
 	}
 	probe := operatorcli.NewClient([]string{s.machines[0].readyAddress(s.options.Port)}, transport)
 	_, err = probe.Do(ctx, operatorcli.Request{Method: http.MethodGet, Path: pathReady})
-	return trace.Wrap(err, "waiting for a front")
+	return trace.Wrap(err, "waiting until a front is ready")
 }
 
 func (s *system) addresses() Addresses {
--- a/internal/systemnode/demo/machine.go
+++ b/internal/systemnode/demo/machine.go
@@ -13,7 +13,7 @@
 	classStore = "store"
 )
 
-// Offsets of the ports from the first one. They are the same on all addresses.
+// Offsets of the ports from Options.Port. They are the same on all addresses.
 const (
 	portClient = iota
 	portReady
@@ -25,14 +25,14 @@
 
 // Loopback addresses.
 const (
-	hostIP       = "127.0.0.1" // the simulated workers, their list, and the operator
-	frontIPStart = 11          // the last number of the first front's address
-	storeIPStart = 41          // the last number of the first store's address
+	hostIP       = "127.0.0.1" // of the simulated workers, the platform and the operator
+	frontIPStart = 11          // last byte of the first front's address
+	storeIPStart = 41          // last byte of the first store's address
 )
 
 var zones = []string{"demo-a", "demo-b", "demo-c"}
 
-// machine is one of the system's machines.
+// machine describes the machine of one front or store.
 type machine struct {
 	number int
 	name   string
@@ -41,7 +41,7 @@
 	zone   string
 }
 
-// planMachines returns the machines of a demonstration, fronts first.
+// planMachines returns the machines of a demonstration, fronts first. It distributes each class over the zones.
 func planMachines(options Options) []machine {
 	var machines []machine
 	add := func(class string, count, ipStart int) {
@@ -66,7 +66,7 @@
 func (m machine) readyAddress(port int) string   { return m.address(port + portReady) }
 func (m machine) controlAddress(port int) string { return m.address(port + portControl) }
 
-// settingsText returns the settings file of a machine, in TOML.
+// settingsText returns the TOML text of a machine's settings file. data is the path of its data directory.
 func (s *system) settingsText(machine machine, data string) []byte {
 	port := s.options.Port
 	var text strings.Builder
@@ -77,7 +77,7 @@
 	line("ip = %q", machine.ip)
 	line("zone = %q", machine.zone)
 	line("internal-ports = [%d, %d]", port+portInternal, port+portInternal)
-	line("seeds = [%s]", quoted(s.addresses().Control))
+	line("seeds = [%s]", quoteAll(s.addresses().Control))
 	line("bootstrap = true")
 	line("data-dir = %q", data)
 	if machine.class == classFront {
@@ -95,7 +95,8 @@
 	return []byte(text.String())
 }
 
-func quoted(texts []string) string {
+// quoteAll returns the texts as the elements of a TOML array.
+func quoteAll(texts []string) string {
 	parts := make([]string, len(texts))
 	for i, text := range texts {
 		parts[i] = strconv.Quote(text)
--- a/internal/systemnode/demo/platform.go
+++ b/internal/systemnode/demo/platform.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// instance is an entry of the platform's list of workers.
+// instance is an entry of the platform's worker list.
 type instance struct {
 	ID           string `json:"id"`
 	Service      string `json:"service"`
@@ -17,8 +17,8 @@
 	WarmupLeftMS int    `json:"warmup-left-ms"`
 }
 
-// platform returns the handler of the list of workers, which has a single page.
-func platform(workers []*worker) http.Handler {
+// newWorkerListHandler returns the handler that serves the platform's worker list as a single page.
+func newWorkerListHandler(workers []*worker) http.Handler {
 	page := struct {
 		Instances []instance `json:"instances"`
 		NextToken *string    `json:"next-token"`
@@ -35,8 +35,9 @@
 		})
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(page) // a failed write means that the caller has gone
+		_ = json.NewEncoder(w).Encode(page) // a write fails only if the client has disconnected
 	})
 }
 
+// platformAddress returns the address of the worker list.
 func (s *system) platformAddress() string { return s.hostAddress(portPlatform) }
--- a/internal/systemnode/demo/server.go
+++ b/internal/systemnode/demo/server.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// startSimulated starts the simulated workers, and the platform's list of them.
-func (s *system) startSimulated(ctx context.Context) error {
+// startPlatform starts the simulated workers and the server of the platform's worker list.
+func (s *system) startPlatform(ctx context.Context) error {
 	workers := make([]*worker, workerCount)
 	for i := range workers {
 		workers[i] = &worker{
@@ -23,10 +23,10 @@
 			return err
 		}
 	}
-	return s.serve(ctx, s.platformAddress(), platform(workers))
+	return s.serve(ctx, s.platformAddress(), newWorkerListHandler(workers))
 }
 
-// serve serves HTTP at an address until the context ends.
+// serve opens a listener at an address and serves HTTP, in a goroutine that Run waits for, until the context ends.
 func (s *system) serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := s.options.Network(hostIP).Listen(address)
 	if err != nil {
@@ -34,11 +34,11 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	s.running.Go(func() { _ = server.Serve(listener) }) // it ends with the context
+	s.running.Go(func() { _ = server.Serve(listener) }) // it returns when the context ends
 	return nil
 }
 
-// hostAddress returns an address of the simulated parties by the offset of its port.
+// hostAddress returns the address of a simulated worker or of the platform. offset is that of its port.
 func (s *system) hostAddress(offset int) string {
 	return net.JoinHostPort(hostIP, strconv.Itoa(s.options.Port+offset))
 }
--- a/internal/systemnode/demo/worker.go
+++ b/internal/systemnode/demo/worker.go
@@ -19,7 +19,7 @@
 	headerNotExecuted = "X-Not-Executed"
 )
 
-// worker simulates a worker that completes every message at once.
+// worker simulates a worker that processes each message successfully and without delay.
 type worker struct {
 	id      string
 	address string
@@ -27,8 +27,8 @@
 	done    atomic.Uint64
 }
 
-// ServeHTTP implements http.Handler: health checks, and deliveries, which are rejected when they expect another
-// worker.
+// ServeHTTP implements http.Handler. It serves health checks and deliveries. It rejects a delivery that is addressed to
+// another worker.
 func (w *worker) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	header := response.Header()
 	header.Set(headerInstance, w.id)
--- a/internal/systemnode/inspection/doc.go
+++ b/internal/systemnode/inspection/doc.go
@@ -1,11 +1,12 @@
-// Package inspection serves what operators see of a running system: a process's view of the cluster (status, members,
-// partitions) as JSON, and the metrics of each process in the Prometheus text exposition format, version 0.0.4.
+// Package inspection serves the read-only calls with which operators inspect a running system. The status, the members
+// and the partitions are returned as JSON, as the answering process sees them. The metrics of each process are returned
+// in the Prometheus text exposition format, version 0.0.4.
 //
-// Views are computed from a process's own snapshots (package cluster) when they are asked for, without a call to any other
-// process, so they also work while the control group has no majority. Metrics of another process are fetched from it by an
-// internal call, since stores have no HTTP listener. Nothing here changes the system.
+// The views are computed on request from the process's own snapshots (package cluster), without a call to another
+// process. Therefore they also work while the control group has no majority. Stores have no HTTP listener, so the
+// metrics of another process are fetched from it by an internal call. No call changes the system.
 //
-// The names in the JSON and of the metrics are an interface: dashboards and scripts depend on them.
+// The JSON names and the metric names are an interface: dashboards and scripts depend on them.
 //
-// A Registry has a lock and may be used from any goroutine; the package starts no goroutines. Start reading at NewHandler.
+// A Registry is safe for concurrent use. The package starts no goroutines. Start reading at NewHandler.
 package inspection
--- a/internal/systemnode/inspection/handler.go
+++ b/internal/systemnode/inspection/handler.go
@@ -22,13 +22,14 @@
 	PathMetrics    = "/api/metrics"
 )
 
-// QueryNode is the query parameter of PathMetrics that names the control member or store whose metrics are wanted.
+// QueryNode is the query parameter of PathMetrics that names the control member or store whose metrics are requested.
+// Without it, the answering process returns its own metrics.
 const QueryNode = "node"
 
-// MethodMetrics is the internal call that returns a process's metrics as its body. The request is empty.
+// MethodMetrics is the internal call whose response body is the metrics of the called process. The request is empty.
 const MethodMetrics = "node.metrics"
 
-// metricsTimeout bounds a call for another process's metrics.
+// metricsTimeout bounds the call that fetches the metrics of another process.
 const metricsTimeout = 2 * time.Second
 
 const (
@@ -42,7 +43,7 @@
 	errNoAnswer    = errors.New("the process can't be reached now")
 )
 
-// Caller makes an internal call at an address and returns the body of the response.
+// Caller makes an internal call without a body to the process at an address and returns the body of the response.
 type Caller func(ctx context.Context, address, method string) (body []byte, err error)
 
 // PoolCaller returns a Caller that uses the connections of a pool.
@@ -52,14 +53,15 @@
 	}
 }
 
-// HandleMetrics returns the handler of MethodMetrics.
+// HandleMetrics returns the handler of MethodMetrics, which serves the metrics of a registry.
 func HandleMetrics(registry *Registry) rpc.Handler {
 	return func(context.Context, *rpc.Call) (any, []byte, error) {
 		return nil, registry.Text(), nil
 	}
 }
 
-// Options configure a handler of the read-only calls.
+// Options configure a handler of the read-only calls. Self identifies the answering process. Call fetches the metrics
+// of another process.
 type Options struct {
 	Self      cluster.NodeInfo
 	Snapshots Snapshots
@@ -71,17 +73,17 @@
 	options Options
 }
 
-// NewHandler returns a handler of the read-only calls. All other requests, also those with another method, go to
-// the handler `otherwise`.
-func NewHandler(options Options, otherwise http.Handler) http.Handler {
+// NewHandler returns a handler of the read-only calls, which are GET requests for the paths above. It passes all other
+// requests to fallback, including those for these paths with another method.
+func NewHandler(options Options, fallback http.Handler) http.Handler {
 	h := &handler{options: options}
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.Path(PathStatus).Methods(http.MethodGet).HandlerFunc(h.serveStatus)
 	router.Path(PathMembers).Methods(http.MethodGet).HandlerFunc(h.serveMembers)
 	router.Path(PathPartitions).Methods(http.MethodGet).HandlerFunc(h.servePartitions)
 	router.Path(PathMetrics).Methods(http.MethodGet).HandlerFunc(h.serveMetrics)
-	router.NotFoundHandler = otherwise
-	router.MethodNotAllowedHandler = otherwise
+	router.NotFoundHandler = fallback
+	router.MethodNotAllowedHandler = fallback
 	return router
 }
 
@@ -135,5 +137,5 @@
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a failed write means that the caller has gone
+	_, _ = w.Write(body) // a write fails only if the client has disconnected
 }
--- a/internal/systemnode/inspection/members.go
+++ b/internal/systemnode/inspection/members.go
@@ -10,13 +10,13 @@
 	RoleStore   = "store"
 )
 
-// States of a control member. Those of a store are cluster.StoreState.
+// States of a control member. The states of a store are the values of cluster.StoreState.
 const (
 	ControlPrimary = "primary"
 	ControlBackup  = "backup"
 )
 
-// Member is a control member or a store.
+// Member describes a control member or a store.
 type Member struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -24,12 +24,12 @@
 	Address string `json:"address"` // of its internal listener
 	State   string `json:"state"`
 	DiskID  string `json:"diskId"`
-	Leads   int    `json:"leads"` // partitions of which it is the primary
-	Holds   int    `json:"holds"` // partitions of which it has a replica, as primary or backup
+	Leads   int    `json:"leads"` // number of partitions of which it is the primary
+	Holds   int    `json:"holds"` // number of partitions of which it has a replica, as primary or backup
 }
 
-// NewMembers lists the control members and then the stores, in the order of the table. The table may be nil; the
-// list never is, so that JSON has [] for it.
+// NewMembers lists the control members and then the stores, each in the order of the table. The table may be nil. The
+// list is never nil, so that JSON has [] for an empty one.
 func NewMembers(table *cluster.Table) []Member {
 	members := []Member{}
 	if table == nil {
@@ -69,7 +69,8 @@
 	}
 }
 
-// countReplicas counts, by store, the partitions of which it is the primary, and those of which it has a replica.
+// countReplicas returns, by store name, the number of partitions of which the store is the primary, and the number of
+// partitions of which it has a replica.
 func countReplicas(table *cluster.Table) (leads, holds map[string]int) {
 	leads, holds = map[string]int{}, map[string]int{}
 	for _, partition := range table.Partitions {
@@ -83,8 +84,8 @@
 	return leads, holds
 }
 
-// AddressOf returns the internal address of a control member or a store, and false where there is none of the
-// name. The table may be nil.
+// AddressOf returns the internal address of the control member or store with the given name. It returns false if the
+// table contains no such member. The table may be nil.
 func AddressOf(table *cluster.Table, name string) (string, bool) {
 	if store := table.Store(name); store != nil {
 		return store.Address, true
--- a/internal/systemnode/inspection/metrics.go
+++ b/internal/systemnode/inspection/metrics.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// metricsLifetime is how long collected metrics are returned again. It bounds what frequent scraping costs.
+// metricsLifetime is how long collected metrics are cached. It limits the cost of frequent scraping.
 const metricsLifetime = time.Second
 
 // Kind is the type of a metric in the exposition format.
 type Kind string
 
-// The kinds.
+// The metric types in use.
 const (
-	Counter Kind = "counter" // only grows, from the start of the process
+	Counter Kind = "counter" // never decreases while the process runs
 	Gauge   Kind = "gauge"
 )
 
@@ -26,7 +26,7 @@
 	Value string
 }
 
-// Metric describes a metric. Its name carries the unit, as gladepick_uptime_seconds does, and ends in _total for a
+// Metric describes a metric. Its name contains the unit, as in gladepick_uptime_seconds, and ends in _total if it is a
 // counter.
 type Metric struct {
 	Name string
@@ -34,11 +34,12 @@
 	Help string
 }
 
-// Collector writes the samples of its metrics. It is called under the lock of the registry, so it must not call that.
+// Collector writes the samples of its metrics. The registry calls it under its lock, so a collector must not call the
+// registry.
 type Collector func(samples *Samples)
 
-// Registry holds the collectors of a process. They are called only when metrics are asked for, and at most once
-// within metricsLifetime. The zero value is ready for use.
+// Registry holds the collectors of a process. It calls them only when metrics are requested, and at most once per
+// metricsLifetime. The zero value is ready for use. A Registry is safe for concurrent use.
 type Registry struct {
 	mutex      sync.Mutex
 	collectors []Collector
@@ -46,14 +47,15 @@
 	collected  time.Time
 }
 
-// Add adds a collector. Metrics appear in the order of their collectors.
+// Add adds a collector. Metrics are written in the order in which their collectors were added.
 func (r *Registry) Add(collector Collector) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.collectors = append(r.collectors, collector)
 }
 
-// Text returns all metrics in the exposition format. The bytes must not be changed.
+// Text returns all metrics in the exposition format. They are at most metricsLifetime old. The caller must not modify
+// the bytes.
 func (r *Registry) Text() []byte {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -68,11 +70,11 @@
 	return r.text
 }
 
-// Samples collects the samples of one collection. The samples of one metric must follow one another, since their
-// HELP and TYPE lines are written before the first.
+// Samples builds the text of one collection. All samples of a metric must be added one after another, because the HELP
+// and TYPE lines are written before the first one.
 type Samples struct {
 	text    bytes.Buffer
-	current string // name of the metric whose HELP and TYPE lines were written last
+	current string // name of the metric to which the last HELP and TYPE lines belong
 }
 
 // Add writes one sample.
@@ -91,11 +93,11 @@
 
 // AddBool writes one sample that is 1 for true and 0 for false.
 func (s *Samples) AddBool(metric Metric, value bool, labels ...Label) {
-	figure := 0.0
+	number := 0.0
 	if value {
-		figure = 1
+		number = 1
 	}
-	s.Add(metric, figure, labels...)
+	s.Add(metric, number, labels...)
 }
 
 func (s *Samples) writeLabels(labels []Label) {
--- a/internal/systemnode/inspection/partitions.go
+++ b/internal/systemnode/inspection/partitions.go
@@ -4,37 +4,40 @@
 	"gladepick/internal/cluster"
 )
 
-// Partition is the replica group of a partition.
+// Partition describes the replica group of a partition. A suspected backup is synced but does not accept its primary's
+// records. It stays in the group until another backup is synced.
 type Partition struct {
 	ID               int      `json:"id"`
 	Epoch            uint64   `json:"epoch"`
-	Primary          string   `json:"primary"`             // empty where there is none
-	Synced           []string `json:"synced"`              // backups that have everything that was committed
-	Copying          []string `json:"copying"`             // backups that are still catching up
-	Suspected        []string `json:"suspected,omitempty"` // of the synced: those that take no records, until another is synced
-	PreferredPrimary string   `json:"wanted,omitempty"`    // where the control plane wants to move the primary
+	Primary          string   `json:"primary"`             // store of the primary; empty if the partition has none
+	Synced           []string `json:"synced"`              // stores of the backups that have all committed messages
+	Copying          []string `json:"copying"`             // stores of the backups that are still catching up
+	Suspected        []string `json:"suspected,omitempty"` // stores of the suspected backups, which are also in Synced
+	PreferredPrimary string   `json:"wanted,omitempty"`    // store that should become the primary; empty for none
 }
 
-// NewPartitions lists the partitions by id. The table may be nil; the list never is.
+// NewPartitions lists the partitions of a table by ID. The table may be nil. The list is never nil, so that JSON has []
+// for an empty one.
 func NewPartitions(table *cluster.Table) []Partition {
 	partitions := []Partition{}
 	if table == nil {
 		return partitions
 	}
-	for _, view := range table.Partitions {
-		partitions = append(partitions, newPartition(view))
+	for _, entry := range table.Partitions {
+		partitions = append(partitions, newPartition(entry))
 	}
 	return partitions
 }
 
-func newPartition(view cluster.Partition) Partition {
-	partition := Partition{ID: view.ID, Epoch: view.Epoch, Synced: []string{}, Copying: []string{}, PreferredPrimary: view.PreferredPrimary}
-	primary, found := view.Primary()
+func newPartition(entry cluster.Partition) Partition {
+	partition := Partition{
+		ID: entry.ID, Epoch: entry.Epoch, Synced: []string{}, Copying: []string{}, PreferredPrimary: entry.PreferredPrimary}
+	primary, found := entry.Primary()
 	if !found {
 		return partition
 	}
 	partition.Primary = primary.Store
-	for _, backup := range view.Replicas[1:] {
+	for _, backup := range entry.Replicas[1:] {
 		if backup.Synced {
 			partition.Synced = append(partition.Synced, backup.Store)
 		} else {
