--- a/internal/operatorcli/command.go
+++ b/internal/operatorcli/command.go
@@ -1,11 +1,12 @@
-// Package operatorcli holds the operators' commands: a file for each command, named after it. A command either
-// calls the fronts of a running system over HTTP, or checks a file without calling anybody.
+// Package operatorcli implements the operators' commands. Each command is in a file named after it. A command either
+// calls the fronts of a running system over HTTP, or checks a file without a network call.
 //
-// Register adds the commands to a kingpin application; the caller parses the command line and runs the function of
-// the selected command. Output goes to a writer, as a table or as JSON. Errors are or wrap *RefusedError,
-// *InvalidFileError, *UnavailableError, or others, and ExitCode turns them into exit codes. Commands, flags,
-// output and exit codes are an interface: operators' scripts depend on them, and the golden files under testdata
-// hold them.
+// Register adds the commands to a kingpin application. The caller parses the command line and runs the function of the
+// selected command, which prints a table or JSON to a writer. ExitCode maps the command's error to an exit code, by the
+// types *RefusedError and *InvalidFileError.
+//
+// Commands, flags, output and exit codes are an interface that operators' scripts depend on. The golden files under
+// testdata record them.
 //
 // The package starts no goroutines. Start reading at Register, then Client.Do.
 package operatorcli
@@ -18,7 +19,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// AddressVariable is the environment variable that holds the addresses of fronts, one a line.
+// AddressVariable is the environment variable for the flag --address. It contains addresses of fronts, one per line.
 const AddressVariable = "GLADEPICK_ADDRESS"
 
 // Values of the flag --output.
@@ -27,16 +28,16 @@
 	outputJSON  = "json"
 )
 
-// defaultTimeout bounds a command, all its attempts at all addresses together.
+// defaultTimeout is the default of --timeout, which bounds all calls of a command at all addresses together.
 const defaultTimeout = 15 * time.Second
 
 // Runner executes a command after its flags and arguments have been parsed.
 type Runner func(ctx context.Context) error
 
-// Commands are the commands by their full names, such as "config put".
+// Commands maps the full name of each command, such as "config put", to its function.
 type Commands map[string]Runner
 
-// Register adds the operators' commands to an application. They print to a writer.
+// Register adds the operators' commands to an application and returns their functions. The commands print to out.
 func Register(application *kingpin.Application, out io.Writer) Commands {
 	commands := Commands{}
 	registerStatus(application, out, commands)
@@ -53,36 +54,37 @@
 // add sets the function of a command.
 func (c Commands) add(command *kingpin.CmdClause, run Runner) { c[command.FullCommand()] = run }
 
-// connection holds the flags of a command that calls fronts.
-type connection struct {
+// connectionFlags are the flags of a command that calls fronts.
+type connectionFlags struct {
 	addresses *[]string
 	timeout   *time.Duration
 }
 
-// addConnection adds the flags of a command that calls fronts. The listener says which address of a front the help
-// asks for.
-func addConnection(command *kingpin.CmdClause, listener string) connection {
+// addConnectionFlags adds the flags of a command that calls fronts. listener is the listener of the front whose address
+// the command takes; it appears in the help text.
+func addConnectionFlags(command *kingpin.CmdClause, listener string) connectionFlags {
 	help := "The " + listener + " address of a front, \"ip:port\"; may be repeated."
-	return connection{
+	return connectionFlags{
 		addresses: command.Flag("address", help).Short('a').Envar(AddressVariable).Required().Strings(),
 		timeout: command.Flag("timeout", "How long to try, all addresses together.").
 			Default(defaultTimeout.String()).Duration(),
 	}
 }
 
-// Listeners whose addresses a command takes.
+// Listeners of a front, for addConnectionFlags.
 const (
 	listenerControl = "control"
 	listenerClient  = "client"
 )
 
-// client returns a client of the fronts, and a context that ends after the command's timeout.
-func (c connection) client(ctx context.Context) (*Client, context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, *c.timeout)
-	return NewClient(*c.addresses, nil), ctx, cancel
+// client returns a client of the fronts and a context that ends after the command's time-out. The caller must call the
+// cancel function.
+func (f connectionFlags) client(ctx context.Context) (*Client, context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, *f.timeout)
+	return NewClient(*f.addresses, nil), ctx, cancel
 }
 
-// addOutput adds the flag --output to a command.
-func addOutput(command *kingpin.CmdClause) *string {
+// addOutputFlag adds the flag --output to a command.
+func addOutputFlag(command *kingpin.CmdClause) *string {
 	return command.Flag("output", "How to print.").Short('o').Default(outputTable).Enum(outputTable, outputJSON)
 }
--- a/internal/operatorcli/config.go
+++ b/internal/operatorcli/config.go
@@ -12,14 +12,15 @@
 	"gladepick/internal/configuration"
 )
 
-// Paths of the calls for the configuration. PathConfigReplace is exported for the demonstration, which sends the first one.
+// Paths of the calls that read and change the configuration. PathConfigReplace is exported because package demo sends
+// the first configuration with it.
 const (
 	pathConfigRead    = "/api/config/read"
 	PathConfigReplace = "/api/config/replace"
 	pathConfigUpdate  = "/api/config/update"
 )
 
-// registerConfiguration adds the command config, with its subcommands.
+// registerConfiguration adds the command config and its subcommands.
 func registerConfiguration(application *kingpin.Application, out io.Writer, commands Commands) {
 	config := application.Command("config", "Read, check and change the configuration.")
 	registerConfigGet(config, out, commands)
@@ -28,7 +29,7 @@
 	registerConfigCheck(config, out, commands)
 }
 
-// readConfiguration returns the configuration in force, or nil where there is none yet.
+// readConfiguration returns the configuration in force. It returns nil if there is none yet.
 func readConfiguration(ctx context.Context, client *Client) (*configuration.Document, error) {
 	body, err := client.Do(ctx, Request{Method: http.MethodGet, Path: pathConfigRead})
 	var refused *RefusedError
--- a/internal/operatorcli/configcheck.go
+++ b/internal/operatorcli/configcheck.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return &InvalidFileError{Path: *path, Err: err}
 		}
-		if err := warnOfUnread(out, *path, configuration.UnknownMembers(text)); err != nil {
+		if err := warnUnknownMembers(out, *path, configuration.UnknownMembers(text)); err != nil {
 			return err
 		}
 		table := document.Table()
@@ -33,9 +33,10 @@
 	})
 }
 
-// warnOfUnread prints a warning for each member of a file that is not read: it is most likely misspelt.
-func warnOfUnread(out io.Writer, path string, unread configuration.Findings) error {
-	for _, finding := range unread {
+// warnUnknownMembers prints a warning for each unknown member of a JSON file. The system ignores unknown members, and
+// their names are most likely misspelt.
+func warnUnknownMembers(out io.Writer, path string, unknown configuration.Findings) error {
+	for _, finding := range unknown {
 		if err := printLine(out, "%s: warning: %s", path, finding); err != nil {
 			return err
 		}
--- a/internal/operatorcli/configdiff.go
+++ b/internal/operatorcli/configdiff.go
@@ -14,8 +14,8 @@
 // registerConfigDiff adds the command config diff.
 func registerConfigDiff(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	diff := config.Command("diff", "Tell what a file would change in the configuration in force.")
-	connection := addConnection(diff, listenerControl)
-	output := addOutput(diff)
+	connection := addConnectionFlags(diff, listenerControl)
+	output := addOutputFlag(diff)
 	update := diff.Flag("update", "The file holds an update, not a complete configuration.").Bool()
 	path := diff.Arg("file", "JSON file.").Required().String()
 	commands.add(diff, func(ctx context.Context) error {
@@ -37,7 +37,8 @@
 	})
 }
 
-// nextConfiguration returns the configuration to which a file would lead, which holds all of it or an update.
+// nextConfiguration returns the configuration that would be in force after a file is put. The file contains an update
+// of current if update is set, or else a complete configuration.
 func nextConfiguration(current *configuration.Document, text []byte, update bool) (*configuration.Document, error) {
 	if update {
 		return current.Update(text)
@@ -45,6 +46,7 @@
 	return configuration.Parse(text)
 }
 
+// printDiff prints the lines of a difference, or as JSON a list of them, which is [] without a difference.
 func printDiff(out io.Writer, output string, lines []string) error {
 	if output == outputJSON {
 		if lines == nil {
--- a/internal/operatorcli/configget.go
+++ b/internal/operatorcli/configget.go
@@ -11,7 +11,7 @@
 // registerConfigGet adds the command config get.
 func registerConfigGet(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	get := config.Command("get", "Print the newest configuration as it was sent.")
-	connection := addConnection(get, listenerControl)
+	connection := addConnectionFlags(get, listenerControl)
 	commands.add(get, func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
 		defer cancel()
--- a/internal/operatorcli/configput.go
+++ b/internal/operatorcli/configput.go
@@ -17,7 +17,7 @@
 // registerConfigPut adds the command config put.
 func registerConfigPut(config *kingpin.CmdClause, out io.Writer, commands Commands) {
 	put := config.Command("put", "Put a complete configuration, or an update, in force.")
-	connection := addConnection(put, listenerControl)
+	connection := addConnectionFlags(put, listenerControl)
 	update := put.Flag("update", "The file holds an update, not a complete configuration.").Bool()
 	base := put.Flag("base", "Version on which it builds; without it, the version that is in force now.").String()
 	path := put.Arg("file", "JSON file.").Required().String()
@@ -26,11 +26,11 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		unread := configuration.UnknownMembers
+		unknownMembers := configuration.UnknownMembers
 		if *update {
-			unread = configuration.UnknownUpdateMembers
+			unknownMembers = configuration.UnknownUpdateMembers
 		}
-		if err := warnOfUnread(out, *path, unread(text)); err != nil {
+		if err := warnUnknownMembers(out, *path, unknownMembers(text)); err != nil {
 			return err
 		}
 		client, ctx, cancel := connection.client(ctx)
@@ -53,11 +53,11 @@
 	})
 }
 
-// versionOf returns the version that a configuration or an update names.
+// versionOf returns the version of a configuration or an update. The text must be valid JSON.
 func versionOf(text []byte) uint64 {
 	var header struct {
 		Version uint64 `json:"version"`
 	}
-	_ = json.Unmarshal(text, &header) // the system has accepted it
+	_ = json.Unmarshal(text, &header) // can't fail: the system has accepted the text
 	return header.Version
 }
--- a/internal/operatorcli/errors.go
+++ b/internal/operatorcli/errors.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// RefusedError is a response that refuses a call for good.
+// RefusedError is the error of a request that a front refused permanently. A retry would be refused again.
 type RefusedError struct {
 	Status   int
-	Text     string
+	Text     string // reason of the refusal, from the body of the response
 	Findings []Finding
 }
 
-// Finding is one thing that is wrong in what was sent.
+// Finding is one problem in the request that was refused. Place is the part of the request with the problem.
 type Finding struct {
 	Place   string `json:"place,omitempty"`
 	Problem string `json:"problem"`
@@ -30,7 +30,8 @@
 	return f.Place + ": " + f.Problem
 }
 
-// newRefusedError reads the body of a refusal, which is JSON or plain text.
+// newRefusedError returns the error for a response that refuses a request. The body is JSON or plain text. If it
+// contains no reason, the error's text is that of the status.
 func newRefusedError(status int, body []byte) *RefusedError {
 	var content struct {
 		Error    string    `json:"error"`
@@ -54,13 +55,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// isRefusal tells whether an error is, or wraps, a *RefusedError.
+// isRefusal reports whether an error is or wraps a *RefusedError.
 func isRefusal(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused)
 }
 
-// UnavailableError is a response after which another front, or a later attempt, may succeed.
+// UnavailableError is the error of a response after which a request to another front or a retry may succeed.
 type UnavailableError struct {
 	Address string // of the front
 	Status  int
@@ -72,14 +73,14 @@
 	return fmt.Sprintf("%s answered %d: %s", e.Address, e.Status, e.Text)
 }
 
-// InvalidFileError is a file that was read and is invalid.
+// InvalidFileError is the error of a file that was read and has invalid contents.
 type InvalidFileError struct {
 	Path string
-	Err  error // tells everything that was found
+	Err  error // lists all problems of the file
 }
 
 // Error implements error.
 func (e *InvalidFileError) Error() string { return e.Path + " is invalid:\n" + e.Err.Error() }
 
-// Unwrap returns the findings.
+// Unwrap returns the error that lists the problems.
 func (e *InvalidFileError) Unwrap() error { return e.Err }
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -5,13 +5,13 @@
 // Exit codes of the operators' commands.
 const (
 	ExitDone    = 0
-	ExitFailed  = 1 // no front answered conclusively, or a file could not be read
+	ExitFailed  = 1 // no front responded conclusively, a file could not be read, or another failure
 	ExitUsage   = 2 // wrong flags or arguments
-	ExitRefused = 3 // not found, or refused with a reason
+	ExitRefused = 3 // a front refused the request, also for something not found, or a file is invalid
 )
 
-// ExitCode returns the exit code for the result of a command. ExitUsage is not among them: the parser of the
-// command line finds wrong usage before a command runs.
+// ExitCode returns the exit code for the error of a command, which may be nil. It never returns ExitUsage, since the
+// caller finds wrong usage when it parses the command line, before a command runs.
 func ExitCode(err error) int {
 	var invalid *InvalidFileError
 	switch {
--- a/internal/operatorcli/members.go
+++ b/internal/operatorcli/members.go
@@ -12,7 +12,7 @@
 // registerMembers adds the command members.
 func registerMembers(application *kingpin.Application, out io.Writer, commands Commands) {
 	members := application.Command("members", "List the control members and the stores.")
-	commands.add(members, newView(members, inspection.PathMembers, out, printMembers))
+	commands.add(members, newViewRunner(members, inspection.PathMembers, out, printMembers))
 }
 
 func printMembers(out io.Writer, members []inspection.Member) error {
@@ -24,5 +24,5 @@
 		}
 		t.row(member.Name, member.Role, orDash(member.Zone), member.Address, member.State, leads, holds)
 	}
-	return t.end()
+	return t.flush()
 }
--- a/internal/operatorcli/messageshow.go
+++ b/internal/operatorcli/messageshow.go
@@ -11,13 +11,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Paths of the questions about a message; its ID follows.
+// Paths of the queries for a message. The message's ID is appended.
 const (
 	pathMessageState = "/api/message/"
 	pathMessageBody  = "/api/message-body/"
 )
 
-// messageState is the response to a query for a message's state, and with the ID what the command prints as JSON.
+// messageState is the response to a query for a message's state. The command adds the ID and prints it.
 type messageState struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
@@ -28,15 +28,15 @@
 func registerMessage(application *kingpin.Application, out io.Writer, commands Commands) {
 	message := application.Command("message", "Look at a message.")
 	show := message.Command("show", "Show how a message stands, or its body.")
-	connection := addConnection(show, listenerClient)
-	output := addOutput(show)
-	wantsBody := show.Flag("body", "Print the body of a message that is queued or dead.").Bool()
+	connection := addConnectionFlags(show, listenerClient)
+	output := addOutputFlag(show)
+	printBody := show.Flag("body", "Print the body of a message that is queued or dead.").Bool()
 	host := show.Flag("host", "Host to which the message was sent.").String()
 	id := show.Arg("id", "The message's ID.").Required().String()
 	commands.add(show, func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
 		defer cancel()
-		if *wantsBody {
+		if *printBody {
 			return showBody(ctx, client, out, *id, *host)
 		}
 		return showState(ctx, client, out, *id, *host, *output)
@@ -61,7 +61,7 @@
 	}
 	state := messageState{}
 	if err := json.Unmarshal(body, &state); err != nil {
-		return trace.Wrap(err, "reading the answer")
+		return trace.Wrap(err, "decoding the response")
 	}
 	state.ID = id
 	if output == outputJSON {
@@ -69,5 +69,5 @@
 	}
 	t := newTable(out, "ID", "STATE", "STAMP")
 	t.row(state.ID, state.State, orDash(state.Stamp))
-	return t.end()
+	return t.flush()
 }
--- a/internal/operatorcli/metrics.go
+++ b/internal/operatorcli/metrics.go
@@ -15,7 +15,7 @@
 // registerMetrics adds the command metrics.
 func registerMetrics(application *kingpin.Application, out io.Writer, commands Commands) {
 	metrics := application.Command("metrics", "Print the metrics of a process.")
-	connection := addConnection(metrics, listenerControl)
+	connection := addConnectionFlags(metrics, listenerControl)
 	node := metrics.Flag("node", "A control member or a store; without it, the front that answers.").String()
 	commands.add(metrics, func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
--- a/internal/operatorcli/output.go
+++ b/internal/operatorcli/output.go
@@ -12,12 +12,13 @@
 
 const columnGap = 2
 
-// table prints text in aligned columns. It keeps the first error for end.
+// table writes rows with aligned columns. It stores the first error, which flush returns.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
 }
 
+// newTable returns a table with a header row, or without one if no columns are given.
 func newTable(out io.Writer, columns ...string) *table {
 	t := &table{writer: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}
 	if len(columns) > 0 {
@@ -32,8 +33,8 @@
 	}
 }
 
-// end prints the table and returns the first error.
-func (t *table) end() error {
+// flush writes the table to its writer and returns the first error.
+func (t *table) flush() error {
 	if err := t.writer.Flush(); err != nil {
 		return trace.Wrap(err)
 	}
@@ -52,7 +53,7 @@
 	return trace.Wrap(err)
 }
 
-// orDash returns a dash in place of an empty cell.
+// orDash returns the cell, or "-" if it is empty.
 func orDash(cell string) string {
 	if cell == "" {
 		return "-"
--- a/internal/operatorcli/partitions.go
+++ b/internal/operatorcli/partitions.go
@@ -13,7 +13,7 @@
 // registerPartitions adds the command partitions.
 func registerPartitions(application *kingpin.Application, out io.Writer, commands Commands) {
 	partitions := application.Command("partitions", "List the partitions and the stores that keep them.")
-	commands.add(partitions, newView(partitions, inspection.PathPartitions, out, printPartitions))
+	commands.add(partitions, newViewRunner(partitions, inspection.PathPartitions, out, printPartitions))
 }
 
 func printPartitions(out io.Writer, partitions []inspection.Partition) error {
@@ -28,5 +28,5 @@
 			orDash(partition.PreferredPrimary),
 		)
 	}
-	return t.end()
+	return t.flush()
 }
--- a/internal/operatorcli/retire.go
+++ b/internal/operatorcli/retire.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	pathRetire      = "/api/retire/" // followed by the store's name and one of the two below
+	pathRetire      = "/api/retire/" // followed by the store's name and retireStartPath or retireReadPath
 	retireStartPath = "/start"
 	retireReadPath  = "/read"
 )
 
-// registerRetire adds the command retire, with its subcommands.
+// registerRetire adds the command retire and its subcommands.
 func registerRetire(application *kingpin.Application, out io.Writer, commands Commands) {
 	retire := application.Command("retire", "Empty stores, so that their machines can be removed.")
 	registerRetireStart(retire, out, commands)
--- a/internal/operatorcli/retireshow.go
+++ b/internal/operatorcli/retireshow.go
@@ -11,7 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// retireState is the response to a query for a retirement, and with the name what the command prints as JSON.
+// retireState is the response to a query for the retirement of a store. The command adds the store's name and prints
+// it.
 type retireState struct {
 	Node  string `json:"node"`
 	State string `json:"state"`
@@ -20,8 +21,8 @@
 // registerRetireShow adds the command retire show.
 func registerRetireShow(retire *kingpin.CmdClause, out io.Writer, commands Commands) {
 	show := retire.Command("show", "Show how far the emptying of a store is.")
-	connection := addConnection(show, listenerControl)
-	output := addOutput(show)
+	connection := addConnectionFlags(show, listenerControl)
+	output := addOutputFlag(show)
 	node := show.Arg("node", "The store's name.").Required().String()
 	commands.add(show, func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
@@ -33,7 +34,7 @@
 		}
 		state := retireState{}
 		if err := json.Unmarshal(body, &state); err != nil {
-			return trace.Wrap(err, "reading the answer")
+			return trace.Wrap(err, "decoding the response")
 		}
 		state.Node = *node
 		if *output == outputJSON {
@@ -41,6 +42,6 @@
 		}
 		t := newTable(out, "NODE", "STATE")
 		t.row(state.Node, state.State)
-		return t.end()
+		return t.flush()
 	})
 }
--- a/internal/operatorcli/retirestart.go
+++ b/internal/operatorcli/retirestart.go
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 )
 
-// defaultRetireDuration is the default of --duration, which is sent with the request. The control plane does not
-// use it.
+// defaultRetireDuration is the default of --duration. The command sends the duration with the request, but the control
+// plane does not use it.
 const defaultRetireDuration = 10 * time.Second
 
 // retireRequest is the body of a request to retire a store.
@@ -24,7 +24,7 @@
 // registerRetireStart adds the command retire start.
 func registerRetireStart(retire *kingpin.CmdClause, out io.Writer, commands Commands) {
 	start := retire.Command("start", "Order that a store is emptied.")
-	connection := addConnection(start, listenerControl)
+	connection := addConnectionFlags(start, listenerControl)
 	duration := start.Flag("duration", "How long it may take.").Default(defaultRetireDuration.String()).Duration()
 	node := start.Arg("node", "The store's name.").Required().String()
 	commands.add(start, func(ctx context.Context) error {
--- a/internal/operatorcli/settingscheck.go
+++ b/internal/operatorcli/settingscheck.go
@@ -16,14 +16,14 @@
 	check := parent.Command("check", "Check the settings file of a process without starting one.")
 	path := check.Arg("file", "TOML file.").Required().String()
 	commands.add(check, func(context.Context) error {
-		read, err := settings.Load(*path)
-		var found settings.Findings
-		if errors.As(err, &found) {
-			return &InvalidFileError{Path: *path, Err: found}
+		loaded, err := settings.Load(*path)
+		var findings settings.Findings
+		if errors.As(err, &findings) {
+			return &InvalidFileError{Path: *path, Err: findings}
 		}
 		if err != nil {
 			return err
 		}
-		return printLine(out, "%s is valid: %s, class %s in zone %s", *path, read.Node, orDash(read.Class), read.Zone)
+		return printLine(out, "%s is valid: %s, class %s in zone %s", *path, loaded.Node, orDash(loaded.Class), loaded.Zone)
 	})
 }
--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -17,7 +17,7 @@
 // registerStatus adds the command status.
 func registerStatus(application *kingpin.Application, out io.Writer, commands Commands) {
 	status := application.Command("status", "Show what a front knows of the system as a whole.")
-	commands.add(status, newView(status, inspection.PathStatus, out, printStatus))
+	commands.add(status, newViewRunner(status, inspection.PathStatus, out, printStatus))
 }
 
 func printStatus(out io.Writer, status inspection.Status) error {
@@ -38,9 +38,10 @@
 	t.row("partitions", fmt.Sprintf("%d: %d whole, %d degraded, %d without a primary",
 		partitions.Total, partitions.Complete, partitions.Degraded, partitions.Leaderless))
 	t.row("workers", workersText(status))
-	return t.end()
+	return t.flush()
 }
 
+// workersText describes the worker list: the number of workers and the time since it was read.
 func workersText(status inspection.Status) string {
 	if status.WorkersAgeMS < 0 {
 		return "list not read yet"
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("%d, read %s ago", status.Workers, age)
 }
 
-// countsText lists numbers by name, as in "3 active, 1 down".
+// countsText lists counts sorted by name, as in "3 active, 1 down".
 func countsText(counts map[string]int) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/operatorcli/view.go
+++ b/internal/operatorcli/view.go
@@ -10,13 +10,13 @@
 	"github.com/gravitational/trace"
 )
 
-// newView returns the Runner of a command that reads a JSON value at a path and prints it, by a function or as
-// JSON.
-func newView[Value any](
-	command *kingpin.CmdClause, path string, out io.Writer, print func(io.Writer, Value) error,
+// newViewRunner adds the flags of a command and returns its Runner. The Runner reads the JSON value at a path of a
+// front and prints it, with printTable or as JSON.
+func newViewRunner[Value any](
+	command *kingpin.CmdClause, path string, out io.Writer, printTable func(io.Writer, Value) error,
 ) Runner {
-	connection := addConnection(command, listenerControl)
-	output := addOutput(command)
+	connection := addConnectionFlags(command, listenerControl)
+	output := addOutputFlag(command)
 	return func(ctx context.Context) error {
 		client, ctx, cancel := connection.client(ctx)
 		defer cancel()
@@ -26,11 +26,11 @@
 		}
 		var value Value
 		if err := json.Unmarshal(body, &value); err != nil {
-			return trace.Wrap(err, "reading the answer")
+			return trace.Wrap(err, "decoding the response")
 		}
 		if *output == outputJSON {
 			return printJSON(out, value)
 		}
-		return print(out, value)
+		return printTable(out, value)
 	}
 }
