--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// newTestClient returns a client that records its pauses in the place of making them, and gives up at the third.
+// newTestClient returns a client that records its backoff pauses and does not wait. The third pause cancels the
+// returned context.
 func newTestClient(t *testing.T, addresses ...string) (*Client, context.Context, *[]time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -27,7 +28,8 @@
 	return client, ctx, &pauses
 }
 
-// serveStatuses starts a front that answers with one status after another, the last one again and again.
+// serveStatuses starts a front that responds with the given statuses in order and then repeats the last one. It returns
+// the front's address.
 func serveStatuses(t *testing.T, statuses ...int) string {
 	t.Helper()
 	next := 0
@@ -39,7 +41,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// closedAddress returns an address at which nobody listens.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -49,7 +51,7 @@
 
 var sampleRequest = Request{Method: http.MethodGet, Path: "/"}
 
-func TestClientGoesOnToTheNextAddress(t *testing.T) {
+func TestClientTriesTheNextAddressAfterAFailure(t *testing.T) {
 	for _, status := range []int{500, 503, 408, 429} {
 		client, ctx, pauses := newTestClient(t, closedAddress(t), serveStatuses(t, status), serveStatuses(t, 200))
 		_, err := client.Do(ctx, sampleRequest)
@@ -58,14 +60,14 @@
 	}
 }
 
-func TestClientTriesAgainAfterGrowingPauses(t *testing.T) {
+func TestClientRetriesWithExponentialBackoff(t *testing.T) {
 	client, ctx, pauses := newTestClient(t, serveStatuses(t, 503, 503, 200))
 	_, err := client.Do(ctx, sampleRequest)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, *pauses, []time.Duration{200 * time.Millisecond, 400 * time.Millisecond})
 }
 
-func TestClientGivesUpWithAllFailures(t *testing.T) {
+func TestClientReturnsTheFailuresOfAllAddresses(t *testing.T) {
 	first, second := serveStatuses(t, 503), serveStatuses(t, 500)
 	client, ctx, pauses := newTestClient(t, first, second)
 	_, err := client.Do(ctx, sampleRequest)
@@ -75,7 +77,7 @@
 	assert.Equal(t, len(*pauses), 3)
 }
 
-func TestClientStopsAtARefusal(t *testing.T) {
+func TestClientDoesNotRetryARefusedRequest(t *testing.T) {
 	for _, status := range []int{400, 404, 409, 412, 413, 422} {
 		client, ctx, pauses := newTestClient(t, serveStatuses(t, status), serveStatuses(t, 200))
 		_, err := client.Do(ctx, sampleRequest)
@@ -84,17 +86,17 @@
 	}
 }
 
-func TestClientFollowsTwoRedirectsWithTheBody(t *testing.T) {
+func TestClientFollowsAtMostTwoRedirectsWithTheBody(t *testing.T) {
 	var bodies []string
 	target := newFakeFront(t, map[string]answer{"POST /order": {http.StatusOK, "done"}})
-	hop := func(location string) string {
+	redirectTo := func(location string) string {
 		server := httptest.NewServer(http.RedirectHandler("http://"+location+"/order", http.StatusTemporaryRedirect))
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	second := hop(target.address)
+	second := redirectTo(target.address)
 	order := Request{Method: http.MethodPost, Path: "/order", Base: "4", Body: []byte("text")}
-	client, ctx, _ := newTestClient(t, hop(second))
+	client, ctx, _ := newTestClient(t, redirectTo(second))
 	body, err := client.Do(ctx, order)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "done")
@@ -103,7 +105,7 @@
 	}
 	assert.DeepEqual(t, bodies, []string{"4text"})
 
-	client, ctx, _ = newTestClient(t, hop(hop(second)))
+	client, ctx, _ = newTestClient(t, redirectTo(redirectTo(second)))
 	_, err = client.Do(ctx, order)
 	assert.ErrorContains(t, err, "too many redirects")
 }
--- a/internal/operatorcli/command_test.go
+++ b/internal/operatorcli/command_test.go
@@ -18,19 +18,20 @@
 const sampleConfiguration = `{"version":3,"routes":[{"name":"r","host":"a.example","path-prefix":"/","route-type":"async",` +
 	`"timeout-ms":500,"service":"s"}],"services":[{"name":"s","max-connections":4}],"limits":{}}`
 
-// received is a request that a fake front got.
-type received struct {
-	Line string // method and target
+// receivedRequest is a request that a fakeFront received.
+type receivedRequest struct {
+	Line string // method and request target
 	Host string
 	Base string
 	Body string
 }
 
-// fakeFront answers by method and path, with 404 for all others, and records the requests.
+// fakeFront is an HTTP server that responds to each method and path with the given answer, and with 404 to all other
+// requests. It records the requests.
 type fakeFront struct {
 	address  string
 	answers  map[string]answer
-	received []received
+	received []receivedRequest
 }
 
 type answer struct {
@@ -51,16 +52,16 @@
 func (f *fakeFront) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	line := r.Method + " " + r.RequestURI
-	f.received = append(f.received, received{line, r.Host, r.Header.Get(headerBaseVersion), string(body)})
-	found, known := f.answers[line]
-	if !known {
-		found = answer{http.StatusNotFound, `{"error":"nothing here"}`}
+	f.received = append(f.received, receivedRequest{line, r.Host, r.Header.Get(headerBaseVersion), string(body)})
+	response, found := f.answers[line]
+	if !found {
+		response = answer{http.StatusNotFound, `{"error":"nothing here"}`}
 	}
-	w.WriteHeader(found.status)
-	_, _ = io.WriteString(w, found.body)
+	w.WriteHeader(response.status)
+	_, _ = io.WriteString(w, response.body)
 }
 
-// runCommand carries out a command line and returns what it printed.
+// runCommand runs a command line and returns its output.
 func runCommand(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 	t.Setenv(AddressVariable, "")
@@ -73,6 +74,7 @@
 	return out.String(), err
 }
 
+// writeFile writes a file in a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -87,7 +89,7 @@
 	return string(text)
 }
 
-func TestWrongUse(t *testing.T) {
+func TestInvalidCommandLinesAreRejected(t *testing.T) {
 	t.Setenv(AddressVariable, "")
 	for _, arguments := range [][]string{
 		{},
--- a/internal/operatorcli/config_test.go
+++ b/internal/operatorcli/config_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestConfigPutBuildsOnTheVersionInForce(t *testing.T) {
+func TestConfigPutSendsTheVersionInForceAsBase(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"GET /api/config/read":     {http.StatusOK, sampleConfiguration},
 		"POST /api/config/replace": {http.StatusOK, "{}"},
@@ -17,10 +17,10 @@
 	out, err := runCommand(t, "config", "put", "-a", front.address, writeFile(t, "next.json", next))
 	assert.NilError(t, err)
 	assert.Equal(t, out, "version 5 is in force\n")
-	assert.DeepEqual(t, front.received[1], received{"POST /api/config/replace", front.address, "3", next})
+	assert.DeepEqual(t, front.received[1], receivedRequest{"POST /api/config/replace", front.address, "3", next})
 }
 
-func TestConfigPutOfTheFirstVersionAndOfAnUpdate(t *testing.T) {
+func TestConfigPutSendsFirstVersionAndUpdate(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"POST /api/config/replace": {http.StatusOK, "{}"},
 		"POST /api/config/update":  {http.StatusOK, "{}"},
@@ -32,10 +32,10 @@
 	update := `{"version":9,"remove":{"routes":["r"]}}`
 	_, err = runCommand(t, "config", "put", "--update", "--base", "7", "-a", front.address, writeFile(t, "u.json", update))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, front.received[2], received{"POST /api/config/update", front.address, "7", update})
+	assert.DeepEqual(t, front.received[2], receivedRequest{"POST /api/config/update", front.address, "7", update})
 }
 
-func TestConfigPutThatIsRefused(t *testing.T) {
+func TestRefusedConfigPutReportsFindings(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{"POST /api/config/replace": {
 		http.StatusBadRequest, `{"error":"invalid","findings":[{"place":"routes[0]","problem":"wrong"},{"problem":"bad"}]}`,
 	}})
@@ -44,7 +44,7 @@
 	assert.Error(t, err, "400: invalid\nroutes[0]: wrong\nbad")
 }
 
-func TestConfigGetAndDiff(t *testing.T) {
+func TestConfigGetAndDiffPrintTheConfigurationInForce(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{"GET /api/config/read": {http.StatusOK, sampleConfiguration}})
 	out, err := runCommand(t, "config", "get", "-a", front.address)
 	assert.NilError(t, err)
@@ -65,14 +65,14 @@
 	assert.Equal(t, out, "version 3 -> 4\nroute \"r\" removed\n")
 }
 
-func TestMembersThatAreNotReadAreReported(t *testing.T) {
+func TestUnknownMembersCauseWarnings(t *testing.T) {
 	misspelt := strings.Replace(sampleConfiguration, "{", `{"servces":[],`, 1)
 	path := writeFile(t, "misspelt.json", misspelt)
 	out, err := runCommand(t, "config", "check", path)
 	assert.NilError(t, err)
 	assert.Equal(t, out, path+": warning: servces: is not read\n"+path+" is valid: version 3, 1 routes, 1 services\n")
 
-	// The warnings come before any process is called: nothing listens at this address.
+	// The command prints the warnings before it calls a front: this address has no listener.
 	out, err = runCommand(t, "config", "put", "--base", "2", "--timeout", "10ms", "-a", "127.0.0.1:1", path)
 	assert.Assert(t, err != nil)
 	assert.Equal(t, out, path+": warning: servces: is not read\n")
@@ -82,7 +82,7 @@
 	assert.Equal(t, out, update+": warning: upset: is not read\n")
 }
 
-func TestConfigCheck(t *testing.T) {
+func TestConfigCheckRejectsInvalidFile(t *testing.T) {
 	path := writeFile(t, "good.json", sampleConfiguration)
 	out, err := runCommand(t, "config", "check", path)
 	assert.NilError(t, err)
--- a/internal/operatorcli/golden_test.go
+++ b/internal/operatorcli/golden_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// The answers of the front in TestCommandsKeepTheirOutput. They are texts and not encoded values, so that renaming a
-// field of a type that reads them is noticed.
+// The response bodies of the front in TestCommandOutputIsUnchanged. They are texts and not encoded values, so that the
+// test fails if the JSON name of a field that a command reads changes.
 const (
 	goldenStatus = `{"process":"front-1","class":"front","zone":"a","leaseValid":true,"primary":"front-2",` +
 		`"configVersion":3,"tableRevision":8,"copies":2,"control":3,"stores":{"down":1,"active":4},` +
@@ -33,7 +33,7 @@
 		`{"place":"routes[0] \"r\" timeout-ms","problem":"must be above 0"},{"problem":"bad"}]}`
 )
 
-// goldenAnswers are what the front of TestCommandsKeepTheirOutput says.
+// goldenAnswers returns the responses of the front in TestCommandOutputIsUnchanged, by method and request target.
 func goldenAnswers() map[string]answer {
 	return map[string]answer{
 		"GET /api/status":                 {http.StatusOK, goldenStatus},
@@ -53,7 +53,7 @@
 	}
 }
 
-// goldenFiles are the files that the command lines of TestCommandsKeepTheirOutput name, by their names.
+// goldenFiles returns the contents of the files that the command lines of TestCommandOutputIsUnchanged read, by name.
 func goldenFiles() map[string]string {
 	return map[string]string{
 		"same.json":     sampleConfiguration,
@@ -65,8 +65,8 @@
 	}
 }
 
-// goldenCommands are the command lines of TestCommandsKeepTheirOutput. FRONT stands for the address of the front, and
-// FILES for the folder of the files.
+// goldenCommands are the command lines of TestCommandOutputIsUnchanged. FRONT stands for the address of the front, and
+// FILES for the directory of the files.
 var goldenCommands = []string{
 	"status -a FRONT",
 	"status -a FRONT --output json",
@@ -105,9 +105,9 @@
 	"retire show -a FRONT nobody",
 }
 
-// TestCommandsKeepTheirOutput compares, byte by byte, what each command sends and prints with what earlier versions
-// did. Operators' scripts depend on it.
-func TestCommandsKeepTheirOutput(t *testing.T) {
+// TestCommandOutputIsUnchanged compares the requests and the output of each command byte by byte with those of earlier
+// versions. Operators' scripts depend on the output.
+func TestCommandOutputIsUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
 	t.Setenv(AddressVariable, "")
 	folder := t.TempDir()
@@ -135,7 +135,7 @@
 	golden.Assert(t, text, "commands.golden")
 }
 
-// runLine carries out a command line whose words have been separated.
+// runLine runs a command line, given as its arguments, and returns its output.
 func runLine(t *testing.T, arguments []string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -147,8 +147,9 @@
 	return out.String(), err
 }
 
-// TestRefusalsKeepTheirTexts keeps the texts of refusals, which scripts search for.
-func TestRefusalsKeepTheirTexts(t *testing.T) {
+// TestRefusalTextsAreUnchanged compares the error texts of failed requests with those of earlier versions. Operators'
+// scripts match them.
+func TestRefusalTextsAreUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
 	bodies := []struct {
 		status int
--- a/internal/operatorcli/members_test.go
+++ b/internal/operatorcli/members_test.go
@@ -9,7 +9,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-func TestMembersAndPartitions(t *testing.T) {
+func TestMembersAndPartitionsPrintTables(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"GET /api/members": {http.StatusOK, encode(t, []inspection.Member{
 			{Name: "front-1", Role: inspection.RoleControl, Address: "10.0.0.1:7000", State: "primary"},
--- a/internal/operatorcli/messageshow_test.go
+++ b/internal/operatorcli/messageshow_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMessageShow(t *testing.T) {
+func TestMessageShowPrintsStateOrBody(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"GET /api/message/5-a":      {http.StatusOK, `{"state":"completed","stamp":"s.1"}`},
 		"GET /api/message-body/5-a": {http.StatusOK, "bytes"},
--- a/internal/operatorcli/metrics_test.go
+++ b/internal/operatorcli/metrics_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMetrics(t *testing.T) {
+func TestMetricsPrintsTheMetricsOfTheNamedNode(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"GET /api/metrics":              {http.StatusOK, "a_total 1\n"},
 		"GET /api/metrics?node=store+1": {http.StatusOK, "a_total 2\n"},
--- a/internal/operatorcli/retire_test.go
+++ b/internal/operatorcli/retire_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRetire(t *testing.T) {
+func TestRetireStartAndShow(t *testing.T) {
 	front := newFakeFront(t, map[string]answer{
 		"POST /api/retire/store-1/start": {http.StatusOK, "{}"},
 		"POST /api/retire/store-2/start": {http.StatusConflict, `{"error":"too few"}`},
--- a/internal/operatorcli/settingscheck_test.go
+++ b/internal/operatorcli/settingscheck_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSettingsCheck(t *testing.T) {
+func TestSettingsCheckRejectsInvalidFile(t *testing.T) {
 	good := writeFile(t, "good.toml", "node = \"store-1\"\nclass = \"store\"\nip = \"10.0.0.1\"\nzone = \"a\"\ninternal-ports = [1, 2]\n")
 	out, err := runCommand(t, "settings", "check", good)
 	assert.NilError(t, err)
--- a/internal/operatorcli/status_test.go
+++ b/internal/operatorcli/status_test.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-func TestStatus(t *testing.T) {
+func TestStatusPrintsTableAndJSON(t *testing.T) {
 	status := inspection.Status{
 		Process: "front-1", Zone: "a", LeaseValid: true, Primary: "front-2", ConfigVersion: 3, TableRevision: 8, Copies: 2,
 		Control: 3, Stores: map[string]int{"down": 1, "active": 4}, Workers: 12, WorkersAgeMS: 1250,
--- a/internal/systemnode/demo/demo_test.go
+++ b/internal/systemnode/demo/demo_test.go
@@ -19,12 +19,12 @@
 
 const (
 	testPort       = 18080
-	deliveryTime   = 5 * time.Second
-	repairTime     = 10 * time.Second // after the loss of a store
-	connectionsEnd = time.Minute
+	deliveryTime   = 5 * time.Second  // until an accepted message is completed
+	repairTime     = 10 * time.Second // until the system accepts messages after the loss of a store
+	connectionsEnd = time.Minute      // until the simulated connections are closed
 )
 
-// call makes a request and returns the answer's status, headers and body.
+// call sends a request and returns the status, the headers and the body of the response.
 func call(t *testing.T, client *http.Client, request *http.Request) (int, http.Header, string) {
 	t.Helper()
 	response, err := client.Do(request)
@@ -42,7 +42,8 @@
 	return request
 }
 
-// assertDelivered checks that a message is taken by one front, and that another one soon knows it as completed.
+// assertDelivered checks that the first front accepts a message and that the second front reports it as completed after
+// deliveryTime.
 func assertDelivered(t *testing.T, client *http.Client, addresses Addresses, id string) {
 	t.Helper()
 	message := newRequest(t, http.MethodPost, addresses.Clients[0], RoutePath, "hello")
@@ -51,31 +52,33 @@
 	status, header, _ := call(t, client, message)
 	assert.Equal(t, status, http.StatusAccepted)
 	time.Sleep(deliveryTime)
-	question := newRequest(t, http.MethodGet, addresses.Clients[1], "/api/message/"+header.Get("X-Message-Id"), "")
-	_, _, state := call(t, client, question)
+	query := newRequest(t, http.MethodGet, addresses.Clients[1], "/api/message/"+header.Get("X-Message-Id"), "")
+	_, _, state := call(t, client, query)
 	assert.Assert(t, strings.Contains(state, `"completed"`), state)
 }
 
-// TestDemonstration starts a whole system, sends messages, looks at it, and goes on after the loss of a store.
-func TestDemonstration(t *testing.T) {
+// TestDemoDeliversMessagesBeforeAndAfterLossOfAStore starts a complete system. It checks that the system delivers
+// messages, that the status and the metrics are correct, and that messages are still delivered after one of three
+// stores is lost.
+func TestDemoDeliversMessagesBeforeAndAfterLossOfAStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := simulated.New(1)
+		simulatedNetwork := simulated.New(1)
 		options := Options{
-			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: world.Host,
+			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: simulatedNetwork.Host,
 			Logger: func(string) (*zap.Logger, error) { return zap.NewNop(), nil },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ready := make(chan Addresses, 1)
-		ended := make(chan error, 1)
-		go func() { ended <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
+		runError := make(chan error, 1)
+		go func() { runError <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
 		var addresses Addresses
 		select {
 		case addresses = <-ready:
-		case err := <-ended:
-			t.Fatalf("ended before it was ready: %v", err)
+		case err := <-runError:
+			t.Fatalf("Run returned before the system was ready: %v", err)
 		}
 
-		client := workerlist.NewPlatformClient(world.Host(hostIP))
+		client := workerlist.NewPlatformClient(simulatedNetwork.Host(hostIP))
 		assertDelivered(t, client, addresses, "first")
 
 		_, _, text := call(t, client, newRequest(t, http.MethodGet, addresses.Control[2], inspection.PathStatus, ""))
@@ -91,7 +94,7 @@
 		_, _, text = call(t, client, newRequest(t, http.MethodGet, addresses.Control[0], inspection.PathMetrics, ""))
 		assert.Assert(t, strings.Contains(text, `gladepick_ingress_messages_total{result="accepted"} 1`), text)
 
-		world.PowerOff("127.0.0.42") // the second store
+		simulatedNetwork.PowerOff("127.0.0.42") // the second store
 		time.Sleep(repairTime)
 		for _, id := range []string{"second", "third", "fourth"} {
 			assertDelivered(t, client, addresses, id)
@@ -99,7 +102,7 @@
 
 		client.CloseIdleConnections()
 		cancel()
-		assert.NilError(t, <-ended)
+		assert.NilError(t, <-runError)
 		time.Sleep(connectionsEnd)
 	})
 }
--- a/internal/systemnode/demo/golden_test.go
+++ b/internal/systemnode/demo/golden_test.go
@@ -19,22 +19,22 @@
 	"gladepick/internal/systemnode/inspection"
 )
 
-// TestMetricsKeepTheirNames compares the names, kinds, help texts and labels of all metrics of a front and of a store
+// TestMetricNamesAreUnchanged compares the names, types, help texts and labels of all metrics of a front and of a store
 // with those of earlier versions. Operators' dashboards and alerts depend on them.
-func TestMetricsKeepTheirNames(t *testing.T) {
+func TestMetricNamesAreUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
 	synctest.Test(t, func(t *testing.T) {
-		world := simulated.New(1)
+		simulatedNetwork := simulated.New(1)
 		options := Options{
-			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: world.Host,
+			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: simulatedNetwork.Host,
 			Logger: func(string) (*zap.Logger, error) { return zap.NewNop(), nil },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ready := make(chan Addresses, 1)
-		ended := make(chan error, 1)
-		go func() { ended <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
+		runError := make(chan error, 1)
+		go func() { runError <- Run(ctx, options, func(addresses Addresses) { ready <- addresses }) }()
 		control := (<-ready).Control[0]
-		client := workerlist.NewPlatformClient(world.Host(hostIP))
+		client := workerlist.NewPlatformClient(simulatedNetwork.Host(hostIP))
 		time.Sleep(deliveryTime)
 
 		var transcript, added bytes.Buffer
@@ -56,24 +56,25 @@
 
 		client.CloseIdleConnections()
 		cancel()
-		assert.NilError(t, <-ended)
+		assert.NilError(t, <-runError)
 		time.Sleep(connectionsEnd)
 	})
 }
 
-// addedMetrics are those that came after the first version of metrics.golden, which stays as it is.
+// addedMetrics are the metrics that are recorded in metrics-added.golden. They were added later than metrics.golden,
+// which must not change.
 var addedMetrics = []string{
 	"gladepick_store_dead_letters", "gladepick_store_log_bytes", "gladepick_store_disk_limit_bytes",
 	"gladepick_memory_bytes", "gladepick_memory_limit_bytes",
 }
 
-// isAddedMetric tells whether a line of the exposition format belongs to an added metric.
+// isAddedMetric reports whether a line of the exposition format belongs to one of addedMetrics.
 func isAddedMetric(line string) bool {
 	words := strings.Fields(strings.TrimPrefix(strings.TrimPrefix(line, "# HELP "), "# TYPE "))
 	return len(words) > 0 && slices.Contains(addedMetrics, words[0])
 }
 
-// withoutValue returns a line of the exposition format without the value of a sample.
+// withoutValue returns a line of the exposition format without its value. It returns HELP and TYPE lines unchanged.
 func withoutValue(line string) string {
 	if strings.HasPrefix(line, "#") {
 		return line
--- a/internal/systemnode/golden_test.go
+++ b/internal/systemnode/golden_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestSettingsLogKeepsItsForm compares, byte by byte, what the log says of changes of the settings file with what
-// earlier versions said. Operators' alerts search for these lines.
-func TestSettingsLogKeepsItsForm(t *testing.T) {
+// TestSettingsLogLinesAreUnchanged compares the log lines about changes of the settings file byte by byte with those of
+// earlier versions. Operators' alerts match these lines.
+func TestSettingsLogLinesAreUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
 	changed := strings.NewReplacer("10.0.0.1:8002", "10.0.0.2:8002", "10.0.0.9:80", "10.0.0.8:80", "200", "300")
 	steps := []struct {
 		name    string
-		text    string // of the file; empty where it is removed
-		refusal error  // of the seeds
+		text    string // contents of the file; empty if the step removes it
+		refusal error  // with which the target rejects the seeds
 	}{
 		{name: "unchanged", text: sampleSettings},
 		{name: "changed", text: changed.Replace(sampleSettings)},
--- a/internal/systemnode/inspection/handler_test.go
+++ b/internal/systemnode/inspection/handler_test.go
@@ -18,7 +18,8 @@
 
 var sampleCounter = Metric{Name: "sample_total", Kind: Counter, Help: "A sample."}
 
-// newTestHandler returns a handler whose snapshots are samples. Other requests get 418. The calls are recorded.
+// newTestHandler returns a handler with sampleTable, and the list of the internal calls that it makes. Each call
+// returns callErr. The fallback handler responds with status 418.
 func newTestHandler(callErr error) (http.Handler, *[]string) {
 	var calls []string
 	registry := &Registry{}
@@ -28,8 +29,8 @@
 		return []byte("far_total 1\n"), callErr
 	}
 	options := Options{Self: self, Snapshots: &fakeSnapshots{table: sampleTable()}, Metrics: registry, Call: call}
-	otherwise := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
-	return NewHandler(options, http.HandlerFunc(otherwise)), &calls
+	fallback := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }
+	return NewHandler(options, http.HandlerFunc(fallback)), &calls
 }
 
 func get(handler http.Handler, target string) *httptest.ResponseRecorder {
@@ -41,14 +42,14 @@
 func TestViewsAreServedAsJSONWithoutCalls(t *testing.T) {
 	handler, calls := newTestHandler(nil)
 	for _, path := range []string{PathStatus, PathMembers, PathPartitions} {
-		answer := get(handler, path)
-		assert.Equal(t, answer.Code, http.StatusOK)
-		assert.Equal(t, answer.Header().Get("Content-Type"), contentTypeJSON)
+		response := get(handler, path)
+		assert.Equal(t, response.Code, http.StatusOK)
+		assert.Equal(t, response.Header().Get("Content-Type"), contentTypeJSON)
 	}
 	assert.Equal(t, len(*calls), 0)
 }
 
-func TestOtherRequestsAreLeftToTheOtherHandler(t *testing.T) {
+func TestOtherRequestsReachTheFallbackHandler(t *testing.T) {
 	handler, _ := newTestHandler(nil)
 	assert.Equal(t, get(handler, "/api/config/read").Code, http.StatusTeapot)
 	assert.Equal(t, get(handler, "/api/status/").Code, http.StatusTeapot)
@@ -57,32 +58,33 @@
 	assert.Equal(t, recorder.Code, http.StatusTeapot)
 }
 
-func TestMetricsOfTheProcessItself(t *testing.T) {
+func TestOwnMetricsAreServedWithoutCalls(t *testing.T) {
 	handler, calls := newTestHandler(nil)
 	for _, target := range []string{PathMetrics, PathMetrics + "?node=front-1"} {
-		answer := get(handler, target)
-		assert.Equal(t, answer.Code, http.StatusOK)
-		assert.Equal(t, answer.Header().Get("Content-Type"), contentTypeMetrics)
-		assert.Equal(t, answer.Body.String(), "# HELP sample_total A sample.\n# TYPE sample_total counter\nsample_total 7\n")
+		response := get(handler, target)
+		assert.Equal(t, response.Code, http.StatusOK)
+		assert.Equal(t, response.Header().Get("Content-Type"), contentTypeMetrics)
+		assert.Equal(t, response.Body.String(),
+			"# HELP sample_total A sample.\n# TYPE sample_total counter\nsample_total 7\n")
 	}
 	assert.Equal(t, len(*calls), 0)
 }
 
-func TestMetricsOfAnotherProcess(t *testing.T) {
+func TestMetricsOfAnotherProcessAreFetchedFromIt(t *testing.T) {
 	handler, calls := newTestHandler(nil)
-	answer := get(handler, PathMetrics+"?node=store-2")
-	assert.Equal(t, answer.Code, http.StatusOK)
-	assert.Equal(t, answer.Body.String(), "far_total 1\n")
+	response := get(handler, PathMetrics+"?node=store-2")
+	assert.Equal(t, response.Code, http.StatusOK)
+	assert.Equal(t, response.Body.String(), "far_total 1\n")
 	assert.DeepEqual(t, *calls, []string{"node.metrics at 10.0.0.4:7000"})
 }
 
-func TestMetricsThatCannotBeHad(t *testing.T) {
+func TestMetricsOfUnreachableOrUnknownProcess(t *testing.T) {
 	handler, _ := newTestHandler(errors.New("refused"))
 	assert.Equal(t, get(handler, PathMetrics+"?node=store-2").Code, http.StatusServiceUnavailable)
 	assert.Equal(t, get(handler, PathMetrics+"?node=nobody").Code, http.StatusNotFound)
 }
 
-func TestMetricsCrossTheInternalProtocol(t *testing.T) {
+func TestMetricsAreFetchedOverTheInternalProtocol(t *testing.T) {
 	const address = "10.0.0.4:7000"
 	synctest.Test(t, func(t *testing.T) {
 		network := simulated.New(1)
@@ -97,7 +99,7 @@
 		defer func() {
 			pool.Close()
 			server.Close()
-			time.Sleep(time.Second) // the simulated connections come to their end
+			time.Sleep(time.Second) // lets the simulated connections close
 		}()
 		text, err := PoolCaller(pool)(t.Context(), address, MethodMetrics)
 		assert.NilError(t, err)
--- a/internal/systemnode/inspection/metrics_test.go
+++ b/internal/systemnode/inspection/metrics_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNothingIsCollectedUnlessAskedForAndAtMostOnceASecond(t *testing.T) {
+func TestMetricsAreCollectedOnRequestAndAtMostOncePerLifetime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		collections := 0
 		registry := &Registry{}
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestSamplesOfOneMetricShareTheirHead(t *testing.T) {
+func TestHelpAndTypeAreWrittenOncePerMetric(t *testing.T) {
 	gauge := Metric{Name: "room", Kind: Gauge, Help: "Free room."}
 	samples := &Samples{}
 	samples.Add(gauge, 0.5, Label{Name: "zone", Value: "a"})
--- a/internal/systemnode/inspection/views_test.go
+++ b/internal/systemnode/inspection/views_test.go
@@ -11,7 +11,7 @@
 	"gladepick/internal/configuration"
 )
 
-// fakeSnapshots are snapshots that the test sets.
+// fakeSnapshots implements Snapshots with values that the test sets.
 type fakeSnapshots struct {
 	config  *configuration.Document
 	table   *cluster.Table
@@ -28,17 +28,18 @@
 
 var self = cluster.NodeInfo{Name: "front-1", Class: "front", Zone: "a"}
 
-// replicaOf returns a synced replica at a store of sampleTable.
-func replicaOf(number string) cluster.Replica {
+// syncedReplica returns a synced replica at the store of sampleTable with the given number.
+func syncedReplica(number string) cluster.Replica {
 	return cluster.Replica{Store: "store-" + number, DiskID: "disk-" + number, Synced: true}
 }
 
-// copyingOf returns a replica at a store of sampleTable that is not synced yet.
-func copyingOf(number string) cluster.Replica {
+// copyingReplica returns a replica that is not synced yet, at the store of sampleTable with the given number.
+func copyingReplica(number string) cluster.Replica {
 	return cluster.Replica{Store: "store-" + number, DiskID: "disk-" + number}
 }
 
-// sampleTable has two control members, three stores of which one is down, and partitions of each kind.
+// sampleTable returns a table with two control members, three stores of which store-3 is down, and one or more
+// partitions of each class of Coverage.
 func sampleTable() *cluster.Table {
 	return &cluster.Table{
 		Revision:          9,
@@ -54,25 +55,25 @@
 			{Name: "store-3", Zone: "c", Address: "10.0.0.5:7000", DiskID: "disk-3", State: cluster.StoreDown},
 		},
 		Partitions: []cluster.Partition{
-			{ID: 0, Epoch: 1, Replicas: []cluster.Replica{replicaOf("1"), replicaOf("2")}},
-			{ID: 1, Epoch: 2, Replicas: []cluster.Replica{replicaOf("2"), copyingOf("1")}, PreferredPrimary: "store-1"},
+			{ID: 0, Epoch: 1, Replicas: []cluster.Replica{syncedReplica("1"), syncedReplica("2")}},
+			{ID: 1, Epoch: 2, Replicas: []cluster.Replica{syncedReplica("2"), copyingReplica("1")}, PreferredPrimary: "store-1"},
 			{ID: 2, Epoch: 3},
-			{ID: 3, Epoch: 4, Replicas: []cluster.Replica{replicaOf("1"), replicaOf("3")}},
-			{ID: 4, Epoch: 5, Replicas: []cluster.Replica{replicaOf("3"), replicaOf("1")}},
+			{ID: 3, Epoch: 4, Replicas: []cluster.Replica{syncedReplica("1"), syncedReplica("3")}},
+			{ID: 4, Epoch: 5, Replicas: []cluster.Replica{syncedReplica("3"), syncedReplica("1")}},
 		},
 	}
 }
 
-func TestStatusSumsUp(t *testing.T) {
+func TestStatusSummarizesSnapshots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		known := &fakeSnapshots{
+		snapshots := &fakeSnapshots{
 			table:   sampleTable(),
 			workers: 3,
 			readAt:  time.Now(),
 			lease:   true,
 		}
 		time.Sleep(250 * time.Millisecond)
-		assert.DeepEqual(t, NewStatus(self, known), Status{
+		assert.DeepEqual(t, NewStatus(self, snapshots), Status{
 			Process:       "front-1",
 			Class:         "front",
 			Zone:          "a",
@@ -89,13 +90,13 @@
 	})
 }
 
-func TestStatusOfAProcessThatKnowsNothing(t *testing.T) {
+func TestStatusWithoutSnapshots(t *testing.T) {
 	assert.DeepEqual(t, NewStatus(self, &fakeSnapshots{}), Status{
 		Process: "front-1", Class: "front", Zone: "a", Stores: map[string]int{}, WorkersAgeMS: -1,
 	})
 }
 
-func TestMembers(t *testing.T) {
+func TestMembersListsControlMembersAndStores(t *testing.T) {
 	assert.DeepEqual(t, NewMembers(sampleTable()), []Member{
 		{Name: "front-1", Role: RoleControl, Zone: "a", Address: "10.0.0.1:7000", State: ControlBackup, DiskID: "d1"},
 		{Name: "front-2", Role: RoleControl, Zone: "b", Address: "10.0.0.2:7000", State: ControlPrimary, DiskID: "d2"},
@@ -106,7 +107,7 @@
 	assert.DeepEqual(t, NewMembers(nil), []Member{})
 }
 
-func TestPartitions(t *testing.T) {
+func TestPartitionsListsReplicaGroups(t *testing.T) {
 	assert.DeepEqual(t, NewPartitions(sampleTable()), []Partition{
 		{ID: 0, Epoch: 1, Primary: "store-1", Synced: []string{"store-2"}, Copying: []string{}},
 		{ID: 1, Epoch: 2, Primary: "store-2", Synced: []string{}, Copying: []string{"store-1"}, PreferredPrimary: "store-1"},
@@ -117,7 +118,7 @@
 	assert.DeepEqual(t, NewPartitions(nil), []Partition{})
 }
 
-func TestSuspectedBackupsAreNamed(t *testing.T) {
+func TestSuspectedBackupsAreListed(t *testing.T) {
 	table := &cluster.Table{Partitions: []cluster.Partition{{ID: 7, Epoch: 2, Replicas: []cluster.Replica{
 		{Store: "store-1", DiskID: "disk-1", Synced: true},
 		{Store: "store-2", DiskID: "disk-2", Synced: true, Suspected: true},
@@ -128,7 +129,7 @@
 	}})
 }
 
-func TestAddressOf(t *testing.T) {
+func TestAddressOfFindsControlMembersAndStores(t *testing.T) {
 	cases := []struct {
 		name, address string
 	}{
--- a/internal/systemnode/logging_test.go
+++ b/internal/systemnode/logging_test.go
@@ -11,6 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// newTestLogger returns a logger that writes entries without a time stamp to out.
 func newTestLogger(out *bytes.Buffer) *zap.Logger {
 	config := zap.NewProductionEncoderConfig()
 	config.TimeKey = zapcore.OmitKey
@@ -27,7 +28,7 @@
 		`"error":"asking: dialing 10.0.0.1:7000: refused"}`+"\n")
 }
 
-func TestErrorsInFixedFieldsAreLoggedAsOneLine(t *testing.T) {
+func TestErrorsInContextFieldsAreLoggedAsOneLine(t *testing.T) {
 	var out bytes.Buffer
 	logger := newTestLogger(&out).With(zap.Error(trace.BadParameter("wrong")))
 	logger.Info("on")
@@ -35,7 +36,7 @@
 	assert.Equal(t, out.String(), `{"level":"info","msg":"on","error":"wrong"}`+"\n")
 }
 
-func TestErrorText(t *testing.T) {
+func TestErrorTextJoinsLinesWithColons(t *testing.T) {
 	cases := []struct {
 		err  error
 		text string
--- a/internal/systemnode/settingswatch_test.go
+++ b/internal/systemnode/settingswatch_test.go
@@ -31,7 +31,7 @@
 address = "10.0.0.9:80"
 `
 
-// fakeTarget records what it is told.
+// fakeTarget is a settingsTarget that records its calls. If refusal is set, SetSeeds returns it.
 type fakeTarget struct {
 	seeds     [][]string
 	platforms []string
@@ -48,18 +48,19 @@
 
 func (f *fakeTarget) SetPlatformAddress(address string) { f.platforms = append(f.platforms, address) }
 
-// watched is a settings file that a watch looks at, in a synctest bubble.
-type watched struct {
+// watchedFile is a settings file with a running settingsWatch, in a synctest bubble.
+type watchedFile struct {
 	path   string
 	target *fakeTarget
 	logs   *observer.ObservedLogs
 	hangup chan os.Signal
 }
 
-func watchSample(t *testing.T) *watched {
+// watchSample writes sampleSettings to a file and starts a settingsWatch on it.
+func watchSample(t *testing.T) *watchedFile {
 	t.Helper()
 	core, logs := observer.New(zapcore.InfoLevel)
-	w := &watched{
+	w := &watchedFile{
 		path:   filepath.Join(t.TempDir(), "node.toml"),
 		target: &fakeTarget{},
 		logs:   logs,
@@ -75,16 +76,16 @@
 	return w
 }
 
-// write replaces the file by another one, as operators' tools do.
-func (w *watched) write(t *testing.T, text string) {
+// write replaces the file by renaming another one, as operators' tools do.
+func (w *watchedFile) write(t *testing.T, text string) {
 	t.Helper()
 	next := w.path + ".next"
 	assert.NilError(t, os.WriteFile(next, []byte(text), 0o600))
 	assert.NilError(t, os.Rename(next, w.path))
 }
 
-// await lets the watch look at the file.
-func (w *watched) await() {
+// awaitCheck waits until the watch has checked the file.
+func (w *watchedFile) awaitCheck() {
 	time.Sleep(settingsPollInterval)
 	synctest.Wait()
 }
@@ -92,9 +93,9 @@
 func TestUnchangedSettingsAreNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
-		w.await()
+		w.awaitCheck()
 		w.hangup <- syscall.SIGHUP
-		w.await()
+		w.awaitCheck()
 		assert.Equal(t, len(w.target.seeds)+len(w.target.platforms), 0)
 		assert.Equal(t, w.logs.Len(), 0)
 	})
@@ -103,11 +104,11 @@
 func TestChangedSettingsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
-		w.await()
+		w.awaitCheck()
 		text := strings.ReplaceAll(sampleSettings, "10.0.0.1:8002", "10.0.0.2:8002")
 		text = strings.ReplaceAll(text, "10.0.0.9:80", "10.0.0.8:80")
 		w.write(t, strings.ReplaceAll(text, "200", "300"))
-		w.await()
+		w.awaitCheck()
 		assert.DeepEqual(t, w.target.seeds, [][]string{{"10.0.0.2:8002"}})
 		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 		logged := w.logs.AllUntimed()
@@ -120,7 +121,7 @@
 	})
 }
 
-func TestHangupReadsAtOnce(t *testing.T) {
+func TestSIGHUPAppliesSettingsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		w.write(t, strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80"))
@@ -130,7 +131,7 @@
 	})
 }
 
-func TestFaultySettingsChangeNothing(t *testing.T) {
+func TestInvalidSettingsAreNotApplied(t *testing.T) {
 	cases := []struct {
 		name, text string
 		findings   []any
@@ -146,10 +147,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := watchSample(t)
-				w.await()
+				w.awaitCheck()
 				w.write(t, test.text)
-				w.await()
-				w.await()
+				w.awaitCheck()
+				w.awaitCheck()
 				assert.Equal(t, len(w.target.seeds)+len(w.target.platforms), 0)
 				logged := w.logs.AllUntimed()
 				assert.Equal(t, len(logged), 1)
@@ -164,26 +165,26 @@
 	}
 }
 
-func TestHalfWrittenSettingsAreReadOnceTheyAreWhole(t *testing.T) {
+func TestHalfWrittenSettingsAreAppliedOnceComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		next := strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80")
 		w.write(t, next[:len(next)-4])
-		w.await()
+		w.awaitCheck()
 		assert.Equal(t, len(w.target.platforms), 0)
 		w.write(t, next)
-		w.await()
+		w.awaitCheck()
 		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
 }
 
-func TestSeedsThatAreRefusedChangeNothing(t *testing.T) {
+func TestRejectedSeedsPreventOtherChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		w.target.refusal = errors.New(`seed "nowhere" is not an address`)
 		text := strings.ReplaceAll(sampleSettings, "10.0.0.1:8002", "nowhere")
 		w.write(t, strings.ReplaceAll(text, "10.0.0.9:80", "10.0.0.8:80"))
-		w.await()
+		w.awaitCheck()
 		assert.Equal(t, len(w.target.platforms), 0)
 		assert.Equal(t, w.logs.FilterMessage("settings refused").Len(), 1)
 	})
@@ -193,11 +194,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		assert.NilError(t, os.Remove(w.path))
-		w.await()
-		w.await()
+		w.awaitCheck()
+		w.awaitCheck()
 		assert.Equal(t, w.logs.FilterMessage("settings not read").Len(), 1)
 		w.write(t, strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80"))
-		w.await()
+		w.awaitCheck()
 		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
 }
--- a/internal/systemnode/threads_test.go
+++ b/internal/systemnode/threads_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestThreadsWithADiskLeaveAProcessorForTheRest(t *testing.T) {
+func TestDiskSyncDoesNotBlockTheOnlyProcessor(t *testing.T) {
 	assert.Equal(t, threadsFor(1, true), 2)
 	assert.Equal(t, threadsFor(4, true), 5)
 }
 
-func TestThreadsWithoutADiskAreTheProcessors(t *testing.T) {
+func TestNoThreadIsAddedWithoutADisk(t *testing.T) {
 	assert.Equal(t, threadsFor(1, false), 1)
 	assert.Equal(t, threadsFor(4, false), 4)
 }
 
-func TestReservedDiskThreadsAreInForce(t *testing.T) {
+func TestReserveDiskThreadsRaisesGOMAXPROCS(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	defer runtime.GOMAXPROCS(before)
 	reserveDiskThreads(true)
