--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// bodyTimeout bounds the reading of a body.
+// bodyTimeout limits the time to read a request body.
 const bodyTimeout = 10 * time.Second
 
-// Answers to requests whose body can't be read. The rest of the body may still be under way, so the connection closes.
+// Responses to requests whose body can't be read. The rest of the body may still arrive on the connection, so the
+// server closes it.
 var (
 	errBodyTooLarge   = &httpError{Status: http.StatusRequestEntityTooLarge, Reason: "body too large", Close: true}
 	errBodyTimeout    = &httpError{Status: http.StatusRequestTimeout, Reason: "body too slow", Close: true}
@@ -19,13 +20,13 @@
 	errTooManyBodies  = &httpError{Status: http.StatusServiceUnavailable, Reason: "too many bodies at once", Close: true}
 )
 
-// bodyBudget bounds the memory of all bodies of a front.
+// bodyBudget limits the memory that all message bodies of a front occupy together.
 type bodyBudget struct {
 	limitBytes    int64
 	reservedBytes atomic.Int64
 }
 
-// reserve takes bytes from the budget, or returns false where they are not left.
+// reserve reserves size bytes, and reports whether the budget had them left.
 func (b *bodyBudget) reserve(size int64) bool {
 	if b.reservedBytes.Add(size) <= b.limitBytes {
 		return true
@@ -34,18 +35,20 @@
 	return false
 }
 
-// release gives reserved bytes back.
+// release returns reserved bytes to the budget.
 func (b *bodyBudget) release(size int64) { b.reservedBytes.Add(-size) }
 
-// setBodyDeadline bounds the reading of a body, also where the server reads the rest of one that no handler wants.
+// setBodyDeadline limits the time to read the request body. The deadline also applies when net/http discards the rest
+// of a body that no handler has read.
 func setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
-		// A writer without deadlines is a test's recorder.
+		// Only the response recorders of tests don't support deadlines.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	}
 }
 
-// readBody reads a complete body. Its length in bytes is bounded by limit, whether it is announced or not.
+// readBody reads the whole request body. A body of more than limit bytes fails with errBodyTooLarge, with or without a
+// Content-Length.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *httpError) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -53,17 +56,18 @@
 	if r.ContentLength > limit {
 		return nil, errBodyTooLarge
 	}
-	body, err := readAnnounced(w, r, limit)
+	body, err := readBytes(w, r, limit)
 	if err != nil {
 		return nil, bodyReadError(err)
 	}
-	// While the request is worked on, the server watches the connection with a read that must not run out of time.
+	// While the handler runs, net/http reads from the connection in the background to detect its end. That read must
+	// not time out, so the deadline is cleared.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// readAnnounced reads a body of the announced length, or in chunks where none is announced.
-func readAnnounced(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+// readBytes reads a body of Content-Length bytes, or until the body ends if its length is not announced.
+func readBytes(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength < 0 {
 		return io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	}
@@ -72,7 +76,7 @@
 	return body, err
 }
 
-// bodyReadError returns the answer to a request whose body could not be read.
+// bodyReadError returns the response to a request whose body failed to be read with err.
 func bodyReadError(err error) *httpError {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// longPast is a deadline that makes a pending read end at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a read deadline that ends a pending read immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// connectionTracker knows the open connections and which of them wait for a request.
+// connectionTracker tracks the open connections of a front and their states.
 //
-// http.Server.Shutdown closes an idle connection also where a request has just been read from it but not been noted
-// yet. The tracker ends the pending read instead, so a request that was read completely always gets its answer.
+// http.Server.Shutdown closes an idle connection even if a request has just been read from it and the connection's
+// state is not updated yet. The tracker ends the pending read instead, so a request that was read completely always
+// gets its response.
 type connectionTracker struct {
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	states   map[net.Conn]http.ConnState
 	draining bool // closeIdle has been called
 }
 
-// setState follows a connection's states; it is an http.Server's ConnState.
+// setState records the state of a connection. It is the ConnState callback of an http.Server.
 func (t *connectionTracker) setState(connection net.Conn, state http.ConnState) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -33,28 +34,29 @@
 		return
 	case http.StateActive:
 		if t.draining {
-			// A request has come in before closeIdle could end the read: let its body be read.
+			// The request arrived before closeIdle ended the read. Clear the deadline, so that its body can be read.
 			connection.SetReadDeadline(time.Time{})
 		}
 	}
 	t.states[connection] = state
 }
 
-// closeIdle closes the connections that wait for a request, and returns how many connections were open. It has to be
-// called until none is left: a connection may become idle afterwards, or extend its deadline at the same moment.
+// closeIdle closes the connections that wait for a request, and returns the number of connections that were open. The
+// caller repeats it until it returns 0: a connection may become idle after the call, or net/http may set its read
+// deadline at the same time.
 func (t *connectionTracker) closeIdle() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.draining = true
 	for connection, state := range t.states {
 		if state != http.StateActive {
-			connection.SetReadDeadline(longPast)
+			connection.SetReadDeadline(pastDeadline)
 		}
 	}
 	return len(t.states)
 }
 
-// closeAll closes every connection, whatever it is doing.
+// closeAll closes every connection, also those with a request in progress.
 func (t *connectionTracker) closeAll() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/ingress/counters.go
+++ b/internal/ingress/counters.go
@@ -5,18 +5,18 @@
 	"sync/atomic"
 )
 
-// Counters counts what a front has answered since its start.
+// Counters counts the responses of a front since its start, by outcome.
 type Counters struct {
-	Accepted       atomic.Uint64 // 202: the message is stored
-	Rejected       atomic.Uint64 // 503: the message is not stored and will never run
-	OutcomeUnknown atomic.Uint64 // 502: the message may be stored
-	NoRoute        atomic.Uint64 // 404: no route matches
-	Invalid        atomic.Uint64 // any other 4xx to a message
-	MessageQueries atomic.Uint64 // queries about a message's state or body
+	Accepted       atomic.Uint64 // responses with 202: the message is stored
+	Rejected       atomic.Uint64 // responses with 503: the message is not stored and is never delivered
+	OutcomeUnknown atomic.Uint64 // responses with 502: the message may be stored
+	NoRoute        atomic.Uint64 // responses with 404: no route matches the message
+	Invalid        atomic.Uint64 // responses with any other 4xx status to a message
+	MessageQueries atomic.Uint64 // queries for a message's state or body
 }
 
-// countRejection counts the answer to a message that was not accepted.
-func (c *Counters) countRejection(failure *httpError) {
+// countFailure counts the response to a message that was not accepted.
+func (c *Counters) countFailure(failure *httpError) {
 	switch failure.Status {
 	case http.StatusServiceUnavailable:
 		c.Rejected.Add(1)
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -14,10 +14,10 @@
 	"gladepick/internal/ctxtime"
 )
 
-// drainPollInterval is the pause between two looks at the connections that are left at the end of a drain.
+// drainPollInterval is the interval at which Drain closes idle connections and counts the remaining ones.
 const drainPollInterval = 50 * time.Millisecond
 
-// Front serves clients.
+// Front serves the HTTP requests of clients. Create it with NewFront.
 type Front struct {
 	options     Options
 	handler     http.Handler
@@ -30,7 +30,7 @@
 	listener      net.Listener // set while Serve runs
 }
 
-// NewFront returns a front that is not serving yet.
+// NewFront returns a front that does not serve a listener yet.
 func NewFront(options Options) *Front {
 	front := &Front{options: options.withDefaults()}
 	front.bodies.limitBytes = front.options.MaxBufferedBytes
@@ -38,17 +38,17 @@
 	return front
 }
 
-// Handler returns the handler of clients' requests.
+// Handler returns the handler of client requests.
 func (f *Front) Handler() http.Handler { return f.handler }
 
-// Counters returns the counters, which go on counting.
+// Counters returns the front's live counters.
 func (f *Front) Counters() *Counters { return &f.counters }
 
-// Ready reports whether the front wants new connections: Options.Ready, and false from the start of a drain.
+// Ready reports whether the front accepts new messages: the result of Options.Ready, or false once a drain has started.
 func (f *Front) Ready() bool { return !f.draining.Load() && f.options.Ready() }
 
-// newRouter sends queries about messages to their handlers and everything else to the message handler. Paths are matched
-// as they came, without cleaning, since a message's target must not change.
+// newRouter routes queries about messages to their handlers and all other requests to serveMessage. It matches the path
+// as received, without cleaning, because a message's target must not change.
 func (f *Front) newRouter() http.Handler {
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.Path(statePathPrefix + "{id}").MatcherFunc(f.isQuery).HandlerFunc(f.serveState)
@@ -57,8 +57,8 @@
 	return router
 }
 
-// Serve answers the connections of a listener. It returns nil after Drain has closed the listener, or when the context
-// ends; in that case all connections are closed at once. A front serves one listener.
+// Serve serves the connections of a listener. It returns nil after Drain has closed the listener or when the context
+// ends. The end of the context closes all connections immediately. A front serves only one listener.
 func (f *Front) Serve(ctx context.Context, listener net.Listener) error {
 	f.setListener(listener)
 	stop := context.AfterFunc(ctx, func() {
@@ -74,8 +74,8 @@
 	return trace.Wrap(err, "accepting clients' connections")
 }
 
-// acceptLoop serves new connections by the configuration's current limits. Limits are fields of an http.Server, so
-// other limits mean another server for the connections to come; those that are open keep theirs.
+// acceptLoop serves new connections with the configuration's current limits. The limits are fields of http.Server, so
+// when they change, a new server serves the connections accepted from then on. Open connections keep their limits.
 func (f *Front) acceptLoop(listener net.Listener) error {
 	limited := &limitedListener{Listener: listener, limits: f.connectionLimits}
 	for {
@@ -93,7 +93,7 @@
 	f.listener = listener
 }
 
-// closeListener ends the accepting, where Serve has been called.
+// closeListener stops accepting connections. It does nothing if Serve has not been called.
 func (f *Front) closeListener() {
 	f.listenerMutex.Lock()
 	defer f.listenerMutex.Unlock()
@@ -102,9 +102,9 @@
 	}
 }
 
-// Drain ends the front's work. The front stops being ready at once. For Options.DrainAcceptDuration it still accepts
-// connections, and every answer announces that its connection closes. After that it accepts none, closes those without a
-// request, and waits until the others have got their answers or the context ends.
+// Drain shuts the front down gracefully. Ready returns false from the start. For Options.DrainAcceptDuration the front
+// still accepts connections, and every response carries "Connection: close". Then the front closes the listener and the
+// idle connections, and waits until the requests in progress have got their responses or the context ends.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	ctxtime.Sleep(ctx, f.options.DrainAcceptDuration)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// announceDrain notifies the client that its connection closes after this answer, where the front is draining.
+// announceDrain adds "Connection: close" to the response if the front is draining.
 func (f *Front) announceDrain(w http.ResponseWriter) {
 	if f.draining.Load() {
 		w.Header().Set(headerConnection, connectionClose)
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -26,8 +26,8 @@
 	"gladepick/internal/network/simulated"
 )
 
-// The golden files under testdata are HTTP answers as they are on the wire, but for the Date header, and what the handlers
-// pass on. Every later version must answer the same. They are made by the flag -update and never edited.
+// The golden files under testdata are HTTP answers as they are on the wire, but for the Date header, and what the
+// handlers pass on. Every later version must answer the same. They are made by the flag -update and never edited.
 
 // goldenExchange is one request on a connection of its own.
 type goldenExchange struct {
--- a/internal/ingress/headers.go
+++ b/internal/ingress/headers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Names of the headers that clients and the front use.
+// Names of the request and response headers.
 const (
 	headerRequestID     = "X-Request-Id"
 	headerDeadline      = "X-Deadline-Ms"
@@ -22,18 +22,18 @@
 	headerContentLength = "Content-Length"
 )
 
-// Bounds of the time that storing a message may take, from the moment its header has been read.
+// Limits of the time to store a message, counted from the end of its header.
 const (
-	defaultPutTimeout = 2 * time.Second // where the client names no deadline
+	defaultPutTimeout = 2 * time.Second // if the client sends no deadline
 	maxPutTimeout     = 4 * time.Second
-	maxClientTimeout  = time.Hour // longer deadlines count as this one
+	maxClientTimeout  = time.Hour // longer deadlines are reduced to it
 )
 
 // maxDelay is the longest delay that a message may request.
 const maxDelay = 365 * 24 * time.Hour
 
-// requestTarget returns the path and query of a request line byte for byte. A target in absolute form (RFC 9112, section
-// 3.2.2) loses its scheme and host.
+// requestTarget returns the path and query of a request target, byte for byte as received. It removes the scheme and
+// host of a target in absolute form (RFC 9112, section 3.2.2).
 func requestTarget(requestURI string) string {
 	if strings.HasPrefix(requestURI, "/") {
 		return requestURI
@@ -52,13 +52,14 @@
 	return rest[start:]
 }
 
-// targetPath returns the path of a target.
+// targetPath returns a target without its query.
 func targetPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// headerSize returns the bytes of a request line and its header fields on the wire, with one space after each colon.
+// headerSize returns the size in bytes of a request's header on the wire: the request line, the fields with one space
+// after each colon, and the empty line at the end.
 func headerSize(r *http.Request) int {
 	const requestLineExtra, fieldExtra, endExtra = len("  \r\n"), len(": \r\n"), len("\r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + requestLineExtra + endExtra
@@ -71,7 +72,7 @@
 	return size
 }
 
-// parseDelay reads X-Delay-Ms; an absent header is no delay.
+// parseDelay parses the value of X-Delay-Ms, and reports whether it is valid. An empty value means no delay.
 func parseDelay(value string) (time.Duration, bool) {
 	if value == "" {
 		return 0, true
@@ -83,17 +84,18 @@
 	return time.Duration(milliseconds) * time.Millisecond, true
 }
 
-// putTimeout returns the time that X-Deadline-Ms leaves for storing a message. A header that can't be read counts as
-// absent.
+// putTimeout returns the time available to store a message, given the value of X-Deadline-Ms. An invalid value counts
+// as absent. The result is 0 if the deadline has passed.
 func putTimeout(deadline string) time.Duration {
-	timeout, limited := clientTimeout(deadline)
-	if !limited {
+	timeout, hasDeadline := clientTimeout(deadline)
+	if !hasDeadline {
 		return defaultPutTimeout
 	}
 	return min(max(timeout, 0), maxPutTimeout)
 }
 
-// clientTimeout reads X-Deadline-Ms, and reports whether a client has named its deadline.
+// clientTimeout parses the value of X-Deadline-Ms, and reports whether it is a valid number. The time-out is negative
+// if the deadline has passed.
 func clientTimeout(deadline string) (time.Duration, bool) {
 	milliseconds, err := strconv.ParseFloat(deadline, 64)
 	if err != nil || math.IsNaN(milliseconds) {
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -31,7 +31,8 @@
 	maxBody      = 1000
 	maxHeader    = 600
 
-	// lingerTime is longer than an http.Server keeps a connection open after an answer to a request not read completely.
+	// lingerTime is longer than an http.Server keeps a connection open after an answer to a request not read
+	// completely.
 	lingerTime = time.Second
 )
 
@@ -66,8 +67,8 @@
 	return document.Table()
 }
 
-// storedPut is one call of Put.
-type storedPut struct {
+// recordedPut is one call of Put.
+type recordedPut struct {
 	submission message.Submission
 	ordered    bool
 	body       string
@@ -77,7 +78,7 @@
 // fakeMessages records what is put, and answers as the test says.
 type fakeMessages struct {
 	mutex   sync.Mutex
-	puts    []storedPut
+	puts    []recordedPut
 	putTime time.Duration // how long Put takes
 	putErr  error
 	outcome message.Outcome
@@ -88,7 +89,7 @@
 func (m *fakeMessages) Put(ctx context.Context, submission message.Submission, ordered bool, body []byte) (string, error) {
 	deadline, _ := ctx.Deadline()
 	m.mutex.Lock()
-	m.puts = append(m.puts, storedPut{submission, ordered, string(body), time.Until(deadline)})
+	m.puts = append(m.puts, recordedPut{submission, ordered, string(body), time.Until(deadline)})
 	id := fmt.Sprintf("0-%d", len(m.puts))
 	m.mutex.Unlock()
 	if err := wait(ctx, m.putTime); err != nil {
@@ -105,7 +106,7 @@
 	return m.content, firstError(wait(ctx, m.putTime), m.err)
 }
 
-func (m *fakeMessages) recorded() []storedPut {
+func (m *fakeMessages) recorded() []recordedPut {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.puts
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -9,35 +9,35 @@
 	"go.uber.org/zap"
 )
 
-// Limits that apply where no configuration gives any.
+// Limits that apply without a configuration.
 const (
 	defaultMaxHeaderBytes = 32 << 10
 	defaultHeaderTimeout  = 5 * time.Second
 	defaultIdleTimeout    = 30 * time.Second
 )
 
-// writeTimeout bounds a request from its header to its answer's last byte. It leaves room for bodyTimeout and
-// maxPutTimeout.
+// writeTimeout limits the time from the end of a request's header to the last byte of its response. It exceeds the sum
+// of bodyTimeout and maxPutTimeout.
 const writeTimeout = 20 * time.Second
 
-// errLimitsChanged ends an http.Server's accepting when the configuration gives other limits than it was made with.
-var errLimitsChanged = errors.New("ingress: limits of connections have changed")
+// errLimitsChanged ends http.Server.Serve when the configured limits differ from those of the server.
+var errLimitsChanged = errors.New("ingress: connection limits have changed")
 
-// connectionLimits are the limits that an http.Server has for its connections.
+// connectionLimits are the limits that an http.Server applies to its connections.
 type connectionLimits struct {
 	maxHeaderBytes int
 	headerTimeout  time.Duration
 	idleTimeout    time.Duration
 }
 
-// defaultLimits apply before the first configuration, and on listeners that it does not govern.
+// defaultLimits apply until the first configuration arrives, and to the listeners that NewServer serves.
 var defaultLimits = connectionLimits{
 	maxHeaderBytes: defaultMaxHeaderBytes,
 	headerTimeout:  defaultHeaderTimeout,
 	idleTimeout:    defaultIdleTimeout,
 }
 
-// connectionLimits returns the newest configuration's limits, or defaults while there is none.
+// connectionLimits returns the limits of the newest configuration, or the defaults while there is none.
 func (f *Front) connectionLimits() connectionLimits {
 	table := f.options.Configuration()
 	if table == nil {
@@ -50,14 +50,15 @@
 	}
 }
 
-// newServer returns a server for clients' connections with these limits.
+// newServer returns a server for client connections with the given limits.
 func (f *Front) newServer(limits connectionLimits) *http.Server {
 	server := newServer(f.handler, f.options.Logger, limits)
 	server.ConnState = f.connections.setState
 	return server
 }
 
-// NewServer returns a server for one of a process's other listeners, with timeouts of its own.
+// NewServer returns a server for a listener other than the front's, such as the operator's. Its limits don't depend on
+// the configuration.
 func NewServer(handler http.Handler, logger *zap.Logger) *http.Server {
 	return newServer(handler, logger, defaultLimits)
 }
@@ -78,13 +79,13 @@
 	}
 }
 
-// limitedListener hands connections to one http.Server after another. Accept fails with errLimitsChanged where the
-// limits are no longer those of the server that calls it, and leaves the new connection to the next server. It is used
-// by one goroutine at a time.
+// limitedListener is the listener of a sequence of http.Servers, one at a time. If the limits have changed since the
+// current server was created, Accept fails with errLimitsChanged and keeps the new connection for the next server. Only
+// one goroutine at a time may use it.
 type limitedListener struct {
 	net.Listener
 	limits  func() connectionLimits
-	current connectionLimits // those of the current server
+	current connectionLimits // limits of the current server
 	pending net.Conn         // accepted for the next server
 }
 
@@ -106,5 +107,5 @@
 	return connection, nil
 }
 
-// Close does nothing: an http.Server closes its listener when it ends, but the next one still needs it.
+// Close does nothing: http.Server.Serve closes its listener when it returns, but the next server still needs it.
 func (l *limitedListener) Close() error { return nil }
--- a/internal/ingress/operator.go
+++ b/internal/ingress/operator.go
@@ -10,19 +10,19 @@
 	"gladepick/internal/cluster"
 )
 
-// maxOperatorBodyBytes bounds the body of an operator's call.
+// maxOperatorBodyBytes is the largest body of an operator call.
 const maxOperatorBodyBytes = 32 << 20
 
-// operatorTimeout bounds an operator's call.
+// operatorTimeout limits the time that the control plane has to answer an operator call.
 const operatorTimeout = 8 * time.Second
 
-// Answers to the operator that don't come from the control plane.
+// Responses to the operator that don't come from the control plane.
 var (
 	errUnknownCall        = &httpError{Status: http.StatusNotFound, Reason: "unknown call"}
 	errControlUnreachable = &httpError{Status: http.StatusServiceUnavailable, Reason: "control plane can't be reached now"}
 )
 
-// operatorHandler forwards the operator's calls to the control plane.
+// operatorHandler forwards operator calls to the control plane.
 type operatorHandler struct {
 	control ControlPlane
 }
@@ -41,10 +41,10 @@
 	return router
 }
 
-// serveUnknownCall answers what is no call of the operator's API.
+// serveUnknownCall responds to requests outside the operator API.
 func serveUnknownCall(w http.ResponseWriter, _ *http.Request) { writeError(w, errUnknownCall) }
 
-// forward answers a call with what the control plane answers.
+// forward forwards a call to the control plane and writes its response.
 func (h *operatorHandler) forward(w http.ResponseWriter, r *http.Request) {
 	setBodyDeadline(w, r)
 	body, failure := readBody(w, r, maxOperatorBodyBytes)
@@ -63,7 +63,7 @@
 	writeBytes(w, response.Status, contentTypeJSON, responseBody)
 }
 
-// newOperatorCall describes a request to the control plane.
+// newOperatorCall returns the call to forward for an HTTP request, without its body.
 func newOperatorCall(r *http.Request) cluster.OperatorRequest {
 	return cluster.OperatorRequest{
 		Method:      r.Method,
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -11,51 +11,53 @@
 	"gladepick/internal/message"
 )
 
-// MessageStore stores messages and knows how they ended.
+// MessageStore stores messages and reports their outcomes.
 //
-// Its errors may wrap message.ErrNotStored, message.ErrNotFound and message.ErrBodyNotFound. After any other error of
-// Put, the message may or may not be stored.
+// Its errors may wrap message.ErrNotStored, message.ErrNotFound and message.ErrBodyNotFound. If Put fails with any
+// other error, the message may or may not be stored.
 type MessageStore interface {
-	// Put stores a message and returns its ID. The body belongs to the callee from then on.
+	// Put stores a message and returns its ID. The caller must not use the body afterwards.
 	Put(ctx context.Context, submission message.Submission, ordered bool, body []byte) (id string, err error)
-	// State returns how a message ended, or message.Queued.
+	// State returns the outcome of a message; its state is message.Queued until the message has ended.
 	State(ctx context.Context, id string) (message.Outcome, error)
-	// Body returns the body of a message that is queued or dead.
+	// Body returns the body of a message that is queued or a dead letter.
 	Body(ctx context.Context, id string) ([]byte, error)
 }
 
-// ControlPlane forwards the operator's calls to the control group's primary.
+// ControlPlane forwards operator calls to the primary of the control group.
 type ControlPlane interface {
-	// ForwardOperatorRequest makes a call with its body, and returns the primary's answer with its body.
+	// ForwardOperatorRequest forwards a call with its body, and returns the primary's response and the response's body.
 	ForwardOperatorRequest(
 		ctx context.Context, call cluster.OperatorRequest, body []byte,
 	) (cluster.OperatorResponse, []byte, error)
 }
 
-// Defaults of the options.
+// Defaults of Options.
 const (
 	defaultDrainAcceptDuration = 2500 * time.Millisecond
 	defaultMaxBufferedBytes    = 64 << 20
 )
 
-// Options are what the handlers of this package work with. NewFront needs Messages and Configuration,
-// NewControlHandler needs Control, and NewReadyHandler needs Ready.
+// Options configures the handlers of this package. NewFront requires Messages and Configuration, NewControlHandler
+// requires Control, and NewReadyHandler requires Ready.
 type Options struct {
 	Messages MessageStore
 	Control  ControlPlane
 	// Configuration returns the newest configuration, or nil while there is none.
 	Configuration func() *configuration.Table
-	// Ready reports whether the process can accept messages. Nil stands for a process that always can.
+	// Ready reports whether the process can accept messages. Nil means that it always can.
 	Ready  func() bool
 	Logger *zap.Logger
-	// DrainAcceptDuration is how long Drain goes on accepting connections, so that the platform notices first. Zero
-	// stands for the default of 2.5 s, a negative value for no time at all.
+	// DrainAcceptDuration is how long Drain still accepts connections, so that the platform's health check sees that
+	// the process is not ready before connections are refused. Zero means the default of 2.5 s, a negative value no
+	// time.
 	DrainAcceptDuration time.Duration
-	// MaxBufferedBytes bounds the sum of the bodies in memory at a time. Zero stands for the default of 64 MiB.
+	// MaxBufferedBytes is the largest total size of the message bodies in memory at a time. Zero means the default of
+	// 64 MiB.
 	MaxBufferedBytes int64
 }
 
-// withDefaults fills what was left out.
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/internal/ingress/query.go
+++ b/internal/ingress/query.go
@@ -11,33 +11,33 @@
 	"gladepick/internal/message"
 )
 
-// Paths of the queries about a message; its ID follows.
+// Path prefixes of the queries about a message. The message's ID follows the prefix.
 const (
 	statePathPrefix = "/api/message/"
 	bodyPathPrefix  = "/api/message-body/"
 )
 
-// queryTimeout bounds the answer to a query. Clients wait two seconds.
+// queryTimeout limits the time to answer a query. Clients wait 2 s.
 const queryTimeout = 1800 * time.Millisecond
 
-// maxMessageIDLength is the length of the longest message ID, in bytes.
+// maxMessageIDLength is the largest length of a message ID, in bytes.
 const maxMessageIDLength = 64
 
-// Answers to queries that fail.
+// Responses to queries that fail.
 var (
 	errUnknownMessage     = &httpError{Status: http.StatusNotFound, Reason: "unknown message"}
 	errBodyNotFound       = &httpError{Status: http.StatusNotFound, Reason: "body not kept"}
 	errMessageUnreachable = &httpError{Status: http.StatusServiceUnavailable, Reason: "message can't be reached now"}
 )
 
-// stateResponse is the answer to a query of a message's state.
+// stateResponse is the response to a query for a message's state.
 type stateResponse struct {
 	State message.State `json:"state"`
 	Stamp string        `json:"stamp,omitempty"`
 }
 
-// isQuery is a matcher of the router: a query about a message, unless a route of the configuration claims the path with a
-// prefix of its own under /api/message/.
+// isQuery is a matcher of the router. It reports whether a request is a query about a message. A request that matches a
+// configured route whose path prefix is at least as long as /api/message/ is a message instead.
 func (f *Front) isQuery(r *http.Request, _ *mux.RouteMatch) bool {
 	if r.Method != http.MethodGet {
 		return false
@@ -46,22 +46,22 @@
 	return route == nil || len(route.PathPrefix) < len(statePathPrefix)
 }
 
-// serveState answers with a message's state.
+// serveState responds with the state of a message.
 func (f *Front) serveState(w http.ResponseWriter, r *http.Request) {
 	serveQuery(f, w, r, f.options.Messages.State, func(outcome message.Outcome) {
 		writeJSON(w, stateResponse(outcome))
 	})
 }
 
-// serveBody answers with a message's body.
+// serveBody responds with the body of a message.
 func (f *Front) serveBody(w http.ResponseWriter, r *http.Request) {
 	serveQuery(f, w, r, f.options.Messages.Body, func(body []byte) {
 		writeBytes(w, http.StatusOK, contentTypeBytes, body)
 	})
 }
 
-// serveQuery asks the store about the message that a request names, and writes what it answers. Where the ID can't be one,
-// the message is unknown without a call.
+// serveQuery calls query with the message ID of the request's path, and passes the result to write. If the ID is
+// malformed, the message is unknown and query is not called.
 func serveQuery[Result any](
 	f *Front, w http.ResponseWriter, r *http.Request,
 	query func(ctx context.Context, id string) (Result, error), write func(Result),
@@ -83,7 +83,7 @@
 	write(result)
 }
 
-// queryError returns the answer to a query that failed.
+// queryError returns the response to a query that failed with err.
 func queryError(err error) *httpError {
 	switch {
 	case errors.Is(err, message.ErrNotFound):
@@ -95,7 +95,8 @@
 	}
 }
 
-// isMessageID reports whether a text can be a message's ID: letters, digits, "-", "_" and ".".
+// isMessageID reports whether id is a well-formed message ID: 1 to maxMessageIDLength letters, digits, "-", "_" and
+// ".".
 func isMessageID(id string) bool {
 	if id == "" || len(id) > maxMessageIDLength {
 		return false
--- a/internal/ingress/readiness.go
+++ b/internal/ingress/readiness.go
@@ -6,14 +6,14 @@
 	"github.com/gorilla/mux"
 )
 
-// readyPath is where the platform's health check asks whether the process wants new connections.
+// readyPath is the path of the platform's health check.
 const readyPath = "/api/ready"
 
-// errNotReady keeps the platform from sending new connections.
+// errNotReady is the response that keeps the platform from sending new connections.
 var errNotReady = &httpError{Status: http.StatusServiceUnavailable, Reason: "not ready"}
 
-// NewReadyHandler returns the handler of the readiness listener. It answers by Options.Ready alone; a process that
-// drains its front passes Front.Ready there.
+// NewReadyHandler returns the handler of the readiness listener. Its status depends only on Options.Ready; a process
+// with a front passes Front.Ready, which is false while the front drains.
 func NewReadyHandler(options Options) http.Handler {
 	ready := options.withDefaults().Ready
 	router := mux.NewRouter()
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -14,17 +14,17 @@
 	connectionClose = "close"
 )
 
-// httpError is the answer to a request that can't be served.
+// httpError is the response to a request that fails.
 type httpError struct {
 	Status int
-	Reason string // the answer's body, without the line feed that ends it
-	Close  bool   // the connection can't be used any further
+	Reason string // the response body without its final line feed
+	Close  bool   // the connection closes after the response
 }
 
 // Error implements error.
 func (e *httpError) Error() string { return strconv.Itoa(e.Status) + ": " + e.Reason }
 
-// writeError answers with an error. A 503 says when to retry.
+// writeError writes the response to a request that failed. A 503 without a Retry-After header gets the default one.
 func writeError(w http.ResponseWriter, failure *httpError) {
 	header := w.Header()
 	if failure.Close {
@@ -36,17 +36,17 @@
 	writeBytes(w, failure.Status, contentTypeText, []byte(failure.Reason+"\n"))
 }
 
-// writeBytes answers with a body whose length is announced, also where it is empty.
+// writeBytes writes a response with a Content-Length, also if the body is empty.
 func writeBytes(w http.ResponseWriter, status int, contentType string, body []byte) {
 	header := w.Header()
 	header.Set(headerContentType, contentType)
 	header.Set(headerContentLength, strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A failed write means that the client has gone.
+	// A write fails only if the client has disconnected.
 	_, _ = w.Write(body)
 }
 
-// writeJSON answers 200 with a JSON value.
+// writeJSON responds with 200 and a JSON value.
 func writeJSON(w http.ResponseWriter, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/ingress/retryafter.go
+++ b/internal/ingress/retryafter.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// retryAfterSeconds is the value of Retry-After where a client names no deadline. The header takes whole seconds (RFC 9110,
-// section 10.2.3), and a pause of one second would miss the deadline of most messages, while another front may accept the
-// message at once.
+// retryAfterSeconds is the value of Retry-After if the client sends no deadline. RFC 9110, section 10.2.3, allows only
+// whole seconds, but a pause of 1 s exceeds the deadline of most messages, and another front may accept the message
+// immediately.
 const retryAfterSeconds = "0.2"
 
 const (
-	// retryAfterFraction is the fraction of its time left after which a client should retry. It leaves room for two more
-	// attempts, the second after a longer pause.
+	// retryAfterFraction is the fraction of the client's remaining time after which it should retry. It leaves time for
+	// two more attempts, the second one after a longer pause.
 	retryAfterFraction = 0.35
 	minRetryAfter      = 20 * time.Millisecond
 	maxRetryAfter      = time.Second
 )
 
-// setRetryAfter tells a rejected client that has named its deadline when to retry.
+// setRetryAfter sets Retry-After on a 503 response by the deadline of the client. It does nothing if the client sent
+// none.
 func setRetryAfter(w http.ResponseWriter, r *http.Request, failure *httpError, started time.Time) {
-	timeout, limited := clientTimeout(r.Header.Get(headerDeadline))
-	if limited && failure.Status == http.StatusServiceUnavailable {
+	timeout, hasDeadline := clientTimeout(r.Header.Get(headerDeadline))
+	if hasDeadline && failure.Status == http.StatusServiceUnavailable {
 		w.Header().Set(headerRetryAfter, retryAfterWithin(timeout-time.Since(started)))
 	}
 }
 
-// retryAfterWithin returns the value of Retry-After, in seconds, for a client that has so much time left.
+// retryAfterWithin returns the value of Retry-After, in seconds, for a client with the given time left until its
+// deadline.
 func retryAfterWithin(left time.Duration) string {
 	pause := time.Duration(retryAfterFraction * float64(left))
 	pause = min(max(pause, minRetryAfter), maxRetryAfter)
--- a/internal/ingress/submission.go
+++ b/internal/ingress/submission.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/message"
 )
 
-// Answers to messages that are not accepted.
+// Responses to messages that are not accepted.
 var (
 	errNoConfiguration = &httpError{Status: http.StatusServiceUnavailable, Reason: "no configuration yet"}
 	errHeaderTooLarge  = &httpError{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "header too large"}
@@ -22,14 +22,14 @@
 	errOutcomeUnknown  = &httpError{Status: http.StatusBadGateway, Reason: "outcome unknown"}
 )
 
-// serveMessage accepts or rejects a message.
+// serveMessage accepts or rejects a message, and counts the outcome.
 func (f *Front) serveMessage(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	setBodyDeadline(w, r)
 	id, failure := f.acceptMessage(w, r)
 	f.announceDrain(w)
 	if failure != nil {
-		f.counters.countRejection(failure)
+		f.counters.countFailure(failure)
 		setRetryAfter(w, r, failure, started)
 		writeError(w, failure)
 		return
@@ -39,14 +39,14 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// admission is a message whose header was checked and whose body is still to be read.
-type admission struct {
+// checkedMessage is a message with a valid header whose body has not been read yet.
+type checkedMessage struct {
 	submission   message.Submission
 	ordered      bool
 	maxBodyBytes int64
 }
 
-// acceptMessage checks a message by the configuration and stores it. It returns the message's ID.
+// acceptMessage checks a message against the configuration and stores it. It returns the message's ID.
 func (f *Front) acceptMessage(w http.ResponseWriter, r *http.Request) (string, *httpError) {
 	table := f.options.Configuration()
 	if table == nil {
@@ -70,10 +70,10 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	return f.store(ctx, w, r, admission{submission, route.Ordered, int64(table.Limits.MaxBodyBytes)})
+	return f.store(ctx, w, r, checkedMessage{submission, route.Ordered, int64(table.Limits.MaxBodyBytes)})
 }
 
-// newSubmission makes a submission of a request's header.
+// newSubmission returns the submission that a request's header describes.
 func newSubmission(
 	r *http.Request, table *configuration.Table, route *configuration.Route, target string,
 ) (message.Submission, *httpError) {
@@ -104,15 +104,16 @@
 	return submission, nil
 }
 
-// store reads the body and stores the message. A body of unannounced length reserves as much memory as it may take.
+// store reads the body and stores the message. It returns the message's ID. For a body without a Content-Length it
+// reserves the largest size that the body may have.
 func (f *Front) store(
-	ctx context.Context, w http.ResponseWriter, r *http.Request, admitted admission,
+	ctx context.Context, w http.ResponseWriter, r *http.Request, checked checkedMessage,
 ) (string, *httpError) {
 	reserved := r.ContentLength
 	if reserved < 0 {
-		reserved = admitted.maxBodyBytes
+		reserved = checked.maxBodyBytes
 	}
-	if reserved > admitted.maxBodyBytes {
+	if reserved > checked.maxBodyBytes {
 		return "", errBodyTooLarge
 	}
 	if !f.bodies.reserve(reserved) {
@@ -120,11 +121,11 @@
 	}
 	defer f.bodies.release(reserved)
 
-	body, failure := readBody(w, r, admitted.maxBodyBytes)
+	body, failure := readBody(w, r, checked.maxBodyBytes)
 	if failure != nil {
 		return "", failure
 	}
-	id, err := f.options.Messages.Put(ctx, admitted.submission, admitted.ordered, body)
+	id, err := f.options.Messages.Put(ctx, checked.submission, checked.ordered, body)
 	switch {
 	case err == nil:
 		return id, nil
