--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -5,19 +5,19 @@
 	"encoding/json"
 )
 
-// Handler carries out a call. Its context ends when the connection does. An error that is an *Error is sent as it is,
-// any other as CodeInternal. Handlers run concurrently.
+// Handler executes a call. Its context ends with the connection. An *Error is sent to the client unchanged, any other
+// error with CodeInternal. Handlers run concurrently.
 type Handler func(ctx context.Context, call *Call) (result any, body []byte, err error)
 
-// Call is a call as the server received it. The handler may keep its parts.
+// Call is a received call. The handler may retain its fields after it has returned.
 type Call struct {
 	Method        string
 	Params        json.RawMessage
 	Body          []byte
-	RemoteAddress string // the caller's, "ip:port"
+	RemoteAddress string // of the client, "ip:port"
 }
 
-// Decode reads the call's parameters. It fails with CodeInvalid.
+// Decode decodes the call's parameters into a value. It fails with CodeInvalid if they don't fit.
 func (c *Call) Decode(into any) error {
 	if err := json.Unmarshal(c.Params, into); err != nil {
 		return &Error{Code: CodeInvalid, Message: c.Method + ": " + err.Error()}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -9,29 +9,29 @@
 	"gladepick/internal/network"
 )
 
-// Client makes calls to one process, over one connection that is dialed when needed. It may be used concurrently.
+// Client makes calls to one process, over one connection that it dials on demand. It is safe for concurrent use.
 type Client struct {
 	network network.Network
 	address string
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
 
-	mutex   sync.Mutex        // guards what follows
-	current *clientConnection // nil before the first dial and after a failure was noticed
-	dialing *dialAttempt      // nil while no dial is under way
+	mutex   sync.Mutex        // guards the fields below
+	current *clientConnection // nil before the first dial and after a failure was detected
+	dialing *dialAttempt      // nil while no dial is in progress
 }
 
-// NewClient makes a client of the process at an address, "ip:port". It dials at the first call.
+// NewClient returns a client of the process at an address, "ip:port". The first call dials the connection.
 func NewClient(network network.Network, address string) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{network: network, address: address, ctx: ctx, cancel: cancel}
 }
 
-// Call makes a call and waits for its response. The params and the result are JSON values, either may be nil; the bodies
-// are passed unencoded. The body must not be changed afterwards.
+// Call makes a call and waits for its response. The params and the result are JSON values, and either may be nil. The
+// bodies are sent unencoded. The caller must not modify the body afterwards.
 //
-// The error is an *Error where the called process reported it, wraps ErrNotSent where the request surely did not reach
-// it, and ErrResponseLost where that is not known.
+// The error is an *Error if the server or the validation of the request reported it. It wraps ErrNotSent if the request
+// definitely did not reach the server, and ErrResponseLost if the server may have executed it.
 func (c *Client) Call(
 	ctx context.Context, method string, params any, body []byte, result any,
 ) (responseBody []byte, err error) {
@@ -58,7 +58,7 @@
 	return received.body, nil
 }
 
-// Close ends the connection. Outstanding calls fail, and so do later ones.
+// Close closes the connection. Outstanding calls and all later ones fail.
 func (c *Client) Close() {
 	c.cancel()
 	c.mutex.Lock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// connect returns the connection, dialing it where there is none.
+// connect returns the open connection, or waits for a dial if there is none.
 func (c *Client) connect(ctx context.Context) (*clientConnection, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -86,7 +86,8 @@
 	}
 }
 
-// currentOrAttempt returns the working connection, or else the attempt to get one, which it starts if need be.
+// currentOrAttempt returns the open connection, or else the dial attempt in progress. It starts an attempt if there is
+// none.
 func (c *Client) currentOrAttempt() (*clientConnection, *dialAttempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// expectedCallsInFlight is the initial size of the table of outstanding calls.
+// expectedCallsInFlight is the initial capacity of clientConnection.outstanding.
 const expectedCallsInFlight = 8
 
-// response is what came back for a call.
+// response is the response to a call.
 type response struct {
 	result json.RawMessage
 	body   []byte
-	err    error // an *Error that the server reported, or nil
+	err    error // the *Error that the server reported, or nil
 }
 
-// clientConnection is a dialed connection. It matches responses to calls by their numbers. It lives from its dial to its
-// first failure, of whichever kind; then the client dials another one.
+// clientConnection is a dialed connection. It matches responses to calls by their IDs. The first failure of any kind
+// closes it; the client then dials a new one.
 type clientConnection struct {
 	stream       net.Conn
 	writer       *frameWriter
 	started      time.Time
 	lastID       atomic.Uint64
-	lastReceived atomic.Int64  // when bytes last came, in nanoseconds since started
+	lastReceived atomic.Int64  // when bytes were last received, in nanoseconds since started
 	done         chan struct{} // closed when the connection has failed
 
-	mutex        sync.Mutex                 // guards what follows
-	outstanding  map[uint64]chan<- response // nil for a call that nobody waits for any more
-	waitingSince time.Time                  // when the oldest of the outstanding calls could have begun
+	mutex        sync.Mutex                 // guards the fields below
+	outstanding  map[uint64]chan<- response // by ID; the channel is nil after the caller has stopped waiting
+	waitingSince time.Time                  // when the table of outstanding calls last became non-empty
 	watchdog     *time.Timer                // nil before the first call
-	watchdogDue  time.Time                  // when the running watchdog should fire; zero while it does not run
-	failure      error                      // why the connection ended; also readable after done is closed
+	watchdogDue  time.Time                  // when the watchdog is due to run; zero while it is stopped
+	failure      error                      // why the connection closed; readable without the mutex once done is closed
 }
 
-// newClientConnection starts the goroutine that receives responses; it ends when the stream does.
+// newClientConnection starts the goroutine that receives responses. The goroutine ends when the connection fails.
 func newClientConnection(stream net.Conn) *clientConnection {
 	connection := &clientConnection{
 		stream:      stream,
@@ -59,7 +59,7 @@
 	if err != nil {
 		return response{}, &Error{Code: CodeInvalid, Message: err.Error()}
 	}
-	responses := make(chan response, 1) // has room, so that deliver never waits
+	responses := make(chan response, 1) // buffered, so that deliver never blocks
 	if err := c.register(request.ID, responses); err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -71,7 +71,7 @@
 	return c.await(ctx, request.ID, position, responses)
 }
 
-// await waits for the response to a request that is queued at a position of the stream.
+// await waits for the response to a request that the writer has queued at a position of the stream, in bytes.
 func (c *clientConnection) await(
 	ctx context.Context, id, position uint64, responses <-chan response,
 ) (response, error) {
@@ -84,17 +84,17 @@
 	case <-c.done:
 	}
 	select {
-	case received := <-responses: // it came before the end
+	case received := <-responses: // it was received before the connection failed
 		return received, nil
 	default:
 	}
-	if c.writer.mayHaveLeft(position) {
+	if c.writer.mayHaveBeenSent(position) {
 		return response{}, fmt.Errorf("%w: %w", ErrResponseLost, c.failure)
 	}
 	return response{}, fmt.Errorf("%w: %w", ErrNotSent, c.failure)
 }
 
-// register notes a call and has the watchdog run.
+// register adds an outstanding call and starts the watchdog if it is stopped.
 func (c *clientConnection) register(id uint64, responses chan<- response) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -111,14 +111,15 @@
 	return nil
 }
 
-// unregister forgets a call that was not sent.
+// unregister removes a call that was not sent.
 func (c *clientConnection) unregister(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.outstanding, id)
 }
 
-// abandon notes that nobody waits for a call's response any more. It is still due, so the watchdog goes on.
+// abandon records that the caller no longer waits for a response. The server still owes it, so the watchdog continues
+// to run.
 func (c *clientConnection) abandon(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -127,9 +128,9 @@
 	}
 }
 
-// receiveLoop delivers responses until the connection ends.
+// receiveLoop delivers responses until the connection fails.
 func (c *clientConnection) receiveLoop() {
-	reader := newFrameReader(receiveClock{connection: c})
+	reader := newFrameReader(activityRecorder{connection: c})
 	for {
 		if err := c.receive(reader); err != nil {
 			c.fail(err)
@@ -138,7 +139,7 @@
 	}
 }
 
-// receive reads one response.
+// receive reads one response and delivers it.
 func (c *clientConnection) receive(reader *frameReader) error {
 	line, err := reader.readLine()
 	if err != nil {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// deliver hands a response to the call that waits for it, if any does. Heartbeats have the number of no call.
+// deliver passes a response to the call that waits for it, if any. A heartbeat has the ID 0, which no call has.
 func (c *clientConnection) deliver(id uint64, received response) {
 	c.mutex.Lock()
 	responses := c.outstanding[id]
@@ -171,7 +172,7 @@
 	}
 }
 
-// fail ends the connection and all its calls. The first reason stays.
+// fail closes the connection and fails its outstanding calls. Only the first call has an effect.
 func (c *clientConnection) fail(reason error) {
 	c.mutex.Lock()
 	if c.failure != nil {
@@ -188,7 +189,7 @@
 	close(c.done)
 }
 
-// hasFailed reports whether the connection can't be used any more.
+// hasFailed reports whether the connection has failed, so that the client must dial a new one.
 func (c *clientConnection) hasFailed() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// dialTimeout bounds a dial with all its attempts.
+	// dialTimeout limits a dial with all its hedges.
 	dialTimeout = 500 * time.Millisecond
-	// dialHedgeDelay is after how long without a result an address is dialed once more beside the earlier attempts. A
-	// machine that starts never sees what was sent to it before, and the operating system sends it again only after a
-	// second.
+	// dialHedgeDelay is the time without a result after which the address is dialed once more in parallel. A machine
+	// that is starting never sees a SYN packet that was sent to it earlier, and the operating system retransmits the
+	// packet only after 1 s.
 	dialHedgeDelay = 120 * time.Millisecond
 )
 
-// dialAttempt is a client's dial, which all calls that need the connection wait for.
+// dialAttempt is a dial in progress. All calls that need the connection wait for it.
 type dialAttempt struct {
-	done chan struct{} // closed when the fields below are set
+	done chan struct{} // closed once the fields below are set
 
 	connection *clientConnection
 	err        error
 }
 
-// dial carries out an attempt. It runs in a goroutine of its own, which ends within dialTimeout.
+// dial executes an attempt. It runs in its own goroutine, which ends within dialTimeout.
 func (c *Client) dial(attempt *dialAttempt) {
 	defer close(attempt.done)
 	ctx, cancel := context.WithTimeout(c.ctx, dialTimeout)
@@ -42,7 +42,7 @@
 	c.finishDial(attempt)
 }
 
-// finishDial makes an attempt's connection the client's current one. A client that was closed meanwhile has none.
+// finishDial makes the attempt's connection the current one. If the client was closed meanwhile, the connection fails.
 func (c *Client) finishDial(attempt *dialAttempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,24 +53,24 @@
 	}
 }
 
-// dialOutcome is how one of several hedged dials ended.
-type dialOutcome struct {
+// dialResult is the result of one of several hedged dials.
+type dialResult struct {
 	stream net.Conn
 	err    error
 }
 
-// dialHedged dials an address, and does so again beside the earlier dials whenever none of them has ended for
-// dialHedgeDelay. It returns how the first one of them ended, and gives the others up. Each dial has a goroutine, which
-// ends soon after this function has returned.
-func dialHedged(ctx context.Context, wire network.Network, address string) (net.Conn, error) {
-	dialing, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	ended := make(chan dialOutcome)
+// dialHedged dials an address, and starts another parallel dial whenever dialHedgeDelay passes without a result. It
+// returns the first result, whether a connection or an error, and cancels the other dials. Each dial runs in its own
+// goroutine, which ends soon after this function has returned.
+func dialHedged(ctx context.Context, dialer network.Network, address string) (net.Conn, error) {
+	dialCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	results := make(chan dialResult)
 	dial := func() {
-		stream, err := wire.Dial(dialing, address)
+		stream, err := dialer.Dial(dialCtx, address)
 		select {
-		case ended <- dialOutcome{stream: stream, err: err}:
-		case <-dialing.Done():
+		case results <- dialResult{stream: stream, err: err}:
+		case <-dialCtx.Done():
 			closeUnused(stream, err)
 		}
 	}
@@ -79,7 +79,7 @@
 	go dial()
 	for {
 		select {
-		case first := <-ended:
+		case first := <-results:
 			return first.stream, first.err
 		case <-timer.C:
 			go dial()
@@ -90,7 +90,7 @@
 	}
 }
 
-// closeUnused closes the connection of a dial that ended after another one.
+// closeUnused closes the connection of a dial that another one preceded.
 func closeUnused(stream net.Conn, err error) {
 	if err == nil {
 		_ = stream.Close()
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,20 +8,20 @@
 	"io"
 )
 
-// Limits of the format, which both ends check.
+// Limits of the frame format. Both ends check them.
 const (
-	maxLineBytes = 16 << 20 // of a frame's line, its end included
+	maxLineBytes = 16 << 20 // of a frame's line, with its line feed
 	maxBodyBytes = 64 << 20 // of a frame's body
 )
 
-// Sizes of a reader's buffers.
+// Buffer sizes of a frameReader.
 const (
-	readBufferBytes      = 4 << 10   // read ahead on each connection
-	bodyStepBytes        = 256 << 10 // a body's memory is taken in steps, as its bytes come
-	maxRetainedLineBytes = 64 << 10  // a larger buffer for long lines is not retained
+	readBufferBytes      = 4 << 10   // read-ahead buffer of each connection
+	bodyChunkBytes       = 256 << 10 // initial allocation for a longer body, which grows as its bytes arrive
+	maxRetainedLineBytes = 64 << 10  // a larger buffer is released after its line
 )
 
-// outgoingRequest is the line of a request as the client writes it.
+// outgoingRequest is the line of a request as the client encodes it.
 type outgoingRequest struct {
 	ID     uint64 `json:"id"`
 	Method string `json:"method"`
@@ -29,7 +29,7 @@
 	Body   int    `json:"body,omitempty"` // length in bytes
 }
 
-// incomingRequest is the line of a request as the server reads it.
+// incomingRequest is the line of a request as the server decodes it.
 type incomingRequest struct {
 	ID     uint64          `json:"id"`
 	Method string          `json:"method"`
@@ -37,7 +37,7 @@
 	Body   int             `json:"body"` // length in bytes
 }
 
-// outgoingResponse is the line of a response as the server writes it.
+// outgoingResponse is the line of a response as the server encodes it.
 type outgoingResponse struct {
 	ID     uint64 `json:"id"`
 	Result any    `json:"result,omitempty"`
@@ -45,7 +45,7 @@
 	Body   int    `json:"body,omitempty"` // length in bytes
 }
 
-// incomingResponse is the line of a response as the client reads it.
+// incomingResponse is the line of a response as the client decodes it.
 type incomingResponse struct {
 	ID     uint64          `json:"id"`
 	Result json.RawMessage `json:"result"`
@@ -53,7 +53,8 @@
 	Body   int             `json:"body"` // length in bytes
 }
 
-// encodeLine renders the line of a frame, with its end.
+// encodeLine returns the line of a frame with its line feed. A line that exceeds maxLineBytes fails with
+// errLineTooLong.
 func encodeLine(frame any) ([]byte, error) {
 	line, err := json.Marshal(frame)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return append(line, '\n'), nil
 }
 
-// checkBodyLength checks the length of a body, in bytes, against the format.
+// checkBodyLength returns an error if a body of length bytes violates the limits of the format.
 func checkBodyLength(length int) error {
 	if length < 0 {
 		return errNegativeBodyLength
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// frameReader reads the lines and bodies of a connection. It is used by one goroutine.
+// frameReader reads the lines and bodies of a connection. It is not safe for concurrent use.
 type frameReader struct {
 	source   *bufio.Reader
 	longLine []byte // collects a line that exceeds the read buffer
@@ -86,8 +87,8 @@
 	return &frameReader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// readLine returns the next line. It is valid until the next read. The error is io.EOF where the stream ends between two
-// frames.
+// readLine returns the next line with its line feed. The line is valid until the next read. The error is io.EOF if the
+// stream ends between two frames.
 func (r *frameReader) readLine() ([]byte, error) {
 	if cap(r.longLine) > maxRetainedLineBytes {
 		r.longLine = nil
@@ -114,8 +115,8 @@
 	return r.longLine, nil
 }
 
-// readBody returns the body of a frame, in memory of its own. A long body gets its memory as its bytes come, so that a
-// length alone takes none.
+// readBody returns the body of a frame in a newly allocated buffer. The buffer of a long body grows as the bytes
+// arrive, so that an announced length alone allocates at most bodyChunkBytes.
 func (r *frameReader) readBody(length int) ([]byte, error) {
 	if err := checkBodyLength(length); err != nil {
 		return nil, err
@@ -123,19 +124,19 @@
 	if length == 0 {
 		return nil, nil
 	}
-	if length <= bodyStepBytes {
+	if length <= bodyChunkBytes {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r.source, body)
 		return body, truncationError(err, length)
 	}
 	var body bytes.Buffer
-	body.Grow(bodyStepBytes)
+	body.Grow(bodyChunkBytes)
 	_, err := io.CopyN(&body, r.source, int64(length))
 	return body.Bytes(), truncationError(err, length)
 }
 
-// truncationError tells an end of the stream within a frame, of which so many bytes were due or seen, from one between
-// two frames. Other errors it returns as they are.
+// truncationError replaces io.EOF by io.ErrUnexpectedEOF if the stream ended within a frame, that is, if frameBytes of
+// the frame were read or expected. It returns other errors unchanged.
 func truncationError(err error, frameBytes int) error {
 	if errors.Is(err, io.EOF) && frameBytes > 0 {
 		return io.ErrUnexpectedEOF
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -33,7 +33,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	_, err = newFrameReader(strings.NewReader("")).readBody(4)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	_, err = newFrameReader(strings.NewReader("abc")).readBody(bodyStepBytes + 1)
+	_, err = newFrameReader(strings.NewReader("abc")).readBody(bodyChunkBytes + 1)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// answerWith reads a request of a known length from the first connection, and writes a response. It ends when the client
-// closes the connection.
+// answerWith reads a request of a known length from the first connection, and writes a response. It ends when the
+// client closes the connection.
 func answerWith(listener net.Listener, requestLength int, response []byte) {
 	connection, err := listener.Accept()
 	if err != nil {
--- a/internal/rpc/heartbeat.go
+++ b/internal/rpc/heartbeat.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// heartbeatInterval is how often a server shows a client that waits for a response that it is alive. Several heartbeats
-// fit into the client's unresponsiveTimeout.
+// heartbeatInterval is the interval at which a server sends heartbeats to a client that waits for a response. Several
+// heartbeats fit into the client's unresponsiveTimeout.
 const heartbeatInterval = 700 * time.Millisecond
 
-// heartbeatLine is a response to no call; clients ignore it.
+// heartbeatLine is a response with an ID that no call has. Clients ignore it.
 var heartbeatLine = []byte("{\"id\":0}\n")
 
-// beginCall counts a call, and starts heartbeats where none run.
+// beginCall counts an active call, and starts the heartbeats if they are not running.
 func (c *serverConnection) beginCall() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -25,14 +25,14 @@
 	c.heartbeatTimer.Reset(heartbeatInterval)
 }
 
-// endCall counts a call off. Heartbeats end when their timer next finds no call.
+// endCall ends a call that beginCall counted. The heartbeats stop when their timer next fires without an active call.
 func (c *serverConnection) endCall() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.activeCalls--
 }
 
-// sendHeartbeat sends a heartbeat while calls are being carried out. It is the timer's function.
+// sendHeartbeat sends a heartbeat and restarts the timer while calls are active. The heartbeat timer calls it.
 func (c *serverConnection) sendHeartbeat() {
 	c.mutex.Lock()
 	c.heartbeatRunning = c.activeCalls > 0 && !c.closed
@@ -42,11 +42,11 @@
 	}
 	c.mutex.Unlock()
 	if running {
-		c.writer.offerIfIdle(heartbeatLine)
+		c.writer.enqueueIfIdle(heartbeatLine)
 	}
 }
 
-// stopHeartbeat ends the heartbeats for good.
+// stopHeartbeat stops the heartbeats when the connection closes. They can't be restarted.
 func (c *serverConnection) stopHeartbeat() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/idempotent.go
+++ b/internal/rpc/idempotent.go
@@ -1,6 +1,7 @@
 package rpc
 
-// Idempotent names a method whose call may be made again, here or at another process, after its response was lost: the
-// handler recognises a repeated request, or is fenced by a version or an epoch in it. docs/system.md says which and why.
-// What retries calls takes this type, so that no other call is retried by accident.
+// Idempotent is the name of a method whose calls may be retried, at the same or another process, after a response was
+// lost: the handler recognises a repeated request, or a version or epoch in the request fences it. docs/system.md lists
+// these methods and the reason for each. Functions that retry calls take this type, so that no other call is retried by
+// accident.
 type Idempotent string
--- a/internal/rpc/pool.go
+++ b/internal/rpc/pool.go
@@ -6,21 +6,21 @@
 	"gladepick/internal/network"
 )
 
-// Pool has one client for each address. It may be used concurrently. It never removes a client.
+// Pool keeps one client for each address. It never removes a client. It is safe for concurrent use.
 type Pool struct {
 	network network.Network
 
-	mutex   sync.Mutex // guards what follows
+	mutex   sync.Mutex // guards the fields below
 	clients map[string]*Client
 	closed  bool
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(network network.Network) *Pool {
 	return &Pool{network: network, clients: map[string]*Client{}}
 }
 
-// Get returns the client of the process at an address, "ip:port". The pool closes it.
+// Get returns the client of the process at an address, "ip:port". The pool owns the client and closes it.
 func (p *Pool) Get(address string) *Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -116,7 +116,7 @@
 
 func TestBodies(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		for _, size := range []int{0, 1, maxCopiedBodyBytes, maxCopiedBodyBytes + 1, bodyStepBytes, bodyStepBytes + 1, 3 << 20} {
+		for _, size := range []int{0, 1, maxCopiedBodyBytes, maxCopiedBodyBytes + 1, bodyChunkBytes, bodyChunkBytes + 1, 3 << 20} {
 			body := bytes.Repeat([]byte("line\n"), size/5+1)[:size]
 			answered, err := f.client.Call(t.Context(), "echo", nil, body, nil)
 			assert.NilError(t, err)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -12,24 +12,24 @@
 	"go.uber.org/zap"
 )
 
-// acceptRetryDelay is the pause after an accept that failed for want of descriptors or memory.
+// acceptRetryDelay is the pause after Accept has failed with one of temporaryErrors.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// Server answers calls. It may serve several listeners, and its methods may be called concurrently.
+// Server executes the calls of clients. It may serve several listeners, and is safe for concurrent use.
 type Server struct {
 	logger      *zap.Logger
-	calls       chan receivedCall // to idle workers
-	idleWorkers atomic.Int32      // workers that wait or are about to
+	calls       chan receivedCall // received by idle workers
+	idleWorkers atomic.Int32      // number of workers that wait for a call, or are about to
 	done        chan struct{}     // closed by Close
 
-	mutex       sync.Mutex         // guards what follows
+	mutex       sync.Mutex         // guards the fields below
 	handlers    map[string]Handler // by method
 	listeners   map[net.Listener]struct{}
 	connections map[*serverConnection]struct{}
 	closed      bool
 }
 
-// NewServer makes a server without handlers.
+// NewServer returns a server without handlers.
 func NewServer(logger *zap.Logger) *Server {
 	return &Server{
 		logger:      logger,
@@ -41,14 +41,14 @@
 	}
 }
 
-// Handle sets the handler of a method. Calls of a method without handler fail with CodeUnknownMethod.
+// Handle sets the handler of a method. Calls of a method without a handler fail with CodeUnknownMethod.
 func (s *Server) Handle(method string, handler Handler) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.handlers[method] = handler
 }
 
-// Serve accepts connections until the listener or the server is closed. After Close it returns nil.
+// Serve accepts connections until the listener or the server is closed. It returns nil if the server is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	if !s.addListener(listener) {
 		return trace.Wrap(listener.Close())
@@ -71,7 +71,8 @@
 	}
 }
 
-// Close closes the listeners and connections. The contexts of handlers that run end; it does not wait for them.
+// Close closes the listeners and connections, and cancels the contexts of running handlers. It does not wait for the
+// handlers.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	if s.closed {
@@ -93,7 +94,7 @@
 	}
 }
 
-// serveConnection serves a connection in a goroutine of its own.
+// serveConnection starts the goroutine that serves a connection, or closes the connection if the server is closed.
 func (s *Server) serveConnection(accepted net.Conn) {
 	connection := newServerConnection(s, accepted)
 	s.mutex.Lock()
@@ -109,14 +110,14 @@
 	go connection.serve()
 }
 
-// handler returns the handler of a method, or nil.
+// handler returns the handler of a method, or nil if it has none.
 func (s *Server) handler(method string) Handler {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.handlers[method]
 }
 
-// addListener has Close close a listener, and returns false where the server is closed already.
+// addListener registers a listener for Close to close. It returns false if the server is already closed.
 func (s *Server) addListener(listener net.Listener) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -144,7 +145,7 @@
 	return s.closed
 }
 
-// waitUnlessClosed waits for a time, or until the server is closed.
+// waitUnlessClosed waits for the duration, or until the server is closed.
 func (s *Server) waitUnlessClosed(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -154,10 +155,11 @@
 	}
 }
 
-// temporaryErrors are those after which accepting may work again later.
+// temporaryErrors are the errors of Accept that a later retry may not meet again, such as a lack of descriptors or
+// memory.
 var temporaryErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
 
-// isTemporary reports whether accepting may work again later.
+// isTemporary reports whether Accept may succeed later, after it has failed with err.
 func isTemporary(err error) bool {
 	for _, temporary := range temporaryErrors {
 		if errors.Is(err, temporary) {
--- a/internal/rpc/serverconnection.go
+++ b/internal/rpc/serverconnection.go
@@ -12,7 +12,8 @@
 	"go.uber.org/zap"
 )
 
-// serverConnection is one client's connection. The goroutine of serve reads it; workers write responses to it.
+// serverConnection is a client's connection. The goroutine of serve reads requests from it, and workers write responses
+// to it.
 type serverConnection struct {
 	server        *Server
 	stream        net.Conn
@@ -22,8 +23,8 @@
 	cancel        context.CancelFunc
 	closeOnce     sync.Once
 
-	mutex            sync.Mutex // guards what follows
-	activeCalls      int        // calls being received or carried out
+	mutex            sync.Mutex // guards the fields below
+	activeCalls      int        // calls being received or executed
 	closed           bool
 	heartbeatRunning bool        // the timer is set
 	heartbeatTimer   *time.Timer // nil before the first call
@@ -42,7 +43,7 @@
 	return connection
 }
 
-// serve reads calls until the connection ends.
+// serve reads calls until the connection ends. It runs in its own goroutine.
 func (c *serverConnection) serve() {
 	defer c.close()
 	reader := newFrameReader(c.stream)
@@ -54,7 +55,7 @@
 	}
 }
 
-// receive reads one call and has a worker carry it out.
+// receive reads one call and dispatches it to a worker.
 func (c *serverConnection) receive(reader *frameReader) error {
 	line, err := reader.readLine()
 	if err != nil {
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// respond carries out a call and sends its response. A result that can't be sent becomes an error.
+// respond executes a call and sends its response. If the result can't be encoded or the body is too long, the response
+// is an error.
 func (c *serverConnection) respond(received receivedCall) {
 	defer c.endCall()
 	result, body, err := c.invoke(received.call)
@@ -96,7 +98,7 @@
 		c.close()
 		return
 	}
-	_, _ = c.writer.send(nil, line, body) // it fails only when the connection has ended
+	_, _ = c.writer.send(nil, line, body) // fails only if the connection is closed
 }
 
 // invoke runs the handler of a call.
@@ -108,7 +110,7 @@
 	return handler(c.ctx, call)
 }
 
-// errorResponse is the response to a call that failed.
+// errorResponse returns the response to a call that failed with err.
 func errorResponse(id uint64, err error) outgoingResponse {
 	var reported *Error
 	if !errors.As(err, &reported) {
@@ -117,7 +119,7 @@
 	return outgoingResponse{ID: id, Error: reported}
 }
 
-// close ends the connection and the contexts of its calls.
+// close closes the connection and cancels the contexts of its calls. Only the first call has an effect.
 func (c *serverConnection) close() {
 	c.closeOnce.Do(func() {
 		c.cancel()
@@ -128,7 +130,7 @@
 	})
 }
 
-// logFailure logs why a connection ended, where it is more than the client's leaving.
+// logFailure logs why the connection failed. It ignores the close by either end and errors of the network.
 func (c *serverConnection) logFailure(err error) {
 	var networkError net.Error
 	if c.ctx.Err() != nil || errors.Is(err, io.EOF) || errors.As(err, &networkError) {
--- a/internal/rpc/watchdog.go
+++ b/internal/rpc/watchdog.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// unresponsiveTimeout is for how long a server that owes responses may send nothing before it is given up.
+	// unresponsiveTimeout is the time without a received byte after which a connection with outstanding calls fails.
 	unresponsiveTimeout = 2 * time.Second
-	// lateCheckThreshold is by how much a check that runs late shows that this process itself was paused.
+	// lateCheckThreshold is the delay of a check from which the watchdog concludes that its own process was paused.
 	lateCheckThreshold = 250 * time.Millisecond
-	// pauseGrace is the time to receive what arrived during such a pause.
+	// pauseGrace is the additional time, after such a pause, to read the bytes that arrived during it.
 	pauseGrace = 500 * time.Millisecond
 )
 
-// startWatchdog sets the next check of the server. The caller holds the mutex.
+// startWatchdog schedules the next check. The caller holds the mutex.
 func (c *clientConnection) startWatchdog(wait time.Duration) {
 	c.watchdogDue = time.Now().Add(wait)
 	if c.watchdog == nil {
@@ -21,8 +21,8 @@
 	c.watchdog.Reset(wait)
 }
 
-// checkResponsive gives the connection up when responses are due and nothing has come for too long. It is the watchdog's
-// function, and sets the next check while calls are outstanding.
+// checkResponsive fails the connection if calls are outstanding and the server has sent nothing for
+// unresponsiveTimeout. The watchdog timer calls it. It schedules the next check while calls are outstanding.
 func (c *clientConnection) checkResponsive() {
 	c.mutex.Lock()
 	if c.failure != nil {
@@ -42,30 +42,30 @@
 	}
 }
 
-// remainingTime returns for how long the server may still send nothing: 0 where that has been too long, or where no
-// response is due. The caller holds the mutex.
+// remainingTime returns the time that the server has left to send a byte. It is 0 if the time has passed or if no call
+// is outstanding. The caller holds the mutex.
 func (c *clientConnection) remainingTime(now time.Time) time.Duration {
 	if len(c.outstanding) == 0 {
 		return 0
 	}
-	lastSign := c.started.Add(time.Duration(c.lastReceived.Load()))
-	if lastSign.Before(c.waitingSince) {
-		lastSign = c.waitingSince
+	lastActivity := c.started.Add(time.Duration(c.lastReceived.Load()))
+	if lastActivity.Before(c.waitingSince) {
+		lastActivity = c.waitingSince
 	}
-	remaining := unresponsiveTimeout - now.Sub(lastSign)
+	remaining := unresponsiveTimeout - now.Sub(lastActivity)
 	if remaining <= 0 && now.Sub(c.watchdogDue) > lateCheckThreshold {
 		return pauseGrace
 	}
 	return max(remaining, 0)
 }
 
-// receiveClock reads a connection's stream and notes when bytes came, for the watchdog.
-type receiveClock struct {
+// activityRecorder reads a connection's stream and records for the watchdog when bytes were last received.
+type activityRecorder struct {
 	connection *clientConnection
 }
 
 // Read implements io.Reader.
-func (r receiveClock) Read(buffer []byte) (int, error) {
+func (r activityRecorder) Read(buffer []byte) (int, error) {
 	count, err := r.connection.stream.Read(buffer)
 	if count > 0 {
 		r.connection.lastReceived.Store(int64(time.Since(r.connection.started)))
--- a/internal/rpc/workers.go
+++ b/internal/rpc/workers.go
@@ -1,16 +1,17 @@
 package rpc
 
-// maxIdleWorkers is how many goroutines a server retains for the next calls, with the stacks that earlier calls grew.
+// maxIdleWorkers is the largest number of idle worker goroutines of a server. An idle worker is reused together with
+// the stack that earlier calls have grown.
 const maxIdleWorkers = 8
 
-// receivedCall is a call to carry out.
+// receivedCall is a call that a worker has to execute.
 type receivedCall struct {
 	connection *serverConnection
 	id         uint64
 	call       *Call
 }
 
-// dispatch gives a call to an idle worker, or to a new one.
+// dispatch passes a call to an idle worker, or to a new one if none is idle.
 func (s *Server) dispatch(next receivedCall) {
 	select {
 	case s.calls <- next:
@@ -19,11 +20,12 @@
 	}
 }
 
-// work carries out calls until there are enough idle workers, or until the server is closed.
+// work is the goroutine of a worker. It executes calls until maxIdleWorkers others are idle, or until the server is
+// closed.
 func (s *Server) work(current receivedCall) {
 	for {
 		current.connection.respond(current)
-		current = receivedCall{} // an idle worker keeps no body in memory
+		current = receivedCall{} // so that an idle worker keeps no body in memory
 		if s.idleWorkers.Add(1) > maxIdleWorkers {
 			s.idleWorkers.Add(-1)
 			return
--- a/internal/rpc/writer.go
+++ b/internal/rpc/writer.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	maxQueuedBytes        = 512 << 10 // queued bytes above which senders wait
-	maxCopiedBodyBytes    = 16 << 10  // bodies up to this size are copied next to their line
-	maxRetainedBatchBytes = 64 << 10  // a larger buffer is not retained
+	maxQueuedBytes        = 512 << 10 // senders wait while the queue would exceed it
+	maxCopiedBodyBytes    = 16 << 10  // bodies up to this size are copied into the buffer of their line
+	maxRetainedBatchBytes = 64 << 10  // a larger buffer is not reused
 )
 
-// notQueued is the position of a frame that was not queued.
+// notQueued is returned as the position of a frame that was not queued.
 const notQueued = math.MaxUint64
 
-// frameWriter writes whole frames to a connection. Frames that are sent at about the same time leave in one write: the
-// first one starts a goroutine, which lets the others that are ready to run add theirs, and ends when nothing is left.
+// frameWriter writes whole frames to a connection. It batches frames that are sent at about the same time into one
+// write: the first sender starts a goroutine, which yields to other runnable senders before it writes, and ends when
+// the queue is empty.
 type frameWriter struct {
 	destination io.Writer
 	onFailure   func(error) // called, without the mutex, when a write fails
 
-	mutex         sync.Mutex // guards what follows
-	queue         net.Buffers
-	tailOwned     bool          // the queue's last buffer belongs to the writer and may grow
-	spare         []byte        // buffer for the next batch
-	queuedBytes   int           // in the queue
-	acceptedBytes uint64        // ever queued
-	handedBytes   uint64        // ever handed to the destination
-	flushing      bool          // a goroutine is writing
-	closed        bool          // nothing is written any more
-	drained       chan struct{} // closed when the queue has been emptied; nil while nobody waits
+	mutex          sync.Mutex // guards the fields below
+	queue          net.Buffers
+	tailOwned      bool          // the queue's last buffer is the writer's own, not a caller's body, and may grow
+	spare          []byte        // buffer to reuse for the next batch
+	queuedBytes    int           // bytes in the queue
+	enqueuedBytes  uint64        // total bytes ever queued
+	maybeSentBytes uint64        // total bytes passed to the destination, without those that failed to be written
+	flushing       bool          // a flush goroutine is running
+	closed         bool          // no further batch is written
+	drained        chan struct{} // closed when the queue has been taken; nil while no sender waits
 }
 
-// send queues a frame and returns its position in the stream, in bytes. It waits while the queue is long, until the
-// channel canceled is closed; nil never is. The body must not be changed afterwards.
+// send queues a frame and returns its position in the stream, in bytes. While the queue is full, it waits until
+// canceled is closed; a nil channel means no cancellation. The caller must not modify the body afterwards.
 func (w *frameWriter) send(canceled <-chan struct{}, line, body []byte) (position uint64, err error) {
 	for {
-		position, wait, err := w.offer(line, body)
+		position, wait, err := w.tryEnqueue(line, body)
 		if wait == nil {
 			return position, err
 		}
@@ -51,9 +52,9 @@
 	}
 }
 
-// offer queues a frame, or returns a channel to wait on while there is no room. A frame that is larger than the queue has
-// room when the queue is empty.
-func (w *frameWriter) offer(line, body []byte) (position uint64, wait <-chan struct{}, err error) {
+// tryEnqueue queues a frame. If the queue is full, it returns a channel that is closed when there may be space again.
+// An empty queue accepts a frame of any size.
+func (w *frameWriter) tryEnqueue(line, body []byte) (position uint64, wait <-chan struct{}, err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.closed {
@@ -66,8 +67,8 @@
 		}
 		return notQueued, w.drained, nil
 	}
-	position = w.acceptedBytes
-	w.acceptedBytes += uint64(size)
+	position = w.enqueuedBytes
+	w.enqueuedBytes += uint64(size)
 	w.queuedBytes += size
 	w.appendFrame(line, body)
 	if !w.flushing {
@@ -77,17 +78,18 @@
 	return position, nil, nil
 }
 
-// offerIfIdle queues a frame where nothing else is being written.
-func (w *frameWriter) offerIfIdle(line []byte) {
+// enqueueIfIdle queues a frame unless other frames are being written.
+func (w *frameWriter) enqueueIfIdle(line []byte) {
 	w.mutex.Lock()
 	busy := w.flushing
 	w.mutex.Unlock()
 	if !busy {
-		_, _, _ = w.offer(line, nil)
+		_, _, _ = w.tryEnqueue(line, nil)
 	}
 }
 
-// appendFrame puts a frame at the queue's end. A long body is queued where it is, a short one is copied.
+// appendFrame appends a frame to the queue. It copies a short body, and queues a long one without a copy. The caller
+// holds the mutex.
 func (w *frameWriter) appendFrame(line, body []byte) {
 	w.appendCopy(line)
 	if len(body) <= maxCopiedBodyBytes {
@@ -98,7 +100,7 @@
 	w.tailOwned = false
 }
 
-// appendCopy copies bytes to the queue's last buffer, or to a new one where that is a caller's body.
+// appendCopy copies data to the queue's last buffer, or to a new buffer if the last one is a caller's body.
 func (w *frameWriter) appendCopy(data []byte) {
 	if !w.tailOwned {
 		w.queue = append(w.queue, w.spare[:0])
@@ -109,7 +111,7 @@
 	w.queue[tail] = append(w.queue[tail], data...)
 }
 
-// flush writes batches until the queue is empty. It runs in a goroutine of its own, one at a time.
+// flush writes batches until the queue is empty. It runs in its own goroutine, of which there is at most one.
 func (w *frameWriter) flush() {
 	runtime.Gosched()
 	for {
@@ -117,10 +119,10 @@
 		if batch == nil {
 			return
 		}
-		first := batch[0] // always a buffer of the writer's own, as each frame begins with its line
+		first := batch[0] // always the writer's own buffer, as each frame begins with its line
 		written, err := batch.WriteTo(w.destination)
 		if err != nil {
-			w.uncountUnwritten(size - int(written))
+			w.subtractUnwritten(size - int(written))
 			w.onFailure(err)
 			return
 		}
@@ -128,7 +130,8 @@
 	}
 }
 
-// takeBatch takes everything out of the queue, or ends the flushing where there is nothing to write.
+// takeBatch empties the queue and returns its buffers and their size in bytes. If there is nothing to write, it returns
+// nil, and flush has to end.
 func (w *frameWriter) takeBatch() (batch net.Buffers, size int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -138,19 +141,19 @@
 	}
 	batch, size = w.queue, w.queuedBytes
 	w.queue, w.queuedBytes, w.tailOwned = nil, 0, false
-	w.handedBytes += uint64(size)
+	w.maybeSentBytes += uint64(size)
 	w.wakeSenders()
 	return batch, size
 }
 
-// uncountUnwritten takes bytes off the count of those that were handed over, as a failed write did not take them.
-func (w *frameWriter) uncountUnwritten(size int) {
+// subtractUnwritten corrects maybeSentBytes after a failed write by the bytes that were not written.
+func (w *frameWriter) subtractUnwritten(size int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.handedBytes -= uint64(size)
+	w.maybeSentBytes -= uint64(size)
 }
 
-// recycle saves a written buffer for a later batch.
+// recycle keeps a written buffer for a later batch, unless it is too large.
 func (w *frameWriter) recycle(buffer []byte) {
 	if cap(buffer) > maxRetainedBatchBytes {
 		return
@@ -160,14 +163,14 @@
 	w.spare = buffer[:0]
 }
 
-// mayHaveLeft reports whether any byte of the frame at a position may have left.
-func (w *frameWriter) mayHaveLeft(position uint64) bool {
+// mayHaveBeenSent reports whether any byte of the frame at a position may have been sent.
+func (w *frameWriter) mayHaveBeenSent(position uint64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.handedBytes > position
+	return w.maybeSentBytes > position
 }
 
-// close drops what is queued. A write that is under way goes on until the connection is closed.
+// close drops the queued frames. A write in progress continues until the connection is closed.
 func (w *frameWriter) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -176,7 +179,7 @@
 	w.wakeSenders()
 }
 
-// wakeSenders lets all senders that wait for room try again. The caller holds the mutex.
+// wakeSenders wakes the senders that wait for space in the queue. The caller holds the mutex.
 func (w *frameWriter) wakeSenders() {
 	if w.drained != nil {
 		close(w.drained)
