--- a/internal/network/simulated/connection.go
+++ b/internal/network/simulated/connection.go
@@ -11,50 +11,51 @@
 	"time"
 )
 
-const windowBytes = 64 << 10 // bytes under way and unread in one direction before a writer waits
+const windowBytes = 64 << 10 // bytes in flight and unread in one direction at which a writer blocks
 
-// connection is one end of a stream connection. It implements net.Conn. packets.go has what arrives at it.
+// connection is one end of a stream connection. It implements net.Conn. packets.go handles the packets that arrive at
+// it.
 type connection struct {
-	number   uint64 // in the order in which all ends of connections were made
+	number   uint64 // from 1, in the order in which the ends of connections were created
 	host     *host
-	peer     *connection // nil until the attempt has reached the other host
+	peer     *connection // the other end; nil until the dial has reached the other host
 	outgoing *link
 	incoming *link
 	local    *net.TCPAddr
 	remote   *net.TCPAddr
-	opened   chan struct{} // closed once a dialed connection is open or has failed
+	opened   chan struct{} // closed once the dial has succeeded or failed
 
-	received      []byte // delivered and not yet read
-	unreadBytes   int    // bytes sent by this end that the peer has not read
+	received      []byte // received and not yet read
+	unreadBytes   int    // bytes sent by this end and not yet read by the peer
 	readable      *sync.Cond
 	writable      *sync.Cond
 	readDeadline  deadline
 	writeDeadline deadline
 
-	openingEnded bool  // opened is closed
-	closed       bool  // by this end
-	writeClosed  bool  // by this end's CloseWrite
-	peerClosed   bool  // the peer sends nothing more
-	failure      error // why the connection broke
+	openingEnded bool  // the channel opened is closed
+	closed       bool  // by Close of this end
+	writeClosed  bool  // by CloseWrite of this end
+	peerClosed   bool  // the peer's FIN has arrived
+	failure      error // why the connection failed; nil while it works
 }
 
-// newConnection makes the end of a connection at a host.
-func newConnection(machine *host, remoteIP string) *connection {
-	made := &connection{
-		host:     machine,
-		outgoing: machine.network.link(machine.ip, remoteIP),
-		incoming: machine.network.link(remoteIP, machine.ip),
+// newConnection creates the end of a connection at a host.
+func newConnection(owner *host, remoteIP string) *connection {
+	created := &connection{
+		host:     owner,
+		outgoing: owner.network.link(owner.ip, remoteIP),
+		incoming: owner.network.link(remoteIP, owner.ip),
 		opened:   make(chan struct{}),
-		readable: sync.NewCond(&machine.network.mutex),
-		writable: sync.NewCond(&machine.network.mutex),
+		readable: sync.NewCond(&owner.network.mutex),
+		writable: sync.NewCond(&owner.network.mutex),
 	}
-	machine.network.connections++
-	made.number = machine.network.connections
-	machine.connections[made] = struct{}{}
-	return made
+	owner.network.connectionCount++
+	created.number = owner.network.connectionCount
+	owner.connections[created] = struct{}{}
+	return created
 }
 
-// awaitOpening waits until a dialed connection is open, or gives it up when the context ends. It locks the mutex.
+// awaitOpening waits until the dial has succeeded or failed, or aborts it when the context ends. It locks the mutex.
 func (c *connection) awaitOpening(ctx context.Context) error {
 	select {
 	case <-c.opened:
@@ -100,7 +101,7 @@
 	}
 }
 
-// consume moves received bytes to a reader, and opens the peer's window by as much.
+// consume moves received bytes to the reader's buffer, and extends the peer's send window by their number.
 func (c *connection) consume(buffer []byte) int {
 	count := copy(buffer, c.received)
 	c.received = c.received[count:]
@@ -135,7 +136,7 @@
 	}
 }
 
-// writeError returns why nothing can be written now, or nil.
+// writeError returns the error of a write at this moment, or nil if bytes can be written.
 func (c *connection) writeError() error {
 	switch {
 	case c.closed:
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// transmit sends bytes that fit into the window.
+// transmit sends data, which must fit into the send window.
 func (c *connection) transmit(data []byte) {
 	c.unreadBytes += len(data)
 	peer := c.peer
@@ -165,7 +166,7 @@
 		return c.operationError("close", net.ErrClosed)
 	}
 	if c.failure == nil && !c.writeClosed {
-		c.outgoing.send(c.peer.receiveEnd)
+		c.outgoing.send(c.peer.receiveFIN)
 	}
 	c.closed = true
 	c.received = nil
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// CloseWrite tells the peer that nothing more will be written. Reading goes on.
+// CloseWrite closes the writing side, as net.TCPConn.CloseWrite does. This end can still read.
 func (c *connection) CloseWrite() error {
 	c.host.network.mutex.Lock()
 	defer c.host.network.mutex.Unlock()
@@ -181,7 +182,7 @@
 		return c.operationError("close", err)
 	}
 	c.writeClosed = true
-	c.outgoing.send(c.peer.receiveEnd)
+	c.outgoing.send(c.peer.receiveFIN)
 	c.writable.Broadcast()
 	return nil
 }
@@ -210,7 +211,8 @@
 	return c.setDeadline(&c.writeDeadline, at, c.writable)
 }
 
-// setDeadline sets one of the deadlines. It locks the mutex.
+// setDeadline sets the read or the write deadline, and wakes the goroutines that wait on its condition. It locks the
+// mutex.
 func (c *connection) setDeadline(changed *deadline, at time.Time, waiting *sync.Cond) error {
 	c.host.network.mutex.Lock()
 	defer c.host.network.mutex.Unlock()
@@ -221,7 +223,7 @@
 	return nil
 }
 
-// operationError wraps an error as the standard library's connections do.
+// operationError wraps an error in a net.OpError, as the connections of the standard library do.
 func (c *connection) operationError(operation string, err error) error {
 	return &net.OpError{Op: operation, Net: "tcp", Source: c.local, Addr: c.remote, Err: err}
 }
--- a/internal/network/simulated/deadline.go
+++ b/internal/network/simulated/deadline.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// deadline ends the waiting on a condition variable, whose mutex guards it.
+// deadline is a deadline of goroutines that wait on a condition variable. The mutex of that variable guards it.
 type deadline struct {
 	at    time.Time // zero for none
 	timer *time.Timer
 }
 
-// reset replaces the deadline and wakes those who wait, as they may now wait too long. A deadline that has passed needs no
-// timer: they see it when they wake.
+// reset replaces the deadline and wakes the waiting goroutines, so that they check the new one. A deadline in the past
+// needs no timer, because the woken goroutines find it expired.
 func (d *deadline) reset(at time.Time, waiting *sync.Cond) {
 	d.stop()
 	d.at = at
@@ -26,7 +26,7 @@
 	waiting.Broadcast()
 }
 
-// stop ends the timer of a deadline that is not needed any more.
+// stop stops the timer, if any. The deadline itself stays set.
 func (d *deadline) stop() {
 	if d.timer != nil {
 		d.timer.Stop()
--- a/internal/network/simulated/doc.go
+++ b/internal/network/simulated/doc.go
@@ -1,16 +1,16 @@
-// Package simulated is an in-memory network for tests. Hosts are connected by links with a delay, which can be isolated
-// and healed; hosts can be killed and lose their power.
+// Package simulated is an in-memory network for tests. Hosts are connected by links with a delay. Tests can isolate and
+// heal links, kill the process of a host, and power hosts off and on.
 //
-// It is made for the bubbles of testing/synctest: create the network inside the bubble. All waiting is on condition
-// variables and timers, so the bubble's clock advances while connections wait.
+// The package is made for testing/synctest: create the network inside the bubble. Goroutines wait only on channels,
+// condition variables and timers, so the bubble's clock advances while they wait.
 //
-// One mutex, Network.mutex, guards everything: hosts, links, listeners and connections. The methods that implement
-// net.Conn, net.Listener and network.Network lock it; the others are called with it locked, unless their comment says that
-// they lock it. The package starts no goroutine: a timer of each link delivers packets, and timers of deadlines wake readers
-// and writers.
+// One mutex, Network.mutex, guards the state of all hosts, links, listeners and connections. The exported methods of
+// Network and the methods that implement net.Conn, net.Listener and network.Network lock it. All other functions
+// require that the caller holds it, unless their comment says that they lock it. The package starts no goroutine: a
+// timer of each link delivers packets, and the timers of deadlines wake readers and writers.
 //
-// The seed decides the jitter of delays. Each packet draws its own, so the same sends in the same order arrive at the same
-// times.
+// The seed determines the jitter of the delays. Each packet draws its own jitter, so packets that are sent at the same
+// times and in the same order arrive at the same times.
 //
-// Start reading at Network, then link for the way of a packet and connection for what arrives at its end.
+// Start reading at Network, then at link for the transport of packets and at connection for the two ends.
 package simulated
--- a/internal/network/simulated/host.go
+++ b/internal/network/simulated/host.go
@@ -9,15 +9,15 @@
 const (
 	firstEphemeralPort = 32768
 	lastPort           = 65535
-	acceptBacklog      = 512 // connections that wait for Accept; more are refused
+	acceptBacklog      = 512 // connections of a listener that wait for Accept; further ones are refused
 )
 
-// host is a machine. The network's mutex guards it.
+// host is a machine with at most one process. The network's mutex guards it.
 type host struct {
 	network           *Network
 	ip                string
-	poweredOff        bool   // it has no power
-	generation        uint64 // grows when its process ends; older ones of processNetwork can't dial
+	poweredOff        bool   // between PowerOff and PowerOn
+	generation        uint64 // increases when the process ends; a processNetwork of an earlier generation can't dial
 	lastEphemeralPort int
 	listeners         map[int]*listener
 	connections       map[*connection]struct{}
@@ -33,7 +33,7 @@
 	}
 }
 
-// endProcess ends everything that the host's process had open.
+// endProcess ends the host's process: it closes the listeners and resets the connections.
 func (h *host) endProcess() {
 	h.generation++
 	for _, port := range slices.Sorted(maps.Keys(h.listeners)) {
@@ -44,13 +44,14 @@
 	}
 }
 
-// openConnections returns the host's connections in the order in which they were made, so that a play with one seed is the
-// same each time.
+// openConnections returns the host's connections in the order of their creation, so that runs with the same seed are
+// identical.
 func (h *host) openConnections() []*connection {
 	return slices.SortedFunc(maps.Keys(h.connections), func(a, b *connection) int { return cmp.Compare(a.number, b.number) })
 }
 
-// ephemeralPort returns a port that was not used for long: that of a dialed connection, or of a listener at port 0.
+// ephemeralPort returns the next port without a listener from the ephemeral range, for a dialed connection or for a
+// listener at port 0.
 func (h *host) ephemeralPort() int {
 	for {
 		h.lastEphemeralPort++
@@ -63,10 +64,10 @@
 	}
 }
 
-// acceptFrom answers a connection attempt that has reached the host.
+// acceptFrom accepts or refuses a dial that has reached the host.
 func (h *host) acceptFrom(client *connection) {
 	if client.closed || client.failure != nil {
-		return // the attempt was given up
+		return // the dial was aborted
 	}
 	listening := h.listeners[client.remote.Port]
 	if listening == nil || len(listening.backlog) >= acceptBacklog {
--- a/internal/network/simulated/link.go
+++ b/internal/network/simulated/link.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// direction names a link by the addresses of its hosts.
+// direction identifies a link by the IP addresses of its hosts.
 type direction struct {
 	from string
 	to   string
@@ -14,18 +14,18 @@
 	from     *host
 	to       *host
 	delay    time.Duration
-	isolated bool        // packets are held
-	queue    []packet    // under way, by their arrival
+	isolated bool        // packets are held instead of delivered
+	queue    []packet    // packets in flight, in the order of their arrival
 	timer    *time.Timer // fires at the first packet's arrival; nil before the first packet
 }
 
-// packet is something under way. Its deliver function runs at the arrival, under the network's mutex.
+// packet is a packet in flight. Its deliver function runs at its arrival, with the network's mutex held.
 type packet struct {
 	arrival time.Time
 	deliver func()
 }
 
-// send puts a packet on the way. A host without power sends nothing.
+// send sends a packet. A host that is powered off sends nothing.
 func (l *link) send(deliver func()) {
 	if l.from.poweredOff {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// arrival draws the time at which the packet at a position arrives: never before the packet ahead of it.
+// arrival draws the arrival time of the packet at a position of the queue. It is never before that of the packet ahead.
 func (l *link) arrival(now time.Time, position int) time.Time {
 	drawn := now.Add(l.delay)
 	if spread := int64(l.delay / jitterDivisor); spread > 0 {
@@ -66,7 +66,7 @@
 	l.timer.Reset(wait)
 }
 
-// deliverArrived delivers all packets that have arrived. It is the timer's function, and locks the mutex.
+// deliverArrived delivers all packets whose arrival time has come. The link's timer calls it. It locks the mutex.
 func (l *link) deliverArrived() {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
@@ -82,7 +82,7 @@
 	l.schedule()
 }
 
-// resume sends the held packets on their way again.
+// resume draws new arrival times for the held packets, as if they were sent now.
 func (l *link) resume() {
 	now := time.Now()
 	for i := range l.queue {
--- a/internal/network/simulated/listener.go
+++ b/internal/network/simulated/listener.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// listener accepts the connections that are opened at one port of a host. It implements net.Listener.
+// listener accepts the connections to one port of a host. It implements net.Listener.
 type listener struct {
 	host    *host
 	address *net.TCPAddr
-	backlog []*connection // opened and not yet accepted
+	backlog []*connection // connections that wait for Accept
 	arrived *sync.Cond
 	closed  bool
 }
@@ -43,7 +43,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return l.address }
 
-// close gives the port free and resets the connections that nobody has accepted.
+// close releases the port and resets the connections that wait for Accept.
 func (l *listener) close() {
 	l.closed = true
 	delete(l.host.listeners, l.address.Port)
--- a/internal/network/simulated/network.go
+++ b/internal/network/simulated/network.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	defaultDelay  = time.Millisecond      // one way between two hosts
-	loopbackDelay = 20 * time.Microsecond // from a host to itself
-	jitterDivisor = 10                    // a packet's delay varies upwards by less than delay/jitterDivisor
+	defaultDelay  = time.Millisecond      // one-way delay between two hosts
+	loopbackDelay = 20 * time.Microsecond // one-way delay from a host to itself
+	jitterDivisor = 10                    // the jitter added to a delay is less than delay/jitterDivisor
 )
 
-// Network is a set of hosts and the links between them. All its methods may be called at any time.
+// Network is a set of hosts and the links between them. Its methods are safe for concurrent use.
 type Network struct {
-	mutex  sync.Mutex // guards what follows, and all state of hosts, links, listeners and connections
+	mutex  sync.Mutex // guards the fields below, and the state of all hosts, links, listeners and connections
 	random *rand.Rand
 	hosts  map[string]*host
 	links  map[direction]*link
-	// connections counts the ends of connections made so far.
-	connections uint64
+	// connectionCount is the number of ends of connections created so far.
+	connectionCount uint64
 }
 
-// New makes a network without hosts. The seed decides the variation of delays.
+// New returns a network without hosts. The seed determines the jitter of the delays and the draws of ResetConnections.
 func New(seed uint64) *Network {
 	return &Network{
 		random: rand.New(rand.NewPCG(seed, seed)),
@@ -36,16 +36,17 @@
 	}
 }
 
-// Host returns the network as a process on a host has it. After Kill and PowerOff a restarted process takes a new one, or
-// listens again on the old one; until then the old one can't dial.
+// Host returns the network of a process on the host with the given IP address. Kill and PowerOff end the process: the
+// returned network can't dial afterwards, until Listen is called on it. A restarted process calls Host again or reuses
+// the network and starts with Listen.
 func (n *Network) Host(ip string) network.Network {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	machine := n.host(ip)
-	return &processNetwork{host: machine, generation: machine.generation}
+	owner := n.host(ip)
+	return &processNetwork{host: owner, generation: owner.generation}
 }
 
-// SetDelay sets the one-way delay between two hosts, in both directions, for packets sent from now on.
+// SetDelay sets the one-way delay between two hosts, in both directions, for packets sent after the call.
 func (n *Network) SetDelay(a, b string, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -53,7 +54,7 @@
 	n.link(b, a).delay = delay
 }
 
-// Isolate stops all traffic between two hosts, without any error. What is sent is held until Heal.
+// Isolate stops the traffic between two hosts in both directions, without any error. Packets are held until Heal.
 func (n *Network) Isolate(a, b string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -61,14 +62,14 @@
 	n.link(b, a).isolated = true
 }
 
-// IsolateOneWay stops the traffic in one direction, without any error. What is sent is held until Heal.
+// IsolateOneWay stops the traffic in one direction, without any error. Packets are held until Heal.
 func (n *Network) IsolateOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.link(from, to).isolated = true
 }
 
-// Heal ends Isolate and IsolateOneWay between two hosts, in both directions.
+// Heal reverts Isolate and IsolateOneWay between two hosts, in both directions, and sends the held packets.
 func (n *Network) Heal(a, b string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -80,16 +81,16 @@
 	}
 }
 
-// Kill ends the process on a host: its connections are reset, its listeners closed, and dials to it are refused until
-// it listens again.
+// Kill ends the process on a host. Its connections are reset, its listeners are closed, and dials to the host are
+// refused until a process listens again.
 func (n *Network) Kill(ip string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.host(ip).endProcess()
 }
 
-// ResetConnections resets a fraction of a host's connections, from 0 to 1 and drawn at random, at both ends. Its process
-// and its listeners go on.
+// ResetConnections resets each connection of a host, at both ends, with a probability of fraction, from 0 to 1. The
+// process and its listeners continue.
 func (n *Network) ResetConnections(ip string, fraction float64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -100,59 +101,59 @@
 	}
 }
 
-// PowerOff takes a host's power: nothing reaches or leaves it, and no other host is notified.
+// PowerOff powers a host off. Packets neither reach nor leave it, and the other hosts are not notified.
 func (n *Network) PowerOff(ip string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	machine := n.host(ip)
-	machine.poweredOff = true
-	machine.generation++
-	for _, each := range n.links {
-		if each.from == machine {
-			each.queue = nil
+	target := n.host(ip)
+	target.poweredOff = true
+	target.generation++
+	for _, candidate := range n.links {
+		if candidate.from == target {
+			candidate.queue = nil
 		}
 	}
 }
 
-// PowerOn starts a host that was powered off, without any process: its old connections are reset, and dials are refused
-// until it listens again.
+// PowerOn powers on a host that was powered off, without starting a process. Its old connections are reset, and dials
+// to it are refused until a process listens again.
 func (n *Network) PowerOn(ip string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	machine := n.host(ip)
-	if !machine.poweredOff {
+	target := n.host(ip)
+	if !target.poweredOff {
 		return
 	}
-	machine.endProcess()
-	machine.poweredOff = false
-	for _, each := range n.sortedLinks() {
-		if each.from == machine || each.to == machine {
-			each.resume()
+	target.endProcess()
+	target.poweredOff = false
+	for _, candidate := range n.sortedLinks() {
+		if candidate.from == target || candidate.to == target {
+			candidate.resume()
 		}
 	}
-	n.resetStaleConnections(machine)
+	n.resetStaleConnections(target)
 }
 
-// resetRemains resets the other ends of connections that a host has forgotten.
-func (n *Network) resetStaleConnections(machine *host) {
+// resetStaleConnections resets the other ends of the connections that a restarted host no longer has.
+func (n *Network) resetStaleConnections(restarted *host) {
 	for _, ip := range slices.Sorted(maps.Keys(n.hosts)) {
 		for _, remaining := range n.hosts[ip].openConnections() {
-			if remaining.peer != nil && remaining.incoming.from == machine {
+			if remaining.peer != nil && remaining.incoming.from == restarted {
 				remaining.incoming.send(remaining.receiveReset)
 			}
 		}
 	}
 }
 
-// sortedLinks returns all links by the addresses of their ends.
+// sortedLinks returns all links in the order of their hosts' addresses.
 func (n *Network) sortedLinks() []*link {
 	return slices.SortedFunc(maps.Values(n.links), func(a, b *link) int {
 		return cmp.Or(cmp.Compare(a.from.ip, b.from.ip), cmp.Compare(a.to.ip, b.to.ip))
 	})
 }
 
-// host returns a host by its address. A host that was never mentioned is up and has no listeners. The caller has locked
-// the mutex.
+// host returns the host with an IP address, and creates it on first use. A new host is powered on and has no listeners.
+// The caller holds the mutex.
 func (n *Network) host(ip string) *host {
 	found := n.hosts[ip]
 	if found == nil {
@@ -162,7 +163,7 @@
 	return found
 }
 
-// link returns the link from one host to another. The caller has locked the mutex.
+// link returns the link from one host to another, and creates it on first use. The caller holds the mutex.
 func (n *Network) link(from, to string) *link {
 	key := direction{from: from, to: to}
 	found := n.links[key]
--- a/internal/network/simulated/packets.go
+++ b/internal/network/simulated/packets.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// receive takes bytes that have arrived. An end that was closed answers with a reset, as TCP does.
+// receive handles the arrival of data. A closed end responds with a reset, as TCP does.
 func (c *connection) receive(data []byte) {
 	if c.closed {
 		c.outgoing.send(c.peer.receiveReset)
@@ -18,23 +18,23 @@
 	c.readable.Broadcast()
 }
 
-// receiveEnd notes that the peer sends nothing more.
-func (c *connection) receiveEnd() {
+// receiveFIN handles the peer's end of the stream, after Close or CloseWrite.
+func (c *connection) receiveFIN() {
 	c.peerClosed = true
 	c.readable.Broadcast()
 }
 
-// receiveReset breaks the connection. Bytes that have arrived before can still be read.
+// receiveReset handles a reset by the peer. Bytes that arrived before it can still be read.
 func (c *connection) receiveReset() {
 	c.fail(os.NewSyscallError("read", syscall.ECONNRESET))
 }
 
-// receiveRefusal ends the attempt to open the connection.
+// receiveRefusal handles the refusal of a dial.
 func (c *connection) receiveRefusal() {
 	c.fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 }
 
-// receiveAcceptance ends the opening of a dialed connection.
+// receiveAcceptance handles the acceptance of a dial.
 func (c *connection) receiveAcceptance() {
 	if c.closed || c.failure != nil {
 		return
@@ -42,7 +42,7 @@
 	c.endOpening()
 }
 
-// abort breaks this end at once and resets the other one.
+// abort resets this end immediately and drops its unread bytes, and sends a reset to the other end.
 func (c *connection) abort() {
 	if c.closed || c.failure != nil {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// fail breaks this end.
+// fail records why this end failed and wakes the goroutines that wait on it.
 func (c *connection) fail(reason error) {
 	if c.closed || c.failure != nil {
 		return
@@ -64,7 +64,7 @@
 	c.endOpening()
 }
 
-// endOpening notifies the dialer that the connection is open or has failed.
+// endOpening notifies awaitOpening that the dial has succeeded or failed.
 func (c *connection) endOpening() {
 	if !c.openingEnded {
 		c.openingEnded = true
@@ -72,7 +72,7 @@
 	}
 }
 
-// unregister takes the connection off its host, and wakes all who wait on it.
+// unregister removes the connection from its host, and wakes the goroutines that wait on it.
 func (c *connection) unregister() {
 	delete(c.host.connections, c)
 	c.readDeadline.stop()
--- a/internal/network/simulated/process.go
+++ b/internal/network/simulated/process.go
@@ -10,13 +10,14 @@
 	"syscall"
 )
 
-// processNetwork is the network as one process on a host has it. It implements network.Network.
+// processNetwork is the network of a process on a host. It implements network.Network.
 type processNetwork struct {
 	host       *host
-	generation uint64 // the host's when the process started
+	generation uint64 // generation of the host in which the process runs; Listen sets it to the current one
 }
 
-// Listen accepts connections at the host's own address; the port 0 takes a free one.
+// Listen accepts connections at a port of the host; port 0 selects a free one. The IP address must be the host's,
+// 0.0.0.0 or empty.
 func (p *processNetwork) Listen(address string) (net.Listener, error) {
 	p.host.network.mutex.Lock()
 	defer p.host.network.mutex.Unlock()
@@ -34,7 +35,7 @@
 	return opened, nil
 }
 
-// listenPort checks the address of a listener.
+// listenPort checks the address of a listener and returns its port.
 func (p *processNetwork) listenPort(address string) (int, error) {
 	name, service, err := net.SplitHostPort(address)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return port, nil
 }
 
-// Dial opens a connection to an address, "ip:port". While nothing answers, it waits for the context's end.
+// Dial opens a connection to an address, "ip:port". Without any response it waits until the context ends.
 func (p *processNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return dialed, nil
 }
 
-// startDial sends the attempt on its way. From a host without power it gets nowhere. It locks the mutex.
+// startDial sends a connection request. A host that is powered off sends nothing, so the dial gets no response. It
+// locks the mutex.
 func (p *processNetwork) startDial(remote *net.TCPAddr) (*connection, error) {
 	p.host.network.mutex.Lock()
 	defer p.host.network.mutex.Unlock()
--- a/internal/vfs/directory.go
+++ b/internal/vfs/directory.go
@@ -14,7 +14,8 @@
 	fileMode      = 0o644
 )
 
-// OpenDirectory returns the FS of a real directory. A missing directory is created, and its name made durable.
+// OpenDirectory returns the FS of a directory of the operating system. If the directory is missing, OpenDirectory
+// creates it and makes its name durable.
 func OpenDirectory(path string) (FS, error) {
 	if _, err := os.Stat(path); err == nil {
 		return directory{path: path}, nil
@@ -77,7 +78,7 @@
 	*os.File
 }
 
-// openDiskFile opens a file with flags of package os.
+// openDiskFile opens a file with the flags of os.OpenFile.
 func openDiskFile(path string, flags int) (File, error) {
 	file, err := os.OpenFile(path, flags, fileMode)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return diskFile{File: file}, nil
 }
 
-// Sync writes the contents to the disk with fdatasync, which leaves out the times of access and change.
+// Sync implements File with fdatasync, which doesn't write the access and modification times.
 func (f diskFile) Sync() error {
 	connection, err := f.SyscallConn()
 	if err != nil {
@@ -107,7 +108,7 @@
 	return info.Size(), nil
 }
 
-// fdatasync repeats the system call as often as a signal interrupts it.
+// fdatasync repeats the system call while a signal interrupts it.
 func fdatasync(descriptor int) error {
 	for {
 		err := syscall.Fdatasync(descriptor)
--- a/internal/vfs/memfs/disk.go
+++ b/internal/vfs/memfs/disk.go
@@ -1,11 +1,12 @@
-// Package memfs is a simulated disk for tests, with faults: loss of power, crash, full, stalled, slow.
+// Package memfs is a simulated disk for tests. It can lose its power, crash, be full, stall or be slow.
 //
-// A Disk holds one flat directory in memory and implements vfs.FS. It keeps what programs see apart from what is durable,
-// so that PowerLoss can drop, keep or tear each change that no sync covers. The seed of New fixes the
-// random draws, and so what becomes of each file.
+// A Disk holds one flat directory in memory and implements vfs.FS. It separates the state that programs see from the
+// durable state, so that PowerLoss can keep, drop or tear each change that was not synced. The seed of New determines
+// the random draws, and so the state of each file after a power loss.
 //
-// The package starts no goroutine. One mutex for each Disk guards all of its state; no method holds it while it waits for a
-// stalled or slow disk. Start reading at Disk; inode.go has what becomes of a file's contents, names.go of its name.
+// The package starts no goroutine. The mutex of a Disk guards all of its state. No method holds it while it waits for a
+// stalled or slow disk. Start reading at Disk; inode.go has the changes of a file's contents, and names.go those of its
+// name.
 package memfs
 
 import (
@@ -19,30 +20,33 @@
 	"gladepick/internal/vfs"
 )
 
-// ErrPowerLost is returned by operations on a Disk through a file or mount from before a power loss or crash.
+// ErrPowerLost is returned by operations through a file or mount that was opened before the latest PowerLoss, Crash or
+// Wipe.
 var ErrPowerLost = errors.New("memfs: simulated disk lost power")
 
-// Disk is a simulated disk with one directory, for tests. It models what a crash may do to data that is not synced:
+// Disk is a simulated disk with one directory, for tests. It models the effects of a power loss on data that was not
+// synced:
 //
-//   - After PowerLoss each write and truncation without a later Sync of its file is present, missing or torn.
-//   - After PowerLoss each creation, renaming and removal of a name without a later SyncDir is kept or lost, each by
-//     itself. A new file's name also persists through the file's own Sync.
+//   - After PowerLoss, each write and truncation without a later Sync of its file is present, missing, torn or partly
+//     replaced by zeros.
+//   - After PowerLoss, each creation, renaming and removal of a name without a later SyncDir is kept or lost,
+//     independently of the others. The Sync of a new file also makes the creation of its name durable.
 //
-// Its methods are safe for concurrent use, and block only in ways that a testing/synctest bubble understands.
+// Its methods are safe for concurrent use. They block only on operations that are durably blocking in testing/synctest.
 type Disk struct {
 	mutex      sync.Mutex
 	random     *rand.Rand
-	generation int               // grows with each loss of power or crash; older files and mounts are dead
-	names      map[string]*inode // as the programs see them
-	durable    map[string]*inode // as a power loss leaves them at worst
-	changes    []nameChange      // not durable, in order
+	generation int               // increases with each PowerLoss, Crash and Wipe; older files and mounts fail
+	names      map[string]*inode // names that programs see
+	durable    map[string]*inode // names without the changes that are not durable
+	changes    []nameChange      // changes of names that are not durable, in order
 	full       bool
-	stalled    chan struct{} // closed on release or at a crash; nil while the disk answers
+	stalled    chan struct{} // closed when the stall or the generation ends; nil while the disk is not stalled
 	syncDelay  time.Duration
-	syncs      int
+	syncs      int // number of completed syncs of files
 }
 
-// New returns an empty simulated disk. The seed decides what its losses of power destroy.
+// New returns an empty simulated disk. The seed determines what its power losses destroy.
 func New(seed uint64) *Disk {
 	return &Disk{
 		random:  rand.New(rand.NewPCG(seed, seed)),
@@ -51,7 +55,8 @@
 	}
 }
 
-// PowerLoss cuts the power: what is not durable may be lost, and all open files fail with ErrPowerLost from now on.
+// PowerLoss simulates a power loss. Changes that are not durable may be lost, and all open files and mounts fail with
+// ErrPowerLost afterwards.
 func (d *Disk) PowerLoss() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -63,22 +68,22 @@
 	}
 	d.changes = nil
 	clear(d.names)
-	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // in order, as each draws
+	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // sorted, so that the random draws are reproducible
 		survivor := d.durable[name]
 		survivor.losePower(d.random)
 		d.names[name] = survivor
 	}
 }
 
-// Crash ends the programs that use the disk, while the machine runs on: nothing is lost, and all open files fail with
-// ErrPowerLost from now on.
+// Crash simulates a crash of the programs that use the disk, while the machine continues to run. No data is lost, and
+// all open files and mounts fail with ErrPowerLost afterwards.
 func (d *Disk) Crash() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.endGeneration()
 }
 
-// Wipe replaces the disk by an empty one. All open files fail with ErrPowerLost from now on.
+// Wipe removes all files. All open files and mounts fail with ErrPowerLost afterwards.
 func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -88,7 +93,8 @@
 	d.changes = nil
 }
 
-// endGeneration kills all open files, and frees the operations that hang.
+// endGeneration invalidates all open files and mounts, and wakes the operations that wait for a stalled disk. The
+// caller holds the mutex.
 func (d *Disk) endGeneration() {
 	d.generation++
 	if d.stalled != nil {
@@ -97,14 +103,15 @@
 	}
 }
 
-// SetFull decides whether writes fail with ENOSPC, after a part of their bytes.
+// SetFull sets whether the disk is full. On a full disk, a write writes a random part of its bytes and fails with
+// ENOSPC.
 func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.full = full
 }
 
-// SetStalled decides whether writes and syncs hang. SetStalled(false) releases those that do.
+// SetStalled sets whether writes and syncs block. SetStalled(false) unblocks those that wait.
 func (d *Disk) SetStalled(stalled bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -117,23 +124,23 @@
 	}
 }
 
-// SetSyncDelay sets how long each sync of a file takes.
+// SetSyncDelay sets the duration of each sync of a file.
 func (d *Disk) SetSyncDelay(delay time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.syncDelay = delay
 }
 
-// Syncs returns how many syncs of files have been carried out.
+// Syncs returns the number of completed syncs of files.
 func (d *Disk) Syncs() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.syncs
 }
 
-// Mount returns the disk as one run of a program sees it: it fails for good with ErrPowerLost at the next PowerLoss,
-// Crash or Wipe. The methods by which Disk itself implements
-// vfs.FS keep working.
+// Mount returns the disk as one run of a program sees it. After the next PowerLoss, Crash or Wipe, all operations on
+// the mount and its files, except File.Close, fail with ErrPowerLost. The methods by which Disk itself implements
+// vfs.FS continue to work.
 func (d *Disk) Mount() vfs.FS {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/vfs/memfs/file.go
+++ b/internal/vfs/memfs/file.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// file implements vfs.File by a file of a simulated disk.
+// file implements vfs.File by an inode of a simulated disk.
 type file struct {
 	mount  *mount
 	inode  *inode
 	closed bool
 }
 
-// check returns why the file can't be used, or nil. The disk is locked.
+// check returns fs.ErrClosed if the file is closed. The caller holds the disk's mutex.
 func (f *file) check() error {
 	if f.closed {
 		return fs.ErrClosed
@@ -23,10 +23,10 @@
 }
 
 func (f *file) ReadAt(buffer []byte, offset int64) (int, error) {
-	if err := f.mount.enter(); err != nil {
+	if err := f.mount.lock(); err != nil {
 		return 0, err
 	}
-	defer f.mount.leave()
+	defer f.mount.unlock()
 	if err := f.check(); err != nil {
 		return 0, err
 	}
@@ -41,10 +41,10 @@
 }
 
 func (f *file) WriteAt(data []byte, offset int64) (int, error) {
-	if err := f.mount.awaitAnswer(); err != nil {
+	if err := f.mount.lockUnstalled(); err != nil {
 		return 0, err
 	}
-	defer f.mount.leave()
+	defer f.mount.unlock()
 	if err := f.check(); err != nil {
 		return 0, err
 	}
@@ -58,10 +58,10 @@
 }
 
 func (f *file) Truncate(size int64) error {
-	if err := f.mount.enter(); err != nil {
+	if err := f.mount.lock(); err != nil {
 		return err
 	}
-	defer f.mount.leave()
+	defer f.mount.unlock()
 	if err := f.check(); err != nil {
 		return err
 	}
@@ -69,21 +69,21 @@
 	return nil
 }
 
-// Sync makes durable what was written before the call.
+// Sync implements vfs.File. It makes only the changes durable that were made before the call.
 func (f *file) Sync() error {
-	if err := f.mount.awaitAnswer(); err != nil {
+	if err := f.mount.lockUnstalled(); err != nil {
 		return err
 	}
 	covered := f.inode.changeCount()
 	delay := f.mount.disk.syncDelay
-	f.mount.leave()
+	f.mount.unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	if err := f.mount.awaitAnswer(); err != nil {
+	if err := f.mount.lockUnstalled(); err != nil {
 		return err
 	}
-	defer f.mount.leave()
+	defer f.mount.unlock()
 	if err := f.check(); err != nil {
 		return err
 	}
@@ -94,10 +94,10 @@
 }
 
 func (f *file) Size() (int64, error) {
-	if err := f.mount.enter(); err != nil {
+	if err := f.mount.lock(); err != nil {
 		return 0, err
 	}
-	defer f.mount.leave()
+	defer f.mount.unlock()
 	return int64(len(f.inode.current)), f.check()
 }
 
--- a/internal/vfs/memfs/inode.go
+++ b/internal/vfs/memfs/inode.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// inode is the contents of a file on a simulated disk. The disk's mutex guards it.
+// inode holds the contents of a file on a simulated disk. The disk's mutex guards it.
 type inode struct {
-	current []byte       // as the programs see it
-	durable []byte       // as of the last sync
-	pending []dataChange // what leads from durable to current, in order
-	synced  int          // count of changes that were made durable
+	current []byte       // contents that programs see
+	durable []byte       // contents as of the last sync
+	pending []dataChange // changes that turn durable into current, in order
+	synced  int          // number of changes already made durable or discarded
 }
 
 // dataChange is a write, or a truncation where data is nil.
 type dataChange struct {
-	offset int64 // of the write, or the size after the truncation
+	offset int64 // of the write in bytes, or the size after the truncation
 	data   []byte
 }
 
-// apply carries the change out on a file's contents.
+// apply applies the change to a file's contents and returns the result. It may modify contents in place.
 func (c dataChange) apply(contents []byte) []byte {
 	if c.data == nil {
 		return resize(contents, c.offset)
@@ -32,7 +32,7 @@
 	return contents
 }
 
-// resize cuts contents or extends them by zeros.
+// resize truncates contents or extends them with zeros.
 func resize(contents []byte, size int64) []byte {
 	if size <= int64(len(contents)) {
 		return contents[:size]
@@ -44,7 +44,7 @@
 	return grown
 }
 
-// change carries a change out, which is not durable yet.
+// change applies a change, which is not durable until sync.
 func (i *inode) change(change dataChange) {
 	i.current = change.apply(i.current)
 	i.pending = append(i.pending, change)
@@ -59,15 +59,15 @@
 	i.change(dataChange{offset: offset, data: copied})
 }
 
-// truncate sets the size.
+// truncate sets the size in bytes.
 func (i *inode) truncate(size int64) {
 	i.change(dataChange{offset: size})
 }
 
-// changeCount returns how many changes the contents have seen, durable or not.
+// changeCount returns the number of changes since the file's creation, durable or not.
 func (i *inode) changeCount() int { return i.synced + len(i.pending) }
 
-// sync makes all changes up to a count durable.
+// sync makes the first upTo changes since the file's creation durable.
 func (i *inode) sync(upTo int) {
 	count := max(upTo-i.synced, 0)
 	for _, change := range i.pending[:count] {
@@ -77,10 +77,11 @@
 	i.synced += count
 }
 
-// losePower keeps all, a part or nothing of each change that is not durable.
+// losePower applies to the durable contents all, a part or nothing of each change that is not durable. The result
+// becomes the current contents.
 func (i *inode) losePower(random *rand.Rand) {
 	for _, change := range i.pending {
-		if damaged, kept := change.damage(random); kept {
+		if damaged, survives := change.damage(random); survives {
 			i.durable = damaged.apply(i.durable)
 		}
 	}
@@ -89,31 +90,32 @@
 	i.current = slices.Clone(i.durable)
 }
 
-// fate is what a loss of power does to a change that is not durable.
-type fate int
+// damageKind is the effect of a power loss on a change that is not durable.
+type damageKind int
 
 const (
-	fateKept fate = iota
-	fateLost
-	fateTorn       // the write's beginning is kept
-	fateHoled      // a part of the write is zeros
-	countFates int = iota
+	damageNone damageKind = iota
+	damageLost
+	damageTorn       // only the beginning of the write survives
+	damageZeroed     // a part of the write is replaced by zeros
+	damageKinds  int = iota
 )
 
-// damage returns what a loss of power leaves of the change, and false where it leaves nothing.
+// damage returns the part of the change that survives a power loss, and false if nothing does. The effect is drawn at
+// random.
 func (c dataChange) damage(random *rand.Rand) (dataChange, bool) {
-	drawn := fate(random.IntN(countFates))
-	if drawn == fateLost {
+	drawn := damageKind(random.IntN(damageKinds))
+	if drawn == damageLost {
 		return dataChange{}, false
 	}
-	if drawn == fateKept || len(c.data) == 0 {
+	if drawn == damageNone || len(c.data) == 0 {
 		return c, true
 	}
 	cut := random.IntN(len(c.data))
-	if drawn == fateTorn {
+	if drawn == damageTorn {
 		return dataChange{offset: c.offset, data: c.data[:cut]}, true
 	}
-	holed := slices.Clone(c.data)
-	clear(holed[cut : cut+1+random.IntN(len(holed)-cut)])
-	return dataChange{offset: c.offset, data: holed}, true
+	zeroed := slices.Clone(c.data)
+	clear(zeroed[cut : cut+1+random.IntN(len(zeroed)-cut)])
+	return dataChange{offset: c.offset, data: zeroed}, true
 }
--- a/internal/vfs/memfs/mount.go
+++ b/internal/vfs/memfs/mount.go
@@ -7,14 +7,14 @@
 	"gladepick/internal/vfs"
 )
 
-// mount implements vfs.FS by the disk in one generation.
+// mount implements vfs.FS by a disk until the disk's generation ends.
 type mount struct {
 	disk       *Disk
 	generation int
 }
 
-// enter locks the disk; it fails where the generation has ended.
-func (m *mount) enter() error {
+// lock locks the disk's mutex. If the generation of the mount has ended, it fails with ErrPowerLost and locks nothing.
+func (m *mount) lock() error {
 	m.disk.mutex.Lock()
 	if m.disk.generation != m.generation {
 		m.disk.mutex.Unlock()
@@ -23,29 +23,29 @@
 	return nil
 }
 
-// leave unlocks the disk.
-func (m *mount) leave() { m.disk.mutex.Unlock() }
+// unlock unlocks the disk's mutex.
+func (m *mount) unlock() { m.disk.mutex.Unlock() }
 
-// awaitAnswer is enter for operations that hang while the disk is stalled.
-func (m *mount) awaitAnswer() error {
+// lockUnstalled is like lock, but first waits until the disk is not stalled.
+func (m *mount) lockUnstalled() error {
 	for {
-		if err := m.enter(); err != nil {
+		if err := m.lock(); err != nil {
 			return err
 		}
 		stalled := m.disk.stalled
 		if stalled == nil {
 			return nil
 		}
-		m.leave()
+		m.unlock()
 		<-stalled
 	}
 }
 
 func (m *mount) Create(name string) (vfs.File, error) {
-	if err := m.enter(); err != nil {
+	if err := m.lock(); err != nil {
 		return nil, err
 	}
-	defer m.leave()
+	defer m.unlock()
 	disk := m.disk
 	if existing := disk.names[name]; existing != nil {
 		existing.truncate(0)
@@ -58,54 +58,54 @@
 }
 
 func (m *mount) Open(name string) (vfs.File, error) {
-	if err := m.enter(); err != nil {
+	if err := m.lock(); err != nil {
 		return nil, err
 	}
-	defer m.leave()
+	defer m.unlock()
 	opened := m.disk.names[name]
 	if opened == nil {
-		return nil, notExist("open", name)
+		return nil, notExistError("open", name)
 	}
 	return &file{mount: m, inode: opened}, nil
 }
 
 func (m *mount) Rename(from, to string) error {
-	if err := m.enter(); err != nil {
+	if err := m.lock(); err != nil {
 		return err
 	}
-	defer m.leave()
+	defer m.unlock()
 	renamed := m.disk.names[from]
 	if renamed == nil {
-		return notExist("rename", from)
+		return notExistError("rename", from)
 	}
 	m.change(nameChange{kind: nameRenamed, inode: renamed, name: to, from: from})
 	return nil
 }
 
 func (m *mount) Remove(name string) error {
-	if err := m.enter(); err != nil {
+	if err := m.lock(); err != nil {
 		return err
 	}
-	defer m.leave()
+	defer m.unlock()
 	removed := m.disk.names[name]
 	if removed == nil {
-		return notExist("remove", name)
+		return notExistError("remove", name)
 	}
 	m.change(nameChange{kind: nameRemoved, inode: removed, name: name})
 	return nil
 }
 
-// change changes a name, which is not durable yet.
+// change applies a change of a name, which is not durable until SyncDir.
 func (m *mount) change(change nameChange) {
 	change.apply(m.disk.names)
 	m.disk.changes = append(m.disk.changes, change)
 }
 
 func (m *mount) List() ([]string, error) {
-	if err := m.enter(); err != nil {
+	if err := m.lock(); err != nil {
 		return nil, err
 	}
-	defer m.leave()
+	defer m.unlock()
 	names := make([]string, 0, len(m.disk.names))
 	for name := range m.disk.names {
 		names = append(names, name)
@@ -114,10 +114,10 @@
 }
 
 func (m *mount) SyncDir() error {
-	if err := m.awaitAnswer(); err != nil {
+	if err := m.lockUnstalled(); err != nil {
 		return err
 	}
-	defer m.leave()
+	defer m.unlock()
 	for _, change := range m.disk.changes {
 		change.apply(m.disk.durable)
 	}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// notExist returns the error of a real directory where a file is missing.
-func notExist(operation, name string) error {
+// notExistError returns the error that a directory of the operating system returns for a missing file.
+func notExistError(operation, name string) error {
 	return &fs.PathError{Op: operation, Path: name, Err: syscall.ENOENT}
 }
--- a/internal/vfs/memfs/names.go
+++ b/internal/vfs/memfs/names.go
@@ -1,6 +1,6 @@
 package memfs
 
-// changeKind tells what happened to a name.
+// changeKind is the kind of a nameChange.
 type changeKind int
 
 const (
@@ -9,7 +9,7 @@
 	nameRemoved
 )
 
-// nameChange is a change of a name that is not durable yet.
+// nameChange is a creation, renaming or removal of a name that is not durable yet.
 type nameChange struct {
 	kind  changeKind
 	inode *inode
@@ -17,7 +17,7 @@
 	from  string // the old name of a renamed file
 }
 
-// apply carries the change out in a table of names.
+// apply applies the change to a map of names.
 func (c nameChange) apply(names map[string]*inode) {
 	switch c.kind {
 	case nameCreated:
@@ -34,7 +34,7 @@
 	}
 }
 
-// persistCreation makes the name durable under which a file was created.
+// persistCreation makes the name durable under which the synced file was created. The caller holds the mutex.
 func (d *Disk) persistCreation(synced *inode) {
 	remaining := d.changes[:0]
 	for _, change := range d.changes {
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -1,9 +1,9 @@
-// Package vfs is the file system that durable state is kept on: an interface of one flat directory, and its
-// implementation by a real directory.
+// Package vfs is the file system that holds the durable state of a process: an interface of one flat directory, and its
+// implementation by a directory of the operating system.
 //
-// The interface separates what a process sees from what survives a loss of power. A write survives once File.Sync has
-// returned, a name once FS.SyncDir has; package memfs implements the same interface by a simulated disk, which loses the
-// rest on demand. The package has no goroutines and no locks of its own.
+// The interface distinguishes what a process sees from what survives a power loss. A write is durable once File.Sync
+// has returned, and a name once FS.SyncDir has returned. Package memfs implements the interface by a simulated disk
+// that can lose everything else. The package has no goroutines and no locks.
 //
 // Start reading at FS.
 package vfs
@@ -17,25 +17,25 @@
 	io.Closer
 	// Truncate sets the file's size in bytes.
 	Truncate(size int64) error
-	// Sync makes the file's contents and size durable; for a new file also its name.
+	// Sync makes the file's contents and size durable, and also the name of a new file.
 	Sync() error
 	// Size returns the file's current size in bytes.
 	Size() (int64, error)
 }
 
-// FS is one directory without subdirectories. Names contain no slashes. A missing file is reported by an error that
-// satisfies errors.Is(err, fs.ErrNotExist).
+// FS is one directory without subdirectories. Names contain no slashes. The error for a missing file satisfies
+// errors.Is(err, fs.ErrNotExist).
 type FS interface {
-	// Create makes an empty file for reading and writing; an existing one is truncated.
+	// Create creates a file for reading and writing, or truncates an existing one.
 	Create(name string) (File, error)
 	// Open opens an existing file for reading and writing.
 	Open(name string) (File, error)
-	// Rename renames a file and replaces the one that has the new name, if any.
+	// Rename renames a file. It replaces an existing file with the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// List returns the names of all files, in no particular order.
+	// List returns the names of all files, in any order.
 	List() ([]string, error)
-	// SyncDir makes all names durable as they are now.
+	// SyncDir makes all earlier creations, renamings and removals durable.
 	SyncDir() error
 }
