--- a/internal/ingress/front_test.go
+++ b/internal/ingress/front_test.go
@@ -12,15 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestKeepAliveWithChunksAndPipelining(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
 
-		chunked := "POST /plain/2 HTTP/1.1\r\nHost: " + plainHost + "\r\nX-Request-Id: r2\r\n" +
+		chunked := "POST /plain/2 HTTP/1.1\r\nHost: " + testHost + "\r\nX-Request-Id: r2\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 		client.send(t, messageText("/plain/1", "one")+chunked+messageText("/plain/3", ""))
-		client.send(t, "GET /api/message/0-1 HTTP/1.1\r\nHost: "+plainHost+"\r\n\r\n")
+		client.send(t, "GET /api/message/0-1 HTTP/1.1\r\nHost: "+testHost+"\r\n\r\n")
 
 		for i := 1; i <= 3; i++ {
 			got := client.receive(t)
@@ -37,11 +37,11 @@
 	})
 }
 
-func TestAbsoluteFormTarget(t *testing.T) {
+func TestAbsoluteFormTargetLosesSchemeAndHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
-		client.send(t, "POST http://"+plainHost+"/plain/a%2fb?c HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\n\r\n")
+		client.send(t, "POST http://"+testHost+"/plain/a%2fb?c HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\n\r\n")
 		assert.Equal(t, client.receive(t).status, http.StatusAccepted)
 		assert.Equal(t, running.messages.recorded()[0].submission.Message.Target, "/plain/a%2fb?c")
 	})
@@ -51,8 +51,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
-		for _, line := range []string{"OPTIONS *", "CONNECT " + plainHost + ":443"} {
-			client.send(t, line+" HTTP/1.1\r\nHost: "+plainHost+"\r\nX-Request-Id: r1\r\n\r\n")
+		for _, line := range []string{"OPTIONS *", "CONNECT " + testHost + ":443"} {
+			client.send(t, line+" HTTP/1.1\r\nHost: "+testHost+"\r\nX-Request-Id: r1\r\n\r\n")
 			assert.Equal(t, client.receive(t).status, http.StatusNotFound, line)
 		}
 	})
@@ -61,17 +61,17 @@
 func TestPutEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
-		running.messages.putTime = time.Hour
+		running.messages.callTime = time.Hour
 		client := running.dial(t)
 		start := time.Now()
-		client.send(t, "GET /plain/1 HTTP/1.1\r\nHost: "+plainHost+"\r\nX-Request-Id: r1\r\nX-Deadline-Ms: 700\r\n\r\n")
+		client.send(t, "GET /plain/1 HTTP/1.1\r\nHost: "+testHost+"\r\nX-Request-Id: r1\r\nX-Deadline-Ms: 700\r\n\r\n")
 		assert.Equal(t, client.receive(t).status, http.StatusBadGateway)
 		elapsed := time.Since(start)
 		assert.Assert(t, elapsed >= 700*time.Millisecond && elapsed < 720*time.Millisecond, "took %v", elapsed)
 	})
 }
 
-func TestSlowBody(t *testing.T) {
+func TestSlowBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
@@ -93,7 +93,7 @@
 func TestBodyDeadlineDoesNotEndLongPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
-		running.messages.putTime = maxPutTimeout - time.Second
+		running.messages.callTime = maxPutTimeout - time.Second
 		client := running.dial(t)
 		text := messageText("/plain/1", "complete")
 		text = strings.Replace(text, "\r\n", "\r\nX-Deadline-Ms: 60000\r\n", 1)
@@ -104,13 +104,13 @@
 	})
 }
 
-func TestOversizedBodyIsAnsweredBeforeItHasCome(t *testing.T) {
+func TestOversizedBodyIsRejectedBeforeItArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
 		start := time.Now()
 		client.send(t, fmt.Sprintf("POST /plain/1 HTTP/1.1\r\nHost: %s\r\nX-Request-Id: r1\r\nContent-Length: %d\r\n\r\n",
-			plainHost, maxBody+1))
+			testHost, maxBody+1))
 		got := client.receive(t)
 		assert.Equal(t, got.status, http.StatusRequestEntityTooLarge)
 		assert.Equal(t, got.closes, true)
@@ -118,19 +118,19 @@
 	})
 }
 
-func TestHugeHeaderIsRejected(t *testing.T) {
+func TestOversizedHeaderIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		for _, size := range []int{maxHeader, 64 << 10} {
 			client := running.dial(t)
-			client.send(t, "GET /plain/1 HTTP/1.1\r\nHost: "+plainHost+"\r\nX-Request-Id: r1\r\nX-Fill: "+
+			client.send(t, "GET /plain/1 HTTP/1.1\r\nHost: "+testHost+"\r\nX-Request-Id: r1\r\nX-Fill: "+
 				strings.Repeat("f", size)+"\r\n\r\n")
 			assert.Equal(t, client.receive(t).status, http.StatusRequestHeaderFieldsTooLarge)
 		}
 	})
 }
 
-// partialHeader is a request whose header is not complete.
+// partialHeader is a request with an incomplete header.
 const partialHeader = "GET /plain/1 HTTP/1.1\r\nHost: x"
 
 func TestHeaderAndIdleTimeoutsFollowTheConfiguration(t *testing.T) {
@@ -152,7 +152,7 @@
 	})
 }
 
-// assertCloses checks that the front closes a connection so long after a text was sent.
+// assertCloses sends a text and checks that the front closes the connection after the given time, within 50 ms.
 func assertCloses(t *testing.T, client *clientConnection, text string, after time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -162,7 +162,7 @@
 	assert.Assert(t, elapsed > after-50*time.Millisecond && elapsed < after+50*time.Millisecond, "took %v", elapsed)
 }
 
-func TestServeEndsWithItsContext(t *testing.T) {
+func TestEndOfContextClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestDrain(t *testing.T) {
+func TestDrainAnswersRequestsBeforeClosing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		idle, reused, busy := running.dial(t), running.dial(t), running.dial(t)
@@ -188,7 +188,7 @@
 		synctest.Wait()
 		assert.Equal(t, running.front.Ready(), false)
 
-		// While the platform has not noticed yet, requests are served, also on new connections.
+		// During DrainAcceptDuration the front serves requests on open and on new connections.
 		for _, client := range []*clientConnection{reused, running.dial(t)} {
 			client.send(t, messageText("/plain/1", "x"))
 			got := client.receive(t)
@@ -197,8 +197,8 @@
 			client.assertClosed(t)
 		}
 
-		// A request that is still worked on when the listener closes gets its answer.
-		running.messages.putTime = 1900 * time.Millisecond
+		// A request that is still in progress when the listener closes gets its response.
+		running.messages.callTime = 1900 * time.Millisecond
 		time.Sleep(time.Until(start.Add(defaultDrainAcceptDuration - time.Second)))
 		busy.send(t, messageText("/plain/1", "x"))
 		idle.assertClosed(t)
@@ -214,7 +214,7 @@
 	})
 }
 
-func TestDrainServesBodyThatIsStillComing(t *testing.T) {
+func TestDrainWaitsForRestOfBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
 		client := running.dial(t)
@@ -230,10 +230,10 @@
 	})
 }
 
-func TestDrainGivesUpWithItsContext(t *testing.T) {
+func TestDrainFailsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		running := startFront(t)
-		running.messages.putTime = 1900 * time.Millisecond
+		running.messages.callTime = 1900 * time.Millisecond
 		client := running.dial(t)
 		ctx, cancel := context.WithTimeout(context.Background(), defaultDrainAcceptDuration+200*time.Millisecond)
 		defer cancel()
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -26,23 +26,25 @@
 	"gladepick/internal/network/simulated"
 )
 
-// The golden files under testdata are HTTP answers as they are on the wire, but for the Date header, and what the
-// handlers pass on. Every later version must answer the same. They are made by the flag -update and never edited.
+// The golden files under testdata contain HTTP responses as sent on the wire, without the Date header, and the calls
+// that the handlers make. Every later version must respond in the same way. The flag -update generates the files; never
+// edit them.
 
-// goldenExchange is one request on a connection of its own.
+// goldenExchange is one request on its own connection.
 type goldenExchange struct {
 	name    string
 	request string
 	prepare func(*Front, *fakeMessages)
-	half    bool // the client closes its side after the request
+	// closesWrite reports whether the client closes its writing side after the request.
+	closesWrite bool
 }
 
-// goldenRequest is a request of a client.
+// goldenRequest returns the text of a client's request.
 func goldenRequest(method, target, headers, body string) string {
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s\r\n%s", method, target, plainHost, headers, body)
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s\r\n%s", method, target, testHost, headers, body)
 }
 
-// goldenMessage is a message with a body of a known length.
+// goldenMessage returns the text of a message with a Content-Length.
 func goldenMessage(target, headers, body string) string {
 	headers += fmt.Sprintf("X-Request-Id: r1\r\nContent-Length: %d\r\n", len(body))
 	return goldenRequest(http.MethodPost, target, headers, body)
@@ -62,7 +64,7 @@
 
 func goldenDraining(front *Front, _ *fakeMessages) { front.draining.Store(true) }
 
-func goldenSlow(_ *Front, messages *fakeMessages) { messages.putTime = time.Hour }
+func goldenSlow(_ *Front, messages *fakeMessages) { messages.callTime = time.Hour }
 
 func goldenSubmissions() []goldenExchange {
 	notStored := fmt.Errorf("%w: no primary", message.ErrNotStored)
@@ -89,7 +91,7 @@
 		{name: "body too large, chunked", request: goldenRequest(http.MethodPost, "/plain/1", "X-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n",
 			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", maxBody+1, strings.Repeat("b", maxBody+1)))},
 		{name: "body too slow", request: goldenRequest(http.MethodPost, "/plain/1", "X-Request-Id: r1\r\nContent-Length: 5\r\n", "abc")},
-		{name: "body incomplete", request: goldenRequest(http.MethodPost, "/plain/1", "X-Request-Id: r1\r\nContent-Length: 5\r\n", "abc"), half: true},
+		{name: "body incomplete", request: goldenRequest(http.MethodPost, "/plain/1", "X-Request-Id: r1\r\nContent-Length: 5\r\n", "abc"), closesWrite: true},
 		{name: "too many bodies", request: goldenMessage("/plain/1", "", "body"), prepare: func(front *Front, _ *fakeMessages) { front.bodies.limitBytes = 3 }},
 		{name: "not kept", request: goldenMessage("/plain/1", "", ""), prepare: goldenPutFails(trace.Wrap(notStored))},
 		{name: "not kept, deadline named", request: goldenMessage("/plain/1", "X-Deadline-Ms: 800\r\n", ""), prepare: goldenPutFails(notStored)},
@@ -150,24 +152,24 @@
 	golden.AssertBytes(t, report.Bytes(), file)
 }
 
-// serveGolden sends a request to a server on a simulated network and reports its answer.
+// serveGolden sends a request to a server on a simulated network and appends the response to the report.
 func serveGolden(t *testing.T, report io.Writer, exchange goldenExchange, serve func(context.Context, net.Listener)) {
 	t.Helper()
-	world := simulated.New(1)
-	world.SetDelay(clientIP, frontIP, time.Nanosecond) // too short to vary
-	listener, err := world.Host(frontIP).Listen(frontAddress)
+	simNetwork := simulated.New(1)
+	simNetwork.SetDelay(clientIP, frontIP, time.Nanosecond) // too short for any jitter
+	listener, err := simNetwork.Host(frontIP).Listen(frontAddress)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
-		time.Sleep(lingerTime)
+		time.Sleep(closeDelay)
 	}()
 	go serve(ctx, listener)
 
-	connection, err := world.Host(clientIP).Dial(t.Context(), frontAddress)
+	connection, err := simNetwork.Host(clientIP).Dial(t.Context(), frontAddress)
 	assert.NilError(t, err)
 	defer connection.Close()
-	if exchange.half {
+	if exchange.closesWrite {
 		go func() {
 			_, _ = io.WriteString(connection, exchange.request)
 			_ = connection.(interface{ CloseWrite() error }).CloseWrite()
@@ -175,11 +177,11 @@
 	} else {
 		go func() { _, _ = io.WriteString(connection, exchange.request) }()
 	}
-	reportAnswer(t, report, connection)
+	reportResponse(t, report, connection)
 }
 
-// reportAnswer reads one HTTP answer and writes it as it came, without its Date header.
-func reportAnswer(t *testing.T, report io.Writer, connection io.Reader) {
+// reportResponse reads one HTTP response and writes it to the report as received, without its Date header.
+func reportResponse(t *testing.T, report io.Writer, connection io.Reader) {
 	t.Helper()
 	var raw bytes.Buffer
 	response, err := http.ReadResponse(bufio.NewReader(io.TeeReader(connection, &raw)), nil)
@@ -253,7 +255,7 @@
 	golden.AssertBytes(t, report.Bytes(), "readiness.txt")
 }
 
-// serveGoldenHandler is serveGolden for a listener of its own.
+// serveGoldenHandler is serveGolden for a handler that NewServer serves.
 func serveGoldenHandler(t *testing.T, report io.Writer, request string, handler http.Handler) {
 	t.Helper()
 	server := NewServer(handler, zap.NewNop())
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	plainHost    = "lode17.example"
+	testHost     = "lode17.example"
 	clientIP     = "10.0.0.1"
 	frontIP      = "10.0.0.2"
 	frontAddress = frontIP + ":8044"
 	maxBody      = 1000
 	maxHeader    = 600
 
-	// lingerTime is longer than an http.Server keeps a connection open after an answer to a request not read
-	// completely.
-	lingerTime = time.Second
+	// closeDelay exceeds the time that an http.Server keeps a connection open after it has responded to a request that it
+	// has not read completely.
+	closeDelay = time.Second
 )
 
-// limitsJSON are the limits of a test's configuration.
+// limitsJSON holds the limits of a test configuration.
 type limitsJSON struct {
 	MaxHeaderBytes int `json:"max-header-bytes"`
 	MaxBodyBytes   int `json:"max-body-bytes"`
@@ -48,13 +48,13 @@
 	return limitsJSON{MaxHeaderBytes: maxHeader, MaxBodyBytes: maxBody, HeaderTimeout: 3000, IdleTimeout: 15000}
 }
 
-// newTable returns a configuration with a plain and an ordered route, and one below the path of queries.
+// newTable returns a configuration with a plain route, an ordered route, and a route below the path of state queries.
 func newTable(t *testing.T, limits limitsJSON) *configuration.Table {
 	t.Helper()
 	route := func(name, prefix string, ordered bool) string {
 		return fmt.Sprintf(`{"name":%q,"host":%q,"path-prefix":%q,"route-type":"async","timeout-ms":600,
 			"target-latency-ms":80,"priority":1,"service":"s1","max-attempts":6,"ordered":%v,"retention-s":90.0,
-			"callback-url":false,"target-start-ms":600}`, name, plainHost, prefix, ordered)
+			"callback-url":false,"target-start-ms":600}`, name, testHost, prefix, ordered)
 	}
 	limitsText, err := json.Marshal(limits)
 	assert.NilError(t, err)
@@ -67,7 +67,7 @@
 	return document.Table()
 }
 
-// recordedPut is one call of Put.
+// recordedPut holds the arguments of a call of Put, and the time left until the context's deadline.
 type recordedPut struct {
 	submission message.Submission
 	ordered    bool
@@ -75,15 +75,15 @@
 	timeLeft   time.Duration
 }
 
-// fakeMessages records what is put, and answers as the test says.
+// fakeMessages is a MessageStore that records the calls of Put and returns the results that the test has set.
 type fakeMessages struct {
-	mutex   sync.Mutex
-	puts    []recordedPut
-	putTime time.Duration // how long Put takes
-	putErr  error
-	outcome message.Outcome
-	content []byte
-	err     error // of State and Body
+	mutex    sync.Mutex
+	puts     []recordedPut
+	callTime time.Duration // duration of each call
+	putErr   error
+	outcome  message.Outcome
+	content  []byte
+	err      error // error of State and Body
 }
 
 func (m *fakeMessages) Put(ctx context.Context, submission message.Submission, ordered bool, body []byte) (string, error) {
@@ -92,18 +92,18 @@
 	m.puts = append(m.puts, recordedPut{submission, ordered, string(body), time.Until(deadline)})
 	id := fmt.Sprintf("0-%d", len(m.puts))
 	m.mutex.Unlock()
-	if err := wait(ctx, m.putTime); err != nil {
+	if err := wait(ctx, m.callTime); err != nil {
 		return "", err
 	}
 	return id, m.putErr
 }
 
 func (m *fakeMessages) State(ctx context.Context, _ string) (message.Outcome, error) {
-	return m.outcome, firstError(wait(ctx, m.putTime), m.err)
+	return m.outcome, firstError(wait(ctx, m.callTime), m.err)
 }
 
 func (m *fakeMessages) Body(ctx context.Context, _ string) ([]byte, error) {
-	return m.content, firstError(wait(ctx, m.putTime), m.err)
+	return m.content, firstError(wait(ctx, m.callTime), m.err)
 }
 
 func (m *fakeMessages) recorded() []recordedPut {
@@ -133,7 +133,7 @@
 	}
 }
 
-// newTestFront returns a front with a configuration and a fake store.
+// newTestFront returns a front with a configuration, and its fake store.
 func newTestFront(t *testing.T) (*Front, *fakeMessages) {
 	t.Helper()
 	messages := &fakeMessages{outcome: message.Outcome{State: message.Queued}}
@@ -144,14 +144,14 @@
 	}), messages
 }
 
-// newRequest returns a message as a server would read it.
+// newRequest returns a request as an http.Server passes it to a handler.
 func newRequest(method, target, body string) *http.Request {
 	var reader io.Reader
 	if body != "" {
 		reader = strings.NewReader(body)
 	}
 	request := httptest.NewRequest(method, target, reader)
-	request.Host = plainHost
+	request.Host = testHost
 	request.Header.Set(headerRequestID, "r1")
 	return request
 }
@@ -162,8 +162,8 @@
 	return recorder
 }
 
-// running is a front that serves on a simulated network.
-type running struct {
+// runningFront is a front that serves on a simulated network.
+type runningFront struct {
 	front    *Front
 	messages *fakeMessages
 	table    atomic.Pointer[configuration.Table]
@@ -173,33 +173,33 @@
 }
 
 // startFront starts a front inside a synctest bubble.
-func startFront(t *testing.T) *running {
+func startFront(t *testing.T) *runningFront {
 	t.Helper()
-	world := simulated.New(1)
-	r := &running{
+	simNetwork := simulated.New(1)
+	running := &runningFront{
 		messages: &fakeMessages{outcome: message.Outcome{State: message.Queued}},
-		client:   world.Host(clientIP),
+		client:   simNetwork.Host(clientIP),
 		served:   make(chan error, 1),
 	}
-	r.table.Store(newTable(t, testLimits()))
-	r.front = NewFront(Options{Messages: r.messages, Configuration: r.table.Load})
+	running.table.Store(newTable(t, testLimits()))
+	running.front = NewFront(Options{Messages: running.messages, Configuration: running.table.Load})
 
-	listener, err := world.Host(frontIP).Listen(frontAddress)
+	listener, err := simNetwork.Host(frontIP).Listen(frontAddress)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.stop = cancel
+	running.stop = cancel
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(lingerTime)
+		time.Sleep(closeDelay)
 	})
-	go func() { r.served <- r.front.Serve(ctx, listener) }()
-	return r
+	go func() { running.served <- running.front.Serve(ctx, listener) }()
+	return running
 }
 
 // dial opens a connection to the front.
-func (r *running) dial(t *testing.T) *clientConnection {
+func (f *runningFront) dial(t *testing.T) *clientConnection {
 	t.Helper()
-	connection, err := r.client.Dial(t.Context(), frontAddress)
+	connection, err := f.client.Dial(t.Context(), frontAddress)
 	assert.NilError(t, err)
 	t.Cleanup(func() { connection.Close() })
 	return &clientConnection{Conn: connection, reader: bufio.NewReader(connection)}
@@ -217,21 +217,21 @@
 	assert.NilError(t, err)
 }
 
-// answer is a response that was read completely.
-type answer struct {
+// receivedResponse is a response that was read completely.
+type receivedResponse struct {
 	status int
 	header http.Header
 	body   string
-	closes bool // the server said that it closes the connection
+	closes bool // the response announces that the connection closes
 }
 
-func (c *clientConnection) receive(t *testing.T) answer {
+func (c *clientConnection) receive(t *testing.T) receivedResponse {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	assert.NilError(t, err)
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	return answer{response.StatusCode, response.Header, string(body), response.Close}
+	return receivedResponse{response.StatusCode, response.Header, string(body), response.Close}
 }
 
 // assertClosed checks that the connection ends without any further byte.
@@ -241,8 +241,8 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// messageText is a message on the wire, with a body of a known length.
+// messageText returns the HTTP request of a message with a Content-Length.
 func messageText(target, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: r1\r\nContent-Length: %d\r\n\r\n%s",
-		target, plainHost, len(body), body)
+		target, testHost, len(body), body)
 }
--- a/internal/ingress/operator_test.go
+++ b/internal/ingress/operator_test.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/cluster"
 )
 
-// fakeControl records calls, and answers as the test says.
+// fakeControl is a ControlPlane that records the calls and returns the response that the test has set.
 type fakeControl struct {
 	calls  []cluster.OperatorRequest
 	bodies []string
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOtherControlCallsAreUnknown(t *testing.T) {
+func TestUnknownOperatorCallIsNotForwarded(t *testing.T) {
 	cases := []struct{ method, path string }{
 		{http.MethodGet, "/"},
 		{http.MethodGet, "/api/config/replace"},
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestControlFailureIsUnavailable(t *testing.T) {
+func TestUnreachableControlPlaneIsUnavailable(t *testing.T) {
 	for _, control := range []*fakeControl{{err: errors.New("no primary")}, {}} {
 		request := httptest.NewRequest(http.MethodGet, "/api/config/read", nil)
 		recorder := serve(NewControlHandler(Options{Control: control}), request)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestOperatorBodyLimit(t *testing.T) {
+func TestOversizedOperatorBodyIsRejected(t *testing.T) {
 	control := &fakeControl{answer: cluster.OperatorResponse{Status: http.StatusOK}}
 	handler := NewControlHandler(Options{Control: control})
 	largest := make([]byte, maxOperatorBodyBytes)
--- a/internal/ingress/query_test.go
+++ b/internal/ingress/query_test.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/message"
 )
 
-func TestState(t *testing.T) {
+func TestStateQueryReturnsOutcome(t *testing.T) {
 	cases := []struct {
 		outcome message.Outcome
 		body    string
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestBody(t *testing.T) {
+func TestBodyQueryReturnsBytes(t *testing.T) {
 	for _, content := range []string{"", "bytes\x00\xff", strings.Repeat("long", 10000)} {
 		front, messages := newTestFront(t)
 		messages.content = []byte(content)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestQueryFailures(t *testing.T) {
+func TestQueryErrorDeterminesStatus(t *testing.T) {
 	cases := []struct {
 		err    error
 		status int
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestBadMessageID(t *testing.T) {
+func TestMalformedMessageIDIsNotFound(t *testing.T) {
 	front, _ := newTestFront(t)
 	for _, id := range []string{"a%20b", "a%2Fb", strings.Repeat("x", maxMessageIDLength+1)} {
 		recorder := serve(front.Handler(), newRequest(http.MethodGet, "/api/message/"+id, ""))
@@ -78,10 +78,10 @@
 	assert.Equal(t, recorder.Code, http.StatusOK)
 }
 
-func TestQueriesAreAnsweredInTime(t *testing.T) {
+func TestQueryFailsAtTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		front, messages := newTestFront(t)
-		messages.putTime = time.Minute
+		messages.callTime = time.Minute
 		for _, target := range []string{"/api/message/0-1", "/api/message-body/0-1"} {
 			start := time.Now()
 			recorder := serve(front.Handler(), newRequest(http.MethodGet, target, ""))
--- a/internal/ingress/readiness_test.go
+++ b/internal/ingress/readiness_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestReady(t *testing.T) {
+func TestReadinessFollowsReadyOption(t *testing.T) {
 	ready := true
 	handler := NewReadyHandler(Options{Ready: func() bool { return ready }})
 	get := func(method, path string) int {
--- a/internal/ingress/submission_test.go
+++ b/internal/ingress/submission_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, put.ordered, false)
 	assert.DeepEqual(t, put.submission, message.Submission{
 		Message: message.Message{
-			Route: "plain", Host: plainHost, Method: http.MethodPut, Target: "/plain/a%2Fb//c;x?q=1&q=%20",
+			Route: "plain", Host: testHost, Method: http.MethodPut, Target: "/plain/a%2Fb//c;x?q=1&q=%20",
 			RequestID: "r1", ContentType: "text/x", ConfigVersion: 7,
 		},
 		DelayMS: 1500, RetentionMS: 90000,
@@ -53,7 +53,7 @@
 	assert.Equal(t, put.submission.Message.OrderKey, "k")
 }
 
-func TestMessageBelowQueryPathGoesToItsRoute(t *testing.T) {
+func TestMessageBelowQueryPathMatchesItsRoute(t *testing.T) {
 	front, messages := newTestFront(t)
 	recorder := serve(front.Handler(), newRequest(http.MethodGet, "/api/message/special/1", ""))
 	assert.Equal(t, recorder.Code, http.StatusAccepted)
@@ -69,7 +69,7 @@
 	assert.Equal(t, len(messages.recorded()), 0)
 }
 
-func TestMessageThatCannotBeAccepted(t *testing.T) {
+func TestInvalidMessageIsNotStored(t *testing.T) {
 	cases := []struct {
 		name   string
 		target string
@@ -79,10 +79,10 @@
 		{"no route", "/other/1", nil, http.StatusNotFound},
 		{"path is not cleaned", "/x/../plain/1", nil, http.StatusNotFound},
 		{"other host", "/plain/1", func(r *http.Request) { r.Host = "other.example" }, http.StatusNotFound},
-		{"no id", "/plain/1", func(r *http.Request) { r.Header.Del(headerRequestID) }, http.StatusBadRequest},
+		{"no request ID", "/plain/1", func(r *http.Request) { r.Header.Del(headerRequestID) }, http.StatusBadRequest},
 		{"delay is text", "/plain/1", setHeader(headerDelay, "soon"), http.StatusBadRequest},
 		{"delay is negative", "/plain/1", setHeader(headerDelay, "-1"), http.StatusBadRequest},
-		{"delay is endless", "/plain/1", setHeader(headerDelay, "99999999999999"), http.StatusBadRequest},
+		{"delay too long", "/plain/1", setHeader(headerDelay, "99999999999999"), http.StatusBadRequest},
 		{"deadline has passed", "/plain/1", setHeader(headerDeadline, "0"), http.StatusServiceUnavailable},
 		{"header too large", "/plain/1", setHeader("X-Fill", strings.Repeat("f", maxHeader)), http.StatusRequestHeaderFieldsTooLarge},
 	}
@@ -104,7 +104,7 @@
 	return func(r *http.Request) { r.Header.Set(name, value) }
 }
 
-func TestBodyLimit(t *testing.T) {
+func TestOversizedBodyIsRejected(t *testing.T) {
 	cases := []struct {
 		size   int
 		length int64
@@ -139,7 +139,7 @@
 	assert.Equal(t, len(messages.recorded()), 0)
 }
 
-func TestMessageIsRejectedWhereBodiesTakeTooMuchMemory(t *testing.T) {
+func TestMessageIsRejectedIfBodyBudgetIsExhausted(t *testing.T) {
 	front, messages := newTestFront(t)
 	front.bodies.limitBytes = 10
 	recorder := serve(front.Handler(), newRequest(http.MethodPost, "/plain/1", strings.Repeat("b", 11)))
@@ -148,7 +148,7 @@
 	assert.Equal(t, len(messages.recorded()), 0)
 }
 
-func TestPutFailures(t *testing.T) {
+func TestPutErrorDeterminesStatus(t *testing.T) {
 	cases := []struct {
 		err        error
 		status     int
@@ -171,8 +171,8 @@
 	}
 }
 
-// A rejected client is given a pause that leaves it time for another attempt.
-func TestRetryAfterFitsTheDeadline(t *testing.T) {
+// A client that is rejected gets a Retry-After that leaves time for another attempt before its deadline.
+func TestRetryAfterIsWithinDeadline(t *testing.T) {
 	cases := []struct{ deadline, retryAfter string }{
 		{"", retryAfterSeconds},
 		{"x", retryAfterSeconds},
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestPutTimeout(t *testing.T) {
+func TestPutTimeoutIsWithinLimits(t *testing.T) {
 	cases := []struct {
 		deadline string
 		timeout  time.Duration
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestRequestTarget(t *testing.T) {
+func TestRequestTargetIsKeptByteForByte(t *testing.T) {
 	cases := map[string]string{
 		"/a?b":                    "/a?b",
 		"/a%2f?u=http://x/y":      "/a%2f?u=http://x/y",
--- a/internal/network/simulated/network_test.go
+++ b/internal/network/simulated/network_test.go
@@ -23,8 +23,8 @@
 	portB = hostB + ":7000"
 )
 
-// pair opens a connection from host A to host B.
-func pair(t *testing.T, network *Network) (client, server net.Conn) {
+// connect opens a connection from host A to host B and returns both ends.
+func connect(t *testing.T, network *Network) (client, server net.Conn) {
 	t.Helper()
 	listener, err := network.Host(hostB).Listen(portB)
 	assert.NilError(t, err)
@@ -57,12 +57,12 @@
 	return err
 }
 
-func TestBytesTakeTheDelay(t *testing.T) {
+func TestBytesArriveAfterLinkDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(1)
 		network.SetDelay(hostA, hostB, 40*time.Millisecond)
 		started := time.Now()
-		client, server := pair(t, network)
+		client, server := connect(t, network)
 		opened := time.Since(started)
 		assert.Assert(t, opened >= 80*time.Millisecond && opened < 88*time.Millisecond, "took %v", opened)
 
@@ -74,9 +74,9 @@
 	})
 }
 
-func TestOrderIsKept(t *testing.T) {
+func TestBytesArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t, New(2))
+		client, server := connect(t, New(2))
 		want := ""
 		for i := range 200 {
 			text := fmt.Sprintf("%03d", i)
@@ -87,9 +87,9 @@
 	})
 }
 
-func TestEndAndReset(t *testing.T) {
+func TestWriteToClosedPeerIsReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t, New(3))
+		client, server := connect(t, New(3))
 		writeString(t, client, "bye")
 		assert.NilError(t, client.Close())
 		assert.Equal(t, readString(t, server, 3), "bye")
@@ -105,7 +105,7 @@
 
 func TestCloseWriteLeavesReadingOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t, New(4))
+		client, server := connect(t, New(4))
 		assert.NilError(t, client.(*connection).CloseWrite())
 		assert.Equal(t, readByte(server), io.EOF)
 		writeString(t, server, "answer")
@@ -113,9 +113,9 @@
 	})
 }
 
-func TestBackPressure(t *testing.T) {
+func TestFullWindowBlocksWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, server := pair(t, New(5))
+		client, server := connect(t, New(5))
 		assert.NilError(t, client.SetWriteDeadline(time.Now().Add(time.Second)))
 		count, err := client.Write(make([]byte, 3*windowBytes))
 		assert.Equal(t, count, windowBytes)
@@ -129,9 +129,9 @@
 	})
 }
 
-func TestReadDeadline(t *testing.T) {
+func TestReadFailsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client, _ := pair(t, New(6))
+		client, _ := connect(t, New(6))
 		started := time.Now()
 		assert.NilError(t, client.SetReadDeadline(started.Add(time.Second)))
 		err := readByte(client)
@@ -145,7 +145,7 @@
 func TestIsolatedLinkHoldsBytesUntilHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(7)
-		client, server := pair(t, network)
+		client, server := connect(t, network)
 		network.IsolateOneWay(hostA, hostB)
 		writeString(t, client, "held")
 		writeString(t, server, "passes")
@@ -172,7 +172,7 @@
 	})
 }
 
-func TestDialGivenUpLeavesNothingToAccept(t *testing.T) {
+func TestAbortedDialResetsAcceptedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(8)
 		listener, err := network.Host(hostB).Listen(portB)
@@ -189,7 +189,7 @@
 	})
 }
 
-func TestKillResetsAndRefuses(t *testing.T) {
+func TestKillResetsConnectionsAndRefusesDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(9)
 		killed := network.Host(hostB)
@@ -217,10 +217,10 @@
 	})
 }
 
-// TestResetsWithOneSeedAreTheSameEachTime resets some of a host's connections.
-func TestResetsWithOneSeedAreTheSameEachTime(t *testing.T) {
-	const connections, plays = 30, 10
-	play := func() (reset [connections]bool) {
+// TestResetsAreReproducible checks that ResetConnections resets the same connections in each run with the same seed.
+func TestResetsAreReproducible(t *testing.T) {
+	const connections, runs = 30, 10
+	runOnce := func() (reset [connections]bool) {
 		synctest.Test(t, func(t *testing.T) {
 			network := New(7)
 			listener, err := network.Host(hostB).Listen(portB)
@@ -240,16 +240,16 @@
 		})
 		return reset
 	}
-	first := play()
-	for range plays {
-		assert.Equal(t, play(), first)
+	first := runOnce()
+	for range runs {
+		assert.Equal(t, runOnce(), first)
 	}
 }
 
 func TestPowerOffIsSilentUntilPowerOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(10)
-		client, server := pair(t, network)
+		client, server := connect(t, network)
 		network.PowerOff(hostB)
 		writeString(t, client, "into the void")
 		writeString(t, server, "never sent")
@@ -269,10 +269,10 @@
 	})
 }
 
-func TestPowerOnResetsConnectionsThatWereClosedWithoutPower(t *testing.T) {
+func TestPowerOnResetsConnectionsClosedWhileOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(11)
-		client, server := pair(t, network)
+		client, server := connect(t, network)
 		network.PowerOff(hostB)
 		assert.NilError(t, server.Close())
 		network.PowerOn(hostB)
@@ -280,21 +280,21 @@
 	})
 }
 
-func TestListenChecksTheAddress(t *testing.T) {
+func TestListenRejectsUnavailableAddress(t *testing.T) {
 	network := New(12)
-	machine := network.Host(hostA)
-	_, err := machine.Listen(portB)
+	host := network.Host(hostA)
+	_, err := host.Listen(portB)
 	assert.Assert(t, errors.Is(err, syscall.EADDRNOTAVAIL), "got %v", err)
-	listener, err := machine.Listen(hostA + ":0")
+	listener, err := host.Listen(hostA + ":0")
 	assert.NilError(t, err)
-	_, err = machine.Listen(listener.Addr().String())
+	_, err = host.Listen(listener.Addr().String())
 	assert.Assert(t, errors.Is(err, syscall.EADDRINUSE), "got %v", err)
 	assert.NilError(t, listener.Close())
-	_, err = machine.Listen(listener.Addr().String())
+	_, err = host.Listen(listener.Addr().String())
 	assert.NilError(t, err)
 }
 
-func TestHTTP(t *testing.T) {
+func TestHTTPOverSimulatedNetwork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := New(13)
 		listener, err := network.Host(hostB).Listen(portB)
@@ -305,9 +305,9 @@
 		var serving sync.WaitGroup
 		serving.Go(func() { _ = server.Serve(listener) })
 
-		machine := network.Host(hostA)
+		host := network.Host(hostA)
 		transport := &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return machine.Dial(ctx, address)
+			return host.Dial(ctx, address)
 		}}
 		client := &http.Client{Transport: transport, Timeout: 5 * time.Second}
 		for range 3 {
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -12,14 +12,14 @@
 	"gladepick/internal/network"
 )
 
-// losingNetwork loses the first dials: nobody ever answers them.
-type losingNetwork struct {
+// lossyNetwork loses the first dials: they get no response until their context ends.
+type lossyNetwork struct {
 	network.Network
-	lost  int32
+	lost  int32 // number of dials to lose
 	dials atomic.Int32
 }
 
-func (n *losingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (n *lossyNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.dials.Add(1) <= n.lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -27,24 +27,24 @@
 	return n.Network.Dial(ctx, address)
 }
 
-func TestLostDialIsRepeated(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		losing := &losingNetwork{Network: f.network.Host(clientIP), lost: 2}
-		f.client = NewClient(losing, serverAddress)
+func TestLostDialIsHedged(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		lossy := &lossyNetwork{Network: f.network.Host(clientIP), lost: 2}
+		f.client = NewClient(lossy, serverAddress)
 		defer f.client.Close()
 		started := time.Now()
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 		took := time.Since(started)
 		assert.Assert(t, took >= 2*dialHedgeDelay && took < 3*dialHedgeDelay, took)
-		f.assertDoubles(t)
-		assert.Equal(t, losing.dials.Load(), int32(3))
+		f.assertCallSucceeds(t)
+		assert.Equal(t, lossy.dials.Load(), int32(3))
 	})
 }
 
-func TestLostDialsEndWithTheTimeout(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		losing := &losingNetwork{Network: f.network.Host(clientIP), lost: 1000}
-		f.client = NewClient(losing, serverAddress)
+func TestLostDialsFailAtTimeout(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		lossy := &lossyNetwork{Network: f.network.Host(clientIP), lost: 1000}
+		f.client = NewClient(lossy, serverAddress)
 		defer f.client.Close()
 		started := time.Now()
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
--- a/internal/rpc/failures_test.go
+++ b/internal/rpc/failures_test.go
@@ -9,19 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRefusedDialIsNotSent(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestRefusedDialMeansNotSent(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		f.network.Kill(serverIP)
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
 		assert.ErrorIs(t, err, ErrNotSent)
 		f.server.Close()
-		f.start(t)
-		f.assertDoubles(t)
+		f.startServer(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
-func TestHangingDialIsNotSent(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestTimedOutDialMeansNotSent(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
@@ -34,12 +34,12 @@
 		assert.ErrorIs(t, err, ErrNotSent)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		f.network.Heal(clientIP, serverIP)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
-func TestEndedContextIsNotSent(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestCallWithEndedContextIsNotSent(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := f.client.Call(ctx, "double", number{}, nil, nil)
@@ -48,19 +48,19 @@
 	})
 }
 
-func TestContextEndInCallIsLost(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestContextEndDuringCallLosesResponse(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := f.client.Call(ctx, "hang", nil, nil, nil)
 		assert.ErrorIs(t, err, ErrResponseLost)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
-func TestResetInCallIsLostAndNextCallDialsAnew(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestResetDuringCallLosesResponseAndNextCallRedials(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		ended := make(chan error, 1)
 		f.server.Handle("notice", func(ctx context.Context, _ *Call) (any, []byte, error) {
 			<-ctx.Done()
@@ -77,14 +77,14 @@
 		assert.ErrorIs(t, <-failed, ErrResponseLost)
 		assert.ErrorIs(t, <-ended, context.Canceled)
 		f.server.Close()
-		f.start(t)
-		f.assertDoubles(t)
+		f.startServer(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
 func TestFramesQueuedBehindStalledWriteAreNotSent(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.Isolate(clientIP, serverIP)
 		first, second := make(chan error, 1), make(chan error, 1)
 		go func() {
@@ -101,9 +101,9 @@
 	})
 }
 
-func TestLongQueueMakesSendersWait(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+func TestFullQueueBlocksSenders(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.Isolate(clientIP, serverIP)
 		for range 3 {
 			go func() { _, _ = f.client.Call(t.Context(), "echo", nil, make([]byte, 400<<10), nil) }()
@@ -117,9 +117,9 @@
 	})
 }
 
-func TestUnresponsiveServerIsGivenUp(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+func TestUnresponsiveServerFailsConnection(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
@@ -127,13 +127,13 @@
 		elapsed := time.Since(started)
 		assert.Assert(t, elapsed >= unresponsiveTimeout && elapsed <= 2*unresponsiveTimeout, "took %v", elapsed)
 		f.network.Heal(clientIP, serverIP)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
-func TestUnresponsiveServerIsNoticedThoughCallsTimeOutEarlier(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+func TestUnresponsiveServerIsDetectedAcrossShorterCalls(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		for {
@@ -149,21 +149,21 @@
 	})
 }
 
-func TestPowerLossIsGivenUp(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+func TestPowerLossOfServerFailsConnection(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.PowerOff(serverIP)
 		_, err := f.client.Call(t.Context(), "double", number{}, nil, nil)
 		assert.ErrorIs(t, err, ErrResponseLost)
 		f.server.Close()
 		f.network.PowerOn(serverIP)
-		f.start(t)
-		f.assertDoubles(t)
+		f.startServer(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
 func TestSlowHandlerIsNotUnresponsive(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		var result number
 		_, err := f.client.Call(t.Context(), "sleep", number{Value: 60_000}, nil, &result)
 		assert.NilError(t, err)
@@ -171,23 +171,23 @@
 	})
 }
 
-func TestIsolationShorterThanTheTimeoutLosesNothing(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+func TestIsolationShorterThanTimeoutLosesNoCall(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		f.network.Isolate(clientIP, serverIP)
 		time.AfterFunc(time.Second, func() { f.network.Heal(clientIP, serverIP) })
 		started := time.Now()
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 		assert.Assert(t, time.Since(started) >= time.Second)
 	})
 }
 
 func TestIdleConnectionIsKept(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		f.assertDoubles(t)
+	withFixture(t, func(t *testing.T, f *fixture) {
+		f.assertCallSucceeds(t)
 		before := f.client.current
 		time.Sleep(time.Hour)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 		assert.Assert(t, f.client.current == before)
 	})
 }
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -26,7 +26,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestFrameReaderTellsTheEndFromATruncation(t *testing.T) {
+func TestFrameReaderDistinguishesEndFromTruncation(t *testing.T) {
 	_, err := newFrameReader(strings.NewReader("")).readLine()
 	assert.Equal(t, err, io.EOF)
 	_, err = newFrameReader(strings.NewReader("abc")).readBody(4)
@@ -37,7 +37,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestFrameReaderLimits(t *testing.T) {
+func TestFrameReaderRejectsOversizedFrames(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader(strings.Repeat("x", maxLineBytes+1)), strings.NewReader("\n"))
 	_, err := newFrameReader(endless).readLine()
 	assert.Equal(t, err, errLineTooLong)
@@ -47,7 +47,7 @@
 	assert.Equal(t, err, errNegativeBodyLength)
 }
 
-func TestEncodedLineLimit(t *testing.T) {
+func TestOversizedLineIsNotEncoded(t *testing.T) {
 	line, err := encodeLine(strings.Repeat("x", maxLineBytes-3))
 	assert.NilError(t, err)
 	assert.Equal(t, len(line), maxLineBytes)
@@ -62,7 +62,7 @@
 	assert.Equal(t, string(line), want)
 }
 
-// FuzzFrameReader reads a stream as a server does. Whatever is read must be the stream's bytes, in order.
+// FuzzFrameReader reads a stream as a server does. The lines and bodies read must be the stream's bytes, in order.
 func FuzzFrameReader(f *testing.F) {
 	f.Add([]byte(`{"id":1,"method":"a","params":{"x":1},"body":3}` + "\nabc" + `{"id":2}` + "\n"))
 	f.Add([]byte(`{"id":1,"body":-1}` + "\n"))
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -19,8 +19,9 @@
 	"gladepick/internal/network/simulated"
 )
 
-// The golden files under testdata are the bytes of one call each, as a client and a server put them on the wire. Every
-// later version must write the same bytes, and read these. They are made by the flag -update and never edited.
+// Each golden file under testdata contains the bytes of one request or response, as a client or a server sends them.
+// Every later version must send the same bytes and read these files. The flag -update generates the files; never edit
+// them.
 
 // goldenCase is one call. Its request and its response are the golden files NAME.request and NAME.response.
 type goldenCase struct {
@@ -28,10 +29,10 @@
 	method string
 	params any
 	body   []byte
-	code   Code // of the error that the client reports; "" for none
+	code   Code // expected code of the call's error; "" if the call succeeds
 }
 
-// goldenParams has what an encoder may write in more than one way.
+// goldenParams contains values that JSON encoders may encode in different ways.
 type goldenParams struct {
 	Text   string            `json:"text"`
 	Figure float64           `json:"figure"`
@@ -88,7 +89,7 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// recordingNetwork records the bytes of the connections that are dialed on it.
+// recordingNetwork records the bytes of the connections that are dialed through it.
 type recordingNetwork struct {
 	network.Network
 
@@ -126,7 +127,7 @@
 	return count, err
 }
 
-// call makes the case's call and checks what the caller gets.
+// call makes the call of the case and checks its result.
 func (c goldenCase) call(t *testing.T, client *Client) {
 	t.Helper()
 	var result json.RawMessage
@@ -149,9 +150,9 @@
 	for _, test := range goldenCases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := simulated.New(1)
-				startGolden(t, world.Host(serverIP))
-				recording := &recordingNetwork{Network: world.Host(clientIP)}
+				simNetwork := simulated.New(1)
+				startGolden(t, simNetwork.Host(serverIP))
+				recording := &recordingNetwork{Network: simNetwork.Host(clientIP)}
 				client := NewClient(recording, serverAddress)
 				defer client.Close()
 				test.call(t, client)
@@ -168,9 +169,9 @@
 	for _, test := range goldenCases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := simulated.New(1)
-				startGolden(t, world.Host(serverIP))
-				connection, err := world.Host(clientIP).Dial(t.Context(), serverAddress)
+				simNetwork := simulated.New(1)
+				startGolden(t, simNetwork.Host(serverIP))
+				connection, err := simNetwork.Host(clientIP).Dial(t.Context(), serverAddress)
 				assert.NilError(t, err)
 				defer connection.Close()
 				_, err = connection.Write(golden.Get(t, test.name+".request"))
@@ -188,8 +189,8 @@
 	for _, test := range goldenCases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := simulated.New(1)
-				listener, err := world.Host(serverIP).Listen(serverAddress)
+				simNetwork := simulated.New(1)
+				listener, err := simNetwork.Host(serverIP).Listen(serverAddress)
 				assert.NilError(t, err)
 				defer listener.Close()
 				var answering sync.WaitGroup
@@ -197,7 +198,7 @@
 				answering.Go(func() {
 					answerWith(listener, len(golden.Get(t, test.name+".request")), golden.Get(t, test.name+".response"))
 				})
-				client := NewClient(world.Host(clientIP), serverAddress)
+				client := NewClient(simNetwork.Host(clientIP), serverAddress)
 				defer client.Close()
 				test.call(t, client)
 			})
@@ -205,8 +206,8 @@
 	}
 }
 
-// answerWith reads a request of a known length from the first connection, and writes a response. It ends when the
-// client closes the connection.
+// answerWith reads a request of requestLength bytes from the first connection, and writes a response. It returns when
+// the client closes the connection.
 func answerWith(listener net.Listener, requestLength int, response []byte) {
 	connection, err := listener.Accept()
 	if err != nil {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -36,12 +36,12 @@
 	client  *Client
 }
 
-// run starts a server and a client in a bubble, and stops them after the body.
-func run(t *testing.T, body func(t *testing.T, f *fixture)) {
+// withFixture starts a server and a client in a synctest bubble, calls body, and stops them.
+func withFixture(t *testing.T, body func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{network: simulated.New(1)}
-		f.start(t)
+		f.startServer(t)
 		f.client = NewClient(f.network.Host(clientIP), serverAddress)
 		defer f.client.Close()
 		defer func() { f.server.Close() }()
@@ -49,8 +49,8 @@
 	})
 }
 
-// start starts a server with the methods that the tests call.
-func (f *fixture) start(t *testing.T) {
+// startServer starts a server with the methods that the tests call.
+func (f *fixture) startServer(t *testing.T) {
 	t.Helper()
 	f.server = NewServer(zap.NewNop())
 	f.server.Handle("double", double)
@@ -74,7 +74,7 @@
 	return number{Value: 2 * given.Value}, nil, nil
 }
 
-// sleep answers after so many milliseconds.
+// sleep responds after the given number of milliseconds.
 func sleep(_ context.Context, call *Call) (any, []byte, error) {
 	var given number
 	if err := call.Decode(&given); err != nil {
@@ -84,7 +84,7 @@
 	return given, nil, nil
 }
 
-func (f *fixture) assertDoubles(t *testing.T) {
+func (f *fixture) assertCallSucceeds(t *testing.T) {
 	t.Helper()
 	var result number
 	_, err := f.client.Call(t.Context(), "double", number{Value: 21}, nil, &result)
@@ -93,19 +93,19 @@
 }
 
 func TestCallsAreMultiplexed(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		const calls = 300
 		started := time.Now()
-		var waiting sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range calls {
-			waiting.Go(func() {
+			wg.Go(func() {
 				var result number
 				_, err := f.client.Call(t.Context(), "sleep", number{Value: calls - i}, nil, &result)
 				assert.Check(t, err)
 				assert.Check(t, result.Value == calls-i)
 			})
 		}
-		waiting.Wait()
+		wg.Wait()
 		elapsed := time.Since(started)
 		assert.Assert(t, elapsed < 2*calls*time.Millisecond, "took %v", elapsed)
 		f.server.mutex.Lock()
@@ -114,8 +114,8 @@
 	})
 }
 
-func TestBodies(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestBodyOfAnySizeIsUnchanged(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		for _, size := range []int{0, 1, maxCopiedBodyBytes, maxCopiedBodyBytes + 1, bodyChunkBytes, bodyChunkBytes + 1, 3 << 20} {
 			body := bytes.Repeat([]byte("line\n"), size/5+1)[:size]
 			answered, err := f.client.Call(t.Context(), "echo", nil, body, nil)
@@ -125,23 +125,23 @@
 	})
 }
 
-func TestBodiesOfManyCallsStayApart(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
-		var waiting sync.WaitGroup
+func TestBodiesOfConcurrentCallsAreNotMixed(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
+		var wg sync.WaitGroup
 		for i := range 60 {
-			waiting.Go(func() {
+			wg.Go(func() {
 				body := bytes.Repeat([]byte{byte(i)}, i*1500)
 				answered, err := f.client.Call(t.Context(), "echo", nil, body, nil)
 				assert.Check(t, err)
 				assert.Check(t, bytes.Equal(answered, body))
 			})
 		}
-		waiting.Wait()
+		wg.Wait()
 	})
 }
 
-func TestLongLines(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestLongLineIsUnchanged(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		f.server.Handle("repeat", func(_ context.Context, call *Call) (any, []byte, error) {
 			var text string
 			err := call.Decode(&text)
@@ -155,8 +155,8 @@
 	})
 }
 
-func TestRemoteErrors(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestRemoteErrorKeepsItsCode(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		f.server.Handle("moved", func(context.Context, *Call) (any, []byte, error) {
 			return nil, nil, trace.Wrap(&Error{Code: CodeNotLeader, Message: "ask c2"})
 		})
@@ -179,34 +179,34 @@
 		assert.Equal(t, CodeOf(err), CodeInvalid)
 		_, err = f.client.Call(t.Context(), "double", func() {}, nil, nil)
 		assert.Equal(t, CodeOf(err), CodeInvalid)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
 func TestUnreadableResultCountsAsLost(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		var result []string
 		_, err := f.client.Call(t.Context(), "double", number{Value: 1}, nil, &result)
 		assert.ErrorIs(t, err, ErrResponseLost)
 	})
 }
 
-func TestTooLargeBodyIsRejected(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestOversizedBodyIsRejected(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		_, err := f.client.Call(t.Context(), "echo", nil, make([]byte, maxBodyBytes+1), nil)
 		assert.Equal(t, CodeOf(err), CodeInvalid)
-		f.assertDoubles(t)
+		f.assertCallSucceeds(t)
 	})
 }
 
-func TestCloseEndsCalls(t *testing.T) {
-	for name, closeOne := range map[string]func(f *fixture){
+func TestCloseFailsCalls(t *testing.T) {
+	for name, closeEnd := range map[string]func(f *fixture){
 		"client": func(f *fixture) { f.client.Close() },
 		"server": func(f *fixture) { f.server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(t *testing.T, f *fixture) {
-				time.AfterFunc(time.Second, func() { closeOne(f) })
+			withFixture(t, func(t *testing.T, f *fixture) {
+				time.AfterFunc(time.Second, func() { closeEnd(f) })
 				_, err := f.client.Call(t.Context(), "hang", nil, nil, nil)
 				assert.ErrorIs(t, err, ErrResponseLost)
 				_, err = f.client.Call(t.Context(), "double", number{}, nil, nil)
@@ -216,8 +216,8 @@
 	}
 }
 
-func TestCloseEndsDial(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestCloseFailsDial(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		f.network.Isolate(clientIP, serverIP)
 		started := time.Now()
 		time.AfterFunc(100*time.Millisecond, f.client.Close)
@@ -241,8 +241,8 @@
 	})
 }
 
-func TestPool(t *testing.T) {
-	run(t, func(t *testing.T, f *fixture) {
+func TestPoolReusesAndClosesClients(t *testing.T) {
+	withFixture(t, func(t *testing.T, f *fixture) {
 		pool := NewPool(f.network.Host(clientIP))
 		client := pool.Get(serverAddress)
 		assert.Assert(t, client == pool.Get(serverAddress))
@@ -257,7 +257,7 @@
 	})
 }
 
-func TestOverTCP(t *testing.T) {
+func TestCallsOverTCP(t *testing.T) {
 	listener, err := network.TCP{}.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	server := NewServer(zap.NewNop())
@@ -268,9 +268,9 @@
 	go func() { served <- server.Serve(listener) }()
 	client := NewClient(network.TCP{}, listener.Addr().String())
 
-	var waiting sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 20 {
-		waiting.Go(func() {
+		wg.Go(func() {
 			body := []byte(strings.Repeat(fmt.Sprint(i), i*2000))
 			var result number
 			answered, err := client.Call(t.Context(), "echo", number{Value: i}, body, &result)
@@ -279,7 +279,7 @@
 			assert.Check(t, bytes.Equal(answered, body))
 		})
 	}
-	waiting.Wait()
+	wg.Wait()
 	client.Close()
 	server.Close()
 	assert.NilError(t, <-served)
--- a/internal/vfs/memfs/disk_test.go
+++ b/internal/vfs/memfs/disk_test.go
@@ -28,7 +28,7 @@
 	return contents[:count]
 }
 
-func TestDiskKeepsWhatCrashesMayNotTake(t *testing.T) {
+func TestDataSurvivesCrashAndSyncedDataSurvivesPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := New(1)
 		file, err := disk.Create("file")
@@ -55,10 +55,11 @@
 	})
 }
 
-// TestPowerLossWithOneSeedIsTheSameEachTime loses the power under many files that are not synced.
-func TestPowerLossWithOneSeedIsTheSameEachTime(t *testing.T) {
-	const files, plays = 20, 10
-	play := func() (left []string) {
+// TestPowerLossIsReproducible checks that a power loss leaves the same contents of unsynced files in each run with the
+// same seed.
+func TestPowerLossIsReproducible(t *testing.T) {
+	const files, runs = 20, 10
+	runOnce := func() (left []string) {
 		disk := New(7)
 		for number := range files {
 			file, err := disk.Create(fmt.Sprint("file", number))
@@ -73,8 +74,8 @@
 		}
 		return left
 	}
-	first := play()
-	for range plays {
-		assert.DeepEqual(t, play(), first)
+	first := runOnce()
+	for range runs {
+		assert.DeepEqual(t, runOnce(), first)
 	}
 }
