--- a/internal/dispatcher/dispatch/core.go
+++ b/internal/dispatcher/dispatch/core.go
@@ -108,7 +108,7 @@
 // run.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.ended)
-	c.applyList(decision.ListCached, c.node.Known.Workers)
+	c.applyList(decision.ListCached, c.node.KnownWorkers.Workers)
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
--- a/internal/dispatcher/membership/coordinator.go
+++ b/internal/dispatcher/membership/coordinator.go
@@ -1,4 +1,4 @@
-// How members agree on the next view: the coordinator counts reports, proposes a change and drives its ballot.
+// The coordinator counts the observers' reports, proposes the next change of the view and drives its ballot.
 
 package membership
 
@@ -7,41 +7,45 @@
 	"time"
 )
 
-// suspicionReport is what an observer has said of a member.
+// suspicionReport is an observer's report on a suspected member: age is how long the member had not answered the
+// observer when the report arrived at receivedAt.
 type suspicionReport struct {
 	age, receivedAt time.Duration
 	incarnation     uint64
 	revision        uint32
 }
 
-// recordSuspicionReport keeps an observer's report that a member has not answered it for some time.
-func (m *Machine) recordSuspicionReport(observer string, x *member, age time.Duration) {
-	if m.view.suspicionReports[x.Name] == nil {
-		m.view.suspicionReports[x.Name] = map[string]suspicionReport{}
+// recordSuspicionReport stores an observer's report that a member has not answered it for age. It replaces the
+// observer's earlier report.
+func (m *Machine) recordSuspicionReport(observer string, peer *member, age time.Duration) {
+	if m.view.suspicionReports[peer.Name] == nil {
+		m.view.suspicionReports[peer.Name] = map[string]suspicionReport{}
 	}
-	m.view.suspicionReports[x.Name][observer] = suspicionReport{age: age, receivedAt: m.now, incarnation: x.Incarnation, revision: x.Revision}
+	m.view.suspicionReports[peer.Name][observer] = suspicionReport{age: age, receivedAt: m.now, incarnation: peer.Incarnation, revision: peer.Revision}
 }
 
-// The ages at which an observer's report counts, in twentieths and fifths of the settings' times.
+// Limits on observers' reports, in fifths of the period and twentieths of the failure time-out.
 const (
-	reportLifetimeFifths   = 13 // of a period: an observer reports again each period
-	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that is as close to it as that
+	reportLifetimeFifths   = 13 // of a period: an observer repeats its report each period
+	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that has been silent for so long
 )
 
-// failedMembers counts the observers' reports. It returns the members that have failed, and whether others are about to.
+// failedMembers returns the members that a majority of their observers reports as failed, and whether other members are
+// close to that. It drops reports on
+// members that are no longer suspected, were vetoed or are not in the view.
 func (m *Machine) failedMembers() (failed []*member, othersAreClose bool) {
 	v := &m.view
 	for _, name := range sortedKeys(v.suspicionReports) {
-		x := m.members[name]
-		if x == nil || !x.isDoubtful() || m.now < v.vetoedUntil[name] || v.indexOf(name) < 0 {
+		peer := m.members[name]
+		if peer == nil || !peer.isDoubtful() || m.now < v.vetoedUntil[name] || v.indexOf(name) < 0 {
 			delete(v.suspicionReports, name)
 			delete(v.failedSince, name)
 			continue
 		}
-		votes, almost := m.countReports(x)
+		votes, almost := m.countReports(peer)
 		needed := min(m.config.ObserverCount, len(v.Members)-1)/2 + 1
 		if votes >= needed {
-			failed = append(failed, x)
+			failed = append(failed, peer)
 		} else if votes+almost > 0 {
 			othersAreClose = true
 		}
@@ -49,14 +53,14 @@
 	return failed, othersAreClose
 }
 
-// countReports returns how many observers say that a member did not answer for the time-out, and how many are close to
-// saying so. It drops reports that are old or about another incarnation or revision.
-func (m *Machine) countReports(x *member) (votes, almost int) {
-	reports := m.view.suspicionReports[x.Name]
+// countReports returns how many observers report that a member has not answered for the failure time-out, and how many
+// are close to it. It drops reports that are old or about another incarnation or revision.
+func (m *Machine) countReports(peer *member) (votes, almost int) {
+	reports := m.view.suspicionReports[peer.Name]
 	for observer, report := range reports {
 		isOld := m.now-report.receivedAt > m.config.Period*reportLifetimeFifths/5
 		switch {
-		case isOld || report.incarnation != x.Incarnation || report.revision != x.Revision:
+		case isOld || report.incarnation != peer.Incarnation || report.revision != peer.Revision:
 			delete(reports, observer)
 		case !m.isPresent(observer):
 		case report.age >= m.config.FailureTimeout:
@@ -68,17 +72,17 @@
 	return votes, almost
 }
 
-// isPresent tells whether a member is this one, or alive and in the view.
+// isPresent reports whether a member is this one, or is alive and in the view.
 func (m *Machine) isPresent(name string) bool {
 	if name == m.self.Name {
 		return true
 	}
-	x := m.members[name]
-	return x != nil && x.state == Alive && m.view.indexOf(name) >= 0
+	peer := m.members[name]
+	return peer != nil && peer.state == Alive && m.view.indexOf(name) >= 0
 }
 
-// coordinate is called with every event. It keeps a transfer and a ballot of this member going, and proposes the next
-// view where it is this member's turn to coordinate.
+// coordinate runs with every event. It continues this member's view transfer and ballot, and proposes the next view if
+// this member is the coordinator.
 func (m *Machine) coordinate() {
 	m.continueTransfer()
 	if m.view.Number == 0 {
@@ -99,7 +103,7 @@
 	}
 }
 
-// noteMajority tells whether this member sees a majority of the view, and remembers since when.
+// noteMajority reports whether this member sees a majority of the view, and records since when.
 func (m *Machine) noteMajority() bool {
 	seesMajority := m.seesMajority()
 	switch {
@@ -111,7 +115,7 @@
 	return seesMajority
 }
 
-// mayPropose tells whether it is this member's turn to propose a change of the view.
+// mayPropose reports whether this member is the coordinator, has a vote and is not backing off.
 func (m *Machine) mayPropose() bool {
 	leaders := m.leaders(1)
 	isFirst := len(leaders) > 0 && leaders[0] == m.self.Name
@@ -120,7 +124,7 @@
 	return isFirst && !isLeaving && hasVote && m.now >= m.view.backoffUntil
 }
 
-// nextChange collects what the next view is to change: members that have failed, that have left, and that join.
+// nextChange returns the change for the next view: the members that have failed, have left and are joining.
 func (m *Machine) nextChange() *change {
 	failed := m.removableMembers()
 	left := m.leftMembers()
@@ -134,19 +138,20 @@
 	return next
 }
 
-// removableMembers returns the places of the members that have failed and may be removed now. Removals wait for others
-// that are about to fail, and after the end of a network partition for the observers' next reports.
+// removableMembers returns the indexes in the view of the failed members that may be removed now. A removal waits up to
+// BatchDelay for members that are about to fail, so that one view removes them all. After a network partition has
+// ended, it also waits for the observers' next reports.
 func (m *Machine) removableMembers() []int {
 	v := &m.view
 	failed, othersAreClose := m.failedMembers()
-	var places []int
+	var indexes []int
 	since := m.now
-	for _, x := range failed {
-		if _, known := v.failedSince[x.Name]; !known {
-			v.failedSince[x.Name] = m.now
+	for _, peer := range failed {
+		if _, known := v.failedSince[peer.Name]; !known {
+			v.failedSince[peer.Name] = m.now
 		}
-		places = append(places, v.index[x.Name])
-		since = min(since, v.failedSince[x.Name])
+		indexes = append(indexes, v.index[peer.Name])
+		since = min(since, v.failedSince[peer.Name])
 	}
 	if reportsAreNew := v.majoritySince + 2*m.config.Period; m.now < reportsAreNew {
 		m.wakeBy(reportsAreNew)
@@ -155,23 +160,24 @@
 	if othersAreClose && m.now < since+m.config.BatchDelay {
 		return nil
 	}
-	return places
+	return indexes
 }
 
-// leftMembers returns the places of the members that have said that they leave.
+// leftMembers returns the indexes in the view of the members that have announced that they leave.
 func (m *Machine) leftMembers() []int {
-	var places []int
+	var indexes []int
 	for i := range m.view.Members {
 		record := &m.view.Members[i]
-		x := m.members[record.Name]
-		if x != nil && x.state == Left && x.Incarnation == record.Incarnation {
-			places = append(places, i)
+		peer := m.members[record.Name]
+		if peer != nil && peer.state == Left && peer.Incarnation == record.Incarnation {
+			indexes = append(indexes, i)
 		}
 	}
-	return places
+	return indexes
 }
 
-// startBallot proposes a change under a ballot of this member's own.
+// startBallot starts a ballot of this member on a change. Its number is higher than every number that this member has
+// promised or learned from a voter.
 func (m *Machine) startBallot(proposed *change) {
 	v := &m.view
 	v.isPreparing = !m.maySkipPrepare()
@@ -196,27 +202,28 @@
 	m.driveBallot()
 }
 
-// maySkipPrepare tells whether this member may begin with accept: one member of a view only, in its first attempt, and
-// never one that may have forgotten what it did.
+// maySkipPrepare reports whether this member may begin with accept. Only the first member by rank may, in its first
+// attempt for the view, and only if its incarnation is in the view: a restarted one may have forgotten what it
+// proposed.
 func (m *Machine) maySkipPrepare() bool {
 	v := &m.view
 	return v.ranked[0] == m.self.Name && v.Contains(m.self.Name, m.self.Incarnation) && v.ballotAttempts == 0
 }
 
-// ownBallot returns a ballot that no other member of the view uses.
+// ownBallot returns a ballot number that no other member of the view uses.
 func (m *Machine) ownBallot() uint32 {
 	v := &m.view
-	place := uint32(v.index[m.self.Name])
-	return uint32(v.ballotAttempts)*ballotsPerAttempt*2 + ballotsPerAttempt + place%ballotsPerAttempt + 1
+	ownIndex := uint32(v.index[m.self.Name])
+	return uint32(v.ballotAttempts)*ballotsPerAttempt*2 + ballotsPerAttempt + ownIndex%ballotsPerAttempt + 1
 }
 
-// joinRanges joins neighbouring places to ranges, limit of them at most.
-func joinRanges(places []int, most int) (out [][2]uint32) {
-	slices.Sort(places)
-	for _, i := range places {
+// joinRanges merges neighbouring indexes into ranges. It returns the first limit ranges at most and drops the rest.
+func joinRanges(indexes []int, limit int) (out [][2]uint32) {
+	slices.Sort(indexes)
+	for _, i := range indexes {
 		if n := len(out); n > 0 && int(out[n-1][1]) == i-1 {
 			out[n-1][1]++
-		} else if n < most {
+		} else if n < limit {
 			out = append(out, [2]uint32{uint32(i), uint32(i)})
 		} else {
 			break
@@ -225,23 +232,24 @@
 	return out
 }
 
-// isRestartedVoter tells whether the view has an earlier incarnation of this member: it may vote, but has no memory.
+// isRestartedVoter reports whether the view has an earlier incarnation of this member. The member may vote, but has
+// lost the state of its earlier votes.
 func (m *Machine) isRestartedVoter() bool {
 	i, ok := m.view.index[m.self.Name]
 	return ok && m.view.Members[i].Incarnation < m.self.Incarnation
 }
 
-// addJoining puts members that join into a change, as many as fit into a datagram.
-func (m *Machine) addJoining(c *change) {
+// addJoining adds the joining members to a change, as many as fit into a datagram.
+func (m *Machine) addJoining(next *change) {
 	v := &m.view
-	size := len(encodeCBOR(c))
+	size := len(encodeCBOR(next))
 	add := func(r Record) bool {
-		n := len(encodeCBOR(r))
-		if size+n > maxBodyBytes {
+		recordSize := len(encodeCBOR(r))
+		if size+recordSize > maxBodyBytes {
 			return false
 		}
-		size += n
-		c.In = append(c.In, r)
+		size += recordSize
+		next.Joined = append(next.Joined, r)
 		return true
 	}
 	if !v.Contains(m.self.Name, m.self.Incarnation) && m.leavingSince == 0 {
@@ -257,10 +265,10 @@
 	}
 }
 
-// joiningMembers returns the members that are alive and not in the view with their incarnation, by name.
+// joiningMembers returns the sorted names of the members that are alive and whose incarnation is not in the view.
 func (m *Machine) joiningMembers() (out []string) {
-	for name, x := range m.members {
-		if x.state == Alive && !m.view.Contains(name, x.Incarnation) {
+	for name, peer := range m.members {
+		if peer.state == Alive && !m.view.Contains(name, peer.Incarnation) {
 			out = append(out, name)
 		}
 	}
@@ -268,8 +276,8 @@
 	return out
 }
 
-func flag(b bool) int {
-	if b {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/dispatcher/membership/datagrams.go
+++ b/internal/dispatcher/membership/datagrams.go
@@ -1,4 +1,4 @@
-// Datagrams out and in: what fills them up, and who handles them.
+// Sending and receiving datagrams: gossip fills up outgoing ones, and incoming ones go to the handler of their kind.
 
 package membership
 
@@ -12,10 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxRumors is how many rumors a datagram carries at most.
+// maxRumors is the maximum number of rumors in a datagram.
 const maxRumors = 20
 
-// send sends a packet. The room that is left in the datagram takes rumors: first what concerns the receiver itself.
+// send encodes a packet and queues it for sending. Pings, acks and ping requests carry rumors in the space that is
+// left.
 func (m *Machine) send(to netip.AddrPort, p packet) {
 	if !to.IsValid() {
 		return
@@ -32,7 +33,7 @@
 		body = encodeCBOR(p)
 	}
 	data := append(append(make([]byte, 0, 1+len(body)), formatVersion), body...)
-	if len(data) > MaxDatagramBytes { // sizes are bounded where bodies are made
+	if len(data) > MaxDatagramBytes { // the code that builds a body bounds its size
 		panic(fmt.Sprintf("membership: a datagram of %d bytes, kind %d", len(data), p.Kind))
 	}
 	m.Counters.Sent++
@@ -40,8 +41,8 @@
 	m.actions.Send = append(m.actions.Send, OutgoingDatagram{To: to, Data: data})
 }
 
-// addRumors fills a datagram of so many bytes up with rumors: the suspicion of the member that is pinged, so that it can
-// refute it, then those that were sent least often.
+// addRumors adds rumors to a packet whose datagram has size bytes without them. The suspicion of the pinged member goes
+// first, so that the member can refute it, then the rumors that were sent least often.
 func (m *Machine) addRumors(p *packet, size int) {
 	if own := m.suspicionOfReceiver(p); own != nil && size+len(own)+1 <= MaxDatagramBytes {
 		p.Rumors = append(p.Rumors, own)
@@ -60,19 +61,20 @@
 	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(entry *gossipEntry) bool { return entry.transmissions >= maxTransmissions })
 }
 
-// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to, or nil.
+// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to. It returns nil if there is none
+// that has been disseminated.
 func (m *Machine) suspicionOfReceiver(p *packet) cbor.RawMessage {
-	x := m.members[p.Subject]
-	if p.Kind != ping || x == nil || !x.isDisseminated || !x.isDoubtful() {
+	peer := m.members[p.Subject]
+	if p.Kind != ping || peer == nil || !peer.isDisseminated || !peer.isDoubtful() {
 		return nil
 	}
 	return encodeCBOR(rumor{
-		Name: x.Name, Incarnation: x.Incarnation, Revision: x.Revision, State: Suspected,
-		SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - x.stateSince).Milliseconds()),
+		Name: peer.Name, Incarnation: peer.Incarnation, Revision: peer.Revision, State: Suspected,
+		SuspectedBy: m.self.Name, AgeMilliseconds: uint32((m.now - peer.stateSince).Milliseconds()),
 	})
 }
 
-// handleDatagram takes a datagram in.
+// handleDatagram decodes a datagram, applies its rumors and handles its packet.
 func (m *Machine) handleDatagram(from netip.AddrPort, data []byte) {
 	p, err := decodePacket(data)
 	if err != nil {
@@ -84,50 +86,50 @@
 		m.handleNameConflict(p, from)
 		return
 	}
-	x := m.members[p.From]
-	if x != nil && x.hasEnded(p.Incarnation) {
-		m.notifyEnded(p, x, from)
+	peer := m.members[p.From]
+	if peer != nil && peer.hasEnded(p.Incarnation) {
+		m.notifyEnded(p, peer, from)
 		return
 	}
-	if x != nil && p.Incarnation == x.Incarnation {
-		m.recordHeard(x, p, from)
+	if peer != nil && p.Incarnation == peer.Incarnation {
+		m.recordHeard(peer, p, from)
 	}
 	for _, raw := range p.Rumors {
 		if r, err := decodeRumor(raw); err == nil {
 			m.applyRumor(r)
 		}
 	}
-	m.handlePacket(p, x, from)
+	m.handlePacket(p, peer, from)
 	if p.View.After(m.view.ViewID) && p.Kind != commit {
 		m.requestView(from)
 	}
 }
 
-// hasEnded tells whether an incarnation of a member is over: a later one is known, or it has left or failed.
-func (x *member) hasEnded(incarnation uint64) bool {
-	return incarnation < x.Incarnation || incarnation == x.Incarnation && (x.state == Left || x.state == Failed)
+// hasEnded reports whether an incarnation of a member has ended: a later one is known, or it has left or failed.
+func (peer *member) hasEnded(incarnation uint64) bool {
+	return incarnation < peer.Incarnation || incarnation == peer.Incarnation && (peer.state == Left || peer.state == Failed)
 }
 
-// notifyEnded tells the sender of a packet, once a period at most, that its incarnation has ended.
-func (m *Machine) notifyEnded(p *packet, x *member, from netip.AddrPort) {
+// notifyEnded tells the sender of a packet that its incarnation has ended, at most once a period.
+func (m *Machine) notifyEnded(p *packet, peer *member, from netip.AddrPort) {
 	if p.Kind == incarnationEnded || m.now < m.notifiedAt[p.From]+m.config.Period {
 		return
 	}
 	m.notifiedAt[p.From] = m.now
-	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: x.Incarnation, Number: isAtOtherAddress(x, from)})
+	m.send(from, packet{Kind: incarnationEnded, Subject: p.From, SubjectIncarnation: peer.Incarnation, Number: isAtOtherAddress(peer, from)})
 }
 
-// recordHeard takes in what any packet of a member tells: that it sent something, from where, and its revision.
-func (m *Machine) recordHeard(x *member, p *packet, from netip.AddrPort) {
-	x.lastHeardAt = m.now
-	if m.config.LearnAddresses && x.endpoint != from && slices.Contains(m.config.Seeds, from) {
-		x.endpoint = from
+// recordHeard records what every packet shows of its sender: that it sends, from which address, and its revision.
+func (m *Machine) recordHeard(peer *member, p *packet, from netip.AddrPort) {
+	peer.lastHeardAt = m.now
+	if m.config.LearnAddresses && peer.endpoint != from && slices.Contains(m.config.Seeds, from) {
+		peer.endpoint = from
 	}
-	m.applyRevision(x, p.Revision, "says something new of itself")
+	m.applyRevision(peer, p.Revision, "says something new of itself")
 }
 
-// handlePacket does what a packet asks for. The sender x is nil where it is not known yet.
-func (m *Machine) handlePacket(p *packet, x *member, from netip.AddrPort) {
+// handlePacket passes a packet to the handler of its kind. peer is nil if the sender is not known yet.
+func (m *Machine) handlePacket(p *packet, peer *member, from netip.AddrPort) {
 	switch p.Kind {
 	case ping:
 		if p.Subject == "" || p.Subject == m.self.Name && p.SubjectIncarnation <= m.self.Incarnation {
@@ -136,7 +138,7 @@
 	case pingRequest:
 		m.relayPing(p, from)
 	case ack:
-		m.handleAck(p, x)
+		m.handleAck(p, peer)
 	case investigateRequest:
 		m.handleInvestigateRequest(p)
 	case join:
@@ -146,11 +148,11 @@
 			m.handleIncarnationEnded(p.SubjectIncarnation, p.Number == 1)
 		}
 	default:
-		m.handleViewPacket(p, from, x)
+		m.handleViewPacket(p, from, peer)
 	}
 }
 
-// relayPing pings a member for another one, which gets the answer.
+// relayPing pings a member on behalf of the sender of a ping request. handleAck forwards the answer.
 func (m *Machine) relayPing(p *packet, from netip.AddrPort) {
 	subject := m.members[p.Subject]
 	if subject == nil || subject.Incarnation != p.SubjectIncarnation {
@@ -161,7 +163,8 @@
 	m.send(subject.endpoint, packet{Kind: ping, Sequence: sequence, Subject: subject.Name, SubjectIncarnation: subject.Incarnation})
 }
 
-// handleInvestigateRequest takes in that the sender suspects a member which this one observes, or this one itself.
+// handleInvestigateRequest records that the sender suspects a member which this one observes. If the sender suspects
+// this member itself, this member refutes it.
 func (m *Machine) handleInvestigateRequest(p *packet) {
 	subject := m.members[p.Subject]
 	switch {
--- a/internal/dispatcher/membership/transfer.go
+++ b/internal/dispatcher/membership/transfer.go
@@ -1,4 +1,5 @@
-// How a view reaches who is behind: told again, fetched, and in pieces.
+// View transfer: commits are repeated until confirmed, and a member that is behind fetches changes or the whole view in
+// chunks.
 
 package membership
 
@@ -8,21 +9,23 @@
 	"time"
 )
 
+// viewTransfer is a fetch of a later view from another member.
 type viewTransfer struct {
 	from          netip.AddrPort
 	id            ViewID
 	total         uint32
 	received      []Record
-	outOfOrder    map[uint32][]Record // come out of order
+	outOfOrder    map[uint32][]Record // chunks that wait for an earlier one, by index of their first record
 	lastChunkAt   time.Duration
 	retries       int
-	requestMoreAt int // the next part is asked for once so many members are there
+	requestMoreAt int // number of received records from which on the next chunks are requested
 }
 
-// maxTransferRetries is how often a part of a view is asked for again at the same member.
+// maxTransferRetries is how often this member repeats a request for chunks of a view to the same member.
 const maxTransferRetries = 5
 
-// resendCommit sends the last change to those that have not shown its number yet, a few times.
+// resendCommit sends the last committed change to the members that have not confirmed it. commitResendsLeft bounds how
+// often.
 func (m *Machine) resendCommit() {
 	v := &m.view
 	if v.commitResendsLeft == 0 {
@@ -32,8 +35,8 @@
 		v.commitResendAt = m.now + resendInterval
 		v.commitResendsLeft--
 		for _, name := range sortedKeys(v.unconfirmed) {
-			if x := m.members[name]; x != nil {
-				m.send(x.endpoint, packet{Kind: commit, View: v.commitBase, Body: v.commitBody, Number: v.commitNumber})
+			if peer := m.members[name]; peer != nil {
+				m.send(peer.endpoint, packet{Kind: commit, View: v.commitBase, Body: v.commitBody, Number: v.commitNumber})
 			}
 		}
 	}
@@ -42,7 +45,8 @@
 	}
 }
 
-// continueTransfer asks once more for the next part of a view that stopped coming, and gives up after some times.
+// continueTransfer repeats the request for the next chunk if none has arrived for two resend intervals. It gives up
+// after maxTransferRetries.
 func (m *Machine) continueTransfer() {
 	transfer := m.view.fetch
 	if transfer == nil {
@@ -53,7 +57,7 @@
 		return
 	}
 	transfer.retries++
-	if transfer.retries > maxTransferRetries { // whoever has a later view is asked anew
+	if transfer.retries > maxTransferRetries { // the next packet with a later view starts a new transfer
 		m.view.fetch = nil
 		return
 	}
@@ -62,7 +66,7 @@
 	m.wakeBy(transfer.lastChunkAt + 2*resendInterval)
 }
 
-// requestView asks somebody that has a later view for it.
+// requestView asks the sender of a packet with a later view for that view, unless a transfer is already running.
 func (m *Machine) requestView(from netip.AddrPort) {
 	v := &m.view
 	v.laterViewSeenAt = m.now
@@ -74,11 +78,12 @@
 	m.send(from, packet{Kind: viewRequest})
 }
 
-// handleViewPacket takes in what is about views: reports of observers, transfers, and ballots.
-func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, x *member) {
+// handleViewPacket handles the packets about views: observers' reports, transfers and ballots. peer is the sender, or
+// nil if it is not known.
+func (m *Machine) handleViewPacket(p *packet, from netip.AddrPort, peer *member) {
 	v := &m.view
 	isSameView := p.View == v.ViewID
-	isVoter := x != nil && v.indexOf(p.From) >= 0
+	isVoter := peer != nil && v.indexOf(p.From) >= 0
 	switch p.Kind {
 	case suspicionNotice:
 		if isSameView && isVoter {
@@ -93,7 +98,7 @@
 	case prepare, accept:
 		if !isSameView || !isVoter {
 			if v.ViewID.After(p.View) {
-				m.send(from, packet{Kind: ack}) // its view is older, as it sees by this
+				m.send(from, packet{Kind: ack}) // shows the sender that its view is older
 			}
 			return
 		}
@@ -112,7 +117,7 @@
 	}
 }
 
-// handleSuspicionNotice takes an observer's report in. It may come before the suspicion itself.
+// handleSuspicionNotice records an observer's report. The report may arrive before the suspicion itself.
 func (m *Machine) handleSuspicionNotice(p *packet) {
 	subject := m.members[p.Subject]
 	if subject == nil || subject.Incarnation != p.SubjectIncarnation || subject.Revision != p.SubjectRevision || subject.state > Unknown {
@@ -125,80 +130,83 @@
 	m.recordSuspicionReport(p.From, subject, age)
 }
 
-// handleCommit installs the next view where the commit leads there from this member's own, and asks for it where it does not.
+// handleCommit installs the next view if the commit applies to this member's view. If the commit applies to a later
+// view, this member requests that view.
 func (m *Machine) handleCommit(p *packet, from netip.AddrPort) {
 	switch {
 	case p.View == m.view.ViewID:
 		m.applyCommit(viewChange{p.View, p.Body, p.Number}, false)
-		m.send(from, packet{Kind: ack}) // it shows the number of the view
+		m.send(from, packet{Kind: ack}) // confirms the view by its number
 	case !m.view.ViewID.After(p.View):
 		m.requestView(from)
 	}
 }
 
-// sendView gives somebody that is behind the changes that lead here, or the members one part after the other.
+// sendView answers a request for a view. It sends up to 4 of the changes that follow the sender's view if they are
+// still in the history, and otherwise up to 8 chunks of the member list.
 func (m *Machine) sendView(p *packet, from netip.AddrPort) {
 	v := &m.view
 	if v.Number == 0 {
 		return
 	}
 	if p.Sequence == 0 {
-		if i := slices.IndexFunc(v.history, func(s viewChange) bool { return s.base == p.View }); i >= 0 {
-			for _, s := range v.history[i:min(i+4, len(v.history))] {
-				m.send(from, packet{Kind: commit, View: s.base, Body: s.body, Number: s.number})
+		if i := slices.IndexFunc(v.history, func(committed viewChange) bool { return committed.base == p.View }); i >= 0 {
+			for _, committed := range v.history[i:min(i+4, len(v.history))] {
+				m.send(from, packet{Kind: commit, View: committed.base, Body: committed.body, Number: committed.number})
 			}
 			return
 		}
 	}
-	for at, n := int(p.Sequence), 0; at < len(v.Members) && n < 8; n++ {
-		first, list, size := at, []Record(nil), 1
-		for ; at < len(v.Members); at++ {
-			r := v.Members[at]
-			if x := m.members[r.Name]; x != nil && x.Incarnation == r.Incarnation {
-				r = x.Record // the newest of it
+	for index, chunks := int(p.Sequence), 0; index < len(v.Members) && chunks < 8; chunks++ {
+		first, records, size := index, []Record(nil), 1
+		for ; index < len(v.Members); index++ {
+			r := v.Members[index]
+			if peer := m.members[r.Name]; peer != nil && peer.Incarnation == r.Incarnation {
+				r = peer.Record // may have a later revision
 			}
-			if k := len(encodeCBOR(r)); size+k > maxBodyBytes && len(list) > 0 {
+			if recordSize := len(encodeCBOR(r)); size+recordSize > maxBodyBytes && len(records) > 0 {
 				break
 			} else {
-				size += k
+				size += recordSize
 			}
-			list = append(list, r)
+			records = append(records, r)
 		}
-		m.send(from, packet{Kind: viewChunk, Sequence: uint32(first), Number: uint32(len(v.Members)), Body: encodeCBOR(list)})
+		m.send(from, packet{Kind: viewChunk, Sequence: uint32(first), Number: uint32(len(v.Members)), Body: encodeCBOR(records)})
 	}
 }
 
-// handleViewChunk takes a part of a view in.
+// handleViewChunk adds a chunk to the view being fetched. It requests further chunks, and installs the view once it is
+// complete and its digest is right.
 func (m *Machine) handleViewChunk(p *packet, from netip.AddrPort) {
 	v := &m.view
-	f := v.fetch
-	if f == nil || !p.View.After(v.ViewID) {
+	transfer := v.fetch
+	if transfer == nil || !p.View.After(v.ViewID) {
 		return
 	}
-	list, err := decodeRecords(p.Body)
-	if err != nil || len(list) == 0 || p.Number > 1<<16 {
+	records, err := decodeRecords(p.Body)
+	if err != nil || len(records) == 0 || p.Number > 1<<16 {
 		m.Counters.Malformed++
 		return
 	}
-	if f.id != p.View || f.total != p.Number {
-		f.id, f.total, f.received, f.outOfOrder = p.View, p.Number, nil, map[uint32][]Record{}
+	if transfer.id != p.View || transfer.total != p.Number {
+		transfer.id, transfer.total, transfer.received, transfer.outOfOrder = p.View, p.Number, nil, map[uint32][]Record{}
 	}
-	if len(f.outOfOrder) < 64 {
-		f.outOfOrder[p.Sequence] = list
+	if len(transfer.outOfOrder) < 64 {
+		transfer.outOfOrder[p.Sequence] = records
 	}
-	f.lastChunkAt, f.retries = m.now, 0
-	for next := f.outOfOrder[uint32(len(f.received))]; next != nil; next = f.outOfOrder[uint32(len(f.received))] {
-		delete(f.outOfOrder, uint32(len(f.received)))
-		f.received = append(f.received, next...)
+	transfer.lastChunkAt, transfer.retries = m.now, 0
+	for next := transfer.outOfOrder[uint32(len(transfer.received))]; next != nil; next = transfer.outOfOrder[uint32(len(transfer.received))] {
+		delete(transfer.outOfOrder, uint32(len(transfer.received)))
+		transfer.received = append(transfer.received, next...)
 	}
-	if len(f.received) < int(f.total) {
-		if len(f.outOfOrder) == 0 && len(f.received) >= f.requestMoreAt {
-			f.requestMoreAt = len(f.received) + 8 // some parts further on
-			m.send(from, packet{Kind: viewRequest, Sequence: uint32(len(f.received))})
+	if len(transfer.received) < int(transfer.total) {
+		if len(transfer.outOfOrder) == 0 && len(transfer.received) >= transfer.requestMoreAt {
+			transfer.requestMoreAt = len(transfer.received) + 8 // request more after 8 further records
+			m.send(from, packet{Kind: viewRequest, Sequence: uint32(len(transfer.received))})
 		}
 		return
 	}
-	next := &View{ViewID: f.id, Members: f.received}
+	next := &View{ViewID: transfer.id, Members: transfer.received}
 	v.fetch = nil
 	if digest(next.ViewID, next.Members) != next.Digest {
 		m.Counters.Malformed++
