--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -27,7 +27,7 @@
 	draining    atomic.Bool
 
 	listenerMutex sync.Mutex   // guards listener
-	listener      net.Listener // set while Serve runs
+	listener      net.Listener // set by Serve
 }
 
 // NewFront returns a front that does not serve a listener yet.
@@ -44,7 +44,8 @@
 // Counters returns the front's live counters.
 func (f *Front) Counters() *Counters { return &f.counters }
 
-// Ready reports whether the front accepts new messages: the result of Options.Ready, or false once a drain has started.
+// Ready reports whether the platform may send new connections. It returns the result of Options.Ready, or false once a
+// drain has started.
 func (f *Front) Ready() bool { return !f.draining.Load() && f.options.Ready() }
 
 // newRouter routes queries about messages to their handlers and all other requests to serveMessage. It matches the path
--- a/internal/network/simulated/link.go
+++ b/internal/network/simulated/link.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// direction identifies a link by the IP addresses of its hosts.
-type direction struct {
+// linkKey identifies a link by the IP addresses of its hosts.
+type linkKey struct {
 	from string
 	to   string
 }
--- a/internal/network/simulated/network.go
+++ b/internal/network/simulated/network.go
@@ -22,7 +22,7 @@
 	mutex  sync.Mutex // guards the fields below, and the state of all hosts, links, listeners and connections
 	random *rand.Rand
 	hosts  map[string]*host
-	links  map[direction]*link
+	links  map[linkKey]*link
 	// connectionCount is the number of ends of connections created so far.
 	connectionCount uint64
 }
@@ -32,7 +32,7 @@
 	return &Network{
 		random: rand.New(rand.NewPCG(seed, seed)),
 		hosts:  map[string]*host{},
-		links:  map[direction]*link{},
+		links:  map[linkKey]*link{},
 	}
 }
 
@@ -165,7 +165,7 @@
 
 // link returns the link from one host to another, and creates it on first use. The caller holds the mutex.
 func (n *Network) link(from, to string) *link {
-	key := direction{from: from, to: to}
+	key := linkKey{from: from, to: to}
 	found := n.links[key]
 	if found == nil {
 		found = &link{network: n, from: n.host(from), to: n.host(to), delay: defaultDelay}
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// fail closes the connection and fails its outstanding calls. Only the first call has an effect.
+// fail closes the connection and fails its outstanding calls. It does nothing if the connection has already failed.
 func (c *clientConnection) fail(reason error) {
 	c.mutex.Lock()
 	if c.failure != nil {
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// dialTimeout limits a dial with all its hedges.
+	// dialTimeout limits a dial with all its parallel attempts.
 	dialTimeout = 500 * time.Millisecond
 	// dialHedgeDelay is the time without a result after which the address is dialed once more in parallel. A machine
 	// that is starting never sees a SYN packet that was sent to it earlier, and the operating system retransmits the
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -155,8 +155,7 @@
 	}
 }
 
-// temporaryErrors are the errors of Accept that a later retry may not meet again, such as a lack of descriptors or
-// memory.
+// temporaryErrors are the errors of Accept, such as a lack of descriptors or memory, after which it may succeed later.
 var temporaryErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
 
 // isTemporary reports whether Accept may succeed later, after it has failed with err.
--- a/internal/rpc/serverconnection.go
+++ b/internal/rpc/serverconnection.go
@@ -119,7 +119,8 @@
 	return outgoingResponse{ID: id, Error: reported}
 }
 
-// close closes the connection and cancels the contexts of its calls. Only the first call has an effect.
+// close closes the connection and cancels the contexts of its calls. It does nothing if the connection is already
+// closed.
 func (c *serverConnection) close() {
 	c.closeOnce.Do(func() {
 		c.cancel()
--- a/internal/rpc/workers.go
+++ b/internal/rpc/workers.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// work is the goroutine of a worker. It executes calls until maxIdleWorkers others are idle, or until the server is
-// closed.
+// work is the goroutine of a worker. It executes calls until maxIdleWorkers other workers are idle, or until the server
+// is closed.
 func (s *Server) work(current receivedCall) {
 	for {
 		current.connection.respond(current)
--- a/internal/vfs/memfs/disk.go
+++ b/internal/vfs/memfs/disk.go
@@ -34,24 +34,24 @@
 //
 // Its methods are safe for concurrent use. They block only on operations that are durably blocking in testing/synctest.
 type Disk struct {
-	mutex      sync.Mutex
-	random     *rand.Rand
-	generation int               // increases with each PowerLoss, Crash and Wipe; older files and mounts fail
-	names      map[string]*inode // names that programs see
-	durable    map[string]*inode // names without the changes that are not durable
-	changes    []nameChange      // changes of names that are not durable, in order
-	full       bool
-	stalled    chan struct{} // closed when the stall or the generation ends; nil while the disk is not stalled
-	syncDelay  time.Duration
-	syncs      int // number of completed syncs of files
+	mutex          sync.Mutex
+	random         *rand.Rand
+	generation     int               // increases with each PowerLoss, Crash and Wipe; older files and mounts fail
+	names          map[string]*inode // names that programs see
+	durableNames   map[string]*inode // names without the changes that are not durable
+	pendingChanges []nameChange      // changes of names that are not durable, in order
+	full           bool
+	stalled        chan struct{} // closed when the stall or the generation ends; nil while the disk is not stalled
+	syncDelay      time.Duration
+	syncs          int // number of completed syncs of files
 }
 
 // New returns an empty simulated disk. The seed determines what its power losses destroy.
 func New(seed uint64) *Disk {
 	return &Disk{
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		names:   make(map[string]*inode),
-		durable: make(map[string]*inode),
+		random:       rand.New(rand.NewPCG(seed, seed)),
+		names:        make(map[string]*inode),
+		durableNames: make(map[string]*inode),
 	}
 }
 
@@ -61,15 +61,15 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.endGeneration()
-	for _, change := range d.changes {
+	for _, change := range d.pendingChanges {
 		if d.random.IntN(2) == 0 {
-			change.apply(d.durable)
+			change.apply(d.durableNames)
 		}
 	}
-	d.changes = nil
+	d.pendingChanges = nil
 	clear(d.names)
-	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // sorted, so that the random draws are reproducible
-		survivor := d.durable[name]
+	for _, name := range slices.Sorted(maps.Keys(d.durableNames)) { // sorted, so that the random draws are reproducible
+		survivor := d.durableNames[name]
 		survivor.losePower(d.random)
 		d.names[name] = survivor
 	}
@@ -89,8 +89,8 @@
 	defer d.mutex.Unlock()
 	d.endGeneration()
 	clear(d.names)
-	clear(d.durable)
-	d.changes = nil
+	clear(d.durableNames)
+	d.pendingChanges = nil
 }
 
 // endGeneration invalidates all open files and mounts, and wakes the operations that wait for a stalled disk. The
--- a/internal/vfs/memfs/mount.go
+++ b/internal/vfs/memfs/mount.go
@@ -53,7 +53,7 @@
 	}
 	created := &inode{}
 	disk.names[name] = created
-	disk.changes = append(disk.changes, nameChange{kind: nameCreated, inode: created, name: name})
+	disk.pendingChanges = append(disk.pendingChanges, nameChange{kind: nameCreated, inode: created, name: name})
 	return &file{mount: m, inode: created}, nil
 }
 
@@ -98,7 +98,7 @@
 // change applies a change of a name, which is not durable until SyncDir.
 func (m *mount) change(change nameChange) {
 	change.apply(m.disk.names)
-	m.disk.changes = append(m.disk.changes, change)
+	m.disk.pendingChanges = append(m.disk.pendingChanges, change)
 }
 
 func (m *mount) List() ([]string, error) {
@@ -118,10 +118,10 @@
 		return err
 	}
 	defer m.unlock()
-	for _, change := range m.disk.changes {
-		change.apply(m.disk.durable)
+	for _, change := range m.disk.pendingChanges {
+		change.apply(m.disk.durableNames)
 	}
-	m.disk.changes = nil
+	m.disk.pendingChanges = nil
 	return nil
 }
 
--- a/internal/vfs/memfs/names.go
+++ b/internal/vfs/memfs/names.go
@@ -36,13 +36,13 @@
 
 // persistCreation makes the name durable under which the synced file was created. The caller holds the mutex.
 func (d *Disk) persistCreation(synced *inode) {
-	remaining := d.changes[:0]
-	for _, change := range d.changes {
+	remaining := d.pendingChanges[:0]
+	for _, change := range d.pendingChanges {
 		if change.kind == nameCreated && change.inode == synced {
-			change.apply(d.durable)
+			change.apply(d.durableNames)
 			continue
 		}
 		remaining = append(remaining, change)
 	}
-	d.changes = remaining
+	d.pendingChanges = remaining
 }
