--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -13,7 +13,7 @@
 //  3. serveMessage responds with 202 and the message's ID once the message is stored, with 503 if the message is
 //     definitely not stored, with 502 if the outcome is unknown, and with a 4xx status if the request is invalid.
 //
-// Operator calls and readiness checks have separate listeners, with the handlers of NewControlHandler and
+// Operator calls and readiness checks have separate listeners, with the handlers of NewOperatorHandler and
 // NewReadyHandler. All paths, statuses, headers and texts are a contract with clients; the files under testdata contain
 // each response.
 //
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -227,7 +227,7 @@
 	for _, test := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			fmt.Fprintf(&report, "## %s\n", test.name)
-			serveGoldenHandler(t, &report, test.request, NewControlHandler(Options{Control: test.control}))
+			serveGoldenHandler(t, &report, test.request, NewOperatorHandler(Options{Control: test.control}))
 			for i, call := range test.control.calls {
 				fmt.Fprintf(&report, "call %q %q base %q body %q\n", call.Method, call.Path, call.BaseVersion, test.control.bodies[i])
 			}
--- a/internal/ingress/helpers_test.go
+++ b/internal/ingress/helpers_test.go
@@ -31,8 +31,8 @@
 	maxBody      = 1000
 	maxHeader    = 600
 
-	// closeDelay exceeds the time that an http.Server keeps a connection open after it has responded to a request that it
-	// has not read completely.
+	// closeDelay exceeds the time that an http.Server keeps a connection open after it has responded to a request that
+	// it has not read completely.
 	closeDelay = time.Second
 )
 
--- a/internal/ingress/operator.go
+++ b/internal/ingress/operator.go
@@ -27,8 +27,8 @@
 	control ControlPlane
 }
 
-// NewControlHandler returns the handler of the operator's listener.
-func NewControlHandler(options Options) http.Handler {
+// NewOperatorHandler returns the handler of the operator's listener.
+func NewOperatorHandler(options Options) http.Handler {
 	handler := &operatorHandler{control: options.Control}
 	router := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	router.Path("/api/config/replace").Methods(http.MethodPost).HandlerFunc(handler.forward)
--- a/internal/ingress/operator_test.go
+++ b/internal/ingress/operator_test.go
@@ -43,7 +43,7 @@
 		control := &fakeControl{answer: cluster.OperatorResponse{Status: http.StatusConflict}, body: []byte(`{}`)}
 		request := httptest.NewRequest(test.method, test.path, strings.NewReader(test.body))
 		request.Header.Set(headerBaseVersion, "5")
-		recorder := serve(NewControlHandler(Options{Control: control}), request)
+		recorder := serve(NewOperatorHandler(Options{Control: control}), request)
 
 		assert.Equal(t, recorder.Code, http.StatusConflict)
 		assert.Equal(t, recorder.Header().Get(headerContentType), contentTypeJSON)
@@ -63,7 +63,7 @@
 	}
 	for _, test := range cases {
 		control := &fakeControl{}
-		recorder := serve(NewControlHandler(Options{Control: control}), httptest.NewRequest(test.method, test.path, nil))
+		recorder := serve(NewOperatorHandler(Options{Control: control}), httptest.NewRequest(test.method, test.path, nil))
 		assert.Equal(t, recorder.Code, http.StatusNotFound)
 		assert.Equal(t, len(control.calls), 0)
 	}
@@ -72,14 +72,14 @@
 func TestUnreachableControlPlaneIsUnavailable(t *testing.T) {
 	for _, control := range []*fakeControl{{err: errors.New("no primary")}, {}} {
 		request := httptest.NewRequest(http.MethodGet, "/api/config/read", nil)
-		recorder := serve(NewControlHandler(Options{Control: control}), request)
+		recorder := serve(NewOperatorHandler(Options{Control: control}), request)
 		assert.Equal(t, recorder.Code, http.StatusServiceUnavailable)
 	}
 }
 
 func TestOversizedOperatorBodyIsRejected(t *testing.T) {
 	control := &fakeControl{answer: cluster.OperatorResponse{Status: http.StatusOK}}
-	handler := NewControlHandler(Options{Control: control})
+	handler := NewOperatorHandler(Options{Control: control})
 	largest := make([]byte, maxOperatorBodyBytes)
 	for _, length := range []int64{int64(len(largest)), -1} {
 		request := httptest.NewRequest(http.MethodPost, "/api/config/replace", bytes.NewReader(largest))
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -38,7 +38,7 @@
 	defaultMaxBufferedBytes    = 64 << 20
 )
 
-// Options configures the handlers of this package. NewFront requires Messages and Configuration, NewControlHandler
+// Options configures the handlers of this package. NewFront requires Messages and Configuration, NewOperatorHandler
 // requires Control, and NewReadyHandler requires Ready.
 type Options struct {
 	Messages MessageStore
--- a/internal/systemnode/frontlisteners.go
+++ b/internal/systemnode/frontlisteners.go
@@ -25,7 +25,7 @@
 	if err := f.serveHTTP(ctx, addresses.Ready, ingress.NewReadyHandler(options)); err != nil {
 		return err
 	}
-	control := f.withInspection(f.metrics, ingress.NewControlHandler(options))
+	control := f.withInspection(f.metrics, ingress.NewOperatorHandler(options))
 	return f.serveHTTP(ctx, addresses.Control, control)
 }
 
