--- a/cmd/gladepick-system/process.go
+++ b/cmd/gladepick-system/process.go
@@ -27,11 +27,11 @@
 }
 
 // options returns what the flags say, once they have been parsed.
-func (f processFlags) options(hangups <-chan os.Signal) systemnode.ProcessOptions {
+func (f processFlags) options(reloadSignals <-chan os.Signal) systemnode.ProcessOptions {
 	return systemnode.ProcessOptions{
-		SettingsPath: *f.settings,
-		LogLevel:     logLevel(*f.verbose, zap.InfoLevel),
-		Hangups:      hangups,
+		SettingsPath:  *f.settings,
+		LogLevel:      logLevel(*f.verbose, zap.InfoLevel),
+		ReloadSignals: reloadSignals,
 	}
 }
 
@@ -45,17 +45,17 @@
 
 // registerProcesses adds the commands that run a process and returns their names.
 func registerProcesses(
-	application *kingpin.Application, commands operatorcli.Commands, hangups <-chan os.Signal,
+	application *kingpin.Application, commands operatorcli.Commands, reloadSignals <-chan os.Signal,
 ) map[string]bool {
 	front := application.Command("front", "Run a front: clients' side and, with a disk, a control member.")
 	frontFlags := addProcessFlags(front)
 	commands[front.FullCommand()] = func(ctx context.Context) error {
-		return systemnode.RunFront(ctx, frontFlags.options(hangups))
+		return systemnode.RunFront(ctx, frontFlags.options(reloadSignals))
 	}
 	store := application.Command("store", "Run a store: keeps messages and delivers them.")
 	storeFlags := addProcessFlags(store)
 	commands[store.FullCommand()] = func(ctx context.Context) error {
-		return systemnode.RunStore(ctx, storeFlags.options(hangups))
+		return systemnode.RunStore(ctx, storeFlags.options(reloadSignals))
 	}
 	return map[string]bool{front.FullCommand(): true, store.FullCommand(): true}
 }
--- a/internal/systemnode/golden_test.go
+++ b/internal/systemnode/golden_test.go
@@ -42,9 +42,9 @@
 		file, err := ReadSettings(path)
 		assert.NilError(t, err)
 		target := &fakeTarget{}
-		hangups := make(chan os.Signal)
+		reloadSignals := make(chan os.Signal)
 		watch := newSettingsWatch(file, target, newTestLogger(&out))
-		go watch.run(t.Context(), hangups)
+		go watch.run(t.Context(), reloadSignals)
 		for _, step := range steps {
 			out.WriteString("# " + step.name + "\n")
 			target.refusal = step.refusal
@@ -53,7 +53,7 @@
 			} else {
 				assert.NilError(t, os.WriteFile(path, []byte(step.text), 0o600))
 			}
-			hangups <- syscall.SIGHUP
+			reloadSignals <- syscall.SIGHUP
 			synctest.Wait()
 		}
 		golden.Assert(t, strings.ReplaceAll(out.String(), path, "FILE"), "settingslog.golden")
--- a/internal/systemnode/node.go
+++ b/internal/systemnode/node.go
@@ -31,8 +31,8 @@
 	Seed     uint64 // of the random numbers; the processes of one system should have different seeds
 	// SettingsFile is watched for changes. If it is nil, no file is watched.
 	SettingsFile *SettingsFile
-	// Hangups delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
-	Hangups <-chan os.Signal
+	// ReloadSignals delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
+	ReloadSignals <-chan os.Signal
 }
 
 // node is the common part of Front and Store: the identity, the internal server, the connections to other processes,
@@ -142,7 +142,7 @@
 		return
 	}
 	watch := newSettingsWatch(n.options.SettingsFile, target, n.logger)
-	n.running.Go(func() { watch.run(ctx, n.options.Hangups) })
+	n.running.Go(func() { watch.run(ctx, n.options.ReloadSignals) })
 }
 
 // SetSeeds replaces the control addresses at which the agent looks for the control group. If one of them is not an
--- a/internal/systemnode/process.go
+++ b/internal/systemnode/process.go
@@ -15,8 +15,8 @@
 type ProcessOptions struct {
 	SettingsPath string
 	LogLevel     zapcore.Level
-	// Hangups delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
-	Hangups <-chan os.Signal
+	// ReloadSignals delivers SIGHUP, which makes the process read its settings file at once. It may be nil.
+	ReloadSignals <-chan os.Signal
 }
 
 // process is a Front or a Store.
@@ -50,12 +50,12 @@
 	}
 	defer func() { _ = logger.Sync() }() // standard error can't always be synced
 	options := Options{
-		Settings:     file.Settings,
-		SettingsFile: file,
-		Hangups:      processOptions.Hangups,
-		Network:      network.TCP{},
-		Logger:       logger,
-		Seed:         uint64(time.Now().UnixNano()),
+		Settings:      file.Settings,
+		SettingsFile:  file,
+		ReloadSignals: processOptions.ReloadSignals,
+		Network:       network.TCP{},
+		Logger:        logger,
+		Seed:          uint64(time.Now().UnixNano()),
 	}
 	reserveDiskThreads(file.Settings.DataDir != "")
 	if file.Settings.DataDir != "" {
--- a/internal/systemnode/settingswatch.go
+++ b/internal/systemnode/settingswatch.go
@@ -35,14 +35,14 @@
 
 // run checks the file until the context ends. The first check always reads the file, because it may have changed
 // between the start of the process and the check.
-func (w *settingsWatch) run(ctx context.Context, hangups <-chan os.Signal) {
+func (w *settingsWatch) run(ctx context.Context, reloadSignals <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-reloadSignals:
 			w.check(true)
 		case <-ticker.C:
 			w.check(false)
--- a/internal/systemnode/settingswatch_test.go
+++ b/internal/systemnode/settingswatch_test.go
@@ -53,7 +53,7 @@
 	path   string
 	target *fakeTarget
 	logs   *observer.ObservedLogs
-	hangup chan os.Signal
+	reload chan os.Signal
 }
 
 // watchSample writes sampleSettings to a file and starts a settingsWatch on it.
@@ -64,7 +64,7 @@
 		path:   filepath.Join(t.TempDir(), "node.toml"),
 		target: &fakeTarget{},
 		logs:   logs,
-		hangup: make(chan os.Signal, 1),
+		reload: make(chan os.Signal, 1),
 	}
 	w.write(t, sampleSettings)
 	file, err := ReadSettings(w.path)
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	watch := newSettingsWatch(file, w.target, zap.New(core))
-	go watch.run(ctx, w.hangup)
+	go watch.run(ctx, w.reload)
 	return w
 }
 
@@ -94,7 +94,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		w.awaitCheck()
-		w.hangup <- syscall.SIGHUP
+		w.reload <- syscall.SIGHUP
 		w.awaitCheck()
 		assert.Equal(t, len(w.target.seeds)+len(w.target.platforms), 0)
 		assert.Equal(t, w.logs.Len(), 0)
@@ -125,7 +125,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := watchSample(t)
 		w.write(t, strings.ReplaceAll(sampleSettings, "10.0.0.9:80", "10.0.0.8:80"))
-		w.hangup <- syscall.SIGHUP
+		w.reload <- syscall.SIGHUP
 		synctest.Wait()
 		assert.DeepEqual(t, w.target.platforms, []string{"10.0.0.8:80"})
 	})
