--- a/cmd/gladepick-system/demo.go
+++ b/cmd/gladepick-system/demo.go
@@ -43,13 +43,13 @@
 		defer stop()
 		level := logLevel(*verbose, zap.WarnLevel)
 		options := demo.Options{
-			Fronts:    *fronts,
-			Stores:    *stores,
-			Tolerated: demoTolerated,
-			Port:      *port,
-			Folder:    folder,
-			Network:   func(string) network.Network { return network.TCP{} },
-			Logger:    func(process string) (*zap.Logger, error) { return systemnode.NewLogger(process, level) },
+			Fronts:          *fronts,
+			Stores:          *stores,
+			ToleratedLosses: demoTolerated,
+			FirstPort:       *port,
+			Directory:       folder,
+			Network:         func(string) network.Network { return network.TCP{} },
+			Logger:          func(process string) (*zap.Logger, error) { return systemnode.NewLogger(process, level) },
 		}
 		return demo.Run(ctx, options, func(addresses demo.Addresses) {
 			fmt.Fprint(out, demoText(options, addresses))
@@ -62,7 +62,7 @@
 	client, control := addresses.Clients[0], addresses.Control[0]
 	lines := []string{
 		fmt.Sprintf("The system runs: %d fronts, %d stores, tolerated losses %d. Its files are in %s.",
-			options.Fronts, options.Stores, options.Tolerated, options.Folder),
+			options.Fronts, options.Stores, options.ToleratedLosses, options.Directory),
 		"",
 		"Send a message:",
 		fmt.Sprintf("  curl -i -H 'Host: %s' -H 'X-Request-Id: first' -d hello http://%s%s",
--- a/internal/operatorcli/golden_test.go
+++ b/internal/operatorcli/golden_test.go
@@ -110,15 +110,15 @@
 func TestCommandOutputIsUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
 	t.Setenv(AddressVariable, "")
-	folder := t.TempDir()
+	directory := t.TempDir()
 	for name, text := range goldenFiles() {
-		assert.NilError(t, os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600))
+		assert.NilError(t, os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600))
 	}
 	front := newFakeFront(t, goldenAnswers())
 	var transcript bytes.Buffer
 	for _, line := range goldenCommands {
 		front.received = nil
-		expanded := strings.NewReplacer("FRONT", front.address, "FILES", folder).Replace(line)
+		expanded := strings.NewReplacer("FRONT", front.address, "FILES", directory).Replace(line)
 		output, err := runLine(t, strings.Fields(expanded))
 		fmt.Fprintf(&transcript, "$ %s\n%s", line, output)
 		if err != nil {
@@ -131,7 +131,7 @@
 		}
 		transcript.WriteString("\n")
 	}
-	text := strings.NewReplacer(front.address, "FRONT", folder, "FILES").Replace(transcript.String())
+	text := strings.NewReplacer(front.address, "FRONT", directory, "FILES").Replace(transcript.String())
 	golden.Assert(t, text, "commands.golden")
 }
 
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -46,11 +46,11 @@
 
 // Options configure the size of the demonstration and the resources that it uses.
 type Options struct {
-	Fronts    int
-	Stores    int
-	Tolerated int // number of machine losses that the system tolerates
-	Port      int // first port; the same consecutive ports are used on each address
-	Folder    string
+	Fronts          int
+	Stores          int
+	ToleratedLosses int // number of machine losses that the system tolerates
+	FirstPort       int // first port; the same consecutive ports are used on each address
+	Directory       string
 	// Network returns the network of the machine with the given IP address.
 	Network func(ip string) network.Network
 	// Logger returns the logger of the front or store with the given name.
@@ -127,12 +127,12 @@
 
 // newProcess writes the settings file of a machine and returns its front or store, which is not started.
 func (s *system) newProcess(machine machine) (process, error) {
-	folder := filepath.Join(s.options.Folder, machine.name)
-	if err := os.MkdirAll(folder, directoryMode); err != nil {
+	directory := filepath.Join(s.options.Directory, machine.name)
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	path := filepath.Join(folder, settingsName)
-	data := filepath.Join(folder, dataName)
+	path := filepath.Join(directory, settingsName)
+	data := filepath.Join(directory, dataName)
 	if err := os.WriteFile(path, s.settingsText(machine, data), fileMode); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -178,7 +178,7 @@
 	if _, err := operator.Do(ctx, replace); err != nil {
 		return trace.Wrap(err, "applying the initial configuration")
 	}
-	probe := operatorcli.NewClient([]string{s.machines[0].readyAddress(s.options.Port)}, transport)
+	probe := operatorcli.NewClient([]string{s.machines[0].readyAddress(s.options.FirstPort)}, transport)
 	_, err = probe.Do(ctx, operatorcli.Request{Method: http.MethodGet, Path: pathReady})
 	return trace.Wrap(err, "waiting until a front is ready")
 }
@@ -187,8 +187,8 @@
 	var addresses Addresses
 	for _, machine := range s.machines {
 		if machine.class == classFront {
-			addresses.Clients = append(addresses.Clients, machine.clientAddress(s.options.Port))
-			addresses.Control = append(addresses.Control, machine.controlAddress(s.options.Port))
+			addresses.Clients = append(addresses.Clients, machine.clientAddress(s.options.FirstPort))
+			addresses.Control = append(addresses.Control, machine.controlAddress(s.options.FirstPort))
 		}
 	}
 	return addresses
--- a/internal/systemnode/demo/demo_test.go
+++ b/internal/systemnode/demo/demo_test.go
@@ -64,8 +64,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		simulatedNetwork := simulated.New(1)
 		options := Options{
-			Fronts: 3, Stores: 3, Tolerated: 1, Port: testPort, Folder: t.TempDir(), Network: simulatedNetwork.Host,
-			Logger: func(string) (*zap.Logger, error) { return zap.NewNop(), nil },
+			Fronts: 3, Stores: 3, ToleratedLosses: 1, FirstPort: testPort, Directory: t.TempDir(),
+			Network: simulatedNetwork.Host,
+			Logger:  func(string) (*zap.Logger, error) { return zap.NewNop(), nil },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ready := make(chan Addresses, 1)
--- a/internal/systemnode/demo/machine.go
+++ b/internal/systemnode/demo/machine.go
@@ -60,15 +60,16 @@
 	return machines
 }
 
+// address returns the address of a port of the machine.
 func (m machine) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
-func (m machine) clientAddress(port int) string  { return m.address(port + portClient) }
-func (m machine) readyAddress(port int) string   { return m.address(port + portReady) }
-func (m machine) controlAddress(port int) string { return m.address(port + portControl) }
+func (m machine) clientAddress(firstPort int) string  { return m.address(firstPort + portClient) }
+func (m machine) readyAddress(firstPort int) string   { return m.address(firstPort + portReady) }
+func (m machine) controlAddress(firstPort int) string { return m.address(firstPort + portControl) }
 
 // settingsText returns the TOML text of a machine's settings file. data is the path of its data directory.
 func (s *system) settingsText(machine machine, data string) []byte {
-	port := s.options.Port
+	firstPort := s.options.FirstPort
 	var text strings.Builder
 	line := func(format string, arguments ...any) { fmt.Fprintf(&text, format+"\n", arguments...) }
 	line("node = %q", machine.name)
@@ -76,7 +77,7 @@
 	line("class = %q", machine.class)
 	line("ip = %q", machine.ip)
 	line("zone = %q", machine.zone)
-	line("internal-ports = [%d, %d]", port+portInternal, port+portInternal)
+	line("internal-ports = [%d, %d]", firstPort+portInternal, firstPort+portInternal)
 	line("seeds = [%s]", quoteAll(s.addresses().Control))
 	line("bootstrap = true")
 	line("data-dir = %q", data)
@@ -84,13 +85,13 @@
 		line("serves = [%q, %q]", "front", "control")
 		line("counts-for-quorum = true")
 		line("\n[listen-addrs]")
-		line("front = %q", machine.clientAddress(port))
-		line("ready = %q", machine.readyAddress(port))
-		line("control = %q", machine.controlAddress(port))
+		line("front = %q", machine.clientAddress(firstPort))
+		line("ready = %q", machine.readyAddress(firstPort))
+		line("control = %q", machine.controlAddress(firstPort))
 	} else {
 		line("serves = [%q]", "store")
 	}
-	line("\n[fault-tolerance]\nmachines = %d", s.options.Tolerated)
+	line("\n[fault-tolerance]\nmachines = %d", s.options.ToleratedLosses)
 	line("\n[cloud]\naddress = %q", s.platformAddress())
 	return []byte(text.String())
 }
--- a/internal/systemnode/demo/server.go
+++ b/internal/systemnode/demo/server.go
@@ -40,5 +40,5 @@
 
 // hostAddress returns the address of a simulated worker or of the platform. offset is that of its port.
 func (s *system) hostAddress(offset int) string {
-	return net.JoinHostPort(hostIP, strconv.Itoa(s.options.Port+offset))
+	return net.JoinHostPort(hostIP, strconv.Itoa(s.options.FirstPort+offset))
 }
