--- a/internal/operatorcli/status.go
+++ b/internal/operatorcli/status.go
@@ -30,7 +30,7 @@
 	t.row("answered by", fmt.Sprintf("%s (%s)", status.Process, status.Zone))
 	t.row("state", freshness)
 	t.row("control primary", orDash(status.Primary))
-	t.row("control members", strconv.Itoa(status.Control))
+	t.row("control members", strconv.Itoa(status.ControlMembers))
 	t.row("configuration", strconv.FormatUint(status.ConfigVersion, 10))
 	t.row("table", strconv.FormatUint(status.TableRevision, 10))
 	t.row("copies", strconv.Itoa(status.Copies))
--- a/internal/operatorcli/status_test.go
+++ b/internal/operatorcli/status_test.go
@@ -13,7 +13,7 @@
 func TestStatusPrintsTableAndJSON(t *testing.T) {
 	status := inspection.Status{
 		Process: "front-1", Zone: "a", LeaseValid: true, Primary: "front-2", ConfigVersion: 3, TableRevision: 8, Copies: 2,
-		Control: 3, Stores: map[string]int{"down": 1, "active": 4}, Workers: 12, WorkersAgeMS: 1250,
+		ControlMembers: 3, Stores: map[string]int{"down": 1, "active": 4}, Workers: 12, WorkersAgeMS: 1250,
 		Partitions: inspection.Coverage{Total: 64, Complete: 60, Degraded: 3, Leaderless: 1},
 	}
 	front := newFakeFront(t, map[string]answer{"GET /api/status": {http.StatusOK, encode(t, status)}})
--- a/internal/systemnode/inspection/status.go
+++ b/internal/systemnode/inspection/status.go
@@ -9,19 +9,19 @@
 // Status summarizes the snapshots of the answering process. While LeaseValid is true, the snapshots are no older than a
 // lease.
 type Status struct {
-	Process       string         `json:"process"` // name of the answering process
-	Class         string         `json:"class"`
-	Zone          string         `json:"zone"`
-	LeaseValid    bool           `json:"leaseValid"` // the process holds a valid lease
-	Primary       string         `json:"primary"`    // name of the control group's primary; empty if unknown
-	ConfigVersion uint64         `json:"configVersion"`
-	TableRevision uint64         `json:"tableRevision"`
-	Copies        int            `json:"copies"`  // number of disks on which a message is synced before it is acknowledged
-	Control       int            `json:"control"` // number of control members
-	Stores        map[string]int `json:"stores"`  // number of stores by state
-	Partitions    Coverage       `json:"partitions"`
-	Workers       int            `json:"workers"`
-	WorkersAgeMS  int64          `json:"workersAgeMs"` // time since the worker list was read; -1 if it never was
+	Process        string         `json:"process"` // name of the answering process
+	Class          string         `json:"class"`
+	Zone           string         `json:"zone"`
+	LeaseValid     bool           `json:"leaseValid"` // the process holds a valid lease
+	Primary        string         `json:"primary"`    // name of the control group's primary; empty if unknown
+	ConfigVersion  uint64         `json:"configVersion"`
+	TableRevision  uint64         `json:"tableRevision"`
+	Copies         int            `json:"copies"`  // number of disks on which a message is synced before it is acknowledged
+	ControlMembers int            `json:"control"` // number of control members
+	Stores         map[string]int `json:"stores"`  // number of stores by state
+	Partitions     Coverage       `json:"partitions"`
+	Workers        int            `json:"workers"`
+	WorkersAgeMS   int64          `json:"workersAgeMs"` // time since the worker list was read; -1 if it never was
 }
 
 // Coverage counts partitions by the availability of their replicas. A replica is available if its store is not down.
@@ -61,7 +61,7 @@
 	s.TableRevision = table.Revision
 	s.Primary = table.Primary
 	s.Copies = table.ReplicationFactor
-	s.Control = len(table.ControlGroup)
+	s.ControlMembers = len(table.ControlGroup)
 	for _, store := range table.Stores {
 		s.Stores[string(store.State)]++
 	}
--- a/internal/systemnode/inspection/views_test.go
+++ b/internal/systemnode/inspection/views_test.go
@@ -74,18 +74,18 @@
 		}
 		time.Sleep(250 * time.Millisecond)
 		assert.DeepEqual(t, NewStatus(self, snapshots), Status{
-			Process:       "front-1",
-			Class:         "front",
-			Zone:          "a",
-			LeaseValid:    true,
-			Primary:       "front-2",
-			TableRevision: 9,
-			Copies:        2,
-			Control:       2,
-			Stores:        map[string]int{"active": 2, "down": 1},
-			Partitions:    Coverage{Total: 5, Complete: 1, Degraded: 2, Leaderless: 2},
-			Workers:       3,
-			WorkersAgeMS:  250,
+			Process:        "front-1",
+			Class:          "front",
+			Zone:           "a",
+			LeaseValid:     true,
+			Primary:        "front-2",
+			TableRevision:  9,
+			Copies:         2,
+			ControlMembers: 2,
+			Stores:         map[string]int{"active": 2, "down": 1},
+			Partitions:     Coverage{Total: 5, Complete: 1, Degraded: 2, Leaderless: 2},
+			Workers:        3,
+			WorkersAgeMS:   250,
 		})
 	})
 }
