--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -54,8 +54,8 @@
 	logger       *zap.Logger
 	recorder     *recorder
 	seeds        []string
-	processes    sync.WaitGroup
-	helpers      sync.WaitGroup
+	processes    sync.WaitGroup // goroutines of the machines' processes
+	background   sync.WaitGroup // goroutines of the observer, the load balancer and the platform
 	stop         context.CancelFunc
 	ctx          context.Context
 	closing      atomic.Bool
@@ -181,7 +181,7 @@
 		Info: func() cluster.NodeInfo { return info }, Pool: pool, Seeds: c.seeds, InternalPort: internalPort, Register: true,
 	})
 	assert.NilError(c.t, err)
-	c.helpers.Go(func() {
+	c.background.Go(func() {
 		agent.Run(c.ctx)
 		pool.Close()
 	})
--- a/internal/simcluster/combinedfaults_test.go
+++ b/internal/simcluster/combinedfaults_test.go
@@ -7,7 +7,7 @@
 )
 
 // The scenarios of this file combine several faults, or faults with operations, as operators met them in the worst
-// incidents. docs/replication.md names the mechanism that protects against each.
+// incidents. docs/replication.md names the mechanism that protects against each of the first five.
 
 const (
 	isolationDuration     = 20 * time.Second
--- a/internal/simcluster/faults.go
+++ b/internal/simcluster/faults.go
@@ -164,6 +164,6 @@
 	c.Platform.close()
 	c.closeWorkers()
 	c.processes.Wait()
-	c.helpers.Wait()
+	c.background.Wait()
 	time.Sleep(2 * endedProcessDialTimeout) // pending dials must fail before the bubble's clock stops
 }
--- a/internal/simcluster/loadbalancer.go
+++ b/internal/simcluster/loadbalancer.go
@@ -31,7 +31,7 @@
 	for _, front := range c.machinesOf(classFront) {
 		b.failedChecks[front] = maxFailedChecks
 	}
-	c.helpers.Go(b.run)
+	c.background.Go(b.run)
 	return b
 }
 
--- a/internal/simcluster/machine.go
+++ b/internal/simcluster/machine.go
@@ -55,7 +55,7 @@
 	disk      *memfs.Disk // nil if the machine has no disk
 	bootstrap bool        // whether its next start bootstraps the system
 
-	removed atomic.Bool // set by Remove; the machine never starts again
+	removed atomic.Bool // set by Remove; the machine must not be started again
 	mutex   sync.Mutex
 	current *process
 }
--- a/internal/simcluster/platform.go
+++ b/internal/simcluster/platform.go
@@ -79,7 +79,7 @@
 // updateAfterLag applies the new entry of a worker to the list after platformLag. An entry with an empty state removes
 // the worker from the list.
 func (p *Platform) updateAfterLag(entry instance) {
-	p.cluster.helpers.Go(func() {
+	p.cluster.background.Go(func() {
 		select {
 		case <-p.cluster.ctx.Done():
 		case <-time.After(platformLag):
--- a/internal/simcluster/randomfaults_test.go
+++ b/internal/simcluster/randomfaults_test.go
@@ -25,8 +25,8 @@
 	{name: "power loss", begin: func(_ *Cluster, m *Machine) { m.LosePower() }, end: startMachine},
 	{name: "disk lost", begin: func(_ *Cluster, m *Machine) { m.LoseDisk() }, end: startMachine, disk: true},
 	{name: "SIGTERM", begin: func(_ *Cluster, m *Machine) { m.Terminate() }, end: startMachine},
-	{name: "cut off", begin: (*Cluster).Isolate, end: (*Cluster).Reconnect},
-	{name: "not heard", begin: (*Cluster).BlockOutgoing, end: (*Cluster).Reconnect},
+	{name: "isolated from the others", begin: (*Cluster).Isolate, end: (*Cluster).Reconnect},
+	{name: "outgoing traffic blocked", begin: (*Cluster).BlockOutgoing, end: (*Cluster).Reconnect},
 	{
 		name: "disk stalls", disk: true,
 		begin: func(_ *Cluster, m *Machine) { m.StallDisk(true) },
