--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -35,11 +35,11 @@
 
 // Request is an HTTP request to a front.
 type Request struct {
-	Method string
-	Path   string // escaped path, with the query
-	Host   string // value of the Host header; empty for the address
-	Base   string // value of X-If-Base-Version; empty for none
-	Body   []byte
+	Method      string
+	Path        string // escaped path, with the query
+	Host        string // value of the Host header; empty for the address
+	BaseVersion string // value of X-If-Base-Version; empty for none
+	Body        []byte
 }
 
 // NewClient returns a client of the fronts at the given addresses, each in the form "ip:port". If transport is nil, the
@@ -102,8 +102,8 @@
 	if len(request.Body) > 0 {
 		httpRequest.Header.Set("Content-Type", contentTypeJSON)
 	}
-	if request.Base != "" {
-		httpRequest.Header.Set(headerBaseVersion, request.Base)
+	if request.BaseVersion != "" {
+		httpRequest.Header.Set(headerBaseVersion, request.BaseVersion)
 	}
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -95,13 +95,13 @@
 		return strings.TrimPrefix(server.URL, "http://")
 	}
 	second := redirectTo(target.address)
-	order := Request{Method: http.MethodPost, Path: "/order", Base: "4", Body: []byte("text")}
+	order := Request{Method: http.MethodPost, Path: "/order", BaseVersion: "4", Body: []byte("text")}
 	client, ctx, _ := newTestClient(t, redirectTo(second))
 	body, err := client.Do(ctx, order)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "done")
 	for _, request := range target.received {
-		bodies = append(bodies, request.Base+request.Body)
+		bodies = append(bodies, request.BaseVersion+request.Body)
 	}
 	assert.DeepEqual(t, bodies, []string{"4text"})
 
--- a/internal/operatorcli/command_test.go
+++ b/internal/operatorcli/command_test.go
@@ -20,10 +20,10 @@
 
 // receivedRequest is a request that a fakeFront received.
 type receivedRequest struct {
-	Line string // method and request target
-	Host string
-	Base string
-	Body string
+	Line        string // method and request target
+	Host        string
+	BaseVersion string
+	Body        string
 }
 
 // fakeFront is an HTTP server that responds to each method and path with the given answer, and with 404 to all other
--- a/internal/operatorcli/config_test.go
+++ b/internal/operatorcli/config_test.go
@@ -27,7 +27,7 @@
 	})
 	_, err := runCommand(t, "config", "put", "-a", front.address, writeFile(t, "first.json", sampleConfiguration))
 	assert.NilError(t, err)
-	assert.Equal(t, front.received[1].Base, "0")
+	assert.Equal(t, front.received[1].BaseVersion, "0")
 
 	update := `{"version":9,"remove":{"routes":["r"]}}`
 	_, err = runCommand(t, "config", "put", "--update", "--base", "7", "-a", front.address, writeFile(t, "u.json", update))
--- a/internal/operatorcli/configput.go
+++ b/internal/operatorcli/configput.go
@@ -35,16 +35,16 @@
 		}
 		client, ctx, cancel := connection.client(ctx)
 		defer cancel()
-		request := Request{Method: http.MethodPost, Path: PathConfigReplace, Base: *base, Body: text}
+		request := Request{Method: http.MethodPost, Path: PathConfigReplace, BaseVersion: *base, Body: text}
 		if *update {
 			request.Path = pathConfigUpdate
 		}
-		if request.Base == "" {
+		if request.BaseVersion == "" {
 			current, err := readConfiguration(ctx, client)
 			if err != nil {
 				return err
 			}
-			request.Base = strconv.FormatUint(current.Version(), 10)
+			request.BaseVersion = strconv.FormatUint(current.Version(), 10)
 		}
 		if _, err := client.Do(ctx, request); err != nil {
 			return err
--- a/internal/operatorcli/golden_test.go
+++ b/internal/operatorcli/golden_test.go
@@ -127,7 +127,7 @@
 		fmt.Fprintf(&transcript, "(exit code %d)\n", ExitCode(err))
 		for _, request := range front.received {
 			fmt.Fprintf(&transcript, "(sent %q, host %q, base %q, body %q)\n",
-				request.Line, request.Host, request.Base, request.Body)
+				request.Line, request.Host, request.BaseVersion, request.Body)
 		}
 		transcript.WriteString("\n")
 	}
--- a/internal/systemnode/demo/demo.go
+++ b/internal/systemnode/demo/demo.go
@@ -35,13 +35,13 @@
 )
 
 const (
-	startTimeout  = 30 * time.Second
-	pathReady     = "/api/ready"
-	initialBase   = "0" // base version of the first configuration
-	settingsName  = "settings.toml"
-	dataName      = "data"
-	directoryMode = 0o755
-	fileMode      = 0o644
+	startTimeout       = 30 * time.Second
+	pathReady          = "/api/ready"
+	initialBaseVersion = "0" // base version of the first configuration
+	settingsName       = "settings.toml"
+	dataName           = "data"
+	directoryMode      = 0o755
+	fileMode           = 0o644
 )
 
 // Options configure the size of the demonstration and the resources that it uses.
@@ -173,7 +173,7 @@
 	transport := workerlist.NewPlatformClient(s.options.Network(hostIP)).Transport
 	operator := operatorcli.NewClient(s.addresses().Control, transport)
 	replace := operatorcli.Request{
-		Method: http.MethodPost, Path: operatorcli.PathConfigReplace, Base: initialBase, Body: body,
+		Method: http.MethodPost, Path: operatorcli.PathConfigReplace, BaseVersion: initialBaseVersion, Body: body,
 	}
 	if _, err := operator.Do(ctx, replace); err != nil {
 		return trace.Wrap(err, "applying the initial configuration")
--- a/internal/systemnode/inspection/status.go
+++ b/internal/systemnode/inspection/status.go
@@ -16,7 +16,7 @@
 	Primary        string         `json:"primary"`    // name of the control group's primary; empty if unknown
 	ConfigVersion  uint64         `json:"configVersion"`
 	TableRevision  uint64         `json:"tableRevision"`
-	Copies         int            `json:"copies"`  // number of disks on which a message is synced before it is acknowledged
+	Copies         int            `json:"copies"`  // disks on which a message is synced before it is acknowledged
 	ControlMembers int            `json:"control"` // number of control members
 	Stores         map[string]int `json:"stores"`  // number of stores by state
 	Partitions     Coverage       `json:"partitions"`
