--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -95,9 +95,9 @@
 		return strings.TrimPrefix(server.URL, "http://")
 	}
 	second := redirectTo(target.address)
-	order := Request{Method: http.MethodPost, Path: "/order", BaseVersion: "4", Body: []byte("text")}
+	post := Request{Method: http.MethodPost, Path: "/order", BaseVersion: "4", Body: []byte("text")}
 	client, ctx, _ := newTestClient(t, redirectTo(second))
-	body, err := client.Do(ctx, order)
+	body, err := client.Do(ctx, post)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "done")
 	for _, request := range target.received {
@@ -106,6 +106,6 @@
 	assert.DeepEqual(t, bodies, []string{"4text"})
 
 	client, ctx, _ = newTestClient(t, redirectTo(redirectTo(second)))
-	_, err = client.Do(ctx, order)
+	_, err = client.Do(ctx, post)
 	assert.ErrorContains(t, err, "too many redirects")
 }
--- a/internal/operatorcli/command.go
+++ b/internal/operatorcli/command.go
@@ -2,8 +2,8 @@
 // calls the fronts of a running system over HTTP, or checks a file without a network call.
 //
 // Register adds the commands to a kingpin application. The caller parses the command line and runs the function of the
-// selected command, which prints a table or JSON to a writer. ExitCode maps the command's error to an exit code, by the
-// types *RefusedError and *InvalidFileError.
+// selected command, which prints a table or JSON to a writer. The command's error may be or wrap a *RefusedError, an
+// *InvalidFileError or an *UnavailableError. ExitCode maps it to an exit code.
 //
 // Commands, flags, output and exit codes are an interface that operators' scripts depend on. The golden files under
 // testdata record them.
--- a/internal/systemnode/demo/machine.go
+++ b/internal/systemnode/demo/machine.go
@@ -13,7 +13,7 @@
 	classStore = "store"
 )
 
-// Offsets of the ports from Options.Port. They are the same on all addresses.
+// Offsets of the ports from Options.FirstPort. They are the same on all addresses.
 const (
 	portClient = iota
 	portReady
