--- a/internal/dispatcher/fleetsim/accounting.go
+++ b/internal/dispatcher/fleetsim/accounting.go
@@ -6,7 +6,7 @@
 	"gladepick/internal/decision"
 )
 
-// Accounting counts requests as they arrive and end. Simulate has one; others may use it for days that they play on real
+// Accounting counts requests as they arrive and end. Simulate uses one; other packages use it for days that run on real
 // sockets. It is not safe for concurrent use.
 type Accounting struct {
 	scenario *scenario
@@ -19,7 +19,8 @@
 	return &Accounting{scenario: s, result: newResult(s), buckets: make([]quotaBucket, len(s.Tenants))}
 }
 
-// NewAccounting returns the accounting of a day of a fleet and a load.
+// NewAccounting returns the accounting of a day that a fleet and a load describe. It returns an error if these are
+// invalid.
 func NewAccounting(f *Fleet, l *Load) (*Accounting, error) {
 	s, err := newScenario(f, l)
 	if err != nil {
@@ -28,7 +29,8 @@
 	return newAccounting(s), nil
 }
 
-// RecordRequest counts a request that has arrived. Exactly one call of what it returns must follow, with its end.
+// RecordRequest counts a request that has arrived. The caller must call the returned function exactly once, when the
+// request ends.
 func (b *Accounting) RecordRequest(a Arrival) (ended func(served bool, took time.Duration)) {
 	q := b.newRequest(a)
 	return func(ok bool, took time.Duration) {
@@ -46,7 +48,7 @@
 	return b.result
 }
 
-// newRequest makes a client's request of an arrival, and counts it.
+// newRequest creates the request of an arrival, and counts it as offered.
 func (b *Accounting) newRequest(a Arrival) *request {
 	c := &b.scenario.Classes[a.Class]
 	q := &request{class: a.Class, tenant: a.Tenant, work: a.WorkSeconds, arrived: a.At, deadline: a.At + sec(c.DeadlineSeconds), retriesLeft: b.scenario.load.Retries.Max}
@@ -58,7 +60,7 @@
 	return q
 }
 
-// closeAccounting completes the result of a simulated day, and looks for requests without an answer.
+// closeAccounting completes the result of a simulated day, and counts requests without an answer as violations.
 func (sim *simulation) closeAccounting() {
 	r := sim.result
 	r.Duration = sim.now
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -9,15 +9,15 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Arrival is a request as its client makes it.
+// Arrival is a request as its client sends it for the first time.
 type Arrival struct {
 	At                        time.Duration
-	Class, Tenant, Dispatcher int     // indexes into the descriptions; dispatchers are counted across their groups
+	Class, Tenant, Dispatcher int     // indexes into the descriptions; dispatchers are numbered across their groups
 	WorkSeconds               float64 // seconds on a core of speed 1
 }
 
-// Arrivals returns a function that draws a day's requests one after the other, until the day is over: a Poisson process
-// with a varying rate, thinned from its peak.
+// Arrivals returns a function that draws a day's requests one after the other, and returns false when the day is over.
+// The requests are a Poisson process with a varying rate, made by thinning a process with the peak rate.
 func Arrivals(f *Fleet, l *Load, seed uint64) (next func() (Arrival, bool), err error) {
 	s, err := newScenario(f, l)
 	if err != nil {
@@ -26,16 +26,16 @@
 	return s.arrivals(seed), nil
 }
 
-// arrivalSource draws arrivals.
+// arrivalSource draws a day's arrivals by thinning: it draws candidates at the peak rate, and drops some of them.
 type arrivalSource struct {
 	*scenario
 	random            *rand.Rand
 	atSeconds         float64          // of the last candidate
-	peak              float64          // candidates a second: no rate of the day lies above it
+	peak              float64          // candidates per second: an upper bound of the day's rate
 	tenantSum         float64          // of tenantShares
-	tenantCumulative  []float64        // shares of the tenants
+	tenantCumulative  []float64        // cumulative shares of the tenants
 	dispatcherSum     float64          // of the dispatchers' shares
-	dispatcherWeights []float64        // cumulative
+	dispatcherWeights []float64        // cumulative shares of the dispatchers
 	classSum          float64          // of the classes' shares
 	work              []func() float64 // by class: draws seconds on a core of speed 1
 }
@@ -59,7 +59,7 @@
 			a.dispatcherWeights = append(a.dispatcherWeights, a.dispatcherSum)
 		}
 	}
-	burstFactor := 1.0 // were all bursts at once
+	burstFactor := 1.0 // for the upper bound, all bursts are taken to coincide
 	for _, b := range s.load.Bursts {
 		burstFactor += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / a.tenantSum
 	}
@@ -75,7 +75,7 @@
 // workSeconds returns a function that draws the work of a job of the class.
 func (c ClassLoad) workSeconds(random *rand.Rand) func() float64 {
 	if c.CV > 0 {
-		variance := math.Log(1 + c.CV*c.CV) // of the logarithm
+		variance := math.Log(1 + c.CV*c.CV) // of the work's logarithm
 		return distuv.LogNormal{Mu: math.Log(c.WorkMs/1000) - variance/2, Sigma: math.Sqrt(variance), Src: random}.Rand
 	}
 	return func() float64 { return c.WorkMs / 1000 }
@@ -100,8 +100,8 @@
 	return Arrival{}, false
 }
 
-// drawTenant draws who sends at present: a tenant of the usual mix, one that has a burst on top of it, or nobody (-1), where
-// the rate lies below the peak.
+// drawTenant draws the tenant of the current candidate: one of the usual mix, or one whose burst adds requests to it.
+// It returns -1 if the candidate is dropped, as the current rate lies below the peak.
 func (a *arrivalSource) drawTenant() int {
 	base := a.rateAt(a.atSeconds)
 	x := a.random.Float64() * a.peak
@@ -129,7 +129,7 @@
 	return class
 }
 
-// rateAt returns the requests a second of all tenants together, without bursts.
+// rateAt returns the requests per second of all tenants together, without bursts, at a time in seconds.
 func (s *scenario) rateAt(at float64) float64 {
 	r := s.load.Rate
 	i := sort.Search(len(r), func(i int) bool { return r[i].AtSeconds > at })
--- a/internal/dispatcher/fleetsim/clients.go
+++ b/internal/dispatcher/fleetsim/clients.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// request is what one client wants, over all its attempts to get it.
+// request is a client's request, over all its tries.
 type request struct {
 	class, tenant int
 	work          float64 // seconds on a core of speed 1
@@ -12,12 +12,12 @@
 	deadline      time.Duration // at which the client gives up
 	dedupKey      uint64
 	retriesLeft   int
-	withinQuota   bool // its tenant's quota
+	withinQuota   bool // within its tenant's quota when it arrived
 	dispatcher    *dispatcher
 	ended         bool
 }
 
-// scheduleArrivals lets all requests arrive, each of which schedules the next one.
+// scheduleArrivals schedules the first arrival. Each arrival schedules the next one.
 func (sim *simulation) scheduleArrivals(seed uint64) {
 	arrivals := sim.arrivals(seed)
 	var next func()
@@ -37,12 +37,14 @@
 	next()
 }
 
-// quotaBucket is a leaky bucket for a tenant's quota, two seconds of it deep.
+// quotaBucket is a leaky bucket for a tenant's quota. It holds the quota of two seconds.
 type quotaBucket struct {
 	used float64
 	at   time.Duration
 }
 
+// take counts a request at the time now, and reports whether it is within the quota. A rate of 0 or less means no
+// limit.
 func (b *quotaBucket) take(now time.Duration, perSec float64) bool {
 	if perSec <= 0 {
 		return true
@@ -56,7 +58,7 @@
 	return true
 }
 
-// finishRequest is a request's one final end, as its client sees it.
+// finishRequest records a request's final outcome, as its client sees it. A second outcome is counted as a violation.
 func (sim *simulation) finishRequest(q *request, verdict requestOutcome) {
 	if q.ended {
 		sim.result.Violations[violationTwoAnswers]++
@@ -67,7 +69,8 @@
 	sim.result.addEnded(sim.scenario, q, verdict, sim.now-q.arrived)
 }
 
-// retry lets a client send its request again, if it does so, and tells whether.
+// retry schedules the client's next try, and reports whether there is one: the client must have retries left, and its
+// deadline must lie after the wait.
 func (sim *simulation) retry(q *request, after time.Duration) bool {
 	wait := ms(sim.load.Retries.WaitMs)
 	if sim.load.Retries.HonourRetryAfter {
--- a/internal/dispatcher/fleetsim/dispatcher.go
+++ b/internal/dispatcher/fleetsim/dispatcher.go
@@ -7,21 +7,21 @@
 	"gladepick/internal/decision"
 )
 
-// clockStart is where a decision module's clock starts, as in the core: so workers that started before have times above
-// zero.
+// clockStart is the decision module's clock at the start of a day, as in the dispatcher's core. It is above zero so
+// that the start times of workers that run already are above zero, too.
 const clockStart = time.Hour
 
-// maxAnswerMargin is the most time before the client's deadline at which the dispatcher's own deadline lies.
+// maxAnswerMargin is the longest time by which the dispatcher's own deadline precedes the client's.
 const maxAnswerMargin = 40 * time.Millisecond
 
-// job is one attempt of a client at a dispatcher.
+// job is one try of a client's request at a dispatcher. A retry of the client is a new job.
 type job struct {
 	*request
 	dispatcher *dispatcher
 	id         decision.JobID
 	deadline   time.Duration
 	attempts   []*attempt
-	inFlight   int // attempts
+	inFlight   int // attempts without an outcome
 	answered   bool
 }
 
@@ -32,13 +32,13 @@
 	number            int     // within its job, from 0
 	incarnation       int     // of the worker, when the attempt was sent
 	work              float64 // seconds on a core of speed 1
-	completesAt       float64 // the worker's servedEach at which the attempt is complete
-	newConnection     bool    // not one that was idle
+	completesAt       float64 // the value of the worker's servedEach at which the attempt is complete
+	newConnection     bool    // sent on a connection dialled for it, not on an idle one
 	started           bool
 	endedAtWorker     bool
 	endedAtDispatcher bool
 	cancelled         bool
-	connectionClosed  bool // so nothing of it reaches the dispatcher
+	connectionClosed  bool // nothing that the worker sends reaches the dispatcher any more
 }
 
 // workerView is what a dispatcher knows of a worker.
@@ -46,12 +46,13 @@
 	worker       *worker
 	state        decision.State
 	started      time.Duration
-	leavingSince time.Duration   // when discovery said that it leaves
+	leavingSince time.Duration   // when discovery last reported a state other than ready
 	idleSince    []time.Duration // of each idle connection, the oldest first
-	updateSeen   int             // the newest update, so that late ones do not undo it
+	updateSeen   int             // number of the newest update applied; older ones that arrive later are ignored
 }
 
-// dispatcher is a real decision module, and a model of the core around it. It counts the core's rules that are broken.
+// dispatcher runs a real decision module inside a model of the dispatcher's core. It counts violations of the rules
+// that the core relies on.
 type dispatcher struct {
 	sim         *simulation
 	zone        int
@@ -64,8 +65,8 @@
 	connections int
 	workers     []*workerView
 	workersByID map[decision.WorkerID]*workerView
-	watching    bool // discovery has been asked for
-	updates     int  // of discovery so far
+	watching    bool // the module has asked for the list of workers
+	updates     int  // discovery updates scheduled so far
 }
 
 func newDispatcher(sim *simulation, self, count int, lim DispatcherGroup, seed uint64) (*dispatcher, error) {
@@ -91,7 +92,7 @@
 	return e
 }
 
-// sendFullList gives the module the full list of workers.
+// sendFullList sends the module the full list of workers, without those that are gone.
 func (d *dispatcher) sendFullList(kind decision.ListKind) {
 	ev := decision.Event{Kind: decision.EventList, List: kind}
 	for _, s := range d.workers {
@@ -104,14 +105,14 @@
 
 func (d *dispatcher) start() { d.sendFullList(decision.ListCached) }
 
-// learnState lets discovery tell of a worker's state after a delay in seconds.
+// learnState schedules a discovery update with a worker's state, after a delay in seconds.
 func (d *dispatcher) learnState(w *worker, state decision.State, delay float64) {
 	d.updates++
 	update := d.updates
 	started := w.startedAt
 	d.sim.schedule(sec(delay), func() {
 		s := d.workersByID[w.id]
-		if update < s.updateSeen { // a newer update has come before
+		if update < s.updateSeen { // a newer update arrived earlier
 			return
 		}
 		s.updateSeen, s.state, s.started = update, state, started
@@ -122,7 +123,7 @@
 	})
 }
 
-// handle gives the module an event and carries out the actions that it answers with.
+// handle sends the module an event and executes the actions that it returns.
 func (d *dispatcher) handle(ev *decision.Event) {
 	d.sim.result.Decisions++
 	d.actions = d.module.Handle(clockStart+d.sim.now, ev, d.actions[:0])
@@ -155,7 +156,7 @@
 	}
 }
 
-// accept takes a client's request. Beyond the limit of open jobs it is rejected at once.
+// accept makes a job of a client's request. Above the limit of open jobs it rejects the request at once.
 func (d *dispatcher) accept(q *request, retry bool) {
 	d.sim.result.Requests++
 	if d.openJobs >= d.limits.OpenJobs {
@@ -174,14 +175,14 @@
 	d.handle(&decision.Event{Kind: decision.EventJob, Job: t.id, Class: q.class, Tenant: q.tenant, Deadline: clockStart + t.deadline, Slots: 1, Retry: retry})
 }
 
-// answerClient gives the client the answer to one attempt of its own; it may retry.
+// answerClient sends the client the outcome of one of its tries. If the client does not retry, the request ends.
 func (d *dispatcher) answerClient(q *request, v requestOutcome, after time.Duration) {
 	if v == served || !d.sim.retry(q, after) {
 		d.sim.finishRequest(q, v)
 	}
 }
 
-// answer ends a job.
+// answer ends a job with its one answer to the client. A second answer is counted as a violation.
 func (d *dispatcher) answer(t *job, v requestOutcome, after time.Duration) {
 	if t.answered {
 		d.sim.result.Violations[violationTwoAnswers]++
@@ -199,14 +200,15 @@
 	d.forgetIfDone(t)
 }
 
-// forgetIfDone removes a job that has its answer and no attempt in flight.
+// forgetIfDone removes a job that is answered and has no attempt in flight.
 func (d *dispatcher) forgetIfDone(t *job) {
 	if t.answered && t.inFlight == 0 {
 		delete(d.jobs, t.id)
 	}
 }
 
-// deadlinePassed fails a job that the module should have answered by now.
+// deadlinePassed runs at a job's deadline. It times out the attempts in flight and fails a job that the module still
+// has not answered.
 func (d *dispatcher) deadlinePassed(t *job) {
 	if t.answered {
 		return
@@ -223,7 +225,7 @@
 	}
 }
 
-// send starts an attempt, over an idle connection or a new one.
+// send starts an attempt, on an idle connection if there is one, else on a new one.
 func (d *dispatcher) send(t *job, act decision.Action) {
 	s := d.workersByID[act.Worker]
 	a := &attempt{job: t, number: len(t.attempts)}
@@ -268,7 +270,7 @@
 		a.newConnection = true
 		a.work += a.worker.kind.ConnectionMs / 1000
 		d.sim.schedule(trip, func() {
-			if s.state != decision.Ready { // it left while the connection was set up
+			if s.state != decision.Ready { // the worker left while the connection was being set up
 				d.attemptEnded(a, decision.NeverSent, decision.Load{})
 				return
 			}
@@ -277,7 +279,7 @@
 	}
 }
 
-// sendProgress carries a worker's progress report to the dispatcher.
+// sendProgress sends a worker's progress report to the dispatcher.
 func (a *attempt) sendProgress(kind decision.ProgressKind, share float64) {
 	d := a.job.dispatcher
 	d.sim.schedule(d.sim.networkDelay(a.worker.zone, d.zone), func() {
@@ -287,7 +289,7 @@
 	})
 }
 
-// sendOutcome carries an outcome to the dispatcher, with the worker's newest load report where from is given.
+// sendOutcome sends an outcome to the dispatcher, with the newest load report of the given worker unless it is nil.
 func (a *attempt) sendOutcome(o decision.Outcome, from *worker) {
 	d := a.job.dispatcher
 	var load decision.Load
@@ -301,7 +303,7 @@
 	})
 }
 
-// attemptEnded is an attempt's one outcome at the dispatcher.
+// attemptEnded handles an attempt's outcome at the dispatcher. Only the first outcome of an attempt counts.
 func (d *dispatcher) attemptEnded(a *attempt, o decision.Outcome, load decision.Load) {
 	if a.endedAtDispatcher {
 		return
--- a/internal/dispatcher/fleetsim/dispatcher_connections.go
+++ b/internal/dispatcher/fleetsim/dispatcher_connections.go
@@ -1,15 +1,16 @@
 package fleetsim
 
-// takeIdle takes an idle connection, and tells whether there was one.
+// takeIdle takes an idle connection to a worker, and reports whether there was one.
 func (d *dispatcher) takeIdle(s *workerView) bool {
-	if k := len(s.idleSince); k > 0 && (s.worker.up || s.worker.unresponsive) { // nothing shows that a worker does not answer any more
+	// A connection to an unresponsive worker still looks usable, as the worker did not close it.
+	if k := len(s.idleSince); k > 0 && (s.worker.up || s.worker.unresponsive) {
 		s.idleSince = s.idleSince[:k-1]
 		return true
 	}
 	return false
 }
 
-// closeOldestIdle closes the connection that has been idle longest, and tells whether there was one.
+// closeOldestIdle closes the connection that has been idle longest, and reports whether there was one.
 func (d *dispatcher) closeOldestIdle() bool {
 	var oldest *workerView
 	for _, s := range d.workers {
@@ -32,7 +33,8 @@
 	}
 }
 
-// keepIdle keeps a connection for reuse, for a time somewhat shorter than that after which the worker would close it.
+// keepIdle keeps a connection for reuse. It closes the connection after 4/5 of ConnectionIdleSeconds, before the worker
+// would.
 func (d *dispatcher) keepIdle(s *workerView) {
 	s.idleSince = append(s.idleSince, d.sim.now)
 	d.sim.schedule(sec(d.sim.ConnectionIdleSeconds*4/5), func() {
@@ -43,7 +45,7 @@
 	})
 }
 
-// loseConnections forgets all idle connections to a worker that stopped.
+// loseConnections drops all idle connections to a worker whose process has stopped.
 func (d *dispatcher) loseConnections(w *worker) {
 	s := d.workersByID[w.id]
 	d.connections -= len(s.idleSince)
--- a/internal/dispatcher/fleetsim/faults.go
+++ b/internal/dispatcher/fleetsim/faults.go
@@ -7,10 +7,10 @@
 	"gladepick/internal/decision"
 )
 
-// minOnSeconds keeps the periods of shared machines from lasting no time at all.
+// minOnSeconds is the least length of a period of a shared machine, so that scheduleShared always advances.
 const minOnSeconds = 0.01
 
-// scheduleFaults schedules the day's faults, each with the workers that it hits.
+// scheduleFaults schedules the day's faults, and draws the workers that each one affects.
 func (sim *simulation) scheduleFaults(random *rand.Rand) {
 	for _, fault := range sim.Faults {
 		hit := sim.drawHit(fault, random)
@@ -34,7 +34,8 @@
 	}
 }
 
-// drawHit draws the workers that a fault hits. A lost zone hits all workers that the fault selects.
+// drawHit draws the workers that a fault affects: a random fraction of those in its zone and of its kind. A lost zone
+// affects all of them.
 func (sim *simulation) drawHit(fault Fault, random *rand.Rand) []*worker {
 	var hit []*worker
 	for _, w := range sim.workers {
@@ -51,7 +52,7 @@
 	return hit
 }
 
-// scheduleEach schedules one event in which do is done to each worker.
+// scheduleEach schedules one event that calls do with each worker.
 func (sim *simulation) scheduleEach(atSeconds float64, workers []*worker, do func(*worker)) {
 	sim.schedule(sec(atSeconds), func() {
 		for _, w := range workers {
@@ -60,7 +61,7 @@
 	})
 }
 
-// drain marks a running worker as draining, and lets each dispatcher learn of it.
+// drain marks a running worker as draining, and schedules the discovery update at each dispatcher.
 func (sim *simulation) drain(w *worker) {
 	w.draining = w.up
 	if !w.draining {
@@ -71,7 +72,7 @@
 	}
 }
 
-// endDrain replaces a draining worker's process by a new one.
+// endDrain replaces a draining worker's process with a new one.
 func endDrain(w *worker) {
 	if w.draining {
 		w.stop(false)
@@ -79,7 +80,7 @@
 	}
 }
 
-// scheduleShared lets other programs use a part of the machines, on and off.
+// scheduleShared schedules the periods in which other programs use a part of the machines.
 func (sim *simulation) scheduleShared(fault Fault, hit []*worker) {
 	setShare := func(share float64) func(*worker) {
 		return func(w *worker) {
--- a/internal/dispatcher/fleetsim/fleet.go
+++ b/internal/dispatcher/fleetsim/fleet.go
@@ -1,11 +1,11 @@
-// Package fleetsim simulates days of a fleet in virtual time. The decision module is the real one, an instance for each
-// dispatcher, and gets the events that the dispatcher's core would give it; workers, network, discovery and clients are
-// models. The same descriptions and seed give the same result to the last bit, so the package does no I/O, reads no clock,
-// and runs on its caller's goroutine alone. Random numbers come from one stream for each concern: what one part draws
-// changes nothing for the others.
+// Package fleetsim simulates days of a fleet in virtual time. Each dispatcher runs an instance of the real decision
+// module, which gets the events that the dispatcher's core would send; workers, network, discovery and clients are
+// models. The same descriptions and seed give the same result to the last bit, so the package does no I/O, reads no
+// clock, and runs on its caller's goroutine alone. Each concern draws random numbers from a stream of its own, so that
+// one concern's draws do not affect the others.
 //
-// Start reading at Fleet and Load, which describe a day, and at Simulate, which plays it. Accounting counts days that are
-// played elsewhere, by the same rules.
+// Start reading at Fleet and Load, which describe a day, and at Simulate, which simulates it. Accounting counts the
+// requests of a day that runs elsewhere, by the same rules.
 package fleetsim
 
 import (
@@ -14,7 +14,7 @@
 	"slices"
 )
 
-// Range is a least and a greatest value. In JSON it is two numbers, or one that is both.
+// Range is a minimum and a maximum. In JSON it is an array of two numbers, or one number that is both.
 type Range [2]float64
 
 // UnmarshalJSON reads either form.
@@ -33,11 +33,11 @@
 	Cores            float64 `json:"cores"`
 	Speed            Range   `json:"speed"`         // of a core, relative to the one of ClassLoad.WorkMs; drawn for each worker
 	Slots            int     `json:"slots"`         // jobs that run at a time
-	Queue            int     `json:"queue"`         // jobs that wait at most; beyond it a job is rejected
-	SlowStartShare   float64 `json:"cold_share"`    // of its speed right after a start
-	SlowStartSeconds float64 `json:"warm_s"`        // until it has its full speed
+	Queue            int     `json:"queue"`         // greatest number of waiting jobs; further jobs are rejected
+	SlowStartShare   float64 `json:"cold_share"`    // share of its full speed right after a start
+	SlowStartSeconds float64 `json:"warm_s"`        // time from a start until it has its full speed
 	ConnectionMs     float64 `json:"connection_ms"` // work that a new connection costs the worker
-	Connections      int     `json:"connections"`   // open at most
+	Connections      int     `json:"connections"`   // greatest number open at a time
 	Cost             float64 `json:"cost"`          // of one machine, in any unit
 }
 
@@ -46,20 +46,20 @@
 	Kind  string `json:"kind"`
 	Zone  string `json:"zone"`
 	Count int    `json:"count"`
-	Spare bool   `json:"spare"` // switched on beyond the usual ones
+	Spare bool   `json:"spare"` // switched on only in addition to the usual ones
 }
 
 // DispatcherGroup is a number of dispatchers in a zone.
 type DispatcherGroup struct {
 	Zone        string  `json:"zone"`
 	Count       int     `json:"count"`
-	Share       float64 `json:"share"` // of the traffic that each gets, against the others
+	Share       float64 `json:"share"` // weight of each one's traffic, relative to the other dispatchers
 	OpenJobs    int     `json:"open_jobs"`
 	Connections int     `json:"worker_connections"`
 }
 
-// Class is a priority class as the settings have it. A job is in time within LatencyTargetSeconds plus Stretch times its
-// work in seconds.
+// Class is a priority class, as in the settings. A job is in time if it takes at most LatencyTargetSeconds plus Stretch
+// times its work in seconds.
 type Class struct {
 	Name                 string  `json:"name"`
 	Idempotency          string  `json:"effect"` // safe, keyed or unsafe
@@ -75,11 +75,11 @@
 type Tenant struct {
 	Name          string  `json:"name"`
 	Share         float64 `json:"share"`
-	RatePerSecond float64 `json:"allowance_per_s"` // beyond it a job earns OverQuotaValue of the usual
+	RatePerSecond float64 `json:"allowance_per_s"` // a job above this rate earns OverQuotaValue times its usual value
 }
 
-// SlowStart is the settings' rule for workers that have just started. A worker that gets more than OverloadMultiple of what
-// it can do within OverloadSpanSeconds is overloaded and stops for good.
+// SlowStart is the settings' rule for workers that have just started. A starting worker that gets more than
+// OverloadMultiple times the work that it can do within OverloadSpanSeconds is overloaded and stops for good.
 type SlowStart struct {
 	Share               float64 `json:"share"`
 	DurationSeconds     float64 `json:"warm_s"`
@@ -91,14 +91,14 @@
 const (
 	faultZoneLost    = "zone_lost"    // all workers of a zone stop without closing their connections
 	faultDeaths      = "deaths"       // some workers stop and close their connections
-	faultDrain       = "drain"        // some workers drain, and restart at the end
-	faultShared      = "shared"       // other programs take a part of some machines, on and off
-	faultReportsLate = "reports_late" // load reports come later
+	faultDrain       = "drain"        // some workers drain, and restart at the end of the fault
+	faultShared      = "shared"       // other programs use a part of some machines, on and off
+	faultReportsLate = "reports_late" // load reports are delayed further
 )
 
 var faultTypes = []string{faultZoneLost, faultDeaths, faultDrain, faultShared, faultReportsLate}
 
-// Fault is something that goes wrong on a day.
+// Fault is a fault injected into a day.
 type Fault struct {
 	Type            string  `json:"what"` // one of the fault types
 	Zone            string  `json:"zone"`
@@ -106,12 +106,13 @@
 	Fraction        float64 `json:"part"` // of the workers that Zone and Kind select
 	StartSeconds    float64 `json:"at_s"`
 	DurationSeconds float64 `json:"for_s"`
-	Amount          float64 `json:"takes"` // shared: the part of the machine; reports_late: seconds
-	OnSeconds       float64 `json:"on_s"`  // shared: how long it lasts at a time
-	OffSeconds      float64 `json:"off_s"` // shared: the pause in between
+	Amount          float64 `json:"takes"` // shared: the part of the machine in use by others; reports_late: seconds
+	OnSeconds       float64 `json:"on_s"`  // shared: the length of each period of use by others
+	OffSeconds      float64 `json:"off_s"` // shared: the pause between two such periods
 }
 
-// Fleet describes dispatchers, workers and the network between them. Zero values stand for the defaults of WithDefaults.
+// Fleet describes dispatchers, workers and the network between them. Zero values stand for the defaults of
+// WithDefaults.
 type Fleet struct {
 	Zones                    []string          `json:"zones"`
 	SameZoneMs               float64           `json:"same_zone_ms"`
@@ -122,11 +123,11 @@
 	Dispatchers              []DispatcherGroup `json:"dispatchers"`
 	Classes                  []Class           `json:"classes"`
 	Tenants                  []Tenant          `json:"universities"`
-	DiscoveryDelaySeconds    Range             `json:"roster_delay_s"` // until discovery tells of a change of a worker
-	UnresponsiveDelaySeconds Range             `json:"silent_delay_s"` // until it tells of a worker that stopped without closing its connections
+	DiscoveryDelaySeconds    Range             `json:"roster_delay_s"` // until discovery reports a change of a worker's state
+	UnresponsiveDelaySeconds Range             `json:"silent_delay_s"` // until it reports a worker that stopped without closing its connections
 	ReportIntervalSeconds    Range             `json:"report_every_s"` // between a worker's load reports; drawn for each worker
 	ReportDelaySeconds       Range             `json:"report_delay_s"` // from a load report to its arrival; drawn for each worker
-	ConnectionIdleSeconds    float64           `json:"conn_idle_s"`    // idle connections are closed after it
+	ConnectionIdleSeconds    float64           `json:"conn_idle_s"`    // time after which a worker closes an idle connection
 	ConnectTimeoutMs         float64           `json:"connect_timeout_ms"`
 	ConnectionRoundTrips     float64           `json:"connection_trips"` // round trips that a new connection takes
 	MaxAttempts              int               `json:"attempts"`
@@ -137,8 +138,8 @@
 	Faults                   []Fault           `json:"troubles"`
 }
 
-// fill puts the figures in that a description leaves out. They are those of a small site; nothing that a score
-// hangs on strongly (kinds, counts, rates, times) has a default.
+// fill sets the defaults of values that a description leaves out. They are those of a small site. Values on which a
+// score depends strongly (kinds, counts, rates, times) have no default.
 func (f *Fleet) fill() {
 	or := func(v *float64, otherwise float64) {
 		if *v == 0 {
@@ -196,7 +197,7 @@
 	}
 }
 
-// WithDefaults returns a copy with the defaults put in for what a description leaves out.
+// WithDefaults returns a copy in which values that the description leaves out have their defaults.
 func (f *Fleet) WithDefaults() *Fleet {
 	out := *f
 	out.Kinds, out.Dispatchers = slices.Clone(f.Kinds), slices.Clone(f.Dispatchers)
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -14,9 +14,9 @@
 	failed
 )
 
-// Rules that a day may break, as Result.Violations names them.
+// Rules that a day may violate, as Result.Violations names them.
 const (
-	// ViolationOverload counts workers that got more during their slow start than they can bear.
+	// ViolationOverload counts workers that were overloaded during their slow start.
 	ViolationOverload = "cold worker pushed over"
 
 	violationTwoAnswers  = "two answers"
@@ -27,7 +27,7 @@
 	violationRanTwice    = "ran twice"
 )
 
-// Tally is the value offered and earned, and requests by how they ended.
+// Tally counts requests by how they ended, and sums the value that they offered and earned.
 type Tally struct {
 	OfferedValue float64 `json:"asked"`
 	EarnedValue  float64 `json:"earned"`
@@ -45,35 +45,35 @@
 	return t.EarnedValue / t.OfferedValue
 }
 
-// WorkerStats is what the workers of a kind did.
+// WorkerStats sums up what the workers of a kind did.
 type WorkerStats struct {
 	Count               int     `json:"count"`
 	Completed           int     `json:"done"`
-	Utilization         float64 `json:"busy"`    // share of the slots' time in use
+	Utilization         float64 `json:"busy"`    // share of the slots' time that was in use
 	RejectedJobs        int     `json:"full"`    // by workers with a full queue
-	RejectedConnections int     `json:"no_conn"` // by workers at their limit
+	RejectedConnections int     `json:"no_conn"` // by workers at their limit of connections
 }
 
-// Result is what happened on a day.
+// Result is the result of a day.
 type Result struct {
 	Score                float64        `json:"score"` // see computeScore
 	Total                Tally          `json:"whole"`
 	Classes              []Tally        `json:"classes"`
-	Tenants              []Tally        `json:"universities"` // only what lay within their quotas
+	Tenants              []Tally        `json:"universities"` // only requests within the tenants' quotas
 	Seconds              []Tally        `json:"seconds"`      // by the second in which the request arrived
 	Kinds                []WorkerStats  `json:"kinds"`
 	WorstTenSeconds      float64        `json:"worst_10_s"`
 	Requests             int            `json:"tries"`
 	Retries              int            `json:"repeats"`
-	Rejections           int            `json:"refusals"` // by the decision module
+	Rejections           int            `json:"refusals"` // by the decision modules
 	Overflowed           int            `json:"turned"`   // rejected by a dispatcher with too many open jobs
 	AttemptsSent         int            `json:"sent"`
 	ConnectionsDialled   int            `json:"dialled"`
 	CrossZoneAttempts    int            `json:"crossed"` // to a worker in another zone
 	ConnectionsExhausted int            `json:"no_link"` // attempts for which a dispatcher had no connection left
-	PeakOpenJobs         int            `json:"open"`    // at one dispatcher
+	PeakOpenJobs         int            `json:"open"`    // greatest number at one dispatcher
 	Outcomes             [9]int         `json:"outcomes"`
-	Violations           map[string]int `json:"broken"` // by rule: how often it was broken
+	Violations           map[string]int `json:"broken"` // number of violations by rule
 	WorkSeconds          float64        `json:"worked"` // seconds on a core of speed 1
 	Events               int            `json:"events"`
 	Decisions            int            `json:"decisions"`
@@ -90,7 +90,7 @@
 	return r
 }
 
-// tallies returns those in which a request counts.
+// tallies returns the tallies in which a request counts.
 func (r *Result) tallies(q *request) []*Tally {
 	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.arrived.Seconds()), len(r.Seconds)-1)]}
 	if q.withinQuota {
@@ -99,7 +99,7 @@
 	return out
 }
 
-// value returns what a request earns in time.
+// value returns the value that a request earns if it is answered in time.
 func (s *scenario) value(q *request) float64 {
 	w := s.Classes[q.class].Value
 	if !q.withinQuota {
@@ -138,8 +138,8 @@
 	}
 }
 
-// computeScore weighs the service: 40 % for the whole day, 15 % for the worst ten seconds, 20 % for the worst class and 25 %
-// for the worst tenant within its quota.
+// computeScore computes the score as a weighted sum of service: 40 % for the whole day, 15 % for the worst ten seconds,
+// 20 % for the worst class and 25 % for the worst tenant within its quota.
 func (r *Result) computeScore() {
 	r.WorstTenSeconds = 1
 	width := min(10, len(r.Seconds))
--- a/internal/dispatcher/fleetsim/scenario.go
+++ b/internal/dispatcher/fleetsim/scenario.go
@@ -14,23 +14,23 @@
 
 const maxDaySeconds = 1e6
 
-// indexNames maps names to their indexes. A name that is missing or stands twice is an error, as is an empty list.
+// indexNames maps names to their indexes. An empty name, a duplicate name and an empty list are errors.
 func indexNames[T any](key string, list []T, name func(*T) string) (map[string]int, error) {
 	at := map[string]int{}
 	for i := range list {
 		n := name(&list[i])
 		if _, twice := at[n]; twice || n == "" {
-			return nil, fmt.Errorf("key %s.%d.name: %q is missing or double", key, i, n)
+			return nil, fmt.Errorf("key %s.%d.name: %q is empty or a duplicate", key, i, n)
 		}
 		at[n] = i
 	}
 	if len(at) == 0 {
-		return nil, fmt.Errorf("key %s: there is none", key)
+		return nil, fmt.Errorf("key %s: at least one entry is required", key)
 	}
 	return at, nil
 }
 
-// scenario is a fleet and a load that fit together, with names resolved to indexes. It does not change.
+// scenario is a validated fleet and load, with names resolved to indexes. It is immutable.
 type scenario struct {
 	*Fleet
 	load         *Load
@@ -42,7 +42,7 @@
 	tenantShares []float64   // by tenant
 }
 
-// newScenario checks a fleet and a load against each other. Its errors name the key.
+// newScenario fills in the fleet's defaults and validates a fleet and a load together. Its errors name the key.
 func newScenario(fleet *Fleet, load *Load) (*scenario, error) {
 	f, l := *fleet.WithDefaults(), *load
 	s := &scenario{Fleet: &f, load: &l}
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// indexFleet resolves the names that the fleet gives.
+// indexFleet builds the indexes of the names that the fleet defines.
 func (s *scenario) indexFleet() error {
 	var errs [3]error
 	s.kindIndex, errs[0] = indexNames("kinds", s.Kinds, func(k *Kind) string { return k.Name })
@@ -69,14 +69,15 @@
 	s.zoneIndex = map[string]int{}
 	for i, zone := range s.Zones {
 		if _, twice := s.zoneIndex[zone]; twice || zone == "" {
-			return fmt.Errorf("key zones.%d: %q is missing or double", i, zone)
+			return fmt.Errorf("key zones.%d: %q is empty or a duplicate", i, zone)
 		}
 		s.zoneIndex[zone] = i
 	}
 	return nil
 }
 
-// checkKnown tells whether a name has an index. The key is a format for the index of the entry that has the name.
+// checkKnown returns an error if a name has no index. key is a format string; its one verb takes the index of the entry
+// that refers to the name.
 func checkKnown(index map[string]int, name, key string, entry int) error {
 	if _, ok := index[name]; !ok {
 		return fmt.Errorf("key %s: there is no %q", fmt.Sprintf(key, entry), name)
@@ -87,7 +88,7 @@
 func (s *scenario) checkKinds() error {
 	for i, k := range s.Kinds {
 		if !(k.Cores > 0) || !(k.Speed[0] > 0) || k.Speed[1] < k.Speed[0] || k.Slots < 1 || k.Queue < 0 || k.SlowStartShare > 1 {
-			return fmt.Errorf("key kinds.%d: %q needs cores, slots and a speed above 0, the least first", i, k.Name)
+			return fmt.Errorf("key kinds.%d: %q needs cores, slots and speeds above 0, the lower speed first, a queue of 0 or more and a cold_share of at most 1", i, k.Name)
 		}
 	}
 	return nil
@@ -107,11 +108,11 @@
 			return err
 		}
 		if g.Count < 1 || g.Share < 0 {
-			return fmt.Errorf("key dispatchers.%d: a count of 1 or more and a share are needed", i)
+			return fmt.Errorf("key dispatchers.%d: the count must be 1 or more and the share 0 or more", i)
 		}
 	}
 	if len(s.Dispatchers) == 0 {
-		return errors.New("key dispatchers: there is none")
+		return errors.New("key dispatchers: at least one entry is required")
 	}
 	return nil
 }
@@ -119,10 +120,10 @@
 func (s *scenario) checkClasses() error {
 	for i, c := range s.Classes {
 		if _, ok := idempotencies[c.Idempotency]; !ok {
-			return fmt.Errorf("key classes.%d.effect: %q is none of safe, keyed and unsafe", i, c.Idempotency)
+			return fmt.Errorf("key classes.%d.effect: %q is not one of safe, keyed and unsafe", i, c.Idempotency)
 		}
 		if !(c.DeadlineSeconds > 0) || !(c.Value >= 0) || c.LatencyTargetSeconds < 0 {
-			return fmt.Errorf("key classes.%d: a deadline above 0 and a worth are needed", i)
+			return fmt.Errorf("key classes.%d: deadline_s must be above 0, worth and aim_s must be 0 or more", i)
 		}
 	}
 	return nil
@@ -141,13 +142,13 @@
 			}
 		}
 		if !slices.Contains(faultTypes, fault.Type) {
-			return fmt.Errorf("key troubles.%d.what: %q is no trouble", i, fault.Type)
+			return fmt.Errorf("key troubles.%d.what: unknown type %q", i, fault.Type)
 		}
 	}
 	return nil
 }
 
-// resolveLoad sorts the load's classes and tenants by those of the fleet.
+// resolveLoad orders the load's classes and tenants as the fleet orders its own, and fills in the load's defaults.
 func (s *scenario) resolveLoad() error {
 	s.classLoads, s.tenantShares = make([]ClassLoad, len(s.Classes)), make([]float64, len(s.Tenants))
 	for i, c := range s.load.Classes {
@@ -155,7 +156,7 @@
 			return err
 		}
 		if !(c.WorkMs > 0) || c.CV < 0 || c.Share < 0 {
-			return fmt.Errorf("load: key classes.%d: %q needs work_ms above 0", i, c.Name)
+			return fmt.Errorf("load: key classes.%d: %q needs work_ms above 0, cv and share of 0 or more", i, c.Name)
 		}
 		s.classLoads[s.classIndex[c.Name]] = c
 	}
@@ -170,7 +171,7 @@
 			return err
 		}
 	}
-	if len(s.load.Tenants) == 0 { // the traffic is as the quotas share it out
+	if len(s.load.Tenants) == 0 { // by default the traffic is split in proportion to the quotas
 		for i, t := range s.Tenants {
 			s.tenantShares[i] = t.Share
 		}
@@ -191,32 +192,37 @@
 	}
 	switch {
 	case !(s.load.Seconds > 0 && s.load.Seconds <= maxDaySeconds):
-		return fmt.Errorf("load: key seconds: %v is not in 0 to 1000000", s.load.Seconds)
+		return fmt.Errorf("load: key seconds: %v is not above 0 and at most 1000000", s.load.Seconds)
 	case len(s.load.Rate) == 0:
-		return errors.New("load: key rate: there is none")
+		return errors.New("load: key rate: at least one entry is required")
 	case !(tenantShares > 0):
-		return errors.New("load: key universities: their shares come to nothing")
+		return errors.New("load: key universities: the sum of their shares must be above 0")
 	case !(classShares > 0):
-		return errors.New("load: key classes: their shares come to nothing")
+		return errors.New("load: key classes: the sum of their shares must be above 0")
 	}
 	for i, p := range s.load.Rate {
 		if i > 0 && p.AtSeconds <= s.load.Rate[i-1].AtSeconds || !(p.PerSecond >= 0) {
-			return fmt.Errorf("load: key rate.%d: moments must grow, rates be 0 or more", i)
+			return fmt.Errorf("load: key rate.%d: at_s must increase, and per_s must be 0 or more", i)
 		}
 	}
 	return nil
 }
 
-// idempotencies are the values of Class.Idempotency.
+// idempotencies maps the values of Class.Idempotency to those of the decision module.
 var idempotencies = map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.Deduplicated, "unsafe": decision.NotIdempotent}
 
-func sec(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-func ms(v float64) time.Duration  { return time.Duration(v * float64(time.Millisecond)) }
+// sec converts seconds to a duration.
+func sec(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// reportFields is how many values a worker's load report has: free slots, errors, rate and queue, as on the platform.
+// ms converts milliseconds to a duration.
+func ms(millis float64) time.Duration { return time.Duration(millis * float64(time.Millisecond)) }
+
+// reportFields is the number of values in a worker's load report: free slots, errors, rate and queue, as on the
+// platform.
 const reportFields = 4
 
-// moduleSettings returns the settings of the decision module of a dispatcher in a zone, as the platform would give them.
+// moduleSettings returns the decision module's settings for the dispatcher with index self out of count, as the
+// platform sets them.
 func (s *scenario) moduleSettings(self, count, zone int) decision.Settings {
 	out := decision.Settings{
 		Self: self, Dispatchers: count, Zone: zone, Kinds: len(s.Kinds), Zones: len(s.Zones),
--- a/internal/dispatcher/fleetsim/simulation.go
+++ b/internal/dispatcher/fleetsim/simulation.go
@@ -7,7 +7,8 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// Streams of random numbers. What one part draws changes nothing for the others, so two fleets meet the same clients.
+// Streams of random numbers, one for each concern. The draws of one do not affect the others, so two different fleets
+// get the same requests.
 const (
 	arrivalStream uint64 = iota + 1
 	workStream
@@ -19,19 +20,20 @@
 
 const eventsPerStopCheck = 4096
 
-// event is something that happens at a moment of virtual time.
+// event is a function to call at a point of virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	do       func()
 }
 
-// Before tells whether the event comes first. Events of one moment come in the order in which they were scheduled.
+// Before reports whether the event comes before the other one. Events at the same time run in the order in which they
+// were scheduled.
 func (e event) Before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// simulation is a day in progress.
+// simulation is the state of a day in progress.
 type simulation struct {
 	*scenario
 	now              time.Duration
@@ -41,15 +43,15 @@
 	workerRandom     *rand.Rand
 	dispatchers      []*dispatcher
 	workers          []*worker
-	extraReportDelay time.Duration // added to each load report's delay at present
-	openRequests     int           // requests without a final end
+	extraReportDelay time.Duration // added to each load report's delay while a fault makes reports late
+	openRequests     int           // requests without a final outcome
 	allArrived       bool          // the last request has arrived
 	accounting       *Accounting
 	result           *Result              // of accounting
 	dedupRuns        map[uint64]*dedupRun // by deduplication key; all workers share it
 }
 
-// schedule lets do happen after a time.
+// schedule schedules a call of do after a time; a negative time counts as 0.
 func (sim *simulation) schedule(after time.Duration, do func()) {
 	sim.nextSequence++
 	sim.queue.Push(event{sim.now + max(after, 0), sim.nextSequence, do})
@@ -57,10 +59,10 @@
 
 func newStream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
 
-// Draw returns a value between the two, with a uniform distribution.
+// Draw returns a uniformly distributed value of the range.
 func (r Range) Draw(rng *rand.Rand) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
 
-// networkDelay returns the time that a message takes from one zone to another.
+// networkDelay draws the one-way delay of a message from one zone to another.
 func (sim *simulation) networkDelay(from, to int) time.Duration {
 	base := sim.SameZoneMs
 	if from != to {
@@ -81,8 +83,8 @@
 	return sim
 }
 
-// Simulate plays a day. stop, which may be nil, is asked now and then whether to end it early; the result then holds what
-// was seen so far.
+// Simulate simulates a day. It calls stop, which may be nil, every few thousand events; if stop returns true, the day
+// ends early and the result covers the part simulated so far.
 func Simulate(fleet *Fleet, load *Load, seed uint64, stop func() bool) (*Result, error) {
 	s, err := newScenario(fleet, load)
 	if err != nil {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// run lets everything happen until all requests have ended, or stop says so.
+// run processes events until all requests have ended or stop returns true.
 func (sim *simulation) run(stop func() bool) {
 	for n := 0; len(sim.queue) > 0 && !(sim.allArrived && sim.openRequests == 0); n++ {
 		sim.step()
@@ -142,7 +144,7 @@
 	}
 }
 
-// step lets the next event happen.
+// step advances the clock to the next event and runs it.
 func (sim *simulation) step() {
 	e := sim.queue.Pop()
 	sim.now = e.at
--- a/internal/dispatcher/fleetsim/simulation_test.go
+++ b/internal/dispatcher/fleetsim/simulation_test.go
@@ -272,14 +272,14 @@
 
 func TestWhatDoesNotFitIsNamed(t *testing.T) {
 	for says, change := range map[string]func(*Fleet, *Load){
-		"key workers.1.kind: there is no \"fast\"":     func(f *Fleet, l *Load) { f.Workers[1].Kind = "fast" },
-		"key kinds.1.name":                             func(f *Fleet, l *Load) { f.Kinds[1].Name = "fast-3c" },
-		"key troubles.0.zone":                          func(f *Fleet, l *Load) { f.Faults = []Fault{{Type: "zone_lost"}} },
-		"key classes.0.effect":                         func(f *Fleet, l *Load) { f.Classes[0].Idempotency = "free" },
-		"load: key seconds":                            func(f *Fleet, l *Load) { l.Seconds = math.NaN() },
-		"load: key rate.1":                             func(f *Fleet, l *Load) { l.Rate = append(l.Rate, RatePoint{0, 1}) },
-		"load: key classes: their shares come to noth": func(f *Fleet, l *Load) { l.Classes = nil },
-		"key dispatchers":                              func(f *Fleet, l *Load) { f.Dispatchers = nil },
+		"key workers.1.kind: there is no \"fast\"": func(f *Fleet, l *Load) { f.Workers[1].Kind = "fast" },
+		"key kinds.1.name":                         func(f *Fleet, l *Load) { f.Kinds[1].Name = "fast-3c" },
+		"key troubles.0.zone":                      func(f *Fleet, l *Load) { f.Faults = []Fault{{Type: "zone_lost"}} },
+		"key classes.0.effect":                     func(f *Fleet, l *Load) { f.Classes[0].Idempotency = "free" },
+		"load: key seconds":                        func(f *Fleet, l *Load) { l.Seconds = math.NaN() },
+		"load: key rate.1":                         func(f *Fleet, l *Load) { l.Rate = append(l.Rate, RatePoint{0, 1}) },
+		"load: key classes: the sum of their shares must be above 0": func(f *Fleet, l *Load) { l.Classes = nil },
+		"key dispatchers": func(f *Fleet, l *Load) { f.Dispatchers = nil },
 	} {
 		f, l := small(), usual(1, 10)
 		change(f, l)
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -9,11 +9,11 @@
 	"gladepick/internal/priorityqueue"
 )
 
-// slowStartReplanInterval is how often completions are planned anew while a worker's speed grows.
+// slowStartReplanInterval is the longest time between two plans of the next completion while a worker's speed grows.
 const slowStartReplanInterval = 50 * time.Millisecond
 
-// worker is one worker: slots that share its cores, a queue, slow start and failures. Service is counted in seconds on a core
-// of speed 1.
+// worker models one worker: slots that share its cores, a queue, slow start and failures. Service is counted in seconds
+// on a core of speed 1.
 type worker struct {
 	sim                  *simulation
 	id                   decision.WorkerID
@@ -23,19 +23,19 @@
 	up                   bool
 	unresponsive         bool // stopped without closing its connections
 	draining             bool
-	overloaded           bool // stopped for good, as it got too much while it was starting
+	overloaded           bool // stopped for good, as it got too much work during its slow start
 	startedAt            time.Duration
 	warmedUp             bool
 	incarnation          int           // counts restarts
-	externalShare        float64       // of the machine, taken by other programs
-	servedEach           float64       // service that a job has got that runs since the start
-	servedUntil          time.Duration // up to when servedEach is counted
-	planNumber           int           // of the planned next completion; older plans are void
+	externalShare        float64       // of the machine, used by other programs
+	servedEach           float64       // service given so far to a job that has been running since the worker's start
+	servedUntil          time.Duration // the time up to which servedEach is counted
+	planNumber           int           // of the planned next completion; events of older plans do nothing
 	running              priorityqueue.Queue[*attempt]
 	waiting              []*attempt
-	unreported           []*attempt // attempts lost without a response: reset once the worker is back
+	unreported           []*attempt // attempts lost while the worker was unresponsive; reset when it restarts
 	connections          int
-	sentWhileCold        []sentWork // within the last OverloadSpanSeconds
+	sentWhileCold        []sentWork // during slow start, within the last OverloadSpanSeconds
 	reports              [32]loadReport
 	reportCount          int
 	reportInterval       time.Duration
@@ -44,26 +44,26 @@
 	busySlotSeconds      float64
 }
 
-// sentWork is work that arrived at a worker.
+// sentWork is the work of one attempt that arrived at a worker, in seconds on a core of speed 1.
 type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// dedupRun is what the workers remember of a deduplication key.
+// dedupRun is the run of a deduplication key, as all workers know it.
 type dedupRun struct {
 	doneAt     time.Duration
 	done       bool
-	duplicates []*attempt // that came while it ran
+	duplicates []*attempt // that arrived during the run and get its outcome
 }
 
-// loadReport is a worker's load at a moment.
+// loadReport is a worker's load at one time.
 type loadReport struct {
 	at   time.Duration
 	load decision.Load
 }
 
-// Before orders running attempts by the service at which they are complete.
+// Before reports whether the attempt completes before the other one at the same worker.
 func (a *attempt) Before(other *attempt) bool { return a.completesAt < other.completesAt }
 
 func (sim *simulation) addWorker(kind, zone int) {
@@ -74,7 +74,7 @@
 	sim.workers = append(sim.workers, w)
 }
 
-// speedShare returns the share of its speed that a worker has at a moment, which grows linearly after its start.
+// speedShare returns the share of its full speed that a worker has at the given time. It grows linearly after a start.
 func (w *worker) speedShare(at time.Duration) float64 {
 	if w.warmedUp || w.startedAt == 0 {
 		return 1
@@ -83,7 +83,7 @@
 	return min(w.kind.SlowStartShare+(1-w.kind.SlowStartShare)*age, 1)
 }
 
-// rate returns the service a second that each running job gets at a moment.
+// rate returns the service per second that each running job gets at the given time.
 func (w *worker) rate(at time.Duration) float64 {
 	n := float64(len(w.running))
 	if n == 0 {
@@ -92,7 +92,7 @@
 	return w.speed * w.speedShare(at) * min(1, w.kind.Cores*(1-w.externalShare)/n)
 }
 
-// advance counts the service up to now. As the speed grows linearly, the one in the middle of the time stands for it.
+// advance counts the service up to now. As the speed grows linearly, it uses the speed at the middle of the interval.
 func (w *worker) advance() {
 	span := (w.sim.now - w.servedUntil).Seconds()
 	if span > 0 {
@@ -114,11 +114,11 @@
 	if r > 0 {
 		wait = sec(min(left/r, 1e6)) + 1
 	}
-	if !w.warmedUp { // the rate grows meanwhile, so plan again soon
+	if !w.warmedUp { // the rate grows in the meantime, so the completion is planned again soon
 		wait = min(wait, slowStartReplanInterval)
 	}
 	if wait == math.MaxInt64 {
-		return // nothing moves until something changes
+		return // no job advances until the rate changes
 	}
 	w.sim.schedule(wait, func() {
 		if plan != w.planNumber {
@@ -136,7 +136,7 @@
 	})
 }
 
-// arrive is the arrival of an attempt's last byte at the worker.
+// arrive handles the arrival of an attempt's last byte at the worker.
 func (w *worker) arrive(a *attempt) {
 	if !w.up || a.incarnation != w.incarnation {
 		if w.unresponsive {
@@ -173,8 +173,8 @@
 	}
 }
 
-// dedup returns the run of a request's key that has run or runs at any worker. If there is none, it starts one and returns
-// nil.
+// dedup returns the run of a request's deduplication key, at whichever worker it runs or ran. If there is none within
+// the window, dedup records a new run and returns nil.
 func (sim *simulation) dedup(q *request) *dedupRun {
 	if r := sim.dedupRuns[q.dedupKey]; r != nil && (!r.done || sim.now-r.doneAt < sec(sim.Classes[q.class].DedupWindowSeconds)) {
 		return r
@@ -191,8 +191,8 @@
 	}
 }
 
-// overload notes work that arrived at a starting worker. Beyond the multiple of what it can do the worker stops for good,
-// and overload returns true.
+// overload records work that arrived during a worker's slow start, and reports whether the worker is overloaded by it.
+// An overloaded worker stops for good.
 func (w *worker) overload(work float64) bool {
 	now, span := w.sim.now, sec(w.sim.SlowStart.OverloadSpanSeconds)
 	w.sentWhileCold = append(w.sentWhileCold, sentWork{now, work})
@@ -221,7 +221,7 @@
 	a.reportProgress()
 }
 
-// reportProgress reports progress at regular intervals, while the attempt runs.
+// reportProgress reports progress every progressInterval while the attempt runs.
 func (a *attempt) reportProgress() {
 	a.worker.sim.schedule(progressInterval, func() {
 		if a.started && !a.endedAtWorker && a.worker.up && a.incarnation == a.worker.incarnation {
@@ -232,7 +232,7 @@
 	})
 }
 
-// complete ends a running attempt, and the duplicates that waited for it.
+// complete ends a running attempt, and the duplicates that wait for its run.
 func (w *worker) complete(a *attempt) {
 	a.endedAtWorker = true
 	w.completedSinceReport++
@@ -250,7 +250,7 @@
 	}
 }
 
-// startWaiting starts waiting attempts, in their order, while there are free slots.
+// startWaiting starts waiting attempts in the order of their arrival while there are free slots.
 func (w *worker) startWaiting() {
 	for len(w.waiting) > 0 && len(w.running) < w.kind.Slots {
 		a := w.waiting[0]
@@ -260,7 +260,8 @@
 	}
 }
 
-// stop ends the process. What it had is lost: its dispatchers see a reset or, where it is unresponsive, nothing.
+// stop ends the process. Its attempts are lost: their dispatchers see a reset or, if the worker is unresponsive,
+// nothing.
 func (w *worker) stop(unresponsive bool) {
 	if !w.up {
 		return
@@ -299,7 +300,7 @@
 	}
 }
 
-// restart starts a new process, which begins with its slow start.
+// restart starts a new process, which begins with its slow start. An overloaded worker stays stopped.
 func (w *worker) restart() {
 	if w.up || w.overloaded {
 		return
@@ -318,12 +319,13 @@
 	}
 }
 
-// scheduleReports schedules the worker's load reports, from a random moment on.
+// scheduleReports schedules the worker's load reports, the first at a random time within its report interval.
 func (w *worker) scheduleReports() {
 	w.sim.schedule(time.Duration(w.sim.networkRandom.Float64()*float64(w.reportInterval)), func() { w.takeReport() })
 }
 
-// takeReport notes the worker's load, as a report will show it later.
+// takeReport records the worker's load, and schedules the next report. A report reaches dispatchers later, with an
+// outcome.
 func (w *worker) takeReport() {
 	if w.up {
 		w.reports[w.reportCount%len(w.reports)] = loadReport{w.sim.now, decision.Load{Count: reportFields, Values: [4]float64{
@@ -334,7 +336,7 @@
 	w.sim.schedule(w.reportInterval, w.takeReport)
 }
 
-// latestReport returns the newest report that has had the time to arrive, or an empty one.
+// latestReport returns the newest report that is older than its delay, or an empty one.
 func (w *worker) latestReport() decision.Load {
 	for i := w.reportCount - 1; i >= 0 && i > w.reportCount-len(w.reports); i-- {
 		if s := w.reports[i%len(w.reports)]; w.sim.now-s.at >= w.reportDelay+w.sim.extraReportDelay {
