--- a/internal/dispatcher/fleetsim/accounting.go
+++ b/internal/dispatcher/fleetsim/accounting.go
@@ -21,8 +21,8 @@
 
 // NewAccounting returns the accounting of a day that a fleet and a load describe. It returns an error if these are
 // invalid.
-func NewAccounting(f *Fleet, l *Load) (*Accounting, error) {
-	s, err := newScenario(f, l)
+func NewAccounting(fleet *Fleet, load *Load) (*Accounting, error) {
+	s, err := newScenario(fleet, load)
 	if err != nil {
 		return nil, err
 	}
@@ -31,52 +31,52 @@
 
 // RecordRequest counts a request that has arrived. The caller must call the returned function exactly once, when the
 // request ends.
-func (b *Accounting) RecordRequest(a Arrival) (ended func(served bool, took time.Duration)) {
-	q := b.newRequest(a)
-	return func(ok bool, took time.Duration) {
-		v := failed
-		if ok {
-			v = served
+func (acc *Accounting) RecordRequest(arrival Arrival) (ended func(served bool, took time.Duration)) {
+	req := acc.newRequest(arrival)
+	return func(wasServed bool, took time.Duration) {
+		outcome := failed
+		if wasServed {
+			outcome = served
 		}
-		b.result.addEnded(b.scenario, q, v, took)
+		acc.result.addOutcome(acc.scenario, req, outcome, took)
 	}
 }
 
 // Result computes the score and returns the result.
-func (b *Accounting) Result() *Result {
-	b.result.computeScore()
-	return b.result
+func (acc *Accounting) Result() *Result {
+	acc.result.computeScore()
+	return acc.result
 }
 
 // newRequest creates the request of an arrival, and counts it as offered.
-func (b *Accounting) newRequest(a Arrival) *request {
-	c := &b.scenario.Classes[a.Class]
-	q := &request{class: a.Class, tenant: a.Tenant, work: a.WorkSeconds, arrived: a.At, deadline: a.At + sec(c.DeadlineSeconds), retriesLeft: b.scenario.load.Retries.Max}
-	if b.requests++; idempotencies[c.Idempotency] == decision.Deduplicated {
-		q.dedupKey = b.requests
+func (acc *Accounting) newRequest(arrival Arrival) *request {
+	requestClass := &acc.scenario.Classes[arrival.Class]
+	req := &request{class: arrival.Class, tenant: arrival.Tenant, work: arrival.WorkSeconds, arrived: arrival.At, deadline: arrival.At + sec(requestClass.DeadlineSeconds), retriesLeft: acc.scenario.load.Retries.Max}
+	if acc.requests++; idempotencies[requestClass.Idempotency] == decision.Deduplicated {
+		req.dedupKey = acc.requests
 	}
-	q.withinQuota = b.buckets[q.tenant].take(a.At, b.scenario.Tenants[q.tenant].RatePerSecond)
-	b.result.addOffered(b.scenario, q)
-	return q
+	req.withinQuota = acc.buckets[req.tenant].take(arrival.At, acc.scenario.Tenants[req.tenant].RatePerSecond)
+	acc.result.addOffered(acc.scenario, req)
+	return req
 }
 
 // closeAccounting completes the result of a simulated day, and counts requests without an answer as violations.
 func (sim *simulation) closeAccounting() {
-	r := sim.result
-	r.Duration = sim.now
-	r.computeScore()
+	res := sim.result
+	res.Duration = sim.now
+	res.computeScore()
 	for _, w := range sim.workers {
 		w.advance()
-		k := &r.Kinds[w.kindIndex]
-		k.Utilization += w.busySlotSeconds / max(sim.now.Seconds()*float64(w.kind.Slots)*float64(k.Count), 1e-9)
+		stats := &res.Kinds[w.kindIndex]
+		stats.Utilization += w.busySlotSeconds / max(sim.now.Seconds()*float64(w.kind.Slots)*float64(stats.Count), 1e-9)
 	}
-	if left := sim.openRequests; left > 0 && !r.Stopped {
-		r.Violations[violationNoAnswer] += left
+	if unanswered := sim.openRequests; unanswered > 0 && !res.Stopped {
+		res.Violations[violationNoAnswer] += unanswered
 	}
-	for _, n := range sim.dispatchers {
-		for _, t := range n.jobs {
-			if !t.answered && !r.Stopped {
-				r.Violations[violationNoAnswer]++
+	for _, d := range sim.dispatchers {
+		for _, j := range d.jobs {
+			if !j.answered && !res.Stopped {
+				res.Violations[violationNoAnswer]++
 			}
 		}
 	}
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -18,8 +18,8 @@
 
 // Arrivals returns a function that draws a day's requests one after the other, and returns false when the day is over.
 // The requests are a Poisson process with a varying rate, made by thinning a process with the peak rate.
-func Arrivals(f *Fleet, l *Load, seed uint64) (next func() (Arrival, bool), err error) {
-	s, err := newScenario(f, l)
+func Arrivals(fleet *Fleet, load *Load, seed uint64) (next func() (Arrival, bool), err error) {
+	s, err := newScenario(fleet, load)
 	if err != nil {
 		return nil, err
 	}
@@ -45,31 +45,31 @@
 }
 
 func newArrivalSource(s *scenario, random, workRandom *rand.Rand) *arrivalSource {
-	a := &arrivalSource{scenario: s, random: random}
+	source := &arrivalSource{scenario: s, random: random}
 	for _, p := range s.load.Rate {
-		a.peak = max(a.peak, p.PerSecond*s.load.Factor)
+		source.peak = max(source.peak, p.PerSecond*s.load.Factor)
 	}
 	for _, share := range s.tenantShares {
-		a.tenantSum += share
-		a.tenantCumulative = append(a.tenantCumulative, a.tenantSum)
+		source.tenantSum += share
+		source.tenantCumulative = append(source.tenantCumulative, source.tenantSum)
 	}
 	for _, g := range s.Dispatchers {
 		for range g.Count {
-			a.dispatcherSum += g.Share
-			a.dispatcherWeights = append(a.dispatcherWeights, a.dispatcherSum)
+			source.dispatcherSum += g.Share
+			source.dispatcherWeights = append(source.dispatcherWeights, source.dispatcherSum)
 		}
 	}
 	burstFactor := 1.0 // for the upper bound, all bursts are taken to coincide
 	for _, b := range s.load.Bursts {
-		burstFactor += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / a.tenantSum
+		burstFactor += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / source.tenantSum
 	}
-	a.peak *= burstFactor
-	a.work = make([]func() float64, len(s.classLoads))
+	source.peak *= burstFactor
+	source.work = make([]func() float64, len(s.classLoads))
 	for i, class := range s.classLoads {
-		a.classSum += class.Share
-		a.work[i] = class.workSeconds(workRandom)
+		source.classSum += class.Share
+		source.work[i] = class.workSeconds(workRandom)
 	}
-	return a
+	return source
 }
 
 // workSeconds returns a function that draws the work of a job of the class.
@@ -131,14 +131,14 @@
 
 // rateAt returns the requests per second of all tenants together, without bursts, at a time in seconds.
 func (s *scenario) rateAt(at float64) float64 {
-	r := s.load.Rate
-	i := sort.Search(len(r), func(i int) bool { return r[i].AtSeconds > at })
+	rates := s.load.Rate
+	i := sort.Search(len(rates), func(i int) bool { return rates[i].AtSeconds > at })
 	switch {
 	case i == 0:
-		return r[0].PerSecond * s.load.Factor
-	case i == len(r):
-		return r[i-1].PerSecond * s.load.Factor
+		return rates[0].PerSecond * s.load.Factor
+	case i == len(rates):
+		return rates[i-1].PerSecond * s.load.Factor
 	}
-	part := (at - r[i-1].AtSeconds) / (r[i].AtSeconds - r[i-1].AtSeconds)
-	return (r[i-1].PerSecond + part*(r[i].PerSecond-r[i-1].PerSecond)) * s.load.Factor
+	fraction := (at - rates[i-1].AtSeconds) / (rates[i].AtSeconds - rates[i-1].AtSeconds)
+	return (rates[i-1].PerSecond + fraction*(rates[i].PerSecond-rates[i-1].PerSecond)) * s.load.Factor
 }
--- a/internal/dispatcher/fleetsim/clients.go
+++ b/internal/dispatcher/fleetsim/clients.go
@@ -27,11 +27,11 @@
 			return
 		}
 		sim.schedule(a.At-sim.now, func() {
-			q := sim.accounting.newRequest(a)
-			q.arrived, q.dispatcher = sim.now, sim.dispatchers[a.Dispatcher]
+			req := sim.accounting.newRequest(a)
+			req.arrived, req.dispatcher = sim.now, sim.dispatchers[a.Dispatcher]
 			sim.openRequests++
 			next()
-			q.dispatcher.accept(q, false)
+			req.dispatcher.accept(req, false)
 		})
 	}
 	next()
@@ -59,28 +59,28 @@
 }
 
 // finishRequest records a request's final outcome, as its client sees it. A second outcome is counted as a violation.
-func (sim *simulation) finishRequest(q *request, verdict requestOutcome) {
-	if q.ended {
+func (sim *simulation) finishRequest(req *request, outcome requestOutcome) {
+	if req.ended {
 		sim.result.Violations[violationTwoAnswers]++
 		return
 	}
-	q.ended = true
+	req.ended = true
 	sim.openRequests--
-	sim.result.addEnded(sim.scenario, q, verdict, sim.now-q.arrived)
+	sim.result.addOutcome(sim.scenario, req, outcome, sim.now-req.arrived)
 }
 
 // retry schedules the client's next try, and reports whether there is one: the client must have retries left, and its
 // deadline must lie after the wait.
-func (sim *simulation) retry(q *request, after time.Duration) bool {
+func (sim *simulation) retry(req *request, retryAfter time.Duration) bool {
 	wait := ms(sim.load.Retries.WaitMs)
 	if sim.load.Retries.HonourRetryAfter {
-		wait = max(wait, after)
+		wait = max(wait, retryAfter)
 	}
-	if q.retriesLeft <= 0 || sim.now+wait >= q.deadline {
+	if req.retriesLeft <= 0 || sim.now+wait >= req.deadline {
 		return false
 	}
-	q.retriesLeft--
+	req.retriesLeft--
 	sim.result.Retries++
-	sim.schedule(wait, func() { q.dispatcher.accept(q, true) })
+	sim.schedule(wait, func() { req.dispatcher.accept(req, true) })
 	return true
 }
--- a/internal/dispatcher/fleetsim/faults.go
+++ b/internal/dispatcher/fleetsim/faults.go
@@ -13,20 +13,20 @@
 // scheduleFaults schedules the day's faults, and draws the workers that each one affects.
 func (sim *simulation) scheduleFaults(random *rand.Rand) {
 	for _, fault := range sim.Faults {
-		hit := sim.drawHit(fault, random)
+		affected := sim.drawAffected(fault, random)
 		end := fault.StartSeconds + fault.DurationSeconds
 		switch fault.Type {
 		case faultZoneLost:
-			sim.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(true) })
-			sim.scheduleEach(end, hit, (*worker).restart)
+			sim.scheduleEach(fault.StartSeconds, affected, func(w *worker) { w.stop(true) })
+			sim.scheduleEach(end, affected, (*worker).restart)
 		case faultDeaths:
-			sim.scheduleEach(fault.StartSeconds, hit, func(w *worker) { w.stop(false) })
-			sim.scheduleEach(end, hit, (*worker).restart)
+			sim.scheduleEach(fault.StartSeconds, affected, func(w *worker) { w.stop(false) })
+			sim.scheduleEach(end, affected, (*worker).restart)
 		case faultDrain:
-			sim.scheduleEach(fault.StartSeconds, hit, sim.drain)
-			sim.scheduleEach(end, hit, endDrain)
+			sim.scheduleEach(fault.StartSeconds, affected, sim.drain)
+			sim.scheduleEach(end, affected, endDrain)
 		case faultShared:
-			sim.scheduleShared(fault, hit)
+			sim.scheduleShared(fault, affected)
 		case faultReportsLate:
 			sim.schedule(sec(fault.StartSeconds), func() { sim.extraReportDelay += sec(fault.Amount) })
 			sim.schedule(sec(end), func() { sim.extraReportDelay -= sec(fault.Amount) })
@@ -34,22 +34,22 @@
 	}
 }
 
-// drawHit draws the workers that a fault affects: a random fraction of those in its zone and of its kind. A lost zone
-// affects all of them.
-func (sim *simulation) drawHit(fault Fault, random *rand.Rand) []*worker {
-	var hit []*worker
+// drawAffected draws the workers that a fault affects: a random fraction of those in its zone and of its kind. A lost
+// zone affects all of them.
+func (sim *simulation) drawAffected(fault Fault, random *rand.Rand) []*worker {
+	var affected []*worker
 	for _, w := range sim.workers {
 		inZone := fault.Zone == "" || w.zone == sim.zoneIndex[fault.Zone]
 		ofKind := fault.Kind == "" || w.kindIndex == sim.kindIndex[fault.Kind]
 		if inZone && ofKind {
-			hit = append(hit, w)
+			affected = append(affected, w)
 		}
 	}
-	random.Shuffle(len(hit), func(i, k int) { hit[i], hit[k] = hit[k], hit[i] })
+	random.Shuffle(len(affected), func(i, k int) { affected[i], affected[k] = affected[k], affected[i] })
 	if fault.Type != faultZoneLost {
-		hit = hit[:int(math.Round(fault.Fraction*float64(len(hit))))]
+		affected = affected[:int(math.Round(fault.Fraction*float64(len(affected))))]
 	}
-	return hit
+	return affected
 }
 
 // scheduleEach schedules one event that calls do with each worker.
@@ -67,8 +67,8 @@
 	if !w.draining {
 		return
 	}
-	for _, n := range sim.dispatchers {
-		n.learnState(w, decision.Draining, sim.DiscoveryDelaySeconds.Draw(sim.networkRandom))
+	for _, d := range sim.dispatchers {
+		d.learnState(w, decision.Draining, sim.DiscoveryDelaySeconds.Draw(sim.networkRandom))
 	}
 }
 
@@ -81,7 +81,7 @@
 }
 
 // scheduleShared schedules the periods in which other programs use a part of the machines.
-func (sim *simulation) scheduleShared(fault Fault, hit []*worker) {
+func (sim *simulation) scheduleShared(fault Fault, affected []*worker) {
 	setShare := func(share float64) func(*worker) {
 		return func(w *worker) {
 			w.advance()
@@ -92,7 +92,7 @@
 	on := max(fault.OnSeconds, minOnSeconds)
 	end := fault.StartSeconds + fault.DurationSeconds
 	for at := fault.StartSeconds; at < end; at += on + fault.OffSeconds {
-		sim.scheduleEach(at, hit, setShare(fault.Amount))
-		sim.scheduleEach(min(at+on, end), hit, setShare(0))
+		sim.scheduleEach(at, affected, setShare(fault.Amount))
+		sim.scheduleEach(min(at+on, end), affected, setShare(0))
 	}
 }
--- a/internal/dispatcher/fleetsim/fleet.go
+++ b/internal/dispatcher/fleetsim/fleet.go
@@ -19,9 +19,9 @@
 
 // UnmarshalJSON reads either form.
 func (r *Range) UnmarshalJSON(text []byte) error {
-	var one float64
-	if json.Unmarshal(text, &one) == nil {
-		*r = Range{one, one}
+	var single float64
+	if json.Unmarshal(text, &single) == nil {
+		*r = Range{single, single}
 		return nil
 	}
 	return json.Unmarshal(text, (*[2]float64)(r))
@@ -141,40 +141,40 @@
 // fill sets the defaults of values that a description leaves out. They are those of a small site. Values on which a
 // score depends strongly (kinds, counts, rates, times) have no default.
 func (f *Fleet) fill() {
-	or := func(v *float64, otherwise float64) {
-		if *v == 0 {
-			*v = otherwise
+	setDefault := func(value *float64, defaultValue float64) {
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
-	between := func(r *Range, least, most float64) {
+	setDefaultRange := func(r *Range, minimum, maximum float64) {
 		if *r == (Range{}) {
-			*r = Range{least, most}
+			*r = Range{minimum, maximum}
 		}
 	}
-	or(&f.SameZoneMs, 0.2)
-	or(&f.CrossZoneMs, 15)
-	or(&f.ConnectionIdleSeconds, 5)
-	or(&f.ConnectTimeoutMs, 250)
-	or(&f.ConnectionRoundTrips, 1)
-	or(&f.DrainGraceSeconds, 0.5)
-	or(&f.OverQuotaValue, 0.1)
-	or(&f.RetryAfterMs, 50)
-	or(&f.SlowStart.Share, 0.3)
-	or(&f.SlowStart.DurationSeconds, 8.9)
-	or(&f.SlowStart.OverloadMultiple, 3)
-	or(&f.SlowStart.OverloadSpanSeconds, 1)
-	between(&f.DiscoveryDelaySeconds, 0.8, 4)
-	between(&f.UnresponsiveDelaySeconds, 4, 11)
-	between(&f.ReportIntervalSeconds, 0.33, 1.3)
-	between(&f.ReportDelaySeconds, 0.05, 0.28)
+	setDefault(&f.SameZoneMs, 0.2)
+	setDefault(&f.CrossZoneMs, 15)
+	setDefault(&f.ConnectionIdleSeconds, 5)
+	setDefault(&f.ConnectTimeoutMs, 250)
+	setDefault(&f.ConnectionRoundTrips, 1)
+	setDefault(&f.DrainGraceSeconds, 0.5)
+	setDefault(&f.OverQuotaValue, 0.1)
+	setDefault(&f.RetryAfterMs, 50)
+	setDefault(&f.SlowStart.Share, 0.3)
+	setDefault(&f.SlowStart.DurationSeconds, 8.9)
+	setDefault(&f.SlowStart.OverloadMultiple, 3)
+	setDefault(&f.SlowStart.OverloadSpanSeconds, 1)
+	setDefaultRange(&f.DiscoveryDelaySeconds, 0.8, 4)
+	setDefaultRange(&f.UnresponsiveDelaySeconds, 4, 11)
+	setDefaultRange(&f.ReportIntervalSeconds, 0.33, 1.3)
+	setDefaultRange(&f.ReportDelaySeconds, 0.05, 0.28)
 	if f.MaxAttempts == 0 {
 		f.MaxAttempts = 3
 	}
 	for i := range f.Kinds {
 		k := &f.Kinds[i]
-		or(&k.SlowStartShare, 0.45)
-		or(&k.SlowStartSeconds, 6)
-		or(&k.Cost, 1)
+		setDefault(&k.SlowStartShare, 0.45)
+		setDefault(&k.SlowStartSeconds, 6)
+		setDefault(&k.Cost, 1)
 		if k.Slots == 0 {
 			k.Slots = max(int(math.Round(k.Cores)), 1)
 		}
@@ -187,7 +187,7 @@
 	}
 	for i := range f.Dispatchers {
 		d := &f.Dispatchers[i]
-		or(&d.Share, 1)
+		setDefault(&d.Share, 1)
 		if d.OpenJobs == 0 {
 			d.OpenJobs = 500
 		}
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -82,55 +82,55 @@
 }
 
 func newResult(s *scenario) *Result {
-	r := &Result{Violations: map[string]int{}, Classes: make([]Tally, len(s.Classes)), Tenants: make([]Tally, len(s.Tenants)),
+	result := &Result{Violations: map[string]int{}, Classes: make([]Tally, len(s.Classes)), Tenants: make([]Tally, len(s.Tenants)),
 		Kinds: make([]WorkerStats, len(s.Kinds)), Seconds: make([]Tally, int(math.Ceil(s.load.Seconds)))}
 	for _, g := range s.Workers {
-		r.Kinds[s.kindIndex[g.Kind]].Count += g.Count
+		result.Kinds[s.kindIndex[g.Kind]].Count += g.Count
 	}
-	return r
+	return result
 }
 
 // tallies returns the tallies in which a request counts.
-func (r *Result) tallies(q *request) []*Tally {
-	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.arrived.Seconds()), len(r.Seconds)-1)]}
-	if q.withinQuota {
-		out = append(out, &r.Tenants[q.tenant])
+func (r *Result) tallies(req *request) []*Tally {
+	out := []*Tally{&r.Total, &r.Classes[req.class], &r.Seconds[min(int(req.arrived.Seconds()), len(r.Seconds)-1)]}
+	if req.withinQuota {
+		out = append(out, &r.Tenants[req.tenant])
 	}
 	return out
 }
 
 // value returns the value that a request earns if it is answered in time.
-func (s *scenario) value(q *request) float64 {
-	w := s.Classes[q.class].Value
-	if !q.withinQuota {
-		w *= s.OverQuotaValue
+func (s *scenario) value(req *request) float64 {
+	earned := s.Classes[req.class].Value
+	if !req.withinQuota {
+		earned *= s.OverQuotaValue
 	}
-	return w
+	return earned
 }
 
-func (r *Result) addOffered(s *scenario, q *request) {
-	for _, t := range r.tallies(q) {
-		t.OfferedValue += s.value(q)
+func (r *Result) addOffered(s *scenario, req *request) {
+	for _, t := range r.tallies(req) {
+		t.OfferedValue += s.value(req)
 		t.Jobs++
 	}
 }
 
-func (r *Result) addEnded(s *scenario, q *request, v requestOutcome, took time.Duration) {
-	c := &s.Classes[q.class]
+func (r *Result) addOutcome(s *scenario, req *request, outcome requestOutcome, took time.Duration) {
+	requestClass := &s.Classes[req.class]
 	earned := 0.0
-	inTime := v == served && took <= sec(c.LatencyTargetSeconds+c.Stretch*q.work)
+	inTime := outcome == served && took <= sec(requestClass.LatencyTargetSeconds+requestClass.Stretch*req.work)
 	switch {
 	case inTime:
-		earned = s.value(q)
-	case v == served:
-		earned = s.value(q) * c.LateValue
+		earned = s.value(req)
+	case outcome == served:
+		earned = s.value(req) * requestClass.LateValue
 	}
-	for _, t := range r.tallies(q) {
+	for _, t := range r.tallies(req) {
 		t.EarnedValue += earned
 		switch {
 		case inTime:
 			t.InTime++
-		case v == served:
+		case outcome == served:
 			t.Late++
 		default:
 			t.Failed++
@@ -151,12 +151,12 @@
 		}
 		r.WorstTenSeconds = min(r.WorstTenSeconds, t.Service())
 	}
-	class, university := 1.0, 1.0
+	worstClass, worstTenant := 1.0, 1.0
 	for i := range r.Classes {
-		class = min(class, r.Classes[i].Service())
+		worstClass = min(worstClass, r.Classes[i].Service())
 	}
 	for i := range r.Tenants {
-		university = min(university, r.Tenants[i].Service())
+		worstTenant = min(worstTenant, r.Tenants[i].Service())
 	}
-	r.Score = 0.4*r.Total.Service() + 0.15*r.WorstTenSeconds + 0.2*class + 0.25*university
+	r.Score = 0.4*r.Total.Service() + 0.15*r.WorstTenSeconds + 0.2*worstClass + 0.25*worstTenant
 }
--- a/internal/dispatcher/fleetsim/scenario.go
+++ b/internal/dispatcher/fleetsim/scenario.go
@@ -16,18 +16,18 @@
 
 // indexNames maps names to their indexes. An empty name, a duplicate name and an empty list are errors.
 func indexNames[T any](key string, list []T, name func(*T) string) (map[string]int, error) {
-	at := map[string]int{}
+	indexes := map[string]int{}
 	for i := range list {
-		n := name(&list[i])
-		if _, twice := at[n]; twice || n == "" {
-			return nil, fmt.Errorf("key %s.%d.name: %q is empty or a duplicate", key, i, n)
+		entryName := name(&list[i])
+		if _, duplicate := indexes[entryName]; duplicate || entryName == "" {
+			return nil, fmt.Errorf("key %s.%d.name: %q is empty or a duplicate", key, i, entryName)
 		}
-		at[n] = i
+		indexes[entryName] = i
 	}
-	if len(at) == 0 {
+	if len(indexes) == 0 {
 		return nil, fmt.Errorf("key %s: at least one entry is required", key)
 	}
-	return at, nil
+	return indexes, nil
 }
 
 // scenario is a validated fleet and load, with names resolved to indexes. It is immutable.
@@ -44,8 +44,8 @@
 
 // newScenario fills in the fleet's defaults and validates a fleet and a load together. Its errors name the key.
 func newScenario(fleet *Fleet, load *Load) (*scenario, error) {
-	f, l := *fleet.WithDefaults(), *load
-	s := &scenario{Fleet: &f, load: &l}
+	fleetCopy, loadCopy := *fleet.WithDefaults(), *load
+	s := &scenario{Fleet: &fleetCopy, load: &loadCopy}
 	if err := s.indexFleet(); err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	}
 	s.zoneIndex = map[string]int{}
 	for i, zone := range s.Zones {
-		if _, twice := s.zoneIndex[zone]; twice || zone == "" {
+		if _, duplicate := s.zoneIndex[zone]; duplicate || zone == "" {
 			return fmt.Errorf("key zones.%d: %q is empty or a duplicate", i, zone)
 		}
 		s.zoneIndex[zone] = i
@@ -224,7 +224,7 @@
 // moduleSettings returns the decision module's settings for the dispatcher with index self out of count, as the
 // platform sets them.
 func (s *scenario) moduleSettings(self, count, zone int) decision.Settings {
-	out := decision.Settings{
+	settings := decision.Settings{
 		Self: self, Dispatchers: count, Zone: zone, Kinds: len(s.Kinds), Zones: len(s.Zones),
 		Discovery: decision.DiscoveryPoll, MaxDiscoverySilence: 10 * time.Second, DrainGrace: sec(s.DrainGraceSeconds), AnswerGrace: 8 * time.Millisecond,
 		SlowStartShare: s.SlowStart.Share, SlowStartDuration: sec(s.SlowStart.DurationSeconds), OverloadMultiple: s.SlowStart.OverloadMultiple, OverloadSpan: sec(s.SlowStart.OverloadSpanSeconds),
@@ -233,11 +233,11 @@
 		Report: decision.LoadReportLayout{FreeSlots: 0, FreeMemory: -1, Queue: 3, InFlight: -1, Util: -1, Errors: 1},
 	}
 	for _, c := range s.Classes {
-		out.Classes = append(out.Classes, decision.ClassSettings{LatencyTarget: sec(c.LatencyTargetSeconds), Stretch: c.Stretch, Deadline: sec(c.DeadlineSeconds),
+		settings.Classes = append(settings.Classes, decision.ClassSettings{LatencyTarget: sec(c.LatencyTargetSeconds), Stretch: c.Stretch, Deadline: sec(c.DeadlineSeconds),
 			Idempotency: idempotencies[c.Idempotency], DedupScope: decision.DedupByAll, DedupWindow: sec(c.DedupWindowSeconds), Value: c.Value, LateValue: c.LateValue, WorkerKind: -1})
 	}
-	for _, u := range s.Tenants {
-		out.Tenants = append(out.Tenants, decision.TenantSettings{Share: u.Share, RatePerSecond: u.RatePerSecond})
+	for _, tenant := range s.Tenants {
+		settings.Tenants = append(settings.Tenants, decision.TenantSettings{Share: tenant.Share, RatePerSecond: tenant.RatePerSecond})
 	}
-	return out
+	return settings
 }
--- a/internal/dispatcher/fleetsim/simulation.go
+++ b/internal/dispatcher/fleetsim/simulation.go
@@ -52,12 +52,12 @@
 }
 
 // schedule schedules a call of do after a time; a negative time counts as 0.
-func (sim *simulation) schedule(after time.Duration, do func()) {
+func (sim *simulation) schedule(delay time.Duration, do func()) {
 	sim.nextSequence++
-	sim.queue.Push(event{sim.now + max(after, 0), sim.nextSequence, do})
+	sim.queue.Push(event{sim.now + max(delay, 0), sim.nextSequence, do})
 }
 
-func newStream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
+func newStream(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // Draw returns a uniformly distributed value of the range.
 func (r Range) Draw(rng *rand.Rand) float64 { return r[0] + rng.Float64()*(r[1]-r[0]) }
@@ -95,8 +95,8 @@
 	if err := sim.addDispatchers(newStream(seed, moduleStream)); err != nil {
 		return nil, err
 	}
-	for _, n := range sim.dispatchers {
-		n.start()
+	for _, d := range sim.dispatchers {
+		d.start()
 	}
 	sim.scheduleFaults(newStream(seed, faultStream))
 	sim.scheduleArrivals(seed)
@@ -123,11 +123,11 @@
 	}
 	for _, g := range sim.Dispatchers {
 		for range g.Count {
-			n, err := newDispatcher(sim, len(sim.dispatchers), count, g, seeds.Uint64())
+			d, err := newDispatcher(sim, len(sim.dispatchers), count, g, seeds.Uint64())
 			if err != nil {
 				return err
 			}
-			sim.dispatchers = append(sim.dispatchers, n)
+			sim.dispatchers = append(sim.dispatchers, d)
 		}
 	}
 	return nil
--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -28,14 +28,14 @@
 	warmedUp             bool
 	incarnation          int           // counts restarts
 	externalShare        float64       // of the machine, used by other programs
-	servedEach           float64       // service given so far to a job that has been running since the worker's start
-	servedUntil          time.Duration // the time up to which servedEach is counted
+	servedPerJob         float64       // service given so far to a job that has been running since the worker's start
+	servedUntil          time.Duration // the time up to which servedPerJob is counted
 	planNumber           int           // of the planned next completion; events of older plans do nothing
 	running              priorityqueue.Queue[*attempt]
 	waiting              []*attempt
-	unreported           []*attempt // attempts lost while the worker was unresponsive; reset when it restarts
+	pendingResets        []*attempt // attempts lost while the worker was unresponsive; reset when it restarts
 	connections          int
-	sentWhileCold        []sentWork // during slow start, within the last OverloadSpanSeconds
+	recentSlowStartWork  []sentWork // during slow start, within the last OverloadSpanSeconds
 	reports              [32]loadReport
 	reportCount          int
 	reportInterval       time.Duration
@@ -67,9 +67,9 @@
 func (a *attempt) Before(other *attempt) bool { return a.completesAt < other.completesAt }
 
 func (sim *simulation) addWorker(kind, zone int) {
-	k := &sim.Kinds[kind]
+	workerKind := &sim.Kinds[kind]
 	id := decision.WorkerID(uint32(len(sim.workers)+1) * 2654435761)
-	w := &worker{sim: sim, id: id, kindIndex: kind, kind: k, zone: zone, speed: k.Speed.Draw(sim.workerRandom), up: true, warmedUp: true,
+	w := &worker{sim: sim, id: id, kindIndex: kind, kind: workerKind, zone: zone, speed: workerKind.Speed.Draw(sim.workerRandom), up: true, warmedUp: true,
 		reportInterval: sec(sim.ReportIntervalSeconds.Draw(sim.workerRandom)), reportDelay: sec(sim.ReportDelaySeconds.Draw(sim.workerRandom))}
 	sim.workers = append(sim.workers, w)
 }
@@ -85,18 +85,18 @@
 
 // rate returns the service per second that each running job gets at the given time.
 func (w *worker) rate(at time.Duration) float64 {
-	n := float64(len(w.running))
-	if n == 0 {
+	jobs := float64(len(w.running))
+	if jobs == 0 {
 		return 0
 	}
-	return w.speed * w.speedShare(at) * min(1, w.kind.Cores*(1-w.externalShare)/n)
+	return w.speed * w.speedShare(at) * min(1, w.kind.Cores*(1-w.externalShare)/jobs)
 }
 
 // advance counts the service up to now. As the speed grows linearly, it uses the speed at the middle of the interval.
 func (w *worker) advance() {
 	span := (w.sim.now - w.servedUntil).Seconds()
 	if span > 0 {
-		w.servedEach += w.rate(w.servedUntil+(w.sim.now-w.servedUntil)/2) * span
+		w.servedPerJob += w.rate(w.servedUntil+(w.sim.now-w.servedUntil)/2) * span
 		w.busySlotSeconds += float64(len(w.running)) * span
 	}
 	w.servedUntil = w.sim.now
@@ -108,11 +108,11 @@
 	if len(w.running) == 0 {
 		return
 	}
-	plan, r := w.planNumber, w.rate(w.sim.now)
-	left := w.running[0].completesAt - w.servedEach
+	plan, currentRate := w.planNumber, w.rate(w.sim.now)
+	remaining := w.running[0].completesAt - w.servedPerJob
 	wait := time.Duration(math.MaxInt64)
-	if r > 0 {
-		wait = sec(min(left/r, 1e6)) + 1
+	if currentRate > 0 {
+		wait = sec(min(remaining/currentRate, 1e6)) + 1
 	}
 	if !w.warmedUp { // the rate grows in the meantime, so the completion is planned again soon
 		wait = min(wait, slowStartReplanInterval)
@@ -128,7 +128,7 @@
 		if !w.warmedUp && w.speedShare(w.sim.now) >= 1 {
 			w.warmedUp = true
 		}
-		for len(w.running) > 0 && w.running[0].completesAt <= w.servedEach+1e-9 {
+		for len(w.running) > 0 && w.running[0].completesAt <= w.servedPerJob+1e-9 {
 			w.complete(w.running.Pop())
 		}
 		w.startWaiting()
@@ -140,21 +140,21 @@
 func (w *worker) arrive(a *attempt) {
 	if !w.up || a.incarnation != w.incarnation {
 		if w.unresponsive {
-			w.unreported = append(w.unreported, a)
+			w.pendingResets = append(w.pendingResets, a)
 		} else {
 			a.sendOutcome(decision.Reset, nil)
 		}
 		return
 	}
-	if !w.warmedUp && w.overload(a.work) {
+	if !w.warmedUp && w.overloadedBy(a.work) {
 		return
 	}
-	if q := a.job.request; q.dedupKey != 0 {
-		if r := w.sim.dedup(q); r != nil {
-			if r.done {
+	if req := a.job.request; req.dedupKey != 0 {
+		if run := w.sim.dedup(req); run != nil {
+			if run.done {
 				a.sendOutcome(decision.OK, w)
 			} else {
-				r.duplicates = append(r.duplicates, a)
+				run.duplicates = append(run.duplicates, a)
 			}
 			return
 		}
@@ -175,33 +175,33 @@
 
 // dedup returns the run of a request's deduplication key, at whichever worker it runs or ran. If there is none within
 // the window, dedup records a new run and returns nil.
-func (sim *simulation) dedup(q *request) *dedupRun {
-	if r := sim.dedupRuns[q.dedupKey]; r != nil && (!r.done || sim.now-r.doneAt < sec(sim.Classes[q.class].DedupWindowSeconds)) {
-		return r
-	} else if r != nil {
+func (sim *simulation) dedup(req *request) *dedupRun {
+	if run := sim.dedupRuns[req.dedupKey]; run != nil && (!run.done || sim.now-run.doneAt < sec(sim.Classes[req.class].DedupWindowSeconds)) {
+		return run
+	} else if run != nil {
 		sim.result.Violations[violationRanTwice]++
 	}
-	sim.dedupRuns[q.dedupKey] = &dedupRun{}
+	sim.dedupRuns[req.dedupKey] = &dedupRun{}
 	return nil
 }
 
-func (sim *simulation) forgetRun(q *request) {
-	if q.dedupKey != 0 {
-		delete(sim.dedupRuns, q.dedupKey)
+func (sim *simulation) forgetRun(req *request) {
+	if req.dedupKey != 0 {
+		delete(sim.dedupRuns, req.dedupKey)
 	}
 }
 
-// overload records work that arrived during a worker's slow start, and reports whether the worker is overloaded by it.
-// An overloaded worker stops for good.
-func (w *worker) overload(work float64) bool {
+// overloadedBy records work that arrived during a worker's slow start, and reports whether the worker is overloaded by
+// it. An overloaded worker stops for good.
+func (w *worker) overloadedBy(work float64) bool {
 	now, span := w.sim.now, sec(w.sim.SlowStart.OverloadSpanSeconds)
-	w.sentWhileCold = append(w.sentWhileCold, sentWork{now, work})
-	for len(w.sentWhileCold) > 0 && now-w.sentWhileCold[0].at > span {
-		w.sentWhileCold = w.sentWhileCold[1:]
+	w.recentSlowStartWork = append(w.recentSlowStartWork, sentWork{now, work})
+	for len(w.recentSlowStartWork) > 0 && now-w.recentSlowStartWork[0].at > span {
+		w.recentSlowStartWork = w.recentSlowStartWork[1:]
 	}
 	total := 0.0
-	for _, s := range w.sentWhileCold {
-		total += s.work
+	for _, sent := range w.recentSlowStartWork {
+		total += sent.work
 	}
 	if total <= w.sim.SlowStart.OverloadMultiple*w.kind.Cores*w.speed*w.speedShare(now)*span.Seconds()+work {
 		return false
@@ -215,7 +215,7 @@
 // start runs an attempt in a slot.
 func (w *worker) start(a *attempt) {
 	a.started = true
-	a.completesAt = w.servedEach + a.work
+	a.completesAt = w.servedPerJob + a.work
 	w.running.Push(a)
 	a.sendProgress(decision.JobStarted, 0)
 	a.reportProgress()
@@ -226,7 +226,7 @@
 	a.worker.sim.schedule(progressInterval, func() {
 		if a.started && !a.endedAtWorker && a.worker.up && a.incarnation == a.worker.incarnation {
 			a.worker.advance()
-			a.sendProgress(decision.JobAdvanced, min(max(1-(a.completesAt-a.worker.servedEach)/a.work, 0), 1))
+			a.sendProgress(decision.JobAdvanced, min(max(1-(a.completesAt-a.worker.servedPerJob)/a.work, 0), 1))
 			a.reportProgress()
 		}
 	})
@@ -239,13 +239,13 @@
 	w.sim.result.Kinds[w.kindIndex].Completed++
 	w.sim.result.WorkSeconds += a.work
 	a.sendOutcome(decision.OK, w)
-	if q := a.job.request; q.dedupKey != 0 {
-		if r := w.sim.dedupRuns[q.dedupKey]; r != nil {
-			r.done, r.doneAt = true, w.sim.now
-			for _, dup := range r.duplicates {
-				dup.sendOutcome(decision.OK, w)
+	if req := a.job.request; req.dedupKey != 0 {
+		if run := w.sim.dedupRuns[req.dedupKey]; run != nil {
+			run.done, run.doneAt = true, w.sim.now
+			for _, duplicate := range run.duplicates {
+				duplicate.sendOutcome(decision.OK, w)
 			}
-			r.duplicates = nil
+			run.duplicates = nil
 		}
 	}
 }
@@ -269,34 +269,34 @@
 	w.advance()
 	w.up, w.unresponsive, w.draining = false, unresponsive, false
 	lost := append(slices.Clone([]*attempt(w.running)), w.waiting...)
-	w.running, w.waiting, w.connections, w.sentWhileCold = nil, nil, 0, nil
+	w.running, w.waiting, w.connections, w.recentSlowStartWork = nil, nil, 0, nil
 	w.planNextCompletion()
 	for _, a := range lost {
 		a.endedAtWorker = true
-		var dups []*attempt
-		if q := a.job.request; q.dedupKey != 0 {
-			if r := w.sim.dedupRuns[q.dedupKey]; r != nil && !r.done {
-				dups = r.duplicates
-				w.sim.forgetRun(q)
+		var lostDuplicates []*attempt
+		if req := a.job.request; req.dedupKey != 0 {
+			if run := w.sim.dedupRuns[req.dedupKey]; run != nil && !run.done {
+				lostDuplicates = run.duplicates
+				w.sim.forgetRun(req)
 			}
 		}
-		for _, a := range append(dups, a) {
+		for _, a := range append(lostDuplicates, a) {
 			if unresponsive {
-				w.unreported = append(w.unreported, a)
+				w.pendingResets = append(w.pendingResets, a)
 			} else {
 				a.sendOutcome(decision.Reset, nil)
 			}
 		}
 	}
-	for _, n := range w.sim.dispatchers {
+	for _, d := range w.sim.dispatchers {
 		delay := w.sim.DiscoveryDelaySeconds
 		if !unresponsive {
-			n.loseConnections(w)
+			d.loseConnections(w)
 		}
 		if unresponsive {
 			delay = w.sim.UnresponsiveDelaySeconds
 		}
-		n.learnState(w, decision.Gone, delay.Draw(w.sim.networkRandom))
+		d.learnState(w, decision.Gone, delay.Draw(w.sim.networkRandom))
 	}
 }
 
@@ -307,15 +307,15 @@
 	}
 	w.up, w.unresponsive, w.draining, w.warmedUp = true, false, false, w.kind.SlowStartShare >= 1
 	w.incarnation++
-	w.startedAt, w.servedUntil, w.servedEach = w.sim.now, w.sim.now, 0
+	w.startedAt, w.servedUntil, w.servedPerJob = w.sim.now, w.sim.now, 0
 	w.reportCount = 0
-	for _, a := range w.unreported {
+	for _, a := range w.pendingResets {
 		a.sendOutcome(decision.Reset, nil)
 	}
-	w.unreported = nil
-	for _, n := range w.sim.dispatchers {
-		n.loseConnections(w)
-		n.learnState(w, decision.Ready, w.sim.DiscoveryDelaySeconds.Draw(w.sim.networkRandom))
+	w.pendingResets = nil
+	for _, d := range w.sim.dispatchers {
+		d.loseConnections(w)
+		d.learnState(w, decision.Ready, w.sim.DiscoveryDelaySeconds.Draw(w.sim.networkRandom))
 	}
 }
 
@@ -339,8 +339,8 @@
 // latestReport returns the newest report that is older than its delay, or an empty one.
 func (w *worker) latestReport() decision.Load {
 	for i := w.reportCount - 1; i >= 0 && i > w.reportCount-len(w.reports); i-- {
-		if s := w.reports[i%len(w.reports)]; w.sim.now-s.at >= w.reportDelay+w.sim.extraReportDelay {
-			return s.load
+		if report := w.reports[i%len(w.reports)]; w.sim.now-report.at >= w.reportDelay+w.sim.extraReportDelay {
+			return report.load
 		}
 	}
 	return decision.Load{}
