--- a/internal/dispatcher/planner/breaking_point.go
+++ b/internal/dispatcher/planner/breaking_point.go
@@ -9,25 +9,26 @@
 
 // Constants of the search for the breaking point.
 const (
-	loadGrowth          = 1.5  // from one load to the next, until the goal breaks
-	loadPrecision       = 0.02 // of the load at which it breaks
+	loadGrowth          = 1.5  // factor from one load to the next, until the goal breaks
+	loadPrecision       = 0.02 // relative precision of the load at which the goal breaks
 	maxLoadBisections   = 12
-	beyondBreakingPoint = 1.1 // where limits are lifted: a little beyond, so that chance does not decide
+	beyondBreakingPoint = 1.1 // factor of the breaking load at which limits are lifted: above 1, so that chance does not decide
 )
 
-// BreakingPoint tells up to which load the goal holds, and which limit breaks it.
+// BreakingPoint is the load up to which the goal holds, and the limit that breaks it.
 type BreakingPoint struct {
 	Baseline       []Finding     `json:"now"`       // at the load as described
-	HoldsAtFactor  float64       `json:"holds_at"`  // times the load, at most
-	BreaksAtFactor float64       `json:"breaks_at"` // times the load; 0 if it holds at all loads tried
-	FirstLimit     string        `json:"first"`     // whose lifting gains most
-	Failing        []Finding     `json:"failing"`   // at a load where the goal breaks
-	LimitEffects   []LimitEffect `json:"reliefs"`   // the greatest gain first
-	Utilization    []string      `json:"busy"`      // of each kind of worker there, in words
+	HoldsAtFactor  float64       `json:"holds_at"`  // greatest factor of the load at which the goal was found to hold
+	BreaksAtFactor float64       `json:"breaks_at"` // least factor at which it was found to break; 0 if it holds at all loads tried
+	FirstLimit     string        `json:"first"`     // the limit whose lifting gains most
+	Failing        []Finding     `json:"failing"`   // tests that fail a little beyond the breaking point
+	LimitEffects   []LimitEffect `json:"reliefs"`   // there, the greatest gain first
+	Utilization    []string      `json:"busy"`      // there, one sentence for each kind of worker
 }
 
-// FindBreakingPoint raises the load until the goal breaks. There it lifts one limit after the other on the same days: the one
-// that gains most is what broke. What is known so far comes back with an error.
+// FindBreakingPoint raises the load until the goal breaks. A little beyond that load it lifts one limit after the other
+// on the same days; the limit whose lifting gains most is the one that breaks first. On an error it also returns the
+// results found so far.
 func (p *Planner) FindBreakingPoint() (*BreakingPoint, error) {
 	out := &BreakingPoint{}
 	fleet := p.baseFleet(false)
@@ -52,8 +53,8 @@
 	return out, p.explainBreak(fleet, out)
 }
 
-// raiseLoad multiplies the load until the goal breaks, or the greatest factor is passed. The goal holds at low times the
-// load, and breaks at high times it.
+// raiseLoad multiplies the load until the goal breaks or MaxFactor is exceeded. The goal holds at low times the load
+// and, if broken is true, breaks at high times the load.
 func (p *Planner) raiseLoad(fleet *fleetsim.Fleet) (low, high float64, broken bool, err error) {
 	for low = 1; ; low = high {
 		if high = low * loadGrowth; high > p.MaxFactor {
@@ -69,7 +70,7 @@
 	}
 }
 
-// bisectLoad narrows down the load at which the goal breaks.
+// bisectLoad narrows down the factor of the load at which the goal breaks.
 func (p *Planner) bisectLoad(fleet *fleetsim.Fleet, low, high float64) (float64, float64, error) {
 	for steps := 0; high-low > loadPrecision*high && steps < maxLoadBisections; steps++ {
 		middle := (low + high) / 2
@@ -95,8 +96,8 @@
 	return e.holds, nil
 }
 
-// explainBreak looks for the limit that breaks the goal, a little beyond the breaking point; where the goal breaks below the
-// load as described, it looks at that load.
+// explainBreak finds the limit that breaks the goal, a little beyond the breaking point. If that lies below the load as
+// described, it uses the load as described.
 func (p *Planner) explainBreak(fleet *fleetsim.Fleet, out *BreakingPoint) error {
 	load := p.scaledLoad(max(out.BreaksAtFactor*beyondBreakingPoint, 1))
 	e, err := p.evaluate(fleet, load)
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// describeUtilization tells for each kind of worker how much of its slots was in use.
+// describeUtilization returns a sentence for each kind of worker: the share of its slots in use and its rejected jobs.
 func describeUtilization(f *fleetsim.Fleet, days []*fleetsim.Result) (out []string) {
 	for i, k := range f.Kinds {
 		sum, full := 0.0, 0
--- a/internal/dispatcher/planner/evaluation.go
+++ b/internal/dispatcher/planner/evaluation.go
@@ -10,30 +10,30 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Estimate is a mean over days with its two-sided confidence interval.
+// Estimate is a mean over days with half the width of its two-sided confidence interval.
 type Estimate struct {
 	Mean      float64 `json:"mean"`
 	HalfWidth float64 `json:"reach"`
 	Days      int     `json:"days"`
 }
 
-// String returns the mean and half the width of its interval.
+// String returns the mean and the half-width of its interval.
 func (e Estimate) String() string { return fmt.Sprintf("%.3f ± %.3f", e.Mean, e.HalfWidth) }
 
-// estimate returns the mean of some days' values with its two-sided interval.
+// estimate returns the mean of the days' values with its two-sided confidence interval.
 func (p *Planner) estimate(x []float64) Estimate {
 	mean, reach := confidenceInterval(x, 1-(1-p.Confidence)/2)
 	return Estimate{mean, reach, len(x)}
 }
 
-// confidenceInterval returns the mean of two values or more and, by Student's t distribution, how far the true one may lie to
-// a side of it.
+// confidenceInterval returns the mean of at least two values and, by Student's t distribution, the greatest distance of
+// the true mean to one side of it at the given confidence.
 func confidenceInterval(x []float64, confidence float64) (mean, reach float64) {
 	mean, dev := stat.MeanStdDev(x, nil)
 	return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(confidence) * dev / math.Sqrt(float64(len(x)))
 }
 
-// Finding is the result of one test.
+// Finding is the result of one test of the goal.
 type Finding struct {
 	Test  string   `json:"test"`
 	With  string   `json:"with,omitempty"`
@@ -43,15 +43,15 @@
 
 // evaluation is the result of all tests on one fleet and load.
 type evaluation struct {
-	holds       bool // every test, with the confidence asked for
+	holds       bool // whether every test holds with the confidence asked for
 	findings    []Finding
-	slack       float64  // mean of the worst test
+	slack       float64  // mean slack of the test with the least one
 	score       Estimate // of the first clause
 	utilization []string // of each kind of worker, on the first clause's days
 }
 
-// evaluate simulates days until each test of each clause surely holds or one surely does not, or the greatest number of days
-// is reached: what is not sure by then does not hold.
+// evaluate tests each clause of the goal. It simulates days of a clause until all its tests hold or one fails with the
+// confidence asked for, or MaxDays is reached. A test that is undecided by then does not hold.
 func (p *Planner) evaluate(f *fleetsim.Fleet, l *fleetsim.Load) (*evaluation, error) {
 	id := fmt.Sprintf("%v|%v", *f, *l)
 	if e := p.cache[id]; e != nil {
@@ -78,7 +78,7 @@
 	return e, nil
 }
 
-// evaluateClause simulates days of one clause until its result is decided.
+// evaluateClause simulates days of one clause until its result is decided or MaxDays is reached.
 func (p *Planner) evaluateClause(c *Clause, f *fleetsim.Fleet, l *fleetsim.Load) (*clauseResult, []*fleetsim.Result, error) {
 	clauseFleet, clauseLoad := c.apply(*f, *l)
 	var days []*fleetsim.Result
@@ -98,12 +98,12 @@
 // clauseResult is the result of a clause's tests on some days.
 type clauseResult struct {
 	findings  []Finding
-	slack     float64 // mean of the worst test
-	undecided bool    // a test may hold or not
-	surelyNot bool    // a test does not hold, with the confidence asked for
+	slack     float64 // mean slack of the test with the least one
+	undecided bool    // the days neither confirm nor refute some test with the confidence asked for
+	surelyNot bool    // some test fails with the confidence asked for
 }
 
-// judge applies a clause's tests to days.
+// judge applies a clause's tests to simulated days.
 func (p *Planner) judge(c *Clause, f *fleetsim.Fleet, days []*fleetsim.Result) *clauseResult {
 	result := &clauseResult{slack: math.Inf(1)}
 	for _, test := range c.Tests {
@@ -112,7 +112,7 @@
 			values = append(values, test.measure(f, day))
 			slacks = append(slacks, test.slack(f, day))
 		}
-		// One side counts: a slack that may be greater does no harm.
+		// The interval is one-sided, as a slack greater than the mean does no harm.
 		mean, halfWidth := confidenceInterval(slacks, p.Confidence)
 		holds := mean >= halfWidth
 		result.undecided = result.undecided || !holds && mean >= -halfWidth
--- a/internal/dispatcher/planner/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -10,26 +10,27 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Figure is one value that was fitted.
+// Figure is one fitted value.
 type Figure struct {
 	Name      string  `json:"name"`
 	Value     float64 `json:"value"`
-	HalfWidth float64 `json:"reach"` // of the 95 % interval; -1 where it is not known
-	Rows      int     `json:"rows"`  // on which it rests
+	HalfWidth float64 `json:"reach"` // of the 95 % confidence interval; -1 if it is not known
+	Rows      int     `json:"rows"`  // number of captured rows that the value is based on
 }
 
-// Fit is what captures tell of the load and of the workers, how sure that is, and what they do not tell.
+// Fit holds the load and the properties of workers fitted to captures, with their confidence intervals, and warnings
+// about what the captures do not show.
 type Fit struct {
 	Load          *fleetsim.Load `json:"load"`
 	Figures       []Figure       `json:"figures"`
 	Warnings      []string       `json:"warnings"`
-	PeakPerSecond float64        `json:"peak"` // most requests within a second, without retries
+	PeakPerSecond float64        `json:"peak"` // greatest number of requests within a second, without retries
 
 	kindSpeed               map[string]fleetsim.Range
 	kindSlots               map[string]int
 	kindQueue               map[string]int
-	sameZoneMs, crossZoneMs float64 // milliseconds one way, within a zone and between zones
-	pathMs                  map[path]float64
+	sameZoneMs, crossZoneMs float64          // one-way delay within a zone and between zones
+	pathMs                  map[path]float64 // one-way delay
 }
 
 // warn adds a warning.
@@ -42,8 +43,8 @@
 	x.Figures = append(x.Figures, Figure{Name: name, Value: value, HalfWidth: halfWidth, Rows: rows})
 }
 
-// FitCapture fits captures of any number of dispatchers to a fleet. Where the fleet gives speeds of workers, the fitted ones
-// are on their scale.
+// FitCapture fits a load and the properties of a fleet's workers to captures of any number of dispatchers. If the fleet
+// gives speeds of workers, the fitted speeds are on the same scale.
 func FitCapture(s *capture.Set, f *fleetsim.Fleet) (*Fit, error) {
 	if len(s.Requests) == 0 {
 		return nil, errors.New("the captures hold no tries")
@@ -62,7 +63,8 @@
 	return x, nil
 }
 
-// FillFleet returns a copy of the fleet in which what it leaves out is filled in from the captures, as far as that is known.
+// FillFleet returns a copy of the fleet in which missing values are filled in from the captures, as far as these show
+// them.
 func (x *Fit) FillFleet(f *fleetsim.Fleet) *fleetsim.Fleet {
 	out := *f
 	out.Kinds = slices.Clone(f.Kinds)
@@ -82,7 +84,7 @@
 	return &out
 }
 
-// Extrapolations tells where a load goes beyond what the captures have seen.
+// Extrapolations returns a message for each respect in which a load goes beyond the captured traffic.
 func (x *Fit) Extrapolations(l *fleetsim.Load) (out []string) {
 	peak := 0.0
 	for _, p := range l.Rate {
@@ -97,7 +99,7 @@
 	return out
 }
 
-// checkClocks looks for steps of the wall clock while a dispatcher ran.
+// checkClocks warns of each dispatcher whose wall clock stepped while it ran.
 func (x *Fit) checkClocks(tries []capture.Request) {
 	type process struct {
 		node string
--- a/internal/dispatcher/planner/fit_arrivals.go
+++ b/internal/dispatcher/planner/fit_arrivals.go
@@ -13,33 +13,34 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// normalQuantile is the 97.5 % quantile of the normal distribution: half the width of a 95 % interval in deviations.
+// normalQuantile is the 97.5 % quantile of the normal distribution: half the width of a 95 % confidence interval, in
+// standard deviations.
 const normalQuantile = 1.96
 
 // Constants of the fit of arrivals.
 const (
 	maxBins         = 120
 	minBinSeconds   = 1
-	burstFactor     = 1.8 // of the expected requests, from which a bin is part of a burst
-	burstDeviations = 4   // beyond the expected requests, as well
-	minBurstExcess  = 20  // requests
-	// mergeDeviations are those between neighbouring segments that chance may make: among a hundred neighbours some differ by
-	// three.
+	burstFactor     = 1.8 // a bin of a burst has more than this multiple of the expected requests
+	burstDeviations = 4   // and exceeds the expected requests by more than these standard deviations
+	minBurstExcess  = 20  // requests of a burst beyond the expected ones
+	// mergeDeviations is the difference, in standard deviations, below which neighbouring segments are merged. Three
+	// are too few: among a hundred pairs of neighbours some differ that much by chance.
 	mergeDeviations = 4
 )
 
-// arrivalCounts are first requests (no retries), counted in bins of equal width.
+// arrivalCounts counts first requests (no retries) in bins of equal width.
 type arrivalCounts struct {
 	seconds  float64 // of the capture
 	width    float64 // of a bin, in seconds
 	bins     []float64
 	byTenant map[string][]float64 // bins of each tenant
-	tenants  []string             // in their order
+	tenants  []string             // sorted
 	byClass  map[string]int
 	total    int
 }
 
-// fitArrivals fits rates, mixes and bursts.
+// fitArrivals fits the rates of requests, the mix of classes and tenants, and the bursts.
 func (x *Fit) fitArrivals(requests []capture.Request, f *fleetsim.Fleet) {
 	counts := x.countArrivals(requests)
 	if counts.total == 0 {
@@ -81,8 +82,8 @@
 	return c
 }
 
-// fitBursts finds the tenants that send far more for some bins than their part of the others' requests, and takes that off.
-// It returns the bins without bursts, and each tenant's requests without them.
+// fitBursts finds the tenants that in some bins send far more than their usual ratio to the others' requests. It
+// returns the bins without these bursts, and each tenant's number of requests without them.
 func (x *Fit) fitBursts(c *arrivalCounts) (plain []float64, parts map[string]float64) {
 	plain = slices.Clone(c.bins)
 	parts = map[string]float64{}
@@ -100,7 +101,8 @@
 	return plain, parts
 }
 
-// usualRatio returns the median, over the bins, of a tenant's requests to all others'; false where no other has any.
+// usualRatio returns the median over the bins of the ratio of a tenant's requests to all others'. It returns false if
+// the others have none in any bin.
 func usualRatio(own, all []float64) (float64, bool) {
 	ratios := make([]float64, 0, len(all))
 	for i, n := range own {
@@ -115,7 +117,7 @@
 	return stat.Quantile(0.5, stat.Empirical, ratios, nil), true
 }
 
-// fitTenantBursts finds the bursts of one tenant, and takes them off plain.
+// fitTenantBursts finds the bursts of one tenant, and subtracts them from plain.
 func (x *Fit) fitTenantBursts(tenant string, usual float64, c *arrivalCounts, plain []float64) {
 	own := c.byTenant[tenant]
 	begin, seen, expected := -1, 0.0, 0.0
@@ -123,7 +125,7 @@
 		expect, burst := 0.0, false
 		if i < len(c.bins) {
 			expect = usual * (c.bins[i] - own[i])
-			// The others' number, on which the expectation rests, has a deviation as well.
+			// The expectation is based on the number of the others' requests, which has a deviation as well.
 			burst = own[i] > burstFactor*expect && own[i] > expect+burstDeviations*math.Sqrt(expect*(1+usual)+1)
 		}
 		if burst {
@@ -133,7 +135,7 @@
 			seen, expected = seen+own[i], expected+expect
 			plain[i] -= own[i] - expect
 		} else if begin >= 0 {
-			if expected > 0 && seen-expected > minBurstExcess && i-begin > 1 { // one bin alone may be chance
+			if expected > 0 && seen-expected > minBurstExcess && i-begin > 1 { // a single bin may be chance
 				x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{Tenant: tenant, Factor: seen / expected,
 					StartSeconds: float64(begin) * c.width, DurationSeconds: float64(i-begin) * c.width})
 			}
@@ -142,17 +144,17 @@
 	}
 }
 
-// segment is a time with one rate: n requests between two moments in seconds.
+// segment is a period with a constant rate: n requests between two times in seconds.
 type segment struct{ from, to, n float64 }
 
-// deviations returns by how many standard deviations the rates of two neighbouring segments differ.
+// deviations returns the difference of two neighbouring segments' rates in standard deviations.
 func (s segment) deviations(next segment) float64 {
 	length, nextLength := max(s.to-s.from, 1e-9), max(next.to-next.from, 1e-9)
 	mean := (s.n + next.n) / (length + nextLength)
 	return math.Abs(s.n/length-next.n/nextLength) / math.Sqrt(max(mean, 1e-9)*(1/length+1/nextLength))
 }
 
-// mergeSegments joins neighbouring bins that chance alone could make different, the most alike first.
+// mergeSegments merges neighbouring bins whose rates may differ by chance alone, the most similar ones first.
 func mergeSegments(plain []float64, c *arrivalCounts) []segment {
 	var segments []segment
 	for i, n := range plain {
@@ -173,7 +175,7 @@
 	}
 }
 
-// fitRates makes the load's rates of the segments, and tests whether arrivals vary as a Poisson process does.
+// fitRates sets the load's rates from the segments, and tests whether arrivals vary as those of a Poisson process.
 func (x *Fit) fitRates(segments []segment, plain []float64, c *arrivalCounts) {
 	x.Load.Seconds = c.seconds
 	chiSquare := 0.0
@@ -202,7 +204,8 @@
 	}
 }
 
-// fitMix fits the shares of classes and tenants, and leaves out those that the fleet lacks.
+// fitMix fits the shares of classes and tenants. It leaves out classes and tenants that the fleet lacks, with a
+// warning.
 func (x *Fit) fitMix(c *arrivalCounts, parts map[string]float64, f *fleetsim.Fleet) {
 	for _, class := range f.Classes {
 		n := c.byClass[class.Name]
--- a/internal/dispatcher/planner/fit_capacity.go
+++ b/internal/dispatcher/planner/fit_capacity.go
@@ -8,8 +8,8 @@
 	"gladepick/internal/dispatcher/capture"
 )
 
-// fitCapacity fits the slots of each kind by the jobs that ran at the same time at a worker, and queues by their lengths when
-// a job was rejected.
+// fitCapacity fits each kind's slots to the number of jobs that ran at a worker at the same time, and its queue to the
+// longest queue of a worker that rejected a job.
 func (x *Fit) fitCapacity(attempts []capture.Attempt) {
 	edges, kind := map[string][]runEdge{}, map[string]string{}
 	full := 0
@@ -37,20 +37,23 @@
 	}
 }
 
-// overlapNanos is the time by which the start of a run is moved. One job's end and the next one's start are one moment at the
-// worker, but reach their dispatchers apart: by the network's delays, which are taken off, and by how much these vary.
+// overlapNanos is the time by which the start of a run is delayed. At a worker, one job ends and the next one starts at
+// the same time, but their dispatchers learn of both at different times, due to the network's delays and their
+// variation. The delays are subtracted; overlapNanos covers the variation.
 const overlapNanos = 10e6
 
-// minLevelShare is the part of a worker's busy time for which a number of jobs must have run together to count.
+// minLevelShare is the share of a worker's busy time during which a number of jobs must have run together to count as
+// its slots.
 const minLevelShare = 0.002
 
-// runEdge is the start (by 1) or the end (by -1) of a run at a moment in nanoseconds.
+// runEdge is the start (by is 1) or the end (by is -1) of a run, at a time in nanoseconds.
 type runEdge struct {
 	at int64
 	by int
 }
 
-// usedSlots returns the greatest number of jobs that ran together at a worker for more than an instant, or 0.
+// usedSlots returns the greatest number of jobs that ran together at a worker for more than minLevelShare of its busy
+// time, or 0.
 func usedSlots(edges []runEdge) int {
 	slices.SortFunc(edges, func(a, b runEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.by, b.by)) })
 	level, nanosAt := 0, map[int]int64{}
--- a/internal/dispatcher/planner/fit_network.go
+++ b/internal/dispatcher/planner/fit_network.go
@@ -10,11 +10,11 @@
 	"gladepick/internal/dispatcher/capture"
 )
 
-// path leads from a dispatcher to a zone.
+// path is the network path from a dispatcher to a zone.
 type path struct{ node, zone string }
 
-// fitNetwork fits the network's delay one way. The report of a start that follows at once has gone there and back, so half of
-// the quicker ones' time is the delay.
+// fitNetwork fits the network's one-way delays. If a job starts as soon as it arrives, the report of its start reaches
+// the dispatcher after one round trip. So half of the lower quartile of these times is the delay.
 func (x *Fit) fitNetwork(attempts []capture.Attempt) {
 	all := map[path][]float64{}
 	for _, a := range attempts {
--- a/internal/dispatcher/planner/fit_retries.go
+++ b/internal/dispatcher/planner/fit_retries.go
@@ -14,21 +14,22 @@
 const (
 	minFailedRequests  = 20
 	minRetryWaits      = 10
-	maxRetryWaitMs     = 5000 // beyond which a request is not a retry of the one before
+	maxRetryWaitMs     = 5000 // after a longer wait, a request is not taken for a retry of the one before
 	defaultRetryWaitMs = 50
-	honouredRetryShare = 0.95 // of Retry-After, from which a wait counts as having honoured it
+	honouredRetryShare = 0.95 // a wait of at least this share of Retry-After has honoured it
 )
 
-// retryWaits are the times from a failed request's end to its retry, where an affinity key tells which retry that is.
+// retryWaits holds the times from the end of a failed request to its retry. Only requests with an affinity key can be
+// matched with their retries.
 type retryWaits struct {
-	failed     int // first requests that were rejected or failed
+	failed     int // first tries that were rejected or failed
 	retries    int
 	waitsMs    []float64
 	retryAfter int // waits after an answer with Retry-After
-	honoured   int // those of them that were long enough
+	honoured   int // those of them that honoured it
 }
 
-// fitRetries fits what clients do after a rejection or a failure.
+// fitRetries fits how clients retry after a rejection or a failure.
 func (x *Fit) fitRetries(requests []capture.Request) {
 	w := collectRetryWaits(requests)
 	retries := &x.Load.Retries
@@ -52,7 +53,8 @@
 	}
 }
 
-// collectRetryWaits looks for each retry's request before it. Requests are in the order of their arrival.
+// collectRetryWaits matches each retry with the failed request before it. Requests must be in the order of their
+// arrival.
 func collectRetryWaits(requests []capture.Request) *retryWaits {
 	type client struct {
 		tenant       string
@@ -80,7 +82,7 @@
 	return w
 }
 
-// add counts the wait between a failed request and its retry.
+// add records the wait between a failed request and its retry, unless it is out of range.
 func (w *retryWaits) add(before, retry capture.Request) {
 	waitMs := float64(retry.Arrived-before.Arrived-before.Duration) / 1e6
 	if waitMs < 0 || waitMs >= maxRetryWaitMs {
--- a/internal/dispatcher/planner/fit_run_times.go
+++ b/internal/dispatcher/planner/fit_run_times.go
@@ -18,8 +18,8 @@
 	minRunTimes          = 50 // of all classes together
 	minClassRunTimes     = 20
 	runTimeIterations    = 30
-	maxLognormalDistance = 0.1  // beyond which run times do not follow a lognormal distribution
-	kolmogorovQuantile   = 1.36 // 95 % quantile of the Kolmogorov-Smirnov statistic, times the square root of the rows
+	maxLognormalDistance = 0.1  // greatest distance at which run times count as lognormal
+	kolmogorovQuantile   = 1.36 // 95 % quantile of the Kolmogorov-Smirnov statistic, times the square root of the number of rows
 )
 
 // runTime is the run time of one attempt.
@@ -29,15 +29,16 @@
 	log    float64 // natural logarithm of milliseconds
 }
 
-// runTimeFit is an additive model of run times: the logarithm of one is its class's mean less its worker's speed.
+// runTimeFit is an additive model of run times: the logarithm of a run time is the mean of its class minus the speed of
+// its worker, both logarithms.
 type runTimeFit struct {
 	rows      []runTime
 	kind      map[string]string    // by worker
-	perWorker map[string]int       // rows
-	classMean []float64            // by class: the mean logarithm, up to shift
-	speed     map[string]float64   // by worker: the logarithm of its speed, up to shift
-	shift     float64              // moves speeds to the fleet's scale
-	byKind    map[string][]float64 // speeds of the workers of a kind
+	perWorker map[string]int       // number of rows
+	classMean []float64            // by class: the mean logarithm, without shift
+	speed     map[string]float64   // by worker: the logarithm of its speed, without shift
+	shift     float64              // added to logarithms to bring speeds to the fleet's scale
+	byKind    map[string][]float64 // by kind: the logarithms of its workers' speeds, without shift
 }
 
 // fitRunTimes fits each class's work and each kind's speed.
@@ -62,7 +63,7 @@
 	}
 }
 
-// collectRunTimes takes the run times of attempts that succeeded.
+// collectRunTimes collects the run times of attempts that succeeded.
 func collectRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) *runTimeFit {
 	t := &runTimeFit{kind: map[string]string{}, perWorker: map[string]int{}}
 	for _, a := range attempts {
@@ -77,7 +78,7 @@
 	return t
 }
 
-// iterate fits classes and workers in turn, each to what the other leaves.
+// iterate fits the classes and the workers in turn, each to the residuals of the other.
 func (t *runTimeFit) iterate(classes int) {
 	t.classMean, t.speed = make([]float64, classes), map[string]float64{}
 	for range runTimeIterations {
@@ -99,10 +100,11 @@
 	}
 }
 
-// scaleSpeeds finds the shift to the speeds that the fleet gives, or else to a speed of 1 of the first kind that was seen.
+// scaleSpeeds sets the shift such that speeds match those that the fleet gives. If it gives none, the first captured
+// kind has a speed of 1.
 func (t *runTimeFit) scaleSpeeds(x *Fit, f *fleetsim.Fleet) {
 	t.byKind = map[string][]float64{}
-	for _, worker := range slices.Sorted(maps.Keys(t.speed)) { // in order, as sums of floating-point numbers depend on it
+	for _, worker := range slices.Sorted(maps.Keys(t.speed)) { // sorted, as floating-point sums depend on the order
 		t.byKind[t.kind[worker]] = append(t.byKind[t.kind[worker]], t.speed[worker])
 	}
 	known := 0.0
@@ -126,7 +128,7 @@
 	}
 }
 
-// fitClass fits the work of a class, and tests whether it follows a lognormal distribution.
+// fitClass fits the work of a class, and warns if it does not follow a lognormal distribution.
 func (t *runTimeFit) fitClass(x *Fit, class int, f *fleetsim.Fleet) {
 	name := f.Classes[class].Name
 	var residuals []float64
@@ -156,8 +158,8 @@
 	}
 }
 
-// normalDistance returns the Kolmogorov-Smirnov distance of sorted values to the normal distribution of mean 0. Values that
-// are all alike have no deviation, and are no distance from theirs.
+// normalDistance returns the Kolmogorov-Smirnov distance of sorted values to the normal distribution of mean 0 and the
+// given standard deviation. It returns 0 for a deviation of 0, as of values that are all equal.
 func normalDistance(sorted []float64, deviation float64) float64 {
 	if deviation == 0 {
 		return 0
@@ -170,7 +172,8 @@
 	return distance
 }
 
-// fitKind fits the range of a kind's speeds: a uniform distribution with the variance that is left between its workers.
+// fitKind fits the range of a kind's speeds: a uniform distribution with the variance between its workers that the
+// noise of run times does not explain.
 func (t *runTimeFit) fitKind(x *Fit, kind string) {
 	speeds := t.byKind[kind]
 	noise, jobs := 0.0, 0
--- a/internal/dispatcher/planner/fit_test.go
+++ b/internal/dispatcher/planner/fit_test.go
@@ -142,8 +142,8 @@
 }
 
 // What a capture does not tell, or tells in a way that is not to be trusted, is said.
-// TestRunTimesThatAreAllAlikeAreFitted fits a capture in which each job of a class takes as long as every other one. The fit
-// is printed as JSON, which has no NaN.
+// TestRunTimesThatAreAllAlikeAreFitted fits a capture in which each job of a class takes as long as every other one.
+// The fit is printed as JSON, which has no NaN.
 func TestRunTimesThatAreAllAlikeAreFitted(t *testing.T) {
 	s, f := recorded()
 	for i := range s.Attempts {
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -13,13 +13,13 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Goal is what a fleet must reach: every clause of it. The parser tags are its grammar; the names of the types stand in the
-// parser's messages.
+// Goal is a list of clauses, all of which must hold for a fleet. The parser tags define its grammar. The parser's error
+// messages contain the names of the types.
 type Goal struct {
 	Clauses []*Clause `parser:"@@ (';' @@)*"`
 }
 
-// Clause is tests on days with certain conditions, or on days without any.
+// Clause is a list of tests on days with the given conditions, or on days without any.
 type Clause struct {
 	Tests      []*Test      `parser:"@@ ('and' @@)*"`
 	Conditions []*Condition `parser:"('with' @@ ('and' @@)*)?"`
@@ -35,7 +35,7 @@
 	Percent  bool    `parser:"@'%'?"`
 }
 
-// Condition is a fault or a change of the load that a clause's days have.
+// Condition is a fault or a change of the load on a clause's days.
 type Condition struct {
 	Pos           lexer.Position
 	LostZone      string  `parser:"(  'zone' @Ident 'lost'"`
@@ -58,10 +58,10 @@
 	goalParser = participle.MustBuild[Goal](participle.Lexer(goalLexer), participle.UseLookahead(2))
 )
 
-// measures tells for each measure whether it may be of a class or tenant.
+// measures maps the name of each measure to whether it exists for a single class or tenant.
 var measures = map[string]bool{"service": true, "late": true, "lost": true, "in_time": true, "score": false, "worst10": false}
 
-// ParseGoal reads a goal. Its errors name the line and the column.
+// ParseGoal parses a goal and checks its measures and bounds. Its errors name the line and the column.
 func ParseGoal(text string) (*Goal, error) {
 	g, err := goalParser.ParseString("goal", text)
 	if err != nil {
@@ -91,12 +91,13 @@
 	return g, nil
 }
 
-// goalErrorf makes an error that names a place in the goal.
+// goalErrorf returns an error with the given position in the goal.
 func goalErrorf(at lexer.Position, format string, v ...any) error {
 	return fmt.Errorf("goal, line %d, column %d: %s", at.Line, at.Column, fmt.Sprintf(format, v...))
 }
 
-// Check compares the names in a goal with those of a fleet.
+// Check returns an error if the goal names a class, tenant or zone that the fleet lacks, or selects more than all
+// workers.
 func (g *Goal) Check(f *fleetsim.Fleet) error {
 	for _, c := range g.Clauses {
 		for _, t := range c.Tests {
@@ -126,7 +127,8 @@
 	return slices.IndexFunc(f.Tenants, func(u fleetsim.Tenant) bool { return u.Name == name })
 }
 
-// measure computes the test's measure of a day. On a day without such jobs every measure is perfect.
+// measure computes the test's measure of a day. A day without jobs of the test's subject has the best value of the
+// measure.
 func (t *Test) measure(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	tally := &r.Total
 	if i := classIndex(f, t.Subject); i >= 0 {
@@ -153,7 +155,7 @@
 	return r.Score
 }
 
-// slack returns how far a day lies on the good side of the bound; it is negative on the bad side.
+// slack returns the distance of a day's measure to the bound. It is negative if the test fails on that day.
 func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
 	if t.Operator == ">=" {
 		return t.measure(f, r) - t.Bound
@@ -161,7 +163,7 @@
 	return t.Bound - t.measure(f, r)
 }
 
-// String returns the test as it is written in a goal.
+// String returns the test in the syntax of goals.
 func (t *Test) String() string {
 	of := ""
 	if t.Subject != "" {
@@ -170,7 +172,7 @@
 	return fmt.Sprintf("%s%s %s %g", t.Measure, of, t.Operator, t.Bound)
 }
 
-// period returns when a condition begins and how long it lasts, in seconds: by default for the second third of the day.
+// period returns the start and the duration of a condition in seconds. The default is the second third of the day.
 func (c *Condition) period(l *fleetsim.Load) (start, duration float64) {
 	if c.ForSeconds > 0 {
 		return c.AtSeconds, c.ForSeconds
@@ -178,7 +180,7 @@
 	return l.Seconds / 3, l.Seconds / 3
 }
 
-// apply puts a clause's conditions into copies of the descriptions.
+// apply returns copies of the descriptions with the clause's conditions added.
 func (c *Clause) apply(f fleetsim.Fleet, l fleetsim.Load) (*fleetsim.Fleet, *fleetsim.Load) {
 	f.Faults, l.Bursts = slices.Clone(f.Faults), slices.Clone(l.Bursts)
 	l.Factor = cmp.Or(l.Factor, 1)
@@ -200,7 +202,7 @@
 	return &f, &l
 }
 
-// conditionsText returns a clause's conditions as they are written in a goal, without their times.
+// conditionsText returns the clause's conditions in the syntax of goals, without their times.
 func (c *Clause) conditionsText() (out string) {
 	for i, w := range c.Conditions {
 		if i > 0 {
--- a/internal/dispatcher/planner/limits.go
+++ b/internal/dispatcher/planner/limits.go
@@ -11,15 +11,15 @@
 
 const unlimited = 1 << 30
 
-// LimitEffect is what lifting one limit does where the goal is missed.
+// LimitEffect is the effect of lifting one limit at a load where the goal does not hold.
 type LimitEffect struct {
 	Resource string  `json:"resource"`
 	Slack    float64 `json:"slack"` // of the worst test once the limit is lifted
-	Gain     float64 `json:"gain"`  // by how much that is better
+	Gain     float64 `json:"gain"`  // difference to the slack with the limit
 }
 
-// liftableLimits returns the limits that can be lifted one at a time, by name, each with the change of copies of the
-// descriptions that lifts it.
+// liftableLimits returns the limits that can be lifted one at a time, by name. Each function lifts its limit in shallow
+// copies of the descriptions.
 func liftableLimits(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
 	kinds := func(change func(*fleetsim.Kind)) func(*fleetsim.Fleet, *fleetsim.Load) {
 		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// removeTenantPools takes the quota shares away: without a share no tenant gets a pool of its own. The load keeps its mix.
+// removeTenantPools sets all quota shares to 0, so that no tenant gets a pool of its own. The load keeps its mix of
+// tenants.
 func removeTenantPools(f *fleetsim.Fleet, l *fleetsim.Load) {
 	mixed := len(l.Tenants) > 0
 	f.Tenants = slices.Clone(f.Tenants)
@@ -78,7 +79,8 @@
 	}
 }
 
-// limitEffects lifts one limit after the other, and orders them by what that gains over the given slack.
+// limitEffects lifts one limit after the other, and returns the effects ordered by their gain over the given slack, the
+// greatest first.
 func (p *Planner) limitEffects(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
 	all := liftableLimits(f)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
--- a/internal/dispatcher/planner/planner.go
+++ b/internal/dispatcher/planner/planner.go
@@ -1,10 +1,11 @@
-// Package planner answers three questions about a described fleet and load by simulating days of it with fleetsim: what
-// breaks first, how many workers a goal needs, and what losing a zone costs. It also fits descriptions to captures of real
-// dispatchers. The package does no I/O and reads no clock; its answers depend on the descriptions and the seed, and not on
-// how many cores it is given.
+// Package planner answers three questions about a described fleet and load by simulating days with fleetsim: which
+// limit breaks first as the load grows, how many workers a goal needs, and what the loss of a zone costs. It also fits
+// descriptions to captures of real dispatchers. The package does no I/O and reads no clock; its answers depend on the
+// descriptions and the seed, but not on the number of cores.
 //
-// Start reading at Goal, the language of goals, and at Planner.evaluate, which judges one fleet and load. The questions are
-// in breaking_point.go, sizing.go and zone_loss.go; FitCapture begins the fitting.
+// Start reading at Goal, the syntax of goals, and at Planner.evaluate, which tests one fleet and load against a goal.
+// The three questions are in breaking_point.go, sizing.go and zone_loss.go. FitCapture is the entry point of the
+// fitting.
 package planner
 
 import (
@@ -19,39 +20,42 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Options tell how sure answers must be and how long the search may take.
+// Options sets the confidence of the answers and the limits of the search.
 type Options struct {
 	Seed        uint64
-	Confidence  float64              // that a goal holds where an answer says so; 0.95 if 0
-	MaxDays     int                  // simulated for one evaluation at most; 16 if 0
+	Confidence  float64              // that a goal holds if an answer says so; 0.95 if 0
+	MaxDays     int                  // most days simulated for one clause of the goal in one evaluation; 16 if 0
 	Parallelism int                  // days simulated at a time; one for each core if 0
-	MaxFactor   float64              // of the fleet or the load, at most; 16 if 0
-	OnDayPlayed func(days int)       // called after each day, by several goroutines
-	Stop        func() bool          // asked whether to end early, by several goroutines
-	OnProgress  func(string, ...any) // called with what is evaluated next
+	MaxFactor   float64              // greatest factor by which the fleet or the load is multiplied; 16 if 0
+	OnDayPlayed func(days int)       // called after each simulated day, from several goroutines
+	Stop        func() bool          // reports whether to end the search early; called from several goroutines
+	OnProgress  func(string, ...any) // called with a format and values that describe the next evaluation
 }
 
-// ErrStopped is returned by a search that Options.Stop has ended early, with what was known by then.
+// ErrStopped is returned by a search that Options.Stop has ended early, together with the results found by then.
 var ErrStopped = errors.New("stopped")
 
-// daysPerBatch does not depend on the number of cores, so that answers do not either.
+// daysPerBatch is the number of days simulated between two checks of whether a clause is decided. It does not depend on
+// the number of cores, so that answers do not either.
 const daysPerBatch = 4
 
-// seedStride keeps the days of different seeds apart.
+// seedStride is the difference between the first days' seeds of two neighbouring Options.Seed. It is above any MaxDays,
+// so that no day is shared.
 const seedStride = 1_000_003
 
-// Planner answers questions about one fleet, load and goal. Its methods are called one at a time; each simulates its days on
-// Options.Parallelism goroutines.
+// Planner answers questions about one fleet, load and goal. Its methods must not be called concurrently; each simulates
+// its days on Options.Parallelism goroutines.
 type Planner struct {
 	Fleet *fleetsim.Fleet
 	Load  *fleetsim.Load
 	Goal  *Goal
 	Options
 	daysPlayed atomic.Int64
-	cache      map[string]*evaluation // by the descriptions' text
+	cache      map[string]*evaluation // by the printed descriptions
 }
 
-// New returns a planner with defaults filled in. It checks the goal's names against the fleet, and the options.
+// New returns a planner with the defaults of the options filled in. It returns an error if the goal has names that the
+// fleet lacks, or if an option is out of range.
 func New(f *fleetsim.Fleet, l *fleetsim.Load, g *Goal, o Options) (*Planner, error) {
 	if err := g.Check(f); err != nil {
 		return nil, err
@@ -60,10 +64,10 @@
 	o.MaxDays, o.MaxFactor = cmp.Or(o.MaxDays, 16), cmp.Or(o.MaxFactor, 16)
 	o.Parallelism = cmp.Or(o.Parallelism, runtime.GOMAXPROCS(0))
 	if o.MaxDays < 2 || o.MaxDays > 10000 {
-		return nil, fmt.Errorf("%d days for a verdict are not in 2 to 10000", o.MaxDays)
+		return nil, fmt.Errorf("the number of days for one evaluation must be 2 to 10000, not %d", o.MaxDays)
 	}
 	if !(o.Confidence > 0.5 && o.Confidence < 1) {
-		return nil, fmt.Errorf("a confidence of %v is not in 0.5 to 1", o.Confidence)
+		return nil, fmt.Errorf("the confidence must be between 0.5 and 1, not %v", o.Confidence)
 	}
 	return &Planner{Fleet: f, Load: l, Goal: g, Options: o, cache: map[string]*evaluation{}}, nil
 }
@@ -73,8 +77,8 @@
 
 func (p *Planner) stopped() bool { return p.Stop != nil && p.Stop() }
 
-// simulateDays simulates count days of one description, each with its own seed. The same days of another description have
-// the same seeds, so the same clients meet every fleet (common random numbers).
+// simulateDays simulates count days of one description, each with its own seed. A day has the same seed in all
+// descriptions, so that every fleet gets the same requests (common random numbers).
 func (p *Planner) simulateDays(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
 	out, errs := make([]*fleetsim.Result, count), make([]error, count)
 	var all sync.WaitGroup
@@ -115,7 +119,7 @@
 	return &f
 }
 
-// scaledLoad returns the load with all rates multiplied.
+// scaledLoad returns the load with all rates multiplied by a factor.
 func (p *Planner) scaledLoad(x float64) *fleetsim.Load {
 	l := *p.Load
 	l.Factor = cmp.Or(l.Factor, 1) * x
--- a/internal/dispatcher/planner/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the planner's answers as one HTML page with plots. It computes nothing that the planner has not, and
-// leaves no incomplete page behind. Start reading at Write.
+// Package report writes the planner's answers as one HTML page with plots. It only presents what the planner has
+// computed, and writes the page atomically. Start reading at Write.
 package report
 
 import (
@@ -21,7 +21,7 @@
 	"gladepick/internal/dispatcher/planner"
 )
 
-// Page is the content of a page. Plots whose answers are missing are left out.
+// Page is the content of a page. A plot is left out if its answer is missing.
 type Page struct {
 	Goal       string
 	Table      string // the answers as text
@@ -29,7 +29,7 @@
 	ZoneLosses []planner.ZoneLoss
 }
 
-// picture is a plot as vector graphics and as pixels.
+// picture is a plot rendered as SVG and as PNG.
 type picture struct {
 	Title string
 	SVG   template.HTML
@@ -51,7 +51,7 @@
 {{end}}</body></html>
 `))
 
-// Write writes the page to a file, which is there completely or not at all.
+// Write writes the page to a file atomically.
 func Write(path string, p Page) error {
 	var pictures []picture
 	for _, plotAnswer := range []func(Page) (*plot.Plot, error){plotScores, plotZoneLosses} {
@@ -75,7 +75,7 @@
 	return writeFileAtomically(path, out.Bytes())
 }
 
-// writeFileAtomically writes a file beside its place and then renames it.
+// writeFileAtomically writes a temporary file in the directory of path and renames it to path.
 func writeFileAtomically(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".report-*")
 	if err != nil {
@@ -92,7 +92,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// render draws a plot in both forms.
+// render draws a plot as SVG and as PNG.
 func render(p *plot.Plot) (picture, error) {
 	vector, pixels := vgsvg.New(pictureWidth, pictureHeight), vgimg.New(pictureWidth, pictureHeight)
 	p.Draw(draw.New(vector))
@@ -105,20 +105,21 @@
 		return picture{}, err
 	}
 	text := svg.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // inside a page there is no prolog
+	if at := bytes.Index(text, []byte("<svg")); at > 0 { // an SVG inside an HTML page has no XML prolog
 		text = text[at:]
 	}
 	return picture{Title: p.Title.Text, SVG: template.HTML(text),
 		PNG: template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png.Bytes()))}, nil
 }
 
-// curve is points with confidence intervals.
+// curve is a list of points with confidence intervals.
 type curve struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// plotScores plots the score against the number of workers. Fleets that hold the goal have a colour of their own.
+// plotScores plots the score against the number of workers, or returns nil if there is no sizing. Fleets that hold the
+// goal have a colour of their own.
 func plotScores(page Page) (*plot.Plot, error) {
 	if page.Sizing == nil || len(page.Sizing.Curve) == 0 {
 		return nil, nil
@@ -155,14 +156,15 @@
 	return p, nil
 }
 
-// plotZoneLosses plots the value lost in each second, as a mean over three seconds.
+// plotZoneLosses plots the value lost in each second, smoothed over three seconds, or returns nil if there are no
+// losses.
 func plotZoneLosses(page Page) (*plot.Plot, error) {
 	if len(page.ZoneLosses) == 0 {
 		return nil, nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth lost with a zone, over the day", "seconds", "worth a second"
-	names := map[string]int{} // indexes of the zones' colours
+	names := map[string]int{} // index of each zone's colour
 	for _, loss := range page.ZoneLosses {
 		if _, ok := names[loss.Zone]; !ok {
 			names[loss.Zone] = len(names)
@@ -185,7 +187,7 @@
 	return p, nil
 }
 
-// smooth returns the mean of each second's value and its neighbours'.
+// smooth returns for each second the mean of its value and of its neighbours' values.
 func smooth(seconds []float64) plotter.XYs {
 	var points plotter.XYs
 	for i := range seconds {
--- a/internal/dispatcher/planner/sizing.go
+++ b/internal/dispatcher/planner/sizing.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/dispatcher/fleetsim"
 )
 
-// Sizing tells how many workers the goal needs.
+// Sizing is the cheapest fleet found that holds the goal.
 type Sizing struct {
 	Reached      bool                   `json:"reached"`
 	Workers      []fleetsim.WorkerGroup `json:"workers"`
@@ -16,13 +16,13 @@
 	Cost         float64                `json:"cost"`
 	CostNow      float64                `json:"cost_now"`
 	Findings     []Finding              `json:"findings"`
-	LimitEffects []LimitEffect          `json:"why,omitempty"` // where no number of workers tried holds the goal
-	Limits       map[string]int         `json:"limits"`        // the least with which the goal holds, by key
+	LimitEffects []LimitEffect          `json:"why,omitempty"` // set if no number of workers tried holds the goal
+	Limits       map[string]int         `json:"limits"`        // least values with which the goal holds, by key of the settings
 	Curve        []Sample               `json:"curve"`         // score against number of workers
-	Fleets       int                    `json:"fleets"`        // that were evaluated
+	Fleets       int                    `json:"fleets"`        // number of fleets that were evaluated
 }
 
-// Sample is a fleet that was evaluated.
+// Sample is the evaluation of one fleet.
 type Sample struct {
 	Workers int      `json:"workers"`
 	Cost    float64  `json:"cost"`
@@ -30,7 +30,7 @@
 	Holds   bool     `json:"holds"`
 }
 
-// kindCosts returns what a worker of each kind costs.
+// kindCosts returns the cost of one worker of each kind.
 func kindCosts(f *fleetsim.Fleet) map[string]float64 {
 	of := map[string]float64{}
 	for _, k := range f.Kinds {
@@ -39,7 +39,7 @@
 	return of
 }
 
-// fleetCost returns the number of workers of a fleet and what they cost together.
+// fleetCost returns the number of workers of a fleet and their total cost.
 func fleetCost(f *fleetsim.Fleet) (workers int, fleetCost float64) {
 	of := kindCosts(f)
 	for _, g := range f.Workers {
@@ -61,8 +61,8 @@
 
 // Constants of the search for the cheapest fleet.
 const (
-	fleetGrowth        = 1.6  // from one fleet to the next, until the goal holds
-	fleetPrecision     = 0.04 // of the least multiple that holds the goal
+	fleetGrowth        = 1.6  // factor from one fleet to the next, until the goal holds
+	fleetPrecision     = 0.04 // relative precision of the least multiple of the fleet that holds the goal
 	maxFleetBisections = 8
 	costTolerance      = 1e-9
 )
@@ -71,13 +71,13 @@
 type sizingSearch struct {
 	*Planner
 	out  *Sizing
-	base *fleetsim.Fleet // with the spare workers
-	best *fleetsim.Fleet // the cheapest so far that holds the goal
+	base *fleetsim.Fleet // the described fleet with its spare workers
+	best *fleetsim.Fleet // the cheapest one so far that holds the goal; nil if there is none
 }
 
-// FindSizing searches for the cheapest mix of workers that holds the goal: first the least multiple of the fleet that does;
-// from there downwards worker by worker, and by exchanges of one kind for another in a zone. What is known so far comes back
-// with an error.
+// FindSizing searches for the cheapest mix of workers that holds the goal. It finds the least multiple of the fleet
+// that holds it, and then removes single workers or replaces them with workers of a cheaper kind in their zone. On an
+// error it also returns the results found so far.
 func (p *Planner) FindSizing() (*Sizing, error) {
 	search := &sizingSearch{Planner: p, out: &Sizing{Limits: map[string]int{}}, base: p.baseFleet(true)}
 	_, search.out.CostNow = fleetCost(p.baseFleet(false))
@@ -94,7 +94,8 @@
 	return search.out, p.findLimits(search.best, search.out)
 }
 
-// try evaluates a fleet, and keeps it as the best one if it holds the goal.
+// try evaluates a fleet, and keeps it as the best one if it holds the goal. A fleet that is not in the cache adds a
+// sample.
 func (s *sizingSearch) try(fleet *fleetsim.Fleet) (*evaluation, error) {
 	workers, cost := fleetCost(fleet)
 	s.reportProgress("how many: %d workers at a cost of %.4g", workers, cost)
@@ -129,8 +130,8 @@
 	s.out.Count, s.out.Cost = fleetCost(fleet)
 }
 
-// grow multiplies the fleet until the goal holds. Where it does not up to the greatest factor, best stays nil, and the effects
-// of limits tell why.
+// grow multiplies the fleet until the goal holds. If it does not hold up to MaxFactor, best stays nil and the effects
+// of lifted limits show why.
 func (s *sizingSearch) grow() (low, high float64, err error) {
 	for low, high = 0, 1; ; {
 		fleet := scaledFleet(s.base, high)
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// descend goes from the best fleet to the cheapest of its neighbours that holds the goal, while there is one.
+// descend replaces the best fleet with the cheapest neighbour that holds the goal, until there is none.
 func (s *sizingSearch) descend() error {
 	costs := kindCosts(s.base)
 	for {
@@ -174,7 +175,8 @@
 	}
 }
 
-// tryCheaper tries fleets in their order, and tells whether one holds the goal.
+// tryCheaper tries those of the fleets that are cheaper than the best one, in their order, and reports whether one
+// holds the goal. It stops at the first that does.
 func (s *sizingSearch) tryCheaper(fleets []*fleetsim.Fleet) (bool, error) {
 	_, now := fleetCost(s.best)
 	for _, fleet := range fleets {
@@ -189,8 +191,8 @@
 	return false, nil
 }
 
-// cheaperFleets returns the fleets that are a step cheaper, the cheapest first: with a worker less, or with one of a cheaper
-// kind in its zone.
+// cheaperFleets returns the fleets that are one step cheaper, the cheapest first: with one worker less, or with one
+// worker replaced by one of a cheaper kind in its zone.
 func cheaperFleets(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
 	with := func(change func([]fleetsim.WorkerGroup)) {
 		n := *f
--- a/internal/dispatcher/planner/zone_loss.go
+++ b/internal/dispatcher/planner/zone_loss.go
@@ -2,24 +2,24 @@
 
 import "gladepick/internal/dispatcher/fleetsim"
 
-// secondsAfterLoss is how long the time after the loss of a zone lasts.
+// secondsAfterLoss is the length of the period that counts as the time after the loss of a zone.
 const secondsAfterLoss = 10
 
-// ZoneLoss is what losing a zone costs, as shares of the value offered.
+// ZoneLoss is the cost of losing a zone, as shares of the value offered.
 type ZoneLoss struct {
 	Zone              string     `json:"zone"`
-	Spares            bool       `json:"spares"` // with the spare workers switched on
+	Spares            bool       `json:"spares"` // whether the spare workers are switched on
 	Total             Estimate   `json:"worth"`  // of the whole day
-	During            Estimate   `json:"during"` // of what arrived while it was lost
-	After             Estimate   `json:"after"`  // of what arrived in the ten seconds after
+	During            Estimate   `json:"during"` // of requests that arrived while the zone was lost
+	After             Estimate   `json:"after"`  // of requests that arrived in the ten seconds after that
 	Classes           []Estimate `json:"classes"`
 	Tenants           []Estimate `json:"universities"`
 	Seconds           []float64  `json:"seconds"` // value lost in each second, mean over the days
 	OverloadedWorkers int        `json:"fell"`    // workers overloaded during their slow start, over all days
 }
 
-// ZoneLosses tells what losing each zone costs: the difference between the same days with and without the loss. Where the
-// fleet has spare workers, it does so without them and with them.
+// ZoneLosses returns the cost of losing each zone: the difference between the same days with and without the loss. If
+// the fleet has spare workers, each zone is evaluated both without and with them.
 func (p *Planner) ZoneLosses() (out []ZoneLoss, err error) {
 	for _, spares := range []bool{false, true} {
 		fleet := p.baseFleet(spares)
@@ -47,7 +47,7 @@
 	return out, nil
 }
 
-// compareDays computes the loss from days with a zone's loss and the same days without.
+// compareDays computes the cost of a zone's loss from days with the loss and the same days without it.
 func (p *Planner) compareDays(fleet *fleetsim.Fleet, calm, lossy []*fleetsim.Result, condition *Condition, load *fleetsim.Load) ZoneLoss {
 	difference := func(of func(*fleetsim.Result) fleetsim.Tally) Estimate {
 		var lost []float64
@@ -80,7 +80,8 @@
 	return loss
 }
 
-// tallyBetween returns a function that adds up the values of a day's requests that arrived from one second to another.
+// tallyBetween returns a function that sums up the values of a day's requests that arrived in the seconds from
+// (inclusive) to to (exclusive).
 func tallyBetween(from, to float64) func(*fleetsim.Result) fleetsim.Tally {
 	return func(r *fleetsim.Result) (sum fleetsim.Tally) {
 		for i, second := range r.Seconds {
