--- a/internal/dispatcher/planner/breaking_point.go
+++ b/internal/dispatcher/planner/breaking_point.go
@@ -30,27 +30,27 @@
 // on the same days; the limit whose lifting gains most is the one that breaks first. On an error it also returns the
 // results found so far.
 func (p *Planner) FindBreakingPoint() (*BreakingPoint, error) {
-	out := &BreakingPoint{}
+	result := &BreakingPoint{}
 	fleet := p.baseFleet(false)
-	now, err := p.evaluate(fleet, p.scaledLoad(1))
+	baseline, err := p.evaluate(fleet, p.scaledLoad(1))
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	out.Baseline = now.findings
+	result.Baseline = baseline.findings
 	low, high := 0.0, 1.0
-	if now.holds {
+	if baseline.holds {
 		var broken bool
 		if low, high, broken, err = p.raiseLoad(fleet); err != nil || !broken {
-			out.HoldsAtFactor = low
-			return out, err
+			result.HoldsAtFactor = low
+			return result, err
 		}
 	}
 	low, high, err = p.bisectLoad(fleet, low, high)
-	out.HoldsAtFactor, out.BreaksAtFactor = low, high
+	result.HoldsAtFactor, result.BreaksAtFactor = low, high
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	return out, p.explainBreak(fleet, out)
+	return result, p.explainBreak(fleet, result)
 }
 
 // raiseLoad multiplies the load until the goal breaks or MaxFactor is exceeded. The goal holds at low times the load
@@ -89,44 +89,44 @@
 
 func (p *Planner) holdsAt(fleet *fleetsim.Fleet, factor float64) (bool, error) {
 	p.reportProgress("what breaks first: %.2f times the load", factor)
-	e, err := p.evaluate(fleet, p.scaledLoad(factor))
+	result, err := p.evaluate(fleet, p.scaledLoad(factor))
 	if err != nil {
 		return false, err
 	}
-	return e.holds, nil
+	return result.holds, nil
 }
 
 // explainBreak finds the limit that breaks the goal, a little beyond the breaking point. If that lies below the load as
 // described, it uses the load as described.
-func (p *Planner) explainBreak(fleet *fleetsim.Fleet, out *BreakingPoint) error {
-	load := p.scaledLoad(max(out.BreaksAtFactor*beyondBreakingPoint, 1))
-	e, err := p.evaluate(fleet, load)
+func (p *Planner) explainBreak(fleet *fleetsim.Fleet, point *BreakingPoint) error {
+	load := p.scaledLoad(max(point.BreaksAtFactor*beyondBreakingPoint, 1))
+	result, err := p.evaluate(fleet, load)
 	if err != nil {
 		return err
 	}
-	out.Failing = slices.DeleteFunc(slices.Clone(e.findings), func(f Finding) bool { return f.Holds })
-	out.Utilization = e.utilization
-	if out.LimitEffects, err = p.limitEffects(fleet, load, e.slack); err != nil {
+	point.Failing = slices.DeleteFunc(slices.Clone(result.findings), func(f Finding) bool { return f.Holds })
+	point.Utilization = result.utilization
+	if point.LimitEffects, err = p.limitEffects(fleet, load, result.slack); err != nil {
 		return err
 	}
-	out.FirstLimit = out.LimitEffects[0].Resource
-	if out.LimitEffects[0].Gain <= 0 {
-		out.FirstLimit = "nothing that can be lifted alone"
+	point.FirstLimit = point.LimitEffects[0].Resource
+	if point.LimitEffects[0].Gain <= 0 {
+		point.FirstLimit = "nothing that can be lifted alone"
 	}
 	return nil
 }
 
 // describeUtilization returns a sentence for each kind of worker: the share of its slots in use and its rejected jobs.
-func describeUtilization(f *fleetsim.Fleet, days []*fleetsim.Result) (out []string) {
-	for i, k := range f.Kinds {
-		sum, full := 0.0, 0
-		for _, r := range days {
-			sum += r.Kinds[i].Utilization / float64(len(days))
-			full += r.Kinds[i].RejectedJobs
+func describeUtilization(fleet *fleetsim.Fleet, days []*fleetsim.Result) (descriptions []string) {
+	for i, kind := range fleet.Kinds {
+		sum, rejections := 0.0, 0
+		for _, day := range days {
+			sum += day.Kinds[i].Utilization / float64(len(days))
+			rejections += day.Kinds[i].RejectedJobs
 		}
 		if days[0].Kinds[i].Count > 0 {
-			out = append(out, fmt.Sprintf("%s: slots %.0f%% at work, %d jobs a day met a full waiting room", k.Name, 100*sum, full/len(days)))
+			descriptions = append(descriptions, fmt.Sprintf("%s: slots %.0f%% at work, %d jobs a day met a full waiting room", kind.Name, 100*sum, rejections/len(days)))
 		}
 	}
-	return out
+	return descriptions
 }
--- a/internal/dispatcher/planner/fit.go
+++ b/internal/dispatcher/planner/fit.go
@@ -34,89 +34,89 @@
 }
 
 // warn adds a warning.
-func (x *Fit) warn(format string, v ...any) {
-	x.Warnings = append(x.Warnings, fmt.Sprintf(format, v...))
+func (fit *Fit) warn(format string, v ...any) {
+	fit.Warnings = append(fit.Warnings, fmt.Sprintf(format, v...))
 }
 
 // addFigure adds a fitted value.
-func (x *Fit) addFigure(name string, value, halfWidth float64, rows int) {
-	x.Figures = append(x.Figures, Figure{Name: name, Value: value, HalfWidth: halfWidth, Rows: rows})
+func (fit *Fit) addFigure(name string, value, halfWidth float64, rows int) {
+	fit.Figures = append(fit.Figures, Figure{Name: name, Value: value, HalfWidth: halfWidth, Rows: rows})
 }
 
 // FitCapture fits a load and the properties of a fleet's workers to captures of any number of dispatchers. If the fleet
 // gives speeds of workers, the fitted speeds are on the same scale.
-func FitCapture(s *capture.Set, f *fleetsim.Fleet) (*Fit, error) {
-	if len(s.Requests) == 0 {
+func FitCapture(set *capture.Set, fleet *fleetsim.Fleet) (*Fit, error) {
+	if len(set.Requests) == 0 {
 		return nil, errors.New("the captures hold no tries")
 	}
-	x := &Fit{Load: &fleetsim.Load{Factor: 1}, kindSpeed: map[string]fleetsim.Range{}, kindSlots: map[string]int{}, kindQueue: map[string]int{}, pathMs: map[path]float64{}}
-	x.Warnings = append(x.Warnings, s.Warnings...)
-	if s.DroppedRows > 0 {
-		x.warn("%d rows could not be kept by the recorders: rates are that much too low", s.DroppedRows)
+	fit := &Fit{Load: &fleetsim.Load{Factor: 1}, kindSpeed: map[string]fleetsim.Range{}, kindSlots: map[string]int{}, kindQueue: map[string]int{}, pathMs: map[path]float64{}}
+	fit.Warnings = append(fit.Warnings, set.Warnings...)
+	if set.DroppedRows > 0 {
+		fit.warn("%d rows could not be kept by the recorders: rates are that much too low", set.DroppedRows)
 	}
-	x.checkClocks(s.Requests)
-	x.fitArrivals(s.Requests, f)
-	x.fitRunTimes(s.Attempts, f)
-	x.fitNetwork(s.Attempts)
-	x.fitCapacity(s.Attempts)
-	x.fitRetries(s.Requests)
-	return x, nil
+	fit.checkClocks(set.Requests)
+	fit.fitArrivals(set.Requests, fleet)
+	fit.fitRunTimes(set.Attempts, fleet)
+	fit.fitNetwork(set.Attempts)
+	fit.fitCapacity(set.Attempts)
+	fit.fitRetries(set.Requests)
+	return fit, nil
 }
 
 // FillFleet returns a copy of the fleet in which missing values are filled in from the captures, as far as these show
 // them.
-func (x *Fit) FillFleet(f *fleetsim.Fleet) *fleetsim.Fleet {
-	out := *f
-	out.Kinds = slices.Clone(f.Kinds)
-	for i := range out.Kinds {
-		k := &out.Kinds[i]
-		if r, ok := x.kindSpeed[k.Name]; ok && k.Speed == (fleetsim.Range{}) {
-			k.Speed = r
+func (fit *Fit) FillFleet(fleet *fleetsim.Fleet) *fleetsim.Fleet {
+	filled := *fleet
+	filled.Kinds = slices.Clone(fleet.Kinds)
+	for i := range filled.Kinds {
+		kind := &filled.Kinds[i]
+		if r, ok := fit.kindSpeed[kind.Name]; ok && kind.Speed == (fleetsim.Range{}) {
+			kind.Speed = r
 		}
-		if n := x.kindSlots[k.Name]; n > 0 && k.Slots == 0 {
-			k.Slots = n
+		if n := fit.kindSlots[kind.Name]; n > 0 && kind.Slots == 0 {
+			kind.Slots = n
 		}
-		if n := x.kindQueue[k.Name]; n > 0 && k.Queue == 0 {
-			k.Queue = n
+		if n := fit.kindQueue[kind.Name]; n > 0 && kind.Queue == 0 {
+			kind.Queue = n
 		}
 	}
-	out.SameZoneMs, out.CrossZoneMs = cmp.Or(f.SameZoneMs, x.sameZoneMs), cmp.Or(f.CrossZoneMs, x.crossZoneMs)
-	return &out
+	filled.SameZoneMs, filled.CrossZoneMs = cmp.Or(fleet.SameZoneMs, fit.sameZoneMs), cmp.Or(fleet.CrossZoneMs, fit.crossZoneMs)
+	return &filled
 }
 
 // Extrapolations returns a message for each respect in which a load goes beyond the captured traffic.
-func (x *Fit) Extrapolations(l *fleetsim.Load) (out []string) {
+func (fit *Fit) Extrapolations(load *fleetsim.Load) (messages []string) {
 	peak := 0.0
-	for _, p := range l.Rate {
-		peak = max(peak, p.PerSecond*max(l.Factor, 1))
+	for _, p := range load.Rate {
+		peak = max(peak, p.PerSecond*max(load.Factor, 1))
 	}
-	if peak > 1.2*x.PeakPerSecond {
-		out = append(out, fmt.Sprintf("the plan has up to %.0f jobs a second, the capture no more than %.0f: what lies beyond is the model's word alone", peak, x.PeakPerSecond))
+	if peak > 1.2*fit.PeakPerSecond {
+		messages = append(messages, fmt.Sprintf("the plan has up to %.0f jobs a second, the capture no more than %.0f: what lies beyond is the model's word alone", peak, fit.PeakPerSecond))
 	}
-	if len(l.Bursts) > 0 && len(x.Load.Bursts) == 0 {
-		out = append(out, "the plan has bursts of universities, the capture has none: what repeats and refusals do then is the model's word alone")
+	if len(load.Bursts) > 0 && len(fit.Load.Bursts) == 0 {
+		messages = append(messages, "the plan has bursts of universities, the capture has none: what repeats and refusals do then is the model's word alone")
 	}
-	return out
+	return messages
 }
 
 // checkClocks warns of each dispatcher whose wall clock stepped while it ran.
-func (x *Fit) checkClocks(tries []capture.Request) {
+func (fit *Fit) checkClocks(requests []capture.Request) {
 	type process struct {
 		node string
 		boot int64
 	}
 	least, most := map[process]int64{}, map[process]int64{}
-	for _, t := range tries {
-		p := process{t.Node, t.Boot}
+	for _, request := range requests {
+		p := process{request.Node, request.Boot}
 		if _, ok := least[p]; !ok {
-			least[p], most[p] = t.ClockOffset, t.ClockOffset
+			least[p], most[p] = request.ClockOffset, request.ClockOffset
 		}
-		least[p], most[p] = min(least[p], t.ClockOffset), max(most[p], t.ClockOffset)
+		least[p], most[p] = min(least[p], request.ClockOffset), max(most[p], request.ClockOffset)
 	}
 	for p := range least {
-		if d := float64(most[p]-least[p]) / 1e9; d > 0.1 {
-			x.warn("the calendar of %s stepped by %.1f s: its times are those of its start, others' may lie aside", p.node, d)
+		if stepSeconds := float64(most[p]-least[p]) / 1e9; stepSeconds > 0.1 {
+			fit.warn("the calendar of %s stepped by %.1f s: its times are those of its start, others' may lie aside", p.node, stepSeconds)
 		}
 	}
-	slices.Sort(x.Warnings)
+	slices.Sort(fit.Warnings)
 }
--- a/internal/dispatcher/planner/fit_arrivals.go
+++ b/internal/dispatcher/planner/fit_arrivals.go
@@ -41,64 +41,64 @@
 }
 
 // fitArrivals fits the rates of requests, the mix of classes and tenants, and the bursts.
-func (x *Fit) fitArrivals(requests []capture.Request, f *fleetsim.Fleet) {
-	counts := x.countArrivals(requests)
+func (fit *Fit) fitArrivals(requests []capture.Request, fleet *fleetsim.Fleet) {
+	counts := fit.countArrivals(requests)
 	if counts.total == 0 {
-		x.warn("all tries are repeats: there is no rate to fit")
+		fit.warn("all tries are repeats: there is no rate to fit")
 		return
 	}
-	plain, parts := x.fitBursts(counts)
-	segments := mergeSegments(plain, counts)
-	x.fitRates(segments, plain, counts)
-	x.fitMix(counts, parts, f)
+	withoutBursts, usualRequests := fit.fitBursts(counts)
+	segments := mergeSegments(withoutBursts, counts)
+	fit.fitRates(segments, withoutBursts, counts)
+	fit.fitMix(counts, usualRequests, fleet)
 }
 
 // countArrivals counts requests in bins, and finds the greatest number within a second.
-func (x *Fit) countArrivals(requests []capture.Request) *arrivalCounts {
+func (fit *Fit) countArrivals(requests []capture.Request) *arrivalCounts {
 	first, last := requests[0].Arrived, requests[len(requests)-1].Arrived
 	seconds := max(float64(last-first)/1e9, 1)
 	width := max(seconds/maxBins, minBinSeconds)
 	bins := int(seconds/width) + 1
-	c := &arrivalCounts{seconds: seconds, width: width, bins: make([]float64, bins), byTenant: map[string][]float64{}, byClass: map[string]int{}}
+	counts := &arrivalCounts{seconds: seconds, width: width, bins: make([]float64, bins), byTenant: map[string][]float64{}, byClass: map[string]int{}}
 	perSecond := map[int64]int{}
-	for _, r := range requests {
-		if r.Retry {
+	for _, request := range requests {
+		if request.Retry {
 			continue
 		}
-		bin := min(int(float64(r.Arrived-first)/1e9/width), bins-1)
-		c.bins[bin]++
-		if c.byTenant[r.Tenant] == nil {
-			c.byTenant[r.Tenant] = make([]float64, bins)
+		bin := min(int(float64(request.Arrived-first)/1e9/width), bins-1)
+		counts.bins[bin]++
+		if counts.byTenant[request.Tenant] == nil {
+			counts.byTenant[request.Tenant] = make([]float64, bins)
 		}
-		c.byTenant[r.Tenant][bin]++
-		c.byClass[r.Class]++
-		c.total++
-		perSecond[(r.Arrived-first)/1e9]++
+		counts.byTenant[request.Tenant][bin]++
+		counts.byClass[request.Class]++
+		counts.total++
+		perSecond[(request.Arrived-first)/1e9]++
 	}
 	for _, n := range perSecond {
-		x.PeakPerSecond = max(x.PeakPerSecond, float64(n))
+		fit.PeakPerSecond = max(fit.PeakPerSecond, float64(n))
 	}
-	c.tenants = slices.Sorted(maps.Keys(c.byTenant))
-	return c
+	counts.tenants = slices.Sorted(maps.Keys(counts.byTenant))
+	return counts
 }
 
 // fitBursts finds the tenants that in some bins send far more than their usual ratio to the others' requests. It
 // returns the bins without these bursts, and each tenant's number of requests without them.
-func (x *Fit) fitBursts(c *arrivalCounts) (plain []float64, parts map[string]float64) {
-	plain = slices.Clone(c.bins)
-	parts = map[string]float64{}
-	for _, tenant := range c.tenants {
-		own := c.byTenant[tenant]
-		usual, ok := usualRatio(own, c.bins)
+func (fit *Fit) fitBursts(counts *arrivalCounts) (withoutBursts []float64, usualRequests map[string]float64) {
+	withoutBursts = slices.Clone(counts.bins)
+	usualRequests = map[string]float64{}
+	for _, tenant := range counts.tenants {
+		own := counts.byTenant[tenant]
+		usual, ok := usualRatio(own, counts.bins)
 		if !ok {
 			continue
 		}
-		x.fitTenantBursts(tenant, usual, c, plain)
+		fit.fitTenantBursts(tenant, usual, counts, withoutBursts)
 		for i, n := range own {
-			parts[tenant] += min(n, max(usual*(c.bins[i]-n), 0)+3*math.Sqrt(n+1))
+			usualRequests[tenant] += min(n, max(usual*(counts.bins[i]-n), 0)+3*math.Sqrt(n+1))
 		}
 	}
-	return plain, parts
+	return withoutBursts, usualRequests
 }
 
 // usualRatio returns the median over the bins of the ratio of a tenant's requests to all others'. It returns false if
@@ -117,112 +117,112 @@
 	return stat.Quantile(0.5, stat.Empirical, ratios, nil), true
 }
 
-// fitTenantBursts finds the bursts of one tenant, and subtracts them from plain.
-func (x *Fit) fitTenantBursts(tenant string, usual float64, c *arrivalCounts, plain []float64) {
-	own := c.byTenant[tenant]
-	begin, seen, expected := -1, 0.0, 0.0
-	for i := 0; i <= len(c.bins); i++ {
-		expect, burst := 0.0, false
-		if i < len(c.bins) {
-			expect = usual * (c.bins[i] - own[i])
+// fitTenantBursts finds the bursts of one tenant, and subtracts them from withoutBursts.
+func (fit *Fit) fitTenantBursts(tenant string, usual float64, counts *arrivalCounts, withoutBursts []float64) {
+	own := counts.byTenant[tenant]
+	firstBin, received, expected := -1, 0.0, 0.0
+	for i := 0; i <= len(counts.bins); i++ {
+		binExpected, burst := 0.0, false
+		if i < len(counts.bins) {
+			binExpected = usual * (counts.bins[i] - own[i])
 			// The expectation is based on the number of the others' requests, which has a deviation as well.
-			burst = own[i] > burstFactor*expect && own[i] > expect+burstDeviations*math.Sqrt(expect*(1+usual)+1)
+			burst = own[i] > burstFactor*binExpected && own[i] > binExpected+burstDeviations*math.Sqrt(binExpected*(1+usual)+1)
 		}
 		if burst {
-			if begin < 0 {
-				begin, seen, expected = i, 0, 0
+			if firstBin < 0 {
+				firstBin, received, expected = i, 0, 0
 			}
-			seen, expected = seen+own[i], expected+expect
-			plain[i] -= own[i] - expect
-		} else if begin >= 0 {
-			if expected > 0 && seen-expected > minBurstExcess && i-begin > 1 { // a single bin may be chance
-				x.Load.Bursts = append(x.Load.Bursts, fleetsim.Burst{Tenant: tenant, Factor: seen / expected,
-					StartSeconds: float64(begin) * c.width, DurationSeconds: float64(i-begin) * c.width})
+			received, expected = received+own[i], expected+binExpected
+			withoutBursts[i] -= own[i] - binExpected
+		} else if firstBin >= 0 {
+			if expected > 0 && received-expected > minBurstExcess && i-firstBin > 1 { // a single bin may be chance
+				fit.Load.Bursts = append(fit.Load.Bursts, fleetsim.Burst{Tenant: tenant, Factor: received / expected,
+					StartSeconds: float64(firstBin) * counts.width, DurationSeconds: float64(i-firstBin) * counts.width})
 			}
-			begin = -1
+			firstBin = -1
 		}
 	}
 }
 
-// segment is a period with a constant rate: n requests between two times in seconds.
-type segment struct{ from, to, n float64 }
+// segment is a period with a constant rate: a number of requests between two times in seconds.
+type segment struct{ from, to, requests float64 }
 
 // deviations returns the difference of two neighbouring segments' rates in standard deviations.
 func (s segment) deviations(next segment) float64 {
 	length, nextLength := max(s.to-s.from, 1e-9), max(next.to-next.from, 1e-9)
-	mean := (s.n + next.n) / (length + nextLength)
-	return math.Abs(s.n/length-next.n/nextLength) / math.Sqrt(max(mean, 1e-9)*(1/length+1/nextLength))
+	mean := (s.requests + next.requests) / (length + nextLength)
+	return math.Abs(s.requests/length-next.requests/nextLength) / math.Sqrt(max(mean, 1e-9)*(1/length+1/nextLength))
 }
 
 // mergeSegments merges neighbouring bins whose rates may differ by chance alone, the most similar ones first.
-func mergeSegments(plain []float64, c *arrivalCounts) []segment {
+func mergeSegments(withoutBursts []float64, counts *arrivalCounts) []segment {
 	var segments []segment
-	for i, n := range plain {
-		segments = append(segments, segment{float64(i) * c.width, min(float64(i+1)*c.width, c.seconds), n})
+	for i, requests := range withoutBursts {
+		segments = append(segments, segment{float64(i) * counts.width, min(float64(i+1)*counts.width, counts.seconds), requests})
 	}
 	for {
-		best, at := float64(mergeDeviations), -1
+		least, at := float64(mergeDeviations), -1
 		for i := 0; i+1 < len(segments); i++ {
-			if z := segments[i].deviations(segments[i+1]); z < best {
-				best, at = z, i
+			if difference := segments[i].deviations(segments[i+1]); difference < least {
+				least, at = difference, i
 			}
 		}
 		if at < 0 {
 			return segments
 		}
-		segments[at] = segment{segments[at].from, segments[at+1].to, segments[at].n + segments[at+1].n}
+		segments[at] = segment{segments[at].from, segments[at+1].to, segments[at].requests + segments[at+1].requests}
 		segments = slices.Delete(segments, at+1, at+2)
 	}
 }
 
 // fitRates sets the load's rates from the segments, and tests whether arrivals vary as those of a Poisson process.
-func (x *Fit) fitRates(segments []segment, plain []float64, c *arrivalCounts) {
-	x.Load.Seconds = c.seconds
+func (fit *Fit) fitRates(segments []segment, withoutBursts []float64, counts *arrivalCounts) {
+	fit.Load.Seconds = counts.seconds
 	chiSquare := 0.0
 	for _, s := range segments {
-		rate := s.n / max(s.to-s.from, 1e-9)
-		if len(x.Load.Rate) > 0 {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: s.from + 1e-3, PerSecond: rate})
+		rate := s.requests / max(s.to-s.from, 1e-9)
+		if len(fit.Load.Rate) > 0 {
+			fit.Load.Rate = append(fit.Load.Rate, fleetsim.RatePoint{AtSeconds: s.from + 1e-3, PerSecond: rate})
 		} else {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: 0, PerSecond: rate})
+			fit.Load.Rate = append(fit.Load.Rate, fleetsim.RatePoint{AtSeconds: 0, PerSecond: rate})
 		}
 		if s.to > s.from+2e-3 {
-			x.Load.Rate = append(x.Load.Rate, fleetsim.RatePoint{AtSeconds: s.to, PerSecond: rate})
+			fit.Load.Rate = append(fit.Load.Rate, fleetsim.RatePoint{AtSeconds: s.to, PerSecond: rate})
 		}
-		for i, n := range plain {
-			if from := float64(i) * c.width; from >= s.from-1e-9 && from < s.to-1e-9 && i < len(c.bins)-1 {
-				chiSquare += (n - rate*c.width) * (n - rate*c.width) / max(rate*c.width, 1e-9)
+		for i, requests := range withoutBursts {
+			if from := float64(i) * counts.width; from >= s.from-1e-9 && from < s.to-1e-9 && i < len(counts.bins)-1 {
+				chiSquare += (requests - rate*counts.width) * (requests - rate*counts.width) / max(rate*counts.width, 1e-9)
 			}
 		}
-		x.addFigure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, normalQuantile*math.Sqrt(s.n)/max(s.to-s.from, 1e-9), int(s.n))
+		fit.addFigure(fmt.Sprintf("jobs a second from %.0f to %.0f s", s.from, s.to), rate, normalQuantile*math.Sqrt(s.requests)/max(s.to-s.from, 1e-9), int(s.requests))
 	}
-	if free := len(c.bins) - 1 - len(segments); free > 0 {
-		x.addFigure("variance of arrivals over that of chance", chiSquare/float64(free), normalQuantile*math.Sqrt(2/float64(free)), len(c.bins))
-		if chiSquare/float64(free) > 1+4*math.Sqrt(2/float64(free)) {
-			x.warn("arrivals are burstier than the fitted rates (%.1f times the variance of chance): plans come out too well", chiSquare/float64(free))
+	if freedom := len(counts.bins) - 1 - len(segments); freedom > 0 {
+		fit.addFigure("variance of arrivals over that of chance", chiSquare/float64(freedom), normalQuantile*math.Sqrt(2/float64(freedom)), len(counts.bins))
+		if chiSquare/float64(freedom) > 1+4*math.Sqrt(2/float64(freedom)) {
+			fit.warn("arrivals are burstier than the fitted rates (%.1f times the variance of chance): plans come out too well", chiSquare/float64(freedom))
 		}
 	}
 }
 
 // fitMix fits the shares of classes and tenants. It leaves out classes and tenants that the fleet lacks, with a
 // warning.
-func (x *Fit) fitMix(c *arrivalCounts, parts map[string]float64, f *fleetsim.Fleet) {
-	for _, class := range f.Classes {
-		n := c.byClass[class.Name]
-		share := float64(n) / float64(c.total)
-		x.Load.Classes = append(x.Load.Classes, fleetsim.ClassLoad{Name: class.Name, Share: share})
-		x.addFigure("share of "+class.Name, share, normalQuantile*math.Sqrt(share*(1-share)/float64(c.total)), n)
-		delete(c.byClass, class.Name)
+func (fit *Fit) fitMix(counts *arrivalCounts, usualRequests map[string]float64, fleet *fleetsim.Fleet) {
+	for _, class := range fleet.Classes {
+		n := counts.byClass[class.Name]
+		share := float64(n) / float64(counts.total)
+		fit.Load.Classes = append(fit.Load.Classes, fleetsim.ClassLoad{Name: class.Name, Share: share})
+		fit.addFigure("share of "+class.Name, share, normalQuantile*math.Sqrt(share*(1-share)/float64(counts.total)), n)
+		delete(counts.byClass, class.Name)
 	}
-	for _, class := range slices.Sorted(maps.Keys(c.byClass)) {
-		x.warn("%d jobs are of class %q, which the fleet does not have: they are left out", c.byClass[class], class)
+	for _, class := range slices.Sorted(maps.Keys(counts.byClass)) {
+		fit.warn("%d jobs are of class %q, which the fleet does not have: they are left out", counts.byClass[class], class)
 	}
-	for _, tenant := range c.tenants {
-		if tenantIndex(f, tenant) < 0 {
-			x.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(c.byTenant[tenant], nil)*float64(len(c.bins)), tenant)
-		} else if parts[tenant] > 0 {
-			x.Load.Tenants = append(x.Load.Tenants, fleetsim.TenantLoad{Name: tenant, Share: parts[tenant] / float64(c.total)})
+	for _, tenant := range counts.tenants {
+		if tenantIndex(fleet, tenant) < 0 {
+			fit.warn("%.0f jobs are of university %q, which the fleet does not have: they are left out", stat.Mean(counts.byTenant[tenant], nil)*float64(len(counts.bins)), tenant)
+		} else if usualRequests[tenant] > 0 {
+			fit.Load.Tenants = append(fit.Load.Tenants, fleetsim.TenantLoad{Name: tenant, Share: usualRequests[tenant] / float64(counts.total)})
 		}
 	}
-	x.Load.Bursts = slices.DeleteFunc(x.Load.Bursts, func(b fleetsim.Burst) bool { return tenantIndex(f, b.Tenant) < 0 })
+	fit.Load.Bursts = slices.DeleteFunc(fit.Load.Bursts, func(b fleetsim.Burst) bool { return tenantIndex(fleet, b.Tenant) < 0 })
 }
--- a/internal/dispatcher/planner/fit_capacity.go
+++ b/internal/dispatcher/planner/fit_capacity.go
@@ -10,30 +10,30 @@
 
 // fitCapacity fits each kind's slots to the number of jobs that ran at a worker at the same time, and its queue to the
 // longest queue of a worker that rejected a job.
-func (x *Fit) fitCapacity(attempts []capture.Attempt) {
+func (fit *Fit) fitCapacity(attempts []capture.Attempt) {
 	edges, kind := map[string][]runEdge{}, map[string]string{}
-	full := 0
-	for _, a := range attempts {
-		kind[a.Worker] = a.Kind
-		if a.Started >= 0 && a.Ended > a.Started+overlapNanos {
-			seen := a.Sent - int64(x.pathMs[path{a.Node, a.Zone}]*1e6)
-			edges[a.Worker] = append(edges[a.Worker], runEdge{seen + a.Started + overlapNanos, 1}, runEdge{seen + a.Ended, -1})
+	fullRejections := 0
+	for _, attempt := range attempts {
+		kind[attempt.Worker] = attempt.Kind
+		if attempt.Started >= 0 && attempt.Ended > attempt.Started+overlapNanos {
+			sent := attempt.Sent - int64(fit.pathMs[path{attempt.Node, attempt.Zone}]*1e6)
+			edges[attempt.Worker] = append(edges[attempt.Worker], runEdge{sent + attempt.Started + overlapNanos, 1}, runEdge{sent + attempt.Ended, -1})
 		}
-		if a.Outcome == "full" {
-			full++
-			x.kindQueue[a.Kind] = max(x.kindQueue[a.Kind], int(a.Queue))
+		if attempt.Outcome == "full" {
+			fullRejections++
+			fit.kindQueue[attempt.Kind] = max(fit.kindQueue[attempt.Kind], int(attempt.Queue))
 		}
 	}
 	for _, worker := range slices.Sorted(maps.Keys(edges)) {
 		if slots := usedSlots(edges[worker]); slots > 0 {
-			x.kindSlots[kind[worker]] = max(x.kindSlots[kind[worker]], slots)
+			fit.kindSlots[kind[worker]] = max(fit.kindSlots[kind[worker]], slots)
 		}
 	}
-	for _, k := range slices.Sorted(maps.Keys(x.kindSlots)) {
-		x.addFigure("slots of "+k+", at least", float64(x.kindSlots[k]), -1, 0)
+	for _, k := range slices.Sorted(maps.Keys(fit.kindSlots)) {
+		fit.addFigure("slots of "+k+", at least", float64(fit.kindSlots[k]), -1, 0)
 	}
-	if full == 0 {
-		x.warn("no job met a full worker: waiting rooms are not known, and slots only where all were seen at work")
+	if fullRejections == 0 {
+		fit.warn("no job met a full worker: waiting rooms are not known, and slots only where all were seen at work")
 	}
 }
 
@@ -46,22 +46,22 @@
 // its slots.
 const minLevelShare = 0.002
 
-// runEdge is the start (by is 1) or the end (by is -1) of a run, at a time in nanoseconds.
+// runEdge is the start (delta is 1) or the end (delta is -1) of a run, at a time in nanoseconds.
 type runEdge struct {
-	at int64
-	by int
+	at    int64
+	delta int
 }
 
 // usedSlots returns the greatest number of jobs that ran together at a worker for more than minLevelShare of its busy
 // time, or 0.
 func usedSlots(edges []runEdge) int {
-	slices.SortFunc(edges, func(a, b runEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.by, b.by)) })
+	slices.SortFunc(edges, func(a, b runEdge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) })
 	level, nanosAt := 0, map[int]int64{}
 	for i := range edges {
 		if i > 0 {
 			nanosAt[level] += edges[i].at - edges[i-1].at
 		}
-		level += edges[i].by
+		level += edges[i].delta
 	}
 	busy, above := int64(0), int64(0)
 	for level, nanos := range nanosAt {
--- a/internal/dispatcher/planner/fit_network.go
+++ b/internal/dispatcher/planner/fit_network.go
@@ -15,43 +15,43 @@
 
 // fitNetwork fits the network's one-way delays. If a job starts as soon as it arrives, the report of its start reaches
 // the dispatcher after one round trip. So half of the lower quartile of these times is the delay.
-func (x *Fit) fitNetwork(attempts []capture.Attempt) {
-	all := map[path][]float64{}
-	for _, a := range attempts {
-		if a.Started >= 0 {
-			all[path{a.Node, a.Zone}] = append(all[path{a.Node, a.Zone}], float64(a.Started)/2e6)
+func (fit *Fit) fitNetwork(attempts []capture.Attempt) {
+	delaysMs := map[path][]float64{}
+	for _, attempt := range attempts {
+		if attempt.Started >= 0 {
+			delaysMs[path{attempt.Node, attempt.Zone}] = append(delaysMs[path{attempt.Node, attempt.Zone}], float64(attempt.Started)/2e6)
 		}
 	}
-	near, far := map[string]float64{}, map[string][]float64{}
+	leastMs, pathsMs := map[string]float64{}, map[string][]float64{}
 	rows := 0
-	for w, v := range all {
-		if len(v) < 10 {
+	for from, delays := range delaysMs {
+		if len(delays) < 10 {
 			continue
 		}
-		rows += len(v)
-		sort.Float64s(v)
-		q := stat.Quantile(0.25, stat.Empirical, v, nil)
-		x.pathMs[w] = q
-		far[w.node] = append(far[w.node], q)
-		if n, ok := near[w.node]; !ok || q < n {
-			near[w.node] = q
+		rows += len(delays)
+		sort.Float64s(delays)
+		quartile := stat.Quantile(0.25, stat.Empirical, delays, nil)
+		fit.pathMs[from] = quartile
+		pathsMs[from.node] = append(pathsMs[from.node], quartile)
+		if least, ok := leastMs[from.node]; !ok || quartile < least {
+			leastMs[from.node] = quartile
 		}
 	}
 	var same, cross []float64
-	for _, node := range slices.Sorted(maps.Keys(near)) {
-		same = append(same, near[node])
-		for _, q := range far[node] {
-			if q > 3*near[node] && q > 1 {
-				cross = append(cross, q)
+	for _, node := range slices.Sorted(maps.Keys(leastMs)) {
+		same = append(same, leastMs[node])
+		for _, quartile := range pathsMs[node] {
+			if quartile > 3*leastMs[node] && quartile > 1 {
+				cross = append(cross, quartile)
 			}
 		}
 	}
 	if len(same) > 0 {
-		x.sameZoneMs = stat.Mean(same, nil)
-		x.addFigure("one way within a zone, ms", x.sameZoneMs, -1, rows)
+		fit.sameZoneMs = stat.Mean(same, nil)
+		fit.addFigure("one way within a zone, ms", fit.sameZoneMs, -1, rows)
 	}
 	if len(cross) > 0 {
-		x.crossZoneMs = stat.Mean(cross, nil)
-		x.addFigure("one way between zones, ms", x.crossZoneMs, -1, rows)
+		fit.crossZoneMs = stat.Mean(cross, nil)
+		fit.addFigure("one way between zones, ms", fit.crossZoneMs, -1, rows)
 	}
 }
--- a/internal/dispatcher/planner/fit_retries.go
+++ b/internal/dispatcher/planner/fit_retries.go
@@ -30,25 +30,25 @@
 }
 
 // fitRetries fits how clients retry after a rejection or a failure.
-func (x *Fit) fitRetries(requests []capture.Request) {
-	w := collectRetryWaits(requests)
-	retries := &x.Load.Retries
-	if w.failed < minFailedRequests {
-		x.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", w.failed)
+func (fit *Fit) fitRetries(requests []capture.Request) {
+	waits := collectRetryWaits(requests)
+	retries := &fit.Load.Retries
+	if waits.failed < minFailedRequests {
+		fit.warn("only %d first tries were refused or failed: what clients do then is not known, and one repeat after 50 ms is taken", waits.failed)
 		*retries = fleetsim.Retries{Max: 1, WaitMs: defaultRetryWaitMs, HonourRetryAfter: true}
 		return
 	}
-	if w.retries > 0 {
-		retries.Max = max(int(math.Round(float64(w.retries)/float64(w.failed))), 1)
+	if waits.retries > 0 {
+		retries.Max = max(int(math.Round(float64(waits.retries)/float64(waits.failed))), 1)
 	}
-	x.addFigure("repeats for a first try that was refused or failed", float64(w.retries)/float64(w.failed), normalQuantile*math.Sqrt(float64(w.retries))/float64(w.failed), w.failed)
-	if len(w.waitsMs) >= minRetryWaits {
-		sort.Float64s(w.waitsMs)
-		retries.WaitMs = stat.Quantile(0.5, stat.Empirical, w.waitsMs, nil)
-		retries.HonourRetryAfter = w.honoured*2 > w.retryAfter
-		x.addFigure("wait before a repeat, ms", retries.WaitMs, -1, len(w.waitsMs))
-	} else if w.retries > 0 {
-		x.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
+	fit.addFigure("repeats for a first try that was refused or failed", float64(waits.retries)/float64(waits.failed), normalQuantile*math.Sqrt(float64(waits.retries))/float64(waits.failed), waits.failed)
+	if len(waits.waitsMs) >= minRetryWaits {
+		sort.Float64s(waits.waitsMs)
+		retries.WaitMs = stat.Quantile(0.5, stat.Empirical, waits.waitsMs, nil)
+		retries.HonourRetryAfter = waits.honoured*2 > waits.retryAfter
+		fit.addFigure("wait before a repeat, ms", retries.WaitMs, -1, len(waits.waitsMs))
+	} else if waits.retries > 0 {
+		fit.warn("the wait before a repeat is not known (no subjects): 50 ms are taken")
 		retries.WaitMs, retries.HonourRetryAfter = defaultRetryWaitMs, true
 	}
 }
@@ -60,26 +60,26 @@
 		tenant       string
 		affinityHash uint64
 	}
-	w := &retryWaits{}
+	waits := &retryWaits{}
 	failed := map[client]capture.Request{}
-	for _, r := range requests {
-		from := client{r.Tenant, r.AffinityHash}
-		if r.Retry {
-			w.retries++
-			if before, ok := failed[from]; ok && r.AffinityHash != 0 {
-				w.add(before, r)
+	for _, request := range requests {
+		sender := client{request.Tenant, request.AffinityHash}
+		if request.Retry {
+			waits.retries++
+			if before, ok := failed[sender]; ok && request.AffinityHash != 0 {
+				waits.add(before, request)
 			}
 		}
-		if r.Outcome == capture.OutcomeRejected || r.Outcome == capture.OutcomeOverflowed || r.Outcome == capture.OutcomeFailed {
-			if !r.Retry {
-				w.failed++
+		if request.Outcome == capture.OutcomeRejected || request.Outcome == capture.OutcomeOverflowed || request.Outcome == capture.OutcomeFailed {
+			if !request.Retry {
+				waits.failed++
 			}
-			if r.AffinityHash != 0 {
-				failed[from] = r
+			if request.AffinityHash != 0 {
+				failed[sender] = request
 			}
 		}
 	}
-	return w
+	return waits
 }
 
 // add records the wait between a failed request and its retry, unless it is out of range.
--- a/internal/dispatcher/planner/fit_run_times.go
+++ b/internal/dispatcher/planner/fit_run_times.go
@@ -42,119 +42,119 @@
 }
 
 // fitRunTimes fits each class's work and each kind's speed.
-func (x *Fit) fitRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) {
-	t := collectRunTimes(attempts, f)
-	if len(t.rows) < minRunTimes {
-		x.warn("only %d jobs tell their running time: give work_ms and speeds by hand", len(t.rows))
+func (fit *Fit) fitRunTimes(attempts []capture.Attempt, fleet *fleetsim.Fleet) {
+	times := collectRunTimes(attempts, fleet)
+	if len(times.rows) < minRunTimes {
+		fit.warn("only %d jobs tell their running time: give work_ms and speeds by hand", len(times.rows))
 		return
 	}
-	t.iterate(len(f.Classes))
-	t.scaleSpeeds(x, f)
-	for class := range t.classMean {
-		t.fitClass(x, class, f)
+	times.iterate(len(fleet.Classes))
+	times.scaleSpeeds(fit, fleet)
+	for class := range times.classMean {
+		times.fitClass(fit, class, fleet)
 	}
-	for _, kind := range slices.Sorted(maps.Keys(t.byKind)) {
-		t.fitKind(x, kind)
+	for _, kind := range slices.Sorted(maps.Keys(times.byKind)) {
+		times.fitKind(fit, kind)
 	}
-	for _, k := range f.Kinds {
-		if len(t.byKind[k.Name]) == 0 && k.Speed[0] == 0 {
-			x.warn("no job of the captures ran on %s: its speed must be given", k.Name)
+	for _, k := range fleet.Kinds {
+		if len(times.byKind[k.Name]) == 0 && k.Speed[0] == 0 {
+			fit.warn("no job of the captures ran on %s: its speed must be given", k.Name)
 		}
 	}
 }
 
 // collectRunTimes collects the run times of attempts that succeeded.
-func collectRunTimes(attempts []capture.Attempt, f *fleetsim.Fleet) *runTimeFit {
-	t := &runTimeFit{kind: map[string]string{}, perWorker: map[string]int{}}
-	for _, a := range attempts {
-		class := classIndex(f, a.Class)
-		if a.Outcome != "ok" || a.Started < 0 || a.Ended <= a.Started || class < 0 {
+func collectRunTimes(attempts []capture.Attempt, fleet *fleetsim.Fleet) *runTimeFit {
+	times := &runTimeFit{kind: map[string]string{}, perWorker: map[string]int{}}
+	for _, attempt := range attempts {
+		class := classIndex(fleet, attempt.Class)
+		if attempt.Outcome != "ok" || attempt.Started < 0 || attempt.Ended <= attempt.Started || class < 0 {
 			continue
 		}
-		t.rows = append(t.rows, runTime{class, a.Worker, math.Log(float64(a.Ended-a.Started) / 1e6)})
-		t.kind[a.Worker] = a.Kind
-		t.perWorker[a.Worker]++
+		times.rows = append(times.rows, runTime{class, attempt.Worker, math.Log(float64(attempt.Ended-attempt.Started) / 1e6)})
+		times.kind[attempt.Worker] = attempt.Kind
+		times.perWorker[attempt.Worker]++
 	}
-	return t
+	return times
 }
 
 // iterate fits the classes and the workers in turn, each to the residuals of the other.
-func (t *runTimeFit) iterate(classes int) {
-	t.classMean, t.speed = make([]float64, classes), map[string]float64{}
+func (times *runTimeFit) iterate(classes int) {
+	times.classMean, times.speed = make([]float64, classes), map[string]float64{}
 	for range runTimeIterations {
 		sum, n := make([]float64, classes), make([]float64, classes)
-		for _, r := range t.rows {
-			sum[r.class] += r.log + t.speed[r.worker]
+		for _, r := range times.rows {
+			sum[r.class] += r.log + times.speed[r.worker]
 			n[r.class]++
 		}
-		for class := range t.classMean {
-			t.classMean[class] = sum[class] / max(n[class], 1)
+		for class := range times.classMean {
+			times.classMean[class] = sum[class] / max(n[class], 1)
 		}
 		byWorker := map[string]float64{}
-		for _, r := range t.rows {
-			byWorker[r.worker] += t.classMean[r.class] - r.log
+		for _, r := range times.rows {
+			byWorker[r.worker] += times.classMean[r.class] - r.log
 		}
 		for worker := range byWorker {
-			t.speed[worker] = byWorker[worker] / float64(t.perWorker[worker])
+			times.speed[worker] = byWorker[worker] / float64(times.perWorker[worker])
 		}
 	}
 }
 
 // scaleSpeeds sets the shift such that speeds match those that the fleet gives. If it gives none, the first captured
 // kind has a speed of 1.
-func (t *runTimeFit) scaleSpeeds(x *Fit, f *fleetsim.Fleet) {
-	t.byKind = map[string][]float64{}
-	for _, worker := range slices.Sorted(maps.Keys(t.speed)) { // sorted, as floating-point sums depend on the order
-		t.byKind[t.kind[worker]] = append(t.byKind[t.kind[worker]], t.speed[worker])
-	}
-	known := 0.0
-	for _, k := range f.Kinds {
-		if k.Speed[0] > 0 && len(t.byKind[k.Name]) > 0 {
-			n := float64(len(t.byKind[k.Name]))
-			t.shift += n * (math.Log((k.Speed[0]+k.Speed[1])/2) - stat.Mean(t.byKind[k.Name], nil))
-			known += n
+func (times *runTimeFit) scaleSpeeds(fit *Fit, fleet *fleetsim.Fleet) {
+	times.byKind = map[string][]float64{}
+	for _, worker := range slices.Sorted(maps.Keys(times.speed)) { // sorted, as floating-point sums depend on the order
+		times.byKind[times.kind[worker]] = append(times.byKind[times.kind[worker]], times.speed[worker])
+	}
+	knownWorkers := 0.0
+	for _, k := range fleet.Kinds {
+		if k.Speed[0] > 0 && len(times.byKind[k.Name]) > 0 {
+			workers := float64(len(times.byKind[k.Name]))
+			times.shift += workers * (math.Log((k.Speed[0]+k.Speed[1])/2) - stat.Mean(times.byKind[k.Name], nil))
+			knownWorkers += workers
 		}
 	}
-	if known > 0 {
-		t.shift /= known
+	if knownWorkers > 0 {
+		times.shift /= knownWorkers
 		return
 	}
-	for _, k := range f.Kinds {
-		if len(t.byKind[k.Name]) > 0 {
-			t.shift = -stat.Mean(t.byKind[k.Name], nil)
-			x.warn("the fleet gives no speed: %s counts as 1, and stretch is counted in its running times", k.Name)
+	for _, k := range fleet.Kinds {
+		if len(times.byKind[k.Name]) > 0 {
+			times.shift = -stat.Mean(times.byKind[k.Name], nil)
+			fit.warn("the fleet gives no speed: %s counts as 1, and stretch is counted in its running times", k.Name)
 			return
 		}
 	}
 }
 
 // fitClass fits the work of a class, and warns if it does not follow a lognormal distribution.
-func (t *runTimeFit) fitClass(x *Fit, class int, f *fleetsim.Fleet) {
-	name := f.Classes[class].Name
+func (times *runTimeFit) fitClass(fit *Fit, class int, fleet *fleetsim.Fleet) {
+	name := fleet.Classes[class].Name
 	var residuals []float64
-	for _, r := range t.rows {
+	for _, r := range times.rows {
 		if r.class == class {
-			residuals = append(residuals, r.log+t.speed[r.worker]-t.classMean[class])
+			residuals = append(residuals, r.log+times.speed[r.worker]-times.classMean[class])
 		}
 	}
 	if len(residuals) < minClassRunTimes {
-		x.warn("only %d jobs of %s tell their running time", len(residuals), name)
+		fit.warn("only %d jobs of %s tell their running time", len(residuals), name)
 		return
 	}
 	sort.Float64s(residuals)
 	deviation := stat.StdDev(residuals, nil)
-	mean := math.Exp(t.classMean[class] + t.shift + deviation*deviation/2)
-	at := slices.IndexFunc(x.Load.Classes, func(c fleetsim.ClassLoad) bool { return c.Name == name })
+	mean := math.Exp(times.classMean[class] + times.shift + deviation*deviation/2)
+	at := slices.IndexFunc(fit.Load.Classes, func(c fleetsim.ClassLoad) bool { return c.Name == name })
 	if at >= 0 {
-		x.Load.Classes[at].WorkMs, x.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(deviation*deviation)-1)
+		fit.Load.Classes[at].WorkMs, fit.Load.Classes[at].CV = mean, math.Sqrt(math.Exp(deviation*deviation)-1)
 	}
 	n := float64(len(residuals))
 	halfWidth := normalQuantile * mean * math.Sqrt(deviation*deviation/n+deviation*deviation*deviation*deviation/(2*n))
-	x.addFigure("work of "+name+", ms", mean, halfWidth, len(residuals))
+	fit.addFigure("work of "+name+", ms", mean, halfWidth, len(residuals))
 	distance := normalDistance(residuals, deviation)
-	x.addFigure("distance of "+name+"'s work to the lognormal", distance, kolmogorovQuantile/math.Sqrt(n), len(residuals))
+	fit.addFigure("distance of "+name+"'s work to the lognormal", distance, kolmogorovQuantile/math.Sqrt(n), len(residuals))
 	if distance > maxLognormalDistance {
-		x.warn("running times of %s are no lognormal (distance %.2f)", name, distance)
+		fit.warn("running times of %s are no lognormal (distance %.2f)", name, distance)
 	}
 }
 
@@ -174,23 +174,23 @@
 
 // fitKind fits the range of a kind's speeds: a uniform distribution with the variance between its workers that the
 // noise of run times does not explain.
-func (t *runTimeFit) fitKind(x *Fit, kind string) {
-	speeds := t.byKind[kind]
+func (times *runTimeFit) fitKind(fit *Fit, kind string) {
+	speeds := times.byKind[kind]
 	noise, jobs := 0.0, 0
-	for _, worker := range slices.Sorted(maps.Keys(t.perWorker)) {
-		n := t.perWorker[worker]
-		if t.kind[worker] == kind {
+	for _, worker := range slices.Sorted(maps.Keys(times.perWorker)) {
+		n := times.perWorker[worker]
+		if times.kind[worker] == kind {
 			noise += 1 / float64(n) / float64(len(speeds))
 			jobs += n
 		}
 	}
-	mean, between := stat.Mean(speeds, nil)+t.shift, 0.0
+	mean, between := stat.Mean(speeds, nil)+times.shift, 0.0
 	if len(speeds) > 1 {
 		between = math.Sqrt(max(stat.Variance(speeds, nil)-noise, 0))
 	} else {
-		x.warn("one machine of %s was seen: how they differ is not known", kind)
+		fit.warn("one machine of %s was seen: how they differ is not known", kind)
 	}
-	x.kindSpeed[kind] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
+	fit.kindSpeed[kind] = fleetsim.Range{math.Exp(mean - math.Sqrt(3)*between), math.Exp(mean + math.Sqrt(3)*between)}
 	halfWidth := normalQuantile * math.Exp(mean) * math.Sqrt(noise/float64(len(speeds))+between*between/float64(len(speeds)))
-	x.addFigure("speed of "+kind, math.Exp(mean), halfWidth, jobs)
+	fit.addFigure("speed of "+kind, math.Exp(mean), halfWidth, jobs)
 }
--- a/internal/dispatcher/planner/goal.go
+++ b/internal/dispatcher/planner/goal.go
@@ -63,78 +63,78 @@
 
 // ParseGoal parses a goal and checks its measures and bounds. Its errors name the line and the column.
 func ParseGoal(text string) (*Goal, error) {
-	g, err := goalParser.ParseString("goal", text)
+	goal, err := goalParser.ParseString("goal", text)
 	if err != nil {
-		var at participle.Error
-		if errors.As(err, &at) {
-			return nil, goalErrorf(at.Position(), "%s", at.Message())
+		var parserError participle.Error
+		if errors.As(err, &parserError) {
+			return nil, goalErrorf(parserError.Position(), "%s", parserError.Message())
 		}
 		return nil, err
 	}
-	for _, c := range g.Clauses {
-		for _, t := range c.Tests {
-			of, ok := measures[t.Measure]
+	for _, clause := range goal.Clauses {
+		for _, test := range clause.Tests {
+			hasSubject, ok := measures[test.Measure]
 			switch {
 			case !ok:
-				return nil, goalErrorf(t.Pos, "%q is no measure; there are service, late, lost, in_time, score and worst10", t.Measure)
-			case !of && t.Subject != "":
-				return nil, goalErrorf(t.Pos, "%s is of the whole day, not of %s", t.Measure, t.Subject)
+				return nil, goalErrorf(test.Pos, "%q is no measure; there are service, late, lost, in_time, score and worst10", test.Measure)
+			case !hasSubject && test.Subject != "":
+				return nil, goalErrorf(test.Pos, "%s is of the whole day, not of %s", test.Measure, test.Subject)
 			}
-			if t.Percent {
-				t.Bound /= 100
+			if test.Percent {
+				test.Bound /= 100
 			}
-			if t.Bound > 1 {
-				return nil, goalErrorf(t.Pos, "%v is more than all", t.Bound)
+			if test.Bound > 1 {
+				return nil, goalErrorf(test.Pos, "%v is more than all", test.Bound)
 			}
 		}
 	}
-	return g, nil
+	return goal, nil
 }
 
 // goalErrorf returns an error with the given position in the goal.
-func goalErrorf(at lexer.Position, format string, v ...any) error {
-	return fmt.Errorf("goal, line %d, column %d: %s", at.Line, at.Column, fmt.Sprintf(format, v...))
+func goalErrorf(position lexer.Position, format string, values ...any) error {
+	return fmt.Errorf("goal, line %d, column %d: %s", position.Line, position.Column, fmt.Sprintf(format, values...))
 }
 
 // Check returns an error if the goal names a class, tenant or zone that the fleet lacks, or selects more than all
 // workers.
-func (g *Goal) Check(f *fleetsim.Fleet) error {
-	for _, c := range g.Clauses {
-		for _, t := range c.Tests {
-			if t.Subject != "" && classIndex(f, t.Subject) < 0 && tenantIndex(f, t.Subject) < 0 {
-				return goalErrorf(t.Pos, "%q is neither a class nor a university of the fleet", t.Subject)
+func (g *Goal) Check(fleet *fleetsim.Fleet) error {
+	for _, clause := range g.Clauses {
+		for _, test := range clause.Tests {
+			if test.Subject != "" && classIndex(fleet, test.Subject) < 0 && tenantIndex(fleet, test.Subject) < 0 {
+				return goalErrorf(test.Pos, "%q is neither a class nor a university of the fleet", test.Subject)
 			}
 		}
-		for _, w := range c.Conditions {
+		for _, condition := range clause.Conditions {
 			switch {
-			case w.LostZone != "" && !slices.Contains(f.Zones, w.LostZone):
-				return goalErrorf(w.Pos, "there is no zone %q; there are %s", w.LostZone, strings.Join(f.Zones, ", "))
-			case w.LoadTarget != "" && w.LoadTarget != "load" && tenantIndex(f, w.LoadTarget) < 0:
-				return goalErrorf(w.Pos, "%q is neither load nor a university of the fleet", w.LoadTarget)
-			case w.DeadPercent > 100 || w.SharedPercent > 100:
-				return goalErrorf(w.Pos, "more than all workers")
+			case condition.LostZone != "" && !slices.Contains(fleet.Zones, condition.LostZone):
+				return goalErrorf(condition.Pos, "there is no zone %q; there are %s", condition.LostZone, strings.Join(fleet.Zones, ", "))
+			case condition.LoadTarget != "" && condition.LoadTarget != "load" && tenantIndex(fleet, condition.LoadTarget) < 0:
+				return goalErrorf(condition.Pos, "%q is neither load nor a university of the fleet", condition.LoadTarget)
+			case condition.DeadPercent > 100 || condition.SharedPercent > 100:
+				return goalErrorf(condition.Pos, "more than all workers")
 			}
 		}
 	}
 	return nil
 }
 
-func classIndex(f *fleetsim.Fleet, name string) int {
-	return slices.IndexFunc(f.Classes, func(c fleetsim.Class) bool { return c.Name == name })
+func classIndex(fleet *fleetsim.Fleet, name string) int {
+	return slices.IndexFunc(fleet.Classes, func(c fleetsim.Class) bool { return c.Name == name })
 }
 
-func tenantIndex(f *fleetsim.Fleet, name string) int {
-	return slices.IndexFunc(f.Tenants, func(u fleetsim.Tenant) bool { return u.Name == name })
+func tenantIndex(fleet *fleetsim.Fleet, name string) int {
+	return slices.IndexFunc(fleet.Tenants, func(t fleetsim.Tenant) bool { return t.Name == name })
 }
 
 // measure computes the test's measure of a day. A day without jobs of the test's subject has the best value of the
 // measure.
-func (t *Test) measure(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
-	tally := &r.Total
-	if i := classIndex(f, t.Subject); i >= 0 {
-		tally = &r.Classes[i]
-	} else if i := tenantIndex(f, t.Subject); i >= 0 {
-		tally = &r.Tenants[i]
+func (t *Test) measure(fleet *fleetsim.Fleet, day *fleetsim.Result) float64 {
+	tally := &day.Total
+	if i := classIndex(fleet, t.Subject); i >= 0 {
+		tally = &day.Classes[i]
+	} else if i := tenantIndex(fleet, t.Subject); i >= 0 {
+		tally = &day.Tenants[i]
 	}
 	jobs := float64(max(tally.Jobs, 1))
 	switch t.Measure {
@@ -150,74 +150,74 @@
 		}
 		return float64(tally.InTime) / jobs
 	case "worst10":
-		return r.WorstTenSeconds
+		return day.WorstTenSeconds
 	}
-	return r.Score
+	return day.Score
 }
 
 // slack returns the distance of a day's measure to the bound. It is negative if the test fails on that day.
-func (t *Test) slack(f *fleetsim.Fleet, r *fleetsim.Result) float64 {
+func (t *Test) slack(fleet *fleetsim.Fleet, day *fleetsim.Result) float64 {
 	if t.Operator == ">=" {
-		return t.measure(f, r) - t.Bound
+		return t.measure(fleet, day) - t.Bound
 	}
-	return t.Bound - t.measure(f, r)
+	return t.Bound - t.measure(fleet, day)
 }
 
 // String returns the test in the syntax of goals.
 func (t *Test) String() string {
-	of := ""
+	subject := ""
 	if t.Subject != "" {
-		of = "(" + t.Subject + ")"
+		subject = "(" + t.Subject + ")"
 	}
-	return fmt.Sprintf("%s%s %s %g", t.Measure, of, t.Operator, t.Bound)
+	return fmt.Sprintf("%s%s %s %g", t.Measure, subject, t.Operator, t.Bound)
 }
 
 // period returns the start and the duration of a condition in seconds. The default is the second third of the day.
-func (c *Condition) period(l *fleetsim.Load) (start, duration float64) {
+func (c *Condition) period(load *fleetsim.Load) (start, duration float64) {
 	if c.ForSeconds > 0 {
 		return c.AtSeconds, c.ForSeconds
 	}
-	return l.Seconds / 3, l.Seconds / 3
+	return load.Seconds / 3, load.Seconds / 3
 }
 
 // apply returns copies of the descriptions with the clause's conditions added.
-func (c *Clause) apply(f fleetsim.Fleet, l fleetsim.Load) (*fleetsim.Fleet, *fleetsim.Load) {
-	f.Faults, l.Bursts = slices.Clone(f.Faults), slices.Clone(l.Bursts)
-	l.Factor = cmp.Or(l.Factor, 1)
-	for _, w := range c.Conditions {
-		at, span := w.period(&l)
+func (c *Clause) apply(fleet fleetsim.Fleet, load fleetsim.Load) (*fleetsim.Fleet, *fleetsim.Load) {
+	fleet.Faults, load.Bursts = slices.Clone(fleet.Faults), slices.Clone(load.Bursts)
+	load.Factor = cmp.Or(load.Factor, 1)
+	for _, condition := range c.Conditions {
+		start, duration := condition.period(&load)
 		switch {
-		case w.LostZone != "":
-			f.Faults = append(f.Faults, fleetsim.Fault{Type: "zone_lost", Zone: w.LostZone, StartSeconds: at, DurationSeconds: span})
-		case w.DeadPercent > 0:
-			f.Faults = append(f.Faults, fleetsim.Fault{Type: "deaths", Fraction: w.DeadPercent / 100, StartSeconds: at, DurationSeconds: span})
-		case w.SharedPercent > 0:
-			f.Faults = append(f.Faults, fleetsim.Fault{Type: "shared", Fraction: w.SharedPercent / 100, Amount: 0.55, OnSeconds: 2.5, OffSeconds: 2.5, StartSeconds: at, DurationSeconds: span})
-		case w.LoadTarget == "load":
-			l.Factor *= w.Factor
+		case condition.LostZone != "":
+			fleet.Faults = append(fleet.Faults, fleetsim.Fault{Type: "zone_lost", Zone: condition.LostZone, StartSeconds: start, DurationSeconds: duration})
+		case condition.DeadPercent > 0:
+			fleet.Faults = append(fleet.Faults, fleetsim.Fault{Type: "deaths", Fraction: condition.DeadPercent / 100, StartSeconds: start, DurationSeconds: duration})
+		case condition.SharedPercent > 0:
+			fleet.Faults = append(fleet.Faults, fleetsim.Fault{Type: "shared", Fraction: condition.SharedPercent / 100, Amount: 0.55, OnSeconds: 2.5, OffSeconds: 2.5, StartSeconds: start, DurationSeconds: duration})
+		case condition.LoadTarget == "load":
+			load.Factor *= condition.Factor
 		default:
-			l.Bursts = append(l.Bursts, fleetsim.Burst{Tenant: w.LoadTarget, Factor: w.Factor, StartSeconds: at, DurationSeconds: span})
+			load.Bursts = append(load.Bursts, fleetsim.Burst{Tenant: condition.LoadTarget, Factor: condition.Factor, StartSeconds: start, DurationSeconds: duration})
 		}
 	}
-	return &f, &l
+	return &fleet, &load
 }
 
 // conditionsText returns the clause's conditions in the syntax of goals, without their times.
-func (c *Clause) conditionsText() (out string) {
-	for i, w := range c.Conditions {
+func (c *Clause) conditionsText() (text string) {
+	for i, condition := range c.Conditions {
 		if i > 0 {
-			out += " and "
+			text += " and "
 		}
 		switch {
-		case w.LostZone != "":
-			out += "zone " + w.LostZone + " lost"
-		case w.DeadPercent > 0:
-			out += fmt.Sprintf("%g%% dead", w.DeadPercent)
-		case w.SharedPercent > 0:
-			out += fmt.Sprintf("%g%% shared", w.SharedPercent)
+		case condition.LostZone != "":
+			text += "zone " + condition.LostZone + " lost"
+		case condition.DeadPercent > 0:
+			text += fmt.Sprintf("%g%% dead", condition.DeadPercent)
+		case condition.SharedPercent > 0:
+			text += fmt.Sprintf("%g%% shared", condition.SharedPercent)
 		default:
-			out += fmt.Sprintf("%s times %g", w.LoadTarget, w.Factor)
+			text += fmt.Sprintf("%s times %g", condition.LoadTarget, condition.Factor)
 		}
 	}
-	return out
+	return text
 }
--- a/internal/dispatcher/planner/limits.go
+++ b/internal/dispatcher/planner/limits.go
@@ -67,32 +67,32 @@
 
 // removeTenantPools sets all quota shares to 0, so that no tenant gets a pool of its own. The load keeps its mix of
 // tenants.
-func removeTenantPools(f *fleetsim.Fleet, l *fleetsim.Load) {
-	mixed := len(l.Tenants) > 0
-	f.Tenants = slices.Clone(f.Tenants)
-	for i := range f.Tenants {
-		u := &f.Tenants[i]
-		if !mixed {
-			l.Tenants = append(l.Tenants, fleetsim.TenantLoad{Name: u.Name, Share: u.Share})
+func removeTenantPools(fleet *fleetsim.Fleet, load *fleetsim.Load) {
+	hasMix := len(load.Tenants) > 0
+	fleet.Tenants = slices.Clone(fleet.Tenants)
+	for i := range fleet.Tenants {
+		tenant := &fleet.Tenants[i]
+		if !hasMix {
+			load.Tenants = append(load.Tenants, fleetsim.TenantLoad{Name: tenant.Name, Share: tenant.Share})
 		}
-		u.Share = 0
+		tenant.Share = 0
 	}
 }
 
 // limitEffects lifts one limit after the other, and returns the effects ordered by their gain over the given slack, the
 // greatest first.
-func (p *Planner) limitEffects(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
-	all := liftableLimits(f)
-	for _, name := range slices.Sorted(maps.Keys(all)) {
+func (p *Planner) limitEffects(fleet *fleetsim.Fleet, load *fleetsim.Load, slack float64) (effects []LimitEffect, err error) {
+	lifts := liftableLimits(fleet)
+	for _, name := range slices.Sorted(maps.Keys(lifts)) {
 		p.reportProgress("what gives relief: %s", name)
-		lf, ll := *f, *l
-		all[name](&lf, &ll)
-		e, err := p.evaluate(&lf, &ll)
+		liftedFleet, liftedLoad := *fleet, *load
+		lifts[name](&liftedFleet, &liftedLoad)
+		result, err := p.evaluate(&liftedFleet, &liftedLoad)
 		if err != nil {
-			return out, err
+			return effects, err
 		}
-		out = append(out, LimitEffect{name, e.slack, e.slack - slack})
+		effects = append(effects, LimitEffect{name, result.slack, result.slack - slack})
 	}
-	slices.SortStableFunc(out, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
-	return out, nil
+	slices.SortStableFunc(effects, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
+	return effects, nil
 }
--- a/internal/dispatcher/planner/planner.go
+++ b/internal/dispatcher/planner/planner.go
@@ -56,20 +56,20 @@
 
 // New returns a planner with the defaults of the options filled in. It returns an error if the goal has names that the
 // fleet lacks, or if an option is out of range.
-func New(f *fleetsim.Fleet, l *fleetsim.Load, g *Goal, o Options) (*Planner, error) {
-	if err := g.Check(f); err != nil {
+func New(fleet *fleetsim.Fleet, load *fleetsim.Load, goal *Goal, options Options) (*Planner, error) {
+	if err := goal.Check(fleet); err != nil {
 		return nil, err
 	}
-	o.Confidence = cmp.Or(o.Confidence, 0.95)
-	o.MaxDays, o.MaxFactor = cmp.Or(o.MaxDays, 16), cmp.Or(o.MaxFactor, 16)
-	o.Parallelism = cmp.Or(o.Parallelism, runtime.GOMAXPROCS(0))
-	if o.MaxDays < 2 || o.MaxDays > 10000 {
-		return nil, fmt.Errorf("the number of days for one evaluation must be 2 to 10000, not %d", o.MaxDays)
+	options.Confidence = cmp.Or(options.Confidence, 0.95)
+	options.MaxDays, options.MaxFactor = cmp.Or(options.MaxDays, 16), cmp.Or(options.MaxFactor, 16)
+	options.Parallelism = cmp.Or(options.Parallelism, runtime.GOMAXPROCS(0))
+	if options.MaxDays < 2 || options.MaxDays > 10000 {
+		return nil, fmt.Errorf("the number of days for one evaluation must be 2 to 10000, not %d", options.MaxDays)
 	}
-	if !(o.Confidence > 0.5 && o.Confidence < 1) {
-		return nil, fmt.Errorf("the confidence must be between 0.5 and 1, not %v", o.Confidence)
+	if !(options.Confidence > 0.5 && options.Confidence < 1) {
+		return nil, fmt.Errorf("the confidence must be between 0.5 and 1, not %v", options.Confidence)
 	}
-	return &Planner{Fleet: f, Load: l, Goal: g, Options: o, cache: map[string]*evaluation{}}, nil
+	return &Planner{Fleet: fleet, Load: load, Goal: goal, Options: options, cache: map[string]*evaluation{}}, nil
 }
 
 // DaysPlayed returns how many days have been simulated so far.
@@ -79,16 +79,16 @@
 
 // simulateDays simulates count days of one description, each with its own seed. A day has the same seed in all
 // descriptions, so that every fleet gets the same requests (common random numbers).
-func (p *Planner) simulateDays(f *fleetsim.Fleet, l *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
-	out, errs := make([]*fleetsim.Result, count), make([]error, count)
-	var all sync.WaitGroup
+func (p *Planner) simulateDays(fleet *fleetsim.Fleet, load *fleetsim.Load, first, count int) ([]*fleetsim.Result, error) {
+	results, errs := make([]*fleetsim.Result, count), make([]error, count)
+	var running sync.WaitGroup
 	slots := make(chan bool, p.Parallelism)
 	for i := range count {
-		all.Add(1)
+		running.Add(1)
 		slots <- true
 		go func() {
-			defer func() { <-slots; all.Done() }()
-			if out[i], errs[i] = fleetsim.Simulate(f, l, p.Seed*seedStride+uint64(first+i), p.Stop); errs[i] == nil {
+			defer func() { <-slots; running.Done() }()
+			if results[i], errs[i] = fleetsim.Simulate(fleet, load, p.Seed*seedStride+uint64(first+i), p.Stop); errs[i] == nil {
 				p.daysPlayed.Add(1)
 				if p.OnDayPlayed != nil {
 					p.OnDayPlayed(1)
@@ -96,32 +96,32 @@
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	if p.stopped() {
 		return nil, ErrStopped
 	}
-	return out, nil
+	return results, nil
 }
 
-func (p *Planner) reportProgress(format string, v ...any) {
+func (p *Planner) reportProgress(format string, values ...any) {
 	if p.OnProgress != nil {
-		p.OnProgress(format, v...)
+		p.OnProgress(format, values...)
 	}
 }
 
 // baseFleet returns the fleet without its spare workers, or with them.
 func (p *Planner) baseFleet(spares bool) *fleetsim.Fleet {
-	f := *p.Fleet
-	f.Workers = slices.DeleteFunc(slices.Clone(f.Workers), func(g fleetsim.WorkerGroup) bool { return g.Spare && !spares })
-	return &f
+	fleet := *p.Fleet
+	fleet.Workers = slices.DeleteFunc(slices.Clone(fleet.Workers), func(g fleetsim.WorkerGroup) bool { return g.Spare && !spares })
+	return &fleet
 }
 
 // scaledLoad returns the load with all rates multiplied by a factor.
-func (p *Planner) scaledLoad(x float64) *fleetsim.Load {
-	l := *p.Load
-	l.Factor = cmp.Or(l.Factor, 1) * x
-	return &l
+func (p *Planner) scaledLoad(factor float64) *fleetsim.Load {
+	load := *p.Load
+	load.Factor = cmp.Or(load.Factor, 1) * factor
+	return &load
 }
--- a/internal/dispatcher/planner/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -52,24 +52,24 @@
 `))
 
 // Write writes the page to a file atomically.
-func Write(path string, p Page) error {
+func Write(path string, page Page) error {
 	var pictures []picture
 	for _, plotAnswer := range []func(Page) (*plot.Plot, error){plotScores, plotZoneLosses} {
-		drawn, err := plotAnswer(p)
+		drawn, err := plotAnswer(page)
 		if err != nil {
 			return err
 		}
 		if drawn == nil {
 			continue
 		}
-		pic, err := render(drawn)
+		rendered, err := render(drawn)
 		if err != nil {
 			return err
 		}
-		pictures = append(pictures, pic)
+		pictures = append(pictures, rendered)
 	}
 	var out bytes.Buffer
-	if err := pageTemplate.Execute(&out, map[string]any{"Goal": p.Goal, "Text": p.Table, "Pictures": pictures}); err != nil {
+	if err := pageTemplate.Execute(&out, map[string]any{"Goal": page.Goal, "Text": page.Table, "Pictures": pictures}); err != nil {
 		return err
 	}
 	return writeFileAtomically(path, out.Bytes())
@@ -93,10 +93,10 @@
 }
 
 // render draws a plot as SVG and as PNG.
-func render(p *plot.Plot) (picture, error) {
+func render(drawn *plot.Plot) (picture, error) {
 	vector, pixels := vgsvg.New(pictureWidth, pictureHeight), vgimg.New(pictureWidth, pictureHeight)
-	p.Draw(draw.New(vector))
-	p.Draw(draw.New(pixels))
+	drawn.Draw(draw.New(vector))
+	drawn.Draw(draw.New(pixels))
 	var svg, png bytes.Buffer
 	if _, err := vector.WriteTo(&svg); err != nil {
 		return picture{}, err
@@ -105,10 +105,10 @@
 		return picture{}, err
 	}
 	text := svg.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // an SVG inside an HTML page has no XML prolog
-		text = text[at:]
+	if start := bytes.Index(text, []byte("<svg")); start > 0 { // an SVG inside an HTML page has no XML prolog
+		text = text[start:]
 	}
-	return picture{Title: p.Title.Text, SVG: template.HTML(text),
+	return picture{Title: drawn.Title.Text, SVG: template.HTML(text),
 		PNG: template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(png.Bytes()))}, nil
 }
 
@@ -126,30 +126,30 @@
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Service score against workers", "workers", "score"
-	all := slices.Clone(page.Sizing.Curve)
-	slices.SortStableFunc(all, func(a, b planner.Sample) int { return a.Workers - b.Workers })
+	samples := slices.Clone(page.Sizing.Curve)
+	slices.SortStableFunc(samples, func(a, b planner.Sample) int { return a.Workers - b.Workers })
 	for i, holds := range []bool{true, false} {
-		var c curve
-		for _, s := range all {
-			if s.Holds == holds {
-				c.XYs = append(c.XYs, plotter.XY{X: float64(s.Workers), Y: s.Service.Mean})
-				c.YErrors = append(c.YErrors, struct{ Low, High float64 }{s.Service.HalfWidth, s.Service.HalfWidth})
+		var points curve
+		for _, sample := range samples {
+			if sample.Holds == holds {
+				points.XYs = append(points.XYs, plotter.XY{X: float64(sample.Workers), Y: sample.Service.Mean})
+				points.YErrors = append(points.YErrors, struct{ Low, High float64 }{sample.Service.HalfWidth, sample.Service.HalfWidth})
 			}
 		}
-		if len(c.XYs) == 0 {
+		if len(points.XYs) == 0 {
 			continue
 		}
-		points, err := plotter.NewScatter(c.XYs)
+		scatter, err := plotter.NewScatter(points.XYs)
 		if err != nil {
 			return nil, err
 		}
-		bars, err := plotter.NewYErrorBars(c)
+		bars, err := plotter.NewYErrorBars(points)
 		if err != nil {
 			return nil, err
 		}
-		points.Color, bars.Color = colours[i], colours[i]
-		p.Add(points, bars)
-		p.Legend.Add([]string{"holds the goal", "does not"}[i], points)
+		scatter.Color, bars.Color = colours[i], colours[i]
+		p.Add(scatter, bars)
+		p.Legend.Add([]string{"holds the goal", "does not"}[i], scatter)
 	}
 	p.X.Min, p.X.Max = p.X.Min-0.5, p.X.Max+0.5
 	p.Add(plotter.NewGrid())
@@ -164,16 +164,16 @@
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth lost with a zone, over the day", "seconds", "worth a second"
-	names := map[string]int{} // index of each zone's colour
+	colourIndex := map[string]int{} // index of each zone's colour
 	for _, loss := range page.ZoneLosses {
-		if _, ok := names[loss.Zone]; !ok {
-			names[loss.Zone] = len(names)
+		if _, ok := colourIndex[loss.Zone]; !ok {
+			colourIndex[loss.Zone] = len(colourIndex)
 		}
 		line, err := plotter.NewLine(smooth(loss.Seconds))
 		if err != nil {
 			return nil, err
 		}
-		line.Color = colours[names[loss.Zone]%len(colours)]
+		line.Color = colours[colourIndex[loss.Zone]%len(colours)]
 		label := loss.Zone
 		if loss.Spares {
 			line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
@@ -193,8 +193,8 @@
 	for i := range seconds {
 		from, to := max(i-1, 0), min(i+2, len(seconds))
 		sum := 0.0
-		for _, v := range seconds[from:to] {
-			sum += v
+		for _, value := range seconds[from:to] {
+			sum += value
 		}
 		points = append(points, plotter.XY{X: float64(i), Y: sum / float64(to-from)})
 	}
--- a/internal/dispatcher/planner/sizing.go
+++ b/internal/dispatcher/planner/sizing.go
@@ -31,30 +31,30 @@
 }
 
 // kindCosts returns the cost of one worker of each kind.
-func kindCosts(f *fleetsim.Fleet) map[string]float64 {
-	of := map[string]float64{}
-	for _, k := range f.Kinds {
-		of[k.Name] = cmp.Or(k.Cost, 1)
+func kindCosts(fleet *fleetsim.Fleet) map[string]float64 {
+	costs := map[string]float64{}
+	for _, k := range fleet.Kinds {
+		costs[k.Name] = cmp.Or(k.Cost, 1)
 	}
-	return of
+	return costs
 }
 
 // fleetCost returns the number of workers of a fleet and their total cost.
-func fleetCost(f *fleetsim.Fleet) (workers int, fleetCost float64) {
-	of := kindCosts(f)
-	for _, g := range f.Workers {
+func fleetCost(fleet *fleetsim.Fleet) (workers int, cost float64) {
+	costs := kindCosts(fleet)
+	for _, g := range fleet.Workers {
 		workers += g.Count
-		fleetCost += float64(g.Count) * of[g.Kind]
+		cost += float64(g.Count) * costs[g.Kind]
 	}
-	return workers, fleetCost
+	return workers, cost
 }
 
 // scaledFleet returns a fleet with x times the workers, each group rounded up.
-func scaledFleet(f *fleetsim.Fleet, x float64) *fleetsim.Fleet {
-	out := *f
-	out.Workers = slices.Clone(f.Workers)
+func scaledFleet(fleet *fleetsim.Fleet, factor float64) *fleetsim.Fleet {
+	out := *fleet
+	out.Workers = slices.Clone(fleet.Workers)
 	for i := range out.Workers {
-		out.Workers[i].Count = max(int(math.Ceil(x*float64(out.Workers[i].Count)-1e-9)), 0)
+		out.Workers[i].Count = max(int(math.Ceil(factor*float64(out.Workers[i].Count)-1e-9)), 0)
 	}
 	return &out
 }
@@ -70,28 +70,28 @@
 // sizingSearch is a search for the cheapest fleet that holds the goal.
 type sizingSearch struct {
 	*Planner
-	out  *Sizing
-	base *fleetsim.Fleet // the described fleet with its spare workers
-	best *fleetsim.Fleet // the cheapest one so far that holds the goal; nil if there is none
+	sizing *Sizing
+	base   *fleetsim.Fleet // the described fleet with its spare workers
+	best   *fleetsim.Fleet // the cheapest one so far that holds the goal; nil if there is none
 }
 
 // FindSizing searches for the cheapest mix of workers that holds the goal. It finds the least multiple of the fleet
 // that holds it, and then removes single workers or replaces them with workers of a cheaper kind in their zone. On an
 // error it also returns the results found so far.
 func (p *Planner) FindSizing() (*Sizing, error) {
-	search := &sizingSearch{Planner: p, out: &Sizing{Limits: map[string]int{}}, base: p.baseFleet(true)}
-	_, search.out.CostNow = fleetCost(p.baseFleet(false))
+	search := &sizingSearch{Planner: p, sizing: &Sizing{Limits: map[string]int{}}, base: p.baseFleet(true)}
+	_, search.sizing.CostNow = fleetCost(p.baseFleet(false))
 	low, high, err := search.grow()
 	if err != nil || search.best == nil {
-		return search.out, err
+		return search.sizing, err
 	}
 	if err := search.bisect(low, high); err != nil {
-		return search.out, err
+		return search.sizing, err
 	}
 	if err := search.descend(); err != nil {
-		return search.out, err
+		return search.sizing, err
 	}
-	return search.out, p.findLimits(search.best, search.out)
+	return search.sizing, p.findLimits(search.best, search.sizing)
 }
 
 // try evaluates a fleet, and keeps it as the best one if it holds the goal. A fleet that is not in the cache adds a
@@ -100,34 +100,34 @@
 	workers, cost := fleetCost(fleet)
 	s.reportProgress("how many: %d workers at a cost of %.4g", workers, cost)
 	before := len(s.cache)
-	e, err := s.evaluate(fleet, s.scaledLoad(1))
+	result, err := s.evaluate(fleet, s.scaledLoad(1))
 	if err != nil {
 		return nil, err
 	}
 	if len(s.cache) > before {
-		s.out.Fleets++
-		s.out.Curve = append(s.out.Curve, Sample{Workers: workers, Cost: cost, Service: e.score, Holds: e.holds})
+		s.sizing.Fleets++
+		s.sizing.Curve = append(s.sizing.Curve, Sample{Workers: workers, Cost: cost, Service: result.score, Holds: result.holds})
 	}
-	if e.holds {
-		s.keep(fleet, e)
+	if result.holds {
+		s.keep(fleet, result)
 	}
-	return e, nil
+	return result, nil
 }
 
 // keep makes a fleet the best one.
-func (s *sizingSearch) keep(fleet *fleetsim.Fleet, e *evaluation) {
+func (s *sizingSearch) keep(fleet *fleetsim.Fleet, result *evaluation) {
 	s.best = fleet
-	s.out.Reached, s.out.Findings = true, e.findings
-	s.out.Workers = nil
+	s.sizing.Reached, s.sizing.Findings = true, result.findings
+	s.sizing.Workers = nil
 	for _, g := range fleet.Workers {
-		at := slices.IndexFunc(s.out.Workers, func(o fleetsim.WorkerGroup) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
+		at := slices.IndexFunc(s.sizing.Workers, func(o fleetsim.WorkerGroup) bool { return o.Kind == g.Kind && o.Zone == g.Zone })
 		if at >= 0 {
-			s.out.Workers[at].Count += g.Count
+			s.sizing.Workers[at].Count += g.Count
 		} else if g.Count > 0 {
-			s.out.Workers = append(s.out.Workers, fleetsim.WorkerGroup{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
+			s.sizing.Workers = append(s.sizing.Workers, fleetsim.WorkerGroup{Kind: g.Kind, Zone: g.Zone, Count: g.Count})
 		}
 	}
-	s.out.Count, s.out.Cost = fleetCost(fleet)
+	s.sizing.Count, s.sizing.Cost = fleetCost(fleet)
 }
 
 // grow multiplies the fleet until the goal holds. If it does not hold up to MaxFactor, best stays nil and the effects
@@ -135,13 +135,13 @@
 func (s *sizingSearch) grow() (low, high float64, err error) {
 	for low, high = 0, 1; ; {
 		fleet := scaledFleet(s.base, high)
-		e, err := s.try(fleet)
-		if err != nil || e.holds {
+		result, err := s.try(fleet)
+		if err != nil || result.holds {
 			return low, high, err
 		}
 		if low, high = high, high*fleetGrowth; high > s.MaxFactor {
-			s.out.Findings = e.findings
-			s.out.LimitEffects, err = s.limitEffects(fleet, s.scaledLoad(1), e.slack)
+			s.sizing.Findings = result.findings
+			s.sizing.LimitEffects, err = s.limitEffects(fleet, s.scaledLoad(1), result.slack)
 			return low, high, err
 		}
 	}
@@ -151,11 +151,11 @@
 func (s *sizingSearch) bisect(low, high float64) error {
 	for steps := 0; high-low > fleetPrecision*high && steps < maxFleetBisections; steps++ {
 		middle := (low + high) / 2
-		e, err := s.try(scaledFleet(s.base, middle))
+		result, err := s.try(scaledFleet(s.base, middle))
 		if err != nil {
 			return err
 		}
-		if e.holds {
+		if result.holds {
 			high = middle
 		} else {
 			low = middle
@@ -178,13 +178,13 @@
 // tryCheaper tries those of the fleets that are cheaper than the best one, in their order, and reports whether one
 // holds the goal. It stops at the first that does.
 func (s *sizingSearch) tryCheaper(fleets []*fleetsim.Fleet) (bool, error) {
-	_, now := fleetCost(s.best)
+	_, bestCost := fleetCost(s.best)
 	for _, fleet := range fleets {
-		if _, cost := fleetCost(fleet); cost >= now-costTolerance {
+		if _, cost := fleetCost(fleet); cost >= bestCost-costTolerance {
 			continue
 		}
-		e, err := s.try(fleet)
-		if err != nil || e.holds {
+		result, err := s.try(fleet)
+		if err != nil || result.holds {
 			return err == nil, err
 		}
 	}
@@ -193,69 +193,69 @@
 
 // cheaperFleets returns the fleets that are one step cheaper, the cheapest first: with one worker less, or with one
 // worker replaced by one of a cheaper kind in its zone.
-func cheaperFleets(f *fleetsim.Fleet, price map[string]float64) (out []*fleetsim.Fleet) {
-	with := func(change func([]fleetsim.WorkerGroup)) {
-		n := *f
-		n.Workers = slices.Clone(f.Workers)
-		change(n.Workers)
-		out = append(out, &n)
+func cheaperFleets(fleet *fleetsim.Fleet, costs map[string]float64) (cheaper []*fleetsim.Fleet) {
+	add := func(change func([]fleetsim.WorkerGroup)) {
+		changed := *fleet
+		changed.Workers = slices.Clone(fleet.Workers)
+		change(changed.Workers)
+		cheaper = append(cheaper, &changed)
 	}
-	for i, g := range f.Workers {
+	for i, g := range fleet.Workers {
 		if g.Count == 0 {
 			continue
 		}
-		with(func(w []fleetsim.WorkerGroup) { w[i].Count-- })
-		for k, other := range f.Workers {
-			if other.Zone == g.Zone && price[other.Kind] < price[g.Kind] {
-				with(func(w []fleetsim.WorkerGroup) { w[i].Count--; w[k].Count++ })
+		add(func(workers []fleetsim.WorkerGroup) { workers[i].Count-- })
+		for k, other := range fleet.Workers {
+			if other.Zone == g.Zone && costs[other.Kind] < costs[g.Kind] {
+				add(func(workers []fleetsim.WorkerGroup) { workers[i].Count--; workers[k].Count++ })
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *fleetsim.Fleet) int {
+	slices.SortStableFunc(cheaper, func(a, b *fleetsim.Fleet) int {
 		_, x := fleetCost(a)
 		_, y := fleetCost(b)
 		return cmp.Compare(x, y)
 	})
-	return out
+	return cheaper
 }
 
 // findLimits finds the least open jobs, worker connections and attempts with which the goal still holds.
-func (p *Planner) findLimits(f *fleetsim.Fleet, out *Sizing) error {
+func (p *Planner) findLimits(fleet *fleetsim.Fleet, sizing *Sizing) error {
 	for _, limit := range []struct {
 		name string
 		most int
 		set  func(*fleetsim.Fleet, int)
 	}{
-		{"open_jobs", 4096, func(f *fleetsim.Fleet, v int) {
-			for i := range f.Dispatchers {
-				f.Dispatchers[i].OpenJobs = v
+		{"open_jobs", 4096, func(fleet *fleetsim.Fleet, v int) {
+			for i := range fleet.Dispatchers {
+				fleet.Dispatchers[i].OpenJobs = v
 			}
 		}},
-		{"worker_connections", 4096, func(f *fleetsim.Fleet, v int) {
-			for i := range f.Dispatchers {
-				f.Dispatchers[i].Connections = v
+		{"worker_connections", 4096, func(fleet *fleetsim.Fleet, v int) {
+			for i := range fleet.Dispatchers {
+				fleet.Dispatchers[i].Connections = v
 			}
 		}},
-		{"attempts", 8, func(f *fleetsim.Fleet, v int) { f.MaxAttempts = v }},
+		{"attempts", 8, func(fleet *fleetsim.Fleet, v int) { fleet.MaxAttempts = v }},
 	} {
 		low, high := 0, limit.most
 		for high-low > max(high/16, 1) {
 			middle := (low + high) / 2
-			lf := *f
-			lf.Dispatchers = slices.Clone(f.Dispatchers)
-			limit.set(&lf, middle)
+			limitedFleet := *fleet
+			limitedFleet.Dispatchers = slices.Clone(fleet.Dispatchers)
+			limit.set(&limitedFleet, middle)
 			p.reportProgress("which limits: %s %d", limit.name, middle)
-			e, err := p.evaluate(&lf, p.scaledLoad(1))
+			result, err := p.evaluate(&limitedFleet, p.scaledLoad(1))
 			if err != nil {
 				return err
 			}
-			if e.holds {
+			if result.holds {
 				high = middle
 			} else {
 				low = middle
 			}
 		}
-		out.Limits[limit.name] = high
+		sizing.Limits[limit.name] = high
 	}
 	return nil
 }
--- a/internal/dispatcher/planner/zone_loss.go
+++ b/internal/dispatcher/planner/zone_loss.go
@@ -20,61 +20,61 @@
 
 // ZoneLosses returns the cost of losing each zone: the difference between the same days with and without the loss. If
 // the fleet has spare workers, each zone is evaluated both without and with them.
-func (p *Planner) ZoneLosses() (out []ZoneLoss, err error) {
+func (p *Planner) ZoneLosses() (losses []ZoneLoss, err error) {
 	for _, spares := range []bool{false, true} {
 		fleet := p.baseFleet(spares)
 		if spares && len(fleet.Workers) == len(p.baseFleet(false).Workers) {
 			break
 		}
 		load := p.scaledLoad(1)
-		calm, err := p.simulateDays(fleet, load, 0, p.MaxDays)
+		baseline, err := p.simulateDays(fleet, load, 0, p.MaxDays)
 		if err != nil {
-			return out, err
+			return losses, err
 		}
 		for _, zone := range fleet.Zones {
 			p.reportProgress("what a zone costs: %s", zone)
 			clause := Clause{Conditions: []*Condition{{LostZone: zone}}}
 			lossFleet, lossLoad := clause.apply(*fleet, *load)
-			lossy, err := p.simulateDays(lossFleet, lossLoad, 0, p.MaxDays)
+			withLoss, err := p.simulateDays(lossFleet, lossLoad, 0, p.MaxDays)
 			if err != nil {
-				return out, err
+				return losses, err
 			}
-			loss := p.compareDays(fleet, calm, lossy, clause.Conditions[0], lossLoad)
+			loss := p.compareDays(fleet, baseline, withLoss, clause.Conditions[0], lossLoad)
 			loss.Zone, loss.Spares = zone, spares
-			out = append(out, loss)
+			losses = append(losses, loss)
 		}
 	}
-	return out, nil
+	return losses, nil
 }
 
 // compareDays computes the cost of a zone's loss from days with the loss and the same days without it.
-func (p *Planner) compareDays(fleet *fleetsim.Fleet, calm, lossy []*fleetsim.Result, condition *Condition, load *fleetsim.Load) ZoneLoss {
-	difference := func(of func(*fleetsim.Result) fleetsim.Tally) Estimate {
-		var lost []float64
-		for i := range calm {
-			without, with := of(calm[i]), of(lossy[i])
-			lost = append(lost, without.Service()-with.Service())
+func (p *Planner) compareDays(fleet *fleetsim.Fleet, baseline, withLoss []*fleetsim.Result, condition *Condition, load *fleetsim.Load) ZoneLoss {
+	meanLoss := func(tally func(*fleetsim.Result) fleetsim.Tally) Estimate {
+		var losses []float64
+		for i := range baseline {
+			without, with := tally(baseline[i]), tally(withLoss[i])
+			losses = append(losses, without.Service()-with.Service())
 		}
-		return p.estimate(lost)
+		return p.estimate(losses)
 	}
 	start, duration := condition.period(load)
 	end := start + duration
-	loss := ZoneLoss{Seconds: make([]float64, len(calm[0].Seconds))}
-	loss.Total = difference(func(r *fleetsim.Result) fleetsim.Tally { return r.Total })
-	loss.During = difference(tallyBetween(start, end))
-	loss.After = difference(tallyBetween(end, end+secondsAfterLoss))
+	loss := ZoneLoss{Seconds: make([]float64, len(baseline[0].Seconds))}
+	loss.Total = meanLoss(func(r *fleetsim.Result) fleetsim.Tally { return r.Total })
+	loss.During = meanLoss(tallyBetween(start, end))
+	loss.After = meanLoss(tallyBetween(end, end+secondsAfterLoss))
 	for i := range fleet.Classes {
-		loss.Classes = append(loss.Classes, difference(func(r *fleetsim.Result) fleetsim.Tally { return r.Classes[i] }))
+		loss.Classes = append(loss.Classes, meanLoss(func(r *fleetsim.Result) fleetsim.Tally { return r.Classes[i] }))
 	}
 	for i := range fleet.Tenants {
-		loss.Tenants = append(loss.Tenants, difference(func(r *fleetsim.Result) fleetsim.Tally { return r.Tenants[i] }))
+		loss.Tenants = append(loss.Tenants, meanLoss(func(r *fleetsim.Result) fleetsim.Tally { return r.Tenants[i] }))
 	}
 	for i := range loss.Seconds {
-		for day := range calm {
-			loss.Seconds[i] += (calm[day].Seconds[i].EarnedValue - lossy[day].Seconds[i].EarnedValue) / float64(len(calm))
+		for day := range baseline {
+			loss.Seconds[i] += (baseline[day].Seconds[i].EarnedValue - withLoss[day].Seconds[i].EarnedValue) / float64(len(baseline))
 		}
 	}
-	for _, day := range lossy {
+	for _, day := range withLoss {
 		loss.OverloadedWorkers += day.Violations[fleetsim.ViolationOverload]
 	}
 	return loss
