--- a/internal/systemnode/demo/machine.go
+++ b/internal/systemnode/demo/machine.go
@@ -13,7 +13,7 @@
 	classStore = "store"
 )
 
-// Offsets of the ports from the first one. They are the same on all addresses.
+// Offsets of the ports from Options.Port. They are the same on all addresses.
 const (
 	portClient = iota
 	portReady
@@ -25,14 +25,14 @@
 
 // Loopback addresses.
 const (
-	hostIP       = "127.0.0.1" // the simulated workers, their list, and the operator
-	frontIPStart = 11          // the last number of the first front's address
-	storeIPStart = 41          // the last number of the first store's address
+	hostIP       = "127.0.0.1" // of the simulated workers, the platform and the operator
+	frontIPStart = 11          // last byte of the first front's address
+	storeIPStart = 41          // last byte of the first store's address
 )
 
 var zones = []string{"demo-a", "demo-b", "demo-c"}
 
-// machine is one of the system's machines.
+// machine describes the machine of one front or store.
 type machine struct {
 	number int
 	name   string
@@ -41,7 +41,7 @@
 	zone   string
 }
 
-// planMachines returns the machines of a demonstration, fronts first.
+// planMachines returns the machines of a demonstration, fronts first. It distributes each class over the zones.
 func planMachines(options Options) []machine {
 	var machines []machine
 	add := func(class string, count, ipStart int) {
@@ -60,15 +60,16 @@
 	return machines
 }
 
+// address returns the address of a port of the machine.
 func (m machine) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
-func (m machine) clientAddress(port int) string  { return m.address(port + portClient) }
-func (m machine) readyAddress(port int) string   { return m.address(port + portReady) }
-func (m machine) controlAddress(port int) string { return m.address(port + portControl) }
+func (m machine) clientAddress(firstPort int) string  { return m.address(firstPort + portClient) }
+func (m machine) readyAddress(firstPort int) string   { return m.address(firstPort + portReady) }
+func (m machine) controlAddress(firstPort int) string { return m.address(firstPort + portControl) }
 
-// settingsText returns the settings file of a machine, in TOML.
+// settingsText returns the TOML text of a machine's settings file. data is the path of its data directory.
 func (s *system) settingsText(machine machine, data string) []byte {
-	port := s.options.Port
+	firstPort := s.options.FirstPort
 	var text strings.Builder
 	line := func(format string, arguments ...any) { fmt.Fprintf(&text, format+"\n", arguments...) }
 	line("node = %q", machine.name)
@@ -76,26 +77,27 @@
 	line("class = %q", machine.class)
 	line("ip = %q", machine.ip)
 	line("zone = %q", machine.zone)
-	line("internal-ports = [%d, %d]", port+portInternal, port+portInternal)
-	line("seeds = [%s]", quoted(s.addresses().Control))
+	line("internal-ports = [%d, %d]", firstPort+portInternal, firstPort+portInternal)
+	line("seeds = [%s]", quoteAll(s.addresses().Control))
 	line("bootstrap = true")
 	line("data-dir = %q", data)
 	if machine.class == classFront {
 		line("serves = [%q, %q]", "front", "control")
 		line("counts-for-quorum = true")
 		line("\n[listen-addrs]")
-		line("front = %q", machine.clientAddress(port))
-		line("ready = %q", machine.readyAddress(port))
-		line("control = %q", machine.controlAddress(port))
+		line("front = %q", machine.clientAddress(firstPort))
+		line("ready = %q", machine.readyAddress(firstPort))
+		line("control = %q", machine.controlAddress(firstPort))
 	} else {
 		line("serves = [%q]", "store")
 	}
-	line("\n[fault-tolerance]\nmachines = %d", s.options.Tolerated)
+	line("\n[fault-tolerance]\nmachines = %d", s.options.ToleratedLosses)
 	line("\n[cloud]\naddress = %q", s.platformAddress())
 	return []byte(text.String())
 }
 
-func quoted(texts []string) string {
+// quoteAll returns the texts as the elements of a TOML array.
+func quoteAll(texts []string) string {
 	parts := make([]string, len(texts))
 	for i, text := range texts {
 		parts[i] = strconv.Quote(text)
