--- a/cmd/gladepick-full/plan_answers.go
+++ b/cmd/gladepick-full/plan_answers.go
@@ -44,7 +44,7 @@
 		defer showProgress(p)()
 	}
 	err := a.ask(p, f.ask)
-	a.Days = p.DaysPlayed()
+	a.Days = p.DaysSimulated()
 	if err == nil || errors.Is(err, planner.ErrStopped) {
 		a.Stopped = err != nil
 		err = errors.Join(err, a.print(out, p, f))
@@ -83,7 +83,7 @@
 		progressbar.OptionThrottle(progressInterval),
 		progressbar.OptionClearOnFinish(),
 	)
-	p.OnDayPlayed = func(n int) { bar.Add(n) }
+	p.OnDaySimulated = func(n int) { bar.Add(n) }
 	p.OnProgress = func(format string, v ...any) { bar.Describe(fmt.Sprintf(format, v...)) }
 	return bar.Finish
 }
--- a/internal/dispatcher/planner/golden_test.go
+++ b/internal/dispatcher/planner/golden_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(map[string]any{"breaks": breaks, "needs": needs, "losses": losses, "days": p.DaysPlayed()}, "", " ")
+	text, err := json.MarshalIndent(map[string]any{"breaks": breaks, "needs": needs, "losses": losses, "days": p.DaysSimulated()}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/planner/planner.go
+++ b/internal/dispatcher/planner/planner.go
@@ -22,14 +22,14 @@
 
 // Options sets the confidence of the answers and the limits of the search.
 type Options struct {
-	Seed        uint64
-	Confidence  float64              // that a goal holds if an answer says so; 0.95 if 0
-	MaxDays     int                  // most days simulated for one clause of the goal in one evaluation; 16 if 0
-	Parallelism int                  // days simulated at a time; one for each core if 0
-	MaxFactor   float64              // greatest factor by which the fleet or the load is multiplied; 16 if 0
-	OnDayPlayed func(days int)       // called after each simulated day, from several goroutines
-	Stop        func() bool          // reports whether to end the search early; called from several goroutines
-	OnProgress  func(string, ...any) // called with a format and values that describe the next evaluation
+	Seed           uint64
+	Confidence     float64              // that a goal holds if an answer says so; 0.95 if 0
+	MaxDays        int                  // most days simulated for one clause of the goal in one evaluation; 16 if 0
+	Parallelism    int                  // days simulated at a time; one for each core if 0
+	MaxFactor      float64              // greatest factor by which the fleet or the load is multiplied; 16 if 0
+	OnDaySimulated func(days int)       // called after each simulated day, from several goroutines
+	Stop           func() bool          // reports whether to end the search early; called from several goroutines
+	OnProgress     func(string, ...any) // called with a format and values that describe the next evaluation
 }
 
 // ErrStopped is returned by a search that Options.Stop has ended early, together with the results found by then.
@@ -50,8 +50,8 @@
 	Load  *fleetsim.Load
 	Goal  *Goal
 	Options
-	daysPlayed atomic.Int64
-	cache      map[string]*evaluation // by the printed descriptions
+	daysSimulated atomic.Int64
+	cache         map[string]*evaluation // by the printed descriptions
 }
 
 // New returns a planner with the defaults of the options filled in. It returns an error if the goal has names that the
@@ -72,8 +72,8 @@
 	return &Planner{Fleet: fleet, Load: load, Goal: goal, Options: options, cache: map[string]*evaluation{}}, nil
 }
 
-// DaysPlayed returns how many days have been simulated so far.
-func (p *Planner) DaysPlayed() int { return int(p.daysPlayed.Load()) }
+// DaysSimulated returns how many days have been simulated so far.
+func (p *Planner) DaysSimulated() int { return int(p.daysSimulated.Load()) }
 
 func (p *Planner) stopped() bool { return p.Stop != nil && p.Stop() }
 
@@ -89,9 +89,9 @@
 		go func() {
 			defer func() { <-slots; running.Done() }()
 			if results[i], errs[i] = fleetsim.Simulate(fleet, load, p.Seed*seedStride+uint64(first+i), p.Stop); errs[i] == nil {
-				p.daysPlayed.Add(1)
-				if p.OnDayPlayed != nil {
-					p.OnDayPlayed(1)
+				p.daysSimulated.Add(1)
+				if p.OnDaySimulated != nil {
+					p.OnDaySimulated(1)
 				}
 			}
 		}()
--- a/internal/dispatcher/planner/planner_test.go
+++ b/internal/dispatcher/planner/planner_test.go
@@ -162,7 +162,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, _ := json.Marshal([]any{b, z, p.DaysPlayed()})
+		text, _ := json.Marshal([]any{b, z, p.DaysSimulated()})
 		all[string(text)]++
 	}
 	if len(all) != 2 {
@@ -175,7 +175,7 @@
 	f, l := yard()
 	var played atomic.Int64
 	p := planner(t, f, l, "service >= 0.9", Options{MaxDays: 4, Parallelism: 2})
-	p.OnDayPlayed = func(n int) { played.Add(int64(n)) }
+	p.OnDaySimulated = func(n int) { played.Add(int64(n)) }
 	p.Stop = func() bool { return played.Load() > 12 }
 	b, err := p.FindBreakingPoint()
 	if !errors.Is(err, ErrStopped) || b == nil || len(b.Baseline) == 0 || b.HoldsAtFactor < 1 {
