--- a/internal/dispatcher/planner/report/golden_test.go
+++ b/internal/dispatcher/planner/report/golden_test.go
@@ -33,9 +33,9 @@
 func TestGoldenPage(t *testing.T) {
 	p := Page{Goal: "service >= 0.9 & <more>", Table: "a table\n  of two lines",
 		Sizing: &planner.Sizing{Curve: []planner.Sample{
-			{Workers: 9, Service: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true},
-			{Workers: 8, Service: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}},
-			{Workers: 10, Service: planner.Estimate{Mean: 0.97, HalfWidth: 0.01}, Holds: true}}},
+			{Workers: 9, Score: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true},
+			{Workers: 8, Score: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}},
+			{Workers: 10, Score: planner.Estimate{Mean: 0.97, HalfWidth: 0.01}, Holds: true}}},
 		ZoneLosses: []planner.ZoneLoss{{Zone: "montreal", Seconds: []float64{0, 4, 9, 1}}, {Zone: "montreal", Spares: true, Seconds: []float64{0, 2, 3, 1}},
 			{Zone: "sherbrooke", Seconds: []float64{1, 1, 2, 0}}}}
 	for name, page := range map[string]Page{"page.html": p, "page-without-plots.html": {Goal: p.Goal, Table: p.Table}} {
--- a/internal/dispatcher/planner/report/report.go
+++ b/internal/dispatcher/planner/report/report.go
@@ -132,8 +132,8 @@
 		var points curve
 		for _, sample := range samples {
 			if sample.Holds == holds {
-				points.XYs = append(points.XYs, plotter.XY{X: float64(sample.Workers), Y: sample.Service.Mean})
-				points.YErrors = append(points.YErrors, struct{ Low, High float64 }{sample.Service.HalfWidth, sample.Service.HalfWidth})
+				points.XYs = append(points.XYs, plotter.XY{X: float64(sample.Workers), Y: sample.Score.Mean})
+				points.YErrors = append(points.YErrors, struct{ Low, High float64 }{sample.Score.HalfWidth, sample.Score.HalfWidth})
 			}
 		}
 		if len(points.XYs) == 0 {
--- a/internal/dispatcher/planner/report/report_test.go
+++ b/internal/dispatcher/planner/report/report_test.go
@@ -12,7 +12,7 @@
 // A page holds the text, escaped, and both plots in both forms; what fails leaves no page behind.
 func TestPage(t *testing.T) {
 	p := Page{Goal: "service >= 0.9 & <more>", Table: "a table",
-		Sizing:     &planner.Sizing{Curve: []planner.Sample{{Workers: 8, Service: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}}, {Workers: 9, Service: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true}}},
+		Sizing:     &planner.Sizing{Curve: []planner.Sample{{Workers: 8, Score: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}}, {Workers: 9, Score: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true}}},
 		ZoneLosses: []planner.ZoneLoss{{Zone: "montreal", Seconds: []float64{0, 4, 9, 1}}, {Zone: "montreal", Spares: true, Seconds: []float64{0, 2, 3, 1}}}}
 	path := filepath.Join(t.TempDir(), "plan.html")
 	if err := Write(path, p); err != nil {
--- a/internal/dispatcher/planner/sizing.go
+++ b/internal/dispatcher/planner/sizing.go
@@ -26,7 +26,7 @@
 type Sample struct {
 	Workers int      `json:"workers"`
 	Cost    float64  `json:"cost"`
-	Service Estimate `json:"service"`
+	Score   Estimate `json:"service"`
 	Holds   bool     `json:"holds"`
 }
 
@@ -106,7 +106,7 @@
 	}
 	if len(s.cache) > before {
 		s.sizing.Fleets++
-		s.sizing.Curve = append(s.sizing.Curve, Sample{Workers: workers, Cost: cost, Service: result.score, Holds: result.holds})
+		s.sizing.Curve = append(s.sizing.Curve, Sample{Workers: workers, Cost: cost, Score: result.score, Holds: result.holds})
 	}
 	if result.holds {
 		s.keep(fleet, result)
