--- a/internal/dispatcher/fleetsim/golden_test.go
+++ b/internal/dispatcher/fleetsim/golden_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// goldenDays are days in which each kind of fault, burst and limit has a part.
+// goldenDays returns changes of descriptions by name. Together the days cover each type of fault, a burst and each
+// limit.
 func goldenDays() map[string]func(*Fleet, *Load) {
 	return map[string]func(*Fleet, *Load){
 		"1 calm": func(*Fleet, *Load) {},
@@ -33,15 +34,15 @@
 	}
 }
 
-// TestGoldenDays holds the results of seeded days, every value of them, to those that an earlier build computed.
+// TestGoldenDays compares the results of seeded days with recorded ones. It fails if any value of a result changes.
 func TestGoldenDays(t *testing.T) {
 	var out bytes.Buffer
 	days := goldenDays()
 	for _, name := range []string{"1 calm", "2 overload with retries", "3 zone lost", "4 deaths and drain", "5 shared machines and late reports", "6 burst and few connections"} {
 		for _, seed := range []uint64{1, 20261202} {
-			f, l := small(), usual(10, 110)
+			f, l := smallFleet(), steadyLoad(10, 110)
 			days[name](f, l)
-			result := play(t, f, l, seed)
+			result := simulate(t, f, l, seed)
 			text, err := json.Marshal(result)
 			if err != nil {
 				t.Fatal(err)
@@ -52,14 +53,15 @@
 	golden.AssertBytes(t, out.Bytes(), "days.txt")
 }
 
-// TestGoldenArrivals holds the order of random draws of a day's clients.
+// TestGoldenArrivals compares the requests of seeded days with recorded ones. It fails if the order of random draws
+// changes.
 func TestGoldenArrivals(t *testing.T) {
 	var out bytes.Buffer
 	for _, seed := range []uint64{1, 20261202} {
-		l := usual(10, 110)
+		l := steadyLoad(10, 110)
 		l.Bursts = []Burst{{"univ-gaspesie", 8, 2, 5}}
 		l.Rate = append(l.Rate, RatePoint{6, 40})
-		next, err := Arrivals(small(), l, seed)
+		next, err := Arrivals(smallFleet(), l, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,9 +75,10 @@
 	golden.AssertBytes(t, out.Bytes(), "arrivals.txt")
 }
 
-// TestGoldenDescriptions holds the keys of the descriptions, the defaults and the keys of a result.
+// TestGoldenDescriptions compares the keys of the descriptions, the defaults and the keys of a result with recorded
+// ones.
 func TestGoldenDescriptions(t *testing.T) {
-	f, l := small(), usual(1, 5)
+	f, l := smallFleet(), steadyLoad(1, 5)
 	f.Faults = []Fault{{Type: "deaths", Fraction: 0.25}}
 	l.Bursts = []Burst{{"univ-gaspesie", 8, 0.2, 0.5}}
 	l.Tenants = []TenantLoad{{"univ-gaspesie", 1}}
@@ -83,7 +86,7 @@
 		Fleet  *Fleet  `json:"fleet"`
 		Load   *Load   `json:"load"`
 		Result *Result `json:"result"`
-	}{f.WithDefaults(), l, play(t, f, l, 1)}, "", " ")
+	}{f.WithDefaults(), l, simulate(t, f, l, 1)}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatcher/fleetsim/simulation_test.go
+++ b/internal/dispatcher/fleetsim/simulation_test.go
@@ -1,5 +1,5 @@
-// These tests hold the simulation against queueing theory where there is one, and against
-// the rules on random days: the decision module must keep them, and the simulation must see it where it does not.
+// These tests compare the simulation with queueing theory where there is a formula, and check on random days that the
+// decision module violates none of the rules that the simulation checks.
 package fleetsim
 
 import (
@@ -16,13 +16,13 @@
 	"pgregory.net/rapid"
 )
 
-func init() { // the same steps in every run, and no more than CI has time for
+func init() { // the same random cases in every run, and few enough for CI
 	flag.Set("rapid.seed", "20261201")
 	flag.Set("rapid.checks", "40")
 }
 
-// small is a fleet of the size in the brief.
-func small() *Fleet {
+// smallFleet returns a fleet of 14 workers of three kinds and 5 dispatchers in three zones.
+func smallFleet() *Fleet {
 	return &Fleet{
 		Zones: []string{"montreal", "quebec-city", "sherbrooke"}, Jitter: 0.2,
 		Kinds: []Kind{
@@ -43,74 +43,76 @@
 	}
 }
 
-func usual(seconds, perSec float64) *Load {
+// steadyLoad returns a load of two classes at a constant rate, whose clients retry once.
+func steadyLoad(seconds, perSec float64) *Load {
 	return &Load{Seconds: seconds, Rate: []RatePoint{{0, perSec}}, Retries: Retries{Max: 1, WaitMs: 30, HonourRetryAfter: true},
 		Classes: []ClassLoad{{"seat-check", 0.8, 200, 1}, {"enrol", 0.2, 120, 1}}}
 }
 
-func play(t testing.TB, f *Fleet, l *Load, seed uint64) *Result {
+func simulate(t testing.TB, fleet *Fleet, load *Load, seed uint64) *Result {
 	t.Helper()
-	r, err := Simulate(f, l, seed, nil)
+	result, err := Simulate(fleet, load, seed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// queue feeds one worker by hand and gives the mean wait, the mean time there, the mean number there and the rate.
-func queue(t *testing.T, slots int, load, cv float64, jobs int, seed uint64) (wait, there, number, rate float64) {
-	f := small()
-	f.Kinds = []Kind{{Name: "one", Cores: float64(slots), Speed: Range{1, 1}, Slots: slots, Queue: 1 << 30}}
-	f.Workers = []WorkerGroup{{Kind: "one", Zone: "montreal", Count: 1}}
-	s, err := newScenario(f, usual(1, 1))
+// simulateQueue sends jobs to one worker directly. It returns the mean wait and the mean time at the worker in seconds,
+// the mean number of jobs at the worker, and the jobs per second.
+func simulateQueue(t *testing.T, slots int, load, cv float64, jobs int, seed uint64) (wait, residence, number, rate float64) {
+	fleet := smallFleet()
+	fleet.Kinds = []Kind{{Name: "one", Cores: float64(slots), Speed: Range{1, 1}, Slots: slots, Queue: 1 << 30}}
+	fleet.Workers = []WorkerGroup{{Kind: "one", Zone: "montreal", Count: 1}}
+	s, err := newScenario(fleet, steadyLoad(1, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newSimulation(s, seed)
-	d.addWorker(0, 0)
-	n, err := newDispatcher(d, 0, 1, s.Fleet.Dispatchers[0], 1)
+	sim := newSimulation(s, seed)
+	sim.addWorker(0, 0)
+	sender, err := newDispatcher(sim, 0, 1, s.Fleet.Dispatchers[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.dispatchers = []*dispatcher{n}
-	w := d.workers[0]
+	sim.dispatchers = []*dispatcher{sender}
+	w := sim.workers[0]
 	rng := newStream(seed, arrivalStream)
-	draw := rng.ExpFloat64 // of mean 1, and cv 1
+	draw := rng.ExpFloat64 // mean 1, coefficient of variation 1
 	if cv != 1 {
-		v := math.Log(1 + cv*cv)
-		draw = distuv.LogNormal{Mu: -v / 2, Sigma: math.Sqrt(v), Src: rng}.Rand
+		variance := math.Log(1 + cv*cv)
+		draw = distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: rng}.Rand
 	}
 	var area float64
 	var last time.Duration
-	here := 0
+	present := 0
 	change := func(by int) {
-		area += float64(here) * (d.now - last).Seconds()
-		last, here = d.now, here+by
+		area += float64(present) * (sim.now - last).Seconds()
+		last, present = sim.now, present+by
 	}
 	seen, all := 0, []*attempt{}
-	came := map[*attempt]time.Duration{}
+	arrivedAt := map[*attempt]time.Duration{}
 	var arrive func()
 	arrive = func() {
-		a := &attempt{worker: w, work: draw(), job: &job{request: &request{deadline: math.MaxInt64}, dispatcher: n, answered: true}}
-		came[a] = d.now
+		a := &attempt{worker: w, work: draw(), job: &job{request: &request{deadline: math.MaxInt64}, dispatcher: sender, answered: true}}
+		arrivedAt[a] = sim.now
 		all = append(all, a)
 		change(1)
 		w.arrive(a)
 		if seen++; seen < jobs {
-			d.schedule(sec(rng.ExpFloat64()/(load*float64(slots))), arrive)
+			sim.schedule(sec(rng.ExpFloat64()/(load*float64(slots))), arrive)
 		}
 	}
 	arrive()
-	began := map[*attempt]bool{}
-	for len(d.queue) > 0 {
-		d.step()
+	counted := map[*attempt]bool{}
+	for len(sim.queue) > 0 {
+		sim.step()
 		for _, a := range all {
-			if a.started && !began[a] {
-				began[a] = true
-				wait += (d.now - came[a]).Seconds()
+			if a.started && !counted[a] {
+				counted[a] = true
+				wait += (sim.now - arrivedAt[a]).Seconds()
 			}
 			if a.endedAtWorker {
-				there += (d.now - came[a]).Seconds()
+				residence += (sim.now - arrivedAt[a]).Seconds()
 				change(-1)
 			}
 		}
@@ -124,58 +126,59 @@
 		all = all[:k]
 	}
 	end := last.Seconds()
-	return wait / float64(jobs), there / float64(jobs), area / end, float64(jobs) / end
+	return wait / float64(jobs), residence / float64(jobs), area / end, float64(jobs) / end
 }
 
-// erlangC is the chance to wait in M/M/c (A. K. Erlang, 1917).
+// erlangC returns the probability to wait in an M/M/c queue (A. K. Erlang, 1917).
 func erlangC(c int, load float64) float64 {
-	a := load * float64(c)
+	offered := load * float64(c)
 	sum, term := 0.0, 1.0
 	for k := range c {
 		if k > 0 {
-			term *= a / float64(k)
+			term *= offered / float64(k)
 		}
 		sum += term
 	}
-	last := term * a / float64(c) / (1 - load)
+	last := term * offered / float64(c) / (1 - load)
 	return last / (sum + last)
 }
 
-// One worker alone is a queue that theory knows: M/M/c by Erlang's formula, M/G/1 by Pollaczek's and Khinchine's, and
-// Little's law in any case.
-func TestWorkersAreTheQueuesOfTheory(t *testing.T) {
+// TestMeanWaitMatchesQueueingTheory fails if the mean wait at one worker differs from that of the queue that it models:
+// M/M/c by Erlang's formula, M/G/1 by that of Pollaczek and Khinchine. Little's law must hold in all cases.
+func TestMeanWaitMatchesQueueingTheory(t *testing.T) {
 	const jobs, days = 4000, 10
-	for _, k := range []struct {
+	for _, queue := range []struct {
 		slots    int
 		load, cv float64
 	}{{1, 0.6, 1}, {3, 0.75, 1}, {4, 0.5, 1}, {1, 0.5, 0.5}, {1, 0.6, 1.3}} {
 		var want float64
-		if k.cv == 1 {
-			want = erlangC(k.slots, k.load) / (float64(k.slots) * (1 - k.load))
+		if queue.cv == 1 {
+			want = erlangC(queue.slots, queue.load) / (float64(queue.slots) * (1 - queue.load))
 		} else {
-			want = k.load * (1 + k.cv*k.cv) / (2 * (1 - k.load))
+			want = queue.load * (1 + queue.cv*queue.cv) / (2 * (1 - queue.load))
 		}
 		var waits []float64
 		for day := range days {
-			wait, there, number, rate := queue(t, k.slots, k.load, k.cv, jobs, uint64(day+1))
+			wait, residence, number, rate := simulateQueue(t, queue.slots, queue.load, queue.cv, jobs, uint64(day+1))
 			waits = append(waits, wait)
-			if little := rate * there; math.Abs(little-number) > 1e-3*number {
-				t.Errorf("%+v: %v are there on average, Little's law says %v", k, number, little)
+			if little := rate * residence; math.Abs(little-number) > 1e-3*number {
+				t.Errorf("%+v: %v jobs at the worker on average, want %v by Little's law", queue, number, little)
 			}
 		}
-		mean, dev := stat.MeanStdDev(waits, nil)
-		reach := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: days - 1}.Quantile(0.9995) * dev / math.Sqrt(days)
-		if math.Abs(mean-want) > reach {
-			t.Errorf("%+v: a wait of %.4f ± %.4f s, theory says %.4f", k, mean, reach, want)
+		mean, deviation := stat.MeanStdDev(waits, nil)
+		halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: days - 1}.Quantile(0.9995) * deviation / math.Sqrt(days)
+		if math.Abs(mean-want) > halfWidth {
+			t.Errorf("%+v: mean wait %.4f ± %.4f s, want %.4f s by theory", queue, mean, halfWidth, want)
 		}
-		t.Logf("%+v: wait %.4f ± %.4f s, theory %.4f", k, mean, reach, want)
+		t.Logf("%+v: mean wait %.4f ± %.4f s, %.4f s by theory", queue, mean, halfWidth, want)
 	}
 }
 
-// Rules hold on random days, every request has one end, and the same seed gives the same day.
-func TestRulesHoldOnRandomDays(t *testing.T) {
+// TestRandomDaysViolateNoRule fails if a random day violates a rule, if a request does not end exactly once, or if the
+// same seed gives a different result.
+func TestRandomDaysViolateNoRule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f, l := small(), usual(6, rapid.Float64Range(10, 220).Draw(rt, "rate"))
+		f, l := smallFleet(), steadyLoad(6, rapid.Float64Range(10, 220).Draw(rt, "rate"))
 		l.Retries.Max = rapid.IntRange(0, 3).Draw(rt, "retries")
 		for range rapid.IntRange(0, 4).Draw(rt, "troubles") {
 			f.Faults = append(f.Faults, Fault{
@@ -190,13 +193,13 @@
 		f.Dispatchers[0].OpenJobs = rapid.SampledFrom([]int{0, 4}).Draw(rt, "open")
 		f.Dispatchers[1].Connections = rapid.SampledFrom([]int{0, 3}).Draw(rt, "links")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		r := play(t, f, l, seed)
+		r := simulate(t, f, l, seed)
 		for rule, n := range r.Violations {
-			rt.Errorf("%s: %d times", rule, n)
+			rt.Errorf("rule %q: %d violations, want none", rule, n)
 		}
-		for _, y := range append(append([]Tally{r.Total}, r.Classes...), r.Seconds...) {
-			if y.Jobs != y.InTime+y.Late+y.Failed || y.EarnedValue > y.OfferedValue+1e-6 || y.EarnedValue < 0 {
-				rt.Errorf("it does not add up: %+v", y)
+		for _, tally := range append(append([]Tally{r.Total}, r.Classes...), r.Seconds...) {
+			if tally.Jobs != tally.InTime+tally.Late+tally.Failed || tally.EarnedValue > tally.OfferedValue+1e-6 || tally.EarnedValue < 0 {
+				rt.Errorf("the jobs or values of a tally do not add up: %+v", tally)
 			}
 		}
 		outcomes := 0
@@ -204,28 +207,28 @@
 			outcomes += n
 		}
 		if r.Requests != r.Total.Jobs+r.Retries || outcomes != r.AttemptsSent+r.Outcomes[8] && outcomes < r.AttemptsSent {
-			rt.Errorf("%d tries of %d requests with %d repeats; %d sends with %d outcomes", r.Requests, r.Total.Jobs, r.Retries, r.AttemptsSent, outcomes)
+			rt.Errorf("%d tries of %d requests with %d retries; %d attempts sent with %d outcomes", r.Requests, r.Total.Jobs, r.Retries, r.AttemptsSent, outcomes)
 		}
-		one, _ := json.Marshal(r)
-		if two, _ := json.Marshal(play(t, f, l, seed)); string(one) != string(two) {
-			rt.Errorf("the same day came out differently:\n%s\n%s", one, two)
+		first, _ := json.Marshal(r)
+		if second, _ := json.Marshal(simulate(t, f, l, seed)); string(first) != string(second) {
+			rt.Errorf("two runs with the same seed differ:\n%s\n%s", first, second)
 		}
 	})
 }
 
-// A day gets worse with what is known to make it worse.
-func TestDaysGetWorse(t *testing.T) {
-	mean := func(change func(*Fleet, *Load)) (score float64) {
+// TestScoreDropsUnderLoadAndFaults fails if the score does not drop under more load, faults or tight limits.
+func TestScoreDropsUnderLoadAndFaults(t *testing.T) {
+	meanScore := func(change func(*Fleet, *Load)) (score float64) {
 		for seed := range uint64(2) {
-			f, l := small(), usual(20, 110)
+			f, l := smallFleet(), steadyLoad(20, 110)
 			change(f, l)
-			score += play(t, f, l, seed).Score / 2
+			score += simulate(t, f, l, seed).Score / 2
 		}
 		return score
 	}
-	calm := mean(func(*Fleet, *Load) {})
+	calm := meanScore(func(*Fleet, *Load) {})
 	if calm < 0.9 {
-		t.Errorf("a calm day scores %.3f", calm)
+		t.Errorf("a day without faults scores %.3f, want at least 0.9", calm)
 	}
 	for name, change := range map[string]func(*Fleet, *Load){
 		"three times the load": func(_ *Fleet, l *Load) { l.Factor = 3 },
@@ -246,32 +249,34 @@
 			}
 		},
 	} {
-		if worse := mean(change); !(worse < calm-0.02) {
-			t.Errorf("%s: %.3f after %.3f", name, worse, calm)
+		if worse := meanScore(change); !(worse < calm-0.02) {
+			t.Errorf("%s: score %.3f, want less than %.3f - 0.02", name, worse, calm)
 		}
 	}
 }
 
-// Thousands of universities, most of which send next to nothing, are a day like any other.
-func TestThousandsOfUniversities(t *testing.T) {
-	f, l := small(), usual(3, 80)
+// TestBurstAmongThousandsOfTenantsIsLimitedByQuota fails if a day with 3000 tenants, most of which send almost nothing,
+// violates a rule, or if the burst of one of them counts as within its quota.
+func TestBurstAmongThousandsOfTenantsIsLimitedByQuota(t *testing.T) {
+	f, l := smallFleet(), steadyLoad(3, 80)
 	f.Tenants = nil
 	for i := range 3000 {
 		f.Tenants = append(f.Tenants, Tenant{fmt.Sprintf("univ-%d", i), 1. / 3000, 0.04})
 	}
 	l.Bursts = []Burst{{"univ-7", 3000, 1, 1}}
-	r := play(t, f, l, 1)
+	r := simulate(t, f, l, 1)
 	if len(r.Violations) > 0 || r.Total.Jobs < 200 || r.Total.Jobs != r.Total.InTime+r.Total.Late+r.Total.Failed || len(r.Tenants) != 3000 {
-		t.Errorf("%+v, broken %v", r.Total, r.Violations)
+		t.Errorf("total %+v, violations %v", r.Total, r.Violations)
 	}
-	// What the burst sends beyond its university's share is worth little: few jobs of it count as within.
+	// Jobs of the burst beyond the tenant's quota earn little: only a few count as within the quota.
 	if within := r.Tenants[7].Jobs; within > 5 {
-		t.Errorf("%d jobs of the burst count as within the share", within)
+		t.Errorf("%d jobs of the burst count as within the quota, want at most 5", within)
 	}
 }
 
-func TestWhatDoesNotFitIsNamed(t *testing.T) {
-	for says, change := range map[string]func(*Fleet, *Load){
+// TestInvalidDescriptionErrorNamesKey fails if the error of an invalid description does not name its key.
+func TestInvalidDescriptionErrorNamesKey(t *testing.T) {
+	for want, change := range map[string]func(*Fleet, *Load){
 		"key workers.1.kind: there is no \"fast\"": func(f *Fleet, l *Load) { f.Workers[1].Kind = "fast" },
 		"key kinds.1.name":                         func(f *Fleet, l *Load) { f.Kinds[1].Name = "fast-3c" },
 		"key troubles.0.zone":                      func(f *Fleet, l *Load) { f.Faults = []Fault{{Type: "zone_lost"}} },
@@ -281,19 +286,19 @@
 		"load: key classes: the sum of their shares must be above 0": func(f *Fleet, l *Load) { l.Classes = nil },
 		"key dispatchers": func(f *Fleet, l *Load) { f.Dispatchers = nil },
 	} {
-		f, l := small(), usual(1, 10)
+		f, l := smallFleet(), steadyLoad(1, 10)
 		change(f, l)
-		if _, err := Simulate(f, l, 1, nil); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%v does not say %q", err, says)
+		if _, err := Simulate(f, l, 1, nil); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// BenchmarkModel tells events a second and how much faster than the clock days go.
+// BenchmarkModel measures events and decisions per second, and simulated time over real time.
 func BenchmarkModel(b *testing.B) {
 	for _, size := range []struct{ workers, dispatchers int }{{14, 5}, {1000, 100}, {10000, 100}} {
 		b.Run(fmt.Sprintf("%dx%d", size.dispatchers, size.workers), func(b *testing.B) {
-			f := small()
+			f := smallFleet()
 			f.Workers = nil
 			for i, k := range f.Kinds {
 				for z, zone := range f.Zones {
@@ -304,11 +309,11 @@
 			for i := range f.Tenants {
 				f.Tenants[i].RatePerSecond *= float64(size.workers) / 14
 			}
-			l := usual(60*14/float64(size.workers), 9*float64(size.workers))
+			l := steadyLoad(60*14/float64(size.workers), 9*float64(size.workers))
 			l.Seconds = max(l.Seconds, 1)
 			events, span, decisions := 0, time.Duration(0), 0
 			for i := range b.N {
-				r := play(b, f, l, uint64(i))
+				r := simulate(b, f, l, uint64(i))
 				events, span, decisions = events+r.Events, span+r.Duration, decisions+r.Decisions
 			}
 			b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
--- a/internal/dispatcher/planner/golden_test.go
+++ b/internal/dispatcher/planner/golden_test.go
@@ -9,14 +9,15 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestGoldenFit holds every figure that is fitted to a recorded day, and the fleet that it fills in.
+// TestGoldenFit compares every value that is fitted to a captured day, and the fleet filled in from it, with recorded
+// ones.
 func TestGoldenFit(t *testing.T) {
-	set, fleet := recorded()
+	set, fleet := capturedDay()
 	fit, err := FitCapture(set, fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, load := yard()
+	_, load := halfLoadedFleet()
 	load.Rate[0].PerSecond = 500
 	text, err := json.MarshalIndent(map[string]any{"fit": fit, "filled": fit.FillFleet(fleet), "extrapolates": fit.Extrapolations(load)}, "", " ")
 	if err != nil {
@@ -25,16 +26,16 @@
 	golden.AssertBytes(t, append(text, '\n'), "fit.json")
 }
 
-// TestGoldenAnswers holds the answers to each question, as they are encoded.
+// TestGoldenAnswers compares the JSON of the answer to each question with a recorded one.
 func TestGoldenAnswers(t *testing.T) {
-	fleet, load := yard()
+	fleet, load := halfLoadedFleet()
 	load.Seconds = 4
-	p := planner(t, fleet, load, "service >= 0.9 and late <= 20% with zone sherbrooke lost at 1 for 2", Options{MaxDays: 3, MaxFactor: 4, Seed: 7, Parallelism: 2})
-	breaks, err := p.FindBreakingPoint()
+	p := newPlanner(t, fleet, load, "service >= 0.9 and late <= 20% with zone sherbrooke lost at 1 for 2", Options{MaxDays: 3, MaxFactor: 4, Seed: 7, Parallelism: 2})
+	point, err := p.FindBreakingPoint()
 	if err != nil {
 		t.Fatal(err)
 	}
-	needs, err := p.FindSizing()
+	sizing, err := p.FindSizing()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +43,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.MarshalIndent(map[string]any{"breaks": breaks, "needs": needs, "losses": losses, "days": p.DaysSimulated()}, "", " ")
+	text, err := json.MarshalIndent(map[string]any{"breaks": point, "needs": sizing, "losses": losses, "days": p.DaysSimulated()}, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.AssertBytes(t, append(text, '\n'), "answers.json")
 }
 
-// TestGoldenGoalErrors holds what is said of goals that cannot be read.
+// TestGoldenGoalErrors compares the errors of goals that cannot be parsed with recorded ones.
 func TestGoldenGoalErrors(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []string{"", "service", "service > 0.9", "service >= 95", "service >= 0.9 and speed >= 0.2", "service >= 0.9 with", "service(", "service >= 0.9 with 5 apples",
--- a/internal/dispatcher/planner/report/golden_test.go
+++ b/internal/dispatcher/planner/report/golden_test.go
@@ -17,7 +17,7 @@
 	pngData    = regexp.MustCompile(`(data:image/png;base64,)[^"]*`)
 )
 
-// pageStructure reduces each plot to its words, as its strokes are the plot library's.
+// pageStructure reduces each plot to its texts, as its lines depend on the plot library.
 func pageStructure(page []byte) []byte {
 	page = pngData.ReplaceAll(page, []byte("$1"))
 	return svgElement.ReplaceAllFunc(page, func(svg []byte) []byte {
@@ -29,7 +29,7 @@
 	})
 }
 
-// TestGoldenPage holds the structure and the words of the page.
+// TestGoldenPage compares the structure and the texts of the page with recorded ones.
 func TestGoldenPage(t *testing.T) {
 	p := Page{Goal: "service >= 0.9 & <more>", Table: "a table\n  of two lines",
 		Sizing: &planner.Sizing{Curve: []planner.Sample{
