--- a/internal/dispatcher/fleetsim/simulation_test.go
+++ b/internal/dispatcher/fleetsim/simulation_test.go
@@ -49,6 +49,7 @@
 		Classes: []ClassLoad{{"seat-check", 0.8, 200, 1}, {"enrol", 0.2, 120, 1}}}
 }
 
+// simulate returns the result of a day, and ends the test on an error.
 func simulate(t testing.TB, fleet *Fleet, load *Load, seed uint64) *Result {
 	t.Helper()
 	result, err := Simulate(fleet, load, seed, nil)
--- a/internal/dispatcher/planner/fit_capacity.go
+++ b/internal/dispatcher/planner/fit_capacity.go
@@ -16,8 +16,8 @@
 	for _, attempt := range attempts {
 		kind[attempt.Worker] = attempt.Kind
 		if attempt.Started >= 0 && attempt.Ended > attempt.Started+overlapNanos {
-			sent := attempt.Sent - int64(fit.pathMs[path{attempt.Node, attempt.Zone}]*1e6)
-			edges[attempt.Worker] = append(edges[attempt.Worker], runEdge{sent + attempt.Started + overlapNanos, 1}, runEdge{sent + attempt.Ended, -1})
+			origin := attempt.Sent - int64(fit.pathMs[path{attempt.Node, attempt.Zone}]*1e6)
+			edges[attempt.Worker] = append(edges[attempt.Worker], runEdge{origin + attempt.Started + overlapNanos, 1}, runEdge{origin + attempt.Ended, -1})
 		}
 		if attempt.Outcome == "full" {
 			fullRejections++
--- a/internal/dispatcher/planner/planner.go
+++ b/internal/dispatcher/planner/planner.go
@@ -24,7 +24,7 @@
 type Options struct {
 	Seed           uint64
 	Confidence     float64              // that a goal holds if an answer says so; 0.95 if 0
-	MaxDays        int                  // most days simulated for one clause of the goal in one evaluation; 16 if 0
+	MaxDays        int                  // most days simulated of one clause of the goal or one zone loss; 16 if 0
 	Parallelism    int                  // days simulated at a time; one for each core if 0
 	MaxFactor      float64              // greatest factor by which the fleet or the load is multiplied; 16 if 0
 	OnDaySimulated func(days int)       // called after each simulated day, from several goroutines
--- a/internal/dispatcher/planner/planner_test.go
+++ b/internal/dispatcher/planner/planner_test.go
@@ -148,7 +148,7 @@
 		t.Errorf("the loss of montreal costs %v, of sherbrooke %v, of montreal with spares %v", largest.Total, smallest.Total, withSpares.Total)
 	}
 	if largest.During.Mean+largest.During.HalfWidth <= largest.Total.Mean || len(largest.Classes) != 2 || len(largest.Tenants) != 2 || len(largest.Seconds) != 10 {
-		t.Errorf("%+v", largest)
+		t.Errorf("want more lost during the loss than over the day, and 2 classes, 2 tenants and 10 seconds: %+v", largest)
 	}
 }
 
@@ -228,6 +228,8 @@
 	}
 }
 
+// FuzzGoal fails if the error of an invalid goal names no column, or if a goal with a bound outside of 0 to 1 is
+// accepted.
 func FuzzGoal(f *testing.F) {
 	for _, s := range []string{"service >= 0.95", "late(enrol) <= 2% with zone montreal lost", "a;b", "service >= 1e400", "((((", "service >= 0.9 with 1 % dead at 2 for 3", "\x00"} {
 		f.Add(s)
