--- a/internal/dispatcher/fleetsim/worker.go
+++ b/internal/dispatcher/fleetsim/worker.go
@@ -33,7 +33,7 @@
 	planNumber           int           // of the planned next completion; events of older plans do nothing
 	running              priorityqueue.Queue[*attempt]
 	waiting              []*attempt
-	pendingResets        []*attempt // attempts lost while the worker was unresponsive; reset when it restarts
+	pendingResets        []*attempt // attempts lost without a response; reset when the worker restarts
 	connections          int
 	recentSlowStartWork  []sentWork // during slow start, within the last OverloadSpanSeconds
 	reports              [32]loadReport
