--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -9,33 +9,33 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Arrival is a request as its client makes it.
+// Arrival is a request as its client sends it for the first time.
 type Arrival struct {
 	At                        time.Duration
-	Class, Tenant, Dispatcher int     // indexes into the descriptions; dispatchers are counted across their groups
+	Class, Tenant, Dispatcher int     // indexes into the descriptions; dispatchers are numbered across their groups
 	WorkSeconds               float64 // seconds on a core of speed 1
 }
 
-// Arrivals returns a function that draws a day's requests one after the other, until the day is over: a Poisson process
-// with a varying rate, thinned from its peak.
-func Arrivals(f *Fleet, l *Load, seed uint64) (next func() (Arrival, bool), err error) {
-	s, err := newScenario(f, l)
+// Arrivals returns a function that draws a day's requests one after the other, and returns false when the day is over.
+// The requests are a Poisson process with a varying rate, made by thinning a process with the peak rate.
+func Arrivals(fleet *Fleet, load *Load, seed uint64) (next func() (Arrival, bool), err error) {
+	s, err := newScenario(fleet, load)
 	if err != nil {
 		return nil, err
 	}
 	return s.arrivals(seed), nil
 }
 
-// arrivalSource draws arrivals.
+// arrivalSource draws a day's arrivals by thinning: it draws candidates at the peak rate, and drops some of them.
 type arrivalSource struct {
 	*scenario
 	random            *rand.Rand
 	atSeconds         float64          // of the last candidate
-	peak              float64          // candidates a second: no rate of the day lies above it
+	peak              float64          // candidates per second: an upper bound of the day's rate
 	tenantSum         float64          // of tenantShares
-	tenantCumulative  []float64        // shares of the tenants
+	tenantCumulative  []float64        // cumulative shares of the tenants
 	dispatcherSum     float64          // of the dispatchers' shares
-	dispatcherWeights []float64        // cumulative
+	dispatcherWeights []float64        // cumulative shares of the dispatchers
 	classSum          float64          // of the classes' shares
 	work              []func() float64 // by class: draws seconds on a core of speed 1
 }
@@ -45,37 +45,37 @@
 }
 
 func newArrivalSource(s *scenario, random, workRandom *rand.Rand) *arrivalSource {
-	a := &arrivalSource{scenario: s, random: random}
+	source := &arrivalSource{scenario: s, random: random}
 	for _, p := range s.load.Rate {
-		a.peak = max(a.peak, p.PerSecond*s.load.Factor)
+		source.peak = max(source.peak, p.PerSecond*s.load.Factor)
 	}
 	for _, share := range s.tenantShares {
-		a.tenantSum += share
-		a.tenantCumulative = append(a.tenantCumulative, a.tenantSum)
+		source.tenantSum += share
+		source.tenantCumulative = append(source.tenantCumulative, source.tenantSum)
 	}
 	for _, g := range s.Dispatchers {
 		for range g.Count {
-			a.dispatcherSum += g.Share
-			a.dispatcherWeights = append(a.dispatcherWeights, a.dispatcherSum)
+			source.dispatcherSum += g.Share
+			source.dispatcherWeights = append(source.dispatcherWeights, source.dispatcherSum)
 		}
 	}
-	burstFactor := 1.0 // were all bursts at once
+	burstFactor := 1.0 // for the upper bound, all bursts are taken to coincide
 	for _, b := range s.load.Bursts {
-		burstFactor += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / a.tenantSum
+		burstFactor += max(b.Factor-1, 0) * s.tenantShares[s.tenantIndex[b.Tenant]] / source.tenantSum
 	}
-	a.peak *= burstFactor
-	a.work = make([]func() float64, len(s.classLoads))
+	source.peak *= burstFactor
+	source.work = make([]func() float64, len(s.classLoads))
 	for i, class := range s.classLoads {
-		a.classSum += class.Share
-		a.work[i] = class.workSeconds(workRandom)
+		source.classSum += class.Share
+		source.work[i] = class.workSeconds(workRandom)
 	}
-	return a
+	return source
 }
 
 // workSeconds returns a function that draws the work of a job of the class.
 func (c ClassLoad) workSeconds(random *rand.Rand) func() float64 {
 	if c.CV > 0 {
-		variance := math.Log(1 + c.CV*c.CV) // of the logarithm
+		variance := math.Log(1 + c.CV*c.CV) // of the work's logarithm
 		return distuv.LogNormal{Mu: math.Log(c.WorkMs/1000) - variance/2, Sigma: math.Sqrt(variance), Src: random}.Rand
 	}
 	return func() float64 { return c.WorkMs / 1000 }
@@ -100,8 +100,8 @@
 	return Arrival{}, false
 }
 
-// drawTenant draws who sends at present: a tenant of the usual mix, one that has a burst on top of it, or nobody (-1), where
-// the rate lies below the peak.
+// drawTenant draws the tenant of the current candidate: one of the usual mix, or one whose burst adds requests to it.
+// It returns -1 if the candidate is dropped, as the current rate lies below the peak.
 func (a *arrivalSource) drawTenant() int {
 	base := a.rateAt(a.atSeconds)
 	x := a.random.Float64() * a.peak
@@ -129,16 +129,16 @@
 	return class
 }
 
-// rateAt returns the requests a second of all tenants together, without bursts.
+// rateAt returns the requests per second of all tenants together, without bursts, at a time in seconds.
 func (s *scenario) rateAt(at float64) float64 {
-	r := s.load.Rate
-	i := sort.Search(len(r), func(i int) bool { return r[i].AtSeconds > at })
+	rates := s.load.Rate
+	i := sort.Search(len(rates), func(i int) bool { return rates[i].AtSeconds > at })
 	switch {
 	case i == 0:
-		return r[0].PerSecond * s.load.Factor
-	case i == len(r):
-		return r[i-1].PerSecond * s.load.Factor
+		return rates[0].PerSecond * s.load.Factor
+	case i == len(rates):
+		return rates[i-1].PerSecond * s.load.Factor
 	}
-	part := (at - r[i-1].AtSeconds) / (r[i].AtSeconds - r[i-1].AtSeconds)
-	return (r[i-1].PerSecond + part*(r[i].PerSecond-r[i-1].PerSecond)) * s.load.Factor
+	fraction := (at - rates[i-1].AtSeconds) / (rates[i].AtSeconds - rates[i-1].AtSeconds)
+	return (rates[i-1].PerSecond + fraction*(rates[i].PerSecond-rates[i-1].PerSecond)) * s.load.Factor
 }
--- a/internal/dispatcher/fleetsim/clients.go
+++ b/internal/dispatcher/fleetsim/clients.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// request is what one client wants, over all its attempts to get it.
+// request is a client's request, over all its tries.
 type request struct {
 	class, tenant int
 	work          float64 // seconds on a core of speed 1
@@ -12,12 +12,12 @@
 	deadline      time.Duration // at which the client gives up
 	dedupKey      uint64
 	retriesLeft   int
-	withinQuota   bool // its tenant's quota
+	withinQuota   bool // within its tenant's quota when it arrived
 	dispatcher    *dispatcher
 	ended         bool
 }
 
-// scheduleArrivals lets all requests arrive, each of which schedules the next one.
+// scheduleArrivals schedules the first arrival. Each arrival schedules the next one.
 func (sim *simulation) scheduleArrivals(seed uint64) {
 	arrivals := sim.arrivals(seed)
 	var next func()
@@ -27,22 +27,24 @@
 			return
 		}
 		sim.schedule(a.At-sim.now, func() {
-			q := sim.accounting.newRequest(a)
-			q.arrived, q.dispatcher = sim.now, sim.dispatchers[a.Dispatcher]
+			req := sim.accounting.newRequest(a)
+			req.arrived, req.dispatcher = sim.now, sim.dispatchers[a.Dispatcher]
 			sim.openRequests++
 			next()
-			q.dispatcher.accept(q, false)
+			req.dispatcher.accept(req, false)
 		})
 	}
 	next()
 }
 
-// quotaBucket is a leaky bucket for a tenant's quota, two seconds of it deep.
+// quotaBucket is a leaky bucket for a tenant's quota. It holds the quota of two seconds.
 type quotaBucket struct {
 	used float64
 	at   time.Duration
 }
 
+// take counts a request at the time now, and reports whether it is within the quota. A rate of 0 or less means no
+// limit.
 func (b *quotaBucket) take(now time.Duration, perSec float64) bool {
 	if perSec <= 0 {
 		return true
@@ -56,28 +58,29 @@
 	return true
 }
 
-// finishRequest is a request's one final end, as its client sees it.
-func (sim *simulation) finishRequest(q *request, verdict requestOutcome) {
-	if q.ended {
+// finishRequest records a request's final outcome, as its client sees it. A second outcome is counted as a violation.
+func (sim *simulation) finishRequest(req *request, outcome requestOutcome) {
+	if req.ended {
 		sim.result.Violations[violationTwoAnswers]++
 		return
 	}
-	q.ended = true
+	req.ended = true
 	sim.openRequests--
-	sim.result.addEnded(sim.scenario, q, verdict, sim.now-q.arrived)
+	sim.result.addOutcome(sim.scenario, req, outcome, sim.now-req.arrived)
 }
 
-// retry lets a client send its request again, if it does so, and tells whether.
-func (sim *simulation) retry(q *request, after time.Duration) bool {
+// retry schedules the client's next try, and reports whether there is one: the client must have retries left, and its
+// deadline must lie after the wait.
+func (sim *simulation) retry(req *request, retryAfter time.Duration) bool {
 	wait := ms(sim.load.Retries.WaitMs)
 	if sim.load.Retries.HonourRetryAfter {
-		wait = max(wait, after)
+		wait = max(wait, retryAfter)
 	}
-	if q.retriesLeft <= 0 || sim.now+wait >= q.deadline {
+	if req.retriesLeft <= 0 || sim.now+wait >= req.deadline {
 		return false
 	}
-	q.retriesLeft--
+	req.retriesLeft--
 	sim.result.Retries++
-	sim.schedule(wait, func() { q.dispatcher.accept(q, true) })
+	sim.schedule(wait, func() { req.dispatcher.accept(req, true) })
 	return true
 }
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -14,9 +14,9 @@
 	failed
 )
 
-// Rules that a day may break, as Result.Violations names them.
+// Rules that a day may violate, as Result.Violations names them.
 const (
-	// ViolationOverload counts workers that got more during their slow start than they can bear.
+	// ViolationOverload counts workers that were overloaded during their slow start.
 	ViolationOverload = "cold worker pushed over"
 
 	violationTwoAnswers  = "two answers"
@@ -27,7 +27,7 @@
 	violationRanTwice    = "ran twice"
 )
 
-// Tally is the value offered and earned, and requests by how they ended.
+// Tally counts requests by how they ended, and sums the value that they offered and earned.
 type Tally struct {
 	OfferedValue float64 `json:"asked"`
 	EarnedValue  float64 `json:"earned"`
@@ -45,35 +45,35 @@
 	return t.EarnedValue / t.OfferedValue
 }
 
-// WorkerStats is what the workers of a kind did.
+// WorkerStats sums up what the workers of a kind did.
 type WorkerStats struct {
 	Count               int     `json:"count"`
 	Completed           int     `json:"done"`
-	Utilization         float64 `json:"busy"`    // share of the slots' time in use
+	Utilization         float64 `json:"busy"`    // share of the slots' time that was in use
 	RejectedJobs        int     `json:"full"`    // by workers with a full queue
-	RejectedConnections int     `json:"no_conn"` // by workers at their limit
+	RejectedConnections int     `json:"no_conn"` // by workers at their limit of connections
 }
 
-// Result is what happened on a day.
+// Result is the result of a day.
 type Result struct {
 	Score                float64        `json:"score"` // see computeScore
 	Total                Tally          `json:"whole"`
 	Classes              []Tally        `json:"classes"`
-	Tenants              []Tally        `json:"universities"` // only what lay within their quotas
+	Tenants              []Tally        `json:"universities"` // only requests within the tenants' quotas
 	Seconds              []Tally        `json:"seconds"`      // by the second in which the request arrived
 	Kinds                []WorkerStats  `json:"kinds"`
 	WorstTenSeconds      float64        `json:"worst_10_s"`
 	Requests             int            `json:"tries"`
 	Retries              int            `json:"repeats"`
-	Rejections           int            `json:"refusals"` // by the decision module
+	Rejections           int            `json:"refusals"` // by the decision modules
 	Overflowed           int            `json:"turned"`   // rejected by a dispatcher with too many open jobs
 	AttemptsSent         int            `json:"sent"`
 	ConnectionsDialled   int            `json:"dialled"`
 	CrossZoneAttempts    int            `json:"crossed"` // to a worker in another zone
 	ConnectionsExhausted int            `json:"no_link"` // attempts for which a dispatcher had no connection left
-	PeakOpenJobs         int            `json:"open"`    // at one dispatcher
+	PeakOpenJobs         int            `json:"open"`    // greatest number at one dispatcher
 	Outcomes             [9]int         `json:"outcomes"`
-	Violations           map[string]int `json:"broken"` // by rule: how often it was broken
+	Violations           map[string]int `json:"broken"` // number of violations by rule
 	WorkSeconds          float64        `json:"worked"` // seconds on a core of speed 1
 	Events               int            `json:"events"`
 	Decisions            int            `json:"decisions"`
@@ -82,55 +82,55 @@
 }
 
 func newResult(s *scenario) *Result {
-	r := &Result{Violations: map[string]int{}, Classes: make([]Tally, len(s.Classes)), Tenants: make([]Tally, len(s.Tenants)),
+	result := &Result{Violations: map[string]int{}, Classes: make([]Tally, len(s.Classes)), Tenants: make([]Tally, len(s.Tenants)),
 		Kinds: make([]WorkerStats, len(s.Kinds)), Seconds: make([]Tally, int(math.Ceil(s.load.Seconds)))}
 	for _, g := range s.Workers {
-		r.Kinds[s.kindIndex[g.Kind]].Count += g.Count
+		result.Kinds[s.kindIndex[g.Kind]].Count += g.Count
 	}
-	return r
+	return result
 }
 
-// tallies returns those in which a request counts.
-func (r *Result) tallies(q *request) []*Tally {
-	out := []*Tally{&r.Total, &r.Classes[q.class], &r.Seconds[min(int(q.arrived.Seconds()), len(r.Seconds)-1)]}
-	if q.withinQuota {
-		out = append(out, &r.Tenants[q.tenant])
+// tallies returns the tallies in which a request counts.
+func (r *Result) tallies(req *request) []*Tally {
+	out := []*Tally{&r.Total, &r.Classes[req.class], &r.Seconds[min(int(req.arrived.Seconds()), len(r.Seconds)-1)]}
+	if req.withinQuota {
+		out = append(out, &r.Tenants[req.tenant])
 	}
 	return out
 }
 
-// value returns what a request earns in time.
-func (s *scenario) value(q *request) float64 {
-	w := s.Classes[q.class].Value
-	if !q.withinQuota {
-		w *= s.OverQuotaValue
+// value returns the value that a request earns if it is answered in time.
+func (s *scenario) value(req *request) float64 {
+	earned := s.Classes[req.class].Value
+	if !req.withinQuota {
+		earned *= s.OverQuotaValue
 	}
-	return w
+	return earned
 }
 
-func (r *Result) addOffered(s *scenario, q *request) {
-	for _, t := range r.tallies(q) {
-		t.OfferedValue += s.value(q)
+func (r *Result) addOffered(s *scenario, req *request) {
+	for _, t := range r.tallies(req) {
+		t.OfferedValue += s.value(req)
 		t.Jobs++
 	}
 }
 
-func (r *Result) addEnded(s *scenario, q *request, v requestOutcome, took time.Duration) {
-	c := &s.Classes[q.class]
+func (r *Result) addOutcome(s *scenario, req *request, outcome requestOutcome, took time.Duration) {
+	requestClass := &s.Classes[req.class]
 	earned := 0.0
-	inTime := v == served && took <= sec(c.LatencyTargetSeconds+c.Stretch*q.work)
+	inTime := outcome == served && took <= sec(requestClass.LatencyTargetSeconds+requestClass.Stretch*req.work)
 	switch {
 	case inTime:
-		earned = s.value(q)
-	case v == served:
-		earned = s.value(q) * c.LateValue
+		earned = s.value(req)
+	case outcome == served:
+		earned = s.value(req) * requestClass.LateValue
 	}
-	for _, t := range r.tallies(q) {
+	for _, t := range r.tallies(req) {
 		t.EarnedValue += earned
 		switch {
 		case inTime:
 			t.InTime++
-		case v == served:
+		case outcome == served:
 			t.Late++
 		default:
 			t.Failed++
@@ -138,8 +138,8 @@
 	}
 }
 
-// computeScore weighs the service: 40 % for the whole day, 15 % for the worst ten seconds, 20 % for the worst class and 25 %
-// for the worst tenant within its quota.
+// computeScore computes the score as a weighted sum of service: 40 % for the whole day, 15 % for the worst ten seconds,
+// 20 % for the worst class and 25 % for the worst tenant within its quota.
 func (r *Result) computeScore() {
 	r.WorstTenSeconds = 1
 	width := min(10, len(r.Seconds))
@@ -151,12 +151,12 @@
 		}
 		r.WorstTenSeconds = min(r.WorstTenSeconds, t.Service())
 	}
-	class, university := 1.0, 1.0
+	worstClass, worstTenant := 1.0, 1.0
 	for i := range r.Classes {
-		class = min(class, r.Classes[i].Service())
+		worstClass = min(worstClass, r.Classes[i].Service())
 	}
 	for i := range r.Tenants {
-		university = min(university, r.Tenants[i].Service())
+		worstTenant = min(worstTenant, r.Tenants[i].Service())
 	}
-	r.Score = 0.4*r.Total.Service() + 0.15*r.WorstTenSeconds + 0.2*class + 0.25*university
+	r.Score = 0.4*r.Total.Service() + 0.15*r.WorstTenSeconds + 0.2*worstClass + 0.25*worstTenant
 }
--- a/internal/dispatcher/planner/limits.go
+++ b/internal/dispatcher/planner/limits.go
@@ -11,15 +11,15 @@
 
 const unlimited = 1 << 30
 
-// LimitEffect is what lifting one limit does where the goal is missed.
+// LimitEffect is the effect of lifting one limit at a load where the goal does not hold.
 type LimitEffect struct {
 	Resource string  `json:"resource"`
 	Slack    float64 `json:"slack"` // of the worst test once the limit is lifted
-	Gain     float64 `json:"gain"`  // by how much that is better
+	Gain     float64 `json:"gain"`  // difference to the slack with the limit
 }
 
-// liftableLimits returns the limits that can be lifted one at a time, by name, each with the change of copies of the
-// descriptions that lifts it.
+// liftableLimits returns the limits that can be lifted one at a time, by name. Each function lifts its limit in shallow
+// copies of the descriptions.
 func liftableLimits(f *fleetsim.Fleet) map[string]func(*fleetsim.Fleet, *fleetsim.Load) {
 	kinds := func(change func(*fleetsim.Kind)) func(*fleetsim.Fleet, *fleetsim.Load) {
 		return func(f *fleetsim.Fleet, _ *fleetsim.Load) {
@@ -65,32 +65,34 @@
 	}
 }
 
-// removeTenantPools takes the quota shares away: without a share no tenant gets a pool of its own. The load keeps its mix.
-func removeTenantPools(f *fleetsim.Fleet, l *fleetsim.Load) {
-	mixed := len(l.Tenants) > 0
-	f.Tenants = slices.Clone(f.Tenants)
-	for i := range f.Tenants {
-		u := &f.Tenants[i]
-		if !mixed {
-			l.Tenants = append(l.Tenants, fleetsim.TenantLoad{Name: u.Name, Share: u.Share})
+// removeTenantPools sets all quota shares to 0, so that no tenant gets a pool of its own. The load keeps its mix of
+// tenants.
+func removeTenantPools(fleet *fleetsim.Fleet, load *fleetsim.Load) {
+	hasMix := len(load.Tenants) > 0
+	fleet.Tenants = slices.Clone(fleet.Tenants)
+	for i := range fleet.Tenants {
+		tenant := &fleet.Tenants[i]
+		if !hasMix {
+			load.Tenants = append(load.Tenants, fleetsim.TenantLoad{Name: tenant.Name, Share: tenant.Share})
 		}
-		u.Share = 0
+		tenant.Share = 0
 	}
 }
 
-// limitEffects lifts one limit after the other, and orders them by what that gains over the given slack.
-func (p *Planner) limitEffects(f *fleetsim.Fleet, l *fleetsim.Load, slack float64) (out []LimitEffect, err error) {
-	all := liftableLimits(f)
-	for _, name := range slices.Sorted(maps.Keys(all)) {
+// limitEffects lifts one limit after the other, and returns the effects ordered by their gain over the given slack, the
+// greatest first.
+func (p *Planner) limitEffects(fleet *fleetsim.Fleet, load *fleetsim.Load, slack float64) (effects []LimitEffect, err error) {
+	lifts := liftableLimits(fleet)
+	for _, name := range slices.Sorted(maps.Keys(lifts)) {
 		p.reportProgress("what gives relief: %s", name)
-		lf, ll := *f, *l
-		all[name](&lf, &ll)
-		e, err := p.evaluate(&lf, &ll)
+		liftedFleet, liftedLoad := *fleet, *load
+		lifts[name](&liftedFleet, &liftedLoad)
+		result, err := p.evaluate(&liftedFleet, &liftedLoad)
 		if err != nil {
-			return out, err
+			return effects, err
 		}
-		out = append(out, LimitEffect{name, e.slack, e.slack - slack})
+		effects = append(effects, LimitEffect{name, result.slack, result.slack - slack})
 	}
-	slices.SortStableFunc(out, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
-	return out, nil
+	slices.SortStableFunc(effects, func(a, b LimitEffect) int { return cmp.Compare(b.Gain, a.Gain) })
+	return effects, nil
 }
--- a/internal/dispatcher/planner/report/golden_test.go
+++ b/internal/dispatcher/planner/report/golden_test.go
@@ -17,7 +17,7 @@
 	pngData    = regexp.MustCompile(`(data:image/png;base64,)[^"]*`)
 )
 
-// pageStructure reduces each plot to its words, as its strokes are the plot library's.
+// pageStructure reduces each plot to its texts, as its lines depend on the plot library.
 func pageStructure(page []byte) []byte {
 	page = pngData.ReplaceAll(page, []byte("$1"))
 	return svgElement.ReplaceAllFunc(page, func(svg []byte) []byte {
@@ -29,13 +29,13 @@
 	})
 }
 
-// TestGoldenPage holds the structure and the words of the page.
+// TestGoldenPage compares the structure and the texts of the page with recorded ones.
 func TestGoldenPage(t *testing.T) {
 	p := Page{Goal: "service >= 0.9 & <more>", Table: "a table\n  of two lines",
 		Sizing: &planner.Sizing{Curve: []planner.Sample{
-			{Workers: 9, Service: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true},
-			{Workers: 8, Service: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}},
-			{Workers: 10, Service: planner.Estimate{Mean: 0.97, HalfWidth: 0.01}, Holds: true}}},
+			{Workers: 9, Score: planner.Estimate{Mean: 0.95, HalfWidth: 0.02}, Holds: true},
+			{Workers: 8, Score: planner.Estimate{Mean: 0.8, HalfWidth: 0.1}},
+			{Workers: 10, Score: planner.Estimate{Mean: 0.97, HalfWidth: 0.01}, Holds: true}}},
 		ZoneLosses: []planner.ZoneLoss{{Zone: "montreal", Seconds: []float64{0, 4, 9, 1}}, {Zone: "montreal", Spares: true, Seconds: []float64{0, 2, 3, 1}},
 			{Zone: "sherbrooke", Seconds: []float64{1, 1, 2, 0}}}}
 	for name, page := range map[string]Page{"page.html": p, "page-without-plots.html": {Goal: p.Goal, Table: p.Table}} {
