--- a/internal/dispatcher/capture/file_pair.go
+++ b/internal/dispatcher/capture/file_pair.go
@@ -15,32 +15,32 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// versionKey is the key of the Parquet metadata that holds FormatVersion.
+// versionKey is the Parquet metadata key whose value is FormatVersion.
 const versionKey = "gladepick.version"
 
 const pageBufferBytes = 64 << 10
 
-// partialSuffix ends the name of a file that is not closed.
+// partialSuffix is the suffix of a file that is still being written.
 const partialSuffix = ".part"
 
-// outputFile is a file that is being written.
+// outputFile is the part of *os.File that the recorder uses. Tests implement it to inject disk faults.
 type outputFile interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// The files of a pair, by their places in its arrays.
+// Indices of a pair's files in the arrays of filePair.
 const (
 	requestFile = iota
 	attemptFile
 	filesPerPair
 )
 
-// fileKinds stand in the files' names.
+// fileKinds are the parts of the file names that tell the two files of a pair apart.
 var fileKinds = [filesPerPair]string{requestFile: "tries", attemptFile: "attempts"}
 
-// filePair is a capture's two files while they are open. The goroutine of Recorder.Run owns it.
+// filePair is the two open files of a capture. Only the goroutine of Recorder.Run uses it.
 type filePair struct {
 	dir         string
 	paths       [filesPerPair]string // without partialSuffix
@@ -48,33 +48,33 @@
 	checksums   [filesPerPair]checksumWriter
 	requests    *parquet.GenericWriter[Request]
 	attempts    *parquet.GenericWriter[Attempt]
-	stem        string // with which all their names begin
-	began       time.Time
-	rows        int // in both
+	stem        string // common prefix of the names of both files and their manifest
+	createdAt   time.Time
+	rows        int // total of both files
 	rowsPerFile [filesPerPair]int64
 }
 
-// requestSchema is named as in files of format version 1, whatever the Go type is called.
+// requestSchema has the schema name of format version 1, which differs from the name of the Go type.
 var requestSchema = parquet.NewSchema("Try", parquet.SchemaOf(Request{}))
 
-// checksumWriter counts the bytes that it passes on, and computes their checksum.
+// checksumWriter counts the bytes written through it and computes their checksum.
 type checksumWriter struct {
-	to    io.Writer
+	out   io.Writer
 	bytes int64
 	sum   *xxhash.Digest // XXH64, seed 0
 }
 
 func (c *checksumWriter) Write(p []byte) (int, error) {
-	n, err := c.to.Write(p)
+	n, err := c.out.Write(p)
 	c.bytes += int64(n)
 	c.sum.Write(p[:n])
 	return n, err
 }
 
-// createPair creates a pair of files that is named after the dispatcher and the time.
+// createPair creates a pair of files whose names consist of the dispatcher's name and the time.
 func (r *Recorder) createPair() (*filePair, error) {
-	p := &filePair{dir: r.settings.Dir, began: time.Now()}
-	p.stem = fmt.Sprintf("%s-%s", fileNamePrefix(r.node.Name), p.began.UTC().Format("20060102T150405.000000000"))
+	p := &filePair{dir: r.settings.Dir, createdAt: time.Now()}
+	p.stem = fmt.Sprintf("%s-%s", fileNamePrefix(r.node.Name), p.createdAt.UTC().Format("20060102T150405.000000000"))
 	for i, kind := range fileKinds {
 		p.paths[i] = filepath.Join(r.settings.Dir, p.stem+"-"+kind+".parquet")
 		f, err := r.createFile(p.paths[i] + partialSuffix)
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 		p.files[i] = f
-		p.checksums[i].to = f
+		p.checksums[i].out = f
 		p.checksums[i].sum = xxhash.New()
 	}
 	options := []parquet.WriterOption{
@@ -96,8 +96,8 @@
 	return p, nil
 }
 
-// fileNamePrefix makes the beginning of a file's name from a dispatcher's name. The dash is not kept, as it separates the
-// name from the time.
+// fileNamePrefix converts a dispatcher's name to the first part of a file name. Characters other than ASCII letters,
+// digits, "_" and "." become "_". This includes the dash, which separates the name from the time.
 func fileNamePrefix(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c == '.' {
@@ -107,11 +107,12 @@
 	}, name)
 }
 
+// bytes returns the total size of both files.
 func (p *filePair) bytes() int64 {
 	return p.checksums[requestFile].bytes + p.checksums[attemptFile].bytes
 }
 
-// write adds rows to each file as a row group of their own.
+// write appends the rows to the two files, each as a new row group.
 func (p *filePair) write(requests []Request, attempts []Attempt) error {
 	p.rows += len(requests) + len(attempts)
 	p.rowsPerFile[requestFile] += int64(len(requests))
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// close ends both files, gives them their names and seals them with a manifest.
+// close syncs and closes both files, renames them to their final names and writes their manifest.
 func (p *filePair) close(node string, droppedRows int64) error {
 	err := errors.Join(
 		p.requests.Close(),
@@ -166,7 +167,7 @@
 	return writeFileAtomically(filepath.Join(p.dir, p.stem+manifestSuffix), append(text, '\n'))
 }
 
-// discard closes the files and removes them. It also serves a pair of which only a part was created.
+// discard closes and removes the files. It also accepts a pair of which only one file was created.
 func (p *filePair) discard() {
 	for i, f := range p.files {
 		if f != nil {
--- a/internal/dispatcher/capture/golden_test.go
+++ b/internal/dispatcher/capture/golden_test.go
@@ -17,21 +17,22 @@
 
 const goldenCapture = "testdata/capture"
 
-// recordGolden records the jobs of the golden capture to dir, at fixed times.
+// recordGolden records the jobs of the golden capture to dir, with fixed clocks.
 func recordGolden(t testing.TB, dir string) {
 	t.Helper()
-	began := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
+	origin := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	f := record(t, dir, func(r *Recorder) {
-		r.clockOrigin, r.bootNanos = began, began.Add(time.Hour).UnixNano()
-		r.wallClock = func() time.Time { return began.Add(2 * time.Hour) }
+		r.clockOrigin, r.bootNanos = origin, origin.Add(time.Hour).UnixNano()
+		r.wallClock = func() time.Time { return origin.Add(2 * time.Hour) }
 	})
-	for _, i := range []int{0, 1, 2, 3, 4, 5, 6, 7, 48, 49} { // 48 is abandoned with an attempt still out, 49 finds no capacity
+	// Job 48 is abandoned with an attempt in flight, job 49 overflows.
+	for _, i := range []int{0, 1, 2, 3, 4, 5, 6, 7, 48, 49} {
 		f.job(i)
 	}
 	f.end(t)
 }
 
-// dumpCapture lists a capture's schemas and rows by the names of the columns.
+// dumpCapture returns a capture's schemas and rows as text, with the names of the columns.
 func dumpCapture(t testing.TB, dir string) []byte {
 	t.Helper()
 	set, err := Read(dir)
@@ -72,9 +73,10 @@
 	fmt.Fprintln(out)
 }
 
-// TestGoldenCapture reads a capture that an earlier build wrote, and records the same jobs again: schemas, rows and the
-// manifest's keys must be the same. The Parquet bytes themselves name the library's version and are not compared.
-func TestGoldenCapture(t *testing.T) {
+// TestFileFormatIsUnchanged guards against incompatible changes of the file format. It reads a capture that an earlier
+// build wrote, and records the same jobs again: schemas, rows and the manifest's keys must be equal. The Parquet bytes
+// contain the library's version and are not compared.
+func TestFileFormatIsUnchanged(t *testing.T) {
 	if golden.FlagUpdate() {
 		os.RemoveAll(goldenCapture)
 		if err := os.MkdirAll(goldenCapture, 0o755); err != nil {
@@ -89,7 +91,7 @@
 
 	names, _ := filepath.Glob(filepath.Join(goldenCapture, "*"+manifestSuffix))
 	if len(names) != 1 {
-		t.Fatalf("manifests: %v", names)
+		t.Fatalf("got manifests %v, want one", names)
 	}
 	text, err := os.ReadFile(names[0])
 	if err != nil {
@@ -104,13 +106,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(again, '\n'), text) {
-		t.Errorf("the manifest is written as\n%s\nit was\n%s", again, text)
+		t.Errorf("manifest is written as\n%s\nwant\n%s", again, text)
 	}
 }
 
-// TestRequestSchema holds the schema's name in the file, and that the library still takes its direct way from rows to columns.
-func TestRequestSchema(t *testing.T) {
+// TestRequestSchemaMatchesRowType checks the schema's name in the file, and that its nodes equal those of the row type,
+// as only then the library writes rows to columns without a conversion.
+func TestRequestSchemaMatchesRowType(t *testing.T) {
 	if requestSchema.Name() != "Try" || !parquet.EqualNodes(requestSchema, parquet.SchemaOf(Request{})) {
-		t.Errorf("%s", requestSchema)
+		t.Errorf("unexpected schema: %s", requestSchema)
 	}
 }
--- a/internal/dispatcher/capture/manifest.go
+++ b/internal/dispatcher/capture/manifest.go
@@ -11,33 +11,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// manifestSuffix ends a manifest's name.
+// manifestSuffix is the suffix of a manifest's file name.
 const manifestSuffix = ".capture.json"
 
-// maxManifestBytes bounds what is read of a manifest, which may be any file.
+// maxManifestBytes limits how much of a manifest is read, as the path may name any file.
 const maxManifestBytes = 1 << 20
 
-// Manifest seals the files of a capture: nothing is read that does not have the length and the checksum given here. The
-// Parquet library trusts the lengths inside a file, so damaged bytes could end the process.
+// Manifest seals the files of a capture: Read skips a file whose length or checksum differs from the manifest. The
+// Parquet library trusts the lengths inside a file, so corrupt bytes could crash the process.
 type Manifest struct {
 	Version     int          `json:"version"`
 	Node        string       `json:"node"`
-	DroppedRows int64        `json:"lost"` // rows that were not written since the manifest before
+	DroppedRows int64        `json:"lost"` // rows dropped since the previous manifest
 	Files       []SealedFile `json:"files"`
 }
 
-// SealedFile is one sealed file.
+// SealedFile describes one file that a manifest seals.
 type SealedFile struct {
-	Name  string `json:"name"` // in the manifest's directory
+	Name  string `json:"name"` // base name; the file is in the manifest's directory
 	Bytes int64  `json:"bytes"`
 	Rows  int64  `json:"rows"`
 	XXH64 string `json:"xxh64"` // 16 hexadecimal digits, seed 0
 }
 
-// formatChecksum writes a checksum as manifests hold it.
+// formatChecksum returns a checksum in the format of manifests.
 func formatChecksum(sum *xxhash.Digest) string { return fmt.Sprintf("%016x", sum.Sum64()) }
 
-// readManifest reads and checks a manifest. Its errors name the file and the key.
+// readManifest reads and validates a manifest. Its errors name the file and the key.
 func readManifest(name string) (*Manifest, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -50,23 +50,23 @@
 	}
 	m := &Manifest{}
 	if err := json.Unmarshal(text, m); err != nil {
-		return nil, fmt.Errorf("%s: no whole manifest: %w", name, err)
+		return nil, fmt.Errorf("%s: invalid manifest: %w", name, err)
 	}
 	if m.Version < 1 || m.Version > FormatVersion {
-		return nil, fmt.Errorf("%s: key version: the columns are of version %d, this program knows 1 to %d", name, m.Version, FormatVersion)
+		return nil, fmt.Errorf("%s: key version: unsupported format version %d, supported are 1 to %d", name, m.Version, FormatVersion)
 	}
 	if m.DroppedRows < 0 || len(m.Files) == 0 {
-		return nil, fmt.Errorf("%s: no whole manifest: keys lost and files are %d and %d long", name, m.DroppedRows, len(m.Files))
+		return nil, fmt.Errorf("%s: invalid manifest: key lost is %d, key files has %d entries", name, m.DroppedRows, len(m.Files))
 	}
 	for i, file := range m.Files {
 		if file.Name != filepath.Base(file.Name) || file.Name == "." || file.Rows < 0 || file.Bytes < 0 {
-			return nil, fmt.Errorf("%s: key files.%d: %q cannot be a capture's file", name, i, file.Name)
+			return nil, fmt.Errorf("%s: key files.%d: invalid entry for file %q", name, i, file.Name)
 		}
 	}
 	return m, nil
 }
 
-// writeFileAtomically writes a file that is there with all of its text or not at all, also after a crash.
+// writeFileAtomically writes and syncs a file. After a crash the file either has the whole text or does not exist.
 func writeFileAtomically(name string, text []byte) error {
 	f, err := os.Create(name + partialSuffix)
 	if err != nil {
--- a/internal/dispatcher/capture/reader.go
+++ b/internal/dispatcher/capture/reader.go
@@ -17,26 +17,26 @@
 
 const rowsPerRead = 1024
 
-// Set is what was read from the files of any number of captures.
+// Set is the rows read from any number of captures.
 type Set struct {
 	Requests    []Request
 	Attempts    []Attempt
-	DroppedRows int64    // rows that recorders could not write
-	Files       int      // how many were read
-	Warnings    []string // what is wrong with the files, and what was left out
+	DroppedRows int64    // rows that the recorders dropped
+	Files       int      // number of Parquet files read
+	Warnings    []string // faults of the files and the files that were skipped
 }
 
-// Read reads the captures at the given paths, each a manifest or a directory of captures. Only complete files of this
-// format version or an older one are read, with every column that the planner needs. What is damaged, foreign or unsealed
-// is left out and stands in Set.Warnings; where nothing at all can be read, Read returns an error. Rows are in the order
-// of their times.
+// Read reads the captures at the given paths, each a manifest or a directory of captures. It reads only complete files
+// of this format version or an older one that have every column of Request or Attempt. Corrupt, foreign and unsealed
+// files are skipped and reported in Set.Warnings. Read returns an error if it cannot read any file. Requests are sorted
+// by arrival time, attempts by send time.
 func Read(paths ...string) (*Set, error) {
 	names, err := listFiles(paths)
 	if err != nil {
 		return nil, err
 	}
 	s := &Set{}
-	sealed := map[string]bool{} // by path
+	sealed := map[string]bool{} // paths of files that a manifest lists
 	for _, name := range names {
 		if strings.HasSuffix(name, manifestSuffix) {
 			s.readSealed(name, sealed)
@@ -48,19 +48,19 @@
 		case strings.HasSuffix(name, partialSuffix):
 			s.Warnings = append(s.Warnings, describeOrphan(name))
 		case strings.HasSuffix(name, ".parquet"):
-			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: left out: no manifest seals it", name))
+			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: skipped: no manifest lists it", name))
 		}
 	}
 	if s.Files == 0 {
 		problems := append([]string{strings.Join(paths, ", ")}, s.Warnings...)
-		return nil, fmt.Errorf("no capture can be read: %s", strings.Join(problems, "; "))
+		return nil, fmt.Errorf("no readable capture: %s", strings.Join(problems, "; "))
 	}
 	slices.SortStableFunc(s.Requests, func(a, b Request) int { return cmp.Compare(a.Arrived, b.Arrived) })
 	slices.SortStableFunc(s.Attempts, func(a, b Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
 	return s, nil
 }
 
-// listFiles returns the paths in order, each once, with each directory replaced by its files.
+// listFiles replaces each directory by its files and returns the paths sorted and without duplicates.
 func listFiles(paths []string) ([]string, error) {
 	var names []string
 	for _, path := range paths {
@@ -72,21 +72,21 @@
 			names = append(names, path)
 			continue
 		}
-		found, err := filepath.Glob(filepath.Join(path, "*"))
+		files, err := filepath.Glob(filepath.Join(path, "*"))
 		if err != nil {
 			return nil, err
 		}
-		names = append(names, found...)
+		names = append(names, files...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names), nil
 }
 
-// readSealed reads the files that one manifest seals, and notes their paths in sealed.
+// readSealed reads the files that one manifest lists, and adds their paths to sealed.
 func (s *Set) readSealed(name string, sealed map[string]bool) {
 	m, err := readManifest(name)
 	if err != nil {
-		s.Warnings = append(s.Warnings, fmt.Sprintf("left out: %v", err))
+		s.Warnings = append(s.Warnings, fmt.Sprintf("skipped: %v", err))
 		return
 	}
 	s.DroppedRows += m.DroppedRows
@@ -94,17 +94,17 @@
 		path := filepath.Join(filepath.Dir(name), file.Name)
 		sealed[path] = true
 		if err := s.readFile(path, file); err != nil {
-			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: left out, %d rows: %v", path, file.Rows, err))
+			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: skipped, %d rows: %v", path, file.Rows, err))
 		}
 	}
 }
 
-// readFile adds the rows of one sealed file: all of them, or none and an error.
+// readFile adds all rows of one sealed file. On an error it adds none.
 func (s *Set) readFile(path string, seal SealedFile) (err error) {
 	defer func() {
-		// Sealed bytes may still come from another program; where the library panics over them, that is an error.
+		// A file with a valid checksum may still come from another program, and the library may panic on it.
 		if r := recover(); r != nil {
-			err = fmt.Errorf("not readable: %v", r)
+			err = fmt.Errorf("reading panicked: %v", r)
 		}
 	}()
 	f, err := os.Open(path)
@@ -117,10 +117,10 @@
 	}
 	file, err := parquet.OpenFile(f, seal.Bytes)
 	if err != nil {
-		return fmt.Errorf("no whole Parquet file: %w", err)
+		return fmt.Errorf("invalid Parquet file: %w", err)
 	}
 	if _, ok := file.Lookup(versionKey); !ok {
-		return errors.New("a Parquet file, but no capture: the key " + versionKey + " is missing")
+		return errors.New("not a capture: metadata key " + versionKey + " is missing")
 	}
 	if _, ok := file.Schema().Lookup("sent"); ok {
 		err = readRows(file, &s.Attempts)
@@ -133,7 +133,7 @@
 	return err
 }
 
-// verifySeal compares a file's length and checksum with its seal.
+// verifySeal compares a file's length and checksum with its manifest entry.
 func verifySeal(file io.Reader, seal SealedFile) error {
 	sum := xxhash.New()
 	length, err := io.Copy(sum, file)
@@ -141,15 +141,15 @@
 		return err
 	}
 	if length != seal.Bytes {
-		return fmt.Errorf("%d bytes long, sealed with %d", length, seal.Bytes)
+		return fmt.Errorf("file has %d bytes, manifest has %d", length, seal.Bytes)
 	}
 	if checksum := formatChecksum(sum); checksum != seal.XXH64 {
-		return fmt.Errorf("damaged: its sum is %s, sealed as %s", checksum, seal.XXH64)
+		return fmt.Errorf("checksum mismatch: file has %s, manifest has %s", checksum, seal.XXH64)
 	}
 	return nil
 }
 
-// readRows appends all rows of a file, or none where one of them cannot be read.
+// readRows appends all rows of a file to into. On an error it appends none.
 func readRows[T any](file *parquet.File, into *[]T) error {
 	if err := checkColumns(file.Schema(), parquet.SchemaOf(new(T))); err != nil {
 		return err
@@ -171,13 +171,14 @@
 		}
 	}
 	if int64(len(out)) != file.NumRows() {
-		return fmt.Errorf("%d rows of %d can be read", len(out), file.NumRows())
+		return fmt.Errorf("read %d of %d rows", len(out), file.NumRows())
 	}
 	*into = append(*into, out...)
 	return nil
 }
 
-// checkColumns tells whether a file has every wanted column, with the wanted physical type. It may have others.
+// checkColumns returns an error unless a file has every wanted column with the wanted physical type. The file may have
+// further columns.
 func checkColumns(have, want *parquet.Schema) error {
 	for _, path := range want.Columns() {
 		wanted, _ := want.Lookup(path...)
@@ -186,13 +187,14 @@
 			return fmt.Errorf("column %s is missing", strings.Join(path, "."))
 		}
 		if wanted.Node.Type().Kind() != found.Node.Type().Kind() {
-			return fmt.Errorf("column %s holds %s, not %s", strings.Join(path, "."), found.Node.Type().Kind(), wanted.Node.Type().Kind())
+			return fmt.Errorf("column %s has type %s, want %s", strings.Join(path, "."), found.Node.Type().Kind(), wanted.Node.Type().Kind())
 		}
 	}
 	return nil
 }
 
-// cloneStrings copies a row's strings, as the library's may point into a page buffer that it uses again.
+// cloneStrings replaces a row's strings by copies, as the library's strings may point into a page buffer that it
+// reuses.
 func cloneStrings(row any) {
 	v := reflect.ValueOf(row).Elem()
 	for i := range v.NumField() {
--- a/internal/dispatcher/capture/recorder.go
+++ b/internal/dispatcher/capture/recorder.go
@@ -1,14 +1,14 @@
-// Package capture records what a dispatcher accepts, sends and answers, and reads such records back. Its one job is the
-// file format of docs/capture-format.md: a capture is a pair of Parquet files, one with a row per client request and one
-// with a row per attempt, and a manifest beside them that seals both with lengths and checksums.
+// Package capture records the requests and attempts of a dispatcher to files and reads them back. It implements the
+// file format of docs/capture-format.md: a capture is a pair of Parquet files, one with a row per client request and
+// one with a row per attempt, and a manifest in the same directory with the length and checksum of each file.
 //
-// Recorder is an observer of the dispatcher's core. The core's goroutine builds complete rows and offers them to two bounded
-// channels; the goroutine of Recorder.Run alone touches files. Recording must never block the core or cost a job: a row
-// that finds no room in a channel or on the disk is counted and left out. A file without its manifest does not count as
-// closed.
+// Recorder observes the events of the dispatcher's core. The core's goroutine builds complete rows and sends them to
+// two bounded channels without blocking. Only the goroutine of Recorder.Run accesses files. Recording must never block
+// the core or fail a job: if a channel or the disk is full, the row is dropped and counted. A file that no manifest
+// lists is incomplete.
 //
-// Start reading at Recorder.Observe for what is recorded, at writer.go for when it is written, and at Read for the way
-// back.
+// Start reading at Recorder.Observe for what is recorded, at writer.go for when it is written, and at Read for reading
+// captures.
 package capture
 
 import (
@@ -37,10 +37,10 @@
 	OutcomeOverflowed = "turned"
 )
 
-// attemptOpen is the value of the column outcome of an attempt that was out when the dispatcher ended.
+// attemptOpen is the value of Attempt.Outcome for an attempt that was in flight when the dispatcher stopped.
 const attemptOpen = "open"
 
-// notSeen stands in columns of time for what never happened.
+// notSeen is the value of a time column if the event did not happen.
 const notSeen = -1
 
 var answerNames = map[dispatch.AnswerKind]string{
@@ -49,45 +49,46 @@
 	dispatch.Failed:   OutcomeFailed,
 }
 
-// openJob is a job without an answer.
+// openJob is an accepted job that has not been answered.
 type openJob struct {
-	job      int64 // its number since the dispatcher's start
+	job      int64 // Request.Job
 	arrived  int64 // Unix time in nanoseconds
 	attempts int32
 }
 
-// openAttempt is an attempt without an outcome.
+// openAttempt is an attempt that is in flight.
 type openAttempt struct {
-	job     int64
+	job     int64 // Attempt.Job
 	sent    int64 // Unix time in nanoseconds
-	started int64 // nanoseconds after sent, or notSeen
+	started int64 // nanoseconds after sent; notSeen until a start is reported
 }
 
-// Recorder is an observer of the core that writes what it sees. Observe is called by the core, Run has a goroutine of its
-// own, and Close ends both.
+// Recorder is an observer that writes the core's events to files. The core calls Observe. Run needs a goroutine of its
+// own and returns after Close.
 type Recorder struct {
 	node        *config.Node
 	settings    *config.Capture
 	counters    *dispatch.Counters
-	clockOrigin time.Time // wall clock at the core's time zero
+	clockOrigin time.Time // wall clock at the core's time 0
 	bootNanos   int64     // the dispatcher's start, Unix time in nanoseconds
 	wallClock   func() time.Time
-	createFile  func(name string) (outputFile, error) // tests replace it by files that fail
+	createFile  func(name string) (outputFile, error) // replaced by tests to inject disk faults
 
-	// Owned by the core's goroutine.
+	// Used only by the core's goroutine.
 	acceptedJobs int64
 	jobs         map[*dispatch.Job]openJob
 	attempts     map[*dispatch.Attempt]openAttempt
 
 	requestRows chan Request
 	attemptRows chan Attempt
-	droppedRows atomic.Int64 // since the newest manifest
+	droppedRows atomic.Int64 // since the last manifest
 	stop        chan struct{}
 	stopOnce    sync.Once
 	done        chan struct{}
 }
 
-// NewRecorder returns a recorder for a dispatcher. clock gives the core's time and the wall clock at the same moment.
+// NewRecorder returns a recorder for a dispatcher. clock returns the core's time and the wall-clock time of the same
+// instant.
 func NewRecorder(n *config.Node, counters *dispatch.Counters, clock func() (time.Duration, time.Time)) *Recorder {
 	coreTime, now := clock()
 	return &Recorder{
@@ -109,17 +110,18 @@
 	}
 }
 
-// unixNanos converts the core's time to Unix time. Steps of the wall clock since the start do not show in it.
+// unixNanos converts the core's time to Unix time in nanoseconds. The result ignores steps of the wall clock since the
+// start.
 func (r *Recorder) unixNanos(at time.Duration) int64 { return r.clockOrigin.UnixNano() + int64(at) }
 
-// Observe makes rows of the core's events. It never blocks.
+// Observe converts the core's events to rows. It never blocks.
 func (r *Recorder) Observe(event *dispatch.Event) {
 	switch event.Kind {
 	case dispatch.JobAccepted:
 		r.acceptedJobs++
 		r.jobs[event.Job] = openJob{job: r.acceptedJobs, arrived: r.unixNanos(event.At)}
 	case dispatch.JobOverflowed:
-		// This event comes on a front's goroutine, so nothing that the core's goroutine owns may be touched.
+		// A front's goroutine delivers this event, so this case must not use the fields of the core's goroutine.
 		r.recordRequest(event.Job, openJob{arrived: r.unixNanos(event.At)}, event.At, OutcomeOverflowed, r.node.Limits.RetryAfter)
 	case dispatch.AttemptSent:
 		r.attemptSent(event)
@@ -161,7 +163,7 @@
 	r.recordRequest(event.Job, open, event.At, outcome, event.Answer.RetryAfter)
 }
 
-// recordRequest offers the row of a request that ended at the core's time at.
+// recordRequest sends the row of a request that ended at the core's time at. It drops the row if the channel is full.
 func (r *Recorder) recordRequest(job *dispatch.Job, open openJob, at time.Duration, outcome string, retryAfter time.Duration) {
 	row := Request{
 		Node:       r.node.Name,
@@ -181,7 +183,7 @@
 	}
 	row.ClockOffset = r.wallClock().UnixNano() - r.unixNanos(at)
 	if job.AffinityKey != 0 {
-		// Zero means no key, so a hash that is zero by chance becomes one.
+		// 0 means no key, so a hash of 0 is stored as 1.
 		row.AffinityHash = max(xxhash.Sum64String(r.settings.Salt+"/"+strconv.FormatUint(job.AffinityKey, 16)), 1)
 	}
 	select {
@@ -191,7 +193,8 @@
 	}
 }
 
-// recordAttempt offers the row of an attempt that ended duration nanoseconds after it was sent.
+// recordAttempt sends the row of an attempt that ended duration nanoseconds after it was sent. It drops the row if the
+// channel is full.
 func (r *Recorder) recordAttempt(attempt *dispatch.Attempt, open openAttempt, duration int64, outcome string, load *decision.Load) {
 	layout := &r.node.Module.Report
 	row := Attempt{
@@ -219,7 +222,7 @@
 	}
 }
 
-// nameAt returns the name at an index of the settings, or nothing for an index that they do not have.
+// nameAt returns the name at an index, or "" if the index is out of range.
 func nameAt(names []string, index int) string {
 	if index < 0 || index >= len(names) {
 		return ""
@@ -227,7 +230,7 @@
 	return names[index]
 }
 
-// loadValue returns a value of a load report, or NaN where the report lacks it.
+// loadValue returns the value at an index of a load report, or NaN if the report does not have it.
 func loadValue(load *decision.Load, index int) float64 {
 	if index < 0 || index >= min(load.Count, len(load.Values)) {
 		return math.NaN()
@@ -235,12 +238,14 @@
 	return load.Values[index]
 }
 
+// countDropped counts dropped rows for the next manifest and for the dispatcher's counters.
 func (r *Recorder) countDropped(rows int) {
 	r.droppedRows.Add(int64(rows))
 	r.counters.CaptureDropped.Add(int64(rows))
 }
 
-// Close records the attempts that are still out, has all rows written and closes the files. The core must have ended.
+// Close records the attempts that are still in flight, and waits until Run has written all rows and closed the files.
+// The core must have stopped before.
 func (r *Recorder) Close(ctx context.Context) error {
 	r.stopOnce.Do(func() {
 		for attempt, open := range r.attempts {
@@ -252,6 +257,6 @@
 	case <-r.done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("capture: the last rows were not written in time: %w", ctx.Err())
+		return fmt.Errorf("capture: closed before the remaining rows were written: %w", ctx.Err())
 	}
 }
--- a/internal/dispatcher/capture/recorder_test.go
+++ b/internal/dispatcher/capture/recorder_test.go
@@ -1,5 +1,5 @@
-// These tests make the disk fail, the process die and files decay, and hold the recorder to its guarantees: it never
-// waits, what it writes reads back as it was, and every row is either there or counted as dropped.
+// These tests inject disk faults, process crashes and file corruption. They check that the recorder never blocks, that
+// rows read back as they were recorded, and that every row is either in a file or counted as dropped.
 package capture
 
 import (
@@ -25,18 +25,19 @@
 	"gladepick/internal/dispatcher/testenv"
 )
 
-// recorder is one that writes to dir, and feeds it jobs by hand.
+// feeder is a Recorder to which a test passes the events of jobs.
 type feeder struct {
 	*Recorder
-	count dispatch.Counters
-	at    time.Duration
+	counters dispatch.Counters
+	now      time.Duration // the core's time
 }
 
+// record starts a recorder that writes to dir. change, if not nil, modifies the recorder before it runs.
 func record(t testing.TB, dir string, change func(*Recorder)) *feeder {
 	n := *testenv.Node(t, nil, "")
 	n.Capture = &config.Capture{Dir: dir, RotateMB: 64, RotateS: 300, GroupS: 10, Salt: "s"}
-	f := &feeder{at: time.Hour}
-	f.Recorder = NewRecorder(&n, &f.count, func() (time.Duration, time.Time) { return time.Hour, time.Now() })
+	f := &feeder{now: time.Hour}
+	f.Recorder = NewRecorder(&n, &f.counters, func() (time.Duration, time.Time) { return time.Hour, time.Now() })
 	if change != nil {
 		change(f.Recorder)
 	}
@@ -44,30 +45,32 @@
 	return f
 }
 
-// job goes through the recorder with one attempt, as the core would show it.
+// job passes the events of one job with one attempt to the recorder. Of every 50 jobs, number 48 is abandoned with its
+// attempt in flight, and number 49 overflows.
 func (f *feeder) job(i int) {
 	j := &dispatch.Job{Class: i % 2, Tenant: i % 3, Slots: 1, AffinityKey: uint64(i % 5), Timeout: 5 * time.Second, Retry: i%4 == 0}
 	a := &dispatch.Attempt{Job: j, Worker: testenv.Worker("s-0000000"+strconv.Itoa(i%10), "127.0.0.1:1", "ready")}
-	see := func(s dispatch.EventKind, after time.Duration, m dispatch.Event) {
-		f.at += after
-		m.Kind, m.At, m.Job = s, f.at, j
-		f.Observe(&m)
+	observe := func(kind dispatch.EventKind, after time.Duration, event dispatch.Event) {
+		f.now += after
+		event.Kind, event.At, event.Job = kind, f.now, j
+		f.Observe(&event)
 	}
 	if i%50 == 49 {
-		see(dispatch.JobOverflowed, time.Millisecond, dispatch.Event{})
+		observe(dispatch.JobOverflowed, time.Millisecond, dispatch.Event{})
 		return
 	}
-	see(dispatch.JobAccepted, time.Millisecond, dispatch.Event{})
-	see(dispatch.AttemptSent, 0, dispatch.Event{Attempt: a})
-	see(dispatch.AttemptStarted, 2*time.Millisecond, dispatch.Event{Attempt: a})
+	observe(dispatch.JobAccepted, time.Millisecond, dispatch.Event{})
+	observe(dispatch.AttemptSent, 0, dispatch.Event{Attempt: a})
+	observe(dispatch.AttemptStarted, 2*time.Millisecond, dispatch.Event{Attempt: a})
 	if i%50 == 48 {
-		see(dispatch.JobAbandoned, time.Millisecond, dispatch.Event{})
-		return // its attempt is still out
+		observe(dispatch.JobAbandoned, time.Millisecond, dispatch.Event{})
+		return // the attempt is still in flight
 	}
-	see(dispatch.JobAnswered, 30*time.Millisecond, dispatch.Event{Answer: dispatch.Answer{Kind: dispatch.Served}})
-	see(dispatch.AttemptEnded, 0, dispatch.Event{Attempt: a, Outcome: decision.OK, Load: decision.Load{Count: 4, Values: [4]float64{2, 0.5, 10, 3}}})
+	observe(dispatch.JobAnswered, 30*time.Millisecond, dispatch.Event{Answer: dispatch.Answer{Kind: dispatch.Served}})
+	observe(dispatch.AttemptEnded, 0, dispatch.Event{Attempt: a, Outcome: decision.OK, Load: decision.Load{Count: 4, Values: [4]float64{2, 0.5, 10, 3}}})
 }
 
+// end closes the recorder.
 func (f *feeder) end(t testing.TB) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -76,7 +79,8 @@
 	}
 }
 
-func TestWhatIsRecordedReadsBack(t *testing.T) {
+// Recorded rows must read back with the values of the events.
+func TestRecordedRowsReadBack(t *testing.T) {
 	dir := t.TempDir()
 	f := record(t, dir, nil)
 	for i := range 1000 {
@@ -88,36 +92,36 @@
 		t.Fatal(err)
 	}
 	if len(s.Requests) != 1000 || len(s.Attempts) != 980 || s.DroppedRows != 0 || s.Files != 2 || len(s.Warnings) > 0 {
-		t.Fatalf("%d tries, %d attempts, %d lost, %d files, %v", len(s.Requests), len(s.Attempts), s.DroppedRows, s.Files, s.Warnings)
+		t.Fatalf("%d requests, %d attempts, %d dropped, %d files, warnings %v", len(s.Requests), len(s.Attempts), s.DroppedRows, s.Files, s.Warnings)
 	}
-	if n := f.count.Captured.Load(); n != 1980 {
-		t.Errorf("%d rows are counted as captured", n)
+	if n := f.counters.Captured.Load(); n != 1980 {
+		t.Errorf("%d rows are counted as captured, want 1980", n)
 	}
-	words := map[string]int{}
+	outcomes := map[string]int{} // number of rows by outcome, tenant and class
 	for _, row := range s.Requests {
-		words[row.Outcome+" "+row.Tenant+" "+row.Class]++
+		outcomes[row.Outcome+" "+row.Tenant+" "+row.Class]++
 	}
 	got, want := s.Requests[3], Request{Node: "n0", Job: 4, Class: "enrol", Tenant: "univ-laurentie", Slots: 1, Timeout: 5e9,
 		Outcome: "served", Duration: 32e6, Attempts: 1}
 	want.Boot, want.Arrived, want.ClockOffset, want.AffinityHash = got.Boot, got.Arrived, got.ClockOffset, got.AffinityHash
 	if got != want || got.AffinityHash == 0 || got.AffinityHash == 3 {
-		t.Errorf("a try: %+v", got)
+		t.Errorf("unexpected request: %+v", got)
 	}
-	if words["turned univ-gaspesie enrol"] == 0 || words["left univ-laurentie seat-check"] == 0 {
-		t.Errorf("verdicts: %v", words)
+	if outcomes["turned univ-gaspesie enrol"] == 0 || outcomes["left univ-laurentie seat-check"] == 0 {
+		t.Errorf("outcomes of requests: %v", outcomes)
 	}
 	a := s.Attempts[4]
 	if a.Job != 5 || a.Started != 2e6 || a.Ended != 32e6 || a.Outcome != "ok" || a.FreeSlots != 2 || a.Queue != 3 || a.Rate != 10 || a.Errors != 0.5 ||
 		a.Kind != "std-2c" || a.Zone != "montreal" {
-		t.Errorf("an attempt: %+v", a)
+		t.Errorf("unexpected attempt: %+v", a)
 	}
 	if open := slices.IndexFunc(s.Attempts, func(a Attempt) bool { return a.Outcome == "open" && a.Ended == -1 && math.IsNaN(a.FreeSlots) }); open < 0 {
-		t.Error("attempts that were out at the end are not told")
+		t.Error("no row for an attempt that was in flight at the end")
 	}
 }
 
-// A calendar that steps while the dispatcher runs moves no arrival, and the step is told.
-func TestStepsOfTheCalendarAreTold(t *testing.T) {
+// A step of the wall clock while the dispatcher runs must not shift arrival times, and must show in ClockOffset.
+func TestWallClockStepDoesNotShiftArrivals(t *testing.T) {
 	dir := t.TempDir()
 	step := time.Duration(0)
 	f := record(t, dir, func(r *Recorder) { r.wallClock = func() time.Time { return r.clockOrigin.Add(step + time.Hour) } })
@@ -130,86 +134,86 @@
 		t.Fatal(err)
 	}
 	if d := s.Requests[1].Arrived - s.Requests[0].Arrived; d < 0 || d > 1e9 {
-		t.Errorf("the second came %d ns after the first", d)
+		t.Errorf("the second request arrived %d ns after the first, want 0 to 1e9", d)
 	}
 	if d := s.Requests[1].ClockOffset - s.Requests[0].ClockOffset; d > -59*60*1e9 {
-		t.Errorf("a step of an hour shows as %d ns", d)
+		t.Errorf("a step by one hour changes ClockOffset by %d ns", d)
 	}
 }
 
-// full is a disk with so much room.
-type full struct {
+// fullDisk is a file on a disk with a limited number of free bytes, which all its files share.
+type fullDisk struct {
 	*os.File
-	room *int
+	free *int
 }
 
-func (d full) Write(p []byte) (int, error) {
-	if *d.room -= len(p); *d.room < 0 {
+func (d fullDisk) Write(p []byte) (int, error) {
+	if *d.free -= len(p); *d.free < 0 {
 		return 0, errors.New("no space left on device")
 	}
 	return d.File.Write(p)
 }
 
-// slow is a disk that stands still until it is let go.
-type slow struct {
+// blockedDisk is a file whose writes block until release is closed.
+type blockedDisk struct {
 	*os.File
-	gate chan bool
+	release chan bool
 }
 
-func (d slow) Write(p []byte) (int, error) {
-	<-d.gate
+func (d blockedDisk) Write(p []byte) (int, error) {
+	<-d.release
 	return d.File.Write(p)
 }
 
-// Rows are there or counted, whatever the disk does, and the core is never held up.
-func TestDisksThatFail(t *testing.T) {
+// When the disk fails, every row must be in a file or counted as dropped, and Observe must not block.
+func TestDiskFaultsNeitherBlockNorLoseCountOfRows(t *testing.T) {
 	const jobs = 12000
-	for name, spoil := range map[string]func(*Recorder) (letGo func()){
+	for name, injectFault := range map[string]func(*Recorder) (endFault func()){
 		"full": func(r *Recorder) func() {
-			whole, room := r.createFile, 200_000
+			createFile, free := r.createFile, 200_000
 			r.createFile = func(name string) (outputFile, error) {
-				f, err := whole(name)
+				f, err := createFile(name)
 				if err != nil {
 					return nil, err
 				}
-				return full{f.(*os.File), &room}, nil
+				return fullDisk{f.(*os.File), &free}, nil
 			}
 			return func() {}
 		},
-		"slow": func(r *Recorder) func() {
-			whole, gate := r.createFile, make(chan bool)
+		"blocked": func(r *Recorder) func() {
+			createFile, release := r.createFile, make(chan bool)
 			r.createFile = func(name string) (outputFile, error) {
-				f, err := whole(name)
+				f, err := createFile(name)
 				if err != nil {
 					return nil, err
 				}
-				return slow{f.(*os.File), gate}, nil
+				return blockedDisk{f.(*os.File), release}, nil
 			}
-			return func() { close(gate) }
+			return func() { close(release) }
 		},
-		"gone": func(r *Recorder) func() { os.RemoveAll(r.settings.Dir); return func() {} },
+		"removed": func(r *Recorder) func() { os.RemoveAll(r.settings.Dir); return func() {} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "c")
 			os.Mkdir(dir, 0o700)
-			var letGo func()
+			var endFault func()
 			f := record(t, dir, func(r *Recorder) {
 				r.settings.RotateMB = 0.1
-				letGo = spoil(r)
+				endFault = injectFault(r)
 			})
-			for i := range jobs { // with a disk that stands still this would never end, were anything waited for
+			for i := range jobs { // with a blocked disk, this does not end if Observe waits
 				f.job(i)
 			}
-			letGo()
+			endFault()
 			f.end(t)
-			captured, lost := f.count.Captured.Load(), f.count.CaptureDropped.Load()
-			if total := int64(jobs + jobs*49/50); captured+lost != total || lost == 0 {
-				t.Errorf("%d rows captured and %d lost, of %d", captured, lost, total)
+			captured, dropped := f.counters.Captured.Load(), f.counters.CaptureDropped.Load()
+			if total := int64(jobs + jobs*49/50); captured+dropped != total || dropped == 0 {
+				t.Errorf("%d rows captured and %d dropped, of %d", captured, dropped, total)
 			}
 			s, err := Read(dir)
 			if read := int64(0); err == nil {
 				if read = int64(len(s.Requests) + len(s.Attempts)); read != captured || len(s.Warnings) > 0 {
-					t.Errorf("%d rows read of %d; %v", read, captured, s.Warnings)
+					t.Errorf("read %d of %d captured rows, warnings %v", read, captured, s.Warnings)
 				}
 			} else if captured > 0 {
 				t.Error(err)
@@ -218,12 +222,13 @@
 	}
 }
 
-func TestOldFilesGo(t *testing.T) {
+// The oldest captures must be removed once all captures exceed KeepMB.
+func TestOldestCapturesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	f := record(t, dir, func(r *Recorder) { r.settings.RotateMB, r.settings.KeepMB = 0.1, 0.2 })
 	for i := range 20000 {
 		if f.job(i); i%1000 == 0 {
-			f.pause()
+			f.waitQueues()
 		}
 	}
 	f.end(t)
@@ -234,66 +239,68 @@
 		size += info.Size()
 	}
 	if size == 0 || size > 200<<10+50<<10 {
-		t.Errorf("%d files of %d bytes are kept", len(names), size)
+		t.Errorf("%d files with %d bytes remain", len(names), size)
 	}
 }
 
-// Killed at any moment, a recorder leaves every closed file readable. CAPTURE_KILLS asks for more rounds.
-func TestKilledInMidWrite(t *testing.T) {
+// A recorder that is killed at any moment must leave every closed file readable. CAPTURE_KILLS sets the number of
+// rounds.
+func TestClosedFilesSurviveKill(t *testing.T) {
 	if dir := os.Getenv("CAPTURE_INTO"); dir != "" {
 		f := record(t, dir, func(r *Recorder) { r.settings.RotateMB = 0.1 })
 		for i := 0; ; i++ {
 			if f.job(i); i%100 == 0 {
 				fmt.Println("x")
-				f.pause()
+				f.waitQueues()
 			}
 		}
 	}
-	rounds, told, read := 3, 0, 0
+	rounds, warnings, read := 3, 0, 0
 	if n, err := strconv.Atoi(os.Getenv("CAPTURE_KILLS")); err == nil {
 		rounds = n
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range rounds {
 		dir := t.TempDir()
-		c := exec.Command(os.Args[0], "-test.run=^TestKilledInMidWrite$")
-		c.Env = append(os.Environ(), "CAPTURE_INTO="+dir)
-		out, _ := c.StdoutPipe()
-		if err := c.Start(); err != nil {
+		command := exec.Command(os.Args[0], "-test.run=^TestClosedFilesSurviveKill$")
+		command.Env = append(os.Environ(), "CAPTURE_INTO="+dir)
+		out, _ := command.StdoutPipe()
+		if err := command.Start(); err != nil {
 			t.Fatal(err)
 		}
 		lines := bufio.NewScanner(out)
-		for len(closed(dir)) == 0 && lines.Scan() {
+		for len(manifests(dir)) == 0 && lines.Scan() {
 		}
 		for range rng.IntN(100) {
 			lines.Scan()
 		}
-		c.Process.Kill()
-		c.Wait()
+		command.Process.Kill()
+		command.Wait()
 		s, err := Read(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, note := range s.Warnings {
-			if told++; !strings.Contains(note, "was never closed") && !strings.Contains(note, "no manifest seals it") {
-				t.Error(note)
+		for _, warning := range s.Warnings {
+			if warnings++; !strings.Contains(warning, "was never closed") && !strings.Contains(warning, "no manifest lists it") {
+				t.Error(warning)
 			}
 		}
-		if len(s.Requests) == 0 || s.Files != 2*len(closed(dir)) {
-			t.Errorf("%d rows from %d files, with %d manifests", len(s.Requests), s.Files, len(closed(dir)))
+		if len(s.Requests) == 0 || s.Files != 2*len(manifests(dir)) {
+			t.Errorf("%d rows from %d files, with %d manifests", len(s.Requests), s.Files, len(manifests(dir)))
 		}
 		read += len(s.Requests)
 	}
-	t.Logf("%d kills: %d tries in closed files, all read; %d open files told of", rounds, read, told)
+	t.Logf("%d kills: read %d requests from closed files, %d warnings of unclosed files", rounds, read, warnings)
 }
 
-func closed(dir string) []string {
+// manifests returns the paths of the manifests in dir.
+func manifests(dir string) []string {
 	names, _ := filepath.Glob(dir + "/*" + manifestSuffix)
 	return names
 }
 
-// pause lets the recorder catch up.
-func (f *feeder) pause() {
+// waitQueues waits until the recorder has taken all rows out of its channels.
+func (f *feeder) waitQueues() {
 	for len(f.requestRows)+len(f.attemptRows) > 0 {
 		runtime.Gosched()
 	}
--- a/internal/dispatcher/capture/writer.go
+++ b/internal/dispatcher/capture/writer.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// errRetryLater tells that no files are open, as creating them has failed a short while ago.
-var errRetryLater = errors.New("waiting for the disk")
+// errRetryLater is the error of a write during the delay after a failed one: no files are open, and none are created.
+var errRetryLater = errors.New("waiting to retry after a write error")
 
-// writer collects rows into groups and writes them. Run's goroutine owns it.
+// writer collects rows into groups and writes them. Only Run's goroutine uses it.
 type writer struct {
 	recorder *Recorder
-	files    *filePair // nil while none are open
+	files    *filePair // nil if no files are open
 	requests []Request
 	attempts []Attempt
-	oldest   time.Time // when the oldest row of the group came
-	retryAt  time.Time // no files are created before, as the last time it failed
+	oldest   time.Time // arrival of the oldest row in the group
+	retryAt  time.Time // no files are created before, after a failure
 }
 
-// Run writes rows until Close. It begins with what a process of this name left open when it ended.
+// Run removes the files that an earlier process did not close, and then writes rows until Close.
 func (r *Recorder) Run() {
 	defer close(r.done)
 	r.removeOrphans()
@@ -51,20 +51,20 @@
 	}
 }
 
-// grouped returns how many rows wait to be written.
+// grouped returns the number of rows in the group.
 func (w *writer) grouped() int { return len(w.requests) + len(w.attempts) }
 
-// groupDue tells whether the oldest row has waited long enough.
+// groupDue reports whether the oldest row of the group has waited for GroupS.
 func (w *writer) groupDue() bool {
 	return w.grouped() > 0 && time.Since(w.oldest) >= seconds(w.recorder.settings.GroupS)
 }
 
-// rotationDue tells whether the open files are old enough to be closed.
+// rotationDue reports whether the open files have been open for RotateS.
 func (w *writer) rotationDue() bool {
-	return w.files != nil && time.Since(w.files.began) >= seconds(w.recorder.settings.RotateS)
+	return w.files != nil && time.Since(w.files.createdAt) >= seconds(w.recorder.settings.RotateS)
 }
 
-// drain takes over the rows that are still in the channels.
+// drain moves the rows that are still in the channels to the group.
 func (w *writer) drain() {
 	for {
 		select {
@@ -78,30 +78,32 @@
 	}
 }
 
-// flush writes the group, and counts its rows as dropped where that fails. With last the files are closed as well.
+// flush writes the group. If that fails, it discards the open files and counts their rows as dropped. If last is set,
+// it also closes the files.
 func (w *writer) flush(last bool) {
 	if err := w.write(last); err != nil {
-		w.giveUp(err)
+		w.dropFiles(err)
 	}
 	w.requests, w.attempts = w.requests[:0], w.attempts[:0]
 }
 
-// giveUp discards the open files with all rows in them.
-func (w *writer) giveUp(err error) {
+// dropFiles discards the open files, and counts their rows and those of the group as dropped.
+func (w *writer) dropFiles(err error) {
 	rows := w.grouped()
 	if w.files != nil {
-		rows = w.files.rows // the group is counted there already
+		rows = w.files.rows // includes the group
 		w.files.discard()
 		w.files = nil
 	}
 	w.recorder.countDropped(rows)
 	if err != errRetryLater {
-		log.Printf("capture: %d rows lost: %v", rows, err)
+		log.Printf("capture: dropped %d rows: %v", rows, err)
 		w.retryAt = time.Now().Add(w.recorder.node.Limits.CaptureRetryDelay)
 	}
 }
 
-// write adds the group to the open files, and closes these where they are old or large enough, or with last.
+// write appends the group to the open files, which it creates if necessary. It closes the files if RotateS or RotateMB
+// is reached or last is set.
 func (w *writer) write(last bool) error {
 	if w.files == nil {
 		if w.grouped() == 0 {
@@ -125,7 +127,7 @@
 	return w.closeFiles()
 }
 
-// closeFiles seals the open files and removes old ones.
+// closeFiles closes and seals the open files, and removes the oldest captures.
 func (w *writer) closeFiles() error {
 	dropped := w.recorder.droppedRows.Swap(0)
 	if err := w.files.close(w.recorder.node.Name, dropped); err != nil {
