--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,7 @@
 .PHONY: bench-capture bench-model bench-plan
 bench-capture:
 	go test ./internal/dispatcher/capture -run '^$$' -bench BenchmarkCapture -benchtime 40x
-	CAPTURE_KILLS=100 go test ./internal/dispatcher/capture -run '^TestKilledInMidWrite$$' -v -count=1 -timeout 10m | grep kills
+	CAPTURE_KILLS=100 go test ./internal/dispatcher/capture -run '^TestClosedFilesSurviveKill$$' -v -count=1 -timeout 10m | grep kills
 
 # Events a second and simulated over real time, by size of the fleet; the profile says where the time goes.
 bench-model:
--- a/internal/dispatcher/simadapter/builder_test.go
+++ b/internal/dispatcher/simadapter/builder_test.go
@@ -9,19 +9,22 @@
 	"gladepick/internal/decision"
 )
 
-// frameBuilder builds frames for the tests.
+// frameBuilder encodes a frame of events.
 type frameBuilder struct{ records, tail []byte }
 
-func (b *frameBuilder) rec(code uint16, fill func([]byte)) *frameBuilder {
-	rec := make([]byte, eventBytes)
-	binary.LittleEndian.PutUint16(rec, code)
+// rec appends a record. fill, if not nil, sets the bytes after the code.
+
+func (b *frameBuilder) record(code uint16, fill func([]byte)) *frameBuilder {
+	record := make([]byte, eventBytes)
+	binary.LittleEndian.PutUint16(record, code)
 	if fill != nil {
-		fill(rec[2:])
+		fill(record[2:])
 	}
-	b.records = append(b.records, rec...)
+	b.records = append(b.records, record...)
 	return b
 }
 
+// frame returns the encoded frame.
 func (b *frameBuilder) frame(now time.Duration) []byte {
 	out := make([]byte, headerBytes)
 	binary.LittleEndian.PutUint64(out, uint64(now))
@@ -30,40 +33,43 @@
 	return append(append(out, b.records...), b.tail...)
 }
 
-func (b *frameBuilder) blob(data string) (at uint32) {
-	at = uint32(len(b.tail))
+// appendTail appends data to the tail and returns its offset.
+func (b *frameBuilder) appendTail(data string) (offset uint32) {
+	offset = uint32(len(b.tail))
 	b.tail = append(b.tail, data...)
-	return at
+	return offset
 }
 
 func (b *frameBuilder) configure(settings string) *frameBuilder {
-	at := b.blob(settings)
-	return b.rec(eventConfigure, func(r []byte) {
+	offset := b.appendTail(settings)
+	return b.record(eventConfigure, func(r []byte) {
 		binary.LittleEndian.PutUint64(r, 7)
-		binary.LittleEndian.PutUint32(r[8:], at)
+		binary.LittleEndian.PutUint32(r[8:], offset)
 		binary.LittleEndian.PutUint32(r[12:], uint32(len(settings)))
 	})
 }
 
-func inContext(inst uint16) func([]byte) {
-	return func(r []byte) { binary.LittleEndian.PutUint16(r, inst) }
+// inContext fills the record of a context.
+func inContext(instance uint16) func([]byte) {
+	return func(r []byte) { binary.LittleEndian.PutUint16(r, instance) }
 }
 
-// scriptedModule is a Module that answers every event with fixed actions and keeps what it was told.
+// scriptedModule is a Module that records its events, and returns the same actions for each or panics.
 type scriptedModule struct {
-	seen []decision.Event
-	acts []decision.Action
-	fail bool
+	events  []decision.Event
+	actions []decision.Action
+	panics  bool
 }
 
-func (s *scriptedModule) Handle(_ time.Duration, ev *decision.Event, acts []decision.Action) []decision.Action {
-	if s.fail {
-		panic("the script breaks")
+func (s *scriptedModule) Handle(_ time.Duration, ev *decision.Event, actions []decision.Action) []decision.Action {
+	if s.panics {
+		panic("panic of the module")
 	}
-	s.seen = append(s.seen, *ev)
-	return append(acts, s.acts...)
+	s.events = append(s.events, *ev)
+	return append(actions, s.actions...)
 }
 
+// serveFrames passes the input to a Host whose instances are all m, and returns its output.
 func serveFrames(t *testing.T, m Module, in []byte) ([]byte, error) {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/dispatcher/simadapter/event.go
+++ b/internal/dispatcher/simadapter/event.go
@@ -10,30 +10,30 @@
 	"gladepick/internal/decision"
 )
 
-// The codes of events: the first two bytes of a record.
+// Event codes, which are the first two bytes of a record.
 const (
-	eventConfigure     = 1 // makes an instance
+	eventConfigure     = 1 // creates an instance
 	eventPeerMessage   = 2
-	eventPage          = 3 // a list of workers, under a number
+	eventPage          = 3 // stores a list of workers under a number
 	eventHealthChecked = 4
 	eventClientLeft    = 5
-	eventContext       = 6 // the instance that the records behind it are for
+	eventContext       = 6 // selects the instance that the following records are for
 	eventStreamStarted = 7
 	eventOutcome       = 8
 	eventTimer         = 9
-	eventStop          = 10 // ends an instance
-	eventList          = 11 // the number of a page
+	eventStop          = 10 // removes an instance
+	eventList          = 11 // delivers the list of workers of a stored page
 	eventProgress      = 12
 	eventJob           = 13
 )
 
-// The bits of a job's flags.
+// Bits of a job's flags.
 const (
 	flagHint  = 1
 	flagRetry = 2
 )
 
-// outcomes maps the wire's codes.
+// outcomes maps the codes of the wire format to outcomes.
 var outcomes = map[uint16]decision.Outcome{
 	10: decision.OK,
 	20: decision.Error,
@@ -45,14 +45,14 @@
 	80: decision.NeverSent,
 }
 
-// listKinds and states are indexed by the wire's codes.
+// listKinds and states are indexed by the codes of the wire format.
 var (
 	listKinds = [...]decision.ListKind{decision.ListFailed, decision.ListCached, decision.ListDelta, decision.ListFull}
 	states    = [...]decision.State{decision.Gone, decision.Ready, decision.Draining}
 )
 
-// decodeEvent reads the record of an event for the module. The codes that concern the host itself (context, page,
-// configure, stop, list) are not its business.
+// decodeEvent decodes the record of an event for the module. Host handles the other codes (context, page, configure,
+// stop, list) itself.
 func (f *frame) decodeEvent(code uint16, record []byte, ev *decision.Event) (err error) {
 	*ev = decision.Event{}
 	switch code {
@@ -87,7 +87,7 @@
 		*ev = decision.Event{Kind: decision.EventPeerMessage, From: int(binary.LittleEndian.Uint32(record[2:]))}
 		var data []byte
 		if data, err = f.slice(record, 6, 1); err == nil {
-			ev.Data = bytes.Clone(data) // the frame's buffer is reused
+			ev.Data = bytes.Clone(data) // the buffer of the frame is reused
 		}
 	default:
 		return fmt.Errorf("unknown event code %d", code)
@@ -141,7 +141,7 @@
 	return err
 }
 
-// decodeEntries reads the workers of a page.
+// decodeEntries decodes the workers of a page.
 func decodeEntries(b []byte) ([]decision.Entry, error) {
 	out := make([]decision.Entry, 0, len(b)/entryBytes)
 	for i := 0; len(b) >= entryBytes; i, b = i+1, b[entryBytes:] {
@@ -165,31 +165,31 @@
 func workerID(b []byte) decision.WorkerID { return decision.WorkerID(binary.LittleEndian.Uint32(b)) }
 func number16(b []byte) int               { return int(binary.LittleEndian.Uint16(b)) }
 
-// duration reads nanoseconds, within the range of the module's clock.
+// duration decodes a number of nanoseconds, and limits it to the range of time.Duration.
 func duration(b []byte) time.Duration {
 	return time.Duration(min(binary.LittleEndian.Uint64(b), math.MaxInt64))
 }
 
-// float reads an IEEE 754 number of 32 bits.
+// float decodes a 32-bit IEEE 754 number.
 func float(b []byte) float64 {
 	return float64(math.Float32frombits(binary.LittleEndian.Uint32(b)))
 }
 
 func outcome(b []byte) (decision.Outcome, error) {
 	code := binary.LittleEndian.Uint16(b)
-	o, ok := outcomes[code]
+	decoded, ok := outcomes[code]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome %d", code)
 	}
-	return o, nil
+	return decoded, nil
 }
 
-// load reads a load report: the number of its values, and the values.
+// load decodes a load report: the number of its values, followed by the values.
 func load(b []byte) (decision.Load, error) {
 	var l decision.Load
 	l.Count = int(b[0])
 	if l.Count > len(l.Values) {
-		return l, fmt.Errorf("load report of %d values, at most %d are possible", l.Count, len(l.Values))
+		return l, fmt.Errorf("load report of %d values exceeds the limit of %d", l.Count, len(l.Values))
 	}
 	for i := range l.Count {
 		l.Values[i] = float(b[1+4*i:])
--- a/internal/dispatcher/simadapter/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Sizes of the wire's parts, in bytes. All numbers on it are little endian.
+// Sizes of the parts of the wire format, in bytes. All numbers are little endian.
 const (
-	headerBytes = 16 // of a frame: the clock, the length of what follows it, the number of records
-	eventBytes  = 48 // of a record of an event
-	actionBytes = 24 // of a record of an action
-	entryBytes  = 21 // of one worker in a page
-	countBytes  = 4  // of the number of records, which the length includes
+	headerBytes = 16 // header of a frame: the clock, the length of what follows the length, the number of records
+	eventBytes  = 48 // record of an event
+	actionBytes = 24 // record of an action
+	entryBytes  = 21 // one worker in a page
+	countBytes  = 4  // number of records, which the length includes
 )
 
-// frame is one batch of events as it came in. Its parts share the buffer that it was read into.
+// frame is one batch of encoded events. Its slices share the buffer that the frame was read into.
 type frame struct {
 	now     time.Duration
-	records []byte // one eventBytes after the other
-	tail    []byte // what records refer to by offset and length
+	records []byte // records of eventBytes each
+	tail    []byte // data that records refer to by offset and length
 }
 
-// readFrame reads one batch into buffer, which is reused. It returns io.EOF only where the input ends cleanly between two
-// frames.
+// readFrame reads one frame into buffer, whose previous content it overwrites. It returns io.EOF only if the input ends
+// between two frames.
 func readFrame(r io.Reader, buffer *bytes.Buffer) (frame, error) {
 	var header [headerBytes]byte
 	if n, err := io.ReadFull(r, header[:]); err != nil {
@@ -52,7 +52,7 @@
 	if int64(count)*eventBytes > body {
 		return frame{}, fmt.Errorf("%d records of %d bytes do not fit into %d bytes (byte 12)", count, eventBytes, body)
 	}
-	// The length is not trusted with an allocation: the buffer grows with what arrives.
+	// The buffer grows with the bytes that arrive, as a malformed length must not cause a large allocation.
 	buffer.Reset()
 	if n, err := io.CopyN(buffer, r, body); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -64,7 +64,8 @@
 	return frame{now: time.Duration(now), records: b[:count*eventBytes], tail: b[count*eventBytes:]}, nil
 }
 
-// slice returns what a record refers to: at byte at it has an offset into the tail, and a length in units of size bytes.
+// slice returns the part of the tail that a record refers to. At byte at, the record has an offset into the tail and a
+// length in units of size bytes.
 func (f *frame) slice(record []byte, at, size int) ([]byte, error) {
 	offset := uint64(binary.LittleEndian.Uint32(record[at:]))
 	length := uint64(binary.LittleEndian.Uint32(record[at+4:])) * uint64(size)
--- a/internal/dispatcher/simadapter/frame_test.go
+++ b/internal/dispatcher/simadapter/frame_test.go
@@ -15,7 +15,7 @@
 	"gladepick/internal/decision"
 )
 
-func TestEmptyBatch(t *testing.T) {
+func TestFrameWithoutRecordsIsAnswered(t *testing.T) {
 	in, _ := hex.DecodeString("90bf68f5010000000400000000000000")
 	out, err := serveFrames(t, &scriptedModule{}, in)
 	if want := "0400000000000000"; err != nil || hex.EncodeToString(out) != want {
@@ -23,19 +23,19 @@
 	}
 }
 
-// The example of a batch for two instances in the wire's description.
+// The records have the layout of the example in the description of the wire format.
 func TestEventsDecode(t *testing.T) {
-	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("")
+	b := (&frameBuilder{}).record(eventContext, inContext(3)).configure("")
 	jobRecord, _ := hex.DecodeString("c4913a5d00000000640ad2557c3bf09190dbb60302000000001bb70000000000000000400000000001")
-	b.rec(eventJob, func(r []byte) { copy(r, jobRecord) })
+	b.record(eventJob, func(r []byte) { copy(r, jobRecord) })
 	timerRecord, _ := hex.DecodeString("4d000000")
-	b.rec(eventTimer, func(r []byte) { copy(r, timerRecord) })
+	b.record(eventTimer, func(r []byte) { copy(r, timerRecord) })
 	outcomeRecord, _ := hex.DecodeString("c4913a5d01000000000a000000a0491a0100000000074a120302cdcccc3e00004040")
-	b.rec(eventOutcome, func(r []byte) { copy(r, outcomeRecord) })
-	at := b.blob("two w")
-	b.rec(eventPeerMessage, func(r []byte) {
+	b.record(eventOutcome, func(r []byte) { copy(r, outcomeRecord) })
+	offset := b.appendTail("two w")
+	b.record(eventPeerMessage, func(r []byte) {
 		binary.LittleEndian.PutUint32(r, 9)
-		binary.LittleEndian.PutUint32(r[4:], at)
+		binary.LittleEndian.PutUint32(r[4:], offset)
 		binary.LittleEndian.PutUint32(r[8:], 5)
 	})
 	m := &scriptedModule{}
@@ -50,13 +50,14 @@
 			Load: decision.Load{Count: 2, Values: [4]float64{float64(float32(0.4)), 3}}},
 		{Kind: decision.EventPeerMessage, From: 9, Data: []byte("two w")},
 	}
-	if !reflect.DeepEqual(m.seen, want) {
-		t.Errorf("decoded\n%+v, want\n%+v", m.seen, want)
+	if !reflect.DeepEqual(m.events, want) {
+		t.Errorf("decoded\n%+v, want\n%+v", m.events, want)
 	}
 }
 
-func TestListsResolveInOrder(t *testing.T) {
-	b := (&frameBuilder{}).rec(eventContext, inContext(0)).configure("")
+// A list must have the workers of the last page before it with the same number.
+func TestListUsesLatestPageBeforeIt(t *testing.T) {
+	b := (&frameBuilder{}).record(eventContext, inContext(0)).configure("")
 	entry := func(id byte, state byte) string {
 		e := make([]byte, entryBytes)
 		binary.LittleEndian.PutUint64(e, 5)
@@ -64,23 +65,23 @@
 		e[14], e[15], e[16], e[17] = state, 2, 1, id
 		return string(e)
 	}
-	for id := byte(1); id <= 2; id++ { // the second takes the first one's number over
-		at := b.blob(entry(id, id))
-		b.rec(eventPage, func(r []byte) {
-			binary.LittleEndian.PutUint32(r[4:], at)
+	for id := byte(1); id <= 2; id++ { // the second page replaces the first, which has the same number
+		offset := b.appendTail(entry(id, id))
+		b.record(eventPage, func(r []byte) {
+			binary.LittleEndian.PutUint32(r[4:], offset)
 			binary.LittleEndian.PutUint32(r[8:], 1)
 		})
-		b.rec(eventList, func(r []byte) { r[0] = 2 })
+		b.record(eventList, func(r []byte) { r[0] = 2 })
 	}
-	b.rec(eventList, nil)
+	b.record(eventList, nil)
 	m := &scriptedModule{}
 	if _, err := serveFrames(t, m, b.frame(1)); err != nil {
 		t.Fatal(err)
 	}
-	line := decision.Entry{Worker: 1, Started: 5, Zone: 2, Kind: 1, Weight: 1.5, State: decision.Ready}
-	if len(m.seen) != 3 || m.seen[0].Entries[0] != line || m.seen[1].Entries[0].Worker != 2 ||
-		m.seen[1].Entries[0].State != decision.Draining || m.seen[2].List != decision.ListFailed {
-		t.Errorf("lists %+v", m.seen)
+	want := decision.Entry{Worker: 1, Started: 5, Zone: 2, Kind: 1, Weight: 1.5, State: decision.Ready}
+	if len(m.events) != 3 || m.events[0].Entries[0] != want || m.events[1].Entries[0].Worker != 2 ||
+		m.events[1].Entries[0].State != decision.Draining || m.events[2].List != decision.ListFailed {
+		t.Errorf("unexpected lists %+v", m.events)
 	}
 }
 
@@ -105,7 +106,7 @@
 		if err := errors.Join(p.encode(&a), p.writeTo(&out)); err != nil {
 			t.Fatal(err)
 		}
-		// The text of a Log starts at byte 2: its offset, then its length.
+		// A Log has the offset and the length of its text from byte 2 on.
 		if a.Kind == decision.Log {
 			want = "48000000000002000000" + strings.Repeat("00", 14) + "6869"
 		}
@@ -115,93 +116,96 @@
 	}
 	var p reply
 	if p.encode(&decision.Action{}) == nil {
-		t.Error("an action of no kind was encoded")
+		t.Error("encoding an action without a kind returned no error")
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
-	good := (&frameBuilder{}).rec(eventContext, inContext(1)).configure("").frame(1)
-	change := func(at int, v uint32) []byte {
+// The error of malformed input must name the frame and the position, on one line.
+func TestErrorsNamePositionOfMalformedInput(t *testing.T) {
+	good := (&frameBuilder{}).record(eventContext, inContext(1)).configure("").frame(1)
+	replaceUint32 := func(at int, v uint32) []byte {
 		out := bytes.Clone(good)
 		binary.LittleEndian.PutUint32(out[at:], v)
 		return out
 	}
-	one := func(code uint16, fill func([]byte)) []byte {
-		return (&frameBuilder{}).rec(eventContext, inContext(1)).configure("").rec(code, fill).frame(1)
+	withRecord := func(code uint16, fill func([]byte)) []byte {
+		return (&frameBuilder{}).record(eventContext, inContext(1)).configure("").record(code, fill).frame(1)
 	}
 	for name, tc := range map[string]struct {
-		in   []byte
-		want string
+		input []byte
+		want  string // part of the error
 	}{
 		"short header":    {good[:9], "frame 0: header cut off after 9 of 16 bytes"},
 		"short body":      {good[:40], "frame 0: body cut off after 24 of 96 bytes"},
 		"second frame":    {append(bytes.Clone(good), 1), "frame 1: header cut off after 1 of 16 bytes"},
-		"length":          {change(8, 3), "frame 0: length 3 is below"},
-		"count":           {change(12, 3), "frame 0: 3 records of 48 bytes do not fit into 96 bytes"},
-		"huge length":     {change(8, math.MaxUint32), "body cut off"},
-		"clock":           {change(4, math.MaxUint32), "clock value"},
-		"no context":      {(&frameBuilder{}).rec(eventTimer, nil).frame(1), "frame 0: record 0 (code 9): event before any context"},
-		"not configured":  {(&frameBuilder{}).rec(eventContext, inContext(4)).rec(eventTimer, nil).frame(1), "instance 4 has not been configured"},
-		"unknown code":    {one(99, nil), "record 2 (code 99): unknown event code"},
-		"unknown outcome": {one(eventOutcome, func(r []byte) { r[9] = 11 }), "unknown outcome 11"},
-		"load":            {one(eventOutcome, func(r []byte) { r[9], r[25] = 10, 5 }), "load report of 5 values"},
-		"list kind":       {one(eventList, func(r []byte) { r[0] = 4 }), "unknown list kind 4"},
-		"no page":         {one(eventList, func(r []byte) { r[0] = 3 }), "list number 0 has no page"},
-		"page number":     {one(eventPage, func(r []byte) { r[0] = 16 }), "list number 16"},
-		"tail":            {one(eventPage, func(r []byte) { r[8] = 1 }), "run past the tail"},
-		"settings": {(&frameBuilder{}).rec(eventContext, inContext(1)).configure("balancers=x").frame(1),
+		"length":          {replaceUint32(8, 3), "frame 0: length 3 is below"},
+		"count":           {replaceUint32(12, 3), "frame 0: 3 records of 48 bytes do not fit into 96 bytes"},
+		"huge length":     {replaceUint32(8, math.MaxUint32), "body cut off"},
+		"clock":           {replaceUint32(4, math.MaxUint32), "clock value"},
+		"no context":      {(&frameBuilder{}).record(eventTimer, nil).frame(1), "frame 0: record 0 (code 9): event before any context"},
+		"not configured":  {(&frameBuilder{}).record(eventContext, inContext(4)).record(eventTimer, nil).frame(1), "instance 4 has not been configured"},
+		"unknown code":    {withRecord(99, nil), "record 2 (code 99): unknown event code"},
+		"unknown outcome": {withRecord(eventOutcome, func(r []byte) { r[9] = 11 }), "unknown outcome 11"},
+		"load":            {withRecord(eventOutcome, func(r []byte) { r[9], r[25] = 10, 5 }), "load report of 5 values"},
+		"list kind":       {withRecord(eventList, func(r []byte) { r[0] = 4 }), "unknown list kind 4"},
+		"no page":         {withRecord(eventList, func(r []byte) { r[0] = 3 }), "list number 0 has no page"},
+		"page number":     {withRecord(eventPage, func(r []byte) { r[0] = 16 }), "list number 16"},
+		"tail":            {withRecord(eventPage, func(r []byte) { r[8] = 1 }), "run past the tail"},
+		"settings": {(&frameBuilder{}).record(eventContext, inContext(1)).configure("balancers=x").frame(1),
 			`setting balancers: "x" is not valid`},
 	} {
-		out, err := serveFrames(t, &scriptedModule{}, tc.in)
+		out, err := serveFrames(t, &scriptedModule{}, tc.input)
 		if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want %q", name, err, tc.want)
 		}
 		if name != "second frame" && len(out) > 0 {
-			t.Errorf("%s: %d bytes of output after it", name, len(out))
+			t.Errorf("%s: %d bytes of output, want none", name, len(out))
 		}
 	}
 }
 
-func TestPanicIsAFault(t *testing.T) {
-	in := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("").rec(eventTimer, nil).frame(1)
-	out, err := serveFrames(t, &scriptedModule{fail: true}, in)
-	if err != nil || !bytes.Contains(out, []byte("the script breaks")) || binary.LittleEndian.Uint16(out[8+actionBytes:]) != actionFault {
+// A panic of an instance must become a fault action with its message, and must not end Serve.
+func TestPanicBecomesFaultAction(t *testing.T) {
+	in := (&frameBuilder{}).record(eventContext, inContext(3)).configure("").record(eventTimer, nil).frame(1)
+	out, err := serveFrames(t, &scriptedModule{panics: true}, in)
+	if err != nil || !bytes.Contains(out, []byte("panic of the module")) || binary.LittleEndian.Uint16(out[8+actionBytes:]) != actionFault {
 		t.Errorf("reply %x, error %v", out, err)
 	}
 }
 
-func TestStopForgetsAnInstance(t *testing.T) {
-	m := &scriptedModule{acts: []decision.Action{{Kind: decision.Fetch}}}
-	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("").rec(eventTimer, nil).rec(eventStop, nil).configure("").rec(eventTimer, nil)
+func TestStopRemovesInstance(t *testing.T) {
+	m := &scriptedModule{actions: []decision.Action{{Kind: decision.Fetch}}}
+	b := (&frameBuilder{}).record(eventContext, inContext(3)).configure("").record(eventTimer, nil).record(eventStop, nil).configure("").record(eventTimer, nil)
 	out, err := serveFrames(t, m, b.frame(1))
-	if err != nil || len(m.seen) != 2 || binary.LittleEndian.Uint32(out[4:]) != 3 {
-		t.Errorf("%d events seen, reply %x, error %v", len(m.seen), out, err)
+	if err != nil || len(m.events) != 2 || binary.LittleEndian.Uint32(out[4:]) != 3 {
+		t.Errorf("%d events handled, reply %x, error %v", len(m.events), out, err)
 	}
-	if _, err := serveFrames(t, m, (&frameBuilder{}).rec(eventContext, inContext(3)).configure("").rec(eventStop, nil).rec(eventTimer, nil).frame(1)); err == nil {
-		t.Error("an event after a stop was accepted")
+	if _, err := serveFrames(t, m, (&frameBuilder{}).record(eventContext, inContext(3)).configure("").record(eventStop, nil).record(eventTimer, nil).frame(1)); err == nil {
+		t.Error("an event for a stopped instance returned no error")
 	}
 }
 
+// For any input, Serve must write only whole replies and return errors of one line, and the module must not panic.
 func FuzzServe(f *testing.F) {
-	f.Add((&frameBuilder{}).rec(eventContext, inContext(1)).configure("classes.count=1\nkinds=a,b\n").rec(eventJob, nil).rec(eventTimer, nil).frame(1))
+	f.Add((&frameBuilder{}).record(eventContext, inContext(1)).configure("classes.count=1\nkinds=a,b\n").record(eventJob, nil).record(eventTimer, nil).frame(1))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
 		var h Host
 		if err := h.Serve(bytes.NewReader(in), &out); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("an error of several lines: %q", err)
+			t.Errorf("error has several lines: %q", err)
 		}
 		if bytes.Contains(out.Bytes(), []byte("runtime error")) {
 			t.Errorf("the module panicked")
 		}
 		for r := bytes.NewReader(out.Bytes()); ; {
-			var head [4]byte
-			if _, err := io.ReadFull(r, head[:]); err == io.EOF {
+			var length [4]byte
+			if _, err := io.ReadFull(r, length[:]); err == io.EOF {
 				break
 			}
-			n := int64(binary.LittleEndian.Uint32(head[:]))
+			n := int64(binary.LittleEndian.Uint32(length[:]))
 			if _, err := io.CopyN(io.Discard, r, n); err != nil {
-				t.Fatalf("a reply is cut off: %v", err)
+				t.Fatalf("reply is truncated: %v", err)
 			}
 		}
 	})
--- a/internal/dispatcher/simadapter/golden_test.go
+++ b/internal/dispatcher/simadapter/golden_test.go
@@ -13,7 +13,7 @@
 	"gladepick/internal/decision"
 )
 
-// twoWorkers is a page with two workers.
+// twoWorkers returns a page with two workers.
 func twoWorkers() []byte {
 	le := binary.LittleEndian
 	page := make([]byte, 2*entryBytes)
@@ -26,52 +26,53 @@
 	return page
 }
 
-// everyEvent has each record that the wire has.
+// everyEvent returns a frame with a record of each event code except stop.
 func everyEvent() *frameBuilder {
 	le := binary.LittleEndian
-	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("classes.count=1\nkinds=a,b\n")
-	at := b.blob(string(twoWorkers()))
-	b.rec(eventPage, func(r []byte) {
+	b := (&frameBuilder{}).record(eventContext, inContext(3)).configure("classes.count=1\nkinds=a,b\n")
+	offset := b.appendTail(string(twoWorkers()))
+	b.record(eventPage, func(r []byte) {
 		le.PutUint32(r, 4)
-		le.PutUint32(r[4:], at)
+		le.PutUint32(r[4:], offset)
 		le.PutUint32(r[8:], 2)
 	})
 	for kind := range listKinds {
-		b.rec(eventList, func(r []byte) {
+		b.record(eventList, func(r []byte) {
 			r[0] = byte(kind)
 			le.PutUint32(r[5:], 4)
 		})
 	}
-	fill := func(r []byte) { // every byte tells its place
+	fill := func(r []byte) { // each byte has the value of its position, so that a shifted field shows
 		for i := range r {
 			r[i] = byte(i + 1)
 		}
 	}
-	b.rec(eventJob, fill)
+	b.record(eventJob, fill)
 	for _, code := range []uint16{10, 20, 30, 40, 50, 60, 70, 80} {
-		b.rec(eventOutcome, func(r []byte) {
+		b.record(eventOutcome, func(r []byte) {
 			fill(r)
 			le.PutUint16(r[9:], code)
 			r[25] = 4
 		})
 	}
-	b.rec(eventHealthChecked, func(r []byte) {
+	b.record(eventHealthChecked, func(r []byte) {
 		fill(r)
 		le.PutUint16(r[12:], 10)
 		r[14] = 1
 	})
-	b.rec(eventProgress, fill).rec(eventStreamStarted, fill).rec(eventClientLeft, fill).rec(eventTimer, fill)
-	at = b.blob("two w")
-	b.rec(eventPeerMessage, func(r []byte) {
+	b.record(eventProgress, fill).record(eventStreamStarted, fill).record(eventClientLeft, fill).record(eventTimer, fill)
+	offset = b.appendTail("two w")
+	b.record(eventPeerMessage, func(r []byte) {
 		le.PutUint32(r, 9)
-		le.PutUint32(r[4:], at)
+		le.PutUint32(r[4:], offset)
 		le.PutUint32(r[8:], 5)
 	})
 	return b
 }
 
-// testdata/events.txt holds a frame with each record that the wire has, and what it is read as.
-func TestEventFrames(t *testing.T) {
+// TestDecodingOfEventsIsUnchanged compares a frame with a record of each event, and the events that it decodes to, with
+// testdata/events.txt.
+func TestDecodingOfEventsIsUnchanged(t *testing.T) {
 	b := everyEvent()
 	m := &scriptedModule{}
 	in := b.frame(time.Second)
@@ -85,16 +86,17 @@
 		fmt.Fprintf(&text, "record %x\n", in[i:i+eventBytes])
 	}
 	fmt.Fprintf(&text, "tail %x\n", b.tail)
-	for _, ev := range m.seen {
+	for _, ev := range m.events {
 		fmt.Fprintf(&text, "event %v\n", ev)
 	}
 	fmt.Fprintf(&text, "reply %x\n", out)
 	golden.AssertBytes(t, text.Bytes(), "events.txt")
 }
 
-// testdata/actions.txt holds the reply to a frame for two instances, with each action that the module has.
-func TestActionFrames(t *testing.T) {
-	m := &scriptedModule{acts: []decision.Action{
+// TestEncodingOfActionsIsUnchanged compares the reply to a frame for two instances, with each kind of action, with
+// testdata/actions.txt.
+func TestEncodingOfActionsIsUnchanged(t *testing.T) {
+	m := &scriptedModule{actions: []decision.Action{
 		{Kind: decision.Send, Job: 0x01020304, Worker: 0x05060708, Timeout: 9 * time.Millisecond},
 		{Kind: decision.Reject, Job: 0x01020304, RetryAfter: 50 * time.Millisecond},
 		{Kind: decision.Fail, Job: 0x01020304},
@@ -110,7 +112,7 @@
 		{Kind: decision.SendPeer, Peer: 1, Data: []byte("note")},
 		{Kind: decision.Log, Data: []byte("words")},
 	}}
-	b := (&frameBuilder{}).rec(eventContext, inContext(3)).configure("").rec(eventTimer, nil).rec(eventContext, inContext(5)).configure("").rec(eventTimer, nil)
+	b := (&frameBuilder{}).record(eventContext, inContext(3)).configure("").record(eventTimer, nil).record(eventContext, inContext(5)).configure("").record(eventTimer, nil)
 	out, err := serveFrames(t, m, b.frame(time.Second))
 	if err != nil {
 		t.Fatal(err)
@@ -125,19 +127,21 @@
 	golden.AssertBytes(t, text.Bytes(), "actions.txt")
 }
 
-// testdata/settings.txt holds what a settings text with every key is read as.
-func TestSettingsAsTheyAreRead(t *testing.T) {
+// TestParsingOfSettingsIsUnchanged compares the parsed settings of a text with every path, and of a text with only the
+// necessary ones, with testdata/settings.txt.
+func TestParsingOfSettingsIsUnchanged(t *testing.T) {
 	s, err := ParseSettings(everySetting)
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := ParseSettings("classes.count=1\ntenants.count=1\n")
+	defaults, err := ParseSettings("classes.count=1\ntenants.count=1\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.AssertBytes(t, fmt.Appendf(nil, "%v\n%v\n", s, none), "settings.txt")
+	golden.AssertBytes(t, fmt.Appendf(nil, "%v\n%v\n", s, defaults), "settings.txt")
 }
 
+// everySetting has every path of the settings text.
 const everySetting = `position=1
 balancers=4
 zone=2
--- a/internal/dispatcher/simadapter/host.go
+++ b/internal/dispatcher/simadapter/host.go
@@ -1,13 +1,12 @@
-// Package simadapter lets a simulator play dispatchers: it turns the frames and
-// the settings text of the simulator's wire into the types of package decision
-// and back, and hosts the module's instances. Decisions are the module's alone.
+// Package simadapter connects a simulator of dispatchers with the decision module. It hosts instances of the module,
+// and translates between the simulator's wire format (frames and a settings text) and the types of package decision. It
+// makes no decisions of its own.
 //
-// A frame is a batch of events for any of the instances; the reply to it has the
-// actions that follow, and is written before the next frame is read. A malformed
-// frame ends the program with an error that names its place; a panic of an
-// instance is an action of its own, and the others go on.
+// A frame is a batch of events for any number of instances. The reply has the resulting actions and is written before
+// the next frame is read. A malformed frame ends Serve with an error that names the frame and the record. If an
+// instance panics, the reply has a fault action for it, and the other instances continue.
 //
-// A Host belongs to one goroutine. ParseSettings may be called on any.
+// A Host must be used by one goroutine. ParseSettings is safe for concurrent use.
 //
 // Start reading at Host.Serve.
 package simadapter
@@ -26,7 +25,7 @@
 )
 
 const (
-	// maxPages is how many pages can be in use; their numbers are below it.
+	// maxPages is the number of pages that can be stored. Page numbers are below it.
 	maxPages = 16
 	// bufferBytes is the size of the buffers for input and output.
 	bufferBytes = 1 << 16
@@ -34,28 +33,29 @@
 
 var errNoContext = errors.New("event before any context")
 
-// Module is what the host needs of an instance of the decision module. Handle appends the actions that follow an event.
+// Module is an instance of the decision module as Host uses it. Handle appends the actions that result from an event to
+// actions.
 type Module interface {
-	Handle(now time.Duration, ev *decision.Event, acts []decision.Action) []decision.Action
+	Handle(now time.Duration, ev *decision.Event, actions []decision.Action) []decision.Action
 }
 
-// Host runs the instances of one adapter process. Nothing is shared between them but the pages of worker lists, which
-// nobody changes.
+// Host runs the instances of one adapter process. The instances share only the pages of worker lists, which they must
+// not modify.
 type Host struct {
-	// New makes an instance; nil is decision.New. Tests put their own in its place.
+	// New creates an instance. It defaults to decision.New; tests replace it.
 	New func(decision.Settings, uint64) (Module, error)
-	// Errors gets the stack of a panic; nil drops it.
+	// Errors receives the message and the stack of each panic of an instance. If it is nil, they are discarded.
 	Errors io.Writer
 
 	instances map[uint16]Module
 	pages     [maxPages][]decision.Entry
 	pageSet   [maxPages]bool
-	actions   []decision.Action // of the present event; reused
+	actions   []decision.Action // result of the current event; reused
 	reply     reply
 }
 
-// Serve answers every frame of r on w until r ends. Its error names the frame and the place in it; nothing is written for
-// a frame that is malformed.
+// Serve reads frames from r and writes a reply to each to w, until r ends. Its error names the frame and the position
+// in it. Serve writes no reply to a malformed frame.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	if h.New == nil {
 		h.New = func(s decision.Settings, seed uint64) (Module, error) { return decision.New(s, seed) }
@@ -83,15 +83,15 @@
 	}
 }
 
-// frameState is what holds from record to record of one frame.
+// frameState is the state that one record of a frame leaves for the next.
 type frameState struct {
-	instance   uint16 // that the records are for
-	hasContext bool   // a context has named it
-	replyOf    uint16 // the instance that the reply has named last
-	hasReply   bool   // it has named one
+	instance   uint16 // receiver of the records, set by the last context
+	hasContext bool   // the frame has had a context
+	replyOf    uint16 // instance of the last context in the reply
+	hasReply   bool   // the reply has a context
 }
 
-// handleFrame carries out one frame and leaves the answer in h.reply.
+// handleFrame handles the records of one frame and stores the resulting actions in h.reply.
 func (h *Host) handleFrame(f *frame) error {
 	h.reply.reset()
 	var state frameState
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// handleRecord carries out one record: one for the host itself, or an event for an instance.
+// handleRecord handles one record, which is either for the host itself or an event for an instance.
 func (h *Host) handleRecord(f *frame, code uint16, record []byte, state *frameState) error {
 	switch code {
 	case eventContext:
@@ -140,7 +140,7 @@
 	return h.handleEvent(m, f.now, &ev, state)
 }
 
-// handleEvent passes one event on to an instance and adds the actions that follow to the reply.
+// handleEvent passes one event to an instance and adds the resulting actions to the reply.
 func (h *Host) handleEvent(m Module, now time.Duration, ev *decision.Event, state *frameState) error {
 	fault := h.callModule(m, now, ev)
 	if (len(h.actions) > 0 || fault != "") && (!state.hasReply || state.replyOf != state.instance) {
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// callModule leaves the actions that follow an event in h.actions, and turns a panic into its text.
+// callModule passes an event to an instance and stores the resulting actions in h.actions. If the instance panics, it
+// returns the panic's message.
 func (h *Host) callModule(m Module, now time.Duration, ev *decision.Event) (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -173,7 +174,7 @@
 	return ""
 }
 
-// configure makes an instance, in place of one that has its number.
+// configure creates an instance. It replaces an existing instance with the same number.
 func (h *Host) configure(f *frame, record []byte, instance uint16) error {
 	text, err := f.slice(record, 10, 1)
 	if err != nil {
@@ -191,11 +192,11 @@
 	return nil
 }
 
-// setPage reads a page of workers.
+// setPage decodes a page of workers and stores it under its number.
 func (h *Host) setPage(f *frame, record []byte) error {
 	number := binary.LittleEndian.Uint32(record[2:])
 	if number >= maxPages {
-		return fmt.Errorf("list number %d, the highest is %d", number, maxPages-1)
+		return fmt.Errorf("list number %d exceeds the highest, %d", number, maxPages-1)
 	}
 	text, err := f.slice(record, 6, entryBytes)
 	if err != nil {
@@ -206,7 +207,7 @@
 	return err
 }
 
-// decodeList reads the event of a list of workers, which stand in a page.
+// decodeList decodes the event of a list of workers. The workers are those of a stored page.
 func (h *Host) decodeList(record []byte, ev *decision.Event) error {
 	if int(record[2]) >= len(listKinds) {
 		return fmt.Errorf("unknown list kind %d", record[2])
--- a/internal/dispatcher/simadapter/reply.go
+++ b/internal/dispatcher/simadapter/reply.go
@@ -9,14 +9,14 @@
 	"gladepick/internal/decision"
 )
 
-// The codes of actions: the first two bytes of a record.
+// Action codes, which are the first two bytes of a record.
 const (
-	actionContext     = 65 // the instance that the records behind it are of
+	actionContext     = 65 // names the instance that the following records are from
 	actionSetTimer    = 66
 	actionFail        = 67
 	actionWatch       = 68
 	actionFetch       = 69
-	actionFault       = 70 // an instance has panicked
+	actionFault       = 70 // reports that an instance has panicked
 	actionCloseIdle   = 71
 	actionLog         = 72
 	actionCancel      = 73
@@ -26,16 +26,16 @@
 	actionHealthCheck = 77
 )
 
-// replyHeaderBytes is the size of a reply's header: the length of what follows it, and the number of records.
+// replyHeaderBytes is the size of a reply's header: the length of what follows the length, and the number of records.
 const replyHeaderBytes = 8
 
-// maxTimer is the longest delay that the wire takes.
+// maxTimer is the longest delay of a timer. Longer delays are shortened to it.
 const maxTimer = 71 * time.Minute
 
-// reply collects the actions of one batch. It is reused.
+// reply is the encoded reply to one frame. It is reused for the next frame.
 type reply struct {
-	records []byte // behind the header
-	tail    []byte // what records refer to
+	records []byte // header and records
+	tail    []byte // data that records refer to by offset and length
 	count   uint32
 }
 
@@ -45,7 +45,7 @@
 	r.count = 0
 }
 
-// add adds a zeroed record with its code.
+// add appends a record that is zero except for its code, and returns it.
 func (r *reply) add(code uint16) []byte {
 	at := len(r.records)
 	r.records = append(r.records, make([]byte, actionBytes)...)
@@ -55,14 +55,14 @@
 	return record
 }
 
-// addData puts data into the tail, and its place into a record at byte at.
+// addData appends data to the tail, and writes its offset and length to a record at byte at.
 func (r *reply) addData(record []byte, at int, data []byte) {
 	binary.LittleEndian.PutUint32(record[at:], uint32(len(r.tail)))
 	binary.LittleEndian.PutUint32(record[at+4:], uint32(len(data)))
 	r.tail = append(r.tail, data...)
 }
 
-// encode adds one action of an instance.
+// encode appends the record of one action of an instance.
 func (r *reply) encode(a *decision.Action) error {
 	le := binary.LittleEndian
 	switch a.Kind {
@@ -97,7 +97,7 @@
 		le.PutUint32(r.add(actionCloseIdle)[2:], uint32(a.Worker))
 	case decision.SendPeer:
 		record := r.add(actionSendPeer)
-		le.PutUint16(record[2:], uint16(a.Peer)) // all peers is all bits set
+		le.PutUint16(record[2:], uint16(a.Peer)) // decision.AllPeers becomes 0xffff
 		r.addData(record, 4, a.Data)
 	case decision.Log:
 		r.addData(r.add(actionLog), 2, a.Data)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// writeTo completes the header and writes the reply.
+// writeTo fills in the header and writes the reply.
 func (r *reply) writeTo(w io.Writer) error {
 	length := len(r.records) - countBytes + len(r.tail)
 	binary.LittleEndian.PutUint32(r.records, uint32(length))
--- a/internal/dispatcher/simadapter/settings.go
+++ b/internal/dispatcher/simadapter/settings.go
@@ -7,15 +7,15 @@
 	"gladepick/internal/decision"
 )
 
-// Bounds of what a settings text may say.
+// Upper bounds of the values in a settings text.
 const (
-	maxListed = 1 << 16 // classes, tenants
+	maxListed = 1 << 16 // number of classes or tenants
 	maxFactor = 1e6     // multiples, costs and shares
 	maxAmount = 1e12    // values and rates
 )
 
-// ParseSettings reads the path=value lines of a configure event. Unknown paths are passed over and missing ones leave
-// zero values; a value that cannot be read is an error that names its path.
+// ParseSettings parses the path=value lines of a configure event. It ignores unknown paths; a missing path leaves the
+// default of its setting, mostly the zero value. The error of an invalid value names the value's path.
 func ParseSettings(text string) (decision.Settings, error) {
 	v := newValues(text)
 	classes, tenants := int(v.floatWithin("classes.count", 0, 0, maxListed)), int(v.floatWithin("tenants.count", 0, 0, maxListed))
@@ -41,7 +41,7 @@
 	return s, v.err
 }
 
-// settings reads everything but classes and tenants.
+// settings parses everything except classes and tenants.
 func (v *values) settings() decision.Settings {
 	s := decision.Settings{
 		Self:                v.integer("position"),
@@ -81,12 +81,13 @@
 		s.Discovery = decision.DiscoveryPoll
 	}
 	if s.Zones > 0 && s.Zone >= s.Zones {
-		v.wrong("zone", fmt.Sprintf("below %d, the number of zones", s.Zones))
+		v.outOfBounds("zone", fmt.Sprintf("below %d, the number of zones", s.Zones))
 	}
 	return s
 }
 
-// reportLayout finds the indices of the load figures that the module can use, -1 where one is not reported.
+// reportLayout returns the indices of the load values that the module uses. The index of a value that is not reported
+// is -1.
 func (v *values) reportLayout() decision.LoadReportLayout {
 	r := decision.LoadReportLayout{FreeSlots: -1, FreeMemory: -1, Queue: -1, InFlight: -1, Util: -1, Errors: -1}
 	for i, name := range v.list("report.fields") {
@@ -108,8 +109,8 @@
 	return r
 }
 
-// class reads a class. Where the settings do not say otherwise a job must never run twice, and duplicates are known in
-// the narrowest scope.
+// class parses the settings of class i. By default a job must never run twice, and duplicates are detected in the
+// narrowest scope only.
 func (v *values) class(i int) decision.ClassSettings {
 	at := fmt.Sprintf("classes.%d.", i)
 	c := decision.ClassSettings{
@@ -139,7 +140,7 @@
 	return c
 }
 
-// tenant reads a tenant.
+// tenant parses the settings of tenant i.
 func (v *values) tenant(i int) decision.TenantSettings {
 	at := fmt.Sprintf("tenants.%d.", i)
 	return decision.TenantSettings{
@@ -148,17 +149,17 @@
 	}
 }
 
-// classLists are lists with one value a class; the last value serves for the rest.
+// classLists holds lists with one value per class. The last value of a list also applies to all further classes.
 type classLists struct {
 	kinds, priorities, stretches []string
 }
 
-// apply sets what the lists say of a class.
+// apply sets the values that the lists have for a class.
 func (l *classLists) apply(class int, c *decision.ClassSettings) error {
 	kind, priority := float64(c.WorkerKind), float64(c.Priority)
 	for _, list := range []struct {
 		texts []string
-		to    *float64
+		field *float64
 	}{
 		{l.kinds, &kind},
 		{l.priorities, &priority},
@@ -170,9 +171,9 @@
 		text := list.texts[min(class, len(list.texts)-1)]
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(value >= -1 && value < maxFactor) {
-			return fmt.Errorf("setting specifics, class %d: %q is no number from -1 on", class, text)
+			return fmt.Errorf("setting specifics, class %d: %q is not a number of at least -1", class, text)
 		}
-		*list.to = value
+		*list.field = value
 	}
 	c.WorkerKind, c.Priority = int(kind), int(priority)
 	return nil
--- a/internal/dispatcher/simadapter/settings_test.go
+++ b/internal/dispatcher/simadapter/settings_test.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/decision"
 )
 
-func TestSettingsText(t *testing.T) {
+func TestSettingsAreParsed(t *testing.T) {
 	s, err := ParseSettings(`balancers=4
 classes.count=2
 classes.0.aim=300000000
@@ -44,15 +44,16 @@
 	if s.Dispatchers != 4 || s.Kinds != 2 || s.Discovery != decision.DiscoveryPoll || s.Report.Queue != 1 || s.Report.Util != -1 ||
 		s.Tenants[0].Share != 0.5 || len(c) != 2 || c[0].LatencyTarget != 300*time.Millisecond || c[0].Idempotency != decision.Idempotent || c[0].WorkerKind != -1 ||
 		c[1].Idempotency != decision.Deduplicated || c[1].DedupScope != decision.DedupByZone || c[1].WorkerKind != 1 || c[1].Stretch != 2.5 || c[1].Value != 1 {
-		t.Errorf("read %+v", s)
+		t.Errorf("unexpected settings %+v", s)
 	}
 	if s.Zones != 3 || s.DrainCloseWithin != 800*time.Millisecond || !s.RejectionUnproven || s.TailWeight != 0.3 || s.ToleratedMisses != 0.02 || !s.ValueByWork ||
 		!slices.Equal(c[0].AllowedKinds, []int{1}) || len(c[0].AllowedZones) > 0 || !slices.Equal(c[1].AllowedZones, []int{0, 2}) || len(c[1].AllowedKinds) > 0 {
-		t.Errorf("read %+v", s)
+		t.Errorf("unexpected settings %+v", s)
 	}
 }
 
-func TestSettingsThatCannotBeRead(t *testing.T) {
+// The error of a value that cannot be parsed must name its path.
+func TestErrorsNamePathOfInvalidSetting(t *testing.T) {
 	for _, bad := range []string{"invariants.full_unproven=perhaps", "classes.count=-1", "classes.count=99999999", "limits.peers=maybe", "invariants.cold_from=NaN"} {
 		if _, err := ParseSettings(bad); err == nil || !strings.Contains(err.Error(), strings.Split(bad, "=")[0]) {
 			t.Errorf("%s: error %v", bad, err)
@@ -60,8 +61,9 @@
 	}
 }
 
-func TestSettingsOutOfBounds(t *testing.T) {
-	for _, bad := range []struct{ key, value, right string }{ // key, value and what would be right are named
+// The error of a value outside its bounds must name the path, the value and the bounds.
+func TestErrorsNameBoundsOfSetting(t *testing.T) {
+	for _, bad := range []struct{ path, value, bounds string }{
 		{"discovery", "shout", "one of automatic, subscribe"},
 		{"report.how", "post", "one of piggyback, pull, silent"},
 		{"worth_by", "weight", "one of request, work"},
@@ -78,9 +80,9 @@
 		{"zone", "5", "below 2, the number of zones"},
 		{"position", "-1", "0 or more"},
 	} {
-		_, err := ParseSettings("classes.count=1\ntenants.count=1\nzones=a,b\n" + bad.key + "=" + bad.value)
-		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("setting %s: %q is not %s", bad.key, bad.value, bad.right)) {
-			t.Errorf("%s=%s: error %v", bad.key, bad.value, err)
+		_, err := ParseSettings("classes.count=1\ntenants.count=1\nzones=a,b\n" + bad.path + "=" + bad.value)
+		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("setting %s: %q is not %s", bad.path, bad.value, bad.bounds)) {
+			t.Errorf("%s=%s: error %v", bad.path, bad.value, err)
 		}
 	}
 }
