--- a/internal/dispatcher/amqp/adapter.go
+++ b/internal/dispatcher/amqp/adapter.go
@@ -1,17 +1,18 @@
-// Package amqp connects a dispatcher with a broker over AMQP 0-9-1. It is a front,
-// which takes jobs from a queue and answers them to their reply queues, and a
-// transport, which carries attempts to workers that take theirs from queues.
+// Package amqp connects a dispatcher with a broker over AMQP 0-9-1. It is both a front, which consumes jobs from a
+// queue and publishes the answers to the reply queues of the clients, and a transport, which publishes attempts to the
+// queues of the workers.
 //
-// Adapter owns the one session with the broker, the attempts that are out at
-// queues, and the outcomes of keyed jobs, which it remembers for a while. It is
-// responsible for these invariants: a delivery is acknowledged only once the
-// broker has confirmed its answer; a key has no second effect because a broker
-// delivered twice; a lost channel proves nothing about an attempt that was
-// published; and what comes late changes no answer that was given.
+// Adapter owns the session with the broker, the attempts that are in flight, and the recent outcomes of jobs. It keeps
+// these invariants:
 //
-// Run's goroutine owns a session and reads from it. Each delivery is settled, and
-// each attempt published, on a goroutine of its own; they share the session and
-// the attempts under Adapter.mu, and the outcomes under outcomes.mu.
+//   - A delivery is acknowledged only after the broker has confirmed its answer.
+//   - A redelivery by the broker does not run a keyed job a second time.
+//   - If a channel is lost, the outcome of a published attempt is unknown: it may have run.
+//   - A late reply does not change an answer that was sent.
+//
+// The goroutine of Run opens a session and receives from it. Each delivery is settled, and each attempt published, on a
+// goroutine of its own. These goroutines share the session and the attempts under Adapter.mu, and the outcomes under
+// outcomes.mu.
 //
 // Start reading at Adapter.serve.
 package amqp
@@ -31,37 +32,37 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Adapter is the front and the transport that speak to one broker. Its exported fields are set before Run.
+// Adapter is the front and the transport for one broker. Its exported fields must be set before Run.
 type Adapter struct {
-	// Jobs takes the jobs.
+	// Jobs receives the jobs of the clients.
 	Jobs dispatch.Submitter
-	// Durable tells that keyed jobs outlive their dispatcher: their replicas know of a redelivered one what the outcomes
-	// remembered here do not.
+	// Durable reports whether keyed jobs survive their dispatcher: their replicas then detect the redelivery of a job
+	// whose outcome is not stored here.
 	Durable bool
-	// Dial opens a connection; tests put their own in its place.
+	// Dial opens a connection to the broker. Tests replace it.
 	Dial func(network, address string) (net.Conn, error)
 
 	node      *config.Node
-	operator  *config.AMQP
+	settings  *config.AMQP
 	limits    config.Limits
 	counters  *dispatch.Counters
 	outcomes  *outcomes
-	unsettled sync.WaitGroup // deliveries
+	unsettled sync.WaitGroup // deliveries without an acknowledgement
 	draining  chan struct{}
 	drainOnce sync.Once
-	published atomic.Uint64 // attempts so far
+	published atomic.Uint64 // number of attempts so far; makes correlation ids unique
 
 	mu       sync.Mutex
-	session  *session                     // nil: there is none now
+	session  *session                     // nil while there is no session
 	inFlight map[string]*dispatch.Attempt // by correlation id
 }
 
-// New makes an adapter for a node whose settings have a broker. counters are the core's.
+// New returns an adapter for a node whose settings have a broker. counters are those of the core.
 func New(n *config.Node, counters *dispatch.Counters) *Adapter {
 	return &Adapter{
 		Dial:     amqp.DefaultDial(n.Limits.DiscoveryCallTimeout),
 		node:     n,
-		operator: n.AMQP,
+		settings: n.AMQP,
 		limits:   n.Limits,
 		counters: counters,
 		outcomes: newOutcomes(n.Limits),
@@ -70,9 +71,9 @@
 	}
 }
 
-// Workers returns the operator's workers in the form of discovery's list.
+// Workers returns the workers of the broker's settings in the form in which discovery lists workers.
 func (a *Adapter) Workers() (workers []config.Worker) {
-	for _, w := range a.operator.Workers {
+	for _, w := range a.settings.Workers {
 		workers = append(workers, config.Worker{
 			ID:      w.ID,
 			Address: "amqp:" + w.Queue,
@@ -87,7 +88,7 @@
 	return workers
 }
 
-// Run keeps a session with the broker until ctx ends.
+// Run keeps a session with the broker open until ctx ends. It reconnects with exponential backoff.
 func (a *Adapter) Run(ctx context.Context) {
 	for backoff := a.limits.BrokerBackoff; ctx.Err() == nil; {
 		began := time.Now()
@@ -95,10 +96,10 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > a.limits.BrokerBackoffMax { // it had come up and held
+		if time.Since(began) > a.limits.BrokerBackoffMax { // the session was stable
 			backoff = a.limits.BrokerBackoff
 		}
-		log.Printf("the session with the broker has ended: %v", err)
+		log.Printf("AMQP session ended: %v", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(backoff):
@@ -107,10 +108,10 @@
 	}
 }
 
-// Drain stops taking jobs. What was taken is still answered; Wait waits for that.
+// Drain stops the consumption of jobs. Deliveries that were received are still answered; Wait waits for them.
 func (a *Adapter) Drain() { a.drainOnce.Do(func() { close(a.draining) }) }
 
-// Wait waits until every delivery that was taken has been answered and acknowledged. Its error says that ctx ended first.
+// Wait waits until every received delivery has been answered and acknowledged. It returns an error if ctx ends before.
 func (a *Adapter) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -121,6 +122,6 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return errors.New("deliveries are left unanswered")
+		return errors.New("not all deliveries were answered in time")
 	}
 }
--- a/internal/dispatcher/amqp/attempts.go
+++ b/internal/dispatcher/amqp/attempts.go
@@ -15,12 +15,13 @@
 	"gladepick/internal/dispatcher/workerhttp"
 )
 
-// Send publishes an attempt to its worker's queue. Its outcome comes through the attempt's End.
+// Send publishes an attempt to the queue of its worker, and reports the outcome through the attempt's End.
 func (a *Adapter) Send(attempt *dispatch.Attempt) { go a.publishAttempt(attempt) }
 
-// CloseIdle has nothing to close: queues have no connections of their own.
+// CloseIdle does nothing: a worker behind a queue has no connection of its own.
 func (a *Adapter) CloseIdle(config.Worker) {}
 
+// publishAttempt publishes an attempt, or ends it if that fails.
 func (a *Adapter) publishAttempt(attempt *dispatch.Attempt) {
 	j := attempt.Job
 	id := j.ID + "#" + strconv.FormatUint(a.published.Add(1), 36)
@@ -49,13 +50,14 @@
 	}
 	attempt.MarkSent()
 	context.AfterFunc(attempt.Context, func() {
-		if attempt := a.resolve(id); attempt != nil { // given up: what comes later finds nobody waiting
+		if attempt := a.resolve(id); attempt != nil { // cancelled: a later reply finds no attempt and is ignored
 			attempt.End(decision.Cancelled, decision.Load{}, nil)
 		}
 	})
 }
 
-// register notes an attempt as in flight, and returns the session that carries it; nil where there is none.
+// register adds an attempt to those in flight and returns the session to publish it on. It returns nil if there is no
+// session.
 func (a *Adapter) register(id string, attempt *dispatch.Attempt) *session {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +67,8 @@
 	return a.session
 }
 
-// resolve takes an attempt out of those in flight, so that it ends once; nil where it has ended.
+// resolve removes an attempt from those in flight and returns it, so that only one caller ends it. It returns nil if
+// the attempt has ended.
 func (a *Adapter) resolve(id string) *dispatch.Attempt {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,19 +83,20 @@
 	if attempt == nil {
 		return
 	}
-	o := decision.Reset // part of it, or all, may have gone out
+	o := decision.Reset // the broker may have received all or a part of it
 	if errors.Is(err, amqp.ErrClosed) {
-		o = decision.ConnectFailed // the channel was closed before anything was written
+		o = decision.ConnectFailed // the channel was closed before any byte was written
 	}
 	attempt.End(o, decision.Load{}, nil)
 }
 
-// readReply reads a worker's message: lines as they come over HTTP too.
+// readReply reads a worker's message, whose lines have the same format as over HTTP. The first line with an outcome
+// ends the attempt.
 func (a *Adapter) readReply(m amqp.Delivery) {
 	a.mu.Lock()
 	attempt := a.inFlight[m.CorrelationId]
 	a.mu.Unlock()
-	if attempt == nil { // late, or nobody's
+	if attempt == nil { // the attempt has ended, or the id is unknown
 		return
 	}
 	if len(m.Body) > a.limits.LineBytes {
--- a/internal/dispatcher/amqp/delivery.go
+++ b/internal/dispatcher/amqp/delivery.go
@@ -17,7 +17,7 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// The answer's type property: one for each kind of answer, and one for messages that are no job.
+// Values of the type property of an answer: one per kind of answer, and one for messages that are not a valid job.
 const (
 	typeServed    = "served"
 	typeRejected  = "refused"
@@ -25,21 +25,22 @@
 	typeMalformed = "malformed"
 )
 
-// delivery is a message of a client, and the session that its acknowledgement belongs to.
+// delivery is a client's message and the session that received it, which must acknowledge it.
 type delivery struct {
 	amqp.Delivery
 	session *session
 }
 
-// take makes a job of a delivery, or joins it to the one of its key, or says what is wrong with it.
-func (a *Adapter) take(d delivery) {
+// handleDelivery submits the job of a delivery. If a job with the same key is open or has an outcome, the delivery gets
+// that job's answer instead. If the message is not a valid job, the delivery gets an answer with the reason.
+func (a *Adapter) handleDelivery(d delivery) {
 	j, err := a.readJob(&d.Delivery)
 	if err != nil {
 		a.rejectMalformed(d, err)
 		return
 	}
 	name, keyed := a.outcomeName(j, d.Type)
-	known := a.outcomes.enter(name, keyed, d)
+	known := a.outcomes.lookupOrOpen(name, keyed, d)
 	switch {
 	case known.joined:
 		a.counters.Redelivered.Add(1)
@@ -48,7 +49,7 @@
 		a.counters.Redelivered.Add(1)
 		go a.answer(d, *known.answer)
 		return
-	case known.lost: // it came before and may have run, but its outcome is not remembered any more
+	case known.lost: // the job was delivered before and may have run, but its outcome is not stored any more
 		a.counters.Redelivered.Add(1)
 		go a.answer(d, dispatch.Answer{Kind: dispatch.Failed})
 		return
@@ -61,8 +62,8 @@
 	a.submit(j, name)
 }
 
-// outcomeName returns the name under which a job's outcome is remembered, and whether a second run of the job would be a
-// second effect that only this package prevents.
+// outcomeName returns the name under which a job's outcome is stored. keyed reports whether a second run of the job
+// would have a second effect that only this package prevents.
 func (a *Adapter) outcomeName(j *dispatch.Job, class string) (name string, keyed bool) {
 	idempotency := a.node.Module.Classes[j.Class].Idempotency
 	keyed = idempotency != decision.Idempotent && !(a.Durable && idempotency == decision.Deduplicated)
@@ -72,8 +73,8 @@
 	return class + "\x00" + j.IdempotencyKey, keyed
 }
 
-// submit hands a job on. One whose client left while it waited in the queue, or for which there is no room, is sent
-// nowhere: it is rejected, and trying again is harmless.
+// submit submits a job. If the job's time ran out in the queue, or if the core does not accept the job, no worker has
+// seen the job: submit rejects it, and the client can retry safely.
 func (a *Adapter) submit(j *dispatch.Job, name string) {
 	var err error
 	if j.Timeout > 0 {
@@ -81,7 +82,7 @@
 	}
 	rejected := dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: a.limits.RetryAfter}
 	switch {
-	case errors.Is(err, dispatch.ErrDuplicateID): // the job that has this id goes on as if nothing had come
+	case errors.Is(err, dispatch.ErrDuplicateID): // the open job with this id is not affected
 		a.counters.Malformed.Add(1)
 		for _, waiting := range a.outcomes.complete(name, rejected) {
 			go a.settle(waiting, typeMalformed, amqp.Table{"reason": err.Error()}, nil)
@@ -91,7 +92,8 @@
 	}
 }
 
-// rejectMalformed answers a message that is no job. One that cannot be answered is rejected without requeue.
+// rejectMalformed answers a message that is not a valid job. It rejects a message that cannot be answered without
+// requeue.
 func (a *Adapter) rejectMalformed(d delivery, err error) {
 	a.counters.Malformed.Add(1)
 	if d.ReplyTo == "" || d.CorrelationId == "" {
@@ -102,7 +104,7 @@
 	go a.settle(d, typeMalformed, amqp.Table{"reason": err.Error()}, nil)
 }
 
-// readJob checks a message and takes out what decisions need. Its error is for the client.
+// readJob validates a message and converts it to a job. Its error is sent to the client.
 func (a *Adapter) readJob(m *amqp.Delivery) (*dispatch.Job, error) {
 	j := &dispatch.Job{
 		ID:             m.CorrelationId,
@@ -134,7 +136,7 @@
 	if j.Timeout, err = clienthttp.ParseTimeout(m.Expiration, time.Millisecond, a.limits.MaxJobTimeout); err != nil {
 		return nil, fmt.Errorf("expiration: %w", err)
 	}
-	if !m.Timestamp.IsZero() { // it counts from when the client sent it; the timestamp has whole seconds only
+	if !m.Timestamp.IsZero() { // the timeout counts from the timestamp, which is in whole seconds and thus up to 1 s early
 		left := time.Until(m.Timestamp.Add(time.Second)) + j.Timeout
 		j.Timeout = min(j.Timeout, left)
 	}
@@ -142,13 +144,13 @@
 	return j, nil
 }
 
-// headerText returns a header that is a string, "" for any other.
+// headerText returns the value of a string header, or "" if the header is missing or has another type.
 func headerText(m *amqp.Delivery, name string) string {
 	text, _ := m.Headers[name].(string)
 	return text
 }
 
-// readSubject notes what a job is about.
+// readSubject sets a job's target and affinity key from its subject, if there is one.
 func readSubject(j *dispatch.Job, subject string) error {
 	if subject == "" {
 		return nil
@@ -161,8 +163,8 @@
 	return nil
 }
 
-// readNumber reads a header that is a number of what a job takes at a worker; without it nothing changes.
-func readNumber(to *float64, m *amqp.Delivery, name string) error {
+// readNumber sets value to the number in a header. It leaves value unchanged if the header is missing.
+func readNumber(value *float64, m *amqp.Delivery, name string) error {
 	text := headerText(m, name)
 	if text == "" {
 		return nil
@@ -171,11 +173,11 @@
 	if err != nil || !(v >= 0 && v < math.MaxInt32) {
 		return fmt.Errorf("%s: %q is not a figure", name, text)
 	}
-	*to = v
+	*value = v
 	return nil
 }
 
-// answer gives a delivery its final answer.
+// answer sends a delivery its final answer and settles it.
 func (a *Adapter) answer(d delivery, answer dispatch.Answer) {
 	switch answer.Kind {
 	case dispatch.Served:
@@ -188,8 +190,8 @@
 	}
 }
 
-// settle publishes an answer and acknowledges the delivery once the broker has confirmed it. Where that fails the broker
-// delivers again, and the outcome that is remembered gives the same answer.
+// settle publishes an answer and acknowledges the delivery after the broker has confirmed the answer. If that fails, it
+// requeues the delivery, and the stored outcome gives the redelivery the same answer.
 func (a *Adapter) settle(d delivery, kind string, header amqp.Table, body []byte) {
 	defer a.unsettled.Done()
 	if d.ReplyTo == "" {
@@ -204,17 +206,17 @@
 		Body:          body,
 	})
 	if err == nil {
-		d.Ack(false) // a late or lost acknowledgement changes nothing: a redelivery meets the outcome
+		d.Ack(false) // if the acknowledgement is lost, the redelivery gets the stored outcome
 		return
 	}
-	log.Printf("job %s: its answer is not confirmed (%v); the broker will deliver it again", d.CorrelationId, err)
+	log.Printf("job %s: the broker did not confirm the answer (%v); the delivery is requeued", d.CorrelationId, err)
 	d.Nack(false, true)
 }
 
-// errNotConfirmed is the error of an answer that the broker has refused to confirm (basic.nack).
-var errNotConfirmed = errors.New("the broker has not taken it")
+// errNotConfirmed is the error of an answer that the broker rejected with basic.nack.
+var errNotConfirmed = errors.New("the broker sent basic.nack")
 
-// publishAnswer publishes an answer and waits for the broker's confirm.
+// publishAnswer publishes an answer and waits until the broker confirms it.
 func (a *Adapter) publishAnswer(d delivery, p amqp.Publishing) error {
 	confirm, err := d.session.answers.PublishWithDeferredConfirm("", d.ReplyTo, false, false, p)
 	if err != nil {
--- a/internal/dispatcher/amqp/messages_test.go
+++ b/internal/dispatcher/amqp/messages_test.go
@@ -1,5 +1,5 @@
-// These tests hold every message that the adapter publishes against testdata/, in moved time and with a broker on a network
-// in memory. How jobs and redeliveries fare is tested beside the surroundings, in package testenv.
+// These tests compare every message that the adapter publishes with testdata/. They run in the fake time of synctest,
+// with a broker on an in-memory network. The tests of package testenv cover the handling of jobs and redeliveries.
 package amqp_test
 
 import (
@@ -35,14 +35,14 @@
 `
 )
 
-// fixedSubmitter gives each job the same answer, or the same error.
+// fixedSubmitter answers each job with the same answer, or refuses it with the same error.
 type fixedSubmitter struct {
 	mu     sync.Mutex
 	answer dispatch.Answer
 	err    error
 }
 
-// set changes what the jobs to come get.
+// set changes the answer and the error for the following jobs.
 func (f *fixedSubmitter) set(a dispatch.Answer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,21 +61,21 @@
 
 func (f *fixedSubmitter) Abandon(*dispatch.Job) {}
 
-// noWatch stands in for the watch on the list of workers.
+// noWatch is a watcher of the list of workers that does nothing.
 type noWatch struct{}
 
 func (noWatch) Watch(bool) {}
 
-// fixture is an adapter with a broker, and a channel to the broker of the test's own.
+// fixture is an adapter, its broker, and the test's own channel to that broker.
 type fixture struct {
 	node     *config.Node
 	counters *dispatch.Counters
 	adapter  *amqp.Adapter
 	channel  *amqp091.Channel
-	text     bytes.Buffer
+	text     bytes.Buffer // compared with a file in testdata
 }
 
-// newFixture makes an adapter; jobs takes what it reads. It belongs into a bubble of testing/synctest.
+// newFixture returns an adapter that is not running and has no Jobs. It must be called in a synctest bubble.
 func newFixture(t *testing.T) *fixture {
 	network, broker := new(testenv.Network), new(testenv.Broker)
 	for _, name := range []string{"jobs", "answers", "work"} {
@@ -104,7 +104,7 @@
 	return f
 }
 
-// run sets the adapter to work until the test ends.
+// run runs the adapter until the test ends.
 func (f *fixture) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -113,6 +113,7 @@
 	synctest.Wait()
 }
 
+// consume returns the messages of a queue.
 func (f *fixture) consume(t *testing.T, queue string) <-chan amqp091.Delivery {
 	deliveries, err := f.channel.Consume(queue, "", true, false, false, false, nil)
 	if err != nil {
@@ -121,13 +122,14 @@
 	return deliveries
 }
 
+// publish publishes a message to a queue.
 func (f *fixture) publish(t *testing.T, queue string, p amqp091.Publishing) {
 	if err := f.channel.Publish("", queue, false, false, p); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// record writes down the message that comes next; none within a while is one that never comes.
+// record adds the next message to the text, or "none" if no message arrives within a minute.
 func (f *fixture) record(title string, from <-chan amqp091.Delivery) (m amqp091.Delivery) {
 	select {
 	case m = <-from:
@@ -139,19 +141,20 @@
 	return m
 }
 
-// goodJob is a message that is a job.
-func goodJob() amqp091.Publishing {
+// validJob returns a message that is a valid job.
+func validJob() amqp091.Publishing {
 	return amqp091.Publishing{Type: "enrol", CorrelationId: "c1", MessageId: "k1", ReplyTo: "answers", Expiration: "2500",
 		Headers: amqp091.Table{"x-tenant-id": "univ-gaspesie", "x-subject": "s", "x-slots": "1", "x-memory": "2", "x-retried": "1"}, Body: []byte("text")}
 }
 
-func TestAnswersAsTheyArePublished(t *testing.T) {
+// The answers to clients must keep their properties and bodies.
+func TestPublishedAnswersAreUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, jobs := newFixture(t), &fixedSubmitter{}
 		f.adapter.Jobs = jobs
 		f.run(t)
 		answers := f.consume(t, "answers")
-		for i, k := range []struct {
+		for i, tc := range []struct {
 			name   string
 			answer dispatch.Answer
 			err    error
@@ -163,20 +166,20 @@
 			{"the id is open", dispatch.Answer{}, dispatch.ErrDuplicateID},
 			{"not taken", dispatch.Answer{}, errors.New("whatever else")},
 		} {
-			jobs.set(k.answer, k.err)
-			p := goodJob()
+			jobs.set(tc.answer, tc.err)
+			p := validJob()
 			p.CorrelationId, p.MessageId = fmt.Sprint("c", i), fmt.Sprint("k", i)
 			f.publish(t, "jobs", p)
-			f.record(k.name, answers)
+			f.record(tc.name, answers)
 		}
 		jobs.set(dispatch.Answer{Kind: dispatch.Failed}, nil)
-		again := goodJob()
-		again.CorrelationId, again.MessageId = "c9", "k0"
-		f.publish(t, "jobs", again)
+		retry := validJob()
+		retry.CorrelationId, retry.MessageId = "c9", "k0"
+		f.publish(t, "jobs", retry)
 		f.record("a client's own retry of a key that was served", answers)
-		for _, k := range []struct {
-			name  string
-			spoil func(*amqp091.Publishing)
+		for _, tc := range []struct {
+			name       string
+			invalidate func(*amqp091.Publishing)
 		}{
 			{"odd id", func(p *amqp091.Publishing) { p.CorrelationId = "a b" }},
 			{"unknown class", func(p *amqp091.Publishing) { p.Type = "render" }},
@@ -188,10 +191,10 @@
 			{"body too large", func(p *amqp091.Publishing) { p.Body = make([]byte, 65537) }},
 			{"nobody can be told", func(p *amqp091.Publishing) { p.CorrelationId = "" }},
 		} {
-			p := goodJob()
-			k.spoil(&p)
+			p := validJob()
+			tc.invalidate(&p)
 			f.publish(t, "jobs", p)
-			f.record(k.name, answers)
+			f.record(tc.name, answers)
 		}
 		f.adapter.Drain()
 		if err := f.adapter.Wait(context.Background()); err != nil {
@@ -201,7 +204,8 @@
 	})
 }
 
-func TestAttemptsAsTheyArePublished(t *testing.T) {
+// The messages to workers must keep their properties and bodies.
+func TestPublishedAttemptsAreUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		core, err := dispatch.New(f.node, f.counters, nil, f.adapter, noWatch{}, f.adapter.Workers())
@@ -213,9 +217,9 @@
 		t.Cleanup(cancel)
 		go core.Run(ctx)
 		f.run(t)
-		core.UpdateWorkers(decision.ListFull, nil) // a complete list: the operator's workers stand beside it
+		core.UpdateWorkers(decision.ListFull, nil) // a complete list must not remove the workers of the broker's settings
 		answers, work := f.consume(t, "answers"), f.consume(t, "work")
-		f.publish(t, "jobs", goodJob())
+		f.publish(t, "jobs", validJob())
 		m := f.record("an attempt", work)
 		f.publish(t, m.ReplyTo, amqp091.Publishing{CorrelationId: m.CorrelationId,
 			Body: []byte(`{"id":"c1","state":"started"}` + "\n" + `{"id":"c1","state":"done","result":"of c1"}` + "\n")})
--- a/internal/dispatcher/amqp/outcomes.go
+++ b/internal/dispatcher/amqp/outcomes.go
@@ -9,32 +9,32 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// outcomes remembers, for a while and in bounded memory, what became of each keyed job.
+// outcomes stores the open jobs and the answers of recent ones by name. Answers are evicted by age, number and size.
 type outcomes struct {
 	retention time.Duration
-	maxCount  int // of answers
-	maxBytes  int // of results
+	maxCount  int // number of answers
+	maxBytes  int // total size of the results
 
 	mu       sync.Mutex
 	bytes    int
 	byName   map[string]*outcome
-	answered *list.List // of outcomes with an answer, the oldest first
+	answered *list.List // outcomes with an answer, oldest first
 }
 
-// outcome is a job that is open, or its answer.
+// outcome is an open job or the answer of a job.
 type outcome struct {
 	name       string
-	waiting    []delivery // while it is open
-	answer     *dispatch.Answer
+	waiting    []delivery       // deliveries to answer; nil once there is an answer
+	answer     *dispatch.Answer // nil while the job is open
 	answeredAt time.Time
 	element    *list.Element // in answered
 }
 
-// known is what is remembered of a delivery's name. Where no field is set it is new, and its outcome is open now.
-type known struct {
+// lookupResult is what is known of the job of a delivery. If no field is set, the job is new.
+type lookupResult struct {
 	joined bool             // the job is open: the delivery waits for its answer
-	lost   bool             // it came before, and what became of it is not remembered any more
-	answer *dispatch.Answer // it has been answered
+	lost   bool             // the job was delivered before, but its outcome is not stored any more
+	answer *dispatch.Answer // the job has this answer
 }
 
 func newOutcomes(limits config.Limits) *outcomes {
@@ -47,29 +47,31 @@
 	}
 }
 
-// enter looks a name up. A broker's second delivery gets the first one's answer, whatever it is; a client's own retry
-// gets it only where it is a served one, since the others invite it to try again.
-func (o *outcomes) enter(name string, keyed bool, d delivery) known {
+// lookupOrOpen looks up the job with a name, and opens it if it is new. A redelivery by the broker gets the first
+// delivery's answer. A client's own retry gets it only if the answer is Served, as the other answers ask the client to
+// retry.
+func (o *outcomes) lookupOrOpen(name string, keyed bool, d delivery) lookupResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.trim()
+	o.evict()
 	e := o.byName[name]
 	switch {
 	case e != nil && e.answer == nil:
 		e.waiting = append(e.waiting, d)
-		return known{joined: true}
+		return lookupResult{joined: true}
 	case e != nil && (d.Redelivered || keyed && e.answer.Kind == dispatch.Served):
-		return known{answer: e.answer}
+		return lookupResult{answer: e.answer}
 	case e == nil && d.Redelivered && keyed:
-		return known{lost: true}
+		return lookupResult{lost: true}
 	case e != nil:
-		o.forget(e)
+		o.remove(e)
 	}
 	o.byName[name] = &outcome{name: name, waiting: []delivery{d}}
-	return known{}
+	return lookupResult{}
 }
 
-// complete notes the answer of a job that is open, and returns the deliveries that wait for it.
+// complete stores the answer of an open job, and returns the deliveries that wait for it. It returns nil if no job with
+// this name is open.
 func (o *outcomes) complete(name string, answer dispatch.Answer) []delivery {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,24 +83,25 @@
 	e.waiting, e.answer, e.answeredAt = nil, &answer, time.Now()
 	e.element = o.answered.PushBack(e)
 	o.bytes += len(answer.Result)
-	o.trim()
+	o.evict()
 	return waiting
 }
 
-// forget drops an outcome that has an answer. The lock is held.
-func (o *outcomes) forget(e *outcome) {
+// remove removes an outcome that has an answer. The caller holds o.mu.
+func (o *outcomes) remove(e *outcome) {
 	o.answered.Remove(e.element)
 	o.bytes -= len(e.answer.Result)
 	delete(o.byName, e.name)
 }
 
-// trim forgets what is too old, and the oldest where there is too much. The lock is held.
-func (o *outcomes) trim() {
+// evict removes the outcomes that exceed the retention time, and the oldest ones while there are too many answers or
+// bytes. The caller holds o.mu.
+func (o *outcomes) evict() {
 	for front := o.answered.Front(); front != nil; front = o.answered.Front() {
 		e := front.Value.(*outcome)
 		if time.Since(e.answeredAt) <= o.retention && o.answered.Len() <= o.maxCount && o.bytes <= o.maxBytes {
 			return
 		}
-		o.forget(e)
+		o.remove(e)
 	}
 }
--- a/internal/dispatcher/amqp/session.go
+++ b/internal/dispatcher/amqp/session.go
@@ -10,32 +10,32 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// jobsConsumer is the tag under which jobs are consumed.
+// jobsConsumer is the consumer tag of the jobs queue.
 const jobsConsumer = "jobs"
 
-// Why a session ends, where it is not the library's error.
+// Reasons for the end of a session other than an error of the library.
 var (
 	errClosed            = errors.New("closed")
 	errConsumerCancelled = errors.New("the broker has cancelled the consumer")
 	errRepliesCancelled  = errors.New("the broker has cancelled the reply queue")
 )
 
-// session is one connection to the broker, with a channel for each direction so that none blocks another.
+// session is one connection to the broker. It has a channel for each flow of messages, so that none blocks another.
 type session struct {
 	conn     *amqp.Connection
 	jobs     *amqp.Channel    // deliveries of jobs
-	answers  *amqp.Channel    // to clients, with confirms
-	attempts *amqp.Channel    // to workers, and their replies
-	lost     chan *amqp.Error // gets a value for each channel that is closed
+	answers  *amqp.Channel    // answers to clients, with publisher confirms
+	attempts *amqp.Channel    // attempts to workers, and their replies
+	closed   chan *amqp.Error // receives a value when a channel is closed
 
-	replyQueue string // that workers answer to
+	replyQueue string // queue for the replies of workers
 	replies    <-chan amqp.Delivery
-	returned   <-chan amqp.Return // attempts that no queue took
+	returned   <-chan amqp.Return // attempts that the broker could not route to a queue
 }
 
-// openSession connects to the broker and sets up everything but the consumption of jobs.
+// openSession connects to the broker and sets up the session, except for the consumption of jobs.
 func (a *Adapter) openSession() (*session, error) {
-	conn, err := amqp.DialConfig(a.operator.URL, amqp.Config{
+	conn, err := amqp.DialConfig(a.settings.URL, amqp.Config{
 		Heartbeat:  a.limits.DiscoverySilenceTimeout,
 		Dial:       a.Dial,
 		Properties: amqp.Table{"product": "gladepick", "connection_name": a.node.Name},
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &session{conn: conn, lost: make(chan *amqp.Error, 3)}
+	s := &session{conn: conn, closed: make(chan *amqp.Error, 3)}
 	if err := s.setUp(a); err != nil {
 		conn.Close()
 		return nil, err
@@ -51,17 +51,18 @@
 	return s, nil
 }
 
-// setUp opens the channels and the queue for replies.
+// setUp opens the channels and consumes the queue for replies.
 func (s *session) setUp(a *Adapter) (err error) {
 	for _, channel := range []**amqp.Channel{&s.jobs, &s.answers, &s.attempts} {
 		if *channel, err = s.conn.Channel(); err != nil {
 			return err
 		}
-		// The library closes each channel of notifications: one shared by several would be closed twice, which panics.
-		closed := (*channel).NotifyClose(make(chan *amqp.Error, 1))
-		go func() { s.lost <- <-closed }()
+		// The library closes the Go channel of a notification. If several AMQP channels shared it, it would be closed
+		// twice, which panics.
+		notification := (*channel).NotifyClose(make(chan *amqp.Error, 1))
+		go func() { s.closed <- <-notification }()
 	}
-	if err = s.jobs.Qos(a.operator.Prefetch, 0, false); err != nil {
+	if err = s.jobs.Qos(a.settings.Prefetch, 0, false); err != nil {
 		return err
 	}
 	if err = s.answers.Confirm(false); err != nil {
@@ -77,7 +78,7 @@
 	return err
 }
 
-// serve opens one session and runs it to its end.
+// serve opens one session and handles its messages until it ends.
 func (a *Adapter) serve(ctx context.Context) error {
 	s, err := a.openSession()
 	if err != nil {
@@ -87,10 +88,10 @@
 	var jobs <-chan amqp.Delivery
 	draining := a.draining
 	select {
-	case <-draining: // a session that comes up late only brings workers' answers home
+	case <-draining: // a session that opens during a drain only receives replies of workers
 		draining = nil
 	default:
-		if jobs, err = s.jobs.Consume(a.operator.JobQueue, jobsConsumer, false, false, false, false, nil); err != nil {
+		if jobs, err = s.jobs.Consume(a.settings.JobQueue, jobsConsumer, false, false, false, false, nil); err != nil {
 			return err
 		}
 	}
@@ -98,16 +99,17 @@
 	a.session = s
 	a.mu.Unlock()
 	defer a.dropSession()
-	return a.relay(ctx, s, jobs, draining)
+	return a.receive(ctx, s, jobs, draining)
 }
 
-// relay takes what comes in a session until it ends. draining is nil once jobs are taken no more.
-func (a *Adapter) relay(ctx context.Context, s *session, jobs <-chan amqp.Delivery, draining chan struct{}) error {
+// receive handles the messages and events of a session until it ends. draining is nil if jobs are not consumed any
+// more.
+func (a *Adapter) receive(ctx context.Context, s *session, jobs <-chan amqp.Delivery, draining chan struct{}) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-s.lost:
+		case err := <-s.closed:
 			if err == nil {
 				return errClosed
 			}
@@ -117,35 +119,35 @@
 			go s.jobs.Cancel(jobsConsumer, false)
 		case m, ok := <-jobs:
 			if !ok {
-				jobs = nil // cancelled, by this side or by the broker when the queue was deleted
+				jobs = nil // cancelled by a drain, or by the broker because the queue was deleted
 				if draining != nil {
 					return errConsumerCancelled
 				}
 				continue
 			}
 			a.unsettled.Add(1)
-			a.take(delivery{m, s})
+			a.handleDelivery(delivery{m, s})
 		case m, ok := <-s.replies:
 			if !ok {
 				return errRepliesCancelled
 			}
 			a.readReply(m)
 		case r, ok := <-s.returned:
-			if attempt := a.resolve(r.CorrelationId); ok && attempt != nil { // no queue took it: no worker can have seen it
+			if attempt := a.resolve(r.CorrelationId); ok && attempt != nil { // not routed to a queue, so no worker saw it
 				attempt.End(decision.ConnectFailed, decision.Load{}, nil)
 			}
 		}
 	}
 }
 
-// dropSession ends a session. Attempts that were published and have no outcome may have run.
+// dropSession removes the session and ends its attempts in flight with decision.Reset, as they may have run.
 func (a *Adapter) dropSession() {
 	a.mu.Lock()
 	a.session = nil
-	lost := a.inFlight
+	attempts := a.inFlight
 	a.inFlight = map[string]*dispatch.Attempt{}
 	a.mu.Unlock()
-	for _, attempt := range lost {
+	for _, attempt := range attempts {
 		attempt.End(decision.Reset, decision.Load{}, nil)
 	}
 }
