--- a/internal/dispatcher/snmp/objects_test.go
+++ b/internal/dispatcher/snmp/objects_test.go
@@ -17,7 +17,7 @@
 	"gladepick/internal/dispatcher/snmp"
 )
 
-// mibNames maps an object's identifier, without its row, to its name in the MIB.
+// mibNames returns the names of the MIB's objects by identifier, without the row.
 func mibNames(t *testing.T) map[string]string {
 	text, err := os.ReadFile("../../../mibs/GLADEPICK-MIB.txt")
 	if err != nil {
@@ -29,7 +29,7 @@
 	for _, m := range definition.FindAllStringSubmatch(string(text), -1) {
 		parent, known := identifiers[m[2]]
 		if !known {
-			t.Fatalf("%s stands below %s, which is not known", m[1], m[2])
+			t.Fatalf("%s is defined below %s, which is not defined", m[1], m[2])
 		}
 		identifiers[m[1]] = parent + strings.ReplaceAll(m[3], " ", ".")
 		names[identifiers[m[1]]] = m[1]
@@ -37,9 +37,9 @@
 	return names
 }
 
-// testdata/objects.txt holds the objects of two instances, one without a process, in the order of a walk: identifier,
-// name in the MIB, type and value.
-func TestObjectsAsTheyAreWalked(t *testing.T) {
+// TestWalkedObjectsAreUnchanged walks the objects of two instances, one of them without a process, and compares them
+// with testdata/objects.txt: identifier, name in the MIB, type and value.
+func TestWalkedObjectsAreUnchanged(t *testing.T) {
 	names := mibNames(t)
 	synctest.Test(t, func(t *testing.T) {
 		a, conf := agent.New(agentConfig("n0", "n1")), agentConfig("n0", "n1")
@@ -53,9 +53,9 @@
 		}
 		codec := gosnmp.GoSNMP{Version: gosnmp.Version2c, Community: "public"}
 		var text bytes.Buffer
-		for at, done := ".1.3", false; !done; {
+		for current, done := ".1.3", false; !done; {
 			p := gosnmp.SnmpPacket{Version: gosnmp.Version2c, Community: "public", PDUType: gosnmp.GetNextRequest, RequestID: 7,
-				Variables: []gosnmp.SnmpPDU{{Name: at, Type: gosnmp.Null}}}
+				Variables: []gosnmp.SnmpPDU{{Name: current, Type: gosnmp.Null}}}
 			message, err := p.MarshalMsg()
 			if err != nil {
 				t.Fatal(err)
@@ -74,10 +74,10 @@
 				t.Errorf("the MIB has no name for %s", v.Name)
 			}
 			fmt.Fprintf(&text, "%s %s %v %v\n", v.Name, name, v.Type, v.Value)
-			if at == ".1.3" {
+			if current == ".1.3" {
 				fmt.Fprintf(&text, "  as bytes: %x\n", answer)
 			}
-			at, done = v.Name, v.Type == gosnmp.EndOfMibView
+			current, done = v.Name, v.Type == gosnmp.EndOfMibView
 		}
 		golden.AssertBytes(t, text.Bytes(), "objects.txt")
 	})
--- a/internal/dispatcher/snmp/response.go
+++ b/internal/dispatcher/snmp/response.go
@@ -7,16 +7,16 @@
 	"github.com/gosnmp/gosnmp"
 )
 
-// response gathers the variables of one answer.
+// response builds the response to one request.
 type response struct {
 	request   *gosnmp.SnmpPacket
 	packet    *gosnmp.SnmpPacket
-	variables []variable // all that there are, in order
+	variables []variable // all variables of the server, sorted by identifier
 }
 
-// fail returns the answer that carries an error and the request's own variables; at counts them from 1.
-func (r *response) fail(code gosnmp.SNMPError, at int) []byte {
-	r.packet.Error, r.packet.ErrorIndex, r.packet.Variables = code, uint8(min(at, maxErrorIndex)), r.request.Variables
+// fail returns an error response with the variables of the request. index counts them from 1; 0 names none.
+func (r *response) fail(code gosnmp.SNMPError, index int) []byte {
+	r.packet.Error, r.packet.ErrorIndex, r.packet.Variables = code, uint8(min(index, maxErrorIndex)), r.request.Variables
 	b, err := r.packet.MarshalMsg()
 	if err != nil {
 		return nil
@@ -24,22 +24,22 @@
 	return b
 }
 
-// search finds a variable, or the place where it would be.
+// search returns the index of a variable and true, or the index at which it would be inserted and false.
 func (r *response) search(o oid) (int, bool) {
 	return slices.BinarySearchFunc(r.variables, o, func(v variable, o oid) int { return slices.Compare(v.oid, o) })
 }
 
-// append adds a variable with its value.
+// append appends a variable with its value.
 func (r *response) append(v variable) {
 	r.packet.Variables = append(r.packet.Variables, gosnmp.SnmpPDU{Name: v.name, Type: v.kind, Value: v.value})
 }
 
-// appendException adds what stands in place of a value (RFC 3416, section 3).
+// appendException appends a variable with an exception in place of its value (RFC 3416, section 3).
 func (r *response) appendException(o oid, exception gosnmp.Asn1BER) {
 	r.packet.Variables = append(r.packet.Variables, gosnmp.SnmpPDU{Name: o.String(), Type: exception})
 }
 
-// add adds the variable of an identifier (RFC 3416, section 4.2.1).
+// add appends the variable with an identifier, as GET requires (RFC 3416, section 4.2.1).
 func (r *response) add(o oid) {
 	i, found := r.search(o)
 	switch {
@@ -52,8 +52,8 @@
 	}
 }
 
-// addNext adds the variable that follows an identifier (RFC 3416, section 4.2.2). It returns that one's identifier, and
-// false where the list is at its end.
+// addNext appends the variable that follows an identifier, as GETNEXT requires (RFC 3416, section 4.2.2). It returns
+// the identifier of that variable, or false if there is none.
 func (r *response) addNext(o oid) (oid, bool) {
 	i, found := r.search(o)
 	if found {
@@ -67,14 +67,15 @@
 	return r.variables[i].oid, true
 }
 
-// addBulk adds what follows the identifiers: of the first ones one variable each, of the others as many as are asked for
-// and as the limit allows (RFC 3416, section 4.2.3).
-func (r *response) addBulk(asked []oid, limit int) {
-	once := min(int(r.request.NonRepeaters), len(asked))
-	for _, o := range asked[:once] {
+// addBulk appends the variables that follow the identifiers, as GETBULK requires (RFC 3416, section 4.2.3): one
+// variable for each of the first NonRepeaters identifiers, and up to MaxRepetitions for each of the others. It stops
+// before it exceeds limit variables.
+func (r *response) addBulk(requested []oid, limit int) {
+	nonRepeaters := min(int(r.request.NonRepeaters), len(requested))
+	for _, o := range requested[:nonRepeaters] {
 		r.addNext(o)
 	}
-	repeated := asked[once:]
+	repeated := requested[nonRepeaters:]
 	for range r.request.MaxRepetitions {
 		more := false
 		for i, o := range repeated {
@@ -88,8 +89,8 @@
 	}
 }
 
-// encode returns the answer in so many bytes at most. A bulk answer may be shorter than asked; any other that is too long
-// is an error.
+// encode returns the encoded response, which has at most limit bytes. A GETBULK response that is too long is shortened
+// to fewer variables; any other becomes a tooBig error.
 func (r *response) encode(limit int) []byte {
 	for {
 		b, err := r.packet.MarshalMsg()
--- a/internal/dispatcher/snmp/server.go
+++ b/internal/dispatcher/snmp/server.go
@@ -1,10 +1,9 @@
-// Package snmp is a read-only SNMPv2c agent (RFC 3416) for mibs/GLADEPICK-MIB.txt.
-// It turns the statuses of package agent into an ordered list of variables and
-// answers GET, GETNEXT and GETBULK on UDP loopback; the messages are coded by
-// gosnmp.
+// Package snmp implements a read-only SNMPv2c agent (RFC 3416) for mibs/GLADEPICK-MIB.txt. It converts the statuses of
+// package agent to an ordered list of variables, and answers GET, GETNEXT and GETBULK over UDP on loopback. Package
+// gosnmp encodes and decodes the messages.
 //
-// A Server changes nothing, does not answer a foreign community, and sends one
-// datagram for one at most. Serve has one goroutine; Answer may be called on any.
+// A Server changes nothing, ignores requests with another community, and sends at most one datagram per request. Serve
+// uses the goroutine of its caller; Answer is safe for concurrent use.
 //
 // Start reading at Server.Answer.
 package snmp
@@ -22,24 +21,24 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// maxErrorIndex is the highest variable that an error can name: the codec has one byte for it.
+// maxErrorIndex is the highest index of a variable in an error response, as gosnmp encodes the index in one byte.
 const maxErrorIndex = 255
 
-// Server answers SNMP messages. Its exported fields are set by New; tests put their own functions in their place.
+// Server answers SNMP messages. New sets the exported fields; tests replace them.
 type Server struct {
-	Statuses func() []agent.Status
-	Uptime   func() time.Duration
+	Statuses func() []agent.Status // statuses of the instances, one row each
+	Uptime   func() time.Duration  // time since the agent's start
 
 	community string
 	limits    config.AgentLimits
 }
 
-// New makes a server for an agent.
+// New returns a server for an agent.
 func New(a *agent.Agent, conf *config.Agent) *Server {
 	return &Server{Statuses: a.Statuses, Uptime: a.Uptime, community: conf.Community, limits: conf.Limits}
 }
 
-// Serve answers datagrams until ctx ends.
+// Serve answers the datagrams of conn until ctx ends, and then closes conn.
 func (s *Server) Serve(ctx context.Context, conn net.PacketConn) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -60,12 +59,12 @@
 	}
 }
 
-// Answer returns the answer to a message; nil where none is due.
+// Answer returns the encoded response to a message, or nil if the message must not be answered.
 func (s *Server) Answer(message []byte) (answer []byte) {
 	defer func() {
-		// The codec reads bytes from outside; should it fail on some, that message alone goes unanswered.
+		// A panic of the codec on malformed input must not end the agent: only this message stays unanswered.
 		if r := recover(); r != nil {
-			log.Printf("snmp: a message of %d bytes is not understood: %v", len(message), r)
+			log.Printf("snmp: decoding a message of %d bytes panicked: %v", len(message), r)
 			answer = nil
 		}
 	}()
@@ -92,28 +91,28 @@
 	return nil
 }
 
-// answerGet answers a request for variables.
+// answerGet returns the response to a GET, GETNEXT or GETBULK request.
 func (s *Server) answerGet(r *response) []byte {
-	asked := make([]oid, len(r.request.Variables))
+	requested := make([]oid, len(r.request.Variables))
 	for i, v := range r.request.Variables {
 		var err error
-		if asked[i], err = parseOID(v.Name); err != nil {
+		if requested[i], err = parseOID(v.Name); err != nil {
 			return r.fail(gosnmp.GenErr, i+1)
 		}
 	}
-	if len(asked) > s.limits.Variables {
+	if len(requested) > s.limits.Variables {
 		return r.fail(gosnmp.TooBig, 0)
 	}
 	r.variables = s.variables()
 	switch r.request.PDUType {
 	case gosnmp.GetBulkRequest:
-		r.addBulk(asked, s.limits.Variables)
+		r.addBulk(requested, s.limits.Variables)
 	case gosnmp.GetNextRequest:
-		for _, o := range asked {
+		for _, o := range requested {
 			r.addNext(o)
 		}
 	default:
-		for _, o := range asked {
+		for _, o := range requested {
 			r.add(o)
 		}
 	}
--- a/internal/dispatcher/snmp/snmp_test.go
+++ b/internal/dispatcher/snmp/snmp_test.go
@@ -1,4 +1,4 @@
-// These tests run an agent over processes that are not there, and ask it as an SNMP manager does.
+// These tests run an agent with fake processes, and send it the requests of an SNMP manager.
 package snmp_test
 
 import (
@@ -22,12 +22,12 @@
 	"gladepick/internal/dispatcher/snmp"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
+func init() { flag.Set("rapid.seed", "20261201") } // the same inputs in every run
 
 var limits = config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond, RestartBackoffMax: time.Second,
 	StableAfter: 10 * time.Second, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 64, RequestBytes: 1 << 10}
 
-// process is an instance that runs until it is told to end.
+// process is a fake process that runs until it is terminated or killed.
 type process struct{ end chan error }
 
 func (p *process) PID() int         { return 42 }
@@ -36,7 +36,7 @@
 func (p *process) Kill() error      { p.end <- errors.New("killed"); return nil }
 func (p *process) Terminate() error { p.end <- nil; return nil }
 
-// agentConfig is an agent's file with instances of these names.
+// agentConfig returns the configuration of an agent with instances of these names.
 func agentConfig(names ...string) *config.Agent {
 	conf := &config.Agent{Community: "public", Limits: limits}
 	for i, name := range names {
@@ -45,7 +45,7 @@
 	return conf
 }
 
-// allCounters has a value for each counter.
+// allCounters returns a value for each counter.
 func allCounters() (out []dispatch.Count) {
 	for i, name := range dispatch.CounterNames {
 		out = append(out, dispatch.Count{Name: name, Value: int64(100 + i)})
@@ -53,26 +53,27 @@
 	return out
 }
 
-// running is an agent whose instances answer, and that is asked over real loopback sockets.
-func running(t *testing.T, names ...string) (*agent.Agent, *config.Agent) {
+// runAgent runs an agent whose instances answer until the test ends. It returns once the agent has stored the counters
+// of the instances.
+func runAgent(t *testing.T, names ...string) (*agent.Agent, *config.Agent) {
 	conf := agentConfig(names...)
 	a := agent.New(conf)
-	looked := make(chan bool, 100)
+	fetched := make(chan bool, 100)
 	a.StartProcess = func(config.Instance) (agent.Process, error) { return &process{make(chan error, 1)}, nil }
-	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return allCounters(), nil }
+	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { fetched <- true; return allCounters(), nil }
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { a.Run(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); <-over })
-	for range 2 * len(names) { // the second look begins once the first has been noted
-		<-looked
+	done := make(chan bool)
+	go func() { a.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); <-done })
+	for range 2 * len(names) { // the second fetch begins after the result of the first is stored
+		<-fetched
 	}
 	return a, conf
 }
 
-// A manager's own library walks the agent over UDP and must see every row in order.
-func TestManagerWalks(t *testing.T) {
-	a, conf := running(t, "n0", "n1")
+// A walk over UDP with GETNEXT and with GETBULK must return every variable in order, and a SET must be refused.
+func TestWalksReturnEveryVariable(t *testing.T) {
+	a, conf := runAgent(t, "n0", "n1")
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +103,7 @@
 			s = fmt.Sprint(v.Value)
 		}
 		if v.Type != kinds[i] || s != want[i] {
-			t.Errorf("%s: %v %q, wanted %v %q", v.Name, v.Type, s, kinds[i], want[i])
+			t.Errorf("%s: %v %q, want %v %q", v.Name, v.Type, s, kinds[i], want[i])
 		}
 	}
 	next, err := m.WalkAll("." + snmp.Base)
@@ -115,22 +116,23 @@
 	}
 	rows := 1 + 2*(6+len(dispatch.CounterNames))
 	if len(next) != rows || len(bulk) != rows {
-		t.Errorf("walks bring %d and %d variables, there are %d", len(next), len(bulk), rows)
+		t.Errorf("walks return %d and %d variables, want %d", len(next), len(bulk), rows)
 	}
 	for i := range min(len(next), len(bulk)) {
 		if next[i].Name != bulk[i].Name {
-			t.Errorf("variable %d is %s and %s", i, next[i].Name, bulk[i].Name)
+			t.Errorf("variable %d is %s with GETNEXT and %s with GETBULK", i, next[i].Name, bulk[i].Name)
 		}
 	}
 	set, err := m.Set([]gosnmp.SnmpPDU{{Name: "." + snmp.Base + ".1.1.0", Type: gosnmp.Integer, Value: 5}})
 	if err != nil || set.Error != gosnmp.NotWritable {
-		t.Errorf("a set is answered %v, %v", set, err)
+		t.Errorf("response to SET: %v, %v", set, err)
 	}
 }
 
-// Whatever comes in, the server answers with one bounded message or not at all.
-func TestAnyDatagram(t *testing.T) {
-	a, conf := running(t, "n0", "n1")
+// For any datagram, the response must not exceed the size limit, and an intact request must be answered only if it has
+// the right version, community and type.
+func TestAnyDatagramGetsBoundedResponseOrNone(t *testing.T) {
+	a, conf := runAgent(t, "n0", "n1")
 	s := snmp.New(a, conf)
 	rapid.Check(t, func(rt *rapid.T) {
 		p := gosnmp.SnmpPacket{Version: rapid.SampledFrom([]gosnmp.SnmpVersion{gosnmp.Version1, gosnmp.Version2c}).Draw(rt, "version"),
@@ -145,29 +147,29 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		whole := true
+		intact := true
 		for range rapid.IntRange(0, 3).Draw(rt, "spoiled") {
 			i := rapid.IntRange(0, len(message)-1).Draw(rt, "at")
 			message[i] = rapid.Byte().Draw(rt, "byte")
-			whole = false
+			intact = false
 		}
 		if rapid.Bool().Draw(rt, "cut") {
 			message = message[:rapid.IntRange(0, len(message)).Draw(rt, "to")]
-			whole = false
+			intact = false
 		}
 		answer := s.Answer(message)
 		if len(answer) > limits.DatagramBytes {
-			rt.Errorf("an answer of %d bytes", len(answer))
+			rt.Errorf("response has %d bytes", len(answer))
 		}
-		due := p.Version == gosnmp.Version2c && p.Community == "public" && p.PDUType != gosnmp.GetResponse
-		if whole && (answer != nil) != due {
-			rt.Errorf("%v with %d names: answered %v", p.PDUType, len(p.Variables), answer != nil)
+		expected := p.Version == gosnmp.Version2c && p.Community == "public" && p.PDUType != gosnmp.GetResponse
+		if intact && (answer != nil) != expected {
+			rt.Errorf("%v with %d variables: answered %v", p.PDUType, len(p.Variables), answer != nil)
 		}
 	})
 }
 
-// The MIB names every counter, in the order that the agent numbers them by.
-func TestMIBNamesEveryCounter(t *testing.T) {
+// The MIB must define every counter under the number that the agent uses, or a manager shows it under a wrong name.
+func TestMIBDefinesEveryCounter(t *testing.T) {
 	text, err := os.ReadFile("../../../mibs/GLADEPICK-MIB.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -183,13 +185,13 @@
 		}
 		object := regexp.MustCompile(fmt.Sprintf(`(?s)\ngp%s OBJECT-TYPE\n    SYNTAX +%s\n[^:]*::= \{ gpCounterEntry %d \}`, words, kind, i+1))
 		if !object.Match(text) {
-			t.Errorf("the MIB does not have %s as object %d", name, i+1)
+			t.Errorf("the MIB does not define %s as object %d", name, i+1)
 		}
 	}
 	if n := strings.Count(string(text), "{ gpCounterEntry "); n != len(dispatch.CounterNames) {
-		t.Errorf("the MIB has %d counters, the agent %d", n, len(dispatch.CounterNames))
+		t.Errorf("the MIB has %d counters, want %d", n, len(dispatch.CounterNames))
 	}
 	if !strings.Contains(string(text), "::= { enterprises 32473 17 }") || !strings.HasSuffix(snmp.Base, ".32473.17") {
-		t.Error("the MIB stands at another place than the agent's")
+		t.Error("the MIB has another root than the agent")
 	}
 }
--- a/internal/dispatcher/snmp/variables.go
+++ b/internal/dispatcher/snmp/variables.go
@@ -13,25 +13,25 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Base is the MIB's root: below the enterprise number that RFC 5612 sets aside for documentation. An operator with a
-// number of its own changes it here and in the MIB.
+// Base is the object identifier of the MIB's root. It uses the enterprise number that RFC 5612 reserves for
+// documentation. An operator with an enterprise number replaces it here and in the MIB.
 const Base = "1.3.6.1.4.1.32473.17"
 
-// Below the base: the scalar, the table of instances, the table of their counters.
+// Identifiers below Base: the scalar, the entry of the instance table, and the entry of the counter table.
 const (
 	instanceCount = Base + ".1.1.0"
 	instanceEntry = Base + ".1.2.1."
 	counterEntry  = Base + ".1.3.1."
 )
 
-// The system group of RFC 3418, as far as there is one.
+// The supported objects of the system group of RFC 3418.
 const (
 	sysDescr    = "1.3.6.1.2.1.1.1.0"
 	sysObjectID = "1.3.6.1.2.1.1.2.0"
 	sysUpTime   = "1.3.6.1.2.1.1.3.0"
 )
 
-// The columns of the table of instances; 1 is its index, which is not shown.
+// Columns of the instance table. Column 1 is the index, which is not accessible.
 const (
 	columnName     = "2"
 	columnState    = "3"
@@ -41,10 +41,10 @@
 	columnUpTime   = "7"
 )
 
-// tick is the unit of TimeTicks.
+// tick is the unit of the type TimeTicks.
 const tick = 10 * time.Millisecond
 
-// oid is an object's identifier in a form that compares as SNMP orders them.
+// oid is an object identifier. slices.Compare orders identifiers as SNMP does.
 type oid []uint32
 
 func parseOID(s string) (o oid, err error) {
@@ -58,7 +58,7 @@
 	return o, nil
 }
 
-// String returns the identifier with a leading dot.
+// String returns the identifier in dotted form, with a leading dot.
 func (o oid) String() string {
 	var b strings.Builder
 	for _, v := range o {
@@ -68,23 +68,24 @@
 	return b.String()
 }
 
-// sameObject returns whether two identifiers differ in the row only: a table's column, or a scalar's zero.
+// sameObject reports whether two identifiers name the same object, that is, the same column of a table or the same
+// scalar: they differ at most in the row.
 func sameObject(a, b oid) bool {
 	return len(a) > 0 && len(b) >= len(a)-1 && slices.Equal(a[:len(a)-1], b[:len(a)-1])
 }
 
-// variable is one instance of an object with its present value.
+// variable is one instance of an object with its current value.
 type variable struct {
 	oid   oid
-	name  string // of the identifier, with a leading dot
+	name  string // oid.String()
 	kind  gosnmp.Asn1BER
-	value any // as the codec takes it for the kind
+	value any // of the Go type that gosnmp requires for kind
 }
 
-// variableList gathers variables in any order.
+// variableList collects variables in any order.
 type variableList []variable
 
-// add adds a variable. Its identifier is one of this package's: one that cannot be read is a fault of the program.
+// add appends a variable. It panics if the identifier is invalid, which would be a bug in this package.
 func (l *variableList) add(identifier string, kind gosnmp.Asn1BER, value any) {
 	o, err := parseOID(identifier)
 	if err != nil {
@@ -93,12 +94,12 @@
 	*l = append(*l, variable{o, o.String(), kind, value})
 }
 
-// addTicks adds a time.
+// addTicks appends a variable of type TimeTicks.
 func (l *variableList) addTicks(identifier string, d time.Duration) {
 	l.add(identifier, gosnmp.TimeTicks, uint32(d/tick))
 }
 
-// addInstance adds an instance's rows; row begins with a dot.
+// addInstance appends the variables of one instance. row is its row number with a leading dot.
 func (l *variableList) addInstance(s agent.Status, row string) {
 	up := time.Duration(0)
 	if !s.Since.IsZero() {
@@ -124,10 +125,10 @@
 	}
 }
 
-// isGauge returns whether a counter may fall.
+// isGauge reports whether the value of a counter can decrease.
 func isGauge(name string) bool { return name == "open" || strings.HasPrefix(name, "workers_") }
 
-// variables returns everything there is now, in the order of the identifiers.
+// variables returns all variables with their current values, sorted by identifier.
 func (s *Server) variables() []variable {
 	var list variableList
 	statuses := s.Statuses()
