--- a/internal/dispatcher/agent/agent.go
+++ b/internal/dispatcher/agent/agent.go
@@ -1,14 +1,12 @@
-// Package agent keeps many dispatchers running on one machine, and answers
-// questions about them.
+// Package agent supervises the dispatchers that run on one machine, and serves their status over HTTP.
 //
-// Agent owns the instances' processes: it starts, watches, drains and restarts
-// them, and reads their counters at intervals. Server answers over HTTP on
-// loopback; the functions for the command line are its client. A question about
-// states and counters is answered with what was read last and never waits for an
-// instance. Jobs pass by the agent.
+// Agent owns the processes of the instances: it starts, monitors, drains and restarts them, and polls their counters.
+// Agent.Serve is an HTTP server for loopback; Command, Query and InstanceNames are its clients for the command line. A
+// request for states and counters returns the values of the last poll and never waits for an instance. Jobs do not pass
+// through the agent.
 //
-// Each instance has a goroutine of its own, Agent.supervise, which alone starts
-// and ends its process. What it shares with questions is under Agent.mu.
+// Each instance has a goroutine, Agent.supervise, and only it starts and ends the instance's process. Agent.mu guards
+// the state that this goroutine shares with requests.
 //
 // Start reading at Agent.Run.
 package agent
@@ -25,16 +23,16 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// State is what an instance does. The numbers are the MIB's.
+// State is the state of an instance. The values are those of the MIB.
 type State int
 
-// The states.
+// States of an instance.
 const (
-	Starting State = iota + 1 // its process runs and does not answer yet
-	Up                        // it answers
-	Draining                  // it was told to leave, and answers what it has
-	Drained                   // it has left and stays away until it is started
-	Waiting                   // its process ended by itself; a restart is due
+	Starting State = iota + 1 // the process runs and does not answer
+	Up                        // the process runs and answers
+	Draining                  // the process was told to stop and finishes its open jobs
+	Drained                   // there is no process until the instance is started
+	Waiting                   // the process ended unexpectedly and will be restarted
 )
 
 // String returns the state's name.
@@ -42,45 +40,45 @@
 	return [...]string{"", "starting", "up", "draining", "drained", "waiting"}[s]
 }
 
-// Status is what the agent knows of an instance.
+// Status is what the agent knows about an instance.
 type Status struct {
 	Name     string           `json:"name"`
 	Listen   string           `json:"listen"`
 	State    State            `json:"state"`
-	PID      int              `json:"pid"` // 0 without a process
+	PID      int              `json:"pid"` // 0 if there is no process
 	Restarts int              `json:"restarts"`
-	Since    time.Time        `json:"since"`    // when its process started; zero without one
-	LastEnd  string           `json:"last"`     // why its last process ended
-	Counters []dispatch.Count `json:"counters"` // nil until its process has answered
+	Since    time.Time        `json:"since"`    // start of the process; zero if there is none
+	LastEnd  string           `json:"last"`     // why the last process ended
+	Counters []dispatch.Count `json:"counters"` // of the last poll; nil until the process has answered
 }
 
-// Agent supervises instances. Its exported fields are set by New; tests put their own functions in their place, before Run.
+// Agent supervises instances. New sets the exported fields; tests may replace them before Run.
 type Agent struct {
-	// StartProcess starts an instance's process.
+	// StartProcess starts the process of an instance.
 	StartProcess func(config.Instance) (Process, error)
-	// FetchCounters reads the counters of the instance that listens at an address.
+	// FetchCounters fetches the counters of the instance that listens at an address.
 	FetchCounters func(ctx context.Context, listen string) ([]dispatch.Count, error)
 
 	config    *config.Agent
 	limits    config.AgentLimits
 	started   time.Time
-	instances []*instance // in the file's order
+	instances []*instance // in the order of the configuration
 
-	mu sync.Mutex // guards what of the instances changes
+	mu sync.Mutex // guards the changing fields of the instances
 }
 
 // instance is one dispatcher that the agent keeps running.
 type instance struct {
 	config config.Instance
-	wake   chan struct{} // a question has changed what is wanted
+	wake   chan struct{} // receives a value when wanted was set
 
-	// Under Agent.mu.
+	// Guarded by Agent.mu.
 	status  Status
-	process Process // nil without one
-	wanted  bool    // it is to run
+	process Process // nil if there is no process
+	wanted  bool    // the instance should run
 }
 
-// New makes an agent for an operator's file.
+// New returns an agent for the instances of a configuration.
 func New(conf *config.Agent) *Agent {
 	a := &Agent{config: conf, limits: conf.Limits, started: time.Now()}
 	a.StartProcess = a.startChild
@@ -99,7 +97,7 @@
 	return a
 }
 
-// Run keeps the instances running until ctx ends, and then until each has left.
+// Run supervises the instances until ctx ends. It then stops them and returns once all processes have ended.
 func (a *Agent) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, in := range a.instances {
@@ -108,10 +106,10 @@
 	running.Wait()
 }
 
-// Uptime returns how long ago the agent was made.
+// Uptime returns the time since New.
 func (a *Agent) Uptime() time.Duration { return time.Since(a.started) }
 
-// Statuses returns what is known of the instances now, in the file's order. The caller may keep and change it.
+// Statuses returns a copy of the current status of each instance, in the order of the configuration.
 func (a *Agent) Statuses() []Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,12 +121,13 @@
 	return statuses
 }
 
-// Drain tells an instance to leave and to stay away; StartInstance brings it back.
+// Drain stops an instance, which then stays stopped until StartInstance.
 func (a *Agent) Drain(name string) error { return a.setWanted(name, false) }
 
 // StartInstance starts an instance that was drained.
 func (a *Agent) StartInstance(name string) error { return a.setWanted(name, true) }
 
+// setWanted sets whether an instance should run, and wakes its goroutine.
 func (a *Agent) setWanted(name string, wanted bool) error {
 	in, err := a.find(name)
 	if err != nil {
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// Reload passes a reload on to an instance. One that has not answered yet may not listen for the signal, which would end
-// it.
+// Reload tells an instance to reload its configuration. It returns an error if the process has not answered yet: the
+// process may not handle the signal yet, and the signal would then terminate it.
 func (a *Agent) Reload(name string) error {
 	in, err := a.find(name)
 	if err != nil {
@@ -159,7 +158,7 @@
 	return in.process.Reload()
 }
 
-// find returns an instance by its name.
+// find returns the instance with a name.
 func (a *Agent) find(name string) (*instance, error) {
 	for _, in := range a.instances {
 		if in.config.Name == name {
--- a/internal/dispatcher/agent/agent_test.go
+++ b/internal/dispatcher/agent/agent_test.go
@@ -1,5 +1,5 @@
-// These tests run an agent over processes that are not there, in time that the test moves on, and hold what it answers and
-// what the command line prints of it against testdata/.
+// These tests run an agent with fake processes in the fake time of synctest, and compare its HTTP responses and the
+// output of the commands with testdata/.
 package agent_test
 
 import (
@@ -23,7 +23,7 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// newAgent keeps three instances: one answers, one does not, one cannot be started.
+// newAgent returns an agent with three instances: n0 answers, n1 does not answer, n2 cannot be started.
 func newAgent() *agent.Agent {
 	conf := &config.Agent{Limits: config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: time.Hour, RestartBackoffMax: time.Hour,
 		StableAfter: time.Hour, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, RequestBytes: 1 << 10}}
@@ -46,8 +46,8 @@
 	return a
 }
 
-// testdata/http.txt holds the agent's HTTP answers, in moved time.
-func TestAnswersToQuestions(t *testing.T) {
+// TestHTTPResponsesAreUnchanged compares the agent's HTTP responses with testdata/http.txt.
+func TestHTTPResponsesAreUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newAgent()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -77,7 +77,7 @@
 	})
 }
 
-// pipeListener hands out connections that the test makes.
+// pipeListener accepts the connections that a test sends to conns.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan bool
@@ -95,14 +95,14 @@
 func (l *pipeListener) Close() error   { close(l.closed); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// testdata/command.txt holds what the commands print.
-func TestCommandOutput(t *testing.T) {
+// TestCommandOutputIsUnchanged compares the output and the errors of the commands with testdata/command.txt.
+func TestCommandOutputIsUnchanged(t *testing.T) {
 	a := newAgent()
-	looked := make(chan bool, 100)
-	look := a.FetchCounters
+	fetched := make(chan bool, 100)
+	fetchCounters := a.FetchCounters
 	a.FetchCounters = func(ctx context.Context, listen string) ([]dispatch.Count, error) {
-		looked <- true
-		return look(ctx, listen)
+		fetched <- true
+		return fetchCounters(ctx, listen)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,14 +112,14 @@
 	done, served := make(chan bool), make(chan error)
 	go func() { a.Run(ctx); close(done) }()
 	go func() { served <- a.Serve(ctx, l) }()
-	for range 4 { // the second look begins once the first has been noted
-		<-looked
+	for range 4 { // the second fetch begins after the result of the first is stored
+		<-fetched
 	}
 	var text bytes.Buffer
-	for _, words := range [][]string{{"status"}, {"status", "n1"}, {"counters"}, {"counters", "n1", "n0"}, {"reload", "n0"}, {"reload", "n1"}, {"reload"},
+	for _, args := range [][]string{{"status"}, {"status", "n1"}, {"counters"}, {"counters", "n1", "n0"}, {"reload", "n0"}, {"reload", "n1"}, {"reload"},
 		{"drain", "n9"}, {"drain"}, {"status", "n9"}, {"start", "n0", "n1"}} {
-		fmt.Fprintf(&text, "== %v ==\n", words)
-		if err := agent.Command(ctx, &text, l.Addr().String(), words[0], words[1:]); err != nil {
+		fmt.Fprintf(&text, "== %v ==\n", args)
+		if err := agent.Command(ctx, &text, l.Addr().String(), args[0], args[1:]); err != nil {
 			fmt.Fprintf(&text, "error: %v\n", err)
 		}
 	}
@@ -135,12 +135,12 @@
 	golden.AssertBytes(t, text.Bytes(), "command.txt")
 }
 
-// TestNamesAreEscapedInCommands sends a command for an instance whose name has signs of URLs.
+// A name with characters that have a meaning in URLs must reach the agent unchanged.
 func TestNamesAreEscapedInCommands(t *testing.T) {
 	const name = "n 1&x=2#3%"
-	asked := ""
+	received := ""
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = r.FormValue("instance")
+		received = r.FormValue("instance")
 		io.WriteString(w, "{}")
 	}))
 	defer server.Close()
@@ -148,7 +148,7 @@
 	if err := agent.Command(t.Context(), io.Discard, address, "drain", []string{name}); err != nil {
 		t.Fatal(err)
 	}
-	if asked != name {
-		t.Errorf("asked for %q", asked)
+	if received != name {
+		t.Errorf("the agent received the name %q", received)
 	}
 }
--- a/internal/dispatcher/agent/client.go
+++ b/internal/dispatcher/agent/client.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// clientTimeout bounds a question of the command line.
+	// clientTimeout limits the duration of one request.
 	clientTimeout = 5 * time.Second
-	// statusBytes bounds an answer with statuses, of the members or of leases.
+	// statusBytes limits a response with statuses, members or leases.
 	statusBytes = 1 << 24
-	// commandBytes bounds the answer to a command.
+	// commandBytes limits the response to a command.
 	commandBytes = 1 << 16
 )
 
-// Query asks for what an instance tells of itself at a path: through the agent at an address, or straight from the
-// dispatcher that listens there, where no name is given.
+// Query fetches the JSON document at a path of an instance. If name is given, address is that of the agent, which
+// forwards the request to the instance with that name. Otherwise address is that of the dispatcher itself. A key is
+// passed on as a parameter of the request.
 func Query(ctx context.Context, address, path, name, key string) (answer json.RawMessage, err error) {
-	question := url.Values{}
+	parameters := url.Values{}
 	if name != "" {
-		question.Set("instance", name)
+		parameters.Set("instance", name)
 	}
 	if key != "" {
-		question.Set("key", key)
+		parameters.Set("key", key)
 	}
-	return answer, fetchJSON(ctx, newClient(), statusBytes, http.MethodGet, "http://"+address+path+"?"+question.Encode(), &answer)
+	return answer, fetchJSON(ctx, newClient(), statusBytes, http.MethodGet, "http://"+address+path+"?"+parameters.Encode(), &answer)
 }
 
 // InstanceNames returns the names of the instances of the agent at an address.
@@ -42,18 +43,18 @@
 	return names, err
 }
 
-// fetchStatuses asks the agent at an address for all instances.
+// fetchStatuses returns the statuses of all instances of the agent at an address.
 func fetchStatuses(ctx context.Context, client *http.Client, address string) (all []Status, err error) {
 	return all, fetchJSON(ctx, client, statusBytes, http.MethodGet, "http://"+address+"/status", &all)
 }
 
-// newClient makes a client for one call.
+// newClient returns an HTTP client for one request.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
 }
 
-// fetchJSON makes one call and decodes its JSON answer, of maxBytes at most. The error of any other status than 200 is
-// the answer's text.
+// fetchJSON sends one request and decodes the JSON response, of which it reads at most maxBytes. If the status is not
+// 200, it returns the text of the response as the error.
 func fetchJSON(ctx context.Context, client *http.Client, maxBytes int, method, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
--- a/internal/dispatcher/agent/command.go
+++ b/internal/dispatcher/agent/command.go
@@ -12,8 +12,9 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Command asks the agent at an address on behalf of the command line, and prints the answer: status, counters, drain,
-// start or reload.
+// Command runs a command line's command against the agent at an address, and prints the result to out. The command is
+// status, counters, drain, start or reload. No names mean all instances for status and counters, and are an error for
+// the others.
 func Command(ctx context.Context, out io.Writer, address, command string, names []string) error {
 	client := newClient()
 	switch command {
@@ -33,7 +34,7 @@
 	return printStatuses(out, statuses)
 }
 
-// sendCommand has the agent do something with each of the instances.
+// sendCommand sends the agent a command for each of the named instances, in order. It stops at the first error.
 func sendCommand(ctx context.Context, client *http.Client, out io.Writer, address, command string, names []string) error {
 	if len(names) == 0 {
 		return fmt.Errorf("%s needs the names of instances", command)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// selectInstances returns the statuses of the instances that are named, of all where none is.
+// selectInstances returns the statuses of the named instances, or of all if names is empty.
 func selectInstances(all []Status, names []string) ([]Status, error) {
 	for _, name := range names {
 		if !slices.ContainsFunc(all, func(s Status) bool { return s.Name == name }) {
@@ -59,10 +60,10 @@
 	return slices.DeleteFunc(all, func(s Status) bool { return len(names) > 0 && !slices.Contains(names, s.Name) }), nil
 }
 
-// newTable makes a writer that aligns columns.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 8, 2, ' ', 0) }
 
-// printCounters prints a line for each counter and a column for each instance.
+// printCounters prints a table with a row per counter and a column per instance.
 func printCounters(out io.Writer, statuses []Status) error {
 	w := newTable(out)
 	fmt.Fprint(w, "COUNTER")
@@ -80,7 +81,7 @@
 	return w.Flush()
 }
 
-// printStatuses prints a line for each instance.
+// printStatuses prints a table with a row per instance.
 func printStatuses(out io.Writer, statuses []Status) error {
 	w := newTable(out)
 	fmt.Fprintln(w, "INSTANCE\tSTATE\tPID\tRESTARTS\tLISTEN\tOPEN\tREADY\tLAST END")
@@ -91,7 +92,7 @@
 	return w.Flush()
 }
 
-// CounterText returns a counter's value as text, a dash where it is not known.
+// CounterText returns the value of a counter as text, or a dash if it is not known.
 func CounterText(s Status, name string) string {
 	for _, c := range s.Counters {
 		if c.Name == name {
--- a/internal/dispatcher/agent/process.go
+++ b/internal/dispatcher/agent/process.go
@@ -8,19 +8,19 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// Process is a running instance.
+// Process is the process of a running instance.
 type Process interface {
 	PID() int
-	Terminate() error // tells it to leave
-	Reload() error    // tells it to read its configuration again
+	Terminate() error // asks it to finish its open jobs and exit
+	Reload() error    // asks it to reload its configuration
 	Kill() error
-	Wait() error // for its end, once
+	Wait() error // waits until it has ended; called once
 }
 
-// child is an instance's process.
+// child is a Process that is a child of the agent.
 type child struct{ *exec.Cmd }
 
-// PID returns the process's number.
+// PID returns the process id.
 func (c child) PID() int { return c.Process.Pid }
 
 // Terminate sends SIGTERM.
@@ -32,7 +32,8 @@
 // Kill sends SIGKILL.
 func (c child) Kill() error { return c.Process.Kill() }
 
-// startChild starts an instance as a process of the agent's program.
+// startChild starts an instance as a child process. It runs the configured program, or the agent's own executable if
+// none is configured, with the instance's settings in the environment.
 func (a *Agent) startChild(in config.Instance) (Process, error) {
 	program := a.config.Program
 	if program == "" {
@@ -53,8 +54,8 @@
 		"NODE_PROMISES="+in.Promises,
 	)
 	c.Stdout, c.Stderr = os.Stdout, os.Stderr
-	// A group of its own: what is typed at the agent's terminal reaches the instances through the agent only. And none
-	// outlives an agent that was killed.
+	// A process group of its own keeps signals from the agent's terminal (such as Ctrl-C) away from the instance, which
+	// must receive signals only from the agent. Pdeathsig stops the instance if the agent is killed.
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	return child{c}, c.Start()
 }
--- a/internal/dispatcher/agent/server.go
+++ b/internal/dispatcher/agent/server.go
@@ -10,7 +10,7 @@
 	"net/url"
 )
 
-// Serve answers questions on a loopback listener until ctx ends.
+// Serve serves HTTP requests on a loopback listener until ctx ends.
 func (a *Agent) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: a.handler(), ReadTimeout: a.limits.RequestTimeout, WriteTimeout: a.limits.RequestTimeout}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
@@ -21,6 +21,7 @@
 	return nil
 }
 
+// handler returns the routes of the agent.
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", a.serveStatus)
@@ -32,18 +33,19 @@
 	return mux
 }
 
+// serveStatus responds with the statuses of all instances.
 func (a *Agent) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(a.Statuses())
 }
 
-// forward asks an instance the same question, and answers with its JSON.
+// forward sends the request to an instance, and responds with the instance's JSON.
 func (a *Agent) forward(w http.ResponseWriter, r *http.Request) {
 	in, err := a.find(r.FormValue("instance"))
 	var answer json.RawMessage
 	if err == nil {
-		question := "http://" + in.config.Listen + r.URL.Path + "?key=" + url.QueryEscape(r.FormValue("key"))
-		err = fetchJSON(r.Context(), newClient(), a.limits.ReplyBytes, http.MethodGet, question, &answer)
+		target := "http://" + in.config.Listen + r.URL.Path + "?key=" + url.QueryEscape(r.FormValue("key"))
+		err = fetchJSON(r.Context(), newClient(), a.limits.ReplyBytes, http.MethodGet, target, &answer)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
@@ -53,11 +55,11 @@
 	w.Write(answer)
 }
 
-// command returns a handler that does something with the instance that a request names.
-func (a *Agent) command(do func(name string) error) http.HandlerFunc {
+// command returns a handler that calls action with the name of the instance in the request.
+func (a *Agent) command(action func(name string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, a.limits.RequestBytes)
-		if err := do(r.FormValue("instance")); err != nil {
+		if err := action(r.FormValue("instance")); err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 			return
 		}
--- a/internal/dispatcher/agent/supervise.go
+++ b/internal/dispatcher/agent/supervise.go
@@ -9,9 +9,11 @@
 	"time"
 )
 
-// supervise keeps one instance running while it is wanted, until ctx ends.
+// supervise runs the process of one instance, and restarts it with exponential backoff, while the instance is wanted
+// and ctx has not ended.
 func (a *Agent) supervise(ctx context.Context, in *instance) {
-	// The kernel ends a child when the thread that started it ends, not the process: the thread stays as long as this.
+	// Pdeathsig takes effect when the thread that started the child ends, not when the agent's process ends. The
+	// goroutine keeps its thread, so that the thread does not end before the child.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	backoff := a.limits.RestartBackoff
@@ -25,10 +27,10 @@
 		}
 		began := time.Now()
 		err := a.runProcess(ctx, in, began)
-		if wanted := a.noteEnd(ctx, in, err); !wanted || ctx.Err() != nil {
+		if wanted := a.recordEnd(ctx, in, err); !wanted || ctx.Err() != nil {
 			continue
 		}
-		log.Printf("instance %s ended (%v); it starts again", in.config.Name, err)
+		log.Printf("instance %s ended (%v); restarting it", in.config.Name, err)
 		if time.Since(began) > a.limits.StableAfter {
 			backoff = a.limits.RestartBackoff
 		}
@@ -42,7 +44,7 @@
 	a.setState(in, Drained)
 }
 
-// checkWanted returns whether an instance without a process is to run; one that is not is drained.
+// checkWanted reports whether an instance that has no process should run. If not, it sets the state to Drained.
 func (a *Agent) checkWanted(in *instance) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +66,8 @@
 	in.status.State = s
 }
 
-// runProcess starts a process and watches it to its end. Its error is why the process did not start or ended.
+// runProcess starts a process and waits until it has ended. It returns why the process did not start or why it ended;
+// nil means that it exited with status 0.
 func (a *Agent) runProcess(ctx context.Context, in *instance, began time.Time) error {
 	p, err := a.StartProcess(in.config)
 	if err != nil {
@@ -77,8 +80,9 @@
 	return a.watch(ctx, in, p)
 }
 
-// noteEnd notes that a process has ended, and counts the restart that follows. It returns whether the instance is wanted.
-func (a *Agent) noteEnd(ctx context.Context, in *instance, err error) bool {
+// recordEnd updates the status after the end of a process, and counts a restart if one follows. It reports whether the
+// instance is wanted.
+func (a *Agent) recordEnd(ctx context.Context, in *instance, err error) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	in.process = nil
@@ -92,14 +96,15 @@
 	return in.wanted
 }
 
-// watch watches a process to its end, reads its counters meanwhile, and ends it where it is wanted no more or ctx ends.
+// watch polls the counters of a process until it has ended. It terminates the process if the instance is no longer
+// wanted or ctx ends, and kills it if it has not ended after StopTimeout.
 func (a *Agent) watch(ctx context.Context, in *instance, p Process) error {
 	ended := make(chan error, 1)
 	go func() { ended <- p.Wait() }()
 	poll := time.NewTicker(a.limits.PollInterval)
 	defer poll.Stop()
 	stop := ctx.Done()
-	var stopTimeout <-chan time.Time // nil until the process was told to leave
+	var stopTimeout <-chan time.Time // nil until the process is told to stop
 	a.poll(ctx, in)
 	for {
 		select {
@@ -114,8 +119,8 @@
 			if !a.isWanted(in) && stopTimeout == nil {
 				stopTimeout = a.terminate(in, p)
 			}
-		case <-stopTimeout: // it has had the time that its clients give it
-			log.Printf("instance %s has not left in %v and is killed", in.config.Name, a.limits.StopTimeout)
+		case <-stopTimeout: // its clients no longer wait for the open jobs
+			log.Printf("instance %s did not stop within %v; killing it", in.config.Name, a.limits.StopTimeout)
 			p.Kill()
 		case <-poll.C:
 			a.poll(ctx, in)
@@ -123,7 +128,7 @@
 	}
 }
 
-// terminate tells a process to leave, and returns the channel of the time by which it must have left.
+// terminate tells a process to stop, and returns a channel that receives a value after StopTimeout.
 func (a *Agent) terminate(in *instance, p Process) <-chan time.Time {
 	a.setState(in, Draining)
 	if err := p.Terminate(); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -132,7 +137,8 @@
 	return time.After(a.limits.StopTimeout)
 }
 
-// poll reads an instance's counters; whether it answers is its state.
+// poll fetches the counters of an instance. Unless the instance is draining, its state becomes Up if it answers and
+// Starting if it does not.
 func (a *Agent) poll(ctx context.Context, in *instance) {
 	ctx, cancel := context.WithTimeout(ctx, a.limits.RequestTimeout)
 	defer cancel()
--- a/internal/dispatcher/agent/supervise_test.go
+++ b/internal/dispatcher/agent/supervise_test.go
@@ -22,10 +22,10 @@
 var limits = config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond, RestartBackoffMax: time.Second,
 	StableAfter: 10 * time.Second, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 64, RequestBytes: 1 << 10}
 
-// process is one that runs until it is told to end, and then for as long as it likes.
+// process is a fake process that runs until it is killed, or for the duration linger after it was told to stop.
 type process struct {
 	end     chan error
-	linger  time.Duration
+	linger  time.Duration // negative: ignores Terminate
 	killed  atomic.Bool
 	reloads atomic.Int64
 }
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// agentConfig is an agent's file with instances of these names.
+// agentConfig returns the configuration of an agent with instances of these names.
 func agentConfig(names ...string) *config.Agent {
 	conf := &config.Agent{Community: "public", Limits: limits}
 	for i, name := range names {
@@ -50,7 +50,7 @@
 	return conf
 }
 
-// allCounters has a value for each counter.
+// allCounters returns a value for each counter.
 func allCounters() (out []dispatch.Count) {
 	for i, name := range dispatch.CounterNames {
 		out = append(out, dispatch.Count{Name: name, Value: int64(100 + i)})
@@ -58,15 +58,15 @@
 	return out
 }
 
-// supervised is an agent with one instance, whose processes and answers are the test's.
+// supervised is an agent with one instance, whose processes and counters the test controls.
 type supervised struct {
 	*agent.Agent
 	t *testing.T
 
-	mu      sync.Mutex // guards what the agent and the test share
+	mu      sync.Mutex // guards the fields below
 	started []*process
-	linger  time.Duration // of the processes to come; negative: they do not listen
-	answers bool          // the process answers when its counters are read
+	linger  time.Duration // process.linger of processes that start later
+	answers bool          // the process answers a request for its counters
 }
 
 func newSupervised(t *testing.T) *supervised {
@@ -101,81 +101,85 @@
 	s.linger = d
 }
 
-// expect checks the instance once all goroutines wait.
+// expect checks the state, the restarts and the number of started processes once all other goroutines are blocked.
 func (s *supervised) expect(what string, state agent.State, restarts, processes int) {
 	s.t.Helper()
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if status := s.Statuses()[0]; status.State != state || status.Restarts != restarts || len(s.started) != processes {
-		s.t.Errorf("%s: %+v with %d processes", what, status, len(s.started))
+		s.t.Errorf("%s: status %+v after %d started processes", what, status, len(s.started))
 	}
 }
 
-func TestAgentKeepsInstances(t *testing.T) {
+// A crashed instance must be restarted, a drained one must stay stopped until it is started, and one that does not stop
+// must be killed.
+func TestInstancesAreRestartedDrainedAndKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSupervised(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		over := make(chan bool)
-		go func() { s.Run(ctx); close(over) }()
+		done := make(chan bool)
+		go func() { s.Run(ctx); close(done) }()
 		s.expect("started", agent.Up, 0, 1)
 		if err := s.Reload("n0"); err != nil || s.started[0].reloads.Load() != 1 {
-			t.Errorf("a reload of one that is up: %v, %d reloads", err, s.started[0].reloads.Load())
+			t.Errorf("reload of an instance that is up: error %v, %d reloads", err, s.started[0].reloads.Load())
 		}
 		s.setAnswers(false)
 		time.Sleep(1100 * time.Millisecond)
-		s.expect("silent", agent.Starting, 0, 1)
+		s.expect("not answering", agent.Starting, 0, 1)
 		s.setAnswers(true)
 		s.started[0].end <- errors.New("exit status 2")
 		s.expect("crashed", agent.Waiting, 1, 1)
 		if s.Reload("n0") == nil || s.Reload("n9") == nil {
-			t.Error("a reload went to a process that is not there")
+			t.Error("reload of an instance without a process returned no error")
 		}
 		if status := s.Statuses()[0]; status.LastEnd != "exit status 2" || status.PID != 0 {
-			t.Errorf("after its crash: %+v", status)
+			t.Errorf("status after the crash: %+v", status)
 		}
 		time.Sleep(limits.RestartBackoff)
-		s.expect("again", agent.Up, 1, 2)
+		s.expect("restarted", agent.Up, 1, 2)
 		if err := s.Drain("n0"); err != nil {
 			t.Error(err)
 		}
-		s.expect("told to leave", agent.Draining, 1, 2)
+		s.expect("told to stop", agent.Draining, 1, 2)
 		time.Sleep(time.Minute)
-		s.expect("left", agent.Drained, 1, 2)
-		s.setLinger(-1) // the next one does not listen
+		s.expect("stopped", agent.Drained, 1, 2)
+		s.setLinger(-1) // the next process ignores Terminate
 		if err := s.StartInstance("n0"); err != nil || s.Drain("n9") == nil {
-			t.Error("an instance that is there is not found, or one that is not is")
+			t.Error("StartInstance did not find n0, or Drain found n9")
 		}
-		s.expect("back", agent.Up, 1, 3)
+		s.expect("started again", agent.Up, 1, 3)
 		cancel()
-		s.expect("leaving", agent.Draining, 1, 3)
-		<-over
+		s.expect("agent ends", agent.Draining, 1, 3)
+		<-done
 		if !s.started[2].killed.Load() {
-			t.Error("an instance that does not leave was not killed")
+			t.Error("a process that does not stop was not killed")
 		}
-		s.expect("over", agent.Drained, 1, 3)
+		s.expect("agent has ended", agent.Drained, 1, 3)
 	})
 }
 
-// running is an agent whose instances answer, and that is asked over real loopback sockets.
-func running(t *testing.T, names ...string) (*agent.Agent, *config.Agent) {
+// runAgent runs an agent whose instances answer until the test ends. It returns once the agent has stored the counters
+// of the instances.
+func runAgent(t *testing.T, names ...string) (*agent.Agent, *config.Agent) {
 	conf := agentConfig(names...)
 	a := agent.New(conf)
-	looked := make(chan bool, 100)
+	fetched := make(chan bool, 100)
 	a.StartProcess = func(config.Instance) (agent.Process, error) { return &process{end: make(chan error, 1)}, nil }
-	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { looked <- true; return allCounters(), nil }
+	a.FetchCounters = func(context.Context, string) ([]dispatch.Count, error) { fetched <- true; return allCounters(), nil }
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { a.Run(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); <-over })
-	for range 2 * len(names) { // the second look begins once the first has been noted
-		<-looked
+	done := make(chan bool)
+	go func() { a.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); <-done })
+	for range 2 * len(names) { // the second fetch begins after the result of the first is stored
+		<-fetched
 	}
 	return a, conf
 }
 
-func TestCommandLine(t *testing.T) {
-	a, _ := running(t, "n0", "n1")
+// Commands must reach the agent over a socket, and those for an unknown instance or without one must fail.
+func TestCommandsOverLoopback(t *testing.T) {
+	a, _ := runAgent(t, "n0", "n1")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -183,23 +187,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- a.Serve(ctx, l) }()
-	say := func(command string, names ...string) (string, error) {
+	runCommand := func(command string, names ...string) (string, error) {
 		var out bytes.Buffer
 		err := agent.Command(ctx, &out, l.Addr().String(), command, names)
 		return out.String(), err
 	}
-	if s, err := say("status"); err != nil || !strings.Contains(s, "n0") || !strings.Contains(s, "n1") || !strings.Contains(s, "up") {
+	if s, err := runCommand("status"); err != nil || !strings.Contains(s, "n0") || !strings.Contains(s, "n1") || !strings.Contains(s, "up") {
 		t.Errorf("status: %v\n%s", err, s)
 	}
-	if s, err := say("counters", "n1"); err != nil || strings.Contains(s, "n0") || !regexp.MustCompile(`taken +100\n`).MatchString(s) {
+	if s, err := runCommand("counters", "n1"); err != nil || strings.Contains(s, "n0") || !regexp.MustCompile(`taken +100\n`).MatchString(s) {
 		t.Errorf("counters: %v\n%s", err, s)
 	}
-	if _, err := say("drain", "n1"); err != nil {
+	if _, err := runCommand("drain", "n1"); err != nil {
 		t.Error(err)
 	}
-	for _, wrong := range [][]string{{"drain", "n9"}, {"drain"}, {"status", "n9"}} {
-		if _, err := say(wrong[0], wrong[1:]...); err == nil {
-			t.Errorf("%v is no error", wrong)
+	for _, args := range [][]string{{"drain", "n9"}, {"drain"}, {"status", "n9"}} {
+		if _, err := runCommand(args[0], args[1:]...); err == nil {
+			t.Errorf("%v returned no error", args)
 		}
 	}
 	cancel()
