--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli is what the command lines of the programs share: the tree of
-// commands, checks of arguments, and flags as they were once written. It knows no
-// command. Errors carry the exit code that they end the program with.
+// Package cli has the code that the command lines of the programs share: command trees, validation of arguments, and
+// support for the old syntax of some flags. It defines no commands. An error determines the exit code of the program.
 //
 // Start reading at Main.
 package cli
@@ -15,10 +14,10 @@
 	"github.com/spf13/cobra"
 )
 
-// suggestionDistance is how many letters may differ between an unknown command and one that is suggested.
+// suggestionDistance is the maximum edit distance between an unknown command and a suggested one.
 const suggestionDistance = 2
 
-// Main runs a program with its arguments, prints its error and ends it with its exit code.
+// Main calls run with the program's arguments, prints the error, if any, and exits with its exit code.
 func Main(run func(args []string, out io.Writer) error) {
 	log.SetFlags(log.Ltime | log.Lmicroseconds)
 	err := run(os.Args[1:], os.Stdout)
@@ -28,7 +27,8 @@
 	os.Exit(ExitCode(err))
 }
 
-// NewRoot makes a tree of commands that says what is wrong with an unknown word.
+// NewRoot adds commands to the root command c and returns c. The root prints its help, and suggests similar commands
+// for an unknown one.
 func NewRoot(c *cobra.Command, commands ...*cobra.Command) *cobra.Command {
 	c.SilenceUsage, c.SilenceErrors = true, true
 	c.SuggestionsMinimumDistance = suggestionDistance
@@ -39,26 +39,27 @@
 	return c
 }
 
-// checkCommand is called with the words that are no command.
+// checkCommand validates the arguments of the root command: any argument is an unknown command.
 func checkCommand(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
 	}
 	hint := ""
-	if near := c.SuggestionsFor(args[0]); len(near) > 0 {
-		hint = fmt.Sprintf("; did you mean %s?", strings.Join(near, " or "))
+	if suggestions := c.SuggestionsFor(args[0]); len(suggestions) > 0 {
+		hint = fmt.Sprintf("; did you mean %s?", strings.Join(suggestions, " or "))
 	}
 	return MisuseErrorf("unknown command %q%s; gladepick help lists them", args[0], hint)
 }
 
-// Execute runs a tree of commands.
+// Execute runs the command that args select. Output goes to out.
 func Execute(c *cobra.Command, args []string, out io.Writer) error {
 	c.SetArgs(doubleDashes(args))
 	c.SetOut(out)
 	return c.Execute()
 }
 
-// doubleDashes lets the oldest long flags stand behind one dash, as they did before there was a library for them.
+// doubleDashes replaces the single dash of -help and -agent by two. Earlier versions, which did not use cobra, accepted
+// these long flags with a single dash.
 func doubleDashes(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// ExactArgs makes a command take n arguments; what names them in the error.
+// ExactArgs returns a check that a command has exactly n arguments. what describes them in the error.
 func ExactArgs(n int, what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
@@ -84,7 +85,7 @@
 	}
 }
 
-// SomeArgs makes a command take one argument or more; what names them in the error.
+// SomeArgs returns a check that a command has at least one argument. what describes the arguments in the error.
 func SomeArgs(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
--- a/internal/dispatcher/cli/cli_test.go
+++ b/internal/dispatcher/cli/cli_test.go
@@ -10,8 +10,9 @@
 	"github.com/spf13/cobra"
 )
 
-func TestExitCode(t *testing.T) {
-	for _, k := range []struct {
+// Each kind of error must end the program with its exit code, also if it is wrapped.
+func TestErrorDeterminesExitCode(t *testing.T) {
+	for _, tc := range []struct {
 		name string
 		err  error
 		code int
@@ -22,27 +23,29 @@
 		{"a code of its own", &ExitError{ExitGoalMissed, errors.New("x")}, ExitGoalMissed},
 		{"a wrapped code", fmt.Errorf("more: %w", MisuseErrorf("x")), ExitMisuse},
 	} {
-		if code := ExitCode(k.err); code != k.code {
-			t.Errorf("%s: %d, want %d", k.name, code, k.code)
+		if code := ExitCode(tc.err); code != tc.code {
+			t.Errorf("%s: %d, want %d", tc.name, code, tc.code)
 		}
 	}
 }
 
-func TestOldFlagsBehindOneDash(t *testing.T) {
-	for _, k := range []struct{ args, want []string }{
+// Only the old flags may be rewritten, and nothing after "--".
+func TestOldFlagsAcceptSingleDash(t *testing.T) {
+	for _, tc := range []struct{ args, want []string }{
 		{[]string{"status", "-agent", "a:1"}, []string{"status", "--agent", "a:1"}},
 		{[]string{"-agent=a:1", "-help"}, []string{"--agent=a:1", "--help"}},
 		{[]string{"-o", "json", "-agents"}, []string{"-o", "json", "-agents"}},
 		{[]string{"x", "--", "-agent"}, []string{"x", "--", "-agent"}},
 	} {
-		if got := doubleDashes(k.args); !slices.Equal(got, k.want) {
-			t.Errorf("%q becomes %q, want %q", k.args, got, k.want)
+		if got := doubleDashes(tc.args); !slices.Equal(got, tc.want) {
+			t.Errorf("%q becomes %q, want %q", tc.args, got, tc.want)
 		}
 	}
 }
 
-func TestArgumentsAreCounted(t *testing.T) {
-	for _, k := range []struct {
+// A command with too few or too many arguments must end with the exit code of misuse.
+func TestWrongNumberOfArgumentsIsMisuse(t *testing.T) {
+	for _, tc := range []struct {
 		name  string
 		check cobra.PositionalArgs
 		args  []string
@@ -54,10 +57,10 @@
 		{"some", SomeArgs("names"), []string{"a", "b"}, ExitDone},
 		{"none", SomeArgs("names"), nil, ExitMisuse},
 	} {
-		command := &cobra.Command{Use: "do", Args: k.check, RunE: func(*cobra.Command, []string) error { return nil }}
-		err := Execute(NewRoot(&cobra.Command{Use: "program"}, command), append([]string{"do"}, k.args...), io.Discard)
-		if code := ExitCode(err); code != k.code {
-			t.Errorf("%s: %d (%v), want %d", k.name, code, err, k.code)
+		command := &cobra.Command{Use: "do", Args: tc.check, RunE: func(*cobra.Command, []string) error { return nil }}
+		err := Execute(NewRoot(&cobra.Command{Use: "program"}, command), append([]string{"do"}, tc.args...), io.Discard)
+		if code := ExitCode(err); code != tc.code {
+			t.Errorf("%s: %d (%v), want %d", tc.name, code, err, tc.code)
 		}
 	}
 }
--- a/internal/dispatcher/cli/exit.go
+++ b/internal/dispatcher/cli/exit.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// The exit codes, as the operators' pages have them.
+// Exit codes, which the documentation for operators lists.
 const (
-	ExitDone       = 0 // done
-	ExitFailed     = 1 // it could not be done
-	ExitMisuse     = 2 // wrong use: flags, arguments, commands
+	ExitDone       = 0 // success
+	ExitFailed     = 1 // any error without a code of its own
+	ExitMisuse     = 2 // unknown command, or invalid flags or arguments
 	ExitGoalMissed = 3 // no plan meets the goal
 )
 
-// ExitError is an error that ends the program with a code of its own.
+// ExitError is an error that determines the exit code of the program.
 type ExitError struct {
 	Code int
 	Err  error
 }
 
-// Error returns the text of the error that ends the program.
+// Error returns the text of the wrapped error.
 func (e *ExitError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error that ends the program.
+// Unwrap returns the wrapped error.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// MisuseErrorf makes an error in how a command was called.
+// MisuseErrorf returns an error with the code ExitMisuse, for a command that was called incorrectly.
 func MisuseErrorf(format string, v ...any) error {
 	return &ExitError{ExitMisuse, fmt.Errorf(format, v...)}
 }
 
-// ExitCode returns what the program ends with after an error.
+// ExitCode returns the exit code for an error, which may be nil.
 func ExitCode(err error) int {
 	var e *ExitError
 	switch {
