--- a/internal/dispatcher/amqp/adapter.go
+++ b/internal/dispatcher/amqp/adapter.go
@@ -36,9 +36,9 @@
 type Adapter struct {
 	// Jobs receives the jobs of the clients.
 	Jobs dispatch.Submitter
-	// Durable reports whether keyed jobs survive their dispatcher: their replicas then detect the redelivery of a job
+	// DurableJobs reports whether keyed jobs survive their dispatcher: their replicas then detect the redelivery of a job
 	// whose outcome is not stored here.
-	Durable bool
+	DurableJobs bool
 	// Dial opens a connection to the broker. Tests replace it.
 	Dial func(network, address string) (net.Conn, error)
 
--- a/internal/dispatcher/amqp/delivery.go
+++ b/internal/dispatcher/amqp/delivery.go
@@ -66,7 +66,7 @@
 // would have a second effect that only this package prevents.
 func (a *Adapter) outcomeName(j *dispatch.Job, class string) (name string, keyed bool) {
 	idempotency := a.node.Module.Classes[j.Class].Idempotency
-	keyed = idempotency != decision.Idempotent && !(a.Durable && idempotency == decision.Deduplicated)
+	keyed = idempotency != decision.Idempotent && !(a.DurableJobs && idempotency == decision.Deduplicated)
 	if j.IdempotencyKey == "" {
 		return "\x00" + j.ID, keyed
 	}
--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -151,7 +151,7 @@
 		jobs, i.front.Jobs, i.front.Leases = i.durableJobs, i.durableJobs, i.durableJobs.Status
 	}
 	if i.broker != nil {
-		i.broker.Jobs, i.broker.Durable = jobs, i.durableJobs != nil
+		i.broker.Jobs, i.broker.DurableJobs = jobs, i.durableJobs != nil
 	}
 }
 
--- a/internal/dispatcher/testenv/rig_test.go
+++ b/internal/dispatcher/testenv/rig_test.go
@@ -160,7 +160,7 @@
 	go watch.Run(ctx)
 	if r.desk != nil {
 		if r.desk.Jobs = r.core; o.taker != nil {
-			r.desk.Jobs, r.desk.Durable = o.taker, true
+			r.desk.Jobs, r.desk.DurableJobs = o.taker, true
 		}
 		go r.desk.Run(ctx)
 	}
