--- a/internal/dispatcher/snmp/objects_test.go
+++ b/internal/dispatcher/snmp/objects_test.go
@@ -70,7 +70,7 @@
 				v.Value = string(b)
 			}
 			name := names[v.Name[:strings.LastIndexByte(v.Name, '.')]]
-			if name == "" && strings.HasPrefix(v.Name, "."+snmp.Base) && v.Type != gosnmp.EndOfMibView {
+			if name == "" && strings.HasPrefix(v.Name, "."+snmp.BaseOID) && v.Type != gosnmp.EndOfMibView {
 				t.Errorf("the MIB has no name for %s", v.Name)
 			}
 			fmt.Fprintf(&text, "%s %s %v %v\n", v.Name, name, v.Type, v.Value)
--- a/internal/dispatcher/snmp/snmp_test.go
+++ b/internal/dispatcher/snmp/snmp_test.go
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	defer m.Conn.Close()
-	got, err := m.Get([]string{snmp.Base + ".1.1.0", snmp.Base + ".1.2.1.2.2", snmp.Base + ".1.2.1.3.1", snmp.Base + ".1.3.1.1.1",
-		snmp.Base + ".1.3.1.22.2", snmp.Base + ".1.2.1.2.3", snmp.Base + ".9.0"})
+	got, err := m.Get([]string{snmp.BaseOID + ".1.1.0", snmp.BaseOID + ".1.2.1.2.2", snmp.BaseOID + ".1.2.1.3.1", snmp.BaseOID + ".1.3.1.1.1",
+		snmp.BaseOID + ".1.3.1.22.2", snmp.BaseOID + ".1.2.1.2.3", snmp.BaseOID + ".9.0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +106,11 @@
 			t.Errorf("%s: %v %q, want %v %q", v.Name, v.Type, s, kinds[i], want[i])
 		}
 	}
-	next, err := m.WalkAll("." + snmp.Base)
+	next, err := m.WalkAll("." + snmp.BaseOID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	bulk, err := m.BulkWalkAll("." + snmp.Base)
+	bulk, err := m.BulkWalkAll("." + snmp.BaseOID)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 			t.Errorf("variable %d is %s with GETNEXT and %s with GETBULK", i, next[i].Name, bulk[i].Name)
 		}
 	}
-	set, err := m.Set([]gosnmp.SnmpPDU{{Name: "." + snmp.Base + ".1.1.0", Type: gosnmp.Integer, Value: 5}})
+	set, err := m.Set([]gosnmp.SnmpPDU{{Name: "." + snmp.BaseOID + ".1.1.0", Type: gosnmp.Integer, Value: 5}})
 	if err != nil || set.Error != gosnmp.NotWritable {
 		t.Errorf("response to SET: %v, %v", set, err)
 	}
@@ -140,7 +140,7 @@
 			PDUType:      rapid.SampledFrom([]gosnmp.PDUType{gosnmp.GetRequest, gosnmp.GetNextRequest, gosnmp.GetBulkRequest, gosnmp.SetRequest, gosnmp.GetResponse}).Draw(rt, "pdu"),
 			NonRepeaters: rapid.Uint8().Draw(rt, "once"), MaxRepetitions: uint32(rapid.IntRange(0, 1<<20).Draw(rt, "rows"))}
 		for range rapid.IntRange(0, 5).Draw(rt, "names") {
-			name := rapid.SampledFrom([]string{".1.3", ".1.3.6.1.2.1.1", "." + snmp.Base + ".1", "." + snmp.Base + ".1.3.1.25.2", ".2.5"}).Draw(rt, "name")
+			name := rapid.SampledFrom([]string{".1.3", ".1.3.6.1.2.1.1", "." + snmp.BaseOID + ".1", "." + snmp.BaseOID + ".1.3.1.25.2", ".2.5"}).Draw(rt, "name")
 			p.Variables = append(p.Variables, gosnmp.SnmpPDU{Name: name, Type: gosnmp.Null})
 		}
 		message, err := p.MarshalMsg()
@@ -191,7 +191,7 @@
 	if n := strings.Count(string(text), "{ gpCounterEntry "); n != len(dispatch.CounterNames) {
 		t.Errorf("the MIB has %d counters, want %d", n, len(dispatch.CounterNames))
 	}
-	if !strings.Contains(string(text), "::= { enterprises 32473 17 }") || !strings.HasSuffix(snmp.Base, ".32473.17") {
+	if !strings.Contains(string(text), "::= { enterprises 32473 17 }") || !strings.HasSuffix(snmp.BaseOID, ".32473.17") {
 		t.Error("the MIB has another root than the agent")
 	}
 }
--- a/internal/dispatcher/snmp/variables.go
+++ b/internal/dispatcher/snmp/variables.go
@@ -13,15 +13,15 @@
 	"gladepick/internal/dispatcher/dispatch"
 )
 
-// Base is the object identifier of the MIB's root. It uses the enterprise number that RFC 5612 reserves for
+// BaseOID is the object identifier of the MIB's root. It uses the enterprise number that RFC 5612 reserves for
 // documentation. An operator with an enterprise number replaces it here and in the MIB.
-const Base = "1.3.6.1.4.1.32473.17"
+const BaseOID = "1.3.6.1.4.1.32473.17"
 
-// Identifiers below Base: the scalar, the entry of the instance table, and the entry of the counter table.
+// Identifiers below BaseOID: the scalar, the entry of the instance table, and the entry of the counter table.
 const (
-	instanceCount = Base + ".1.1.0"
-	instanceEntry = Base + ".1.2.1."
-	counterEntry  = Base + ".1.3.1."
+	instanceCount = BaseOID + ".1.1.0"
+	instanceEntry = BaseOID + ".1.2.1."
+	counterEntry  = BaseOID + ".1.3.1."
 )
 
 // The supported objects of the system group of RFC 3418.
@@ -133,7 +133,7 @@
 	var list variableList
 	statuses := s.Statuses()
 	list.add(sysDescr, gosnmp.OctetString, "gladepick: job dispatchers and their agent")
-	list.add(sysObjectID, gosnmp.ObjectIdentifier, "."+Base)
+	list.add(sysObjectID, gosnmp.ObjectIdentifier, "."+BaseOID)
 	list.addTicks(sysUpTime, s.Uptime())
 	list.add(instanceCount, gosnmp.Gauge32, uint32(len(statuses)))
 	for i, status := range statuses {
