--- a/cmd/gladepick-sim/main.go
+++ b/cmd/gladepick-sim/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	programname.WarnIfFormer(os.Stderr, os.Args[0], formerName, currentName)
-	h := simadapter.Host{Errors: os.Stderr}
+	h := simadapter.Host{PanicLog: os.Stderr}
 	if err := h.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, currentName+":", err)
 		os.Exit(1)
--- a/internal/dispatcher/simadapter/builder_test.go
+++ b/internal/dispatcher/simadapter/builder_test.go
@@ -73,7 +73,7 @@
 func serveFrames(t *testing.T, m Module, in []byte) ([]byte, error) {
 	t.Helper()
 	var out bytes.Buffer
-	h := Host{New: func(decision.Settings, uint64) (Module, error) { return m, nil }}
+	h := Host{NewModule: func(decision.Settings, uint64) (Module, error) { return m, nil }}
 	err := h.Serve(bytes.NewReader(in), &out)
 	return out.Bytes(), err
 }
--- a/internal/dispatcher/simadapter/host.go
+++ b/internal/dispatcher/simadapter/host.go
@@ -42,10 +42,10 @@
 // Host runs the instances of one adapter process. The instances share only the pages of worker lists, which they must
 // not modify.
 type Host struct {
-	// New creates an instance. It defaults to decision.New; tests replace it.
-	New func(decision.Settings, uint64) (Module, error)
-	// Errors receives the message and the stack of each panic of an instance. If it is nil, they are discarded.
-	Errors io.Writer
+	// NewModule creates an instance. It defaults to decision.New; tests replace it.
+	NewModule func(decision.Settings, uint64) (Module, error)
+	// PanicLog receives the message and the stack of each panic of an instance. If it is nil, they are discarded.
+	PanicLog io.Writer
 
 	instances map[uint16]Module
 	pages     [maxPages][]decision.Entry
@@ -57,8 +57,8 @@
 // Serve reads frames from r and writes a reply to each to w, until r ends. Its error names the frame and the position
 // in it. Serve writes no reply to a malformed frame.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
-	if h.New == nil {
-		h.New = func(s decision.Settings, seed uint64) (Module, error) { return decision.New(s, seed) }
+	if h.NewModule == nil {
+		h.NewModule = func(s decision.Settings, seed uint64) (Module, error) { return decision.New(s, seed) }
 	}
 	h.instances = make(map[uint16]Module)
 	in, out := bufio.NewReaderSize(r, bufferBytes), bufio.NewWriterSize(w, bufferBytes)
@@ -165,8 +165,8 @@
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
-			if h.Errors != nil {
-				fmt.Fprintf(h.Errors, "panic: %v\n%s", r, debug.Stack())
+			if h.PanicLog != nil {
+				fmt.Fprintf(h.PanicLog, "panic: %v\n%s", r, debug.Stack())
 			}
 		}
 	}()
@@ -184,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	m, err := h.New(s, binary.LittleEndian.Uint64(record[2:]))
+	m, err := h.NewModule(s, binary.LittleEndian.Uint64(record[2:]))
 	if err != nil {
 		return err
 	}
