--- a/cmd/gladepick/drain.go
+++ b/cmd/gladepick/drain.go
@@ -11,6 +11,6 @@
 		Use:     "drain NAME...",
 		Short:   "Tell instances to answer what they have, leave and stay away",
 		Example: "  gladepick drain n0",
-		Args:    cli.SomeArgs("the names of instances"),
+		Args:    cli.AtLeastOneArg("the names of instances"),
 	})
 }
--- a/cmd/gladepick/reload.go
+++ b/cmd/gladepick/reload.go
@@ -11,6 +11,6 @@
 		Use:     "reload NAME...",
 		Short:   "Tell instances to read their configuration again",
 		Example: "  gladepick reload n0 n1",
-		Args:    cli.SomeArgs("the names of instances"),
+		Args:    cli.AtLeastOneArg("the names of instances"),
 	})
 }
--- a/cmd/gladepick/start.go
+++ b/cmd/gladepick/start.go
@@ -11,6 +11,6 @@
 		Use:     "start NAME...",
 		Short:   "Bring drained instances back",
 		Example: "  gladepick start n0",
-		Args:    cli.SomeArgs("the names of instances"),
+		Args:    cli.AtLeastOneArg("the names of instances"),
 	})
 }
--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// SomeArgs returns a check that a command has at least one argument. what describes the arguments in the error.
-func SomeArgs(what string) cobra.PositionalArgs {
+// AtLeastOneArg returns a check that a command has at least one argument. what describes the arguments in the error.
+func AtLeastOneArg(what string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) == 0 {
 			return MisuseErrorf("%s needs %s", c.Name(), what)
--- a/internal/dispatcher/cli/cli_test.go
+++ b/internal/dispatcher/cli/cli_test.go
@@ -54,8 +54,8 @@
 		{"exactly one", ExactArgs(1, "one file"), []string{"a"}, ExitDone},
 		{"one too few", ExactArgs(1, "one file"), nil, ExitMisuse},
 		{"one too many", ExactArgs(1, "one file"), []string{"a", "b"}, ExitMisuse},
-		{"some", SomeArgs("names"), []string{"a", "b"}, ExitDone},
-		{"none", SomeArgs("names"), nil, ExitMisuse},
+		{"some", AtLeastOneArg("names"), []string{"a", "b"}, ExitDone},
+		{"none", AtLeastOneArg("names"), nil, ExitMisuse},
 	} {
 		command := &cobra.Command{Use: "do", Args: tc.check, RunE: func(*cobra.Command, []string) error { return nil }}
 		err := Execute(NewRoot(&cobra.Command{Use: "program"}, command), append([]string{"do"}, tc.args...), io.Discard)
