--- a/internal/dispatcher/faultinjection/durablejobs.go
+++ b/internal/dispatcher/faultinjection/durablejobs.go
@@ -15,34 +15,34 @@
 	"time"
 )
 
-// DurableJobsPlay is what a play of durable jobs needs beside dispatchers: workers that remember keys for a while
-// (durablejobs_workers.go), clients that send a job again under its key (durablejobs_clients.go), and the links over which
-// replicas exchange records (durablejobs_links.go). It counts what took effect and what clients were told, by key. The
-// verdict comes from that record: no key takes effect twice, no two clients are told different outcomes, and after the quiet
-// stretch every key has one.
+// DurableJobsPlay is the workload of a run with durable jobs: workers that deduplicate by key for a limited time
+// (durablejobs_workers.go), clients that retry a job under its key (durablejobs_clients.go), and the links over which
+// replicas exchange records (durablejobs_links.go). It records by key which jobs took effect and which outcomes the
+// clients received. Violations checks that record: no key takes effect twice, no two clients receive different
+// outcomes, and after the quiet span every key has an outcome.
 //
-// It is set up by its exported fields and read after the play.
+// The caller sets the fields of the first block before the run and reads those of the second block after it.
 type DurableJobsPlay struct {
-	Jobs   int            // keys in all
-	Rate   float64        // new ones a second
-	Window time.Duration  // workers drop a repeat of a key for so long; the settings' class has it too
-	Crash  map[int]string // by node: point, how often it is passed before, kill or stop
-	Off    bool           // for the cost of it: nothing is kept, and the same clients come
-	Bare   bool           // without the membership, too
-	Calm   bool           // workers always answer, after 5 ms, and nobody tries twice at a time
+	Jobs   int            // number of keys
+	Rate   float64        // new keys per second
+	Window time.Duration  // how long workers deduplicate a key; the class in the settings has the same window
+	Crash  map[int]string // by node: "point:n:action", kill or stop at its n-th pass of the point
+	Off    bool           // cost baseline: membership without durable jobs, with the same clients
+	Bare   bool           // cost baseline: neither membership nor durable jobs
+	Calm   bool           // workers always answer after 5 ms, and no client sends parallel requests
 
-	Effects  map[string]int
-	Told     map[string][]string // different outcomes
-	Asked    map[string]int
-	Open     []string // keys without an outcome at the end
-	Crashed  map[string]int
-	Founded  int // foundings that the dispatchers' records tell of
-	Tries    int
-	Refused  int
-	Broken   int
-	Took     []time.Duration // from a client's first try to its outcome
-	Failed   int             // keys whose outcome is failed
-	Finished int
+	Effects  map[string]int      // by key: how often the job took effect
+	Told     map[string][]string // by key: the distinct outcomes that clients received
+	Asked    map[string]int      // by key: requests sent
+	Open     []string            // keys without an outcome after the quiet span
+	Crashed  map[string]int      // by crash point: crashes in the dispatchers' records
+	Founded  int                 // foundings of a new group in the dispatchers' records
+	Tries    int                 // requests sent
+	Refused  int                 // requests answered by 503
+	Broken   int                 // requests without a complete answer, or with an unexpected status
+	Took     []time.Duration     // from a client's first request to its outcome
+	Failed   int                 // keys whose first outcome is "failed"; set by Violations
+	Finished int                 // keys with an outcome; set by Violations
 
 	play    *Play
 	mu      sync.Mutex
@@ -56,7 +56,7 @@
 	keys    []string
 }
 
-// ReplicasOf are as many as a fleet of n gets here.
+// ReplicasOf returns the number of replicas of each group in a fleet of n dispatchers.
 func ReplicasOf(n int) int {
 	if n >= 9 {
 		return 5
@@ -64,7 +64,7 @@
 	return 3
 }
 
-// begin opens the workers and the links between dispatchers.
+// begin starts the workers, the discovery service, the links between dispatchers, and the clients.
 func (t *DurableJobsPlay) begin(p *Play) error {
 	t.play, t.past, t.rng = p, map[string]*memory{}, rand.New(rand.NewPCG(p.line.Seed, 99))
 	t.Effects, t.Told, t.Asked, t.Crashed = map[string]int{}, map[string][]string{}, map[string]int{}, map[string]int{}
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// end closes all listeners and tells the clients and connections to stop. It does not wait for them.
 func (t *DurableJobsPlay) end() {
 	t.over.Store(true)
 	for _, c := range t.closers {
@@ -109,7 +110,8 @@
 	t.client.CloseIdleConnections()
 }
 
-// environmentOf gives what a dispatcher is told: where discovery is, and the file for its promises.
+// environmentOf writes the durable-jobs file of dispatcher i and returns the environment variables that name the file
+// and the discovery service.
 func (t *DurableJobsPlay) environmentOf(i int) (env []string) {
 	if t.Bare {
 		os.WriteFile(t.play.events(i), nil, 0o600)
@@ -133,7 +135,8 @@
 	return []string{"NODE_PROMISES=" + path, "NODE_DISCOVERY=" + t.discovery()}
 }
 
-// Violations is what the record breaks.
+// Violations returns the rules that the record violates, sorted. It also sets Failed and Finished, so it is called
+// once.
 func (t *DurableJobsPlay) Violations() (out []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,20 +147,20 @@
 	}
 	for key, told := range t.Told {
 		if len(told) > 1 {
-			out = append(out, fmt.Sprintf("of %s clients were told %q", key, told))
+			out = append(out, fmt.Sprintf("clients received different outcomes for %s: %q", key, told))
 		}
 		if told[0] == "failed" {
 			t.Failed++
 		}
 		if told[0] != "failed" && t.Effects[key] == 0 {
-			out = append(out, key+" was told as served and never took effect")
+			out = append(out, key+" was answered as served but never took effect")
 		}
 	}
 	for _, key := range t.Open {
-		out = append(out, key+" has no outcome after the quiet stretch")
+		out = append(out, key+" has no outcome after the quiet span")
 	}
 	if t.Finished = len(t.Told); len(t.keys) < t.Jobs {
-		out = append(out, fmt.Sprintf("only %d of %d clients came", len(t.keys), t.Jobs))
+		out = append(out, fmt.Sprintf("only %d of %d clients ran", len(t.keys), t.Jobs))
 	}
 	slices.Sort(out)
 	return out
--- a/internal/dispatcher/faultinjection/durablejobs_clients.go
+++ b/internal/dispatcher/faultinjection/durablejobs_clients.go
@@ -17,9 +17,9 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// load sends clients, each with a key of its own, until all have come.
+// load starts Jobs clients at Rate per second, each with its own key.
 func (t *DurableJobsPlay) load() {
-	time.Sleep(3 * time.Second) // the dispatchers find each other
+	time.Sleep(3 * time.Second) // until the dispatchers have found each other
 	began := time.Now()
 	for n := range t.Jobs {
 		if t.over.Load() {
@@ -32,7 +32,8 @@
 	}
 }
 
-// runClient is a client: it tries until it has an outcome, at a dispatcher of its choice each time, some at three at once.
+// runClient sends the job of a key until it has an outcome, for at most 40 s, each time to a randomly chosen
+// dispatcher. One client in seven also sends two parallel requests at the start.
 func (t *DurableJobsPlay) runClient(key string, n uint64) {
 	rng := rand.New(rand.NewPCG(t.play.line.Seed, n))
 	began := time.Now()
@@ -55,7 +56,8 @@
 	side.Wait()
 }
 
-// sendJob sends a job once, and notes what it was told. An empty outcome is none: it may come again.
+// sendJob sends a job once and records its outcome. An empty outcome means that there is none yet, and that the client
+// may retry.
 func (t *DurableJobsPlay) sendJob(key string, node int) (outcome string) {
 	r, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://127.%d.0.%d:5000/enrol/%016x", t.play.Host, node+1, 77), bytes.NewReader([]byte("{}")))
 	if err != nil {
@@ -95,12 +97,13 @@
 	return outcome
 }
 
-// awaitIdle is called after the quiet stretch: every key is asked for once more, and has to have an outcome.
+// awaitIdle requests every key once more after the quiet span, up to 12 times each, and records the keys without an
+// outcome in Open. It also counts the foundings and crashes in the dispatchers' records.
 func (t *DurableJobsPlay) awaitIdle() {
 	if t.Calm {
 		return
 	}
-	time.Sleep(t.Window) // what a worker has forgotten would take effect again
+	time.Sleep(t.Window) // a repeat after this would take effect again at a worker
 	gate := make(chan bool, 20)
 	var all sync.WaitGroup
 	for i, key := range t.keys {
--- a/internal/dispatcher/faultinjection/durablejobs_links.go
+++ b/internal/dispatcher/faultinjection/durablejobs_links.go
@@ -8,11 +8,13 @@
 	"time"
 )
 
+// copies returns the replication address at which node i reaches node k; copies(i, i) is where node i listens.
 func (t *DurableJobsPlay) copies(i, k int) string {
 	return fmt.Sprintf("127.%d.%d.%d:7500", t.play.Host, i+1, k+1)
 }
 
-// link carries what node i sends to node k. While that way is cut nothing passes, and nothing is said.
+// link forwards what node i sends to node k over one connection. While that direction is partitioned, the link delays
+// the data and reports no error to either end.
 func (t *DurableJobsPlay) link(from net.Conn, i, k int) {
 	cut := func() bool {
 		p := t.play
@@ -32,7 +34,7 @@
 		return
 	}
 	defer to.Close()
-	go func() { // the other end has gone
+	go func() { // closes the connection once node k has closed its end
 		io.Copy(io.Discard, to)
 		from.Close()
 	}()
--- a/internal/dispatcher/faultinjection/durablejobs_test.go
+++ b/internal/dispatcher/faultinjection/durablejobs_test.go
@@ -1,5 +1,6 @@
-// Promises between real processes: clients with keys, workers that forget, dispatchers that die with their memories.
-// CI plays a short, fixed part; `make promises` the long set, by PROMISES_KINDS, PROMISES_SIZES, PROMISES_SEEDS.
+// Durable jobs on real processes: clients that retry under a key, workers that deduplicate for a limited time,
+// dispatchers that lose their memory when they die. CI runs a short, fixed part. `make promises` runs the long set that
+// PROMISES_KINDS, PROMISES_SIZES, PROMISES_SEEDS and PROMISES_JOBS select.
 
 package faultinjection
 
@@ -24,10 +25,11 @@
 
 const window = 6 * time.Second
 
-// promiseKinds are timelines that leave most copies of every group alive at any time; crash points count by node.
+// promiseKinds generates a timeline, and the crash points by node, of each kind. All kinds but "all at once" keep a
+// majority of the replicas of every group alive at any time.
 var promiseKinds = map[string]func(rng *rand.Rand, n int) (t Timeline, crash map[int]string){
 	"calm": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return Timeline{}, nil },
-	// One after the other dies with its memory, and comes back once its copies are restored.
+	// Three nodes are killed in turn. Each starts again once its replicas have been restored elsewhere.
 	"killed in turns": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		for k, i := range rng.Perm(n)[:3] {
 			at := 1 + 7*float64(k)
@@ -35,25 +37,26 @@
 		}
 		return t, nil
 	},
-	// Where there are five copies, two at once, and the successors of what they had right after.
+	// With five replicas, two nodes are killed, the second one right after it could take over the leases of the first.
 	"successors too": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		x, at := rng.Perm(n), 1.0
 		for k := range ReplicasOf(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at, Do: "kill", Nodes: x[k : k+1]})
-			at += 2.2 // the first is taken for failed, and its leases move
+			at += 2.2 // until the first is taken for failed and its leases move
 		}
 		for k := range ReplicasOf(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at + 4 + 4*float64(k), Do: "start", Nodes: x[k : k+1]})
 		}
 		return t, nil
 	},
-	// All die and come back blank: what was promised is gone, which is said, and they found anew and go on.
+	// All are killed and start empty: the replicated records are lost, the dispatchers report it, found the groups anew
+	// and go on.
 	"all at once": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		x := rng.Perm(n)
 		t.Steps = []Step{{AtS: 5, Do: "kill", Nodes: x}, {AtS: 6, Do: "start", Nodes: x}}
 		return t, nil
 	},
-	// It comes back at once, under its name and with nothing in mind.
+	// A killed node starts again before the failure timeout, under its name and without its state.
 	"killed and back at once": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		for k, i := range rng.Perm(n)[:3] {
 			at := 1 + 7*float64(k)
@@ -61,7 +64,7 @@
 		}
 		return t, nil
 	},
-	// Owners are stopped until others have taken over, and wake with answers in their buffers.
+	// Lease owners are stopped until others have taken over, and continue with answers in their buffers.
 	"stopped and woken": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		for k, i := range rng.Perm(n)[:2] {
 			t.Steps = append(t.Steps, Step{AtS: 1 + 11*float64(k), Do: "stop", Nodes: []int{i}, ForS: 5})
@@ -105,18 +108,19 @@
 		}
 		return t, nil
 	},
-	// Three end themselves at three points of a job's way, some seconds apart, and come back.
+	// Three nodes kill themselves at three crash points of a job, seconds apart, and are started again.
 	"crash points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return atPoints(rng, n, "kill", 3) },
-	// Three stop there, and wake when others have taken over.
+	// Three nodes stop at crash points, and continue after others have taken over.
 	"stopped at points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return atPoints(rng, n, "stop", 10) },
 }
 
+// atPoints gives three nodes a crash point each and revives all nodes every so many seconds. by is kill or stop.
 func atPoints(rng *rand.Rand, n int, by string, every float64) (t Timeline, crash map[int]string) {
 	crash = map[int]string{}
 	first := rng.IntN(len(config.CrashPoints))
 	for k, i := range rng.Perm(n)[:3] {
 		point := config.CrashPoints[(first+3*k)%len(config.CrashPoints)]
-		if k == 0 && by == "stop" { // whoever stands still between an intent and its send is the one to watch
+		if k == 0 && by == "stop" { // the critical pause lies between an intent and its send
 			point = "intended"
 		}
 		crash[i] = fmt.Sprintf("%s:%d:%s", point, 2+45*k, by)
@@ -127,7 +131,7 @@
 	return t, crash
 }
 
-// keep plays a timeline with clients and workers.
+// keep runs a timeline with clients and workers, and fails the test for each violation.
 func keep(t *testing.T, kind string, n int, seed uint64, host, jobs int, rate float64) *DurableJobsPlay {
 	t.Helper()
 	path, err := program()
@@ -139,7 +143,7 @@
 	for i := range line.Steps {
 		line.Steps[i].AtS += 3.5
 	}
-	last := 3.5 + float64(jobs)/rate // the quiet stretch begins once all clients have come
+	last := 3.5 + float64(jobs)/rate // the quiet span begins once all clients have started
 	if k := len(line.Steps); k > 0 {
 		last = max(last, line.Steps[k-1].AtS)
 	}
@@ -152,18 +156,18 @@
 		t.Fatal(err)
 	}
 	faults := trial.Violations()
-	if len(crash) == 0 { // there nobody says when whom the membership may take for failed
+	if len(crash) == 0 { // crash points come at unknown times, so the audit cannot tell which suspicions are justified
 		faults = append(faults, out.Violations...)
 	}
-	if kind == "all at once" { // there only the new founding, and that they go on
-		faults = slices.DeleteFunc(faults, func(s string) bool { return !strings.Contains(s, "no outcome") && !strings.Contains(s, "clients came") })
+	if kind == "all at once" { // records are lost here: only the new foundings and further progress are checked
+		faults = slices.DeleteFunc(faults, func(s string) bool { return !strings.Contains(s, "no outcome") && !strings.Contains(s, "clients ran") })
 		if trial.Founded != 2 {
-			faults = append(faults, fmt.Sprintf("%d foundings are told of", trial.Founded))
+			faults = append(faults, fmt.Sprintf("the event logs tell of %d foundings, want 2", trial.Founded))
 		}
 	}
 	if len(faults) > 0 || os.Getenv("FAULTS_KEEP_ALL") != "" {
 		text, _ := json.Marshal(line)
-		t.Errorf("%s, %d nodes, seed %d: %d faults: %s\ntimeline: %s %v", kind, n, seed, len(faults), strings.Join(faults[:min(len(faults), 6)], "; "), text, crash)
+		t.Errorf("%s, %d nodes, seed %d: %d violations: %s\ntimeline: %s %v", kind, n, seed, len(faults), strings.Join(faults[:min(len(faults), 6)], "; "), text, crash)
 		if dir := os.Getenv("FAULTS_KEEP"); dir != "" {
 			exec.Command("cp", "-r", p.Dir, filepath.Join(dir, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(kind, " ", "-"), n, seed))).Run()
 		}
@@ -171,10 +175,10 @@
 	return trial
 }
 
-// The part that CI plays, five processes a kind, always the same seed.
+// The part that CI runs: three kinds, five processes each, a fixed seed.
 func TestPromisesBetweenProcesses(t *testing.T) {
 	if os.Getenv("FAULTS_SEEDS") != "" || os.Getenv("FAULTS_FILE") != "" || os.Getenv("PROMISES_SEEDS") != "" {
-		t.Skip("a long set is asked for")
+		t.Skip("the variables select a long set")
 	}
 	var all sync.WaitGroup
 	gate := make(chan bool, 3)
@@ -188,7 +192,7 @@
 	all.Wait()
 }
 
-// The long set prints a line for each kind and size.
+// The long set logs a table with a row for each kind and size.
 func TestPromisesLongSet(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("PROMISES_SEEDS"))
 	if seeds == 0 {
@@ -212,7 +216,7 @@
 			}
 			for _, kind := range kinds {
 				if promiseKinds[kind] == nil {
-					t.Fatalf("PROMISES_KINDS: %q is none of %v", kind, slices.Sorted(maps.Keys(promiseKinds)))
+					t.Fatalf("PROMISES_KINDS: %q is not one of %v", kind, slices.Sorted(maps.Keys(promiseKinds)))
 				}
 				var took []time.Duration
 				runs, bad, told, failed, refused, tries := 0, 0, 0, 0, 0, 0
@@ -245,10 +249,11 @@
 		}
 	})
 	slices.Sort(table)
-	t.Logf("\n| kind | nodes | runs | with a fault | keys with an outcome | of them failed | tries | refused | first try to outcome, median | p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n%s\ncrashes at their points: %v",
+	t.Logf("\n| kind | nodes | runs | with a violation | keys with an outcome | of them failed | requests | refused | first request to outcome, median | p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n%s\ncrashes by crash point: %v",
 		strings.Join(table, "\n"), crashed)
 }
 
+// quantile returns a quantile of sorted durations in ms, or -1 without any.
 func quantile(sorted []time.Duration, q float64) int64 {
 	if len(sorted) == 0 {
 		return -1
@@ -256,7 +261,8 @@
 	return sorted[int(q*float64(len(sorted)-1))].Milliseconds()
 }
 
-// What a promise costs a job, off and on by turns: PROMISES_COST names jobs a second.
+// Measures what durability costs per job: runs without membership, with membership alone and with three replicas
+// alternate. PROMISES_COST lists the rates in jobs per second.
 func TestPromisesCost(t *testing.T) {
 	if os.Getenv("PROMISES_COST") == "" {
 		t.Skip("PROMISES_COST is not set")
@@ -265,7 +271,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Log("| jobs a second | dispatchers | kept | outcomes of jobs | median | p99 | processor time a job |")
+	t.Log("| jobs per second | dispatchers | mode | jobs with an outcome | median | p99 | processor time per job |")
 	host := 180
 	for _, rate := range strings.Split(os.Getenv("PROMISES_COST"), ",") {
 		perSec, err := strconv.ParseFloat(rate, 64)
@@ -293,6 +299,7 @@
 	}
 }
 
+// micro returns a quantile of sorted durations in ms, to the microsecond, or -1 without any.
 func micro(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return -1
--- a/internal/dispatcher/faultinjection/durablejobs_workers.go
+++ b/internal/dispatcher/faultinjection/durablejobs_workers.go
@@ -13,13 +13,13 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// workers is how many workers a play has.
+// workers is the number of workers of a run.
 const workers = 4
 
-// memory is what the workers know of a key.
+// memory is the last execution of a key. All workers share it.
 type memory struct {
-	ran    time.Time
-	done   chan struct{}
+	ran    time.Time     // when the execution started
+	done   chan struct{} // closed at its end
 	result string
 }
 
@@ -29,6 +29,7 @@
 
 func (t *DurableJobsPlay) discovery() string { return fmt.Sprintf("127.%d.201.1:8500", t.play.Host) }
 
+// accept serves each connection on a goroutine of its own until the listener closes.
 func (t *DurableJobsPlay) accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
@@ -42,7 +43,7 @@
 	}
 }
 
-// list is discovery: the workers never change.
+// list is the discovery service. Its list of workers never changes; an open watch gets an empty line each second.
 func (t *DurableJobsPlay) list(w http.ResponseWriter, r *http.Request) {
 	var all []config.Worker
 	for k := range workers {
@@ -57,7 +58,8 @@
 	}
 }
 
-// serve is a worker's side of a connection.
+// serve answers the requests of one connection to worker w. Of 100 requests it refuses 3, drops 3 before they run, and
+// drops 4 after they have run.
 func (t *DurableJobsPlay) serve(c net.Conn, w int) {
 	in := bufio.NewReader(c)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), uint64(w)))
@@ -79,11 +81,11 @@
 		case luck < 3:
 			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 2\r\n\r\nno")
 			continue
-		case luck < 6: // it breaks off, and nobody knows whether it ran: it did not
+		case luck < 6: // the connection breaks before the job runs; the dispatcher cannot tell whether it ran
 			return
 		}
 		result := t.run(key, takes)
-		if luck < 10 { // it ran, and the answer is lost
+		if luck < 10 { // the job ran, and its answer is lost
 			return
 		}
 		line := func(state, more string) string {
@@ -97,7 +99,8 @@
 	}
 }
 
-// run does a job, or drops it as a repeat of one that ran or runs. An effect is what cannot be taken back.
+// run executes a job and counts its effect. A repeat within Window has no effect: it waits for the earlier execution
+// and returns that result. A job without a key has no effect.
 func (t *DurableJobsPlay) run(key string, takes time.Duration) string {
 	if key == "" {
 		time.Sleep(takes)
--- a/internal/dispatcher/faultinjection/eventlog.go
+++ b/internal/dispatcher/faultinjection/eventlog.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// readEventLogs puts the processes' records together, in the order of the machine's clock, for the auditor.
+// readEventLogs merges the event logs of all processes, ordered by the machine's clock, into the world that is audited.
 func (p *Play) readEventLogs() error {
 	for i, w := range p.world.Nodes {
 		f, err := os.Open(p.events(i))
@@ -38,7 +38,7 @@
 				Members            []string
 			}
 			if json.Unmarshal(in.Bytes(), &l) != nil {
-				continue // a line that a kill cut off
+				continue // a line that a kill truncated
 			}
 			e := simulation.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
 			switch {
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -1,5 +1,6 @@
-// Real processes with faults between them. CI plays a short, fixed part; `make faults` the long set, by the variables
-// FAULTS_KINDS, FAULTS_SIZES, FAULTS_SEEDS and FAULTS_FILE. A verdict comes from the processes' own records.
+// The membership of real processes under faults. CI runs a short, fixed part. `make faults` runs the long set that the
+// variables FAULTS_KINDS, FAULTS_SIZES, FAULTS_SEEDS and FAULTS_FILE select. The verdict comes from the event logs of
+// the processes.
 
 package faultinjection
 
@@ -32,7 +33,7 @@
 
 // program builds the dispatcher once for all tests.
 var program = sync.OnceValues(func() (string, error) {
-	if path := os.Getenv("FAULTS_PROGRAM"); path != "" { // another build, such as one with a fault of its own
+	if path := os.Getenv("FAULTS_PROGRAM"); path != "" { // another build, such as one with a deliberate fault
 		return filepath.Abs(path)
 	}
 	dir, err := os.MkdirTemp("", "faults")
@@ -55,7 +56,7 @@
 	os.Exit(code)
 }
 
-// play plays a timeline and fails the test for what its record shows.
+// play runs a timeline and fails the test if its event logs violate an invariant or the nodes do not agree at the end.
 func play(t *testing.T, line Timeline, host int) *Result {
 	t.Helper()
 	path, err := program()
@@ -69,7 +70,7 @@
 	}
 	if len(out.Violations) > 0 || !out.Agreed && line.Kind != "one name twice" {
 		text, _ := json.Marshal(line)
-		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d faults: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Violations),
+		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d violations: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Violations),
 			strings.Join(out.Violations[:min(len(out.Violations), 5)], "; "), text)
 		for _, e := range out.World.Entries[max(0, len(out.World.Entries)-40):] {
 			name := out.World.Nodes[e.Node].Name
@@ -89,12 +90,12 @@
 	return out
 }
 
-// The part that CI plays: each kind once, five processes, always the same seed.
+// The part that CI runs: each kind once, with five processes and a fixed seed.
 func TestFaultsBetweenProcesses(t *testing.T) {
 	if os.Getenv("FAULTS_SEEDS") != "" || os.Getenv("FAULTS_FILE") != "" {
-		t.Skip("the long set is asked for")
+		t.Skip("the variables select the long set")
 	}
-	var all sync.WaitGroup // not t.Parallel, which plays as many at a time as there are cores
+	var all sync.WaitGroup // not t.Parallel, which runs as many at a time as there are cores
 	gate := make(chan bool, 5)
 	for i, kind := range slices.Sorted(maps.Keys(Kinds)) {
 		all.Go(func() {
@@ -106,7 +107,7 @@
 	all.Wait()
 }
 
-// What an operator is shown, asked straight from a dispatcher, and what is refused.
+// The members command, asking a dispatcher directly, lists every member with its state. Wrong use exits with code 2.
 func TestMembersAreShown(t *testing.T) {
 	path, err := program()
 	if err != nil {
@@ -136,7 +137,7 @@
 		for _, args := range [][]string{{"members", "--output", "xml"}, {"members", "--from", from, "n0"}} {
 			var exit *exec.ExitError
 			if _, err := exec.Command(path, args...).Output(); !errors.As(err, &exit) || exit.ExitCode() != 2 {
-				t.Errorf("%v: %v, wrong use is exit code 2", args, err)
+				t.Errorf("%v: %v, want exit code 2 for wrong use", args, err)
 			}
 		}
 	}
@@ -147,7 +148,7 @@
 	}
 }
 
-// The long set prints a line for each kind and size.
+// The long set logs a table with a row for each kind and size.
 func TestLongSet(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("FAULTS_SEEDS"))
 	if file := os.Getenv("FAULTS_FILE"); file != "" {
@@ -160,7 +161,7 @@
 			t.Fatalf("%s: %v", file, err)
 		}
 		out := play(t, line, 99)
-		t.Logf("%s: %d nodes, agreed %v, %d wrong accusations, %d views, detected after %v", file, line.Nodes, out.Agreed, out.FalseSuspicions, out.Views, out.Detected)
+		t.Logf("%s: %d nodes, agreed %v, %d false suspicions, %d views, detected after %v", file, line.Nodes, out.Agreed, out.FalseSuspicions, out.Views, out.Detected)
 		return
 	}
 	if seeds == 0 {
@@ -182,7 +183,7 @@
 			}
 			for _, kind := range kinds {
 				if Kinds[kind] == nil {
-					t.Fatalf("FAULTS_KINDS: %q is none of %v", kind, slices.Sorted(maps.Keys(Kinds)))
+					t.Fatalf("FAULTS_KINDS: %q is not one of %v", kind, slices.Sorted(maps.Keys(Kinds)))
 				}
 				var detected []time.Duration
 				runs, wrong, views, bad := 0, 0, 0, 0
@@ -213,5 +214,5 @@
 		}
 	})
 	slices.Sort(table)
-	t.Logf("\n| kind | nodes | runs | with a fault | wrong accusations | views a run | failed for all, median | worst |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n%s", strings.Join(table, "\n"))
+	t.Logf("\n| kind | nodes | runs | with a violation | false suspicions | views per run | detected by all, median | worst |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n%s", strings.Join(table, "\n"))
 }
--- a/internal/dispatcher/faultinjection/play.go
+++ b/internal/dispatcher/faultinjection/play.go
@@ -1,7 +1,8 @@
-// Package faultinjection runs real processes of the dispatcher on loopback and injects faults between them. It starts them,
-// joins each pair by a relay that drops, delays, duplicates and partitions by direction, sends signals by process id, follows
-// a timeline, and reads the processes' own event logs afterwards. It ends the processes that it started and no others. No
-// verdict depends on a clock: safety is read from the logs, liveness from the state after a quiet span.
+// Package faultinjection runs real dispatcher processes on loopback and injects faults between them. It connects each
+// pair by a relay that drops, delays, duplicates and partitions by direction, and sends signals by process id. The
+// faults follow a timeline; afterwards the package reads the event logs of the processes. It ends only the processes
+// that it started. No verdict depends on a clock: safety is read from the logs, liveness from the state after a quiet
+// span.
 package faultinjection
 
 import (
@@ -21,26 +22,26 @@
 	"gladepick/internal/dispatcher/membership/simulation"
 )
 
-// Play is one timeline on real processes.
+// Play runs one timeline on real processes. The caller sets the exported fields before Run.
 type Play struct {
-	Program        string // bin/gladepick
-	Dir            string // of configurations, logs and records
-	Host           int    // 127.host.x.y: plays side by side keep apart
-	Settings       string // a node's settings in the platform's form, with limits.peers
-	Period         time.Duration
-	FailureTimeout time.Duration
-	OnQuiet        func()           // called after the quiet stretch, while all still run
-	DurableJobs    *DurableJobsPlay // jobs are taken for keeps, and clients and workers are played; nil: only the membership is
+	Program        string           // path of the dispatcher's binary
+	Dir            string           // directory of the configurations, logs and event logs
+	Host           int              // second octet of the addresses 127.Host.x.y; concurrent runs use different ones
+	Settings       string           // a node's settings in the platform's JSON form, with limits.peers
+	Period         time.Duration    // probe period of the membership
+	FailureTimeout time.Duration    // how long a member may be silent before others take it for failed
+	OnQuiet        func()           // called after the quiet span, while all processes still run
+	DurableJobs    *DurableJobsPlay // workload of durable jobs; nil: the run has only the membership
 
 	line       *Timeline
 	nodes      []*node
 	began      time.Time
-	loss       atomic.Uint64 // of 1<<20
-	double     atomic.Uint64
-	delay      atomic.Int64 // from, in ms, above 16 bits of to
-	partitions []atomic.Bool
-	deaf       []atomic.Bool
-	relays     [][]*net.UDPConn
+	loss       atomic.Uint64    // share of datagrams lost, in units of 1/2^20
+	double     atomic.Uint64    // share of datagrams duplicated, in units of 1/2^20
+	delay      atomic.Int64     // in ms: the minimum in the upper bits, the maximum in the lower 16
+	partitions []atomic.Bool    // at [from*Nodes+to]: nothing passes in that direction
+	deaf       []atomic.Bool    // by node: it receives nothing
+	relays     [][]*net.UDPConn // at [i][k]: the socket at which node i reaches node k
 	wait       sync.WaitGroup
 	world      *simulation.World
 }
@@ -52,23 +53,23 @@
 	starts  int
 }
 
-// Result is what came of a play.
+// Result is the outcome of a run.
 type Result struct {
-	Violations      []string        // promises that were broken
-	FalseSuspicions int             // accusations of members that were there
-	Detected        []time.Duration // from a kill until all that were up had it for failed
-	Views           int
-	Agreed          bool
+	Violations      []string        // violated invariants
+	FalseSuspicions int             // suspicions that no fault explains
+	Detected        []time.Duration // for each detected kill: until the last node that was up took the member for failed
+	Views           int             // distinct views in the event logs
+	Agreed          bool            // all nodes ended with the same view
 	World           *simulation.World
 }
 
-// kill is one SIGKILL of a play: whom it hit, and when.
+// kill is one SIGKILL of a run: the node and the time since the start.
 type kill struct {
 	node int
 	at   time.Duration
 }
 
-// Run plays a timeline to its end. Everything it started has ended when it returns.
+// Run runs a timeline to its end and audits the event logs. When it returns, every process that it started has ended.
 func (p *Play) Run(line *Timeline) (*Result, error) {
 	if err := line.Check(); err != nil {
 		return nil, err
@@ -97,7 +98,7 @@
 	return p.result(kills), nil
 }
 
-// prepare makes the world that the record is kept in, and the relays between the nodes.
+// prepare creates the world that holds the record, and the relays between the nodes.
 func (p *Play) prepare(line *Timeline) error {
 	p.line = line
 	p.world = simulation.New(line.Nodes, 3, line.Seed)
@@ -107,7 +108,7 @@
 	return p.connect()
 }
 
-// startNodes starts all nodes but those that the timeline starts later.
+// startNodes starts all nodes except those that the timeline starts later.
 func (p *Play) startNodes() error {
 	p.began = time.Now()
 	for i := range p.line.Nodes {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// runSteps runs the steps of the timeline, each at its time, and returns the kills among them.
+// runSteps runs the steps of the timeline, each at its time, and returns the kills.
 func (p *Play) runSteps() ([]kill, error) {
 	steps := slices.Clone(p.line.Steps)
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(1000 * (a.AtS - b.AtS)) })
@@ -148,7 +149,7 @@
 	return kills, nil
 }
 
-// markFaults notes from when on, or until when, nodes may be taken for failed.
+// markFaults records that from now on some nodes may be taken for failed, and others no longer.
 func (p *Play) markFaults(s Step) {
 	for _, i := range s.Hurts {
 		p.world.BeginFault(p.world.Nodes[i])
@@ -158,7 +159,7 @@
 	}
 }
 
-// runStepForAll does the part of a step that concerns all nodes or links.
+// runStepForAll runs the part of a step that concerns all nodes or links.
 func (p *Play) runStepForAll(s Step) error {
 	switch s.Do {
 	case "heal":
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// reviveAll continues processes that were stopped, and starts those that have ended.
+// reviveAll continues stopped processes and restarts those that have ended.
 func (p *Play) reviveAll() error {
 	for i, n := range p.nodes {
 		n.process.Process.Signal(syscall.SIGCONT)
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// awaitQuiet waits for the quiet span at the end of the timeline, in which the processes have to agree.
+// awaitQuiet waits for the quiet span at the end of the timeline, within which the processes have to agree.
 func (p *Play) awaitQuiet() {
 	time.Sleep(time.Duration(p.line.QuietS * float64(time.Second)))
 	p.world.Now = time.Since(p.began)
@@ -204,7 +205,7 @@
 	}
 }
 
-// result audits the record.
+// result audits the merged event logs.
 func (p *Play) result(kills []kill) *Result {
 	out := &Result{Violations: p.world.Audit(), FalseSuspicions: p.world.CountFalseSuspicions(), Views: p.world.CountViews(0, time.Hour), World: p.world}
 	_, out.Agreed = p.world.AgreedView()
@@ -219,7 +220,7 @@
 // detectionWindow is how long after a kill a node's failure counts as detected.
 const detectionWindow = 20 * time.Second
 
-// detectedAfter returns how long after a kill the last node took the killed one for failed, and whether any did.
+// detectedAfter returns how long after a kill the last node took the killed one for failed, and whether any node did.
 func (p *Play) detectedAfter(killed kill) (last time.Duration, known bool) {
 	name := p.nodes[killed.node].name
 	for _, e := range p.world.Entries {
@@ -235,10 +236,10 @@
 	return last, known
 }
 
-// address is the address at which node i reaches node k; with itself it is where it listens.
+// address returns the address at which node i reaches node k; address(i, i) is where node i listens.
 func (p *Play) address(i, k int) string { return fmt.Sprintf("127.%d.%d.%d:7400", p.Host, i+1, k+1) }
 
-// runStep does a step to one node.
+// runStep applies a step to node i.
 func (p *Play) runStep(s Step, i int) error {
 	n, w := p.nodes[i], p.world.Nodes[i]
 	signal := func(sig syscall.Signal) {
@@ -251,8 +252,8 @@
 		if n.process != nil {
 			select {
 			case <-n.ended:
-			case <-time.After(20 * time.Second): // who leaves may wait for others to get his copies
-				return fmt.Errorf("%s has not ended before its start", n.name)
+			case <-time.After(20 * time.Second): // a leaving node may wait until others hold its replicas
+				return fmt.Errorf("%s has not ended within 20 s, so it cannot start again", n.name)
 			}
 		}
 		return p.start(i)
@@ -290,7 +291,7 @@
 	return nil
 }
 
-// start runs the program for a node, with a file of its own for everything that it is told.
+// start writes the configuration files of node i and starts its process.
 func (p *Play) start(i int) error {
 	n, w := p.nodes[i], p.world.Nodes[i]
 	conf, members := filepath.Join(p.Dir, fmt.Sprintf("node-%d.json", i)), filepath.Join(p.Dir, fmt.Sprintf("members-%d.toml", i))
@@ -335,9 +336,10 @@
 	return nil
 }
 
+// events returns the path of node i's event log.
 func (p *Play) events(i int) string { return filepath.Join(p.Dir, fmt.Sprintf("events-%d.jsonl", i)) }
 
-// end ends all that was started.
+// end kills the processes that the run started, waits for them, and closes the relays.
 func (p *Play) end() {
 	for _, n := range p.nodes {
 		if n.process != nil {
--- a/internal/dispatcher/faultinjection/relay.go
+++ b/internal/dispatcher/faultinjection/relay.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// connect brings the relays up: a socket for each node and each other one that it reaches there.
+// connect opens a socket for each ordered pair of nodes and starts the relays.
 func (p *Play) connect() error {
 	n := p.line.Nodes
 	p.relays = make([][]*net.UDPConn, n)
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// relay carries what node i sends to node k: it comes out of the socket at which k knows i.
+// relay forwards the datagrams of node i to node k. It sends them from the socket at which k reaches i, so that k takes
+// i for their sender.
 func (p *Play) relay(i, k int) {
 	to, _ := netip.ParseAddrPort(p.address(k, k))
 	buffer := make([]byte, 2048)
@@ -68,6 +69,7 @@
 	}
 }
 
+// hit returns 1 with a probability of share/2^20, and 0 otherwise.
 func hit(rng *rand.Rand, share uint64) int {
 	if share > 0 && rng.Uint64N(1<<20) < share {
 		return 1
--- a/internal/dispatcher/faultinjection/timelines.go
+++ b/internal/dispatcher/faultinjection/timelines.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Kinds are the timelines that are drawn here, by name. Times are in units that the caller's bear gives: b is that in
-// seconds.
+// Kinds generates a random timeline of n nodes, by the name of its kind. b is the failure timeout in seconds; most
+// times of the steps are multiples of it.
 var Kinds = map[string]func(rng *rand.Rand, n int, b float64) Timeline{
-	// One is killed, and started again once it has failed for all.
+	// One node is killed, and started again once all others have taken it for failed.
 	"crash": func(rng *rand.Rand, n int, b float64) Timeline {
 		x := []int{rng.IntN(n)}
 		return Timeline{Steps: []Step{{AtS: 0, Do: "kill", Nodes: x}, {AtS: 4 * b, Do: "start", Nodes: x}}}
 	},
-	// Two thirds are killed at once and back at once, without a memory.
+	// Two thirds are killed together and start again together before the failure timeout, without their state.
 	"herd": func(rng *rand.Rand, n int, b float64) Timeline {
 		x := rng.Perm(n)[:(2*n+2)/3]
 		return Timeline{Steps: []Step{{AtS: 0, Do: "kill", Nodes: x}, {AtS: 0.3 * b, Do: "start", Nodes: x}}}
@@ -41,13 +41,14 @@
 		x := rng.Perm(n)
 		return Timeline{Steps: []Step{{AtS: 0, Do: "cut", Nodes: x[:1], To: x[1:2]}, {AtS: 0, Do: "cut", Nodes: x[1:2], To: x[:1]}, {AtS: 6 * b, Do: "heal"}}}
 	},
-	// The smaller side may be taken for failed by the larger one, and by nobody else.
+	// Only the larger side may take the smaller one for failed.
 	"split": func(rng *rand.Rand, n int, b float64) Timeline {
 		x := rng.Perm(n)
 		small, large := x[:(n-1)/2], x[(n-1)/2:]
 		return Timeline{Steps: []Step{{AtS: 0, Do: "cut", Nodes: small, To: large, Hurts: small}, {AtS: 0, Do: "cut", Nodes: large, To: small},
 			{AtS: 6 * b, Do: "heal", Eases: small}}}
 	},
+	// Each node reaches only its two neighbours in a row.
 	"chain": func(rng *rand.Rand, n int, b float64) (t Timeline) {
 		x := rng.Perm(n)
 		for k := range n {
@@ -67,7 +68,7 @@
 		return Timeline{Steps: []Step{{AtS: 0, Do: "delay", Ms: [2]int{1, int(150 * b)}}, {AtS: 0, Do: "double", Share: 0.3},
 			{AtS: 8 * b, Do: "delay"}, {AtS: 8 * b, Do: "double"}}}
 	},
-	// It sends and hears nothing: its accusations must not count, and it may be taken for failed.
+	// One node sends but receives nothing: its suspicions must not count, and others may take it for failed.
 	"deaf": func(rng *rand.Rand, n int, b float64) Timeline {
 		x := []int{rng.IntN(n)}
 		return Timeline{Steps: []Step{{AtS: 0, Do: "deaf", Nodes: x, Hurts: x}, {AtS: 6 * b, Do: "hear", Nodes: x, Eases: x}}}
@@ -84,11 +85,12 @@
 		}
 		return t
 	},
-	// The last node starts under the first one's name, at a place of its own: the first has to go, and stays away.
+	// The last node starts under the name of the first one, at another address: the first one has to leave and stay
+	// away.
 	"one name twice": func(rng *rand.Rand, n int, b float64) Timeline {
 		return Timeline{Late: []int{n - 1}, Steps: []Step{{AtS: 0, Do: "rename", Nodes: []int{n - 1}, As: "n0"}, {AtS: 0, Do: "start", Nodes: []int{n - 1}, Hurts: []int{0}}}}
 	},
-	// One is alone at first, and all others come at once.
+	// One node is alone at first, and all others start together.
 	"growth": func(rng *rand.Rand, n int, b float64) (t Timeline) {
 		for i := 1; i < n; i++ {
 			t.Late = append(t.Late, i)
@@ -98,7 +100,8 @@
 	},
 }
 
-// DrawTimeline makes a timeline of a kind: all have found each other before its first step, and its end is quiet.
+// DrawTimeline generates a timeline of a kind. The first step comes after all nodes have found each other, and a quiet
+// span follows the last one. bearS is the failure timeout in seconds.
 func DrawTimeline(kind string, n int, seed uint64, bearS float64) Timeline {
 	t := Kinds[kind](rand.New(rand.NewPCG(seed, uint64(n))), n, bearS)
 	t.Kind, t.Nodes, t.Seed, t.QuietS = kind, n, seed, max(6*bearS, 5)+float64(n)/10
