--- a/internal/dispatcher/faultinjection/durablejobs_links.go
+++ b/internal/dispatcher/faultinjection/durablejobs_links.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// copies returns the replication address at which node i reaches node k; copies(i, i) is where node i listens.
-func (t *DurableJobsPlay) copies(i, k int) string {
-	return fmt.Sprintf("127.%d.%d.%d:7500", t.play.Host, i+1, k+1)
+// replicationAddress returns the replication address at which node i reaches node k; replicationAddress(i, i) is where
+// node i listens.
+func (d *DurableWorkload) replicationAddress(i, k int) string {
+	return fmt.Sprintf("127.%d.%d.%d:7500", d.runner.Host, i+1, k+1)
 }
 
-// link forwards what node i sends to node k over one connection. While that direction is partitioned, the link delays
-// the data and reports no error to either end.
-func (t *DurableJobsPlay) link(from net.Conn, i, k int) {
+// forwardConnection forwards what node i sends to node k over one connection. While that direction is partitioned, the
+// link delays the data and reports no error to either end.
+func (d *DurableWorkload) forwardConnection(from net.Conn, i, k int) {
 	cut := func() bool {
-		p := t.play
-		return p.partitions[i*p.line.Nodes+k].Load() || p.deaf[k].Load()
+		r := d.runner
+		return r.partitions[i*r.timeline.Nodes+k].Load() || r.deaf[k].Load()
 	}
 	wait := func() bool {
-		for cut() && !t.over.Load() {
+		for cut() && !d.stopped.Load() {
 			time.Sleep(10 * time.Millisecond)
 		}
-		return !t.over.Load()
+		return !d.stopped.Load()
 	}
 	if !wait() {
 		return
 	}
-	to, err := net.DialTimeout("tcp", t.copies(k, k), time.Second)
+	to, err := net.DialTimeout("tcp", d.replicationAddress(k, k), time.Second)
 	if err != nil {
 		return
 	}
@@ -38,7 +39,7 @@
 		io.Copy(io.Discard, to)
 		from.Close()
 	}()
-	rng := rand.New(rand.NewPCG(t.play.line.Seed, uint64(i*1000+k)))
+	rng := rand.New(rand.NewPCG(d.runner.timeline.Seed, uint64(i*1000+k)))
 	buffer := make([]byte, 64<<10)
 	for {
 		from.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
@@ -47,15 +48,15 @@
 			if !wait() {
 				return
 			}
-			if d := t.play.delay.Load(); d > 0 {
-				low, high := d>>16, d&0xffff
+			if delayRange := d.runner.delay.Load(); delayRange > 0 {
+				low, high := delayRange>>16, delayRange&0xffff
 				time.Sleep(time.Duration(low+rng.Int64N(high-low+1)) * time.Millisecond)
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
-		if ne, ok := err.(net.Error); err != nil && !(ok && ne.Timeout()) || t.over.Load() {
+		if ne, ok := err.(net.Error); err != nil && !(ok && ne.Timeout()) || d.stopped.Load() {
 			return
 		}
 	}
--- a/internal/dispatcher/faultinjection/durablejobs_test.go
+++ b/internal/dispatcher/faultinjection/durablejobs_test.go
@@ -23,11 +23,11 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-const window = 6 * time.Second
+const dedupWindow = 6 * time.Second
 
-// promiseKinds generates a timeline, and the crash points by node, of each kind. All kinds but "all at once" keep a
+// durableKinds generates a timeline, and the crash points by node, of each kind. All kinds but "all at once" keep a
 // majority of the replicas of every group alive at any time.
-var promiseKinds = map[string]func(rng *rand.Rand, n int) (t Timeline, crash map[int]string){
+var durableKinds = map[string]func(rng *rand.Rand, n int) (t Timeline, crash map[int]string){
 	"calm": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return Timeline{}, nil },
 	// Three nodes are killed in turn. Each starts again once its replicas have been restored elsewhere.
 	"killed in turns": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
@@ -39,21 +39,21 @@
 	},
 	// With five replicas, two nodes are killed, the second one right after it could take over the leases of the first.
 	"successors too": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
-		x, at := rng.Perm(n), 1.0
-		for k := range ReplicasOf(n) / 2 {
-			t.Steps = append(t.Steps, Step{AtS: at, Do: "kill", Nodes: x[k : k+1]})
+		nodes, at := rng.Perm(n), 1.0
+		for k := range ReplicaCount(n) / 2 {
+			t.Steps = append(t.Steps, Step{AtS: at, Do: "kill", Nodes: nodes[k : k+1]})
 			at += 2.2 // until the first is taken for failed and its leases move
 		}
-		for k := range ReplicasOf(n) / 2 {
-			t.Steps = append(t.Steps, Step{AtS: at + 4 + 4*float64(k), Do: "start", Nodes: x[k : k+1]})
+		for k := range ReplicaCount(n) / 2 {
+			t.Steps = append(t.Steps, Step{AtS: at + 4 + 4*float64(k), Do: "start", Nodes: nodes[k : k+1]})
 		}
 		return t, nil
 	},
 	// All are killed and start empty: the replicated records are lost, the dispatchers report it, found the groups anew
 	// and go on.
 	"all at once": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
-		x := rng.Perm(n)
-		t.Steps = []Step{{AtS: 5, Do: "kill", Nodes: x}, {AtS: 6, Do: "start", Nodes: x}}
+		nodes := rng.Perm(n)
+		t.Steps = []Step{{AtS: 5, Do: "kill", Nodes: nodes}, {AtS: 6, Do: "start", Nodes: nodes}}
 		return t, nil
 	},
 	// A killed node starts again before the failure timeout, under its name and without its state.
@@ -78,22 +78,22 @@
 		return t, nil
 	},
 	"split": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
-		x := rng.Perm(n)
-		small, large := x[:(n-1)/2], x[(n-1)/2:]
-		t.Steps = []Step{{AtS: 2, Do: "cut", Nodes: small, To: large, Hurts: small}, {AtS: 2, Do: "cut", Nodes: large, To: small}, {AtS: 10, Do: "heal", Eases: small}}
+		nodes := rng.Perm(n)
+		small, large := nodes[:(n-1)/2], nodes[(n-1)/2:]
+		t.Steps = []Step{{AtS: 2, Do: "cut", Nodes: small, To: large, FaultBegins: small}, {AtS: 2, Do: "cut", Nodes: large, To: small}, {AtS: 10, Do: "heal", FaultEnds: small}}
 		return t, nil
 	},
 	"one way": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		for k := range 3 {
-			x := rng.Perm(n)
-			t.Steps = append(t.Steps, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: x[:1], To: x[1:2]}, Step{AtS: 5 + 6*float64(k), Do: "heal"})
+			nodes := rng.Perm(n)
+			t.Steps = append(t.Steps, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: nodes[:1], To: nodes[1:2]}, Step{AtS: 5 + 6*float64(k), Do: "heal"})
 		}
 		return t, nil
 	},
 	"one link": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		for k := range 3 {
-			x := rng.Perm(n)
-			t.Steps = append(t.Steps, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: x[:1], To: x[1:2]}, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: x[1:2], To: x[:1]},
+			nodes := rng.Perm(n)
+			t.Steps = append(t.Steps, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: nodes[:1], To: nodes[1:2]}, Step{AtS: 1 + 6*float64(k), Do: "cut", Nodes: nodes[1:2], To: nodes[:1]},
 				Step{AtS: 5 + 6*float64(k), Do: "heal"})
 		}
 		return t, nil
@@ -109,13 +109,13 @@
 		return t, nil
 	},
 	// Three nodes kill themselves at three crash points of a job, seconds apart, and are started again.
-	"crash points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return atPoints(rng, n, "kill", 3) },
+	"crash points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return crashTimeline(rng, n, "kill", 3) },
 	// Three nodes stop at crash points, and continue after others have taken over.
-	"stopped at points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return atPoints(rng, n, "stop", 10) },
+	"stopped at points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return crashTimeline(rng, n, "stop", 10) },
 }
 
-// atPoints gives three nodes a crash point each and revives all nodes every so many seconds. by is kill or stop.
-func atPoints(rng *rand.Rand, n int, by string, every float64) (t Timeline, crash map[int]string) {
+// crashTimeline gives three nodes a crash point each and revives all nodes every so many seconds. by is kill or stop.
+func crashTimeline(rng *rand.Rand, n int, by string, every float64) (t Timeline, crash map[int]string) {
 	crash = map[int]string{}
 	first := rng.IntN(len(config.CrashPoints))
 	for k, i := range rng.Perm(n)[:3] {
@@ -131,62 +131,62 @@
 	return t, crash
 }
 
-// keep runs a timeline with clients and workers, and fails the test for each violation.
-func keep(t *testing.T, kind string, n int, seed uint64, host, jobs int, rate float64) *DurableJobsPlay {
+// runWorkload runs a timeline with clients and workers, and fails the test for each violation.
+func runWorkload(t *testing.T, kind string, n int, seed uint64, host, jobs int, rate float64) *DurableWorkload {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	line, crash := promiseKinds[kind](rand.New(rand.NewPCG(seed, uint64(n))), n)
-	line.Kind, line.Nodes, line.Seed, line.QuietS = kind, n, seed, 4
-	for i := range line.Steps {
-		line.Steps[i].AtS += 3.5
+	timeline, crash := durableKinds[kind](rand.New(rand.NewPCG(seed, uint64(n))), n)
+	timeline.Kind, timeline.Nodes, timeline.Seed, timeline.QuietS = kind, n, seed, 4
+	for i := range timeline.Steps {
+		timeline.Steps[i].AtS += 3.5
 	}
 	last := 3.5 + float64(jobs)/rate // the quiet span begins once all clients have started
-	if k := len(line.Steps); k > 0 {
-		last = max(last, line.Steps[k-1].AtS)
+	if k := len(timeline.Steps); k > 0 {
+		last = max(last, timeline.Steps[k-1].AtS)
 	}
-	line.Steps = append(line.Steps, Step{AtS: last + 0.1, Do: "heal"})
-	trial := &DurableJobsPlay{Jobs: jobs, Rate: rate, Window: window, Crash: crash}
-	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: strings.Replace(settings, `"window":7500000000`, fmt.Sprintf(`"window":%d`, window), 1),
-		Period: period, FailureTimeout: bear, DurableJobs: trial}
-	out, err := p.Run(&line)
+	timeline.Steps = append(timeline.Steps, Step{AtS: last + 0.1, Do: "heal"})
+	workload := &DurableWorkload{Jobs: jobs, Rate: rate, DedupWindow: dedupWindow, CrashPoints: crash}
+	runner := &Runner{Program: path, Dir: t.TempDir(), Host: host, Settings: strings.Replace(settings, `"window":7500000000`, fmt.Sprintf(`"window":%d`, dedupWindow), 1),
+		Period: period, FailureTimeout: failureTimeout, DurableJobs: workload}
+	result, err := runner.Run(&timeline)
 	if err != nil {
 		t.Fatal(err)
 	}
-	faults := trial.Violations()
+	violations := workload.Violations()
 	if len(crash) == 0 { // crash points come at unknown times, so the audit cannot tell which suspicions are justified
-		faults = append(faults, out.Violations...)
+		violations = append(violations, result.Violations...)
 	}
 	if kind == "all at once" { // records are lost here: only the new foundings and further progress are checked
-		faults = slices.DeleteFunc(faults, func(s string) bool { return !strings.Contains(s, "no outcome") && !strings.Contains(s, "clients ran") })
-		if trial.Founded != 2 {
-			faults = append(faults, fmt.Sprintf("the event logs tell of %d foundings, want 2", trial.Founded))
+		violations = slices.DeleteFunc(violations, func(s string) bool { return !strings.Contains(s, "no outcome") && !strings.Contains(s, "clients ran") })
+		if workload.Foundings != 2 {
+			violations = append(violations, fmt.Sprintf("the event logs tell of %d foundings, want 2", workload.Foundings))
 		}
 	}
-	if len(faults) > 0 || os.Getenv("FAULTS_KEEP_ALL") != "" {
-		text, _ := json.Marshal(line)
-		t.Errorf("%s, %d nodes, seed %d: %d violations: %s\ntimeline: %s %v", kind, n, seed, len(faults), strings.Join(faults[:min(len(faults), 6)], "; "), text, crash)
+	if len(violations) > 0 || os.Getenv("FAULTS_KEEP_ALL") != "" {
+		text, _ := json.Marshal(timeline)
+		t.Errorf("%s, %d nodes, seed %d: %d violations: %s\ntimeline: %s %v", kind, n, seed, len(violations), strings.Join(violations[:min(len(violations), 6)], "; "), text, crash)
 		if dir := os.Getenv("FAULTS_KEEP"); dir != "" {
-			exec.Command("cp", "-r", p.Dir, filepath.Join(dir, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(kind, " ", "-"), n, seed))).Run()
+			exec.Command("cp", "-r", runner.Dir, filepath.Join(dir, fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(kind, " ", "-"), n, seed))).Run()
 		}
 	}
-	return trial
+	return workload
 }
 
 // The part that CI runs: three kinds, five processes each, a fixed seed.
-func TestPromisesBetweenProcesses(t *testing.T) {
+func TestDurableJobsSurviveProcessFaults(t *testing.T) {
 	if os.Getenv("FAULTS_SEEDS") != "" || os.Getenv("FAULTS_FILE") != "" || os.Getenv("PROMISES_SEEDS") != "" {
 		t.Skip("the variables select a long set")
 	}
 	var all sync.WaitGroup
-	gate := make(chan bool, 3)
+	semaphore := make(chan bool, 3)
 	for i, kind := range []string{"killed in turns", "stopped and woken", "crash points"} {
 		all.Go(func() {
-			gate <- true
-			defer func() { <-gate }()
-			t.Run(kind, func(t *testing.T) { keep(t, kind, 5, 1, 60+i, 150, 15) })
+			semaphore <- true
+			defer func() { <-semaphore }()
+			t.Run(kind, func(t *testing.T) { runWorkload(t, kind, 5, 1, 60+i, 150, 15) })
 		})
 	}
 	all.Wait()
@@ -198,13 +198,13 @@
 	if seeds == 0 {
 		t.Skip("PROMISES_SEEDS is not set")
 	}
-	kinds := slices.Sorted(maps.Keys(promiseKinds))
+	kinds := slices.Sorted(maps.Keys(durableKinds))
 	if k := os.Getenv("PROMISES_KINDS"); k != "" {
 		kinds = strings.Split(k, ",")
 	}
 	jobs, _ := strconv.Atoi(cmp.Or(os.Getenv("PROMISES_JOBS"), "1000"))
-	at, _ := strconv.Atoi(os.Getenv("FAULTS_AT_ONCE"))
-	gate, host := make(chan bool, cmp.Or(at, 3)), 0
+	concurrent, _ := strconv.Atoi(os.Getenv("FAULTS_AT_ONCE"))
+	semaphore, host := make(chan bool, cmp.Or(concurrent, 3)), 0
 	var mu sync.Mutex
 	var table []string
 	crashed := map[string]int{}
@@ -215,33 +215,33 @@
 				t.Fatalf("PROMISES_SIZES: %q", size)
 			}
 			for _, kind := range kinds {
-				if promiseKinds[kind] == nil {
-					t.Fatalf("PROMISES_KINDS: %q is not one of %v", kind, slices.Sorted(maps.Keys(promiseKinds)))
+				if durableKinds[kind] == nil {
+					t.Fatalf("PROMISES_KINDS: %q is not one of %v", kind, slices.Sorted(maps.Keys(durableKinds)))
 				}
 				var took []time.Duration
-				runs, bad, told, failed, refused, tries := 0, 0, 0, 0, 0, 0
+				runs, violated, finished, failed, refused, requests := 0, 0, 0, 0, 0, 0
 				for seed := range seeds {
 					host++
-					own := host%140 + 100
+					ownHost := host%140 + 100
 					t.Run(fmt.Sprintf("%s/%d/%d", kind, n, seed), func(t *testing.T) {
 						t.Parallel()
-						gate <- true
-						defer func() { <-gate }()
-						trial := keep(t, kind, n, uint64(seed+1), own, jobs, 50)
+						semaphore <- true
+						defer func() { <-semaphore }()
+						workload := runWorkload(t, kind, n, uint64(seed+1), ownHost, jobs, 50)
 						mu.Lock()
 						defer mu.Unlock()
-						runs, told, failed, refused, tries = runs+1, told+trial.Finished, failed+trial.Failed, refused+trial.Refused, tries+trial.Tries
-						took = append(took, trial.Took...)
+						runs, finished, failed, refused, requests = runs+1, finished+workload.FinishedKeys, failed+workload.Failed, refused+workload.RefusedRequests, requests+workload.Requests
+						took = append(took, workload.Latencies...)
 						if t.Failed() {
-							bad++
+							violated++
 						}
-						for p, c := range trial.Crashed {
-							crashed[p] += c
+						for point, count := range workload.CrashCounts {
+							crashed[point] += count
 						}
 						if runs == seeds {
 							slices.Sort(took)
-							table = append(table, fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d | %d ms | %d ms |", kind, n, runs, bad, told, failed, tries, refused,
-								quantile(took, 0.5), quantile(took, 0.99)))
+							table = append(table, fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d | %d ms | %d ms |", kind, n, runs, violated, finished, failed, requests, refused,
+								quantileMs(took, 0.5), quantileMs(took, 0.99)))
 						}
 					})
 				}
@@ -253,8 +253,8 @@
 		strings.Join(table, "\n"), crashed)
 }
 
-// quantile returns a quantile of sorted durations in ms, or -1 without any.
-func quantile(sorted []time.Duration, q float64) int64 {
+// quantileMs returns a quantile of sorted durations in ms, or -1 without any.
+func quantileMs(sorted []time.Duration, q float64) int64 {
 	if len(sorted) == 0 {
 		return -1
 	}
@@ -267,7 +267,7 @@
 	if os.Getenv("PROMISES_COST") == "" {
 		t.Skip("PROMISES_COST is not set")
 	}
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,28 +279,28 @@
 			t.Fatalf("PROMISES_COST: %v", err)
 		}
 		for range 3 {
-			for _, what := range []string{"no membership", "membership alone", "3 copies in memory"} {
+			for _, mode := range []string{"no membership", "membership alone", "3 copies in memory"} {
 				host++
-				trial := &DurableJobsPlay{Jobs: int(8 * perSec), Rate: perSec, Window: window, Off: what == "membership alone", Bare: what == "no membership", Calm: true}
-				line := Timeline{Kind: "cost", Nodes: 3, Seed: 1, QuietS: 0.5, Steps: []Step{{AtS: 11.2, Do: "heal"}}}
-				p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: 500 * time.Millisecond, FailureTimeout: 3 * time.Second, DurableJobs: trial}
-				if _, err := p.Run(&line); err != nil {
+				workload := &DurableWorkload{Jobs: int(8 * perSec), Rate: perSec, DedupWindow: dedupWindow, MembershipOnly: mode == "membership alone", NoMembership: mode == "no membership", FaultFree: true}
+				timeline := Timeline{Kind: "cost", Nodes: 3, Seed: 1, QuietS: 0.5, Steps: []Step{{AtS: 11.2, Do: "heal"}}}
+				runner := &Runner{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: 500 * time.Millisecond, FailureTimeout: 3 * time.Second, DurableJobs: workload}
+				if _, err := runner.Run(&timeline); err != nil {
 					t.Fatal(err)
 				}
 				cpu := time.Duration(0)
-				for _, n := range p.nodes {
+				for _, n := range runner.nodes {
 					cpu += n.process.ProcessState.UserTime() + n.process.ProcessState.SystemTime()
 				}
-				slices.Sort(trial.Took)
-				t.Logf("| %s | 3 | %s | %d of %d | %.2f ms | %.2f ms | %d µs |", rate, what, len(trial.Took), trial.Jobs,
-					micro(trial.Took, 0.5), micro(trial.Took, 0.99), cpu.Microseconds()/int64(trial.Jobs))
+				slices.Sort(workload.Latencies)
+				t.Logf("| %s | 3 | %s | %d of %d | %.2f ms | %.2f ms | %d µs |", rate, mode, len(workload.Latencies), workload.Jobs,
+					quantileMsExact(workload.Latencies, 0.5), quantileMsExact(workload.Latencies, 0.99), cpu.Microseconds()/int64(workload.Jobs))
 			}
 		}
 	}
 }
 
-// micro returns a quantile of sorted durations in ms, to the microsecond, or -1 without any.
-func micro(sorted []time.Duration, q float64) float64 {
+// quantileMsExact returns a quantile of sorted durations in ms, to the microsecond, or -1 without any.
+func quantileMsExact(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return -1
 	}
--- a/internal/dispatcher/faultinjection/durablejobs_workers.go
+++ b/internal/dispatcher/faultinjection/durablejobs_workers.go
@@ -13,57 +13,58 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// workers is the number of workers of a run.
-const workers = 4
+// workerCount is the number of workers of a run.
+const workerCount = 4
 
-// memory is the last execution of a key. All workers share it.
-type memory struct {
-	ran    time.Time     // when the execution started
-	done   chan struct{} // closed at its end
-	result string
+// execution is the last execution of a key. All workers share it.
+type execution struct {
+	startedAt time.Time     // when the execution started
+	done      chan struct{} // closed at its end
+	result    string
 }
 
-func (t *DurableJobsPlay) worker(w int) string {
-	return fmt.Sprintf("127.%d.200.%d:6000", t.play.Host, w+1)
+func (d *DurableWorkload) workerAddress(w int) string {
+	return fmt.Sprintf("127.%d.200.%d:6000", d.runner.Host, w+1)
 }
 
-func (t *DurableJobsPlay) discovery() string { return fmt.Sprintf("127.%d.201.1:8500", t.play.Host) }
+func (d *DurableWorkload) discovery() string { return fmt.Sprintf("127.%d.201.1:8500", d.runner.Host) }
 
 // accept serves each connection on a goroutine of its own until the listener closes.
-func (t *DurableJobsPlay) accept(l net.Listener, serve func(net.Conn)) {
+func (d *DurableWorkload) accept(l net.Listener, serve func(net.Conn)) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		t.all.Go(func() {
+		d.tasks.Go(func() {
 			defer c.Close()
 			serve(c)
 		})
 	}
 }
 
-// list is the discovery service. Its list of workers never changes; an open watch gets an empty line each second.
-func (t *DurableJobsPlay) list(w http.ResponseWriter, r *http.Request) {
+// serveDiscovery is the discovery service. Its list of workers never changes; an open watch gets an empty line each
+// second.
+func (d *DurableWorkload) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	var all []config.Worker
-	for k := range workers {
-		all = append(all, config.Worker{ID: fmt.Sprintf("s-%08x", k+1), Address: t.worker(k), Zone: []string{"montreal", "sherbrooke"}[k%2],
+	for k := range workerCount {
+		all = append(all, config.Worker{ID: fmt.Sprintf("s-%08x", k+1), Address: d.workerAddress(k), Zone: []string{"montreal", "sherbrooke"}[k%2],
 			Kind: "std-2c", State: "ready", Weight: 1})
 	}
 	json.NewEncoder(w).Encode(config.WorkerList{Generation: 1, Reset: true, Workers: all})
-	for r.URL.Query().Has("watch") && r.Context().Err() == nil && !t.over.Load() {
+	for r.URL.Query().Has("watch") && r.Context().Err() == nil && !d.stopped.Load() {
 		w.(http.Flusher).Flush()
 		time.Sleep(time.Second)
 		io.WriteString(w, "\n")
 	}
 }
 
-// serve answers the requests of one connection to worker w. Of 100 requests it refuses 3, drops 3 before they run, and
-// drops 4 after they have run.
-func (t *DurableJobsPlay) serve(c net.Conn, w int) {
+// serveWorker answers the requests of one connection to worker w. Of 100 requests it refuses 3, drops 3 before they
+// run, and drops 4 after they have run.
+func (d *DurableWorkload) serveWorker(c net.Conn, w int) {
 	in := bufio.NewReader(c)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), uint64(w)))
-	for !t.over.Load() {
+	for !d.stopped.Load() {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -74,7 +75,7 @@
 		id, key := r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key")
 		name := fmt.Sprintf("s-%08x", w+1)
 		luck, takes := rng.IntN(100), time.Duration(10+rng.IntN(60))*time.Millisecond
-		if t.Calm {
+		if d.FaultFree {
 			luck, takes = 100, 5*time.Millisecond
 		}
 		switch {
@@ -84,7 +85,7 @@
 		case luck < 6: // the connection breaks before the job runs; the dispatcher cannot tell whether it ran
 			return
 		}
-		result := t.run(key, takes)
+		result := d.execute(key, takes)
 		if luck < 10 { // the job ran, and its answer is lost
 			return
 		}
@@ -99,24 +100,24 @@
 	}
 }
 
-// run executes a job and counts its effect. A repeat within Window has no effect: it waits for the earlier execution
-// and returns that result. A job without a key has no effect.
-func (t *DurableJobsPlay) run(key string, takes time.Duration) string {
+// execute executes a job and counts its effect. A repeat within DedupWindow has no effect: it waits for the earlier
+// execution and returns that result. A job without a key has no effect.
+func (d *DurableWorkload) execute(key string, takes time.Duration) string {
 	if key == "" {
 		time.Sleep(takes)
 		return "looked"
 	}
-	t.mu.Lock()
-	m := t.past[key]
-	if m != nil && time.Since(m.ran) < t.Window {
-		t.mu.Unlock()
+	d.mu.Lock()
+	m := d.executions[key]
+	if m != nil && time.Since(m.startedAt) < d.DedupWindow {
+		d.mu.Unlock()
 		<-m.done
 		return m.result
 	}
-	t.Effects[key]++
-	m = &memory{ran: time.Now(), done: make(chan struct{}), result: fmt.Sprintf("%s took effect %d", key, t.Effects[key])}
-	t.past[key] = m
-	t.mu.Unlock()
+	d.EffectCounts[key]++
+	m = &execution{startedAt: time.Now(), done: make(chan struct{}), result: fmt.Sprintf("%s took effect %d", key, d.EffectCounts[key])}
+	d.executions[key] = m
+	d.mu.Unlock()
 	time.Sleep(takes)
 	close(m.done)
 	return m.result
--- a/internal/dispatcher/faultinjection/eventlog.go
+++ b/internal/dispatcher/faultinjection/eventlog.go
@@ -15,10 +15,10 @@
 )
 
 // readEventLogs merges the event logs of all processes, ordered by the machine's clock, into the world that is audited.
-func (p *Play) readEventLogs() error {
-	for i, w := range p.world.Nodes {
-		f, err := os.Open(p.events(i))
-		if errors.Is(err, os.ErrNotExist) && p.nodes[i].starts == 0 {
+func (r *Runner) readEventLogs() error {
+	for i, w := range r.world.Nodes {
+		f, err := os.Open(r.events(i))
+		if errors.Is(err, os.ErrNotExist) && r.nodes[i].starts == 0 {
 			continue
 		} else if err != nil {
 			return err
@@ -40,7 +40,7 @@
 			if json.Unmarshal(in.Bytes(), &l) != nil {
 				continue // a line that a kill truncated
 			}
-			e := simulation.Entry{At: time.Unix(0, l.At).Sub(p.began), Node: i}
+			e := simulation.Entry{At: time.Unix(0, l.At).Sub(r.startedAt), Node: i}
 			switch {
 			case l.Start > 0:
 				life, w.Incarnation = l.Start, l.Start
@@ -65,10 +65,10 @@
 				e.Change = &membership.Change{Name: l.Member, Incarnation: l.Of, State: state, Reason: l.Why}
 			}
 			e.Incarnation = life
-			p.world.Entries = append(p.world.Entries, e)
+			r.world.Entries = append(r.world.Entries, e)
 		}
 		f.Close()
 	}
-	slices.SortStableFunc(p.world.Entries, func(a, b simulation.Entry) int { return int(a.At - b.At) })
+	slices.SortStableFunc(r.world.Entries, func(a, b simulation.Entry) int { return int(a.At - b.At) })
 	return nil
 }
--- a/internal/dispatcher/faultinjection/faults_test.go
+++ b/internal/dispatcher/faultinjection/faults_test.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	period = 150 * time.Millisecond
-	bear   = 1200 * time.Millisecond
+	period         = 150 * time.Millisecond
+	failureTimeout = 1200 * time.Millisecond
 )
 
 var settings = strings.Replace(testenv.Settings, `"cancelling":true`, `"cancelling":true,"peers":true`, 1)
 
-// program builds the dispatcher once for all tests.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds the dispatcher once for all tests.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	if path := os.Getenv("FAULTS_PROGRAM"); path != "" { // another build, such as one with a deliberate fault
 		return filepath.Abs(path)
 	}
@@ -41,39 +41,40 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "gladepick")
-	out, err := exec.Command("go", "build", "-o", dir+"/", "gladepick/cmd/gladepick", "gladepick/cmd/gladepick-full").CombinedOutput()
+	output, err := exec.Command("go", "build", "-o", dir+"/", "gladepick/cmd/gladepick", "gladepick/cmd/gladepick-full").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
+		return "", fmt.Errorf("%w: %s", err, output)
 	}
 	return path, nil
 })
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil && os.Getenv("FAULTS_PROGRAM") == "" {
+	if path, err := buildProgram(); err == nil && os.Getenv("FAULTS_PROGRAM") == "" {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// play runs a timeline and fails the test if its event logs violate an invariant or the nodes do not agree at the end.
-func play(t *testing.T, line Timeline, host int) *Result {
+// runTimeline runs a timeline and fails the test if its event logs violate an invariant or the nodes do not agree at
+// the end.
+func runTimeline(t *testing.T, timeline Timeline, host int) *Result {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: bear}
-	out, err := p.Run(&line)
+	runner := &Runner{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: failureTimeout}
+	result, err := runner.Run(&timeline)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(out.Violations) > 0 || !out.Agreed && line.Kind != "one name twice" {
-		text, _ := json.Marshal(line)
-		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d violations: %s\ntimeline: %s", line.Kind, line.Nodes, line.Seed, out.Agreed, len(out.Violations),
-			strings.Join(out.Violations[:min(len(out.Violations), 5)], "; "), text)
-		for _, e := range out.World.Entries[max(0, len(out.World.Entries)-40):] {
-			name := out.World.Nodes[e.Node].Name
+	if len(result.Violations) > 0 || !result.Agreed && timeline.Kind != "one name twice" {
+		text, _ := json.Marshal(timeline)
+		t.Errorf("%s, %d nodes, seed %d: agreed %v, %d violations: %s\ntimeline: %s", timeline.Kind, timeline.Nodes, timeline.Seed, result.Agreed, len(result.Violations),
+			strings.Join(result.Violations[:min(len(result.Violations), 5)], "; "), text)
+		for _, e := range result.World.Entries[max(0, len(result.World.Entries)-40):] {
+			name := result.World.Nodes[e.Node].Name
 			switch {
 			case e.View != nil:
 				t.Logf("%v %s view %v of %d", e.At.Round(time.Millisecond), name, e.View.ViewID, len(e.View.Members))
@@ -84,38 +85,38 @@
 			}
 		}
 		if os.Getenv("FAULTS_KEEP") != "" {
-			exec.Command("cp", "-r", p.Dir, os.Getenv("FAULTS_KEEP")).Run()
+			exec.Command("cp", "-r", runner.Dir, os.Getenv("FAULTS_KEEP")).Run()
 		}
 	}
-	return out
+	return result
 }
 
 // The part that CI runs: each kind once, with five processes and a fixed seed.
-func TestFaultsBetweenProcesses(t *testing.T) {
+func TestMembershipSurvivesProcessFaults(t *testing.T) {
 	if os.Getenv("FAULTS_SEEDS") != "" || os.Getenv("FAULTS_FILE") != "" {
 		t.Skip("the variables select the long set")
 	}
 	var all sync.WaitGroup // not t.Parallel, which runs as many at a time as there are cores
-	gate := make(chan bool, 5)
+	semaphore := make(chan bool, 5)
 	for i, kind := range slices.Sorted(maps.Keys(Kinds)) {
 		all.Go(func() {
-			gate <- true
-			defer func() { <-gate }()
-			t.Run(kind, func(t *testing.T) { play(t, DrawTimeline(kind, 5, 1, bear.Seconds()), 100+i) })
+			semaphore <- true
+			defer func() { <-semaphore }()
+			t.Run(kind, func(t *testing.T) { runTimeline(t, NewTimeline(kind, 5, 1, failureTimeout.Seconds()), 100+i) })
 		})
 	}
 	all.Wait()
 }
 
 // The members command, asking a dispatcher directly, lists every member with its state. Wrong use exits with code 2.
-func TestMembersAreShown(t *testing.T) {
-	path, err := program()
+func TestMembersCommandShowsStates(t *testing.T) {
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	const host = 98
-	p := &Play{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: bear}
-	p.OnQuiet = func() {
+	runner := &Runner{Program: path, Dir: t.TempDir(), Host: host, Settings: settings, Period: period, FailureTimeout: failureTimeout}
+	runner.OnQuiet = func() {
 		from := fmt.Sprintf("127.%d.0.1:5000", host)
 		text, err := exec.Command(path, "members", "--from", from, "--output", "json").Output()
 		var s transport.Status
@@ -141,10 +142,10 @@
 			}
 		}
 	}
-	line := Timeline{Kind: "shown", Nodes: 4, Seed: 1, QuietS: 3, Steps: []Step{{AtS: 4, Do: "term", Nodes: []int{1}}}}
-	out, err := p.Run(&line)
-	if err != nil || len(out.Violations) > 0 || !out.Agreed {
-		t.Errorf("%v: %+v", err, out)
+	timeline := Timeline{Kind: "shown", Nodes: 4, Seed: 1, QuietS: 3, Steps: []Step{{AtS: 4, Do: "term", Nodes: []int{1}}}}
+	result, err := runner.Run(&timeline)
+	if err != nil || len(result.Violations) > 0 || !result.Agreed {
+		t.Errorf("%v: %+v", err, result)
 	}
 }
 
@@ -156,12 +157,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var line Timeline
-		if err := json.Unmarshal(text, &line); err != nil {
+		var timeline Timeline
+		if err := json.Unmarshal(text, &timeline); err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		out := play(t, line, 99)
-		t.Logf("%s: %d nodes, agreed %v, %d false suspicions, %d views, detected after %v", file, line.Nodes, out.Agreed, out.FalseSuspicions, out.Views, out.Detected)
+		result := runTimeline(t, timeline, 99)
+		t.Logf("%s: %d nodes, agreed %v, %d false suspicions, %d views, detected after %v", file, timeline.Nodes, result.Agreed, result.FalseSuspicions, result.Views, result.DetectionTimes)
 		return
 	}
 	if seeds == 0 {
@@ -171,8 +172,8 @@
 	if k := os.Getenv("FAULTS_KINDS"); k != "" {
 		kinds = strings.Split(k, ",")
 	}
-	at, _ := strconv.Atoi(os.Getenv("FAULTS_AT_ONCE"))
-	gate, host := make(chan bool, cmp.Or(at, 4)), 0
+	concurrent, _ := strconv.Atoi(os.Getenv("FAULTS_AT_ONCE"))
+	semaphore, host := make(chan bool, cmp.Or(concurrent, 4)), 0
 	var mu sync.Mutex
 	var table []string
 	t.Run("plays", func(t *testing.T) {
@@ -186,27 +187,27 @@
 					t.Fatalf("FAULTS_KINDS: %q is not one of %v", kind, slices.Sorted(maps.Keys(Kinds)))
 				}
 				var detected []time.Duration
-				runs, wrong, views, bad := 0, 0, 0, 0
+				runs, falseSuspicions, views, violated := 0, 0, 0, 0
 				for seed := range seeds {
 					host++
-					own := host%140 + 100
+					ownHost := host%140 + 100
 					t.Run(fmt.Sprintf("%s/%d/%d", kind, n, seed), func(t *testing.T) {
 						t.Parallel()
-						gate <- true
-						defer func() { <-gate }()
-						out := play(t, DrawTimeline(kind, n, uint64(seed+1), bear.Seconds()), own)
+						semaphore <- true
+						defer func() { <-semaphore }()
+						result := runTimeline(t, NewTimeline(kind, n, uint64(seed+1), failureTimeout.Seconds()), ownHost)
 						mu.Lock()
 						defer mu.Unlock()
-						runs, wrong, views, detected = runs+1, wrong+out.FalseSuspicions, views+out.Views, append(detected, out.Detected...)
-						if bad += min(len(out.Violations), 1); runs == seeds {
+						runs, falseSuspicions, views, detected = runs+1, falseSuspicions+result.FalseSuspicions, views+result.Views, append(detected, result.DetectionTimes...)
+						if violated += min(len(result.Violations), 1); runs == seeds {
 							slices.Sort(detected)
-							line := fmt.Sprintf("| %s | %d | %d | %d | %d | %.1f |", kind, n, runs, bad, wrong, float64(views)/float64(runs))
+							row := fmt.Sprintf("| %s | %d | %d | %d | %d | %.1f |", kind, n, runs, violated, falseSuspicions, float64(views)/float64(runs))
 							if len(detected) > 0 {
-								line += fmt.Sprintf(" %.2f s | %.2f s |", detected[len(detected)/2].Seconds(), detected[len(detected)-1].Seconds())
+								row += fmt.Sprintf(" %.2f s | %.2f s |", detected[len(detected)/2].Seconds(), detected[len(detected)-1].Seconds())
 							} else {
-								line += " | |"
+								row += " | |"
 							}
-							table = append(table, line)
+							table = append(table, row)
 						}
 					})
 				}
--- a/internal/dispatcher/faultinjection/timeline.go
+++ b/internal/dispatcher/faultinjection/timeline.go
@@ -9,26 +9,26 @@
 
 // Step is one action of a timeline on some nodes or on all links.
 type Step struct {
-	AtS   float64 `json:"at_s"`
-	Do    string  `json:"do"` // start, kill, term, stop, cut, heal, loss, delay, double, deaf, hear, rename, revive
-	Nodes []int   `json:"nodes,omitempty"`
-	To    []int   `json:"to,omitempty"`    // cut: datagrams from Nodes to these are lost
-	ForS  float64 `json:"for_s,omitempty"` // stop: until the process continues
-	Share float64 `json:"share,omitempty"` // loss, double: share of the datagrams, 0 to 1
-	Ms    [2]int  `json:"ms,omitempty"`    // delay: minimum and maximum
-	Hurts []int   `json:"hurts,omitempty"` // nodes that others may take for failed from this step on
-	Eases []int   `json:"eases,omitempty"` // nodes that others may no longer take for failed
-	As    string  `json:"as,omitempty"`    // rename: the name that the node gets at its next start
+	AtS         float64 `json:"at_s"`
+	Do          string  `json:"do"` // start, kill, term, stop, cut, heal, loss, delay, double, deaf, hear, rename, revive
+	Nodes       []int   `json:"nodes,omitempty"`
+	To          []int   `json:"to,omitempty"`    // cut: datagrams from Nodes to these are lost
+	ForS        float64 `json:"for_s,omitempty"` // stop: until the process continues
+	Share       float64 `json:"share,omitempty"` // loss, double: share of the datagrams, 0 to 1
+	Ms          [2]int  `json:"ms,omitempty"`    // delay: minimum and maximum
+	FaultBegins []int   `json:"hurts,omitempty"` // nodes that others may take for failed from this step on
+	FaultEnds   []int   `json:"eases,omitempty"` // nodes that others may no longer take for failed
+	As          string  `json:"as,omitempty"`    // rename: the name that the node gets at its next start
 }
 
 // Timeline is a scenario of faults. `make faults` reads one as JSON from FAULTS_FILE.
 type Timeline struct {
-	Kind   string  `json:"kind"`
-	Nodes  int     `json:"nodes"`
-	Seed   uint64  `json:"seed"`
-	QuietS float64 `json:"quiet_s"`        // from the last step until the final state is checked
-	Late   []int   `json:"late,omitempty"` // nodes that are not started at the beginning
-	Steps  []Step  `json:"steps"`
+	Kind       string  `json:"kind"`
+	Nodes      int     `json:"nodes"`
+	Seed       uint64  `json:"seed"`
+	QuietS     float64 `json:"quiet_s"`        // from the last step until the final state is checked
+	StartLater []int   `json:"late,omitempty"` // nodes that are not started at the beginning
+	Steps      []Step  `json:"steps"`
 }
 
 // Check returns an error for a timeline that cannot be run.
@@ -46,7 +46,7 @@
 		case !(s.Share >= 0 && s.Share <= 1) || s.Ms[0] < 0 || s.Ms[1] < s.Ms[0] || s.Ms[1] > 5000:
 			return fmt.Errorf("steps.%d: share must be 0 to 1, and ms a minimum and a maximum up to 5000", i)
 		}
-		for _, n := range slices.Concat(s.Nodes, s.To, s.Hurts, s.Eases) {
+		for _, n := range slices.Concat(s.Nodes, s.To, s.FaultBegins, s.FaultEnds) {
 			if n < 0 || n >= t.Nodes {
 				return fmt.Errorf("steps.%d: node %d does not exist among %d nodes", i, n, t.Nodes)
 			}
