--- a/internal/dispatcher/faultinjection/durablejobs.go
+++ b/internal/dispatcher/faultinjection/durablejobs.go
@@ -35,8 +35,8 @@
 	Outcomes        map[string][]string // by key: the distinct outcomes that clients received
 	RequestCounts   map[string]int      // by key: requests sent
 	Unresolved      []string            // keys without an outcome after the quiet span
-	CrashCounts     map[string]int      // by crash point: crashes in the dispatchers' records
-	Foundings       int                 // foundings of a new group in the dispatchers' records
+	CrashCounts     map[string]int      // by crash point: crashes in the dispatchers' event logs
+	Foundings       int                 // assignments of groups that dispatchers founded, by their event logs
 	Requests        int                 // requests sent
 	RefusedRequests int                 // requests answered by 503
 	FailedRequests  int                 // requests without a complete answer, or with an unexpected status
@@ -121,8 +121,8 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "[promises]\nlisten = %q\ncopies = %d\ngroups = 8\nkeep_s = 600\nskew_ms = 100\nevents = %q\n", d.replicationAddress(i, i), ReplicaCount(d.runner.timeline.Nodes), filepath.Join(d.runner.Dir, fmt.Sprintf("promises-%d.jsonl", i)))
-	if at := d.CrashPoints[i]; at != "" && d.runner.nodes[i].starts == 0 {
-		part := strings.Split(at, ":")
+	if crash := d.CrashPoints[i]; crash != "" && d.runner.nodes[i].starts == 0 {
+		part := strings.Split(crash, ":")
 		fmt.Fprintf(&b, "crash_at = %q\ncrash_on = %s\ncrash_by = %q\n", part[0], part[1], part[2])
 	}
 	for k, other := range d.runner.nodes {
@@ -135,33 +135,33 @@
 	return []string{"NODE_PROMISES=" + path, "NODE_DISCOVERY=" + d.discovery()}
 }
 
-// Violations returns the rules that the record violates, sorted. It also sets Failed and Finished, so it is called
+// Violations returns the rules that the record violates, sorted. It also sets Failed and FinishedKeys, so it is called
 // once.
-func (d *DurableWorkload) Violations() (out []string) {
+func (d *DurableWorkload) Violations() (violations []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for key, n := range d.EffectCounts {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s took effect %d times", key, n))
+			violations = append(violations, fmt.Sprintf("%s took effect %d times", key, n))
 		}
 	}
-	for key, told := range d.Outcomes {
-		if len(told) > 1 {
-			out = append(out, fmt.Sprintf("clients received different outcomes for %s: %q", key, told))
+	for key, outcomes := range d.Outcomes {
+		if len(outcomes) > 1 {
+			violations = append(violations, fmt.Sprintf("clients received different outcomes for %s: %q", key, outcomes))
 		}
-		if told[0] == "failed" {
+		if outcomes[0] == "failed" {
 			d.Failed++
 		}
-		if told[0] != "failed" && d.EffectCounts[key] == 0 {
-			out = append(out, key+" was answered as served but never took effect")
+		if outcomes[0] != "failed" && d.EffectCounts[key] == 0 {
+			violations = append(violations, key+" was answered as served but never took effect")
 		}
 	}
 	for _, key := range d.Unresolved {
-		out = append(out, key+" has no outcome after the quiet span")
+		violations = append(violations, key+" has no outcome after the quiet span")
 	}
 	if d.FinishedKeys = len(d.Outcomes); len(d.keys) < d.Jobs {
-		out = append(out, fmt.Sprintf("only %d of %d clients ran", len(d.keys), d.Jobs))
+		violations = append(violations, fmt.Sprintf("only %d of %d clients ran", len(d.keys), d.Jobs))
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(violations)
+	return violations
 }
--- a/internal/dispatcher/faultinjection/durablejobs_clients.go
+++ b/internal/dispatcher/faultinjection/durablejobs_clients.go
@@ -20,7 +20,7 @@
 // runClients starts Jobs clients at Rate per second, each with its own key.
 func (d *DurableWorkload) runClients() {
 	time.Sleep(3 * time.Second) // until the dispatchers have found each other
-	began := time.Now()
+	startedAt := time.Now()
 	for n := range d.Jobs {
 		if d.stopped.Load() {
 			return
@@ -28,7 +28,7 @@
 		key := fmt.Sprintf("key-%d-%d", d.runner.timeline.Seed, n)
 		d.keys = append(d.keys, key)
 		d.tasks.Go(func() { d.runClient(key, uint64(n)) })
-		time.Sleep(time.Until(began.Add(time.Duration(float64(n+1) / d.Rate * float64(time.Second)))))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(float64(n+1) / d.Rate * float64(time.Second)))))
 	}
 }
 
@@ -36,24 +36,24 @@
 // dispatcher. One client in seven also sends two parallel requests at the start.
 func (d *DurableWorkload) runClient(key string, n uint64) {
 	rng := rand.New(rand.NewPCG(d.runner.timeline.Seed, n))
-	began := time.Now()
-	var side sync.WaitGroup
+	startedAt := time.Now()
+	var parallel sync.WaitGroup
 	if rng.IntN(7) == 0 && !d.FaultFree {
 		for range 2 {
 			at := rng.IntN(d.runner.timeline.Nodes)
-			side.Go(func() { d.sendJob(key, at) })
+			parallel.Go(func() { d.sendJob(key, at) })
 		}
 	}
-	for time.Since(began) < 40*time.Second && !d.stopped.Load() {
+	for time.Since(startedAt) < 40*time.Second && !d.stopped.Load() {
 		if outcome := d.sendJob(key, rng.IntN(d.runner.timeline.Nodes)); outcome != "" {
 			d.mu.Lock()
-			d.Latencies = append(d.Latencies, time.Since(began))
+			d.Latencies = append(d.Latencies, time.Since(startedAt))
 			d.mu.Unlock()
 			break
 		}
 		time.Sleep(time.Duration(50+rng.IntN(200)) * time.Millisecond)
 	}
-	side.Wait()
+	parallel.Wait()
 }
 
 // sendJob sends a job once and records its outcome. An empty outcome means that there is none yet, and that the client
@@ -68,12 +68,12 @@
 		r.Header.Set(name, v)
 	}
 	status, body := 0, []byte(nil)
-	if a, err := d.client.Do(r); err == nil {
-		status = a.StatusCode
-		if body, err = io.ReadAll(a.Body); err != nil {
+	if response, err := d.client.Do(r); err == nil {
+		status = response.StatusCode
+		if body, err = io.ReadAll(response.Body); err != nil {
 			status = 0
 		}
-		a.Body.Close()
+		response.Body.Close()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,12 +104,12 @@
 		return
 	}
 	time.Sleep(d.DedupWindow) // a repeat after this would take effect again at a worker
-	gate := make(chan bool, 20)
+	semaphore := make(chan bool, 20)
 	var all sync.WaitGroup
 	for i, key := range d.keys {
-		gate <- true
+		semaphore <- true
 		all.Go(func() {
-			defer func() { <-gate }()
+			defer func() { <-semaphore }()
 			for k := range 12 {
 				node := d.runner.nodes[(i+k)%len(d.runner.nodes)]
 				if node.process == nil {
--- a/internal/dispatcher/faultinjection/durablejobs_workers.go
+++ b/internal/dispatcher/faultinjection/durablejobs_workers.go
@@ -74,23 +74,23 @@
 		}
 		id, key := r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key")
 		name := fmt.Sprintf("s-%08x", w+1)
-		luck, takes := rng.IntN(100), time.Duration(10+rng.IntN(60))*time.Millisecond
+		draw, duration := rng.IntN(100), time.Duration(10+rng.IntN(60))*time.Millisecond
 		if d.FaultFree {
-			luck, takes = 100, 5*time.Millisecond
+			draw, duration = 100, 5*time.Millisecond
 		}
 		switch {
-		case luck < 3:
+		case draw < 3:
 			fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 2\r\n\r\nno")
 			continue
-		case luck < 6: // the connection breaks before the job runs; the dispatcher cannot tell whether it ran
+		case draw < 6: // the connection breaks before the job runs; the dispatcher cannot tell whether it ran
 			return
 		}
-		result := d.execute(key, takes)
-		if luck < 10 { // the job ran, and its answer is lost
+		result := d.execute(key, duration)
+		if draw < 10 { // the job ran, and its answer is lost
 			return
 		}
-		line := func(state, more string) string {
-			s := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`+"\n", id, name, state, more)
+		line := func(state, extraFields string) string {
+			s := fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`+"\n", id, name, state, extraFields)
 			return fmt.Sprintf("%x\r\n%s\r\n", len(s), s)
 		}
 		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%s%s0\r\n\r\n", line("started", ""),
@@ -102,9 +102,9 @@
 
 // execute executes a job and counts its effect. A repeat within DedupWindow has no effect: it waits for the earlier
 // execution and returns that result. A job without a key has no effect.
-func (d *DurableWorkload) execute(key string, takes time.Duration) string {
+func (d *DurableWorkload) execute(key string, duration time.Duration) string {
 	if key == "" {
-		time.Sleep(takes)
+		time.Sleep(duration)
 		return "looked"
 	}
 	d.mu.Lock()
@@ -118,7 +118,7 @@
 	m = &execution{startedAt: time.Now(), done: make(chan struct{}), result: fmt.Sprintf("%s took effect %d", key, d.EffectCounts[key])}
 	d.executions[key] = m
 	d.mu.Unlock()
-	time.Sleep(takes)
+	time.Sleep(duration)
 	close(m.done)
 	return m.result
 }
--- a/internal/dispatcher/faultinjection/runner.go
+++ b/internal/dispatcher/faultinjection/runner.go
@@ -328,8 +328,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	over := n.ended
-	go func() { cmd.Wait(); close(over) }()
+	done := n.ended
+	go func() { cmd.Wait(); close(done) }()
 	r.world.Now = time.Since(r.startedAt)
 	w.Up, w.StartedAt = true, r.world.Now
 	r.world.EndFault(w)
--- a/internal/dispatcher/testenv/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -39,11 +39,11 @@
 				t.Errorf("%s, after the client left: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 			time.Sleep(4 * time.Second)
-			kept := 0
+			wantIdle := 0
 			if want == decision.OK {
-				kept = 1
+				wantIdle = 1
 			}
-			if idle, open = r.transport.ConnectionCounts(); c.Outcomes[want].Load() != 1 || idle != kept || open != kept || len(r.workers.Sent("g1")) != 1 {
+			if idle, open = r.transport.ConnectionCounts(); c.Outcomes[want].Load() != 1 || idle != wantIdle || open != wantIdle || len(r.workers.Sent("g1")) != 1 {
 				t.Errorf("%s, after the attempt ended: %d of %d connections idle, %s", script, idle, open, r.core.CountersLine())
 			}
 		})
@@ -101,8 +101,8 @@
 			w.clientConnLimit = 12
 			r := w.start(options{})
 			defer r.end()
-			const usual = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
-			var waiting, kept []*rawClient // connections without a complete head; connections that were served
+			const ordinaryRequest = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n"
+			var waiting, served []*rawClient // connections without a complete head; connections that were served
 			for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 				switch rapid.IntRange(0, 5).Draw(rt, "step") {
 				case 0, 1:
@@ -113,14 +113,14 @@
 					}
 				case 3:
 					v := r.openRawClient()
-					if received, _ := v.send(usual); !strings.HasPrefix(received, "HTTP/1.1 200 ") {
-						rt.Errorf("an ordinary client beside %d waiting and %d served connections received %q", len(waiting), len(kept), received)
+					if received, _ := v.send(ordinaryRequest); !strings.HasPrefix(received, "HTTP/1.1 200 ") {
+						rt.Errorf("an ordinary client beside %d waiting and %d served connections received %q", len(waiting), len(served), received)
 					}
-					kept = append(kept, v)
+					served = append(served, v)
 				case 4:
-					if len(kept) > 0 {
-						v := kept[rapid.IntRange(0, len(kept)-1).Draw(rt, "whom")]
-						if received, closed := v.send(usual); !closed && !strings.HasPrefix(received, "HTTP/1.1 200 ") {
+					if len(served) > 0 {
+						v := served[rapid.IntRange(0, len(served)-1).Draw(rt, "whom")]
+						if received, closed := v.send(ordinaryRequest); !closed && !strings.HasPrefix(received, "HTTP/1.1 200 ") {
 							rt.Errorf("an ordinary client received %q on a connection served before", received)
 						}
 					}
@@ -129,7 +129,7 @@
 				}
 				synctest.Wait()
 				open := 0
-				for _, v := range append(waiting[:len(waiting):len(waiting)], kept...) {
+				for _, v := range append(waiting[:len(waiting):len(waiting)], served...) {
 					v.mu.Lock()
 					if !v.closed {
 						open++
@@ -145,7 +145,7 @@
 					rt.Errorf("%d connections are open, over the limit", open)
 				}
 			}
-			for _, v := range append(waiting, kept...) {
+			for _, v := range append(waiting, served...) {
 				v.Close()
 			}
 		})
--- a/internal/dispatcher/testenv/fleet.go
+++ b/internal/dispatcher/testenv/fleet.go
@@ -46,7 +46,7 @@
 	generation int64
 }
 
-// dur converts seconds.
+// dur converts seconds to a time.Duration.
 func dur(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // RunOnSockets runs a load on a fleet in real time and returns the accounting. program is the path of the dispatcher's
--- a/internal/dispatcher/testenv/fleet_faults.go
+++ b/internal/dispatcher/testenv/fleet_faults.go
@@ -31,15 +31,15 @@
 // scheduleFaults starts the timers of the faults in the description.
 func (f *Fleet) scheduleFaults() {
 	rng := rand.New(rand.NewPCG(f.seed, 78))
-	for _, t := range f.desc.Faults {
+	for _, fault := range f.desc.Faults {
 		var affected []int
 		for i, m := range f.workers {
-			if (t.Zone == "" || m.zone == t.Zone) && (t.Kind == "" || m.kind.Name == t.Kind) {
+			if (fault.Zone == "" || m.zone == fault.Zone) && (fault.Kind == "" || m.kind.Name == fault.Kind) {
 				affected = append(affected, i)
 			}
 		}
 		rng.Shuffle(len(affected), func(i, k int) { affected[i], affected[k] = affected[k], affected[i] })
-		affected = affected[:int(t.Fraction*float64(len(affected))+0.5)]
+		affected = affected[:int(fault.Fraction*float64(len(affected))+0.5)]
 		schedule := func(at float64, do func(i int, m *machine)) {
 			time.AfterFunc(dur(at), func() {
 				for _, i := range affected {
@@ -56,21 +56,21 @@
 				m.advance()
 			}
 		}
-		end := t.StartSeconds + t.DurationSeconds
-		switch t.Type {
+		end := fault.StartSeconds + fault.DurationSeconds
+		switch fault.Type {
 		case "deaths":
-			schedule(t.StartSeconds, func(_ int, m *machine) { m.kill(); f.announceWorker(m, "gone") })
+			schedule(fault.StartSeconds, func(_ int, m *machine) { m.kill(); f.announceWorker(m, "gone") })
 			schedule(end, func(i int, m *machine) { m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "drain":
-			schedule(t.StartSeconds, func(_ int, m *machine) { f.announceWorker(m, "draining") })
+			schedule(fault.StartSeconds, func(_ int, m *machine) { f.announceWorker(m, "draining") })
 			schedule(end, func(i int, m *machine) { m.kill(); m.restart(i + 1); f.announceWorker(m, "ready") })
 		case "shared":
-			for at := t.StartSeconds; at < end; at += t.OnSeconds + t.OffSeconds {
-				schedule(at, setSharedFraction(t.Amount))
-				schedule(min(at+t.OnSeconds, end), setSharedFraction(0))
+			for at := fault.StartSeconds; at < end; at += fault.OnSeconds + fault.OffSeconds {
+				schedule(at, setSharedFraction(fault.Amount))
+				schedule(min(at+fault.OnSeconds, end), setSharedFraction(0))
 			}
 		case "reports_late":
-			time.AfterFunc(dur(t.StartSeconds), func() { f.extraReportDelay.Store(int64(dur(t.Amount))) })
+			time.AfterFunc(dur(fault.StartSeconds), func() { f.extraReportDelay.Store(int64(dur(fault.Amount))) })
 			time.AfterFunc(dur(end), func() { f.extraReportDelay.Store(0) })
 		}
 	}
--- a/internal/dispatcher/testenv/interfaces_test.go
+++ b/internal/dispatcher/testenv/interfaces_test.go
@@ -40,7 +40,7 @@
 
 // Outcomes of jobs and the value earned must not depend on whether clients and workers use HTTP or AMQP.
 func TestHTTPAndAMQPServeSameJobsAlike(t *testing.T) {
-	var service []float64 // share of the value earned, for each combination
+	var shares []float64 // share of the value earned, for each combination
 	for _, o := range []options{{}, {amqp: true}, {amqp: true, queues: true}} {
 		t.Run(fmt.Sprintf("amqp=%v queues=%v", o.amqp, o.queues), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				if o.amqp {
 					q = r.newQueueClient()
 				}
-				earned, asked := 0.0, 0.0
+				valueEarned, valueAsked := 0.0, 0.0
 				for _, k := range jobSequence {
 					time.Sleep(2 * time.Second)
 					var c receivedAnswer
@@ -69,11 +69,11 @@
 						t.Errorf("%s: refused without a time to retry after", k.id)
 					}
 					class := r.node.Module.Classes[config.Index(r.node.Classes, k.class)]
-					asked += class.Value
+					valueAsked += class.Value
 					if aim := class.LatencyTarget + time.Duration(class.Stretch*float64(k.duration())); c.verdict == "served" && c.took <= aim {
-						earned += class.Value
+						valueEarned += class.Value
 					} else if c.verdict == "served" {
-						earned += class.Value * class.LateValue
+						valueEarned += class.Value * class.LateValue
 					}
 					if c.took >= k.timeout {
 						t.Errorf("%s: answered after %v, but the client leaves after %v", k.id, c.took, k.timeout)
@@ -85,12 +85,12 @@
 				if r.core.OpenJobs() != 0 {
 					t.Errorf("%d jobs are still open", r.core.OpenJobs())
 				}
-				service = append(service, earned/asked)
+				shares = append(shares, valueEarned/valueAsked)
 			})
 		})
 	}
-	if len(service) != 3 || service[0] != service[1] || service[1] != service[2] || service[0] < 0.5 || service[0] >= 1 {
-		t.Errorf("shares of value earned differ or are out of range: %v", service)
+	if len(shares) != 3 || shares[0] != shares[1] || shares[1] != shares[2] || shares[0] < 0.5 || shares[0] >= 1 {
+		t.Errorf("shares of value earned differ or are out of range: %v", shares)
 	}
 }
 
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -168,12 +168,12 @@
 			close(finishedRun)
 		}
 	}
-	p := m.submit(work)
-	if p == nil {
+	job := m.submit(work)
+	if job == nil {
 		forgetKey()
 		return write(time.Now(), "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n"+m.loadHeaderLine()+"\r\n")
 	}
-	at, ok := <-p.stages
+	at, ok := <-job.stages
 	if !ok {
 		forgetKey()
 		return false
@@ -181,7 +181,7 @@
 	connected := write(at, head+chunk("started", ""))
 	for ticker := time.NewTicker(time.Second); ; {
 		select {
-		case at, ok = <-p.stages:
+		case at, ok = <-job.stages:
 			ticker.Stop()
 			if !ok {
 				forgetKey()
@@ -206,8 +206,8 @@
 	if m.timer != nil {
 		m.timer.Stop()
 	}
-	for _, p := range append(m.running, m.waiting...) {
-		close(p.stages)
+	for _, job := range append(m.running, m.waiting...) {
+		close(job.stages)
 	}
 	m.running, m.waiting = nil, nil
 	for _, l := range m.ports {
--- a/internal/dispatcher/testenv/machine_service.go
+++ b/internal/dispatcher/testenv/machine_service.go
@@ -13,7 +13,7 @@
 }
 
 // Before orders running jobs by their end.
-func (p *workerJob) Before(other *workerJob) bool { return p.finish < other.finish }
+func (job *workerJob) Before(other *workerJob) bool { return job.finish < other.finish }
 
 // rate returns the service that each running job receives, in seconds of work per second.
 func (m *machine) rate(at time.Time) float64 {
@@ -33,8 +33,8 @@
 	}
 	m.advancedAt = now
 	for len(m.running) > 0 && m.running[0].finish <= m.servicePerJob+1e-7 {
-		p := m.running.Pop()
-		p.stages <- now
+		job := m.running.Pop()
+		job.stages <- now
 		m.completed++
 	}
 	for len(m.waiting) > 0 && len(m.running) < m.kind.Slots {
@@ -61,10 +61,10 @@
 }
 
 // startJob starts a job in a free slot. The caller holds the lock.
-func (m *machine) startJob(p *workerJob, now time.Time) {
-	p.finish = m.servicePerJob + p.work
-	m.running.Push(p)
-	p.stages <- now
+func (m *machine) startJob(job *workerJob, now time.Time) {
+	job.finish = m.servicePerJob + job.work
+	m.running.Push(job)
+	job.stages <- now
 }
 
 // submit starts or queues a job. It returns nil if the queue is full, and a job with a closed stage if the worker is
@@ -73,18 +73,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
-	p := &workerJob{work: work, stages: make(chan time.Time, 2)}
+	job := &workerJob{work: work, stages: make(chan time.Time, 2)}
 	switch {
 	case !m.up:
-		close(p.stages)
-		return p
+		close(job.stages)
+		return job
 	case len(m.running) < m.kind.Slots && len(m.waiting) == 0:
-		m.startJob(p, m.advancedAt)
+		m.startJob(job, m.advancedAt)
 	case len(m.waiting) < m.kind.Queue:
-		m.waiting = append(m.waiting, p)
+		m.waiting = append(m.waiting, job)
 	default:
 		return nil
 	}
 	m.advance()
-	return p
+	return job
 }
