--- a/internal/dispatcher/faultinjection/durablejobs_test.go
+++ b/internal/dispatcher/faultinjection/durablejobs_test.go
@@ -114,7 +114,8 @@
 	"stopped at points": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return crashTimeline(rng, n, "stop", 10) },
 }
 
-// crashTimeline gives three nodes a crash point each and revives all nodes every so many seconds. by is kill or stop.
+// crashTimeline gives three nodes a crash point each and revives all nodes four times, at intervals of every seconds.
+// by is the action at the point, kill or stop.
 func crashTimeline(rng *rand.Rand, n int, by string, every float64) (t Timeline, crash map[int]string) {
 	crash = map[int]string{}
 	first := rng.IntN(len(config.CrashPoints))
--- a/internal/dispatcher/testenv/broker_test.go
+++ b/internal/dispatcher/testenv/broker_test.go
@@ -56,7 +56,7 @@
 			t.Error(err)
 		}
 		if c := q.answer(); c.verdict != "served" || c.body != Result("v1") {
-			t.Errorf("v1: answered %+v", c)
+			t.Errorf("v1: answered %+v, want its result", c)
 		}
 		q.expectNoAnswer(t)
 		if len(r.workers.Sent("v2")) != 0 || r.broker.Acked != 1 {
--- a/internal/dispatcher/testenv/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -160,18 +160,18 @@
 		go func() { first <- r.post(task{"o1", "enrol", "k1", "done/1s", 5 * time.Second}) }()
 		time.Sleep(500 * time.Millisecond)
 		if c := r.post(task{"o1", "enrol", "k2", "done", 5 * time.Second}); c.verdict != "failed" || c.took != 0 || !c.closed {
-			t.Errorf("second job, over HTTP: %+v", c)
+			t.Errorf("second job, over HTTP: %+v, want an immediate failure and a closed connection", c)
 		}
 		q := r.newQueueClient()
 		q.putTask(task{"o1", "enrol", "k3", "done", 5 * time.Second})
 		if c := q.answer(); c.verdict != "malformed" || c.took > 10*time.Millisecond {
-			t.Errorf("third job, over AMQP: %+v", c)
+			t.Errorf("third job, over AMQP: %+v, want malformed", c)
 		}
 		if c := <-first; c.verdict != "served" || c.body != Result("o1") || len(r.workers.Sent("o1")) != 1 {
-			t.Errorf("first job: %+v after sends to %v", c, r.workers.Sent("o1"))
+			t.Errorf("first job: %+v after sends to %v, want its result after one send", c, r.workers.Sent("o1"))
 		}
 		if c := r.post(task{"o1", "seat-check", "", "done", 5 * time.Second}); c.verdict != "served" { // the id is free again
-			t.Errorf("after the end of the first job: %+v", c)
+			t.Errorf("after the end of the first job: %+v, want served", c)
 		}
 	})
 }
--- a/internal/dispatcher/testenv/discovery_test.go
+++ b/internal/dispatcher/testenv/discovery_test.go
@@ -20,13 +20,13 @@
 		r := newTestDispatcher(t).start(options{})
 		time.Sleep(5 * time.Second)
 		if calls := r.discoveryServer.Calls(); len(calls) != 1 || calls[0] != "/discovery/hosts?watch=1&after=7" {
-			t.Fatalf("calls %v", calls)
+			t.Fatalf("discovery calls %v, want one watch after generation 7", calls)
 		}
 		r.discoveryServer.Changes <- `{"generation":9,"reset":false,"instances":[{"instanceId":"s-0badcafe","lifecycle":"gone"},` +
 			`{"instanceId":"s-1ce9565e","hostPort":"127.0.1.1:5000","zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1}]}`
 		synctest.Wait()
 		if w := r.core.WorkerCounts(); w != [3]int{0, 2, 1} {
-			t.Errorf("workers by state: %v", w)
+			t.Errorf("workers by state (gone, ready, draining): %v, want 0, 2, 1", w)
 		}
 		for i := range 30 {
 			id := fmt.Sprint("d", i)
@@ -43,14 +43,14 @@
 		time.Sleep(20 * time.Second) // without a line the watch counts as silent, and the next calls fail
 		failed := len(r.discoveryServer.Calls())
 		if failed < 3 || !strings.HasSuffix(r.discoveryServer.Calls()[1], "after=9") {
-			t.Errorf("calls %v", r.discoveryServer.Calls())
+			t.Errorf("discovery calls %v, want 3 or more, the second after generation 9", r.discoveryServer.Calls())
 		}
 		r.discoveryServer.mu.Lock()
 		r.discoveryServer.Status, r.discoveryServer.OmitsReady = 0, false
 		r.discoveryServer.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if len(r.discoveryServer.Calls()) <= failed || r.core.WorkerCounts() != [3]int{0, 4, 0} {
-			t.Errorf("calls %v, workers %v", r.discoveryServer.Calls(), r.core.WorkerCounts())
+			t.Errorf("discovery calls %v, workers by state %v; want a new call and 4 ready workers", r.discoveryServer.Calls(), r.core.WorkerCounts())
 		}
 	})
 }
@@ -66,14 +66,14 @@
 				`"zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1},{"instanceId":"s-1ce9565e","lifecy` + "\x00"
 			synctest.Wait()
 			if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
-				t.Errorf("break %d: workers by state %v", n, w)
+				t.Errorf("break %d: workers by state %v, want 3 ready and 1 draining", n, w)
 			}
 			time.Sleep(r.node.Module.DrainGrace / 2)
 			if calls := r.discoveryServer.Calls(); len(calls) != n+2 || !strings.HasSuffix(calls[n+1], "&after=0") {
-				t.Errorf("break %d: calls %v", n, calls)
+				t.Errorf("break %d: discovery calls %v, want one more, after generation 0", n, calls)
 			}
 			if w := r.core.WorkerCounts(); w != [3]int{0, 4, 0} {
-				t.Errorf("after break %d: workers by state %v", n, w)
+				t.Errorf("after break %d: workers by state %v, want 4 ready", n, w)
 			}
 		}
 	})
@@ -87,16 +87,17 @@
 		r.pushedLists = true
 		r.start(options{})
 		if calls := r.discoveryServer.Calls(); len(calls) != 1 {
-			t.Fatalf("calls %v", calls)
+			t.Fatalf("discovery calls %v, want one", calls)
 		}
 		const drains = `{"generation":9,"reset":false,"instances":[{"instanceId":"s-0badcafe","hostPort":"127.0.1.0:5000",` +
 			`"zone":"montreal","machineType":"std-2c","lifecycle":"draining","weight":1}]}`
 		r.discoveryServer.Changes <- drains
 		synctest.Wait()
 		if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
-			t.Errorf("workers by state: %v", w)
+			t.Errorf("workers by state: %v, want 3 ready and 1 draining", w)
 		}
-		r.discoveryServer.update(func() { r.discoveryServer.OmitsReady = true; r.discoveryServer.closeWatches() }) // discovery is down: the agent sends its last list, then nothing
+		// Discovery is down: the agent sends its last list, then nothing.
+		r.discoveryServer.update(func() { r.discoveryServer.OmitsReady = true; r.discoveryServer.closeWatches() })
 		time.Sleep(30 * time.Second)
 		if calls := len(r.discoveryServer.Calls()); calls < 3 || calls > 20 || r.core.WorkerCounts() != [3]int{0, 4, 0} {
 			t.Errorf("%d calls within 30 s of silence, want 3 to 20; workers by state %v", calls, r.core.WorkerCounts())
@@ -104,7 +105,7 @@
 		r.discoveryServer.Changes <- drains
 		synctest.Wait()
 		if w := r.core.WorkerCounts(); w != [3]int{0, 3, 1} {
-			t.Errorf("after the silence: workers by state %v", w)
+			t.Errorf("after the silence: workers by state %v, want 3 ready and 1 draining", w)
 		}
 	})
 }
@@ -156,10 +157,10 @@
 		r.watch.SetAddress("127.0.0.1:8600")
 		synctest.Wait()
 		if calls := next.Calls(); len(calls) != 1 || !strings.HasSuffix(calls[0], "&after=0") || time.Since(began) != 0 {
-			t.Errorf("calls %v after %v", calls, time.Since(began))
+			t.Errorf("calls at the new address: %v after %v, want one at once, after generation 0", calls, time.Since(began))
 		}
 		if w := r.core.WorkerCounts(); w[decision.Ready] != 3 {
-			t.Errorf("workers by state: %v", w)
+			t.Errorf("workers by state: %v, want 3 ready", w)
 		}
 		select {
 		case r.discoveryServer.Changes <- `{"generation":99,"reset":true,"instances":[]}`:
--- a/internal/dispatcher/testenv/discoveryserver.go
+++ b/internal/dispatcher/testenv/discoveryserver.go
@@ -15,7 +15,7 @@
 // DiscoveryServer is a discovery service. It answers a watch with the complete list and then with the lines of Changes.
 type DiscoveryServer struct {
 	Complete   config.WorkerList
-	Changes    chan string // raw lines of the watch; a close ends it, and so does a truncated line, marked by \x00 at its end
+	Changes    chan string // raw lines of the watch; closing it ends the watch, as does a line truncated by \x00
 	mu         sync.Mutex
 	calls      []string
 	Status     int  // status of every answer; 0: 200
--- a/internal/dispatcher/testenv/fleet_test.go
+++ b/internal/dispatcher/testenv/fleet_test.go
@@ -143,7 +143,8 @@
 	measured := make([][seeds]*fleetsim.Result, len(all))
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	semaphore := make(chan bool, concurrency) // each run has its own addresses: a process that forks may hold a closed port for a moment
+	// Each run has its own addresses, because a process that forks may hold a closed port for a moment.
+	semaphore := make(chan bool, concurrency)
 	for i, s := range all {
 		for seed := range seeds {
 			semaphore <- true
--- a/internal/dispatcher/testenv/herd_test.go
+++ b/internal/dispatcher/testenv/herd_test.go
@@ -200,7 +200,7 @@
 		defer c.mu.Unlock()
 		t.Logf("%d calls received, %d of them refused, %d jobs answered", len(c.discovery.Calls()), c.discovery.rejectedCalls, c.served)
 		if len(c.lost) > 0 || c.served < 5000 {
-			t.Errorf("%d jobs were answered, %d of them not served: %s", c.served, len(c.lost), strings.Join(c.lost[:min(len(c.lost), 10)], ", "))
+			t.Errorf("%d jobs were answered, want 5000 or more; %d of them were not served: %s", c.served, len(c.lost), strings.Join(c.lost[:min(len(c.lost), 10)], ", "))
 		}
 	})
 }
--- a/internal/dispatcher/testenv/interfaces_test.go
+++ b/internal/dispatcher/testenv/interfaces_test.go
@@ -231,7 +231,7 @@
 		}
 		chunked := strings.Replace(good, "Content-Length: 4\r\n\r\ndone", "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 1)
 		if status, body := r.sendRaw(strings.Replace(chunked, "p1", "p9", 1)); status != "200" || body != Result("p9") {
-			t.Errorf("chunked body: answered %s, %s", status, body)
+			t.Errorf("chunked body: answered %s, %s; want 200 and the result of p9", status, body)
 		}
 		if r.core.OpenJobs() != 0 || r.core.Counters.Accepted.Load() != 2 {
 			t.Errorf("%d jobs open, want 0; %d accepted, want 2", r.core.OpenJobs(), r.core.Counters.Accepted.Load())
@@ -249,19 +249,19 @@
 		time.Sleep(time.Second)
 		r.clientServer.Drain()
 		if status, _ := r.sendRaw("GET /up HTTP/1.1\r\nHost: b\r\n\r\n"); status != "503" {
-			t.Errorf("/up answers %s", status)
+			t.Errorf("/up answers %s during the drain, want 503", status)
 		}
 		dials := r.net.Dials
 		for _, id := range []string{"l2", "l3"} {
 			if c := r.post(task{id, "seat-check", "", "done", 5 * time.Second}); c.verdict != "served" {
-				t.Errorf("%s during the drain: %+v", id, c)
+				t.Errorf("%s during the drain: %+v, want served", id, c)
 			}
 		}
 		if r.net.Dials < dials+2 {
 			t.Error("an answer did not close its connection")
 		}
 		if c := <-slow; c.verdict != "served" || !c.closed {
-			t.Errorf("the job in flight: %+v", c)
+			t.Errorf("the job in flight: %+v, want served and a closed connection", c)
 		}
 		done := make(chan error)
 		go func() { done <- r.clientServer.Shutdown(context.Background()) }()
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -31,7 +31,7 @@
 	startedAt      time.Time // zero: up since before the run, without a slow start
 	process        int       // number of restarts; tells apart connections and reports of earlier processes
 	sharedFraction float64   // share of the cores that other tenants of the machine use
-	servicePerJob  float64   // service that each running job has received, in seconds of work, up to counted
+	servicePerJob  float64   // service that each running job has received, in seconds of work, up to advancedAt
 	advancedAt     time.Time
 	running        priorityqueue.Queue[*workerJob]
 	waiting        []*workerJob
@@ -108,7 +108,8 @@
 	}()
 	in := bufio.NewReader(conn)
 	connectionWork := m.kind.ConnectionMs / 1000
-	connectDelay := 2 * time.Duration(m.f.desc.ConnectionRoundTrips*float64(m.oneWayDelay(zone))) // the handshake delays the first request
+	// The handshake delays the first request.
+	connectDelay := 2 * time.Duration(m.f.desc.ConnectionRoundTrips*float64(m.oneWayDelay(zone)))
 	for {
 		conn.SetReadDeadline(time.Now().Add(dur(m.f.desc.ConnectionIdleSeconds)))
 		r, err := http.ReadRequest(in)
--- a/internal/dispatcher/testenv/payouts_test.go
+++ b/internal/dispatcher/testenv/payouts_test.go
@@ -73,7 +73,7 @@
 // provesNotRun holds the script steps that prove that the job did not run.
 var provesNotRun = []string{"returned", "503"}
 
-func TestPayoutRunsTwice(t *testing.T) {
+func TestPayoutsNeverRunTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, group, zones := newPayoutDispatcher(t, 8, false)
 		rng := rapid.SliceOfN(rapid.SampledFrom([]string{"done", "done", "done", "done", "done", "done", "done/200ms", "done/20ms", "failed", "lost", "truncated", "foreign", "returned", "503", "503-maybe", "500", "break", "silent"}), 4, 4)
@@ -111,7 +111,7 @@
 			steps, sent, ran := rng.Example(k), group.Sent(id), ""
 			for i, to := range sent {
 				if ran != "" && (k%2 == 0 || zones[to] != zones[ran]) {
-					t.Errorf("%s of class %d, %v: sent to %v", id, k%2, steps, sent)
+					t.Errorf("%s of class %d, %v: sent again after it may have run: %v", id, k%2, steps, sent)
 				} else if ran != "" {
 					resent++
 				}
@@ -131,7 +131,7 @@
 
 // The dispatcher cancels a payout that takes far longer than expected, and its work stops. As the job may have run, it
 // fails finally, well before its client leaves, and is not sent to the other worker.
-func TestCancelLeavesWorkRunning(t *testing.T) {
+func TestCancelStopsTheWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, group, _ := newPayoutDispatcher(t, 2, true)
 		for k := range 6 { // the dispatcher learns the usual duration of a payout, 0.2 s
@@ -147,7 +147,7 @@
 		time.Sleep(time.Second)
 		if took := time.Since(began) - time.Second; a.Kind != dispatch.Failed || took < 300*time.Millisecond || took > 2*time.Second ||
 			len(group.Sent("long")) != 1 || !slices.Contains(group.Stopped, "long") {
-			t.Errorf("%+v after %v, sent to %v, stopped jobs %v", a, took, group.Sent("long"), group.Stopped)
+			t.Errorf("long payout: %+v after %v, sent to %v, stopped jobs %v; want failed within 0.3 s to 2 s, one send and stopped", a, took, group.Sent("long"), group.Stopped)
 		}
 	})
 }
--- a/internal/dispatcher/testenv/redelivery_test.go
+++ b/internal/dispatcher/testenv/redelivery_test.go
@@ -20,11 +20,11 @@
 		time.Sleep(time.Second)
 		r.broker.Drop("jobs")
 		if c := q.answer(); c.verdict != "served" || c.body != Result("r1") {
-			t.Errorf("answered %+v", c)
+			t.Errorf("answered %+v, want the result of r1", c)
 		}
 		q.expectNoAnswer(t)
 		if n := len(r.workers.Sent("r1")); n != 1 || r.broker.Acked != 1 {
-			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Acked)
+			t.Errorf("sent %d times, %d deliveries acked; want one each", n, r.broker.Acked)
 		}
 	})
 }
@@ -37,11 +37,11 @@
 		r.broker.NackNext(2)
 		q.putTask(task{"r1", "enrol", "k1", "done/100ms", 5 * time.Second})
 		if c := q.answer(); c.verdict != "served" {
-			t.Errorf("answered %+v", c)
+			t.Errorf("answered %+v, want served", c)
 		}
 		q.expectNoAnswer(t)
 		if n := len(r.workers.Sent("r1")); n != 1 || r.broker.Acked != 1 {
-			t.Errorf("sent %d times, %d deliveries acked", n, r.broker.Acked)
+			t.Errorf("sent %d times, %d deliveries acked; want one each", n, r.broker.Acked)
 		}
 	})
 }
@@ -60,7 +60,7 @@
 			time.Sleep(time.Second)
 			r.start(options{amqp: true})
 			if c := q.answer(); c.verdict != want {
-				t.Errorf("%s: answered %+v", class, c)
+				t.Errorf("%s after a restart: answered %+v", class, c)
 			}
 			if n := len(r.workers.Sent("r1")); (n == 1) != (class == "enrol") {
 				t.Errorf("%s: sent %d times", class, n)
@@ -93,7 +93,7 @@
 		replicas := &fakeReplicas{}
 		r.start(options{amqp: true, durable: replicas})
 		if c := q.answer(); c.verdict != "served" || c.body != "as it stands" || len(replicas.asked) != 1 || len(r.workers.Sent("r1")) != 1 {
-			t.Errorf("answered %+v; the replicas were asked for %q; sent %d times", c, replicas.asked, len(r.workers.Sent("r1")))
+			t.Errorf("answered %+v; the replicas were asked for %q; sent %d times; want the recorded outcome, one key and one send", c, replicas.asked, len(r.workers.Sent("r1")))
 		}
 	})
 }
@@ -106,7 +106,7 @@
 		q := r.newQueueClient()
 		q.putTask(task{"r1", "enrol", "k1", "done", 5 * time.Second})
 		if c := q.answer(); c.verdict != "refused" || c.retryAfter == "" {
-			t.Errorf("answered %+v", c)
+			t.Errorf("answered %+v, want refused with a time to retry after", c)
 		}
 		if n := r.core.Counters.Outcomes[decision.ConnectFailed].Load(); n == 0 || len(r.workers.Sent("r1")) != 0 {
 			t.Errorf("%d attempts count as never run, sent to %v", n, r.workers.Sent("r1"))
@@ -123,7 +123,7 @@
 			t.Errorf("%d attempts count as lost, want 1", n)
 		}
 		if c := q.answer(); c.verdict == "none" || c.verdict == "malformed" {
-			t.Errorf("answered %+v", c)
+			t.Errorf("answered %+v, want an outcome", c)
 		}
 		q.expectNoAnswer(t)
 	})
@@ -155,7 +155,7 @@
 		time.Sleep(r.node.Limits.OutcomeRetention) // the key has expired, so a retry is a new job
 		q.putTask(task{"t6", "enrol", "k1", "done", 5 * time.Second})
 		if c := q.answer(); c.body != Result("t6") {
-			t.Errorf("after the outcome expired: %+v", c)
+			t.Errorf("after the outcome expired: %+v, want the result of t6", c)
 		}
 	})
 }
--- a/internal/dispatcher/testenv/workergroup.go
+++ b/internal/dispatcher/testenv/workergroup.go
@@ -60,7 +60,7 @@
 	return append([]string(nil), g.Sends[id]...)
 }
 
-// line encodes one line of an answer. extraFields is empty or further JSON fields with a leading comma.
+// answerLine encodes one line of an answer. extraFields is empty or further JSON fields with a leading comma.
 func answerLine(id, from, state, extraFields string) string {
 	return fmt.Sprintf(`{"id":%q,"from":%q,"state":%q%s}`+"\n", id, from, state, extraFields)
 }
