--- a/cmd/gladepick/agent.go
+++ b/cmd/gladepick/agent.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// runAgent runs an agent until SIGTERM, and then until its instances have left.
+// runAgent runs an agent until SIGTERM or SIGINT, and then until its instances have exited. SIGHUP is forwarded to the
+// instances.
 func runAgent(path string) error {
 	conf, err := config.LoadAgent(path)
 	if err != nil {
@@ -38,18 +39,18 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	a := agent.New(conf)
-	// Questions are answered until the last instance has left.
-	serving, stopServing := context.WithCancel(context.Background())
+	// The listeners have a context of their own: they serve requests until the last instance has exited.
+	serveCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
-	ended, err := serveQuestions(serving, a, conf)
+	listenerErrors, err := startListeners(serveCtx, a, conf)
 	if err != nil {
 		return err
 	}
-	go passReloads(reloads, a)
-	log.Printf("the agent keeps %d instances and answers on %s", len(conf.Instances), conf.Control)
+	go forwardReloads(reloads, a)
+	log.Printf("the agent runs %d instances and listens on %s", len(conf.Instances), conf.Control)
 	go func() {
-		if err := <-ended; err != nil {
-			log.Printf("a listener of the agent has ended: %v", err)
+		if err := <-listenerErrors; err != nil {
+			log.Printf("a listener of the agent has failed: %v", err)
 			stop()
 		}
 	}()
@@ -57,30 +58,32 @@
 	return nil
 }
 
-// serveQuestions opens the agent's listeners and serves them until ctx ends. The channel gets why each has ended.
-func serveQuestions(ctx context.Context, a *agent.Agent, conf *config.Agent) (<-chan error, error) {
+// startListeners opens the control listener and, if SNMP is configured, the SNMP socket. Both are served until ctx
+// ends. The returned channel receives the result of each listener when it stops.
+func startListeners(ctx context.Context, a *agent.Agent, conf *config.Agent) (<-chan error, error) {
 	control, err := net.Listen("tcp", conf.Control)
 	if err != nil {
 		return nil, fmt.Errorf("agent.control: %w", err)
 	}
-	ended := make(chan error, 2)
-	go func() { ended <- a.Serve(ctx, control) }()
+	results := make(chan error, 2)
+	go func() { results <- a.Serve(ctx, control) }()
 	if conf.SNMP == "" {
-		return ended, nil
+		return results, nil
 	}
 	conn, err := net.ListenPacket("udp", conf.SNMP)
 	if err != nil {
 		return nil, fmt.Errorf("snmp.listen: %w", err)
 	}
-	go func() { ended <- snmp.New(a, conf).Serve(ctx, conn) }()
-	return ended, nil
+	go func() { results <- snmp.New(a, conf).Serve(ctx, conn) }()
+	return results, nil
 }
 
-// passReloads passes each signal on to all instances. The agent's own file holds until its next start.
-func passReloads(signals <-chan os.Signal, a *agent.Agent) {
+// forwardReloads has every instance reload its configuration at each signal. The agent does not read its own file again
+// until its next start.
+func forwardReloads(signals <-chan os.Signal, a *agent.Agent) {
 	for range signals {
-		for _, s := range a.Statuses() {
-			if err := a.Reload(s.Name); err != nil {
+		for _, status := range a.Statuses() {
+			if err := a.Reload(status.Name); err != nil {
 				log.Printf("reload: %v", err)
 			}
 		}
--- a/cmd/gladepick/agent_test.go
+++ b/cmd/gladepick/agent_test.go
@@ -11,16 +11,17 @@
 	"testing"
 )
 
-// An agent brings its instance up, tells about it, and takes it along when it leaves.
-func TestAgentWithAnInstance(t *testing.T) {
-	control, at := free(t), free(t)
+// TestAgentControlsItsInstance checks that an agent starts its instance, serves requests for its status, counters,
+// reload and drain, forwards SIGHUP, and stops the instance before it exits.
+func TestAgentControlsItsInstance(t *testing.T) {
+	control, listen := freeAddress(t), freeAddress(t)
 	file := filepath.Join(t.TempDir(), "agent.toml")
-	text := fmt.Sprintf("[agent]\ncontrol = %q\npoll_ms = 50\n[[instance]]\nname = \"n0\"\nlisten = %q\nconfig = %q\n", control, at, settings(t, ""))
+	text := fmt.Sprintf("[agent]\ncontrol = %q\npoll_ms = 50\n[[instance]]\nname = \"n0\"\nlisten = %q\nconfig = %q\n", control, listen, writeSettings(t, ""))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, lines := program(t, "n0 serves on", nil, "agent", file)
-	tool := func(args ...string) string {
+	command, lines := startProgram(t, "n0 serves on", nil, "agent", file)
+	runCommand := func(args ...string) string {
 		var out bytes.Buffer
 		if err := run(append(args[:1:1], append([]string{"-agent", control}, args[1:]...)...), &out); err != nil {
 			t.Fatal(err)
@@ -28,30 +29,30 @@
 		return out.String()
 	}
 	for s := ""; !strings.Contains(s, " up "); {
-		s = tool("status")
+		s = runCommand("status")
 	}
-	if s := tool("counters", "n0"); !strings.Contains(s, "workers_ready") {
+	if s := runCommand("counters", "n0"); !strings.Contains(s, "workers_ready") {
 		t.Errorf("counters: %s", s)
 	}
-	if s := tool("reload", "n0"); !strings.Contains(s, "n0: reload") {
+	if s := runCommand("reload", "n0"); !strings.Contains(s, "n0: reload") {
 		t.Errorf("reload: %s", s)
 	}
 	for lines.Scan() && !strings.Contains(lines.Text(), "reload: discovery") {
 	}
-	c.Process.Signal(syscall.SIGHUP) // to the agent: it passes it on and stays
+	command.Process.Signal(syscall.SIGHUP) // the agent forwards it to the instance and keeps running
 	for lines.Scan() && !strings.Contains(lines.Text(), "reload: discovery") {
 	}
-	tool("drain", "n0")
+	runCommand("drain", "n0")
 	for s := ""; !strings.Contains(s, "drained"); {
-		s = tool("status")
+		s = runCommand("status")
 	}
-	c.Process.Signal(syscall.SIGTERM)
+	command.Process.Signal(syscall.SIGTERM)
 	for lines.Scan() {
 	}
-	if err := c.Wait(); err != nil {
+	if err := command.Wait(); err != nil {
 		t.Error(err)
 	}
-	if _, err := net.Dial("tcp", at); err == nil {
-		t.Error("the instance outlived its agent")
+	if _, err := net.Dial("tcp", listen); err == nil {
+		t.Error("the instance still listens after its agent has exited")
 	}
 }
--- a/cmd/gladepick/exit_codes_test.go
+++ b/cmd/gladepick/exit_codes_test.go
@@ -9,12 +9,13 @@
 	"gladepick/internal/dispatcher/cli"
 )
 
-// Wrong use ends with 2, what fails with 1, and each says in one line what is wrong; help says how it is done.
+// TestExitCodes checks that misuse exits with 2 and a failed command with 1, that the error names the cause, and that
+// help describes the usage.
 func TestExitCodes(t *testing.T) {
-	for _, k := range []struct {
-		code int
-		says string
-		args []string
+	for _, test := range []struct {
+		code    int
+		message string // part of the error
+		args    []string
 	}{
 		{cli.ExitMisuse, "unknown command \"fly\"", []string{"fly"}},
 		{cli.ExitMisuse, "did you mean drain?", []string{"drian"}},
@@ -31,14 +32,14 @@
 		{cli.ExitDone, "", []string{"-help"}},
 		{cli.ExitDone, "", []string{"completion", "bash"}},
 	} {
-		err := run(k.args, io.Discard)
-		if cli.ExitCode(err) != k.code || err != nil && !strings.Contains(err.Error(), k.says) {
-			t.Errorf("%v ends with %d: %v", k.args, cli.ExitCode(err), err)
+		err := run(test.args, io.Discard)
+		if cli.ExitCode(err) != test.code || err != nil && !strings.Contains(err.Error(), test.message) {
+			t.Errorf("%v exits with %d: %v", test.args, cli.ExitCode(err), err)
 		}
 	}
-	for args, says := range map[string]string{"help": "Exit codes: 0 done", "help agent": "gladepick agent FILE", "drain --help": "gladepick drain NAME..."} {
+	for args, message := range map[string]string{"help": "Exit codes: 0 done", "help agent": "gladepick agent FILE", "drain --help": "gladepick drain NAME..."} {
 		var out bytes.Buffer
-		if err := run(strings.Fields(args), &out); err != nil || !strings.Contains(out.String(), says) {
+		if err := run(strings.Fields(args), &out); err != nil || !strings.Contains(out.String(), message) {
 			t.Errorf("%s: %v, %s", args, err, out.String())
 		}
 	}
--- a/cmd/gladepick/leases.go
+++ b/cmd/gladepick/leases.go
@@ -16,7 +16,7 @@
 	"gladepick/internal/dispatcher/lease"
 )
 
-// openKeys is the key under which an instance shows the durable jobs that have no outcome yet.
+// openKeys is the key that selects all durable jobs without an outcome in a request to /leases.
 const openKeys = "*"
 
 func leasesCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 	return c
 }
 
-// showLeases prints the durable jobs of each instance under a key, or without one its groups.
+// showLeases prints for each instance the durable jobs that key selects, or the instance's groups if key is empty.
 func (q *statusQuery) showLeases(ctx context.Context, out io.Writer, address string, names []string, key string) error {
 	address, names, err := q.targets(ctx, address, names)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// printRecords prints a line for each durable job.
+// printRecords prints one line for each durable job.
 func printRecords(out io.Writer, status *lease.Status) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "KEY\tGROUP\tSTATE\tOWNER\tEPOCH\tSENDS\tFIRST SENT\tUNTIL\tOUTCOME")
@@ -107,7 +107,7 @@
 	return w.Flush()
 }
 
-// printGroups prints a line for each group that an instance has a replica of.
+// printGroups prints a summary of the instance and one line for each group that it has a replica of.
 func printGroups(out io.Writer, status *lease.Status) error {
 	fmt.Fprintf(out, "%s may promise: %s, charter %s, %d open here, %d kept in its copies, %d of its groups lack a copy\n",
 		status.Name, yesNo(status.Ready), status.AssignmentID, status.Open, status.RecordCount, status.Lost)
@@ -124,7 +124,7 @@
 	return w.Flush()
 }
 
-// clockTime writes Unix milliseconds as a time of the day, UTC; 0 is never.
+// clockTime formats Unix milliseconds as a UTC time of day, and 0 as "never".
 func clockTime(ms int64) string {
 	if ms == 0 {
 		return "never"
--- a/cmd/gladepick/main.go
+++ b/cmd/gladepick/main.go
@@ -1,9 +1,9 @@
-// Command gladepick is the dispatcher and its operator's tool. Without arguments
-// it runs one dispatcher, as the NODE_ variables say; with them it is a command
-// line with one file a command. Start and memory of a dispatcher are those of the
-// platform, so what needs large libraries (recording, planning, durable jobs) is
-// another program, gladepick-full, which must lie beside this one and takes over
-// where it is needed.
+// Command gladepick is the dispatcher and its operator's tool. Without arguments it runs one dispatcher, configured by
+// the NODE_ environment variables. With arguments it runs one of the commands; each command has a file of its own here.
+//
+// The platform limits a dispatcher's start time and memory. The features that need large libraries (recording,
+// planning, durable jobs) are therefore in a second program, gladepick-full, which must be installed in the same
+// directory. When such a feature is needed, this process replaces itself with gladepick-full.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"gladepick/internal/dispatcher/instance"
 )
 
-// fullProgram is the program that has what needs large libraries.
+// fullProgram is the file name of the program with the features that need large libraries.
 const fullProgram = "gladepick-full"
 
 func main() { cli.Main(run) }
@@ -31,10 +31,10 @@
 	case os.Getenv("NODE_CAPTURE") != "" || os.Getenv("NODE_PROMISES") != "":
 		return runFull(nil)
 	}
-	return instance.Run(nil, nil) // the dispatcher waits for no command line
+	return instance.Run(nil, nil) // does not build the command tree, which a dispatcher does not need
 }
 
-// runFull lets gladepick-full take this process over, with these arguments. It returns only if that fails.
+// runFull replaces this process with gladepick-full and passes it args. It returns only if that fails.
 func runFull(args []string) error {
 	executable, err := os.Executable()
 	if err != nil {
@@ -43,12 +43,12 @@
 	path := filepath.Join(filepath.Dir(executable), fullProgram)
 	err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
 	return errors.Join(
-		errors.New("recording, planning and taking jobs for keeps need gladepick-full beside this program"),
+		errors.New("recording, planning and durable jobs need gladepick-full beside this program"),
 		&os.PathError{Op: "exec", Path: path, Err: err},
 	)
 }
 
-// newRoot makes the whole tree of commands.
+// newRoot builds the root command with all its subcommands.
 func newRoot() *cobra.Command {
 	return cli.NewRoot(&cobra.Command{
 		Use:   "gladepick",
@@ -73,7 +73,7 @@
 	)
 }
 
-// fullCommand makes a command that gladepick-full has: it reads its own flags and gives its own help.
+// fullCommand makes c run in gladepick-full, which parses the flags and prints the help.
 func fullCommand(c *cobra.Command) *cobra.Command {
 	c.DisableFlagParsing = true
 	c.RunE = func(c *cobra.Command, args []string) error { return runFull(append([]string{c.Name()}, args...)) }
--- a/cmd/gladepick/members.go
+++ b/cmd/gladepick/members.go
@@ -38,7 +38,7 @@
 	return c
 }
 
-// showMembers prints what each instance knows of the others.
+// showMembers prints the members that each instance knows.
 func (q *statusQuery) showMembers(ctx context.Context, out io.Writer, address string, names []string) error {
 	address, names, err := q.targets(ctx, address, names)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// printMembers prints a line for each member that an instance knows of.
+// printMembers prints a summary of the instance's view and one line for each member that the instance knows.
 func printMembers(out io.Writer, status *transport.Status) error {
 	fmt.Fprintf(out, "%s sees view %s of %d members, quorum %s, own health %d\n",
 		status.Name, status.View, status.ViewSize, yesNo(status.Quorum), status.Health)
--- a/cmd/gladepick/query.go
+++ b/cmd/gladepick/query.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// completionTimeout bounds the completion of instances' names.
+	// completionTimeout bounds how long the shell completion waits for the agent's list of instances.
 	completionTimeout = time.Second
-	// watchInterval is between two answers of a command that goes on.
+	// watchInterval is the pause between two outputs of a command with --watch.
 	watchInterval = time.Second
 )
 
-// queryCommand makes a command ask the agent what its name says, for the instances that are its arguments.
+// queryCommand makes c send the agent a request named after the command, for the instances in its arguments. It also
+// adds the flag --agent and completes instance names.
 func queryCommand(c *cobra.Command) *cobra.Command {
 	address := c.Flags().String("agent", config.DefaultControl, "where the agent listens for questions")
 	c.RunE = func(c *cobra.Command, names []string) error {
@@ -39,21 +40,21 @@
 	return c
 }
 
-// statusQuery is what the commands have in common that show what dispatchers tell of themselves.
+// statusQuery holds the flags shared by the commands that show the status of dispatchers.
 type statusQuery struct {
-	from   *string // the dispatcher to ask straight; empty: the agent's instances
+	from   *string // address of a dispatcher to query directly; empty for the agent's instances
 	output *string // table or json
-	watch  *bool
+	watch  *bool   // repeat every watchInterval
 }
 
-// addFlags adds the flags of a status query to a command.
+// addFlags adds the flags of a status query to c.
 func (q *statusQuery) addFlags(c *cobra.Command) {
 	q.from = c.Flags().String("from", "", "ask the dispatcher that listens there, not the agent")
 	q.output = c.Flags().String("output", "table", "table or json, a line each")
 	q.watch = c.Flags().Bool("watch", false, "go on, once a second, until interrupted")
 }
 
-// check checks the flags against each other.
+// check returns a misuse error if the flags are invalid or contradict the instance names.
 func (q *statusQuery) check(names []string) error {
 	switch {
 	case *q.output != "table" && *q.output != "json":
@@ -64,12 +65,12 @@
 	return nil
 }
 
-// repeat does something once, or with --watch once in watchInterval until it is interrupted.
-func (q *statusQuery) repeat(do func(context.Context) error) error {
+// repeat calls query once, or with --watch every watchInterval until query fails or the process is interrupted.
+func (q *statusQuery) repeat(query func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	for {
-		if err := do(ctx); err != nil || !*q.watch {
+		if err := query(ctx); err != nil || !*q.watch {
 			return err
 		}
 		select {
@@ -80,23 +81,23 @@
 	}
 }
 
-// targets returns whom the query goes to: one dispatcher straight, under no name, or the agent at an address, for the
-// instances that are named or for all.
-func (q *statusQuery) targets(ctx context.Context, address string, names []string) (string, []string, error) {
+// targets returns the address to query and the instances to ask it for. With --from, that is the dispatcher itself
+// under the empty name. Otherwise it is the agent at agentAddress, with the named instances, or all if names is empty.
+func (q *statusQuery) targets(ctx context.Context, agentAddress string, names []string) (string, []string, error) {
 	if *q.from != "" {
 		return *q.from, []string{""}, nil
 	}
 	if len(names) > 0 {
-		return address, names, nil
+		return agentAddress, names, nil
 	}
-	names, err := agent.InstanceNames(ctx, address)
+	names, err := agent.InstanceNames(ctx, agentAddress)
 	if err != nil {
-		err = fmt.Errorf("the agent at %s: %w", address, err)
+		err = fmt.Errorf("the agent at %s: %w", agentAddress, err)
 	}
-	return address, names, err
+	return agentAddress, names, err
 }
 
-// yesNo writes a flag for people.
+// yesNo formats a boolean as "yes" or "no".
 func yesNo(b bool) string {
 	if b {
 		return "yes"
--- a/cmd/gladepick/shutdown_test.go
+++ b/cmd/gladepick/shutdown_test.go
@@ -15,20 +15,21 @@
 	"time"
 )
 
-// Told to leave with a job out, a dispatcher answers it and exits with 0; its last line counts it.
-func TestDispatcherLeaves(t *testing.T) {
-	at := free(t)
-	has, goOn := make(chan bool), make(chan bool)
-	known := worker(t, func() {
-		has <- true
-		<-goOn
+// TestShutdownAnswersOpenJob checks that after SIGTERM a dispatcher answers a job that is in flight, counts the job in
+// its last log line and exits with 0. Reloads before and during the shutdown do not affect the job.
+func TestShutdownAnswersOpenJob(t *testing.T) {
+	address := freeAddress(t)
+	received, finish := make(chan bool), make(chan bool)
+	workerField := startWorker(t, func() {
+		received <- true
+		<-finish
 	})
-	path := settings(t, known)
-	c, lines := program(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + at, "NODE_CONFIG=" + path, "NODE_DISCOVERY=" + free(t)})
-	if status, _ := get(t, "http://"+at+"/up"); status != 200 {
+	path := writeSettings(t, workerField)
+	command, lines := startProgram(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + path, "NODE_DISCOVERY=" + freeAddress(t)})
+	if status, _ := httpGet(t, "http://"+address+"/up"); status != 200 {
 		t.Errorf("/up answers %d", status)
 	}
-	req, _ := http.NewRequest("POST", "http://"+at+"/seat-check", strings.NewReader("x"))
+	req, _ := http.NewRequest("POST", "http://"+address+"/seat-check", strings.NewReader("x"))
 	for k, v := range map[string]string{"X-Request-ID": "p1", "X-Priority-Class": "seat-check", "X-Tenant-Id": "univ-gaspesie", "X-Timeout": "300"} {
 		req.Header.Set(k, v)
 	}
@@ -42,61 +43,62 @@
 		body, _ := io.ReadAll(resp.Body)
 		answered <- fmt.Sprint(resp.StatusCode, " ", string(body), " ", resp.Close)
 	}()
-	<-has
-	// A reload, with a file that is good and with half a one, changes nothing for the job; and signals come in any order.
-	wait := func(word string) {
-		for lines.Scan() && !strings.Contains(lines.Text(), word) {
+	<-received
+	// None of these reloads affects the job in flight: with a valid file, a truncated one, and one with other classes.
+	// A SIGHUP after the SIGTERM is handled too.
+	waitForLine := func(text string) {
+		for lines.Scan() && !strings.Contains(lines.Text(), text) {
 		}
 	}
-	whole, _ := os.ReadFile(path)
-	moved := free(t)
-	os.WriteFile(path, append([]byte(`{"discovery":"`+moved+`",`), whole[1:]...), 0o600)
-	c.Process.Signal(syscall.SIGHUP)
-	wait("discovery is at " + moved)
-	os.WriteFile(path, whole[:len(whole)/2], 0o600)
-	c.Process.Signal(syscall.SIGHUP)
-	wait("the old settings stay")
-	other := strings.NewReplacer(`"seat-check"`, `"browse"`, `"enrol"`, `"charge"`).Replace(string(whole))
-	os.WriteFile(path, []byte(`{"discovery":"`+free(t)+`",`+other[1:]), 0o600)
-	c.Process.Signal(syscall.SIGHUP)
-	wait("none of browse, charge is a class of this dispatcher")
-	os.WriteFile(path, whole[:len(whole)/2], 0o600)
-	c.Process.Signal(syscall.SIGTERM)
-	wait("leaving")
-	c.Process.Signal(syscall.SIGHUP)
-	wait("the old settings stay")
-	close(goOn)
+	original, _ := os.ReadFile(path)
+	newDiscovery := freeAddress(t)
+	os.WriteFile(path, append([]byte(`{"discovery":"`+newDiscovery+`",`), original[1:]...), 0o600)
+	command.Process.Signal(syscall.SIGHUP)
+	waitForLine("discovery is at " + newDiscovery)
+	os.WriteFile(path, original[:len(original)/2], 0o600)
+	command.Process.Signal(syscall.SIGHUP)
+	waitForLine("the old settings stay")
+	otherClasses := strings.NewReplacer(`"seat-check"`, `"browse"`, `"enrol"`, `"charge"`).Replace(string(original))
+	os.WriteFile(path, []byte(`{"discovery":"`+freeAddress(t)+`",`+otherClasses[1:]), 0o600)
+	command.Process.Signal(syscall.SIGHUP)
+	waitForLine("none of browse, charge is a class of this dispatcher")
+	os.WriteFile(path, original[:len(original)/2], 0o600)
+	command.Process.Signal(syscall.SIGTERM)
+	waitForLine("leaving")
+	command.Process.Signal(syscall.SIGHUP)
+	waitForLine("the old settings stay")
+	close(finish)
 	if got := <-answered; got != "200 seen true" {
-		t.Errorf("the job that was out: %s", got)
+		t.Errorf("the job in flight was answered with %s", got)
 	}
-	last := ""
+	lastLine := ""
 	for lines.Scan() {
-		last = lines.Text()
+		lastLine = lines.Text()
 	}
-	if err := c.Wait(); err != nil || !strings.Contains(last, "taken=1 served=1 ") || !strings.Contains(last, " open=0 ") {
-		t.Errorf("it ended with %v and %q", err, last)
+	if err := command.Wait(); err != nil || !strings.Contains(lastLine, "taken=1 served=1 ") || !strings.Contains(lastLine, " open=0 ") {
+		t.Errorf("the dispatcher exited with %v and the last line %q", err, lastLine)
 	}
 }
 
-// Where the portal's listener fails for good, what was taken is answered before the dispatcher ends, with 1; a connection
-// that was there is served until then, and told to go.
-func TestListenerFailsWithJobsOpen(t *testing.T) {
-	at := free(t)
-	has, goOn := make(chan bool), make(chan bool)
-	known := worker(t, func() {
-		has <- true
-		<-goOn
+// TestListenerFailureAnswersOpenJob checks that a dispatcher whose client listener fails permanently answers the job in
+// flight and exits with 1. Until it exits, it answers requests on existing connections with 503 and closes them.
+func TestListenerFailureAnswersOpenJob(t *testing.T) {
+	address := freeAddress(t)
+	received, finish := make(chan bool), make(chan bool)
+	workerField := startWorker(t, func() {
+		received <- true
+		<-finish
 	})
-	word, say, err := os.Pipe()
+	stdin, stdinWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer word.Close()
-	defer say.Close()
-	c, lines := start(t, word, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + at, "NODE_CONFIG=" + settings(t, known),
-		"NODE_DISCOVERY=" + free(t), "GLADEPICK_BREAKS=" + at})
+	defer stdin.Close()
+	defer stdinWriter.Close()
+	command, lines := startProgramWithInput(t, stdin, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + writeSettings(t, workerField),
+		"NODE_DISCOVERY=" + freeAddress(t), "GLADEPICK_BREAKS=" + address})
 	dial := func() (net.Conn, *bufio.Reader) {
-		conn, err := net.Dial("tcp", at)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,75 +106,77 @@
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		return conn, bufio.NewReader(conn)
 	}
-	hears := func(in *bufio.Reader) string {
-		resp, err := http.ReadResponse(in, nil)
+	readAnswer := func(reader *bufio.Reader) string {
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return err.Error()
 		}
 		body, _ := io.ReadAll(resp.Body)
 		return fmt.Sprint(resp.StatusCode, " ", strings.TrimSpace(string(body)), " ", resp.Close)
 	}
-	job, in := dial()
-	fmt.Fprint(job, "POST /seat-check HTTP/1.1\r\nHost: b\r\nX-Request-ID: b1\r\nX-Priority-Class: seat-check\r\n"+
+	jobConn, jobReader := dial()
+	fmt.Fprint(jobConn, "POST /seat-check HTTP/1.1\r\nHost: b\r\nX-Request-ID: b1\r\nX-Priority-Class: seat-check\r\n"+
 		"X-Tenant-Id: univ-gaspesie\r\nX-Timeout: 300\r\nContent-Length: 2\r\n\r\ngo")
-	<-has
-	kept, also := dial()
-	fmt.Fprint(kept, "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
-	if got := hears(also); got != "200 up false" {
-		t.Errorf("before: %s", got)
-	}
-	fmt.Fprint(kept, "GET /up HTTP/1.1\r\n") // part of a head may become a request, also while leaving
-	fmt.Fprintln(say, "now")
+	<-received
+	statusConn, statusReader := dial()
+	fmt.Fprint(statusConn, "GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
+	if got := readAnswer(statusReader); got != "200 up false" {
+		t.Errorf("/up before the listener failed: %s", got)
+	}
+	fmt.Fprint(statusConn, "GET /up HTTP/1.1\r\n") // a header in part: the rest is sent during the shutdown
+	fmt.Fprintln(stdinWriter, "now")               // breaks the listener
 	for lines.Scan() && !strings.Contains(lines.Text(), "is leaving") {
 	}
-	fmt.Fprint(kept, "Host: b\r\n\r\n")
-	if got := hears(also); got != "503 leaving true" {
-		t.Errorf("on a connection that was there: %s", got)
+	fmt.Fprint(statusConn, "Host: b\r\n\r\n")
+	if got := readAnswer(statusReader); got != "503 leaving true" {
+		t.Errorf("/up on an existing connection during the shutdown: %s", got)
 	}
-	close(goOn)
-	if got := hears(in); got != "200 seen true" {
-		t.Errorf("the job that was out: %s", got)
+	close(finish)
+	if got := readAnswer(jobReader); got != "200 seen true" {
+		t.Errorf("the job in flight was answered with %s", got)
 	}
-	all := ""
+	log := ""
 	for lines.Scan() {
-		all += lines.Text() + "\n"
+		log += lines.Text() + "\n"
 	}
-	if c.Wait(); c.ProcessState.ExitCode() != 1 || !strings.Contains(all, "taken=1 served=1 ") || !strings.Contains(all, "the portal has ended") {
-		t.Errorf("it ended with %v and %q", c.ProcessState, all)
+	if command.Wait(); command.ProcessState.ExitCode() != 1 || !strings.Contains(log, "taken=1 served=1 ") || !strings.Contains(log, "the portal has ended") {
+		t.Errorf("the dispatcher exited with %v and logged %q", command.ProcessState, log)
 	}
 }
 
-// Clients send on kept and on new connections while a dispatcher leaves, as fast as they are answered, up to its end:
-// every job that it has taken has an answer at its client, and no new connection is closed without one.
-func TestNoTakenJobIsLostOnLeaving(t *testing.T) {
-	at := free(t)
-	known := worker(t, func() {})
-	c, lines := program(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + at, "NODE_CONFIG=" + settings(t, known), "NODE_DISCOVERY=" + free(t)})
-	var answered, unheard, lost atomic.Int64
+// TestShutdownAnswersEveryAcceptedJob has clients send jobs on open and on new connections, as fast as they are
+// answered, until the dispatcher has exited. Every job that the dispatcher counts as taken must reach its client as an
+// answer, and no new connection may be closed without an answer.
+func TestShutdownAnswersEveryAcceptedJob(t *testing.T) {
+	address := freeAddress(t)
+	workerField := startWorker(t, func() {})
+	command, lines := startProgram(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + writeSettings(t, workerField), "NODE_DISCOVERY=" + freeAddress(t)})
+	// firstUnanswered counts those of unanswered that were the first job on their connection.
+	var answered, unanswered, firstUnanswered atomic.Int64
 	var clients sync.WaitGroup
-	half := make(chan bool, 1)
+	underLoad := make(chan bool, 1)
 	for i := range 8 {
 		clients.Go(func() {
 			for n := 0; ; {
-				conn, err := net.Dial("tcp", at)
+				conn, err := net.Dial("tcp", address)
 				if err != nil {
-					return // it has ended
+					return // the dispatcher has exited
 				}
-				in, first := bufio.NewReader(conn), true
+				reader, first := bufio.NewReader(conn), true
 				for ; ; n++ {
 					conn.SetDeadline(time.Now().Add(10 * time.Second))
 					fmt.Fprintf(conn, "POST /seat-check HTTP/1.1\r\nHost: b\r\nX-Request-ID: c%d-%d\r\nX-Priority-Class: seat-check\r\n"+
 						"X-Tenant-Id: univ-gaspesie\r\nX-Timeout: 5\r\nContent-Length: 2\r\n\r\ngo", i, n)
-					resp, err := http.ReadResponse(in, nil)
+					resp, err := http.ReadResponse(reader, nil)
 					if err != nil {
-						if unheard.Add(1); first {
-							lost.Add(1)
+						if unanswered.Add(1); first {
+							firstUnanswered.Add(1)
 						}
 						break
 					}
 					io.Copy(io.Discard, resp.Body)
 					if first = false; answered.Add(1) == 100 {
-						half <- true
+						underLoad <- true
 					}
 					if resp.Close {
 						break
@@ -183,50 +187,50 @@
 		})
 	}
 	select {
-	case <-half:
+	case <-underLoad:
 	case <-time.After(10 * time.Second):
-		t.Error("no answers come")
+		t.Error("fewer than 100 answers in 10 s")
 	}
-	c.Process.Signal(syscall.SIGTERM)
-	c.Process.Signal(syscall.SIGTERM) // a second one changes nothing
-	last := ""
+	command.Process.Signal(syscall.SIGTERM)
+	command.Process.Signal(syscall.SIGTERM) // a second SIGTERM has no effect
+	lastLine := ""
 	for lines.Scan() {
-		last = lines.Text()
+		lastLine = lines.Text()
 	}
-	if err := c.Wait(); err != nil {
+	if err := command.Wait(); err != nil {
 		t.Error(err)
 	}
 	clients.Wait()
-	if want := fmt.Sprintf("taken=%d ", answered.Load()); !strings.Contains(last, want) || !strings.Contains(last, " open=0 ") {
-		t.Errorf("%d answers were heard, %d closes without one; it ended with %q", answered.Load(), unheard.Load(), last)
+	if want := fmt.Sprintf("taken=%d ", answered.Load()); !strings.Contains(lastLine, want) || !strings.Contains(lastLine, " open=0 ") {
+		t.Errorf("%d answers and %d connections closed without one; the last line is %q", answered.Load(), unanswered.Load(), lastLine)
 	}
-	if lost.Load() > 8 { // each client's last connection may meet the listener's end
-		t.Errorf("%d new connections were closed without an answer", lost.Load())
+	if firstUnanswered.Load() > 8 { // the last connection of each client may be reset when the listener closes
+		t.Errorf("%d new connections were closed without an answer", firstUnanswered.Load())
 	}
 }
 
-// The answer to a body that is far too large reaches a client that sends for longer than the sockets' buffers hold,
-// before anything is reset.
-func TestAnswerReachesWhoStillSends(t *testing.T) {
-	at := free(t)
-	c, _ := program(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + at, "NODE_CONFIG=" + settings(t, "")})
-	conn, err := net.Dial("tcp", at)
+// TestTooLargeAnswerReachesSendingClient checks that a client that still sends its far too large body, more than the
+// socket buffers hold, receives the 413 before the connection is reset.
+func TestTooLargeAnswerReachesSendingClient(t *testing.T) {
+	address := freeAddress(t)
+	command, _ := startProgram(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + writeSettings(t, "")})
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	fmt.Fprint(conn, "POST /enrol HTTP/1.1\r\nHost: b\r\nContent-Length: 60000000\r\n\r\n")
-	for sent, more := 0, make([]byte, 64<<10); sent < 3<<20; sent += len(more) {
-		if _, err := conn.Write(more); err != nil {
-			t.Fatalf("after %d bytes: %v", sent, err)
+	for sent, chunk := 0, make([]byte, 64<<10); sent < 3<<20; sent += len(chunk) {
+		if _, err := conn.Write(chunk); err != nil {
+			t.Fatalf("sending failed after %d bytes: %v", sent, err)
 		}
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge || !resp.Close {
 		t.Errorf("answered %v, %v", resp, err)
 	}
-	c.Process.Signal(syscall.SIGTERM)
-	if err := c.Wait(); err != nil {
+	command.Process.Signal(syscall.SIGTERM)
+	if err := command.Wait(); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/gladepick/status_output_test.go
+++ b/cmd/gladepick/status_output_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// What a dispatcher tells of itself, in the bytes that it sends.
+// Responses of a dispatcher to /members and /leases, as sent over HTTP.
 const (
 	membersAnswer = `{"name":"n0","life":7,"view":"a1b2","view_number":3,"view_members":2,"quorum":true,"joined":true,"health":1,"members":[` +
 		`{"name":"n0","zone":"montreal","state":"alive","since_s":90.25,"in_view":true,"life":7,"address":"127.0.0.1:7400"},` +
@@ -25,11 +25,12 @@
 	noLeasesAnswer = `{"name":"n0","owner":"","charter":"","ready":false,"open":0,"kept":0,"lost":0,"counters":null,"groups":null}`
 )
 
-// testdata/status.txt holds what the commands print of it.
+// TestStatusOutput compares what members and leases print for these responses, and the URL that they request, with
+// testdata/status.txt.
 func TestStatusOutput(t *testing.T) {
-	asked := ""
+	requestedURL := ""
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = r.URL.String()
+		requestedURL = r.URL.String()
 		switch {
 		case r.URL.Path == "/members":
 			fmt.Fprint(w, membersAnswer)
@@ -51,7 +52,7 @@
 		if err := run(strings.Fields(strings.ReplaceAll(words, "ADDRESS", address)), &out); err != nil {
 			t.Errorf("%s: %v", words, err)
 		}
-		fmt.Fprintf(&out, "(the last question is %s)\n", asked)
+		fmt.Fprintf(&out, "(the last question is %s)\n", requestedURL)
 	}
 	golden.AssertBytes(t, out.Bytes(), "status.txt")
 }
