--- a/cmd/gladepick-full/help_test.go
+++ b/cmd/gladepick-full/help_test.go
@@ -11,7 +11,8 @@
 	"gladepick/internal/dispatcher/cli"
 )
 
-// testdata/help.txt holds the help of every command, and testdata/misuse.txt what is said of wrong use and the exit code.
+// TestHelpAndMisuse compares the help of every command with testdata/help.txt, and the errors and exit codes of misuse
+// with testdata/misuse.txt.
 func TestHelpAndMisuse(t *testing.T) {
 	var help bytes.Buffer
 	for _, words := range []string{"help", "plan --help", "schema --help", "schema", "schema capture"} {
--- a/cmd/gladepick-full/main.go
+++ b/cmd/gladepick-full/main.go
@@ -1,7 +1,6 @@
-// Command gladepick-full is the part of gladepick that needs large libraries. It
-// is not called by hand: gladepick hands over to it, for a dispatcher that is
-// recorded or has durable jobs (without arguments) and for the commands plan and
-// schema.
+// Command gladepick-full has the features of gladepick that need large libraries. Users do not call it: gladepick
+// replaces its own process with gladepick-full, without arguments to run a dispatcher with recording or durable jobs,
+// and with arguments to run the command plan or schema.
 package main
 
 import (
@@ -22,6 +21,7 @@
 	"gladepick/internal/programname"
 )
 
+// formerName is the program's former name. The build links it to the program, and its use prints a warning.
 const formerName, currentName = "gladepick-plus", "gladepick-full"
 
 func main() {
@@ -37,23 +37,25 @@
 	return cli.Execute(cli.NewRoot(root, planCommand(), schemaCommand()), args, out)
 }
 
-// startRecorder puts a recorder on a dispatcher whose operator's file asks for one. It is an instance.StartRecorder.
-func startRecorder(n *config.Node, counters *dispatch.Counters, core *dispatch.Core) (func(context.Context) error, error) {
+// startRecorder attaches a recorder to the dispatcher if NODE_CAPTURE names a capture file. It returns the function
+// that stops the recorder, or nil without one. It is an instance.StartRecorder.
+func startRecorder(node *config.Node, counters *dispatch.Counters, core *dispatch.Core) (func(context.Context) error, error) {
 	path := os.Getenv("NODE_CAPTURE")
 	if path == "" {
 		return nil, nil
 	}
 	var err error
-	if n.Capture, err = document.ReadCapture(path); err != nil {
+	if node.Capture, err = document.ReadCapture(path); err != nil {
 		return nil, err
 	}
-	r := capture.NewRecorder(n, counters, core.Clock)
-	core.Observer = r
-	go r.Run()
-	return r.Close, nil
+	recorder := capture.NewRecorder(node, counters, core.Clock)
+	core.Observer = recorder
+	go recorder.Run()
+	return recorder.Close, nil
 }
 
-// newDurableJobs makes jobs outlive their dispatcher. It is an instance.NewDurableJobs.
-func newDurableJobs(n *config.Node, members *transport.Transport) (instance.DurableJobs, error) {
-	return durablejobs.New(n, members)
+// newDurableJobs returns the manager of durable jobs, which are replicated so that they survive the failure of their
+// dispatcher. It is an instance.NewDurableJobs.
+func newDurableJobs(node *config.Node, members *transport.Transport) (instance.DurableJobs, error) {
+	return durablejobs.New(node, members)
 }
--- a/cmd/gladepick-full/plan.go
+++ b/cmd/gladepick-full/plan.go
@@ -16,7 +16,7 @@
 	"gladepick/internal/dispatcher/planner"
 )
 
-// The questions that plan can be asked.
+// The values of the flag --ask.
 const (
 	askBreaks = "breaks"
 	askNeeds  = "needs"
@@ -28,11 +28,11 @@
 // planFlags are the flags of the command plan.
 type planFlags struct {
 	fleet    string   // file
-	load     string   // file; empty: the captures' load
+	load     string   // file; empty to take the load from the captures
 	captures []string // directories
-	times    float64  // the load is multiplied by it
-	page     string   // file; empty: no page
-	ask      []string // of questions
+	times    float64  // factor by which the load is multiplied
+	page     string   // HTML file to write; empty for none
+	ask      []string // a subset of questions
 	output   string   // table or json
 	options  planner.Options
 }
@@ -61,7 +61,7 @@
 	return c
 }
 
-// addTo adds the flags to the command.
+// addTo adds the flags to c.
 func (f *planFlags) addTo(c *cobra.Command) {
 	flags := c.Flags()
 	flags.StringVar(&f.fleet, "fleet", "", "the fleet's description, JSON (gladepick schema fleet)")
@@ -79,7 +79,7 @@
 	c.MarkFlagRequired("fleet")
 }
 
-// check checks the flags that are words.
+// check returns a misuse error if --ask or --output has an unknown value.
 func (f *planFlags) check() error {
 	for _, q := range f.ask {
 		if !slices.Contains(questions, q) {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// run reads the descriptions, asks the questions and prints the answers.
+// run reads the descriptions, runs the planner for the questions in --ask and prints the answers.
 func (f *planFlags) run(out io.Writer, goalText string) error {
 	if err := f.check(); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	if f.load == "" && len(f.captures) == 0 {
 		return cli.MisuseErrorf("plan needs --load, --capture or both")
 	}
-	fleet, load, fit, err := f.describe()
+	fleet, load, fit, err := f.readDescriptions()
 	if err != nil {
 		return err
 	}
@@ -123,9 +123,10 @@
 	return a.search(out, p, f)
 }
 
-// describe reads the descriptions and fills in from captures what they leave out: of the fleet what it does not say, of
-// the load the classes' work and the universities' shares, or all of it. The fit is nil without captures.
-func (f *planFlags) describe() (*fleetsim.Fleet, *fleetsim.Load, *planner.Fit, error) {
+// readDescriptions reads the descriptions of the fleet and the load, and fills in from the captures what they omit: the
+// missing figures of the fleet, and the classes, tenants and retries of the load. Without --load, the whole load comes
+// from the captures. Without captures, the returned fit is nil.
+func (f *planFlags) readDescriptions() (*fleetsim.Fleet, *fleetsim.Load, *planner.Fit, error) {
 	fleet, load := &fleetsim.Fleet{}, &fleetsim.Load{}
 	err := document.Read(f.fleet, "fleet", fleet)
 	if f.load != "" {
--- a/cmd/gladepick-full/plan_answers.go
+++ b/cmd/gladepick-full/plan_answers.go
@@ -19,10 +19,11 @@
 	"gladepick/internal/dispatcher/planner/report"
 )
 
-// progressInterval is between two updates of the progress bar.
+// progressInterval is the minimum time between two updates of the progress bar.
 const progressInterval = 100 * time.Millisecond
 
-// answers is all that plan prints; what was not asked or not reached is left out.
+// answers holds the results that plan prints. The results of questions that were not asked, or not reached before the
+// search was stopped, are omitted.
 type answers struct {
 	Goal         string                 `json:"goal"`
 	Seed         uint64                 `json:"seed"`
@@ -35,10 +36,11 @@
 	Stopped      bool                   `json:"stopped,omitempty"`
 }
 
-// search asks the questions in turn. Ctrl-C ends the search, and what is known by then is printed.
+// search answers the questions of f in turn and prints the answers. SIGINT and SIGTERM stop the search; the answers
+// found by then are printed.
 func (a *answers) search(out io.Writer, p *planner.Planner, f *planFlags) error {
-	ctx, release := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer release()
+	ctx, stopSignals := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stopSignals()
 	p.Stop = func() bool { return ctx.Err() != nil }
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		defer showProgress(p)()
@@ -55,7 +57,7 @@
 	return err
 }
 
-// ask asks the questions until one fails.
+// ask answers the questions in order and returns the first error.
 func (a *answers) ask(p *planner.Planner, questions []string) (err error) {
 	for _, q := range questions {
 		switch q {
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// showProgress shows on standard error how far the search is; the function that it returns ends that.
+// showProgress shows the progress of the search on standard error. The returned function removes the progress bar.
 func showProgress(p *planner.Planner) func() error {
 	bar := progressbar.NewOptions(-1,
 		progressbar.OptionSetWriter(os.Stderr),
@@ -88,7 +90,7 @@
 	return bar.Finish
 }
 
-// print prints the answers, and writes the page where one is asked for.
+// print prints the answers as a table or JSON, and writes the HTML page if --report is set.
 func (a *answers) print(out io.Writer, p *planner.Planner, f *planFlags) (err error) {
 	text := a.table(p.Fleet)
 	if f.output == "json" {
