--- a/cmd/gladepick-system/demo.go
+++ b/cmd/gladepick-system/demo.go
@@ -19,7 +19,8 @@
 	"gladepick/internal/systemnode/demo"
 )
 
-// Defaults of the demonstration. With them a front and a store may be lost, and a store can be retired.
+// Defaults of the command demo. With them, the system tolerates the loss of one front and one store, and a store can be
+// retired.
 const (
 	demoFronts    = "3"
 	demoStores    = "4"
@@ -57,7 +58,7 @@
 	}
 }
 
-// demoText tells what can be done with a running demonstration.
+// demoText returns the instructions that are printed once the demonstration runs.
 func demoText(options demo.Options, addresses demo.Addresses) string {
 	client, control := addresses.Clients[0], addresses.Control[0]
 	lines := []string{
--- a/cmd/gladepick-system/golden_test.go
+++ b/cmd/gladepick-system/golden_test.go
@@ -10,8 +10,8 @@
 	"gladepick/internal/settings"
 )
 
-// goldenLines are the command lines of TestCommandLineKeepsItsForm.
-var goldenLines = [][]string{
+// goldenCommandLines are the command lines that TestCommandLineIsUnchanged runs.
+var goldenCommandLines = [][]string{
 	{"--help"},
 	{"front", "--help"},
 	{"store", "--help"},
@@ -42,26 +42,27 @@
 	{"front", "--settings", "missing.toml"},
 }
 
-// TestCommandLineKeepsItsForm compares, byte by byte, the commands, their flags, defaults, help texts, errors and exit
-// codes with those of earlier versions. Unit files and operators' scripts depend on them.
-func TestCommandLineKeepsItsForm(t *testing.T) {
+// TestCommandLineIsUnchanged compares the commands, their flags, defaults, help texts, errors and exit codes byte by
+// byte with those of earlier versions. Unit files and operators' scripts depend on them.
+func TestCommandLineIsUnchanged(t *testing.T) {
 	golden.NormalizeCRLFToLF = false
-	t.Setenv("COLUMNS", "80") // the width to which help is folded
+	t.Setenv("COLUMNS", "80") // the width at which the help is wrapped
 	t.Setenv(settings.EnvironmentVariable, "")
 	var transcript bytes.Buffer
-	for _, line := range goldenLines {
-		got := runProgram(t, line...)
-		fmt.Fprintf(&transcript, "$ %q\n%s%s(exit code %d)\n\n", line, got.output, got.errors, got.code)
+	for _, arguments := range goldenCommandLines {
+		got := runProgram(t, arguments...)
+		fmt.Fprintf(&transcript, "$ %q\n%s%s(exit code %d)\n\n", arguments, got.output, got.errors, got.code)
 	}
 	golden.Assert(t, transcript.String(), "commandline.golden")
 }
 
-// TestCommandsKeepTheirNames compares the full names of all commands with those of earlier versions.
-func TestCommandsKeepTheirNames(t *testing.T) {
+// TestCommandNamesAreUnchanged compares the full names, flags and arguments of all commands with those of earlier
+// versions.
+func TestCommandNamesAreUnchanged(t *testing.T) {
 	var out, names bytes.Buffer
-	made := newProgram(&out, nil)
-	for _, command := range made.application.Model().FlattenedCommands() {
-		fmt.Fprintf(&names, "%s (process: %v)\n", command.FullCommand, made.processes[command.FullCommand])
+	built := newProgram(&out, nil)
+	for _, command := range built.application.Model().FlattenedCommands() {
+		fmt.Fprintf(&names, "%s (process: %v)\n", command.FullCommand, built.processes[command.FullCommand])
 		for _, flag := range command.Flags {
 			fmt.Fprintf(&names, "  --%s short=%q default=%q variable=%q required=%v hidden=%v\n",
 				flag.Name, string(flag.Short), flag.Default, flag.Envar, flag.Required, flag.Hidden)
--- a/cmd/gladepick-system/main.go
+++ b/cmd/gladepick-system/main.go
@@ -1,11 +1,10 @@
 // Command gladepick-system runs the processes of the ingest and dispatch service, and is its operators' tool.
 //
-// It only parses the command line, turns signals into the end of a context, and turns errors into exit codes.
-// Operators' commands are in internal/operatorcli, processes in internal/systemnode, and the demonstration in
-// internal/systemnode/demo.
+// It parses the command line, cancels the context on signals and maps errors to exit codes. The operators' commands are
+// in internal/operatorcli, the processes in internal/systemnode, and the demonstration in internal/systemnode/demo.
 //
-// SIGTERM and SIGINT end the context of the command that runs. SIGHUP has a process read its settings file, and
-// ends any other command, as usual.
+// SIGTERM and SIGINT cancel the context of the running command. On SIGHUP, a process (front or store) reads its
+// settings file again; any other command exits, which is the default effect of the signal.
 package main
 
 import (
@@ -26,39 +25,40 @@
 const programName = "gladepick-system"
 
 func main() {
-	// From the first moment on, SIGHUP must not end a process.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	// Registered before anything else, because an unhandled SIGHUP ends the process.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	program := newProgram(os.Stdout, hangups)
+	program := newProgram(os.Stdout, reloadSignals)
 	code := program.run(ctx, os.Args[1:], os.Stderr)
 	stop()
 	os.Exit(code)
 }
 
-// program is the command line: its parser, and the function that each command runs.
+// program is the command-line parser and the function that runs each command.
 type program struct {
 	application *kingpin.Application
 	commands    operatorcli.Commands
 	processes   map[string]bool // names of the commands that run a process
-	executing   bool            // the parser has got beyond flags such as --help
+	executing   bool            // the parser has passed flags such as --help
 }
 
-// errEnded is the value with which the parser panics in place of ending the process, after it has printed the
-// usage or what a flag such as --help asked for.
-var errEnded = errors.New("parser ended")
+// errParserExited is the value that the parser panics with instead of calling os.Exit, after it has printed the usage
+// or the output of a flag such as --help.
+var errParserExited = errors.New("parser exited")
 
-// newProgram makes the command line. Commands print to out; processes read their settings file again upon hangups.
-func newProgram(out io.Writer, hangups <-chan os.Signal) *program {
+// newProgram builds the command-line parser. Commands print to out. A process reads its settings file again at each of
+// reloadSignals.
+func newProgram(out io.Writer, reloadSignals <-chan os.Signal) *program {
 	application := kingpin.New(programName, "Ingest and dispatch service: its processes and its operators' commands.")
 	p := &program{application: application}
-	application.UsageWriter(out).Terminate(func(int) { panic(errEnded) })
+	application.UsageWriter(out).Terminate(func(int) { panic(errParserExited) })
 	application.Action(func(*kingpin.ParseContext) error {
 		p.executing = true
 		return nil
 	})
 	commands := operatorcli.Register(application, out)
-	p.processes = registerProcesses(application, commands, hangups)
+	p.processes = registerProcesses(application, commands, reloadSignals)
 	registerDemo(application, commands, out)
 	p.commands = commands
 	return p
@@ -68,9 +68,9 @@
 func (p *program) run(ctx context.Context, arguments []string, errorOutput io.Writer) int {
 	selected, err := p.parse(arguments)
 	switch {
-	case errors.Is(err, errEnded) && p.executing:
-		return operatorcli.ExitUsage // no command was named, and the usage was printed
-	case errors.Is(err, errEnded):
+	case errors.Is(err, errParserExited) && p.executing:
+		return operatorcli.ExitUsage // the command line names no command, and the parser has printed the usage
+	case errors.Is(err, errParserExited):
 		return operatorcli.ExitDone
 	case err != nil:
 		fmt.Fprintf(errorOutput, "%s: %v, try --help\n", programName, err)
@@ -86,12 +86,12 @@
 	return operatorcli.ExitCode(err)
 }
 
-// parse returns the full name of the command. Its error is errEnded where the parser has printed all there is to
-// say.
+// parse returns the full name of the selected command. It returns errParserExited if the parser has already printed the
+// complete output.
 func (p *program) parse(arguments []string) (selected string, err error) {
 	defer func() {
-		if reason := recover(); reason == errEnded {
-			err = errEnded
+		if reason := recover(); reason == errParserExited {
+			err = errParserExited
 		} else if reason != nil {
 			panic(reason)
 		}
--- a/cmd/gladepick-system/main_test.go
+++ b/cmd/gladepick-system/main_test.go
@@ -14,7 +14,7 @@
 	"gladepick/internal/operatorcli"
 )
 
-// outcome is what a command line has led to.
+// outcome is the exit code and the output of one command line.
 type outcome struct {
 	code   int
 	output string
@@ -41,7 +41,7 @@
 	cases := []struct {
 		arguments []string
 		code      int
-		errors    string // a part of what is printed to standard error
+		errors    string // part of the text on standard error
 	}{
 		{[]string{"--help"}, operatorcli.ExitDone, ""},
 		{[]string{"status", "--help"}, operatorcli.ExitDone, ""},
--- a/cmd/gladepick-system/pages_test.go
+++ b/cmd/gladepick-system/pages_test.go
@@ -19,7 +19,7 @@
 	metricsFiles   = internalFolder + "/systemnode/demo/testdata/metrics*.golden"
 )
 
-// operatorsPages are the pages that name commands, metrics and log messages.
+// operatorsPages are the pages of the handbook that mention commands, metrics and log messages.
 var operatorsPages = []string{"operating.md", "on-call.md"}
 
 var (
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestPagesNameRealLogMessages checks that each message in a table of logs stands in the code.
+// TestPagesNameRealLogMessages checks that the code contains each message in a page's table of log messages.
 func TestPagesNameRealLogMessages(t *testing.T) {
 	var code strings.Builder
 	err := filepath.WalkDir(internalFolder, func(name string, _ fs.DirEntry, err error) error {
--- a/cmd/gladepick-system/process.go
+++ b/cmd/gladepick-system/process.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// options returns what the flags say, once they have been parsed.
+// options returns the options of the process. It must be called after the command line has been parsed.
 func (f processFlags) options(reloadSignals <-chan os.Signal) systemnode.ProcessOptions {
 	return systemnode.ProcessOptions{
 		SettingsPath:  *f.settings,
@@ -35,15 +35,15 @@
 	}
 }
 
-// logLevel returns the level for the flag --verbose, or else another one.
-func logLevel(verbose bool, otherwise zapcore.Level) zapcore.Level {
+// logLevel returns the debug level if verbose is set, and defaultLevel otherwise.
+func logLevel(verbose bool, defaultLevel zapcore.Level) zapcore.Level {
 	if verbose {
 		return zap.DebugLevel
 	}
-	return otherwise
+	return defaultLevel
 }
 
-// registerProcesses adds the commands that run a process and returns their names.
+// registerProcesses adds the commands front and store, which run a process, and returns the set of their names.
 func registerProcesses(
 	application *kingpin.Application, commands operatorcli.Commands, reloadSignals <-chan os.Signal,
 ) map[string]bool {
