--- a/cmd/gladepick-benchreport/golden_test.go
+++ b/cmd/gladepick-benchreport/golden_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestGoldenOutput compares what the program prints, byte for byte, with files under testdata. Others read that output: the
-// files were written once by the flag -update, and do not change.
+// TestGoldenOutput compares the program's output byte by byte with files under testdata. Other programs parse that
+// output, so the files were written with -update once and must not change.
 func TestGoldenOutput(t *testing.T) {
 	calm, rough := filepath.Join("testdata", "calm.json"), filepath.Join("testdata", "rough.json")
-	for _, each := range []struct {
+	for _, test := range []struct {
 		file string
 		args []string
 	}{
@@ -23,12 +23,12 @@
 		{"several-days-json.txt", []string{"--json", "--spans=1", rough, calm}},
 		{"no-spans.txt", []string{"--spans", "0", rough}},
 	} {
-		t.Run(each.file, func(t *testing.T) {
-			parsed, err := parse(each.args)
+		t.Run(test.file, func(t *testing.T) {
+			parsed, err := parse(test.args)
 			assert.NilError(t, err)
 			var out bytes.Buffer
 			assert.NilError(t, run(parsed, &out))
-			golden.AssertBytes(t, out.Bytes(), each.file)
+			golden.AssertBytes(t, out.Bytes(), test.file)
 		})
 	}
 }
--- a/cmd/gladepick-benchreport/main.go
+++ b/cmd/gladepick-benchreport/main.go
@@ -1,5 +1,5 @@
-// Command gladepick-benchreport says where measured days lost value. It reads the reports that the bench writes with
-// --report, and prints text or JSON. Its flags and its output use the bench's words.
+// Command gladepick-benchreport prints what caused the loss of value on measured days, as text or as JSON. It reads the
+// reports that the bench writes with --report. Its flags and its output use the terms of the bench.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	"gladepick/internal/programname"
 )
 
-// The program also goes by its former name, with a warning.
+// formerName is the program's former name. The build links it to the program, and its use prints a warning.
 const formerName, currentName = "gladepick-ledger", "gladepick-benchreport"
 
-// defaultSpans is how many spans of time are printed of each day.
+// defaultSpans is how many time spans are printed for each day.
 const defaultSpans = 4
 
 // Exit codes.
@@ -50,7 +50,7 @@
 	}
 }
 
-// parse parses the command line. Reports that do not exist are an error.
+// parse parses the command line. It returns an error if a report does not exist.
 func parse(args []string) (arguments, error) {
 	var parsed arguments
 	application := kingpin.New(currentName, "Say where the worth of measured days was lost.")
@@ -63,46 +63,46 @@
 	return parsed, err
 }
 
-// summary is what is printed, as text or as JSON.
+// summary is the output of the program, printed as text or as JSON.
 type summary struct {
 	Days  []*benchreport.LossReport `json:"days"`
-	Means []benchreport.Mean        `json:"means,omitempty"` // of several days
+	Means []benchreport.Mean        `json:"means,omitempty"` // only with more than one day
 }
 
-// run prints what the arguments ask for.
+// run reads the reports, draws the plot if --plot is set, and prints the summary.
 func run(parsed arguments, out io.Writer) error {
-	all, err := read(parsed)
+	result, err := readReports(parsed)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if parsed.plot != "" {
-		if err := benchreport.Plot(parsed.plot, all.Days); err != nil {
+		if err := benchreport.Plot(parsed.plot, result.Days); err != nil {
 			return trace.Wrap(err)
 		}
 	}
 	if parsed.json {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return trace.Wrap(encoder.Encode(all))
+		return trace.Wrap(encoder.Encode(result))
 	}
-	return trace.Wrap(all.print(out))
+	return trace.Wrap(result.print(out))
 }
 
-// read reads all reports and works out their losses.
-func read(parsed arguments) (*summary, error) {
-	all := &summary{}
+// readReports reads the reports and computes the losses of each day and, for several days, their means.
+func readReports(parsed arguments) (*summary, error) {
+	result := &summary{}
 	for _, path := range parsed.reports {
 		report, err := benchreport.Read(path)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
 		name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-		all.Days = append(all.Days, benchreport.NewLossReport(name, report, max(parsed.spans, 0)))
+		result.Days = append(result.Days, benchreport.NewLossReport(name, report, max(parsed.spans, 0)))
 	}
-	if len(all.Days) > 1 {
-		all.Means = benchreport.MeansOf(all.Days)
+	if len(result.Days) > 1 {
+		result.Means = benchreport.MeansOf(result.Days)
 	}
-	return all, nil
+	return result, nil
 }
 
 func (s *summary) print(out io.Writer) error {
--- a/internal/benchreport/losses.go
+++ b/internal/benchreport/losses.go
@@ -5,36 +5,37 @@
 	"slices"
 )
 
-// LossReport says where a day lost value, the largest loss first in each list. A perfect day without costs has the value 1.
+// LossReport breaks down the value that one day lost. A day without any loss or cost has the value 1. Each list except
+// Timeline begins with the largest loss.
 type LossReport struct {
 	Name     string          `json:"name"`
 	Value    float64         `json:"worth"`
 	Losses   []Loss          `json:"losses"`  // by parts and prices
-	Classes  []RequestCounts `json:"classes"` // kinds of requests, the least valuable first
-	Spans    []Span          `json:"spans"`   // spans of time, the least valuable first
-	Timeline []Sample        `json:"course"`  // the value of all spans, by time
+	Classes  []RequestCounts `json:"classes"` // kinds of requests, the lowest value first
+	Spans    []Span          `json:"spans"`   // time spans, the lowest value first
+	Timeline []Sample        `json:"course"`  // the value of every time span, in the order of the report
 }
 
-// Loss is what a part or a price takes from the value of a perfect day, which is 1.
+// Loss is the amount by which a part or a price lowers the day's value from its maximum of 1.
 type Loss struct {
 	Name string  `json:"name"`
 	Lost float64 `json:"lost"`
 }
 
-// Span is a span of time with the events that overlap it.
+// Span is a time span with its requests and the events that overlap it.
 type Span struct {
 	RequestCounts
 	Events []Event `json:"events"`
 }
 
-// Sample is the value of the requests that arrived in the span that begins at a second of the day.
+// Sample is the value of the requests that arrived in the time span that begins at Second of the day.
 type Sample struct {
 	Second float64 `json:"second"`
 	Value  float64 `json:"worth"`
 }
 
-// NewLossReport works out the losses of a report, with at most so many spans of time.
-func NewLossReport(name string, report *Report, spans int) *LossReport {
+// NewLossReport computes the losses of a report, with the maxSpans worst time spans at most.
+func NewLossReport(name string, report *Report, maxSpans int) *LossReport {
 	losses := &LossReport{Name: name, Value: report.Value, Classes: slices.Clone(report.Classes)}
 	for _, part := range report.Parts {
 		losses.addLoss(part.Name, part.Lost())
@@ -45,7 +46,7 @@
 	slices.SortStableFunc(losses.Losses, func(a, b Loss) int { return cmp.Compare(b.Lost, a.Lost) })
 	slices.SortStableFunc(losses.Classes, byValue)
 	losses.Timeline = timeline(report.Windows)
-	losses.Spans = worstSpans(report, spans)
+	losses.Spans = worstSpans(report, maxSpans)
 	return losses
 }
 
@@ -67,7 +68,7 @@
 	return samples
 }
 
-// worstSpans returns the least valuable spans, at most limit of them.
+// worstSpans returns the time spans with the lowest values, at most limit of them.
 func worstSpans(report *Report, limit int) []Span {
 	worst := slices.Clone(report.Windows)
 	slices.SortStableFunc(worst, byValue)
@@ -78,7 +79,7 @@
 	return spans
 }
 
-// eventsIn returns the events that overlap a span.
+// eventsIn returns the events that overlap a time span.
 func eventsIn(report *Report, window RequestCounts) []Event {
 	from, err := window.start()
 	if err != nil {
@@ -94,7 +95,8 @@
 	return events
 }
 
-// spanLength is the length of the report's spans in seconds: the least distance between their beginnings.
+// spanLength returns the length of the report's time spans in seconds: the smallest positive distance between the
+// starts of successive spans.
 func spanLength(report *Report) float64 {
 	samples := timeline(report.Windows)
 	length := 0.0
--- a/internal/benchreport/losses_test.go
+++ b/internal/benchreport/losses_test.go
@@ -26,7 +26,7 @@
     {"at_s": 1.5, "to_s": 3, "kind": "node_kill", "what": "store-1"},
     {"at_s": 3.9, "to_s": 9, "kind": "config_change"},
     {"at_s": 4, "to_s": 5, "kind": "later"}],
-  "unknown": {"fields": "are passed over"}
+  "unknown": {"fields": "are ignored"}
 }`
 
 func sample(t *testing.T) *Report {
@@ -36,23 +36,23 @@
 }
 
 func TestLossesComeLargestFirst(t *testing.T) {
-	made := NewLossReport("day", sample(t), 1)
-	assert.Equal(t, made.Value, 0.75)
+	losses := NewLossReport("day", sample(t), 1)
+	assert.Equal(t, losses.Value, 0.75)
 	var names []string
-	for _, loss := range made.Losses {
+	for _, loss := range losses.Losses {
 		names = append(names, loss.Name)
 	}
 	assert.DeepEqual(t, names, []string{"worst windows", "whole day", "machines"})
-	assert.Assert(t, made.Losses[0].Lost > 0.179 && made.Losses[0].Lost < 0.181)
-	assert.Equal(t, made.Classes[0].Name, "payouts")
+	assert.Assert(t, losses.Losses[0].Lost > 0.179 && losses.Losses[0].Lost < 0.181)
+	assert.Equal(t, losses.Classes[0].Name, "payouts")
 }
 
-func TestWorstSpansNameWhatHappenedInThem(t *testing.T) {
-	made := NewLossReport("day", sample(t), 2)
-	assert.Equal(t, len(made.Spans), 2)
-	assert.Equal(t, made.Spans[0].Name, "2")
-	assert.Equal(t, kindsOf(made.Spans[0].Events), "node_kill, config_change")
-	assert.Equal(t, kindsOf(made.Spans[1].Events), "config_change, later")
+func TestWorstSpansListOverlappingEvents(t *testing.T) {
+	losses := NewLossReport("day", sample(t), 2)
+	assert.Equal(t, len(losses.Spans), 2)
+	assert.Equal(t, losses.Spans[0].Name, "2")
+	assert.Equal(t, kindsOf(losses.Spans[0].Events), "node_kill, config_change")
+	assert.Equal(t, kindsOf(losses.Spans[1].Events), "config_change, later")
 	assert.Equal(t, len(NewLossReport("day", sample(t), 10).Spans), 3)
 }
 
@@ -70,7 +70,7 @@
 	assert.Equal(t, MeansOf([]*LossReport{one})[0].Error, 0.)
 }
 
-func TestReportsThatAreNone(t *testing.T) {
+func TestInvalidReportsAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"", "[]", "{}",
 		`{"parts":[["whole day",1]],"windows":[{"name":"0"}]}`,
@@ -85,14 +85,14 @@
 
 func TestPrintedLosses(t *testing.T) {
 	var out bytes.Buffer
-	made := NewLossReport("day", sample(t), 1)
-	assert.NilError(t, made.Print(&out))
+	losses := NewLossReport("day", sample(t), 1)
+	assert.NilError(t, losses.Print(&out))
 	for _, part := range []string{"worth 0.750", "0.1800", "worst windows", "payouts", "node_kill, config_change"} {
-		assert.Assert(t, strings.Contains(out.String(), part), "%s misses %q", out.String(), part)
+		assert.Assert(t, strings.Contains(out.String(), part), "%s lacks %q", out.String(), part)
 	}
-	assert.Assert(t, !strings.Contains(out.String(), "probes"), "what costs nothing is not printed")
+	assert.Assert(t, !strings.Contains(out.String(), "probes"), "a price without a loss is printed")
 	out.Reset()
-	assert.NilError(t, PrintMeans(&out, MeansOf([]*LossReport{made, made})))
+	assert.NilError(t, PrintMeans(&out, MeansOf([]*LossReport{losses, losses})))
 	assert.Assert(t, strings.Contains(out.String(), "0.7500"))
 }
 
--- a/internal/benchreport/plot.go
+++ b/internal/benchreport/plot.go
@@ -13,7 +13,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot draws the value of several days over time into a file, whose extension names the format (.svg, .png or .pdf).
+// Plot draws the value of each day over time into the file at path. The extension selects the format: .svg, .png or
+// .pdf.
 func Plot(path string, days []*LossReport) error {
 	drawing := plot.New()
 	drawing.X.Label.Text = "second of the day"
--- a/internal/benchreport/print.go
+++ b/internal/benchreport/print.go
@@ -7,10 +7,10 @@
 	"text/tabwriter"
 )
 
-// leastPrinted is the smallest loss that is printed.
+// minPrintedLoss is the smallest loss that is printed.
 const minPrintedLoss = 0.0005
 
-// Print writes a day's losses as text.
+// Print writes the losses of the day as text.
 func (l *LossReport) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "%s\tworth %.3f\n", l.Name, l.Value)
@@ -38,7 +38,7 @@
 		count.Name, count.Value, count.Total, count.OnTime, count.Late, count.Rejected, count.Failed)
 }
 
-// kindsOf names the kinds of events, each once.
+// kindsOf returns the distinct kinds of the events, separated by commas.
 func kindsOf(events []Event) string {
 	var kinds []string
 	seen := map[string]bool{}
--- a/internal/benchreport/report.go
+++ b/internal/benchreport/report.go
@@ -1,9 +1,10 @@
-// Package benchreport says where measured days lost value: by the parts that a day's value is the sum of, by kinds of
-// requests, by spans of time with the disruptions that fell into them, and by prices.
+// Package benchreport breaks down where measured days lost value: by the parts of the weighted sum that is a day's
+// value, by the prices of resources, by kinds of requests, and by time spans with the disruptions that overlap them.
 //
-// A Report is what the bench writes with --report; Read and Parse read it. NewLossReport works out a LossReport from it,
-// which Print writes as text, Plot draws, and encoding/json encodes; MeansOf averages several days. The names in JSON are the
-// bench's and older than the Go names. Nothing here has state or starts goroutines.
+// A Report is what the bench writes with --report; Read and Parse read it. NewLossReport computes a LossReport from it.
+// LossReport.Print writes the losses as text, Plot draws them, and encoding/json encodes them; MeansOf averages several
+// days. The names in JSON are those of the bench and differ from the Go names. The package has no state and starts no
+// goroutines.
 //
 // Start reading at NewLossReport in losses.go.
 package benchreport
@@ -17,7 +18,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Report is what the bench reports of one day, as far as it is used here.
+// Report holds the fields of the bench's report of one day that this package uses.
 type Report struct {
 	Value   float64         `json:"G"`
 	Parts   []Part          `json:"parts"`
@@ -27,14 +28,14 @@
 	Events  []Event         `json:"events"`
 }
 
-// Part is one of the figures that a day's value is the weighted sum of.
+// Part is one term of the weighted sum that is the day's value.
 type Part struct {
 	Name   string
 	Weight float64
 	Value  float64
 }
 
-// Lost is what the part takes from the day's value.
+// Lost returns the value that the day loses to the part.
 func (p Part) Lost() float64 { return p.Weight * (1 - p.Value) }
 
 // UnmarshalJSON implements json.Unmarshaler: the bench writes a part as a list.
@@ -42,7 +43,7 @@
 	return unmarshalList(text, &p.Name, &p.Weight, &p.Value)
 }
 
-// Price is what the use of one kind of resource takes from the day's value.
+// Price is the value that the day loses to the use of one kind of resource.
 type Price struct {
 	Name   string
 	Amount float64
@@ -54,19 +55,19 @@
 	return unmarshalList(text, &p.Name, &p.Amount, &p.Lost)
 }
 
-// RequestCounts tell what became of some requests: those of a kind, or those of a span of time.
+// RequestCounts counts the requests of one kind or of one time span by their outcome.
 type RequestCounts struct {
-	Name     string  `json:"name"` // the kind, or the second at which the span begins
+	Name     string  `json:"name"` // the kind, or the second of the day at which the time span begins
 	Total    int     `json:"n"`
 	OnTime   int     `json:"in_aim"`
 	Late     int     `json:"late"`
 	Rejected int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	NotOwed  int     `json:"not_owed"`
-	Value    float64 `json:"worth"` // earned, as a part of what is owed
+	Value    float64 `json:"worth"` // earned, as a share of what is owed
 }
 
-// Event is a disruption or a planned change. Its times are in seconds of the day.
+// Event is a disruption or a planned change. From and To are seconds of the day.
 type Event struct {
 	From float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
@@ -74,7 +75,7 @@
 	What string  `json:"what"`
 }
 
-// Read reads a report from a file. An error names the file.
+// Read reads a report from a file. Its errors name the file.
 func Read(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -84,15 +85,15 @@
 	return report, trace.Wrap(err, "%s", path)
 }
 
-// Parse reads a report from its JSON text. Fields that are not used are ignored; without parts or windows it is no report
-// (trace.BadParameter).
+// Parse parses the JSON text of a report and ignores unknown fields. It returns trace.BadParameter if the text has no
+// parts or no windows, or if the name of a window is not a number.
 func Parse(text []byte) (*Report, error) {
 	var report Report
 	if err := json.Unmarshal(text, &report); err != nil {
-		return nil, trace.Wrap(err, "no report of a day")
+		return nil, trace.Wrap(err, "not the report of a day")
 	}
 	if len(report.Parts) == 0 || len(report.Windows) == 0 {
-		return nil, trace.BadParameter("no report of a day: parts or windows are missing")
+		return nil, trace.BadParameter("not the report of a day: parts or windows are missing")
 	}
 	for _, window := range report.Windows {
 		if _, err := window.start(); err != nil {
@@ -102,23 +103,24 @@
 	return &report, nil
 }
 
-// start is the second at which a span of time begins.
+// start returns the second of the day at which the time span begins. It applies only to the counts of a time span.
 func (c RequestCounts) start() (float64, error) {
 	start, err := strconv.ParseFloat(c.Name, 64)
 	if err != nil {
-		return 0, trace.BadParameter("window %q does not begin at a second", c.Name)
+		return 0, trace.BadParameter("the name of window %q is not a number of seconds", c.Name)
 	}
 	return start, nil
 }
 
-// unmarshalList reads the elements of a JSON list into as many targets.
+// unmarshalList decodes a JSON list into targets, one element each. The list must have as many elements as there are
+// targets.
 func unmarshalList(text []byte, targets ...any) error {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(text, &elements); err != nil {
 		return err
 	}
 	if len(elements) != len(targets) {
-		return fmt.Errorf("a list of %d elements, not %d", len(elements), len(targets))
+		return fmt.Errorf("the list has %d elements, want %d", len(elements), len(targets))
 	}
 	for i, target := range targets {
 		if err := json.Unmarshal(elements[i], target); err != nil {
