--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -1,4 +1,5 @@
-// Package architecture_test checks which package may import which, as docs/architecture.md says.
+// Package architecture_test checks the rules of docs/architecture.md: which packages may import which, the order of
+// imports, doc comments, the system packages of a build, and the names and links in the pages.
 package architecture_test
 
 import (
@@ -18,23 +19,23 @@
 )
 
 const (
-	moduleRoot = "../.."
-	moduleName = "gladepick"
-	handbook   = "docs/architecture.md"
+	moduleRoot       = "../.."
+	moduleName       = "gladepick"
+	architecturePage = "docs/architecture.md"
 )
 
-// importLine is one import of one file.
+// importLine is one import declaration of a file.
 type importLine struct {
 	place string // "file:line"
-	file  string // its name
+	file  string // base name of the file
 	from  string // the importing package's folder, "." for the root
-	path  string // as it is written
+	path  string // import path
 }
 
-// isTest tells whether the file belongs to the package's tests.
+// isTest reports whether the import is in a test file.
 func (l importLine) isTest() bool { return strings.HasSuffix(l.file, "_test.go") }
 
-// folder returns the folder of the imported package, and false where it is not of this module.
+// folder returns the folder of the imported package, and false if the package is not part of this module.
 func (l importLine) folder() (string, bool) {
 	if l.path == moduleName {
 		return ".", true
@@ -42,7 +43,7 @@
 	return strings.CutPrefix(l.path, moduleName+"/")
 }
 
-// readImports returns the imports of all files of the module, and the folders that hold any file.
+// readImports returns the imports of all Go files of the module, and the folders that contain Go files.
 func readImports(t *testing.T) (imports []importLine, folders []string) {
 	t.Helper()
 	err := filepath.WalkDir(moduleRoot, func(name string, entry fs.DirEntry, err error) error {
@@ -55,7 +56,7 @@
 		if entry.IsDir() || !strings.HasSuffix(name, ".go") {
 			return nil
 		}
-		found, err := readFile(name)
+		found, err := fileImports(name)
 		imports = append(imports, found...)
 		folders = append(folders, folderOf(name))
 		return err
@@ -73,7 +74,7 @@
 	return filepath.ToSlash(folder)
 }
 
-func readFile(name string) ([]importLine, error) {
+func fileImports(name string) ([]importLine, error) {
 	files := token.NewFileSet()
 	parsed, err := parser.ParseFile(files, name, nil, parser.ImportsOnly)
 	if err != nil {
@@ -92,18 +93,18 @@
 	return imports, nil
 }
 
-// problemsOf returns what is wrong with an import.
-func problemsOf(line importLine) []string {
+// importProblems returns the rules that an import violates.
+func importProblems(line importLine) []string {
 	var problems []string
-	if strings.HasPrefix(line.path, majorityLog) && line.from != "internal/dispatcher/raftgroup" {
-		problems = append(problems, fmt.Sprintf("%s: %s is for internal/dispatcher/raftgroup alone", line.place, line.path))
+	if strings.HasPrefix(line.path, raftLibrary) && line.from != "internal/dispatcher/raftgroup" {
+		problems = append(problems, fmt.Sprintf("%s: only internal/dispatcher/raftgroup may import %s", line.place, line.path))
 	}
 	to, ours := line.folder()
 	if !ours || to == line.from {
 		return problems
 	}
 	if strings.HasPrefix(to, "cmd/") {
-		problems = append(problems, fmt.Sprintf("%s: %s is a program", line.place, to))
+		problems = append(problems, fmt.Sprintf("%s: %s is a program and may not be imported", line.place, to))
 	}
 	if !planeAllows(line.from, to) {
 		problems = append(problems, fmt.Sprintf("%s: %s (%s) may not import %s (%s)",
@@ -115,38 +116,38 @@
 	return problems
 }
 
-// TestImportsFollowThePlanes checks the direction of every import, those of tests among them.
+// TestImportsFollowThePlanes checks every import against the rules, including those of test files.
 func TestImportsFollowThePlanes(t *testing.T) {
 	imports, _ := readImports(t)
 	assert.Assert(t, len(imports) > 0)
 	var problems []string
 	for _, line := range imports {
-		problems = append(problems, problemsOf(line)...)
+		problems = append(problems, importProblems(line)...)
 	}
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-// TestEveryPackageHasAPlane finds packages that no rule knows, and rules for packages that are gone.
+// TestEveryPackageHasAPlane finds packages without an entry in planeOf, and entries for packages that do not exist.
 func TestEveryPackageHasAPlane(t *testing.T) {
 	_, folders := readImports(t)
 	var problems []string
 	for _, folder := range folders {
 		if planeOf[folder] == "" {
-			problems = append(problems, folder+" has no plane: give it one in planes_test.go and in "+handbook)
+			problems = append(problems, folder+" has no plane: add it to planeOf in planes_test.go and to "+architecturePage)
 		}
 	}
 	for folder := range planeOf {
 		if !slices.Contains(folders, folder) {
-			problems = append(problems, folder+" has a plane, but no files")
+			problems = append(problems, folder+" is in planeOf, but has no Go files")
 		}
 	}
 	slices.Sort(problems)
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-// TestTheHandbookNamesEveryPackage checks that docs/architecture.md names every package, and every plane.
-func TestTheHandbookNamesEveryPackage(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(moduleRoot, handbook))
+// TestArchitecturePageListsEveryPackage checks that docs/architecture.md lists every package and every plane.
+func TestArchitecturePageListsEveryPackage(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(moduleRoot, architecturePage))
 	assert.NilError(t, err)
 	var missing []string
 	for folder, plane := range planeOf {
@@ -161,8 +162,8 @@
 	assert.Equal(t, strings.Join(slices.Compact(missing), "\n"), "")
 }
 
-// TestForbiddenImportsAreFound checks the rules themselves by imports that must not be.
-func TestForbiddenImportsAreFound(t *testing.T) {
+// TestRulesRejectForbiddenImports checks that the rules reject each of these imports.
+func TestRulesRejectForbiddenImports(t *testing.T) {
 	forbidden := []importLine{
 		{from: "internal/messagestore", path: "gladepick/internal/controlplane"},
 		{from: "internal/messagestore", path: "gladepick/internal/ingress"},
@@ -182,6 +183,6 @@
 		{from: "internal/dispatcher/durablejobs", path: "gladepick/internal/cluster"},
 	}
 	for _, line := range forbidden {
-		assert.Check(t, len(problemsOf(line)) > 0, "%s may import %s", line.from, line.path)
+		assert.Check(t, len(importProblems(line)) > 0, "the rules let %s import %s", line.from, line.path)
 	}
 }
--- a/internal/architecture/links_test.go
+++ b/internal/architecture/links_test.go
@@ -20,13 +20,13 @@
 	notInAnchor     = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
 )
 
-// anchorOf returns the anchor of a heading, as the usual renderers make it.
+// anchorOf returns the anchor that common Markdown renderers generate for a heading.
 func anchorOf(heading string) string {
 	text := notInAnchor.ReplaceAllString(strings.ToLower(strings.TrimSpace(heading)), "")
 	return strings.ReplaceAll(text, " ", "-")
 }
 
-// markdownPages returns the pages of the module: those at its root and in docs and deploy.
+// markdownPages returns the Markdown files at the root of the module and below docs and deploy.
 func markdownPages(t *testing.T) []string {
 	t.Helper()
 	pages, err := filepath.Glob(filepath.Join(moduleRoot, "*.md"))
@@ -43,15 +43,15 @@
 	return pages
 }
 
-// TestLinksOfPagesLeadSomewhere checks that every relative link of a page names a file, and a heading of it where it has
-// an anchor.
-func TestLinksOfPagesLeadSomewhere(t *testing.T) {
+// TestPagesHaveNoBrokenLinks checks that every relative link of a page leads to an existing file and, if it has an
+// anchor, to a heading in that file.
+func TestPagesHaveNoBrokenLinks(t *testing.T) {
 	var problems []string
 	for _, page := range markdownPages(t) {
 		text, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, match := range markdownLink.FindAllStringSubmatch(string(text), -1) {
-			if problem := problemOfLink(page, match[1]); problem != "" {
+			if problem := linkProblem(page, match[1]); problem != "" {
 				problems = append(problems, fmt.Sprintf("%s: %s: %s", page, match[1], problem))
 			}
 		}
@@ -59,8 +59,8 @@
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-// problemOfLink returns what is wrong with a link of a page, or nothing.
-func problemOfLink(page, link string) string {
+// linkProblem returns what is wrong with a link of a page, or an empty string.
+func linkProblem(page, link string) string {
 	parsed, err := url.Parse(link)
 	if err != nil {
 		return err.Error()
@@ -91,31 +91,32 @@
 }
 
 var (
-	namedTest = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)`")
-	namedFile = regexp.MustCompile("`([a-z][a-z0-9_/]*/[a-z0-9_]+\\.go)`")
-	testFunc  = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)\(`)
+	testInPage = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)`")
+	fileInPage = regexp.MustCompile("`([a-z][a-z0-9_/]*/[a-z0-9_]+\\.go)`")
+	testFunc   = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)\(`)
 )
 
-// folderOfIncidents holds accounts of what once happened; they name files as they were then.
-const folderOfIncidents = "incidents"
+// incidentsFolder has reports of past incidents. They use the file and test names of their time, so they are not
+// checked.
+const incidentsFolder = "incidents"
 
-// TestPagesNameTestsAndFilesThatExist checks that each test and each source file that a page names is there. A file is
-// named by its path from the root of the module or from internal.
+// TestPagesNameTestsAndFilesThatExist checks that each test and each source file that a page names exists. Pages name
+// files by the path from the root of the module or from internal.
 func TestPagesNameTestsAndFilesThatExist(t *testing.T) {
 	existing := existingTests(t)
 	var problems []string
 	for _, page := range markdownPages(t) {
-		if filepath.Base(filepath.Dir(page)) == folderOfIncidents {
+		if filepath.Base(filepath.Dir(page)) == incidentsFolder {
 			continue
 		}
 		text, err := os.ReadFile(page)
 		assert.NilError(t, err)
-		for _, match := range namedTest.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range testInPage.FindAllStringSubmatch(string(text), -1) {
 			if !existing[match[1]] {
 				problems = append(problems, fmt.Sprintf("%s: there is no %s", page, match[1]))
 			}
 		}
-		for _, match := range namedFile.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range fileInPage.FindAllStringSubmatch(string(text), -1) {
 			if !sourceExists(match[1]) {
 				problems = append(problems, fmt.Sprintf("%s: there is no %s", page, match[1]))
 			}
@@ -152,35 +153,36 @@
 }
 
 var (
-	// wayStep is a row of the tables that follow a message and a configuration change: packages, then functions.
-	wayStep       = regexp.MustCompile(`(?m)^\| \d+\. .* \| (.+) \| (.+) \|$`)
-	quoted        = regexp.MustCompile("`([^`]+)`")
+	// flowStep matches a row of the tables that trace a message and a configuration change through the code: its last two
+	// columns list packages and functions.
+	flowStep      = regexp.MustCompile(`(?m)^\| \d+\. .* \| (.+) \| (.+) \|$`)
+	codeSpan      = regexp.MustCompile("`([^`]+)`")
 	declaredFuncs = regexp.MustCompile(`(?m)^func (?:\(\w+ \*?(\w+)(?:\[[^\]]*\])?\) )?(\w+)[(\[]`)
 )
 
-// TestWaysNameFunctionsThatExist checks the tables of the architecture page that follow a message and a configuration
-// change: each function of a step is declared in one of the packages of that step.
-func TestWaysNameFunctionsThatExist(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(moduleRoot, handbook))
+// TestFlowTablesNameFunctionsThatExist checks the tables of the architecture page that trace a message and a
+// configuration change through the code: one of the packages of a step must declare each function of that step.
+func TestFlowTablesNameFunctionsThatExist(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(moduleRoot, architecturePage))
 	assert.NilError(t, err)
-	steps := wayStep.FindAllStringSubmatch(string(text), -1)
-	assert.Assert(t, len(steps) > 10, "%d steps were found", len(steps))
+	steps := flowStep.FindAllStringSubmatch(string(text), -1)
+	assert.Assert(t, len(steps) > 10, "the page has only %d steps", len(steps))
 	var problems []string
 	for _, step := range steps {
 		declared := map[string]bool{}
-		for _, folder := range quoted.FindAllStringSubmatch(step[1], -1) {
+		for _, folder := range codeSpan.FindAllStringSubmatch(step[1], -1) {
 			addDeclaredFunctions(t, filepath.Join(moduleRoot, filepath.FromSlash(folder[1])), declared)
 		}
-		for _, function := range quoted.FindAllStringSubmatch(step[2], -1) {
+		for _, function := range codeSpan.FindAllStringSubmatch(step[2], -1) {
 			if !declared[function[1]] {
-				problems = append(problems, fmt.Sprintf("%s is in none of %s", function[1], step[1]))
+				problems = append(problems, fmt.Sprintf("%s is not declared in %s", function[1], step[1]))
 			}
 		}
 	}
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-// addDeclaredFunctions adds the functions and methods ("Type.Method") that a folder's files declare outside tests.
+// addDeclaredFunctions adds the functions and methods (as "Type.Method") that the non-test files of a folder declare.
 func addDeclaredFunctions(t *testing.T, folder string, declared map[string]bool) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -204,10 +206,10 @@
 // identifier matches a Go identifier.
 var identifier = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*`)
 
-// goNameColumn is the column of the glossary's tables that has the names in the code.
+// goNameColumn is the index of the column with the Go names in the glossary's tables.
 const goNameColumn = 3
 
-// TestGlossaryNamesExist checks that the code declares or uses each Go name of the glossary.
+// TestGlossaryNamesExist checks that each Go name in the glossary occurs in the code.
 func TestGlossaryNamesExist(t *testing.T) {
 	known := map[string]bool{}
 	for _, file := range parseModule(t) {
@@ -224,17 +226,17 @@
 	rows := 0
 	for line := range strings.Lines(string(text)) {
 		cells := strings.Split(line, "|")
-		if len(cells) != 7 { // a table of five columns has an empty cell at each end
+		if len(cells) != 7 { // a row of five columns, with an empty cell at each end
 			continue
 		}
 		rows++
-		for _, match := range quoted.FindAllStringSubmatch(cells[goNameColumn], -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(cells[goNameColumn], -1) {
 			parts := identifier.FindAllString(match[1], -1)
 			if len(parts) == 0 || !known[parts[len(parts)-1]] {
-				problems = append(problems, fmt.Sprintf("the code has no %s", match[1]))
+				problems = append(problems, fmt.Sprintf("the code does not contain %s", match[1]))
 			}
 		}
 	}
-	assert.Assert(t, rows > 50, "%d rows were found", rows)
+	assert.Assert(t, rows > 50, "the glossary has only %d rows", rows)
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
--- a/internal/architecture/packages_test.go
+++ b/internal/architecture/packages_test.go
@@ -19,18 +19,18 @@
 	deployFile     = repositoryRoot + "/deploy/system.toml"
 )
 
-// The packages of the system that a build may need, by what it needs them for.
+// The system packages that a build may need.
 const (
-	compilerPackage     = "gcc"             // with the linker, on which it depends
-	headersPackage      = "libc6-dev"       // headers, start files and libraries to link with
-	certificatesPackage = "ca-certificates" // to fetch modules from the proxy
+	compilerPackage     = "gcc"             // also installs the linker
+	headersPackage      = "libc6-dev"       // C headers, start-up files and libraries for linking
+	certificatesPackage = "ca-certificates" // for downloads of modules from the proxy
 )
 
-// commandPackages are the commands that the build line may call, and what they come with; "" stands for the language or
-// an essential package.
+// commandPackages maps each command that the build line may call to the system package that provides it. The empty
+// string stands for the Go installation or an essential package, which the deploy file does not list.
 var commandPackages = map[string]string{"go": "", "mkdir": ""}
 
-// libraryPackages are the libraries that C parts may be linked with.
+// libraryPackages maps each linker flag that cgo packages may use to the system package with the library.
 var libraryPackages = map[string]string{
 	"-lpthread": headersPackage,
 	"-lresolv":  headersPackage,
@@ -38,13 +38,13 @@
 	"-lm":       headersPackage,
 }
 
-// deployment is the part of the deploy file that says how the system is built.
+// deployment is the part of the deploy file that describes the build.
 type deployment struct {
 	Build    string   `toml:"build"`
 	Packages []string `toml:"packages"`
 }
 
-// listedPackage is a Go package as `go list` describes it.
+// listedPackage is a Go package in the output of `go list -json`.
 type listedPackage struct {
 	ImportPath   string
 	Standard     bool
@@ -56,23 +56,23 @@
 	CgoPkgConfig []string
 }
 
-// TestDeployFileListsThePackagesOfTheBuild holds the list of system packages against what the build line calls and what
-// the sources that it builds are linked with.
+// TestDeployFileListsThePackagesOfTheBuild checks that the deploy file lists exactly the system packages that the
+// commands of its build line and the libraries linked into the built programs need.
 func TestDeployFileListsThePackagesOfTheBuild(t *testing.T) {
 	var deployed deployment
 	_, err := toml.DecodeFile(deployFile, &deployed)
 	assert.NilError(t, err)
 	needed := map[string]bool{}
-	for _, command := range commandsOf(deployed.Build) {
-		comesWith, known := commandPackages[command]
-		assert.Assert(t, known, "the build calls %s: which package has it?", command)
-		needed[comesWith] = true
+	for _, command := range buildCommands(deployed.Build) {
+		systemPackage, known := commandPackages[command]
+		assert.Assert(t, known, "the build calls %s, which is not in commandPackages", command)
+		needed[systemPackage] = true
 	}
 	if strings.Contains(deployed.Build, "-linkmode=external") {
 		needed[compilerPackage], needed[headersPackage] = true, true
 	}
-	for _, built := range dependencies(t, targetsOf(deployed.Build)) {
-		addNeeds(t, needed, built)
+	for _, built := range dependencies(t, buildTargets(deployed.Build)) {
+		addNeededPackages(t, needed, built)
 	}
 	delete(needed, "")
 	var names []string
@@ -84,8 +84,8 @@
 	assert.DeepEqual(t, deployed.Packages, names)
 }
 
-// commandsOf returns the commands that a build line calls.
-func commandsOf(line string) []string {
+// buildCommands returns the names of the commands that a build line calls.
+func buildCommands(line string) []string {
 	var commands []string
 	for part := range strings.SplitSeq(line, "&&") {
 		for word := range strings.FieldsSeq(part) {
@@ -98,8 +98,8 @@
 	return commands
 }
 
-// targetsOf returns the packages that a build line builds.
-func targetsOf(line string) []string {
+// buildTargets returns the Go packages that a build line builds.
+func buildTargets(line string) []string {
 	var targets []string
 	for word := range strings.FieldsSeq(line) {
 		if strings.HasPrefix(word, "./") {
@@ -109,7 +109,7 @@
 	return targets
 }
 
-// dependencies lists the packages that targets are built of.
+// dependencies returns the targets and all Go packages that they depend on.
 func dependencies(t *testing.T, targets []string) []listedPackage {
 	t.Helper()
 	command := exec.Command("go", append([]string{"list", "-deps", "-json"}, targets...)...)
@@ -129,8 +129,8 @@
 	}
 }
 
-// addNeeds adds what a Go package is built with.
-func addNeeds(t *testing.T, needed map[string]bool, built listedPackage) {
+// addNeededPackages adds the system packages that building a Go package needs.
+func addNeededPackages(t *testing.T, needed map[string]bool, built listedPackage) {
 	t.Helper()
 	other := len(built.CXXFiles) + len(built.FFiles) + len(built.SwigFiles) + len(built.CgoPkgConfig)
 	assert.Equal(t, other, 0, "%s needs more than a C compiler", built.ImportPath)
@@ -139,9 +139,9 @@
 	}
 	for _, flag := range built.CgoLDFLAGS {
 		if strings.HasPrefix(flag, "-l") {
-			comesWith, known := libraryPackages[flag]
-			assert.Assert(t, known, "%s is linked with %s: which package has it?", built.ImportPath, flag)
-			needed[comesWith] = true
+			systemPackage, known := libraryPackages[flag]
+			assert.Assert(t, known, "%s is linked with %s, which is not in libraryPackages", built.ImportPath, flag)
+			needed[systemPackage] = true
 		}
 	}
 	if !built.Standard && !strings.HasPrefix(built.ImportPath, "gladepick") {
--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// plane is a part of the system with one job; docs/architecture.md describes each.
+// plane is a layer of the system with one responsibility. docs/architecture.md describes each plane.
 type plane string
 
 const (
@@ -14,13 +14,13 @@
 	planeIngress  plane = "ingress"
 	planeAssembly plane = "assembly"
 	planeTools    plane = "tools"
-	// planeCommon holds what the dispatcher and the tools share.
+	// planeCommon has the packages that the dispatcher and the tools share.
 	planeCommon plane = "common"
-	// planeDispatcher is the dispatcher without stores, bin/gladepick, with its planner and its simulator.
+	// planeDispatcher is the dispatcher without stores (bin/gladepick), with its planner and its simulator.
 	planeDispatcher plane = "dispatcher"
 )
 
-// planeOf puts every package of the module into its plane, by its folder.
+// planeOf maps the folder of every package of the module to its plane.
 var planeOf = map[string]plane{
 	"internal/decision": planeDecision,
 
@@ -99,8 +99,9 @@
 	"internal/dispatcher/simadapter":            planeDispatcher,
 }
 
-// mayImport lists the other planes that a plane may import. Its own packages it may import always.
-var mayImport = map[plane][]plane{
+// planeMayImport lists the other planes that a plane may import. Packages of the same plane may always import each
+// other.
+var planeMayImport = map[plane][]plane{
 	planeDecision:   {},
 	planePlumbing:   {},
 	planeCommon:     {},
@@ -113,8 +114,9 @@
 	planeDispatcher: {planeDecision, planeCommon},
 }
 
-// mayImportPackages narrows the rule for packages at the bottom: these import nothing of the module but what is listed.
-var mayImportPackages = map[string][]string{
+// packageMayImport further restricts some low-level packages: their non-test files may import only the listed packages
+// of the module.
+var packageMayImport = map[string][]string{
 	"internal/configuration":                 {"internal/configuration/configurationpb"},
 	"internal/configuration/configurationpb": {},
 	"internal/ctxtime":                       {},
@@ -134,18 +136,18 @@
 	"internal/controlplane/replication":      {"internal/ctxtime", "internal/modelcheck", "internal/rpc", "internal/vfs", "internal/wal"},
 }
 
-// majorityLog is the library that replicates a log by majority. The control state has another form of replication,
-// primary-backup with witnesses, so only the dispatcher's internal/dispatcher/raftgroup may use it.
-const majorityLog = "go.etcd.io/raft"
+// raftLibrary is the import path of the Raft library. Only internal/dispatcher/raftgroup may use it: the control state
+// is replicated differently, by primary-backup with witnesses.
+const raftLibrary = "go.etcd.io/raft"
 
-// planeAllows tells whether the rules of the planes let one package import another.
+// planeAllows reports whether planeMayImport lets one package import another.
 func planeAllows(from, to string) bool {
 	source, target := planeOf[from], planeOf[to]
-	return source == target || slices.Contains(mayImport[source], target)
+	return source == target || slices.Contains(planeMayImport[source], target)
 }
 
-// packageAllows tells whether the rules of the packages at the bottom let one package import another.
+// packageAllows reports whether packageMayImport lets one package import another.
 func packageAllows(from, to string) bool {
-	allowed, narrowed := mayImportPackages[from]
-	return !narrowed || slices.Contains(allowed, to)
+	allowed, restricted := packageMayImport[from]
+	return !restricted || slices.Contains(allowed, to)
 }
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// generatedSuffix marks the files that a generator writes; their style is the generator's.
+// generatedSuffix is the suffix of generated files, which the style rules do not cover.
 const generatedSuffix = ".pb.go"
 
-// importGroup is the place of an import in its block: the standard library first, this module last.
+// importGroup is the group of an import. In an import block, the groups stand in the order of these constants.
 type importGroup int
 
 const (
@@ -37,21 +37,21 @@
 	return groupStandard
 }
 
-// sourceFile is one parsed file of the module.
-type sourceFile struct {
+// goFile is one parsed Go file of the module.
+type goFile struct {
 	name   string // relative to the module's root
 	files  *token.FileSet
 	syntax *ast.File
 }
 
-func (f *sourceFile) place(position token.Pos) string {
+func (f *goFile) place(position token.Pos) string {
 	return fmt.Sprintf("%s:%d", f.name, f.files.Position(position).Line)
 }
 
-// parseModule parses all files that are written by hand.
-func parseModule(t *testing.T) []*sourceFile {
+// parseModule parses all Go files of the module that are not generated.
+func parseModule(t *testing.T) []*goFile {
 	t.Helper()
-	var parsed []*sourceFile
+	var parsed []*goFile
 	err := filepath.WalkDir(moduleRoot, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -68,7 +68,7 @@
 			return err
 		}
 		relative, err := filepath.Rel(moduleRoot, name)
-		parsed = append(parsed, &sourceFile{name: filepath.ToSlash(relative), files: files, syntax: syntax})
+		parsed = append(parsed, &goFile{name: filepath.ToSlash(relative), files: files, syntax: syntax})
 		return err
 	})
 	assert.NilError(t, err)
@@ -76,8 +76,8 @@
 	return parsed
 }
 
-// TestImportsAreGrouped holds the order of imports: the standard library, libraries, this module, each in a paragraph
-// of its own.
+// TestImportsAreGrouped checks that imports stand in the order standard library, other libraries, this module, and that
+// blank lines separate these groups.
 func TestImportsAreGrouped(t *testing.T) {
 	var problems []string
 	for _, file := range parseModule(t) {
@@ -86,7 +86,7 @@
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-func ungroupedImports(t *testing.T, file *sourceFile) []string {
+func ungroupedImports(t *testing.T, file *goFile) []string {
 	t.Helper()
 	var problems []string
 	previousLine, previousGroup := 0, groupStandard
@@ -97,7 +97,7 @@
 		switch {
 		case i == 0:
 		case group < previousGroup:
-			problems = append(problems, fmt.Sprintf("%s: %s belongs into an earlier paragraph", file.place(spec.Pos()), path))
+			problems = append(problems, fmt.Sprintf("%s: %s belongs in an earlier group", file.place(spec.Pos()), path))
 		case group > previousGroup && line == previousLine+1:
 			problems = append(problems, fmt.Sprintf("%s: a blank line is missing before %s", file.place(spec.Pos()), path))
 		}
@@ -106,8 +106,8 @@
 	return problems
 }
 
-// TestExportedNamesHaveDocComments finds packages without a comment, and exported names outside tests without one. A
-// group of constants or variables may share a comment.
+// TestExportedNamesHaveDocComments finds packages and exported names without a doc comment, except in test files. The
+// constants or variables of a group may share a comment.
 func TestExportedNamesHaveDocComments(t *testing.T) {
 	var problems []string
 	packageComments := map[string]bool{}
@@ -129,7 +129,7 @@
 	assert.Equal(t, strings.Join(problems, "\n"), "")
 }
 
-func undocumented(file *sourceFile, declaration ast.Decl) []string {
+func undocumented(file *goFile, declaration ast.Decl) []string {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
 		if declaration.Doc == nil && declaration.Name.IsExported() && receiverIsExported(declaration) {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// receiverIsExported tells whether a function has no receiver, or one of an exported type.
+// receiverIsExported reports whether a function has no receiver or a receiver of an exported type.
 func receiverIsExported(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
@@ -165,7 +165,7 @@
 	}
 }
 
-func undocumentedSpecs(file *sourceFile, declaration *ast.GenDecl) []string {
+func undocumentedSpecs(file *goFile, declaration *ast.GenDecl) []string {
 	var problems []string
 	report := func(name *ast.Ident) {
 		problems = append(problems, fmt.Sprintf("%s: %s has no doc comment", file.place(name.Pos()), name.Name))
