--- a/cmd/gladepick-benchreport/main.go
+++ b/cmd/gladepick-benchreport/main.go
@@ -29,7 +29,7 @@
 	exitUsage  = 2
 )
 
-// arguments are the parsed command line.
+// arguments holds the parsed command line.
 type arguments struct {
 	reports []string
 	spans   int
--- a/cmd/gladepick-full/plan.go
+++ b/cmd/gladepick-full/plan.go
@@ -25,7 +25,7 @@
 
 var questions = []string{askBreaks, askNeeds, askZones}
 
-// planFlags are the flags of the command plan.
+// planFlags holds the flags of the command plan.
 type planFlags struct {
 	fleet    string   // file
 	load     string   // file; empty to take the load from the captures
--- a/cmd/gladepick/main_test.go
+++ b/cmd/gladepick/main_test.go
@@ -36,21 +36,21 @@
 
 // startProgramWithInput is startProgram with a standard input.
 func startProgramWithInput(t *testing.T, stdin io.Reader, text string, env []string, args ...string) (*exec.Cmd, *bufio.Scanner) {
-	c := exec.Command(os.Args[0], args...)
-	c.Stdin = stdin
-	c.Env = append(os.Environ(), append(env, "GLADEPICK_AS_PROGRAM=1")...)
-	out, err := c.StderrPipe()
+	command := exec.Command(os.Args[0], args...)
+	command.Stdin = stdin
+	command.Env = append(os.Environ(), append(env, "GLADEPICK_AS_PROGRAM=1")...)
+	out, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Process.Kill() })
+	t.Cleanup(func() { command.Process.Kill() })
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		if strings.Contains(lines.Text(), text) {
-			return c, lines
+			return command, lines
 		}
 	}
 	t.Fatalf("the program ended without printing %q", text)
--- a/cmd/gladepick/shutdown_test.go
+++ b/cmd/gladepick/shutdown_test.go
@@ -145,8 +145,8 @@
 }
 
 // TestShutdownAnswersEveryAcceptedJob has clients send jobs on open and on new connections, as fast as they are
-// answered, until the dispatcher has exited. Every job that the dispatcher counts as taken must reach its client as an
-// answer, and no new connection may be closed without an answer.
+// answered, until the dispatcher has exited. Every job that the dispatcher counts as taken must be answered to its
+// client. No new connection may be closed without an answer, except the last one of each client.
 func TestShutdownAnswersEveryAcceptedJob(t *testing.T) {
 	address := freeAddress(t)
 	workerField := startWorker(t, func() {})
--- a/internal/architecture/planes_test.go
+++ b/internal/architecture/planes_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// plane is a layer of the system with one responsibility. docs/architecture.md describes each plane.
+// plane is a part of the system with one responsibility. docs/architecture.md describes each plane.
 type plane string
 
 const (
@@ -136,8 +136,8 @@
 	"internal/controlplane/replication":      {"internal/ctxtime", "internal/modelcheck", "internal/rpc", "internal/vfs", "internal/wal"},
 }
 
-// raftLibrary is the import path of the Raft library. Only internal/dispatcher/raftgroup may use it: the control state
-// is replicated differently, by primary-backup with witnesses.
+// raftLibrary is the prefix of the import paths of the Raft library. Only internal/dispatcher/raftgroup may use it: the
+// control state is not replicated by majority, but by primary-backup with witnesses.
 const raftLibrary = "go.etcd.io/raft"
 
 // planeAllows reports whether planeMayImport lets one package import another.
