--- a/internal/cluster/store.go
+++ b/internal/cluster/store.go
@@ -5,7 +5,7 @@
 // StoreState is the state of a store as decided by the control plane.
 type StoreState string
 
-// The states of a store.
+// The values of StoreState.
 const (
 	StoreActive   StoreState = "active"   // it may hold replicas
 	StoreDown     StoreState = "down"     // its lease has expired
@@ -23,7 +23,7 @@
 	Incarnation string     `json:"incarnation"`
 	State       StoreState `json:"state"`
 	// Unresponsive is set while the store does not respond although its lease is still valid. Messages go to other stores
-	// where possible.
+	// if possible.
 	Unresponsive bool `json:"silent,omitempty"`
 }
 
--- a/internal/decision/arrivals.go
+++ b/internal/decision/arrivals.go
@@ -4,7 +4,7 @@
 const deadlineMarginTicks = 2
 
 // A job stays pending for at most its latency target divided by one of these divisors. reportedPendingDivisor
-// applies where waiting times can be estimated: there, other jobs wait for the same workers as well.
+// applies if waiting times can be estimated: in that case other jobs wait for the same workers as well.
 const (
 	pendingDivisor         = 2
 	reportedPendingDivisor = 4
@@ -59,8 +59,8 @@
 	}
 }
 
-// mayWait reports whether a job may stay pending. No job may where many dispatchers share the workers: a
-// dispatcher would learn nothing about the workers meanwhile.
+// mayWait reports whether a job may stay pending. If many dispatchers share the workers,
+// no job may, because the dispatcher would learn nothing about the workers in the meantime.
 func (d *Dispatcher) mayWait(job *jobState) bool {
 	if job.overQuota || d.sharedFleet {
 		return false
@@ -68,7 +68,7 @@
 	return d.now < job.pendingUntil && d.gate.allowsAttempt(job, d.now)
 }
 
-// reject ends a job without a result. It answers Reject only where another try is harmless, and Fail
+// reject ends a job without a result. It answers Reject only if another try is harmless, and Fail
 // otherwise.
 func (d *Dispatcher) reject(job *jobState) {
 	answer := Action{Kind: Reject, Job: job.Job}
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// cancel cancels an attempt if it is in flight, at most once and only where the settings allow it.
+// cancel cancels an attempt if it is in flight, at most once and only if the settings allow it.
 func (d *Dispatcher) cancel(job *jobState, number int, attempt *attemptState) {
 	inFlight := !attempt.done && !attempt.cancelled
 	if !d.settings.Cancel || !inFlight {
--- a/internal/decision/discovery_calls.go
+++ b/internal/decision/discovery_calls.go
@@ -6,7 +6,7 @@
 )
 
 // minDiscoverySilence is the lower bound of the longest silence between calls to discovery. Without it, calls
-// would follow one another at once where the settings state no limit.
+// would follow one another at once if the settings state no limit.
 const minDiscoverySilence = time.Second
 
 // A call is made at a random moment within the first third of the allowed silence, excluding the first tenth
--- a/internal/decision/dispatcher.go
+++ b/internal/decision/dispatcher.go
@@ -18,11 +18,11 @@
 // defaultLatencyTarget applies to a class whose latency target is not stated.
 const defaultLatencyTarget = time.Second
 
-// minSharedDispatchers is the number of dispatchers from which on each of them sends to a given worker too
+// minSharedDispatchers is the least number of dispatchers with which each of them sends to a given worker too
 // rarely to keep jobs pending for it.
 const minSharedDispatchers = 20
 
-// highCrossZoneCost is the cross-zone cost from which on each choice of a worker weighs crossing zones
+// highCrossZoneCost is the least cross-zone cost with which each choice of a worker weighs crossing zones
 // together with the risk of a late answer.
 const highCrossZoneCost = 0.05
 
@@ -82,7 +82,7 @@
 }
 
 // sharesWorkers reports whether workers report their load and the dispatcher decides by the risk of a late
-// answer: with many dispatchers, or where crossing zones is expensive.
+// answer, which it does with many dispatchers or if crossing zones is expensive.
 func sharesWorkers(settings *Settings) bool {
 	crossingCounts := settings.CrossZoneCost >= highCrossZoneCost
 	return reportsLoad(settings) && (settings.Dispatchers >= minSharedDispatchers || crossingCounts)
--- a/internal/decision/event.go
+++ b/internal/decision/event.go
@@ -24,10 +24,10 @@
 	EventPeerMessage                        // From, Data
 )
 
-// ListKind says how complete and how current a list of workers is.
+// ListKind specifies how complete and how current a list of workers is.
 type ListKind uint8
 
-// The kinds of lists.
+// The values of ListKind.
 const (
 	ListFailed ListKind = iota // the call failed or the watch broke; no entries
 	ListCached                 // all workers as last known; may be outdated
@@ -38,7 +38,7 @@
 // State is the state of a listed worker.
 type State uint8
 
-// The states of a worker.
+// The values of State.
 const (
 	Gone State = iota
 	Ready
@@ -59,7 +59,7 @@
 // Outcome is the result of an attempt or a health check.
 type Outcome uint8
 
-// The outcomes.
+// The values of Outcome.
 const (
 	OK            Outcome = iota + 1
 	Error                 // failed; it may have run
@@ -71,10 +71,10 @@
 	NeverSent             // not sent: it never ran
 )
 
-// ProgressKind says what an EventJobProgress reports.
+// ProgressKind specifies what an EventJobProgress reports.
 type ProgressKind uint8
 
-// The kinds of progress.
+// The values of ProgressKind.
 const (
 	JobStarted  ProgressKind = iota + 1 // the job has started
 	JobAdvanced                         // Value is the share that is done
--- a/internal/decision/forecast.go
+++ b/internal/decision/forecast.go
@@ -37,7 +37,7 @@
 
 // forecast is the expected result of sending a job to a worker.
 type forecast struct {
-	// cost is the value by which workers are compared: the seconds to an answer, or, where many dispatchers
+	// cost is the value by which workers are compared: the seconds to an answer, or, if many dispatchers
 	// share the workers, the probability of a late answer plus the costs of the start delay and of crossing
 	// zones.
 	cost float64
--- a/internal/decision/forecast_test.go
+++ b/internal/decision/forecast_test.go
@@ -31,7 +31,7 @@
 }
 
 // Late answers earn little and delay later jobs. With all kinds busy, two thirds of the jobs of some seconds
-// were late where rejecting a fifth would have been enough. Jobs that are likely late must be rejected at
+// were late although rejecting a fifth would have been enough. Jobs that are likely late must be rejected at
 // once, and jobs of the highest value must be sent.
 func TestLikelyLateJobsAreRejected(t *testing.T) {
 	c := newCheckerWithWorkers(t, 60, func(s *Settings) { sharedFleetSettings(s); s.Classes[4].Value = 20 })
@@ -51,7 +51,7 @@
 	}
 }
 
-// Jobs must stay in their zone where crossing zones is expensive. With four dispatchers, locality only broke
+// Jobs must stay in their zone if crossing zones is expensive. With four dispatchers, locality only broke
 // ties, and with a slow kind beside a fast one nine in ten jobs crossed zones, which cost 0.058 to 0.075 of
 // the gain on each quick day. A slow local kind that still answers in time must be used.
 func TestJobsStayInTheirZoneWhereCrossingIsExpensive(t *testing.T) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Where value grows with the run time, short and long classes must have the same value density. With a fixed
+// If value grows with the run time, short and long classes must have the same value density. With a fixed
 // value, the shorter class counted as 2.5 times as dense and was sent into queues that made it late.
 func TestValueByWorkHasEqualDensityInAllClasses(t *testing.T) {
 	for byWork, want := range map[bool]float64{true: 1.25, false: 2.5} {
--- a/internal/decision/jobs.go
+++ b/internal/decision/jobs.go
@@ -9,7 +9,7 @@
 type jobState struct {
 	Event
 	dueAt        time.Duration // latest start for an answer in time, not counting the job's own run time
-	pendingUntil time.Duration // the job is not kept pending after it
+	pendingUntil time.Duration // the job is not kept pending after this time
 	attempts     []*attemptState
 	ended        bool // the job needs no further answer
 	pending      bool // the job waits for a worker and has no attempt in flight
--- a/internal/decision/key_affinity.go
+++ b/internal/decision/key_affinity.go
@@ -9,8 +9,8 @@
 // the data of the key.
 const workersPerKey = 3
 
-// rankSlotMargin is how many more own slots than the next worker in the key's ranking a worker has to have in
-// use for a job to go to that next worker.
+// rankSlotMargin is the surplus of own slots in use at a worker, compared with the next worker in the key's
+// ranking, at which a job goes to that next worker.
 const rankSlotMargin = 2
 
 // keyWorkers returns the workers that rank highest for a key by rendezvous hashing, highest first. The
--- a/internal/decision/key_affinity_test.go
+++ b/internal/decision/key_affinity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The jobs of one key must go to few workers, the same for all dispatchers, even where fetching the data of a
-// key costs only time. Without key affinity there, nearly half of the answers of a quiet day were late.
+// The jobs of one key must go to few workers, the same for all dispatchers, even if fetching the data of a
+// key costs only time. Without key affinity, nearly half of the answers of a quiet day were late.
 func TestKeyIsServedByFewWorkers(t *testing.T) {
 	used := map[WorkerID]bool{}
 	for seed := range uint64(5) {
--- a/internal/decision/learned_times.go
+++ b/internal/decision/learned_times.go
@@ -108,7 +108,7 @@
 	return max(class.Stretch-1, 0) * t.runSeconds[job.Class]
 }
 
-// valueDensity returns the value of a job of a class for its run time. Where value grows with the run time,
+// valueDensity returns the value of a job of a class for its run time. If value grows with the run time,
 // long and short jobs of the same value have the same density.
 func (t *learnedTimes) valueDensity(class int, settings *Settings) float64 {
 	fixedValue := float64(boolToInt(!settings.ValueByWork))
--- a/internal/decision/learned_times_test.go
+++ b/internal/decision/learned_times_test.go
@@ -12,9 +12,9 @@
 func init() { flag.Set("rapid.seed", "20261201") } // the same steps in every run
 
 // Estimates must stay finite if jobs seem to take no time and if the first kind has no workers. The messages
-// of the start and the end of a job may arrive in one write. The slowness of a kind then fell by a factor at
-// each job while the run time of a class grew by one, until both were NaN and every job was rejected for
-// good.
+// of the start and the end of a job may arrive in one write. Each such job lowered the slowness of a kind by
+// a factor and raised the run time of a class by a factor, until both were NaN and every job was rejected
+// permanently.
 func TestZeroRunTimesKeepEstimatesBounded(t *testing.T) {
 	for _, kind := range []int{0, 1} {
 		s := testSettings()
--- a/internal/decision/load_estimate.go
+++ b/internal/decision/load_estimate.go
@@ -23,7 +23,7 @@
 // or inferred length of a queue may be absurd.
 const maxGroupLoad = 4
 
-// minWorkerSlots is the least number of slots that a worker is taken to have. A kind that is full from the
+// minWorkerSlots is the least number of slots that a worker is assumed to have. A kind that is full from the
 // start may never show more.
 const minWorkerSlots = 1
 
--- a/internal/decision/load_estimate_test.go
+++ b/internal/decision/load_estimate_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Rejections must end after an overload. With nothing sent, nothing is learned about its end: rejections
-// sustained themselves, up to half of all jobs with workers three quarters idle.
+// Rejections must end after an overload. If no jobs are sent, the dispatcher learns nothing about the end of
+// the overload: up to half of all jobs were still rejected while the workers were three quarters idle.
 func TestRejectionsEndAfterOverload(t *testing.T) {
 	rejected := 300 // long after the overload; jobs that are sent are subtracted
 	newCheckerWithWorkers(t, 60, sharedFleetSettings).serveSequentially(900, func(id JobID, _ Entry) workerReply {
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -77,7 +77,7 @@
 
 // retryAfter draws the time after which the client of a rejected job may retry: about one tick, longer the
 // smaller the admitted share is, and random so that clients do not retry together. most is the longest time
-// that clients may be told, 0 if they are told none.
+// that clients may be given, 0 if they are given none.
 func (s *loadShedder) retryAfter(tick, most time.Duration) time.Duration {
 	ticks := retryAfterBase + retryAfterSpread*s.random.Float64()
 	return min(seconds(tick.Seconds()*ticks/s.effectiveShare()), most)
--- a/internal/decision/load_shedding_test.go
+++ b/internal/decision/load_shedding_test.go
@@ -27,8 +27,8 @@
 }
 
 // Late starts must shed jobs. Queues long enough to take every job hide an overload: nothing was rejected and
-// nearly all answers were late. Where more than a fifth of the starts come after the whole latency target,
-// part of all jobs is rejected at once, and no longer once starts are prompt.
+// nearly all answers were late. If more than a fifth of the starts come after the whole latency target,
+// part of all jobs is rejected at once, until starts are prompt again.
 func TestLateStartsShedJobs(t *testing.T) {
 	c := newCheckerWithWorkers(t, 24, func(s *Settings) { s.Classes[1].LateValue = 0.5 })
 	id := JobID(0)
@@ -64,9 +64,9 @@
 	}
 }
 
-// A rejection must carry a retry-after time where clients are told one: within the stated limit, different
+// A rejection must carry a retry-after time if clients are given one: within the stated limit, different
 // between clients, and longer the smaller the admitted share is. A failure carries none, and neither does a
-// rejection where clients are not told.
+// rejection if clients are given none.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	retryAfterTimes := func(tellClients bool, share float64, class int) map[time.Duration]bool {
 		c := newCheckerWithWorkers(t, 0, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = tellClients, time.Second })
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -126,7 +126,7 @@
 }
 
 // sendPending sends a pending job to a worker that has just freed a slot: the job of the highest value
-// density where workers report their load, and the oldest one otherwise.
+// density if workers report their load, and the oldest one otherwise.
 func (d *Dispatcher) sendPending(worker *workerState) {
 	var next *jobState
 	for _, job := range d.jobs.open {
@@ -150,7 +150,7 @@
 	return d.load.reported && d.forecasts.density(job) > d.forecasts.density(older)
 }
 
-// handleClientLeft ends a job whose client has left. Where workers report their load, the attempt in flight
+// handleClientLeft ends a job whose client has left. If workers report their load, the attempt in flight
 // is not cancelled: it keeps running and holding its slot at the worker. Cancelling it would only drop the
 // connection and hide that the slot is in use.
 func (d *Dispatcher) handleClientLeft(job *jobState) {
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -69,7 +69,7 @@
 }
 
 // isHopeless reports whether a job can no longer earn more than its place in the worker's queue costs. This
-// holds where a late answer earns nothing and the job has not started by its due time plus the slack that the
+// holds if a late answer earns nothing and the job has not started by its due time plus the slack that the
 // growth of its latency target leaves. The slack is smaller the longer jobs behind it would wait.
 func (d *Dispatcher) isHopeless(job *jobState, attempt *attemptState) bool {
 	class := d.class(job)
@@ -91,7 +91,7 @@
 	return d.now-silentSince > allowed && !attempt.worker.unhealthy
 }
 
-// observeWaiting adds the waiting of an attempt that has not started to the load estimate, where many
+// observeWaiting adds the waiting of an attempt that has not started to the load estimate if many
 // dispatchers share the workers. The start and the load report with the answer would come too late for the
 // jobs that are sent in the meantime.
 func (d *Dispatcher) observeWaiting(attempt *attemptState) {
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Where a late answer earns nothing, a job that has not started by its latency target must leave the worker's
+// If a late answer earns nothing, a job that has not started by its latency target must leave the worker's
 // queue. A queue full of such jobs made all answers late.
 func TestHopelessJobsAreCancelled(t *testing.T) {
 	for _, tc := range []struct {
@@ -31,8 +31,8 @@
 	}
 }
 
-// A dispatcher that stalled received nothing for a while. It must not mark workers as unhealthy for its own
-// stall.
+// A dispatcher that stalled received nothing for a while. It must not mark workers as unhealthy because of
+// its own stall.
 func TestDispatcherStallMarksNoWorkerUnhealthy(t *testing.T) {
 	c := newCheckerWithWorkers(t, 24, nil)
 	for id := JobID(1); id <= 20; id++ {
--- a/internal/decision/picking.go
+++ b/internal/decision/picking.go
@@ -11,7 +11,7 @@
 // if no worker there can take the job.
 const maxPoolsTried = 2
 
-// lastChanceTicks is the number of ticks before pendingUntil from which on a job may go to a worker without a
+// lastChanceTicks is the number of ticks before pendingUntil during which a job may go to a worker without a
 // free slot.
 const lastChanceTicks = 2
 
@@ -59,9 +59,9 @@
 	return best, anyReady
 }
 
-// mayWaitAtWorker reports whether a job may go to a worker without a free slot. It may shortly before
-// pendingUntil, where workers report their load. A job that exceeds its tenant's share may not where there
-// are several pools.
+// mayWaitAtWorker reports whether a job may go to a worker without a free slot. If workers report their load,
+// a job may do so shortly before pendingUntil, unless it exceeds its tenant's share and there are several
+// pools.
 func (p *picker) mayWaitAtWorker(job *jobState, now time.Duration) bool {
 	waitingIsKnown := p.load.reported && !p.sharedFleet
 	if !waitingIsKnown || job.Key != 0 {
@@ -91,7 +91,7 @@
 }
 
 // searchPool searches one pool for a worker. anyReady reports whether the pool has ready workers that may
-// take the job. Where many dispatchers share the workers, a warming-up worker with a permit is taken first,
+// take the job. If many dispatchers share the workers, a warming-up worker with a permit is taken first,
 // because its permits are few. The best of the other workers is not taken if the risk of a late answer
 // because of waiting is too high.
 func (p *picker) searchPool(pool [][]*workerState, search workerSearch) (best *workerState, anyReady bool) {
@@ -173,7 +173,7 @@
 	return load
 }
 
-// searchKinds searches the kinds of a pool for a worker, in their order. Where workers report their load, it
+// searchKinds searches the kinds of a pool for a worker, in their order. If workers report their load, it
 // returns the best worker of all kinds. Otherwise it returns the best worker of the first kind that has one.
 func (p *picker) searchKinds(kinds []int, candidates [][]*workerState, search workerSearch) *workerState {
 	if search.job.Key != 0 {
@@ -201,7 +201,8 @@
 	return members[:firstRemote], members[firstRemote:]
 }
 
-// cheaper returns the worker with the lower cost for a job. Either may be nil. The first one wins a tie.
+// cheaper returns the worker with the lower cost for a job, and the first one if the costs are equal. Either
+// may be nil.
 func (p *picker) cheaper(first, second *workerState, search workerSearch) *workerState {
 	if first == nil {
 		return second
--- a/internal/decision/picking_test.go
+++ b/internal/decision/picking_test.go
@@ -57,7 +57,7 @@
 
 // Idle connections must be reused. One of hundreds of dispatchers rarely has own slots in use, and each new
 // worker cost it a handshake. A worker with an idle connection that started its last job at once is
-// preferred. A worker that let the job wait is not, nor one whose connection has been closed by now, nor any
+// preferred. A worker is not preferred if it let the job wait, if its connection has been closed by now, or
 // if the idle time is not stated.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/decision/power_of_two.go
+++ b/internal/decision/power_of_two.go
@@ -54,7 +54,7 @@
 	return worker.startedPromptly && p.delays.isConnected(worker, search.now)
 }
 
-// accepts reports whether a worker takes a job now and, where full workers are excluded, has a free slot for
+// accepts reports whether a worker takes a job now and, if full workers are excluded, has a free slot for
 // it.
 func (p *picker) accepts(worker *workerState, search workerSearch) bool {
 	if !p.health.accepts(worker, search.job, search.now) {
@@ -73,8 +73,8 @@
 	return worker.ownSlots == other.ownSlots && p.isNearer(worker, other, search)
 }
 
-// isNearer reports whether a job costs less at worker than at other, where many dispatchers share the
-// workers. Elsewhere it reports whether only worker is local and other is not prompt.
+// isNearer compares two workers for a job. If many dispatchers share the workers, it reports whether the job
+// costs less at worker than at other; otherwise, whether only worker is local and other is not prompt.
 func (p *picker) isNearer(worker, other *workerState, search workerSearch) bool {
 	if p.sharedFleet {
 		return p.costsLess(worker, other, search)
--- a/internal/decision/quota.go
+++ b/internal/decision/quota.go
@@ -55,7 +55,7 @@
 func (q *tenantQuota) observeAnswer(tenant int) { q.answers[tenant]++ }
 
 // observeArrival counts a job and reports whether it exceeds its tenant's share. If a tenant sends more than
-// chance explains, a random selection of its jobs exceeds the share, as large as the surplus.
+// chance explains, a random selection of its jobs, as large as the surplus, counts as exceeding the share.
 func (q *tenantQuota) observeArrival(tenant int) (overQuota bool) {
 	q.arrivals[tenant]++
 	served, known := q.medianServedPart()
--- a/internal/decision/quota_test.go
+++ b/internal/decision/quota_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A few arrivals in the first seconds must not count as over quota: a third of all jobs were rejected for it.
+// A few arrivals in the first seconds must not count as over quota. They once did, and a third of all jobs
+// were rejected.
 func TestFewArrivalsAreWithinQuota(t *testing.T) {
 	c := newCheckerWithWorkers(t, 40, nil)
 	for id := JobID(1); id < 40; id++ {
@@ -18,8 +19,8 @@
 }
 
 // Under saturation, jobs of a tenant far beyond its share must be shed and those of others admitted. Retries
-// by the clients of the others multiply their arrivals and must not raise the tenant's due. An overload
-// sustained itself that way.
+// by the clients of the others multiply their arrivals and must not raise the tenant's due. When
+// they did, an overload sustained itself.
 func TestRetriesDoNotRaiseTenantQuota(t *testing.T) {
 	admitted := func(retries int) (overShare, others int) {
 		c := newCheckerWithWorkers(t, 40, nil)
--- a/internal/decision/send_gate_test.go
+++ b/internal/decision/send_gate_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// At the deadline a job that may have run must be answered at once: it fails, or is rejected where repeating
+// At the deadline a job that may have run must be answered at once: it fails, or is rejected if repeating
 // is harmless.
 func TestTimeoutAtDeadlineIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []ActionKind{Reject, Fail, Fail, Fail, Reject} {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Where a rejection is no proof that a job never ran, a rejected NotIdempotent job must get no other attempt
+// If a rejection is no proof that a job never ran, a rejected NotIdempotent job must get no other attempt
 // and must not be rejected, and a Deduplicated one must stay in its scope. Failed connections and unsent
 // attempts still prove that the job never ran.
 func TestUnprovenRejectionMayHaveRun(t *testing.T) {
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -8,7 +8,7 @@
 // Idempotency states whether jobs of a class may be repeated.
 type Idempotency uint8
 
-// The idempotency classes.
+// The values of Idempotency.
 const (
 	NotIdempotent Idempotency = iota // must not run twice
 	Deduplicated                     // workers drop repeats within a scope, for a limited time
@@ -18,7 +18,7 @@
 // DedupScope is the set of workers that drop repeats of a Deduplicated job.
 type DedupScope uint8
 
-// The scopes of a Deduplicated class.
+// The values of DedupScope.
 const (
 	DedupByCell DedupScope = iota // workers of one cell
 	DedupByZone                   // workers of one zone
@@ -27,7 +27,7 @@
 
 // ClassSettings describes a class of jobs.
 type ClassSettings struct {
-	LatencyTarget time.Duration // an answer within it earns the full value
+	LatencyTarget time.Duration // an answer within this time earns the full value
 	Stretch       float64       // the target grows by this multiple of the job's run time
 	Deadline      time.Duration // how long the client waits over all its tries
 	Idempotency   Idempotency
@@ -51,7 +51,7 @@
 // Discovery states how lists of workers reach the dispatcher.
 type Discovery uint8
 
-// The discovery modes.
+// The values of Discovery.
 const (
 	DiscoveryPush Discovery = iota // changes arrive without a request
 	DiscoveryPoll                  // lists arrive only after Watch or Fetch
@@ -69,23 +69,23 @@
 
 	Discovery           Discovery
 	MaxDiscoverySilence time.Duration // longest time without a call to discovery while no watch is active
-	DrainGrace          time.Duration // sends to a draining or gone worker have to stop within it
-	AnswerGrace         time.Duration // an answer counts until this long after the deadline
+	DrainGrace          time.Duration // sends to a draining or gone worker must stop within this time
+	AnswerGrace         time.Duration // an answer still counts for this time after the deadline
 	SlowStartShare      float64       // a worker starts with at least this share of its capacity
 	SlowStartDuration   time.Duration // a worker has its full capacity after at most this time
 	OverloadMultiple    float64       // the multiple of its present capacity that overloads a warming-up worker
-	OverloadSpan        time.Duration // an overload that lasts this long makes it stop working
-	DrainCloseWithin    time.Duration // idle connections to a draining worker are closed within it; 0: never
+	OverloadSpan        time.Duration // an overload of this duration makes the worker stop working
+	DrainCloseWithin    time.Duration // limit for closing idle connections to a draining worker; 0: never closed
 	RejectionUnproven   bool          // Rejected does not prove that the attempt never ran
 
-	ConnIdle         time.Duration // idle connections are closed after it; 0: not stated
+	ConnIdle         time.Duration // idle connections are closed after this time; 0: not stated
 	MaxAttempts      int           // attempts per job; 0: no limit stated
 	ParallelAttempts bool          // a job may have two attempts in flight
 	Cancel           bool          // Cancel actions are allowed
 	HealthChecks     bool          // HealthCheck actions are allowed
 	PeerMessages     bool          // SendPeer actions are allowed
 	RetryAfter       bool          // clients are told when to retry
-	MaxRetryAfter    time.Duration // longest retry-after time that clients may be told
+	MaxRetryAfter    time.Duration // longest retry-after time that clients may be given
 
 	CrossZoneCost    float64       // cost of sending a job to another zone, as a part of its value
 	ValueByWork      bool          // the value of a job grows with its run time
--- a/internal/decision/slow_start_budget.go
+++ b/internal/decision/slow_start_budget.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// minBusyShare is the least part of its slots that any worker is assumed to keep busy, where workers report
+// minBusyShare is the least part of its slots that any worker is assumed to keep busy if workers report
 // their load. The use of mostly idle workers says little about their capacity.
 const minBusyShare = 0.5
 
@@ -16,7 +16,7 @@
 const minBusySlots = 0.1
 
 // minJobSlotSeconds is the least work that a job counts as, in slot seconds. It keeps the probability of a
-// permit finite where jobs seem to take no time.
+// permit finite if jobs seem to take no time.
 const minJobSlotSeconds = 1e-3
 
 // minKnownSeconds is the least time over which the rate of work is averaged, for the time soon after the
@@ -24,7 +24,7 @@
 const minKnownSeconds = 1
 
 // minOverloadJobs is the least divisor for the used share of the overload limit. It avoids a division by zero
-// where hardly any job may go to the worker.
+// if hardly any job may go to the worker.
 const minOverloadJobs = 1e-9
 
 // slowStartPermit records whether this dispatcher may send a warming-up worker its next job.
@@ -44,7 +44,7 @@
 	times     *learnedTimes
 	load      *loadEstimator
 
-	firstListAt time.Duration // work is counted from then on
+	firstListAt time.Duration // time of the first list; work is counted since then
 	servedWork  []float64     // by kind: decaying slot seconds of this dispatcher's jobs at warm workers
 }
 
--- a/internal/decision/start_delays.go
+++ b/internal/decision/start_delays.go
@@ -17,7 +17,7 @@
 // connection takes several times the delay to another zone.
 type startDelays struct {
 	locality locality
-	connIdle time.Duration // idle connections are closed after it
+	connIdle time.Duration // idle connections are closed after this time
 
 	// seconds is the delay, indexed by whether the worker is local and whether it has an idle connection. 0
 	// means unknown.
--- a/internal/decision/start_delays_test.go
+++ b/internal/decision/start_delays_test.go
@@ -31,7 +31,7 @@
 	if localJobs < 285 {
 		t.Errorf("%d of 300 jobs stay in their zone although it has free slots", localJobs)
 	}
-	// What is learned about local workers must not affect the estimates for remote ones, nor the reverse.
+	// What is learned about local workers must not affect the estimates for remote ones, or vice versa.
 	for k := range c.dispatcher.load.slotsSeen {
 		c.dispatcher.load.groupLoad[2*k], c.dispatcher.load.groupLoad[2*k+1] = 0, 16
 	}
--- a/internal/decision/validation.go
+++ b/internal/decision/validation.go
@@ -84,7 +84,7 @@
 	return s
 }
 
-// normalized returns a job's event with values that the settings do not allow replaced by valid ones.
+// normalized returns a job's event with values that the settings do not allow replaced with valid ones.
 func (ev *Event) normalized(settings *Settings) Event {
 	event := *ev
 	if !(event.Slots > 0 && event.Slots < math.MaxInt32) { // also catches NaN
@@ -100,7 +100,7 @@
 	return event
 }
 
-// normalize replaces values that the settings do not allow by valid ones, and reports whether the entry's
+// normalize replaces values that the settings do not allow with valid ones, and reports whether the entry's
 // kind or zone is unknown. An invalid weight counts as 1.
 func (e *Entry) normalize(settings *Settings) (unknownPlacement bool) {
 	if !(e.Weight > 0 && e.Weight < math.MaxFloat32) { // also catches NaN
--- a/internal/decision/workers.go
+++ b/internal/decision/workers.go
@@ -128,7 +128,7 @@
 	return actions
 }
 
-// closeIdleAgain repeats the close for draining workers where an attempt failed at most
+// closeIdleAgain repeats the close for each draining worker at which an attempt failed at most
 // Settings.DrainCloseWithin ago.
 func (t *workerTable) closeIdleAgain(now time.Duration, actions []Action) []Action {
 	for _, worker := range t.ordered {
--- a/internal/decision/workers_test.go
+++ b/internal/decision/workers_test.go
@@ -7,7 +7,7 @@
 
 // Idle connections to a draining worker must be closed when any kind of list announces the drain, and after
 // each later outcome. A connection that is established after its attempt was abandoned is closed by a second
-// action. There must be no further closes, and none at all where no time is stated.
+// action. There must be no further closes, and none at all if no time is stated.
 func TestIdleConnectionsAreClosedOnDrains(t *testing.T) {
 	for _, kind := range []ListKind{ListDelta, ListFull, ListCached} {
 		for _, limit := range []time.Duration{0, 800 * time.Millisecond} {
--- a/internal/delivery/attempt_result.go
+++ b/internal/delivery/attempt_result.go
@@ -46,7 +46,7 @@
 	result    attemptResult
 	stamp     string        // only with resultCompleted
 	ended     bool          // the message has ended with this attempt
-	keepAlive time.Duration // when the worker closes idle connections; 0 if it did not say
+	keepAlive time.Duration // time after which the worker closes idle connections; 0 if not stated
 }
 
 // processed reports whether a worker has processed the message or is processing it in another attempt.
--- a/internal/delivery/concurrency_limit.go
+++ b/internal/delivery/concurrency_limit.go
@@ -22,7 +22,7 @@
 // message at a time probes it, with exponential backoff. Times are on the engine's clock.
 type concurrencyLimit struct {
 	current             float64
-	slowStartThreshold  float64 // below it, current grows by one for each response
+	slowStartThreshold  float64 // below this limit, current grows by one for each response
 	consecutiveFailures int     // consecutive attempts that no worker processed
 	down                bool
 	downSince           time.Duration
@@ -94,7 +94,7 @@
 	c.resumeAt = max(c.resumeAt, now+throttledBackoff+randomPart)
 }
 
-// jitter varies a duration at random by up to a quarter up or down.
+// jitter changes a duration at random by up to a quarter in either direction.
 func jitter(duration time.Duration, random *rand.Rand) time.Duration {
 	return time.Duration(float64(duration) * (0.75 + random.Float64()/2))
 }
--- a/internal/delivery/decision_settings.go
+++ b/internal/delivery/decision_settings.go
@@ -65,5 +65,5 @@
 	return timeoutsPerJob * latencyTarget(route)
 }
 
-// tenantOf returns the tenant to which the name of a route is hashed. It is the same at all stores.
+// tenantOf returns the tenant to which the name of a route is hashed. All stores hash a name to the same tenant.
 func tenantOf(route string) int { return int(stableHash(route) % tenantCount) }
--- a/internal/delivery/doc.go
+++ b/internal/delivery/doc.go
@@ -21,8 +21,8 @@
 //   - Applied: the event loop applies the result. Either the message has ended, or the decision module sends it again,
 //     or it is queued again after a backoff (apply_result.go).
 //
-// A message also ends without an attempt when its retention is over or when the operator removes its route (expiry.go,
-// reconfigure.go).
+// A message also ends without an attempt when its retention has expired or when the operator removes its route
+// (expiry.go, reconfigure.go).
 //
 // # Invariants
 //
--- a/internal/delivery/endpoint.go
+++ b/internal/delivery/endpoint.go
@@ -37,7 +37,7 @@
 	backoff          time.Duration // duration of the last ejection
 	ejectedUntil     time.Duration // its last attempts failed: its health is not reset earlier
 	misdirectedUntil time.Duration // another worker responded at its address; 0 if none did
-	healthResetAt    time.Duration // when the decision module was last told to reset its health
+	healthResetAt    time.Duration // when the decision module last received a reset of its health
 	idleTimeout      time.Duration
 	transport        *http.Transport
 }
--- a/internal/delivery/engine.go
+++ b/internal/delivery/engine.go
@@ -120,7 +120,7 @@
 func (e *Engine) SetRateDivisor(divisor int) { e.events.push(rateDivisorChanged{max(divisor, 1)}) }
 
 // Submit adds a committed message of a partition that this store leads. The failures are the number of responses with
-// status 500 so far. If a released partition comes back, the owner submits its messages again in the order of their
+// status 500 so far. If a released partition is reacquired, the owner submits its messages again in the order of their
 // sequence numbers.
 func (e *Engine) Submit(m *message.Message, failures int) {
 	e.events.push(submitted{m, failures, e.gates.generation(m.Partition)})
@@ -158,7 +158,7 @@
 // InFlightOf returns the number of attempts of one partition that are in flight.
 func (e *Engine) InFlightOf(partition int) int { return e.gates.inFlightOf(partition) }
 
-// now returns the time on the engine's clock. The clock starts above zero, because the decision module takes zero for
+// now returns the time on the engine's clock. The clock starts above zero, because the decision module treats zero as
 // "never".
 func (e *Engine) now() time.Duration { return clockStart + time.Since(e.started) }
 
--- a/internal/delivery/enqueue.go
+++ b/internal/delivery/enqueue.go
@@ -20,7 +20,7 @@
 	e.place(queued)
 }
 
-// reclaim returns an orphan to the backlog: its partition was released and came back while its attempt is in flight.
+// reclaim returns an orphan to the backlog: its partition was released and reacquired while its attempt is in flight.
 func (e *Engine) reclaim(orphan *queuedMessage, failures int, generation uint64) {
 	delete(e.backlog.orphans, keyOf(orphan.message))
 	orphan.orphan, orphan.generation = false, generation
--- a/internal/delivery/expiry.go
+++ b/internal/delivery/expiry.go
@@ -15,7 +15,7 @@
 	outcome message.Outcome
 }
 
-// expire ends the messages whose retention is over, except those that are dispatched.
+// expire ends the messages whose retention has expired, except those that are dispatched.
 func (e *Engine) expire(now time.Duration) {
 	if now < e.nextExpiry {
 		return
--- a/internal/delivery/golden_scenarios_test.go
+++ b/internal/delivery/golden_scenarios_test.go
@@ -240,7 +240,7 @@
 	r.setWorkers()
 }
 
-// changeWorkers makes workers join, drain, leave, move to another address and come back.
+// changeWorkers makes workers join, drain, leave, move to another address and rejoin.
 func (r *trace) changeWorkers() {
 	r.startThreeWorkers(succeed, succeed, respondStatus(503))
 	far := r.worker("i-4", "s", "10.0.1.4", succeed)
--- a/internal/delivery/parking.go
+++ b/internal/delivery/parking.go
@@ -60,7 +60,7 @@
 }
 
 // dropPartition drops the messages of a released partition that are older than a generation. Messages that are
-// dispatched are kept as orphans, because the partition may come back before their attempts have ended.
+// dispatched are kept as orphans, because the partition may be reacquired before their attempts have ended.
 func (e *Engine) dropPartition(id int, generation uint64) {
 	p := e.backlog.partitions[id]
 	if p == nil {
--- a/internal/delivery/partitions_test.go
+++ b/internal/delivery/partitions_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestReleaseDropsQueuedMessagesOnly checks that the queued messages of a released partition are dropped, and that
-// attempts in flight run to their end, even if the partition comes back meanwhile.
+// attempts in flight run to their end, even if the partition is reacquired in the meantime.
 func TestReleaseDropsQueuedMessagesOnly(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		fake := h.addWorker("i-1", "s", "10.0.1.1")
--- a/internal/delivery/service.go
+++ b/internal/delivery/service.go
@@ -25,12 +25,12 @@
 	starts            int           // number of messages dispatched so far
 	healthResetCursor int           // index of the endpoint whose health was last reset while the service is down
 	healthResetAt     time.Duration // when the health of idle endpoints was last reset
-	dirty             bool          // to be run in this turn
-	nextRun           time.Duration // when it is to be run next
+	dirty             bool          // it must run in this turn
+	nextRun           time.Duration // time of the next run
 	scheduleIndex     int           // its index in the heap of services by nextRun; -1 if it is not there
 }
 
-// startsPerOverdue is the number of starts of which one goes to an overdue message while other messages can start in
+// startsPerOverdue is the interval, in starts, at which an overdue message starts while other messages can start in
 // time.
 const startsPerOverdue = 4
 
--- a/internal/delivery/service_health.go
+++ b/internal/delivery/service_health.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// restoreMisdirected makes endpoints at whose address another worker responded available again after a pause, if they
-// are still on the list. It returns when the next endpoint is to be restored.
+// restoreMisdirected makes an endpoint available again some time after another worker responded at its address, if the
+// endpoint is still on the list. It returns the time at which the next endpoint is due.
 func (s *service) restoreMisdirected(now time.Duration) time.Duration {
 	next := never
 	for _, target := range s.endpoints {
--- a/internal/delivery/service_schedule.go
+++ b/internal/delivery/service_schedule.go
@@ -12,7 +12,7 @@
 // serviceSchedule determines which services the loop runs: those that an event concerns, and those whose next run is
 // due. In a turn of the loop, the other services cost nothing, however many there are.
 type serviceSchedule struct {
-	dirty     []*service // to be run in this turn, or in the next one
+	dirty     []*service // services that must run in this turn, or in the next one
 	byNextRun serviceHeap
 }
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -16,7 +16,7 @@
 // State is the state of a message as clients see it.
 type State string
 
-// The states. Answers to clients contain these strings.
+// The values of State. Answers to clients contain these strings.
 const (
 	Queued     State = "queued"      // the message is waiting, in flight, or will be retried
 	Completed  State = "completed"   // a worker has run the message
--- a/internal/messagestore/backup_lease.go
+++ b/internal/messagestore/backup_lease.go
@@ -7,9 +7,9 @@
 	"gladepick/internal/messagestore/record"
 )
 
-// requestBackupLeases asks all backups of each partition whose primary this store is for a lease. maintain calls it
-// while this store's own lease from the control plane is about to end or has ended. An epoch record carries the
-// request.
+// requestBackupLeases requests a lease from all backups of each partition that has this store as its primary. maintain
+// calls it while this store's own lease from the control plane is about to end or has ended. An epoch record carries
+// the request.
 func (s *Store) requestBackupLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/client/client.go
+++ b/internal/messagestore/client/client.go
@@ -33,7 +33,7 @@
 	unhealthyUntil map[string]time.Time // by store: the store is avoided until then
 	lastResponse   map[string]time.Time // by store: when it last answered a call
 	routedTable    *cluster.Table       // the table that sameZone and otherZones were computed from
-	sameZone       []int                // partitions with an active primary in this zone that is to stay primary
+	sameZone       []int                // partitions with an active primary in this zone and no other preferred primary
 	otherZones     []int                // all other partitions that have a primary and enough replicas
 }
 
--- a/internal/messagestore/client/query.go
+++ b/internal/messagestore/client/query.go
@@ -31,7 +31,7 @@
 	return body, err
 }
 
-// query asks the replicas of the message's partition until one knows the answer or the caller's time is over.
+// query asks the replicas of the message's partition until one knows the answer or the caller's context ends.
 func (c *Client) query(ctx context.Context, method, id string, result any) ([]byte, error) {
 	partition, err := PartitionOf(id)
 	if err != nil {
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -6,9 +6,9 @@
 	"gladepick/internal/ctxtime"
 )
 
-// Drain hands over every partition whose primary the store is: it stops the deliveries, waits until those in flight
-// have ended and their outcomes have reached the backups, and asks the control plane to promote a backup. Drain returns
-// when the store is no longer the primary of any partition, or when the context ends.
+// Drain hands over every partition that has this store as its primary: it stops the deliveries, waits until those in
+// flight have ended and their outcomes have reached the backups, and asks the control plane to promote a backup. Drain
+// returns when the store is no longer the primary of any partition, or when the context ends.
 func (s *Store) Drain(ctx context.Context) {
 	for ctx.Err() == nil {
 		ids := s.primaryPartitions()
--- a/internal/messagestore/engine.go
+++ b/internal/messagestore/engine.go
@@ -10,7 +10,8 @@
 	"gladepick/internal/wal"
 )
 
-// Engine delivers the messages of the partitions whose primary the store is. The store may hold its lock during a call.
+// Engine delivers the messages of the partitions that have the store as their primary. The store may hold its lock
+// during a call.
 type Engine interface {
 	// Submit passes a committed message to the engine. failures is the number of its failed attempts so far.
 	Submit(m *message.Message, failures int)
--- a/internal/messagestore/missing.go
+++ b/internal/messagestore/missing.go
@@ -9,16 +9,16 @@
 	"gladepick/internal/rpc"
 )
 
-// missingEntry is an entry of which a backup lacks records.
+// missingEntry is an entry some of whose records a backup lacks.
 type missingEntry struct {
 	id            string
 	entry         *entry
 	needsAccepted bool // the backup lacks the accepted record
 }
 
-// missing returns the entries of which a backup lacks records, by its inventory. It leaves out pending writes, which
-// are replicated separately. An entry with failed attempts is always included until it has ended, as the inventory does
-// not tell how many of its failures the backup knows.
+// missing returns the entries some of whose records a backup lacks, according to its inventory. It omits pending
+// writes, which are replicated separately. An entry with failed attempts is always included until it has ended,
+// because the inventory does not contain the number of its failures that the backup has recorded.
 func (s *Store) missing(p *partition, inventory *protocol.InventoryResponse) []missingEntry {
 	queued := make(map[string]bool, len(inventory.Queued))
 	for _, id := range inventory.Queued {
--- a/internal/messagestore/model_state_test.go
+++ b/internal/messagestore/model_state_test.go
@@ -53,7 +53,7 @@
 	collected               storeSet                // replicas from which an unsynced primary has collected messages
 	backupLeases            storeSet                // backups whose leases to this store are valid
 	// knownGrants are, by granter, the former primaries that may still count on a lease. They include this store's own
-	// grants and those that its primary has told it of.
+	// grants and those that its primary has reported to it.
 	knownGrants [modelStores]storeSet
 }
 
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -108,7 +108,7 @@
 	return trace.Wrap(s.log.Close())
 }
 
-// DiskFailing reports whether the disk accepts no writes or takes far too long for them.
+// DiskFailing reports whether the disk accepts no writes or takes too long for them.
 func (s *Store) DiskFailing() bool { return s.log.Failing() }
 
 // partition returns the state of a partition and creates it if it does not exist. The caller must hold s.mu.
@@ -124,7 +124,7 @@
 // Stats counts what a store has on its disk, including messages of which it is only a backup.
 type Stats struct {
 	Queued          int   // messages that have not ended
-	QueuedAsPrimary int   // those of the queued messages that are in partitions whose primary the store is
+	QueuedAsPrimary int   // queued messages in partitions of this store as the primary
 	DeadLetters     int   // messages that ended without success and are not expired
 	LogBytes        int64 // size of the log on the disk, including its snapshot
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -25,7 +25,7 @@
 	logger       *zap.Logger
 
 	mutex       sync.Mutex
-	segments    []*segment // by number; the last one takes new records
+	segments    []*segment // by number; new records are appended to the last one
 	pending     []*extent  // the next batch writes these
 	inFlight    []*extent  // the running batch writes these
 	backlog     int64      // bytes in pending and inFlight
