--- a/internal/cluster/agent.go
+++ b/internal/cluster/agent.go
@@ -41,7 +41,7 @@
 	servingMember  atomic.Pointer[string]    // address of the member that served the last sync
 	leaseRenewedAt atomic.Pointer[time.Time] // when the last successful renewal was sent
 	workerCount    atomic.Int64              // number of entries of the list of workers
-	workersReadAt  atomic.Pointer[time.Time] // about when the control plane last read the list of workers
+	workersReadAt  atomic.Pointer[time.Time] // approximately when the control plane last read the list of workers
 
 	responseTimeout atomic.Int64 // time limit of a sync's response in addition to its wait, in nanoseconds
 
--- a/internal/cluster/agent_members.go
+++ b/internal/cluster/agent_members.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// ControlGroup returns the members of the control group as this process knows them: from the cluster table, else from
-// the first source that knows them, else from the disk or a seed.
+// ControlGroup returns the members of the control group as this process knows them: from the cluster table,
+// otherwise from the first source that knows them, otherwise from the disk or a seed.
 func (a *Agent) ControlGroup() []ControlMember {
 	if table := a.table.Load(); table != nil && len(table.ControlGroup) > 0 {
 		return table.ControlGroup
--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -13,7 +13,7 @@
 const lateStartShed = 0.1
 
 // startRecovery is added to the admitted share at each start. The admitted share stays constant while a
-// quarter of the starts come that late.
+// quarter of the starts come a whole latency target or more after the send.
 const startRecovery = lateStartShed / 4
 
 // overQuotaBackoff is the factor applied to the admitted share of over-quota jobs at each sign of overload.
--- a/internal/decision/power_of_two.go
+++ b/internal/decision/power_of_two.go
@@ -1,8 +1,8 @@
 package decision
 
 // pickOfTwo draws two workers and returns the better one that accepts the job (Mitzenmacher, "The Power of
-// Two Choices in Randomized Load Balancing"). If neither accepts it, pickOfTwo returns the first worker after
-// a random position that does.
+// Two Choices in Randomized Load Balancing"). If neither accepts it, pickOfTwo searches the workers from a
+// random position and returns the first one that accepts the job.
 func (p *picker) pickOfTwo(members []*workerState, search workerSearch) *workerState {
 	if len(members) == 0 {
 		return nil
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -97,8 +97,9 @@
 }
 
 // Many dispatchers together must use a warming-up worker well and stay within its budget. Each of 80
-// dispatchers waited until its part of the budget covered a whole job, 80 s at its part of what such a worker
-// can take. Meanwhile 36 new workers were idle for seconds while a third of all jobs was rejected.
+// dispatchers waited until its part of the budget covered a whole job, which took 80 s at its part of what
+// such a worker can take. Meanwhile 36 new workers were idle for seconds and a third of all jobs was
+// rejected.
 func TestManyDispatchersShareAWarmingWorker(t *testing.T) {
 	// Each warm peer gets 13 jobs per second, and the worker can take 4 of these.
 	checkSharedWarmingWorker(t, 4, 2, 0, 8)
--- a/internal/decision/start_delays.go
+++ b/internal/decision/start_delays.go
@@ -6,8 +6,8 @@
 )
 
 // The estimate of a start delay follows about the 25th percentile of the observed delays, because few of the
-// quickest starts had to wait for a slot. Each observation multiplies the estimate by startDelayRise, and a
-// lower one then by startDelayFall.
+// quickest starts had to wait for a slot. Each observation multiplies the estimate by startDelayRise. If the
+// observed delay is then below the estimate, the estimate is also multiplied by startDelayFall.
 const (
 	startDelayRise = 1.1
 	startDelayFall = 0.68
--- a/internal/delivery/service_health.go
+++ b/internal/delivery/service_health.go
@@ -68,7 +68,7 @@
 }
 
 // restoreMisdirected makes an endpoint available again some time after another worker responded at its address, if the
-// endpoint is still on the list. It returns the time at which the next endpoint is due.
+// endpoint is still on the list. It returns the time at which the next endpoint becomes available.
 func (s *service) restoreMisdirected(now time.Duration) time.Duration {
 	next := never
 	for _, target := range s.endpoints {
--- a/internal/messagestore/drain.go
+++ b/internal/messagestore/drain.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// primaryPartitions returns the IDs of the partitions whose primary this store is, in unspecified order.
+// primaryPartitions returns the IDs of the partitions that have this store as their primary, in unspecified order.
 func (s *Store) primaryPartitions() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/follower.go
+++ b/internal/messagestore/follower.go
@@ -61,7 +61,7 @@
 }
 
 // adoptEpoch reports whether records of an epoch may be accepted from a primary, and adopts the epoch if it is newer.
-// It rejects an older epoch, and the current epoch while this store is its primary. The caller must hold s.mu.
+// It rejects an older epoch, and the current epoch while this store is the primary. The caller must hold s.mu.
 func (s *Store) adoptEpoch(id int, epoch uint64) bool {
 	p := s.partition(id)
 	if epoch < p.epoch || p.isPrimary && epoch == p.epoch {
--- a/internal/messagestore/leadership.go
+++ b/internal/messagestore/leadership.go
@@ -24,8 +24,8 @@
 	s.logLeadershipChanges()
 }
 
-// leadershipChanges counts the partitions whose primary the store has become or has ceased to be since the last log
-// line.
+// leadershipChanges counts the partitions for which the store has become the primary, or has ceased to be the primary,
+// since the last log line.
 type leadershipChanges struct {
 	gained   int
 	lost     int
--- a/internal/messagestore/maintenance.go
+++ b/internal/messagestore/maintenance.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// repairBackups starts the resyncs of backups that are due, in all partitions whose primary this store is.
+// repairBackups starts the resyncs of backups that are due, in all partitions that have this store as their primary.
 func (s *Store) repairBackups() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/messagestore/model_store_steps_test.go
+++ b/internal/messagestore/model_store_steps_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// recoverySteps end the time after a fault in which replicas catch up. From then on, another fault has to be tolerated.
+// recoverySteps end the time after a fault in which replicas catch up. After that, another fault must be tolerated.
 func (m *partitionModel) recoverySteps(state *modelState, add addStep) {
 	if !state.recovering || state.syncedAvailable().count() < m.limits.replicas {
 		return
--- a/internal/messagestore/protocol/protocol.go
+++ b/internal/messagestore/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol defines the calls that a store answers: from clients, from the primary of a partition whose backup
-// the store is, and from former primaries. docs/format/messagestore.md lists them.
+// Package protocol defines the calls that a store answers: from clients, from the primary of a partition that has the
+// store as a backup, and from former primaries. docs/format/messagestore.md lists them.
 //
 // Processes of other versions use the same method strings and JSON names, so these never change. The package has no
 // state.
--- a/internal/messagestore/query.go
+++ b/internal/messagestore/query.go
@@ -48,7 +48,7 @@
 	return nil, body, nil
 }
 
-// findEntry returns a message's entry. Only a primary that no other store can have replaced may answer that a message
+// findEntry returns a message's entry. Only a primary that has certainly not been replaced may answer that a message
 // does not exist. All other replicas return an error that makes the client ask the next replica. The caller must hold
 // s.mu.
 func (s *Store) findEntry(request *protocol.QueryRequest) (*entry, error) {
--- a/internal/messagestore/store.go
+++ b/internal/messagestore/store.go
@@ -121,10 +121,10 @@
 	return p
 }
 
-// Stats counts what a store has on its disk, including messages of which it is only a backup.
+// Stats counts what a store has on its disk, including messages for which it is only a backup.
 type Stats struct {
 	Queued          int   // messages that have not ended
-	QueuedAsPrimary int   // queued messages in partitions of this store as the primary
+	QueuedAsPrimary int   // queued messages in partitions that have this store as their primary
 	DeadLetters     int   // messages that ended without success and are not expired
 	LogBytes        int64 // size of the log on the disk, including its snapshot
 }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -44,7 +44,7 @@
 	Sizes    map[string]int64 `json:"sizes"` // of the files after Open and Close, in bytes, by name
 }
 
-// goldenPayload returns a payload of the given size in bytes. From 256 bytes on it contains every byte value.
+// goldenPayload returns a payload of the given size in bytes. A payload of 256 bytes or more has every byte value.
 func goldenPayload(size int) []byte {
 	payload := make([]byte, size)
 	for i := range payload {
