--- a/internal/decision/load_shedding.go
+++ b/internal/decision/load_shedding.go
@@ -13,7 +13,7 @@
 const lateStartShed = 0.1
 
 // startRecovery is added to the admitted share at each start. The admitted share stays constant while a
-// quarter of the starts come that late.
+// quarter of the starts come a whole latency target or more after the send.
 const startRecovery = lateStartShed / 4
 
 // overQuotaBackoff is the factor applied to the admitted share of over-quota jobs at each sign of overload.
@@ -77,7 +77,7 @@
 
 // retryAfter draws the time after which the client of a rejected job may retry: about one tick, longer the
 // smaller the admitted share is, and random so that clients do not retry together. most is the longest time
-// that clients may be told, 0 if they are told none.
+// that clients may be given, 0 if they are given none.
 func (s *loadShedder) retryAfter(tick, most time.Duration) time.Duration {
 	ticks := retryAfterBase + retryAfterSpread*s.random.Float64()
 	return min(seconds(tick.Seconds()*ticks/s.effectiveShare()), most)
--- a/internal/decision/start_delays.go
+++ b/internal/decision/start_delays.go
@@ -6,8 +6,8 @@
 )
 
 // The estimate of a start delay follows about the 25th percentile of the observed delays, because few of the
-// quickest starts had to wait for a slot. Each observation multiplies the estimate by startDelayRise, and a
-// lower one then by startDelayFall.
+// quickest starts had to wait for a slot. Each observation multiplies the estimate by startDelayRise. If the
+// observed delay is then below the estimate, the estimate is also multiplied by startDelayFall.
 const (
 	startDelayRise = 1.1
 	startDelayFall = 0.68
@@ -17,7 +17,7 @@
 // connection takes several times the delay to another zone.
 type startDelays struct {
 	locality locality
-	connIdle time.Duration // idle connections are closed after it
+	connIdle time.Duration // idle connections are closed after this time
 
 	// seconds is the delay, indexed by whether the worker is local and whether it has an idle connection. 0
 	// means unknown.
