--- a/internal/controlplane/bootstrap/bootstrap.go
+++ b/internal/controlplane/bootstrap/bootstrap.go
@@ -35,7 +35,7 @@
 	checkInterval           = 200 * time.Millisecond
 	startDelay              = 1200 * time.Millisecond // from the start of a seed to its first attempt
 	registrationQuietPeriod = 600 * time.Millisecond  // without a new registration
-	otherSeedDelay          = 4 * time.Second         // after which a later seed acts if those before it do not answer
+	otherSeedDelay          = 4 * time.Second         // after which a later seed acts if no earlier seed responds
 	seedProbeTimeout        = 300 * time.Millisecond
 	bootstrapTimeout        = 2 * time.Second
 	attemptsPerMember       = 10 // before another member is told to create the group
@@ -242,9 +242,9 @@
 	return now.Sub(b.started) >= startDelay && now.Sub(b.lastNew) >= registrationQuietPeriod
 }
 
-// leads reports whether the seed of the given rank leads the bootstrap. The first seed always does. A later seed does
-// so only after otherSeedDelay, and only while no seed before it answers that it takes part in the first start. An
-// earlier seed that has been restarted answers that it does not, and no longer leads.
+// leads reports whether the seed of the given rank leads the bootstrap. The first seed always does. A later seed leads
+// only after otherSeedDelay, and only if no earlier seed responds that it takes part in the first start. An earlier
+// seed that has restarted responds that it does not take part, and no longer leads.
 func (b *Bootstrapper) leads(ctx context.Context, rank int) bool {
 	if rank == 0 {
 		return true
--- a/internal/controlplane/lease/table.go
+++ b/internal/controlplane/lease/table.go
@@ -5,9 +5,9 @@
 // alive. A store measures its lease from a renewal that the primary is known to have (ConfirmedAt), so the store stops
 // before the primary gives its partitions to other stores.
 //
-// Invariants: unless a process was found dead, its lease ends at the primary no earlier than a store stops acting on it;
-// a renewal that arrived before a process was found dead does not revive it; the end of an earlier incarnation's lease
-// does not end the lease of a later incarnation.
+// Invariants: a store's lease is valid at the primary at least until the store stops acting on it, unless the process
+// was found dead; a renewal that arrived before a process was found dead does not revive it; the end of an earlier
+// incarnation's lease does not end the lease of a later incarnation.
 //
 // A Table is in memory only and is safe for concurrent use. One mutex guards it and is never held during a callback.
 // The package starts no goroutine and reads no clock. Start reading at Table.Renew and Table.Statuses; renewal.go holds
--- a/internal/controlplane/membership/manager.go
+++ b/internal/controlplane/membership/manager.go
@@ -24,18 +24,18 @@
 const (
 	// Interval is the pause between two calls of Manager.Step.
 	Interval = 300 * time.Millisecond
-	// MaxMembers is the size of the group from which on no process is added.
+	// MaxMembers is the maximum size of the group. No process is added to a group of this size.
 	MaxMembers = 9
 
 	changeTimeout    = 6 * time.Second
-	removeAfter      = 5 * time.Second // a member that has not answered for longer is removed
-	replaceableAfter = time.Second     // a member that has not answered for as long may be replaced by a joining process
+	removeAfter      = 5 * time.Second // time without an answer after which a member is removed
+	replaceableAfter = time.Second     // time without an answer after which a joining process may replace a member
 	smallestGroup    = 3               // no member is removed from a group of this size
 )
 
 // minMembers returns the size of the group at which no more members are removed. A smaller group would have no majority
-// after the tolerated losses. At this size, members that do not answer stay in the group and count again when they are
-// back.
+// after the tolerated losses. At this size, members that do not answer stay in the group and can vote again as soon as
+// they respond.
 func minMembers(tolerated int) int { return max(smallestGroup, 2*tolerated+1) }
 
 // Group is the part of the control group's API that a Manager uses.
@@ -57,13 +57,13 @@
 	Logger   *zap.Logger
 }
 
-// memberChange is one change of the group's members. Both fields are set to replace a member, otherwise exactly one.
+// memberChange is one change of the group's members. A replacement sets both fields; any other change sets exactly one.
 type memberChange struct {
 	remove string              // disk id
 	add    *replication.Member // new member
 }
 
-// Manager adds processes to the group, and removes members that do not come back, while its process is the primary.
+// Manager adds processes to the group, and removes members that no longer respond, while its process is the primary.
 type Manager struct {
 	options      Options
 	leadingSince time.Time
--- a/internal/controlplane/membership/manager_test.go
+++ b/internal/controlplane/membership/manager_test.go
@@ -78,7 +78,7 @@
 	delete(nodes, "m-2")
 	later := late.Add(removeAfter + time.Second)
 	manager.recordAlive(members, nodes, later)
-	assert.Assert(t, manager.planRemoval(view, later) == nil, "two alive members are no majority of the other four")
+	assert.Assert(t, manager.planRemoval(view, later) == nil, "two live members are not a majority of the other four")
 	assert.Assert(t, manager.planRemoval(replication.View{Members: members[:3]}, later) == nil)
 }
 
@@ -104,7 +104,7 @@
 	delete(nodes, "m-3")
 	soon := begin.Add(replaceableAfter / 2)
 	manager.recordAlive(members, nodes, soon)
-	assert.Assert(t, manager.plan(view, nodes, soon) == nil, "the member may come back soon")
+	assert.Assert(t, manager.plan(view, nodes, soon) == nil, "the member may respond again soon")
 	late := begin.Add(replaceableAfter)
 	manager.recordAlive(members, nodes, late)
 	change = manager.plan(view, nodes, late)
--- a/internal/controlplane/operatorapi/api.go
+++ b/internal/controlplane/operatorapi/api.go
@@ -48,7 +48,8 @@
 	Propose(ctx context.Context, change []byte) error
 	// ReadBarrier returns nil only if this process was still the primary after the call began.
 	ReadBarrier(ctx context.Context) error
-	// DurableBarrier does the same, and waits until enough disks hold the state that is in force at this process.
+	// DurableBarrier is a ReadBarrier that also waits until enough disks hold the state that is in force at this
+	// process.
 	DurableBarrier(ctx context.Context) error
 }
 
--- a/internal/controlplane/operatorapi/configrequest.go
+++ b/internal/controlplane/operatorapi/configrequest.go
@@ -40,10 +40,10 @@
 	return a.applyConfigRequest(ctx, &configRequest{digest: digest, base: base, update: update, body: body})
 }
 
-// applyConfigRequest checks a request and proposes its configuration to the group. Before it gives a response that
-// proposes nothing, it makes sure that this process is still the primary and that enough disks hold its state, and then
-// checks the request again. A former primary may lack the configuration that the request is based on. The first copy of
-// a repeated request may have been applied while too few disks were available to acknowledge it.
+// applyConfigRequest checks a request and proposes its configuration to the group. Before it responds without a
+// proposal, it makes sure that this process is still the primary and that enough disks hold its state, and then checks
+// the request again. A former primary may lack the configuration that the request is based on. The first copy of a
+// repeated request may have been applied while too few disks were available to acknowledge it.
 func (a *API) applyConfigRequest(ctx context.Context, request *configRequest) (Response, error) {
 	response, document := a.checkConfigRequest(request)
 	if document == nil {
@@ -77,9 +77,9 @@
 	return Response{}, document
 }
 
-// checkOutdated returns the response to a request that is based on another version than the current one. A request
-// whose base is older than that of every remembered request may have been applied, so it is not rejected: its outcome
-// is unknown.
+// checkOutdated returns the response to a request whose base is not the current version. If the base is older than that
+// of every remembered request, the request may have been applied and forgotten. It is then not rejected, because its
+// outcome is unknown.
 func checkOutdated(current *controlstate.State, request *configRequest) Response {
 	fallback := errorResponse(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.ConfigVersion()))
 	if request.base < current.ForgottenBelow {
--- a/internal/controlplane/operatorapi/retire.go
+++ b/internal/controlplane/operatorapi/retire.go
@@ -49,7 +49,7 @@
 }
 
 // startRetire starts the job that moves all data off a store. It is refused unless 2*ToleratedLosses+1 active stores
-// remain, which are enough after the tolerated losses.
+// remain, so that enough are left after the tolerated losses.
 func (a *API) startRetire(ctx context.Context, store string) (Response, error) {
 	if err := a.options.Group.ReadBarrier(ctx); err != nil {
 		return Response{}, err
--- a/internal/controlplane/pinger.go
+++ b/internal/controlplane/pinger.go
@@ -16,7 +16,7 @@
 const (
 	// pingTimeout bounds one ping, including all its attempts.
 	pingTimeout = 120 * time.Millisecond
-	// pingAttempts is more than 1 because the first attempt may fail only because a pooled connection has ended.
+	// pingAttempts is more than 1, because a closed pooled connection alone can make the first attempt fail.
 	pingAttempts = 3
 )
 
--- a/internal/controlplane/placement/outage.go
+++ b/internal/controlplane/placement/outage.go
@@ -22,7 +22,7 @@
 type outage struct {
 	down    map[string]bool // by name
 	latest  time.Time       // when the last of them was found dead
-	expires time.Time       // when restartGrace of the first of them is over
+	expires time.Time       // when restartGrace ends for the store that was found dead first
 }
 
 // AwaitRestarts keeps the replicas of stores that were found dead recently, while these stores are expected to restart.
@@ -74,7 +74,8 @@
 
 // keepReplicasUntil returns the time until which the dead stores keep their replicas. If more stores are dead than the
 // number of tolerated losses, they are expected to restart and keep their replicas for restartGrace. Otherwise, they
-// keep them only until other failures are known.
+// keep their replicas only until stabilizationTime and newPrimaryStabilizationTime have passed, so that other failures
+// are found first.
 func (o outage) keepReplicasUntil(tolerated int, leadingSince time.Time) time.Time {
 	if len(o.down) > tolerated {
 		return o.expires
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -13,8 +13,8 @@
 	partitionsPerStore = 3
 )
 
-// partitionCount returns the number of partitions, a power of two, of a system whose first placement is on the given
-// number of stores. It never changes afterwards, because message ids contain the number of their partition.
+// partitionCount returns the number of partitions, a power of two, for a first placement on the given number of stores.
+// The number never changes afterwards, because message ids contain the number of their partition.
 func partitionCount(stores int) int {
 	count := MinPartitions
 	for count < partitionsPerStore*stores {
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -99,8 +99,8 @@
 
 // successor returns the position of the synced backup that is to lead next, or -1 if there is none. It prefers the
 // preferred primary, then the first backup that is not suspected and whose store is active, then the first of the
-// others: a suspected backup holds all data, but is a last choice. If among is not empty, only the stores that it names
-// are considered.
+// others: a suspected backup holds all data, but is the last choice. If among is not empty, only the stores that it
+// names are considered.
 func (b *Builder) successor(partition *cluster.Partition, among []string) int {
 	fallback := -1
 	best := -1
--- a/internal/controlplane/placement/request.go
+++ b/internal/controlplane/placement/request.go
@@ -8,7 +8,7 @@
 	"gladepick/internal/cluster"
 )
 
-// The kinds of a RequestError.
+// Sentinel errors that RequestError.Kind holds.
 var (
 	// ErrUnknownPartition means that there is no such partition.
 	ErrUnknownPartition = errors.New("placement: unknown partition")
--- a/internal/controlplane/placement/retire.go
+++ b/internal/controlplane/placement/retire.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// ResumeRetire retires a store again that has come back with another disk after its job completed, while the operator
-// still waits for the result. Otherwise the operator would remove the machine with the data that it has received since
-// then.
+// ResumeRetire retires a store again if it has returned with another disk after its job completed, while the operator
+// still waits for the result. Otherwise, the operator would remove the machine together with the data that it has
+// received since then.
 func (b *Builder) ResumeRetire(store string) {
 	job, entry := controlstate.NewestJob(b.jobs, store), b.store(store)
 	if job != nil && job.Outdated(entry) {
@@ -81,8 +81,8 @@
 	return true
 }
 
-// activeStoresBeside returns the number of other stores that are active or draining. A draining store stops only for a
-// while.
+// activeStoresBeside returns the number of other stores that are active or draining. A draining store counts because it
+// stops only temporarily.
 func (b *Builder) activeStoresBeside(store string) int {
 	count := 0
 	for _, entry := range b.stores {
--- a/internal/controlplane/placement/stores.go
+++ b/internal/controlplane/placement/stores.go
@@ -9,7 +9,7 @@
 	"gladepick/internal/controlplane/controlstate"
 )
 
-// DeliveringStoreRetention is how long after the end of its lease a store still counts as a delivering store. Its last
+// DeliveringStoreRetention is how long a store still counts as a delivering store after its lease has ended. Its last
 // deliveries are still within the windows of the services' rate limits.
 const DeliveringStoreRetention = 6 * time.Second
 
--- a/internal/controlplane/placement/zones.go
+++ b/internal/controlplane/placement/zones.go
@@ -6,8 +6,8 @@
 	"gladepick/internal/cluster"
 )
 
-// InterleaveZones orders values so that neighbours are in different zones where possible. The order within a zone
-// stays.
+// InterleaveZones orders values so that neighbours are in different zones where possible. It preserves the order within
+// each zone.
 func InterleaveZones[Value any](values []Value, zoneOf func(Value) string) []Value {
 	var zones []string
 	byZone := map[string][]Value{}
@@ -31,8 +31,8 @@
 }
 
 // zoneForReplica returns a function that reports whether a zone suits one more replica. taken holds the zones of the
-// existing replicas, the primary's first. spread is the number of zones that the replicas are to be in: while they are
-// in fewer, a zone that holds none of them suits; after that, only the primary's zone does.
+// existing replicas, the primary's first. spread is the desired number of zones for the replicas: while they are in
+// fewer zones, a zone that holds none of them suits; after that, only the primary's zone does.
 func zoneForReplica(taken []string, spread int) func(zone string) bool {
 	distinct := slices.Compact(slices.Sorted(slices.Values(taken)))
 	if len(distinct) < spread {
--- a/internal/controlplane/replication/doc.go
+++ b/internal/controlplane/replication/doc.go
@@ -9,7 +9,7 @@
 // it has promised it to, and the newest view that it has accepted.
 //
 // A new view is made for an election, for each change of the in-sync set and for each change of the membership. The
-// process that is to be its primary makes it, always in the same steps, as in Paxos:
+// process that will be the primary of the new view makes it, always in the same steps, as in Paxos:
 //
 //   - pre-vote: a majority would promise a new epoch; this step changes nothing.
 //   - prepare: a majority of the newest view's members promises the epoch.
--- a/internal/controlplane/replication/leadership.go
+++ b/internal/controlplane/replication/leadership.go
@@ -13,7 +13,7 @@
 const (
 	reconfigureInterval = 100 * time.Millisecond // between attempts at a view without which nothing can be committed
 	improvementInterval = 400 * time.Millisecond // between attempts at a view that only improves the current one
-	resignElectionDelay = time.Second            // how long a process that has resigned does not campaign
+	resignElectionDelay = time.Second            // during which a process that has resigned does not campaign
 )
 
 // leadership is a term of this process as the primary: from an election that it wins until it resigns. Its goroutine
@@ -107,7 +107,7 @@
 	}
 }
 
-// sleep waits until there may be work or the limit is over. A limit of 0 means no limit.
+// sleep waits until there may be work or the limit has passed. A limit of 0 means no limit.
 func (l *leadership) sleep(limit time.Duration) {
 	var after <-chan time.Time
 	if limit > 0 {
--- a/internal/controlplane/replication/membership.go
+++ b/internal/controlplane/replication/membership.go
@@ -33,7 +33,7 @@
 }
 
 // ReplaceMember removes the member with a disk id and adds another in one change, so that the group never has one
-// member less.
+// member fewer in between.
 func (g *Group) ReplaceMember(ctx context.Context, oldDiskID string, added Member) error {
 	return g.submitMembership(ctx, membershipChange{remove: oldDiskID, add: &added})
 }
--- a/internal/controlplane/replication/messages.go
+++ b/internal/controlplane/replication/messages.go
@@ -10,8 +10,8 @@
 	methodStatus    = "group.status"    // nothing -> statusResponse
 )
 
-// prepareRequest asks a witness to promise an epoch to a candidate: not to accept a view of a lower epoch from then
-// on.
+// prepareRequest asks a witness to promise an epoch to a candidate. After the promise, the witness accepts no view of a
+// lower epoch.
 type prepareRequest struct {
 	Target    string `json:"target"` // the witness's disk id
 	Epoch     uint64 `json:"epoch"`
--- a/internal/controlplane/replication/peer.go
+++ b/internal/controlplane/replication/peer.go
@@ -9,8 +9,8 @@
 // alignRetryInterval is the delay after a failed attempt to align a peer.
 const alignRetryInterval = 400 * time.Millisecond
 
-// peer is the primary's record of another member. A goroutine of its own sends heartbeats to the member. mu guards the
-// fields below it.
+// peer is the primary's record of another member. Each peer has a goroutine that sends heartbeats to the member. mu
+// guards the fields below it.
 type peer struct {
 	member       Member
 	cancel       context.CancelFunc
@@ -48,7 +48,7 @@
 	return p.created
 }
 
-// untilUnresponsive returns how much longer the peer may not respond before it has to leave the in-sync set.
+// untilUnresponsive returns the time that is left for the peer to respond before it has to leave the in-sync set.
 func (p *peer) untilUnresponsive(now time.Time, timing Timing) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,8 @@
 	return p.leaseRenewedAt
 }
 
-// markLeaseRenewed records that the peer, as a witness, supports the primary for a lease duration from a time on.
+// markLeaseRenewed records that the peer, as a witness, supports the primary for a lease duration that begins at the
+// given time.
 func (p *peer) markLeaseRenewed(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// lastAligned returns when the newest call was sent whose response showed that the peer follows this primary.
+// lastAligned returns the send time of the newest call whose response showed that the peer follows this primary.
 func (p *peer) lastAligned() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/replication/primary_monitor.go
+++ b/internal/controlplane/replication/primary_monitor.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// primaryMonitor holds what a backup knows about the primary. By it the backup decides whether to campaign, whether to
-// vote, and whether its own state may be read. mu guards the other fields.
+// primaryMonitor holds what a backup knows about the primary. The backup uses it to decide whether to campaign, whether
+// to vote, and whether its own state may be read. mu guards the other fields.
 type primaryMonitor struct {
 	mu sync.Mutex
 	// lastContact is when the primary was last heard from.
--- a/internal/controlplane/replication/replica.go
+++ b/internal/controlplane/replication/replica.go
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// endsWithin reports whether the log ends with one of the entries that follow a position, as after an earlier copy of
-// the same call. The caller holds the lock.
+// endsWithin reports whether the log ends with one of the entries that follow a position, which is the case after an
+// earlier copy of the same call. The caller holds the lock.
 func (r *replica) endsWithin(after position, entries []entry) bool {
 	if after.Index >= r.last.Index {
 		return false
--- a/internal/controlplane/replication/response_log.go
+++ b/internal/controlplane/replication/response_log.go
@@ -6,11 +6,12 @@
 )
 
 // responseLogSize is the number of responses to heartbeats whose times are kept. A primary echoes the newest response
-// that it has received; while responses are lost, newer ones follow it in the log.
+// that it has received. The log must still hold this response after newer ones, which were lost, have been added.
 const responseLogSize = 64
 
-// responseLog numbers the responses to heartbeats and keeps the times at which the latest were sent. The numbers of a
-// process begin at random, so that a heartbeat to an earlier process of the same member echoes none of them.
+// responseLog numbers the responses to heartbeats and keeps the times at which the latest were sent. Each process
+// starts at a random number, so that a heartbeat that was meant for an earlier process of the same member echoes none
+// of its numbers.
 type responseLog struct {
 	last  uint64
 	times map[uint64]time.Time
--- a/internal/controlplane/replication/round.go
+++ b/internal/controlplane/replication/round.go
@@ -28,9 +28,9 @@
 	return responses
 }
 
-// awaitRound passes the responses of a round to add. It returns when add has reported that they suffice and the awaited
-// members have responded or stragglerGrace is over. It also returns when all members have responded, or when the
-// context ends.
+// awaitRound passes the responses of a round to add. It returns when add has reported that they suffice and, in
+// addition, either all awaited members have responded or stragglerGrace has passed. It also returns when all members
+// have responded, or when the context ends.
 func awaitRound[Response any](
 	ctx context.Context, responses <-chan memberResponse[Response], members []Member, awaited map[string]bool,
 	add func(Member, Response) bool,
--- a/internal/controlplane/replication/snapshot_test.go
+++ b/internal/controlplane/replication/snapshot_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestFailedSnapshotIsRetried guards against a snapshot that fails on a full disk and is due again only after as many
-// bytes have been logged again. It must be due when the disk has space and snapshotRetryInterval is over.
+// bytes have been logged again. It must be due when the disk has space and snapshotRetryInterval has passed.
 func TestFailedSnapshotIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memfs.New(1)
--- a/internal/controlplane/replication/vote.go
+++ b/internal/controlplane/replication/vote.go
@@ -34,8 +34,8 @@
 	return response, nil, nil
 }
 
-// mayVote reports whether this process is a witness in the newer of its own view and the candidate's or, in a
-// bootstrap, whether it may take part.
+// mayVote reports whether this process may vote: it must be a witness in the newer of its own view and the candidate's
+// view or, in a bootstrap, be allowed to take part.
 func (g *Group) mayVote(record *witnessRecord, request prepareRequest) bool {
 	if request.Bootstrap {
 		return g.mayBootstrap(request.View)
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -18,8 +18,8 @@
 const (
 	methodRenew = "control.renew" // lease.Renewal -> empty, at the primary
 
-	// directRenewalAfter is the age of a store's newest confirmed renewal from which on a backup forwards the next one
-	// to the primary at once instead of with the next response to a heartbeat.
+	// directRenewalAfter is the minimum age of a store's newest confirmed renewal at which a backup forwards the next
+	// renewal to the primary at once, instead of with the next response to a heartbeat.
 	directRenewalAfter   = 600 * time.Millisecond
 	directRenewalTimeout = 150 * time.Millisecond
 )
@@ -43,8 +43,8 @@
 	return p.awaitUpdates(ctx, &request, arrived)
 }
 
-// awaitUpdates responds to a sync as soon as there is newer state than the caller's, or when the requested wait is
-// over.
+// awaitUpdates responds to a sync as soon as there is newer state than the caller's, or when the requested wait has
+// passed.
 func (p *Plane) awaitUpdates(ctx context.Context, request *cluster.SyncRequest, arrived time.Time) (any, []byte, error) {
 	wait := min(time.Duration(request.WaitMS)*time.Millisecond, maxSyncWait)
 	deadline := time.NewTimer(wait)
@@ -116,8 +116,8 @@
 }
 
 // leaseAge returns the age, in milliseconds at the time of arrival, of the caller's newest renewal that the primary is
-// known to have, or cluster.NoLease if there is none. It returns 0 for a process that is no store, because only a store
-// must stop when its lease ends.
+// known to have, or cluster.NoLease if there is none. It returns 0 for a process that is not a store, because only a
+// store must stop when its lease ends.
 func (p *Plane) leaseAge(node *cluster.NodeInfo, arrived time.Time) int64 {
 	if !node.Store {
 		return 0
--- a/internal/controlplane/tablemanager/decision_trace_test.go
+++ b/internal/controlplane/tablemanager/decision_trace_test.go
@@ -60,7 +60,7 @@
 type traceStore struct {
 	info    cluster.NodeInfo
 	running bool
-	frozen  bool // the process runs and does not renew its lease
+	frozen  bool // the process runs but does not renew its lease
 	starts  int
 }
 
--- a/internal/controlplane/tablemanager/manager.go
+++ b/internal/controlplane/tablemanager/manager.go
@@ -170,7 +170,7 @@
 }
 
 // awaitRestarts keeps the replicas of stores that were found dead recently and may restart, and wakes the manager when
-// that time is over.
+// that time has passed.
 func (m *Manager) awaitRestarts(builder *placement.Builder, now time.Time) {
 	if until, waits := builder.AwaitRestarts(now, m.leadingSince); waits {
 		time.AfterFunc(until.Sub(now), m.Wake)
--- a/internal/controlplane/updates/updates.go
+++ b/internal/controlplane/updates/updates.go
@@ -49,8 +49,8 @@
 }
 
 // Changed returns a channel that is closed at the next change of the state, and one that is closed at the next change
-// of the list of workers. The second is nil for a process that is no store, because such a process does not receive the
-// list.
+// of the list of workers. The second is nil for a process that is not a store, because such a process does not receive
+// the list.
 func (s *Source) Changed(request *cluster.SyncRequest) (state, workers <-chan struct{}) {
 	state = s.state.Changed()
 	if request.Node.Store {
