--- a/internal/dispatcher/agent/agent.go
+++ b/internal/dispatcher/agent/agent.go
@@ -28,9 +28,9 @@
 
 // States of an instance.
 const (
-	Starting State = iota + 1 // the process runs and does not answer
+	Starting State = iota + 1 // the process runs but does not answer
 	Up                        // the process runs and answers
-	Draining                  // the process was told to stop and finishes its open jobs
+	Draining                  // the process was asked to terminate and finishes its open jobs
 	Drained                   // there is no process until the instance is started
 	Waiting                   // the process ended unexpectedly and will be restarted
 )
@@ -70,7 +70,7 @@
 // instance is one dispatcher that the agent keeps running.
 type instance struct {
 	config config.Instance
-	wake   chan struct{} // receives a value when wanted was set
+	wake   chan struct{} // receives a value when wanted has been set
 
 	// Guarded by Agent.mu.
 	status  Status
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// Reload tells an instance to reload its configuration. It returns an error if the process has not answered yet: the
+// Reload asks an instance to reload its configuration. It returns an error if the process has not answered yet: the
 // process may not handle the signal yet, and the signal would then terminate it.
 func (a *Agent) Reload(name string) error {
 	in, err := a.find(name)
--- a/internal/dispatcher/agent/supervise.go
+++ b/internal/dispatcher/agent/supervise.go
@@ -104,7 +104,7 @@
 	poll := time.NewTicker(a.limits.PollInterval)
 	defer poll.Stop()
 	stop := ctx.Done()
-	var stopTimeout <-chan time.Time // nil until the process is told to stop
+	var stopTimeout <-chan time.Time // nil until the process is asked to terminate
 	a.poll(ctx, in)
 	for {
 		select {
@@ -119,7 +119,7 @@
 			if !a.isWanted(in) && stopTimeout == nil {
 				stopTimeout = a.terminate(in, p)
 			}
-		case <-stopTimeout: // its clients no longer wait for the open jobs
+		case <-stopTimeout: // the clients of the open jobs no longer wait for answers
 			log.Printf("instance %s did not stop within %v; killing it", in.config.Name, a.limits.StopTimeout)
 			p.Kill()
 		case <-poll.C:
@@ -128,7 +128,7 @@
 	}
 }
 
-// terminate tells a process to stop, and returns a channel that receives a value after StopTimeout.
+// terminate asks a process to terminate, and returns a channel that receives a value after StopTimeout.
 func (a *Agent) terminate(in *instance, p Process) <-chan time.Time {
 	a.setState(in, Draining)
 	if err := p.Terminate(); err != nil && !errors.Is(err, os.ErrProcessDone) {
--- a/internal/dispatcher/agent/supervise_test.go
+++ b/internal/dispatcher/agent/supervise_test.go
@@ -22,7 +22,7 @@
 var limits = config.AgentLimits{PollInterval: time.Second, RequestTimeout: 2 * time.Second, RestartBackoff: 100 * time.Millisecond, RestartBackoffMax: time.Second,
 	StableAfter: 10 * time.Second, StopTimeout: 5 * time.Second, ReplyBytes: 1 << 20, DatagramBytes: 8 << 10, Variables: 64, RequestBytes: 1 << 10}
 
-// process is a fake process that runs until it is killed, or for the duration linger after it was told to stop.
+// process is a fake process that runs until it is killed, or for the duration linger after Terminate is called.
 type process struct {
 	end     chan error
 	linger  time.Duration // negative: ignores Terminate
--- a/internal/dispatcher/amqp/delivery.go
+++ b/internal/dispatcher/amqp/delivery.go
@@ -73,8 +73,8 @@
 	return class + "\x00" + j.IdempotencyKey, keyed
 }
 
-// submit submits a job. If the job's time ran out in the queue, or if the core does not accept the job, no worker has
-// seen the job: submit rejects it, and the client can retry safely.
+// submit submits a job. If the job's deadline passed in the queue, or if the core does not accept the job, no worker
+// has seen the job: submit rejects it, and the client can retry safely.
 func (a *Adapter) submit(j *dispatch.Job, name string) {
 	var err error
 	if j.Timeout > 0 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// rejectMalformed answers a message that is not a valid job. It rejects a message that cannot be answered without
+// rejectMalformed answers a message that is not a valid job. If the message cannot be answered, it is rejected without
 // requeue.
 func (a *Adapter) rejectMalformed(d delivery, err error) {
 	a.counters.Malformed.Add(1)
--- a/internal/dispatcher/capture/file_pair.go
+++ b/internal/dispatcher/capture/file_pair.go
@@ -37,7 +37,7 @@
 	filesPerPair
 )
 
-// fileKinds are the parts of the file names that tell the two files of a pair apart.
+// fileKinds are the parts of the file names that distinguish the two files of a pair.
 var fileKinds = [filesPerPair]string{requestFile: "tries", attemptFile: "attempts"}
 
 // filePair is the two open files of a capture. Only the goroutine of Recorder.Run uses it.
@@ -167,7 +167,7 @@
 	return writeFileAtomically(filepath.Join(p.dir, p.stem+manifestSuffix), append(text, '\n'))
 }
 
-// discard closes and removes the files. It also accepts a pair of which only one file was created.
+// discard closes and removes the files. It also accepts a pair with only one file created.
 func (p *filePair) discard() {
 	for i, f := range p.files {
 		if f != nil {
--- a/internal/dispatcher/capture/golden_test.go
+++ b/internal/dispatcher/capture/golden_test.go
@@ -111,7 +111,7 @@
 }
 
 // TestRequestSchemaMatchesRowType checks the schema's name in the file, and that its nodes equal those of the row type,
-// as only then the library writes rows to columns without a conversion.
+// because only then does the library write rows to columns without a conversion.
 func TestRequestSchemaMatchesRowType(t *testing.T) {
 	if requestSchema.Name() != "Try" || !parquet.EqualNodes(requestSchema, parquet.SchemaOf(Request{})) {
 		t.Errorf("unexpected schema: %s", requestSchema)
--- a/internal/dispatcher/capture/recorder.go
+++ b/internal/dispatcher/capture/recorder.go
@@ -121,7 +121,7 @@
 		r.acceptedJobs++
 		r.jobs[event.Job] = openJob{job: r.acceptedJobs, arrived: r.unixNanos(event.At)}
 	case dispatch.JobOverflowed:
-		// A front's goroutine delivers this event, so this case must not use the fields of the core's goroutine.
+		// A front's goroutine delivers this event, so this case must not access the fields of the core's goroutine.
 		r.recordRequest(event.Job, openJob{arrived: r.unixNanos(event.At)}, event.At, OutcomeOverflowed, r.node.Limits.RetryAfter)
 	case dispatch.AttemptSent:
 		r.attemptSent(event)
@@ -245,7 +245,7 @@
 }
 
 // Close records the attempts that are still in flight, and waits until Run has written all rows and closed the files.
-// The core must have stopped before.
+// The core must have stopped before Close is called.
 func (r *Recorder) Close(ctx context.Context) error {
 	r.stopOnce.Do(func() {
 		for attempt, open := range r.attempts {
--- a/internal/dispatcher/capture/writer.go
+++ b/internal/dispatcher/capture/writer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// errRetryLater is the error of a write during the delay after a failed one: no files are open, and none are created.
+// errRetryLater is the error of a write during the delay after a failed write: no files are open, and none are created.
 var errRetryLater = errors.New("waiting to retry after a write error")
 
 // writer collects rows into groups and writes them. Only Run's goroutine uses it.
@@ -16,7 +16,7 @@
 	requests []Request
 	attempts []Attempt
 	oldest   time.Time // arrival of the oldest row in the group
-	retryAt  time.Time // no files are created before, after a failure
+	retryAt  time.Time // after a failure, no files are created before this time
 }
 
 // Run removes the files that an earlier process did not close, and then writes rows until Close.
--- a/internal/dispatcher/clienthttp/conn.go
+++ b/internal/dispatcher/clienthttp/conn.go
@@ -20,7 +20,7 @@
 	// Guarded by listener.mu.
 	stage          stage
 	since          time.Time // when the present stage began
-	closeRequested bool      // the reader is to close it, unless data has arrived
+	closeRequested bool      // the reader must close it, unless data has arrived
 
 	// Accessed only by the goroutine that reads.
 	unchecked      []byte        // received but not checked yet
@@ -93,7 +93,8 @@
 	return err != nil || n == 0
 }
 
-// hasDisconnected reports whether the client has closed its connection. It cannot see a close behind unread data.
+// hasDisconnected reports whether the client has closed its connection. It cannot detect a close that follows unread
+// data.
 func (c *clientConn) hasDisconnected() bool {
 	n, err := c.peek()
 	return n == 0 && err != syscall.EAGAIN && err != errNoSocket
--- a/internal/dispatcher/clienthttp/handler.go
+++ b/internal/dispatcher/clienthttp/handler.go
@@ -103,8 +103,8 @@
 }
 
 // watchChunkedClient returns a channel that is closed when the client of a chunked request disconnects; it returns nil
-// for any other request. clientConn does not watch for the close itself there, because it passes on all data that
-// follows a chunked body, and net/http reads only one byte of that data.
+// for any other request. For a chunked request clientConn does not watch for the close itself, because it passes on
+// all data that follows a chunked body, and net/http reads only one byte of that data.
 func (s *Server) watchChunkedClient(conn *clientConn) chan struct{} {
 	if !conn.chunked {
 		return nil
--- a/internal/dispatcher/clienthttp/head.go
+++ b/internal/dispatcher/clienthttp/head.go
@@ -164,7 +164,7 @@
 		}
 		if !idle || len(c.unchecked) > 0 {
 			c.reject()
-		} // else no answer is due: the client sends a request that crosses the close again elsewhere
+		} // else no answer is due: if a request crosses the close, the client sends it again elsewhere
 		return io.EOF
 	}
 	switch {
--- a/internal/dispatcher/clienthttp/server.go
+++ b/internal/dispatcher/clienthttp/server.go
@@ -97,7 +97,7 @@
 
 // Shutdown closes the listener and the idle connections, and waits until all requests in progress have been answered.
 // If ctx is done first, it returns the error of ctx. http.Server.Shutdown is not suitable: it treats a connection as
-// idle on which the listener has just read a request.
+// idle even if the listener has just read a request on it.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	return s.listener.shutdown(ctx)
--- a/internal/dispatcher/config/amqp.go
+++ b/internal/dispatcher/config/amqp.go
@@ -33,7 +33,7 @@
 	}
 	a, at := &file.AMQP, section{path, "amqp"}
 	if !strings.HasPrefix(a.URL, "amqp://") && !strings.HasPrefix(a.URL, "amqps://") {
-		// The error leaves the URL out: it may hold a password.
+		// The error omits the URL, which may contain a password.
 		return nil, at.errorf("url", "it does not begin with amqp:// or amqps://")
 	}
 	if a.JobQueue == "" {
--- a/internal/dispatcher/config/config_test.go
+++ b/internal/dispatcher/config/config_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// At the start the discovery address in the environment takes precedence, after a reload the one in the file.
+// At the start the discovery address in the environment takes precedence; after a reload the address in the file does.
 // ChangedKeys names every other setting that differs. A file that is incomplete or invalid is an error.
 func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
 	path := writeFile(t, "node.json", completeFile)
--- a/internal/dispatcher/config/limits.go
+++ b/internal/dispatcher/config/limits.go
@@ -67,7 +67,7 @@
 	CaptureRetryDelay time.Duration // after a failed write to the disk
 
 	PeerDatagramsPerSecond        int           // maximum number read
-	UnknownPeerDatagramsPerSecond int           // of these, maximum number from addresses of no member
+	UnknownPeerDatagramsPerSecond int           // of these, maximum number from addresses that belong to no member
 	QueuedPeerDatagrams           int           // maximum number queued for the membership
 	PeerBytesPerSecond            int           // maximum sent to other dispatchers
 	PeerLeaveTimeout              time.Duration // how long this dispatcher announces that it leaves
@@ -80,7 +80,7 @@
 	LeasePollInterval    time.Duration // between two queries about a job that another dispatcher owns
 	LeaseNotifyWindow    time.Duration // after a job's deadline, how long its outcome is proposed to the replicas
 	LeaseTransferBatch   int           // maximum number of leases of a failed dispatcher that one command transfers
-	LeaseSubmitBatch     int           // maximum number of these jobs submitted to the core in one LeaseRoundInterval
+	LeaseSubmitBatch     int           // maximum number of their jobs submitted to the core in one LeaseRoundInterval
 	LeaseRoundInterval   time.Duration // between two checks for failed dispatchers
 	LeaseShutdownTimeout time.Duration // how long a leaving dispatcher waits for others to take over its replicas
 	LeaseOrphanDelay     time.Duration // how long a dispatcher is missing from the view before its leases move
@@ -93,8 +93,8 @@
 	defaultSockets  = 1024
 )
 
-// maxLastAnswerWindow is the longest Limits.LastAnswerWindow, not counting Limits.DrainDelay: the platform lets a
-// process live no longer after SIGTERM.
+// maxLastAnswerWindow is the longest Limits.LastAnswerWindow, not counting Limits.DrainDelay: the platform kills a
+// process that runs longer after SIGTERM.
 const maxLastAnswerWindow = 3 * time.Second
 
 // deriveLimits derives n.Limits from the platform's grants and the settings.
@@ -208,7 +208,8 @@
 }
 
 // splitSockets divides the file descriptors. A tenth is reserved for the listener, the standard streams, the poller and
-// connections that are being closed. Discovery gets DiscoveryConns; clients and workers share the rest 5 to 4.
+// connections that are being closed. Discovery gets DiscoveryConns; clients and workers share the rest in the ratio 5
+// to 4.
 func (l *Limits) splitSockets() {
 	shared := l.Sockets - l.Sockets/10 - l.DiscoveryConns
 	l.ClientConns = shared * 5 / 9
@@ -217,8 +218,8 @@
 	l.SpareClientConns = max(l.Sockets/40, 2)
 }
 
-// splitMemory divides the memory. Request bodies have a bound of their own. Answers of half of BodyBytes to all open
-// jobs fit into a third of the memory.
+// splitMemory divides the memory. Request bodies have a separate bound. Answers of half of BodyBytes to all open jobs
+// fit into a third of the memory.
 func (l *Limits) splitMemory() {
 	memory := l.MemoryMB << 20
 	l.AllBodiesBytes = int64(l.MemoryMB) << 20 / 4
--- a/internal/dispatcher/config/node.go
+++ b/internal/dispatcher/config/node.go
@@ -62,7 +62,7 @@
 	Settings     map[string]any `json:"settings"`    // nested; may hold keys that this program does not know
 }
 
-// platformLimits holds what the platform grants the process. A nil field stands for its default.
+// platformLimits holds what the platform grants the process. A nil field means that its default applies.
 type platformLimits struct {
 	Cores    *float64 `json:"cores"`
 	MemoryMB *int     `json:"memory_mb"`
@@ -244,7 +244,7 @@
 	return ""
 }
 
-// workerLoadNames maps the settings' name of a load figure to the name that workers send, where the two differ.
+// workerLoadNames maps the settings' name of a load figure to the name that workers send, if the two differ.
 var workerLoadNames = map[string]string{"fail_rate": "eps", "rate": "qps", "q": "queue", "rif": "inflight", "busy": "util", "lat_ms": "latency_ms"}
 
 // LoadFieldIndex returns the index of a load figure, given the settings' name or the workers' name, or -1 if there is
--- a/internal/dispatcher/discovery/call.go
+++ b/internal/dispatcher/discovery/call.go
@@ -99,7 +99,7 @@
 type limitedReader struct {
 	io.Reader
 	onData           func()
-	remaining, limit int // bytes that the present object may still take, and may take in all
+	remaining, limit int // remaining and maximum size of the current object in bytes
 }
 
 // nextObject resets the bound for the next object.
--- a/internal/dispatcher/discovery/watcher.go
+++ b/internal/dispatcher/discovery/watcher.go
@@ -4,10 +4,10 @@
 // Watcher owns the one call in flight, the address it goes to, the last version
 // of the list received from that address, and the watchdog that ends a silent
 // call. It makes the first call when the decision module requests a watch. In
-// push mode it makes the first call at once, because the module makes no request
-// there. When a call ends, the watcher reports decision.ListFailed and calls again
-// after a backoff. It never has two calls in flight, and it does not judge the
-// health of workers.
+// push mode it makes the first call at once, because the module makes no
+// request in that mode. When a call ends, the watcher reports
+// decision.ListFailed and calls again after a backoff. It never has two calls
+// in flight, and it does not judge the health of workers.
 //
 // Run uses one goroutine, which reads all responses and calls OnList. Any
 // goroutine may call Watch and SetAddress; they share state with Run under
@@ -121,7 +121,7 @@
 }
 
 // callTarget holds the parameters of a call: the address, the last version received from it, and the value of
-// Watcher.addressVersion that both belong to.
+// Watcher.addressVersion to which both belong.
 type callTarget struct {
 	address        string
 	generation     int64
@@ -166,8 +166,9 @@
 		// period of a drain that was announced meanwhile.
 		delay := backoff/2 + rand.N(backoff)
 		if gotData || errors.Is(err, errAddressChanged) {
-			// Discovery is available, and it counts what it wrote when the watch broke off as delivered, so the next
-			// call must come soon. A backoff that grew with each broken watch outlasted the grace period of a drain.
+			// Discovery is available. It counts the data that it wrote when the watch broke off as delivered, so the
+			// next call must come soon. When the backoff grew with each broken watch, it outlasted the grace period of
+			// a drain.
 			backoff = w.limits.DiscoveryBackoff
 			if delay = rand.N(backoff / 4); time.Since(start) < backoff {
 				delay += backoff / 4
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -88,7 +88,7 @@
 	j.inFlight++
 	if a.worker == nil || a.worker.state != decision.Ready || forbiddenParallel || j.finished.Load() || timeout <= 0 {
 		// Enforces the invariants on leaving workers, on one attempt at a time and on disconnected clients, even if the
-		// module violates them or has not heard of the change yet. A timer reports the outcome, so that the module does
+		// module violates them or does not know of the change yet. A timer reports the outcome, so that the module does
 		// not get an event while its actions are being executed.
 		if a.worker == nil {
 			a.worker = &workerState{number: action.Worker}
@@ -113,7 +113,7 @@
 // endAttempt records the outcome of an attempt, sends the client the result if there is one, and passes the outcome to
 // the module.
 func (c *Core) endAttempt(a *Attempt, o decision.Outcome, load decision.Load, result []byte) {
-	if a.ended { // it expired earlier and the module knows: a late outcome is ignored
+	if a.ended { // the attempt expired earlier and the module was notified: a late outcome is ignored
 		return
 	}
 	switch {
--- a/internal/dispatcher/dispatch/job.go
+++ b/internal/dispatcher/dispatch/job.go
@@ -19,7 +19,7 @@
 // AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
-// The kinds of answers.
+// The values of Answer.Kind.
 const (
 	Served   AnswerKind = iota + 1 // a worker returned the result
 	Rejected                       // the job has not run: the client may safely retry
--- a/internal/dispatcher/dispatch/observer.go
+++ b/internal/dispatcher/dispatch/observer.go
@@ -9,7 +9,7 @@
 // EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The kinds of events, each with the fields that are set besides Kind and At.
+// The values of Event.Kind, each with the fields that are set besides Kind and At.
 const (
 	JobAccepted    EventKind = iota + 1 // Job, which is now open
 	JobOverflowed                       // Job, which has no number: not accepted because too many are open
--- a/internal/dispatcher/dispatch/workers.go
+++ b/internal/dispatcher/dispatch/workers.go
@@ -67,7 +67,7 @@
 	c.handle(&event)
 }
 
-// removeMissing marks each known worker as gone that is missing from a complete list.
+// removeMissing marks as gone each known worker that is missing from a complete list.
 func (c *Core) removeMissing(list []config.Worker) {
 	listed := map[string]bool{}
 	for _, w := range list {
--- a/internal/dispatcher/instance/attempt_ends_test.go
+++ b/internal/dispatcher/instance/attempt_ends_test.go
@@ -11,8 +11,8 @@
 )
 
 // A job times out while its connection is being established, while its request is half written, or while the last line
-// of its response is half read. It is answered then, and nothing more of it is sent. A job that may have run and may
-// not run twice is answered as failed, never as rejected.
+// of its response is half read. The client is then answered, and nothing more of the request is sent to the worker. A
+// job that may have run and may not run twice is answered as failed, never as rejected.
 func TestJobTimesOutDuringConnectWriteOrRead(t *testing.T) {
 	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.NotIdempotent} {
 		want := map[decision.Idempotency]string{decision.Idempotent: "503 refused: try again later", decision.NotIdempotent: "502 the job failed"}[idempotency]
@@ -20,7 +20,7 @@
 			f := newFixture(t, func(n *config.Node) { n.Module.Classes[0].Idempotency, n.Limits.ConnectTimeout = idempotency, maxWait })
 			// The job times out in the core and in the dial at the same instant. If the dial reports first that the job
 			// never ran, a rejection is correct for either class. So the dial ignores its time-out here, and only the
-			// core's counts.
+			// time-out of the core counts.
 			f.holdDials, f.ignoreTimeouts = true, true
 			f.start()
 			client := f.newClient()
--- a/internal/dispatcher/instance/client_leaves_test.go
+++ b/internal/dispatcher/instance/client_leaves_test.go
@@ -145,7 +145,7 @@
 	second.send(jobRequest("m2"))
 	f.waitUntil("the second job", func() bool { return f.counter("taken") == 2 })
 	second.CloseWrite()
-	// This answer shows that the core has been told that the client left.
+	// This answer shows that the core has been notified that the client disconnected.
 	if got := second.readAnswer(); got != "502 the client has left (closes)" {
 		t.Errorf("the second client received %s", got)
 	}
--- a/internal/dispatcher/instance/client_test.go
+++ b/internal/dispatcher/instance/client_test.go
@@ -24,7 +24,7 @@
 // jobRequest returns a complete request of a job.
 func jobRequest(id string) string { return jobHead(id, "seat-check", 5*time.Second, 2) + "go" }
 
-// chunkedJob converts a job's request to one with a chunked body, whose length the head does not say.
+// chunkedJob converts a job's request to one with a chunked body, whose length is not in the head.
 func chunkedJob(job string) string {
 	return strings.Replace(strings.TrimSuffix(job, "go"), "Content-Length: 2", "Transfer-Encoding: chunked", 1) + chunkOf("go") + "0\r\n\r\n"
 }
--- a/internal/dispatcher/instance/fixture_test.go
+++ b/internal/dispatcher/instance/fixture_test.go
@@ -72,7 +72,7 @@
 	go f.acceptCalls(discoveryListener)
 	go f.acceptWorkerConns(workers)
 	var known []config.Worker
-	for i := range 3 { // all share one address: how often a job is sent matters, not where to
+	for i := range 3 { // all share one address: the tests check how often a job is sent, not to which worker
 		known = append(known, testenv.Worker(fmt.Sprintf("s-0000000%d", i+1), workers.Addr().String(), "ready"))
 	}
 	f.node = testenv.Node(t, known, "")
--- a/internal/dispatcher/instance/instance.go
+++ b/internal/dispatcher/instance/instance.go
@@ -100,7 +100,7 @@
 	return c
 }
 
-// assemble creates the components and connects them. It starts none.
+// assemble creates the components and connects them. It does not start them.
 func assemble(node *config.Node, startRecorder StartRecorder, newDurableJobs NewDurableJobs) (*instance, error) {
 	i := &instance{node: node, watcher: discovery.New(node)}
 	counters := new(dispatch.Counters)
--- a/internal/dispatcher/instance/shutdown_test.go
+++ b/internal/dispatcher/instance/shutdown_test.go
@@ -11,8 +11,8 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// A request has just been read on an idle connection when that connection is to be closed, to make room for others or
-// on shutdown. The request is answered.
+// An idle connection is chosen to be closed, to make room for others or on shutdown, just after a request has been read
+// on it. The request is answered.
 func TestRequestReadWhileItsConnectionCloses(t *testing.T) {
 	for _, cause := range []string{"room", "end"} {
 		f := newFixture(t, func(n *config.Node) { n.Limits.ClientConns, n.Limits.SpareClientConns = 4, 8 })
--- a/internal/dispatcher/instance/worker_answers_test.go
+++ b/internal/dispatcher/instance/worker_answers_test.go
@@ -11,8 +11,7 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// The chunked framing of a worker's response may never be completed. The client receives the result at once all the
-// same.
+// The chunked framing of a worker's response may never be completed. The client still receives the result at once.
 func TestResultIsNotDelayedByIncompleteFraming(t *testing.T) {
 	for _, framing := range []string{"", "0", "0\r\n", "5\r\nab"} {
 		f := newFixture(t, func(n *config.Node) { n.Limits.TrailingTimeout = maxWait }).start()
--- a/internal/dispatcher/instance/worker_test.go
+++ b/internal/dispatcher/instance/worker_test.go
@@ -39,7 +39,7 @@
 	return req.Header.Get("X-Request-ID")
 }
 
-// waitIdle waits until the pool holds so many idle connections.
+// waitIdle waits until the pool holds the given number of idle connections.
 func (f *fixture) waitIdle(idle int) {
 	f.t.Helper()
 	f.waitUntil("the number of idle connections", func() bool { n, _ := f.transport.ConnectionCounts(); return n == idle })
--- a/internal/dispatcher/simadapter/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -12,7 +12,7 @@
 
 // Sizes of the parts of the wire format, in bytes. All numbers are little endian.
 const (
-	headerBytes = 16 // header of a frame: the clock, the length of what follows the length, the number of records
+	headerBytes = 16 // header of a frame: the clock, the length of the data after that field, the number of records
 	eventBytes  = 48 // record of an event
 	actionBytes = 24 // record of an action
 	entryBytes  = 21 // one worker in a page
--- a/internal/dispatcher/simadapter/golden_test.go
+++ b/internal/dispatcher/simadapter/golden_test.go
@@ -42,7 +42,7 @@
 			le.PutUint32(r[5:], 4)
 		})
 	}
-	fill := func(r []byte) { // each byte has the value of its position, so that a shifted field shows
+	fill := func(r []byte) { // each byte has the value of its position, so that a shifted field is detected
 		for i := range r {
 			r[i] = byte(i + 1)
 		}
--- a/internal/dispatcher/simadapter/host.go
+++ b/internal/dispatcher/simadapter/host.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// frameState is the state that one record of a frame leaves for the next.
+// frameState is the state that is kept from one record of a frame to the next.
 type frameState struct {
 	instance   uint16 // receiver of the records, set by the last context
 	hasContext bool   // the frame has had a context
--- a/internal/dispatcher/simadapter/reply.go
+++ b/internal/dispatcher/simadapter/reply.go
@@ -26,7 +26,8 @@
 	actionHealthCheck = 77
 )
 
-// replyHeaderBytes is the size of a reply's header: the length of what follows the length, and the number of records.
+// replyHeaderBytes is the size of a reply's header: the length of the data after the length field, and the number of
+// records.
 const replyHeaderBytes = 8
 
 // maxTimer is the longest delay of a timer. Longer delays are shortened to it.
--- a/internal/dispatcher/snmp/response.go
+++ b/internal/dispatcher/snmp/response.go
@@ -14,7 +14,8 @@
 	variables []variable // all variables of the server, sorted by identifier
 }
 
-// fail returns an error response with the variables of the request. index counts them from 1; 0 names none.
+// fail returns an error response with the variables of the request. index is the number of the faulty variable, counted
+// from 1, or 0 for none.
 func (r *response) fail(code gosnmp.SNMPError, index int) []byte {
 	r.packet.Error, r.packet.ErrorIndex, r.packet.Variables = code, uint8(min(index, maxErrorIndex)), r.request.Variables
 	b, err := r.packet.MarshalMsg()
--- a/internal/dispatcher/workerhttp/answer.go
+++ b/internal/dispatcher/workerhttp/answer.go
@@ -23,7 +23,7 @@
 	result     []byte
 	reusable   bool          // the connection may carry another request
 	rest       io.Reader     // body that must be read before the connection is reused; may be nil
-	length     int64         // of rest in bytes, if the head states it, else -1
+	length     int64         // length of rest in bytes; -1 if the head does not state it
 	quarantine time.Duration // how long the connection must carry no request
 }
 
--- a/internal/dispatcher/workerhttp/chunked.go
+++ b/internal/dispatcher/workerhttp/chunked.go
@@ -27,7 +27,7 @@
 // never.
 type chunkedReader struct {
 	source    *bufio.Reader
-	remaining uint64 // bytes of the present chunk
+	remaining uint64 // unread bytes of the current chunk
 	started   bool   // the first chunk has started
 	ended     bool   // the trailer has been read
 }
@@ -51,7 +51,7 @@
 	if c.ended {
 		return io.EOF
 	}
-	if c.started { // the line end after the previous chunk
+	if c.started { // read the line end after the previous chunk
 		if end, err := c.readLine(); err != nil || end != "" {
 			return cmp.Or(err, errMalformedChunk)
 		}
--- a/internal/dispatcher/workerhttp/load.go
+++ b/internal/dispatcher/workerhttp/load.go
@@ -13,10 +13,11 @@
 type loadReport struct {
 	node  *config.Node
 	load  decision.Load
-	found int // bit i is set if load.Values[i] is
+	found int // bit i is set if load.Values[i] has been set
 }
 
-// set stores a value by its name in the settings or by the workers' own name. It ignores names that the settings lack.
+// set stores a value by its name in the settings or by the name that workers use. It ignores names that the settings
+// lack.
 func (r *loadReport) set(name string, v float64) {
 	if i := r.node.LoadFieldIndex(name); i >= 0 && i < len(r.load.Values) {
 		r.load.Values[i] = v
--- a/internal/dispatcher/workerhttp/pool.go
+++ b/internal/dispatcher/workerhttp/pool.go
@@ -86,7 +86,7 @@
 // release returns a reusable connection to the pool. The pool closes it after WorkerIdleTimeout, before the worker
 // does. The connection carries no request until the quarantine has passed.
 func (p *pool) release(address string, c *conn, quarantine time.Duration) {
-	if c.reader.Buffered() > 0 { // the worker sent more than its answer, and that answers no request
+	if c.reader.Buffered() > 0 { // the worker sent data after its answer, which answers no request
 		c.Close()
 		return
 	}
--- a/internal/dispatcher/workerhttp/transport.go
+++ b/internal/dispatcher/workerhttp/transport.go
@@ -72,7 +72,7 @@
 		a.End(o, decision.Load{}, nil)
 		return
 	}
-	if !a.MayStart() { // the worker or the client left during the connect; nothing has been written
+	if !a.MayStart() { // the worker began to leave or the client disconnected; nothing has been written
 		t.pool.release(a.Worker.Address, c, 0)
 		a.End(decision.NeverSent, decision.Load{}, nil)
 		return
