--- a/internal/dispatcher/amqp/delivery.go
+++ b/internal/dispatcher/amqp/delivery.go
@@ -49,7 +49,7 @@
 		a.counters.Redelivered.Add(1)
 		go a.answer(d, *known.answer)
 		return
-	case known.lost: // the job was delivered before and may have run, but its outcome is not stored any more
+	case known.lost: // the job was delivered before and may have run, but its outcome is no longer stored
 		a.counters.Redelivered.Add(1)
 		go a.answer(d, dispatch.Answer{Kind: dispatch.Failed})
 		return
--- a/internal/dispatcher/amqp/outcomes.go
+++ b/internal/dispatcher/amqp/outcomes.go
@@ -33,7 +33,7 @@
 // lookupResult is what is known of the job of a delivery. If no field is set, the job is new.
 type lookupResult struct {
 	joined bool             // the job is open: the delivery waits for its answer
-	lost   bool             // the job was delivered before, but its outcome is not stored any more
+	lost   bool             // the job was delivered before, but its outcome is no longer stored
 	answer *dispatch.Answer // the job has this answer
 }
 
@@ -48,8 +48,8 @@
 }
 
 // lookupOrOpen looks up the job with a name, and opens it if it is new. A redelivery by the broker gets the first
-// delivery's answer. A client's own retry gets it only if the answer is Served, as the other answers ask the client to
-// retry.
+// delivery's answer. A client's own retry gets it only if the answer is Served, because the other answers ask the
+// client to retry.
 func (o *outcomes) lookupOrOpen(name string, keyed bool, d delivery) lookupResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/dispatcher/amqp/session.go
+++ b/internal/dispatcher/amqp/session.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// dropSession removes the session and ends its attempts in flight with decision.Reset, as they may have run.
+// dropSession removes the session and ends its attempts in flight with decision.Reset, because they may have run.
 func (a *Adapter) dropSession() {
 	a.mu.Lock()
 	a.session = nil
--- a/internal/dispatcher/capture/manifest.go
+++ b/internal/dispatcher/capture/manifest.go
@@ -14,7 +14,7 @@
 // manifestSuffix is the suffix of a manifest's file name.
 const manifestSuffix = ".capture.json"
 
-// maxManifestBytes limits how much of a manifest is read, as the path may name any file.
+// maxManifestBytes limits how much of a manifest is read, because the path may name any file.
 const maxManifestBytes = 1 << 20
 
 // Manifest seals the files of a capture: Read skips a file whose length or checksum differs from the manifest. The
--- a/internal/dispatcher/clienthttp/listener.go
+++ b/internal/dispatcher/clienthttp/listener.go
@@ -33,7 +33,7 @@
 	byStage        [stageClosed + 1]int // number of conns at each stage
 	closeRequests  int                  // number of conns with a pending close request
 	lingering      int                  // number of rejected connections whose clients are still sending
-	closing        bool                 // no connection is accepted any more, and idle ones are closed
+	closing        bool                 // no further connection is accepted, and idle ones are closed
 	connRemoved    chan struct{}        // receives a value when a connection is removed from conns
 	pipelinedBytes int64                // buffered bytes that clients sent while a request of theirs was in progress
 }
--- a/internal/dispatcher/discovery/list.go
+++ b/internal/dispatcher/discovery/list.go
@@ -42,8 +42,8 @@
 		}
 		generation = *newest
 	case generation < *newest:
-		// The newer list stays in effect. The entries of leaving workers are applied all the same: a drain that is
-		// announced twice does no harm, a missed one does.
+		// The newer list stays in effect. The entries of leaving workers are applied nevertheless: a drain that is
+		// announced twice does no harm, but a missed one does.
 		w.logOutdated.Do(func() {
 			log.Printf("ignoring the ready workers of a list of version %d, which came after version %d", generation, *newest)
 		})
--- a/internal/dispatcher/dispatch/attempt.go
+++ b/internal/dispatcher/dispatch/attempt.go
@@ -44,8 +44,8 @@
 // MarkSent records that the last byte of the request has been written.
 func (a *Attempt) MarkSent() { a.sent.Store(true) }
 
-// ReportProgress tells the core that the job has started at the worker or, as a share from 0 to 1, how far it has
-// advanced.
+// ReportProgress reports to the core that the job has started at the worker, or how far it has advanced, as a share
+// from 0 to 1.
 func (a *Attempt) ReportProgress(kind decision.ProgressKind, share float64) {
 	a.core.post(func() {
 		if a.ended {
@@ -65,8 +65,8 @@
 	})
 }
 
-// End tells the core the outcome of the attempt. The connection must be closed or reusable before the call, because the
-// core may send the job again.
+// End reports the outcome of the attempt to the core. The connection must be closed or reusable before the call,
+// because the core may send the job again.
 func (a *Attempt) End(o decision.Outcome, load decision.Load, result []byte) {
 	a.core.post(func() { a.core.endAttempt(a, o, load, result) })
 }
--- a/internal/dispatcher/instance/lists_test.go
+++ b/internal/dispatcher/instance/lists_test.go
@@ -16,8 +16,8 @@
 
 const listEntry = `{"instanceId":"s-0000000%d","hostPort":%q,"zone":"montreal","machineType":"std-2c","lifecycle":%q,"weight":1}`
 
-// listText encodes a list of the three workers. The first ones, as many as draining says, are draining. form is line,
-// indented or crlf and selects the whitespace.
+// listText encodes a list of the three workers. The first workers are draining; the parameter draining is their number.
+// form selects the whitespace: line, indented or crlf.
 func (f *fixture) listText(form string, generation, draining int) string {
 	var entries []string
 	for i := range 3 {
--- a/internal/dispatcher/simadapter/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -52,7 +52,7 @@
 	if int64(count)*eventBytes > body {
 		return frame{}, fmt.Errorf("%d records of %d bytes do not fit into %d bytes (byte 12)", count, eventBytes, body)
 	}
-	// The buffer grows with the bytes that arrive, as a malformed length must not cause a large allocation.
+	// The buffer grows with the bytes that arrive, because a malformed length must not cause a large allocation.
 	buffer.Reset()
 	if n, err := io.CopyN(buffer, r, body); err != nil {
 		if errors.Is(err, io.EOF) {
--- a/internal/dispatcher/snmp/server.go
+++ b/internal/dispatcher/snmp/server.go
@@ -21,7 +21,7 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// maxErrorIndex is the highest index of a variable in an error response, as gosnmp encodes the index in one byte.
+// maxErrorIndex is the highest index of a variable in an error response, because gosnmp encodes the index in one byte.
 const maxErrorIndex = 255
 
 // Server answers SNMP messages. New sets the exported fields; tests replace them.
