--- a/internal/dispatcher/simadapter/frame.go
+++ b/internal/dispatcher/simadapter/frame.go
@@ -12,7 +12,7 @@
 
 // Sizes of the parts of the wire format, in bytes. All numbers are little endian.
 const (
-	headerBytes = 16 // header of a frame: the clock, the length of what follows the length, the number of records
+	headerBytes = 16 // header of a frame: the clock, the length of the data after that field, the number of records
 	eventBytes  = 48 // record of an event
 	actionBytes = 24 // record of an action
 	entryBytes  = 21 // one worker in a page
@@ -52,7 +52,7 @@
 	if int64(count)*eventBytes > body {
 		return frame{}, fmt.Errorf("%d records of %d bytes do not fit into %d bytes (byte 12)", count, eventBytes, body)
 	}
-	// The buffer grows with the bytes that arrive, as a malformed length must not cause a large allocation.
+	// The buffer grows with the bytes that arrive, because a malformed length must not cause a large allocation.
 	buffer.Reset()
 	if n, err := io.CopyN(buffer, r, body); err != nil {
 		if errors.Is(err, io.EOF) {
