--- a/internal/dispatcher/durablejobs/peers.go
+++ b/internal/dispatcher/durablejobs/peers.go
@@ -193,7 +193,7 @@
 // write sends the greeting and then the queue of a peer, until the connection fails or ctx ends.
 func (l *peerLinks) write(ctx context.Context, c net.Conn, p *peerLink) error {
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	closed := make(chan struct{}) // closed when the peer closes the connection, on which it sends nothing
+	closed := make(chan struct{}) // closed when the peer, which never sends on this connection, closes it
 	go func() {
 		defer close(closed)
 		c.Read(make([]byte, 1))
--- a/internal/dispatcher/durablejobs/statemachine.go
+++ b/internal/dispatcher/durablejobs/statemachine.go
@@ -46,7 +46,8 @@
 	return data
 }
 
-// propose proposes a command to a group until a time. It calls then, on Run's goroutine, with the response or an error.
+// propose proposes a command to a group and stops trying at a deadline. On Run's goroutine it calls the function then
+// with the response or an error.
 func (m *Manager) propose(group int, c *lease.Command, until time.Duration, then func(lease.Response, error)) {
 	token, actions := m.replicas.Propose(m.now(), group, encode(c), until)
 	m.callbacks[token] = func(data []byte, err error) {
--- a/internal/dispatcher/faultinjection/durablejobs_test.go
+++ b/internal/dispatcher/faultinjection/durablejobs_test.go
@@ -25,8 +25,8 @@
 
 const dedupWindow = 6 * time.Second
 
-// durableKinds generates a timeline, and the crash points by node, of each kind. All kinds but "all at once" keep a
-// majority of the replicas of every group alive at any time.
+// durableKinds maps each kind to a function that generates its timeline and its crash points by node. All kinds except
+// "all at once" keep a majority of the replicas of every group alive at any time.
 var durableKinds = map[string]func(rng *rand.Rand, n int) (t Timeline, crash map[int]string){
 	"calm": func(rng *rand.Rand, n int) (Timeline, map[int]string) { return Timeline{}, nil },
 	// Three nodes are killed in turn. Each starts again once its replicas have been restored elsewhere.
@@ -42,7 +42,7 @@
 		nodes, at := rng.Perm(n), 1.0
 		for k := range ReplicaCount(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at, Do: "kill", Nodes: nodes[k : k+1]})
-			at += 2.2 // until the first is taken for failed and its leases move
+			at += 2.2 // until the first is declared failed and its leases move
 		}
 		for k := range ReplicaCount(n) / 2 {
 			t.Steps = append(t.Steps, Step{AtS: at + 4 + 4*float64(k), Do: "start", Nodes: nodes[k : k+1]})
@@ -50,7 +50,7 @@
 		return t, nil
 	},
 	// All are killed and start empty: the replicated records are lost, the dispatchers report it, found the groups anew
-	// and go on.
+	// and continue.
 	"all at once": func(rng *rand.Rand, n int) (t Timeline, _ map[int]string) {
 		nodes := rng.Perm(n)
 		t.Steps = []Step{{AtS: 5, Do: "kill", Nodes: nodes}, {AtS: 6, Do: "start", Nodes: nodes}}
--- a/internal/dispatcher/faultinjection/runner.go
+++ b/internal/dispatcher/faultinjection/runner.go
@@ -29,7 +29,7 @@
 	Host           int              // second octet of the addresses 127.Host.x.y; concurrent runs use different ones
 	Settings       string           // a node's settings in the platform's JSON form, with limits.peers
 	Period         time.Duration    // probe period of the membership
-	FailureTimeout time.Duration    // how long a member may be silent before others take it for failed
+	FailureTimeout time.Duration    // how long a member may send no answer before others declare it failed
 	OnQuiet        func()           // called after the quiet span, while all processes still run
 	DurableJobs    *DurableWorkload // workload of durable jobs; nil: the run has only the membership
 
@@ -57,7 +57,7 @@
 type Result struct {
 	Violations      []string        // violated invariants
 	FalseSuspicions int             // suspicions that no fault explains
-	DetectionTimes  []time.Duration // for each detected kill: until the last node that was up took the member for failed
+	DetectionTimes  []time.Duration // for each detected kill: until the last node that was up declared the member failed
 	Views           int             // distinct views in the event logs
 	Agreed          bool            // all nodes ended with the same view
 	World           *simulation.World
@@ -149,7 +149,7 @@
 	return kills, nil
 }
 
-// markFaults records that from now on some nodes may be taken for failed, and others no longer.
+// markFaults records that from now on some nodes may be declared failed, and others no longer.
 func (r *Runner) markFaults(s Step) {
 	for _, i := range s.FaultBegins {
 		r.world.BeginFault(r.world.Nodes[i])
@@ -220,7 +220,7 @@
 // detectionWindow is how long after a kill a node's failure counts as detected.
 const detectionWindow = 20 * time.Second
 
-// detectionTime returns how long after a kill the last node took the killed one for failed, and whether any node did.
+// detectionTime returns how long after a kill the last node declared the killed one failed, and whether any node did.
 func (r *Runner) detectionTime(killed kill) (last time.Duration, known bool) {
 	name := r.nodes[killed.node].name
 	for _, e := range r.world.Entries {
--- a/internal/dispatcher/faultinjection/timeline.go
+++ b/internal/dispatcher/faultinjection/timeline.go
@@ -16,8 +16,8 @@
 	ForS        float64 `json:"for_s,omitempty"` // stop: until the process continues
 	Share       float64 `json:"share,omitempty"` // loss, double: share of the datagrams, 0 to 1
 	Ms          [2]int  `json:"ms,omitempty"`    // delay: minimum and maximum
-	FaultBegins []int   `json:"hurts,omitempty"` // nodes that others may take for failed from this step on
-	FaultEnds   []int   `json:"eases,omitempty"` // nodes that others may no longer take for failed
+	FaultBegins []int   `json:"hurts,omitempty"` // nodes that others may declare failed from this step on
+	FaultEnds   []int   `json:"eases,omitempty"` // nodes that others may no longer declare failed
 	As          string  `json:"as,omitempty"`    // rename: the name that the node gets at its next start
 }
 
--- a/internal/dispatcher/faultinjection/timelines.go
+++ b/internal/dispatcher/faultinjection/timelines.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Kinds generates a random timeline of n nodes, by the name of its kind. timeout is the failure timeout in seconds;
-// most times of the steps are multiples of it.
+// Kinds maps the name of each kind of timeline to a function that generates a random one for n nodes. timeout is
+// the failure timeout in seconds; most times of the steps are multiples of it.
 var Kinds = map[string]func(rng *rand.Rand, n int, timeout float64) Timeline{
-	// One node is killed, and started again once all others have taken it for failed.
+	// One node is killed, and started again once all others have declared it failed.
 	"crash": func(rng *rand.Rand, n int, timeout float64) Timeline {
 		nodes := []int{rng.IntN(n)}
 		return Timeline{Steps: []Step{{AtS: 0, Do: "kill", Nodes: nodes}, {AtS: 4 * timeout, Do: "start", Nodes: nodes}}}
@@ -41,7 +41,7 @@
 		nodes := rng.Perm(n)
 		return Timeline{Steps: []Step{{AtS: 0, Do: "cut", Nodes: nodes[:1], To: nodes[1:2]}, {AtS: 0, Do: "cut", Nodes: nodes[1:2], To: nodes[:1]}, {AtS: 6 * timeout, Do: "heal"}}}
 	},
-	// Only the larger side may take the smaller one for failed.
+	// Only the larger side may declare the smaller one failed.
 	"split": func(rng *rand.Rand, n int, timeout float64) Timeline {
 		nodes := rng.Perm(n)
 		small, large := nodes[:(n-1)/2], nodes[(n-1)/2:]
@@ -68,7 +68,7 @@
 		return Timeline{Steps: []Step{{AtS: 0, Do: "delay", Ms: [2]int{1, int(150 * timeout)}}, {AtS: 0, Do: "double", Share: 0.3},
 			{AtS: 8 * timeout, Do: "delay"}, {AtS: 8 * timeout, Do: "double"}}}
 	},
-	// One node sends but receives nothing: its suspicions must not count, and others may take it for failed.
+	// One node sends but receives nothing: its suspicions must not count, and others may declare it failed.
 	"deaf": func(rng *rand.Rand, n int, timeout float64) Timeline {
 		nodes := []int{rng.IntN(n)}
 		return Timeline{Steps: []Step{{AtS: 0, Do: "deaf", Nodes: nodes, FaultBegins: nodes}, {AtS: 6 * timeout, Do: "hear", Nodes: nodes, FaultEnds: nodes}}}
--- a/internal/dispatcher/fleetsim/arrivals.go
+++ b/internal/dispatcher/fleetsim/arrivals.go
@@ -16,8 +16,8 @@
 	WorkSeconds               float64 // seconds on a core of speed 1
 }
 
-// Arrivals returns a function that draws a day's requests one after the other, and returns false when the day is over.
-// The requests are a Poisson process with a varying rate, made by thinning a process with the peak rate.
+// Arrivals returns a function that draws a day's requests one after the other, and returns false after the end of the
+// day. The requests are a Poisson process with a varying rate, made by thinning a process with the peak rate.
 func Arrivals(fleet *Fleet, load *Load, seed uint64) (next func() (Arrival, bool), err error) {
 	s, err := newScenario(fleet, load)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return func() float64 { return c.WorkMs / 1000 }
 }
 
-// next draws the next arrival; it returns false once the day is over.
+// next draws the next arrival; it returns false after the end of the day.
 func (a *arrivalSource) next() (Arrival, bool) {
 	for a.peak > 0 {
 		if a.atSeconds += a.random.ExpFloat64() / a.peak; a.atSeconds >= a.load.Seconds {
--- a/internal/dispatcher/fleetsim/result.go
+++ b/internal/dispatcher/fleetsim/result.go
@@ -37,7 +37,7 @@
 	Failed       int     `json:"lost"` // rejected or failed for good
 }
 
-// Service returns the share of the offered value that was earned; 1 where none was offered.
+// Service returns the share of the offered value that was earned, or 1 if none was offered.
 func (t *Tally) Service() float64 {
 	if t.OfferedValue == 0 {
 		return 1
--- a/internal/dispatcher/fleetsim/simulation_test.go
+++ b/internal/dispatcher/fleetsim/simulation_test.go
@@ -1,4 +1,4 @@
-// These tests compare the simulation with queueing theory where there is a formula, and check on random days that the
+// These tests compare the simulation with queueing theory if a formula exists, and check on random days that the
 // decision module violates none of the rules that the simulation checks.
 package fleetsim
 
--- a/internal/dispatcher/lease/command.go
+++ b/internal/dispatcher/lease/command.go
@@ -9,7 +9,7 @@
 // Kind is the operation of a command. The numbers are part of the encoding.
 type Kind uint8
 
-// The commands.
+// Operations on the lease table.
 const (
 	Acquire    Kind = iota + 1 // Owner makes a job durable and acquires its lease
 	IntendSend                 // Owner is about to send the job to a worker
@@ -31,7 +31,7 @@
 	Job           []byte // Acquire: the encoded job, for another owner to run it
 	Attempt       uint32 // IntendSend: number of the attempt, from 1 in each epoch
 	Place         uint32 // IntendSend: the zone or cell of the worker, within which workers detect duplicates
-	NothingRan    bool   // IntendSend, Release: it is proved that no earlier send of this epoch has run
+	NothingRan    bool   // IntendSend, Release: provably, no earlier send of this epoch has run
 	Outcome       Outcome
 	Result        []byte
 	PreviousOwner string // TakeOver: the failed owner; empty: the owners of overdue records
@@ -42,7 +42,7 @@
 // that a later Acquire of a released record updates RequestID and may extend Deadline.
 type Terms struct {
 	_             struct{} `cbor:",toarray"`
-	RetryWindow   int64    // ms after the first send that may have run in which repeats are allowed; 0: none
+	RetryWindow   int64    // ms in which repeats are allowed, from the first send that may have run; 0: none
 	SamePlaceOnly bool     // the job may be sent again only to workers of the same Place
 	Deadline      int64    // of the client, Unix ms; nothing is sent after it
 	Retention     int64    // ms that the outcome is kept after Deadline or, if later, the last change
@@ -53,7 +53,7 @@
 // Decision is the result of a command.
 type Decision uint8
 
-// The decisions.
+// Results that a replica can give for a command.
 const (
 	Granted         Decision = iota + 1 // the command is applied; Epoch is the owner's
 	OwnedElsewhere                      // another owner or request has the lease; the caller waits for its outcome
--- a/internal/dispatcher/lease/explore_test.go
+++ b/internal/dispatcher/lease/explore_test.go
@@ -341,7 +341,7 @@
 	return out, steps
 }
 
-// check returns the invariant that a state violates, or nothing.
+// check returns the invariant that a state violates, or an empty string if it violates none.
 func (e *explorer) check(s *state) string {
 	if s.effects > 1 {
 		return "the job took effect twice"
--- a/internal/dispatcher/lease/golden_test.go
+++ b/internal/dispatcher/lease/golden_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// throughSnapshot restores a table from its own snapshot, and returns the snapshot.
+// throughSnapshot takes a snapshot of a table, restores the table from it, and returns the snapshot.
 func throughSnapshot(t *testing.T, table *Table) []byte {
 	t.Helper()
 	snapshot, err := table.Snapshot()
--- a/internal/dispatcher/lease/lease.go
+++ b/internal/dispatcher/lease/lease.go
@@ -4,10 +4,10 @@
 
 package lease
 
-// ActionKind tells what the caller has to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// Kinds of actions that a lease returns to its caller.
 const (
 	Propose    ActionKind = iota + 1 // propose Command; pass its result to HandleResponse or HandleUnknownOutcome
 	Admit                            // submit the job to the decision module
@@ -104,7 +104,8 @@
 // Job returns the encoded job.
 func (l *Lease) Job() []byte { return l.job }
 
-// HasNoClient reports whether no client waits for the answer: it has been answered, has left, or never was here.
+// HasNoClient reports whether no client waits for the answer: it was answered, it disconnected, or the job never
+// had a client at this dispatcher.
 func (l *Lease) HasNoClient() bool { return l.clientDone }
 
 // reject adds a rejection to the actions if a client waits.
@@ -134,8 +135,8 @@
 	return actions
 }
 
-// awaitOwner lets the client, if one waits, wait for the outcome of another owner. Attempts in flight at workers
-// continue.
+// awaitOwner makes the client, if there is one, wait for the outcome that another owner commits. Attempts in flight at
+// workers continue.
 func (l *Lease) awaitOwner(actions []Action) []Action {
 	if l.clientDone {
 		return l.close(actions)
@@ -214,8 +215,8 @@
 		NothingRan: l.unprovenSends == 0})
 }
 
-// SendTimeLeft returns for how many ms from now the send whose intent is committed may still begin. An owner whose
-// process was paused for longer than the send window sends nothing.
+// SendTimeLeft returns the time, in ms from now, within which the send with the committed intent must begin. After a
+// pause of its process longer than the send window, an owner sends nothing.
 func (l *Lease) SendTimeLeft(now int64) int64 {
 	if l.phase != running {
 		return 0
@@ -223,10 +224,10 @@
 	return max(l.intendedAt+l.sendWindow-now, 0)
 }
 
-// IsWaiting reports whether the client waits for the outcome of another owner.
+// IsWaiting reports whether the client waits for the outcome that another owner commits.
 func (l *Lease) IsWaiting() bool { return l.phase == waiting }
 
-// AttemptEnded records the end of a granted attempt. neverRan means that it is proved that no worker ran it.
+// AttemptEnded records the end of a granted attempt. neverRan means that it provably did not run at any worker.
 func (l *Lease) AttemptEnded(neverRan bool) {
 	if neverRan {
 		l.unprovenSends--
--- a/internal/dispatcher/lease/record.go
+++ b/internal/dispatcher/lease/record.go
@@ -8,7 +8,7 @@
 	Unknown      State = iota
 	Owned              // an owner holds the lease and has sent nothing in its epoch
 	SendIntended       // the intent of a send is committed; the job may have run
-	Released           // the lease has no owner; the record remembers that the job may have run
+	Released           // the lease has no owner; the record keeps whether the job may have run
 	Ended              // the outcome is committed and final
 )
 
@@ -17,10 +17,10 @@
 	return [...]string{"forgotten", "taken", "sent", "loose", "ended"}[min(s, Ended)]
 }
 
-// Outcome is how a job ended.
+// Outcome is the final result of a job.
 type Outcome uint8
 
-// The outcomes.
+// Final results of a job.
 const (
 	Served Outcome = iota + 1 // a worker ran the job; Result is its response
 	Failed                    // the job is not tried again; whether it ran is unknown
--- a/internal/dispatcher/lease/table.go
+++ b/internal/dispatcher/lease/table.go
@@ -4,7 +4,7 @@
 // owners. The type Lease is the owner's side of one record (lease.go).
 //
 // The package guarantees that two owners never act under the same epoch, that an outcome never changes, and that no
-// send is granted that the job's class forbids. It does no I/O and has no clock and no goroutine: each command carries
+// send that the job's class forbids is granted. It does no I/O and has no clock and no goroutine: each command carries
 // the time of the dispatcher that proposed it. It does not choose workers or reject jobs for load; the decision module
 // does. docs/durable-jobs-design.md has the tables of what an owner may do.
 //
@@ -99,7 +99,8 @@
 	}
 }
 
-// beginEpoch gives a record to an owner under a new epoch. It remembers the first send that may have run before.
+// beginEpoch gives a record to an owner under a new epoch. It keeps the time of the first send that may have run in
+// an earlier epoch.
 func (t *Table) beginEpoch(r *Record, owner string, now int64) {
 	t.setOwner(r, owner)
 	t.lastEpoch++
@@ -152,7 +153,7 @@
 			r.FirstSendAt = 0
 		}
 		epoch := r.Epoch
-		if t.setOwner(r, ""); r.earliestSendAt() == 0 { // the job never ran: forget it
+		if t.setOwner(r, ""); r.earliestSendAt() == 0 { // the job never ran: remove its record
 			delete(t.records, r.Key)
 		} else {
 			r.State, r.ChangedAt = Released, c.Time
--- a/internal/dispatcher/membership/ballot.go
+++ b/internal/dispatcher/membership/ballot.go
@@ -210,7 +210,7 @@
 	return peer.hasAnswered && m.now-peer.lastAnswerAt < m.config.FailureTimeout/2
 }
 
-// recheck pings a member again that this one has not investigated for the whole failure time-out. It reports whether
+// recheck pings a member again if this one has not investigated it for the whole failure time-out. It reports whether
 // this member still waits for the answer.
 func (m *Machine) recheck(peer *member) bool {
 	isInvestigated := peer.investigation != nil && peer.investigation.pings >= minObserverPings &&
--- a/internal/dispatcher/membership/coordinator.go
+++ b/internal/dispatcher/membership/coordinator.go
@@ -27,12 +27,12 @@
 // Limits on observers' reports, in fifths of the period and twentieths of the failure time-out.
 const (
 	reportLifetimeFifths   = 13 // of a period: an observer repeats its report each period
-	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that has been silent for so long
+	almostFailedTwentieths = 9  // of the time-out: a change waits for a member that has not answered for this time
 )
 
 // failedMembers returns the members that a majority of their observers reports as failed, and whether other members are
-// close to that. It drops reports on
-// members that are no longer suspected, were vetoed or are not in the view.
+// close to that. It drops reports on members that are no longer suspected, are not in the view, or whose removal was
+// vetoed.
 func (m *Machine) failedMembers() (failed []*member, othersAreClose bool) {
 	v := &m.view
 	for _, name := range sortedKeys(v.suspicionReports) {
--- a/internal/dispatcher/membership/datagrams.go
+++ b/internal/dispatcher/membership/datagrams.go
@@ -61,8 +61,8 @@
 	m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(entry *gossipEntry) bool { return entry.transmissions >= maxTransmissions })
 }
 
-// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to. It returns nil if there is none
-// that has been disseminated.
+// suspicionOfReceiver returns the encoded suspicion of the member that a ping goes to, or nil if no suspicion of it has
+// been disseminated.
 func (m *Machine) suspicionOfReceiver(p *packet) cbor.RawMessage {
 	peer := m.members[p.Subject]
 	if p.Kind != ping || peer == nil || !peer.isDisseminated || !peer.isDoubtful() {
--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -45,7 +45,7 @@
 	Seed           uint64 // of the random number generator
 
 	Period           time.Duration // between two probes
-	FailureTimeout   time.Duration // silence after which observers may report a member as failed
+	FailureTimeout   time.Duration // time without an answer after which observers may report a member as failed
 	ObserverCount    int           // members that investigate a suspicion
 	BootstrapTimeout time.Duration // search for others before the member founds a fleet of its own
 	BatchDelay       time.Duration // maximum wait of a removal for members that are about to fail
--- a/internal/dispatcher/membership/explore_test.go
+++ b/internal/dispatcher/membership/explore_test.go
@@ -196,7 +196,7 @@
 				}
 			case "facts":
 				w.Deliver(node, membership.Event{Kind: membership.MetadataChanged, Metadata: membership.Metadata{Weight: 2}})
-			case "cut": // nodes on a side without a majority of the latest view may be taken for failed
+			case "cut": // nodes on a side without a majority of the latest view may be declared failed
 				heal()
 				side := map[*simulation.Node]bool{}
 				for _, other := range w.Nodes {
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -49,7 +49,7 @@
 	startedAt         time.Duration
 	investigated      []*member
 	suspected         []*member
-	// notifiedAt is when a name was last told that its incarnation has ended. Key "" is for the last report of a name
+	// notifiedAt is when a name was last notified that its incarnation has ended. Key "" is for the last report of a name
 	// conflict.
 	notifiedAt map[string]time.Duration
 	view       viewState
--- a/internal/dispatcher/membership/members.go
+++ b/internal/dispatcher/membership/members.go
@@ -37,8 +37,8 @@
 	transmissions int
 }
 
-// startSuspicion suspects a member that does not answer and tells only its observers. At 20% loss most suspicions are
-// wrong, and the observers find that out within half a second. When suspicions were gossiped at once, they and their
+// startSuspicion suspects a member that does not answer and notifies only its observers. At 20% loss most suspicions
+// are wrong, and the observers detect that within half a second. When suspicions were gossiped at once, they and their
 // refutations made up nine tenths of all bytes.
 func (m *Machine) startSuspicion(peer *member) {
 	if peer.state == Left || peer.state == Failed {
--- a/internal/dispatcher/membership/membership_test.go
+++ b/internal/dispatcher/membership/membership_test.go
@@ -133,7 +133,7 @@
 }
 
 // Only neighbours in a chain of members reach each other. Too few members lose contact with the same member, and none
-// may be taken for failed.
+// may be declared failed.
 func TestPartialConnectivityRemovesNoMember(t *testing.T) {
 	t.Parallel()
 	w := startNodes(t, 5, 1, 3)
@@ -152,7 +152,7 @@
 }
 
 // In a partition the larger side continues with a view of its own. The smaller side knows that it has no quorum and
-// takes no member for failed.
+// declares no member failed.
 func TestMinorityRemovesNoMemberInPartition(t *testing.T) {
 	t.Parallel()
 	for _, small := range []int{1, 2} {
@@ -287,8 +287,8 @@
 	settle(t, w)
 }
 
-// One zone of three is lost and comes back. One change of the view each way is the aim; the test checks
-// that of the loss.
+// One zone of three is lost and returns. Each of the two should need only one change of the view; the test checks this
+// for the loss.
 func TestZoneLossNeedsOneView(t *testing.T) {
 	t.Parallel()
 	w := startNodes(t, 60, 3, 9)
@@ -330,7 +330,7 @@
 }
 
 // A rumor that arrives after an incarnation has ended must not revive it, however high its revision. A member that left
-// must not be suspected or taken for failed either.
+// must not be suspected or declared failed either.
 func TestLateRumorDoesNotReviveEndedIncarnation(t *testing.T) {
 	t.Parallel()
 	for _, end := range []membership.State{membership.Failed, membership.Left} {
@@ -356,8 +356,8 @@
 	}
 }
 
-// A member that was paused must not suspect others at once: what it did not hear during the pause says nothing about
-// them.
+// A member that was paused must not suspect others at once: datagrams that it missed during the pause are no
+// evidence against them.
 func TestPausedMemberSuspectsNoOther(t *testing.T) {
 	t.Parallel()
 	w := startNodes(t, 12, 3, 13)
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -27,7 +27,7 @@
 type Metadata struct {
 	_        struct{} `cbor:",toarray"`
 	Weight   float32  // capacity, in a unit that the user chooses
-	Draining bool     // it is shutting down and takes no new work
+	Draining bool     // it is shutting down and accepts no new work
 	Version  string   // of its program, at most 12 bytes
 }
 
--- a/internal/dispatcher/membership/probes.go
+++ b/internal/dispatcher/membership/probes.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// randomAlive returns up to n random members that are alive, without except.
+// randomAlive returns up to n random members that are alive, excluding the member except.
 func (m *Machine) randomAlive(n int, except *member) (out []*member) {
 	if len(m.probeOrder) == 0 {
 		return nil
@@ -143,8 +143,8 @@
 }
 
 // investigate continues this member's investigation of peer as an observer. Twice a period it pings peer directly and
-// through a relay. Once a period it reports the silence of peer to the first two leaders. The
-// investigation ends when peer answers, raises its revision, leaves or is removed.
+// through a relay. Once a period it reports to the first two leaders that peer does not answer. The investigation ends
+// when peer answers, raises its revision, leaves or is removed.
 func (m *Machine) investigate(peer *member) {
 	inquiry := peer.investigation
 	if peer.state != Suspected && peer.state != Unknown {
@@ -154,7 +154,7 @@
 	pingInterval := m.config.Period / 2
 	if m.now >= inquiry.lastPingAt+pingInterval {
 		inquiry.lastPingAt = m.now
-		if inquiry.pings++; inquiry.pings == pingsBeforeDissemination { // tell all members, so that peer can refute it
+		if inquiry.pings++; inquiry.pings == pingsBeforeDissemination { // spread to all members, so that peer can refute it
 			m.addSuspicion(peer, m.self.Name, inquiry.startedAt, true)
 		}
 		p := &probe{target: peer, incarnation: peer.Incarnation, sentAt: m.now, isInvestigation: true}
@@ -165,7 +165,7 @@
 	}
 	m.wakeBy(inquiry.lastPingAt + pingInterval)
 	age := m.now - inquiry.startedAt
-	// A member that hears no other cannot judge peer.
+	// A member that gets no answer from any other cannot tell whether peer has failed.
 	if m.now-m.lastAnyAnswerAt > m.config.FailureTimeout/2 || inquiry.pings < minObserverPings {
 		return
 	}
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -11,7 +11,7 @@
 )
 
 // Audit returns the violations of the membership's guarantees: two views with the same number, an earlier view after a
-// later one, an ended incarnation that changed its state, or a member taken for failed that was alive and connected.
+// later one, an ended incarnation that changed its state, or a member declared failed that was alive and connected.
 func (w *World) Audit() (violations []string) {
 	type viewNumber struct {
 		fleet, epoch uint32
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -32,7 +32,7 @@
 	PausedUntil     time.Duration // until when its process is paused
 	ReceivesNothing bool          // it sends, but receives no datagrams
 	Sent            uint64        // bytes sent by all incarnations
-	// Faults are the spans in which others may take the node for failed: its process is killed, paused for longer than
+	// Faults are the spans in which others may declare the node failed: its process is killed, paused for longer than
 	// FailureTimeout or partitioned.
 	Faults      []Span
 	waiting     []delivery    // datagrams that arrived during a pause
@@ -164,7 +164,7 @@
 	}
 }
 
-// BeginFault begins a span in which others may take a node for failed; EndFault ends it.
+// BeginFault begins a span in which others may declare a node failed; EndFault ends it.
 func (w *World) BeginFault(n *Node) { n.Faults = append(n.Faults, Span{From: w.Now}) }
 
 // EndFault ends the spans that BeginFault began.
--- a/internal/dispatcher/membership/view.go
+++ b/internal/dispatcher/membership/view.go
@@ -107,7 +107,7 @@
 	commitNumber       uint32
 	commitResendAt     time.Duration
 	commitResendsLeft  int
-	laterViewSeenAt    time.Duration // when a member with a later view was last heard
+	laterViewSeenAt    time.Duration // when a packet with a later view last arrived
 }
 
 // viewChange is a committed change: its encoded body and the view that it applies to. number is 1 if it begins an
@@ -285,7 +285,7 @@
 }
 
 // bootstrap founds a fleet of this member alone if BootstrapTimeout has passed without a view. It waits longer while it
-// hears a member with a view, or one whose name sorts before its own.
+// receives datagrams from a member with a view, or from one whose name sorts before its own.
 func (m *Machine) bootstrap() {
 	if at := m.startedAt + m.config.BootstrapTimeout; m.now < at {
 		m.wakeBy(at)
--- a/internal/dispatcher/planner/fit_retries.go
+++ b/internal/dispatcher/planner/fit_retries.go
@@ -26,7 +26,7 @@
 	retries    int
 	waitsMs    []float64
 	retryAfter int // waits after an answer with Retry-After
-	honoured   int // those of them that honoured it
+	honoured   int // those waits that were at least honouredRetryShare of Retry-After
 }
 
 // fitRetries fits how clients retry after a rejection or a failure.
--- a/internal/dispatcher/planner/limits.go
+++ b/internal/dispatcher/planner/limits.go
@@ -11,7 +11,7 @@
 
 const unlimited = 1 << 30
 
-// LimitEffect is the effect of lifting one limit at a load where the goal does not hold.
+// LimitEffect is the effect of lifting one limit at a load for which the goal does not hold.
 type LimitEffect struct {
 	Resource string  `json:"resource"`
 	Slack    float64 `json:"slack"` // of the worst test once the limit is lifted
--- a/internal/dispatcher/planner/planner_test.go
+++ b/internal/dispatcher/planner/planner_test.go
@@ -1,5 +1,5 @@
-// These tests describe fleets of which it is known which limit breaks first, how many workers are needed and which
-// goals cannot be reached, and compare the planner's answers with that.
+// These tests describe fleets with known answers (which limit breaks first, how many workers are needed, which goals
+// cannot be reached) and compare the planner's answers with them.
 package planner
 
 import (
--- a/internal/dispatcher/raftgroup/group.go
+++ b/internal/dispatcher/raftgroup/group.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// frameKind tells what a frame carries. Its numbers travel between dispatchers of different versions.
+// frameKind is the kind of content of a frame. Its numbers travel between dispatchers of different versions.
 type frameKind uint8
 
 const (
--- a/internal/dispatcher/raftgroup/node.go
+++ b/internal/dispatcher/raftgroup/node.go
@@ -230,7 +230,7 @@
 	Lost     int      `json:"lost"`             // replicas whose node is not in the view
 }
 
-// Status returns the state of the groups of which this node has a replica.
+// Status returns the state of each group that has a replica on this node.
 func (node *Node) Status() (out []GroupStatus) {
 	for _, n := range node.groupNumbers() {
 		g := node.groups[n]
--- a/internal/dispatcher/raftgroup/replica_test.go
+++ b/internal/dispatcher/raftgroup/replica_test.go
@@ -339,7 +339,7 @@
 }
 
 // Guards against a group that commits after it lost its quorum. Three of five nodes restart without their memory; they
-// come back empty and must not vote in place of the replicas that they have lost.
+// restart empty and must not vote in place of the replicas that they have lost.
 func TestGroupWithoutQuorumStops(t *testing.T) {
 	sim := newSimulation(t, 5, 12)
 	sim.run(3 * time.Second)
--- a/internal/dispatcher/testenv/clients_test.go
+++ b/internal/dispatcher/testenv/clients_test.go
@@ -19,7 +19,7 @@
 )
 
 // When a client disconnects, its job is not sent again. The worker continues, so its slot and connection stay in use
-// until it reports the end. If it stays silent, the dispatcher gives the attempt up at the job's deadline.
+// until it reports the end. If it reports nothing, the dispatcher gives the attempt up at the job's deadline.
 func TestJobOfDepartedClientIsNotRetried(t *testing.T) {
 	for script, want := range map[string]decision.Outcome{"done/3s": decision.OK, "silent": decision.TimedOut} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatcher/testenv/discovery_test.go
+++ b/internal/dispatcher/testenv/discovery_test.go
@@ -14,7 +14,8 @@
 	"gladepick/internal/dispatcher/config"
 )
 
-// A draining or gone worker receives no further jobs, and the dispatcher reopens a watch that breaks or goes silent.
+// A draining or gone worker receives no further jobs, and the dispatcher reopens a watch that breaks or stops
+// sending lines.
 func TestDrainingWorkerGetsNoJobsAndBrokenWatchIsReopened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestDispatcher(t).start(options{})
--- a/internal/dispatcher/testenv/herd_test.go
+++ b/internal/dispatcher/testenv/herd_test.go
@@ -108,7 +108,7 @@
 	return len(at), byOne, peak
 }
 
-// inStep counts the pairs whose calls of a span, three at least, all come within 20 ms of each other.
+// inStep counts the pairs of dispatchers whose calls in a span, at least three, all come within 20 ms of each other.
 func (c *dispatcherHerd) inStep(from, to time.Duration) (pairs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatcher/testenv/machine.go
+++ b/internal/dispatcher/testenv/machine.go
@@ -221,7 +221,7 @@
 	m.ports, m.conns = nil, map[net.Conn]bool{}
 }
 
-// restart starts a new process of the worker, which is cold at first.
+// restart starts a new process of the worker, which begins with its slow start.
 func (m *machine) restart(number int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
