--- a/internal/dispatcher/membership/events.go
+++ b/internal/dispatcher/membership/events.go
@@ -37,7 +37,7 @@
 	Metadata    Metadata
 	Seeds       []netip.AddrPort // addresses at which to join
 	// AddressBook has the addresses at which this member reaches the others, by name. It overrides the addresses in
-	// their records where those are not reachable from here.
+	// their records, for networks in which those addresses are not reachable from this member.
 	AddressBook map[string]netip.AddrPort
 	// LearnAddresses takes the source address of a member's datagrams as the member's address, if it is one of Seeds.
 	// It serves networks in which each member reaches the others at different addresses and has no names for them.
@@ -74,7 +74,7 @@
 // EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The events.
+// Kinds of input that the machine handles.
 const (
 	Tick             EventKind = iota + 1 // time has passed; no field is set
 	DatagramReceived                      // From, Data: the sender and the datagram
--- a/internal/dispatcher/membership/machine.go
+++ b/internal/dispatcher/membership/machine.go
@@ -94,7 +94,7 @@
 		m.actions.Next = m.now + time.Hour
 		return &m.actions
 	}
-	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // so late a call means that this process was paused
+	if late := m.now - m.wakeAt; late > m.config.Period*3/5 { // a call this late means that this process was paused
 		m.handlePause(late)
 	}
 	switch ev.Kind {
@@ -122,7 +122,7 @@
 }
 
 // handlePause discards this member's probes and observations after its own process was paused: answers that it missed
-// meanwhile say nothing about other members.
+// meanwhile are no evidence against other members.
 func (m *Machine) handlePause(late time.Duration) {
 	m.Counters.Pauses++
 	m.notice("paused", "stood still for about %v; accuses nobody for a while", late.Round(time.Millisecond))
@@ -132,7 +132,7 @@
 	for _, peer := range m.investigated {
 		peer.investigation.startedAt, peer.investigation.pings = m.now, 0
 	}
-	for _, peer := range m.suspected { // the pause does not count as their silence
+	for _, peer := range m.suspected { // the pause does not count as time in which they did not answer
 		peer.stateSince = m.now
 	}
 	m.view.resetAfterPause(m.now)
@@ -186,7 +186,7 @@
 	}
 }
 
-// wakeBy makes the caller call Handle again by the time at, at the latest.
+// wakeBy makes the caller call Handle again no later than the time at.
 func (m *Machine) wakeBy(at time.Duration) {
 	if at > m.now {
 		m.wakeAt = min(m.wakeAt, at)
--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -162,8 +162,8 @@
 	Rumors             []cbor.RawMessage
 }
 
-// rumor is news about a member that members pass on. Only the states Alive, Suspected and Left are passed on. Failures
-// are known from views alone.
+// rumor is news about a member that members pass on. Only the states Alive, Suspected and Left are passed on. Members
+// learn of failures only from views.
 type rumor struct {
 	_               struct{} `cbor:",toarray"`
 	Name            string
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -123,7 +123,7 @@
 	return delays
 }
 
-// CountViews returns the number of distinct views in the entries from time from up to, but without, time to.
+// CountViews returns the number of distinct views in the entries between the times from (inclusive) and to (exclusive).
 func (w *World) CountViews(from, to time.Duration) int {
 	ids := map[membership.ViewID]bool{}
 	for _, e := range w.Entries {
--- a/internal/dispatcher/membership/simulation/baseline.go
+++ b/internal/dispatcher/membership/simulation/baseline.go
@@ -21,7 +21,7 @@
 	node        *Node
 	rng         *rand.Rand
 	period      time.Duration
-	timeout     time.Duration // heartbeats: silence until failed; SWIM: time from suspected to failed
+	timeout     time.Duration // heartbeats: time without one until failed; SWIM: time from suspected to failed
 	heartbeats  bool          // heartbeats from all to all; false: SWIM
 	state       []membership.State
 	lastHeardAt []time.Duration
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -1,6 +1,6 @@
 // Package simulation runs members in virtual time. Its network loses, delays and duplicates datagrams and can be
 // partitioned in one direction, and its members can be paused, killed and restarted. It tests and measures the
-// membership at sizes that are out of reach with processes. A World owns the clock, the network and the record that
+// membership at sizes that real processes cannot reach. A World owns the clock, the network and the record that
 // Audit checks. It has no goroutines, and all its randomness comes from its seed.
 package simulation
 
--- a/internal/dispatcher/planner/sizing.go
+++ b/internal/dispatcher/planner/sizing.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// tryCheaper tries those of the fleets that are cheaper than the best one, in their order, and reports whether one
-// holds the goal. It stops at the first that does.
+// tryCheaper evaluates, in the given order, the fleets that are cheaper than the best one. It stops at the first that
+// holds the goal, and reports whether there was one.
 func (s *sizingSearch) tryCheaper(fleets []*fleetsim.Fleet) (bool, error) {
 	_, bestCost := fleetCost(s.best)
 	for _, fleet := range fleets {
--- a/internal/dispatcher/planner/zone_loss.go
+++ b/internal/dispatcher/planner/zone_loss.go
@@ -80,8 +80,8 @@
 	return loss
 }
 
-// tallyBetween returns a function that sums up the values of a day's requests that arrived in the seconds from
-// (inclusive) to to (exclusive).
+// tallyBetween returns a function that sums up the values of a day's requests that arrived between the seconds from
+// (inclusive) and to (exclusive).
 func tallyBetween(from, to float64) func(*fleetsim.Result) fleetsim.Tally {
 	return func(r *fleetsim.Result) (sum fleetsim.Tally) {
 		for i, second := range r.Seconds {
--- a/internal/dispatcher/raftgroup/proposals.go
+++ b/internal/dispatcher/raftgroup/proposals.go
@@ -32,9 +32,9 @@
 	attempts int
 }
 
-// Propose sends a command to its group's leader, and resends it until there is a reply or the time until. It returns a
-// token; the Result with that token has the reply, or ErrUnknownOutcome. A resent command may be applied more than
-// once.
+// Propose sends a command to its group's leader, and resends it until a reply arrives or the time until has passed. It
+// returns a token; the Result with that token has the reply, or ErrUnknownOutcome. A resent command may be applied more
+// than once.
 func (node *Node) Propose(now time.Duration, group int, command []byte, until time.Duration) (uint64, *Actions) {
 	return node.startRequest(now, &pending{group: group, data: command, deadline: until})
 }
