--- a/internal/dispatcher/membership/packet.go
+++ b/internal/dispatcher/membership/packet.go
@@ -27,7 +27,7 @@
 type Metadata struct {
 	_        struct{} `cbor:",toarray"`
 	Weight   float32  // capacity, in a unit that the user chooses
-	Draining bool     // it is shutting down and takes no new work
+	Draining bool     // it is shutting down and accepts no new work
 	Version  string   // of its program, at most 12 bytes
 }
 
@@ -162,8 +162,8 @@
 	Rumors             []cbor.RawMessage
 }
 
-// rumor is news about a member that members pass on. Only the states Alive, Suspected and Left are passed on. Failures
-// are known from views alone.
+// rumor is news about a member that members pass on. Only the states Alive, Suspected and Left are passed on. Members
+// learn of failures only from views.
 type rumor struct {
 	_               struct{} `cbor:",toarray"`
 	Name            string
--- a/internal/dispatcher/membership/simulation/audit.go
+++ b/internal/dispatcher/membership/simulation/audit.go
@@ -11,7 +11,7 @@
 )
 
 // Audit returns the violations of the membership's guarantees: two views with the same number, an earlier view after a
-// later one, an ended incarnation that changed its state, or a member taken for failed that was alive and connected.
+// later one, an ended incarnation that changed its state, or a member declared failed that was alive and connected.
 func (w *World) Audit() (violations []string) {
 	type viewNumber struct {
 		fleet, epoch uint32
@@ -123,7 +123,7 @@
 	return delays
 }
 
-// CountViews returns the number of distinct views in the entries from time from up to, but without, time to.
+// CountViews returns the number of distinct views in the entries between the times from (inclusive) and to (exclusive).
 func (w *World) CountViews(from, to time.Duration) int {
 	ids := map[membership.ViewID]bool{}
 	for _, e := range w.Entries {
--- a/internal/dispatcher/membership/simulation/world.go
+++ b/internal/dispatcher/membership/simulation/world.go
@@ -1,6 +1,6 @@
 // Package simulation runs members in virtual time. Its network loses, delays and duplicates datagrams and can be
 // partitioned in one direction, and its members can be paused, killed and restarted. It tests and measures the
-// membership at sizes that are out of reach with processes. A World owns the clock, the network and the record that
+// membership at sizes that real processes cannot reach. A World owns the clock, the network and the record that
 // Audit checks. It has no goroutines, and all its randomness comes from its seed.
 package simulation
 
@@ -32,7 +32,7 @@
 	PausedUntil     time.Duration // until when its process is paused
 	ReceivesNothing bool          // it sends, but receives no datagrams
 	Sent            uint64        // bytes sent by all incarnations
-	// Faults are the spans in which others may take the node for failed: its process is killed, paused for longer than
+	// Faults are the spans in which others may declare the node failed: its process is killed, paused for longer than
 	// FailureTimeout or partitioned.
 	Faults      []Span
 	waiting     []delivery    // datagrams that arrived during a pause
@@ -164,7 +164,7 @@
 	}
 }
 
-// BeginFault begins a span in which others may take a node for failed; EndFault ends it.
+// BeginFault begins a span in which others may declare a node failed; EndFault ends it.
 func (w *World) BeginFault(n *Node) { n.Faults = append(n.Faults, Span{From: w.Now}) }
 
 // EndFault ends the spans that BeginFault began.
