--- a/cmd/gladepick-full/main_test.go
+++ b/cmd/gladepick-full/main_test.go
@@ -80,7 +80,7 @@
 	recorded, err := capture.Read(dir)
 	if err != nil || len(recorded.Requests) != 1 || recorded.Requests[0].Outcome != "refused" ||
 		recorded.Requests[0].Tenant != "univ-gaspesie" || recorded.Requests[0].RetryAfter == 0 {
-		t.Errorf("recorded: %v, %+v", err, recorded)
+		t.Errorf("reading the recording returned the error %v and the content %+v", err, recorded)
 	}
 }
 
--- a/cmd/gladepick-full/plan_table.go
+++ b/cmd/gladepick-full/plan_table.go
@@ -10,7 +10,7 @@
 	"gladepick/internal/dispatcher/planner"
 )
 
-// maxPrintedEffects is how many limit effects are printed at most.
+// maxPrintedEffects is the maximum number of limit effects that are printed.
 const maxPrintedEffects = 4
 
 // table writes the answers as text with aligned columns.
--- a/cmd/gladepick/agent_test.go
+++ b/cmd/gladepick/agent_test.go
@@ -32,10 +32,10 @@
 		s = runCommand("status")
 	}
 	if s := runCommand("counters", "n0"); !strings.Contains(s, "workers_ready") {
-		t.Errorf("counters: %s", s)
+		t.Errorf("the command counters printed %s", s)
 	}
 	if s := runCommand("reload", "n0"); !strings.Contains(s, "n0: reload") {
-		t.Errorf("reload: %s", s)
+		t.Errorf("the command reload printed %s", s)
 	}
 	for lines.Scan() && !strings.Contains(lines.Text(), "reload: discovery") {
 	}
--- a/cmd/gladepick/shutdown_test.go
+++ b/cmd/gladepick/shutdown_test.go
@@ -123,7 +123,7 @@
 	if got := readAnswer(statusReader); got != "200 up false" {
 		t.Errorf("/up before the listener failed: %s", got)
 	}
-	fmt.Fprint(statusConn, "GET /up HTTP/1.1\r\n") // a header in part: the rest is sent during the shutdown
+	fmt.Fprint(statusConn, "GET /up HTTP/1.1\r\n") // an incomplete header: the rest is sent during the shutdown
 	fmt.Fprintln(stdinWriter, "now")               // breaks the listener
 	for lines.Scan() && !strings.Contains(lines.Text(), "is leaving") {
 	}
@@ -145,13 +145,13 @@
 }
 
 // TestShutdownAnswersEveryAcceptedJob has clients send jobs on open and on new connections, as fast as they are
-// answered, until the dispatcher has exited. Every job that the dispatcher counts as taken must be answered to its
-// client. No new connection may be closed without an answer, except the last one of each client.
+// answered, until the dispatcher has exited. The client of every job that the dispatcher counts as taken must get
+// an answer. No new connection may be closed without an answer, except the last one of each client.
 func TestShutdownAnswersEveryAcceptedJob(t *testing.T) {
 	address := freeAddress(t)
 	workerField := startWorker(t, func() {})
 	command, lines := startProgram(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + writeSettings(t, workerField), "NODE_DISCOVERY=" + freeAddress(t)})
-	// firstUnanswered counts those of unanswered that were the first job on their connection.
+	// firstUnanswered counts the unanswered jobs that were the first on their connection.
 	var answered, unanswered, firstUnanswered atomic.Int64
 	var clients sync.WaitGroup
 	underLoad := make(chan bool, 1)
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestTooLargeAnswerReachesSendingClient checks that a client that still sends its far too large body, more than the
-// socket buffers hold, receives the 413 before the connection is reset.
+// TestTooLargeAnswerReachesSendingClient checks that a client that is still sending a far too large body, larger than
+// the socket buffers, receives the 413 before the connection is reset.
 func TestTooLargeAnswerReachesSendingClient(t *testing.T) {
 	address := freeAddress(t)
 	command, _ := startProgram(t, "serves on", []string{"NODE_NAME=n0", "NODE_LISTEN=" + address, "NODE_CONFIG=" + writeSettings(t, "")})
@@ -227,7 +227,7 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || resp.StatusCode != http.StatusRequestEntityTooLarge || !resp.Close {
-		t.Errorf("answered %v, %v", resp, err)
+		t.Errorf("the client received the response %v and the error %v, want a 413 that closes the connection", resp, err)
 	}
 	command.Process.Signal(syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -17,7 +17,7 @@
 // generatedSuffix is the suffix of generated files, which the style rules do not cover.
 const generatedSuffix = ".pb.go"
 
-// importGroup is the group of an import. In an import block, the groups stand in the order of these constants.
+// importGroup is the group of an import. In an import block, the groups are in the order of these constants.
 type importGroup int
 
 const (
@@ -76,7 +76,7 @@
 	return parsed
 }
 
-// TestImportsAreGrouped checks that imports stand in the order standard library, other libraries, this module, and that
+// TestImportsAreGrouped checks that imports are in the order standard library, other libraries, this module, and that
 // blank lines separate these groups.
 func TestImportsAreGrouped(t *testing.T) {
 	var problems []string
--- a/internal/benchreport/losses.go
+++ b/internal/benchreport/losses.go
@@ -11,8 +11,8 @@
 	Name     string          `json:"name"`
 	Value    float64         `json:"worth"`
 	Losses   []Loss          `json:"losses"`  // by parts and prices
-	Classes  []RequestCounts `json:"classes"` // kinds of requests, the lowest value first
-	Spans    []Span          `json:"spans"`   // time spans, the lowest value first
+	Classes  []RequestCounts `json:"classes"` // kinds of requests, in ascending order of value
+	Spans    []Span          `json:"spans"`   // time spans, in ascending order of value
 	Timeline []Sample        `json:"course"`  // the value of every time span, in the order of the report
 }
 
@@ -34,7 +34,7 @@
 	Value  float64 `json:"worth"`
 }
 
-// NewLossReport computes the losses of a report, with the maxSpans worst time spans at most.
+// NewLossReport computes the losses of a report, with at most maxSpans of the worst time spans.
 func NewLossReport(name string, report *Report, maxSpans int) *LossReport {
 	losses := &LossReport{Name: name, Value: report.Value, Classes: slices.Clone(report.Classes)}
 	for _, part := range report.Parts {
--- a/internal/capacity/formulas.go
+++ b/internal/capacity/formulas.go
@@ -176,7 +176,7 @@
 		Need: storedPerDispatcher * c.slope("keep.disk") / (zones - 1) / secondsPerDay, Mechanism: "`messagestore/resync.go`"})
 }
 
-// repairsAtOnce is how many views one plan changes at most; see internal/controlplane/placement/repair.go.
+// repairsAtOnce is the maximum number of views that one plan changes; see internal/controlplane/placement/repair.go.
 const repairsAtOnce = 512
 
 // leaseSeconds is the duration of a lease. A primary whose planning takes longer loses its own lease.
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -19,7 +19,7 @@
 	Note  string  `json:"note,omitempty"`
 }
 
-// Slopes maps the names of slopes to the slopes.
+// Slopes maps the name of each slope to the slope.
 type Slopes map[string]Slope
 
 // orderedSlopes returns the slopes in the order of slopes.json.
--- a/internal/configuration/unknown.go
+++ b/internal/configuration/unknown.go
@@ -12,12 +12,12 @@
 // later version may define it. In a file that an operator checks, it is most likely misspelt.
 const notRead = "is not read"
 
-// unusedMembers are members of routes and services that the documentation for operators lists and this program does not
-// use. They are not reported as unknown.
+// unusedMembers are members of routes and services that the documentation for operators lists, but that this program
+// does not use. They are not reported as unknown.
 var unusedMembers = []string{"callback-url", "pull-mode", "tls"}
 
 // knownMembers maps the name of each member that is read from an object to the message type of the member's value. The
-// type is nil if the members of the value are not to be checked against a message.
+// type is nil if the members of the value must not be checked against a message.
 type knownMembers map[string]protoreflect.MessageDescriptor
 
 // The members of a configuration, of an update, and of an update's member upsert.
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -26,7 +26,7 @@
 	reservedBytes atomic.Int64
 }
 
-// reserve reserves size bytes, and reports whether the budget had them left.
+// reserve reserves size bytes if the budget has them left, and reports whether it did.
 func (b *bodyBudget) reserve(size int64) bool {
 	if b.reservedBytes.Add(size) <= b.limitBytes {
 		return true
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -21,8 +21,8 @@
 }
 
 // Explore searches the states breadth first for the first violation, and records at most limit distinct states. Its
-// trace is a shortest one unless the limit has left states out. States are identified by a 64-bit hash, so a collision
-// would hide a state. The initial state is not checked.
+// trace is a shortest one unless states were left out because of the limit. States are identified by a 64-bit hash, so
+// a collision would hide a state. The initial state is not checked.
 func Explore[State comparable](model Model[State], limit int) Result {
 	seed := maphash.MakeSeed()
 	start := model.Start()
--- a/internal/network/simulated/connection.go
+++ b/internal/network/simulated/connection.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const windowBytes = 64 << 10 // bytes in flight and unread in one direction at which a writer blocks
+const windowBytes = 64 << 10 // a writer blocks once it has sent this many bytes that the peer has not read
 
 // connection is one end of a stream connection. It implements net.Conn. packets.go handles the packets that arrive at
 // it.
--- a/internal/operatorcli/configdiff.go
+++ b/internal/operatorcli/configdiff.go
@@ -46,7 +46,7 @@
 	return configuration.Parse(text)
 }
 
-// printDiff prints the lines of a difference, or as JSON a list of them, which is [] without a difference.
+// printDiff prints the lines of a difference, either as text or as a JSON list, which is [] if there is no difference.
 func printDiff(out io.Writer, output string, lines []string) error {
 	if output == outputJSON {
 		if lines == nil {
--- a/internal/operatorcli/exit.go
+++ b/internal/operatorcli/exit.go
@@ -7,7 +7,7 @@
 	ExitDone    = 0
 	ExitFailed  = 1 // no front responded conclusively, a file could not be read, or another failure
 	ExitUsage   = 2 // wrong flags or arguments
-	ExitRefused = 3 // a front refused the request, also for something not found, or a file is invalid
+	ExitRefused = 3 // a front refused the request (this includes "not found"), or a file is invalid
 )
 
 // ExitCode returns the exit code for the error of a command, which may be nil. It never returns ExitUsage, since the
--- a/internal/priorityqueue/priorityqueue.go
+++ b/internal/priorityqueue/priorityqueue.go
@@ -9,7 +9,7 @@
 }
 
 // Queue is a priority queue. Its first element is the next item that Pop returns; the others are in heap order. The
-// zero value is an empty queue. Two items of which neither is before the other leave in no particular order.
+// zero value is an empty queue. Items that are equal in order leave the queue in no particular order.
 type Queue[T Item[T]] []T
 
 // Push adds an item.
--- a/internal/rpc/clientconnection.go
+++ b/internal/rpc/clientconnection.go
@@ -118,8 +118,8 @@
 	delete(c.outstanding, id)
 }
 
-// abandon records that the caller no longer waits for a response. The server still owes it, so the watchdog continues
-// to run.
+// abandon records that the caller no longer waits for a response. The server must still send it, so the watchdog
+// continues to run.
 func (c *clientConnection) abandon(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// closeUnused closes the connection of a dial that another one preceded.
+// closeUnused closes the connection of a hedged dial that ended after the first result.
 func closeUnused(stream net.Conn, err error) {
 	if err == nil {
 		_ = stream.Close()
--- a/internal/rpc/watchdog.go
+++ b/internal/rpc/watchdog.go
@@ -5,7 +5,7 @@
 const (
 	// unresponsiveTimeout is the time without a received byte after which a connection with outstanding calls fails.
 	unresponsiveTimeout = 2 * time.Second
-	// lateCheckThreshold is the delay of a check from which the watchdog concludes that its own process was paused.
+	// lateCheckThreshold is the delay of a check above which the watchdog concludes that its own process was paused.
 	lateCheckThreshold = 250 * time.Millisecond
 	// pauseGrace is the additional time, after such a pause, to read the bytes that arrived during it.
 	pauseGrace = 500 * time.Millisecond
--- a/internal/rpc/writer.go
+++ b/internal/rpc/writer.go
@@ -146,7 +146,7 @@
 	return batch, size
 }
 
-// subtractUnwritten corrects maybeSentBytes after a failed write by the bytes that were not written.
+// subtractUnwritten subtracts from maybeSentBytes the bytes that a failed write did not write.
 func (w *frameWriter) subtractUnwritten(size int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/simcluster/audit.go
+++ b/internal/simcluster/audit.go
@@ -8,7 +8,7 @@
 
 // Time limits and tolerances of the rules.
 const (
-	faultGrace          = 4 * time.Second // how long after a fault the rules still make allowance for it
+	faultGrace          = 4 * time.Second // time after a fault during which the rules still tolerate its effects
 	drainBound          = 3 * time.Second
 	configurationBound  = 3 * time.Second
 	revertSlack         = 250 * time.Millisecond
@@ -106,7 +106,7 @@
 	return !a.hadFault(at-faultGrace, at, func(*Fault) bool { return true })
 }
 
-// ending is when and how a message ended.
+// ending holds the time at which a message ended and whether it failed.
 type ending struct {
 	at   time.Duration
 	dead bool // without a success
--- a/internal/simcluster/audit_configuration.go
+++ b/internal/simcluster/audit_configuration.go
@@ -34,8 +34,8 @@
 	return newest
 }
 
-// newestAllowing returns the newest version that routes a route's messages to a service. It considers the versions that
-// were sent at or before a time and not refused.
+// newestAllowing returns the newest version that routes a route's messages to a service. It considers only versions
+// that were sent at or before a time and were not refused.
 func (a *audit) newestAllowing(route, service string, by time.Duration) (uint64, bool) {
 	newest, known := uint64(0), false
 	for i := range a.Changes {
@@ -46,7 +46,8 @@
 	return newest, known
 }
 
-// oldestAllowing returns the oldest of these versions that is not below a minimum.
+// oldestAllowing returns the oldest version that is at least minimum and routes a route's messages to a service. It
+// considers the same versions as newestAllowing.
 func (a *audit) oldestAllowing(route, service string, by time.Duration, minimum uint64) (uint64, bool) {
 	oldest, known := uint64(0), false
 	for i := range a.Changes {
@@ -113,7 +114,7 @@
 	return newest
 }
 
-// checkRoutes checks that fronts neither answer 404 nor accept messages by an outdated configuration.
+// checkRoutes checks that fronts neither answer 404 nor accept messages according to an outdated configuration.
 func (a *audit) checkRoutes() {
 	for i := range a.Attempts {
 		attempt := &a.Attempts[i]
@@ -130,8 +131,8 @@
 	}
 }
 
-// anyVersionExplains reports whether a version that may be in force, and is not below a minimum, explains the response
-// to an attempt: it lacks the route if missing is set, and has the route otherwise.
+// anyVersionExplains reports whether any version explains the response to an attempt. Such a version may be in force,
+// is at least minimum, and lacks the route if missing is set or has the route otherwise.
 func (a *audit) anyVersionExplains(minimum uint64, attempt *Attempt, missing bool) bool {
 	for i := range a.Changes {
 		change := &a.Changes[i]
@@ -163,7 +164,8 @@
 	}
 }
 
-// checkRefusal checks that another change may have come before a refused one and made its base version outdated.
+// checkRefusal checks that another change may have taken effect first and made a refused change's base version
+// outdated.
 func (a *audit) checkRefusal(refused *ConfigurationChange) {
 	if refused.Status == statusNoResponse {
 		return
--- a/internal/simcluster/audit_messages.go
+++ b/internal/simcluster/audit_messages.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// checkUnsolicited checks that workers receive only messages that clients have sent, unchanged.
+// checkUnsolicited checks that workers receive only messages that clients have sent, and receive them unchanged.
 func (a *audit) checkUnsolicited() {
 	for i := range a.Arrivals {
 		arrival := &a.Arrivals[i]
--- a/internal/simcluster/client.go
+++ b/internal/simcluster/client.go
@@ -157,7 +157,7 @@
 // statusNotSent is the status of an attempt that could not connect to a front.
 const statusNotSent = -1
 
-// attempt makes one request. It returns the record of it, and how long to wait before the next attempt.
+// attempt makes one request. It returns the request's record, and how long to wait before the next attempt.
 func (m *clientMessage) attempt() (Attempt, time.Duration) {
 	cluster := m.load.cluster
 	front := cluster.loadBalancer.pick()
--- a/internal/simcluster/cluster.go
+++ b/internal/simcluster/cluster.go
@@ -8,8 +8,8 @@
 //
 // A cluster lives in a bubble of testing/synctest: call New, inject all faults and call Finish within one bubble. A
 // cluster owns one goroutine per process, one for the load, one per message and a few in the background. Finish waits
-// for all of them. All random numbers come from one seeded source that the goroutines share, so two runs with one seed
-// may draw them in different orders.
+// for all of them. All random numbers come from one seeded source that the goroutines share, so two runs with the same
+// seed may draw them in different orders.
 package simcluster
 
 import (
--- a/internal/simcluster/delivery.go
+++ b/internal/simcluster/delivery.go
@@ -45,7 +45,7 @@
 	return d.awaitSlot()
 }
 
-// reject returns the outcome for a delivery that has not run, and tells the sender so in X-Not-Executed.
+// reject returns the outcome for a delivery that has not run. The header X-Not-Executed informs the sender of that.
 func (d *delivery) reject(status int) outcome {
 	d.writer.Header().Set("X-Not-Executed", "1")
 	return outcome{result: NotRun, status: status}
@@ -97,8 +97,8 @@
 	return outcome{Succeeded, http.StatusOK, stamp}
 }
 
-// abandoned returns a channel that is closed when the connection of a request ends, on which the worker gives the
-// message up. For one worker of three it returns nil: these workers finish the message anyway.
+// abandoned returns a channel that is closed when the connection of a request ends; the worker then stops processing
+// the message. For one worker of three it returns nil: these workers finish the message anyway.
 func (w *Worker) abandoned(request *http.Request) <-chan struct{} {
 	if w.number%persistentWorkerInterval == 0 {
 		return nil
--- a/internal/simcluster/faults.go
+++ b/internal/simcluster/faults.go
@@ -85,16 +85,16 @@
 	}
 }
 
-// Each calls a function for all machines of the system, one after another. The simulated clock stands still meanwhile
-// unless the function waits.
+// Each calls a function for all machines of the system, one after another. The simulated clock does not advance
+// meanwhile unless the function waits.
 func (c *Cluster) Each(do func(machine *Machine)) {
 	for _, machine := range append(c.machinesOf(classFront), c.machinesOf(classStore)...) {
 		do(machine)
 	}
 }
 
-// Replace powers a machine off for good, and adds a machine with the same name and class, an empty disk and another IP
-// address. The caller starts the new machine.
+// Replace powers a machine off permanently, and adds a machine with the same name and class, an empty disk and another
+// IP address. The caller starts the new machine.
 func (c *Cluster) Replace(machine *Machine) *Machine {
 	machine.LosePower()
 	c.recorder.beginFault(machine.Name, faultReplacement, false)
@@ -102,7 +102,7 @@
 	return replacement
 }
 
-// Remove takes a machine and its disk away for good, as the platform does after the machine has been retired.
+// Remove removes a machine and its disk permanently, as the platform does after the machine has been retired.
 func (c *Cluster) Remove(machine *Machine) {
 	c.recorder.beginFault(machine.Name, faultRemoval, true)
 	if running := machine.process(); running != nil {
--- a/internal/simcluster/history.go
+++ b/internal/simcluster/history.go
@@ -7,7 +7,7 @@
 )
 
 // History is everything that the simulated clients, workers, operators and platform have observed. All times count from
-// the start of the cluster. Audit uses nothing but a history.
+// the start of the cluster. Audit uses only a history.
 type History struct {
 	Attempts        []Attempt
 	Arrivals        []Arrival
--- a/internal/simcluster/operator.go
+++ b/internal/simcluster/operator.go
@@ -69,7 +69,7 @@
 	o.dropShare = share
 }
 
-// Exclude makes the operator avoid a front that is known to be faulty. Nil ends that.
+// Exclude makes the operator avoid a front that is known to be faulty. Nil cancels the exclusion.
 func (o *Operator) Exclude(front *Machine) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/simcluster/options.go
+++ b/internal/simcluster/options.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Options describe a cluster. New replaces fields that are zero by defaults.
+// Options describe a cluster. New replaces zero fields with defaults.
 type Options struct {
 	Fronts     int
 	CoreFronts int // number of fronts that have a disk and are members of the control group
 	Stores     int
 	Zones      int
-	Tolerated  int // machines that may be lost at once; each message has one replica more
+	Tolerated  int // machines that may be lost at once; each message has one more replica than this
 	Seed       uint64
 	Rate       float64 // messages per second
 	Services   []Service
@@ -40,8 +40,8 @@
 	}
 }
 
-// MovingServices are the services that the route "moving" points to, one after another, as versions of the
-// configuration succeed each other.
+// MovingServices are the services that the route "moving" points to in turn, in successive versions of the
+// configuration.
 var MovingServices = []string{"moving-0", "moving-1", "moving-2"}
 
 // DefaultServices returns the services of a cluster whose Options name none.
--- a/internal/systemnode/demo/server.go
+++ b/internal/systemnode/demo/server.go
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// hostAddress returns the address of a simulated worker or of the platform. offset is that of its port.
+// hostAddress returns the address of a simulated worker or of the platform. offset is its port's offset from
+// Options.FirstPort.
 func (s *system) hostAddress(offset int) string {
 	return net.JoinHostPort(hostIP, strconv.Itoa(s.options.FirstPort+offset))
 }
--- a/internal/systemnode/doc.go
+++ b/internal/systemnode/doc.go
@@ -1,8 +1,8 @@
 // Package systemnode assembles the two kinds of processes of the system, Front and Store, from the components of the
 // control plane and the data plane, and manages their lifecycle. It makes no decisions about messages.
 //
-// RunFront and RunStore run a process on this machine as its settings file says. Tests and package demo use NewFront and
-// NewStore with Options of their own.
+// RunFront and RunStore run a process on this machine according to its settings file. Tests and package demo use
+// NewFront and NewStore with Options of their own.
 //
 // NewFront and NewStore open the files on disk and connect the components. They start no goroutine and open no port.
 // Run starts the goroutines and serves until its context ends, which cmd/gladepick-system causes on SIGTERM or SIGINT.
--- a/internal/systemnode/inspection/members.go
+++ b/internal/systemnode/inspection/members.go
@@ -24,8 +24,8 @@
 	Address string `json:"address"` // of its internal listener
 	State   string `json:"state"`
 	DiskID  string `json:"diskId"`
-	Leads   int    `json:"leads"` // number of partitions of which it is the primary
-	Holds   int    `json:"holds"` // number of partitions of which it has a replica, as primary or backup
+	Leads   int    `json:"leads"` // number of partitions whose primary it is
+	Holds   int    `json:"holds"` // number of partitions that it stores a replica of, as primary or backup
 }
 
 // NewMembers lists the control members and then the stores, each in the order of the table. The table may be nil. The
@@ -69,8 +69,8 @@
 	}
 }
 
-// countReplicas returns, by store name, the number of partitions of which the store is the primary, and the number of
-// partitions of which it has a replica.
+// countReplicas returns, by store name, the number of partitions whose primary the store is, and the number of
+// partitions that it stores a replica of.
 func countReplicas(table *cluster.Table) (leads, holds map[string]int) {
 	leads, holds = map[string]int{}, map[string]int{}
 	for _, partition := range table.Partitions {
--- a/internal/systemnode/inspection/views_test.go
+++ b/internal/systemnode/inspection/views_test.go
@@ -38,7 +38,7 @@
 	return cluster.Replica{Store: "store-" + number, DiskID: "disk-" + number}
 }
 
-// sampleTable returns a table with two control members, three stores of which store-3 is down, and one or more
+// sampleTable returns a table with two control members, three stores with store-3 down, and one or more
 // partitions of each class of Coverage.
 func sampleTable() *cluster.Table {
 	return &cluster.Table{
--- a/internal/systemnode/memorymetrics.go
+++ b/internal/systemnode/memorymetrics.go
@@ -21,7 +21,7 @@
 )
 
 // collectMemory writes the memory that the process uses and the limit of the settings, both in bytes. The runtime's
-// figure leaves out the stacks of C code and the program text.
+// figure excludes the stacks of C code and the program text.
 func collectMemory(samples *inspection.Samples, limitMB int) {
 	read := []metrics.Sample{{Name: memoryMapped}, {Name: memoryReturned}}
 	metrics.Read(read)
--- a/internal/systemnode/process.go
+++ b/internal/systemnode/process.go
@@ -36,7 +36,7 @@
 
 // runProcess reads the settings, opens the logger and the data directory, and runs a process. If the settings file is
 // invalid, the error is a settings.Findings. Errors of the logger, the data directory, newProcess and Run are returned
-// as they are.
+// unchanged.
 func runProcess(
 	ctx context.Context, processOptions ProcessOptions, newProcess func(Options) (process, error),
 ) error {
--- a/internal/vfs/memfs/inode.go
+++ b/internal/vfs/memfs/inode.go
@@ -13,7 +13,7 @@
 	synced  int          // number of changes already made durable or discarded
 }
 
-// dataChange is a write, or a truncation where data is nil.
+// dataChange is a write, or a truncation if data is nil.
 type dataChange struct {
 	offset int64 // of the write in bytes, or the size after the truncation
 	data   []byte
@@ -77,7 +77,7 @@
 	i.synced += count
 }
 
-// losePower applies to the durable contents all, a part or nothing of each change that is not durable. The result
+// losePower applies each change that is not durable fully, partly or not at all to the durable contents. The result
 // becomes the current contents.
 func (i *inode) losePower(random *rand.Rand) {
 	for _, change := range i.pending {
--- a/internal/vfs/memfs/names.go
+++ b/internal/vfs/memfs/names.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// persistCreation makes the name durable under which the synced file was created. The caller holds the mutex.
+// persistCreation makes durable the name with which the synced file was created. The caller holds the mutex.
 func (d *Disk) persistCreation(synced *inode) {
 	remaining := d.pendingChanges[:0]
 	for _, change := range d.pendingChanges {
