--- a/internal/controlplane/operatorapi/api.go
+++ b/internal/controlplane/operatorapi/api.go
@@ -125,7 +125,7 @@
 	if rpc.CodeOf(err) != "" {
 		return Response{}, err
 	}
-	return errorResponse(http.StatusServiceUnavailable, "the outcome is unknown: "+trace.UserMessage(err)), nil
+	return errorResponse(http.StatusServiceUnavailable, "the outcome is not known: "+trace.UserMessage(err)), nil
 }
 
 func (a *API) route(ctx context.Context, call cluster.OperatorRequest, body []byte) (Response, error) {
--- a/internal/controlplane/operatorapi/configrequest.go
+++ b/internal/controlplane/operatorapi/configrequest.go
@@ -83,7 +83,7 @@
 func checkOutdated(current *controlstate.State, request *configRequest) Response {
 	fallback := errorResponse(http.StatusPreconditionFailed, fmt.Sprintf("version %d is current", current.ConfigVersion()))
 	if request.base < current.ForgottenBelow {
-		fallback = errorResponse(http.StatusServiceUnavailable, "the base version is too old to tell whether the request was applied")
+		fallback = errorResponse(http.StatusServiceUnavailable, "too old to tell whether it was taken")
 	}
 	return checkRepeated(current, request, fallback)
 }
@@ -117,7 +117,7 @@
 		return Response{}, err
 	}
 	if !a.options.State.Accepted(request.digest) {
-		return errorResponse(http.StatusPreconditionFailed, "another configuration request was applied first"), nil
+		return errorResponse(http.StatusPreconditionFailed, "another order was taken first"), nil
 	}
 	a.options.Logger.Info("configuration applied", zap.Uint64("version", document.Version()))
 	return emptyResponse(http.StatusOK), nil
--- a/internal/dispatcher/clienthttp/head.go
+++ b/internal/dispatcher/clienthttp/head.go
@@ -124,7 +124,7 @@
 // complete. Its error is a requestError.
 func (c *clientConn) takeHead(searched int) (int, bool, error) {
 	if c.overflowed {
-		return searched, false, badRequest("too much data was sent before the previous answer")
+		return searched, false, badRequest("more came before its time than there is room for")
 	}
 	from := max(searched-len(headEnd)+1, 0)
 	if at := bytes.Index(c.unchecked[from:], headEnd); at >= 0 {
